--- a/crates/driver/src/client.rs
+++ b/crates/driver/src/client.rs
@@ -292,18 +292,16 @@
         let mut stopping = context.stopping.clone();
         let served = self.seat.served.get();
         let between = self.buffer.is_empty();
-        let (mut since, mut limit) = (Instant::now(), limits.client_idle);
+        let now = Instant::now();
+        let (mut since, mut until) = (now, now + limits.client_idle);
         if !between {
-            since = *begun.get_or_insert(since);
-            limit = limits.message;
+            since = *begun.get_or_insert(now);
+            // A client that has stopped is not waited for, however long the statement before was under way.
+            until = (since + limits.message).min(self.read.unwrap_or(now) + limits.stalled);
         }
-        let mut until = since + limit;
         if !served {
-            until = if between {
-                self.connected + limits.first
-            } else {
-                until.min(self.connected + limits.first)
-            };
+            let first = self.connected + limits.first;
+            until = if between { first } else { until.min(first) };
             since = self.connected;
         }
         self.seat.idle_since.set(Some(since));
@@ -324,15 +322,12 @@
                 biased;
                 read = self.stream.read_buf(self.buffer.tail()) => break read,
                 mail = self.mailbox.recv() => match mail {
-                    Some(Mail::Yield) | None if !between => return Err(End::Yielded),
                     Some(Mail::Yield) | None => {}
                     Some(_) => continue,
                 },
                 () = self.presence.cut(), if !between => return Err(End::Cut),
                 () = &mut stopped => {}
-                () = sleep_until(until) => if !between {
-                    return Err(End::Yielded);
-                },
+                () = sleep_until(until) => {}
             }
             // What has come by now is read, and answered: nothing is closed over it.
             if !has_unread(&self.stream) {
--- a/crates/driver/src/limits.rs
+++ b/crates/driver/src/limits.rs
@@ -54,6 +54,9 @@
     pub first: Duration,
     /// From the first byte of a client's message to its last, however steadily it comes.
     pub message: Duration,
+    /// Silence within a client's message after which its connection is closed: a client that stops there and stays is
+    /// owed an end within three seconds.
+    pub stalled: Duration,
     /// How long a client's connection may stand without a task.
     pub client_idle: Duration,
     /// Room is asked for a message beyond this size.
@@ -143,6 +146,7 @@
             startup: Duration::from_secs(2),
             first: Duration::from_millis(2500),
             message: Duration::from_secs(60),
+            stalled: Duration::from_millis(2500),
             client_idle: Duration::from_millis(2100),
             small: SMALL,
             room_wait: Duration::from_millis(100),
