--- a/crates/driver/src/client/asking.rs
+++ b/crates/driver/src/client/asking.rs
@@ -102,9 +102,13 @@
     pub(super) async fn ask(
         &mut self,
         statement: Vec<u8>,
-        comment: Comment,
+        mut comment: Comment,
         large: Option<Room>,
     ) -> Result<(), End> {
+        if let Some(left) = self.context.left_to_answer() {
+            // It has its answer before the program may be killed.
+            comment.wait = comment.wait.min(left.as_millis() as u32);
+        }
         self.asked += 1;
         let client = (self.id << 24) + (self.asked & 0xff_ffff);
         let text = &statement[comment.end..];
--- a/crates/driver/src/context.rs
+++ b/crates/driver/src/context.rs
@@ -2,6 +2,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
+use std::time::Duration;
 
 use slog::Logger;
 use tokio::sync::{Semaphore, mpsc, watch};
@@ -32,3 +33,12 @@
     /// The members' share of descriptors.
     pub member_room: Arc<Semaphore>,
 }
+
+impl Context {
+    /// How long a request that comes now may still be under way: `None` unless the program is to stop.
+    pub fn left_to_answer(&self) -> Option<Duration> {
+        let window_closes = (*self.stopping.borrow())?;
+        let end = window_closes + (self.limits.stop_end - self.limits.stop_window);
+        Some(end.saturating_duration_since(Instant::now()))
+    }
+}
--- a/crates/driver/src/limits.rs
+++ b/crates/driver/src/limits.rs
@@ -10,6 +10,20 @@
 /// What the system may hold of a connection, twice that each way.
 const BUFFER: usize = 16 * 1024;
 
+/// The program is killed no earlier after a request to stop than the longest deadline, of which no more than so much
+/// counts, and this span behind it.
+const LONGEST_WAIT: Duration = Duration::from_secs(3);
+const KILLED_BEHIND: Duration = Duration::from_millis(700);
+/// For so long may the process be held up between reading its clock and writing.
+const HELD_UP: Duration = Duration::from_millis(150);
+
+/// Guards answers against a kill that finds them unwritten. Harms requests that come late in a shutdown: they have less
+/// time than they ask for.
+fn stop_end(decoded: &Decoded) -> Duration {
+    let longest = decoded.terms.offerings.iter().map(|offering| duration(offering.limit)).max();
+    longest.unwrap_or_default().min(LONGEST_WAIT) + KILLED_BEHIND - HELD_UP
+}
+
 /// All sizes, counts and times that bound the driver, filled once at its start.
 #[derive(Clone, Debug)]
 pub struct Limits {
@@ -101,6 +115,8 @@
     pub fates: usize,
     /// After a request to stop, how long new connections are still taken, and the rest of a message waited for.
     pub stop_window: Duration,
+    /// After a request to stop, by when every answer must be out: the program may be killed soon after.
+    pub stop_end: Duration,
     /// How long after the last client what other gateways sent is waited for.
     pub stop_guests: Duration,
 }
@@ -175,6 +191,7 @@
             link_retry: (Duration::from_millis(50), Duration::from_secs(2)),
             fates: (memory / 16 / SMALL).clamp(256, 65_536),
             stop_window: Duration::from_millis(600),
+            stop_end: stop_end(decoded),
             stop_guests: Duration::from_secs(30),
         }
     }
