--- a/crates/routing/src/policy/decide.rs
+++ b/crates/routing/src/policy/decide.rs
@@ -36,7 +36,7 @@
         let stuck = match (offering.effect, errand.may_have_run) {
             (_, None) | (Effect::Pure, _) => false,
             (Effect::Effectful, Some(_)) => true,
-            (Effect::Receipted { window, .. }, Some((at, _))) => now >= at + window,
+            (Effect::Receipted { window, .. }, Some((at, _))) => now >= at + window - HELD_UP,
         };
         if stuck
             || self.at_fault(errand)
--- a/crates/routing/src/policy/fresh.rs
+++ b/crates/routing/src/policy/fresh.rs
@@ -32,7 +32,7 @@
                 let remembered = errand.task.session.as_ref().and_then(floor);
                 told.max(remembered).unwrap_or(Micros::MIN)
             }
-            Need::Recent(bound) => now - bound + MS,
+            Need::Recent(bound) => now - bound + HELD_UP,
             Need::Loose | Need::Write => Micros::MIN,
         };
         let (group, asked, sparse) = (errand.group, errand.asked, self.sparse());
@@ -99,11 +99,12 @@
     }
 
     /// Until when the attempt may leave. Protects reads and repeats from what comes between the decision and the
-    /// last byte: a connection that comes up late, a primary that steps down, a window of repeats that ends.
+    /// last byte: a connection that comes up late, a primary that steps down, a window of repeats that ends, a process
+    /// that is held up behind the last look. Harms reads by that time's worth of proof.
     pub(super) fn validity(&self, errand: &Errand, id: MemberId) -> Validity {
         let Offering { effect, need, .. } = self.terms.offerings[errand.task.offering];
         let repeats_until = match (effect, errand.may_have_run) {
-            (Effect::Receipted { window, .. }, Some((first, _))) => first + window,
+            (Effect::Receipted { window, .. }, Some((first, _))) => first + window - HELD_UP,
             _ => Micros::MAX,
         };
         let member = &self.members[id];
@@ -111,7 +112,7 @@
         let (fresh_until, while_primary) = match need {
             Need::Write | Need::Loose => (Micros::MAX, false),
             _ if self.terms.members_check => (Micros::MAX, false),
-            Need::Recent(bound) if !primary => (member.position.saturating_add(bound - MS), false),
+            Need::Recent(bound) if !primary => (member.position.saturating_add(bound - HELD_UP), false),
             _ => (Micros::MAX, primary),
         };
         Validity { until: repeats_until.min(fresh_until), while_primary }
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -24,6 +24,8 @@
 
 const MS: Micros = 1_000;
 const BEAT: Micros = 20 * MS; // how often the router looks at what no event brings
+/// For so long may the process be held up between a decision and the write that follows from it.
+const HELD_UP: Micros = 150 * MS;
 const HOLD: Micros = 500 * MS; // the design's, of a write after a round of misses
 const BAR: Micros = 5_000 * MS;
 const FAILURES: usize = 5;
--- a/crates/routing/tests/router/cases.rs
+++ b/crates/routing/tests/router/cases.rs
@@ -11,8 +11,8 @@
     world.positions[2] = world.now + 50 * MS;
     world.pass(50 * MS);
     world.probe_answer(2, true);
-    world.pass(BOUND - 20 * MS);
-    // Members 1 and 3 were heard too long ago to be proven fresh.
+    world.pass(BOUND - 170 * MS);
+    // Members 1 and 3 were heard too long ago to be proven fresh, for a process that is held up for 150 ms.
     for _ in 0..3 {
         let read = world.take(READ, 1_000 * MS);
         assert_eq!(target(&world, read), Some(2));
--- a/crates/routing/tests/router/fresh.rs
+++ b/crates/routing/tests/router/fresh.rs
@@ -189,3 +189,29 @@
     let read = world.take_session(OWN, 1_000 * MS, "17");
     assert!(target(&world, read).is_some_and(|id| id != 0));
 }
+
+#[test]
+fn a_proof_that_would_run_out_while_the_process_is_held_up_is_none() {
+    let mut world = heard(terms());
+    world.positions[2] = world.now;
+    world.probe_answer(2, true);
+    world.pass(BOUND - 100 * MS);
+    world.probes.clear();
+    let read = world.take(READ, 1_000 * MS);
+    assert_ne!(
+        target(&world, read),
+        Some(2),
+        "rule 5: 100 ms of proof are left, and it may be written 150 ms later"
+    );
+}
+
+#[test]
+fn a_retry_that_could_leave_past_its_window_is_none() {
+    let mut world = heard(terms());
+    let write = world.take(RECEIPTED, 3_000 * MS);
+    assert_eq!(target(&world, write), Some(0));
+    world.pass(1_900 * MS);
+    world.end(write, Verdict::Error);
+    assert_eq!(target(&world, write), None, "rule 2: 100 ms are left of its window");
+    assert_eq!(world.broken_off, [write]);
+}
--- a/crates/routing/tests/router/world.rs
+++ b/crates/routing/tests/router/world.rs
@@ -6,6 +6,9 @@
 
 pub use crate::givens::*;
 
+/// A process may be held up for so long behind its last look at the clock: what it then writes is within the rules.
+const HELD_UP: Micros = 150 * MS;
+
 #[derive(Clone)]
 struct Flight {
     offering: usize,
@@ -336,7 +339,7 @@
         match offering.effect {
             Effect::Effectful => assert!(flight.may_have_run.is_none(), "rule 2: launched again"),
             Effect::Receipted { window, .. } => {
-                let forgotten = flight.may_have_run.map_or(Micros::MAX, |at| at + window);
+                let forgotten = flight.may_have_run.map_or(Micros::MAX, |at| at + window - HELD_UP);
                 assert!(now < forgotten && validity.until <= forgotten, "rule 2: repeats forgotten")
             }
             Effect::Pure => {}
@@ -344,7 +347,7 @@
         let (standing, at) = self.standing[id];
         assert!(standing == Standing::Ready || now == at, "rule 3: launched at a drain");
         let floor = match offering.need {
-            Need::Recent(bound) => now - bound,
+            Need::Recent(bound) => now - bound + HELD_UP,
             Need::OwnWrites => flight.floor,
             _ => Micros::MIN,
         };
@@ -354,7 +357,9 @@
         // For as long as it says: an attempt may leave late.
         let lasts = match offering.need {
             _ if validity.while_primary => self.excused[id],
-            Need::Recent(bound) => self.terms.members_check || validity.until <= self.positions[id] + bound,
+            Need::Recent(bound) => {
+                self.terms.members_check || validity.until <= self.positions[id] + bound - HELD_UP
+            }
             _ => true,
         };
         assert!(lasts, "rule 5: proven for longer than it is");
