--- a/crates/driver/src/member/visit.rs
+++ b/crates/driver/src/member/visit.rs
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
 use tokio::task;
-use tokio::time::{Instant, timeout_at};
+use tokio::time::{Instant, timeout, timeout_at};
 
 use super::connection::Connection;
 use crate::context::Context;
@@ -146,7 +146,13 @@
             let due = due.map_or(until, |due| clock.instant(due).min(until));
             let cut_short = exchange.is_served() || pg::ends_as_answer(connection.buffer.held());
             let wait = if cut_short { due.min(Instant::now() + limits.closing) } else { due };
-            match timeout_at(wait, connection.stream.read_buf(connection.buffer.tail())).await {
+            let mut read = timeout_at(wait, connection.stream.read_buf(connection.buffer.tail())).await;
+            if read.is_err() && connection.obstacle().is_none() {
+                // A signal or a standstill has let the clock be heard before the bytes, which came in time.
+                let again = connection.stream.read_buf(connection.buffer.tail());
+                read = timeout(limits.closing, again).await;
+            }
+            match read {
                 Err(_) if wait < until => return Verdict::Spoilt,
                 Err(_) => return Verdict::TimedOut,
                 Ok(Ok(count)) if count > 0 => {
