--- a/crates/driver/src/limits.rs
+++ b/crates/driver/src/limits.rs
@@ -91,6 +91,8 @@
     pub parting: Duration,
     /// From the attempt to connect to a member until it is ready for a statement.
     pub connect: Duration,
+    /// A connection to a member that is not there after less than this says nothing of the member.
+    pub opening: Duration,
     pub probe: Duration,
     /// After so many spoilt answers in a row there is a line in the log.
     pub spoilt_told: usize,
@@ -173,6 +175,7 @@
             accepting: Duration::from_secs(5),
             parting: Duration::from_millis(300),
             connect: duration(decoded.connect_timeout),
+            opening: duration(decoded.connect_timeout).min(Duration::from_millis(100)),
             probe: duration(decoded.connect_timeout),
             spoilt_told: 3,
             closing: Duration::from_millis(5),
--- a/crates/driver/src/member.rs
+++ b/crates/driver/src/member.rs
@@ -70,6 +70,12 @@
     lost: bool,
 }
 
+/// Whether a connection that has not come up since `began` tells anything of its member. Protects a sound member from
+/// requests with so little time left that no handshake fits in. Harms by a wait of that time where a member vanished.
+fn shows_no_way(context: &Context, began: Instant) -> bool {
+    began.elapsed() >= context.limits.opening && !context.lived.stood_since(began)
+}
+
 impl Member {
     pub fn new(
         context: Rc<Context>,
@@ -209,10 +215,10 @@
                     (verdict, exchange.is_ready().then_some(connection))
                 }
                 // For a task that connection never came up; a probe was not answered, and no more is known.
-                Err(Verdict::TimedOut) if for_task && !context.lived.stood_since(began) => {
+                Err(Verdict::TimedOut) if for_task && shows_no_way(&context, began) => {
                     (Verdict::Unconnected, None)
                 }
-                // Nothing was sent, and nobody saw whether the connection came up in time.
+                // Nothing was sent, and nobody saw whether the connection came up in time; or there was too little.
                 Err(Verdict::TimedOut) if for_task => (Verdict::Moot, None),
                 Err(verdict) => (verdict, None),
             };
