--- a/crates/driver/src/clock.rs
+++ b/crates/driver/src/clock.rs
@@ -1,3 +1,5 @@
+//! The program's clocks: the router's, which never steps; unstalled time; and the system's wall clock, which may step.
+
 use std::cell::RefCell;
 use std::os::fd::AsRawFd;
 use std::rc::Rc;
@@ -11,20 +13,32 @@
 /// Says how long the machine was suspended, since whenever.
 pub type Suspension = fn() -> Micros;
 
-/// The router's clock: it starts at the Unix time of the start and never steps. Where it is told of suspensions it counts
+/// Says the Unix time in microseconds by the system's clock, which may be stepped at any moment.
+pub type WallClock = fn() -> Micros;
+
+/// The router's clock: it starts at the Unix time of the start and never steps. What others tell as Unix time (positions,
+/// starts of members, a session's last write) stands on it as it was told: two such times are compared without any clock
+/// of this process, whatever the wall clock does in between. Where it is told of suspensions it counts
 /// them; an instant from before one is then taken for as long before now as the machine has run since.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
     at_start: Micros,
+    wall: WallClock,
     /// Who says so, and what was said at the start.
     suspension: Option<(Suspension, Micros)>,
 }
 
 impl Clock {
-    pub fn start(suspension: Option<Suspension>) -> Clock {
+    /// The wall clock is read once, and later only where [`Clock::wall`] is asked.
+    pub fn start(wall: WallClock, suspension: Option<Suspension>) -> Clock {
         let suspension = suspension.map(|told| (told, told()));
-        Clock { start: Instant::now(), at_start: unix_now(), suspension }
+        Clock { start: Instant::now(), at_start: wall(), wall, suspension }
+    }
+
+    /// The wall clock as it is now, after whatever steps: for what other processes read, never for spans of time.
+    pub fn wall(&self) -> Micros {
+        (self.wall)()
     }
 
     fn suspended(&self) -> Micros {
@@ -43,13 +57,6 @@
     pub fn instant(&self, at: Micros) -> Instant {
         self.start + duration(at - self.at_start - self.suspended())
     }
-
-    /// A Unix time on this clock, whatever steps the system's clock has made since the start.
-    pub fn convert(&self, unix: Micros) -> Micros {
-        // In this order a pause between the two makes a position older, never newer than it is.
-        let now = self.now();
-        unix.saturating_sub(unix_now() - now)
-    }
 }
 
 pub fn duration(micros: Micros) -> Duration {
@@ -58,7 +65,26 @@
 
 /// The system's clock, which may step.
 pub fn unix_now() -> Micros {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as Micros)
+    let system = SystemTime::now().duration_since(UNIX_EPOCH);
+    system.map_or(0, |since| since.as_micros() as Micros) + fault::wall_clock_step()
+}
+
+/// Faults for tests: only builds with debug assertions have them, release builds never read the variable.
+mod fault {
+    use super::Micros;
+
+    /// By how much the wall clock is off, in microseconds: the text of the file that the variable names.
+    #[cfg(debug_assertions)]
+    pub fn wall_clock_step() -> Micros {
+        let file = std::env::var_os("ALDERMILL_TEST_WALL_CLOCK_STEP");
+        let text = file.and_then(|file| std::fs::read_to_string(file).ok());
+        text.and_then(|text| text.trim().parse().ok()).unwrap_or(0)
+    }
+
+    #[cfg(not(debug_assertions))]
+    pub fn wall_clock_step() -> Micros {
+        0
+    }
 }
 
 /// The machine's suspensions, by the system's two clocks, of which one counts them.
--- a/crates/driver/src/desk.rs
+++ b/crates/driver/src/desk.rs
@@ -297,19 +297,16 @@
         client: Option<(ClientId, mpsc::Sender<Mail>)>,
         via: Option<SitesHandle>,
     ) -> (Handle, Todo) {
-        let clock = self.context.clock;
-        let now = clock.now();
+        let now = self.context.clock.now();
         let keyed = matches!(self.decoded.terms.offerings[offering].need, Need::Write | Need::OwnWrites);
         let session = if keyed { quoted(&order.statement[order.comment.end..]) } else { None };
-        let written = order.comment.after.map(|after| clock.convert(millis(after)));
-        let written_ago = order.written_ago.or(written.map(|at| now.saturating_sub(at).max(1)));
         let task = Task {
             offering,
             group: order.comment.group,
             ttl,
             waited: now - order.arrived,
             session,
-            last_write: written_ago,
+            last_write: order.last_write(now),
             repeat: order.comment.repeat,
         };
         let (handle, todo) = self.ask(|router| router.take(now, task.clone()));
@@ -384,7 +381,3 @@
         None => None,
     }
 }
-
-pub(crate) fn millis(millis: u64) -> Micros {
-    Micros::try_from(millis).map_or(Micros::MAX, |millis| millis.saturating_mul(1000))
-}
--- a/crates/driver/src/desk/hub/trips.rs
+++ b/crates/driver/src/desk/hub/trips.rs
@@ -218,9 +218,8 @@
         let Some(hub) = &mut self.hub else { return };
         let (Some(trip), Some(state)) = (hub.trips.get(&handle), hub.gates.get(gate)) else { return };
         let order = &trip.order;
-        let clock = self.context.clock;
-        let written = order.comment.after.map(|after| clock.convert(super::super::millis(after)));
-        let written_ago = order.written_ago.or(written.map(|at| now.saturating_sub(at).max(1)));
+        // Zero on the wire is no word of it.
+        let written_ago = order.last_write(now).map(|ago| ago.max(1));
         let visited = trip.visited.iter().cloned().chain([hub.own.site.clone()]).collect();
         let start = state.origin.start;
         let task = TaskFrame {
@@ -229,7 +228,7 @@
             offering: order.comment.offering.clone(),
             group: order.comment.group,
             left_us: left.max(0) as u64,
-            written_ago_us: written_ago.unwrap_or(0).max(0) as u64,
+            written_ago_us: written_ago.unwrap_or(0) as u64,
             repeat: order.comment.repeat,
             visited,
             length: 0,
--- a/crates/driver/src/desk/lists.rs
+++ b/crates/driver/src/desk/lists.rs
@@ -10,8 +10,7 @@
 
 use super::Desk;
 use crate::catalog::{Catalog, Entry};
-use crate::clock::Clock;
-use crate::member::Member;
+use crate::member::{LastHeard, Member};
 use crate::words::{Bulletin, MemberCommand};
 
 /// A member's actor, as the desk sees it.
@@ -22,8 +21,9 @@
     pub(super) commands: mpsc::Sender<MemberCommand>,
     /// Whether the list's last word lets anything new be sent there.
     pub(super) open: watch::Sender<bool>,
+    last_heard: LastHeard,
     pub(super) address: SocketAddr,
-    /// Its last start as the list tells it, and on the router's clock.
+    /// Its last start as the list tells it, and as it is believed, on the router's clock.
     pub(super) up_since: f64,
     pub(super) since: Option<Micros>,
     /// How often the router has heard it say that it is a replica.
@@ -108,13 +108,14 @@
         let clock = self.context.clock;
         let open = self.lets_send(standing);
         let peer = self.peers[member].as_mut()?;
-        peer.open.send_replace(open);
+        let was_open = peer.open.send_replace(open);
         (peer.group, peer.zone) = (entry.cell, self.decoded.zone(&entry.locality));
         peer.ready = standing == Standing::Ready;
         let restarted = peer.up_since != entry.up_since_ms && standing == Standing::Ready;
         if restarted {
             peer.up_since = entry.up_since_ms;
-            peer.since = started(clock, entry.up_since_ms);
+            let former = peer.last_heard.former_life(was_open).map(|heard| clock.at(heard));
+            peer.since = started(clock.now(), entry.up_since_ms, former);
         }
         if (restarted || peer.address != address)
             && peer.commands.try_send(MemberCommand::Renew(address)).is_ok()
@@ -147,9 +148,11 @@
         let id = self.peers.iter().position(Option::is_none).unwrap_or(self.peers.len());
         let (commands, mailbox) = mpsc::channel(self.context.limits.commands);
         let (open, seen) = watch::channel(self.lets_send(entry.standing()));
-        let member = Member::new(self.context.clone(), id, entry.id.clone(), address, seen);
+        let last_heard = LastHeard::default();
+        let member =
+            Member::new(self.context.clone(), id, entry.id.clone(), address, seen, last_heard.clone());
         spawn_local(member.run(mailbox));
-        let since = started(self.context.clock, entry.up_since_ms);
+        let since = started(self.context.clock.now(), entry.up_since_ms, None);
         if id == self.peers.len() {
             self.peers.push(None);
         }
@@ -160,6 +163,7 @@
             ready,
             commands,
             open,
+            last_heard,
             address,
             up_since: entry.up_since_ms,
             since,
@@ -170,7 +174,9 @@
     }
 }
 
-/// The list's word on a member's last start; zero is long ago.
-fn started(clock: Clock, up_since_ms: f64) -> Option<Micros> {
-    (up_since_ms > 0.0).then(|| clock.convert((up_since_ms * 1000.0) as Micros))
+/// A member's last start on the router's clock, by the list's word, where zero is long ago. It lies neither in the future
+/// nor before the life before it was last heard, whatever the wall clock was when this process started.
+fn started(now: Micros, up_since_ms: f64, former_heard: Option<Micros>) -> Option<Micros> {
+    let told = (up_since_ms > 0.0).then_some((up_since_ms * 1000.0) as Micros)?;
+    Some(told.max(former_heard.unwrap_or(Micros::MIN)).min(now))
 }
--- a/crates/driver/src/fellows.rs
+++ b/crates/driver/src/fellows.rs
@@ -16,7 +16,6 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until};
 
-use crate::clock::unix_now;
 use crate::context::Context;
 use crate::council::{Council, Moment, WORKS};
 use crate::halt::Halt;
@@ -76,7 +75,7 @@
             fleet: terms.fleet,
             name: name.to_owned(),
             address: terms.address.unwrap_or(listen),
-            start: unix_now().max(1) as u64,
+            start: context.clock.wall().max(1) as u64,
         };
         info!(context.log, "fellows"; "fleet" => &own.fleet, "listen" => %listen, "address" => %own.address);
         let peers =
@@ -288,7 +287,7 @@
         let view = self.fellows.view(self.context.lived.now());
         let text = json!({"self": fellow(self.fellows.own()), "view": seen(view), "room_shared_by": self.shared.0,
             "council": self.council.as_ref().map(|(council, _)| council.describe(self.context.clock.now())),
-            "at_ms": unix_now() / 1000, "dropped": dropped(self.fellows.dropped()), "sent": {"datagrams": self.sent.0, "bytes": self.sent.1}, "not_sent": self.unsent,
+            "at_ms": self.context.clock.wall() / 1000, "dropped": dropped(self.fellows.dropped()), "sent": {"datagrams": self.sent.0, "bytes": self.sent.1}, "not_sent": self.unsent,
             "fellows": self.fellows.alive().map(fellow).collect::<Vec<_>>()});
         // Whoever asked and does not read keeps nobody waiting.
         spawn_local(async move {
@@ -298,7 +297,7 @@
 }
 
 fn moment(context: &Context) -> Moment {
-    Moment { now: context.clock.now(), wall: (unix_now() / 1000).max(1) as u64 }
+    Moment { now: context.clock.now(), wall: (context.clock.wall() / 1000).max(1) as u64 }
 }
 
 /// The next word on a write of the council's, where there is one.
--- a/crates/driver/src/main.rs
+++ b/crates/driver/src/main.rs
@@ -223,7 +223,7 @@
     let (log, _guard) = logger(&limits);
     let [mut terminate, mut interrupt] = ends;
     let (address, discovery) = notice::channel(discovery);
-    let clock = Clock::start(suspension.then_some(clock::suspended));
+    let clock = Clock::start(clock::unix_now, suspension.then_some(clock::suspended));
     let lived = Lived::start(clock);
     let gate = Gate::new(lived.clone(), log.clone(), bounds);
     spawn_local(gate.clone().run());
--- a/crates/driver/src/member.rs
+++ b/crates/driver/src/member.rs
@@ -1,6 +1,7 @@
 //! The actor of one member: its pool of connections, and the launches and probes on them.
 
 mod connection;
+mod life;
 mod visit;
 
 use std::cell::Cell;
@@ -21,6 +22,7 @@
 use crate::gate::Room;
 use crate::words::{Attempt, Call, Ended, Gave, MemberCommand, Rows};
 use connection::{Connection, connect, settled};
+pub use life::LastHeard;
 use visit::{Departure, Visit};
 
 /// A member's word on its own role.
@@ -62,6 +64,7 @@
     era: u64,
     /// When it last answered anything.
     heard: Instant,
+    last_heard: LastHeard,
     /// How often it has said that it is a replica.
     replica_words: Rc<Cell<u64>>,
     /// Answers in a row that were cut short or could not be read.
@@ -77,6 +80,7 @@
         name: String,
         address: SocketAddr,
         open: watch::Receiver<bool>,
+        last_heard: LastHeard,
     ) -> Member {
         Member {
             context,
@@ -89,6 +93,7 @@
             purposes: HashMap::new(),
             era: 0,
             heard: Instant::now(),
+            last_heard,
             replica_words: Rc::default(),
             spoilt: 0,
             lost: false,
@@ -228,6 +233,7 @@
         let Done { mut verdict, exchange, room, crowded_out, age, connection, began, era } = done;
         if exchange.is_over() || crowded_out {
             self.heard = Instant::now();
+            self.last_heard.hears();
         } else if verdict == Verdict::TimedOut && self.heard < began {
             // Not a word since it began: connections from before may lead nowhere, and stay silent for ever
             // where a machine vanished or a link was cut. New ones tell at once.
@@ -247,6 +253,7 @@
             self.spoilt = 0;
         }
         if matches!(verdict, Verdict::Unconnected | Verdict::Reset) {
+            self.last_heard.loses();
             if verdict == Verdict::Reset && era == self.era {
                 // What the other connections lead to is most likely gone, too.
                 self.renew();
@@ -300,10 +307,9 @@
         if !exchange.is_over() {
             return Told { role: says_replica.then_some(Role::Replica), age, ..Told::default() };
         }
-        let zero = self.context.clock.convert(0);
         let pairs = usage.into_iter().flat_map(|usage| usage.split(','));
         let pairs = pairs.filter_map(|pair| pair.trim().split_once('='));
-        let mut told = Decoded::report(pairs, zero).unwrap_or_default();
+        let mut told = Decoded::report(pairs, 0).unwrap_or_default();
         told.age = age;
         match exchange.role.as_deref() {
             Some(PRIMARY) => told.role = Some(Role::Primary),
@@ -311,7 +317,7 @@
             _ => {}
         }
         let position = exchange.position.as_ref().and_then(|position| position.parse::<Micros>().ok());
-        let position = position.map(|millis| zero.saturating_add(millis.saturating_mul(1000)));
+        let position = position.map(|millis| millis.saturating_mul(1000));
         // Nothing is applied before it was committed: a position ahead of the clock proves nothing.
         let believable = self.context.clock.now() + self.context.limits.ahead_of_clock;
         told.position = told.position.max(position).filter(|&position| position <= believable);
--- a/crates/driver/src/words.rs
+++ b/crates/driver/src/words.rs
@@ -108,6 +108,19 @@
     pub written_ago: Option<Micros>,
 }
 
+impl Order {
+    /// How long before `now` the session's last write was committed; below zero where this process's clock is behind.
+    /// The client's own word comes first: as long as both stand on one clock it is compared with positions as told.
+    pub fn last_write(&self, now: Micros) -> Option<Micros> {
+        let told = self.comment.after.map(|after| now.saturating_sub(millis(after)));
+        told.or(self.written_ago)
+    }
+}
+
+fn millis(millis: u64) -> Micros {
+    Micros::try_from(millis).map_or(Micros::MAX, |millis| millis.saturating_mul(1000))
+}
+
 /// How a launch ended.
 pub struct Ended {
     pub handle: Handle,
--- a/crates/driver/tests/clock.rs
+++ b/crates/driver/tests/clock.rs
@@ -1,10 +1,10 @@
-//! The clocks of the program, under a machine that was suspended.
+//! The clocks of the program, under a machine that was suspended and under a wall clock that is stepped.
 
 #[path = "../src/clock.rs"]
 #[allow(dead_code, reason = "the program uses the rest")]
 mod clock;
 
-use clock::{Clock, Lived, duration, suspended};
+use clock::{Clock, Lived, duration, suspended, unix_now};
 
 use std::sync::atomic::{AtomicI64, Ordering};
 
@@ -12,7 +12,7 @@
 
 #[test]
 fn a_suspension_is_time_that_passed_and_a_standstill() {
-    let clock = Clock::start(Some(|| SUSPENDED.load(Ordering::SeqCst)));
+    let clock = Clock::start(unix_now, Some(|| SUSPENDED.load(Ordering::SeqCst)));
     let lived = Lived::start(clock);
     let (before, began) = (clock.now(), lived.now());
     let due = clock.instant(before + 60_000_000);
@@ -30,3 +30,19 @@
     let first = suspended();
     assert!(first > -1_000 && suspended() >= first - 1_000);
 }
+
+static STEP: AtomicI64 = AtomicI64::new(0);
+
+#[test]
+fn a_stepped_wall_clock_moves_neither_the_routers_clock_nor_unstalled_time() {
+    const HOUR: i64 = 3_600_000_000;
+    let clock = Clock::start(|| unix_now() + STEP.load(Ordering::SeqCst), None);
+    let unstalled = Lived::start(clock);
+    for step in [-HOUR, 2_000_000, HOUR, -2_000_000] {
+        let (router, wall, lived) = (clock.now(), clock.wall(), unstalled.now());
+        STEP.fetch_add(step, Ordering::SeqCst);
+        assert!((0..1_000_000).contains(&(clock.now() - router)));
+        assert!((0..1_000_000).contains(&(unstalled.now() - lived)));
+        assert!((0..1_000_000).contains(&(clock.wall() - wall - step)));
+    }
+}
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -11,6 +11,7 @@
 mod site;
 mod slow;
 mod statement;
+mod wall_clock;
 
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -25,6 +26,7 @@
 pub use site::{Ledger, Site, free_port};
 pub use slow::drip;
 pub use statement::{look, named, new_id, order};
+pub use wall_clock::{SteppedClock, WALL_CLOCK_STEP};
 
 /// Long enough for any step on a busy machine.
 pub const LONG: Duration = Duration::from_secs(30);
