--- a/crates/driver/src/fellows.rs
+++ b/crates/driver/src/fellows.rs
@@ -22,6 +22,7 @@
 use crate::halt::Halt;
 use crate::keep::Folder;
 use crate::status;
+use crate::system::{Acceptor, Datagrams, Received};
 use crate::words::Call;
 
 /// Datagrams read before it is looked whether anything is due.
@@ -38,8 +39,8 @@
 
 pub struct Company {
     context: Rc<Context>,
-    socket: UdpSocket,
-    status: Option<UnixListener>,
+    socket: Datagrams,
+    status: Option<Acceptor<UnixListener>>,
     fellows: aldermill_fellows::Fellows,
     /// The settings' figure.
     told: usize,
@@ -72,6 +73,7 @@
         let listen = terms.listen;
         let bound = UdpSocket::bind(listen).await;
         let socket = bound.map_err(|why| Halt::Listen { field: "fellows.listen", address: listen, why })?;
+        let socket = Datagrams::new(socket, context.log.clone());
         let own = Own {
             fleet: terms.fleet,
             name: name.to_owned(),
@@ -81,7 +83,10 @@
         info!(context.log, "fellows"; "fleet" => &own.fleet, "listen" => %listen, "address" => %own.address);
         let peers =
             terms.peers.into_iter().map(|peer| Peer { name: peer.name, address: peer.address }).collect();
-        let status = terms.status.and_then(|path| status::listen(&path, &context.log));
+        let status = terms
+            .status
+            .and_then(|path| status::listen(&path, &context.log))
+            .map(|listener| Acceptor::new(listener, context.log.clone()));
         let (tempo, now) = (Tempo::usual(drivers), context.lived.now());
         let start = own.start;
         let mut reread = None;
@@ -135,8 +140,8 @@
             let council_at =
                 self.council.as_ref().map(|(council, _)| self.context.clock.instant(council.wake_at()));
             let asked = async {
-                match &self.status {
-                    Some(listener) => listener.accept().await,
+                match &mut self.status {
+                    Some(acceptor) => acceptor.next().await,
                     None => std::future::pending().await,
                 }
             };
@@ -144,7 +149,7 @@
                 biased;
                 // Seldom, and before what may never end.
                 _ = stopping.wait_for(Option::is_some) => break,
-                Ok((stream, _)) = asked => self.describe(stream),
+                stream = asked => self.describe(stream),
                 Some(wanted) = anew(&mut self.reread) => self.counsel(|council, at, _| council.reread(at.now, wanted)),
                 Some(well) = confirmed(&mut self.council) => {
                     self.counsel(|council, at, others| council.told(at, well, others));
@@ -156,7 +161,7 @@
                     self.counsel(|council, at, others| council.wake(at, others));
                     self.sees().await;
                 }
-                Ok(()) = self.socket.readable() => {
+                () = self.socket.readable() => {
                     self.listens_up();
                     self.read(&mut bytes).await;
                     // A flood of datagrams keeps nothing from what is due.
@@ -188,13 +193,17 @@
     /// What has come, up to a turn's worth of it.
     async fn read(&mut self, bytes: &mut [u8]) {
         for _ in 0..TURN {
-            let Ok((count, from)) = self.socket.try_recv_from(bytes) else {
-                // All that waited has been read.
-                self.age = 0;
-                return;
+            let (length, from) = match self.socket.receive(bytes) {
+                Received::Datagram { length, from } => (length, from),
+                Received::Nothing => {
+                    // All that waited has been read.
+                    self.age = 0;
+                    return;
+                }
+                Received::Failed => return,
             };
             let now = self.context.lived.now();
-            let todo = self.fellows.heard(now, from.ip(), &bytes[..count]);
+            let todo = self.fellows.heard(now, from.ip(), &bytes[..length]);
             self.carry_out(todo).await;
         }
     }
@@ -235,7 +244,7 @@
 
     fn send(&mut self, to: SocketAddr, datagram: &[u8]) {
         // What cannot be sent now is lost, as any datagram may be.
-        match self.socket.try_send_to(datagram, to) {
+        match self.socket.send(datagram, to) {
             Ok(bytes) => self.sent = (self.sent.0 + 1, self.sent.1 + bytes as u64),
             Err(_) => self.unsent += 1,
         }
--- a/crates/driver/src/gateway/meeting.rs
+++ b/crates/driver/src/gateway/meeting.rs
@@ -14,18 +14,16 @@
 use super::Yard;
 use super::link::{Wire, stood};
 use crate::context::Context;
+use crate::system::{self, Acceptor};
 
 /// Takes links in from the networks of the peers, until the driver stops.
 pub async fn accept(context: Rc<Context>, yard: Rc<Yard>, listener: TcpListener) {
+    let mut acceptor = Acceptor::new(listener, context.log.clone());
     let mut links = JoinSet::new();
     loop {
         tokio::select! {
             Some(_) = links.join_next() => {}
-            accepted = listener.accept() => {
-                let Ok((stream, from)) = accepted else {
-                    sleep(context.limits.sweep / 100).await;
-                    continue;
-                };
+            (stream, from) = acceptor.next() => {
                 if !yard.admits(from.ip()) {
                     warn!(context.log, "link refused"; "peer" => %from, "why" => "in none of the peers' networks");
                     continue;
@@ -53,7 +51,7 @@
     let mut silent = false;
     loop {
         let since = Instant::now();
-        let opened = timeout(context.limits.connect, TcpStream::connect(address)).await;
+        let opened = timeout(context.limits.connect, system::connect(address, None)).await;
         match opened {
             Ok(Ok(stream)) => {
                 if std::mem::take(&mut silent) {
--- a/crates/driver/src/gateway/mod.rs
+++ b/crates/driver/src/gateway/mod.rs
@@ -12,11 +12,13 @@
 use thiserror::Error;
 use tokio::io::AsyncWriteExt;
 use tokio::sync::oneshot;
+use tokio::task::spawn_local;
 
 pub use meeting::{accept, start};
 
 use crate::context::Context;
 use crate::status;
+use crate::system::Acceptor;
 use crate::words::{Call, LinkId};
 
 /// Why a gateway that greets may not be there.
@@ -77,13 +79,17 @@
 /// Says what is believed of sites and links to everybody who connects to the socket at that path.
 pub async fn serve(context: Rc<Context>, path: String) {
     let Some(listener) = status::listen(&path, &context.log) else { return };
-    while let Ok((mut stream, _)) = listener.accept().await {
+    let mut acceptor = Acceptor::new(listener, context.log.clone());
+    loop {
+        let mut stream = acceptor.next().await;
         let (sender, answer) = oneshot::channel();
         if context.desk.send(Call::Describe(sender)).await.is_err() {
             return;
         }
-        if let Ok(text) = answer.await {
+        let Ok(text) = answer.await else { continue };
+        // Whoever asked and does not read keeps nobody waiting.
+        spawn_local(async move {
             let _ = stream.write_all(text.as_bytes()).await;
-        }
+        });
     }
 }
--- a/crates/driver/src/listener.rs
+++ b/crates/driver/src/listener.rs
@@ -1,37 +1,24 @@
 //! The actor that accepts clients and keeps them within their share of descriptors.
 
 use std::collections::{HashMap, VecDeque};
-use std::future::ready;
-use std::net::{IpAddr, SocketAddr};
+use std::net::IpAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 use aldermill_wire::Buffer;
 use slog::{error, info, warn};
-use socket2::{Domain, Protocol, SockRef, Socket, TcpKeepalive, Type};
+use socket2::{SockRef, TcpKeepalive};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::task::{self, JoinError, JoinSet};
-use tokio::time::{Instant, sleep, sleep_until};
+use tokio::time::{Instant, sleep_until};
 
 use crate::client::{Client, Seat, turn_away};
 use crate::context::Context;
 use crate::gate::Presence;
+use crate::system::Acceptor;
 use crate::words::{ClientId, Mail};
 
-/// A listening socket; a port that an earlier run left in TIME_WAIT is no obstacle. Its connections have buffers of
-/// a stated size, so that what was written and not taken is known to within a buffer.
-pub fn bind(address: SocketAddr, backlog: i32, buffer: usize) -> std::io::Result<TcpListener> {
-    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-    socket.set_reuse_address(true)?;
-    socket.set_nonblocking(true)?;
-    socket.set_send_buffer_size(buffer)?;
-    socket.set_recv_buffer_size(buffer)?;
-    socket.bind(&address.into())?;
-    socket.listen(backlog)?;
-    TcpListener::from_std(socket.into())
-}
-
 struct Guest {
     seat: Rc<Seat>,
     address: mpsc::Sender<Mail>,
@@ -40,6 +27,7 @@
 /// Serves until the driver is to stop and the last client has its answer.
 pub async fn run(context: Rc<Context>, listener: TcpListener) {
     let mut stopping = context.stopping.clone();
+    let mut acceptor = Acceptor::new(listener, context.log.clone());
     let mut hall = Hall::new(context);
     let mut closes_at: Option<Instant> = None;
     loop {
@@ -52,25 +40,22 @@
                 info!(hall.context.log, "stopping"; "clients" => hall.guests.len());
             }
             () = sleep_until(closes_at.unwrap_or_else(Instant::now)), if closes_at.is_some() => break,
-            accepted = listener.accept() => match accepted {
-                Ok((stream, from)) => {
-                    hall.receive(stream, from.ip());
-                    // However many come at once, those already here are served in between.
-                    task::yield_now().await;
-                }
-                Err(error) => {
-                    warn!(hall.context.log, "accepting failed"; "why" => %error);
-                    sleep(hall.context.limits.sweep / 100).await;
-                }
-            },
+            (stream, from) = acceptor.next() => {
+                hall.receive(stream, from.ip());
+                // However many come at once, those already here are served in between.
+                task::yield_now().await;
+            }
         }
     }
     // Those that the system had accepted by then are served, too; it is asked once more who they are.
     task::yield_now().await;
-    while let Some((stream, from)) = waiting(&listener).await {
+    while let Some((stream, from)) = acceptor.next_waiting().await {
+        while let Some(left) = hall.clients.try_join_next_with_id() {
+            hall.left(left);
+        }
         hall.receive(stream, from.ip());
     }
-    drop(listener);
+    drop(acceptor);
     while let Some(left) = hall.clients.join_next_with_id().await {
         hall.left(left);
     }
@@ -78,15 +63,6 @@
     while hall.turned_away.join_next().await.is_some() {}
 }
 
-/// A connection that was there before this was asked.
-async fn waiting(listener: &TcpListener) -> Option<(TcpStream, SocketAddr)> {
-    tokio::select! {
-        biased;
-        accepted = listener.accept() => accepted.ok(),
-        () = ready(()) => None,
-    }
-}
-
 /// The clients that are there.
 struct Hall {
     context: Rc<Context>,
--- a/crates/driver/src/main.rs
+++ b/crates/driver/src/main.rs
@@ -17,6 +17,7 @@
 mod reload;
 mod start;
 mod status;
+mod system;
 mod trial;
 mod watch;
 mod words;
@@ -227,7 +228,7 @@
     let lived = Lived::start(clock);
     let gate = Gate::new(lived.clone(), log.clone(), bounds);
     spawn_local(gate.clone().run());
-    let listener = listener::bind(listen, limits.backlog, limits.buffer).map_err(|why| Halt::Listen {
+    let listener = system::listen(listen, limits.backlog, limits.buffer).map_err(|why| Halt::Listen {
         field: "listen",
         address: listen,
         why,
@@ -357,7 +358,7 @@
     };
     let yard = Yard::new(own.clone(), &gateway, bounds);
     if let Some(listen) = gateway.listen {
-        let listener = listener::bind(listen, limits.backlog, limits.member_buffer)
+        let listener = system::listen(listen, limits.backlog, limits.member_buffer)
             .map_err(|why| Halt::Listen { field: "gateway.listen", address: listen, why })?;
         let address = listener.local_addr().unwrap_or(listen);
         info!(context.log, "gateway"; "site" => &own.site, "links" => %address);
--- /dev/null
+++ b/crates/driver/src/system.rs
@@ -0,0 +1,126 @@
+//! The edge to the system: every socket of the proxy is opened, connected, accepted and looked at here, and what an
+//! error of such a call says is decided here alone ([`Meaning`], [`AcceptError`]).
+//!
+//! In builds with debug assertions a test may make these calls fail by seed, see `system/faults.rs`; release builds do
+//! not contain that code.
+
+mod acceptor;
+mod datagrams;
+mod errors;
+#[cfg(debug_assertions)]
+mod faults;
+
+use std::io;
+use std::mem::MaybeUninit;
+use std::net::SocketAddr;
+
+use socket2::{Domain, Protocol, SockRef, Socket, Type};
+use tokio::net::{TcpListener, TcpSocket, TcpStream, UnixListener, UnixStream};
+
+pub use acceptor::{Acceptor, Listener};
+pub use datagrams::{Datagrams, Received};
+pub use errors::{AcceptError, Meaning};
+
+/// The calls that tests may let fail.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SystemCall {
+    Socket,
+    Connect,
+    Accept,
+    AcceptLocal,
+    Receive,
+    Peek,
+}
+
+/// The error that a test wants of this call, if any; never one in release builds.
+fn injected(call: SystemCall) -> io::Result<()> {
+    #[cfg(debug_assertions)]
+    if let Some(error) = faults::draw(call) {
+        return Err(error);
+    }
+    let _ = call;
+    Ok(())
+}
+
+/// A listening socket; a port that an earlier run left in TIME_WAIT is no obstacle. Its connections have buffers of
+/// a stated size, so that what was written and not taken is known to within a buffer.
+pub fn listen(address: SocketAddr, backlog: i32, buffer: usize) -> io::Result<TcpListener> {
+    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    socket.set_reuse_address(true)?;
+    socket.set_nonblocking(true)?;
+    socket.set_send_buffer_size(buffer)?;
+    socket.set_recv_buffer_size(buffer)?;
+    socket.bind(&address.into())?;
+    socket.listen(backlog)?;
+    TcpListener::from_std(socket.into())
+}
+
+/// Sizes of the system's buffers of a connection, in bytes.
+#[derive(Clone, Copy, Debug)]
+pub struct BufferSizes {
+    pub send: u32,
+    pub receive: u32,
+}
+
+/// A new connection to that address, with the system's usual buffers where no sizes are given.
+///
+/// An error of `socket()` or of setting an option is always this machine's; one of `connect()` means what
+/// [`Meaning::of`] says.
+pub async fn connect(address: SocketAddr, sizes: Option<BufferSizes>) -> io::Result<TcpStream> {
+    let socket = open_socket(address, sizes).map_err(errors::local)?;
+    injected(SystemCall::Connect)?;
+    socket.connect(address).await
+}
+
+fn open_socket(address: SocketAddr, sizes: Option<BufferSizes>) -> io::Result<TcpSocket> {
+    injected(SystemCall::Socket)?;
+    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    if let Some(BufferSizes { send, receive }) = sizes {
+        socket.set_send_buffer_size(send)?;
+        socket.set_recv_buffer_size(receive)?;
+    }
+    Ok(socket)
+}
+
+/// Takes the next connection in; what its errors say is [`AcceptError`]'s.
+async fn accept(listener: &TcpListener) -> Result<(TcpStream, SocketAddr), AcceptError> {
+    let Err(fault) = injected(SystemCall::Accept) else { return Ok(listener.accept().await?) };
+    if fault.kind() == io::ErrorKind::ConnectionAborted {
+        // The connection that is gone was one of the backlog.
+        listener.accept().await?;
+    }
+    Err(fault.into())
+}
+
+async fn accept_local(listener: &UnixListener) -> Result<UnixStream, AcceptError> {
+    injected(SystemCall::AcceptLocal)?;
+    Ok(listener.accept().await?.0)
+}
+
+/// What a look at a connection finds, without waiting and without taking anything.
+#[derive(Debug)]
+pub enum Peeked {
+    /// Nothing to read.
+    Quiet,
+    /// Bytes that nobody has read.
+    Unread,
+    /// The other side has ended its sending.
+    Ended,
+    Broken(Meaning),
+}
+
+/// Looks at the connection. The system itself is asked: what the runtime knows of readiness may be a turn old. A call
+/// that a signal interrupted is made again.
+pub fn peek(stream: &TcpStream) -> Peeked {
+    loop {
+        let looked = injected(SystemCall::Peek)
+            .and_then(|()| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]));
+        match looked {
+            Ok(0) => return Peeked::Ended,
+            Ok(_) => return Peeked::Unread,
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Peeked::Quiet,
+            Err(error) => return Peeked::Broken(Meaning::of(&error)),
+        }
+    }
+}
--- /dev/null
+++ b/crates/driver/src/system/errors.rs
@@ -0,0 +1,71 @@
+//! What errors of system calls on sockets say, as Linux documents them.
+
+use std::io;
+
+use thiserror::Error;
+use uapi::c;
+
+/// Whom an error of connecting, reading or writing speaks of.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Meaning {
+    /// This machine: no descriptor, port, memory or route, or a rule of its own against it. Nothing is known of the
+    /// other side.
+    Local,
+    /// Nobody listens at that address.
+    Refused,
+    /// The other side, or a machine for it, ended the connection (ECONNRESET, EPIPE).
+    Reset,
+    /// Nothing comes through to the other side (ETIMEDOUT, EHOSTUNREACH); its process may well live.
+    Path,
+}
+
+impl Meaning {
+    pub fn of(error: &io::Error) -> Meaning {
+        match error.raw_os_error() {
+            Some(c::ECONNREFUSED) => Meaning::Refused,
+            Some(c::ECONNRESET | c::EPIPE | c::ECONNABORTED) => Meaning::Reset,
+            Some(c::ETIMEDOUT | c::EHOSTUNREACH | c::EHOSTDOWN | c::ENETRESET) => Meaning::Path,
+            Some(_) => Meaning::Local,
+            // Not the system's: an end in the middle, or one of [`local`].
+            None if error.get_ref().is_some_and(|inner| inner.is::<LocalError>()) => Meaning::Local,
+            None => Meaning::Reset,
+        }
+    }
+}
+
+/// An error that is this machine's whatever its number.
+#[derive(Debug, Error)]
+#[error("no socket: {0}")]
+struct LocalError(io::Error);
+
+/// Marks an error as this machine's.
+pub(super) fn local(error: io::Error) -> io::Error {
+    io::Error::new(error.kind(), LocalError(error))
+}
+
+/// Why a connection was not accepted.
+#[derive(Debug, Error)]
+pub enum AcceptError {
+    /// The connection went away before it was accepted, or the call was interrupted: the next one is asked for at once.
+    #[error("connection gone before it was accepted: {0}")]
+    Gone(io::Error),
+    /// The connection waits in the backlog meanwhile.
+    #[error(
+        "no descriptor or memory free to accept a connection, tried again; raise the limit on open files: {0}"
+    )]
+    Exhausted(io::Error),
+    /// The listening socket itself is of no use.
+    #[error("the listening socket fails: {0}")]
+    Failed(io::Error),
+}
+
+impl From<io::Error> for AcceptError {
+    fn from(error: io::Error) -> AcceptError {
+        match error.raw_os_error() {
+            Some(c::EMFILE | c::ENFILE | c::ENOBUFS | c::ENOMEM) => AcceptError::Exhausted(error),
+            Some(c::EBADF | c::EINVAL | c::ENOTSOCK | c::EFAULT) => AcceptError::Failed(error),
+            // Among them errors of the network that wait on the new connection, which accept passes on.
+            _ => AcceptError::Gone(error),
+        }
+    }
+}
--- /dev/null
+++ b/crates/driver/src/system/faults.rs
@@ -0,0 +1,98 @@
+//! Failing system calls for tests; only in builds with debug assertions, never in released ones.
+//!
+//! `ALDERMILL_TEST_FAULTS` names a file that is looked at before each call. Each of its lines is a rule of four words:
+//! the call, the error, the chance in percent and the most failures, as in `socket EMFILE 100 7`; the last may be `-`
+//! for no limit. A line `seed 3` fixes the chance. While there is no such file, nothing fails. The file is written
+//! anew by renaming; its rules start afresh when its text changes.
+
+use std::cell::RefCell;
+use std::io;
+
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use uapi::c;
+
+use super::SystemCall;
+
+const FILE: &str = "ALDERMILL_TEST_FAULTS";
+
+struct Rule {
+    call: SystemCall,
+    error: i32,
+    percent: u32,
+    left: Option<u32>,
+}
+
+#[derive(Default)]
+struct Faults {
+    text: String,
+    rules: Vec<Rule>,
+    rng: Option<Pcg64Mcg>,
+}
+
+thread_local! {
+    static FAULTS: RefCell<Option<Faults>> =
+        RefCell::new(std::env::var_os(FILE).map(|_| Faults::default()));
+}
+
+/// The error that this call is to fail with.
+pub fn draw(call: SystemCall) -> Option<io::Error> {
+    FAULTS.with_borrow_mut(|faults| faults.as_mut()?.draw(call))
+}
+
+impl Faults {
+    fn draw(&mut self, call: SystemCall) -> Option<io::Error> {
+        let text = std::env::var_os(FILE).and_then(|path| std::fs::read_to_string(path).ok());
+        self.read(text.unwrap_or_default());
+        let rng = self.rng.get_or_insert_with(|| Pcg64Mcg::seed_from_u64(0));
+        for rule in self.rules.iter_mut().filter(|rule| rule.call == call && rule.left != Some(0)) {
+            if rng.random_range(0..100) < rule.percent {
+                rule.left = rule.left.map(|left| left - 1);
+                return Some(io::Error::from_raw_os_error(rule.error));
+            }
+        }
+        None
+    }
+
+    fn read(&mut self, text: String) {
+        if text == self.text {
+            return;
+        }
+        let seed = text.lines().find_map(|line| line.strip_prefix("seed ")?.trim().parse().ok());
+        self.rng = Some(Pcg64Mcg::seed_from_u64(seed.unwrap_or(0)));
+        self.rules = text.lines().filter(|line| !line.starts_with("seed ")).map(rule).collect();
+        self.text = text;
+    }
+}
+
+fn rule(line: &str) -> Rule {
+    let words: Vec<&str> = line.split_whitespace().collect();
+    let &[call, error, percent, most] = words.as_slice() else { panic!("{FILE}: not a rule: {line}") };
+    let call = match call {
+        "socket" => SystemCall::Socket,
+        "connect" => SystemCall::Connect,
+        "accept" => SystemCall::Accept,
+        "accept_local" => SystemCall::AcceptLocal,
+        "receive" => SystemCall::Receive,
+        "peek" => SystemCall::Peek,
+        _ => panic!("{FILE}: no such call: {line}"),
+    };
+    let percent = percent.parse().unwrap_or_else(|_| panic!("{FILE}: no chance: {line}"));
+    Rule { call, error: number(error), percent, left: most.parse().ok() }
+}
+
+fn number(name: &str) -> i32 {
+    match name {
+        "ECONNABORTED" => c::ECONNABORTED,
+        "ECONNRESET" => c::ECONNRESET,
+        "EHOSTUNREACH" => c::EHOSTUNREACH,
+        "EMFILE" => c::EMFILE,
+        "ENFILE" => c::ENFILE,
+        "ENOBUFS" => c::ENOBUFS,
+        "ENETUNREACH" => c::ENETUNREACH,
+        "EADDRNOTAVAIL" => c::EADDRNOTAVAIL,
+        "EINTR" => c::EINTR,
+        "ETIMEDOUT" => c::ETIMEDOUT,
+        _ => panic!("{FILE}: no such error: {name}"),
+    }
+}
--- /dev/null
+++ b/crates/driver/tests/system_calls.rs
@@ -0,0 +1,131 @@
+//! System calls that fail, over loopback: the program is told by a file which of its calls fail. Only builds with debug
+//! assertions read it.
+#![cfg(debug_assertions)]
+
+use std::io::Read;
+use std::net::SocketAddr;
+use std::os::unix::net::UnixStream;
+use std::thread;
+use std::time::Duration;
+
+use aldermill_stand_ins::{
+    Client, Discovery, Driver, Faults, LONG, Member, config, free_port, honoured, list, look, sound, until,
+};
+use aldermill_wire::pg;
+
+/// Longer than new connections are still taken after SIGTERM.
+const WINDOW: Duration = Duration::from_millis(700);
+
+fn before(name: &str, members: &[(&str, &Member)], faults: &Faults, operator: Option<&str>) -> Driver {
+    let members: Vec<_> = members.iter().map(|&(id, member)| (id, member, "in_service")).collect();
+    let discovery = Discovery::default();
+    discovery.say(list(1, true, &members));
+    let config = config(discovery.start(), 256, &list(1, true, &members));
+    Driver::failing(faults, &config.replace("\"n0\"", &format!("\"{name}\"")), operator)
+}
+
+/// A client that has connected and asked, and waits for its welcome and its answer.
+fn queued(driver: &Driver) -> Client {
+    let mut client = Client::bare(driver.address);
+    let mut bytes = Vec::new();
+    pg::startup(&mut bytes, "client", "core");
+    pg::query(&mut bytes, &[look(15000).as_bytes()]);
+    client.raw(&bytes);
+    client
+}
+
+fn served(client: &mut Client) -> bool {
+    client.answer().is_some() && client.answer().is_some_and(|said| honoured(&said))
+}
+
+/// What the socket at that path says.
+fn told(path: &str) -> String {
+    let mut text = String::new();
+    let mut stream = UnixStream::connect(path).unwrap();
+    stream.set_read_timeout(Some(LONG)).unwrap();
+    let _ = stream.read_to_string(&mut text);
+    text
+}
+
+fn status_path(kind: &str) -> String {
+    let name = format!("aldermill-{kind}-{}", std::process::id());
+    std::env::temp_dir().join(name).to_str().unwrap().to_owned()
+}
+
+#[test]
+fn a_backlog_is_drained_past_connections_that_are_gone_and_calls_that_fail() {
+    for error in ["ECONNABORTED", "EMFILE", "ENOBUFS", "EINTR"] {
+        let (member, faults) = (sound("writer"), Faults::default());
+        let mut driver = before("n0", &[("a", &member)], &faults, None);
+        let mut busy = Client::connect(driver.address);
+        assert!(honoured(&busy.ask(&look(15000))));
+        driver.signal("-TERM");
+        until("the line on the stop", || driver.logged("stopping"));
+        driver.signal("-STOP");
+        let mut clients: Vec<Client> = (0..5).map(|_| queued(&driver)).collect();
+        faults.set(&format!("accept {error} 100 2"));
+        // The window ends while nobody accepts.
+        thread::sleep(WINDOW);
+        driver.signal("-CONT");
+        let lost = clients.iter_mut().filter_map(|client| (!served(client)).then_some(())).count();
+        // What accept says is gone was one of the backlog.
+        let gone = if error == "ECONNABORTED" { 2 } else { 0 };
+        assert_eq!(lost, gone, "{error}");
+        assert!(driver.child.wait().unwrap().success());
+    }
+}
+
+#[test]
+fn accepting_that_fails_stops_neither_clients_nor_the_signal() {
+    let (member, faults) = (sound("writer"), Faults::default());
+    let mut driver = before("n0", &[("a", &member)], &faults, None);
+    let mut busy = Client::connect(driver.address);
+    faults.set("accept EMFILE 100 -");
+    // The call that waits already takes this one.
+    let _taken = queued(&driver);
+    until("the line on that", || driver.logged("accepting failed"));
+    let mut waiting = queued(&driver);
+    assert!(honoured(&busy.ask(&look(15000))));
+    faults.set("");
+    assert!(served(&mut waiting), "it waited in the backlog");
+    until("the line on the end of that", || driver.logged("accepting again"));
+    faults.set("accept EMFILE 100 -");
+    drop((busy, waiting));
+    driver.signal("-TERM");
+    assert!(driver.child.wait().unwrap().success());
+}
+
+#[test]
+fn a_gateways_status_socket_outlives_errors_of_accept() {
+    let (member, faults, path) = (sound("writer"), Faults::default(), status_path("gateway"));
+    let operator = format!(r#"{{"gateway":{{"site":"west","status":"{path}","peers":[]}}}}"#);
+    let _driver = before("n0", &[("a", &member)], &faults, Some(&operator));
+    until("the socket", || std::path::Path::new(&path).exists());
+    for error in ["ECONNABORTED", "EMFILE"] {
+        faults.set(&format!("accept_local {error} 100 2"));
+        assert!(told(&path).contains("west"), "{error}");
+    }
+}
+
+#[test]
+fn datagrams_that_cannot_be_read_for_a_while_leave_the_rest_going() {
+    let (member, faults, path) = (sound("writer"), Faults::default(), status_path("fellows"));
+    let (first, second) = (free_port(), free_port());
+    let fellows = |listen: SocketAddr, peer: SocketAddr, status: &str| {
+        format!(
+            r#"{{"fellows":{{"fleet":"f","listen":"{listen}","networks":["127.0.0.0/8"],
+            "peers":[{{"address":"{peer}"}}],"status":"{status}"}}}}"#
+        )
+    };
+    let deaf = before("n1", &[("a", &member)], &faults, Some(&fellows(first, second, &path)));
+    faults.set("receive ENOBUFS 100 -\naccept_local EMFILE 50 -");
+    let (healthy, apart) = (Faults::default(), status_path("other"));
+    let _other = before("n2", &[("a", &member)], &healthy, Some(&fellows(second, first, &apart)));
+    until("the line on that", || deaf.logged("datagrams cannot be read"));
+    let cpu = deaf.cpu();
+    thread::sleep(Duration::from_millis(500));
+    assert!(deaf.cpu() - cpu < 0.25, "it spins: {} s in 0.5 s", deaf.cpu() - cpu);
+    assert!(told(&path).contains("n1"));
+    faults.set("");
+    until("word of the other", || told(&path).contains("n2"));
+}
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -4,6 +4,7 @@
 mod cable;
 mod client;
 mod discovery;
+mod faults;
 mod hold;
 mod kernel;
 mod member;
@@ -18,6 +19,7 @@
 pub use cable::{BACK, Cable, THERE};
 pub use client::{Client, Said, honoured, paced};
 pub use discovery::{Discovery, list};
+pub use faults::Faults;
 pub use hold::Hold;
 pub use kernel::{closed, delivered};
 pub use member::{Act, Member, honour, honour_with, refuse, sound, whole};
--- a/crates/stand-ins/src/program.rs
+++ b/crates/stand-ins/src/program.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-use crate::{Discovery, Member, list, until};
+use crate::{Discovery, Faults, Member, list, until};
 
 pub const TERMS: &str = r#"{"azs":["here"],"myZone":"here","balancers":1,"registryMode":"automatic","weights":"off",
  "categories":[
@@ -82,6 +82,13 @@
         Driver::spawn(command, listen, path, operator)
     }
 
+    /// Whose system calls fail as that says; only a build with debug assertions heeds it.
+    pub fn failing(faults: &Faults, config: &str, operator: Option<&str>) -> Driver {
+        let (mut command, path) = aldermill(&["serve"], config);
+        command.env("ALDERMILL_TEST_FAULTS", faults.path());
+        Driver::spawn(command, "127.0.0.1:0".parse().unwrap(), path, operator)
+    }
+
     /// On a disk that takes no more than so many blocks (of 512 or 1024 bytes) in any one file.
     pub fn on_full_disk(blocks: u32, config: &str, operator: &str) -> Driver {
         let path = file("config", config);
