--- a/crates/driver/src/desk.rs
+++ b/crates/driver/src/desk.rs
@@ -3,6 +3,7 @@
 mod book;
 mod hub;
 mod lists;
+mod members_clock;
 mod open;
 mod sight;
 mod steps;
@@ -15,6 +16,7 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 
+use aldermill_measured::ClockOffset;
 use aldermill_routing::{Handle, MemberId, Micros, Need, Outcome, Role, Router, Task, Todo, Verdict};
 use aldermill_sites::Handle as SitesHandle;
 use aldermill_terms::Decoded;
@@ -64,6 +66,9 @@
     /// By the router's index; an index whose member was let go stands empty until it is given out anew.
     peers: Vec<Option<Peer>>,
     member_ids: HashMap<String, MemberId>,
+    /// What the members' clock is ahead of the router's, and what the router was told of that.
+    clock_offset: ClockOffset,
+    told_offset: Micros,
     groups: HashSet<u64>,
     pub(crate) open: HashMap<Handle, Open>,
     /// The ids of the tasks under way.
@@ -105,6 +110,8 @@
             hub,
             peers: Vec::new(),
             member_ids: HashMap::new(),
+            clock_offset: ClockOffset::default(),
+            told_offset: 0,
             groups: HashSet::new(),
             open: HashMap::new(),
             open_ids: HashSet::new(),
@@ -213,7 +220,8 @@
                 }
             }
             Call::Ended(ended) => self.ended(ended),
-            Call::Probed { member, verdict, took, told, replica_words } => {
+            Call::Probed { member, verdict, took, mut told, replica_words } => {
+                self.hears_clock(member, &mut told, None);
                 self.said_replica(member, replica_words);
                 let now = self.context.clock.now();
                 let ((), todo) = self.ask(|router| ((), router.probed(now, member, verdict, took, told)));
@@ -316,8 +324,10 @@
     }
 
     fn ended(&mut self, ended: Ended) {
-        let Ended { handle, verdict, took, told, gave, replica_words } = ended;
+        let Ended { handle, verdict, sent, took, mut told, gave, replica_words } = ended;
         if let Some((member, words)) = replica_words {
+            let written = self.writes_once(handle) && verdict == Verdict::Honoured;
+            self.hears_clock(member, &mut told, written.then_some(sent));
             self.said_replica(member, words);
         }
         self.sees_end(handle, verdict, took);
--- a/crates/driver/src/desk/lists.rs
+++ b/crates/driver/src/desk/lists.rs
@@ -26,10 +26,23 @@
     /// Its last start as the list tells it, and as it is believed, on the router's clock.
     pub(super) up_since: f64,
     pub(super) since: Option<Micros>,
+    /// Between what it must lie: when its former life was last heard, and when it was first told.
+    pub(super) started_within: (Micros, Micros),
     /// How often the router has heard it say that it is a replica.
     pub(super) replica_words: u64,
 }
 
+impl Peer {
+    /// Its last start on the router's clock, by the list's word, where zero is long ago. It lies neither in the future nor
+    /// before its former life was last heard, whatever the wall clock was when this process started. `offset` is what
+    /// the members' clock is ahead.
+    pub(super) fn started(&self, offset: Micros) -> Option<Micros> {
+        let told = (self.up_since > 0.0).then_some((self.up_since * 1000.0) as Micros)?;
+        let (former_heard, first_told) = self.started_within;
+        Some(told.saturating_sub(offset).max(former_heard).min(first_told))
+    }
+}
+
 impl Desk {
     pub(super) fn bulletin(&mut self, bulletin: Bulletin) {
         let now = self.context.clock.now();
@@ -60,11 +73,12 @@
 
     /// Lets go of members that are gone and will not be heard of again: actor, connections and index.
     fn forget(&mut self, now: Micros) {
-        let Desk { router, peers, member_ids, .. } = self;
+        let Desk { router, peers, member_ids, clock_offset, .. } = self;
         member_ids.retain(|_, &mut id| {
             let forgotten = router.forget(now, id);
             if forgotten {
                 peers[id] = None;
+                clock_offset.forget(id);
             }
             !forgotten
         });
@@ -105,7 +119,7 @@
             None if standing == Standing::Gone => return None,
             None => self.meet(entry, address),
         };
-        let clock = self.context.clock;
+        let (clock, offset) = (self.context.clock, self.told_offset);
         let open = self.lets_send(standing);
         let peer = self.peers[member].as_mut()?;
         let was_open = peer.open.send_replace(open);
@@ -115,7 +129,8 @@
         if restarted {
             peer.up_since = entry.up_since_ms;
             let former = peer.last_heard.former_life(was_open).map(|heard| clock.at(heard));
-            peer.since = started(clock.now(), entry.up_since_ms, former);
+            peer.started_within = (former.unwrap_or(Micros::MIN), clock.now());
+            peer.since = peer.started(offset);
         }
         if (restarted || peer.address != address)
             && peer.commands.try_send(MemberCommand::Renew(address)).is_ok()
@@ -152,12 +167,11 @@
         let member =
             Member::new(self.context.clone(), id, entry.id.clone(), address, seen, last_heard.clone());
         spawn_local(member.run(mailbox));
-        let since = started(self.context.clock.now(), entry.up_since_ms, None);
         if id == self.peers.len() {
             self.peers.push(None);
         }
         let (group, ready, zone) = (entry.cell, false, self.decoded.zone(&entry.locality));
-        self.peers[id] = Some(Peer {
+        let mut peer = Peer {
             group,
             zone,
             ready,
@@ -166,17 +180,13 @@
             last_heard,
             address,
             up_since: entry.up_since_ms,
-            since,
+            since: None,
+            started_within: (Micros::MIN, self.context.clock.now()),
             replica_words: 0,
-        });
+        };
+        peer.since = peer.started(self.told_offset);
+        self.peers[id] = Some(peer);
         self.member_ids.insert(entry.id.clone(), id);
         id
     }
 }
-
-/// A member's last start on the router's clock, by the list's word, where zero is long ago. It lies neither in the future
-/// nor before the life before it was last heard, whatever the wall clock was when this process started.
-fn started(now: Micros, up_since_ms: f64, former_heard: Option<Micros>) -> Option<Micros> {
-    let told = (up_since_ms > 0.0).then_some((up_since_ms * 1000.0) as Micros)?;
-    Some(told.max(former_heard.unwrap_or(Micros::MIN)).min(now))
-}
--- a/crates/driver/src/desk/steps.rs
+++ b/crates/driver/src/desk/steps.rs
@@ -108,7 +108,7 @@
             warn!(self.context.log, "member's mailbox full, attempt not sent"; "member" => member);
             let (verdict, told) = (Verdict::Moot, Told::default());
             let gave = Gave::Nothing;
-            let ended = Ended { handle, verdict, took: 0, told, gave, replica_words: None };
+            let ended = Ended { handle, verdict, sent, took: 0, told, gave, replica_words: None };
             self.pending.push_back(Call::Ended(ended));
         }
     }
--- a/crates/driver/src/member.rs
+++ b/crates/driver/src/member.rs
@@ -285,7 +285,7 @@
                     _ => Gave::Nothing,
                 };
                 let replica_words = Some((self.id, replica_words));
-                Call::Ended(Ended { handle, verdict, took, told, gave, replica_words })
+                Call::Ended(Ended { handle, verdict, sent, took, told, gave, replica_words })
             }
             Purpose::Probe { sent } => {
                 if exchange.error.as_deref() == Some("57P03") {
@@ -317,10 +317,7 @@
             _ => {}
         }
         let position = exchange.position.as_ref().and_then(|position| position.parse::<Micros>().ok());
-        let position = position.map(|millis| millis.saturating_mul(1000));
-        // Nothing is applied before it was committed: a position ahead of the clock proves nothing.
-        let believable = self.context.clock.now() + self.context.limits.ahead_of_clock;
-        told.position = told.position.max(position).filter(|&position| position <= believable);
+        told.position = told.position.max(position.map(|millis| millis.saturating_mul(1000)));
         told
     }
 }
--- a/crates/driver/src/words.rs
+++ b/crates/driver/src/words.rs
@@ -125,6 +125,8 @@
 pub struct Ended {
     pub handle: Handle,
     pub verdict: Verdict,
+    /// When the attempt was decided.
+    pub sent: Instant,
     pub took: Micros,
     pub told: Told,
     /// What the member gave.
--- a/crates/driver/tests/wall_clock.rs
+++ b/crates/driver/tests/wall_clock.rs
@@ -5,7 +5,8 @@
 use std::time::{Duration, Instant};
 
 use aldermill_stand_ins::{
-    Client, Discovery, Driver, Member, SteppedClock, config, honoured, list, look, sound, unix_millis, until,
+    Client, Discovery, Driver, Member, SteppedClock, config, honoured, list, look, order, sound, unix_millis,
+    until,
 };
 use aldermill_wire::pg;
 
@@ -84,10 +85,10 @@
     as_unstepped([0].iter().chain(&STEPS).map(|&step| [step; 3]).collect());
 }
 
-/// A replica that stands at that position, in milliseconds, whatever it is asked.
-fn standing_at(position: u128) -> Member {
+/// A replica that stands at such a position, in milliseconds, whenever it is asked.
+fn standing_at(position: impl Fn() -> u128 + Send + Sync + 'static) -> Member {
     Member::start(move |text, stream| {
-        let mut out = Vec::new();
+        let (mut out, position) = (Vec::new(), position());
         let report = format!("x0={}.0,x1=0,inflight=0", position / 1000);
         let value = if text == "SHOW usage" { report.as_bytes() } else { b"the value" };
         pg::single_row(&mut out, "val", value, "SELECT 1");
@@ -98,9 +99,9 @@
     })
 }
 
-/// Before a replica that stands still and a primary, reads needing what the settings' words say.
-fn beside_a_replica(clock: &SteppedClock, position: u128, need: &str) -> (Driver, Member, Member) {
-    let members = (standing_at(position), sound("writer"));
+/// Before a replica and a primary, reads needing what the settings' word says.
+fn beside(clock: &SteppedClock, replica: Member, need: &str) -> (Driver, Member, Member) {
+    let members = (replica, sound("writer"));
     let known = list(1, true, &[("a", &members.0, "in_service"), ("b", &members.1, "in_service")]);
     let config = config(Discovery::default().start(), 256, &known);
     let config = config.replace(r#"["loose","#, &format!(r#"["{need}","#));
@@ -120,7 +121,7 @@
     for (at_start, step) in STEPS.into_iter().flat_map(|step| [(0, step), (step, 0)]) {
         let clock = SteppedClock::start(at_start);
         let position = (unix_millis() / 1000 - 1) * 1000;
-        let (driver, replica, _primary) = beside_a_replica(&clock, position, "own_writes");
+        let (driver, replica, _primary) = beside(&clock, standing_at(move || position), "own_writes");
         let mut client = Client::connect(driver.address);
         let mut reads = |after, times| {
             let before = replica.tasks().len();
@@ -137,3 +138,32 @@
         }
     }
 }
+
+#[test]
+fn a_process_started_under_a_wrong_wall_clock_learns_what_bounded_reads_may_see() {
+    // How far the replica is behind, in milliseconds, and whether it is fresh enough for reads of data 300 ms old.
+    let cases = [(-3 * SECOND, 2_500, false), (-HOUR, 3_599_900, false), (-HOUR, 0, true), (HOUR, 0, true)];
+    for (at_start, behind, fresh) in
+        cases.into_iter().chain([(2 * SECOND, 2_500, false), (2 * SECOND, 0, true)])
+    {
+        let clock = SteppedClock::start(at_start);
+        let replica = standing_at(move || unix_millis() - behind);
+        let (driver, replica, _primary) = beside(&clock, replica, "recent");
+        let mut client = Client::connect(driver.address);
+        until("the members' clock", || {
+            assert!(honoured(&client.ask(&order(15_000))) && honoured(&client.ask(&look(15_000))));
+            driver.logged("differs from the members'")
+        });
+        (0..5).for_each(|_| assert!(honoured(&client.ask(&order(15_000)))));
+        let before = replica.tasks().len();
+        let mut reads = |times| {
+            (0..times).for_each(|_| assert!(honoured(&client.ask(&look(15_000)))));
+            replica.tasks().len() - before
+        };
+        if fresh {
+            until("a read of the replica", || reads(1) > 0);
+        } else {
+            assert_eq!(reads(100), 0, "stale: clock off by {at_start}, replica behind by {behind}");
+        }
+    }
+}
--- a/crates/routing/src/policy/decide.rs
+++ b/crates/routing/src/policy/decide.rs
@@ -208,7 +208,8 @@
             Verdict::TimedOut | Verdict::CalledOff if !mute || reaped => {}
             _ => self.failed(now, id),
         }
-        let told_commit = told.position.filter(|_| verdict == Verdict::Honoured).unwrap_or(now);
+        let told_commit =
+            told.position.filter(|_| verdict == Verdict::Honoured).unwrap_or(self.members_now(now));
         let commit = if verdict.never_ran() { 0 } else { told_commit };
         self.session(handle).into_iter().for_each(|session| session.ended(commit));
         let errand = self.errands.get_mut(&handle).expect("not yet closed");
--- a/crates/routing/src/policy/fresh.rs
+++ b/crates/routing/src/policy/fresh.rs
@@ -25,14 +25,16 @@
     pub(super) fn read_target(&mut self, now: Micros, handle: Handle, need: Need) -> Option<MemberId> {
         let errand = &self.errands[&handle];
         let floor = match need {
-            Need::Latest => errand.arrived,
+            Need::Latest => self.members_now(errand.arrived),
             Need::OwnWrites => {
                 let told = errand.task.last_write.map(|ago| errand.arrived - ago);
-                let floor = |name| self.sessions.get(name).map(|known| known.floor(now)).or(self.forgotten);
+                let members_now = self.members_now(now);
+                let floor =
+                    |name| self.sessions.get(name).map(|known| known.floor(members_now)).or(self.forgotten);
                 let remembered = errand.task.session.as_ref().and_then(floor);
                 told.max(remembered).unwrap_or(Micros::MIN)
             }
-            Need::Recent(bound) => now - bound + MS,
+            Need::Recent(bound) => self.members_now(now) - bound + MS,
             Need::Loose | Need::Write => Micros::MIN,
         };
         let (group, asked, sparse) = (errand.group, errand.asked, self.sparse());
@@ -111,7 +113,9 @@
         let (fresh_until, while_primary) = match need {
             Need::Write | Need::Loose => (Micros::MAX, false),
             _ if self.terms.members_check => (Micros::MAX, false),
-            Need::Recent(bound) if !primary => (member.position.saturating_add(bound - MS), false),
+            Need::Recent(bound) if !primary => {
+                (member.position.saturating_add(bound - MS - self.clock_offset), false)
+            }
             _ => (Micros::MAX, primary),
         };
         Validity { until: repeats_until.min(fresh_until), while_primary }
--- a/crates/routing/src/policy/members.rs
+++ b/crates/routing/src/policy/members.rs
@@ -73,6 +73,17 @@
         }
     }
 
+    /// The members' clock is so much ahead of this one, and these are their starts on this one. Protects bounded reads
+    /// and slow start from a process whose wall clock is wrong. Harms them where the caller is.
+    pub fn members_clock(&mut self, offset: Micros, starts: &[(MemberId, Option<Micros>)]) {
+        self.clock_offset = offset;
+        for &(id, since) in starts {
+            if let Some(member) = self.members.get_mut(id) {
+                member.since = since;
+            }
+        }
+    }
+
     /// Lets go of a member that is gone, once nothing of it is out and it was not heard for long: its index
     /// may be given out anew, and one that comes back is another member.
     pub fn forget(&mut self, now: Micros, id: MemberId) -> bool {
@@ -223,7 +234,8 @@
             member.barred_until = if was_barred { now } else { member.barred_until };
             member.probe_misses = 0;
             member.hear(now, credit);
-            let at = told.position.unwrap_or(now - HOLD - told.age);
+            let at = told.position.map(|position| position.saturating_sub(self.clock_offset));
+            let at = at.unwrap_or(now - HOLD - told.age);
             self.note(now, id, told, at, at);
         } else {
             member.probe_misses += 1;
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -86,6 +86,7 @@
             errands: HashMap::new(),
             next_handle: 0,
             sessions: HashMap::new(),
+            clock_offset: 0,
             forgotten: None,
             // Until launches tell better, most are taken to last half of the quoted time.
             took: terms.offerings.iter().map(|offering| Histogram::of(offering.quoted / 2, 4)).collect(),
@@ -208,7 +209,7 @@
             }
         }
         if self.sessions.len() > SESSIONS {
-            self.forgotten = Some(now - FAILURE_WINDOW);
+            self.forgotten = Some(self.members_now(now) - FAILURE_WINDOW);
             self.sessions.retain(|_, session| session.out > 0 || Some(session.commit) > self.forgotten);
         }
         if self.terms.list_on_request && now >= self.ask_at {
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -106,6 +106,7 @@
     pub(crate) errands: HashMap<Handle, Errand>,
     pub(crate) next_handle: u64,
     pub(crate) sessions: HashMap<String, Session>,
+    pub(crate) clock_offset: Micros, // what members' clock, by which positions are told, is ahead of this one
     pub(crate) forgotten: Option<Micros>, // a write of a session not found may be as new as that
     pub(crate) took: Vec<Histogram>,
     pub(crate) ways: BTreeMap<usize, (Micros, Micros)>, // there and back by zone, and when last heard
@@ -147,6 +148,11 @@
         }
     }
 
+    /// Now by the members' clock: no position that is told later than this is older.
+    pub(crate) fn members_now(&self, now: Micros) -> Micros {
+        now + self.clock_offset
+    }
+
     pub(crate) fn take_todo(&mut self) -> Todo {
         self.todo.wake_at = Some(self.next_beat);
         std::mem::take(&mut self.todo)
