--- a/crates/routing/src/policy/fresh.rs
+++ b/crates/routing/src/policy/fresh.rs
@@ -34,7 +34,7 @@
                 let remembered = errand.task.session.as_ref().and_then(floor);
                 told.max(remembered).unwrap_or(Micros::MIN)
             }
-            Need::Recent(bound) => self.members_now(now) - bound + MS,
+            Need::Recent(bound) => self.members_now(now) - bound + HELD_UP,
             Need::Loose | Need::Write => Micros::MIN,
         };
         let (group, asked, sparse) = (errand.group, errand.asked, self.sparse());
@@ -101,11 +101,12 @@
     }
 
     /// Until when the attempt may leave. Protects reads and repeats from what comes between the decision and the
-    /// last byte: a connection that comes up late, a primary that steps down, a window of repeats that ends.
+    /// last byte: a connection that comes up late, a primary that steps down, a window of repeats that ends, a process
+    /// that is held up behind the last look. Harms reads by that time's worth of proof.
     pub(super) fn validity(&self, errand: &Errand, id: MemberId) -> Validity {
         let Offering { effect, need, .. } = self.terms.offerings[errand.task.offering];
         let repeats_until = match (effect, errand.may_have_run) {
-            (Effect::Receipted { window, .. }, Some((first, _))) => first + window,
+            (Effect::Receipted { window, .. }, Some((first, _))) => first + window - HELD_UP,
             _ => Micros::MAX,
         };
         let member = &self.members[id];
@@ -114,7 +115,7 @@
             Need::Write | Need::Loose => (Micros::MAX, false),
             _ if self.terms.members_check => (Micros::MAX, false),
             Need::Recent(bound) if !primary => {
-                (member.position.saturating_add(bound - MS - self.clock_offset), false)
+                (member.position.saturating_add(bound - HELD_UP - self.clock_offset), false)
             }
             _ => (Micros::MAX, primary),
         };
