--- a/crates/driver/src/desk/book.rs
+++ b/crates/driver/src/desk/book.rs
@@ -91,7 +91,10 @@
     pub fn take(&mut self, now: Micros, origin: &Origin, number: u64, until: Micros) -> Taking {
         match self.settle(now, origin, number, until, &Fate::UnderWay) {
             Some(token) => Taking::Waits(token),
-            None if self.promise.lets_go_without(now) => Taking::Without,
+            None if self.promise.lets_go_without(now) => {
+                self.promise.took_without(until);
+                Taking::Without
+            }
             None => Taking::Refused,
         }
     }
--- a/crates/sites/src/earlier.rs
+++ b/crates/sites/src/earlier.rs
@@ -14,18 +14,21 @@
 ///
 /// Protects the sender's next launch: 'never taken' is said of an earlier start only where that is certain. Should also
 /// cover a disk that stands still, fills up or goes. Harms guests whose tasks come while the disk is away and the
-/// promise holds: they are denied, for five seconds at most.
+/// promise holds: they are denied, for five seconds at most. What was taken without a record puts the next promise off
+/// until nobody can ask about it any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Default)]
 pub struct Promise {
     /// Confirmed, and handed over since.
     until: Micros,
     asked: Option<Micros>,
+    /// Until when somebody may ask about something that was taken without a record.
+    unrecorded: Micros,
 }
 
 impl Promise {
-    /// A promise to be written now, if one is due.
+    /// A promise to be written now, if one is due and may be given.
     pub fn renew(&mut self, now: Micros) -> Option<Micros> {
-        if self.asked.is_some() || self.until - now > RENEW {
+        if self.asked.is_some() || self.until - now > RENEW || now < self.unrecorded {
             return None;
         }
         self.asked = Some(now + LONG);
@@ -37,6 +40,11 @@
         self.until = self.until.max(self.asked.take().unwrap_or(self.until));
     }
 
+    /// Something was taken without a record; until then somebody may ask about it.
+    pub fn took_without(&mut self, until: Micros) {
+        self.unrecorded = self.unrecorded.max(until);
+    }
+
     /// Whether something may be taken without a record.
     pub fn lets_go_without(&self, now: Micros) -> bool {
         now > self.until.max(self.asked.unwrap_or(self.until))
@@ -69,9 +77,10 @@
         self.start(start).records.insert((origin, number), fate);
     }
 
-    /// Until when that start had promised to take nothing without a record, read back at `now`.
+    /// Until when that start had promised to take nothing without a record, read back at `now`, when it was over. A
+    /// promise that ends later than one given just now would shows that the clock was set back: it proves nothing then.
     pub fn promised(&mut self, now: Micros, start: u64, until: Micros) {
-        self.start(start).whole = now <= until;
+        self.start(start).whole = (now..=now.saturating_add(LONG)).contains(&until);
     }
 
     fn start(&mut self, start: u64) -> &mut Start<V> {
--- a/crates/sites/tests/earlier.rs
+++ b/crates/sites/tests/earlier.rs
@@ -47,3 +47,21 @@
         [(3, 7), (4, 7), (5, 7), (5, 8), (5, 9)].map(|(number, start)| earlier.ask(&origin(), number, start));
     assert_eq!(asked, [Fate::BrokenOff, Fate::Honoured(()), Fate::NeverTaken, Fate::Unknown, Fate::Unknown]);
 }
+
+#[test]
+fn nothing_is_promised_while_somebody_may_ask_about_what_was_taken_without_a_record() {
+    let mut promise = Promise::default();
+    assert!(promise.lets_go_without(10));
+    promise.took_without(8_000_000);
+    promise.took_without(20);
+    assert_eq!(promise.renew(7_999_999), None);
+    assert!(promise.renew(8_000_000).is_some());
+}
+
+#[test]
+fn a_promise_read_by_a_clock_that_was_set_back_proves_nothing() {
+    let mut earlier = Earlier::<()>::default();
+    let hour = 3_600_000_000;
+    earlier.promised(100, 7, hour);
+    assert_eq!(earlier.ask(&origin(), 5, 7), Fate::Unknown);
+}
--- a/crates/store/tests/failing.rs
+++ b/crates/store/tests/failing.rs
@@ -102,17 +102,17 @@
         let chance = self.dice.below(20);
         if chance == 0 {
             let one_in = 2 + self.dice.below(12);
-            let state = &mut *self.disk.0.borrow_mut();
+            let state = &mut *self.disk.state();
             state.fails_one_in = state.fails_one_in.is_none().then_some(one_in);
         }
         if chance == 1 {
             let room = self.dice.below(300) as usize;
-            let state = &mut *self.disk.0.borrow_mut();
+            let state = &mut *self.disk.state();
             state.room = state.room.is_none().then_some(room);
         }
         if chance == 2 {
             // Killed within the next steps, or now if it lives on.
-            self.disk.0.borrow_mut().left = Some(self.dice.below(400) as usize);
+            self.disk.state().left = Some(self.dice.below(400) as usize);
         }
         if chance == 3 {
             *opened = None;
@@ -137,7 +137,7 @@
     fn end(&mut self) -> Judged {
         self.disk.restart(self.dice.one_in(2));
         {
-            let state = &mut *self.disk.0.borrow_mut();
+            let state = &mut *self.disk.state();
             (state.fails_one_in, state.room) = (None, None);
         }
         for _ in 0..3 {
@@ -158,7 +158,7 @@
 
 fn lives(seed: u64, lies: bool) -> Judged {
     let mut history = History::new(seed);
-    history.disk.0.borrow_mut().lies = lies;
+    history.disk.state().lies = lies;
     let mut opened = None;
     for _ in 0..60 {
         history.step(&mut opened)?;
@@ -187,7 +187,7 @@
 /// A sound life with four compactions, killed after so many bytes and calls; then two more starts.
 fn killed_at(units: usize, power: bool) -> Result<bool, String> {
     let mut history = History::new(units as u64);
-    history.disk.0.borrow_mut().left = Some(units);
+    history.disk.state().left = Some(units);
     if let Some(mut store) = history.open()? {
         for turn in 0..20 {
             history.commit(&mut store)?;
@@ -196,7 +196,7 @@
             }
         }
     }
-    let survived = history.disk.0.borrow().left.is_some_and(|left| left > 0);
+    let survived = history.disk.state().left.is_some_and(|left| left > 0);
     history.disk.restart(power);
     history.end()?;
     Ok(survived)
@@ -221,7 +221,7 @@
     drop(store);
     // Not even a head fits, or no more than a part of what is to be written again.
     for room in (0..50).map(|start| start % 5 * 15) {
-        history.disk.0.borrow_mut().room = Some(room);
+        history.disk.state().room = Some(room);
         assert!(history.open().unwrap().is_none());
     }
     assert_eq!(history.disk.names().len(), 1, "{:?}", history.disk.names());
--- a/crates/store/tests/power/mod.rs
+++ b/crates/store/tests/power/mod.rs
@@ -4,10 +4,9 @@
 // Each test that takes this in uses a part of it.
 #![allow(dead_code)]
 
-use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Result};
-use std::rc::Rc;
+use std::sync::{Arc, Mutex, MutexGuard};
 
 use aldermill_store::Files;
 
@@ -55,7 +54,7 @@
 
 /// One process's view of the disk; clones share it.
 #[derive(Clone)]
-pub struct FailingDisk(pub Rc<RefCell<State>>);
+pub struct FailingDisk(Arc<Mutex<State>>);
 
 /// When a call fails.
 #[derive(PartialEq)]
@@ -68,7 +67,7 @@
 
 impl FailingDisk {
     pub fn new(seed: u64) -> FailingDisk {
-        FailingDisk(Rc::new(RefCell::new(State {
+        FailingDisk(Arc::new(Mutex::new(State {
             files: Vec::new(),
             names: BTreeMap::new(),
             synced_names: BTreeMap::new(),
@@ -81,13 +80,17 @@
         })))
     }
 
+    pub fn state(&self) -> MutexGuard<'_, State> {
+        self.0.lock().unwrap()
+    }
+
     pub fn names(&self) -> Vec<String> {
-        self.0.borrow().names.keys().cloned().collect()
+        self.state().names.keys().cloned().collect()
     }
 
     /// The process is gone, and with `power` also what the system held in memory, as chance has it.
     pub fn restart(&self, power: bool) {
-        let state = &mut *self.0.borrow_mut();
+        let state = &mut *self.state();
         state.left = None;
         if !power {
             return;
@@ -150,7 +153,7 @@
 
 impl Files for FailingDisk {
     fn list(&self) -> Result<Vec<String>> {
-        let state = &mut *self.0.borrow_mut();
+        let state = &mut *self.state();
         if state.call()? != Fails::Never {
             return Err(broken());
         }
@@ -158,7 +161,7 @@
     }
 
     fn read(&self, name: &str) -> Result<Vec<u8>> {
-        let state = &mut *self.0.borrow_mut();
+        let state = &mut *self.state();
         if state.call()? != Fails::Never {
             return Err(broken());
         }
@@ -166,7 +169,7 @@
     }
 
     fn create(&mut self, name: &str) -> Result<()> {
-        self.0.borrow_mut().change(|state| {
+        self.state().change(|state| {
             state.files.push(Content::default());
             state.names.insert(name.to_owned(), state.files.len() - 1);
             Ok(())
@@ -174,7 +177,7 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
-        let state = &mut *self.0.borrow_mut();
+        let state = &mut *self.state();
         let fails = state.call()?;
         let begun = match fails {
             Fails::Never => bytes.len(),
@@ -192,7 +195,7 @@
     }
 
     fn sync(&mut self, name: &str) -> Result<()> {
-        let state = &mut *self.0.borrow_mut();
+        let state = &mut *self.state();
         let fails = state.call()?;
         let lies = state.lies;
         let file = state.file(name)?;
@@ -207,7 +210,7 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> Result<()> {
-        self.0.borrow_mut().change(|state| {
+        self.state().change(|state| {
             let file = state.names.remove(from).ok_or(ErrorKind::NotFound)?;
             state.names.insert(to.to_owned(), file);
             Ok(())
@@ -215,14 +218,14 @@
     }
 
     fn remove(&mut self, name: &str) -> Result<()> {
-        self.0.borrow_mut().change(|state| {
+        self.state().change(|state| {
             state.names.remove(name).ok_or(ErrorKind::NotFound)?;
             Ok(())
         })
     }
 
     fn sync_names(&mut self) -> Result<()> {
-        let state = &mut *self.0.borrow_mut();
+        let state = &mut *self.state();
         if state.call()? != Fails::Never {
             return Err(broken());
         }
