--- a/crates/routing/src/policy/decide.rs
+++ b/crates/routing/src/policy/decide.rs
@@ -46,6 +46,7 @@
             return self.give_up(handle);
         }
         // Protects members from all that drivers which stood still owe at once. Harms what would be in time.
+        let writes = offering.need == Need::Write;
         let waits = now < self.rush_until && self.rush < 1.0;
         let target = match offering.need {
             _ if waits => None,
@@ -55,7 +56,7 @@
         let Some(id) = target else {
             return self.groups[self.errands[&handle].group].held.push(handle);
         };
-        self.account(now, id);
+        self.account(now, id, writes);
         let rested = self.rested(now, id);
         let validity = self.validity(&self.errands[&handle], id);
         let afresh = rested.is_some_and(|rest| self.reaped(rest));
@@ -71,7 +72,7 @@
     }
 
     /// A launch uses up what was saved for its member; the primary is owed its part of its group's launches.
-    pub(super) fn account(&mut self, now: Micros, id: MemberId) {
+    pub(super) fn account(&mut self, now: Micros, id: MemberId, writes: bool) {
         let (credit, hold) = (self.credit(now, id) - 1.0, self.hold());
         (self.members[id].credit, self.members[id].credited) = (credit, now);
         let part = |&id: &MemberId| {
@@ -79,7 +80,10 @@
             if standing == Standing::Ready && now >= lost_until { size * window } else { 0.0 }
         };
         let group = &mut self.groups[self.members[id].group];
-        let Some(primary) = group.primary else { return group.walk_after = now + hold };
+        let Some(primary) = group.primary else {
+            group.walk_after = if writes { now + hold } else { group.walk_after };
+            return;
+        };
         let all: f64 = group.members.iter().map(part).sum();
         let due = part(&primary) / all.max(f64::EPSILON) - f64::from(id == primary);
         group.owed = (group.owed + due).clamp(-3.0, 3.0);
@@ -226,9 +230,12 @@
             let round = self.groups[group].members.len().min(self.terms.max_launches as usize / 2);
             let errand = self.errands.get_mut(&handle).expect("not yet closed");
             errand.misses += 1;
-            if errand.misses >= round {
-                errand.misses = 0;
-                self.groups[group].walk_after = now + self.hold();
+            let over = errand.misses >= round;
+            errand.misses = if over { 0 } else { errand.misses };
+            let (over_hold, member) = (now + self.hold(), &mut self.members[id]);
+            member.not_primary = member.not_primary.max(now - told.age);
+            if over {
+                self.groups[group].walk_after = over_hold;
             }
         }
         if over {
--- a/crates/routing/src/policy/fresh.rs
+++ b/crates/routing/src/policy/fresh.rs
@@ -14,9 +14,9 @@
             return None;
         }
         let start = errand.last.and_then(|last| group.members.iter().position(|&id| id == last));
-        let start = start.map_or(0, |at| at + 1);
+        let start = start.map_or_else(|| self.search_start(group), |at| at + 1);
         let round = (0..group.members.len()).map(|step| group.members[(start + step) % group.members.len()]);
-        let mut open = round.filter(|&id| self.usable(now, id));
+        let mut open = round.filter(|&id| self.may_be_primary(now, group, id));
         let first = open.clone().next();
         open.find(|&id| now >= self.members[id].barred_until).or(first).filter(|&id| self.room(now, id) > 0.0)
     }
@@ -203,9 +203,11 @@
                 }
             }
             Some(Role::Replica) => {
+                member.not_primary = member.not_primary.max(now - told.age);
                 let newer = at >= group.word || position >= member.primary_position;
                 if newer && group.primary == Some(id) {
                     (group.primary, group.word) = (None, at);
+                    group.search.since = now;
                 }
                 if newer || group.primary != Some(id) {
                     (member.seen_primary, member.replica_heard) = (false, now);
--- a/crates/routing/src/policy/members.rs
+++ b/crates/routing/src/policy/members.rs
@@ -34,10 +34,11 @@
             let size = line.size / self.mean_size;
             let window = if self.sparse() { MOST / drivers * size } else { (START / drivers).max(1.0) };
             let fresh = Member { position: Micros::MIN, heard: now, answered: now, ..Member::default() };
+            let fresh = Member { not_primary: Micros::MIN, ..fresh };
             self.members[id] = Member { name: line.name, group, zone: line.zone, size, window, ..fresh };
             let members = &mut self.groups[group].members;
-            members.push(id);
-            members.sort_by_key(|&id| self.members[id].name.clone());
+            let at = members.partition_point(|&other| self.members[other].name <= self.members[id].name);
+            members.insert(at, id);
         }
         let member = &mut self.members[id];
         if !known || member.since != line.since && line.standing == Standing::Ready {
@@ -70,6 +71,7 @@
         if standing != Standing::Ready && group.primary == Some(id) {
             // The list tells all drivers, but they are not to walk all at once.
             (group.primary, group.walk_after) = (None, now + self.rng.random_range(0..hold));
+            group.search.since = now;
         }
     }
 
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -21,6 +21,9 @@
 mod decide;
 mod fresh;
 mod members;
+mod primary_search;
+
+use primary_search::salt;
 
 const MS: Micros = 1_000;
 const BEAT: Micros = 20 * MS; // how often the router looks at what no event brings
@@ -79,6 +82,7 @@
         let ask_at =
             now + rng.random_range(0..(30 * MS * terms.drivers as Micros).clamp(200 * MS, 1_200 * MS));
         Router {
+            salt: salt(seed),
             rng,
             members: Vec::new(),
             groups: Vec::new(),
@@ -196,11 +200,12 @@
         // What members carry does not shrink with what they are sent: their best of late counts.
         let faded = self.warm_load * (1.0 - 0.02 * BEAT as f64 / window as f64);
         self.warm_load = faded.max(if warm > 0.0 { load / warm } else { 0.0 });
+        (0..self.groups.len()).for_each(|group| self.search_primary(now, group));
         for id in 0..self.members.len() {
             let member = &self.members[id];
-            let Group { primary, held, .. } = &self.groups[member.group];
-            let wanted = !held.is_empty()
-                && (now < member.lost_until || primary.is_none_or(|id| self.silent(now, id)));
+            let group = &self.groups[member.group];
+            let sought = !self.is_wide(group) && self.lacks_primary(now, group);
+            let wanted = !group.held.is_empty() && (now < member.lost_until || sought);
             let spare = !self.sparse() && self.allowance > self.members.len() as f64 * 0.5;
             if wanted || spare && now - member.heard > PROBE_EVERY {
                 let gap = if self.sparse() { HOLD } else { PROBE_NEEDED };
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -41,6 +41,7 @@
     pub(crate) seen_primary: bool, // by its own word, and not since seen as replica
     pub(crate) demoted: Micros,    // the time of its newest word that it is a replica
     pub(crate) replica_heard: Micros, // when such a word was last heard
+    pub(crate) not_primary: Micros, // the newest time at which it was known not to be the primary
     pub(crate) primary_position: Micros, // the newest that it told as primary, or zero
     pub(crate) heard: Micros,
     pub(crate) answered: Micros,
@@ -70,11 +71,20 @@
     pub(crate) word: Micros, // the time of the newest word on the primary
     pub(crate) listed: Option<MemberId>,
     pub(crate) walk_after: Micros,
+    pub(crate) search: PrimarySearch,
     pub(crate) owed: f64, // launches due to the primary by its size and window, beyond those it had
     pub(crate) held: Vec<Handle>,
     pub(crate) lean: (f64, BTreeMap<usize, f64>), // what the fleet decreed: the part that goes away, and where
 }
 
+/// The search for the primary of a group.
+#[derive(Clone, Default)]
+pub(crate) struct PrimarySearch {
+    pub(crate) since: Micros, // what members said of their role before this round does not count
+    pub(crate) next: usize,   // of the member that is asked next, by name, from where this router begins
+    pub(crate) saved: f64,    // health checks due
+}
+
 /// What this router's own attempts wrote of a session.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Session {
@@ -100,6 +110,7 @@
 pub struct Router {
     pub(crate) terms: Terms,
     pub(crate) rng: Pcg64Mcg,
+    pub(crate) salt: u64, // sets this router's choices apart from those of others
     pub(crate) members: Vec<Member>,
     pub(crate) groups: Vec<Group>,
     pub(crate) group_ids: HashMap<u64, usize>,
--- a/crates/routing/tests/router/main.rs
+++ b/crates/routing/tests/router/main.rs
@@ -4,4 +4,5 @@
 mod givens;
 mod in_time;
 mod rules;
+mod wide_groups;
 mod world;
