--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -24,6 +24,7 @@
 pub mod terms;
 mod trouble;
 pub mod what;
+pub mod wide;
 pub mod world;
 
 pub use trouble::Trouble;
--- a/crates/fleet/src/main.rs
+++ b/crates/fleet/src/main.rs
@@ -2,12 +2,14 @@
 
 use std::path::PathBuf;
 use std::process::ExitCode;
+use std::time::Duration;
 
 use aldermill_fleet::Trouble;
 use aldermill_fleet::plan::Plan;
 use aldermill_fleet::report;
 use aldermill_fleet::run::run;
-use bpaf::Bpaf;
+use aldermill_fleet::wide::{self, Day, Shape};
+use bpaf::{Bpaf, Parser, construct, long};
 
 /// Many processes of aldermill under faults
 #[derive(Clone, Debug, Bpaf)]
@@ -39,6 +41,18 @@
         #[bpaf(positional("PLAN"))]
         plan: String,
     },
+    /// Measure what sixteen times the members cost each process, beside the bounds
+    #[bpaf(command)]
+    Wide {
+        #[bpaf(external(day))]
+        day: Day,
+        /// How many times the members
+        #[bpaf(long, argument("N"), fallback(16))]
+        times: usize,
+        /// `large` groups, `many` groups, or `both`
+        #[bpaf(long, argument("SHAPE"), fallback("both".to_owned()))]
+        shape: String,
+    },
     /// Print the JSON schema of a plan
     #[bpaf(command)]
     Schema,
@@ -51,6 +65,7 @@
         Command::Run { seed, runs, out, plan } => play(&plan, seed, runs, out),
         Command::Plans => plans().map(|()| true),
         Command::Shrink { seed, plan } => find(&plan, seed).and_then(|plan| shrink(plan, seed)),
+        Command::Wide { day, times, shape } => widen(&day, times, &shape),
         Command::Schema => {
             print!("{}", Plan::schema());
             Ok(true)
@@ -66,6 +81,67 @@
     }
 }
 
+/// The day of the small fleet, by the command line.
+fn day() -> impl Parser<Day> {
+    let usual = Day::default();
+    let processes = long("processes").argument::<usize>("N").fallback(usual.processes);
+    let members = long("members").argument::<usize>("N").fallback(usual.members);
+    let groups = long("groups").help("a fifth of the members, if not said").argument::<usize>("N").optional();
+    let seconds = long("seconds").argument::<u64>("S").fallback(usual.length.as_secs());
+    let failover = long("failover").help("primaries move after so long").argument::<u64>("S").optional();
+    let idle_ms = long("idle-ms").argument::<u64>("MS").fallback(usual.idle.as_millis() as u64);
+    let no_probes = long("no-probes").help("the settings allow none").switch();
+    let sockets = long("sockets").argument::<u64>("N").fallback(usual.sockets);
+    let memory_mb = long("memory-mb").argument::<u64>("N").fallback(usual.memory_mb);
+    let seed = long("seed").argument::<u64>("N").fallback(usual.seed);
+    construct!(processes, members, groups, seconds, failover, idle_ms, no_probes, sockets, memory_mb, seed)
+        .map(
+            |(
+                processes,
+                members,
+                groups,
+                seconds,
+                failover,
+                idle_ms,
+                no_probes,
+                sockets,
+                memory_mb,
+                seed,
+            )| Day {
+                processes,
+                members,
+                groups: groups.unwrap_or((members / 5).max(1)),
+                length: Duration::from_secs(seconds),
+                failover: failover.map(Duration::from_secs),
+                idle: Duration::from_millis(idle_ms),
+                probes: !no_probes,
+                sockets,
+                memory_mb,
+                seed,
+                ..Day::default()
+            },
+        )
+}
+
+/// Whether all figures of the wide fleets are within their bounds.
+fn widen(day: &Day, times: usize, shape: &str) -> Result<bool, Trouble> {
+    let shapes = match shape {
+        "large" => vec![Shape::LargeGroups],
+        "many" => vec![Shape::ManyGroups],
+        "both" => vec![Shape::LargeGroups, Shape::ManyGroups],
+        other => return Err(Trouble::Shape(other.to_owned())),
+    };
+    let small = wide::measure(day)?;
+    let mut holds = true;
+    for shape in shapes {
+        let wide_day = day.wide(shape, times);
+        let wide = wide::measure(&wide_day)?;
+        println!("{}", wide::table(&wide_day, &small, &wide));
+        holds &= wide::excess(&wide::compare(&small, &wide, wide_day.members)).is_empty();
+    }
+    Ok(holds)
+}
+
 fn find(name: &str, seed: u64) -> Result<Plan, Trouble> {
     if name == "drawn-retire" {
         return Ok(Plan::drawn_retiring(seed));
--- a/crates/fleet/src/trouble.rs
+++ b/crates/fleet/src/trouble.rs
@@ -26,6 +26,8 @@
     Run(#[from] io::Error),
     #[error("{path}: the picture cannot be drawn: {why}")]
     Picture { path: PathBuf, why: String },
+    #[error("shape: {0} is not `large`, `many` or `both`")]
+    Shape(String),
     #[error("the plan does not fail: there is nothing to take away")]
     Sound,
 }
