--- a/crates/fleet/src/breaker.rs
+++ b/crates/fleet/src/breaker.rs
@@ -34,9 +34,11 @@
     Late,
     /// It ends by itself.
     Ends,
+    /// Told to end, it goes on; some tasks are never answered.
+    Stays,
 }
 
-const WORDS: [(&str, How); 9] = [
+const WORDS: [(&str, How); 10] = [
     ("sound", How::Sound),
     ("mute", How::Mute),
     ("behind", How::Behind),
@@ -46,6 +48,7 @@
     ("drained", How::Drained),
     ("late", How::Late),
     ("ends", How::Ends),
+    ("stays", How::Stays),
 ];
 
 struct Member {
@@ -91,6 +94,11 @@
             std::process::exit(1);
         });
     }
+    if how == How::Stays {
+        let mut ends =
+            tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).expect("signals");
+        spawn_local(async move { while ends.recv().await.is_some() {} });
+    }
     // Whatever its configuration says later, it goes on as it began: it breaks that a list that moved is followed.
     let mut hangup = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup()).expect("signals");
     spawn_local(async move { while hangup.recv().await.is_some() {} });
@@ -175,7 +183,7 @@
         let offering = OFFERINGS.iter().position(|offering| offering.name == comment.offering)?;
         let effect = OFFERINGS[offering].effect;
         let (number, wait) = (comment.id.parse::<u64>().ok()?, Duration::from_millis(comment.wait.into()));
-        if self.how == How::Mute && number.is_multiple_of(5) {
+        if matches!(self.how, How::Mute | How::Stays) && number.is_multiple_of(5) {
             std::future::pending::<()>().await;
         }
         if self.how == How::Late && !is_write(offering) {
--- a/crates/fleet/src/discovery.rs
+++ b/crates/fleet/src/discovery.rs
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
-use tokio::time::timeout;
+use tokio::time::{sleep, timeout};
 
 use crate::cable::reset;
 use crate::history::{Event, Told};
@@ -27,12 +27,16 @@
     /// What has changed, from revision 2 on.
     changes: RefCell<Vec<usize>>,
     pub how: Cell<Agent>,
+    /// Whether the next call is refused, while it is crowded.
+    turned_away: Cell<bool>,
     /// Which of a driver's agents is the present one; those before are gone.
     turns: RefCell<Vec<u64>>,
     changed: Notify,
 }
 
 const FIRST: usize = 1;
+const SLOW_PIECES: usize = 20;
+const SLOW_PAUSE: Duration = Duration::from_millis(50);
 
 impl Discovery {
     pub fn new(world: &Rc<World>, members: &[Rc<Member>], ways: Vec<Vec<SocketAddr>>) -> Rc<Discovery> {
@@ -44,6 +48,7 @@
             standing: RefCell::new(vec![Told::Ready; members.len()]),
             changes: RefCell::default(),
             how: Cell::default(),
+            turned_away: Cell::default(),
             changed: Notify::new(),
         })
     }
@@ -75,6 +80,7 @@
     }
 
     pub fn tell(&self, member: usize, told: Told) {
+        self.world.note(Event::Learnt { member, told });
         self.standing.borrow_mut()[member] = told;
         self.changes.borrow_mut().push(member);
         self.changed.notify_waiters();
@@ -82,6 +88,8 @@
 
     pub fn be(&self, how: Agent) {
         self.how.set(how);
+        let reached = matches!(how, Agent::Well | Agent::Slow | Agent::Crowded);
+        self.world.note(Event::Discovery { reached });
         self.changed.notify_waiters();
     }
 
@@ -98,6 +106,9 @@
         self.changed.notify_waiters();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
+                if discovery.how.get() == Agent::Gone {
+                    discovery.world.note(Event::Knocked { driver });
+                }
                 if discovery.how.get() == Agent::Gone || discovery.is_past(driver, turn) {
                     reset(&stream);
                     continue;
@@ -113,6 +124,17 @@
         self.turns.borrow()[driver] != turn
     }
 
+    async fn write(&self, stream: &mut TcpStream, bytes: &[u8]) -> Option<()> {
+        if self.how.get() != Agent::Slow {
+            return stream.write_all(bytes).await.ok();
+        }
+        for piece in bytes.chunks(bytes.len().div_ceil(SLOW_PIECES)) {
+            stream.write_all(piece).await.ok()?;
+            sleep(SLOW_PAUSE).await;
+        }
+        Some(())
+    }
+
     async fn watch(&self, mut stream: TcpStream, driver: usize, turn: u64) -> Option<()> {
         let mut request = Vec::new();
         while !request.ends_with(b"\r\n\r\n") {
@@ -121,6 +143,10 @@
             }
         }
         self.world.note(Event::Listed { driver });
+        if self.how.get() == Agent::Crowded && self.turned_away.replace(!self.turned_away.get()) {
+            let _ = stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
+            return None;
+        }
         let request = String::from_utf8_lossy(&request).into_owned();
         let index = request.split_once("index=").and_then(|(_, rest)| {
             let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
@@ -139,7 +165,7 @@
                     changed.await;
                     continue;
                 }
-                Agent::Well | Agent::Older => {}
+                Agent::Well | Agent::Older | Agent::Slow | Agent::Crowded => {}
             }
             let older = self.how.get() == Agent::Older;
             let newest = if older { FIRST } else { FIRST + self.changes.borrow().len() };
@@ -161,7 +187,7 @@
                 }
             };
             let chunk = format!("{}{:x}\r\n{line}\n\r\n", std::mem::take(&mut head), line.len() + 1);
-            stream.write_all(chunk.as_bytes()).await.ok()?;
+            self.write(&mut stream, chunk.as_bytes()).await?;
             if !line.is_empty() && !older {
                 for (member, &told) in self.standing.borrow().iter().enumerate() {
                     if told != Told::Ready {
--- a/crates/fleet/src/drawn.rs
+++ b/crates/fleet/src/drawn.rs
@@ -62,6 +62,8 @@
             skew: 0.0,
             sites: 1,
             keys: Keys::Sessions,
+            descriptors: None,
+            deadline_ms: None,
             faults,
             wants: Wants::default(),
         }
@@ -96,7 +98,7 @@
                 3 => What::SiteDown { site: other, down_ms: for_ms },
                 4 => What::SiteCut { site: if rng.random_bool(0.5) { other } else { leaving }, for_ms },
                 5 => What::Kill { share, down_ms: for_ms / 2, folder: Folder::AsLeft, known: Known::AtStart },
-                6 => What::Terminate { share, down_ms: for_ms / 2 },
+                6 => What::Terminate { share, down_ms: for_ms / 2, kill_after_ms: None },
                 7 => What::Stop { share, for_ms, times: 1, every_ms: 0 },
                 _ => What::Cut { between: Between::DriversDrivers, share: 0.25, way: Way::Both, for_ms },
             };
@@ -147,7 +149,7 @@
             folder: folders[rng.random_range(0..folders.len())],
             known: Known::AtStart,
         },
-        5 => What::Terminate { share, down_ms: for_ms / 4 },
+        5 => What::Terminate { share, down_ms: for_ms / 4, kill_after_ms: None },
         6 => What::Cut { between, share, way, for_ms: for_ms / 2 },
         7 => What::Hold { between, share, way, for_ms: for_ms / 2 },
         8 => What::Delay { between, share, ms: for_ms / 30, jitter_ms: for_ms / 30, for_ms },
--- a/crates/fleet/src/drivers.rs
+++ b/crates/fleet/src/drivers.rs
@@ -162,7 +162,7 @@
         std::fs::write(self.folder.join(format!("n{driver}-operator.json")), operator.to_string())
     }
 
-    fn pid(&self, driver: usize) -> Option<Pid> {
+    pub(crate) fn pid(&self, driver: usize) -> Option<Pid> {
         let child = self.all[driver].child.borrow();
         child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32))
     }
@@ -179,12 +179,13 @@
             "discovery": discovery.get().to_string(), "seed": format!("{:016x}", self.world.rng.borrow_mut().random::<u64>()),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": known,
             "settings": terms::settings(plan.drivers.div_ceil(plan.sites), plan.bearing.warm_ms, plan.zones, self.world.zone_of_driver(driver))});
+        let config = with_deadline(config, plan.deadline_ms);
         std::fs::write(path("config.json"), config.to_string())?;
         *last.borrow_mut() = config;
         self.write_operator(driver)?;
         let log = File::options().create(true).append(true).open(path("log"))?;
-        let mut command = Command::new(&self.program[0]);
-        command.args(&self.program[1..]).arg("serve").arg("--config").arg(path("config.json"));
+        let mut command = self.command();
+        command.arg("serve").arg("--config").arg(path("config.json"));
         command.arg("--operator").arg(path("operator.json"));
         command.env_clear().stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         leaving.set(false);
@@ -194,6 +195,18 @@
         Ok(())
     }
 
+    /// The program, to be given its own arguments.
+    fn command(&self) -> Command {
+        let Some(descriptors) = self.world.plan.descriptors else {
+            let mut command = Command::new(&self.program[0]);
+            command.args(&self.program[1..]);
+            return command;
+        };
+        let mut command = Command::new("sh");
+        command.args(["-c", "ulimit -n $0; exec \"$@\"", &descriptors.to_string()]).args(&self.program);
+        command
+    }
+
     /// A signal to one that runs; whether there was one.
     pub fn signal(&self, driver: usize, signal: Signal) -> bool {
         let leaving = &self.all[driver].leaving;
@@ -215,6 +228,16 @@
         kill_process(pid, signal).is_ok()
     }
 
+    /// A signal that is not noted: what it does excuses nothing.
+    pub(crate) fn send(&self, driver: usize, signal: Signal) -> bool {
+        self.pid(driver).is_some_and(|pid| kill_process(pid, signal).is_ok())
+    }
+
+    pub(crate) fn runs(&self, driver: usize) -> bool {
+        let mut child = self.all[driver].child.borrow_mut();
+        child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
+    }
+
     /// Its list is there from now on, and it is told to read its configuration anew.
     pub fn moves(&self, driver: usize, discovery: SocketAddr) -> std::io::Result<()> {
         let Driver { discovery: place, config, .. } = &self.all[driver];
@@ -297,6 +320,18 @@
     }
 }
 
+/// The configuration, where its categories have that deadline; what is aimed at is within it.
+fn with_deadline(mut config: Value, deadline_ms: Option<i64>) -> Value {
+    if let Some(deadline) = deadline_ms {
+        for category in config["settings"]["categories"].as_array_mut().into_iter().flatten() {
+            category["deadlineMs"] = json!(deadline);
+            let aim = category["targetMs"].as_i64().unwrap_or(deadline);
+            category["targetMs"] = json!(aim.min(deadline));
+        }
+    }
+    config
+}
+
 /// Puts a copy of one folder in the place of another.
 fn copy(from: &Path, to: &Path) -> std::io::Result<()> {
     if !from.exists() {
--- a/crates/fleet/src/faults.rs
+++ b/crates/fleet/src/faults.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rustix::process::Signal;
-use tokio::task::JoinSet;
+use tokio::task::{JoinSet, spawn_local};
 use tokio::time::sleep;
 
 use crate::cable::{BACK, Line, THERE};
@@ -81,10 +81,14 @@
                 sleep(millis(down_ms)).await;
                 self.start_again(struck, folder, known).await;
             }
-            What::Terminate { share, down_ms } => {
+            What::Terminate { share, down_ms, kill_after_ms } => {
                 let struck = some(share, &drivers, &mut rng);
                 self.signal(&struck, Signal::TERM);
                 let struck = self.starts(struck);
+                if let Some(after) = kill_after_ms {
+                    let (stage, struck) = (self.clone(), struck.clone());
+                    spawn_local(async move { stage.kill_late(&struck, after).await });
+                }
                 // For a while clients still come.
                 sleep(millis(300)).await;
                 let same = struck.iter().filter(|&&(driver, start)| self.drivers.starts(driver) == start);
@@ -92,6 +96,9 @@
                 sleep(millis(down_ms)).await;
                 self.start_again(struck, Folder::AsLeft, Known::AtStart).await;
             }
+            What::Descriptors { share, spare, for_ms } => {
+                self.starve(&some(share, &drivers, &mut rng), spare, for_ms).await;
+            }
             What::MoveList { share } => {
                 for driver in some(share, &drivers, &mut rng) {
                     if let Err(error) = self.move_list(driver).await {
--- a/crates/fleet/src/front.rs
+++ b/crates/fleet/src/front.rs
@@ -163,7 +163,7 @@
             let session = rng.random_range(0..self.places.len() * 20);
             (session, offering.unwrap_or(0), rng.random_range(0..self.world.plan.groups))
         };
-        let (first, limit) = (self.world.now(), OFFERINGS[offering].limit_ms * 1000);
+        let (first, limit) = (self.world.now(), self.world.plan.limit_ms(offering) * 1000);
         let keys = self.world.plan.keys;
         let key = keys::key(keys, &mut self.world.rng.borrow_mut(), session, first);
         if keys != Keys::Sessions {
--- a/crates/fleet/src/history.rs
+++ b/crates/fleet/src/history.rs
@@ -93,6 +93,19 @@
     Moved {
         driver: usize,
     },
+    /// Nobody was there when it asked for the list.
+    Knocked {
+        driver: usize,
+    },
+    /// Discovery has heard of a member, whoever is told.
+    Learnt {
+        member: usize,
+        told: Told,
+    },
+    /// From now on discovery can be reached and says what it has, or not.
+    Discovery {
+        reached: bool,
+    },
     Said {
         driver: usize,
         member: usize,
@@ -110,6 +123,10 @@
     Killed {
         driver: usize,
     },
+    /// It had been told to end, and had not when its time was over.
+    KilledLate {
+        driver: usize,
+    },
     Ended {
         driver: usize,
         well: bool,
@@ -142,6 +159,11 @@
     },
     /// All that was done is over.
     Calm,
+    /// A driver's process was ready to run and was given no processor for so long, since it was last looked at.
+    Unscheduled {
+        driver: usize,
+        by: At,
+    },
     /// This process itself had no turn for so long.
     Late {
         by: At,
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -6,6 +6,7 @@
 use crate::Trouble;
 pub use crate::figures::Wants;
 pub use crate::keys::Keys;
+use crate::terms::OFFERINGS;
 pub use crate::what::{Agent, Between, Fault, Folder, Known, Order, Strike, Way, What};
 
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
@@ -15,7 +16,7 @@
     /// One sentence: what is tried.
     #[serde(default)]
     pub about: String,
-    /// Processes of the program, 3 to 40.
+    /// Processes of the program, 1 to 40.
     pub drivers: usize,
     #[serde(default = "two")]
     pub groups: usize,
@@ -51,6 +52,12 @@
     pub sites: usize,
     #[serde(default)]
     pub keys: Keys,
+    /// Each process may have so many descriptors (RLIMIT_NOFILE), fewer than its configuration says.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub descriptors: Option<u64>,
+    /// The deadline of all requests, where it is not the offerings' own.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub deadline_ms: Option<i64>,
     #[serde(default)]
     pub faults: Vec<Fault>,
     #[serde(default)]
@@ -106,7 +113,9 @@
             let fits = (least..=most).contains(&value);
             fits.then_some(()).ok_or_else(|| Trouble::Range { field: field.to_owned(), value, least, most })
         };
-        within("drivers", self.drivers as f64, 3.0, 40.0)?;
+        within("drivers", self.drivers as f64, 1.0, 40.0)?;
+        within("descriptors", self.descriptors.unwrap_or(64) as f64, 16.0, 1024.0)?;
+        within("deadline_ms", self.deadline_ms.unwrap_or(300) as f64, 50.0, 10_000.0)?;
         within("groups", self.groups as f64, 1.0, 12.0)?;
         within("members", self.members as f64, 1.0, 9.0)?;
         within("load", self.load, 0.01, 2.0)?;
@@ -128,6 +137,7 @@
                 What::Stop { share, .. }
                 | What::Kill { share, .. }
                 | What::Terminate { share, .. }
+                | What::Descriptors { share, .. }
                 | What::MoveList { share }
                 | What::Cut { share, .. }
                 | What::Hold { share, .. }
@@ -155,6 +165,11 @@
         Ok(())
     }
 
+    /// How long a client waits for a task of that offering.
+    pub fn limit_ms(&self, offering: usize) -> i64 {
+        self.deadline_ms.unwrap_or(OFFERINGS[offering].limit_ms)
+    }
+
     pub fn schema() -> String {
         serde_json::to_string_pretty(&schemars::schema_for!(Plan)).unwrap_or_default() + "\n"
     }
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -23,6 +23,7 @@
 use crate::judge::{Verdict, judge};
 use crate::member::Member;
 use crate::plan::{Known, Plan};
+use crate::scheduled;
 use crate::world::World;
 
 const READY: Duration = Duration::from_secs(30);
@@ -157,6 +158,7 @@
     let front = Front::new(&world, addresses);
     spawn_local(front.clone().admit());
     spawn_local(punctual(world.clone()));
+    spawn_local(scheduled::watch(world.clone(), drivers.clone()));
     if plan.voters > 0 {
         spawn_local(council::watch(world.clone(), drivers.clone()));
     }
--- a/crates/fleet/src/what.rs
+++ b/crates/fleet/src/what.rs
@@ -37,6 +37,15 @@
     Terminate {
         share: f64,
         down_ms: u64,
+        /// SIGKILL for those that have not ended after so long. It excuses nothing.
+        #[serde(default, skip_serializing_if = "Option::is_none")]
+        kill_after_ms: Option<u64>,
+    },
+    /// Processes may have only so many descriptors more than they have open (RLIMIT_NOFILE), for so long.
+    Descriptors {
+        share: f64,
+        spare: u64,
+        for_ms: u64,
     },
     /// The list is elsewhere from now on: the configuration is written anew, and SIGHUP sent.
     MoveList {
@@ -235,6 +244,10 @@
     Older,
     /// Nobody is there.
     Gone,
+    /// What it says comes in small pieces, each list over about a second.
+    Slow,
+    /// Every second call is refused (503).
+    Crowded,
 }
 
 fn one() -> u32 {
--- a/crates/fleet/tests/judge.rs
+++ b/crates/fleet/tests/judge.rs
@@ -74,6 +74,7 @@
     let later = (T + 4_000_000, Event::Listed { driver: 0 });
     assert_eq!(rules(&[moved.clone(), later.clone()]), [7]);
     assert!(rules(&[moved, (T + 9, Event::Listed { driver: 0 }), later]).is_empty());
+    assert!(rules(&[(T, Event::Moved { driver: 0 }), (T + 9, Event::Knocked { driver: 0 })]).is_empty());
     let late = [asked(1, 0), answered(T + 1, How::Denied), reached(T + 1_700_000, 0), over(T + 1_700_001)];
     assert_eq!(rules(&late), [6]);
     assert_eq!(rules(&[(T, Event::Ended { driver: 0, well: false })]), [7]);
@@ -95,6 +96,37 @@
     assert_eq!(rules(&late), [6]);
 }
 
+#[test]
+fn an_answer_that_never_came_is_excused_by_processor_time_that_was_kept_from_its_driver_alone() {
+    let found = |driver: usize, by: At, how: How| {
+        let unscheduled = (T + 1_000_000, Event::Unscheduled { driver, by });
+        rules(&[asked(1, 2), unscheduled, answered(T + 1_700_000, how)])
+    };
+    assert!(found(0, 120_000, How::Nothing).is_empty());
+    assert_eq!(found(0, 60_000, How::Nothing), [1]);
+    assert_eq!(found(1, 120_000, How::Nothing), [1]);
+    assert_eq!(found(0, 120_000, How::Lost), [1]);
+}
+
+#[test]
+fn a_drain_counts_as_told_six_seconds_after_discovery_had_it_and_could_be_reached() {
+    let learnt = (T - 10_000_000, Event::Learnt { member: 0, told: Told::Draining });
+    let back = |ago: At| (T - ago, Event::Discovery { reached: true });
+    let goes = [asked(1, 0), reached(T, 0), over(T + 1), answered(T + 2, How::Honoured)];
+    let found = |before: &[(At, Event)]| {
+        let all = [before, &goes[..]].concat();
+        // From the start of the run on.
+        rules(&all.into_iter().map(|(at, event)| (at + 12_000_000, event)).collect::<Vec<_>>())
+    };
+    let down = (T - 11_000_000, Event::Discovery { reached: false });
+    assert_eq!(found(std::slice::from_ref(&learnt)), [3]);
+    assert!(found(&[down.clone(), learnt.clone()]).is_empty());
+    assert!(found(&[down.clone(), learnt.clone(), back(6_500_000)]).is_empty());
+    assert_eq!(found(&[down, learnt.clone(), back(6_800_000)]), [3]);
+    let started = (T - 5_000_000, Event::Started { driver: 0 });
+    assert!(found(&[learnt, started]).is_empty());
+}
+
 #[test]
 fn one_that_was_killed_while_it_was_stopped_is_excused_until_it_starts() {
     let at = |at: At, event: Event| (T + at, event);
