--- a/crates/driver/src/desk.rs
+++ b/crates/driver/src/desk.rs
@@ -285,23 +285,22 @@
             return self.dispatch(order, offering);
         }
         // The wait has run since the statement arrived.
-        let clock = self.context.clock;
-        let waited = clock.now() - order.arrived;
-        let ttl = Micros::from(order.comment.wait) * 1000 - waited;
+        let deadline = order.arrived + Micros::from(order.comment.wait) * 1000;
         let (client, id) = (order.client, order.comment.id.clone());
         let mailbox = Some((client, order.mailbox.clone()));
-        let (handle, todo) = self.hand_over(Rc::new(order), offering, ttl, mailbox, None);
+        let (handle, todo) = self.hand_over(Rc::new(order), offering, deadline, mailbox, None);
         self.by_client.insert(client, Holder::Here(handle));
         self.open_ids.insert(id);
         self.carry_out(todo);
     }
 
-    /// Hands a task to the module here; what that returns is not carried out yet.
+    /// Hands a task to the module here, to be answered by `deadline` on the router's clock: a moment, which a process
+    /// that is held up on the way does not put off. What the module returns is not carried out yet.
     pub(crate) fn hand_over(
         &mut self,
         order: Rc<Order>,
         offering: usize,
-        ttl: Micros,
+        deadline: Micros,
         client: Option<(ClientId, mpsc::Sender<Mail>)>,
         via: Option<SitesHandle>,
     ) -> (Handle, Todo) {
@@ -311,7 +310,7 @@
         let task = Task {
             offering,
             group: order.comment.group,
-            ttl,
+            ttl: deadline - now,
             waited: now - order.arrived,
             session,
             last_write: order.last_write(now),
@@ -319,7 +318,8 @@
         };
         let (handle, todo) = self.ask(|router| router.take(now, task.clone()));
         let best = self.context.best_paid.contains(&order.comment.offering);
-        self.open.insert(handle, Open { via, best, client, withdrawal: Withdrawal::default(), order });
+        let withdrawal = Withdrawal::default();
+        self.open.insert(handle, Open { via, best, deadline, client, withdrawal, order });
         (handle, todo)
     }
 
--- a/crates/driver/src/desk/hub/trips.rs
+++ b/crates/driver/src/desk/hub/trips.rs
@@ -206,7 +206,8 @@
         let trip = self.hub.as_ref().and_then(|hub| hub.trips.get(&handle));
         let Some((order, offering)) = trip.map(|trip| (trip.order.clone(), trip.offering)) else { return };
         let client = Some((order.client, order.mailbox.clone()));
-        let (here, todo) = self.hand_over(order, offering, ttl, client, Some(handle));
+        let deadline = self.context.clock.now() + ttl;
+        let (here, todo) = self.hand_over(order, offering, deadline, client, Some(handle));
         if let Some(trip) = self.hub.as_mut().and_then(|hub| hub.trips.get_mut(&handle)) {
             trip.here = Some(here);
         }
--- a/crates/driver/src/desk/open.rs
+++ b/crates/driver/src/desk/open.rs
@@ -2,6 +2,7 @@
 
 use std::rc::Rc;
 
+use aldermill_routing::Micros;
 use aldermill_sites::Handle as SitesHandle;
 use tokio::sync::mpsc;
 
@@ -13,6 +14,8 @@
     pub via: Option<SitesHandle>,
     /// Of the best paid offering.
     pub best: bool,
+    /// When the client's time is over, on the router's clock. No attempt may last longer.
+    pub deadline: Micros,
     pub client: Option<(ClientId, mpsc::Sender<Mail>)>,
     /// Set when the client left, or the gateway took the request back.
     pub withdrawal: Withdrawal,
--- a/crates/driver/src/desk/steps.rs
+++ b/crates/driver/src/desk/steps.rs
@@ -99,7 +99,7 @@
             withdrawal: open.withdrawal.clone(),
             holder,
             sent,
-            until: sent + duration(limit),
+            until: (sent + duration(limit)).min(self.context.clock.instant(open.deadline)),
             afresh,
             validity,
             replica_words: peer.map_or(0, |peer| peer.replica_words),
--- a/crates/driver/src/member/visit.rs
+++ b/crates/driver/src/member/visit.rs
@@ -3,6 +3,7 @@
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Duration;
 
 use aldermill_pace::{Meter, Peer};
 use aldermill_routing::{Validity, Verdict};
@@ -20,6 +21,10 @@
 /// The probe, as members know it.
 const PROBE: &[u8] = b"SHOW usage";
 
+/// What a member is told less than is left: it may be told 0.15 s too much, which is as long as the process may be held up
+/// before the statement is written. This covers what comes on top, as the way from the client. Of little time, an eighth.
+const RESERVE: Duration = Duration::from_millis(10);
+
 /// What is asked for again when the connection is there, however long that took: whether the query may leave.
 pub(super) struct Departure {
     /// None for a probe.
@@ -49,7 +54,8 @@
         !attempt.withdrawal.is_set() && context.clock.now() < until && (still_primary || !while_primary)
     }
 
-    /// The query in its words of now: a member is told what is left of the client's time, in whole milliseconds.
+    /// The query in its words of now: a member is told what is left of the client's time, less the reserve, in whole
+    /// milliseconds.
     pub(super) fn query(&self) -> Query {
         let Some(attempt) = &self.attempt else {
             let mut probe = Vec::new();
@@ -57,7 +63,7 @@
             return Query::Whole(probe);
         };
         let left = self.until.saturating_duration_since(Instant::now());
-        let wait = left.as_micros().div_ceil(1000).max(1);
+        let wait = left.saturating_sub((left / 8).min(RESERVE)).as_millis().max(1);
         Query::of(&attempt.order, &wait.to_string())
     }
 }
--- a/crates/driver/tests/little_time.rs
+++ b/crates/driver/tests/little_time.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use aldermill_stand_ins::{Client, Driver, Member, honour, honoured, look, order};
+use aldermill_stand_ins::{Client, Driver, Member, honour, honoured, look, order, sound};
 
 /// What a final answer may be late by and still count, less the delays of a busy machine.
 const LATE: Duration = Duration::from_millis(400);
@@ -47,6 +47,18 @@
     assert!(sent.iter().all(|task| (1..=50).contains(&told(task))), "{sent:?}");
 }
 
+#[test]
+fn a_member_is_told_less_than_is_left_so_that_a_process_held_up_tells_not_too_much() {
+    let member = sound("writer");
+    let driver = Driver::before(&[("a", &member)]);
+    let mut client = Client::connect(driver.address);
+    let reserve = 10;
+    for _ in 0..20 {
+        assert!(honoured(&client.ask(&look(5000))) && honoured(&client.ask(&order(5000))));
+    }
+    assert!(member.tasks().iter().all(|task| told(task) <= 5000 - reserve), "{:?}", member.tasks());
+}
+
 #[test]
 fn a_member_that_drops_hurried_requests_without_a_word_serves_the_others() {
     let member = Member::start(|text, stream| {
