--- a/crates/driver/src/client.rs
+++ b/crates/driver/src/client.rs
@@ -10,13 +10,13 @@
 use aldermill_wire::{Buffer, Malformed, pg};
 use slog::debug;
 use socket2::SockRef;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
 use crate::context::Context;
 use crate::gate::{Presence, Room};
+use crate::system::{self, Party};
 use crate::words::{Answer, Call, ClientId, Mail, Order};
 
 mod asking;
@@ -148,7 +148,7 @@
                 None => {
                     let read = tokio::select! {
                         biased;
-                        read = timeout_at(until, self.stream.read_buf(self.buffer.tail())) => read,
+                        read = timeout_at(until, system::read(Party::Client, &mut self.stream, self.buffer.tail())) => read,
                         _ = self.mailbox.recv() => return Err(End::Yielded),
                     };
                     // Too late: nothing that comes now is read, as it would have no answer.
@@ -249,7 +249,7 @@
         let (stream, buffer) = (&mut self.stream, &mut self.buffer);
         let reading = async {
             if room {
-                stream.read_buf(buffer.tail()).await.unwrap_or(0)
+                system::read(Party::Client, stream, buffer.tail()).await.unwrap_or(0)
             } else {
                 gone(stream, look_again).await;
                 0
@@ -322,7 +322,7 @@
         let read = loop {
             tokio::select! {
                 biased;
-                read = self.stream.read_buf(self.buffer.tail()) => break read,
+                read = system::read(Party::Client, &mut self.stream, self.buffer.tail()) => break read,
                 mail = self.mailbox.recv() => match mail {
                     Some(Mail::Yield) | None if !between => return Err(End::Yielded),
                     Some(Mail::Yield) | None => {}
@@ -338,7 +338,7 @@
             if !has_unread(&self.stream) {
                 return Err(End::Yielded);
             }
-            break self.stream.read_buf(self.buffer.tail()).await;
+            break system::read(Party::Client, &mut self.stream, self.buffer.tail()).await;
         };
         let count = read?;
         self.date();
@@ -355,7 +355,7 @@
         for piece in &pieces {
             let mut left = &piece[..];
             while !left.is_empty() {
-                match self.stream.try_write(left) {
+                match system::try_write(Party::Client, &self.stream, left) {
                     Ok(count) if count > 0 => {
                         left = &left[count..];
                         self.unread = self.unread.saturating_add(count);
--- a/crates/driver/src/client/ending.rs
+++ b/crates/driver/src/client/ending.rs
@@ -1,10 +1,9 @@
 //! How connections end, and the bytes of an answer.
 
-use std::mem::MaybeUninit;
-
-use tokio::io::Interest;
+use tokio::io::{AsyncWriteExt, Interest};
 
 use super::*;
+use crate::system::{self, Party, Peeked};
 
 /// Returns once the other side has closed, though what it sent before that is left unread.
 pub(super) async fn gone(stream: &TcpStream, look_again: Duration) {
@@ -18,9 +17,9 @@
     }
 }
 
-/// Whether bytes have come that nobody has read. Asked of the system itself: what the runtime knows may be a turn old.
+/// Whether bytes have come that nobody has read.
 pub(super) fn has_unread(stream: &TcpStream) -> bool {
-    SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]).is_ok_and(|count| count > 0)
+    matches!(system::peek(stream), Peeked::Unread)
 }
 
 /// Ends a connection so that what was sent last arrives: closed with bytes unread, it would be reset. Of a client
@@ -31,7 +30,7 @@
         let mut bytes = Vec::with_capacity(16 * 1024);
         while scrap > 0 {
             bytes.clear();
-            match stream.read_buf(&mut bytes).await? {
+            match system::read(Party::Client, &mut stream, &mut bytes).await? {
                 0 => return Ok(()),
                 count => scrap = scrap.saturating_sub(count),
             }
@@ -64,6 +63,6 @@
 pub async fn turn_away(context: Rc<Context>, mut stream: TcpStream) {
     let mut out = Vec::new();
     pg::error(&mut out, true, "53300", "too many connections", None);
-    let _ = timeout(context.limits.accepting, stream.write_all(&out)).await;
+    let _ = timeout(context.limits.accepting, system::write_all(Party::Client, &mut stream, &out)).await;
     part(stream, context.limits.parting, context.limits.scrap).await;
 }
--- a/crates/driver/src/desk/sight.rs
+++ b/crates/driver/src/desk/sight.rs
@@ -76,9 +76,15 @@
             Verdict::Honoured => End::Served { in_time: took <= quoted },
             Verdict::Full => End::Refused,
             Verdict::Error | Verdict::Spoilt => End::Error,
-            Verdict::TimedOut | Verdict::Unconnected | Verdict::Reset | Verdict::Dropped => End::Silent,
+            Verdict::TimedOut
+            | Verdict::Unconnected
+            | Verdict::Unreachable
+            | Verdict::Reset
+            | Verdict::Dropped => End::Silent,
             // Nothing was seen of the member.
-            Verdict::CalledOff | Verdict::Unseen | Verdict::Moot | Verdict::Miss => return,
+            Verdict::CalledOff | Verdict::Unseen | Verdict::LocalFailure | Verdict::Moot | Verdict::Miss => {
+                return;
+            }
         };
         self.tally.ended(group, zone, end, took);
     }
--- a/crates/driver/src/gateway/link.rs
+++ b/crates/driver/src/gateway/link.rs
@@ -101,6 +101,7 @@
                         }
                         break;
                     }
+                    Err(error) if error.kind() == std::io::ErrorKind::Interrupted => {}
                     Err(error) => return Err(error.into()),
                 }
             }
@@ -117,6 +118,7 @@
                         Ok(0) => return Ok(Over::Closed),
                         Ok(_) => {}
                         Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => continue,
+                        Err(error) if error.kind() == std::io::ErrorKind::Interrupted => continue,
                         Err(error) => return Err(error.into()),
                     }
                     let events = link.receive(clock.now(), &bytes);
--- a/crates/driver/src/member.rs
+++ b/crates/driver/src/member.rs
@@ -5,9 +5,9 @@
 
 use std::cell::Cell;
 use std::collections::HashMap;
-use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Duration;
 
 use aldermill_routing::{Handle, MemberId, Micros, Role, Told, Verdict};
 use aldermill_terms::Decoded;
@@ -20,13 +20,16 @@
 use crate::context::Context;
 use crate::gate::Room;
 use crate::words::{Attempt, Call, Ended, Gave, MemberCommand, Rows};
-use connection::{Connection, connect, settled};
+use connection::{Connection, Unopened, connect, settled};
 use visit::{Departure, Visit};
 
 /// A member's word on its own role.
 const PRIMARY: &str = "writer";
 const REPLICA: &str = "reader";
 
+/// Between two lines in the log on connections to one member that cannot be opened here.
+const LOCAL_FAILURE_TOLD_EVERY: Duration = Duration::from_secs(10);
+
 /// What a launch or a probe is for.
 enum Purpose {
     Task { handle: Handle, sent: Instant },
@@ -46,6 +49,8 @@
     began: Instant,
     /// Renewals before it: a connection from before the last one is not kept.
     era: u64,
+    /// What the system said where it opened no connection.
+    unopened: Option<std::io::Error>,
 }
 
 pub struct Member {
@@ -68,6 +73,8 @@
     spoilt: usize,
     /// It could not be reached or broke connections, and that was logged.
     lost: bool,
+    /// When it was last logged that this machine can open no connection to it.
+    local_failure_told: Option<Instant>,
 }
 
 impl Member {
@@ -92,6 +99,7 @@
             replica_words: Rc::default(),
             spoilt: 0,
             lost: false,
+            local_failure_told: None,
         }
     }
 
@@ -109,7 +117,7 @@
                             error!(self.context.log, "a visit failed"; "member" => &self.name, "why" => %error);
                             let (verdict, exchange) = (Verdict::Reset, Exchange::default());
                             let (began, era) = (Instant::now(), self.era);
-                            (error.id(), Done { verdict, exchange, room: None, crowded_out: false, age: 0, connection: None, began, era })
+                            (error.id(), Done { verdict, exchange, room: None, crowded_out: false, age: 0, connection: None, began, era, unopened: None })
                         }
                     };
                     let Some(purpose) = self.purposes.remove(&visit) else { continue };
@@ -153,8 +161,7 @@
 
     /// A process that dies resets all of its connections. One that closes them, idle or after an answer, lives.
     fn all_reset(&self) -> bool {
-        let reset = |connection: &Connection| connection.obstacle() == Some(ErrorKind::ConnectionReset);
-        !self.idle.is_empty() && self.idle.iter().all(reset)
+        !self.idle.is_empty() && self.idle.iter().all(Connection::is_reset)
     }
 
     fn renew(&mut self) {
@@ -193,6 +200,7 @@
         let context = self.context.clone();
         let visit = self.under_way.spawn_local(async move {
             let (mut exchange, mut room, mut crowded_out, mut age) = (Exchange::default(), None, false, 0);
+            let mut unopened = None;
             let opened = match settled(pooled, until, &context.limits).await {
                 Some(connection) => Ok(connection),
                 None => connect(&context, id, address, until).await,
@@ -209,23 +217,26 @@
                     (verdict, exchange.is_ready().then_some(connection))
                 }
                 // For a task that connection never came up; a probe was not answered, and no more is known.
-                Err(Verdict::TimedOut) if for_task && !context.lived.stood_since(began) => {
-                    (Verdict::Unconnected, None)
+                Err(Unopened { verdict: Verdict::TimedOut, .. }) if for_task => {
+                    // Nothing was sent; after a standstill nobody saw whether the connection came up in time.
+                    let stood = context.lived.stood_since(began);
+                    (if stood { Verdict::Moot } else { Verdict::Unconnected }, None)
+                }
+                Err(Unopened { verdict, why }) => {
+                    unopened = why;
+                    (verdict, None)
                 }
-                // Nothing was sent, and nobody saw whether the connection came up in time.
-                Err(Verdict::TimedOut) if for_task => (Verdict::Moot, None),
-                Err(verdict) => (verdict, None),
             };
             // Its time limit fell into a standstill: nobody was there to see an answer.
             let unseen = verdict == Verdict::TimedOut && context.lived.stood_since(began);
             let verdict = if unseen { Verdict::Unseen } else { verdict };
-            Done { verdict, exchange, room, crowded_out, age, connection, began, era }
+            Done { verdict, exchange, room, crowded_out, age, connection, began, era, unopened }
         });
         self.purposes.insert(visit.id(), purpose);
     }
 
     async fn ended(&mut self, purpose: Purpose, done: Done) -> Result<(), mpsc::error::SendError<Call>> {
-        let Done { mut verdict, exchange, room, crowded_out, age, connection, began, era } = done;
+        let Done { mut verdict, exchange, room, crowded_out, age, connection, began, era, unopened } = done;
         if exchange.is_over() || crowded_out {
             self.heard = Instant::now();
         } else if verdict == Verdict::TimedOut && self.heard < began {
@@ -246,7 +257,10 @@
         } else if exchange.is_ready() {
             self.spoilt = 0;
         }
-        if matches!(verdict, Verdict::Unconnected | Verdict::Reset) {
+        if verdict == Verdict::LocalFailure {
+            self.tell_local_failure(unopened);
+        }
+        if matches!(verdict, Verdict::Unconnected | Verdict::Unreachable | Verdict::Reset) {
             if verdict == Verdict::Reset && era == self.era {
                 // What the other connections lead to is most likely gone, too.
                 self.renew();
@@ -292,6 +306,17 @@
         self.context.desk.send(call).await
     }
 
+    fn tell_local_failure(&mut self, why: Option<std::io::Error>) {
+        let now = Instant::now();
+        if self.local_failure_told.is_some_and(|at| now - at < LOCAL_FAILURE_TOLD_EVERY) {
+            return;
+        }
+        self.local_failure_told = Some(now);
+        let why = why.map_or_else(|| "no descriptor to spare in time".to_owned(), |why| why.to_string());
+        warn!(self.context.log, "no connection can be opened on this machine, tried again";
+            "member" => &self.name, "why" => why);
+    }
+
     /// What an answer says of the member; what cannot be read says nothing. Of one that was cut short no more is
     /// believed than that the member is a replica: where that is wrong it costs an answer, where it is missed reads
     /// are stale.
--- a/crates/driver/src/member/connection.rs
+++ b/crates/driver/src/member/connection.rs
@@ -1,19 +1,16 @@
 //! A connection to a member: opened, settled before its next use, and looked at without waiting.
 
-use std::io::ErrorKind;
-use std::mem::MaybeUninit;
 use std::net::SocketAddr;
 
 use aldermill_routing::{MemberId, Verdict};
 use aldermill_wire::{Buffer, pg};
-use socket2::SockRef;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpSocket, TcpStream};
+use tokio::net::TcpStream;
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Instant, timeout_at};
 
 use crate::context::Context;
 use crate::limits::Limits;
+use crate::system::{self, BufferSizes, Meaning, Party, Peeked};
 use crate::words::Call;
 
 pub(super) struct Connection {
@@ -24,15 +21,44 @@
 }
 
 impl Connection {
-    /// What stands in the way of reading: nothing to read as yet, or a reset. `None` is bytes, or a proper end.
-    pub(super) fn obstacle(&self) -> Option<ErrorKind> {
-        // Asked of the system itself: what the runtime knows of readiness may be a turn old.
-        SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]).err().map(|error| error.kind())
+    /// Reset by the other side, and nobody has seen that yet.
+    pub(super) fn is_reset(&self) -> bool {
+        matches!(system::peek(&self.stream), Peeked::Broken(Meaning::Reset))
     }
 
     /// Neither closed by the peer nor spoken on out of turn.
     pub(super) fn is_quiet(&self) -> bool {
-        self.buffer.is_empty() && self.obstacle() == Some(ErrorKind::WouldBlock)
+        self.buffer.is_empty() && matches!(system::peek(&self.stream), Peeked::Quiet)
+    }
+}
+
+/// Why there is no connection: nothing of the launch ever ran.
+pub(super) struct Unopened {
+    pub(super) verdict: Verdict,
+    /// What the system said, where that was it.
+    pub(super) why: Option<std::io::Error>,
+}
+
+impl From<Verdict> for Unopened {
+    fn from(verdict: Verdict) -> Unopened {
+        Unopened { verdict, why: None }
+    }
+}
+
+impl From<std::io::Error> for Unopened {
+    fn from(error: std::io::Error) -> Unopened {
+        Unopened { verdict: before_send(&error), why: Some(error) }
+    }
+}
+
+/// What an error says before the last byte of a query has left.
+pub(super) fn before_send(error: &std::io::Error) -> Verdict {
+    match Meaning::of(error) {
+        Meaning::Local => Verdict::LocalFailure,
+        Meaning::Refused => Verdict::Unconnected,
+        Meaning::Path => Verdict::Unreachable,
+        // One that took the connection and then broke it stands.
+        Meaning::Reset => Verdict::Dropped,
     }
 }
 
@@ -52,11 +78,11 @@
     let asked = async {
         let mut query = Vec::new();
         pg::query(&mut query, &[]);
-        stream.write_all(&query).await.ok()?;
+        system::write_all(Party::Member, stream, &query).await.ok()?;
         let mut empty = false;
         loop {
             let Some(message) = pg::message(buffer.held(), limits.answer).ok()? else {
-                let count = stream.read_buf(buffer.tail()).await.ok()?;
+                let count = system::read(Party::Member, stream, buffer.tail()).await.ok()?;
                 if count == 0 {
                     return None;
                 }
@@ -80,65 +106,62 @@
     Some(connection)
 }
 
-/// A new connection that is ready for a statement; without one, nothing of the launch ever ran. Only a refusal
-/// shows that no process is there: one that took the connection and then broke it stands.
+/// A new connection that is ready for a statement. Only a refusal shows that no process is there.
 pub(super) async fn connect(
     context: &Context,
     id: MemberId,
     address: SocketAddr,
     until: Instant,
-) -> Result<Connection, Verdict> {
+) -> Result<Connection, Unopened> {
     let until = until.min(Instant::now() + context.limits.connect);
     let permit = match context.member_room.clone().try_acquire_owned() {
         Ok(permit) => permit,
         Err(_) => {
             let _ = context.desk.send(Call::Crowded(id)).await;
             let room = timeout_at(until, context.member_room.clone().acquire_owned()).await;
-            room.ok().and_then(Result::ok).ok_or(Verdict::TimedOut)?
+            // That this process has no descriptor to spare is no word on the member.
+            room.ok().and_then(Result::ok).ok_or(Verdict::LocalFailure)?
         }
     };
-    let opening = async {
-        let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }.ok()?;
-        // A statement of full size is more than the system takes at once: how quickly the member takes it is seen.
-        socket.set_send_buffer_size(context.limits.buffer as u32).ok()?;
-        socket.set_recv_buffer_size(context.limits.member_buffer as u32).ok()?;
-        let mut stream = match socket.connect(address).await {
-            Err(error) if error.kind() != ErrorKind::ConnectionReset => {
-                return Some(Err(Verdict::Unconnected));
+    match timeout_at(until, opened(&context.limits, address)).await {
+        Ok(opened) => {
+            let (stream, buffer) = opened?;
+            Ok(Connection { stream, buffer, idle_since: Instant::now(), _permit: permit })
+        }
+        Err(_) => Err(Verdict::TimedOut.into()),
+    }
+}
+
+/// Connects and greets, until the member is ready.
+async fn opened(limits: &Limits, address: SocketAddr) -> Result<(TcpStream, Buffer), Unopened> {
+    // A statement of full size is more than the system takes at once: how quickly the member takes it is seen.
+    let sizes = BufferSizes { send: limits.buffer as u32, receive: limits.member_buffer as u32 };
+    let mut stream = system::connect(address, Some(sizes)).await?;
+    stream.set_nodelay(true)?;
+    let mut hello = Vec::new();
+    pg::startup(&mut hello, "client", "core");
+    system::write_all(Party::Member, &mut stream, &hello).await?;
+    let mut buffer = Buffer::default();
+    loop {
+        let message = pg::message(buffer.held(), limits.answer).map_err(|_| Verdict::Dropped)?;
+        let Some(message) = message else {
+            if system::read(Party::Member, &mut stream, buffer.tail()).await? == 0 {
+                return Err(Verdict::Dropped.into());
             }
-            connected => connected.ok()?,
+            continue;
         };
-        stream.set_nodelay(true).ok()?;
-        let mut hello = Vec::new();
-        pg::startup(&mut hello, "client", "core");
-        stream.write_all(&hello).await.ok()?;
-        let mut buffer = Buffer::default();
-        loop {
-            let message = pg::message(buffer.held(), context.limits.answer).ok()?;
-            let Some(message) = message else {
-                if stream.read_buf(buffer.tail()).await.ok()? == 0 {
-                    return None;
-                }
-                continue;
-            };
-            let length = message.length;
-            match message.tag {
-                b'Z' => {
-                    buffer.consume(length);
-                    let idle_since = Instant::now();
-                    return Some(Ok(Connection { stream, buffer, idle_since, _permit: permit }));
-                }
-                b'E' => {
-                    let full = pg::refusal(message.body).is_ok_and(|refusal| refusal.code == "53300");
-                    return Some(Err(if full { Verdict::Full } else { Verdict::Dropped }));
-                }
-                b'R' if message.body != [0; 4] => return None,
-                _ => buffer.consume(length),
+        let length = message.length;
+        match message.tag {
+            b'Z' => {
+                buffer.consume(length);
+                return Ok((stream, buffer));
+            }
+            b'E' => {
+                let full = pg::refusal(message.body).is_ok_and(|refusal| refusal.code == "53300");
+                return Err(if full { Verdict::Full } else { Verdict::Dropped }.into());
             }
+            b'R' if message.body != [0; 4] => return Err(Verdict::Dropped.into()),
+            _ => buffer.consume(length),
         }
-    };
-    match timeout_at(until, opening).await {
-        Ok(opened) => opened.unwrap_or(Err(Verdict::Dropped)),
-        Err(_) => Err(Verdict::TimedOut),
     }
 }
--- a/crates/driver/src/member/visit.rs
+++ b/crates/driver/src/member/visit.rs
@@ -7,14 +7,14 @@
 use aldermill_pace::{Meter, Peer};
 use aldermill_routing::{Validity, Verdict};
 use aldermill_wire::{Exchange, pg};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
 use tokio::task;
 use tokio::time::{Instant, timeout_at};
 
-use super::connection::Connection;
+use super::connection::{Connection, before_send};
 use crate::context::Context;
 use crate::gate::Room;
+use crate::system::{self, Meaning, Party};
 use crate::words::{Attempt, Query};
 
 /// The probe, as members know it.
@@ -100,11 +100,12 @@
                     taking.get_or_insert_with(|| Meter::start(self.context.gate.bounds().taking, now));
                 taking.owes(now);
                 let due = taking.due().map_or(self.until, |due| clock.instant(due).min(self.until));
-                match timeout_at(due, connection.stream.write(piece)).await {
+                match timeout_at(due, system::write(Party::Member, &mut connection.stream, piece)).await {
                     Ok(Ok(count)) if count > 0 => {
                         taking.moved(clock.now(), count as u64);
                         piece = &piece[count..];
                     }
+                    Ok(Err(error)) => return Err(before_send(&error)),
                     Err(_) if due >= self.until => return Err(Verdict::Unconnected),
                     _ => return Err(Verdict::Dropped),
                 }
@@ -146,7 +147,8 @@
             let due = due.map_or(until, |due| clock.instant(due).min(until));
             let cut_short = exchange.is_served() || pg::ends_as_answer(connection.buffer.held());
             let wait = if cut_short { due.min(Instant::now() + limits.closing) } else { due };
-            match timeout_at(wait, connection.stream.read_buf(connection.buffer.tail())).await {
+            let Connection { stream, buffer, .. } = &mut *connection;
+            match timeout_at(wait, system::read(Party::Member, stream, buffer.tail())).await {
                 Err(_) if wait < until => return Verdict::Spoilt,
                 Err(_) => return Verdict::TimedOut,
                 Ok(Ok(count)) if count > 0 => {
@@ -158,8 +160,19 @@
                         task::yield_now().await;
                     }
                 }
-                _ => return Verdict::Reset,
+                Ok(Ok(_)) => return Verdict::Reset,
+                Ok(Err(error)) => return after_send(&error),
             }
         }
     }
 }
+
+/// What an error says while an answer is waited for: the query may have run.
+fn after_send(error: &std::io::Error) -> Verdict {
+    match Meaning::of(error) {
+        Meaning::Reset | Meaning::Refused => Verdict::Reset,
+        // No answer came through in time, by the system's measure.
+        Meaning::Path => Verdict::TimedOut,
+        Meaning::Local => Verdict::Unseen,
+    }
+}
--- a/crates/driver/src/system.rs
+++ b/crates/driver/src/system.rs
@@ -15,9 +15,10 @@
 use std::net::SocketAddr;
 
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UnixListener, UnixStream};
 
-pub use acceptor::{Acceptor, Listener};
+pub use acceptor::Acceptor;
 pub use datagrams::{Datagrams, Received};
 pub use errors::{AcceptError, Meaning};
 
@@ -30,6 +31,16 @@
     AcceptLocal,
     Receive,
     Peek,
+    Read(Party),
+    Write(Party),
+}
+
+/// Whom a connection leads to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Party {
+    Client,
+    Member,
+    Discovery,
 }
 
 /// The error that a test wants of this call, if any; never one in release builds.
@@ -124,3 +135,51 @@
         }
     }
 }
+
+/// Appends what comes next; 0 is the other side's end. Nothing is lost where the wait is given up.
+pub async fn read(party: Party, stream: &mut TcpStream, into: &mut Vec<u8>) -> io::Result<usize> {
+    loop {
+        let read = match injected(SystemCall::Read(party)) {
+            Ok(()) => stream.read_buf(into).await,
+            Err(error) => Err(error),
+        };
+        match read {
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            read => return read,
+        }
+    }
+}
+
+/// Writes as much as the system takes, and says how much. Nothing is lost where the wait is given up.
+pub async fn write(party: Party, stream: &mut TcpStream, bytes: &[u8]) -> io::Result<usize> {
+    loop {
+        let written = match injected(SystemCall::Write(party)) {
+            Ok(()) => stream.write(bytes).await,
+            Err(error) => Err(error),
+        };
+        match written {
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            written => return written,
+        }
+    }
+}
+
+pub async fn write_all(party: Party, stream: &mut TcpStream, mut bytes: &[u8]) -> io::Result<()> {
+    while !bytes.is_empty() {
+        match write(party, stream, bytes).await? {
+            0 => return Err(io::ErrorKind::WriteZero.into()),
+            count => bytes = &bytes[count..],
+        }
+    }
+    Ok(())
+}
+
+/// Writes what the system takes at once.
+pub fn try_write(party: Party, stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
+    loop {
+        match injected(SystemCall::Write(party)).and_then(|()| stream.try_write(bytes)) {
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            written => return written,
+        }
+    }
+}
--- a/crates/driver/src/system/faults.rs
+++ b/crates/driver/src/system/faults.rs
@@ -12,7 +12,7 @@
 use rand_pcg::Pcg64Mcg;
 use uapi::c;
 
-use super::SystemCall;
+use super::{Party, SystemCall};
 
 const FILE: &str = "ALDERMILL_TEST_FAULTS";
 
@@ -75,6 +75,12 @@
         "accept_local" => SystemCall::AcceptLocal,
         "receive" => SystemCall::Receive,
         "peek" => SystemCall::Peek,
+        "read:client" => SystemCall::Read(Party::Client),
+        "read:member" => SystemCall::Read(Party::Member),
+        "read:discovery" => SystemCall::Read(Party::Discovery),
+        "write:client" => SystemCall::Write(Party::Client),
+        "write:member" => SystemCall::Write(Party::Member),
+        "write:discovery" => SystemCall::Write(Party::Discovery),
         _ => panic!("{FILE}: no such call: {line}"),
     };
     let percent = percent.parse().unwrap_or_else(|_| panic!("{FILE}: no chance: {line}"));
@@ -91,6 +97,7 @@
         "ENOBUFS" => c::ENOBUFS,
         "ENETUNREACH" => c::ENETUNREACH,
         "EADDRNOTAVAIL" => c::EADDRNOTAVAIL,
+        "EPIPE" => c::EPIPE,
         "EINTR" => c::EINTR,
         "ETIMEDOUT" => c::ETIMEDOUT,
         _ => panic!("{FILE}: no such error: {name}"),
--- a/crates/driver/src/watch.rs
+++ b/crates/driver/src/watch.rs
@@ -9,14 +9,13 @@
 use rand_pcg::Pcg64Mcg;
 use slog::{info, warn};
 use thiserror::Error;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 use crate::catalog::Catalog;
 use crate::clock::duration;
 use crate::context::Context;
+use crate::system::{self, Meaning, Party};
 use crate::words::Bulletin;
 
 /// So much within the time of silence is no silence, though no line has come to its end: a long list on a slow line.
@@ -48,6 +47,13 @@
     Other,
 }
 
+impl Lost {
+    /// This machine could open no connection: nothing is known of discovery.
+    fn is_local(&self) -> bool {
+        matches!(self, Lost::Connection(error) if Meaning::of(error) == Meaning::Local)
+    }
+}
+
 pub struct Watch {
     pub context: Rc<Context>,
     pub desk: mpsc::Sender<Bulletin>,
@@ -109,6 +115,9 @@
             } else if matches!(why, Lost::Silence | Lost::Mute) {
                 // It was silent for long enough: what it has to tell counts at once when it speaks again.
                 wait = least;
+            } else if why.is_local() {
+                // Discovery goes on telling, and nothing of the call came to it.
+                sleep(least).await;
             } else {
                 let pause = apart::again(wait.as_micros() as i64, &mut self.rng);
                 let moved = timeout(duration(pause), moves.changed()).await.is_ok();
@@ -129,12 +138,12 @@
         let limits = &context.limits;
         // By when the first bytes must be here, the time to connect included.
         let mut due = Instant::now() + opening;
-        let mut stream = timeout_at(due, TcpStream::connect(peer)).await.map_err(|_| Lost::Mute)??;
+        let mut stream = timeout_at(due, system::connect(peer, None)).await.map_err(|_| Lost::Mute)??;
         let index = self.revision.map_or(String::new(), |revision| format!("&index={revision}"));
         let mut request = Vec::new();
         let path = format!("/catalog/members?stream=1{index}");
         http::get(&mut request, &peer.to_string(), &path);
-        stream.write_all(&request).await?;
+        system::write_all(Party::Discovery, &mut stream, &request).await?;
 
         let mut buffer = Buffer::default();
         let mut lines: Option<http::Lines> = None;
@@ -142,7 +151,7 @@
         let mut mute = true;
         let mut came = 0;
         loop {
-            match timeout_at(due, stream.read_buf(buffer.tail())).await {
+            match timeout_at(due, system::read(Party::Discovery, &mut stream, buffer.tail())).await {
                 Err(_) if mute => return Err(Lost::Mute),
                 Err(_) if came >= COMES => (due, came) = (Instant::now() + limits.list_silence, 0),
                 Err(_) => return Err(Lost::Silence),
--- a/crates/driver/tests/system_calls.rs
+++ b/crates/driver/tests/system_calls.rs
@@ -2,14 +2,16 @@
 //! assertions read it.
 #![cfg(debug_assertions)]
 
-use std::io::Read;
+use std::io::{Read, Write};
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
+use std::sync::atomic::Ordering;
 use std::thread;
 use std::time::Duration;
 
 use aldermill_stand_ins::{
-    Client, Discovery, Driver, Faults, LONG, Member, config, free_port, honoured, list, look, sound, until,
+    Client, Discovery, Driver, Faults, Hold, LONG, Member, config, free_port, honoured, list, look, named,
+    order, sound, until, whole,
 };
 use aldermill_wire::pg;
 
@@ -129,3 +131,59 @@
     faults.set("");
     until("word of the other", || told(&path).contains("n2"));
 }
+
+#[test]
+fn a_look_at_a_connection_that_a_signal_interrupts_is_made_again() {
+    let (member, faults) = (sound("writer"), Faults::default());
+    let driver = before("n0", &[("a", &member)], &faults, None);
+    let mut client = Client::connect(driver.address);
+    assert!(honoured(&client.ask(&look(15000))));
+    faults.set("seed 3\npeek EINTR 60 -");
+    let opened = member.connections.load(Ordering::SeqCst);
+    (0..20).for_each(|_| assert!(honoured(&client.ask(&look(15000)))));
+    assert_eq!(member.connections.load(Ordering::SeqCst), opened, "idle connections are good as before");
+}
+
+#[test]
+fn reads_and_writes_that_a_signal_interrupts_are_made_again() {
+    let (member, faults) = (sound("writer"), Faults::default());
+    let driver = before("n0", &[("a", &member)], &faults, None);
+    let mut client = Client::connect(driver.address);
+    let calls = ["read:client", "write:client", "read:member", "write:member"];
+    faults.set(&calls.map(|call| format!("{call} EINTR 50 -")).join("\n"));
+    (0..20).for_each(|_| assert!(honoured(&client.ask(&order(15000)))));
+}
+
+#[test]
+fn a_connection_that_breaks_for_want_of_a_path_is_no_death_of_a_process() {
+    // Idle connections are all reset meanwhile, as by a death, and yet what was waited for says otherwise.
+    for (error, lost) in [("ETIMEDOUT", false), ("EHOSTUNREACH", false), ("ECONNRESET", true)] {
+        let (hold, faults) = (Hold::default(), Faults::default());
+        let passes = hold.clone();
+        let member = Member::start(move |text, stream| {
+            let answer = whole(b"the value", text, "writer");
+            passes.pass();
+            // What follows the first bytes is read by another call.
+            let length = if text.contains("id=broken") { 5 } else { answer.len() };
+            let _ = stream.write_all(&answer[..length]);
+        });
+        let driver = before("n0", &[("a", &member)], &faults, None);
+        let mut clients: Vec<Client> = (0..2).map(|_| Client::connect(driver.address)).collect();
+        hold.close();
+        clients.iter_mut().for_each(|client| client.send(&order(15000)));
+        until("both attempts", || member.tasks().len() == 2);
+        hold.open();
+        clients.iter_mut().for_each(|client| assert!(honoured(&client.answer().unwrap())));
+        hold.close();
+        clients[0].send(&named(&order(15000), "broken"));
+        until("the attempt", || member.tasks().len() == 3);
+        faults.set(&format!("read:member {error} 100 -\npeek ECONNRESET 100 -"));
+        hold.open();
+        let said = clients[0].answer().unwrap();
+        assert_eq!(said.code, "40003", "{error}");
+        // Lines of the log come in their order.
+        driver.signal("-HUP");
+        until("the line on the file", || driver.logged("configuration read anew"));
+        assert_eq!(driver.logged("member lost"), lost, "{error}");
+    }
+}
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -147,6 +147,10 @@
     Full,
     TimedOut,
     Unconnected,
+    /// No path leads to it (ETIMEDOUT, EHOSTUNREACH): never sent whole, and its process may well live.
+    Unreachable,
+    /// This machine could open no connection for it: never sent, and nothing was learnt of the member.
+    LocalFailure,
     Reset,
     /// What came back is of no use, or its connection alone broke: it may have run, and the member stands.
     Spoilt,
@@ -163,7 +167,7 @@
     /// The launch is known never to have run.
     pub fn never_ran(self) -> bool {
         use Verdict::*;
-        matches!(self, Full | Unconnected | Dropped | Moot | Miss)
+        matches!(self, Full | Unconnected | Unreachable | LocalFailure | Dropped | Moot | Miss)
     }
 
     /// The member's process was heard.
--- a/crates/routing/src/policy/decide.rs
+++ b/crates/routing/src/policy/decide.rs
@@ -41,7 +41,7 @@
         if stuck
             || self.at_fault(errand)
             || now >= hopeless
-            || errand.launches >= self.launches_allowed(offering)
+            || errand.launches - errand.unsent >= self.launches_allowed(offering)
         {
             return self.give_up(handle);
         }
@@ -58,12 +58,15 @@
         self.account(now, id);
         let rested = self.rested(now, id);
         let validity = self.validity(&self.errands[&handle], id);
-        let afresh = rested.is_some_and(|rest| self.reaped(rest));
+        let tries_connection = self.takes_connection(now, id);
+        let kept = self.members[id].idle.is_some();
+        let afresh = !kept && rested.is_some_and(|rest| self.reaped(rest));
         let errand = self.errands.get_mut(&handle).expect("held by its handle");
         let member = &mut self.members[id];
         member.out.push(handle);
         member.sent.push_back(now);
         (errand.launches, errand.rested) = (errand.launches + 1, rested.filter(|_| !afresh));
+        errand.tries_connection = tries_connection;
         (errand.out, errand.waits_from) = (Some((id, now)), now);
         (self.launched, self.rush) = (self.launched + 1.0, self.rush - 1.0);
         self.session(handle).into_iter().for_each(|session| session.out += 1);
@@ -98,7 +101,8 @@
         let share = if arrives { 0.5 } else { 0.85 };
         let pays = if self.sparse() && late_share < 0.5 { useful.min(errand.quoted_by) } else { useful };
         let hopeless = pays - self.took[errand.task.offering].quantile(share).unwrap_or(0) - BEAT;
-        let held = errand.launches == 0 && (late_share < 0.5 || self.sparse());
+        let waits_for_room = errand.launches == 0 && !self.backs_off(now);
+        let held = waits_for_room && (late_share < 0.5 || self.sparse());
         // Told before half of the client's time is over, with what a beat and the way take.
         let half = errand.arrived + (errand.task.ttl - errand.task.waited) / 2 - 2 * BEAT;
         (if held { hopeless.min(half.max(errand.arrived + 1)) } else { hopeless }, useful)
@@ -144,6 +148,13 @@
         let Some(errand) = self.errands.get_mut(&handle) else { return };
         let Some((id, sent)) = errand.out.take() else { return };
         let (group, offering, waits_from) = (errand.group, errand.task.offering, errand.waits_from);
+        let (tried, over) = (errand.tries_connection, outcome.closed || errand.closed);
+        match verdict {
+            Verdict::LocalFailure => return self.not_sent(now, handle, id, sent, over),
+            Verdict::Moot => {}
+            _ => self.connected(now, id, tried, verdict.heard()),
+        }
+        let errand = self.errands.get_mut(&handle).expect("not yet closed");
         let member = &mut self.members[id];
         member.out.retain(|&out| out != handle);
         let ran = (!verdict.never_ran()).then_some((sent, member.zone));
@@ -156,7 +167,7 @@
         if verdict.heard() {
             (member.answered, member.overtaken) = (now, member.overtaken.max(waits_from));
             member.hear(now, credit);
-        } else if matches!(verdict, Verdict::Unconnected | Verdict::Reset) {
+        } else if matches!(verdict, Verdict::Unconnected | Verdict::Unreachable | Verdict::Reset) {
             member.lost_until = now + 2 * HOLD;
             let refused = verdict == Verdict::Unconnected && outcome.took < PROBE_NEEDED;
             member.fell = member.fell.or((verdict == Verdict::Reset || refused).then_some(now));
@@ -219,8 +230,6 @@
         } else if now < self.tight_until && idle {
             self.todo.shut.push(id);
         }
-        let errand = &self.errands[&handle];
-        let over = outcome.closed || errand.closed;
         self.note(now, id, told, sent, now - told.age);
         if verdict == Verdict::Miss && self.groups[group].primary.is_none() {
             let round = self.groups[group].members.len().min(self.terms.max_launches as usize / 2);
--- /dev/null
+++ b/crates/routing/src/policy/local.rs
@@ -0,0 +1,108 @@
+//! Attempts that could not leave because this machine opens no connections for a moment: no descriptor, port, route or
+//! memory is free.
+//!
+//! Nothing is learnt of the member then. The attempt is placed again: on a member that an idle connection leads to,
+//! else after a backoff, for as long as its deadline allows.
+
+use super::*;
+
+/// Waits between tries of a new connection, to whichever member, after one failed: at first and at the least, and at
+/// most.
+const RETRY: (Micros, Micros) = (20 * MS, 80 * MS);
+/// For so long after a failure new connections are tried one by one, and no request that was never sent is given up
+/// early: it has not waited for members.
+const TROUBLE: Micros = 1_000 * MS;
+
+/// Until when new connections are tried one by one, because they failed here. Protects this machine and the members
+/// from all that waits at once when connections can be opened again: one is tried after each wait, which doubles where
+/// that fails and halves where it works. Harms what waits by some tens of milliseconds.
+#[derive(Clone, Copy)]
+pub(crate) struct Backoff {
+    until: Micros,
+    wait: Micros,
+    retry_at: Micros,
+}
+
+impl Backoff {
+    pub(super) fn none(now: Micros) -> Backoff {
+        Backoff { until: now, wait: RETRY.0, retry_at: now }
+    }
+}
+
+impl Router {
+    /// Whether new connections failed here a short time ago.
+    pub(super) fn backs_off(&self, now: Micros) -> bool {
+        now < self.backoff.until
+    }
+
+    /// Whether an idle connection leads there, or a new one may be tried.
+    pub(super) fn connectable(&self, now: Micros, id: MemberId) -> bool {
+        let idle = self.members[id].idle.filter(|_| self.backs_off(now));
+        idle.is_none_or(|idle| idle > 0 || now >= self.backoff.retry_at)
+    }
+
+    /// An attempt goes there. Says whether it tries a new connection where these failed.
+    pub(super) fn takes_connection(&mut self, now: Micros, id: MemberId) -> bool {
+        if !self.backs_off(now) {
+            self.members[id].idle = None;
+        }
+        match &mut self.members[id].idle {
+            None => false,
+            Some(0) => {
+                self.backoff.retry_at = now + self.backoff.wait;
+                true
+            }
+            Some(idle) => {
+                *idle -= 1;
+                false
+            }
+        }
+    }
+
+    /// An attempt had a connection, and `heard` says that it can be used again.
+    pub(super) fn connected(&mut self, now: Micros, id: MemberId, tried: bool, heard: bool) {
+        if let Some(idle) = &mut self.members[id].idle {
+            *idle += u32::from(heard);
+        }
+        if tried {
+            let Backoff { wait, retry_at, .. } = &mut self.backoff;
+            *wait = (*wait / 2).max(RETRY.0);
+            *retry_at = (*retry_at).min(now + *wait);
+        }
+    }
+
+    /// The attempt never left: what was counted of it is given back, and it is placed again.
+    pub(super) fn not_sent(&mut self, now: Micros, handle: Handle, id: MemberId, sent: Micros, over: bool) {
+        let errand = self.errands.get_mut(&handle).expect("not yet closed");
+        let tried = errand.tries_connection;
+        (errand.unsent, errand.last) = (errand.unsent + 1, Some(id));
+        (self.launched, self.rush) = (self.launched - 1.0, self.rush + 1.0);
+        let member = &mut self.members[id];
+        member.out.retain(|&out| out != handle);
+        if let Some(at) = member.sent.iter().rposition(|&at| at == sent) {
+            member.sent.remove(at);
+        }
+        member.credit += 1.0;
+        // The member's actor found no idle connection to it.
+        member.idle = Some(0);
+        let group = member.group;
+        let wait = match self.backoff.wait {
+            _ if !self.backs_off(now) => RETRY.0,
+            wait if tried => (wait * 2).min(RETRY.1),
+            wait => wait,
+        };
+        let retry_at = now + self.rng.random_range(wait / 2..=wait);
+        self.backoff = Backoff { until: now + TROUBLE, wait, retry_at };
+        if self.groups[group].primary.is_none() {
+            // Nobody was asked whether it is the primary.
+            self.groups[group].walk_after = now;
+        }
+        self.session(handle).into_iter().for_each(|session| session.ended(0));
+        if over {
+            self.close(handle);
+        } else {
+            self.place(now, handle);
+        }
+        self.pump(now, group);
+    }
+}
--- a/crates/routing/src/policy/members.rs
+++ b/crates/routing/src/policy/members.rs
@@ -148,6 +148,9 @@
     /// How many more launches this driver may have out at the member: its window, and for a cold one its
     /// part of what the member can bear. Where less than one launch is due, launches are saved up for.
     pub(super) fn room(&self, now: Micros, id: MemberId) -> f64 {
+        if !self.connectable(now, id) {
+            return 0.0;
+        }
         let member = &self.members[id];
         // Launches that were overtaken and stay out for long are taken for lost: they hold no place.
         let overdue = |(at, offering)| at < member.overtaken && now - at > self.patience(offering);
@@ -216,7 +219,7 @@
         }
         let (group, was_barred) = (member.group, member.probe_misses >= PROBE_MISSES);
         member.probe_out = false;
-        if matches!(verdict, Verdict::Moot | Verdict::Unseen) {
+        if matches!(verdict, Verdict::Moot | Verdict::Unseen | Verdict::LocalFailure) {
             // Nobody asked it, or nobody saw its answer.
         } else if matches!(verdict, Verdict::Honoured | Verdict::Full | Verdict::Spoilt | Verdict::Dropped) {
             // An answered probe lifts the detect bar.
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -20,8 +20,11 @@
 
 mod decide;
 mod fresh;
+mod local;
 mod members;
 
+pub(crate) use local::Backoff;
+
 const MS: Micros = 1_000;
 const BEAT: Micros = 20 * MS; // how often the router looks at what no event brings
 const HOLD: Micros = 500 * MS; // the design's, of a write after a round of misses
@@ -97,6 +100,7 @@
             allowance: PROBES_AT_START,
             rests: Default::default(),
             tight_until: now,
+            backoff: Backoff::none(now),
             next_beat: now,
             usual: STAY,
             launched: 0.0,
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -5,6 +5,7 @@
 use aldermill_measured::Histogram;
 use rand_pcg::Pcg64Mcg;
 
+use crate::policy::Backoff;
 use crate::{Learnt, MemberId, Micros, Standing, Task, Terms, Todo};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -18,8 +19,10 @@
     pub(crate) quoted_by: Micros,
     pub(crate) repeat: bool,
     pub(crate) launches: u32,
+    pub(crate) unsent: u32,            // of these, that could not leave this machine
+    pub(crate) tries_connection: bool, // its launch is on a new connection where these failed
     pub(crate) out: Option<(MemberId, Micros)>, // where a launch is out, and since when
-    pub(crate) waits_from: Micros,              // the same, without the time in which the driver stood still
+    pub(crate) waits_from: Micros,     // the same, without the time in which the driver stood still
     pub(crate) may_have_run: Option<(Micros, usize)>, // when first, and in which zone
     pub(crate) misses: usize,
     pub(crate) rested: Option<usize>, // how long its launch's connection had, as a power of two; none where it is new
@@ -50,6 +53,7 @@
     pub(crate) barred_until: Micros,
     pub(crate) failures: VecDeque<Micros>,
     pub(crate) spoilt: usize, // launches spoilt or dropped since the last honoured one
+    pub(crate) idle: Option<u32>, // connections known to be idle, since new ones to it failed here
     pub(crate) probe_misses: u32,
     pub(crate) probe_out: bool,
     pub(crate) probed: Micros,
@@ -116,6 +120,7 @@
     pub(crate) allowance: f64,
     pub(crate) rests: [f64; 6], // the share met by silence of late, by how long the launch's connection had rested
     pub(crate) tight_until: Micros, // a member lately had no connection to spare
+    pub(crate) backoff: Backoff, // of new connections that fail here
     pub(crate) next_beat: Micros,
     pub(crate) usual: f64,    // launches in a beat, as of late
     pub(crate) launched: f64, // in this beat
--- a/crates/routing/tests/router/main.rs
+++ b/crates/routing/tests/router/main.rs
@@ -3,5 +3,6 @@
 mod fresh;
 mod givens;
 mod in_time;
+mod local;
 mod rules;
 mod world;
--- a/crates/routing/tests/router/rules.rs
+++ b/crates/routing/tests/router/rules.rs
@@ -5,7 +5,7 @@
 use proptest::collection::vec;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-const VERDICTS: [Verdict; 12] = [
+const VERDICTS: [Verdict; 14] = [
     Verdict::Unseen,
     Verdict::Honoured,
     Verdict::Honoured,
@@ -13,6 +13,8 @@
     Verdict::Full,
     Verdict::TimedOut,
     Verdict::Unconnected,
+    Verdict::Unreachable,
+    Verdict::LocalFailure,
     Verdict::Reset,
     Verdict::Spoilt,
     Verdict::Dropped,
--- a/crates/routing/tests/router/world.rs
+++ b/crates/routing/tests/router/world.rs
@@ -232,6 +232,13 @@
         if !verdict.never_ran() {
             flight.may_have_run.get_or_insert(flight.launched);
         }
+        if verdict == Verdict::LocalFailure {
+            // Nothing came to the member, and the request has its attempts still.
+            flight.launches -= 1;
+            let sent = &mut self.sent[id];
+            let at = sent.iter().rposition(|&at| at == flight.launched);
+            at.map(|at| sent.remove(at));
+        }
         let honoured = verdict == Verdict::Honoured;
         flight.over |= honoured;
         let closed = flight.over;
