--- a/crates/decrees/src/book.rs
+++ b/crates/decrees/src/book.rs
@@ -108,6 +108,11 @@
         Heard::News
     }
 
+    /// The highest term that was heard of a duty.
+    pub fn highest_term(&self, duty: &str) -> Term {
+        self.terms.get(duty).copied().unwrap_or(0)
+    }
+
     /// The highest that was ever taken of this subject.
     pub fn place(&self, about: &About) -> Option<Place> {
         let standing = self.of.get(about).map(|of| of.place);
--- a/crates/driver/src/council.rs
+++ b/crates/driver/src/council.rs
@@ -3,6 +3,7 @@
 
 mod duties;
 mod leaving;
+mod overtaken;
 mod splits;
 mod work;
 
@@ -47,7 +48,7 @@
     under_way: VecDeque<Option<(String, Term)>>,
 }
 
-/// The moment of a call: the council's clock, and the Unix time in milliseconds.
+/// The moment of a call: the council's clock, and the Unix time in milliseconds, by the wall clock of the start.
 #[derive(Clone, Copy)]
 pub struct Moment {
     pub now: Micros,
@@ -162,11 +163,14 @@
             }
             DECREE => match frame::decode(words) {
                 Ok(Message::Decrees(decrees)) => {
+                    self.tell_overtaken(&decrees);
+                    self.tell_overtaken(&decrees);
                     let news: Vec<Decree> =
                         decrees.into_iter().filter(|decree| self.take_in(at.now, age, decree)).collect();
                     self.pass_on(&news, age, others);
                 }
                 Ok(Message::Digest { entries, answer }) => {
+                    self.learn_terms(at, &entries, others);
                     let lacks = self.book.lacks(at.now, &entries);
                     if !lacks.is_empty() {
                         frame::decrees(&lacks).iter().for_each(|words| self.say(&from.name, DECREE, words));
--- a/crates/driver/src/fellows.rs
+++ b/crates/driver/src/fellows.rs
@@ -296,8 +296,10 @@
     }
 }
 
+/// The router's clock stands for the wall clock, which may be stepped: it never steps, and began with it.
 fn moment(context: &Context) -> Moment {
-    Moment { now: context.clock.now(), wall: (context.clock.wall() / 1000).max(1) as u64 }
+    let now = context.clock.now();
+    Moment { now, wall: (now / 1000).max(1) as u64 }
 }
 
 /// The next word on a write of the council's, where there is one.
--- a/crates/duties/src/agreement.rs
+++ b/crates/duties/src/agreement.rs
@@ -170,6 +170,24 @@
         }
     }
 
+    /// Others took acts of this term.
+    ///
+    /// Protects a duty from terms that nobody takes: of voters that all forgot, under clocks that are behind those under
+    /// which earlier terms were made. A holder of a lower term gives it up and seeks one above. Harms nobody: who holds a
+    /// lower term was overtaken.
+    pub fn saw(&mut self, now: Micros, wall: u64, duty: &str, term: Term) -> Todo {
+        let Some(voter) = &mut self.voter else { return Todo::default() };
+        voter.saw(duty, term);
+        if let Some(seeker) = self.seekers.get_mut(duty)
+            && seeker.may_act(now).is_some_and(|own| own < term)
+        {
+            let moves = seeker.lay_down(now);
+            seeker.free(now, 0);
+            self.carry_out(now, wall, duty, moves);
+        }
+        self.settle()
+    }
+
     /// The record of this term is on the disk; what waited for it is said.
     pub fn kept(&mut self, now: Micros, wall: u64, duty: &str, term: Term) -> Todo {
         if let Some(voter) = &mut self.voter {
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -8,8 +8,8 @@
 //!
 //! Clocks: each call brings `now` of a clock that counts standstills and suspension and never steps. Clocks of different
 //! machines are never compared for leases; they may run apart by [`DRIFT`]. Terms start no lower than the Unix time in
-//! milliseconds (`wall`), so that they rise although all voters lost what they knew at once: for that alone clocks have to
-//! be in step to within one lease.
+//! milliseconds (`wall`), so that they rise although all voters lost what they knew at once. Where clocks went back between,
+//! whoever took acts of a higher term says so ([`Agreement::saw`]).
 
 mod agreement;
 mod fence;
--- a/crates/duties/src/voter.rs
+++ b/crates/duties/src/voter.rs
@@ -102,6 +102,12 @@
         }
     }
 
+    /// A term that others took acts of, whoever granted it: what is granted from now on is no lower.
+    pub fn saw(&mut self, duty: &str, term: Term) {
+        let seat = self.seats.entry(duty.to_owned()).or_default();
+        seat.term = seat.term.max(term);
+    }
+
     /// The record of this term is on the disk.
     pub fn kept(&mut self, duty: &str, term: Term) {
         if let Some(seat) = self.seats.get_mut(duty) {
--- a/crates/duties/tests/agreement.rs
+++ b/crates/duties/tests/agreement.rs
@@ -184,8 +184,12 @@
                     if self.nodes[by].stands {
                         // It stands between look and act.
                         self.at(self.now + 100 * MS, Event::Act { by, term });
-                    } else if self.fence.receive(DUTY, term) == Taken::Yes {
-                        self.taken.push(term);
+                    } else {
+                        match self.fence.receive(DUTY, term) {
+                            Taken::Yes => self.taken.push(term),
+                            Taken::No { highest } => self.overtaken(by, highest),
+                            Taken::WhenKept => {}
+                        }
                     }
                 }
                 Event::Does(fault) => self.does(fault),
@@ -194,6 +198,15 @@
         self.now = until;
     }
 
+    /// Whoever refused an act says which term it knows of.
+    fn overtaken(&mut self, node: usize, term: Term) {
+        let (now, wall) = (self.own(node), self.wall(node));
+        if let Some(agreement) = &mut self.nodes[node].agreement {
+            let todo = agreement.saw(now, wall, DUTY, term);
+            self.carry_out(node, todo);
+        }
+    }
+
     fn wake(&mut self, node: usize, start: u64) {
         let (now, wall) = (self.own(node), self.wall(node));
         let state = &mut self.nodes[node];
@@ -382,3 +395,31 @@
     assert!(world.holder().is_some_and(|next| next != holder));
     world.check();
 }
+
+/// An hour's step of all wall clocks, either way, while elections go on, and one undone over a loss of all that voters knew.
+#[test]
+fn steps_of_the_wall_clock_stop_no_election_and_make_no_term_that_cannot_be_passed() {
+    const HOUR: i64 = 3_600_000;
+    for (seed, step) in [HOUR, -HOUR, 2_000, -2_000].into_iter().cycle().take(20).enumerate() {
+        let mut world = World::new(5, seed as u64, false);
+        for (at, step) in [step, 0, -step].into_iter().enumerate() {
+            world.nodes.iter_mut().for_each(|node| node.wall = step);
+            let holder = world.holder().unwrap_or(at);
+            world.does(Fault::Kill(holder));
+            let end = world.now + 6 * S;
+            world.run(end);
+            assert!(world.holder().is_some_and(|next| next != holder), "nobody after {step}");
+            world.does(Fault::Start(holder));
+        }
+        world.check();
+        // Voters without disks all start again, under clocks behind those of before.
+        (0..5).for_each(|node| world.does(Fault::Kill(node)));
+        world.nodes.iter_mut().for_each(|node| node.wall = -2 * HOUR);
+        (0..5).for_each(|node| world.does(Fault::Start(node)));
+        let before = world.taken.len();
+        let end = world.now + 8 * S;
+        world.run(end);
+        assert!(world.taken.len() > before + 5, "no act is taken any more, seed {seed}");
+        assert!(world.taken.windows(2).all(|pair| pair[0] <= pair[1]));
+    }
+}
