--- a/crates/driver/src/fellows.rs
+++ b/crates/driver/src/fellows.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use slog::{info, warn};
 use tokio::io::AsyncWriteExt;
-use tokio::net::{UdpSocket, UnixListener, UnixStream};
+use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until};
@@ -22,7 +22,7 @@
 use crate::halt::Halt;
 use crate::keep::Folder;
 use crate::status;
-use crate::system::{Acceptor, Datagrams, Received};
+use crate::system::{self, Acceptor, Datagrams, Received};
 use crate::words::Call;
 
 /// Datagrams read before it is looked whether anything is due.
@@ -71,7 +71,7 @@
         seed: u64,
     ) -> Result<Company, Halt> {
         let listen = terms.listen;
-        let bound = UdpSocket::bind(listen).await;
+        let bound = system::bind_datagrams(listen).await;
         let socket = bound.map_err(|why| Halt::Listen { field: "fellows.listen", address: listen, why })?;
         let socket = Datagrams::new(socket, context.log.clone());
         let own = Own {
--- a/crates/driver/src/gateway/meeting.rs
+++ b/crates/driver/src/gateway/meeting.rs
@@ -14,7 +14,7 @@
 use super::Yard;
 use super::link::{Wire, stood};
 use crate::context::Context;
-use crate::system::{self, Acceptor};
+use crate::system::{self, Acceptor, Meaning};
 
 /// Takes links in from the networks of the peers, until the driver stops.
 pub async fn accept(context: Rc<Context>, yard: Rc<Yard>, listener: TcpListener) {
@@ -67,6 +67,10 @@
                 }
             }
             failed => {
+                if matches!(&failed, Ok(Err(error)) if Meaning::of(error) == Meaning::Local) {
+                    // Nothing left this machine, and nothing is known of the other site.
+                    wait = least;
+                }
                 if !std::mem::replace(&mut silent, true) {
                     let why = match failed {
                         Ok(Err(error)) => error.to_string(),
--- a/crates/driver/src/status.rs
+++ b/crates/driver/src/status.rs
@@ -6,12 +6,13 @@
 use tokio::net::UnixListener;
 
 use crate::halt::Halt;
+use crate::system;
 
 /// The socket at that path; `None` where there can be none, which the log then says.
 pub fn listen(path: &str, log: &Logger) -> Option<UnixListener> {
     // Left over from an earlier run.
     let _ = std::fs::remove_file(path);
-    let bound = UnixListener::bind(path);
+    let bound = system::listen_local(path);
     bound.map_err(|error| warn!(log, "no status socket"; "path" => path, "why" => %error)).ok()
 }
 
--- a/crates/driver/src/system.rs
+++ b/crates/driver/src/system.rs
@@ -16,7 +16,7 @@
 
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpSocket, TcpStream, UnixListener, UnixStream};
+use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket, UnixListener, UnixStream};
 
 pub use acceptor::Acceptor;
 pub use datagrams::{Datagrams, Received};
@@ -66,6 +66,16 @@
     TcpListener::from_std(socket.into())
 }
 
+/// A socket for datagrams at that address.
+pub async fn bind_datagrams(address: SocketAddr) -> io::Result<UdpSocket> {
+    UdpSocket::bind(address).await
+}
+
+/// A local listening socket at that path.
+pub fn listen_local(path: &str) -> io::Result<UnixListener> {
+    UnixListener::bind(path)
+}
+
 /// Sizes of the system's buffers of a connection, in bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct BufferSizes {
--- a/crates/driver/tests/system_calls.rs
+++ b/crates/driver/tests/system_calls.rs
@@ -7,7 +7,7 @@
 use std::os::unix::net::UnixStream;
 use std::sync::atomic::Ordering;
 use std::thread;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 use aldermill_stand_ins::{
     Client, Discovery, Driver, Faults, Hold, LONG, Member, config, free_port, honoured, list, look, named,
@@ -187,3 +187,36 @@
         assert_eq!(driver.logged("member lost"), lost, "{error}");
     }
 }
+
+#[test]
+fn a_list_that_breaks_off_is_asked_for_again_from_the_revision_held() {
+    let (member, faults, discovery) = (sound("writer"), Faults::default(), Discovery::default());
+    let members = |revision| list(revision, true, &[("a", &member, "in_service")]);
+    discovery.say(members(1));
+    let _driver = Driver::failing(&faults, &config(discovery.start(), 256, &members(1)), None);
+    let asked = || discovery.requests.lock().unwrap().clone();
+    until("the first call", || asked().len() == 1);
+    for (calls, error) in ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET", "EPIPE", "ENOBUFS"].iter().enumerate() {
+        faults.set(&format!("read:discovery {error} 100 1"));
+        until("the next call", || asked().len() == calls + 2);
+        assert!(asked()[calls + 1].contains("index=1"), "{error}: {:?}", asked().last());
+    }
+    faults.set("read:discovery EINTR 50 -");
+    thread::sleep(Duration::from_millis(300));
+    assert_eq!(asked().len(), 6, "a call that a signal interrupts is made again");
+}
+
+#[test]
+fn discovery_is_asked_without_growing_waits_where_this_machine_opens_no_connection() {
+    let (member, faults, discovery) = (sound("writer"), Faults::default(), Discovery::default());
+    discovery.say(list(1, true, &[("a", &member, "in_service")]));
+    faults.set("connect ENETUNREACH 100 40");
+    let start = Instant::now();
+    let known = list(1, true, &[("a", &member, "in_service")]);
+    // Waits would grow up to half of the grace after drains.
+    let config =
+        config(discovery.start(), 256, &known).replace("\"fallMs\"", "\"drainGraceMs\":4000,\"fallMs\"");
+    let _driver = Driver::failing(&faults, &config, None);
+    until("the first call", || !discovery.requests.lock().unwrap().is_empty());
+    assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
+}
