--- a/crates/driver/src/desk/hub/trips.rs
+++ b/crates/driver/src/desk/hub/trips.rs
@@ -206,7 +206,8 @@
         let trip = self.hub.as_ref().and_then(|hub| hub.trips.get(&handle));
         let Some((order, offering)) = trip.map(|trip| (trip.order.clone(), trip.offering)) else { return };
         let client = Some((order.client, order.mailbox.clone()));
-        let (here, todo) = self.hand_over(order, offering, ttl, client, Some(handle));
+        let deadline = self.context.clock.now() + ttl;
+        let (here, todo) = self.hand_over(order, offering, deadline, client, Some(handle));
         if let Some(trip) = self.hub.as_mut().and_then(|hub| hub.trips.get_mut(&handle)) {
             trip.here = Some(here);
         }
@@ -218,9 +219,8 @@
         let Some(hub) = &mut self.hub else { return };
         let (Some(trip), Some(state)) = (hub.trips.get(&handle), hub.gates.get(gate)) else { return };
         let order = &trip.order;
-        let clock = self.context.clock;
-        let written = order.comment.after.map(|after| clock.convert(super::super::millis(after)));
-        let written_ago = order.written_ago.or(written.map(|at| now.saturating_sub(at).max(1)));
+        // Zero on the wire is no word of it.
+        let written_ago = order.last_write(now).map(|ago| ago.max(1));
         let visited = trip.visited.iter().cloned().chain([hub.own.site.clone()]).collect();
         let start = state.origin.start;
         let task = TaskFrame {
@@ -229,7 +229,7 @@
             offering: order.comment.offering.clone(),
             group: order.comment.group,
             left_us: left.max(0) as u64,
-            written_ago_us: written_ago.unwrap_or(0).max(0) as u64,
+            written_ago_us: written_ago.unwrap_or(0) as u64,
             repeat: order.comment.repeat,
             visited,
             length: 0,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -16,14 +16,18 @@
 pub mod history;
 pub mod judge;
 pub mod keys;
+mod lists;
 pub mod member;
 pub mod plan;
 pub mod report;
 pub mod run;
+mod scheduled;
+mod shortage;
 pub mod sites;
 pub mod terms;
 mod trouble;
 pub mod what;
+pub mod wide;
 pub mod world;
 
 pub use trouble::Trouble;
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -22,11 +22,16 @@
 mod fresh;
 mod local;
 mod members;
+mod primary_search;
+
+use primary_search::salt;
 
 pub(crate) use local::Backoff;
 
 const MS: Micros = 1_000;
 const BEAT: Micros = 20 * MS; // how often the router looks at what no event brings
+/// For so long may the process be held up between a decision and the write that follows from it.
+const HELD_UP: Micros = 150 * MS;
 const HOLD: Micros = 500 * MS; // the design's, of a write after a round of misses
 const BAR: Micros = 5_000 * MS;
 const FAILURES: usize = 5;
@@ -82,6 +87,7 @@
         let ask_at =
             now + rng.random_range(0..(30 * MS * terms.drivers as Micros).clamp(200 * MS, 1_200 * MS));
         Router {
+            salt: salt(seed),
             rng,
             members: Vec::new(),
             groups: Vec::new(),
@@ -89,6 +95,7 @@
             errands: HashMap::new(),
             next_handle: 0,
             sessions: HashMap::new(),
+            clock_offset: 0,
             forgotten: None,
             // Until launches tell better, most are taken to last half of the quoted time.
             took: terms.offerings.iter().map(|offering| Histogram::of(offering.quoted / 2, 4)).collect(),
@@ -200,11 +207,12 @@
         // What members carry does not shrink with what they are sent: their best of late counts.
         let faded = self.warm_load * (1.0 - 0.02 * BEAT as f64 / window as f64);
         self.warm_load = faded.max(if warm > 0.0 { load / warm } else { 0.0 });
+        (0..self.groups.len()).for_each(|group| self.search_primary(now, group));
         for id in 0..self.members.len() {
             let member = &self.members[id];
-            let Group { primary, held, .. } = &self.groups[member.group];
-            let wanted = !held.is_empty()
-                && (now < member.lost_until || primary.is_none_or(|id| self.silent(now, id)));
+            let group = &self.groups[member.group];
+            let sought = !self.is_wide(group) && self.lacks_primary(now, group);
+            let wanted = !group.held.is_empty() && (now < member.lost_until || sought);
             let spare = !self.sparse() && self.allowance > self.members.len() as f64 * 0.5;
             if wanted || spare && now - member.heard > PROBE_EVERY {
                 let gap = if self.sparse() { HOLD } else { PROBE_NEEDED };
@@ -212,7 +220,7 @@
             }
         }
         if self.sessions.len() > SESSIONS {
-            self.forgotten = Some(now - FAILURE_WINDOW);
+            self.forgotten = Some(self.members_now(now) - FAILURE_WINDOW);
             self.sessions.retain(|_, session| session.out > 0 || Some(session.commit) > self.forgotten);
         }
         if self.terms.list_on_request && now >= self.ask_at {
--- a/crates/routing/tests/router/main.rs
+++ b/crates/routing/tests/router/main.rs
@@ -5,4 +5,5 @@
 mod in_time;
 mod local;
 mod rules;
+mod wide_groups;
 mod world;
