--- a/crates/driver/src/member/visit.rs
+++ b/crates/driver/src/member/visit.rs
@@ -8,14 +8,14 @@
 use aldermill_pace::{Meter, Peer};
 use aldermill_routing::{Validity, Verdict};
 use aldermill_wire::{Exchange, pg};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
 use tokio::task;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use super::connection::Connection;
+use super::connection::{Connection, before_send};
 use crate::context::Context;
 use crate::gate::Room;
+use crate::system::{self, Meaning, Party, Peeked};
 use crate::words::{Attempt, Query};
 
 /// The probe, as members know it.
@@ -106,11 +106,12 @@
                     taking.get_or_insert_with(|| Meter::start(self.context.gate.bounds().taking, now));
                 taking.owes(now);
                 let due = taking.due().map_or(self.until, |due| clock.instant(due).min(self.until));
-                match timeout_at(due, connection.stream.write(piece)).await {
+                match timeout_at(due, system::write(Party::Member, &mut connection.stream, piece)).await {
                     Ok(Ok(count)) if count > 0 => {
                         taking.moved(clock.now(), count as u64);
                         piece = &piece[count..];
                     }
+                    Ok(Err(error)) => return Err(before_send(&error)),
                     Err(_) if due >= self.until => return Err(Verdict::Unconnected),
                     _ => return Err(Verdict::Dropped),
                 }
@@ -152,11 +153,11 @@
             let due = due.map_or(until, |due| clock.instant(due).min(until));
             let cut_short = exchange.is_served() || pg::ends_as_answer(connection.buffer.held());
             let wait = if cut_short { due.min(Instant::now() + limits.closing) } else { due };
-            let mut read = timeout_at(wait, connection.stream.read_buf(connection.buffer.tail())).await;
-            if read.is_err() && connection.obstacle().is_none() {
+            let Connection { stream, buffer, .. } = &mut *connection;
+            let mut read = timeout_at(wait, system::read(Party::Member, stream, buffer.tail())).await;
+            if read.is_err() && matches!(system::peek(stream), Peeked::Unread | Peeked::Ended) {
                 // A signal or a standstill has let the clock be heard before the bytes, which came in time.
-                let again = connection.stream.read_buf(connection.buffer.tail());
-                read = timeout(limits.closing, again).await;
+                read = timeout(limits.closing, system::read(Party::Member, stream, buffer.tail())).await;
             }
             match read {
                 Err(_) if wait < until => return Verdict::Spoilt,
@@ -170,8 +171,19 @@
                         task::yield_now().await;
                     }
                 }
-                _ => return Verdict::Reset,
+                Ok(Ok(_)) => return Verdict::Reset,
+                Ok(Err(error)) => return after_send(&error),
             }
         }
     }
 }
+
+/// What an error says while an answer is waited for: the query may have run.
+fn after_send(error: &std::io::Error) -> Verdict {
+    match Meaning::of(error) {
+        Meaning::Reset | Meaning::Refused => Verdict::Reset,
+        // No answer came through in time, by the system's measure.
+        Meaning::Path => Verdict::TimedOut,
+        Meaning::Local => Verdict::Unseen,
+    }
+}
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -20,11 +20,14 @@
 
 mod decide;
 mod fresh;
+mod local;
 mod members;
 mod primary_search;
 
 use primary_search::salt;
 
+pub(crate) use local::Backoff;
+
 const MS: Micros = 1_000;
 const BEAT: Micros = 20 * MS; // how often the router looks at what no event brings
 /// For so long may the process be held up between a decision and the write that follows from it.
@@ -104,6 +107,7 @@
             allowance: PROBES_AT_START,
             rests: Default::default(),
             tight_until: now,
+            backoff: Backoff::none(now),
             next_beat: now,
             usual: STAY,
             launched: 0.0,
--- a/crates/routing/tests/router/main.rs
+++ b/crates/routing/tests/router/main.rs
@@ -3,6 +3,7 @@
 mod fresh;
 mod givens;
 mod in_time;
+mod local;
 mod rules;
 mod wide_groups;
 mod world;
