--- a/crates/driver/src/context.rs
+++ b/crates/driver/src/context.rs
@@ -1,3 +1,4 @@
+use std::cell::Cell;
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -31,4 +32,6 @@
     pub best_paid: HashSet<String>,
     /// The members' share of descriptors.
     pub member_room: Arc<Semaphore>,
+    /// Connections that wait for one of them.
+    pub waiting_for_room: Cell<usize>,
 }
--- a/crates/driver/src/desk/lists.rs
+++ b/crates/driver/src/desk/lists.rs
@@ -1,12 +1,15 @@
 //! What the list says: members come, move, drain and go, and an actor for each.
 
+use std::cell::Cell;
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
+use std::rc::Rc;
 
 use aldermill_routing::{Listed, MemberId, Micros, Standing};
 use slog::{info, warn};
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
+use tokio::time::Instant;
 
 use super::Desk;
 use crate::catalog::{Catalog, Entry};
@@ -20,6 +23,8 @@
     pub(super) zone: usize,
     pub(super) ready: bool,
     pub(super) commands: mpsc::Sender<MemberCommand>,
+    /// Since when its oldest idle connection has rested.
+    pub(super) resting: Rc<Cell<Option<Instant>>>,
     /// Whether the list's last word lets anything new be sent there.
     pub(super) open: watch::Sender<bool>,
     pub(super) address: SocketAddr,
@@ -147,7 +152,8 @@
         let id = self.peers.iter().position(Option::is_none).unwrap_or(self.peers.len());
         let (commands, mailbox) = mpsc::channel(self.context.limits.commands);
         let (open, seen) = watch::channel(self.lets_send(entry.standing()));
-        let member = Member::new(self.context.clone(), id, entry.id.clone(), address, seen);
+        let resting = Rc::new(Cell::new(None));
+        let member = Member::new(self.context.clone(), id, entry.id.clone(), address, seen, resting.clone());
         spawn_local(member.run(mailbox));
         let since = started(self.context.clock, entry.up_since_ms);
         if id == self.peers.len() {
@@ -159,6 +165,7 @@
             zone,
             ready,
             commands,
+            resting,
             open,
             address,
             up_since: entry.up_since_ms,
--- a/crates/driver/src/desk/steps.rs
+++ b/crates/driver/src/desk/steps.rs
@@ -5,9 +5,13 @@
 use tokio::time::Instant;
 
 use super::Desk;
+use super::lists::Peer;
 use crate::clock::duration;
 use crate::words::{Answer, Attempt, Call, Ended, Gave, Mail, MemberCommand};
 
+/// Idle connections that are closed where one descriptor is wanted.
+const CLOSED_FOR_ROOM: usize = 3;
+
 impl Desk {
     /// Its member answered, but there is no room for that: what is pure may be denied, anything else did run.
     pub(super) fn deny_for_room(&mut self, handle: Handle) {
@@ -113,11 +117,16 @@
         }
     }
 
-    /// A member found no descriptor free.
+    /// A member found no descriptor free: idle connections of others make room, those that rested longest. Protects
+    /// the rest, which are used again. One that is taken into use just then makes no room, so some are closed.
     pub(super) fn make_room(&mut self, member: MemberId) {
-        // Idle connections of the others make room.
-        for (id, peer) in self.peers.iter().enumerate().filter(|(id, _)| *id != member) {
-            let Some(peer) = peer else { continue };
+        let others = self.peers.iter().enumerate().filter(|(id, _)| *id != member);
+        let resting = |(id, peer): (usize, &Option<Peer>)| Some((peer.as_ref()?.resting.get()?, id));
+        let mut resting: Vec<_> = others.filter_map(resting).collect();
+        resting.sort_unstable();
+        for (_, id) in resting.into_iter().take(CLOSED_FOR_ROOM) {
+            let Some(peer) = &self.peers[id] else { continue };
+            peer.resting.set(None);
             if peer.commands.try_send(MemberCommand::Shed).is_err() {
                 warn!(self.context.log, "member's mailbox full, it keeps its idle connections";
                     "member" => id);
--- a/crates/driver/src/main.rs
+++ b/crates/driver/src/main.rs
@@ -21,6 +21,7 @@
 mod watch;
 mod words;
 
+use std::cell::Cell;
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -269,6 +270,7 @@
         gate: gate.clone(),
         best_paid: decoded.best_paid().into_iter().collect(),
         member_room,
+        waiting_for_room: Cell::new(0),
     });
     let address = listener.local_addr().unwrap_or(listen);
     info!(log, "serving"; "name" => &name, "listen" => %address, "version" => env!("CARGO_PKG_VERSION"));
--- a/crates/driver/src/member.rs
+++ b/crates/driver/src/member.rs
@@ -57,6 +57,8 @@
     /// Whether the list's last word lets anything new be sent there.
     open: watch::Receiver<bool>,
     idle: Vec<Connection>,
+    /// Since when its oldest idle connection has rested, for whoever looks for one to close.
+    resting: Rc<Cell<Option<Instant>>>,
     under_way: JoinSet<Done>,
     purposes: HashMap<task::Id, Purpose>,
     era: u64,
@@ -77,6 +79,7 @@
         name: String,
         address: SocketAddr,
         open: watch::Receiver<bool>,
+        resting: Rc<Cell<Option<Instant>>>,
     ) -> Member {
         Member {
             context,
@@ -85,6 +88,7 @@
             address: Rc::new(Cell::new(address)),
             open,
             idle: Vec::new(),
+            resting,
             under_way: JoinSet::new(),
             purposes: HashMap::new(),
             era: 0,
@@ -99,6 +103,7 @@
         let mut sweep = interval(self.context.limits.sweep);
         sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
+            self.resting.set(self.idle.first().map(|connection| connection.idle_since));
             tokio::select! {
                 biased;
                 Some(done) = self.under_way.join_next_with_id() => {
@@ -140,7 +145,7 @@
                     Some(MemberCommand::CloseIdle) => self.idle.clear(),
                     None => return,
                 },
-                _ = sweep.tick() => {
+                _ = sweep.tick(), if !self.idle.is_empty() => {
                     let (now, limit) = (Instant::now(), self.context.limits.idle);
                     let open = *self.open.borrow();
                     self.idle.retain(|connection| {
@@ -258,8 +263,10 @@
         } else if exchange.is_ready() && std::mem::take(&mut self.lost) {
             info!(self.context.log, "member back"; "member" => &self.name, "peer" => %self.address.get());
         }
+        // Where others wait for a descriptor and no idle connection was there to be closed, this one makes room.
         if let Some(mut connection) = connection
             && era == self.era
+            && self.context.waiting_for_room.get() == 0
         {
             connection.idle_since = Instant::now();
             self.idle.push(connection);
--- a/crates/driver/src/member/connection.rs
+++ b/crates/driver/src/member/connection.rs
@@ -1,5 +1,6 @@
 //! A connection to a member: opened, settled before its next use, and looked at without waiting.
 
+use std::cell::Cell;
 use std::io::ErrorKind;
 use std::mem::MaybeUninit;
 use std::net::SocketAddr;
@@ -36,6 +37,22 @@
     }
 }
 
+/// One more that waits, for as long as this stands.
+struct Waits<'a>(&'a Cell<usize>);
+
+impl Waits<'_> {
+    fn start(waiting: &Cell<usize>) -> Waits<'_> {
+        waiting.set(waiting.get() + 1);
+        Waits(waiting)
+    }
+}
+
+impl Drop for Waits<'_> {
+    fn drop(&mut self) {
+        self.0.set(self.0.get() - 1);
+    }
+}
+
 /// The connection, once nothing more can come of its last answer: a second copy or noise behind an answer must
 /// never be read as the next one. Of one that has not rested an empty query is asked, whose answer must be the
 /// very next that comes; `None` where it is not.
@@ -93,6 +110,7 @@
         Ok(permit) => permit,
         Err(_) => {
             let _ = context.desk.send(Call::Crowded(id)).await;
+            let _waits = Waits::start(&context.waiting_for_room);
             let room = timeout_at(until, context.member_room.clone().acquire_owned()).await;
             room.ok().and_then(Result::ok).ok_or(Verdict::TimedOut)?
         }
--- a/crates/routing/src/policy/decide.rs
+++ b/crates/routing/src/policy/decide.rs
@@ -75,6 +75,9 @@
     pub(super) fn account(&mut self, now: Micros, id: MemberId, writes: bool) {
         let (credit, hold) = (self.credit(now, id) - 1.0, self.hold());
         (self.members[id].credit, self.members[id].credited) = (credit, now);
+        if !self.sparse() && self.groups[self.members[id].group].primary.is_some() {
+            return;
+        }
         let part = |&id: &MemberId| {
             let Member { standing, size, window, lost_until, .. } = self.members[id];
             if standing == Standing::Ready && now >= lost_until { size * window } else { 0.0 }
@@ -237,6 +240,7 @@
             if over {
                 self.groups[group].walk_after = over_hold;
             }
+            self.part_with(id);
         }
         if over {
             self.close(handle);
@@ -290,6 +294,9 @@
 
     /// Places the held tasks of a group again: best paid first, then those that came last.
     pub(super) fn pump(&mut self, now: Micros, group: usize) {
+        if self.groups[group].held.is_empty() {
+            return;
+        }
         let mut held = std::mem::take(&mut self.groups[group].held);
         let worth = |handle: &Handle| {
             let errand = &self.errands[handle];
--- a/crates/routing/src/policy/fresh.rs
+++ b/crates/routing/src/policy/fresh.rs
@@ -13,9 +13,10 @@
         if errand.misses == 0 && now < group.walk_after {
             return None;
         }
-        let start = errand.last.and_then(|last| group.members.iter().position(|&id| id == last));
-        let start = start.map_or_else(|| self.search_start(group), |at| at + 1);
-        let round = (0..group.members.len()).map(|step| group.members[(start + step) % group.members.len()]);
+        let order = self.search_order(group);
+        let start = errand.last.and_then(|last| order.iter().position(|&id| id == last));
+        let start = start.map_or(0, |at| at + 1);
+        let round = (0..order.len()).map(|step| order[(start + step) % order.len()]);
         let mut open = round.filter(|&id| self.may_be_primary(now, group, id));
         let first = open.clone().next();
         open.find(|&id| now >= self.members[id].barred_until).or(first).filter(|&id| self.room(now, id) > 0.0)
@@ -37,8 +38,8 @@
         };
         let (group, asked, sparse) = (errand.group, errand.asked, self.sparse());
         let offering = errand.task.offering;
-        let may = |id: &MemberId| self.may_follow(now, errand, *id);
-        let mut open: Vec<MemberId> = self.groups[group].members.iter().copied().filter(may).collect();
+        let long = need == Need::Loose && self.long(offering);
+        let mut open = self.readable(now, errand, floor, long);
         if open.iter().any(|&id| now >= self.members[id].barred_until && Some(id) != errand.last) {
             open.retain(|&id| now >= self.members[id].barred_until && Some(id) != errand.last);
         }
@@ -51,7 +52,7 @@
         let at_hand = rooms.iter().copied().filter(|&(id, _)| !self.remote(now, id, offering));
         let at_hand: Vec<(MemberId, f64)> = at_hand.collect();
         rooms = if at_hand.is_empty() { rooms } else { at_hand };
-        if need == Need::Loose && self.long(offering) {
+        if long {
             // All drivers alike: the last replica by sorted id that has room.
             let last = rooms.iter().rev().find(|&&(id, _)| Some(id) != primary);
             return last.map(|&(id, _)| id);
--- a/crates/routing/src/policy/members.rs
+++ b/crates/routing/src/policy/members.rs
@@ -6,15 +6,17 @@
     pub fn list(&mut self, now: Micros, full: bool, lines: Vec<Listed>) -> Todo {
         // The list held at the start is no answer to a call.
         self.ask_at = if self.members.is_empty() { self.ask_at } else { Micros::MAX };
-        let listed = |member: &Member| lines.iter().any(|line| line.name == member.name);
+        let listed: HashSet<&str> = lines.iter().map(|line| line.name.as_str()).collect();
         for id in 0..self.members.len() {
-            if full && !listed(&self.members[id]) {
+            if full && !listed.contains(self.members[id].name.as_str()) {
                 self.stand(now, id, Standing::Gone);
             }
         }
         if self.members.is_empty() {
             self.mean_size = lines.iter().map(|line| line.size).sum::<f64>() / lines.len().max(1) as f64;
         }
+        let slots = lines.iter().map(|line| line.member + 1).max().unwrap_or(0);
+        self.members.resize_with(slots.max(self.members.len()), Member::default);
         for line in lines {
             self.list_line(now, line);
         }
@@ -24,21 +26,16 @@
 
     pub(super) fn list_line(&mut self, now: Micros, line: Listed) {
         let group = self.group(line.group);
-        if self.members.len() <= line.member {
-            self.members.resize_with(line.member + 1, Member::default);
-        }
         let credit = self.first_credit() + f64::from(line.since.is_none());
         let (id, drivers) = (line.member, self.terms.drivers as f64);
-        let known = self.groups[group].members.contains(&id);
+        let known = self.members[id].group == group && self.members[id].name == line.name;
         if !known {
             let size = line.size / self.mean_size;
             let window = if self.sparse() { MOST / drivers * size } else { (START / drivers).max(1.0) };
             let fresh = Member { position: Micros::MIN, heard: now, answered: now, ..Member::default() };
             let fresh = Member { not_primary: Micros::MIN, ..fresh };
             self.members[id] = Member { name: line.name, group, zone: line.zone, size, window, ..fresh };
-            let members = &mut self.groups[group].members;
-            let at = members.partition_point(|&other| self.members[other].name <= self.members[id].name);
-            members.insert(at, id);
+            self.enter(group, id);
         }
         let member = &mut self.members[id];
         if !known || member.since != line.since && line.standing == Standing::Ready {
@@ -46,7 +43,7 @@
             (member.since, member.credit, member.credited) = (line.since, credit, now);
         }
         self.stand(now, id, line.standing);
-        if !known && !self.sparse() {
+        if !known && !self.sparse() && !self.keeps_to_some() {
             // A probe for each member and one in reserve.
             self.allowance += 2.0;
             self.probe(now, id, PROBE_NEEDED);
@@ -84,6 +81,7 @@
         if forgotten {
             let group = &mut self.groups[member.group];
             group.members.retain(|&member| member != id);
+            group.preferred.retain(|&member| member != id);
             group.listed = group.listed.filter(|&listed| listed != id);
             self.members[id] = Member::default();
         }
@@ -235,6 +233,7 @@
             member.barred_until = if barred { now + BAR } else { member.barred_until };
         }
         self.pump(now, group);
+        self.part_with(id);
         self.take_todo()
     }
 
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -5,7 +5,7 @@
 //! later is a call on that handle. Each call brings `now` and returns a [`Todo`]. The interface types are
 //! in `lib.rs`; a task's way is `place`, from top to bottom.
 
-use std::collections::{BTreeMap, HashMap};
+use std::collections::{BTreeMap, HashMap, HashSet};
 
 use aldermill_measured::Histogram;
 use rand::seq::IndexedRandom;
@@ -22,11 +22,14 @@
 mod fresh;
 mod members;
 mod primary_search;
+mod replica_subset;
 
-use primary_search::salt;
+use replica_subset::salt;
 
 const MS: Micros = 1_000;
 const BEAT: Micros = 20 * MS; // how often the router looks at what no event brings
+/// How often all members are looked at where a router keeps to some of them.
+const WALK: Micros = 10 * BEAT;
 const HOLD: Micros = 500 * MS; // the design's, of a write after a round of misses
 const BAR: Micros = 5_000 * MS;
 const FAILURES: usize = 5;
@@ -102,6 +105,7 @@
             rests: Default::default(),
             tight_until: now,
             next_beat: now,
+            next_walk: now,
             usual: STAY,
             launched: 0.0,
             rush_until: now,
@@ -186,40 +190,68 @@
         self.usual += if now < self.rush_until { 0.0 } else { (self.launched - self.usual) * 0.02 };
         let pace = (self.usual * RUSH_PACE).max(RUSH_LEAST);
         (self.launched, self.rush) = (0.0, (self.rush + pace).min((5.0 * pace).max(1.0)));
+        if now >= self.next_walk {
+            self.walk_members(now);
+        }
+        for group in 0..self.groups.len() {
+            if !self.groups[group].held.is_empty() {
+                self.search_primary(now, group);
+                self.probe_for_held(now, group);
+            }
+        }
+        if !self.sparse() && !self.keeps_to_some() {
+            (0..self.members.len()).for_each(|id| self.probe_to_spare(now, id));
+        }
+        if self.sessions.len() > SESSIONS {
+            self.forgotten = Some(now - FAILURE_WINDOW);
+            self.sessions.retain(|_, session| session.out > 0 || Some(session.commit) > self.forgotten);
+        }
+        if self.terms.list_on_request && now >= self.ask_at {
+            self.todo.subscribe = true;
+            self.ask_at = now + 10_000 * MS;
+        }
+        self.pump_all(now);
+    }
+
+    /// What fades with time at each member, and what warm members carry. Where there are many members this is done
+    /// less often.
+    fn walk_members(&mut self, now: Micros) {
         // Only what was honoured counts as a warm member's load: misses and launches turned away are no work.
         let window = self.terms.overload_window;
         let (mut load, mut warm) = (0.0, 0.0);
+        let passed = if self.keeps_to_some() { WALK } else { BEAT };
+        self.next_walk = now + passed;
+        let fading = passed as f64 / window as f64;
         for member in &mut self.members {
             member.sent.retain(|&at| at > now - window);
             let cold = member.since.is_some_and(|since| now - since < self.terms.warm_within);
             if member.standing == Standing::Ready && !cold {
                 (load, warm) = (load + member.honoured, warm + member.size);
             }
-            member.honoured *= if cold { 0.0 } else { 1.0 - 0.1 * BEAT as f64 / window as f64 };
+            member.honoured *= if cold { 0.0 } else { 1.0 - 0.1 * fading };
         }
         // What members carry does not shrink with what they are sent: their best of late counts.
-        let faded = self.warm_load * (1.0 - 0.02 * BEAT as f64 / window as f64);
+        let faded = self.warm_load * (1.0 - 0.02 * fading);
         self.warm_load = faded.max(if warm > 0.0 { load / warm } else { 0.0 });
-        (0..self.groups.len()).for_each(|group| self.search_primary(now, group));
-        for id in 0..self.members.len() {
-            let member = &self.members[id];
-            let group = &self.groups[member.group];
-            let sought = !self.is_wide(group) && self.lacks_primary(now, group);
-            let wanted = !group.held.is_empty() && (now < member.lost_until || sought);
-            let spare = !self.sparse() && self.allowance > self.members.len() as f64 * 0.5;
-            if wanted || spare && now - member.heard > PROBE_EVERY {
-                let gap = if self.sparse() { HOLD } else { PROBE_NEEDED };
-                self.probe(now, id, if wanted { gap } else { PROBE_EVERY });
+    }
+
+    /// Checks members of a group in which requests are held, where that may set them free.
+    fn probe_for_held(&mut self, now: Micros, group: usize) {
+        let sought = !self.is_wide(&self.groups[group]) && self.lacks_primary(now, &self.groups[group]);
+        let gap = if self.sparse() { HOLD } else { PROBE_NEEDED };
+        for at in 0..self.groups[group].members.len() {
+            let id = self.groups[group].members[at];
+            if sought || now < self.members[id].lost_until {
+                self.probe(now, id, gap);
             }
         }
-        if self.sessions.len() > SESSIONS {
-            self.forgotten = Some(now - FAILURE_WINDOW);
-            self.sessions.retain(|_, session| session.out > 0 || Some(session.commit) > self.forgotten);
-        }
-        if self.terms.list_on_request && now >= self.ask_at {
-            self.todo.subscribe = true;
-            self.ask_at = now + 10_000 * MS;
+    }
+
+    /// Checks a member that was not heard of late, where requests have paid for more than they need.
+    fn probe_to_spare(&mut self, now: Micros, id: MemberId) {
+        let spare = self.allowance > self.members.len() as f64 * 0.5;
+        if spare && now - self.members[id].heard > PROBE_EVERY {
+            self.probe(now, id, PROBE_EVERY);
         }
-        self.pump_all(now);
     }
 }
--- a/crates/routing/src/policy/primary_search.rs
+++ b/crates/routing/src/policy/primary_search.rs
@@ -7,13 +7,6 @@
 const SEARCH_CHECKS: f64 = 60.0;
 /// A round of health checks takes this long at the least.
 const SEARCH_ROUND: Micros = 600 * MS;
-/// Keeps what is derived from a router's seed apart from what it draws.
-const SALT: u64 = 0x9e37_79b9_7f4a_7c15;
-
-/// Spreads seeds that follow one another over all numbers.
-pub(super) fn salt(seed: u64) -> u64 {
-    Pcg64Mcg::seed_from_u64(seed ^ SALT).random()
-}
 
 impl Router {
     /// One round of misses reaches only a part of the group.
@@ -26,11 +19,11 @@
         group.primary.is_none_or(|id| self.silent(now, id))
     }
 
-    /// Where, by name, routers begin to search. Protects the first members of a wide group from the misses and
-    /// health checks of all routers at once; a group that a few misses go through is searched by name alone.
-    pub(super) fn search_start(&self, group: &Group) -> usize {
-        let begin = self.salt % group.members.len().max(1) as u64;
-        if self.is_wide(group) { begin as usize + group.search.next } else { 0 }
+    /// The order in which the members of a group are asked: by name, in a wide group by this router's preference.
+    /// Protects its first members from the misses and health checks of all routers at once, and finds first those
+    /// to which this router has connections.
+    pub(super) fn search_order<'a>(&self, group: &'a Group) -> &'a [MemberId] {
+        if self.is_wide(group) { &group.preferred } else { &group.members }
     }
 
     /// Usable, and not known to be a replica since the primary was lost. Protects a wide group's writes from
@@ -42,17 +35,18 @@
     }
 
     /// Looks on for the primary of a group in which requests are held: the members that may be it are asked one
-    /// after another, by name, from a place that differs from router to router; once none is left all may be it
+    /// after another, in an order that differs from router to router; once none is left all may be it
     /// again. Protects writes of wide groups, whose primary a walk by misses does not reach in their time. Harms
     /// members by one health check for each router and round, which the pace bounds.
     pub(super) fn search_primary(&mut self, now: Micros, group: usize) {
         let searched = &self.groups[group];
-        if searched.held.is_empty() || searched.members.is_empty() || !self.lacks_primary(now, searched) {
+        if searched.members.is_empty() || !self.lacks_primary(now, searched) {
             return;
         }
         let may_be = |&id: &MemberId| self.may_be_primary(now, searched, id);
         if !searched.members.iter().any(may_be) {
-            self.groups[group].search.since = now;
+            let search = &mut self.groups[group].search;
+            (search.since, search.next) = (now, 0);
         }
         if self.terms.may_probe && self.is_wide(&self.groups[group]) {
             self.check_candidates(now, group);
@@ -71,16 +65,15 @@
             if searched.search.saved < 1.0 {
                 return;
             }
-            let at = self.search_start(searched) % count;
-            let search = &mut self.groups[group].search;
-            search.next = (search.next + 1) % count;
+            let at = searched.search.next % count;
+            self.groups[group].search.next = at + 1;
             self.check_candidate(now, group, at);
         }
     }
 
     fn check_candidate(&mut self, now: Micros, group: usize, at: usize) {
         let searched = &self.groups[group];
-        let id = searched.members[at];
+        let id = self.search_order(searched)[at];
         let Member { standing, probe_out, probed, .. } = self.members[id];
         let early = probe_out || now - probed < SEARCH_ROUND;
         if standing != Standing::Ready || early || !self.may_be_primary(now, searched, id) {
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -66,7 +66,8 @@
 
 #[derive(Clone, Default)]
 pub(crate) struct Group {
-    pub(crate) members: Vec<MemberId>,
+    pub(crate) members: Vec<MemberId>,   // by name
+    pub(crate) preferred: Vec<MemberId>, // the same, in the order in which this router prefers them
     pub(crate) primary: Option<MemberId>,
     pub(crate) word: Micros, // the time of the newest word on the primary
     pub(crate) listed: Option<MemberId>,
@@ -81,7 +82,7 @@
 #[derive(Clone, Default)]
 pub(crate) struct PrimarySearch {
     pub(crate) since: Micros, // what members said of their role before this round does not count
-    pub(crate) next: usize,   // of the member that is asked next, by name, from where this router begins
+    pub(crate) next: usize,   // the position of the member that is asked next
     pub(crate) saved: f64,    // health checks due
 }
 
@@ -128,8 +129,9 @@
     pub(crate) rests: [f64; 6], // the share met by silence of late, by how long the launch's connection had rested
     pub(crate) tight_until: Micros, // a member lately had no connection to spare
     pub(crate) next_beat: Micros,
-    pub(crate) usual: f64,    // launches in a beat, as of late
-    pub(crate) launched: f64, // in this beat
+    pub(crate) next_walk: Micros, // when all members are looked at again
+    pub(crate) usual: f64,        // launches in a beat, as of late
+    pub(crate) launched: f64,     // in this beat
     pub(crate) rush_until: Micros,
     pub(crate) rush: f64, // launches due until then
     pub(crate) ask_at: Micros,
--- a/crates/routing/tests/router/main.rs
+++ b/crates/routing/tests/router/main.rs
@@ -4,5 +4,6 @@
 mod givens;
 mod in_time;
 mod rules;
+mod wide_fleets;
 mod wide_groups;
 mod world;
