--- a/crates/driver/src/client.rs
+++ b/crates/driver/src/client.rs
@@ -10,13 +10,13 @@
 use aldermill_wire::{Buffer, Malformed, pg};
 use slog::debug;
 use socket2::SockRef;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
 use crate::context::Context;
 use crate::gate::{Presence, Room};
+use crate::system::{self, Party};
 use crate::words::{Answer, Call, ClientId, Mail, Order};
 
 mod asking;
@@ -148,7 +148,7 @@
                 None => {
                     let read = tokio::select! {
                         biased;
-                        read = timeout_at(until, self.stream.read_buf(self.buffer.tail())) => read,
+                        read = timeout_at(until, system::read(Party::Client, &mut self.stream, self.buffer.tail())) => read,
                         _ = self.mailbox.recv() => return Err(End::Yielded),
                     };
                     // Too late: nothing that comes now is read, as it would have no answer.
@@ -249,7 +249,7 @@
         let (stream, buffer) = (&mut self.stream, &mut self.buffer);
         let reading = async {
             if room {
-                stream.read_buf(buffer.tail()).await.unwrap_or(0)
+                system::read(Party::Client, stream, buffer.tail()).await.unwrap_or(0)
             } else {
                 gone(stream, look_again).await;
                 0
@@ -292,18 +292,16 @@
         let mut stopping = context.stopping.clone();
         let served = self.seat.served.get();
         let between = self.buffer.is_empty();
-        let (mut since, mut limit) = (Instant::now(), limits.client_idle);
+        let now = Instant::now();
+        let (mut since, mut until) = (now, now + limits.client_idle);
         if !between {
-            since = *begun.get_or_insert(since);
-            limit = limits.message;
+            since = *begun.get_or_insert(now);
+            // A client that has stopped is not waited for, however long the statement before was under way.
+            until = (since + limits.message).min(self.read.unwrap_or(now) + limits.stalled);
         }
-        let mut until = since + limit;
         if !served {
-            until = if between {
-                self.connected + limits.first
-            } else {
-                until.min(self.connected + limits.first)
-            };
+            let first = self.connected + limits.first;
+            until = if between { first } else { until.min(first) };
             since = self.connected;
         }
         self.seat.idle_since.set(Some(since));
@@ -322,23 +320,20 @@
         let read = loop {
             tokio::select! {
                 biased;
-                read = self.stream.read_buf(self.buffer.tail()) => break read,
+                read = system::read(Party::Client, &mut self.stream, self.buffer.tail()) => break read,
                 mail = self.mailbox.recv() => match mail {
-                    Some(Mail::Yield) | None if !between => return Err(End::Yielded),
                     Some(Mail::Yield) | None => {}
                     Some(_) => continue,
                 },
                 () = self.presence.cut(), if !between => return Err(End::Cut),
                 () = &mut stopped => {}
-                () = sleep_until(until) => if !between {
-                    return Err(End::Yielded);
-                },
+                () = sleep_until(until) => {}
             }
             // What has come by now is read, and answered: nothing is closed over it.
             if !has_unread(&self.stream) {
                 return Err(End::Yielded);
             }
-            break self.stream.read_buf(self.buffer.tail()).await;
+            break system::read(Party::Client, &mut self.stream, self.buffer.tail()).await;
         };
         let count = read?;
         self.date();
@@ -355,7 +350,7 @@
         for piece in &pieces {
             let mut left = &piece[..];
             while !left.is_empty() {
-                match self.stream.try_write(left) {
+                match system::try_write(Party::Client, &self.stream, left) {
                     Ok(count) if count > 0 => {
                         left = &left[count..];
                         self.unread = self.unread.saturating_add(count);
--- a/crates/routing/src/policy/members.rs
+++ b/crates/routing/src/policy/members.rs
@@ -72,6 +72,17 @@
         }
     }
 
+    /// The members' clock is so much ahead of this one, and these are their starts on this one. Protects bounded reads
+    /// and slow start from a process whose wall clock is wrong. Harms them where the caller is.
+    pub fn members_clock(&mut self, offset: Micros, starts: &[(MemberId, Option<Micros>)]) {
+        self.clock_offset = offset;
+        for &(id, since) in starts {
+            if let Some(member) = self.members.get_mut(id) {
+                member.since = since;
+            }
+        }
+    }
+
     /// Lets go of a member that is gone, once nothing of it is out and it was not heard for long: its index
     /// may be given out anew, and one that comes back is another member.
     pub fn forget(&mut self, now: Micros, id: MemberId) -> bool {
@@ -148,6 +159,9 @@
     /// How many more launches this driver may have out at the member: its window, and for a cold one its
     /// part of what the member can bear. Where less than one launch is due, launches are saved up for.
     pub(super) fn room(&self, now: Micros, id: MemberId) -> f64 {
+        if !self.connectable(now, id) {
+            return 0.0;
+        }
         let member = &self.members[id];
         // Launches that were overtaken and stay out for long are taken for lost: they hold no place.
         let overdue = |(at, offering)| at < member.overtaken && now - at > self.patience(offering);
@@ -216,14 +230,15 @@
         }
         let (group, was_barred) = (member.group, member.probe_misses >= PROBE_MISSES);
         member.probe_out = false;
-        if matches!(verdict, Verdict::Moot | Verdict::Unseen) {
+        if matches!(verdict, Verdict::Moot | Verdict::Unseen | Verdict::LocalFailure) {
             // Nobody asked it, or nobody saw its answer.
         } else if matches!(verdict, Verdict::Honoured | Verdict::Full | Verdict::Spoilt | Verdict::Dropped) {
             // An answered probe lifts the detect bar.
             member.barred_until = if was_barred { now } else { member.barred_until };
             member.probe_misses = 0;
             member.hear(now, credit);
-            let at = told.position.unwrap_or(now - HOLD - told.age);
+            let at = told.position.map(|position| position.saturating_sub(self.clock_offset));
+            let at = at.unwrap_or(now - HOLD - told.age);
             self.note(now, id, told, at, at);
         } else {
             member.probe_misses += 1;
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -20,16 +20,21 @@
 
 mod decide;
 mod fresh;
+mod local;
 mod members;
 mod primary_search;
 mod replica_subset;
 
 use replica_subset::salt;
 
+pub(crate) use local::Backoff;
+
 const MS: Micros = 1_000;
 const BEAT: Micros = 20 * MS; // how often the router looks at what no event brings
 /// How often all members are looked at where a router keeps to some of them.
 const WALK: Micros = 10 * BEAT;
+/// For so long may the process be held up between a decision and the write that follows from it.
+const HELD_UP: Micros = 150 * MS;
 const HOLD: Micros = 500 * MS; // the design's, of a write after a round of misses
 const BAR: Micros = 5_000 * MS;
 const FAILURES: usize = 5;
@@ -93,6 +98,7 @@
             errands: HashMap::new(),
             next_handle: 0,
             sessions: HashMap::new(),
+            clock_offset: 0,
             forgotten: None,
             // Until launches tell better, most are taken to last half of the quoted time.
             took: terms.offerings.iter().map(|offering| Histogram::of(offering.quoted / 2, 4)).collect(),
@@ -104,6 +110,7 @@
             allowance: PROBES_AT_START,
             rests: Default::default(),
             tight_until: now,
+            backoff: Backoff::none(now),
             next_beat: now,
             next_walk: now,
             usual: STAY,
@@ -205,7 +212,7 @@
             (0..self.members.len()).for_each(|id| self.probe_to_spare(now, id));
         }
         if self.sessions.len() > SESSIONS {
-            self.forgotten = Some(now - FAILURE_WINDOW);
+            self.forgotten = Some(self.members_now(now) - FAILURE_WINDOW);
             self.sessions.retain(|_, session| session.out > 0 || Some(session.commit) > self.forgotten);
         }
         if self.terms.list_on_request && now >= self.ask_at {
