--- a/crates/driver/src/desk/lists.rs
+++ b/crates/driver/src/desk/lists.rs
@@ -1,12 +1,15 @@
 //! What the list says: members come, move, drain and go, and an actor for each.
 
+use std::cell::Cell;
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
+use std::rc::Rc;
 
 use aldermill_routing::{Listed, MemberId, Micros, Standing};
 use slog::{info, warn};
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
+use tokio::time::Instant;
 
 use super::Desk;
 use crate::catalog::{Catalog, Entry};
@@ -19,6 +22,8 @@
     pub(super) zone: usize,
     pub(super) ready: bool,
     pub(super) commands: mpsc::Sender<MemberCommand>,
+    /// Since when its oldest idle connection has rested.
+    pub(super) resting: Rc<Cell<Option<Instant>>>,
     /// Whether the list's last word lets anything new be sent there.
     pub(super) open: watch::Sender<bool>,
     last_heard: LastHeard,
@@ -163,9 +168,16 @@
         let id = self.peers.iter().position(Option::is_none).unwrap_or(self.peers.len());
         let (commands, mailbox) = mpsc::channel(self.context.limits.commands);
         let (open, seen) = watch::channel(self.lets_send(entry.standing()));
-        let last_heard = LastHeard::default();
-        let member =
-            Member::new(self.context.clone(), id, entry.id.clone(), address, seen, last_heard.clone());
+        let (resting, last_heard) = (Rc::new(Cell::new(None)), LastHeard::default());
+        let member = Member::new(
+            self.context.clone(),
+            id,
+            entry.id.clone(),
+            address,
+            seen,
+            resting.clone(),
+            last_heard.clone(),
+        );
         spawn_local(member.run(mailbox));
         if id == self.peers.len() {
             self.peers.push(None);
@@ -176,6 +188,7 @@
             zone,
             ready,
             commands,
+            resting,
             open,
             last_heard,
             address,
--- a/crates/routing/tests/router/main.rs
+++ b/crates/routing/tests/router/main.rs
@@ -5,5 +5,6 @@
 mod in_time;
 mod local;
 mod rules;
+mod wide_fleets;
 mod wide_groups;
 mod world;
