--- a/crates/decrees/src/book.rs
+++ b/crates/decrees/src/book.rs
@@ -54,12 +54,18 @@
     /// `kept` is what an earlier start took, where it had a store.
     pub fn start(kept: impl IntoIterator<Item = (About, Place)>) -> Book {
         let mut book = Book::default();
+        book.read(kept);
+        book
+    }
+
+    /// What an earlier start took, where that could be read only now: nothing lower is taken from here on.
+    pub fn read(&mut self, kept: impl IntoIterator<Item = (About, Place)>) {
         for (about, place) in kept {
-            let term = book.terms.entry(about.duty.clone()).or_default();
+            let term = self.terms.entry(about.duty.clone()).or_default();
             *term = place.0.max(*term);
-            book.floors.insert(about, place);
+            let floor = self.floors.entry(about).or_insert(place);
+            *floor = place.max(*floor);
         }
-        book
     }
 
     /// A decree of this driver's own, which holds the duty under this term. `None` where there is no room, or where a
--- a/crates/driver/src/council.rs
+++ b/crates/driver/src/council.rs
@@ -3,10 +3,10 @@
 
 mod duties;
 mod leaving;
+mod memory;
 mod splits;
 mod work;
 
-use std::collections::VecDeque;
 use std::rc::Rc;
 
 use aldermill_decrees::frame::{self, Message};
@@ -17,8 +17,6 @@
 use aldermill_fellows::Fellow;
 use aldermill_operator::Council as Wanted;
 use aldermill_retire::Plan;
-use aldermill_store::Batch;
-use aldermill_warm::space;
 use rand::seq::IteratorRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -31,6 +29,7 @@
 use crate::keep::Folder;
 use crate::words::Seen;
 use leaving::LeavingWork;
+use memory::{Memory, Record, UNDER_WAY};
 use splits::SplitsWork;
 use work::ZonesWork;
 
@@ -40,13 +39,6 @@
 /// How often a holder decides, and each driver looks at what is decreed.
 pub const WORKS: Micros = 1_000_000;
 
-/// Where terms are kept: the folder, and the writes under way, the oldest first.
-struct Kept {
-    folder: Rc<Folder>,
-    told: mpsc::Sender<bool>,
-    under_way: VecDeque<Option<(String, Term)>>,
-}
-
 /// The moment of a call: the council's clock, and the Unix time in milliseconds.
 #[derive(Clone, Copy)]
 pub struct Moment {
@@ -61,7 +53,7 @@
     book: Book,
     ledger: Ledger,
     reporter: Reporter,
-    kept: Option<Kept>,
+    memory: Option<Memory>,
     rng: Pcg64Mcg,
     log: Logger,
     zones: Option<ZonesWork>,
@@ -94,36 +86,25 @@
             lasts: Micros::from(wanted.lease_ms) * 1000,
             least_term: wanted.least_term,
         };
-        let read = |of: u32| -> Vec<(String, Term)> {
-            let records = folder.iter().flat_map(|folder| &folder.read).filter(|(space, ..)| *space == of);
-            records.filter_map(|(_, key, value)| record(key, value)).collect()
-        };
-        let granted = folder.as_ref().map(|_| read(space::GRANTED));
-        let decreed = read(space::DECREED).into_iter().map(|(duty, term)| (About::new(&duty, ""), (term, 0)));
-        let book = Book::start(decreed);
-        let agreement = Agreement::start(now, own.clone(), &terms, granted, seed)?;
-        // More words than there can be writes under way.
-        let (told, confirmed) = mpsc::channel(256);
-        let kept = folder.map(|folder| Kept { folder, told, under_way: VecDeque::new() });
-        info!(log, "council"; "votes" => agreement.is_voter(), "duties" => duties.join(" "), "kept" => kept.is_some());
+        let book = Book::default();
+        let agreement = Agreement::start(now, own.clone(), &terms, None, seed)?;
+        let (told, confirmed) = mpsc::channel(UNDER_WAY);
+        let memory = folder.map(|folder| Memory::start(folder, told));
+        info!(log, "council"; "votes" => agreement.is_voter(), "duties" => duties.join(" "), "kept" => memory.is_some());
         let has = |duty: &str| duties.iter().any(|of| of == duty);
         let zones = has(work::DUTY).then(|| ZonesWork::start(zone, log.clone()));
         let splits = has(splits::DUTY).then(|| SplitsWork::start(wanted.cuts, log.clone()));
-        let leaving = has(leaving::DUTY).then(|| {
-            let records = kept.iter().flat_map(|kept| &kept.folder.read);
-            let bound = records.filter(|(space, ..)| *space == space::BOUND);
-            let bound = bound.filter_map(|(_, _, body)| Plan::decode(body).ok()).collect();
-            LeavingWork::start(now, &wanted.retire, limit, bound, log.clone())
-        });
+        let leaving = has(leaving::DUTY)
+            .then(|| LeavingWork::start(now, &wanted.retire, limit, memory.is_some(), log.clone()));
         let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(7));
-        let council = Council {
+        let mut council = Council {
             own,
             duties,
             agreement,
             book,
             ledger: Ledger::default(),
             reporter: Reporter::default(),
-            kept,
+            memory,
             log,
             zones,
             splits,
@@ -135,6 +116,7 @@
             out: Vec::new(),
             rng,
         };
+        council.begin_memory(now);
         Ok((council, confirmed))
     }
 
@@ -152,6 +134,7 @@
     /// Another council's words; `age` is how long they may have waited here unread.
     pub fn hear(&mut self, at: Moment, age: Micros, from: &Fellow, words: &[u8], others: &[Rc<str>]) {
         let Some((&kind, words)) = words.split_first() else { return };
+        self.read_memory(at.now);
         match kind {
             DUTY => {
                 // Words of before a standstill say nothing of leases now; whoever said them says them again.
@@ -193,7 +176,7 @@
         let news = self.book.hear(now, age, decree.clone()) == Heard::News;
         if news && before != Some(decree.term) {
             info!(self.log, "duty"; "held_by" => &decree.by, "term" => decree.term, "name" => &decree.about.duty);
-            self.keep(space::DECREED, &decree.about.duty, decree.term, None);
+            self.keep(Record::Decreed(decree.about.duty.clone(), decree.term));
         }
         news
     }
@@ -213,6 +196,7 @@
     /// To be called at the time that was asked for; `others` are the drivers known to live.
     pub fn wake(&mut self, at: Moment, others: &[Rc<str>]) {
         let now = at.now;
+        self.read_memory(now);
         if self.agree_at.is_some_and(|due| due <= now) {
             let todo = self.agreement.wake(now, at.wall);
             self.carry_out(at, todo, others);
@@ -224,6 +208,7 @@
         }
         if now >= self.work_at {
             self.work_at = now + WORKS;
+            self.keep_again();
             self.work(at, others);
         }
         if now >= self.compare_at {
@@ -251,7 +236,7 @@
             self.say(&to, DUTY, &aldermill_duties::frame::encode(&said));
         }
         for (duty, term) in todo.keep {
-            self.keep(space::GRANTED, &duty, term, Some((duty.clone(), term)));
+            self.keep(Record::Granted(duty, term));
         }
         let got = |change: &Change| matches!(change, Change::Got { .. });
         let heard_of = todo.changes.iter().any(got);
@@ -259,7 +244,7 @@
             match change {
                 Change::Got { duty, term } => {
                     info!(self.log, "duty got"; "term" => term, "name" => &duty);
-                    self.keep(space::DECREED, &duty, term, None);
+                    self.keep(Record::Decreed(duty, term));
                 }
                 Change::Lost { duty, term } => {
                     info!(self.log, "duty no longer held"; "term" => term, "name" => &duty);
@@ -272,35 +257,6 @@
         }
     }
 
-    /// Writes a term; `then` waits for it.
-    fn keep(&mut self, of: u32, duty: &str, term: Term, then: Option<(String, Term)>) {
-        self.write(of, duty, &term.to_be_bytes(), then);
-    }
-
-    fn write(&mut self, of: u32, key: &str, value: &[u8], then: Option<(String, Term)>) {
-        let Some(kept) = &mut self.kept else { return };
-        let mut batch = Batch::default();
-        batch.put(of, key.as_bytes(), value, None);
-        if kept.folder.write(batch, &kept.told) {
-            kept.under_way.push_back(then);
-        } else if then.is_some() {
-            self.agreement.not_kept();
-        }
-    }
-
-    /// The oldest write was confirmed, or was not.
-    pub fn told(&mut self, at: Moment, well: bool, others: &[Rc<str>]) {
-        let oldest = self.kept.as_mut().and_then(|kept| kept.under_way.pop_front()).flatten();
-        let Some((duty, term)) = oldest else { return };
-        if well {
-            let todo = self.agreement.kept(at.now, at.wall, &duty, term);
-            self.carry_out(at, todo, others);
-        } else {
-            warn!(self.log, "a term is not kept, so no vote is given"; "duty" => &duty, "term" => term);
-            self.agreement.not_kept();
-        }
-    }
-
     /// A driver is gone.
     pub fn gone(&mut self, now: Micros, name: &str) {
         self.ledger.gone(name);
@@ -336,7 +292,3 @@
             "decrees": decrees.collect::<Vec<_>>()})
     }
 }
-
-fn record(key: &[u8], value: &[u8]) -> Option<(String, Term)> {
-    Some((String::from_utf8(key.to_vec()).ok()?, Term::from_be_bytes(value.try_into().ok()?)))
-}
--- a/crates/driver/src/council/duties.rs
+++ b/crates/driver/src/council/duties.rs
@@ -96,7 +96,7 @@
         let (acting, keeps) =
             self.leaving.as_mut().map(|leaving| leaving.obey(now, book)).unwrap_or_default();
         for plan in keeps {
-            self.write(space::BOUND, &plan.word.site, &plan.encode(), None);
+            self.keep(Record::Bound(plan));
         }
         acting
     }
--- a/crates/driver/src/council/leaving.rs
+++ b/crates/driver/src/council/leaving.rs
@@ -22,6 +22,8 @@
 pub struct LeavingWork {
     words: Vec<Word>,
     obeyed: Obeyed,
+    /// What of it was handed to the disk, by site, and whether it is known to be there; `None` without a folder.
+    disk: Option<BTreeMap<String, (Plan, bool)>>,
     /// What was last acted by.
     acted: Vec<Plan>,
     holder: Holder,
@@ -57,18 +59,13 @@
 }
 
 impl LeavingWork {
-    /// `limit` is the longest time limit of a task; `kept` what an earlier start knew.
-    pub fn start(
-        now: Micros,
-        wanted: &[Retiring],
-        limit: Micros,
-        kept: Vec<Plan>,
-        log: Logger,
-    ) -> LeavingWork {
+    /// `limit` is the longest time limit of a task; `durable` says that there is a folder.
+    pub fn start(now: Micros, wanted: &[Retiring], limit: Micros, durable: bool, log: Logger) -> LeavingWork {
         let acts = Obeyed::acts(LASTS) + limit + SLACK;
         LeavingWork {
             words: words(wanted),
-            obeyed: Obeyed::start(now, kept),
+            obeyed: Obeyed::default(),
+            disk: durable.then(BTreeMap::new),
             acted: Vec::new(),
             holder: Holder::start(now, acts),
             term: None,
@@ -78,6 +75,44 @@
         }
     }
 
+    /// What an earlier start knew.
+    pub fn read(&mut self, now: Micros, kept: Vec<Plan>) {
+        if let Some(disk) = &mut self.disk {
+            disk.extend(kept.iter().map(|plan| (plan.word.site.clone(), (plan.clone(), true))));
+        }
+        self.obeyed.read(now, kept);
+    }
+
+    /// This is on the disk.
+    pub fn kept(&mut self, plan: &Plan) {
+        let known = self.disk.as_mut().and_then(|disk| disk.get_mut(&plan.word.site));
+        if let Some((_, kept)) = known.filter(|(known, _)| known == plan) {
+            *kept = true;
+        }
+    }
+
+    /// The disk did not take this: it is handed over again.
+    pub fn not_kept(&mut self, plan: &Plan) {
+        if let Some(disk) = &mut self.disk {
+            disk.retain(|_, (known, _)| known != plan);
+        }
+    }
+
+    /// Whether a restart would know of it, as far as that is provided for.
+    fn is_kept(&self, plan: &Plan) -> bool {
+        let on_disk = |disk: &BTreeMap<_, _>| disk.get(&plan.word.site) == Some(&(plan.clone(), true));
+        self.disk.as_ref().is_none_or(on_disk)
+    }
+
+    /// What is to be handed to the disk now.
+    fn unkept(&mut self) -> Vec<Plan> {
+        let Some(disk) = &mut self.disk else { return Vec::new() };
+        let known = |plan: &&Plan| disk.get(&plan.word.site).is_some_and(|(known, _)| known == *plan);
+        let unkept: Vec<Plan> = self.obeyed.plans().filter(|plan| !known(plan)).cloned().collect();
+        disk.extend(unkept.iter().map(|plan| (plan.word.site.clone(), (plan.clone(), false))));
+        unkept
+    }
+
     /// The operator's file was read anew.
     pub fn reread(&mut self, wanted: &[Retiring]) {
         self.words = words(wanted);
@@ -93,8 +128,9 @@
         let open = seen.site.as_ref().map_or(&empty, |site| &site.open);
         for plan in self.obeyed.plans() {
             let site = &plan.word.site;
-            // What the desk does not know of yet says nothing.
-            let Some(place) = self.obeyed.place(site).filter(|_| self.acted.contains(plan)) else {
+            // What the desk does not know of yet says nothing, nor what a restart could forget.
+            let stands = self.acted.contains(plan) && self.is_kept(plan);
+            let Some(place) = self.obeyed.place(site).filter(|_| stands) else {
                 continue;
             };
             let (number, open) = (plan.word.number, open.get(site).copied().unwrap_or_default());
@@ -148,23 +184,19 @@
 
     /// What is to be acted by from now on, where that has changed, and what of it is to be kept.
     pub fn obey(&mut self, now: Micros, book: &Book) -> (Option<Vec<Plan>>, Vec<Plan>) {
-        let mut keeps = Vec::new();
         for (plan, place) in standing(book, now) {
             let (site, waits) = (plan.word.site.clone(), plan.waits.clone());
             let news = self.obeyed.hear(now, plan, place);
-            let Some(plan) = self.obeyed.plan(&site).cloned() else { continue };
+            let Some(plan) = self.obeyed.plan(&site) else { continue };
             if news || self.waits.get(&site) != Some(&waits) {
                 info!(self.log, "retire"; "waits" => &waits, "weight" => plan.weight, "stage" => ?plan.stage, "site" => &site);
                 self.waits.insert(site, waits);
             }
-            if news {
-                keeps.push(plan);
-            }
         }
         let acting = self.obeyed.acting(now, &self.site);
         let changed = acting != self.acted;
         self.acted.clone_from(&acting);
-        (changed.then_some(acting), keeps)
+        (changed.then_some(acting), self.unkept())
     }
 
     pub fn describe(&self) -> Value {
--- a/crates/driver/src/desk/book.rs
+++ b/crates/driver/src/desk/book.rs
@@ -43,7 +43,8 @@
     start: u64,
     keeping: Keeping,
     promise: Promise,
-    pub earlier: Earlier<Rc<Vec<u8>>>,
+    /// What earlier starts took; `None` while the folder could not be read.
+    earlier: Option<Earlier<Rc<Vec<u8>>>>,
     next: Token,
     /// Handed over and not confirmed, the oldest first.
     waiting: VecDeque<Wait>,
@@ -51,10 +52,23 @@
 }
 
 impl Book {
-    /// What earlier starts kept is read from the records; `told` hears of each write, in their order.
+    /// What earlier starts kept is read from the folder, once that can be done; `told` hears of each write, in their order.
     pub fn open(folder: Rc<Folder>, start: u64, now: Micros, told: mpsc::Sender<bool>) -> Book {
+        let (keeping, promise) = (Keeping::start(PATIENCE, WAITING), Promise::default());
+        let waiting = VecDeque::new();
+        let mut book = Book { folder, start, keeping, promise, earlier: None, next: 0, waiting, told };
+        book.read(now);
+        book
+    }
+
+    /// Looks whether the folder can be read by now.
+    fn read(&mut self, now: Micros) {
+        if self.earlier.is_some() {
+            return;
+        }
+        let Some(records) = self.folder.records() else { return };
         let mut earlier = Earlier::default();
-        for (space, key, value) in &folder.read {
+        for (space, key, value) in records {
             match *space {
                 space::BOOK => {
                     if let Some((own, origin, number)) = read_key(key) {
@@ -70,12 +84,25 @@
                 _ => {}
             }
         }
-        let (keeping, promise) = (Keeping::start(PATIENCE, WAITING), Promise::default());
-        Book { folder, start, keeping, promise, earlier, next: 0, waiting: VecDeque::new(), told }
+        self.earlier = Some(earlier);
+        // What failed before the folder was there says nothing of it now.
+        self.keeping = Keeping::start(PATIENCE, WAITING);
+    }
+
+    /// What became of a task that an earlier start may have taken. Nothing is known of it while the folder cannot be read.
+    pub fn ask(&mut self, now: Micros, origin: &Origin, number: u64, start: u64) -> Fate<Rc<Vec<u8>>> {
+        self.read(now);
+        self.earlier.as_ref().map_or(Fate::Unknown, |earlier| earlier.ask(origin, number, start))
+    }
+
+    /// Records and starts that were read back.
+    pub fn earlier(&self) -> (usize, usize) {
+        self.earlier.as_ref().map_or((0, 0), Earlier::len)
     }
 
     /// Another promise, where the last one runs out.
     pub fn renew(&mut self, now: Micros) {
+        self.read(now);
         if !matches!(self.keeping.state(), State::Without { until } if now < until)
             && let Some(until) = self.promise.renew(now)
         {
--- a/crates/driver/src/desk/hub.rs
+++ b/crates/driver/src/desk/hub.rs
@@ -317,7 +317,7 @@
             "site": self.own.site, "instance": self.own.instance, "start": self.own.start, "draining": self.draining,
             "gateways": gates, "groups": homes, "tasks": self.trips.len(), "guests": self.guests.len(),
             "fates_kept": self.fates.len(), "book": self.book.as_ref().map(|book| json!({
-                "disk": !book.is_without(), "earlier_records": book.earlier.len().0, "earlier_starts": book.earlier.len().1})),
+                "disk": !book.is_without(), "earlier_records": book.earlier().0, "earlier_starts": book.earlier().1})),
         });
         format!("{text:#}\n")
     }
--- a/crates/driver/src/desk/hub/links.rs
+++ b/crates/driver/src/desk/hub/links.rs
@@ -138,10 +138,10 @@
             }
             Event::Ask(ask) => {
                 let own = hub.own.start;
-                let fate = match &hub.book {
+                let fate = match &mut hub.book {
                     // What an earlier start took is in what was kept of it.
                     Some(book) if ask.receiver_start != own => {
-                        let fate = book.earlier.ask(&origin, ask.number, ask.receiver_start);
+                        let fate = book.ask(now, &origin, ask.number, ask.receiver_start);
                         fate.map(|bytes| Kept { bytes, _room: None })
                     }
                     _ => hub.fates.ask(now, &origin, ask.number, ask.receiver_start, own),
--- a/crates/driver/src/main.rs
+++ b/crates/driver/src/main.rs
@@ -274,7 +274,7 @@
     info!(log, "serving"; "name" => &name, "listen" => %address, "version" => env!("CARGO_PKG_VERSION"));
 
     let warmed = match &warm {
-        Some(warm) => keep::start(warm, &name, memory, clock, &log).await,
+        Some(warm) => Some(keep::start(warm, &name, memory, clock, &log).await),
         None => None,
     };
     let (kept_in, mut recalled, keeping) = match warmed {
--- a/crates/driver/tests/warm.rs
+++ b/crates/driver/tests/warm.rs
@@ -137,3 +137,48 @@
     assert!(!text.contains("damaged"), "what was kept can be read: {text}");
     std::fs::remove_dir_all(filling).unwrap();
 }
+
+#[test]
+fn a_folder_that_cannot_be_opened_at_the_start_is_taken_in_once_it_can() {
+    let folder = folder("blocked");
+    std::fs::write(&folder, "a file").unwrap();
+    let member = sound("writer");
+    let discovery = Discovery::default();
+    discovery.say(list(1, true, &[("s-a", &member, "in_service")]));
+    let driver = start(&discovery, "null", &folder);
+    until("the line", || driver.logged("warm state refused, started without"));
+    assert!(!driver.logged("warm state is kept from now on"));
+    std::fs::remove_file(&folder).unwrap();
+    until("it is taken in", || driver.logged("warm state is kept from now on"));
+    let mut client = Client::connect(driver.address);
+    assert!(client.ask("").empty && honoured(&client.ask(&order(5000))));
+    until("the primary is kept", || tool("dump", &folder).1.contains(r#""member":"s-a""#));
+    drop(driver);
+    std::fs::remove_dir_all(folder).unwrap();
+}
+
+#[test]
+fn a_full_folder_is_read_at_the_start_and_the_log_says_that_nothing_is_kept() {
+    let folder = folder("read-only");
+    let (a, b) = (sound("reader"), sound("writer"));
+    let discovery = Discovery::default();
+    discovery.say(list(7, true, &[("s-a", &a, "in_service"), ("s-b", &b, "in_service")]));
+    let driver = start(&discovery, "null", &folder);
+    let mut client = Client::connect(driver.address);
+    assert!(client.ask("").empty && honoured(&client.ask(&order(5000))));
+    until("the primary is kept", || tool("dump", &folder).1.contains(r#""member":"s-b""#));
+    drop(driver);
+
+    discovery.mute.store(true, Ordering::SeqCst);
+    let walked = a.tasks().len();
+    let known = config(discovery.start(), 256, "null");
+    let driver = Driver::on_full_disk(0, &known, &operator(&folder));
+    until("it is read", || driver.logged("warm state, newest_word_ms_ago"));
+    until("the line", || driver.logged("warm state is not kept yet, what was kept before is read"));
+    let mut client = Client::connect(driver.address);
+    assert!(client.ask("").empty && honoured(&client.ask(&order(5000))));
+    assert_eq!(a.tasks().len(), walked, "no walk");
+    drop(driver);
+    assert!(tool("check", &folder).0);
+    std::fs::remove_dir_all(folder).unwrap();
+}
--- a/crates/duties/src/agreement.rs
+++ b/crates/duties/src/agreement.rs
@@ -110,6 +110,18 @@
         before * self.lasts / 60 + self.rng.random_range(0..=self.lasts / 200)
     }
 
+    /// Its voter has a store that cannot be read yet, and casts no vote before [`Agreement::read`].
+    pub fn hold_back(&mut self) {
+        self.voter.iter_mut().for_each(Voter::hold_back);
+    }
+
+    /// What the voter's store held, once it is read.
+    pub fn read(&mut self, kept: Vec<(String, Term)>) {
+        if let Some(voter) = &mut self.voter {
+            voter.read(kept);
+        }
+    }
+
     pub fn is_voter(&self) -> bool {
         self.voter.is_some()
     }
--- a/crates/duties/src/voter.rs
+++ b/crates/duties/src/voter.rs
@@ -30,6 +30,8 @@
     /// The longest lease that it grants; the same at all voters.
     longest: Micros,
     durable: bool,
+    /// What its store held is not known yet.
+    unread: bool,
     seats: BTreeMap<String, Seat>,
 }
 
@@ -44,7 +46,23 @@
         let seat = |(duty, term)| (duty, Seat { term, kept: term, ..Seat::default() });
         let seats = kept.into_iter().flatten().map(seat).collect();
         let margin = longest.div_euclid(crate::DRIFT) + 1;
-        Voter { silent_until: now + longest + margin, longest, durable, seats }
+        Voter { silent_until: now + longest + margin, longest, durable, unread: false, seats }
+    }
+
+    /// It has a store that cannot be read yet: no vote is cast before [`Voter::read`].
+    ///
+    /// Protects terms from a voter that forgot which it granted. Harms the fleet by one voter for as long as that lasts.
+    pub fn hold_back(&mut self) {
+        (self.durable, self.unread) = (true, true);
+    }
+
+    /// What its store held, once it is read.
+    pub fn read(&mut self, kept: impl IntoIterator<Item = (String, Term)>) {
+        self.unread = false;
+        for (duty, term) in kept {
+            let seat = self.seats.entry(duty).or_default();
+            (seat.term, seat.kept) = (seat.term.max(term), seat.kept.max(term));
+        }
     }
 
     pub fn speaks_from(&self) -> Micros {
@@ -72,7 +90,7 @@
             }
             return None;
         }
-        if now < self.silent_until {
+        if now < self.silent_until || self.unread {
             return None;
         }
         let seat = self.seats.entry(said.duty.clone()).or_default();
--- a/crates/retire/src/obeyed.rs
+++ b/crates/retire/src/obeyed.rs
@@ -21,6 +21,16 @@
         Obeyed { plans: plans.collect() }
     }
 
+    /// What was kept of an earlier start, where that could be read only now: what was heard meanwhile follows it.
+    pub fn read(&mut self, now: Micros, kept: impl IntoIterator<Item = Plan>) {
+        for plan in kept {
+            let heard = self.plans.insert(plan.word.site.clone(), (plan, (0, 0), now));
+            if let Some((plan, place, heard)) = heard {
+                self.hear(heard, plan, place);
+            }
+        }
+    }
+
     /// How long after a driver was last heard it may start anything at its own site: `lasts` is a decree's life.
     pub fn acts(lasts: Micros) -> Micros {
         lasts + GOES_ON
--- a/crates/store/src/commit.rs
+++ b/crates/store/src/commit.rs
@@ -50,6 +50,13 @@
     }
 }
 
+impl Committer {
+    /// What was handed over is still written, and nobody waits for it.
+    pub fn leave(mut self) {
+        drop(self.thread.take());
+    }
+}
+
 impl Drop for Committer {
     /// What was handed over is written before it ends.
     fn drop(&mut self) {
--- a/crates/store/src/files.rs
+++ b/crates/store/src/files.rs
@@ -4,6 +4,7 @@
 use std::fs::{File, OpenOptions};
 use std::io::{Read, Result, Write};
 use std::path::{Path, PathBuf};
+use std::sync::Arc;
 
 /// One folder of files. A name is a plain file name.
 pub trait Files {
@@ -26,7 +27,7 @@
     folder: PathBuf,
     open: HashMap<String, File>,
     /// Held as long as this lives; the system lets go of it when the process ends, however it does.
-    _lock: Option<File>,
+    lock: Option<Arc<File>>,
 }
 
 impl Disk {
@@ -35,12 +36,17 @@
         std::fs::create_dir_all(folder)?;
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(folder.join("LOCK"))?;
         lock.try_lock().map_err(|_| std::io::Error::other("another process has this folder open"))?;
-        Ok(Disk { folder: folder.to_owned(), open: HashMap::new(), _lock: Some(lock) })
+        Ok(Disk { folder: folder.to_owned(), open: HashMap::new(), lock: Some(Arc::new(lock)) })
     }
 
     /// Opens a folder for reading, whoever writes to it.
     pub fn look(folder: &Path) -> Disk {
-        Disk { folder: folder.to_owned(), open: HashMap::new(), _lock: None }
+        Disk { folder: folder.to_owned(), open: HashMap::new(), lock: None }
+    }
+
+    /// The same folder under the same lock, which is held until all of them are gone.
+    pub fn again(&self) -> Disk {
+        Disk { folder: self.folder.clone(), open: HashMap::new(), lock: self.lock.clone() }
     }
 
     fn file(&mut self, name: &str) -> Result<&mut File> {
