--- a/crates/driver/src/desk.rs
+++ b/crates/driver/src/desk.rs
@@ -3,6 +3,7 @@
 mod book;
 mod hub;
 mod lists;
+mod members_clock;
 mod open;
 mod sight;
 mod steps;
@@ -15,6 +16,7 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 
+use aldermill_measured::ClockOffset;
 use aldermill_routing::{Handle, MemberId, Micros, Need, Outcome, Role, Router, Task, Todo, Verdict};
 use aldermill_sites::Handle as SitesHandle;
 use aldermill_terms::Decoded;
@@ -64,6 +66,9 @@
     /// By the router's index; an index whose member was let go stands empty until it is given out anew.
     peers: Vec<Option<Peer>>,
     member_ids: HashMap<String, MemberId>,
+    /// What the members' clock is ahead of the router's, and what the router was told of that.
+    clock_offset: ClockOffset,
+    told_offset: Micros,
     groups: HashSet<u64>,
     pub(crate) open: HashMap<Handle, Open>,
     /// The ids of the tasks under way.
@@ -105,6 +110,8 @@
             hub,
             peers: Vec::new(),
             member_ids: HashMap::new(),
+            clock_offset: ClockOffset::default(),
+            told_offset: 0,
             groups: HashSet::new(),
             open: HashMap::new(),
             open_ids: HashSet::new(),
@@ -213,7 +220,8 @@
                 }
             }
             Call::Ended(ended) => self.ended(ended),
-            Call::Probed { member, verdict, took, told, replica_words } => {
+            Call::Probed { member, verdict, took, mut told, replica_words } => {
+                self.hears_clock(member, &mut told, None);
                 self.said_replica(member, replica_words);
                 let now = self.context.clock.now();
                 let ((), todo) = self.ask(|router| ((), router.probed(now, member, verdict, took, told)));
@@ -277,50 +285,49 @@
             return self.dispatch(order, offering);
         }
         // The wait has run since the statement arrived.
-        let clock = self.context.clock;
-        let waited = clock.now() - order.arrived;
-        let ttl = Micros::from(order.comment.wait) * 1000 - waited;
+        let deadline = order.arrived + Micros::from(order.comment.wait) * 1000;
         let (client, id) = (order.client, order.comment.id.clone());
         let mailbox = Some((client, order.mailbox.clone()));
-        let (handle, todo) = self.hand_over(Rc::new(order), offering, ttl, mailbox, None);
+        let (handle, todo) = self.hand_over(Rc::new(order), offering, deadline, mailbox, None);
         self.by_client.insert(client, Holder::Here(handle));
         self.open_ids.insert(id);
         self.carry_out(todo);
     }
 
-    /// Hands a task to the module here; what that returns is not carried out yet.
+    /// Hands a task to the module here, to be answered by `deadline` on the router's clock: a moment, which a process
+    /// that is held up on the way does not put off. What the module returns is not carried out yet.
     pub(crate) fn hand_over(
         &mut self,
         order: Rc<Order>,
         offering: usize,
-        ttl: Micros,
+        deadline: Micros,
         client: Option<(ClientId, mpsc::Sender<Mail>)>,
         via: Option<SitesHandle>,
     ) -> (Handle, Todo) {
-        let clock = self.context.clock;
-        let now = clock.now();
+        let now = self.context.clock.now();
         let keyed = matches!(self.decoded.terms.offerings[offering].need, Need::Write | Need::OwnWrites);
         let session = if keyed { quoted(&order.statement[order.comment.end..]) } else { None };
-        let written = order.comment.after.map(|after| clock.convert(millis(after)));
-        let written_ago = order.written_ago.or(written.map(|at| now.saturating_sub(at).max(1)));
         let task = Task {
             offering,
             group: order.comment.group,
-            ttl,
+            ttl: deadline - now,
             waited: now - order.arrived,
             session,
-            last_write: written_ago,
+            last_write: order.last_write(now),
             repeat: order.comment.repeat,
         };
         let (handle, todo) = self.ask(|router| router.take(now, task.clone()));
         let best = self.context.best_paid.contains(&order.comment.offering);
-        self.open.insert(handle, Open { via, best, client, withdrawal: Withdrawal::default(), order });
+        let withdrawal = Withdrawal::default();
+        self.open.insert(handle, Open { via, best, deadline, client, withdrawal, order });
         (handle, todo)
     }
 
     fn ended(&mut self, ended: Ended) {
-        let Ended { handle, verdict, took, told, gave, replica_words } = ended;
+        let Ended { handle, verdict, sent, took, mut told, gave, replica_words } = ended;
         if let Some((member, words)) = replica_words {
+            let written = self.writes_once(handle) && verdict == Verdict::Honoured;
+            self.hears_clock(member, &mut told, written.then_some(sent));
             self.said_replica(member, words);
         }
         self.sees_end(handle, verdict, took);
@@ -384,7 +391,3 @@
         None => None,
     }
 }
-
-pub(crate) fn millis(millis: u64) -> Micros {
-    Micros::try_from(millis).map_or(Micros::MAX, |millis| millis.saturating_mul(1000))
-}
--- a/crates/driver/src/desk/lists.rs
+++ b/crates/driver/src/desk/lists.rs
@@ -10,8 +10,7 @@
 
 use super::Desk;
 use crate::catalog::{Catalog, Entry};
-use crate::clock::Clock;
-use crate::member::Member;
+use crate::member::{LastHeard, Member};
 use crate::words::{Bulletin, MemberCommand};
 
 /// A member's actor, as the desk sees it.
@@ -22,14 +21,28 @@
     pub(super) commands: mpsc::Sender<MemberCommand>,
     /// Whether the list's last word lets anything new be sent there.
     pub(super) open: watch::Sender<bool>,
+    last_heard: LastHeard,
     pub(super) address: SocketAddr,
-    /// Its last start as the list tells it, and on the router's clock.
+    /// Its last start as the list tells it, and as it is believed, on the router's clock.
     pub(super) up_since: f64,
     pub(super) since: Option<Micros>,
+    /// Between what it must lie: when its former life was last heard, and when it was first told.
+    pub(super) started_within: (Micros, Micros),
     /// How often the router has heard it say that it is a replica.
     pub(super) replica_words: u64,
 }
 
+impl Peer {
+    /// Its last start on the router's clock, by the list's word, where zero is long ago. It lies neither in the future nor
+    /// before its former life was last heard, whatever the wall clock was when this process started. `offset` is what
+    /// the members' clock is ahead.
+    pub(super) fn started(&self, offset: Micros) -> Option<Micros> {
+        let told = (self.up_since > 0.0).then_some((self.up_since * 1000.0) as Micros)?;
+        let (former_heard, first_told) = self.started_within;
+        Some(told.saturating_sub(offset).max(former_heard).min(first_told))
+    }
+}
+
 impl Desk {
     pub(super) fn bulletin(&mut self, bulletin: Bulletin) {
         let now = self.context.clock.now();
@@ -60,11 +73,12 @@
 
     /// Lets go of members that are gone and will not be heard of again: actor, connections and index.
     fn forget(&mut self, now: Micros) {
-        let Desk { router, peers, member_ids, .. } = self;
+        let Desk { router, peers, member_ids, clock_offset, .. } = self;
         member_ids.retain(|_, &mut id| {
             let forgotten = router.forget(now, id);
             if forgotten {
                 peers[id] = None;
+                clock_offset.forget(id);
             }
             !forgotten
         });
@@ -105,16 +119,18 @@
             None if standing == Standing::Gone => return None,
             None => self.meet(entry, address),
         };
-        let clock = self.context.clock;
+        let (clock, offset) = (self.context.clock, self.told_offset);
         let open = self.lets_send(standing);
         let peer = self.peers[member].as_mut()?;
-        peer.open.send_replace(open);
+        let was_open = peer.open.send_replace(open);
         (peer.group, peer.zone) = (entry.cell, self.decoded.zone(&entry.locality));
         peer.ready = standing == Standing::Ready;
         let restarted = peer.up_since != entry.up_since_ms && standing == Standing::Ready;
         if restarted {
             peer.up_since = entry.up_since_ms;
-            peer.since = started(clock, entry.up_since_ms);
+            let former = peer.last_heard.former_life(was_open).map(|heard| clock.at(heard));
+            peer.started_within = (former.unwrap_or(Micros::MIN), clock.now());
+            peer.since = peer.started(offset);
         }
         if (restarted || peer.address != address)
             && peer.commands.try_send(MemberCommand::Renew(address)).is_ok()
@@ -147,30 +163,30 @@
         let id = self.peers.iter().position(Option::is_none).unwrap_or(self.peers.len());
         let (commands, mailbox) = mpsc::channel(self.context.limits.commands);
         let (open, seen) = watch::channel(self.lets_send(entry.standing()));
-        let member = Member::new(self.context.clone(), id, entry.id.clone(), address, seen);
+        let last_heard = LastHeard::default();
+        let member =
+            Member::new(self.context.clone(), id, entry.id.clone(), address, seen, last_heard.clone());
         spawn_local(member.run(mailbox));
-        let since = started(self.context.clock, entry.up_since_ms);
         if id == self.peers.len() {
             self.peers.push(None);
         }
         let (group, ready, zone) = (entry.cell, false, self.decoded.zone(&entry.locality));
-        self.peers[id] = Some(Peer {
+        let mut peer = Peer {
             group,
             zone,
             ready,
             commands,
             open,
+            last_heard,
             address,
             up_since: entry.up_since_ms,
-            since,
+            since: None,
+            started_within: (Micros::MIN, self.context.clock.now()),
             replica_words: 0,
-        });
+        };
+        peer.since = peer.started(self.told_offset);
+        self.peers[id] = Some(peer);
         self.member_ids.insert(entry.id.clone(), id);
         id
     }
 }
-
-/// The list's word on a member's last start; zero is long ago.
-fn started(clock: Clock, up_since_ms: f64) -> Option<Micros> {
-    (up_since_ms > 0.0).then(|| clock.convert((up_since_ms * 1000.0) as Micros))
-}
--- a/crates/driver/src/member.rs
+++ b/crates/driver/src/member.rs
@@ -1,13 +1,14 @@
 //! The actor of one member: its pool of connections, and the launches and probes on them.
 
 mod connection;
+mod life;
 mod visit;
 
 use std::cell::Cell;
 use std::collections::HashMap;
-use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Duration;
 
 use aldermill_routing::{Handle, MemberId, Micros, Role, Told, Verdict};
 use aldermill_terms::Decoded;
@@ -20,13 +21,17 @@
 use crate::context::Context;
 use crate::gate::Room;
 use crate::words::{Attempt, Call, Ended, Gave, MemberCommand, Rows};
-use connection::{Connection, connect, settled};
+use connection::{Connection, Unopened, connect, settled};
+pub use life::LastHeard;
 use visit::{Departure, Visit};
 
 /// A member's word on its own role.
 const PRIMARY: &str = "writer";
 const REPLICA: &str = "reader";
 
+/// Between two lines in the log on connections to one member that cannot be opened here.
+const LOCAL_FAILURE_TOLD_EVERY: Duration = Duration::from_secs(10);
+
 /// What a launch or a probe is for.
 enum Purpose {
     Task { handle: Handle, sent: Instant },
@@ -46,6 +51,8 @@
     began: Instant,
     /// Renewals before it: a connection from before the last one is not kept.
     era: u64,
+    /// What the system said where it opened no connection.
+    unopened: Option<std::io::Error>,
 }
 
 pub struct Member {
@@ -62,12 +69,21 @@
     era: u64,
     /// When it last answered anything.
     heard: Instant,
+    last_heard: LastHeard,
     /// How often it has said that it is a replica.
     replica_words: Rc<Cell<u64>>,
     /// Answers in a row that were cut short or could not be read.
     spoilt: usize,
     /// It could not be reached or broke connections, and that was logged.
     lost: bool,
+    /// When it was last logged that this machine can open no connection to it.
+    local_failure_told: Option<Instant>,
+}
+
+/// Whether a connection that has not come up since `began` tells anything of its member. Protects a sound member from
+/// requests with so little time left that no handshake fits in. Harms by a wait of that time where a member vanished.
+fn shows_no_way(context: &Context, began: Instant) -> bool {
+    began.elapsed() >= context.limits.opening && !context.lived.stood_since(began)
 }
 
 impl Member {
@@ -77,6 +93,7 @@
         name: String,
         address: SocketAddr,
         open: watch::Receiver<bool>,
+        last_heard: LastHeard,
     ) -> Member {
         Member {
             context,
@@ -89,9 +106,11 @@
             purposes: HashMap::new(),
             era: 0,
             heard: Instant::now(),
+            last_heard,
             replica_words: Rc::default(),
             spoilt: 0,
             lost: false,
+            local_failure_told: None,
         }
     }
 
@@ -109,7 +128,7 @@
                             error!(self.context.log, "a visit failed"; "member" => &self.name, "why" => %error);
                             let (verdict, exchange) = (Verdict::Reset, Exchange::default());
                             let (began, era) = (Instant::now(), self.era);
-                            (error.id(), Done { verdict, exchange, room: None, crowded_out: false, age: 0, connection: None, began, era })
+                            (error.id(), Done { verdict, exchange, room: None, crowded_out: false, age: 0, connection: None, began, era, unopened: None })
                         }
                     };
                     let Some(purpose) = self.purposes.remove(&visit) else { continue };
@@ -153,8 +172,7 @@
 
     /// A process that dies resets all of its connections. One that closes them, idle or after an answer, lives.
     fn all_reset(&self) -> bool {
-        let reset = |connection: &Connection| connection.obstacle() == Some(ErrorKind::ConnectionReset);
-        !self.idle.is_empty() && self.idle.iter().all(reset)
+        !self.idle.is_empty() && self.idle.iter().all(Connection::is_reset)
     }
 
     fn renew(&mut self) {
@@ -193,6 +211,7 @@
         let context = self.context.clone();
         let visit = self.under_way.spawn_local(async move {
             let (mut exchange, mut room, mut crowded_out, mut age) = (Exchange::default(), None, false, 0);
+            let mut unopened = None;
             let opened = match settled(pooled, until, &context.limits).await {
                 Some(connection) => Ok(connection),
                 None => connect(&context, id, address, until).await,
@@ -209,25 +228,30 @@
                     (verdict, exchange.is_ready().then_some(connection))
                 }
                 // For a task that connection never came up; a probe was not answered, and no more is known.
-                Err(Verdict::TimedOut) if for_task && !context.lived.stood_since(began) => {
-                    (Verdict::Unconnected, None)
+                Err(Unopened { verdict: Verdict::TimedOut, .. }) if for_task => {
+                    // Nothing was sent. After a standstill nobody saw whether the connection came up in time, and with
+                    // little time left it may not have had enough.
+                    let lost = shows_no_way(&context, began);
+                    (if lost { Verdict::Unconnected } else { Verdict::Moot }, None)
+                }
+                Err(Unopened { verdict, why }) => {
+                    unopened = why;
+                    (verdict, None)
                 }
-                // Nothing was sent, and nobody saw whether the connection came up in time.
-                Err(Verdict::TimedOut) if for_task => (Verdict::Moot, None),
-                Err(verdict) => (verdict, None),
             };
             // Its time limit fell into a standstill: nobody was there to see an answer.
             let unseen = verdict == Verdict::TimedOut && context.lived.stood_since(began);
             let verdict = if unseen { Verdict::Unseen } else { verdict };
-            Done { verdict, exchange, room, crowded_out, age, connection, began, era }
+            Done { verdict, exchange, room, crowded_out, age, connection, began, era, unopened }
         });
         self.purposes.insert(visit.id(), purpose);
     }
 
     async fn ended(&mut self, purpose: Purpose, done: Done) -> Result<(), mpsc::error::SendError<Call>> {
-        let Done { mut verdict, exchange, room, crowded_out, age, connection, began, era } = done;
+        let Done { mut verdict, exchange, room, crowded_out, age, connection, began, era, unopened } = done;
         if exchange.is_over() || crowded_out {
             self.heard = Instant::now();
+            self.last_heard.hears();
         } else if verdict == Verdict::TimedOut && self.heard < began {
             // Not a word since it began: connections from before may lead nowhere, and stay silent for ever
             // where a machine vanished or a link was cut. New ones tell at once.
@@ -246,7 +270,11 @@
         } else if exchange.is_ready() {
             self.spoilt = 0;
         }
-        if matches!(verdict, Verdict::Unconnected | Verdict::Reset) {
+        if verdict == Verdict::LocalFailure {
+            self.tell_local_failure(unopened);
+        }
+        if matches!(verdict, Verdict::Unconnected | Verdict::Unreachable | Verdict::Reset) {
+            self.last_heard.loses();
             if verdict == Verdict::Reset && era == self.era {
                 // What the other connections lead to is most likely gone, too.
                 self.renew();
@@ -278,7 +306,7 @@
                     _ => Gave::Nothing,
                 };
                 let replica_words = Some((self.id, replica_words));
-                Call::Ended(Ended { handle, verdict, took, told, gave, replica_words })
+                Call::Ended(Ended { handle, verdict, sent, took, told, gave, replica_words })
             }
             Purpose::Probe { sent } => {
                 if exchange.error.as_deref() == Some("57P03") {
@@ -292,6 +320,17 @@
         self.context.desk.send(call).await
     }
 
+    fn tell_local_failure(&mut self, why: Option<std::io::Error>) {
+        let now = Instant::now();
+        if self.local_failure_told.is_some_and(|at| now - at < LOCAL_FAILURE_TOLD_EVERY) {
+            return;
+        }
+        self.local_failure_told = Some(now);
+        let why = why.map_or_else(|| "no descriptor to spare in time".to_owned(), |why| why.to_string());
+        warn!(self.context.log, "no connection can be opened on this machine, tried again";
+            "member" => &self.name, "why" => why);
+    }
+
     /// What an answer says of the member; what cannot be read says nothing. Of one that was cut short no more is
     /// believed than that the member is a replica: where that is wrong it costs an answer, where it is missed reads
     /// are stale.
@@ -300,10 +339,9 @@
         if !exchange.is_over() {
             return Told { role: says_replica.then_some(Role::Replica), age, ..Told::default() };
         }
-        let zero = self.context.clock.convert(0);
         let pairs = usage.into_iter().flat_map(|usage| usage.split(','));
         let pairs = pairs.filter_map(|pair| pair.trim().split_once('='));
-        let mut told = Decoded::report(pairs, zero).unwrap_or_default();
+        let mut told = Decoded::report(pairs, 0).unwrap_or_default();
         told.age = age;
         match exchange.role.as_deref() {
             Some(PRIMARY) => told.role = Some(Role::Primary),
@@ -311,10 +349,7 @@
             _ => {}
         }
         let position = exchange.position.as_ref().and_then(|position| position.parse::<Micros>().ok());
-        let position = position.map(|millis| zero.saturating_add(millis.saturating_mul(1000)));
-        // Nothing is applied before it was committed: a position ahead of the clock proves nothing.
-        let believable = self.context.clock.now() + self.context.limits.ahead_of_clock;
-        told.position = told.position.max(position).filter(|&position| position <= believable);
+        told.position = told.position.max(position.map(|millis| millis.saturating_mul(1000)));
         told
     }
 }
--- a/crates/routing/src/policy/decide.rs
+++ b/crates/routing/src/policy/decide.rs
@@ -36,16 +36,17 @@
         let stuck = match (offering.effect, errand.may_have_run) {
             (_, None) | (Effect::Pure, _) => false,
             (Effect::Effectful, Some(_)) => true,
-            (Effect::Receipted { window, .. }, Some((at, _))) => now >= at + window,
+            (Effect::Receipted { window, .. }, Some((at, _))) => now >= at + window - HELD_UP,
         };
         if stuck
             || self.at_fault(errand)
             || now >= hopeless
-            || errand.launches >= self.launches_allowed(offering)
+            || errand.launches - errand.unsent >= self.launches_allowed(offering)
         {
             return self.give_up(handle);
         }
         // Protects members from all that drivers which stood still owe at once. Harms what would be in time.
+        let writes = offering.need == Need::Write;
         let waits = now < self.rush_until && self.rush < 1.0;
         let target = match offering.need {
             _ if waits => None,
@@ -55,15 +56,18 @@
         let Some(id) = target else {
             return self.groups[self.errands[&handle].group].held.push(handle);
         };
-        self.account(now, id);
+        self.account(now, id, writes);
         let rested = self.rested(now, id);
         let validity = self.validity(&self.errands[&handle], id);
-        let afresh = rested.is_some_and(|rest| self.reaped(rest));
+        let tries_connection = self.takes_connection(now, id);
+        let kept = self.members[id].idle.is_some();
+        let afresh = !kept && rested.is_some_and(|rest| self.reaped(rest));
         let errand = self.errands.get_mut(&handle).expect("held by its handle");
         let member = &mut self.members[id];
         member.out.push(handle);
         member.sent.push_back(now);
         (errand.launches, errand.rested) = (errand.launches + 1, rested.filter(|_| !afresh));
+        errand.tries_connection = tries_connection;
         (errand.out, errand.waits_from) = (Some((id, now)), now);
         (self.launched, self.rush) = (self.launched + 1.0, self.rush - 1.0);
         self.session(handle).into_iter().for_each(|session| session.out += 1);
@@ -71,7 +75,7 @@
     }
 
     /// A launch uses up what was saved for its member; the primary is owed its part of its group's launches.
-    pub(super) fn account(&mut self, now: Micros, id: MemberId) {
+    pub(super) fn account(&mut self, now: Micros, id: MemberId, writes: bool) {
         let (credit, hold) = (self.credit(now, id) - 1.0, self.hold());
         (self.members[id].credit, self.members[id].credited) = (credit, now);
         let part = |&id: &MemberId| {
@@ -79,7 +83,10 @@
             if standing == Standing::Ready && now >= lost_until { size * window } else { 0.0 }
         };
         let group = &mut self.groups[self.members[id].group];
-        let Some(primary) = group.primary else { return group.walk_after = now + hold };
+        let Some(primary) = group.primary else {
+            group.walk_after = if writes { now + hold } else { group.walk_after };
+            return;
+        };
         let all: f64 = group.members.iter().map(part).sum();
         let due = part(&primary) / all.max(f64::EPSILON) - f64::from(id == primary);
         group.owed = (group.owed + due).clamp(-3.0, 3.0);
@@ -98,7 +105,8 @@
         let share = if arrives { 0.5 } else { 0.85 };
         let pays = if self.sparse() && late_share < 0.5 { useful.min(errand.quoted_by) } else { useful };
         let hopeless = pays - self.took[errand.task.offering].quantile(share).unwrap_or(0) - BEAT;
-        let held = errand.launches == 0 && (late_share < 0.5 || self.sparse());
+        let waits_for_room = errand.launches == 0 && !self.backs_off(now);
+        let held = waits_for_room && (late_share < 0.5 || self.sparse());
         // Told before half of the client's time is over, with what a beat and the way take.
         let half = errand.arrived + (errand.task.ttl - errand.task.waited) / 2 - 2 * BEAT;
         (if held { hopeless.min(half.max(errand.arrived + 1)) } else { hopeless }, useful)
@@ -144,6 +152,13 @@
         let Some(errand) = self.errands.get_mut(&handle) else { return };
         let Some((id, sent)) = errand.out.take() else { return };
         let (group, offering, waits_from) = (errand.group, errand.task.offering, errand.waits_from);
+        let (tried, over) = (errand.tries_connection, outcome.closed || errand.closed);
+        match verdict {
+            Verdict::LocalFailure => return self.not_sent(now, handle, id, sent, over),
+            Verdict::Moot => {}
+            _ => self.connected(now, id, tried, verdict.heard()),
+        }
+        let errand = self.errands.get_mut(&handle).expect("not yet closed");
         let member = &mut self.members[id];
         member.out.retain(|&out| out != handle);
         let ran = (!verdict.never_ran()).then_some((sent, member.zone));
@@ -156,7 +171,7 @@
         if verdict.heard() {
             (member.answered, member.overtaken) = (now, member.overtaken.max(waits_from));
             member.hear(now, credit);
-        } else if matches!(verdict, Verdict::Unconnected | Verdict::Reset) {
+        } else if matches!(verdict, Verdict::Unconnected | Verdict::Unreachable | Verdict::Reset) {
             member.lost_until = now + 2 * HOLD;
             let refused = verdict == Verdict::Unconnected && outcome.took < PROBE_NEEDED;
             member.fell = member.fell.or((verdict == Verdict::Reset || refused).then_some(now));
@@ -208,7 +223,8 @@
             Verdict::TimedOut | Verdict::CalledOff if !mute || reaped => {}
             _ => self.failed(now, id),
         }
-        let told_commit = told.position.filter(|_| verdict == Verdict::Honoured).unwrap_or(now);
+        let told_commit =
+            told.position.filter(|_| verdict == Verdict::Honoured).unwrap_or(self.members_now(now));
         let commit = if verdict.never_ran() { 0 } else { told_commit };
         self.session(handle).into_iter().for_each(|session| session.ended(commit));
         let errand = self.errands.get_mut(&handle).expect("not yet closed");
@@ -219,16 +235,17 @@
         } else if now < self.tight_until && idle {
             self.todo.shut.push(id);
         }
-        let errand = &self.errands[&handle];
-        let over = outcome.closed || errand.closed;
         self.note(now, id, told, sent, now - told.age);
         if verdict == Verdict::Miss && self.groups[group].primary.is_none() {
             let round = self.groups[group].members.len().min(self.terms.max_launches as usize / 2);
             let errand = self.errands.get_mut(&handle).expect("not yet closed");
             errand.misses += 1;
-            if errand.misses >= round {
-                errand.misses = 0;
-                self.groups[group].walk_after = now + self.hold();
+            let over = errand.misses >= round;
+            errand.misses = if over { 0 } else { errand.misses };
+            let (over_hold, member) = (now + self.hold(), &mut self.members[id]);
+            member.not_primary = member.not_primary.max(now - told.age);
+            if over {
+                self.groups[group].walk_after = over_hold;
             }
         }
         if over {
--- a/crates/routing/src/policy/fresh.rs
+++ b/crates/routing/src/policy/fresh.rs
@@ -14,9 +14,9 @@
             return None;
         }
         let start = errand.last.and_then(|last| group.members.iter().position(|&id| id == last));
-        let start = start.map_or(0, |at| at + 1);
+        let start = start.map_or_else(|| self.search_start(group), |at| at + 1);
         let round = (0..group.members.len()).map(|step| group.members[(start + step) % group.members.len()]);
-        let mut open = round.filter(|&id| self.usable(now, id));
+        let mut open = round.filter(|&id| self.may_be_primary(now, group, id));
         let first = open.clone().next();
         open.find(|&id| now >= self.members[id].barred_until).or(first).filter(|&id| self.room(now, id) > 0.0)
     }
@@ -25,14 +25,16 @@
     pub(super) fn read_target(&mut self, now: Micros, handle: Handle, need: Need) -> Option<MemberId> {
         let errand = &self.errands[&handle];
         let floor = match need {
-            Need::Latest => errand.arrived,
+            Need::Latest => self.members_now(errand.arrived),
             Need::OwnWrites => {
                 let told = errand.task.last_write.map(|ago| errand.arrived - ago);
-                let floor = |name| self.sessions.get(name).map(|known| known.floor(now)).or(self.forgotten);
+                let members_now = self.members_now(now);
+                let floor =
+                    |name| self.sessions.get(name).map(|known| known.floor(members_now)).or(self.forgotten);
                 let remembered = errand.task.session.as_ref().and_then(floor);
                 told.max(remembered).unwrap_or(Micros::MIN)
             }
-            Need::Recent(bound) => now - bound + MS,
+            Need::Recent(bound) => self.members_now(now) - bound + HELD_UP,
             Need::Loose | Need::Write => Micros::MIN,
         };
         let (group, asked, sparse) = (errand.group, errand.asked, self.sparse());
@@ -99,11 +101,12 @@
     }
 
     /// Until when the attempt may leave. Protects reads and repeats from what comes between the decision and the
-    /// last byte: a connection that comes up late, a primary that steps down, a window of repeats that ends.
+    /// last byte: a connection that comes up late, a primary that steps down, a window of repeats that ends, a process
+    /// that is held up behind the last look. Harms reads by that time's worth of proof.
     pub(super) fn validity(&self, errand: &Errand, id: MemberId) -> Validity {
         let Offering { effect, need, .. } = self.terms.offerings[errand.task.offering];
         let repeats_until = match (effect, errand.may_have_run) {
-            (Effect::Receipted { window, .. }, Some((first, _))) => first + window,
+            (Effect::Receipted { window, .. }, Some((first, _))) => first + window - HELD_UP,
             _ => Micros::MAX,
         };
         let member = &self.members[id];
@@ -111,7 +114,9 @@
         let (fresh_until, while_primary) = match need {
             Need::Write | Need::Loose => (Micros::MAX, false),
             _ if self.terms.members_check => (Micros::MAX, false),
-            Need::Recent(bound) if !primary => (member.position.saturating_add(bound - MS), false),
+            Need::Recent(bound) if !primary => {
+                (member.position.saturating_add(bound - HELD_UP - self.clock_offset), false)
+            }
             _ => (Micros::MAX, primary),
         };
         Validity { until: repeats_until.min(fresh_until), while_primary }
@@ -203,9 +208,11 @@
                 }
             }
             Some(Role::Replica) => {
+                member.not_primary = member.not_primary.max(now - told.age);
                 let newer = at >= group.word || position >= member.primary_position;
                 if newer && group.primary == Some(id) {
                     (group.primary, group.word) = (None, at);
+                    group.search.since = now;
                 }
                 if newer || group.primary != Some(id) {
                     (member.seen_primary, member.replica_heard) = (false, now);
--- a/crates/routing/src/policy/members.rs
+++ b/crates/routing/src/policy/members.rs
@@ -34,10 +34,11 @@
             let size = line.size / self.mean_size;
             let window = if self.sparse() { MOST / drivers * size } else { (START / drivers).max(1.0) };
             let fresh = Member { position: Micros::MIN, heard: now, answered: now, ..Member::default() };
+            let fresh = Member { not_primary: Micros::MIN, ..fresh };
             self.members[id] = Member { name: line.name, group, zone: line.zone, size, window, ..fresh };
             let members = &mut self.groups[group].members;
-            members.push(id);
-            members.sort_by_key(|&id| self.members[id].name.clone());
+            let at = members.partition_point(|&other| self.members[other].name <= self.members[id].name);
+            members.insert(at, id);
         }
         let member = &mut self.members[id];
         if !known || member.since != line.since && line.standing == Standing::Ready {
@@ -70,6 +71,18 @@
         if standing != Standing::Ready && group.primary == Some(id) {
             // The list tells all drivers, but they are not to walk all at once.
             (group.primary, group.walk_after) = (None, now + self.rng.random_range(0..hold));
+            group.search.since = now;
+        }
+    }
+
+    /// The members' clock is so much ahead of this one, and these are their starts on this one. Protects bounded reads
+    /// and slow start from a process whose wall clock is wrong. Harms them where the caller is.
+    pub fn members_clock(&mut self, offset: Micros, starts: &[(MemberId, Option<Micros>)]) {
+        self.clock_offset = offset;
+        for &(id, since) in starts {
+            if let Some(member) = self.members.get_mut(id) {
+                member.since = since;
+            }
         }
     }
 
@@ -148,6 +161,9 @@
     /// How many more launches this driver may have out at the member: its window, and for a cold one its
     /// part of what the member can bear. Where less than one launch is due, launches are saved up for.
     pub(super) fn room(&self, now: Micros, id: MemberId) -> f64 {
+        if !self.connectable(now, id) {
+            return 0.0;
+        }
         let member = &self.members[id];
         // Launches that were overtaken and stay out for long are taken for lost: they hold no place.
         let overdue = |(at, offering)| at < member.overtaken && now - at > self.patience(offering);
@@ -216,14 +232,15 @@
         }
         let (group, was_barred) = (member.group, member.probe_misses >= PROBE_MISSES);
         member.probe_out = false;
-        if matches!(verdict, Verdict::Moot | Verdict::Unseen) {
+        if matches!(verdict, Verdict::Moot | Verdict::Unseen | Verdict::LocalFailure) {
             // Nobody asked it, or nobody saw its answer.
         } else if matches!(verdict, Verdict::Honoured | Verdict::Full | Verdict::Spoilt | Verdict::Dropped) {
             // An answered probe lifts the detect bar.
             member.barred_until = if was_barred { now } else { member.barred_until };
             member.probe_misses = 0;
             member.hear(now, credit);
-            let at = told.position.unwrap_or(now - HOLD - told.age);
+            let at = told.position.map(|position| position.saturating_sub(self.clock_offset));
+            let at = at.unwrap_or(now - HOLD - told.age);
             self.note(now, id, told, at, at);
         } else {
             member.probe_misses += 1;
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -5,6 +5,7 @@
 use aldermill_measured::Histogram;
 use rand_pcg::Pcg64Mcg;
 
+use crate::policy::Backoff;
 use crate::{Learnt, MemberId, Micros, Standing, Task, Terms, Todo};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -18,8 +19,10 @@
     pub(crate) quoted_by: Micros,
     pub(crate) repeat: bool,
     pub(crate) launches: u32,
+    pub(crate) unsent: u32,            // of these, that could not leave this machine
+    pub(crate) tries_connection: bool, // its launch is on a new connection where these failed
     pub(crate) out: Option<(MemberId, Micros)>, // where a launch is out, and since when
-    pub(crate) waits_from: Micros,              // the same, without the time in which the driver stood still
+    pub(crate) waits_from: Micros,     // the same, without the time in which the driver stood still
     pub(crate) may_have_run: Option<(Micros, usize)>, // when first, and in which zone
     pub(crate) misses: usize,
     pub(crate) rested: Option<usize>, // how long its launch's connection had, as a power of two; none where it is new
@@ -41,6 +44,7 @@
     pub(crate) seen_primary: bool, // by its own word, and not since seen as replica
     pub(crate) demoted: Micros,    // the time of its newest word that it is a replica
     pub(crate) replica_heard: Micros, // when such a word was last heard
+    pub(crate) not_primary: Micros, // the newest time at which it was known not to be the primary
     pub(crate) primary_position: Micros, // the newest that it told as primary, or zero
     pub(crate) heard: Micros,
     pub(crate) answered: Micros,
@@ -50,6 +54,7 @@
     pub(crate) barred_until: Micros,
     pub(crate) failures: VecDeque<Micros>,
     pub(crate) spoilt: usize, // launches spoilt or dropped since the last honoured one
+    pub(crate) idle: Option<u32>, // connections known to be idle, since new ones to it failed here
     pub(crate) probe_misses: u32,
     pub(crate) probe_out: bool,
     pub(crate) probed: Micros,
@@ -70,11 +75,20 @@
     pub(crate) word: Micros, // the time of the newest word on the primary
     pub(crate) listed: Option<MemberId>,
     pub(crate) walk_after: Micros,
+    pub(crate) search: PrimarySearch,
     pub(crate) owed: f64, // launches due to the primary by its size and window, beyond those it had
     pub(crate) held: Vec<Handle>,
     pub(crate) lean: (f64, BTreeMap<usize, f64>), // what the fleet decreed: the part that goes away, and where
 }
 
+/// The search for the primary of a group.
+#[derive(Clone, Default)]
+pub(crate) struct PrimarySearch {
+    pub(crate) since: Micros, // what members said of their role before this round does not count
+    pub(crate) next: usize,   // of the member that is asked next, by name, from where this router begins
+    pub(crate) saved: f64,    // health checks due
+}
+
 /// What this router's own attempts wrote of a session.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Session {
@@ -100,12 +114,14 @@
 pub struct Router {
     pub(crate) terms: Terms,
     pub(crate) rng: Pcg64Mcg,
+    pub(crate) salt: u64, // sets this router's choices apart from those of others
     pub(crate) members: Vec<Member>,
     pub(crate) groups: Vec<Group>,
     pub(crate) group_ids: HashMap<u64, usize>,
     pub(crate) errands: HashMap<Handle, Errand>,
     pub(crate) next_handle: u64,
     pub(crate) sessions: HashMap<String, Session>,
+    pub(crate) clock_offset: Micros, // what members' clock, by which positions are told, is ahead of this one
     pub(crate) forgotten: Option<Micros>, // a write of a session not found may be as new as that
     pub(crate) took: Vec<Histogram>,
     pub(crate) ways: BTreeMap<usize, (Micros, Micros)>, // there and back by zone, and when last heard
@@ -116,6 +132,7 @@
     pub(crate) allowance: f64,
     pub(crate) rests: [f64; 6], // the share met by silence of late, by how long the launch's connection had rested
     pub(crate) tight_until: Micros, // a member lately had no connection to spare
+    pub(crate) backoff: Backoff, // of new connections that fail here
     pub(crate) next_beat: Micros,
     pub(crate) usual: f64,    // launches in a beat, as of late
     pub(crate) launched: f64, // in this beat
@@ -147,6 +164,11 @@
         }
     }
 
+    /// Now by the members' clock: no position that is told later than this is older.
+    pub(crate) fn members_now(&self, now: Micros) -> Micros {
+        now + self.clock_offset
+    }
+
     pub(crate) fn take_todo(&mut self) -> Todo {
         self.todo.wake_at = Some(self.next_beat);
         std::mem::take(&mut self.todo)
