--- a/crates/duties/src/voter.rs
+++ b/crates/duties/src/voter.rs
@@ -61,7 +61,8 @@
         self.unread = false;
         for (duty, term) in kept {
             let seat = self.seats.entry(duty).or_default();
-            (seat.term, seat.kept) = (seat.term.max(term), seat.kept.max(term));
+            // Not as kept: what was read and not written again may be in the memory of the system only.
+            seat.term = seat.term.max(term);
         }
     }
 
--- /dev/null
+++ b/crates/duties/tests/failing.rs
@@ -0,0 +1,192 @@
+//! Drawn histories of a voter over a folder whose calls fail for a while and whose process is killed at any byte: what it
+//! said of a term it never goes back behind, whatever it could not read or write.
+
+#[path = "../../store/tests/power/mod.rs"]
+mod power;
+
+use aldermill_duties::{Ballot, Driver, Micros, Said, Term, Voter, Word};
+use aldermill_store::{Batch, Bounds, Store};
+use power::{Dice, FailingDisk};
+
+const LASTS: Micros = 3_000_000;
+const GRANTED: u32 = 8;
+const HISTORIES: u64 = 500;
+const BOUNDS: Bounds = Bounds { segment: 300, batch: 10_000, live: 100_000, slack: 2 };
+
+/// What the voter does with a folder that it cannot read.
+#[derive(Clone, Copy, PartialEq)]
+enum Unread {
+    HoldsBack,
+    /// As one without a folder: to show that the judge bites.
+    VotesAllTheSame,
+}
+
+struct History {
+    disk: FailingDisk,
+    dice: Dice,
+    unread: Unread,
+    now: Micros,
+    ballots: u64,
+    /// The judge's: the highest term that this voter ever said it granted.
+    said: Term,
+    /// How many grants were said, and how many drawn terms it did not say.
+    figures: (u32, u32),
+}
+
+/// One life of the voter's process.
+struct Life {
+    voter: Voter,
+    store: Option<Store<FailingDisk>>,
+}
+
+impl History {
+    fn new(seed: u64, unread: Unread) -> History {
+        let (disk, dice) = (FailingDisk::new(seed), Dice(!seed));
+        History { disk, dice, unread, now: 0, ballots: 0, said: 0, figures: (0, 0) }
+    }
+
+    fn start(&mut self) -> Life {
+        let mut voter = Voter::start(self.now, LASTS, None::<Vec<(String, Term)>>);
+        if self.unread == Unread::HoldsBack {
+            voter.hold_back();
+        }
+        let mut life = Life { voter, store: None };
+        self.open(&mut life);
+        life
+    }
+
+    /// Reading may do where writing does not.
+    fn open(&mut self, life: &mut Life) {
+        let opened = Store::open(self.disk.clone(), BOUNDS, self.now);
+        let snapshot = match opened {
+            Ok((store, recovered)) => {
+                assert!(recovered.damage.is_empty(), "{recovered:?}");
+                let snapshot = store.snapshot();
+                life.store = Some(store);
+                Some(snapshot)
+            }
+            Err(_) => Store::look(self.disk.clone(), BOUNDS, self.now).ok().map(|(snapshot, _)| snapshot),
+        };
+        if let Some(snapshot) = snapshot {
+            let terms =
+                snapshot.all(GRANTED).map(|(_, value)| Term::from_be_bytes(value.try_into().unwrap()));
+            life.voter.read(terms.map(|term| ("d".to_owned(), term)));
+        }
+    }
+
+    /// As the committer does: after a failure all is written anew first.
+    fn keep(&self, life: &mut Life, term: Term) -> bool {
+        let Some(store) = &mut life.store else { return false };
+        if store.has_failed() && store.heal().is_err() {
+            return false;
+        }
+        let mut batch = Batch::default();
+        batch.put(GRANTED, b"d", &term.to_be_bytes(), None);
+        let kept = store.commit(self.now, vec![batch]).is_ok();
+        if kept && store.wants_compaction() {
+            // It failing is known by the next write.
+            let _ = store.compact();
+        }
+        kept
+    }
+
+    fn hear(&mut self, life: &mut Life, word: impl FnOnce(Ballot) -> Word) -> Result<(), String> {
+        let from = Driver { name: format!("n{}", self.dice.below(3)), start: 1 };
+        self.ballots += 1;
+        let word = word(Ballot { count: self.ballots, by: from.clone() });
+        let answer = life.voter.hear(self.now, &from, &Said { duty: "d".to_owned(), word });
+        let Some(answer) = answer else { return Ok(()) };
+        if let Some(term) = answer.once_kept {
+            let kept = self.keep(life, term);
+            // A process that is killed says nothing more, whatever it had learnt.
+            if !kept || self.disk.state().left == Some(0) {
+                self.figures.1 += 1;
+                return Ok(());
+            }
+            life.voter.kept("d", term);
+        }
+        let (Word::Promise { term, .. } | Word::Accept { term, .. }) = answer.word else { return Ok(()) };
+        if term < self.said {
+            return Err(format!("said {:?} after a grant of term {}", answer.word, self.said));
+        }
+        if matches!(answer.word, Word::Accept { .. }) {
+            self.said = term;
+            self.figures.0 += 1;
+        }
+        Ok(())
+    }
+
+    fn step(&mut self, life: &mut Life) -> Result<(), String> {
+        self.now += self.dice.below(2_000_000) as Micros;
+        match self.dice.below(16) {
+            0 => {
+                let one_in = 1 + self.dice.below(6);
+                let state = &mut *self.disk.state();
+                state.fails_one_in = state.fails_one_in.is_none().then_some(one_in);
+            }
+            1 => {
+                let room = self.dice.below(100) as usize;
+                let state = &mut *self.disk.state();
+                state.room = state.room.is_none().then_some(room);
+            }
+            2 => self.disk.state().left = Some(self.dice.below(300) as usize),
+            3 | 4 => {}
+            5..10 => self.hear(life, |ballot| Word::Prepare { ballot })?,
+            // A holder that lost its memory seeks with a low term, others above all that was granted.
+            _ => {
+                let term = (self.said + 2).saturating_sub(self.dice.below(4)).max(1);
+                self.hear(life, |ballot| Word::Propose { ballot, term, lasts: LASTS })?;
+            }
+        }
+        let killed = self.disk.state().left == Some(0);
+        if killed || self.dice.one_in(20) {
+            self.disk.restart(self.dice.one_in(2));
+            self.now += 1_000_000;
+            *life = self.start();
+        } else if life.store.is_none() {
+            self.open(life);
+        }
+        Ok(())
+    }
+}
+
+fn lives(seed: u64, unread: Unread) -> Result<(u32, u32), String> {
+    let mut history = History::new(seed, unread);
+    let mut life = history.start();
+    for _ in 0..150 {
+        history.step(&mut life)?;
+    }
+    Ok(history.figures)
+}
+
+#[test]
+fn a_voter_never_goes_back_behind_a_term_that_it_said_whatever_its_folder_does() {
+    let (mut said, mut unsaid) = (0, 0);
+    for seed in 0..HISTORIES {
+        let figures = lives(seed, Unread::HoldsBack).unwrap_or_else(|why| panic!("history {seed}: {why}"));
+        (said, unsaid) = (said + figures.0, unsaid + figures.1);
+    }
+    println!("{said} grants said, {unsaid} not kept and not said");
+    assert!(said > 3_000 && unsaid > 300, "{said} {unsaid}");
+}
+
+#[test]
+fn the_judge_finds_a_voter_that_votes_without_having_read_its_folder() {
+    assert!((0..50).any(|seed| lives(seed, Unread::VotesAllTheSame).is_err()));
+}
+
+#[test]
+fn an_unread_voter_hears_and_says_nothing_and_votes_at_once_when_it_has_read() {
+    let mut voter = Voter::start(0, LASTS, None::<Vec<(String, Term)>>);
+    voter.hold_back();
+    let from = Driver { name: "a".to_owned(), start: 1 };
+    let now = voter.speaks_from();
+    let prepare = |count| {
+        let ballot = Ballot { count, by: from.clone() };
+        Said { duty: "d".to_owned(), word: Word::Prepare { ballot } }
+    };
+    assert_eq!(voter.hear(now, &from, &prepare(1)), None);
+    voter.read([("d".to_owned(), 7)]);
+    let answer = voter.hear(now, &from, &prepare(2)).expect("it votes");
+    assert!(matches!(answer.word, Word::Promise { term: 7, .. }));
+}
