--- a/crates/drill/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -9,7 +9,7 @@
 use aldermill_routing::{
     Handle, Listed, MemberId, Micros, Outcome, Role, Router, Standing, Step, Task, Todo, Told,
 };
-use aldermill_terms::{Decoded, Trouble};
+use aldermill_settings::{Decoded, Trouble};
 use wire::Fields;
 
 /// One line of a sheet, as it stands there.
--- a/crates/drill/src/wire.rs
+++ b/crates/bench-adapter/src/wire.rs
@@ -3,7 +3,7 @@
 use std::str::{FromStr, Split};
 
 use aldermill_routing::{Micros, Standing, Verdict};
-use aldermill_terms::{Trouble, micros};
+use aldermill_settings::{Trouble, micros};
 
 /// The tab-separated parts of one line, taken from left to right.
 pub struct Fields<'a> {
--- a/crates/drill/tests/wire.rs
+++ b/crates/bench-adapter/tests/wire.rs
@@ -3,10 +3,10 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-use aldermill_stand_ins::TERMS;
+use aldermill_test_support::TERMS;
 
 fn said(settings: &str, lines: &str) -> Output {
-    let mut adapter = Command::new(env!("CARGO_BIN_EXE_aldermill-drill"))
+    let mut adapter = Command::new(env!("CARGO_BIN_EXE_aldermill-bench-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/decrees/tests/decrees.rs
+++ b/crates/directives/tests/decrees.rs
@@ -1,7 +1,7 @@
 //! Decrees and reports among many drivers in virtual time, over a network that delays, loses, doubles and reorders.
 
-use aldermill_decrees::frame::{self, Message};
-use aldermill_decrees::{About, Book, Decree, Entry, Heard, Ledger, Micros, Report, Reporter};
+use aldermill_directives::frame::{self, Message};
+use aldermill_directives::{About, Book, Decree, Entry, Heard, Ledger, Micros, Report, Reporter};
 use proptest::collection::vec;
 use proptest::prelude::any;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
--- a/crates/fleet/examples/gateway.rs
+++ b/crates/fault-injection/examples/gateway.rs
@@ -1,5 +1,5 @@
 //! Measures two sites joined by a line that is cut at least once a second:
-//! `cargo run --release -p aldermill-fleet --example gateway [seconds a round trip]`. Wants the machine to itself.
+//! `cargo run --release -p aldermill-fault-injection --example gateway [seconds a round trip]`. Wants the machine to itself.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use aldermill_stand_ins::{
+use aldermill_test_support::{
     BACK, Cable, Client, Ledger, Site, THERE, named, new_id, order, paced, quantile, until,
 };
 
--- a/crates/fleet/examples/slow_peers.rs
+++ b/crates/fault-injection/examples/slow_peers.rs
@@ -1,4 +1,4 @@
-//! Measures what slow peers cost usual clients: `cargo run --release -p aldermill-fleet --example slow_peers`.
+//! Measures what slow peers cost usual clients: `cargo run --release -p aldermill-fault-injection --example slow_peers`.
 //! ALDERMILL names another build of the program to measure. Takes about two minutes; wants the machine to itself.
 
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use aldermill_stand_ins::{
+use aldermill_test_support::{
     Client, Discovery, Driver, Member, config, drip, honour, honour_with, list, look, order, paced, quantile,
     refuse, whole,
 };
--- a/crates/fleet/src/breaker.rs
+++ b/crates/fault-injection/src/breaker.rs
@@ -1,12 +1,12 @@
 //! A scripted driver for the judges' own tests: it serves by the list, plainly, and breaks the rule that it is told to.
 //!
-//! `aldermill-fleet-breaker HOW serve --config FILE ...`, HOW being one of the words below.
+//! `aldermill-fault-injection-breaker HOW serve --config FILE ...`, HOW being one of the words below.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_fleet::terms::{OFFERINGS, is_write};
+use aldermill_fault_injection::terms::{OFFERINGS, is_write};
 use aldermill_wire::statement::Comment;
 use aldermill_wire::{Buffer, pg};
 use serde_json::Value;
--- a/crates/fleet/src/council.rs
+++ b/crates/fault-injection/src/council.rs
@@ -82,7 +82,7 @@
             return;
         };
         let number = self.world.now() / 1000 + 1;
-        let by = aldermill_stand_ins::unix_millis() as u64 / 1000 + by_s;
+        let by = aldermill_test_support::unix_millis() as u64 / 1000 + by_s;
         let word = json!({"site": drivers::site(site), "number": number, "order": order, "by": by});
         if let Err(error) = self.drivers.retires(told, site, word) {
             eprintln!("operator of n{told}: {error}");
--- a/crates/fleet/src/discovery.rs
+++ b/crates/fault-injection/src/discovery.rs
@@ -73,7 +73,7 @@
             Told::Gone => "terminated",
         };
         let started = self.members[member].started.get();
-        let since = aldermill_stand_ins::unix_millis() as i64 - (self.world.now() - started) / 1000;
+        let since = aldermill_test_support::unix_millis() as i64 - (self.world.now() - started) / 1000;
         let since = if as_first || started < 0 { 0 } else { since };
         json!({"id": format!("s-{member:02}"), "host_port": self.ways[driver][member].to_string(), "locality": crate::terms::zone(self.world.zone_of_member(member)),
             "flavor": "m", "cell": self.world.group_of(member), "phase": phase, "size": 1.0, "up_since_ms": since})
--- a/crates/fleet/src/drivers.rs
+++ b/crates/fault-injection/src/drivers.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_stand_ins::free_port;
+use aldermill_test_support::free_port;
 use rand::Rng;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
--- a/crates/fleet/src/front.rs
+++ b/crates/fault-injection/src/front.rs
@@ -189,7 +189,7 @@
             // In the primary's whole milliseconds.
             let carried = after.map(|at| {
                 let ago = (self.world.now() - at) / 1000;
-                format!(",after={}", aldermill_stand_ins::unix_millis() as At - ago)
+                format!(",after={}", aldermill_test_support::unix_millis() as At - ago)
             });
             let carried = carried.unwrap_or_default();
             let named = if self.world.plan.sites > 1 { format!(",s={session}") } else { String::new() };
--- a/crates/fleet/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -4,11 +4,11 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use aldermill_fleet::Trouble;
-use aldermill_fleet::plan::Plan;
-use aldermill_fleet::report;
-use aldermill_fleet::run::run;
-use aldermill_fleet::wide::{self, Day, Shape};
+use aldermill_fault_injection::Trouble;
+use aldermill_fault_injection::plan::Plan;
+use aldermill_fault_injection::report;
+use aldermill_fault_injection::run::run;
+use aldermill_fault_injection::wide::{self, Day, Shape};
 use bpaf::{Bpaf, Parser, construct, long};
 
 /// Many processes of aldermill under faults
@@ -75,7 +75,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(2),
         Err(why) => {
-            eprintln!("aldermill-fleet: {why}");
+            eprintln!("aldermill-fault-injection: {why}");
             ExitCode::FAILURE
         }
     }
--- a/crates/fleet/src/member.rs
+++ b/crates/fault-injection/src/member.rs
@@ -52,7 +52,7 @@
     pub fn start(world: &Rc<World>, id: usize) -> std::io::Result<Rc<Member>> {
         let drivers = world.plan.drivers;
         // An address of the loopback network that no other run uses: while it is down its ports may be given out anew.
-        let own = aldermill_stand_ins::free_port();
+        let own = aldermill_test_support::free_port();
         let listeners: Result<Vec<_>, _> =
             (0..drivers).map(|_| listen(SocketAddr::new(own.ip(), 0))).collect();
         let listeners = listeners?;
@@ -277,7 +277,7 @@
     /// Its position as Unix milliseconds, rounded down.
     fn unix_millis(&self) -> i64 {
         let behind = self.world.now() - self.world.position(self.id);
-        aldermill_stand_ins::unix_millis() as i64 - behind / 1000 - 1
+        aldermill_test_support::unix_millis() as i64 - behind / 1000 - 1
     }
 
     async fn occupied(&self, millis: f64) {
--- a/crates/fleet/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a run is made of, as JSON; `aldermill-fleet schema` prints the form.
+//! What a run is made of, as JSON; `aldermill-fault-injection schema` prints the form.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
--- a/crates/fleet/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_stand_ins::{free_port, program};
+use aldermill_test_support::{free_port, program};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
--- a/crates/fleet/src/trouble.rs
+++ b/crates/fault-injection/src/trouble.rs
@@ -6,7 +6,7 @@
 /// Why the rig cannot go on, and what can be done.
 #[derive(Debug, Error)]
 pub enum Trouble {
-    #[error("{0}; `aldermill-fleet schema` prints the form of a plan")]
+    #[error("{0}; `aldermill-fault-injection schema` prints the form of a plan")]
     Form(#[from] serde_json::Error),
     #[error("{field}: {value} is not from {least} to {most}")]
     Range { field: String, value: f64, least: f64, most: f64 },
@@ -16,7 +16,7 @@
     Voters { voters: usize, drivers: usize },
     #[error("voters: needs `fellows`")]
     Alone,
-    #[error("{path}: {why}; `aldermill-fleet plans` lists those that are kept")]
+    #[error("{path}: {why}; `aldermill-fault-injection plans` lists those that are kept")]
     Plan { path: PathBuf, why: Box<Trouble> },
     #[error("{path}: {why}")]
     File { path: PathBuf, why: io::Error },
--- a/crates/fleet/src/wide/member.rs
+++ b/crates/fault-injection/src/wide/member.rs
@@ -155,6 +155,6 @@
 
     fn position_ms(&self) -> u64 {
         let lag = if self.ground.is_primary(self.id) { 0 } else { LAG_MS };
-        aldermill_stand_ins::unix_millis() as u64 - lag - 1
+        aldermill_test_support::unix_millis() as u64 - lag - 1
     }
 }
--- a/crates/fleet/src/wide/mod.rs
+++ b/crates/fault-injection/src/wide/mod.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_stand_ins::program;
+use aldermill_test_support::program;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
--- a/crates/fleet/src/wide/process.rs
+++ b/crates/fault-injection/src/wide/process.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-use aldermill_stand_ins::free_port;
+use aldermill_test_support::free_port;
 use serde_json::{Value, json};
 
 use super::Day;
--- a/crates/fleet/tests/cables.rs
+++ b/crates/fault-injection/tests/cables.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use aldermill_fleet::cable::{BACK, Line, THERE};
+use aldermill_fault_injection::cable::{BACK, Line, THERE};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::task::{LocalSet, spawn_local};
--- a/crates/fleet/tests/duties.rs
+++ b/crates/fault-injection/tests/duties.rs
@@ -1,9 +1,9 @@
 //! Duties and decrees among processes of which the holder fails: nobody holds one beside another, and it passes on.
 
-use aldermill_fleet::history::{At, Event};
-use aldermill_fleet::plan::Plan;
-use aldermill_fleet::report;
-use aldermill_fleet::run::{Run, run};
+use aldermill_fault_injection::history::{At, Event};
+use aldermill_fault_injection::plan::Plan;
+use aldermill_fault_injection::report;
+use aldermill_fault_injection::run::{Run, run};
 
 fn play(seconds: f64, faults: &str, more: &str) -> Run {
     let text = format!(
--- a/crates/fleet/tests/fellows.rs
+++ b/crates/fault-injection/tests/fellows.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-use aldermill_fleet::plan::Plan;
-use aldermill_fleet::report;
-use aldermill_fleet::run::{Run, run};
+use aldermill_fault_injection::plan::Plan;
+use aldermill_fault_injection::report;
+use aldermill_fault_injection::run::{Run, run};
 
 /// Plays a plan of ten drivers and gives back their logs.
 fn play(name: &str, seconds: f64, faults: &str) -> (Run, Vec<String>) {
--- a/crates/fleet/tests/judge.rs
+++ b/crates/fault-injection/tests/judge.rs
@@ -1,8 +1,8 @@
 //! The judges, on planted histories.
 
-use aldermill_fleet::history::{At, Event, How, Told};
-use aldermill_fleet::judge::judge;
-use aldermill_fleet::plan::Plan;
+use aldermill_fault_injection::history::{At, Event, How, Told};
+use aldermill_fault_injection::judge::judge;
+use aldermill_fault_injection::plan::Plan;
 
 fn plan() -> Plan {
     Plan::parse(r#"{"name":"a","drivers":3,"load":0.5,"seconds":5}"#).expect("a plan")
--- a/crates/fleet/tests/judge_duties.rs
+++ b/crates/fault-injection/tests/judge_duties.rs
@@ -1,8 +1,8 @@
 //! The judges on duties, on planted histories.
 
-use aldermill_fleet::duties::{hand_overs, judge, measure};
-use aldermill_fleet::figures::Figures;
-use aldermill_fleet::history::{At, Event};
+use aldermill_fault_injection::duties::{hand_overs, judge, measure};
+use aldermill_fault_injection::figures::Figures;
+use aldermill_fault_injection::history::{At, Event};
 
 fn holds(at: At, driver: usize, term: u64, asked: At) -> (At, Event) {
     (at, Event::Holds { driver, duty: "zones".to_owned(), term, asked })
--- a/crates/fleet/tests/judge_sites.rs
+++ b/crates/fault-injection/tests/judge_sites.rs
@@ -1,8 +1,8 @@
 //! The judges on sites that retire, on planted histories.
 
-use aldermill_fleet::history::{At, Event, How, tries};
-use aldermill_fleet::plan::Plan;
-use aldermill_fleet::sites::judge;
+use aldermill_fault_injection::history::{At, Event, How, tries};
+use aldermill_fault_injection::plan::Plan;
+use aldermill_fault_injection::sites::judge;
 
 fn plan(faults: &str) -> Plan {
     let text = format!(
--- a/crates/fleet/tests/judges.rs
+++ b/crates/fault-injection/tests/judges.rs
@@ -1,14 +1,14 @@
 //! Each judge finds its rule broken by a process that breaks it, and nothing at one that does not.
 
-use aldermill_fleet::plan::Plan;
-use aldermill_fleet::report;
-use aldermill_fleet::run::run_of;
+use aldermill_fault_injection::plan::Plan;
+use aldermill_fault_injection::report;
+use aldermill_fault_injection::run::run_of;
 
 /// The rules found broken where the scripted driver breaks one.
 fn found(how: &str, more: &str) -> Vec<u8> {
     let text = format!(r#"{{"name":"{how}","drivers":3,"seconds":4,"load":0.08,{more}}}"#);
     let text = if more.contains("\"load\"") { text.replace("\"load\":0.08,", "") } else { text };
-    let program = [env!("CARGO_BIN_EXE_aldermill-fleet-breaker").into(), how.into()];
+    let program = [env!("CARGO_BIN_EXE_aldermill-fault-injection-breaker").into(), how.into()];
     let run = run_of(&program, &Plan::parse(&text).unwrap(), 1, None).unwrap();
     let mut rules: Vec<u8> = run.verdict.broken.iter().map(|broken| broken.rule).collect();
     rules.dedup();
--- a/crates/fleet/tests/plan.rs
+++ b/crates/fault-injection/tests/plan.rs
@@ -1,6 +1,6 @@
 //! Plans: what is refused, and what is drawn.
 
-use aldermill_fleet::plan::Plan;
+use aldermill_fault_injection::plan::Plan;
 
 #[test]
 fn what_cannot_be_meant_is_refused_by_its_field() {
--- a/crates/fleet/tests/plans.rs
+++ b/crates/fault-injection/tests/plans.rs
@@ -3,14 +3,14 @@
 use std::panic::catch_unwind;
 use std::path::Path;
 
-use aldermill_fleet::discovery::Discovery;
-use aldermill_fleet::drivers::Drivers;
-use aldermill_fleet::history::Event;
-use aldermill_fleet::plan::{Known, Plan};
-use aldermill_fleet::report;
-use aldermill_fleet::run::{Run, run};
-use aldermill_fleet::world::World;
-use aldermill_stand_ins::program;
+use aldermill_fault_injection::discovery::Discovery;
+use aldermill_fault_injection::drivers::Drivers;
+use aldermill_fault_injection::history::Event;
+use aldermill_fault_injection::plan::{Known, Plan};
+use aldermill_fault_injection::report;
+use aldermill_fault_injection::run::{Run, run};
+use aldermill_fault_injection::world::World;
+use aldermill_test_support::program;
 use rustix::process::Signal;
 use tokio::task::LocalSet;
 
--- a/crates/fleet/tests/retire.rs
+++ b/crates/fault-injection/tests/retire.rs
@@ -1,8 +1,8 @@
 //! A site that retires, among processes at three sites.
 
-use aldermill_fleet::plan::Plan;
-use aldermill_fleet::report;
-use aldermill_fleet::run::{Run, run};
+use aldermill_fault_injection::plan::Plan;
+use aldermill_fault_injection::report;
+use aldermill_fault_injection::run::{Run, run};
 
 fn play(seconds: f64, load: f64, faults: &str) -> Run {
     let text = format!(
@@ -46,7 +46,7 @@
     let run = play(24.0, 0.15, &format!("{GOES},{back}"));
     assert!(run.verdict.figures.in_quoted_time > 0.98, "{}", report::table(&run));
     let says = |wanted: &str| {
-        let of = |event: &aldermill_fleet::history::Event| matches!(event, aldermill_fleet::history::Event::Decreed { about, says, .. } if about == "retire/s2" && says.contains(wanted));
+        let of = |event: &aldermill_fault_injection::history::Event| matches!(event, aldermill_fault_injection::history::Event::Decreed { about, says, .. } if about == "retire/s2" && says.contains(wanted));
         run.events.iter().filter(|(_, event)| of(event)).count()
     };
     assert!(says(r#""stage":"moving""#) > 0 && says(r#""stage":"back""#) >= 6, "{}", report::table(&run));
--- a/crates/fleet/tests/splits.rs
+++ b/crates/fault-injection/tests/splits.rs
@@ -1,10 +1,10 @@
 //! Where key ranges are cut, by processes that saw the keys, of which some die; held against the true accesses.
 
-use aldermill_fleet::history::{At, Event};
-use aldermill_fleet::keys::imbalance;
-use aldermill_fleet::plan::Plan;
-use aldermill_fleet::report;
-use aldermill_fleet::run::{Run, run};
+use aldermill_fault_injection::history::{At, Event};
+use aldermill_fault_injection::keys::imbalance;
+use aldermill_fault_injection::plan::Plan;
+use aldermill_fault_injection::report;
+use aldermill_fault_injection::run::{Run, run};
 
 fn play(keys: &str, faults: &str) -> Run {
     let text = format!(
--- a/crates/fleet/tests/troubles.rs
+++ b/crates/fault-injection/tests/troubles.rs
@@ -1,9 +1,9 @@
 //! Short forms of the plans on discovery, restarts and shortages, with all judges.
 
-use aldermill_fleet::history::Event;
-use aldermill_fleet::plan::Plan;
-use aldermill_fleet::report;
-use aldermill_fleet::run::{Run, run, run_of};
+use aldermill_fault_injection::history::Event;
+use aldermill_fault_injection::plan::Plan;
+use aldermill_fault_injection::report;
+use aldermill_fault_injection::run::{Run, run, run_of};
 
 /// Plays it with the built program, which has to hold.
 fn holds(drivers: usize, seconds: f64, more: &str, faults: &str) -> Run {
@@ -14,7 +14,7 @@
 
 /// The rules found broken where a scripted driver is in the program's place.
 fn found(how: &str, more: &str, faults: &str) -> Vec<u8> {
-    let program = [env!("CARGO_BIN_EXE_aldermill-fleet-breaker").into(), how.into()];
+    let program = [env!("CARGO_BIN_EXE_aldermill-fault-injection-breaker").into(), how.into()];
     let run = run_of(&program, &plan(3, 4.0, more, faults), 1, None).unwrap();
     let mut rules: Vec<u8> = run.verdict.broken.iter().map(|broken| broken.rule).collect();
     rules.dedup();
--- a/crates/fleet/tests/wide.rs
+++ b/crates/fault-injection/tests/wide.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use aldermill_fleet::wide::{Answers, Day, Measured, Shape, compare, excess, measure};
+use aldermill_fault_injection::wide::{Answers, Day, Measured, Shape, compare, excess, measure};
 
 fn usual() -> Measured {
     let answers = Answers { asked: 1000, served: 980, rejected: 20, failed: 0 };
--- a/crates/fleet/tests/zones.rs
+++ b/crates/fault-injection/tests/zones.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeSet;
 
-use aldermill_fleet::history::Event;
-use aldermill_fleet::plan::Plan;
-use aldermill_fleet::report;
-use aldermill_fleet::run::{Run, run};
+use aldermill_fault_injection::history::Event;
+use aldermill_fault_injection::plan::Plan;
+use aldermill_fault_injection::report;
+use aldermill_fault_injection::run::{Run, run};
 
 fn play(seconds: f64, faults: &str) -> Run {
     let text = format!(
--- a/crates/pace/tests/books.rs
+++ b/crates/flow-control/tests/books.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr};
 
-use aldermill_pace::{
+use aldermill_flow_control::{
     Ask, Bounds, Claim, Least, Meter, Micros, Pace, Peer, PerAddress, Todo, TooMany, Way, Why,
 };
 use proptest::collection::vec;
--- a/crates/duties/tests/agreement.rs
+++ b/crates/leases/tests/agreement.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use aldermill_duties::{Agreement, Change, Driver, Fence, Micros, Said, Taken, Term, Terms, Todo};
+use aldermill_leases::{Agreement, Change, Driver, Fence, Micros, Said, Taken, Term, Terms, Todo};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/duties/tests/failing.rs
+++ b/crates/leases/tests/failing.rs
@@ -4,7 +4,7 @@
 #[path = "../../store/tests/power/mod.rs"]
 mod power;
 
-use aldermill_duties::{Ballot, Driver, Micros, Said, Term, Voter, Word};
+use aldermill_leases::{Ballot, Driver, Micros, Said, Term, Voter, Word};
 use aldermill_store::{Batch, Bounds, Store};
 use power::{Dice, FailingDisk};
 
--- a/crates/duties/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use aldermill_duties::{Driver, Move, Said, Seeker, Tenure, Term, Voter, Word};
+use aldermill_leases::{Driver, Move, Said, Seeker, Tenure, Term, Voter, Word};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const DUTY: &str = "d";
@@ -48,7 +48,7 @@
 
 impl Ord for Said2 {
     fn cmp(&self, other: &Said2) -> std::cmp::Ordering {
-        aldermill_duties::frame::encode(&self.0).cmp(&aldermill_duties::frame::encode(&other.0))
+        aldermill_leases::frame::encode(&self.0).cmp(&aldermill_leases::frame::encode(&other.0))
     }
 }
 
--- a/crates/duties/tests/parts.rs
+++ b/crates/leases/tests/parts.rs
@@ -1,6 +1,6 @@
 //! What each part decides, by itself.
 
-use aldermill_duties::{
+use aldermill_leases::{
     Agreement, Ballot, Driver, Fence, Held, Micros, Said, Taken, Tenure, Terms, Unusable, Voter, Word, frame,
 };
 use proptest::collection::vec;
@@ -31,7 +31,7 @@
     assert_eq!(tenure.may_act(13 * S), Some(4));
     // A clock that is slower by a fiftieth has not seen the end when others may, but for the margin.
     let others = LASTS;
-    let own = others - others / aldermill_duties::DRIFT;
+    let own = others - others / aldermill_leases::DRIFT;
     assert!(Tenure::granted(1, 0, LASTS).may_act(own).is_none());
 }
 
--- a/crates/fellows/examples/gossip.rs
+++ b/crates/membership/examples/gossip.rs
@@ -1,10 +1,10 @@
 //! Measures what knowing of one another costs and how soon it tells, in virtual time:
-//! `cargo run --release -p aldermill-fellows --example gossip [drivers] [seconds] [loss]`.
+//! `cargo run --release -p aldermill-membership --example gossip [drivers] [seconds] [loss]`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use aldermill_fellows::Change;
+use aldermill_membership::Change;
 use common::{MS, S, World};
 
 fn main() {
--- a/crates/fellows/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::collections::BinaryHeap;
 use std::net::{IpAddr, SocketAddr};
 
-use aldermill_fellows::{Change, Fellows, Micros, Own, Peer, Tempo, Todo};
+use aldermill_membership::{Change, Fellows, Micros, Own, Peer, Tempo, Todo};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -212,7 +212,7 @@
         state.fellows.as_ref().map_or(0, |fellows| fellows.view(self.now - state.away).alive)
     }
 
-    pub fn view(&self, node: usize) -> aldermill_fellows::View {
+    pub fn view(&self, node: usize) -> aldermill_membership::View {
         let state = &self.nodes[node];
         state.fellows.as_ref().expect("it runs").view(self.now - state.away)
     }
--- a/crates/fellows/tests/gossip.rs
+++ b/crates/membership/tests/gossip.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use aldermill_fellows::{Change, Peer, Tempo, View};
+use aldermill_membership::{Change, Peer, Tempo, View};
 use common::{MS, S, World, address};
 use proptest::collection::vec;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -195,7 +195,8 @@
             world.start_all();
             world.pass(5 * S);
             for (at, datagram) in datagrams.into_iter().enumerate() {
-                let inner = aldermill_fellows::frame::gossip(aldermill_fellows::frame::tag("f"), &datagram);
+                let inner =
+                    aldermill_membership::frame::gossip(aldermill_membership::frame::tag("f"), &datagram);
                 let whole = if at % 2 == 0 { inner } else { datagram };
                 let home = "127.0.0.1".parse().unwrap();
                 let now = world.now;
--- a/crates/operator/tests/operator.rs
+++ b/crates/operator-config/tests/operator.rs
@@ -1,6 +1,6 @@
 //! The operator's own file: what is refused, by its path.
 
-use aldermill_operator::Operator;
+use aldermill_operator_config::Operator;
 
 #[test]
 fn what_is_wrong_is_named_by_its_path() {
--- a/crates/driver/src/catalog.rs
+++ b/crates/proxy/src/catalog.rs
@@ -1,7 +1,7 @@
 //! The member list in discovery's form.
 
 use aldermill_routing::Standing;
-use aldermill_warm::Beliefs;
+use aldermill_warm_start::Beliefs;
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
--- a/crates/driver/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_pace::Way;
+use aldermill_flow_control::Way;
 use aldermill_wire::statement::{Comment, is_empty, quoted};
 use aldermill_wire::{Buffer, Malformed, pg};
 use slog::debug;
--- a/crates/driver/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use aldermill_routing::Micros;
-use aldermill_vigil::Vigil;
+use aldermill_stall_detection::Vigil;
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
--- a/crates/driver/src/council.rs
+++ b/crates/proxy/src/council.rs
@@ -1,5 +1,5 @@
 //! This driver's part in what the fleet decides in common: its vote, the duties that it holds, decrees and reports. What is
-//! said is `crates/duties`' and `crates/decrees`'; here it is put into datagrams, on the disk, and in the log.
+//! said is `crates/leases`' and `crates/directives`'; here it is put into datagrams, on the disk, and in the log.
 
 mod duties;
 mod leaving;
@@ -10,14 +10,14 @@
 
 use std::rc::Rc;
 
-use aldermill_decrees::frame::{self, Message};
-use aldermill_decrees::{
+use aldermill_directives::frame::{self, Message};
+use aldermill_directives::{
     About, Book, COMPARED, Decree, EVERY, FANOUT, Heard, LASTS, Ledger, Micros, Reporter,
 };
-use aldermill_duties::{Agreement, Change, Driver, Term, Terms, Todo, Unusable};
-use aldermill_fellows::Fellow;
-use aldermill_operator::Council as Wanted;
-use aldermill_retire::Plan;
+use aldermill_leases::{Agreement, Change, Driver, Term, Terms, Todo, Unusable};
+use aldermill_membership::Fellow;
+use aldermill_operator_config::Council as Wanted;
+use aldermill_site_drain::Plan;
 use rand::seq::IteratorRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -25,7 +25,7 @@
 use slog::{Logger, info, warn};
 use tokio::sync::mpsc;
 
-use aldermill_zones::{Group, Lean};
+use aldermill_zone_failover::{Group, Lean};
 
 use crate::keep::Folder;
 use crate::words::Seen;
@@ -139,7 +139,7 @@
         match kind {
             DUTY => {
                 // Words of before a standstill say nothing of leases now; whoever said them says them again.
-                let Ok(said) = aldermill_duties::frame::decode(words) else { return };
+                let Ok(said) = aldermill_leases::frame::decode(words) else { return };
                 let from = Driver { name: from.name.to_string(), start: from.start };
                 let todo = self.agreement.hear(at.now, at.wall, &from, &said);
                 self.carry_out(at, todo, others);
@@ -237,7 +237,7 @@
     fn carry_out(&mut self, at: Moment, todo: Todo, others: &[Rc<str>]) {
         self.agree_at = todo.wake_at;
         for (to, said) in todo.send {
-            self.say(&to, DUTY, &aldermill_duties::frame::encode(&said));
+            self.say(&to, DUTY, &aldermill_leases::frame::encode(&said));
         }
         for (duty, term) in todo.keep {
             self.keep(Record::Granted(duty, term));
--- a/crates/driver/src/council/leaving.rs
+++ b/crates/proxy/src/council/leaving.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_decrees::{About, Book, LASTS, Ledger, Micros};
-use aldermill_duties::Term;
-use aldermill_operator::{Pace, Retiring};
-use aldermill_retire::{Holder, Keeps, Obeyed, Order, Place, Plan, Told, Word};
+use aldermill_directives::{About, Book, LASTS, Ledger, Micros};
+use aldermill_leases::Term;
+use aldermill_operator_config::{Pace, Retiring};
+use aldermill_site_drain::{Holder, Keeps, Obeyed, Order, Place, Plan, Told, Word};
 use serde_json::{Value, json};
 use slog::{Logger, info};
 
--- a/crates/driver/src/council/memory.rs
+++ b/crates/proxy/src/council/memory.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use aldermill_store::Batch;
-use aldermill_warm::space;
+use aldermill_warm_start::space;
 
 use super::*;
 
--- a/crates/driver/src/council/overtaken.rs
+++ b/crates/proxy/src/council/overtaken.rs
@@ -3,7 +3,7 @@
 //! Voters that all forgot what they granted, under clocks behind those that earlier terms were made by, grant terms that
 //! no driver takes. The driver that refuses says so, in a digest that names the highest term.
 
-use aldermill_decrees::Entry;
+use aldermill_directives::Entry;
 
 use super::*;
 
--- a/crates/driver/src/council/splits.rs
+++ b/crates/proxy/src/council/splits.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_decrees::{About, Book, Ledger, Micros};
-use aldermill_duties::Term;
-use aldermill_splits::{Group, Picture, RangeAdvice, Ranges, Said, State, Summary, frame};
+use aldermill_directives::{About, Book, Ledger, Micros};
+use aldermill_leases::Term;
+use aldermill_split_points::{Group, Picture, RangeAdvice, Ranges, Said, State, Summary, frame};
 use serde_json::{Value, json};
 use slog::{Logger, info};
 
--- a/crates/driver/src/council/work.rs
+++ b/crates/proxy/src/council/work.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_decrees::{About, Book, Ledger, Micros};
-use aldermill_duties::Term;
-use aldermill_zones::frame::{self, Told};
-use aldermill_zones::{Evidence, Group, Lean, Level, Zone, Zones};
+use aldermill_directives::{About, Book, Ledger, Micros};
+use aldermill_leases::Term;
+use aldermill_zone_failover::frame::{self, Told};
+use aldermill_zone_failover::{Evidence, Group, Lean, Level, Zone, Zones};
 use serde_json::{Value, json};
 use slog::{Logger, info};
 
--- a/crates/driver/src/desk.rs
+++ b/crates/proxy/src/desk.rs
@@ -16,10 +16,10 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 
-use aldermill_measured::ClockOffset;
 use aldermill_routing::{Handle, MemberId, Micros, Need, Outcome, Role, Router, Task, Todo, Verdict};
-use aldermill_sites::Handle as SitesHandle;
-use aldermill_terms::Decoded;
+use aldermill_settings::Decoded;
+use aldermill_site_routing::Handle as SitesHandle;
+use aldermill_statistics::ClockOffset;
 use aldermill_wire::statement::quoted;
 use slog::warn;
 use tokio::sync::{mpsc, oneshot, watch};
--- a/crates/driver/src/desk/book.rs
+++ b/crates/proxy/src/desk/book.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 
 use aldermill_routing::Micros;
-use aldermill_sites::earlier::{key, read_key, read_value, value};
-use aldermill_sites::{Earlier, Fate, Origin, Promise};
+use aldermill_site_routing::earlier::{key, read_key, read_value, value};
+use aldermill_site_routing::{Earlier, Fate, Origin, Promise};
 use aldermill_store::{Batch, Keeping, State};
-use aldermill_warm::space;
+use aldermill_warm_start::space;
 use tokio::sync::mpsc;
 
 use crate::keep::Folder;
--- a/crates/driver/src/desk/hub.rs
+++ b/crates/proxy/src/desk/hub.rs
@@ -1,20 +1,20 @@
 //! The desk's part in the gateway: tasks that cross to other sites, and guests that come from them. What
-//! `crates/sites` returns is carried out here; no choice is made.
+//! `crates/site-routing` returns is carried out here; no choice is made.
 
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use aldermill_link::{
+use aldermill_flow_control::Peer;
+use aldermill_routing::{Effect, Handle as HereHandle, Micros, Need};
+use aldermill_settings::Decoded;
+use aldermill_site_link::{
     Ask, Confirm, Credit, Event, Fate as FateFrame, FateKind, Home, Identity, Outcome as OutcomeFrame,
     OutcomeKind, Room as RoomFrame, Said, Task as TaskFrame,
 };
-use aldermill_pace::Peer;
-use aldermill_routing::{Effect, Handle as HereHandle, Micros, Need};
-use aldermill_sites::{
+use aldermill_site_routing::{
     Answer as FarAnswer, Effect as FarEffect, Fate, Fates, GateId, Handle, HereEnded, Need as FarNeed, OWN,
     Offering, Origin, SiteId, Sites, Step, Task, Terms, Todo, TurnedAway,
 };
-use aldermill_terms::Decoded;
 use aldermill_wire::statement::Comment;
 use serde_json::json;
 use slog::{info, warn};
--- a/crates/driver/src/desk/hub/trips.rs
+++ b/crates/proxy/src/desk/hub/trips.rs
@@ -1,6 +1,6 @@
 //! Tasks on their way: with the module here, over a link, or waiting for either.
 
-use aldermill_retire::Plan;
+use aldermill_site_drain::Plan;
 use aldermill_wire::statement;
 
 use super::*;
--- a/crates/driver/src/desk/open.rs
+++ b/crates/proxy/src/desk/open.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use aldermill_routing::Micros;
-use aldermill_sites::Handle as SitesHandle;
+use aldermill_site_routing::Handle as SitesHandle;
 use tokio::sync::mpsc;
 
 use crate::words::{ClientId, Mail, Order, Withdrawal};
--- a/crates/driver/src/desk/sight.rs
+++ b/crates/proxy/src/desk/sight.rs
@@ -4,10 +4,10 @@
 use std::collections::{BTreeMap, HashMap};
 
 use aldermill_routing::{Handle, Micros, Need, Verdict};
-use aldermill_splits::Sketch;
-use aldermill_terms::Decoded;
+use aldermill_settings::Decoded;
+use aldermill_split_points::Sketch;
 use aldermill_wire::statement::quoted;
-use aldermill_zones::{End, Lean, Tally};
+use aldermill_zone_failover::{End, Lean, Tally};
 use tokio::sync::oneshot;
 
 use super::Desk;
@@ -101,8 +101,9 @@
         let now = self.context.clock.now();
         if let Some(sight) = &mut self.sight {
             let (over, rows) = sight.tally.take(now);
-            let summary =
-                |(&group, sketch): (&u64, &mut Sketch)| (group, aldermill_splits::frame::encode(sketch, now));
+            let summary = |(&group, sketch): (&u64, &mut Sketch)| {
+                (group, aldermill_split_points::frame::encode(sketch, now))
+            };
             let keys = sight.keys.iter_mut().flatten().map(summary).collect();
             let site = self.hub.as_mut().map(|hub| hub.seen(now));
             let _ = asked.send(Seen { over, rows, keys, site });
--- a/crates/driver/src/desk/warmth.rs
+++ b/crates/proxy/src/desk/warmth.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use aldermill_routing::{Learnt, Micros, Standing};
-use aldermill_warm::{Beliefs, Pace, Primary};
+use aldermill_warm_start::{Beliefs, Pace, Primary};
 use tokio::sync::watch;
 
 use super::Desk;
--- a/crates/driver/src/fellows.rs
+++ b/crates/proxy/src/fellows.rs
@@ -1,13 +1,13 @@
 //! The actor that carries datagrams between this driver and the others of its fleet. What is said and believed is
-//! `crates/fellows`'; the desk is told how many live.
+//! `crates/membership`'; the desk is told how many live.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_duties::Driver;
-use aldermill_fellows::{Change, Dropped, Fellow, Micros, Own, Peer, Tempo, Todo, View};
-use aldermill_operator::{Council as Wanted, Fellows as Terms};
-use aldermill_retire::Plan;
+use aldermill_leases::Driver;
+use aldermill_membership::{Change, Dropped, Fellow, Micros, Own, Peer, Tempo, Todo, View};
+use aldermill_operator_config::{Council as Wanted, Fellows as Terms};
+use aldermill_site_drain::Plan;
 use serde_json::{Value, json};
 use slog::{info, warn};
 use tokio::io::AsyncWriteExt;
@@ -40,7 +40,7 @@
     context: Rc<Context>,
     socket: Datagrams,
     status: Option<Acceptor<UnixListener>>,
-    fellows: aldermill_fellows::Fellows,
+    fellows: aldermill_membership::Fellows,
     /// The settings' figure.
     told: usize,
     /// The fleet may be that of several sites: how many of it are at this one is not known, so room is shared as told.
@@ -100,7 +100,7 @@
             None => None,
         };
         let (fellows, todo) =
-            aldermill_fellows::Fellows::start(now, own, peers, terms.networks, tempo, drivers, seed);
+            aldermill_membership::Fellows::start(now, own, peers, terms.networks, tempo, drivers, seed);
         let stood = context.lived.stood();
         let (shared, told) = ((drivers, drivers), drivers);
         let mut company = Company {
--- a/crates/driver/src/gate.rs
+++ b/crates/proxy/src/gate.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_pace::{Ask, Bounds, Claim, Pace, Peer, Todo, TooMany, Way, Why};
+use aldermill_flow_control::{Ask, Bounds, Claim, Pace, Peer, Todo, TooMany, Way, Why};
 use slog::{Logger, info, warn};
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, sleep_until};
--- a/crates/driver/src/gateway/link.rs
+++ b/crates/proxy/src/gateway/link.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_link::{Broken, Event, Link};
-use aldermill_pace::Way;
+use aldermill_flow_control::Way;
+use aldermill_site_link::{Broken, Event, Link};
 use slog::{info, warn};
 use thiserror::Error;
 use tokio::net::TcpStream;
--- a/crates/driver/src/gateway/mod.rs
+++ b/crates/proxy/src/gateway/mod.rs
@@ -7,8 +7,8 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-use aldermill_link::{Bounds, Identity};
-use aldermill_operator::{Gateway, IpNet};
+use aldermill_operator_config::{Gateway, IpNet};
+use aldermill_site_link::{Bounds, Identity};
 use thiserror::Error;
 use tokio::io::AsyncWriteExt;
 use tokio::sync::oneshot;
--- a/crates/driver/src/halt.rs
+++ b/crates/proxy/src/halt.rs
@@ -3,8 +3,8 @@
 use std::io;
 use std::net::SocketAddr;
 
-use aldermill_operator::Wrong;
-use aldermill_terms::Trouble;
+use aldermill_operator_config::Wrong;
+use aldermill_settings::Trouble;
 use thiserror::Error;
 
 #[derive(Debug, Error)]
@@ -22,7 +22,7 @@
     #[error("{field}: {address}: {why}; another process may have it, or it is no address of this machine")]
     Listen { field: &'static str, address: SocketAddr, why: io::Error },
     #[error("council.{0}")]
-    Council(#[from] aldermill_duties::Unusable),
+    Council(#[from] aldermill_leases::Unusable),
     #[error("{what}: {why}; the system refuses what every program needs, see its limits")]
     System { what: &'static str, why: io::Error },
     #[error("{0} ended by itself; that is a fault in the program, keep the log")]
--- a/crates/driver/src/keep.rs
+++ b/crates/proxy/src/keep.rs
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_operator::Warm;
-use aldermill_warm::{Beliefs, Recalled};
+use aldermill_operator_config::Warm;
+use aldermill_warm_start::{Beliefs, Recalled};
 use slog::{Logger, warn};
 use tokio::sync::{oneshot, watch};
 use tokio::task::spawn_local;
--- a/crates/driver/src/keep/keeper.rs
+++ b/crates/proxy/src/keep/keeper.rs
@@ -4,7 +4,7 @@
 
 use aldermill_routing::Micros;
 use aldermill_store::{Batch, Keeping, State};
-use aldermill_warm::{Beliefs, Change, Kept};
+use aldermill_warm_start::{Beliefs, Change, Kept};
 use slog::{Logger, info, warn};
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep_until;
--- a/crates/driver/src/keep/opening.rs
+++ b/crates/proxy/src/keep/opening.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use aldermill_store::{Bounds, Committer, Disk, Problem, Recovered, Snapshot, Store};
-use aldermill_warm::{Beliefs, Kept, Recalled, Refused, recall};
+use aldermill_warm_start::{Beliefs, Kept, Recalled, Refused, recall};
 use slog::{Logger, info, warn};
 use thiserror::Error;
 use tokio::sync::{oneshot, watch};
--- a/crates/driver/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use aldermill_routing::Micros;
-use aldermill_terms::Decoded;
+use aldermill_settings::Decoded;
 
 use crate::clock::duration;
 
--- a/crates/driver/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -27,10 +27,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use aldermill_link::{Bounds as LinkBounds, Identity};
-use aldermill_operator::{Duty, Gateway, Operator};
-use aldermill_terms::Decoded;
-use aldermill_vigil::apart;
+use aldermill_operator_config::{Duty, Gateway, Operator};
+use aldermill_settings::Decoded;
+use aldermill_site_link::{Bounds as LinkBounds, Identity};
+use aldermill_stall_detection::apart;
 use bpaf::Bpaf;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
--- a/crates/driver/src/member.rs
+++ b/crates/proxy/src/member.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use aldermill_routing::{Handle, MemberId, Micros, Role, Told, Verdict};
-use aldermill_terms::Decoded;
+use aldermill_settings::Decoded;
 use aldermill_wire::Exchange;
 use slog::{error, info, warn};
 use tokio::sync::{mpsc, watch};
--- a/crates/driver/src/member/visit.rs
+++ b/crates/proxy/src/member/visit.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_pace::{Meter, Peer};
+use aldermill_flow_control::{Meter, Peer};
 use aldermill_routing::{Validity, Verdict};
 use aldermill_wire::{Exchange, pg};
 use tokio::sync::watch;
--- a/crates/driver/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_operator::Council;
+use aldermill_operator_config::Council;
 use slog::{Logger, info, warn};
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, watch};
--- a/crates/driver/src/start.rs
+++ b/crates/proxy/src/start.rs
@@ -1,8 +1,8 @@
 use std::net::SocketAddr;
 
-use aldermill_operator::{Council, Fellows, Gateway, Operator, Rate, SlowPeers, Warm};
-use aldermill_pace::{Bounds, Least, PerAddress};
-use aldermill_terms::Decoded;
+use aldermill_flow_control::{Bounds, Least, PerAddress};
+use aldermill_operator_config::{Council, Fellows, Gateway, Operator, Rate, SlowPeers, Warm};
+use aldermill_settings::Decoded;
 use serde::Deserialize;
 use serde_json::Value;
 use serde_json::value::RawValue;
--- a/crates/driver/src/trial.rs
+++ b/crates/proxy/src/trial.rs
@@ -5,9 +5,9 @@
 use std::fmt;
 use std::time::Duration;
 
-use aldermill_operator::Trial as Wanted;
+use aldermill_operator_config::Trial as Wanted;
 use aldermill_routing::{Handle, Router, Step, Terms, Todo};
-use aldermill_terms::Decoded;
+use aldermill_settings::Decoded;
 use slog::{Logger, info};
 use tokio::time::Instant;
 
--- a/crates/driver/src/watch.rs
+++ b/crates/proxy/src/watch.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_vigil::apart;
+use aldermill_stall_detection::apart;
 use aldermill_wire::{Buffer, Malformed, http, json};
 use rand_pcg::Pcg64Mcg;
 use slog::{info, warn};
--- a/crates/driver/src/words.rs
+++ b/crates/proxy/src/words.rs
@@ -4,14 +4,14 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_link::{Event, Said};
-use aldermill_pace::Peer;
-use aldermill_retire::Plan;
+use aldermill_flow_control::Peer;
 use aldermill_routing::{Handle, MemberId, Micros, Told, Validity, Verdict};
-use aldermill_sites::Opens;
+use aldermill_site_drain::Plan;
+use aldermill_site_link::{Event, Said};
+use aldermill_site_routing::Opens;
 use aldermill_wire::pg;
 use aldermill_wire::statement::Comment;
-use aldermill_zones::{Lean, Row};
+use aldermill_zone_failover::{Lean, Row};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
--- a/crates/driver/tests/departure.rs
+++ b/crates/proxy/tests/departure.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::Duration;
 
-use aldermill_stand_ins::{
+use aldermill_test_support::{
     Client, Discovery, Driver, Hold, Member, closed, config, honour, honoured, list, look, named, order,
     refuse, until,
 };
--- a/crates/driver/tests/fellows.rs
+++ b/crates/proxy/tests/fellows.rs
@@ -3,7 +3,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::path::PathBuf;
 
-use aldermill_stand_ins::*;
+use aldermill_test_support::*;
 
 /// A driver that hears others there, and where it says what it knows.
 struct Fellow {
--- a/crates/driver/tests/fresh.rs
+++ b/crates/proxy/tests/fresh.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use aldermill_stand_ins::{
+use aldermill_test_support::{
     Client, Discovery, Driver, Member, config, honour, honoured, list, look, order, unix_millis,
 };
 use aldermill_wire::pg;
--- a/crates/driver/tests/gateway.rs
+++ b/crates/proxy/tests/gateway.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use aldermill_stand_ins::{
+use aldermill_test_support::{
     BACK, Cable, Client, Driver, Ledger, Said, Site, THERE, config, file, honoured, look, named, new_id,
     order, program, until,
 };
--- a/crates/driver/tests/idle_members.rs
+++ b/crates/proxy/tests/idle_members.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use aldermill_stand_ins::{Client, Driver, Member, Said, honour, honoured, look, order, refuse};
+use aldermill_test_support::{Client, Driver, Member, Said, honour, honoured, look, order, refuse};
 use socket2::SockRef;
 
 /// How long a connection may rest at these members.
--- a/crates/driver/tests/list.rs
+++ b/crates/proxy/tests/list.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use aldermill_stand_ins::{Client, Discovery, Driver, config, honoured, list, look, sound, until};
+use aldermill_test_support::{Client, Discovery, Driver, config, honoured, list, look, sound, until};
 
 #[test]
 fn the_list_is_followed_through_changes_nonsense_and_silence() {
--- a/crates/driver/tests/little_time.rs
+++ b/crates/proxy/tests/little_time.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use aldermill_stand_ins::{Client, Driver, Member, honour, honoured, look, order, sound};
+use aldermill_test_support::{Client, Driver, Member, honour, honoured, look, order, sound};
 
 /// What a final answer may be late by and still count, less the delays of a busy machine.
 const LATE: Duration = Duration::from_millis(400);
--- a/crates/driver/tests/local_failures.rs
+++ b/crates/proxy/tests/local_failures.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use aldermill_stand_ins::{
+use aldermill_test_support::{
     Client, Discovery, Driver, Faults, Member, config, honour, honoured, list, look, order, paced, refuse,
 };
 
--- a/crates/driver/tests/members.rs
+++ b/crates/proxy/tests/members.rs
@@ -7,7 +7,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use aldermill_stand_ins::{Client, Driver, LONG, Member, honour, honoured, look, named, order, sound, until};
+use aldermill_test_support::{
+    Client, Driver, LONG, Member, honour, honoured, look, named, order, sound, until,
+};
 use aldermill_wire::pg;
 
 #[test]
--- a/crates/driver/tests/resting_clients.rs
+++ b/crates/proxy/tests/resting_clients.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use aldermill_stand_ins::{
+use aldermill_test_support::{
     Client, Discovery, Driver, Member, closed, delivered, honoured, list, look, named, order, sound,
 };
 
--- a/crates/driver/tests/same_instant.rs
+++ b/crates/proxy/tests/same_instant.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use aldermill_stand_ins::{
+use aldermill_test_support::{
     Client, Discovery, Driver, Hold, Member, config, delivered, honour, honoured, list, look, named, order,
     until,
 };
--- a/crates/driver/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use aldermill_stand_ins::{
+use aldermill_test_support::{
     Client, Driver, Hold, Member, delivered, honour, honoured, look, named, sound, until,
 };
 use aldermill_wire::pg;
--- a/crates/driver/tests/shutdown_hung.rs
+++ b/crates/proxy/tests/shutdown_hung.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use aldermill_stand_ins::{
+use aldermill_test_support::{
     Client, Discovery, Driver, Hold, Member, config, honour, honoured, list, look, until,
 };
 use aldermill_wire::pg;
--- a/crates/driver/tests/slow_peers.rs
+++ b/crates/proxy/tests/slow_peers.rs
@@ -6,7 +6,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use aldermill_stand_ins::{
+use aldermill_test_support::{
     Client, Discovery, Driver, Member, aldermill, config, drip, file, honour, honour_with, honoured, list,
     look, order, sound, until, whole,
 };
--- a/crates/driver/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use aldermill_stand_ins::{
+use aldermill_test_support::{
     Act, Client, Discovery, Driver, Member, Said, config, honour, honoured, list, look, order, refuse, sound,
     until,
 };
--- a/crates/driver/tests/stalled_clients.rs
+++ b/crates/proxy/tests/stalled_clients.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use aldermill_stand_ins::{Client, Driver, Hold, Member, delivered, honour, honoured, look, named, sound};
+use aldermill_test_support::{Client, Driver, Hold, Member, delivered, honour, honoured, look, named, sound};
 use aldermill_wire::pg;
 
 /// What a bad client is owed, with a busy machine's delays.
--- a/crates/driver/tests/staying.rs
+++ b/crates/proxy/tests/staying.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use aldermill_stand_ins::{
+use aldermill_test_support::{
     Client, Discovery, Driver, LONG, Member, TERMS, aldermill, config, delivered, file, honour, honoured,
     list, look, named, order, sound, until,
 };
--- a/crates/driver/tests/system_calls.rs
+++ b/crates/proxy/tests/system_calls.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use aldermill_stand_ins::{
+use aldermill_test_support::{
     Client, Discovery, Driver, Faults, Hold, LONG, Member, config, free_port, honoured, list, look, named,
     order, sound, until, whole,
 };
--- a/crates/driver/tests/trial.rs
+++ b/crates/proxy/tests/trial.rs
@@ -7,10 +7,10 @@
 #[allow(dead_code, reason = "the program uses the rest")]
 mod trial;
 
-use aldermill_operator::Trial as Wanted;
+use aldermill_operator_config::Trial as Wanted;
 use aldermill_routing::{Listed, Outcome, Role, Router, Standing, Step, Task, Todo, Told, Verdict};
-use aldermill_stand_ins::{TERMS, file};
-use aldermill_terms::Decoded;
+use aldermill_settings::Decoded;
+use aldermill_test_support::{TERMS, file};
 use trial::{Fate, Kind, Trial};
 
 fn decoded(text: &str) -> Decoded {
--- a/crates/driver/tests/warm.rs
+++ b/crates/proxy/tests/warm.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::Ordering;
 
-use aldermill_stand_ins::*;
+use aldermill_test_support::*;
 
 fn folder(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("aldermill-warm-{name}-{}", std::process::id()));
--- a/crates/driver/tests/whole_answers.rs
+++ b/crates/proxy/tests/whole_answers.rs
@@ -5,7 +5,7 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-use aldermill_stand_ins::{Client, Driver, Member, honour, honoured, look, order, whole};
+use aldermill_test_support::{Client, Driver, Member, honour, honoured, look, order, whole};
 use socket2::SockRef;
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-use aldermill_measured::Histogram;
+use aldermill_statistics::Histogram;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-use aldermill_measured::Histogram;
+use aldermill_statistics::Histogram;
 use rand_pcg::Pcg64Mcg;
 
 use crate::policy::Backoff;
--- a/crates/terms/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,8 +1,8 @@
 //! Settings that are absent, good and bad, each by its field.
 
 use aldermill_routing::{Effect, Scope};
-use aldermill_stand_ins::TERMS;
-use aldermill_terms::Decoded;
+use aldermill_settings::Decoded;
+use aldermill_test_support::TERMS;
 use serde_json::{Value, json};
 
 fn with(path: &str, value: Option<Value>) -> Result<Decoded, String> {
--- a/crates/retire/tests/holder.rs
+++ b/crates/site-drain/tests/holder.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_retire::{Heard, Holder, Keeps, Micros, Obeyed, Open, Order, Plan, Stage, Told, WHOLE, Word};
+use aldermill_site_drain::{
+    Heard, Holder, Keeps, Micros, Obeyed, Open, Order, Plan, Stage, Told, WHOLE, Word,
+};
 
 const S: Micros = 1_000_000;
 const ACTS: Micros = 10 * S;
--- a/crates/retire/tests/retire.rs
+++ b/crates/site-drain/tests/retire.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_retire::{
+use aldermill_site_drain::{
     Farewell, Homes, Left, Looks, Micros, Open, Order, Retirement, Site, State, Unusable, WHOLE, Waits,
 };
 use rand::{Rng, SeedableRng};
--- a/crates/link/tests/frames.rs
+++ b/crates/site-link/tests/frames.rs
@@ -1,6 +1,6 @@
 //! Two ends of a link joined by bytes, and one end before hostile bytes.
 
-use aldermill_link::{
+use aldermill_site_link::{
     Ask, Bounds, Broken, Confirm, Event, Fate, FateKind, Identity, Link, Outcome, OutcomeKind, Said, Task,
 };
 use proptest::prelude::*;
--- a/crates/sites/src/bound.rs
+++ b/crates/site-routing/src/bound.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_retire::{Binding, Open, Plan, Stage};
+use aldermill_site_drain::{Binding, Open, Plan, Stage};
 
 use crate::SiteId;
 
--- a/crates/sites/src/sites.rs
+++ b/crates/site-routing/src/sites.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-use aldermill_measured::{Histogram, Trip};
-use aldermill_retire::{Open, Plan};
+use aldermill_site_drain::{Open, Plan};
+use aldermill_statistics::{Histogram, Trip};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/sites/tests/crossing.rs
+++ b/crates/site-routing/tests/crossing.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use aldermill_sites::{Answer, Crossing, Earlier, Fate, Fates, Origin, Promise, Settled};
+use aldermill_site_routing::{Answer, Crossing, Earlier, Fate, Fates, Origin, Promise, Settled};
 use stateright::{Checker, Model, Property};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -394,7 +394,7 @@
     println!("{:?}", checked.discovery("at most one side ever runs a key").expect("a double").into_actions());
 }
 
-/// Millions of states: `cargo test --release -p aldermill-sites -- --ignored --nocapture`.
+/// Millions of states: `cargo test --release -p aldermill-site-routing -- --ignored --nocapture`.
 #[test]
 #[ignore = "minutes"]
 fn two_keys_with_a_floor_between_them() {
--- a/crates/sites/tests/earlier.rs
+++ b/crates/site-routing/tests/earlier.rs
@@ -1,7 +1,7 @@
 //! What an earlier start promised and kept.
 
-use aldermill_sites::earlier::{key, read_key, read_value, value};
-use aldermill_sites::{Earlier, Fate, Origin, Promise};
+use aldermill_site_routing::earlier::{key, read_key, read_value, value};
+use aldermill_site_routing::{Earlier, Fate, Origin, Promise};
 
 fn origin() -> Origin {
     Origin { site: "north".into(), instance: "n1".into(), start: 9 }
--- a/crates/sites/tests/retiring.rs
+++ b/crates/site-routing/tests/retiring.rs
@@ -2,8 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_retire::{Order, Plan, Stage, Word};
-use aldermill_sites::{Answer, Effect, HereEnded, Micros, Need, OWN, Offering, Sites, Step, Task, Terms};
+use aldermill_site_drain::{Order, Plan, Stage, Word};
+use aldermill_site_routing::{
+    Answer, Effect, HereEnded, Micros, Need, OWN, Offering, Sites, Step, Task, Terms,
+};
 
 const MS: Micros = 1_000;
 const GROUP: u64 = 1;
--- a/crates/sites/tests/two_sites/one_site.rs
+++ b/crates/site-routing/tests/two_sites/one_site.rs
@@ -1,6 +1,8 @@
 //! One gateway by itself: what it sends, holds, and gives up.
 
-use aldermill_sites::{Answer, Effect, Fate, HereEnded, OWN, Offering, Sites, Step, Task, Terms, Todo};
+use aldermill_site_routing::{
+    Answer, Effect, Fate, HereEnded, OWN, Offering, Sites, Step, Task, Terms, Todo,
+};
 
 use crate::world::{FAR, GATE, GROUP, LIMIT, MS, terms};
 
--- a/crates/sites/tests/two_sites/world.rs
+++ b/crates/site-routing/tests/two_sites/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use aldermill_sites::{
+use aldermill_site_routing::{
     Answer, Effect, Fate, Fates, Handle, HereEnded, Micros, Need, Offering, Origin, Sites, Step, Task, Terms,
     Todo,
 };
--- a/crates/splits/tests/ranges.rs
+++ b/crates/split-points/tests/ranges.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_splits::{Micros, Picture, RangeAdvice, Ranges, Said, Sketch, State};
+use aldermill_split_points::{Micros, Picture, RangeAdvice, Ranges, Said, Sketch, State};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/splits/tests/splits.rs
+++ b/crates/split-points/tests/splits.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_splits::{Advice, Advisor, Micros, Picture, Said, Shape, Sketch, State, Summary, frame};
+use aldermill_split_points::{Advice, Advisor, Micros, Picture, Said, Shape, Sketch, State, Summary, frame};
 use proptest::collection::vec;
 use proptest::prelude::any;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
--- a/crates/vigil/tests/vigil.rs
+++ b/crates/stall-detection/tests/vigil.rs
@@ -1,7 +1,7 @@
 //! Standstills are noticed, what came meanwhile is dated, and starts are spread.
 
-use aldermill_vigil::apart::{again, wait};
-use aldermill_vigil::{Micros, STILL, Vigil};
+use aldermill_stall_detection::apart::{again, wait};
+use aldermill_stall_detection::{Micros, STILL, Vigil};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/crates/measured/tests/histogram.rs
+++ b/crates/statistics/tests/histogram.rs
@@ -1,6 +1,6 @@
 //! Quantiles of durations.
 
-use aldermill_measured::Histogram;
+use aldermill_statistics::Histogram;
 
 #[test]
 fn durations_of_seconds_are_told_apart() {
--- a/crates/measured/tests/offset.rs
+++ b/crates/statistics/tests/offset.rs
@@ -1,6 +1,6 @@
 //! Bounds on other machines' clock.
 
-use aldermill_measured::ClockOffset;
+use aldermill_statistics::ClockOffset;
 
 const SECOND: i64 = 1_000_000;
 const HOUR: i64 = 3_600 * SECOND;
--- a/crates/stand-ins/src/faults.rs
+++ b/crates/test-support/src/faults.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The rules of one program, as `crates/driver/src/system/faults.rs` reads them before each call. Nothing fails at first.
+/// The rules of one program, as `crates/proxy/src/system/faults.rs` reads them before each call. Nothing fails at first.
 pub struct Faults {
     path: PathBuf,
 }
--- a/crates/warm/tests/beliefs.rs
+++ b/crates/warm-start/tests/beliefs.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_warm::{Beliefs, Kept, Pace, Primary, Recalled, Refused, recall, space};
+use aldermill_warm_start::{Beliefs, Kept, Pace, Primary, Recalled, Refused, recall, space};
 use proptest::collection::{btree_map, vec};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/crates/zones/tests/zones.rs
+++ b/crates/zone-failover/tests/zones.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_zones::frame::{self, Told};
-use aldermill_zones::{End, Evidence, Finding, Lean, Level, Micros, Row, Seen, Tally, Zone, Zones};
+use aldermill_zone_failover::frame::{self, Told};
+use aldermill_zone_failover::{End, Evidence, Finding, Lean, Level, Micros, Row, Seen, Tally, Zone, Zones};
 use proptest::collection::vec;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
