--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -231,7 +231,7 @@
             }
             "ORDER" => {
                 let ticket = fields.integer("ticket")?;
-                let offering = driver.decoded.offering(fields.text("service")?)?;
+                let class = driver.decoded.class(fields.text("service")?)?;
                 fields.optional("account")?.map_or(Ok(()), |account| driver.decoded.account(account))?;
                 let session = fields.optional("session")?.map(str::to_owned);
                 let ttl = fields.time("ttlMs")?;
@@ -239,7 +239,7 @@
                 let group = fields.integer("partitionNo")?;
                 let last_write = fields.optional_time("lastWriteMs")?.filter(|&ago| ago > 0);
                 let repeat = fields.optional_integer("options")?.unwrap_or(0) & 2 != 0;
-                let task = Task { offering, group, ttl, waited: 0, session, last_write, repeat };
+                let task = Task { class, group, ttl, waited: 0, session, last_write, repeat };
                 let (handle, todo) = driver.router.take(now, task);
                 driver.handles.insert(ticket, handle);
                 driver.tickets.insert(handle, ticket);
--- a/crates/bench-adapter/tests/wire.rs
+++ b/crates/bench-adapter/tests/wire.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn unknown_accounts_offerings_and_scopes_end_the_adapter_by_their_field() {
+fn unknown_accounts_classes_and_scopes_end_the_adapter_by_their_field() {
     let scope = TERMS.replacen(r#""dedupScope":"all""#, r#""dedupScope":"rack""#, 1);
     for (settings, lines, field) in [
         (TERMS, order("south"), "account"),
--- a/crates/fault-injection/src/breaker.rs
+++ b/crates/fault-injection/src/breaker.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_fault_injection::terms::{OFFERINGS, is_write};
+use aldermill_fault_injection::terms::{CLASSES, is_write};
 use aldermill_wire::statement::Comment;
 use aldermill_wire::{Buffer, pg};
 use serde_json::Value;
@@ -180,33 +180,32 @@
 
     async fn task(self: &Rc<Scripted>, out: &mut Vec<u8>, text: &[u8]) -> Option<()> {
         let comment = Comment::parse(text).ok()?;
-        let offering = OFFERINGS.iter().position(|offering| offering.name == comment.offering)?;
-        let effect = OFFERINGS[offering].effect;
+        let class = CLASSES.iter().position(|class| class.name == comment.class)?;
+        let effect = CLASSES[class].effect;
         let (number, wait) = (comment.id.parse::<u64>().ok()?, Duration::from_millis(comment.wait.into()));
         if matches!(self.how, How::Mute | How::Stays) && number.is_multiple_of(5) {
             std::future::pending::<()>().await;
         }
-        if self.how == How::Late && !is_write(offering) {
+        if self.how == How::Late && !is_write(class) {
             let (late, text) = (self.clone(), text.to_vec());
             spawn_local(async move {
                 sleep(wait + Duration::from_millis(900)).await;
-                late.walk(&comment, offering, &text).await;
+                late.walk(&comment, class, &text).await;
             });
             pg::error(out, false, "53300", "later", Some("500"));
             return Some(());
         }
         if self.how == How::Both && effect == "pure" {
-            let walked =
-                tokio::join!(self.walk(&comment, offering, text), self.walk(&comment, offering, text));
+            let walked = tokio::join!(self.walk(&comment, class, text), self.walk(&comment, class, text));
             drop(walked.1);
             self.answer(out, walked.0);
             return Some(());
         }
         let spare = Duration::from_millis(40);
-        let brought = timeout(wait.saturating_sub(spare), self.walk(&comment, offering, text)).await;
+        let brought = timeout(wait.saturating_sub(spare), self.walk(&comment, class, text)).await;
         let brought = brought.unwrap_or(Brought::Lost);
         if self.how == How::Twice && effect == "side_effect" && matches!(brought, Brought::Honoured(_)) {
-            self.walk(&comment, offering, text).await;
+            self.walk(&comment, class, text).await;
         }
         match brought {
             Brought::Honoured(_) if self.how == How::Denied && effect != "pure" => {
@@ -226,13 +225,13 @@
     }
 
     /// One member after the other: writes from the first, reads from any of the others.
-    async fn walk(&self, comment: &Comment, offering: usize, text: &[u8]) -> Brought {
+    async fn walk(&self, comment: &Comment, class: usize, text: &[u8]) -> Brought {
         let mut addresses: Vec<String> = {
             let members = self.members.borrow();
             let of = members.iter().filter(|(_, member)| member.group == comment.group && member.serves);
             of.map(|(_, member)| member.address.clone()).collect()
         };
-        if !is_write(offering) && addresses.len() > 1 {
+        if !is_write(class) && addresses.len() > 1 {
             let turn = self.turn.get();
             self.turn.set(turn + 1);
             let others = addresses.len() - 1;
--- a/crates/fault-injection/src/figures.rs
+++ b/crates/fault-injection/src/figures.rs
@@ -8,7 +8,7 @@
 use crate::history::{At, Event, How};
 use crate::judge::Broken;
 use crate::plan::Plan;
-use crate::terms::OFFERINGS;
+use crate::terms::CLASSES;
 
 const BIN: At = 100_000;
 /// Before that the fleet is warming up.
@@ -113,10 +113,10 @@
     // Clients come one by one: no two tasks have the same beginning.
     let mut tasks: HashMap<(At, usize, usize), bool> = HashMap::new();
     for (_, event) in events {
-        if let Event::Asked { id, offering, group, first, .. } = *event {
-            let quoted = first + OFFERINGS[offering].quoted_ms * 1000;
+        if let Event::Asked { id, class, group, first, .. } = *event {
+            let quoted = first + CLASSES[class].quoted_ms * 1000;
             let in_time = honoured.get(&id).is_some_and(|&at| at <= quoted);
-            *tasks.entry((first, offering, group)).or_default() |= in_time;
+            *tasks.entry((first, class, group)).or_default() |= in_time;
         }
     }
     let mut tasks: Vec<(At, bool)> =
--- a/crates/fault-injection/src/front.rs
+++ b/crates/fault-injection/src/front.rs
@@ -17,7 +17,7 @@
 use crate::judge::SLACK;
 use crate::keys;
 use crate::plan::Keys;
-use crate::terms::{MINE, OFFERINGS, bears, is_write};
+use crate::terms::{CLASSES, MINE, bears, is_write};
 use crate::world::World;
 
 /// How long the front goes on sending clients to a driver that is dead.
@@ -155,21 +155,21 @@
     }
 
     async fn client(self: Rc<Front>) {
-        let (session, offering, group) = {
+        let (session, class, group) = {
             let mut rng = self.world.rng.borrow_mut();
             let mut part: f64 = rng.random();
-            let offering = OFFERINGS.iter().position(|offering| {
-                part -= offering.share;
+            let class = CLASSES.iter().position(|class| {
+                part -= class.share;
                 part < 0.0
             });
             let session = rng.random_range(0..self.places.len() * 20);
-            (session, offering.unwrap_or(0), rng.random_range(0..self.world.plan.groups))
+            (session, class.unwrap_or(0), rng.random_range(0..self.world.plan.groups))
         };
-        let (first, limit) = (self.world.now(), self.world.plan.limit_ms(offering) * 1000);
+        let (first, limit) = (self.world.now(), self.world.plan.limit_ms(class) * 1000);
         let keys = self.world.plan.keys;
         let key = keys::key(keys, &mut self.world.rng.borrow_mut(), session, first);
         if keys != Keys::Sessions {
-            self.world.note(Event::Keyed { group, offering, key: key.clone() });
+            self.world.note(Event::Keyed { group, class, key: key.clone() });
         }
         let mut roams = false;
         for attempt in 0..TRIES {
@@ -185,7 +185,7 @@
             self.next.set(id + 1);
             let mark = if attempt > 0 { ",r=1" } else { "" };
             let wrote = self.world.wrote.borrow().get(&(session, group)).copied();
-            let after = wrote.filter(|_| offering == MINE);
+            let after = wrote.filter(|_| class == MINE);
             // In the primary's whole milliseconds.
             let carried = after.map(|at| {
                 let ago = (self.world.now() - at) / 1000;
@@ -193,24 +193,24 @@
             });
             let carried = carried.unwrap_or_default();
             let named = if self.world.plan.sites > 1 { format!(",s={session}") } else { String::new() };
-            let verb = if is_write(offering) {
+            let verb = if is_write(class) {
                 format!("INSERT INTO state (uid, val) VALUES ('{key}', '\\x9f') RETURNING val")
             } else {
                 format!("SELECT val FROM state WHERE uid = '{key}'")
             };
             let text = format!(
                 "/* id={id:016},c={},d={},cluster={group}{mark}{carried}{named} */ {verb}",
-                OFFERINGS[offering].name,
+                CLASSES[class].name,
                 wait / 1000
             );
             let wait = wait / 1000 * 1000;
             if self.world.plan.sites > 1 {
                 self.world.note(Event::Bound { id, session });
             }
-            self.world.note(Event::Asked { id, driver, offering, group, wait, first, after });
+            self.world.note(Event::Asked { id, driver, class, group, wait, first, after });
             let (how, again) = self.ask(driver, id, &text, wait).await;
             self.world.note(Event::Answered { id, driver, how });
-            if how == How::Honoured && is_write(offering) {
+            if how == How::Honoured && is_write(class) {
                 // It took effect when it began; up to now is what a client may take it for.
                 self.world.wrote.borrow_mut().insert((session, group), self.world.now());
             }
@@ -221,7 +221,7 @@
                     sleep(Duration::from_millis(50)).await;
                 }
                 // What may be done twice is asked again.
-                How::Lost if !is_write(offering) => roams = true,
+                How::Lost if !is_write(class) => roams = true,
                 _ => return,
             }
         }
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -44,7 +44,7 @@
     Asked {
         id: u64,
         driver: usize,
-        offering: usize,
+        class: usize,
         group: usize,
         wait: At,
         first: At,
@@ -140,7 +140,7 @@
     /// A client asked for this key, where keys are not its session's.
     Keyed {
         group: usize,
-        offering: usize,
+        class: usize,
         key: String,
     },
     /// A driver said that it holds a duty; it was asked at that time, and this is when it answered.
@@ -204,7 +204,7 @@
 #[derive(Clone, Debug)]
 pub struct Try {
     pub driver: usize,
-    pub offering: usize,
+    pub class: usize,
     pub asked: At,
     pub wait: At,
     pub first: At,
@@ -221,10 +221,10 @@
     for (at, event) in events {
         let at = *at;
         match *event {
-            Event::Asked { id, driver, offering, wait, first, after, .. } => {
+            Event::Asked { id, driver, class, wait, first, after, .. } => {
                 let (answered, reached, ran, over) = (None, Vec::new(), Vec::new(), Vec::new());
                 let asked = at;
-                let one = Try { driver, offering, asked, wait, first, after, answered, reached, ran, over };
+                let one = Try { driver, class, asked, wait, first, after, answered, reached, ran, over };
                 tries.insert(id, one);
             }
             Event::Answered { id, how, .. } => {
--- a/crates/fault-injection/src/judge.rs
+++ b/crates/fault-injection/src/judge.rs
@@ -10,7 +10,7 @@
 use crate::lists;
 use crate::plan::{Between, Fault, Plan, What};
 use crate::sites;
-use crate::terms::{OFFERINGS, RECEIPT_MS};
+use crate::terms::{CLASSES, RECEIPT_MS};
 
 /// What clocks, wires and this process itself may take, in microseconds.
 pub const SLACK: At = 150_000;
@@ -96,7 +96,7 @@
             // What was on its way before a stop, or on a line that holds things back, is no launch of the driver's.
             if late > lines.slack && !lines.slow && !spells.any(one.driver, at - 2_000, at) {
                 figures.past_limit += 1;
-                figures.past_limit_writes += usize::from(OFFERINGS[one.offering].effect == "side_effect");
+                figures.past_limit_writes += usize::from(CLASSES[one.class].effect == "side_effect");
                 broken.push(Broken {
                     rule: 6,
                     at_ms: at / 1000,
@@ -223,7 +223,7 @@
 /// Rule 2: no effect twice, no denial of what ran, and never two launches out at once.
 fn effects(broken: &mut Vec<Broken>, lines: &Lines, id: u64, one: &Try) {
     let mut found = |at: At, what: String| broken.push(Broken { rule: 2, at_ms: at / 1000, what });
-    let effect = OFFERINGS[one.offering].effect;
+    let effect = CLASSES[one.class].effect;
     if effect == "side_effect" && one.ran.len() > 1 {
         found(one.ran[1].0, format!("task {id} took effect {} times", one.ran.len()));
     }
@@ -245,9 +245,10 @@
     }
 }
 
-/// Rule 5: no read from data older than its offering bears, counted from when it was sent, or than its session's write.
+/// Rule 5: no read from data older than its request class bears, counted from when it was sent, or than its
+/// session's write.
 fn ages(broken: &mut Vec<Broken>, lines: &Lines, id: u64, one: &Try) {
-    let bound = OFFERINGS[one.offering].bound_ms * 1000;
+    let bound = CLASSES[one.class].bound_ms * 1000;
     for &(ran, member, age) in &one.ran {
         if let Some(after) = one.after
             && ran - age < after - CARRIED
--- a/crates/fault-injection/src/keys.rs
+++ b/crates/fault-injection/src/keys.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::history::{At, Event};
-use crate::terms::OFFERINGS;
+use crate::terms::CLASSES;
 
 /// Which keys clients ask for, of a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
@@ -49,11 +49,11 @@
 pub fn imbalance(events: &[(At, Event)], group: usize, span: (At, At), cut: &[u8]) -> f64 {
     let mut work: BTreeMap<&str, f64> = BTreeMap::new();
     for (at, event) in events {
-        if let Event::Keyed { group: of, offering, key } = event
+        if let Event::Keyed { group: of, class, key } = event
             && *of == group
             && (span.0..span.1).contains(at)
         {
-            *work.entry(key).or_default() += OFFERINGS[*offering].work_ms;
+            *work.entry(key).or_default() += CLASSES[*class].work_ms;
         }
     }
     let all: f64 = work.values().sum();
--- a/crates/fault-injection/src/member.rs
+++ b/crates/fault-injection/src/member.rs
@@ -18,7 +18,7 @@
 
 use crate::cable::reset;
 use crate::history::{At, Event};
-use crate::terms::{FALL_MS, OFFERINGS, is_write};
+use crate::terms::{CLASSES, FALL_MS, is_write};
 use crate::world::World;
 
 pub struct Member {
@@ -211,8 +211,8 @@
         driver: usize,
         comment: &Comment,
     ) -> Option<()> {
-        let Some(offering) = OFFERINGS.iter().position(|offering| offering.name == comment.offering) else {
-            pg::error(out, false, "08P01", "no such offering", None);
+        let Some(class) = CLASSES.iter().position(|class| class.name == comment.class) else {
+            pg::error(out, false, "08P01", "no such request class", None);
             pg::ready(out);
             return Some(());
         };
@@ -220,7 +220,7 @@
         let (world, member) = (&self.world, self.id);
         let arrived = tokio::time::Instant::now();
         world.note(Event::Reached { id, driver, member });
-        let work = OFFERINGS[offering].work_ms;
+        let work = CLASSES[class].work_ms;
         self.feels(work);
         let over = Over { world, id, driver, member };
         self.awake().await;
@@ -237,7 +237,7 @@
         let begun = begun?;
         if begun.is_none() {
             pg::error(out, false, "53300", "queue full, or over", None);
-        } else if is_write(offering) && !world.is_primary(member) {
+        } else if is_write(class) && !world.is_primary(member) {
             pg::error(out, false, "25006", "not the primary", None);
         } else {
             // What runs runs to its end, whoever waits for it; its effect is there from the start.
@@ -254,7 +254,7 @@
                     return None;
                 }
             }
-            if is_write(offering) && !world.is_primary(member) {
+            if is_write(class) && !world.is_primary(member) {
                 // Its role was lost under it: nobody is told what became of it.
                 return None;
             }
--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -6,7 +6,7 @@
 use crate::Trouble;
 pub use crate::figures::Wants;
 pub use crate::keys::Keys;
-use crate::terms::OFFERINGS;
+use crate::terms::CLASSES;
 pub use crate::what::{Agent, Between, Fault, Folder, Known, Order, Strike, Way, What};
 
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
@@ -55,7 +55,7 @@
     /// Each process may have so many descriptors (RLIMIT_NOFILE), fewer than its configuration says.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub descriptors: Option<u64>,
-    /// The deadline of all requests, where it is not the offerings' own.
+    /// The deadline of all requests, where it is not the request classes' own.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<i64>,
     #[serde(default)]
@@ -165,9 +165,9 @@
         Ok(())
     }
 
-    /// How long a client waits for a task of that offering.
-    pub fn limit_ms(&self, offering: usize) -> i64 {
-        self.deadline_ms.unwrap_or(OFFERINGS[offering].limit_ms)
+    /// How long a client waits for a task of that request class.
+    pub fn limit_ms(&self, class: usize) -> i64 {
+        self.deadline_ms.unwrap_or(CLASSES[class].limit_ms)
     }
 
     pub fn schema() -> String {
--- a/crates/fault-injection/src/sites.rs
+++ b/crates/fault-injection/src/sites.rs
@@ -9,7 +9,7 @@
 use crate::history::{At, Event, How, Try};
 use crate::judge::Broken;
 use crate::plan::{Order, Plan, What};
-use crate::terms::OFFERINGS;
+use crate::terms::CLASSES;
 
 /// By when a decree is known to all that live and are joined.
 const SPREADS: At = 2_000_000;
@@ -66,7 +66,7 @@
     for (_, event) in events {
         let Event::Bound { id, session } = event else { continue };
         let Some(one) = tries.get(id) else { continue };
-        let replicas_do = matches!(OFFERINGS[one.offering].need, "loose" | "recent");
+        let replicas_do = matches!(CLASSES[one.class].need, "loose" | "recent");
         let own = session % plan.drivers % plan.sites;
         // A client that another site's front took is that site's.
         let at_home = one.driver % plan.sites == own;
--- a/crates/fault-injection/src/terms.rs
+++ b/crates/fault-injection/src/terms.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 
-pub struct Offering {
+pub struct RequestClass {
     pub name: &'static str,
     pub effect: &'static str,
     pub need: &'static str,
@@ -19,18 +19,18 @@
 
 pub const MINE: usize = 4;
 
-const fn offering(name: &'static str, effect: &'static str, need: &'static str, payoff: f64) -> Offering {
+const fn class(name: &'static str, effect: &'static str, need: &'static str, payoff: f64) -> RequestClass {
     let (quoted_ms, limit_ms, late_share) = (400, 1500, 0.5);
     let (bound_ms, share, work_ms) = (0, 0.25, 16.0);
-    Offering { name, effect, need, bound_ms, quoted_ms, limit_ms, payoff, late_share, share, work_ms }
+    RequestClass { name, effect, need, bound_ms, quoted_ms, limit_ms, payoff, late_share, share, work_ms }
 }
 
-pub const OFFERINGS: [Offering; 5] = [
-    Offering { bound_ms: 1000, share: 0.4, ..offering("look", "pure", "recent", 2.0) },
-    Offering { share: 0.2, work_ms: 10.0, ..offering("status", "pure", "loose", 1.0) },
-    Offering { work_ms: 24.0, ..offering("order", "side_effect", "update", 6.0) },
-    Offering { share: 0.1, work_ms: 24.0, ..offering("pay", "token", "update", 4.0) },
-    Offering { share: 0.05, ..offering("mine", "pure", "own_writes", 2.0) },
+pub const CLASSES: [RequestClass; 5] = [
+    RequestClass { bound_ms: 1000, share: 0.4, ..class("look", "pure", "recent", 2.0) },
+    RequestClass { share: 0.2, work_ms: 10.0, ..class("status", "pure", "loose", 1.0) },
+    RequestClass { work_ms: 24.0, ..class("order", "side_effect", "update", 6.0) },
+    RequestClass { share: 0.1, work_ms: 24.0, ..class("pay", "token", "update", 4.0) },
+    RequestClass { share: 0.05, ..class("mine", "pure", "own_writes", 2.0) },
 ];
 
 pub const RECEIPT_MS: i64 = 2000;
@@ -39,8 +39,8 @@
 pub const FALL_MS: i64 = 1000;
 pub const MAX_LAUNCHES: usize = 4;
 
-pub fn is_write(offering: usize) -> bool {
-    OFFERINGS[offering].need == "update"
+pub fn is_write(class: usize) -> bool {
+    CLASSES[class].need == "update"
 }
 
 pub fn zone(at: usize) -> String {
@@ -51,17 +51,17 @@
 const CROSSING: f64 = 0.04;
 
 pub fn settings(drivers: usize, warm_ms: u64, zones: usize, own: usize) -> serde_json::Value {
-    let categories: Vec<_> = OFFERINGS
+    let categories: Vec<_> = CLASSES
         .iter()
-        .map(|offering| {
-            json!({"name": offering.name, "effect": offering.effect, "dedupScope": "cell",
-                "windowMs": if offering.effect == "token" { RECEIPT_MS } else { 0 },
-                "targetMs": offering.quoted_ms, "deadlineMs": offering.limit_ms, "worth": offering.payoff,
-                "lateWorth": offering.late_share})
+        .map(|class| {
+            json!({"name": class.name, "effect": class.effect, "dedupScope": "cell",
+                "windowMs": if class.effect == "token" { RECEIPT_MS } else { 0 },
+                "targetMs": class.quoted_ms, "deadlineMs": class.limit_ms, "worth": class.payoff,
+                "lateWorth": class.late_share})
         })
         .collect();
-    let needs: Vec<_> = OFFERINGS.iter().map(|offering| offering.need).collect();
-    let ages: Vec<_> = OFFERINGS.iter().map(|offering| offering.bound_ms).collect();
+    let needs: Vec<_> = CLASSES.iter().map(|class| class.need).collect();
+    let ages: Vec<_> = CLASSES.iter().map(|class| class.bound_ms).collect();
     let azs: Vec<String> = (0..zones).map(zone).collect();
     let crossing = if zones > 1 { CROSSING } else { 0.0 };
     json!({"azs": azs, "myZone": zone(own), "balancers": drivers, "registryMode": "automatic", "weights": "off",
@@ -77,8 +77,8 @@
 /// How many tasks a second all members bear: writes go to the primary alone, reads to the replicas.
 pub fn bears(groups: usize, members: usize, workers: usize) -> f64 {
     let work = |writes: bool| -> f64 {
-        let of = OFFERINGS.iter().filter(|offering| (offering.need == "update") == writes);
-        of.map(|offering| offering.share * offering.work_ms / 1000.0).sum()
+        let of = CLASSES.iter().filter(|class| (class.need == "update") == writes);
+        of.map(|class| class.share * class.work_ms / 1000.0).sum()
     };
     let replicas = members.saturating_sub(1).max(1) as f64;
     let (primary, replica) = (workers as f64 / work(true), workers as f64 * replicas / work(false));
--- a/crates/fault-injection/src/wide/clients.rs
+++ b/crates/fault-injection/src/wide/clients.rs
@@ -14,7 +14,7 @@
 
 use super::Answers;
 use super::ground::Ground;
-use crate::terms::OFFERINGS;
+use crate::terms::CLASSES;
 
 const MAX_MESSAGE: usize = 1 << 20;
 /// Beyond the deadline an answer is none.
@@ -110,7 +110,7 @@
         } else {
             format!("SELECT val FROM state WHERE uid = 'k{id}'")
         };
-        let (name, limit) = (OFFERINGS[class].name, OFFERINGS[class].limit_ms);
+        let (name, limit) = (CLASSES[class].name, CLASSES[class].limit_ms);
         let text = format!("/* id={process}-{id:012},c={name},d={limit},cluster={group} */ {verb}");
         let until = Duration::from_millis(limit as u64) + SLACK;
         let outcome = timeout(until, self.ask(process, text.as_bytes())).await;
--- a/crates/fault-injection/src/wide/member.rs
+++ b/crates/fault-injection/src/wide/member.rs
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 use super::ground::{Ground, count};
-use crate::terms::{OFFERINGS, is_write};
+use crate::terms::{CLASSES, is_write};
 
 const LAG_MS: u64 = 40;
 const HANDSHAKE_MS: f64 = 1.0;
@@ -128,7 +128,7 @@
     }
 
     async fn request(&self, comment: &Comment, out: &mut Vec<u8>) {
-        let class = OFFERINGS.iter().position(|offering| offering.name == comment.offering).unwrap_or(0);
+        let class = CLASSES.iter().position(|class| class.name == comment.class).unwrap_or(0);
         let until = Instant::now() + Duration::from_millis(u64::from(comment.wait));
         let Ok(Ok(_worker)) = timeout_at(until, self.workers.acquire()).await else {
             return pg::error(out, false, "53300", "over before it began", None);
@@ -142,7 +142,7 @@
             self.ground.write_ran(process, self.ground.group_of(self.id));
         }
         let spread = 0.5 + self.ground.rng.borrow_mut().random::<f64>();
-        let took = OFFERINGS[class].work_ms * spread * self.slowness;
+        let took = CLASSES[class].work_ms * spread * self.slowness;
         sleep(Duration::from_secs_f64(took / 1000.0)).await;
         pg::single_row(out, "val", b"the value", "SELECT 1");
     }
--- a/crates/fault-injection/tests/judge.rs
+++ b/crates/fault-injection/tests/judge.rs
@@ -8,10 +8,10 @@
     Plan::parse(r#"{"name":"a","drivers":3,"load":0.5,"seconds":5}"#).expect("a plan")
 }
 
-fn asked(id: u64, offering: usize) -> (At, Event) {
+fn asked(id: u64, class: usize) -> (At, Event) {
     (
         2_000_000,
-        Event::Asked { id, driver: 0, offering, group: 0, wait: 1_500_000, first: 2_000_000, after: None },
+        Event::Asked { id, driver: 0, class, group: 0, wait: 1_500_000, first: 2_000_000, after: None },
     )
 }
 
@@ -146,7 +146,7 @@
         let first = at;
         events.push((
             at,
-            Event::Asked { id: task, driver: 0, offering: 0, group: 0, wait: 1_500_000, first, after: None },
+            Event::Asked { id: task, driver: 0, class: 0, group: 0, wait: 1_500_000, first, after: None },
         ));
         let down = (T + 2_000_000..T + 2_800_000).contains(&at);
         events.push((
--- a/crates/fault-injection/tests/judge_sites.rs
+++ b/crates/fault-injection/tests/judge_sites.rs
@@ -21,7 +21,7 @@
     let (driver, wait) = (1, 1_500_000);
     vec![
         (at, Event::Bound { id, session: 1 }),
-        (at, Event::Asked { id, driver, offering: 0, group: 0, wait, first: at, after: None }),
+        (at, Event::Asked { id, driver, class: 0, group: 0, wait, first: at, after: None }),
         (at, Event::Reached { id, driver: member, member }),
         (at, Event::Ran { id, member, age: 0 }),
         (at, Event::Answered { id, driver, how: How::Honoured }),
--- a/crates/operator-config/src/gateway.rs
+++ b/crates/operator-config/src/gateway.rs
@@ -40,7 +40,7 @@
     /// Where groups are believed to have their primary until an answer tells.
     #[serde(default)]
     pub homes: BTreeMap<u64, String>,
-    /// Tasks of one offering that another gateway may have under way here; 256 by default.
+    /// Tasks of one request class that another gateway may have under way here; 256 by default.
     #[schemars(range(min = 1))]
     pub credit: Option<u32>,
     /// Links that a task may cross; one by default.
--- a/crates/proxy/src/client/asking.rs
+++ b/crates/proxy/src/client/asking.rs
@@ -83,7 +83,7 @@
     pub(super) async fn reserve(&mut self, size: usize) -> Result<Room, End> {
         let limits = &self.context.limits;
         let text = self.buffer.held().get(pg::BEFORE_BODY..).and_then(|text| Comment::parse(text).ok());
-        let best = text.is_some_and(|comment| self.context.best_paid.contains(&comment.offering));
+        let best = text.is_some_and(|comment| self.context.best_paid.contains(&comment.class));
         let until = Instant::now() + limits.room_wait;
         if let Some(room) = self.presence.room(size, best, until).await {
             self.buffer.expect(size + 1);
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -29,7 +29,7 @@
     pub stopping: watch::Receiver<Option<Instant>>,
     /// Room for what waits, and who is too slow.
     pub gate: Rc<Gate>,
-    /// The names of the best paid offerings.
+    /// The names of the best paid request classes.
     pub best_paid: HashSet<String>,
     /// The members' share of descriptors.
     pub member_room: Arc<Semaphore>,
--- a/crates/proxy/src/desk.rs
+++ b/crates/proxy/src/desk.rs
@@ -266,7 +266,7 @@
         let refuse = |answer| {
             let _ = order.mailbox.try_send(Mail::Answer(order.client, answer));
         };
-        let Ok(offering) = self.decoded.offering(&order.comment.offering) else {
+        let Ok(class) = self.decoded.class(&order.comment.class) else {
             return refuse(Answer::Wrong("unknown offering"));
         };
         let elsewhere = self.hub.as_ref().is_some_and(|hub| hub.knows_group(order.comment.group));
@@ -282,13 +282,13 @@
             return refuse(Answer::Denied { cool_down: 0 });
         }
         if self.hub.is_some() {
-            return self.dispatch(order, offering);
+            return self.dispatch(order, class);
         }
         // The wait has run since the statement arrived.
         let deadline = order.arrived + Micros::from(order.comment.wait) * 1000;
         let (client, id) = (order.client, order.comment.id.clone());
         let mailbox = Some((client, order.mailbox.clone()));
-        let (handle, todo) = self.hand_over(Rc::new(order), offering, deadline, mailbox, None);
+        let (handle, todo) = self.hand_over(Rc::new(order), class, deadline, mailbox, None);
         self.by_client.insert(client, Holder::Here(handle));
         self.open_ids.insert(id);
         self.carry_out(todo);
@@ -299,16 +299,16 @@
     pub(crate) fn hand_over(
         &mut self,
         order: Rc<Order>,
-        offering: usize,
+        class: usize,
         deadline: Micros,
         client: Option<(ClientId, mpsc::Sender<Mail>)>,
         via: Option<SitesHandle>,
     ) -> (Handle, Todo) {
         let now = self.context.clock.now();
-        let keyed = matches!(self.decoded.terms.offerings[offering].need, Need::Write | Need::OwnWrites);
+        let keyed = matches!(self.decoded.terms.classes[class].need, Need::Write | Need::OwnWrites);
         let session = if keyed { quoted(&order.statement[order.comment.end..]) } else { None };
         let task = Task {
-            offering,
+            class,
             group: order.comment.group,
             ttl: deadline - now,
             waited: now - order.arrived,
@@ -317,7 +317,7 @@
             repeat: order.comment.repeat,
         };
         let (handle, todo) = self.ask(|router| router.take(now, task.clone()));
-        let best = self.context.best_paid.contains(&order.comment.offering);
+        let best = self.context.best_paid.contains(&order.comment.class);
         let withdrawal = Withdrawal::default();
         self.open.insert(handle, Open { via, best, deadline, client, withdrawal, order });
         (handle, todo)
--- a/crates/proxy/src/desk/hub.rs
+++ b/crates/proxy/src/desk/hub.rs
@@ -13,7 +13,7 @@
 };
 use aldermill_site_routing::{
     Answer as FarAnswer, Effect as FarEffect, Fate, Fates, GateId, Handle, HereEnded, Need as FarNeed, OWN,
-    Offering, Origin, SiteId, Sites, Step, Task, Terms, Todo, TurnedAway,
+    Origin, RequestClass, SiteId, Sites, Step, Task, Terms, Todo, TurnedAway,
 };
 use aldermill_wire::statement::Comment;
 use serde_json::json;
@@ -51,7 +51,7 @@
 /// A task on its way: with the module here, over a link, or waiting for either.
 struct Trip {
     order: Rc<Order>,
-    offering: usize,
+    class: usize,
     here: Option<HereHandle>,
     client: Option<(ClientId, mpsc::Sender<Mail>)>,
     guest: Option<Guest>,
@@ -82,7 +82,7 @@
     own: Identity,
     /// The sites' names, the own one first.
     names: Vec<String>,
-    offerings: Vec<String>,
+    classes: Vec<String>,
     sites: Sites,
     fates: Fates<Kept>,
     gates: Vec<GateState>,
@@ -176,15 +176,15 @@
             Need::Recent(bound) => FarNeed::Recent(bound),
             Need::Loose => FarNeed::Any,
         };
-        let offerings = decoded.terms.offerings.iter().map(|offering| Offering {
-            effect: effect(offering.effect),
-            need: need(offering.need),
-            quoted: offering.quoted,
-            payoff: offering.payoff,
-            late_share: offering.late_share,
+        let classes = decoded.terms.classes.iter().map(|class| RequestClass {
+            effect: effect(class.effect),
+            need: need(class.need),
+            quoted: class.quoted,
+            payoff: class.payoff,
+            late_share: class.late_share,
         });
         let terms = Terms {
-            offerings: offerings.collect(),
+            classes: classes.collect(),
             sites: 1 + peers.len(),
             max_hops: hops,
             max_credit: credit,
@@ -200,7 +200,7 @@
         Hub {
             own,
             names,
-            offerings: decoded.names(),
+            classes: decoded.names(),
             sites,
             fates: Fates::start(fates, SLACK),
             gates: Vec::new(),
@@ -285,9 +285,9 @@
                 continue;
             }
             let (credits, groups) = self.sites.offered(id);
-            let credits = self.offerings.iter().zip(credits);
+            let credits = self.classes.iter().zip(credits);
             let room = RoomFrame {
-                credits: credits.map(|(name, tasks)| Credit { offering: name.clone(), tasks }).collect(),
+                credits: credits.map(|(name, tasks)| Credit { class: name.clone(), tasks }).collect(),
                 homes: groups.into_iter().map(|(group, primary)| Home { group, primary }).collect(),
                 draining: self.draining,
             };
@@ -303,7 +303,7 @@
                 json!({
                     "site": self.names[gate.site], "instance": gate.origin.instance, "links": gate.links.len(),
                     "round_trip_us": view.trip, "draining": view.draining, "barred": view.barred,
-                    "credits": self.offerings.iter().cloned().zip(view.credits).collect::<HashMap<_, _>>(),
+                    "credits": self.classes.iter().cloned().zip(view.credits).collect::<HashMap<_, _>>(),
                     "under_way": view.out,
                 })
             })
--- a/crates/proxy/src/desk/hub/guests.rs
+++ b/crates/proxy/src/desk/hub/guests.rs
@@ -25,8 +25,8 @@
             Err(_) => return,
         }
         let coming = Coming { link, gate, origin, number, came: now, task, statement };
-        let offering = self.decoded.offering(&coming.task.offering).ok();
-        let effect = offering.map(|offering| self.decoded.terms.offerings[offering].effect);
+        let class = self.decoded.class(&coming.task.class).ok();
+        let effect = class.map(|class| self.decoded.terms.classes[class].effect);
         let until = now + left + SLACK;
         match hub.book.as_mut().filter(|_| effect == Some(Effect::Effectful)) {
             None => self.guest_goes_on(coming),
@@ -86,13 +86,13 @@
         let Some(hub) = &mut self.hub else { return };
         let Coming { link, gate, number, ref task, ref statement, .. } = coming;
         let left = micros(task.left_us) - (self.context.clock.now() - coming.came);
-        let offering = hub.offerings.iter().position(|name| *name == task.offering);
+        let class = hub.classes.iter().position(|name| *name == task.class);
         let comment = Comment::parse(statement).ok().filter(|comment| comment.group == task.group);
         let circle = task.visited.contains(&hub.own.site);
         let busy = hub.draining || hub.trips.len() >= self.context.limits.tasks;
         let ttl = left - hub.sites.one_way(gate);
         let open = comment.as_ref().is_some_and(|comment| self.open_ids.contains(&comment.id));
-        let refused = match (&comment, offering) {
+        let refused = match (&comment, class) {
             (Some(_), Some(_)) if circle => Some(OutcomeKind::NotHere),
             (Some(_), Some(_)) if busy || open || ttl <= 0 => Some(OutcomeKind::Denied),
             (Some(_), Some(_)) => None,
@@ -102,9 +102,9 @@
             return self.refuse_guest(&coming, kind);
         }
         let Coming { origin, task, statement, .. } = coming;
-        let (Some(comment), Some(offering)) = (comment, offering) else { return };
+        let (Some(comment), Some(class)) = (comment, class) else { return };
         let Some(holder) = hub.links.get(&link).map(|state| state.holder) else { return };
-        hub.sites.guest_came(gate, offering);
+        hub.sites.guest_came(gate, class);
         hub.next_guest += 1;
         let written_ago = (task.written_ago_us > 0).then(|| micros(task.written_ago_us));
         let client = hub.next_guest;
@@ -113,6 +113,6 @@
         let arrived = self.context.clock.now();
         let order = Order { client, holder, mailbox, arrived, statement, comment, written_ago };
         let guest = Guest { gate, number, link, origin };
-        self.set_out(order, offering, ttl.min(MOST), None, Some(guest), task.visited);
+        self.set_out(order, class, ttl.min(MOST), None, Some(guest), task.visited);
     }
 }
--- a/crates/proxy/src/desk/hub/links.rs
+++ b/crates/proxy/src/desk/hub/links.rs
@@ -132,8 +132,8 @@
                 };
                 // What the module has begun may run yet.
                 hub.fates.settle(&origin, number, Fate::BrokenOff);
-                let offering = hub.trips.get(&handle).map_or(0, |trip| trip.offering);
-                hub.sites.guest_over(now, gate, offering, false);
+                let class = hub.trips.get(&handle).map_or(0, |trip| trip.class);
+                hub.sites.guest_over(now, gate, class, false);
                 self.trip_left(handle);
             }
             Event::Ask(ask) => {
@@ -172,8 +172,8 @@
             }
             Event::Confirm(confirm) => hub.fates.confirm(&origin, confirm.upto),
             Event::Room(room) => {
-                let credit = |name: &String| room.credits.iter().find(|credit| credit.offering == *name);
-                let credits = hub.offerings.iter().map(|name| credit(name).map_or(0, |credit| credit.tasks));
+                let credit = |name: &String| room.credits.iter().find(|credit| credit.class == *name);
+                let credits = hub.classes.iter().map(|name| credit(name).map_or(0, |credit| credit.tasks));
                 let homes: Vec<(u64, bool)> =
                     room.homes.iter().map(|home| (home.group, home.primary)).collect();
                 let todo = hub.sites.room(now, gate, credits.collect(), &homes, room.draining);
@@ -188,12 +188,12 @@
         let hub = self.hub.as_ref()?;
         let handle = hub.sites.crossed(number)?;
         let trip = hub.trips.get(&handle)?;
-        let best = self.context.best_paid.contains(&trip.order.comment.offering);
+        let best = self.context.best_paid.contains(&trip.order.comment.class);
         let mut room = None;
         if value.len() > self.context.limits.small {
             room = self.context.gate.room_now(trip.order.holder, value.len(), best);
             if room.is_none() {
-                return Some((handle, self.without_room(trip.offering)));
+                return Some((handle, self.without_room(trip.class)));
             }
         }
         Some((handle, Answer::Honoured(Rows { pieces: vec![value], room })))
--- a/crates/proxy/src/desk/hub/trips.rs
+++ b/crates/proxy/src/desk/hub/trips.rs
@@ -7,17 +7,17 @@
 
 impl Desk {
     /// A client's task where there is a gateway: to the module here, or to another site.
-    pub(crate) fn dispatch(&mut self, order: Order, offering: usize) {
+    pub(crate) fn dispatch(&mut self, order: Order, class: usize) {
         let now = self.context.clock.now();
         let ttl = Micros::from(order.comment.wait) * 1000 - (now - order.arrived);
         let client = Some((order.client, order.mailbox.clone()));
-        self.set_out(order, offering, ttl, client, None, Vec::new());
+        self.set_out(order, class, ttl, client, None, Vec::new());
     }
 
     pub(super) fn set_out(
         &mut self,
         order: Order,
-        offering: usize,
+        class: usize,
         ttl: Micros,
         client: Option<(ClientId, mpsc::Sender<Mail>)>,
         guest: Option<Guest>,
@@ -30,13 +30,13 @@
         let session = Some(named.unwrap_or(&order.comment.id).to_owned());
         let by: Vec<SiteId> = visited.iter().filter_map(|name| hub.site(name)).collect();
         let (handle, todo) =
-            hub.sites.take(now, Task { offering, group: order.comment.group, ttl, visited: by, session });
+            hub.sites.take(now, Task { class, group: order.comment.group, ttl, visited: by, session });
         if let Some(guest) = &guest {
             hub.guests.insert((guest.gate, guest.number), handle);
         }
         self.by_client.insert(order.client, Holder::Via(handle));
         self.open_ids.insert(order.comment.id.clone());
-        let trip = Trip { order: Rc::new(order), offering, here: None, client, guest, visited };
+        let trip = Trip { order: Rc::new(order), class, here: None, client, guest, visited };
         hub.trips.insert(handle, trip);
         self.carry_out_sites(todo, None);
     }
@@ -64,9 +64,9 @@
         };
         if let Some(trip) = hub.trips.get_mut(&handle) {
             trip.here = None;
-            let quoted = self.decoded.terms.offerings[trip.offering].quoted;
+            let quoted = self.decoded.terms.classes[trip.class].quoted;
             let in_time = ended == HereEnded::Honoured && now - trip.order.arrived <= quoted;
-            let need = self.decoded.terms.offerings[trip.offering].need;
+            let need = self.decoded.terms.classes[trip.class].need;
             let reads = matches!(need, Need::Loose | Need::Recent(_));
             hub.ended.all += 1;
             hub.ended.in_time += u32::from(in_time);
@@ -204,10 +204,10 @@
 
     pub(super) fn start_here(&mut self, handle: Handle, ttl: Micros) {
         let trip = self.hub.as_ref().and_then(|hub| hub.trips.get(&handle));
-        let Some((order, offering)) = trip.map(|trip| (trip.order.clone(), trip.offering)) else { return };
+        let Some((order, class)) = trip.map(|trip| (trip.order.clone(), trip.class)) else { return };
         let client = Some((order.client, order.mailbox.clone()));
         let deadline = self.context.clock.now() + ttl;
-        let (here, todo) = self.hand_over(order, offering, deadline, client, Some(handle));
+        let (here, todo) = self.hand_over(order, class, deadline, client, Some(handle));
         if let Some(trip) = self.hub.as_mut().and_then(|hub| hub.trips.get_mut(&handle)) {
             trip.here = Some(here);
         }
@@ -226,7 +226,7 @@
         let task = TaskFrame {
             number,
             receiver_start: start,
-            offering: order.comment.offering.clone(),
+            class: order.comment.class.clone(),
             group: order.comment.group,
             left_us: left.max(0) as u64,
             written_ago_us: written_ago.unwrap_or(0) as u64,
@@ -268,7 +268,7 @@
             return;
         }
         let (Some(hub), Some(guest)) = (&mut self.hub, trip.guest) else { return };
-        let effectful = matches!(self.decoded.terms.offerings[trip.offering].effect, Effect::Effectful);
+        let effectful = matches!(self.decoded.terms.classes[trip.class].effect, Effect::Effectful);
         let mut frame = OutcomeFrame { number: guest.number, ..OutcomeFrame::default() };
         let (kind, fate, value) = match answer {
             Answer::Honoured(rows) => {
@@ -306,7 +306,7 @@
                 None => drop(hub.say(guest.gate, Some(guest.link), Said::Outcome(frame, value))),
             }
         }
-        if hub.sites.guest_over(now, guest.gate, trip.offering, denied) {
+        if hub.sites.guest_over(now, guest.gate, trip.class, denied) {
             hub.tell_room(Some(guest.gate));
         }
     }
--- a/crates/proxy/src/desk/members_clock.rs
+++ b/crates/proxy/src/desk/members_clock.rs
@@ -13,8 +13,8 @@
     /// Whether the request is a write that takes effect anew each time: its commit is never one from before.
     pub(super) fn writes_once(&self, handle: Handle) -> bool {
         let comment = self.open.get(&handle).map(|open| &open.order.comment);
-        let class = comment.and_then(|comment| self.decoded.offering(&comment.offering).ok());
-        let class = class.map(|class| &self.decoded.terms.offerings[class]);
+        let class = comment.and_then(|comment| self.decoded.class(&comment.class).ok());
+        let class = class.map(|class| &self.decoded.terms.classes[class]);
         class.is_some_and(|class| class.effect == Effect::Effectful && class.need == Need::Write)
     }
 
--- a/crates/proxy/src/desk/open.rs
+++ b/crates/proxy/src/desk/open.rs
@@ -12,7 +12,7 @@
 pub(crate) struct Open {
     /// Of the gateway, where there is one: it is told what the module says, and answers the client.
     pub via: Option<SitesHandle>,
-    /// Of the best paid offering.
+    /// Of the best paid request class.
     pub best: bool,
     /// When the client's time is over, on the router's clock. No attempt may last longer.
     pub deadline: Micros,
--- a/crates/proxy/src/desk/sight.rs
+++ b/crates/proxy/src/desk/sight.rs
@@ -16,7 +16,7 @@
 /// Groups of whose keys something is kept.
 const GROUPS: usize = 64;
 
-/// A launch that is out: where, what is quoted for its offering, whether it writes, and its key.
+/// A launch that is out: where, what is quoted for its request class, whether it writes, and its key.
 struct Out {
     group: u64,
     zone: usize,
@@ -47,12 +47,12 @@
         decoded: &Decoded,
         order: &Order,
     ) {
-        let Ok(offering) = decoded.offering(&order.comment.offering) else { return };
-        let offering = &decoded.terms.offerings[offering];
+        let Ok(class) = decoded.class(&order.comment.class) else { return };
+        let class = &decoded.terms.classes[class];
         let Some((group, zone)) = place else { return };
         let key = self.keys.as_ref().and_then(|_| quoted(&order.statement[order.comment.end..]));
         let key = key.unwrap_or_default().into_bytes();
-        let (quoted, write) = (offering.quoted, offering.need == Need::Write);
+        let (quoted, write) = (class.quoted, class.need == Need::Write);
         self.out.insert(handle, Out { group, zone, quoted, write, key });
     }
 
--- a/crates/proxy/src/desk/steps.rs
+++ b/crates/proxy/src/desk/steps.rs
@@ -16,15 +16,15 @@
     /// Its member answered, but there is no room for that: what is pure may be denied, anything else did run.
     pub(super) fn deny_for_room(&mut self, handle: Handle) {
         let Some(open) = self.open.get(&handle) else { return };
-        let Ok(offering) = self.decoded.offering(&open.order.comment.offering) else { return };
-        let answer = self.without_room(offering);
+        let Ok(class) = self.decoded.class(&open.order.comment.class) else { return };
+        let answer = self.without_room(class);
         self.answer(handle, answer);
     }
 
     /// What a client hears whose answer finds no room.
-    pub(crate) fn without_room(&self, offering: usize) -> Answer {
+    pub(crate) fn without_room(&self, class: usize) -> Answer {
         let terms = &self.decoded.terms;
-        match terms.offerings[offering].effect {
+        match terms.classes[class].effect {
             Effect::Pure => {
                 Answer::Denied { cool_down: self.context.gate.come_back().min(terms.max_cool_down) }
             }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -170,7 +170,7 @@
     let limits = &start.limits;
     println!("driver {} listens on {}, discovery at {}", start.name, start.listen, start.discovery);
     let known = start.known.as_ref().map_or(0, |known| known.members.len());
-    println!("{known} members known, {} offerings", start.decoded.terms.offerings.len());
+    println!("{known} members known, {} offerings", start.decoded.terms.classes.len());
     println!("connections: {} from clients, {} to members", limits.clients, limits.members);
     let (room, connection) = (start.bounds.room / 1024, start.bounds.connection / 1024);
     println!("room for what waits: {room} KiB, {connection} KiB for one connection");
@@ -256,7 +256,7 @@
     let room = bounds.room as usize;
     let (on_request, drivers) = (decoded.terms.list_on_request, decoded.terms.drivers);
     let zone = decoded.terms.zone;
-    let limit = decoded.terms.offerings.iter().map(|offering| offering.limit).max().unwrap_or(0);
+    let limit = decoded.terms.classes.iter().map(|class| class.limit).max().unwrap_or(0);
     let grace = decoded.drain_grace;
     let (request, requests) = mpsc::channel(1);
     let context = Rc::new(Context {
--- a/crates/proxy/src/trial.rs
+++ b/crates/proxy/src/trial.rs
@@ -68,7 +68,7 @@
 }
 
 impl Trial {
-    /// Reads the other settings, which must know the same offerings and zones as those in force.
+    /// Reads the other settings, which must know the same request classes and zones as those in force.
     pub fn read(wanted: &Wanted, in_force: &Decoded) -> Result<Trial, OnTrial> {
         let path = || wanted.settings.clone();
         let text = std::fs::read_to_string(&wanted.settings);
--- a/crates/proxy/tests/trial.rs
+++ b/crates/proxy/tests/trial.rs
@@ -46,14 +46,14 @@
     };
     ask(&mut router, &|router| router.list(0, true, (0..4).map(line).collect()));
     for at in (1..400).map(|step| step * 40_000) {
-        let offering = (at / 40_000 % 3 / 2) as usize;
+        let class = (at / 40_000 % 3 / 2) as usize;
         let ttl = if at % 7 == 0 { 5_000 } else { 900_000 };
-        let task = Task { offering, group: 1, ttl, ..Task::default() };
+        let task = Task { class, group: 1, ttl, ..Task::default() };
         let todo = ask(&mut router, &|router| router.take(at, task.clone()).1);
         for (handle, step) in todo.steps {
             let Step::Launch { member, .. } = step else { continue };
             let role = Some(if member == 2 { Role::Primary } else { Role::Replica });
-            let verdict = if member == 2 || offering == 0 { Verdict::Honoured } else { Verdict::Miss };
+            let verdict = if member == 2 || class == 0 { Verdict::Honoured } else { Verdict::Miss };
             let told = Told { role, position: Some(at), age: 0 };
             let closed = verdict == Verdict::Honoured;
             let outcome = Outcome { verdict, took: 30_000, told, closed };
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -40,7 +40,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Offering {
+pub struct RequestClass {
     pub effect: Effect,
     pub need: Need,
     pub quoted: Micros,
@@ -62,7 +62,7 @@
 /// What one driver is told once, when it starts.
 #[derive(Clone, Debug)]
 pub struct Terms {
-    pub offerings: Vec<Offering>,
+    pub classes: Vec<RequestClass>,
     pub drivers: usize,
     /// The same, as far as cold members are concerned.
     pub drivers_at_cold: usize,
@@ -89,7 +89,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Task {
-    pub offering: usize,
+    pub class: usize,
     pub group: u64,
     /// How long the client still waits for this try, and how long it has waited; the first may be below zero where
     /// the driver stood still.
@@ -191,7 +191,7 @@
 pub struct Learnt {
     /// Believed primaries, each with the time of the newest word on it.
     pub primaries: Vec<(MemberId, Micros)>,
-    /// By offering: what half of its launches take at most, and nine tenths.
+    /// By request class: what half of its launches take at most, and nine tenths.
     pub took: Vec<(Micros, Micros)>,
     /// Launches that may be out at a member, in powers of two.
     pub windows: Vec<(MemberId, i32)>,
--- a/crates/routing/src/policy/decide.rs
+++ b/crates/routing/src/policy/decide.rs
@@ -9,8 +9,8 @@
         let group = self.group(task.group);
         self.allowance = (self.allowance + PROBES_A_TASK).min(self.members.len() as f64);
         // Where repeats are not marked, first tries are told by the wait that most tasks bring.
-        let Offering { limit, quoted, .. } = self.terms.offerings[task.offering];
-        let (usual, votes) = &mut self.usual_wait[task.offering];
+        let RequestClass { limit, quoted, .. } = self.terms.classes[task.class];
+        let (usual, votes) = &mut self.usual_wait[task.class];
         let wait = task.ttl + task.waited;
         let common = (wait - *usual).abs() <= *usual / 64;
         *votes = if common { (*votes + 1).min(64) } else { *votes - 1 };
@@ -30,10 +30,10 @@
     /// Sends the task on its way, holds it, or gives it up.
     pub(super) fn place(&mut self, now: Micros, handle: Handle) {
         let errand = &self.errands[&handle];
-        let offering = &self.terms.offerings[errand.task.offering];
+        let class = &self.terms.classes[errand.task.class];
         let (hopeless, useful) = self.useful_until(now, errand);
         // Never again what may have run: an effectful task at all, a receipted one past its window.
-        let stuck = match (offering.effect, errand.may_have_run) {
+        let stuck = match (class.effect, errand.may_have_run) {
             (_, None) | (Effect::Pure, _) => false,
             (Effect::Effectful, Some(_)) => true,
             (Effect::Receipted { window, .. }, Some((at, _))) => now >= at + window - HELD_UP,
@@ -41,14 +41,14 @@
         if stuck
             || self.at_fault(errand)
             || now >= hopeless
-            || errand.launches - errand.unsent >= self.launches_allowed(offering)
+            || errand.launches - errand.unsent >= self.launches_allowed(class)
         {
             return self.give_up(handle);
         }
         // Protects members from all that drivers which stood still owe at once. Harms what would be in time.
-        let writes = offering.need == Need::Write;
+        let writes = class.need == Need::Write;
         let waits = now < self.rush_until && self.rush < 1.0;
-        let target = match offering.need {
+        let target = match class.need {
             _ if waits => None,
             Need::Write => self.write_target(now, errand),
             need => self.read_target(now, handle, need),
@@ -101,13 +101,13 @@
     /// would pay only that little. Should also cover groups without members. Harms what finds room later.
     pub(super) fn useful_until(&self, now: Micros, errand: &Errand) -> (Micros, Micros) {
         let end = errand.arrived + errand.task.ttl;
-        let late_share = self.terms.offerings[errand.task.offering].late_share;
+        let late_share = self.terms.classes[errand.task.class].late_share;
         let useful = if late_share > 0.0 { end } else { end.min(errand.quoted_by) };
         // What waited for a replica's word alone has not waited for room.
         let arrives = now == errand.arrived || errand.asked && now - errand.arrived <= 2 * BEAT;
         let share = if arrives { 0.5 } else { 0.85 };
         let pays = if self.sparse() && late_share < 0.5 { useful.min(errand.quoted_by) } else { useful };
-        let hopeless = pays - self.took[errand.task.offering].quantile(share).unwrap_or(0) - BEAT;
+        let hopeless = pays - self.took[errand.task.class].quantile(share).unwrap_or(0) - BEAT;
         let waits_for_room = errand.launches == 0 && !self.backs_off(now);
         let held = waits_for_room && (late_share < 0.5 || self.sparse());
         // Told before half of the client's time is over, with what a beat and the way take.
@@ -118,12 +118,12 @@
     /// Denied where that is true to say, else broken off.
     pub(super) fn give_up(&mut self, handle: Handle) {
         let errand = &self.errands[&handle];
-        let deniable = match self.terms.offerings[errand.task.offering].effect {
+        let deniable = match self.terms.classes[errand.task.class].effect {
             Effect::Pure | Effect::Receipted { scope: Scope::All, .. } => true,
             _ => errand.may_have_run.is_none() && errand.out.is_none(),
         };
         // What is denied for want of room has missed its quoted time: sooner again only adds to the crowd.
-        let cool_down = self.terms.offerings[errand.task.offering].quoted.min(self.terms.max_cool_down);
+        let cool_down = self.terms.classes[errand.task.class].quoted.min(self.terms.max_cool_down);
         self.todo.steps.push((
             handle,
             if deniable && !self.at_fault(errand) { Step::Deny { cool_down } } else { Step::BreakOff },
@@ -143,18 +143,18 @@
     pub(super) fn launch_ended(&mut self, now: Micros, handle: Handle, outcome: Outcome) {
         let Outcome { verdict, told, .. } = outcome;
         let errand = self.errands.get(&handle);
-        let out = errand.and_then(|errand| errand.out.map(|(id, _)| (id, errand.task.offering)));
+        let out = errand.and_then(|errand| errand.out.map(|(id, _)| (id, errand.task.class)));
         let mute = out.is_some_and(|(id, _)| self.mute(now, id));
-        let patience = out.map_or(0, |(_, offering)| self.patience(offering));
+        let patience = out.map_or(0, |(_, class)| self.patience(class));
         let (sparse, drivers) = (self.sparse(), self.terms.drivers as f64);
         let credit = self.first_credit();
-        let usual_took = out.and_then(|(_, offering)| self.took[offering].quantile(0.5)).unwrap_or(0);
+        let usual_took = out.and_then(|(_, class)| self.took[class].quantile(0.5)).unwrap_or(0);
         let rested = self.errands.get(&handle).and_then(|errand| errand.rested);
         let reaped = verdict == Verdict::TimedOut && rested.is_some_and(|rest| self.reaped(rest));
         let way = out.map_or(0, |(id, _)| self.way(now, id));
         let Some(errand) = self.errands.get_mut(&handle) else { return };
         let Some((id, sent)) = errand.out.take() else { return };
-        let (group, offering, waits_from) = (errand.group, errand.task.offering, errand.waits_from);
+        let (group, class, waits_from) = (errand.group, errand.task.class, errand.waits_from);
         let (tried, over) = (errand.tries_connection, outcome.closed || errand.closed);
         match verdict {
             Verdict::LocalFailure => return self.not_sent(now, handle, id, sent, over),
@@ -194,7 +194,7 @@
             let came = matches!(verdict, Verdict::Honoured | Verdict::Spoilt);
             let took = if came { outcome.took - way } else { Micros::MAX };
             let (typical, share) = if sparse { (took, 70) } else { (usual, 30) };
-            if typical > self.terms.offerings[offering].quoted * share / 100 {
+            if typical > self.terms.classes[class].quoted * share / 100 {
                 member.window = (member.window * step).max(least);
             } else if sparse {
                 member.window = (member.window / step.powf(weight / 16.0)).min(MOST / drivers * member.size);
@@ -204,7 +204,7 @@
         }
         match verdict {
             Verdict::Honoured => {
-                self.took[offering].add(outcome.took, KEEP * 4);
+                self.took[class].add(outcome.took, KEEP * 4);
                 self.any_took.add(outcome.took, KEEP * 4);
                 (member.honoured, member.spoilt) = (member.honoured + 0.1, 0);
                 std::mem::take(&mut errand.erred).into_iter().for_each(|id| self.failed(now, id));
@@ -291,11 +291,11 @@
         self.probe(now, id, PROBE_NEEDED);
     }
 
-    /// Further launches go by payoff: the best paid offering may use them all.
-    pub(super) fn launches_allowed(&self, offering: &Offering) -> u32 {
-        let best = self.terms.offerings.iter().map(|o| o.payoff).fold(f64::MIN_POSITIVE, f64::max);
+    /// Further launches go by payoff: the best paid request class may use them all.
+    pub(super) fn launches_allowed(&self, class: &RequestClass) -> u32 {
+        let best = self.terms.classes.iter().map(|o| o.payoff).fold(f64::MIN_POSITIVE, f64::max);
         let most = f64::from(self.terms.max_launches);
-        (most * (offering.payoff / best).max(0.5)).ceil().min(most) as u32
+        (most * (class.payoff / best).max(0.5)).ceil().min(most) as u32
     }
 
     pub(super) fn pump_all(&mut self, now: Micros) {
@@ -310,9 +310,9 @@
         let mut held = std::mem::take(&mut self.groups[group].held);
         let worth = |handle: &Handle| {
             let errand = &self.errands[handle];
-            let offering = &self.terms.offerings[errand.task.offering];
+            let class = &self.terms.classes[errand.task.class];
             let late = now > errand.quoted_by || errand.repeat;
-            offering.payoff * if late { offering.late_share } else { 1.0 }
+            class.payoff * if late { class.late_share } else { 1.0 }
         };
         held.sort_by(|a, b| worth(b).total_cmp(&worth(a)).then(b.cmp(a)));
         held.into_iter().for_each(|handle| self.place(now, handle));
--- a/crates/routing/src/policy/fresh.rs
+++ b/crates/routing/src/policy/fresh.rs
@@ -39,8 +39,8 @@
             Need::Loose | Need::Write => Micros::MIN,
         };
         let (group, asked, sparse) = (errand.group, errand.asked, self.sparse());
-        let offering = errand.task.offering;
-        let long = need == Need::Loose && self.long(offering);
+        let class = errand.task.class;
+        let long = need == Need::Loose && self.long(class);
         let mut open = self.readable(now, errand, floor, long);
         if open.iter().any(|&id| now >= self.members[id].barred_until && Some(id) != errand.last) {
             open.retain(|&id| now >= self.members[id].barred_until && Some(id) != errand.last);
@@ -51,7 +51,7 @@
         let idle = seen.filter(|_| sparse && self.groups[group].owed > 0.0);
         let drawable = replicas.iter().copied().chain(idle).map(|id| (id, self.room(now, id)));
         let mut rooms: Vec<(MemberId, f64)> = drawable.filter(|&(_, room)| room > 0.0).collect();
-        let at_hand = rooms.iter().copied().filter(|&(id, _)| !self.remote(now, id, offering));
+        let at_hand = rooms.iter().copied().filter(|&(id, _)| !self.remote(now, id, class));
         let at_hand: Vec<(MemberId, f64)> = at_hand.collect();
         rooms = if at_hand.is_empty() { rooms } else { at_hand };
         if long {
@@ -105,7 +105,7 @@
     /// last byte: a connection that comes up late, a primary that steps down, a window of repeats that ends, a process
     /// that is held up behind the last look. Harms reads by that time's worth of proof.
     pub(super) fn validity(&self, errand: &Errand, id: MemberId) -> Validity {
-        let Offering { effect, need, .. } = self.terms.offerings[errand.task.offering];
+        let RequestClass { effect, need, .. } = self.terms.classes[errand.task.class];
         let repeats_until = match (effect, errand.may_have_run) {
             (Effect::Receipted { window, .. }, Some((first, _))) => first + window - HELD_UP,
             _ => Micros::MAX,
@@ -126,24 +126,24 @@
     /// Protects the freshness of replicas from reads of which a few in a row hold up their log for longer
     /// than bounded reads bear: these share one replica. Harms them where that one is slow, and where other
     /// long reads hold up nothing; a driver among many cannot see a crowd there, and goes by the whole bound.
-    pub(super) fn long(&self, offering: usize) -> bool {
-        let usual = |offering: usize| self.took[offering].quantile(0.5).unwrap_or(0);
-        let bound = |o: &Offering| if let Need::Recent(bound) = o.need { Some(bound) } else { None };
-        let bound = self.terms.offerings.iter().filter_map(bound).min();
+    pub(super) fn long(&self, class: usize) -> bool {
+        let usual = |class: usize| self.took[class].quantile(0.5).unwrap_or(0);
+        let bound = |o: &RequestClass| if let Need::Recent(bound) = o.need { Some(bound) } else { None };
+        let bound = self.terms.classes.iter().filter_map(bound).min();
         let least = (0..self.took.len()).map(usual).min().unwrap_or(0);
         let row = if self.sparse() { 1 } else { 3 };
-        bound.is_some_and(|bound| usual(offering) > (bound / row).max(3 * least))
+        bound.is_some_and(|bound| usual(class) > (bound / row).max(3 * least))
     }
 
     /// Protects reads from a way that has grown so long that answers come too late, as its probes tell.
     /// Tried again after a while. Harms members beyond it that are probed just when a neighbour dies.
-    pub(super) fn remote(&self, now: Micros, id: MemberId, offering: usize) -> bool {
+    pub(super) fn remote(&self, now: Micros, id: MemberId, class: usize) -> bool {
         let zone = self.members[id].zone;
         let (way, at) = self.ways.get(&zone).copied().unwrap_or_default();
-        let usual = self.took[offering].quantile(0.5).unwrap_or(0);
+        let usual = self.took[class].quantile(0.5).unwrap_or(0);
         let far = zone != self.terms.zone && now - at < BAR;
         let way = if far { way.max(self.way(now, id)) } else { self.way(now, id) };
-        way + usual > self.terms.offerings[offering].quoted / 2
+        way + usual > self.terms.classes[class].quoted / 2
     }
 
     /// There and back to the member, as far as its probes of late tell.
@@ -177,7 +177,7 @@
 
     /// Whether a read may go to this member at all; a receipted one stays where its repeats are dropped.
     pub(super) fn may_follow(&self, now: Micros, errand: &Errand, id: MemberId) -> bool {
-        let scope = self.terms.offerings[errand.task.offering].effect;
+        let scope = self.terms.classes[errand.task.class].effect;
         let zoned = matches!(scope, Effect::Receipted { scope: Scope::Zone, .. });
         let kept = errand.may_have_run.is_none_or(|(_, zone)| !zoned || zone == self.members[id].zone);
         kept && self.usable(now, id)
@@ -187,7 +187,7 @@
     /// whose answer was lost or is on its way. Harms them by the primary's load while such a write is out.
     pub(super) fn session(&mut self, handle: Handle) -> Option<&mut Session> {
         let task = &self.errands[&handle].task;
-        let writes = self.terms.remember_sessions && self.terms.offerings[task.offering].need == Need::Write;
+        let writes = self.terms.remember_sessions && self.terms.classes[task.class].need == Need::Write;
         task.session.as_ref().filter(|_| writes).cloned().map(|name| self.sessions.entry(name).or_default())
     }
 
--- a/crates/routing/src/policy/members.rs
+++ b/crates/routing/src/policy/members.rs
@@ -125,7 +125,7 @@
     pub(super) fn mute(&self, now: Micros, id: MemberId) -> bool {
         let member = &self.members[id];
         let mut waiting = self.sent_out(id).filter(|&(at, _)| at >= member.overtaken);
-        waiting.any(|(at, offering)| now - at.max(member.answered) > self.patience(offering))
+        waiting.any(|(at, class)| now - at.max(member.answered) > self.patience(class))
     }
 
     /// How long the connection to the member has rested, as a power of two, where it would be used again.
@@ -144,16 +144,16 @@
         least > 0 && rest >= least && self.rests[..least].iter().all(|&silent| silent < 0.25)
     }
 
-    /// When each launch out at the member was sent, and of which offering it is.
+    /// When each launch out at the member was sent, and of which request class it is.
     pub(super) fn sent_out(&self, id: MemberId) -> impl Iterator<Item = (Micros, usize)> {
         let out = self.members[id].out.iter().map(|out| &self.errands[out]);
-        out.filter_map(|errand| errand.out.map(|_| (errand.waits_from, errand.task.offering)))
+        out.filter_map(|errand| errand.out.map(|_| (errand.waits_from, errand.task.class)))
     }
 
-    /// Beyond what nearly all launches of an offering take.
-    pub(super) fn patience(&self, offering: usize) -> Micros {
-        let quoted = self.terms.offerings[offering].quoted;
-        self.took[offering].quantile(0.9).unwrap_or(200 * MS).min(quoted).max(100 * MS) * 2
+    /// Beyond what nearly all launches of a request class take.
+    pub(super) fn patience(&self, class: usize) -> Micros {
+        let quoted = self.terms.classes[class].quoted;
+        self.took[class].quantile(0.9).unwrap_or(200 * MS).min(quoted).max(100 * MS) * 2
     }
 
     /// How many more launches this driver may have out at the member: its window, and for a cold one its
@@ -164,7 +164,7 @@
         }
         let member = &self.members[id];
         // Launches that were overtaken and stay out for long are taken for lost: they hold no place.
-        let overdue = |(at, offering)| at < member.overtaken && now - at > self.patience(offering);
+        let overdue = |(at, class)| at < member.overtaken && now - at > self.patience(class);
         let lost = self.sent_out(id).filter(|&out| overdue(out)).count();
         let out = (member.out.len() - lost) as f64;
         let mut room = member.window.floor() - out;
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -14,8 +14,8 @@
 
 use crate::state::{Errand, Group, Handle, Member, Router, Session};
 use crate::{
-    Effect, Learnt, Listed, ListedRoles, MemberId, Micros, Need, Offering, Outcome, Role, Scope, Standing,
-    Step, Task, Terms, Todo, Told, Validity, Verdict,
+    Effect, Learnt, Listed, ListedRoles, MemberId, Micros, Need, Outcome, RequestClass, Role, Scope,
+    Standing, Step, Task, Terms, Todo, Told, Validity, Verdict,
 };
 
 mod decide;
@@ -101,10 +101,10 @@
             clock_offset: 0,
             forgotten: None,
             // Until launches tell better, most are taken to last half of the quoted time.
-            took: terms.offerings.iter().map(|offering| Histogram::of(offering.quoted / 2, 4)).collect(),
+            took: terms.classes.iter().map(|class| Histogram::of(class.quoted / 2, 4)).collect(),
             ways: BTreeMap::new(),
-            any_took: Histogram::of(terms.offerings.iter().map(|o| o.quoted / 2).min().unwrap_or(0), 4),
-            usual_wait: vec![(0, 0); terms.offerings.len()],
+            any_took: Histogram::of(terms.classes.iter().map(|o| o.quoted / 2).min().unwrap_or(0), 4),
+            usual_wait: vec![(0, 0); terms.classes.len()],
             warm_load: 0.0,
             mean_size: 1.0,
             allowance: PROBES_AT_START,
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -126,8 +126,9 @@
     pub(crate) forgotten: Option<Micros>, // a write of a session not found may be as new as that
     pub(crate) took: Vec<Histogram>,
     pub(crate) ways: BTreeMap<usize, (Micros, Micros)>, // there and back by zone, and when last heard
-    pub(crate) any_took: Histogram,                     // of launches of all offerings together
-    pub(crate) usual_wait: Vec<(Micros, i32)>, // that most tasks of an offering bring, and how sure that is
+    pub(crate) any_took: Histogram,                     // of launches of all request classes together
+    // that most tasks of a request class bring, and how sure that is
+    pub(crate) usual_wait: Vec<(Micros, i32)>,
     pub(crate) warm_load: f64,
     pub(crate) mean_size: f64,
     pub(crate) allowance: f64,
--- a/crates/routing/tests/router/among_many.rs
+++ b/crates/routing/tests/router/among_many.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn one_long_offering_does_not_slow_the_pace_of_the_others() {
+fn one_long_class_does_not_slow_the_pace_of_the_others() {
     let mut world = heard(many());
     for _ in 0..8 {
         let write = world.take(WRITE, 2_000 * MS);
--- a/crates/routing/tests/router/cases.rs
+++ b/crates/routing/tests/router/cases.rs
@@ -316,9 +316,9 @@
 fn reads_of_which_a_few_in_a_row_outlast_the_bound_are_long_but_not_among_many() {
     // A report is taken to last half of its quoted time: under the bound, and over a third of it.
     let met = |terms: Terms| {
-        let report = terms.offerings[REPORT].quoted / 2;
+        let report = terms.classes[REPORT].quoted / 2;
         let mut terms = terms;
-        terms.offerings[READ].need = aldermill_routing::Need::Recent(report * 2);
+        terms.classes[READ].need = aldermill_routing::Need::Recent(report * 2);
         let mut world = heard(terms);
         let mut last = 0;
         for _ in 0..5 {
@@ -349,7 +349,7 @@
 fn a_task_that_is_over_when_it_is_read_is_denied_and_never_launched() {
     let mut world = heard(terms());
     let (ttl, waited) = (-300 * MS, 1_800 * MS);
-    let task = Task { offering: WRITE, group: 7, ttl, waited, ..Task::default() };
+    let task = Task { class: WRITE, group: 7, ttl, waited, ..Task::default() };
     let over = world.take_task(task);
     assert_eq!((world.denied.as_slice(), world.launched.len()), ([over].as_slice(), 0));
 }
@@ -376,7 +376,7 @@
 fn a_read_that_waited_for_a_replicas_word_is_held_to_the_standard_of_an_arrival() {
     let mut terms = Terms { drivers: 40, drivers_at_cold: 40, ..terms() };
     // Launches are taken to last 30 ms: half come in time after a wait of 6 ms, 85 of a hundred do not.
-    terms.offerings[READ].quoted = 60 * MS;
+    terms.classes[READ].quoted = 60 * MS;
     let mut world = World::new(terms, 2);
     world.probe_answer(0, true);
     world.pass(BOUND + 30 * MS);
--- a/crates/routing/tests/router/givens.rs
+++ b/crates/routing/tests/router/givens.rs
@@ -6,7 +6,7 @@
 
 pub const MS: Micros = 1_000;
 pub const BOUND: Micros = 300 * MS;
-/// Offerings by number.
+/// Request classes by number.
 pub const READ: usize = 0;
 pub const LOOSE: usize = 1;
 pub const WRITE: usize = 2;
@@ -15,7 +15,7 @@
 pub const REPORT: usize = 5;
 
 pub fn terms() -> Terms {
-    let offering = |effect, need, payoff, late_share| Offering {
+    let class = |effect, need, payoff, late_share| RequestClass {
         effect,
         need,
         quoted: 500 * MS,
@@ -25,16 +25,16 @@
     };
     let receipted = Effect::Receipted { scope: Scope::Group, window: 2_000 * MS };
     Terms {
-        offerings: vec![
-            offering(Effect::Pure, Need::Recent(BOUND), 1.0, 0.0),
-            offering(Effect::Pure, Need::Loose, 2.0, 0.2),
-            offering(Effect::Effectful, Need::Write, 6.0, 0.5),
-            offering(receipted, Need::Write, 3.0, 0.5),
-            offering(Effect::Pure, Need::OwnWrites, 1.0, 0.0),
-            Offering {
+        classes: vec![
+            class(Effect::Pure, Need::Recent(BOUND), 1.0, 0.0),
+            class(Effect::Pure, Need::Loose, 2.0, 0.2),
+            class(Effect::Effectful, Need::Write, 6.0, 0.5),
+            class(receipted, Need::Write, 3.0, 0.5),
+            class(Effect::Pure, Need::OwnWrites, 1.0, 0.0),
+            RequestClass {
                 quoted: 6_000 * MS,
                 limit: 12_000 * MS,
-                ..offering(Effect::Pure, Need::Loose, 4.0, 0.0)
+                ..class(Effect::Pure, Need::Loose, 4.0, 0.0)
             },
         ],
         drivers: 2,
--- a/crates/routing/tests/router/world.rs
+++ b/crates/routing/tests/router/world.rs
@@ -11,7 +11,7 @@
 
 #[derive(Clone)]
 struct Flight {
-    offering: usize,
+    class: usize,
     end: Micros,
     launches: u32,
     /// Where a launch is out, and its limit.
@@ -127,28 +127,28 @@
         );
     }
 
-    pub fn take(&mut self, offering: usize, ttl: Micros) -> Handle {
-        self.take_try(offering, ttl, false)
+    pub fn take(&mut self, class: usize, ttl: Micros) -> Handle {
+        self.take_try(class, ttl, false)
     }
 
-    pub fn take_session(&mut self, offering: usize, ttl: Micros, session: &str) -> Handle {
-        self.take_whole(offering, ttl, false, session)
+    pub fn take_session(&mut self, class: usize, ttl: Micros, session: &str) -> Handle {
+        self.take_whole(class, ttl, false, session)
     }
 
-    pub fn take_try(&mut self, offering: usize, ttl: Micros, repeat: bool) -> Handle {
-        self.take_whole(offering, ttl, repeat, "s")
+    pub fn take_try(&mut self, class: usize, ttl: Micros, repeat: bool) -> Handle {
+        self.take_whole(class, ttl, repeat, "s")
     }
 
-    fn take_whole(&mut self, offering: usize, ttl: Micros, repeat: bool, session: &str) -> Handle {
+    fn take_whole(&mut self, class: usize, ttl: Micros, repeat: bool, session: &str) -> Handle {
         let session = Some(session.to_owned());
-        self.take_task(Task { offering, group: 7, ttl, session, repeat, ..Task::default() })
+        self.take_task(Task { class, group: 7, ttl, session, repeat, ..Task::default() })
     }
 
     pub fn take_task(&mut self, task: Task) -> Handle {
-        let (offering, ttl) = (task.offering, task.ttl);
+        let (class, ttl) = (task.class, task.ttl);
         let (handle, todo) = self.router.take(self.now, task);
         let flight = Flight {
-            offering,
+            class,
             end: self.now + ttl,
             launches: 0,
             out: None,
@@ -213,7 +213,7 @@
     pub fn end(&mut self, handle: Handle, verdict: Verdict) {
         let flight = &self.flights[&handle];
         let (id, _) = flight.out.expect("out");
-        let write = self.terms.offerings[flight.offering].need == Need::Write;
+        let write = self.terms.classes[flight.class].need == Need::Write;
         let verdict = match verdict {
             Verdict::Honoured if write && id != self.primary => Verdict::Miss,
             Verdict::Miss if !write => Verdict::Full,
@@ -231,7 +231,7 @@
     pub fn end_saying(&mut self, handle: Handle, verdict: Verdict, told: Told) {
         let flight = self.flights.get_mut(&handle).expect("taken");
         let (id, limit) = flight.out.take().expect("out");
-        let write = self.terms.offerings[flight.offering].need == Need::Write;
+        let write = self.terms.classes[flight.class].need == Need::Write;
         if !verdict.never_ran() {
             flight.may_have_run.get_or_insert(flight.launched);
         }
@@ -321,7 +321,7 @@
                 }
                 Step::Deny { .. } => {
                     let flight = self.flights.get_mut(&handle).expect("taken");
-                    let pure = self.terms.offerings[flight.offering].effect == Effect::Pure;
+                    let pure = self.terms.classes[flight.class].effect == Effect::Pure;
                     assert!(pure || flight.may_have_run.is_none() && flight.out.is_none(), "rule 2: denied");
                     assert!(!std::mem::replace(&mut flight.over, true), "rule 1: a second answer");
                     self.denied.push(handle);
@@ -338,12 +338,12 @@
     fn check_launch(&mut self, handle: Handle, id: MemberId, limit: Micros, validity: Validity) {
         let now = self.now;
         let flight = self.flights.get_mut(&handle).expect("taken");
-        let offering = &self.terms.offerings[flight.offering];
+        let class = &self.terms.classes[flight.class];
         assert!(!flight.over, "rule 1: launched after its answer");
         assert!(flight.out.is_none(), "rule 2: two launches out at once");
         assert!(flight.launches < self.terms.max_launches && limit > 0);
         assert!(now < flight.end, "launched when its client has gone");
-        match offering.effect {
+        match class.effect {
             Effect::Effectful => assert!(flight.may_have_run.is_none(), "rule 2: launched again"),
             Effect::Receipted { window, .. } => {
                 let forgotten = flight.may_have_run.map_or(Micros::MAX, |at| at + window - HELD_UP);
@@ -353,7 +353,7 @@
         }
         let (standing, at) = self.standing[id];
         assert!(standing == Standing::Ready || now == at, "rule 3: launched at a drain");
-        let floor = match offering.need {
+        let floor = match class.need {
             Need::Recent(bound) => now - bound + HELD_UP,
             Need::OwnWrites => flight.floor,
             _ => Micros::MIN,
@@ -362,7 +362,7 @@
         let proven = self.terms.members_check || self.positions[id] >= floor || self.excused[id];
         assert!(proven, "rule 5: a read at data that is too old");
         // For as long as it says: an attempt may leave late.
-        let lasts = match offering.need {
+        let lasts = match class.need {
             _ if validity.while_primary => self.excused[id],
             Need::Recent(bound) => {
                 self.terms.members_check || validity.until <= self.positions[id] + bound - HELD_UP
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -16,7 +16,7 @@
 const COLD: MemberId = 0;
 
 fn terms(processes: usize) -> Terms {
-    let class = Offering {
+    let class = RequestClass {
         effect: Effect::Pure,
         need: Need::Loose,
         quoted: 500 * MS,
@@ -25,7 +25,7 @@
         late_share: 0.0,
     };
     Terms {
-        offerings: vec![class],
+        classes: vec![class],
         drivers: processes,
         drivers_at_cold: processes,
         repeats_marked: true,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::fmt;
 
-use aldermill_routing::{Effect, ListedRoles, Micros, Need, Offering, Role, Scope, Terms, Told};
+use aldermill_routing::{Effect, ListedRoles, Micros, Need, RequestClass, Role, Scope, Terms, Told};
 use serde::Deserialize;
 
 /// What cannot be read: the field, and why.
@@ -128,7 +128,7 @@
     pub drain_grace: Micros,
     /// Tasks that one driver may hold.
     pub max_open: usize,
-    offerings: HashMap<String, usize>,
+    classes: HashMap<String, usize>,
     zones: Vec<String>,
     /// Where the drill's clock stands when positions are zero.
     pub zero: Micros,
@@ -172,7 +172,7 @@
         if message.balancers == 0 {
             return Err(Trouble::new("balancers", "0 is too few"));
         }
-        let mut offerings = Vec::new();
+        let mut classes = Vec::new();
         for (index, category) in message.categories.iter().enumerate() {
             let window = time("windowMs", category.window_ms)?;
             known("dedupScope", &category.dedup_scope, &["all", "zone", "cell"])?;
@@ -192,7 +192,7 @@
                 "loose" => Need::Loose,
                 other => return bad("needsByClass", other),
             };
-            offerings.push(Offering {
+            classes.push(RequestClass {
                 effect,
                 need,
                 quoted: time("targetMs", category.target_ms)?,
@@ -210,7 +210,7 @@
         let (limits, rules) = (&message.limits, &message.rules);
         let zone = |name: &str| message.azs.iter().position(|zone| zone == name);
         let terms = Terms {
-            offerings,
+            classes,
             drivers: message.balancers,
             drivers_at_cold: message.balancers,
             repeats_marked: message.clients.marks_retry,
@@ -240,7 +240,7 @@
             connect_timeout: time("limits.connectTimeoutMs", limits.connect_timeout_ms)?,
             drain_grace: time("rules.drainGraceMs", rules.drain_grace_ms)?,
             max_open: limits.max_open,
-            offerings: names.enumerate().map(|(index, name)| (name, index)).collect(),
+            classes: names.enumerate().map(|(index, name)| (name, index)).collect(),
             sizes_listed: matches!(weights, "nominal" | "rough"),
             tenants: message.tenants.into_iter().map(|tenant| tenant.name).collect(),
             zero: micros(message.family_info.position_zero_ms),
@@ -248,8 +248,8 @@
         })
     }
 
-    pub fn offering(&self, name: &str) -> Result<usize, Trouble> {
-        self.offerings.get(name).copied().map_or_else(|| bad("service", name), Ok)
+    pub fn class(&self, name: &str) -> Result<usize, Trouble> {
+        self.classes.get(name).copied().map_or_else(|| bad("service", name), Ok)
     }
 
     /// Whether a task's account is one that the settings name.
@@ -265,20 +265,20 @@
         &self.zones
     }
 
-    /// The offerings' names, in the order of the terms.
+    /// The request classes' names, in the order of the terms.
     pub fn names(&self) -> Vec<String> {
-        let mut names = vec![String::new(); self.terms.offerings.len()];
-        for (name, &index) in &self.offerings {
+        let mut names = vec![String::new(); self.terms.classes.len()];
+        for (name, &index) in &self.classes {
             names[index].clone_from(name);
         }
         names
     }
 
-    /// The names of those offerings that pay most.
+    /// The names of those request classes that pay most.
     pub fn best_paid(&self) -> Vec<String> {
-        let payoff = |index: usize| self.terms.offerings[index].payoff;
-        let most = (0..self.terms.offerings.len()).map(payoff).fold(f64::NEG_INFINITY, f64::max);
-        let best = self.offerings.iter().filter(|&(_, &index)| payoff(index) >= most);
+        let payoff = |index: usize| self.terms.classes[index].payoff;
+        let most = (0..self.terms.classes.len()).map(payoff).fold(f64::NEG_INFINITY, f64::max);
+        let best = self.classes.iter().filter(|&(_, &index)| payoff(index) >= most);
         best.map(|(name, _)| name.clone()).collect()
     }
 
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -91,7 +91,7 @@
             "targetMs": 750, "deadlineMs": 2000, "worth": 3, "lateWorth": 0.7});
         let decoded = with("/categories", Some(json!([category]))).unwrap();
         let window = 1_200_000;
-        assert_eq!(decoded.terms.offerings[0].effect, Effect::Receipted { scope, window });
+        assert_eq!(decoded.terms.classes[0].effect, Effect::Receipted { scope, window });
     }
 }
 
--- a/crates/site-link/src/frame.rs
+++ b/crates/site-link/src/frame.rs
@@ -72,7 +72,7 @@
     #[prost(uint64, tag = "2")]
     pub receiver_start: u64,
     #[prost(string, tag = "3")]
-    pub offering: String,
+    pub class: String,
     #[prost(uint64, tag = "4")]
     pub group: u64,
     /// The time that is left for it, the way there taken off.
@@ -208,11 +208,11 @@
     pub number: u64,
 }
 
-/// How many tasks of an offering the other side may have under way here.
+/// How many tasks of a request class the other side may have under way here.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Credit {
     #[prost(string, tag = "1")]
-    pub offering: String,
+    pub class: String,
     #[prost(uint32, tag = "2")]
     pub tasks: u32,
 }
--- a/crates/site-link/src/link.rs
+++ b/crates/site-link/src/link.rs
@@ -181,7 +181,7 @@
                 if length > self.bounds.statement || length == 0 {
                     return Err(Broken::Malformed("statement of impossible length"));
                 }
-                if task.offering.len() > 256 || task.visited.len() > 16 {
+                if task.class.len() > 256 || task.visited.len() > 16 {
                     return Err(Broken::Malformed("task with too much to it"));
                 }
                 self.announce((number, false), Announced::Task(task), length, events)?;
--- a/crates/site-link/tests/frames.rs
+++ b/crates/site-link/tests/frames.rs
@@ -23,7 +23,7 @@
 }
 
 fn task(number: u64) -> Task {
-    Task { number, offering: "renew".into(), group: 3, left_us: 5, ..Task::default() }
+    Task { number, class: "renew".into(), group: 3, left_us: 5, ..Task::default() }
 }
 
 /// Carries all that waits either way, in pieces of such a size; what each end heard.
--- a/crates/site-routing/src/credit.rs
+++ b/crates/site-routing/src/credit.rs
@@ -1,8 +1,8 @@
-//! How many tasks others may have under way here, by offering.
+//! How many tasks others may have under way here, by request class.
 
 use std::collections::HashMap;
 
-use crate::{GateId, Micros, Offering};
+use crate::{GateId, Micros, RequestClass};
 
 /// At first, and at least: with nothing nobody would notice that there is room again.
 const START: f64 = 16.0;
@@ -18,21 +18,22 @@
 }
 
 /// The windows that this gateway offers to others. Protects the own site's clients from what other sites cannot
-/// serve themselves. Should also cover floods of one offering: each has its own window, the best paid shrinks least.
+/// serve themselves. Should also cover floods of one request class: each has its own window, the best paid
+/// shrinks least.
 /// Harms a sudden shift of load to this site: windows grow by one a window's worth of tasks.
 #[derive(Debug)]
 pub struct Offers {
     windows: HashMap<GateId, Vec<Window>>,
-    /// What a denial leaves of each offering's window.
+    /// What a denial leaves of each request class's window.
     keeps: Vec<f64>,
     most: f64,
 }
 
 impl Offers {
-    pub fn start(offerings: &[Offering], most: u32) -> Offers {
-        let best = offerings.iter().map(|offering| offering.payoff).fold(f64::MIN_POSITIVE, f64::max);
+    pub fn start(classes: &[RequestClass], most: u32) -> Offers {
+        let best = classes.iter().map(|class| class.payoff).fold(f64::MIN_POSITIVE, f64::max);
         // Half for what pays nothing, nine tenths for the best paid.
-        let keeps = offerings.iter().map(|offering| 0.5 + 0.4 * (offering.payoff / best).clamp(0.0, 1.0));
+        let keeps = classes.iter().map(|class| 0.5 + 0.4 * (class.payoff / best).clamp(0.0, 1.0));
         Offers { windows: HashMap::new(), keeps: keeps.collect(), most: f64::from(most.max(1)) }
     }
 
@@ -40,16 +41,16 @@
         self.of(gate).iter().map(|window| window.tasks.floor().max(LEAST) as u32).collect()
     }
 
-    pub(crate) fn came(&mut self, gate: GateId, offering: usize) {
-        if let Some(window) = self.of(gate).get_mut(offering) {
+    pub(crate) fn came(&mut self, gate: GateId, class: usize) {
+        if let Some(window) = self.of(gate).get_mut(class) {
             window.under_way += 1;
         }
     }
 
     /// A task of another site is over here; says whether what is offered has changed.
-    pub(crate) fn over(&mut self, now: Micros, gate: GateId, offering: usize, denied: bool) -> bool {
-        let (keep, most) = (self.keeps.get(offering).copied().unwrap_or(0.5), self.most);
-        let Some(window) = self.of(gate).get_mut(offering) else { return false };
+    pub(crate) fn over(&mut self, now: Micros, gate: GateId, class: usize, denied: bool) -> bool {
+        let (keep, most) = (self.keeps.get(class).copied().unwrap_or(0.5), self.most);
+        let Some(window) = self.of(gate).get_mut(class) else { return false };
         let before = window.tasks.floor();
         let full = f64::from(window.under_way) >= window.tasks - 1.0;
         window.under_way = window.under_way.saturating_sub(1);
--- a/crates/site-routing/src/crossing.rs
+++ b/crates/site-routing/src/crossing.rs
@@ -61,7 +61,7 @@
 pub(crate) struct Sent<H> {
     pub handle: H,
     pub gate: GateId,
-    pub offering: usize,
+    pub class: usize,
     /// When it was sent, or last asked about; and when it was sent.
     pub at: Micros,
     pub since: Micros,
@@ -91,11 +91,10 @@
 }
 
 impl<H: Copy> Crossings<H> {
-    pub(crate) fn send(&mut self, now: Micros, handle: H, gate: GateId, offering: usize) -> u64 {
+    pub(crate) fn send(&mut self, now: Micros, handle: H, gate: GateId, class: usize) -> u64 {
         let number = self.next;
         self.next += 1;
-        self.sent
-            .insert(number, Sent { handle, gate, offering, at: now, since: now, crossing: Crossing::Out });
+        self.sent.insert(number, Sent { handle, gate, class, at: now, since: now, crossing: Crossing::Out });
         let numbers = self.gates.entry(gate).or_default();
         numbers.open.insert(number);
         numbers.highest = number;
@@ -124,9 +123,9 @@
         self.gates.get(&gate).map_or(Vec::new(), |numbers| numbers.open.iter().copied().collect())
     }
 
-    pub(crate) fn count_at(&self, gate: GateId, offering: usize) -> usize {
+    pub(crate) fn count_at(&self, gate: GateId, class: usize) -> usize {
         let open = self.gates.get(&gate).into_iter().flat_map(|numbers| &numbers.open);
-        open.filter(|number| self.sent.get(number).is_some_and(|sent| sent.offering == offering)).count()
+        open.filter(|number| self.sent.get(number).is_some_and(|sent| sent.class == class)).count()
     }
 
     /// Up to where everything sent to a gateway is closed, if that has risen since it was last said.
--- a/crates/site-routing/src/lib.rs
+++ b/crates/site-routing/src/lib.rs
@@ -59,7 +59,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Offering {
+pub struct RequestClass {
     pub effect: Effect,
     pub need: Need,
     pub quoted: Micros,
@@ -71,12 +71,12 @@
 /// What a gateway is told once.
 #[derive(Clone, Debug)]
 pub struct Terms {
-    pub offerings: Vec<Offering>,
+    pub classes: Vec<RequestClass>,
     /// How many sites there are, the own one among them.
     pub sites: usize,
     /// How many links a task may cross.
     pub max_hops: usize,
-    /// Tasks of one offering that another gateway may have under way here at most.
+    /// Tasks of one request class that another gateway may have under way here at most.
     pub max_credit: u32,
     /// How long a denied client is told to stay away at most.
     pub max_cool_down: Micros,
@@ -84,7 +84,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Task {
-    pub offering: usize,
+    pub class: usize,
     pub group: u64,
     /// How long it may take from now on.
     pub ttl: Micros,
--- a/crates/site-routing/src/sites.rs
+++ b/crates/site-routing/src/sites.rs
@@ -12,7 +12,7 @@
 use crate::crossing::{Crossing, Crossings, Settled};
 use crate::homes::Homes;
 use crate::{
-    Answer, Effect, Fate, GateId, HereEnded, Micros, Need, OWN, Offering, SiteId, Step, Task, Terms, Todo,
+    Answer, Effect, Fate, GateId, HereEnded, Micros, Need, OWN, RequestClass, SiteId, Step, Task, Terms, Todo,
 };
 
 mod hear;
@@ -110,9 +110,9 @@
     /// How many tasks may be out so that those under way there are as many as it offers: on a long line most of them
     /// are on the way at any time. Protects throughput over long lines from windows meant for work. Harms the other
     /// side with a burst when what was on the way comes at once; what it cannot take it denies, and offers less.
-    fn may_be_out(&self, offering: usize, most: u32) -> usize {
-        let credit = self.credits.get(offering).copied().unwrap_or(0);
-        let total = self.took[offering].quantile(0.5).unwrap_or(0);
+    fn may_be_out(&self, class: usize, most: u32) -> usize {
+        let credit = self.credits.get(class).copied().unwrap_or(0);
+        let total = self.took[class].quantile(0.5).unwrap_or(0);
         if self.honoured < ENOUGH || credit == 0 {
             return credit as usize;
         }
@@ -163,7 +163,7 @@
             errands: HashMap::new(),
             next: 0,
             crossings: Crossings::default(),
-            offers: Offers::start(&terms.offerings, terms.max_credit),
+            offers: Offers::start(&terms.classes, terms.max_credit),
             held: Vec::new(),
             next_beat: now,
             woke: Micros::MIN / 2,
@@ -176,7 +176,7 @@
     pub fn take(&mut self, now: Micros, task: Task) -> (Handle, Todo) {
         let handle = Handle(self.next);
         self.next += 1;
-        let (limit, quoted_by) = (now + task.ttl, now + self.offering(&task).quoted);
+        let (limit, quoted_by) = (now + task.ttl, now + self.class(&task).quoted);
         let errand = Errand {
             task,
             limit,
--- a/crates/site-routing/src/sites/hear.rs
+++ b/crates/site-routing/src/sites/hear.rs
@@ -28,18 +28,18 @@
     /// Another gateway was greeted, or one of its links came or went: so many stand now. `same` is false where its
     /// process is another one than before: what that one took it knows as far as it was kept.
     pub fn links(&mut self, now: Micros, id: GateId, site: SiteId, links: usize, same: bool) -> Todo {
-        let offerings = &self.terms.offerings;
+        let classes = &self.terms.classes;
         let gate = self.gates.entry(id).or_insert_with(|| Gate {
             site,
             links: 0,
             lost: Micros::MIN / 2,
             trip: Trip::guessed(TRIP),
-            credits: vec![0; offerings.len()],
+            credits: vec![0; classes.len()],
             draining: false,
             barred_until: Micros::MIN / 2,
             failures: VecDeque::new(),
             honoured: 0,
-            took: offerings.iter().map(|offering| Histogram::of(offering.quoted / 8, 4)).collect(),
+            took: classes.iter().map(|class| Histogram::of(class.quoted / 8, 4)).collect(),
         });
         if gate.links > 0 && links == 0 {
             gate.lost = now;
@@ -51,7 +51,7 @@
             // The book of its earlier start may have been kept: it is asked, and knows or does not.
             for number in self.crossings.open_at(id) {
                 let Some(sent) = self.crossings.get_mut(number) else { continue };
-                let harmless = self.terms.offerings[sent.offering].effect != Effect::Effectful;
+                let harmless = self.terms.classes[sent.class].effect != Effect::Effectful;
                 let settled = sent.crossing.lost(harmless);
                 self.settle(now, number, settled);
             }
@@ -70,7 +70,7 @@
     pub fn lost(&mut self, now: Micros, id: GateId, numbers: &[u64]) -> Todo {
         for &number in numbers {
             let Some(sent) = self.crossings.get(number).filter(|sent| sent.gate == id) else { continue };
-            let harmless = self.terms.offerings[sent.offering].effect != Effect::Effectful;
+            let harmless = self.terms.classes[sent.class].effect != Effect::Effectful;
             if let Some(sent) = self.crossings.get_mut(number) {
                 let settled = sent.crossing.lost(harmless);
                 self.settle(now, number, settled);
@@ -81,8 +81,8 @@
         self.take_todo()
     }
 
-    /// What another gateway says of itself: its credits by offering, its groups and which of them have their primary
-    /// there, whether it drains.
+    /// What another gateway says of itself: its credits by request class, its groups and which of them have
+    /// their primary there, whether it drains.
     pub fn room(
         &mut self,
         now: Micros,
@@ -109,7 +109,7 @@
     /// Another gateway answered a task.
     pub fn answered(&mut self, now: Micros, number: u64, answer: Answer) -> Todo {
         if let Some(sent) = self.crossings.get_mut(number) {
-            let (id, handle, offering, at) = (sent.gate, sent.handle, sent.offering, sent.since);
+            let (id, handle, class, at) = (sent.gate, sent.handle, sent.class, sent.since);
             let settled = sent.crossing.answered(answer);
             let group = self.errands.get(&handle).map(|errand| errand.task.group);
             if let Some(gate) = self.gates.get_mut(&id) {
@@ -117,11 +117,11 @@
                 match answer {
                     Answer::Honoured => {
                         if at >= self.woke {
-                            gate.took[offering].add(now - at, KEEP);
+                            gate.took[class].add(now - at, KEEP);
                         }
                         gate.honoured = gate.honoured.saturating_add(1);
                         gate.failures.clear();
-                        if let (Some(group), Need::Primary) = (group, self.terms.offerings[offering].need) {
+                        if let (Some(group), Need::Primary) = (group, self.terms.classes[class].need) {
                             self.homes.answered(now, group, site);
                         }
                     }
@@ -164,7 +164,8 @@
         self.take_todo()
     }
 
-    /// What is offered to another gateway now: credits by offering, and the groups here with their primary or not.
+    /// What is offered to another gateway now: credits by request class, and the groups here with their
+    /// primary or not.
     pub fn offered(&mut self, id: GateId) -> (Vec<u32>, Vec<(u64, bool)>) {
         let homes = &self.homes;
         let here = homes.known().filter(|&group| homes.here(group) > 0);
@@ -173,12 +174,12 @@
     }
 
     /// A task of another gateway came, or is over here.
-    pub fn guest_came(&mut self, id: GateId, offering: usize) {
-        self.offers.came(id, offering);
+    pub fn guest_came(&mut self, id: GateId, class: usize) {
+        self.offers.came(id, class);
     }
 
-    pub fn guest_over(&mut self, now: Micros, id: GateId, offering: usize, denied: bool) -> bool {
-        self.offers.over(now, id, offering, denied)
+    pub fn guest_over(&mut self, now: Micros, id: GateId, class: usize, denied: bool) -> bool {
+        self.offers.over(now, id, class, denied)
     }
 
     pub fn wake(&mut self, now: Micros) -> Todo {
--- a/crates/site-routing/src/sites/place.rs
+++ b/crates/site-routing/src/sites/place.rs
@@ -6,11 +6,11 @@
     /// Sends the task to the site that it belongs to, holds it, or gives it up.
     pub(super) fn place(&mut self, now: Micros, handle: Handle) {
         let Some(errand) = self.errands.get(&handle) else { return };
-        let offering = *self.offering(&errand.task);
-        if self.stuck(now, errand, &offering) {
+        let class = *self.class(&errand.task);
+        if self.stuck(now, errand, &class) {
             return self.give_up(handle);
         }
-        let Some(site) = self.site_for(now, errand, &offering) else {
+        let Some(site) = self.site_for(now, errand, &class) else {
             // Every site has said 'not here', or none can be reached: as the router after a round of misses.
             return self.hold(now, handle);
         };
@@ -24,26 +24,25 @@
             return self.not_here(handle, site);
         }
         // Where it has no room, what is held goes when it has.
-        let Some(id) = self.gate_to(now, site, errand.task.offering) else { return self.hold(now, handle) };
+        let Some(id) = self.gate_to(now, site, errand.task.class) else { return self.hold(now, handle) };
         let gate = &self.gates[&id];
         let (way, errand) = (gate.trip.one_way(), &self.errands[&handle]);
-        let usual = gate.took[errand.task.offering].quantile(0.5).unwrap_or(0).max(gate.trip.mean());
-        let useful =
-            if offering.late_share > 0.0 { errand.limit } else { errand.limit.min(errand.quoted_by) };
+        let usual = gate.took[errand.task.class].quantile(0.5).unwrap_or(0).max(gate.trip.mean());
+        let useful = if class.late_share > 0.0 { errand.limit } else { errand.limit.min(errand.quoted_by) };
         // What cannot be back in time is denied before it is sent.
         if now + usual.max(2 * way) >= useful {
             return self.give_up(handle);
         }
         let left = errand.limit - now - way;
-        let number = self.crossings.send(now, handle, id, errand.task.offering);
+        let number = self.crossings.send(now, handle, id, errand.task.class);
         let errand = self.errands.get_mut(&handle).expect("held by its handle");
         (errand.out, errand.crossed) = (Some(number), errand.crossed + 1);
         self.todo.steps.push((handle, Step::Cross { gate: id, number, left }));
     }
 
     /// Whether it can be sent nowhere any more: its time is up, or it may have run and must not again.
-    pub(super) fn stuck(&self, now: Micros, errand: &Errand, offering: &Offering) -> bool {
-        let never_again = match (offering.effect, errand.may_have_run) {
+    pub(super) fn stuck(&self, now: Micros, errand: &Errand, class: &RequestClass) -> bool {
+        let never_again = match (class.effect, errand.may_have_run) {
             (_, None) | (Effect::Pure, _) => false,
             (Effect::Receipted { window, .. }, Some((at, _))) => now >= at + window,
             (Effect::Effectful, Some(_)) => true,
@@ -53,11 +52,11 @@
     }
 
     /// Where it goes next; `None` is nowhere for now.
-    pub(super) fn site_for(&self, now: Micros, errand: &Errand, offering: &Offering) -> Option<SiteId> {
+    pub(super) fn site_for(&self, now: Micros, errand: &Errand, class: &RequestClass) -> Option<SiteId> {
         let group = errand.task.group;
         // A receipt may reach no further than the site that had the task first.
         if let (Effect::Receipted { within_site: true, .. }, Some((_, site))) =
-            (offering.effect, errand.may_have_run)
+            (class.effect, errand.may_have_run)
         {
             return Some(site);
         }
@@ -66,7 +65,7 @@
                 && !errand.task.visited.contains(&site)
                 && !self.bound.is_retired(site)
         };
-        match offering.need {
+        match class.need {
             Need::Primary => {
                 let tried = |site: &SiteId| errand.tried.contains(site);
                 let home = self.homes.home(group).filter(|site| !tried(site) && known(site));
@@ -133,12 +132,12 @@
         self.gates.values().filter(may).min_by_key(|gate| gate.trip.mean()).map(|gate| gate.site)
     }
 
-    /// A gateway of that site with credit left for the offering, by chance in proportion to it. One that is barred
-    /// is still tried where all are.
-    pub(super) fn gate_to(&mut self, now: Micros, site: SiteId, offering: usize) -> Option<GateId> {
+    /// A gateway of that site with credit left for the request class, by chance in proportion to it. One that
+    /// is barred is still tried where all are.
+    pub(super) fn gate_to(&mut self, now: Micros, site: SiteId, class: usize) -> Option<GateId> {
         let credit = |id: GateId, gate: &Gate| {
-            let most = gate.may_be_out(offering, self.terms.max_credit);
-            most.saturating_sub(self.crossings.count_at(id, offering))
+            let most = gate.may_be_out(class, self.terms.max_credit);
+            most.saturating_sub(self.crossings.count_at(id, class))
         };
         let open = |(&id, gate): (&GateId, &Gate)| (id, credit(id, gate));
         let may = |gate: &Gate| gate.site == site && gate.links > 0 && !gate.draining;
@@ -188,7 +187,7 @@
         }
         // Protects a client from a long wait for nothing, as the module does: a read that no site has room for by half of its
         // time is denied then. Harms what finds room later.
-        let reads = self.terms.offerings[errand.task.offering].need != Need::Primary;
+        let reads = self.terms.classes[errand.task.class].need != Need::Primary;
         if reads && now + errand.task.ttl / 2 >= errand.limit {
             return self.give_up(handle);
         }
@@ -244,7 +243,7 @@
 
     pub(super) fn here_ended(&mut self, now: Micros, handle: Handle, ended: HereEnded) {
         let Some(errand) = self.errands.get(&handle).filter(|errand| errand.here) else { return };
-        let (group, need) = (errand.task.group, self.offering(&errand.task).need);
+        let (group, need) = (errand.task.group, self.class(&errand.task).need);
         match ended {
             HereEnded::Honoured => {
                 if need == Need::Primary && self.homes.answered(now, group, OWN) {
--- a/crates/site-routing/src/sites/settle.rs
+++ b/crates/site-routing/src/sites/settle.rs
@@ -74,7 +74,7 @@
 
     pub(super) fn deny(&mut self, handle: Handle, cool_down: Micros) {
         let Some(errand) = self.errands.get(&handle) else { return };
-        let pure = self.offering(&errand.task).effect == Effect::Pure;
+        let pure = self.class(&errand.task).effect == Effect::Pure;
         // A denial promises that nothing ran.
         let step = if errand.may_have_run.is_none() || pure {
             Step::Deny { cool_down: cool_down.min(self.terms.max_cool_down) }
@@ -87,7 +87,7 @@
 
     pub(super) fn give_up(&mut self, handle: Handle) {
         let Some(errand) = self.errands.get(&handle) else { return };
-        let quoted = self.offering(&errand.task).quoted;
+        let quoted = self.class(&errand.task).quoted;
         self.deny(handle, quoted);
     }
 
@@ -105,7 +105,7 @@
         held.retain(|handle| self.errands.contains_key(handle));
         // Best paid first, then those that came first.
         held.sort_by(|a, b| {
-            let payoff = |handle: &Handle| self.offering(&self.errands[handle].task).payoff;
+            let payoff = |handle: &Handle| self.class(&self.errands[handle].task).payoff;
             payoff(b).total_cmp(&payoff(a)).then(a.cmp(b))
         });
         held.into_iter().for_each(|handle| self.place(now, handle));
@@ -146,8 +146,8 @@
         self.pump_all(now);
     }
 
-    pub(super) fn offering(&self, task: &Task) -> &Offering {
-        &self.terms.offerings[task.offering]
+    pub(super) fn class(&self, task: &Task) -> &RequestClass {
+        &self.terms.classes[task.class]
     }
 
     pub(super) fn take_todo(&mut self) -> Todo {
--- a/crates/site-routing/tests/retiring.rs
+++ b/crates/site-routing/tests/retiring.rs
@@ -4,7 +4,7 @@
 
 use aldermill_site_drain::{Order, Plan, Stage, Word};
 use aldermill_site_routing::{
-    Answer, Effect, HereEnded, Micros, Need, OWN, Offering, Sites, Step, Task, Terms,
+    Answer, Effect, HereEnded, Micros, Need, OWN, RequestClass, Sites, Step, Task, Terms,
 };
 
 const MS: Micros = 1_000;
@@ -19,9 +19,9 @@
 
 /// A gateway of site a, with links to one gateway of b and one of c; all have members of the group.
 fn gateway() -> Sites {
-    let offering = |effect, need| Offering { effect, need, quoted: 400 * MS, payoff: 1.0, late_share: 0.5 };
-    let offerings = vec![offering(Effect::Pure, Need::Any), offering(Effect::Effectful, Need::Primary)];
-    let terms = Terms { offerings, sites: 3, max_hops: 1, max_credit: 10_000, max_cool_down: 500 * MS };
+    let class = |effect, need| RequestClass { effect, need, quoted: 400 * MS, payoff: 1.0, late_share: 0.5 };
+    let classes = vec![class(Effect::Pure, Need::Any), class(Effect::Effectful, Need::Primary)];
+    let terms = Terms { classes, sites: 3, max_hops: 1, max_credit: 10_000, max_cool_down: 500 * MS };
     let mut sites = Sites::start(terms, 1, 0);
     sites.listed(0, &[(GROUP, 2)]);
     for gate in 0..2 {
@@ -38,9 +38,9 @@
 }
 
 /// The site that the task goes to at once; `None` where it waits. It is answered there.
-fn goes(sites: &mut Sites, session: &str, offering: usize) -> Option<usize> {
+fn goes(sites: &mut Sites, session: &str, class: usize) -> Option<usize> {
     let session = Some(session.to_owned());
-    let task = Task { offering, group: GROUP, ttl: LIMIT, visited: Vec::new(), session };
+    let task = Task { class, group: GROUP, ttl: LIMIT, visited: Vec::new(), session };
     let (handle, todo) = sites.take(0, task);
     match todo.steps[..] {
         [] => None,
@@ -98,8 +98,8 @@
     let said = sites.wake(LIMIT / 2 + 20 * MS).steps;
     assert!(matches!(said[..], [(_, Step::Deny { .. })]), "{said:?}");
     // Guests of gateways that have not heard of it are answered until it is retired.
-    let guest = |sites: &mut Sites, offering| {
-        let task = Task { offering, group: GROUP, ttl: LIMIT, visited: vec![1], session: None };
+    let guest = |sites: &mut Sites, class| {
+        let task = Task { class, group: GROUP, ttl: LIMIT, visited: vec![1], session: None };
         sites.take(0, task).1.steps[0].1
     };
     assert!(matches!(guest(&mut sites, READ), Step::Here { .. }));
--- a/crates/site-routing/tests/two_sites/one_site.rs
+++ b/crates/site-routing/tests/two_sites/one_site.rs
@@ -1,7 +1,7 @@
 //! One gateway by itself: what it sends, holds, and gives up.
 
 use aldermill_site_routing::{
-    Answer, Effect, Fate, HereEnded, OWN, Offering, Sites, Step, Task, Terms, Todo,
+    Answer, Effect, Fate, HereEnded, OWN, RequestClass, Sites, Step, Task, Terms, Todo,
 };
 
 use crate::world::{FAR, GATE, GROUP, LIMIT, MS, terms};
@@ -12,7 +12,7 @@
     sites.links(0, GATE, FAR, 1, true);
     (0..30).for_each(|_| sites.trip(GATE, 300 * MS));
     sites.room(0, GATE, vec![9; 4], &[(GROUP, true)], false);
-    let task = |offering, ttl| Task { offering, group: GROUP, ttl, visited: Vec::new(), session: None };
+    let task = |class, ttl| Task { class, group: GROUP, ttl, visited: Vec::new(), session: None };
     let (handle, todo) = sites.take(0, task(1, 250 * MS));
     assert!(matches!(todo.steps[..], [(other, Step::Deny { .. })] if other == handle), "{todo:?}");
     let (_, todo) = sites.take(0, task(1, 1_000 * MS));
@@ -53,7 +53,7 @@
         for _ in 0..9 {
             sites.take(
                 0,
-                Task { offering: 1, group: GROUP, ttl: 1_000 * MS, visited: Vec::new(), session: None },
+                Task { class: 1, group: GROUP, ttl: 1_000 * MS, visited: Vec::new(), session: None },
             );
         }
         // Their answers came meanwhile, and nobody read them before their time was over.
@@ -78,7 +78,7 @@
     sites.room(0, GATE, vec![9; 4], &[(GROUP, true)], false);
     // Each believes the other to be home: the one that was asked says so, and nothing goes in a circle.
     let (handle, todo) =
-        sites.take(0, Task { offering: 1, group: GROUP, ttl: 900 * MS, visited: vec![FAR], session: None });
+        sites.take(0, Task { class: 1, group: GROUP, ttl: 900 * MS, visited: vec![FAR], session: None });
     assert!(matches!(todo.steps[..], [(_, Step::Here { .. })]), "{todo:?}");
     let mut last = Todo::default();
     for _ in 0..2 {
@@ -91,18 +91,18 @@
 
 #[test]
 fn what_may_have_run_here_is_not_taken_back_and_what_may_have_run_there_is_not_denied() {
-    let offerings = || {
+    let classes = || {
         let receipted = Effect::Receipted { window: 2_000 * MS, within_site: false };
-        vec![Offering { effect: receipted, ..terms().offerings[1] }]
+        vec![RequestClass { effect: receipted, ..terms().classes[1] }]
     };
     let start = || {
-        let mut sites = Sites::start(Terms { offerings: offerings(), ..terms() }, 1, 0);
+        let mut sites = Sites::start(Terms { classes: classes(), ..terms() }, 1, 0);
         sites.listed(0, &[(GROUP, 2)]);
         sites.links(0, GATE, FAR, 1, true);
         sites.room(0, GATE, vec![9], &[(GROUP, false)], false);
         sites
     };
-    let task = |visited| Task { offering: 0, group: GROUP, ttl: LIMIT, visited, session: None };
+    let task = |visited| Task { class: 0, group: GROUP, ttl: LIMIT, visited, session: None };
     // Its launch was broken off, and then all members here said that they are not the primary.
     for visited in [vec![], vec![FAR]] {
         let mut sites = start();
--- a/crates/site-routing/tests/two_sites/world.rs
+++ b/crates/site-routing/tests/two_sites/world.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, HashMap};
 
 use aldermill_site_routing::{
-    Answer, Effect, Fate, Fates, Handle, HereEnded, Micros, Need, Offering, Origin, Sites, Step, Task, Terms,
-    Todo,
+    Answer, Effect, Fate, Fates, Handle, HereEnded, Micros, Need, Origin, RequestClass, Sites, Step, Task,
+    Terms, Todo,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -17,14 +17,14 @@
 pub const FAR: usize = 1;
 
 pub fn terms() -> Terms {
-    let offering =
-        |effect, need, payoff| Offering { effect, need, quoted: 700 * MS, payoff, late_share: 0.5 };
+    let class =
+        |effect, need, payoff| RequestClass { effect, need, quoted: 700 * MS, payoff, late_share: 0.5 };
     Terms {
-        offerings: vec![
-            offering(Effect::Pure, Need::Any, 1.0),
-            offering(Effect::Effectful, Need::Primary, 6.0),
-            offering(Effect::Pure, Need::Primary, 2.0),
-            offering(Effect::Pure, Need::Recent(10 * MS), 1.0),
+        classes: vec![
+            class(Effect::Pure, Need::Any, 1.0),
+            class(Effect::Effectful, Need::Primary, 6.0),
+            class(Effect::Pure, Need::Primary, 2.0),
+            class(Effect::Pure, Need::Recent(10 * MS), 1.0),
         ],
         sites: 2,
         max_hops: 1,
@@ -35,7 +35,7 @@
 
 #[derive(Clone, Debug)]
 pub enum Word {
-    Task { number: u64, offering: usize, left: Micros, start: u64 },
+    Task { number: u64, class: usize, left: Micros, start: u64 },
     Answer { number: u64, answer: Answer },
     Ask { number: u64, start: u64 },
     Told { number: u64, fate: Fate<()> },
@@ -46,7 +46,7 @@
 /// A task as its client sees it.
 #[derive(Debug)]
 pub struct Asked {
-    pub offering: usize,
+    pub class: usize,
     pub limit: Micros,
     pub answered: Option<&'static str>,
     pub left: bool,
@@ -171,12 +171,12 @@
         }
     }
 
-    pub fn take(&mut self, at: usize, offering: usize) {
+    pub fn take(&mut self, at: usize, class: usize) {
         let task = self.tasks.len();
-        self.tasks.push(Asked { offering, limit: self.now + LIMIT, answered: None, left: false, runs: 0 });
+        self.tasks.push(Asked { class, limit: self.now + LIMIT, answered: None, left: false, runs: 0 });
         let (handle, todo) = self.sides[at]
             .sites
-            .take(self.now, Task { offering, group: GROUP, ttl: LIMIT, visited: Vec::new(), session: None });
+            .take(self.now, Task { class, group: GROUP, ttl: LIMIT, visited: Vec::new(), session: None });
         self.sides[at].own.insert(handle, task);
         self.carry_out(at, todo);
     }
@@ -197,8 +197,8 @@
                     self.effects.insert(number as usize * 2 + at, task as u32);
                     self.sides[at].sent.push(number);
                     self.sides[at].sent_to.insert(number, start);
-                    let offering = self.tasks[task].offering;
-                    self.say(at, Word::Task { number, offering, left, start });
+                    let class = self.tasks[task].class;
+                    self.say(at, Word::Task { number, class, left, start });
                 }
                 Step::Ask { number, .. } => {
                     let start = self.sides[at].sent_to[&number];
@@ -232,12 +232,12 @@
             };
             assert_eq!(task.answered.replace(said), None, "answered twice");
             assert!(now <= task.limit, "{} too late", now - task.limit);
-            let effectful = task.offering == 1;
+            let effectful = task.class == 1;
             assert!(said != "denied" || !effectful || task.runs == 0, "denied, and it ran");
             assert!(said != "honoured" || task.runs > 0, "honoured, and it never ran");
-        } else if let Some((number, offering)) = self.sides[at].guests.remove(&handle) {
+        } else if let Some((number, class)) = self.sides[at].guests.remove(&handle) {
             let other = origin(1 - at, self.sides[1 - at].start);
-            if offering == 1 {
+            if class == 1 {
                 let fate = match answer {
                     Answer::Honoured => Fate::Honoured(()),
                     Answer::BrokenOff => Fate::BrokenOff,
@@ -246,7 +246,7 @@
                 self.sides[at].fates.settle(&other, number, fate);
             }
             let denied = matches!(answer, Answer::Denied { .. });
-            self.sides[at].sites.guest_over(self.now, GATE, offering, denied);
+            self.sides[at].sites.guest_over(self.now, GATE, class, denied);
             self.say(at, Word::Answer { number, answer });
         }
     }
@@ -260,7 +260,7 @@
             _ => return,
         };
         let primary = self.primary == at;
-        let needs_primary = matches!(self.tasks[task].offering, 1 | 2);
+        let needs_primary = matches!(self.tasks[task].class, 1 | 2);
         let todo = if needs_primary && !primary && self.now > limit - 60 * MS {
             handle.here_ended(&mut side.sites, self.now, HereEnded::Denied { cool_down: 0 })
         } else if needs_primary && !primary {
@@ -280,8 +280,8 @@
             if !matches!(ended, HereEnded::Denied { .. }) {
                 self.tasks[task].runs += 1;
                 let asked = &self.tasks[task];
-                assert!(asked.offering != 1 || asked.runs == 1, "an effectful task ran twice");
-                assert!(asked.offering != 1 || asked.answered != Some("denied"), "it ran after a denial");
+                assert!(asked.class != 1 || asked.runs == 1, "an effectful task ran twice");
+                assert!(asked.class != 1 || asked.answered != Some("denied"), "it ran after a denial");
             }
             handle.here_ended(&mut side.sites, self.now, ended)
         };
@@ -293,21 +293,16 @@
         let (now, own) = (self.now, self.sides[at].start);
         match word {
             Word::Task { start, .. } if start != own => {}
-            Word::Task { number, offering, left, .. } => {
+            Word::Task { number, class, left, .. } => {
                 // Whatever its effect, a number is taken once: a doubled frame is no second task.
                 if self.sides[at].fates.take(now, &other, number, left).is_err() {
                     return;
                 }
-                self.sides[at].sites.guest_came(GATE, offering);
-                let task = Task {
-                    offering,
-                    group: GROUP,
-                    ttl: left - self.delay,
-                    visited: vec![FAR],
-                    session: None,
-                };
+                self.sides[at].sites.guest_came(GATE, class);
+                let task =
+                    Task { class, group: GROUP, ttl: left - self.delay, visited: vec![FAR], session: None };
                 let (handle, todo) = self.sides[at].sites.take(now, task);
-                self.sides[at].guests.insert(handle, (number, offering));
+                self.sides[at].guests.insert(handle, (number, class));
                 self.carry_out(at, todo);
             }
             Word::Answer { number, answer } => {
--- a/crates/warm-start/src/lib.rs
+++ b/crates/warm-start/src/lib.rs
@@ -44,7 +44,8 @@
     pub word: Micros,
 }
 
-/// How long launches of an offering took: half of them no longer than the first, nine tenths than the second.
+/// How long launches of a request class took: half of them no longer than the first, nine tenths than the
+/// second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pace {
     pub usual: Micros,
@@ -60,7 +61,7 @@
     pub primaries: BTreeMap<u64, Primary>,
     /// Where a group's primary is, by the name of the site.
     pub homes: BTreeMap<u64, String>,
-    /// By offering.
+    /// By request class.
     pub paces: BTreeMap<String, Pace>,
     /// Launches that may be out at a member, in powers of two.
     pub windows: BTreeMap<String, i32>,
--- a/crates/wire/src/statement.rs
+++ b/crates/wire/src/statement.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Comment {
     pub id: String,
-    pub offering: String,
+    pub class: String,
     /// How long the client waits, in milliseconds.
     pub wait: u32,
     pub repeat: bool,
@@ -39,7 +39,7 @@
         let inner = std::str::from_utf8(&inner[..length]).map_err(|_| Malformed("comment is not text"))?;
         let start = skipped + 2;
 
-        let (mut id, mut offering, mut wait, mut repeat) = (None, None, None, None);
+        let (mut id, mut class, mut wait, mut repeat) = (None, None, None, None);
         let (mut group, mut after) = (None, None);
         let mut at = start;
         for part in inner.split(',') {
@@ -49,7 +49,7 @@
             let (name, value) = pair.split_once('=').ok_or(Malformed("comment field without a value"))?;
             let fresh = match name {
                 "id" => id.replace(value).is_none() && !value.is_empty(),
-                "c" => offering.replace(value).is_none(),
+                "c" => class.replace(value).is_none(),
                 "d" => wait.replace((number(value)?, value_end - value.len()..value_end)).is_none(),
                 "r" => repeat.replace(number::<u8>(value)? == 1).is_none(),
                 "cluster" => group.replace(number(value)?).is_none(),
@@ -67,7 +67,7 @@
         }
         Ok(Comment {
             id: id.to_owned(),
-            offering: offering.ok_or(Malformed("comment lacks c"))?.to_owned(),
+            class: class.ok_or(Malformed("comment lacks c"))?.to_owned(),
             wait,
             repeat: repeat.unwrap_or(false),
             group: group.ok_or(Malformed("comment lacks cluster"))?,
--- a/crates/wire/tests/parsers.rs
+++ b/crates/wire/tests/parsers.rs
@@ -230,7 +230,7 @@
 fn comments_say_all_of_the_task_or_are_refused() {
     let statement = b" /* id=9b1f,c=basket,d=480,r=1,cluster=2,after=1767225600123,more=x */ SELECT 1";
     let comment = Comment::parse(statement).unwrap();
-    assert_eq!((&comment.offering[..], comment.wait, comment.group), ("basket", 480, 2));
+    assert_eq!((&comment.class[..], comment.wait, comment.group), ("basket", 480, 2));
     assert_eq!((comment.repeat, comment.after), (true, Some(1_767_225_600_123)));
     assert_eq!(&statement[comment.wait_at.clone()], b"480");
     assert_eq!(&statement[comment.end..], b" SELECT 1");
