--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 
 use aldermill_routing::{
-    Handle, Listed, MemberId, Micros, Outcome, Role, Router, Standing, Step, Task, Todo, Told,
+    Handle, Listed, MemberId, Micros, Outcome, Request, Role, Router, Standing, Step, Todo, Told,
 };
 use aldermill_settings::{Decoded, Trouble};
 use wire::Fields;
@@ -142,7 +142,7 @@
         Ok(told)
     }
 
-    /// Drops the names of a task of which nothing more can be heard.
+    /// Drops the names of a request of which nothing more can be heard.
     fn release(&mut self, handle: Handle) {
         if !self.router.knows(handle)
             && let Some(ticket) = self.tickets.remove(&handle)
@@ -239,8 +239,8 @@
                 let group = fields.integer("partitionNo")?;
                 let last_write = fields.optional_time("lastWriteMs")?.filter(|&ago| ago > 0);
                 let repeat = fields.optional_integer("options")?.unwrap_or(0) & 2 != 0;
-                let task = Task { class, group, ttl, waited: 0, session, last_write, repeat };
-                let (handle, todo) = driver.router.take(now, task);
+                let request = Request { class, group, ttl, waited: 0, session, last_write, repeat };
+                let (handle, todo) = driver.router.take(now, request);
                 driver.handles.insert(ticket, handle);
                 driver.tickets.insert(handle, ticket);
                 todo
--- a/crates/bench-adapter/tests/wire.rs
+++ b/crates/bench-adapter/tests/wire.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_task_is_sent_to_the_listed_member() {
+fn a_request_is_sent_to_the_listed_member() {
     let output = said(TERMS, &order("-"));
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).unwrap();
--- a/crates/fault-injection/examples/gateway.rs
+++ b/crates/fault-injection/examples/gateway.rs
@@ -100,7 +100,7 @@
     let (broken, asked) = (seen.by_code.get("40003").copied().unwrap_or(0), seen.asked as f64);
     println!(
         "{what:<12} {trip:>4} ms  {:>6} asked  {:.4} honoured  {:.4} denied  {broken} broken off ({:.2} a cut)  {} none  {} late  \
-         {} untrue  {} doubles  p50 +{:.1} ms  p99 +{:.1} ms  {cuts} cuts  {:.0} us CPU a task",
+         {} untrue  {} doubles  p50 +{:.1} ms  p99 +{:.1} ms  {cuts} cuts  {:.0} us CPU a request",
         seen.asked,
         seen.share("honoured"),
         seen.share("53300"),
--- a/crates/fault-injection/examples/slow_peers.rs
+++ b/crates/fault-injection/examples/slow_peers.rs
@@ -26,7 +26,7 @@
     took: Vec<Duration>,
 }
 
-/// Ten tasks a second from each client, a quarter of them effectful, counted from when they were due.
+/// Ten requests a second from each client, a quarter of them effectful, counted from when they were due.
 fn usual(address: SocketAddr, long: Duration) -> Seen {
     let seen = Mutex::<Seen>::default();
     paced(CLIENTS, EVERY, long, |turn, due, client| {
@@ -75,7 +75,7 @@
 fn row(what: &str, seen: &mut Seen, cpu: f64, resident: u64, kernel: u64, orphans: u64) {
     let (half, most) = (quantile(&mut seen.took, 0.5), quantile(&mut seen.took, 0.99));
     println!(
-        "{what:<34} {:>6} asked  {:.4} in time  {:.4} late  {:.4} nothing  p50 {half:.2} ms  p99 {most:.2} ms  {:.0} us CPU a task  \
+        "{what:<34} {:>6} asked  {:.4} in time  {:.4} late  {:.4} nothing  p50 {half:.2} ms  p99 {most:.2} ms  {:.0} us CPU a request  \
          resident {resident} KiB  kernel {kernel} KiB  orphans {orphans}",
         seen.asked,
         seen.in_time as f64 / seen.asked as f64,
--- a/crates/fault-injection/src/breaker.rs
+++ b/crates/fault-injection/src/breaker.rs
@@ -18,11 +18,11 @@
 #[derive(Clone, Copy, PartialEq)]
 enum How {
     Sound,
-    /// Some tasks are never answered.
+    /// Some requests are never answered.
     Mute,
     /// Something comes behind the answer.
     Behind,
-    /// An effectful task that was honoured is launched again.
+    /// An effectful request that was honoured is launched again.
     Twice,
     /// Two launches are out at once.
     Both,
@@ -34,7 +34,7 @@
     Late,
     /// It ends by itself.
     Ends,
-    /// Told to end, it goes on; some tasks are never answered.
+    /// Told to end, it goes on; some requests are never answered.
     Stays,
 }
 
@@ -163,7 +163,7 @@
                 if text.is_empty() {
                     pg::empty_query(&mut out);
                 } else {
-                    self.task(&mut out, &text).await?;
+                    self.request(&mut out, &text).await?;
                 }
                 pg::ready(&mut out);
                 if self.how == How::Behind && !text.is_empty() {
@@ -178,7 +178,7 @@
         }
     }
 
-    async fn task(self: &Rc<Scripted>, out: &mut Vec<u8>, text: &[u8]) -> Option<()> {
+    async fn request(self: &Rc<Scripted>, out: &mut Vec<u8>, text: &[u8]) -> Option<()> {
         let comment = Comment::parse(text).ok()?;
         let class = CLASSES.iter().position(|class| class.name == comment.class)?;
         let effect = CLASSES[class].effect;
--- a/crates/fault-injection/src/figures.rs
+++ b/crates/fault-injection/src/figures.rs
@@ -27,15 +27,15 @@
     /// Time from the first restart to full service.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub full_service_ms: Option<u64>,
-    /// Share of all tasks that come in their quoted time.
+    /// Share of all requests that come in their quoted time.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub served: Option<f64>,
 }
 
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
-    pub tasks: usize,
-    /// Of all tasks, and of those before the first fault.
+    pub requests: usize,
+    /// Of all requests, and of those before the first fault.
     pub in_quoted_time: f64,
     pub in_quoted_time_before: f64,
     /// Of those that came in the 10 s after the first fault, and the worst second of them.
@@ -46,7 +46,7 @@
     pub denied: usize,
     pub broken_off: usize,
     pub never_answered: usize,
-    pub probes_a_task: f64,
+    pub probes_a_request: f64,
     pub past_limit: usize,
     pub past_limit_writes: usize,
     /// In 100 ms: ordinary, and the most after the first fault was over.
@@ -72,8 +72,8 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Bin {
     pub asked: usize,
-    /// Tasks first asked here, and those of them honoured in their quoted time.
-    pub tasks: usize,
+    /// Requests first asked here, and those of them honoured in their quoted time.
+    pub requests: usize,
     pub in_time: usize,
     pub launches: usize,
     pub connections: usize,
@@ -95,34 +95,34 @@
             _ => {}
         }
     }
-    for (first, in_time) in tasks(events) {
+    for (first, in_time) in requests(events) {
         let bin = &mut bins[(first / BIN) as usize];
-        (bin.tasks, bin.in_time) = (bin.tasks + 1, bin.in_time + usize::from(in_time));
+        (bin.requests, bin.in_time) = (bin.requests + 1, bin.in_time + usize::from(in_time));
     }
     bins
 }
 
-/// Each task with all its tries: when it was first asked, and whether it was honoured in its quoted time.
-fn tasks(events: &[(At, Event)]) -> Vec<(At, bool)> {
+/// Each request with all its tries: when it was first asked, and whether it was honoured in its quoted time.
+fn requests(events: &[(At, Event)]) -> Vec<(At, bool)> {
     let mut honoured: HashMap<u64, At> = HashMap::new();
     for (at, event) in events {
         if let Event::Answered { id, how: How::Honoured, .. } = event {
             honoured.insert(*id, *at);
         }
     }
-    // Clients come one by one: no two tasks have the same beginning.
-    let mut tasks: HashMap<(At, usize, usize), bool> = HashMap::new();
+    // Clients come one by one: no two requests have the same beginning.
+    let mut requests: HashMap<(At, usize, usize), bool> = HashMap::new();
     for (_, event) in events {
         if let Event::Asked { id, class, group, first, .. } = *event {
             let quoted = first + CLASSES[class].quoted_ms * 1000;
             let in_time = honoured.get(&id).is_some_and(|&at| at <= quoted);
-            *tasks.entry((first, class, group)).or_default() |= in_time;
+            *requests.entry((first, class, group)).or_default() |= in_time;
         }
     }
-    let mut tasks: Vec<(At, bool)> =
-        tasks.into_iter().map(|((first, ..), in_time)| (first, in_time)).collect();
-    tasks.sort_unstable();
-    tasks
+    let mut requests: Vec<(At, bool)> =
+        requests.into_iter().map(|((first, ..), in_time)| (first, in_time)).collect();
+    requests.sort_unstable();
+    requests
 }
 
 pub fn measure(figures: &mut Figures, plan: &Plan, events: &[(At, Event)]) {
@@ -146,13 +146,13 @@
         (mean(|bin| bin.connections), most(|bin| bin.connections));
     figures.most_lists = most(|bin| bin.lists);
 
-    let tasks = tasks(events);
+    let requests = requests(events);
     let share = |from: At, to: At| {
         let of: Vec<bool> =
-            tasks.iter().filter(|(at, _)| (from..to).contains(at)).map(|&(_, in_time)| in_time).collect();
+            requests.iter().filter(|(at, _)| (from..to).contains(at)).map(|&(_, in_time)| in_time).collect();
         of.iter().filter(|&&in_time| in_time).count() as f64 / of.len().max(1) as f64
     };
-    figures.tasks = tasks.len();
+    figures.requests = requests.len();
     figures.in_quoted_time = share(start + FIRST, end);
     figures.in_quoted_time_before = share(start + FIRST, calm_until.min(end));
     if let Some(fault) = fault {
@@ -169,7 +169,7 @@
     }
     figures.crossing = crossed as f64 / f64::from(launches.max(1));
     let probes = events.iter().filter(|(_, event)| matches!(event, Event::Probed { .. })).count();
-    figures.probes_a_task = probes as f64 / tasks.len().max(1) as f64;
+    figures.probes_a_request = probes as f64 / requests.len().max(1) as f64;
     for (_, event) in events {
         match event {
             Event::Answered { how: How::Denied, .. } => figures.denied += 1,
@@ -189,8 +189,8 @@
         // tenths vary by more than what is asked for.
         let window = 10 * BIN;
         let before = figures.in_quoted_time_before;
-        let counted = tasks.iter().filter(|(at, _)| (first..first + window).contains(at)).count().max(1);
-        // Three standard deviations of as many tasks are chance.
+        let counted = requests.iter().filter(|(at, _)| (first..first + window).contains(at)).count().max(1);
+        // Three standard deviations of as many requests are chance.
         let wanted = 0.98 * before - 3.0 * (before * (1.0 - before) / counted as f64).sqrt();
         let mut from = end - window;
         while from > first && share(from, from + window) >= wanted {
--- a/crates/fault-injection/src/front.rs
+++ b/crates/fault-injection/src/front.rs
@@ -22,7 +22,8 @@
 
 /// How long the front goes on sending clients to a driver that is dead.
 const NOTICES: Duration = Duration::from_secs(2);
-/// A connection that stood idle and ends so soon behind a task was closed as that crossed it; later, the task was read.
+/// A connection that stood idle and ends so soon behind a request was closed as that crossed it; later, the
+/// request was read.
 const CROSSES: Duration = Duration::from_millis(200);
 const TRIES: u32 = 4;
 const IDLE: usize = 16;
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -35,12 +35,12 @@
     Gone,
 }
 
-/// Tasks, members, drivers and tries are numbers.
+/// Requests, members, drivers and tries are numbers.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// A try of a client's task: `first` is when its first try was made, `after` when its session's last write
-    /// took effect, where it must see that.
+    /// A try of a client's request: `first` is when its first try was made, `after` when its session's last
+    /// write took effect, where it must see that.
     Asked {
         id: u64,
         driver: usize,
--- a/crates/fault-injection/src/judge.rs
+++ b/crates/fault-injection/src/judge.rs
@@ -101,7 +101,7 @@
                     rule: 6,
                     at_ms: at / 1000,
                     what: format!(
-                        "task {id} of n{} reached s-{member:02} {} ms past its limit",
+                        "request {id} of n{} reached s-{member:02} {} ms past its limit",
                         one.driver,
                         late / 1000
                     ),
@@ -208,13 +208,13 @@
     let until = one.asked + one.wait + lines.slack;
     let explained = kept.from(one.driver, one.asked, until) >= EXPLAINS;
     match one.answered {
-        Some((_, How::Twice)) => found(format!("something came behind the answer to task {id}")),
-        Some((_, How::Wrong)) => found(format!("task {id} was answered with an error of no meaning")),
+        Some((_, How::Twice)) => found(format!("something came behind the answer to request {id}")),
+        Some((_, How::Wrong)) => found(format!("request {id} was answered with an error of no meaning")),
         Some((_, How::Lost)) if !excused => {
-            found(format!("n{} broke off without an answer to task {id}", one.driver))
+            found(format!("n{} broke off without an answer to request {id}", one.driver))
         }
         Some((_, How::Nothing)) if !excused && !explained => {
-            found(format!("n{} never answered task {id}", one.driver))
+            found(format!("n{} never answered request {id}", one.driver))
         }
         _ => {}
     }
@@ -225,22 +225,22 @@
     let mut found = |at: At, what: String| broken.push(Broken { rule: 2, at_ms: at / 1000, what });
     let effect = CLASSES[one.class].effect;
     if effect == "side_effect" && one.ran.len() > 1 {
-        found(one.ran[1].0, format!("task {id} took effect {} times", one.ran.len()));
+        found(one.ran[1].0, format!("request {id} took effect {} times", one.ran.len()));
     }
     if effect == "token"
         && let (Some(first), Some(last)) = (one.ran.first(), one.ran.last())
         && last.0 - first.0 > RECEIPT_MS * 1000 + lines.slack
     {
-        found(last.0, format!("task {id} ran again when its receipt was over"));
+        found(last.0, format!("request {id} ran again when its receipt was over"));
     }
     if effect != "pure" && !one.ran.is_empty() && matches!(one.answered, Some((_, How::Denied))) {
-        found(one.asked, format!("task {id} was denied, and ran"));
+        found(one.asked, format!("request {id} was denied, and ran"));
     }
     // On a line that holds things back an end is seen late.
     for (at, &(reached, _)) in one.reached.iter().enumerate().skip(1) {
         let over = one.over.iter().filter(|&&(over, _)| over <= reached + 6_000).count();
         if over < at && !lines.slow {
-            found(reached, format!("task {id} was launched while another launch of it was out"));
+            found(reached, format!("request {id} was launched while another launch of it was out"));
         }
     }
 }
@@ -254,13 +254,13 @@
             && ran - age < after - CARRIED
             && matches!(one.answered, Some((_, How::Honoured)))
         {
-            let what = format!("task {id} did not see its session's write at s-{member:02}");
+            let what = format!("request {id} did not see its session's write at s-{member:02}");
             broken.push(Broken { rule: 5, at_ms: ran / 1000, what });
         }
         let sent = one.reached.iter().filter(|&&(at, to)| to == member && at <= ran).map(|&(at, _)| at).max();
         let at_send = age - (ran - sent.unwrap_or(ran));
         if bound > 0 && at_send > bound + lines.slack && matches!(one.answered, Some((_, How::Honoured))) {
-            let what = format!("task {id} read data {} ms old at s-{member:02}", at_send / 1000);
+            let what = format!("request {id} read data {} ms old at s-{member:02}", at_send / 1000);
             broken.push(Broken { rule: 5, at_ms: ran / 1000, what });
         }
     }
@@ -281,7 +281,7 @@
                 let late = lines.slow || lines.lists;
                 if !late && spells.awake(driver, told, *at) > GRACE + lines.slack {
                     let what = format!(
-                        "task {id} of n{driver} reached s-{member:02}, of which it was told that it drains"
+                        "request {id} of n{driver} reached s-{member:02}, of which it was told that it drains"
                     );
                     broken.push(Broken { rule: 3, at_ms: at / 1000, what });
                 }
--- a/crates/fault-injection/src/lists.rs
+++ b/crates/fault-injection/src/lists.rs
@@ -51,7 +51,7 @@
                 let since = learnt.max(reached).max(asks_since.get(&driver).copied().unwrap_or(0));
                 if spells.awake(driver, since, *at) > COUNTS + GRACE + slack {
                     let what = format!(
-                        "task {id} of n{driver} reached s-{member:02}, of whose drain it had to know by then"
+                        "request {id} of n{driver} reached s-{member:02}, of whose drain it had to know by then"
                     );
                     broken.push(Broken { rule: 3, at_ms: at / 1000, what });
                 }
--- a/crates/fault-injection/src/member.rs
+++ b/crates/fault-injection/src/member.rs
@@ -189,7 +189,7 @@
                 pg::empty_query(&mut out);
                 pg::ready(&mut out);
             } else if let Ok(comment) = Comment::parse(&text) {
-                self.task(stream, &mut out, driver, &comment).await?;
+                self.request(stream, &mut out, driver, &comment).await?;
             } else {
                 self.world.note(Event::Probed { driver, member: self.id });
                 self.awake().await;
@@ -203,8 +203,8 @@
         }
     }
 
-    /// One task, from its last byte to its answer; `None` where whoever asked has gone meanwhile.
-    async fn task(
+    /// One request, from its last byte to its answer; `None` where whoever asked has gone meanwhile.
+    async fn request(
         &self,
         stream: &mut TcpStream,
         out: &mut Vec<u8>,
--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -69,7 +69,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Bearing {
     pub workers: usize,
-    /// Tasks that wait at most; more are turned away.
+    /// Requests that wait at most; more are turned away.
     pub queue: usize,
     pub connections: usize,
     /// What a new connection costs one worker.
@@ -165,7 +165,7 @@
         Ok(())
     }
 
-    /// How long a client waits for a task of that request class.
+    /// How long a client waits for a request of that request class.
     pub fn limit_ms(&self, class: usize) -> i64 {
         self.deadline_ms.unwrap_or(CLASSES[class].limit_ms)
     }
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -18,7 +18,7 @@
         let _ = writeln!(out, "{name:<34} {value}");
     };
     row("plan, seed", format!("{}, {}", run.plan.name, run.seed));
-    row("tasks", figures.tasks.to_string());
+    row("tasks", figures.requests.to_string());
     row("in quoted time, before and in all", {
         format!("{:.4}, {:.4}", figures.in_quoted_time_before, figures.in_quoted_time)
     });
@@ -29,7 +29,7 @@
     row("launches in 100 ms, most", format!("{:.1}, {}", figures.launches, figures.most_launches));
     row("connections in 100 ms, most", format!("{:.1}, {}", figures.connections, figures.most_connections));
     row("lists in 100 ms, restarted", format!("{}, {}", figures.most_lists, figures.restarted));
-    row("probes a task", format!("{:.3}", figures.probes_a_task));
+    row("probes a request", format!("{:.3}", figures.probes_a_request));
     if let Some(took) = figures.full_service_ms {
         row("full service after, ms", if took < 0 { "never".to_owned() } else { took.to_string() });
     }
@@ -79,7 +79,7 @@
     area.fill(&WHITE)?;
     let title = format!("{}, seed {}: {}", run.plan.name, run.seed, run.plan.about);
     let area = area.titled(&title, ("sans-serif", 16))?;
-    let share = |bin: &Bin| bin.in_time as f64 / bin.tasks.max(1) as f64;
+    let share = |bin: &Bin| bin.in_time as f64 / bin.requests.max(1) as f64;
     type Row = (&'static str, fn(&Bin) -> f64);
     let rows: [Row; 5] = [
         ("served in quoted time, share", share),
--- a/crates/fault-injection/src/sites.rs
+++ b/crates/fault-injection/src/sites.rs
@@ -110,7 +110,7 @@
                 Event::Reached { id, driver, member }
                     if site(at_site(*member)) == *name && (*from..to).contains(when) =>
                 {
-                    Some((*when, format!("task {id} of n{driver} reached {name}, which is retired")))
+                    Some((*when, format!("request {id} of n{driver} reached {name}, which is retired")))
                 }
                 _ => None,
             });
--- a/crates/fault-injection/src/terms.rs
+++ b/crates/fault-injection/src/terms.rs
@@ -12,7 +12,7 @@
     pub limit_ms: i64,
     pub payoff: f64,
     pub late_share: f64,
-    /// Of the tasks, and what one keeps a worker busy.
+    /// Of the requests, and what one keeps a worker busy.
     pub share: f64,
     pub work_ms: f64,
 }
@@ -74,7 +74,7 @@
             "fallMs": FALL_MS, "drainGraceMs": 500}})
 }
 
-/// How many tasks a second all members bear: writes go to the primary alone, reads to the replicas.
+/// How many requests a second all members bear: writes go to the primary alone, reads to the replicas.
 pub fn bears(groups: usize, members: usize, workers: usize) -> f64 {
     let work = |writes: bool| -> f64 {
         let of = CLASSES.iter().filter(|class| (class.need == "update") == writes);
--- a/crates/fault-injection/tests/judge.rs
+++ b/crates/fault-injection/tests/judge.rs
@@ -41,7 +41,7 @@
 const T: At = 2_000_000;
 
 #[test]
-fn a_task_that_goes_well_breaks_nothing() {
+fn a_request_that_goes_well_breaks_nothing() {
     let well = [asked(1, 2), reached(T + 1, 0), ran(T + 2, 0), over(T + 3), answered(T + 4, How::Honoured)];
     assert!(rules(&well).is_empty());
 }
@@ -141,17 +141,17 @@
 #[test]
 fn full_service_is_counted_to_the_end_of_the_last_dip() {
     let mut events: Vec<(At, Event)> = Vec::new();
-    for task in 0..500u64 {
-        let at = T + task as At * 10_000;
+    for request in 0..500u64 {
+        let at = T + request as At * 10_000;
         let first = at;
         events.push((
             at,
-            Event::Asked { id: task, driver: 0, class: 0, group: 0, wait: 1_500_000, first, after: None },
+            Event::Asked { id: request, driver: 0, class: 0, group: 0, wait: 1_500_000, first, after: None },
         ));
         let down = (T + 2_000_000..T + 2_800_000).contains(&at);
         events.push((
             at + 1,
-            Event::Answered { id: task, driver: 0, how: if down { How::Denied } else { How::Honoured } },
+            Event::Answered { id: request, driver: 0, how: if down { How::Denied } else { How::Honoured } },
         ));
     }
     events.push((T + 2_000_000, Event::Fault { text: String::new() }));
--- a/crates/fault-injection/tests/plans.rs
+++ b/crates/fault-injection/tests/plans.rs
@@ -20,7 +20,7 @@
     );
     let run = run(&Plan::parse(&text).unwrap(), 1, None).unwrap();
     assert!(run.verdict.broken.is_empty(), "{}", report::table(&run));
-    assert!(run.verdict.figures.tasks > 100);
+    assert!(run.verdict.figures.requests > 100);
     run
 }
 
--- a/crates/fault-injection/tests/retire.rs
+++ b/crates/fault-injection/tests/retire.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn drivers_that_start_again_go_on_by_what_they_kept_from_their_first_task_on() {
+fn drivers_that_start_again_go_on_by_what_they_kept_from_their_first_request_on() {
     let down = r#"{"at_ms":17000,"do":{"site_down":{"site":2,"down_ms":300}}}"#;
     let run = play(24.0, 0.2, &format!("{GOES},{down}"));
     assert!(run.verdict.figures.emptied_ms.is_some_and(|took| took < 13_000), "{}", report::table(&run));
--- a/crates/flow-control/src/bounds.rs
+++ b/crates/flow-control/src/bounds.rs
@@ -27,7 +27,7 @@
     pub connection: u64,
     /// Off where a front stands before the driver and all clients have its address.
     pub address: Option<PerAddress>,
-    /// What only tasks of the best paid request class may use.
+    /// What only requests of the best paid request class may use.
     pub reserve: u64,
     /// Above the first, room is short; it is no longer below the second. In bytes.
     pub short: (u64, u64),
--- a/crates/flow-control/src/lib.rs
+++ b/crates/flow-control/src/lib.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ask {
     pub bytes: u64,
-    /// For a task of the best paid request class, which may use the part kept for those.
+    /// For a request of the best paid request class, which may use the part kept for those.
     pub best: bool,
     /// How long it may wait for room; `now` or earlier is not at all.
     pub until: Micros,
--- a/crates/operator-config/src/gateway.rs
+++ b/crates/operator-config/src/gateway.rs
@@ -26,7 +26,7 @@
     pub links: Option<u32>,
 }
 
-/// Tasks that cross between sites.
+/// Requests that cross between sites.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Gateway {
@@ -40,14 +40,14 @@
     /// Where groups are believed to have their primary until an answer tells.
     #[serde(default)]
     pub homes: BTreeMap<u64, String>,
-    /// Tasks of one request class that another gateway may have under way here; 256 by default.
+    /// Requests of one request class that another gateway may have under way here; 256 by default.
     #[schemars(range(min = 1))]
     pub credit: Option<u32>,
-    /// Links that a task may cross; one by default.
+    /// Links that a request may cross; one by default.
     #[schemars(range(min = 1, max = 8))]
     pub hops: Option<u32>,
     /// The field of a statement's comment that names its session: while a site retires, all that a session asks goes to one
-    /// site. Without it each task goes by itself.
+    /// site. Without it each request goes by itself.
     #[schemars(length(min = 1, max = 64))]
     pub session: Option<String>,
     /// A local socket's path, at which `aldermill sites` asks what is believed here.
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -33,7 +33,7 @@
     /// What may wait for clients and members that move slowly, and when they are cut off.
     #[serde(default)]
     pub slow_peers: SlowPeers,
-    /// Tasks that cross between sites. Off by default. Read at the start only.
+    /// Requests that cross between sites. Off by default. Read at the start only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub gateway: Option<Gateway>,
     /// Settings of another shape that are only watched. Off by default.
--- a/crates/operator-config/src/slow_peers.rs
+++ b/crates/operator-config/src/slow_peers.rs
@@ -47,7 +47,7 @@
     pub connection_kib: Option<u64>,
     /// What one address may have. Off by default.
     pub per_address: Option<Connections>,
-    /// The share of the room that only tasks of the best paid request class may use.
+    /// The share of the room that only requests of the best paid request class may use.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub best_paid_share: Option<f64>,
     /// When room counts as short.
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -72,7 +72,7 @@
     pub connected: Instant,
     /// What is owed to the client, in the order of its statements.
     pub owed: VecDeque<Owed>,
-    /// Tasks handed to the desk so far.
+    /// Requests handed to the desk so far.
     pub asked: u64,
     /// Bytes sent since the client last asked: they may be unread.
     pub unread: usize,
@@ -88,7 +88,7 @@
 
 /// The answer to one statement, once it is there.
 pub struct Owed {
-    task: ClientId,
+    request: ClientId,
     /// Of a statement that may write: what follows on the same key waits for it.
     key: Option<String>,
     answer: Option<Vec<Vec<u8>>>,
@@ -105,7 +105,7 @@
             Err(end) => Err(end),
         };
         for owed in self.owed.drain(..).filter(|owed| owed.answer.is_none()) {
-            let _ = self.context.desk.send(Call::Left(owed.task)).await;
+            let _ = self.context.desk.send(Call::Left(owed.request)).await;
         }
         if matches!(end, Err(End::Cut)) || !self.may_leave_unread() {
             // With nothing left to be handed over the system forgets the connection at once.
@@ -258,9 +258,9 @@
         tokio::select! {
             biased;
             mail = self.mailbox.recv() => match mail {
-                Some(Mail::Answer(task, answer)) => {
+                Some(Mail::Answer(request, answer)) => {
                     self.seat.served.set(true);
-                    if let Some(owed) = self.owed.iter_mut().find(|owed| owed.task == task) {
+                    if let Some(owed) = self.owed.iter_mut().find(|owed| owed.request == request) {
                         let (mut pieces, rows) = encode(answer);
                         owed.rows = rows;
                         match pieces.last_mut() {
@@ -284,8 +284,8 @@
         }
     }
 
-    /// Waits for more bytes. With no task under way the connection may be given up here, a message that is not
-    /// whole notwithstanding: those who begin one and never end it are not to keep others out.
+    /// Waits for more bytes. With no request under way the connection may be given up here, a message that is
+    /// not whole notwithstanding: those who begin one and never end it are not to keep others out.
     async fn more(&mut self, begun: &mut Option<Instant>) -> Result<(), End> {
         let context = self.context.clone();
         let limits = &context.limits;
@@ -312,7 +312,7 @@
         let stopped = async {
             let window = stopping.wait_for(Option::is_some).await.map_or(None, |window| *window);
             if let Some(closes) = window.filter(|_| !served || !between) {
-                // It may have come for a task that is still on its way, or the rest of one.
+                // It may have come for a request that is still on its way, or the rest of one.
                 sleep_until(closes).await;
             }
         };
--- a/crates/proxy/src/client/asking.rs
+++ b/crates/proxy/src/client/asking.rs
@@ -31,7 +31,7 @@
         key.is_some() && self.owed.iter().any(|owed| owed.answer.is_none() && owed.key == key)
     }
 
-    /// One whole message: a task goes to the desk, anything else has its answer at once.
+    /// One whole message: a request goes to the desk, anything else has its answer at once.
     pub(super) async fn handle(
         &mut self,
         tag: u8,
@@ -73,7 +73,7 @@
         *large = None;
         if !out.is_empty() {
             let (answer, key, rows) = (Some(vec![out]), None, None);
-            self.owed.push_back(Owed { task: ClientId::MAX, key, answer, statement: None, rows });
+            self.owed.push_back(Owed { request: ClientId::MAX, key, answer, statement: None, rows });
         }
         Ok(())
     }
@@ -98,7 +98,7 @@
         Err(End::Quiet)
     }
 
-    /// Hands the task to the desk.
+    /// Hands the request to the desk.
     pub(super) async fn ask(
         &mut self,
         statement: Vec<u8>,
@@ -114,7 +114,7 @@
         let text = &statement[comment.end..];
         let reads = text.trim_ascii_start().get(..6).is_some_and(|verb| verb.eq_ignore_ascii_case(b"SELECT"));
         let key = if reads { None } else { quoted(text) };
-        self.owed.push_back(Owed { task: client, key, answer: None, statement: large, rows: None });
+        self.owed.push_back(Owed { request: client, key, answer: None, statement: large, rows: None });
         // The system tells when the last bytes came; a statement before these came at some time before.
         let old = self.old.map(|(first, last)| if self.buffer.is_empty() { last } else { first });
         let arrived = self.context.clock.at(old.unwrap_or_else(Instant::now));
--- a/crates/proxy/src/council.rs
+++ b/crates/proxy/src/council.rs
@@ -69,7 +69,8 @@
 }
 
 impl Council {
-    /// The receiver hears of each write to the folder, in their order. `limit` is the longest time limit of a task.
+    /// The receiver hears of each write to the folder, in their order. `limit` is the longest time limit of a
+    /// request.
     pub fn open(
         wanted: Wanted,
         own: Driver,
--- a/crates/proxy/src/desk.rs
+++ b/crates/proxy/src/desk.rs
@@ -16,7 +16,7 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 
-use aldermill_routing::{Handle, MemberId, Micros, Need, Outcome, Role, Router, Task, Todo, Verdict};
+use aldermill_routing::{Handle, MemberId, Micros, Need, Outcome, Request, Role, Router, Todo, Verdict};
 use aldermill_settings::Decoded;
 use aldermill_site_routing::Handle as SitesHandle;
 use aldermill_statistics::ClockOffset;
@@ -32,7 +32,7 @@
 use crate::trial::Trial;
 use crate::words::{Answer, Bulletin, Call, ClientId, Ended, Gave, Mail, Order, Withdrawal};
 
-/// Where a client's task is.
+/// Where a client's request is.
 #[derive(Clone, Copy)]
 pub(crate) enum Holder {
     Here(Handle),
@@ -71,7 +71,7 @@
     told_offset: Micros,
     groups: HashSet<u64>,
     pub(crate) open: HashMap<Handle, Open>,
-    /// The ids of the tasks under way.
+    /// The ids of the requests under way.
     pub(crate) open_ids: HashSet<String>,
     pub(crate) by_client: HashMap<ClientId, Holder>,
     /// What ended while a decision was being carried out.
@@ -261,7 +261,7 @@
         }
     }
 
-    /// A client's task: from its statement to the router, and on its way.
+    /// A client's request: from its statement to the router, and on its way.
     fn take(&mut self, order: Order) {
         let refuse = |answer| {
             let _ = order.mailbox.try_send(Mail::Answer(order.client, answer));
@@ -278,7 +278,7 @@
             return refuse(Answer::Wrong("a task with this id is under way"));
         }
         let trips = self.hub.as_ref().map_or(0, Hub::trips);
-        if self.open.len().max(trips) >= self.context.limits.tasks {
+        if self.open.len().max(trips) >= self.context.limits.requests {
             return refuse(Answer::Denied { cool_down: 0 });
         }
         if self.hub.is_some() {
@@ -294,8 +294,9 @@
         self.carry_out(todo);
     }
 
-    /// Hands a task to the module here, to be answered by `deadline` on the router's clock: a moment, which a process
-    /// that is held up on the way does not put off. What the module returns is not carried out yet.
+    /// Hands a request to the module here, to be answered by `deadline` on the router's clock: a moment,
+    /// which a process that is held up on the way does not put off. What the module returns is not carried
+    /// out yet.
     pub(crate) fn hand_over(
         &mut self,
         order: Rc<Order>,
@@ -307,7 +308,7 @@
         let now = self.context.clock.now();
         let keyed = matches!(self.decoded.terms.classes[class].need, Need::Write | Need::OwnWrites);
         let session = if keyed { quoted(&order.statement[order.comment.end..]) } else { None };
-        let task = Task {
+        let request = Request {
             class,
             group: order.comment.group,
             ttl: deadline - now,
@@ -316,7 +317,7 @@
             last_write: order.last_write(now),
             repeat: order.comment.repeat,
         };
-        let (handle, todo) = self.ask(|router| router.take(now, task.clone()));
+        let (handle, todo) = self.ask(|router| router.take(now, request.clone()));
         let best = self.context.best_paid.contains(&order.comment.class);
         let withdrawal = Withdrawal::default();
         self.open.insert(handle, Open { via, best, deadline, client, withdrawal, order });
@@ -338,7 +339,7 @@
         }
         let open = self.open.get(&handle);
         let (via, group) = open.map_or((None, 0), |open| (open.via, open.order.comment.group));
-        // The gateway hears of a miss first: it may take the task back before the module sends it on.
+        // The gateway hears of a miss first: it may take the request back before the module sends it on.
         let (mut missed, mut taken_back) = (None, false);
         match via {
             Some(via) if verdict == Verdict::Miss => (missed, taken_back) = self.here_missed(via),
@@ -370,7 +371,7 @@
         self.release(handle);
     }
 
-    /// Drops what is kept for a task of which nothing more can be heard.
+    /// Drops what is kept for a request of which nothing more can be heard.
     pub(crate) fn release(&mut self, handle: Handle) {
         if !self.router.knows(handle)
             && let Some(open) = self.open.remove(&handle)
--- a/crates/proxy/src/desk/book.rs
+++ b/crates/proxy/src/desk/book.rs
@@ -1,4 +1,4 @@
-//! The gateway's book on a disk: what guests' effectful tasks became, so that a later start can tell.
+//! The gateway's book on a disk: what guests' effectful requests became, so that a later start can tell.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 
 use crate::keep::Folder;
 
-/// How long a guest's task, and an outcome, wait for the disk before they go on without it.
+/// How long a guest's request, and an outcome, wait for the disk before they go on without it.
 const PATIENCE: Micros = 250_000;
 const WAITING: usize = 512;
 
@@ -89,7 +89,8 @@
         self.keeping = Keeping::start(PATIENCE, WAITING);
     }
 
-    /// What became of a task that an earlier start may have taken. Nothing is known of it while the folder cannot be read.
+    /// What became of a request that an earlier start may have taken. Nothing is known of it while the folder
+    /// cannot be read.
     pub fn ask(&mut self, now: Micros, origin: &Origin, number: u64, start: u64) -> Fate<Rc<Vec<u8>>> {
         self.read(now);
         self.earlier.as_ref().map_or(Fate::Unknown, |earlier| earlier.ask(origin, number, start))
--- a/crates/proxy/src/desk/hub.rs
+++ b/crates/proxy/src/desk/hub.rs
@@ -1,4 +1,4 @@
-//! The desk's part in the gateway: tasks that cross to other sites, and guests that come from them. What
+//! The desk's part in the gateway: requests that cross to other sites, and guests that come from them. What
 //! `crates/site-routing` returns is carried out here; no choice is made.
 
 use std::collections::HashMap;
@@ -9,11 +9,11 @@
 use aldermill_settings::Decoded;
 use aldermill_site_link::{
     Ask, Confirm, Credit, Event, Fate as FateFrame, FateKind, Home, Identity, Outcome as OutcomeFrame,
-    OutcomeKind, Room as RoomFrame, Said, Task as TaskFrame,
+    OutcomeKind, Request as RequestFrame, Room as RoomFrame, Said,
 };
 use aldermill_site_routing::{
     Answer as FarAnswer, Effect as FarEffect, Fate, Fates, GateId, Handle, HereEnded, Need as FarNeed, OWN,
-    Origin, RequestClass, SiteId, Sites, Step, Task, Terms, Todo, TurnedAway,
+    Origin, Request, RequestClass, SiteId, Sites, Step, Terms, Todo, TurnedAway,
 };
 use aldermill_wire::statement::Comment;
 use serde_json::json;
@@ -33,14 +33,14 @@
 /// Guests' statements get numbers of their own beside the clients'.
 const GUESTS: ClientId = 1 << 63;
 
-/// What an effectful guest's honoured task brought, kept as long as anybody may ask.
+/// What an effectful guest's honoured request brought, kept as long as anybody may ask.
 #[derive(Clone)]
 pub struct Kept {
     bytes: Rc<Vec<u8>>,
     _room: Option<Rc<Room>>,
 }
 
-/// A task of another gateway, and over which link its answer goes.
+/// A request of another gateway, and over which link its answer goes.
 struct Guest {
     gate: GateId,
     number: u64,
@@ -48,7 +48,7 @@
     origin: Origin,
 }
 
-/// A task on its way: with the module here, over a link, or waiting for either.
+/// A request on its way: with the module here, over a link, or waiting for either.
 struct Trip {
     order: Rc<Order>,
     class: usize,
@@ -71,7 +71,7 @@
     links: Vec<LinkId>,
 }
 
-/// A task that crossed: to which start of which gateway, and over which link.
+/// A request that crossed: to which start of which gateway, and over which link.
 struct Crossed {
     gate: GateId,
     start: u64,
@@ -105,8 +105,8 @@
     tell_at: Micros,
 }
 
-/// Tasks that ended with the module here since it was last asked, how many of them in quoted time, and how many would go
-/// elsewhere with their sessions.
+/// Requests that ended with the module here since it was last asked, how many of them in quoted time, and how
+/// many would go elsewhere with their sessions.
 #[derive(Default)]
 struct Ended {
     since: Micros,
@@ -131,7 +131,7 @@
     pub folder: Option<Rc<Folder>>,
 }
 
-/// An effectful task of another gateway that is taken once its record is kept.
+/// An effectful request of another gateway that is taken once its record is kept.
 struct Coming {
     link: LinkId,
     gate: GateId,
@@ -139,7 +139,7 @@
     number: u64,
     /// On the router's clock.
     came: Micros,
-    task: TaskFrame,
+    request: RequestFrame,
     statement: Vec<u8>,
 }
 
@@ -151,7 +151,7 @@
     value: Vec<u8>,
 }
 
-/// How long after its time limit somebody may still ask about a task.
+/// How long after its time limit somebody may still ask about a request.
 const SLACK: Micros = 5_000_000;
 /// How often others are told of the room here though nothing has changed.
 const TELL: Micros = 500_000;
@@ -287,7 +287,7 @@
             let (credits, groups) = self.sites.offered(id);
             let credits = self.classes.iter().zip(credits);
             let room = RoomFrame {
-                credits: credits.map(|(name, tasks)| Credit { class: name.clone(), tasks }).collect(),
+                credits: credits.map(|(name, requests)| Credit { class: name.clone(), requests }).collect(),
                 homes: groups.into_iter().map(|(group, primary)| Home { group, primary }).collect(),
                 draining: self.draining,
             };
--- a/crates/proxy/src/desk/hub/guests.rs
+++ b/crates/proxy/src/desk/hub/guests.rs
@@ -1,18 +1,24 @@
-//! Tasks that other gateways sent.
+//! Requests that other gateways sent.
 
 use super::*;
 
 impl Desk {
-    pub(super) fn guest_came(&mut self, link: LinkId, gate: GateId, task: TaskFrame, statement: Vec<u8>) {
+    pub(super) fn guest_came(
+        &mut self,
+        link: LinkId,
+        gate: GateId,
+        request: RequestFrame,
+        statement: Vec<u8>,
+    ) {
         let now = self.context.clock.now();
         let Some(hub) = &mut self.hub else { return };
-        let number = task.number;
+        let number = request.number;
         // Meant for an earlier start of this gateway: what that one did with it is not known, so nothing is said.
-        if task.receiver_start != hub.own.start {
+        if request.receiver_start != hub.own.start {
             return;
         }
         let origin = hub.gates[gate].origin.clone();
-        let left = micros(task.left_us);
+        let left = micros(request.left_us);
         let mut frame = OutcomeFrame { number, ..OutcomeFrame::default() };
         match hub.fates.take(now, &origin, number, left) {
             Ok(()) => {}
@@ -24,8 +30,8 @@
             // Another copy, or one that was asked about before it came: no news to the sender.
             Err(_) => return,
         }
-        let coming = Coming { link, gate, origin, number, came: now, task, statement };
-        let class = self.decoded.class(&coming.task.class).ok();
+        let coming = Coming { link, gate, origin, number, came: now, request, statement };
+        let class = self.decoded.class(&coming.request.class).ok();
         let effect = class.map(|class| self.decoded.terms.classes[class].effect);
         let until = now + left + SLACK;
         match hub.book.as_mut().filter(|_| effect == Some(Effect::Effectful)) {
@@ -81,15 +87,15 @@
         }
     }
 
-    /// A task of another gateway that is in the book goes to the module, or is turned away.
+    /// A request of another gateway that is in the book goes to the module, or is turned away.
     pub(super) fn guest_goes_on(&mut self, coming: Coming) {
         let Some(hub) = &mut self.hub else { return };
-        let Coming { link, gate, number, ref task, ref statement, .. } = coming;
-        let left = micros(task.left_us) - (self.context.clock.now() - coming.came);
-        let class = hub.classes.iter().position(|name| *name == task.class);
-        let comment = Comment::parse(statement).ok().filter(|comment| comment.group == task.group);
-        let circle = task.visited.contains(&hub.own.site);
-        let busy = hub.draining || hub.trips.len() >= self.context.limits.tasks;
+        let Coming { link, gate, number, ref request, ref statement, .. } = coming;
+        let left = micros(request.left_us) - (self.context.clock.now() - coming.came);
+        let class = hub.classes.iter().position(|name| *name == request.class);
+        let comment = Comment::parse(statement).ok().filter(|comment| comment.group == request.group);
+        let circle = request.visited.contains(&hub.own.site);
+        let busy = hub.draining || hub.trips.len() >= self.context.limits.requests;
         let ttl = left - hub.sites.one_way(gate);
         let open = comment.as_ref().is_some_and(|comment| self.open_ids.contains(&comment.id));
         let refused = match (&comment, class) {
@@ -101,18 +107,18 @@
         if let Some(kind) = refused {
             return self.refuse_guest(&coming, kind);
         }
-        let Coming { origin, task, statement, .. } = coming;
+        let Coming { origin, request, statement, .. } = coming;
         let (Some(comment), Some(class)) = (comment, class) else { return };
         let Some(holder) = hub.links.get(&link).map(|state| state.holder) else { return };
         hub.sites.guest_came(gate, class);
         hub.next_guest += 1;
-        let written_ago = (task.written_ago_us > 0).then(|| micros(task.written_ago_us));
+        let written_ago = (request.written_ago_us > 0).then(|| micros(request.written_ago_us));
         let client = hub.next_guest;
         // Its answer goes over the link; this mailbox is nobody's.
         let (mailbox, _) = mpsc::channel(1);
         let arrived = self.context.clock.now();
         let order = Order { client, holder, mailbox, arrived, statement, comment, written_ago };
         let guest = Guest { gate, number, link, origin };
-        self.set_out(order, class, ttl.min(MOST), None, Some(guest), task.visited);
+        self.set_out(order, class, ttl.min(MOST), None, Some(guest), request.visited);
     }
 }
--- a/crates/proxy/src/desk/hub/links.rs
+++ b/crates/proxy/src/desk/hub/links.rs
@@ -85,7 +85,7 @@
         let origin = hub.gates[gate].origin.clone();
         match event {
             Event::Met(_) => {}
-            Event::Task(task, statement) => self.guest_came(link, gate, task, statement),
+            Event::Request(request, statement) => self.guest_came(link, gate, request, statement),
             Event::Outcome(outcome, value) => {
                 let answer = match outcome.kind() {
                     OutcomeKind::Honoured => FarAnswer::Honoured,
@@ -173,7 +173,7 @@
             Event::Confirm(confirm) => hub.fates.confirm(&origin, confirm.upto),
             Event::Room(room) => {
                 let credit = |name: &String| room.credits.iter().find(|credit| credit.class == *name);
-                let credits = hub.classes.iter().map(|name| credit(name).map_or(0, |credit| credit.tasks));
+                let credits = hub.classes.iter().map(|name| credit(name).map_or(0, |credit| credit.requests));
                 let homes: Vec<(u64, bool)> =
                     room.homes.iter().map(|home| (home.group, home.primary)).collect();
                 let todo = hub.sites.room(now, gate, credits.collect(), &homes, room.draining);
@@ -183,7 +183,7 @@
         }
     }
 
-    /// What another gateway sent for a task, with room for it where it is large.
+    /// What another gateway sent for a request, with room for it where it is large.
     pub(super) fn brought(&self, number: u64, value: Vec<u8>) -> Option<(Handle, Answer)> {
         let hub = self.hub.as_ref()?;
         let handle = hub.sites.crossed(number)?;
--- a/crates/proxy/src/desk/hub/trips.rs
+++ b/crates/proxy/src/desk/hub/trips.rs
@@ -1,4 +1,4 @@
-//! Tasks on their way: with the module here, over a link, or waiting for either.
+//! Requests on their way: with the module here, over a link, or waiting for either.
 
 use aldermill_site_drain::Plan;
 use aldermill_wire::statement;
@@ -6,7 +6,7 @@
 use super::*;
 
 impl Desk {
-    /// A client's task where there is a gateway: to the module here, or to another site.
+    /// A client's request where there is a gateway: to the module here, or to another site.
     pub(crate) fn dispatch(&mut self, order: Order, class: usize) {
         let now = self.context.clock.now();
         let ttl = Micros::from(order.comment.wait) * 1000 - (now - order.arrived);
@@ -30,7 +30,7 @@
         let session = Some(named.unwrap_or(&order.comment.id).to_owned());
         let by: Vec<SiteId> = visited.iter().filter_map(|name| hub.site(name)).collect();
         let (handle, todo) =
-            hub.sites.take(now, Task { class, group: order.comment.group, ttl, visited: by, session });
+            hub.sites.take(now, Request { class, group: order.comment.group, ttl, visited: by, session });
         if let Some(guest) = &guest {
             hub.guests.insert((guest.gate, guest.number), handle);
         }
@@ -41,7 +41,7 @@
         self.carry_out_sites(todo, None);
     }
 
-    /// Nobody waits for a task any more.
+    /// Nobody waits for a request any more.
     pub(crate) fn trip_left(&mut self, handle: Handle) {
         let now = self.context.clock.now();
         let Some(trip) = self.forget_trip(handle) else { return };
@@ -53,7 +53,7 @@
         self.carry_out_sites(todo, None);
     }
 
-    /// The module here has answered a task for the gateway.
+    /// The module here has answered a request for the gateway.
     pub(crate) fn here_answered(&mut self, handle: Handle, answer: Answer) {
         let now = self.context.clock.now();
         let Some(hub) = &mut self.hub else { return };
@@ -85,7 +85,7 @@
     }
 
     /// A launch here was answered 'miss'. What follows is carried out once the module has heard it, too; whether the
-    /// task was taken back from it.
+    /// request was taken back from it.
     pub(crate) fn here_missed(&mut self, handle: Handle) -> (Option<Todo>, bool) {
         let now = self.context.clock.now();
         let Some(hub) = &mut self.hub else { return (None, false) };
@@ -156,7 +156,7 @@
         self.hub.as_ref().map_or_else(|| "{}\n".to_owned(), |hub| hub.describe(now))
     }
 
-    /// Carries out what the books return. `brought` is what a task has just been answered with.
+    /// Carries out what the books return. `brought` is what a request has just been answered with.
     pub(crate) fn carry_out_sites(&mut self, todo: Todo, brought: Option<(Handle, Answer)>) {
         let mut brought = brought;
         for (handle, step) in todo.steps {
@@ -223,7 +223,7 @@
         let written_ago = order.last_write(now).map(|ago| ago.max(1));
         let visited = trip.visited.iter().cloned().chain([hub.own.site.clone()]).collect();
         let start = state.origin.start;
-        let task = TaskFrame {
+        let request = RequestFrame {
             number,
             receiver_start: start,
             class: order.comment.class.clone(),
@@ -234,7 +234,7 @@
             visited,
             length: 0,
         };
-        let said = Said::Task(task, order.statement.clone());
+        let said = Said::Request(request, order.statement.clone());
         match hub.say(gate, None, said) {
             Some(link) => {
                 hub.crossed.insert(number, Crossed { gate, start, link });
@@ -258,7 +258,7 @@
         Some(trip)
     }
 
-    /// Gives a task its one answer. `elsewhere` says that its primary is not here, and perhaps where.
+    /// Gives a request its one answer. `elsewhere` says that its primary is not here, and perhaps where.
     pub(super) fn finish(&mut self, handle: Handle, answer: Answer, elsewhere: Option<Option<SiteId>>) {
         let now = self.context.clock.now();
         let Some(trip) = self.forget_trip(handle) else { return };
--- a/crates/proxy/src/desk/steps.rs
+++ b/crates/proxy/src/desk/steps.rs
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Gives a task its one answer.
+    /// Gives a request its one answer.
     pub(super) fn answer(&mut self, handle: Handle, answer: Answer) {
         let Some(open) = self.open.get_mut(&handle) else { return };
         let Some((client, mailbox)) = open.client.take() else { return };
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/fellows.rs
@@ -27,8 +27,8 @@
 /// Datagrams read before it is looked whether anything is due.
 const TURN: usize = 64;
 
-/// What is decided in common: what the operator wants, where it is kept, the own zone and the longest time limit of a task,
-/// and what the operator wants from later on.
+/// What is decided in common: what the operator wants, where it is kept, the own zone and the longest time
+/// limit of a request, and what the operator wants from later on.
 pub struct Sitting {
     pub wanted: Wanted,
     pub folder: Option<Rc<Folder>>,
@@ -124,7 +124,7 @@
         Ok(company)
     }
 
-    /// What an earlier start knew of sites that retire, before the desk takes its first task.
+    /// What an earlier start knew of sites that retire, before the desk takes its first request.
     pub fn bound(&mut self) -> Vec<Plan> {
         let now = self.context.clock.now();
         self.council.as_mut().and_then(|(council, _)| council.plans(now)).unwrap_or_default()
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -29,10 +29,10 @@
 pub struct Limits {
     /// Client connections served at once.
     pub clients: usize,
-    /// Those that had a task, beyond which the one idle longest is closed for each new one: clients, too, have
-    /// only so many, and some never use one twice.
+    /// Those that had a request, beyond which the one idle longest is closed for each new one: clients, too,
+    /// have only so many, and some never use one twice.
     pub regulars: usize,
-    /// Who asked so short a time ago is between two tasks, and not closed for a new connection.
+    /// Who asked so short a time ago is between two requests, and not closed for a new connection.
     pub between: Duration,
     /// Idle ones over that number that are being closed for new ones.
     pub yielding: usize,
@@ -40,8 +40,8 @@
     pub turned_away: usize,
     /// Connections to members, idle ones included.
     pub members: usize,
-    /// Tasks held at once.
-    pub tasks: usize,
+    /// Requests held at once.
+    pub requests: usize,
     /// One message of a client: a statement with a whole value in hexadecimal.
     pub statement: usize,
     /// One message of a member: a whole value.
@@ -51,7 +51,7 @@
     pub list_line: usize,
     /// Statements of one connection that are under way at once.
     pub pipelined: usize,
-    /// What a client may send ahead while its task is on the way.
+    /// What a client may send ahead while its request is on the way.
     pub ahead: usize,
     /// How often it is seen whether a client has left that has sent so much ahead.
     pub look_again: Duration,
@@ -71,7 +71,7 @@
     /// Silence within a client's message after which its connection is closed: a client that stops there and stays is
     /// owed an end within three seconds.
     pub stalled: Duration,
-    /// How long a client's connection may stand without a task.
+    /// How long a client's connection may stand without a request.
     pub client_idle: Duration,
     /// Room is asked for a message beyond this size.
     pub small: usize,
@@ -141,13 +141,13 @@
         let members = (shared - clients).min(memory / 10 / (2 * SMALL)).max(4);
         Limits {
             clients,
-            // Clients hold no more than a third of the descriptors for their tasks.
+            // Clients hold no more than a third of the descriptors for their requests.
             regulars: (sockets / 4).min(clients),
             between: Duration::from_millis(250),
             yielding,
             turned_away,
             members,
-            tasks: decoded.max_open.max(1),
+            requests: decoded.max_open.max(1),
             statement,
             answer,
             list_head: 16 * 1024,
--- a/crates/proxy/src/listener.rs
+++ b/crates/proxy/src/listener.rs
@@ -106,7 +106,7 @@
         }
     }
 
-    /// At the clients' share, one that is too slow is closed for a new one, else one without a task.
+    /// At the clients' share, one that is too slow is closed for a new one, else one without a request.
     fn makes_room(&mut self) -> bool {
         let limits = &self.context.limits;
         if !std::mem::replace(&mut self.full, true) {
@@ -119,8 +119,9 @@
         self.context.gate.frees_a_place() || self.ask_to_yield(self.context.limits.between, |_| true)
     }
 
-    /// Of these guests without a task, one that never had any is closed first, else the one idle longest. Protects
-    /// those who are between two tasks from a flood of newcomers. Harms one newcomer where all are between two.
+    /// Of these guests without a request, one that never had any is closed first, else the one idle longest.
+    /// Protects those who are between two requests from a flood of newcomers. Harms one newcomer where all
+    /// are between two.
     fn ask_to_yield(&self, between: Duration, whom: impl Fn(&&Guest) -> bool) -> bool {
         let idle = self.guests.values().filter(whom).filter(|guest| {
             let since = guest.seat.idle_since.get();
--- a/crates/proxy/src/member.rs
+++ b/crates/proxy/src/member.rs
@@ -34,7 +34,7 @@
 
 /// What a launch or a probe is for.
 enum Purpose {
-    Task { handle: Handle, sent: Instant },
+    Request { handle: Handle, sent: Instant },
     Probe { sent: Instant },
 }
 
@@ -147,7 +147,7 @@
                             self.idle.clear();
                         }
                         let Attempt { handle, sent, until, .. } = attempt;
-                        self.visit(Purpose::Task { handle, sent }, Some(attempt), until);
+                        self.visit(Purpose::Request { handle, sent }, Some(attempt), until);
                     }
                     Some(MemberCommand::Probe { sent, until }) => {
                         self.visit(Purpose::Probe { sent }, None, until);
@@ -201,7 +201,7 @@
 
     /// Starts one query on a connection of its own, to its end or its time limit: an attempt, or else a probe.
     fn visit(&mut self, purpose: Purpose, attempt: Option<Attempt>, until: Instant) {
-        let for_task = attempt.is_some();
+        let for_request = attempt.is_some();
         let holder = attempt.as_ref().map(|attempt| attempt.holder);
         let (id, address, era) = (self.id, self.address.get(), self.era);
         let departure = Departure {
@@ -232,8 +232,9 @@
                     age = came.map_or(0, |(_, last)| last.elapsed().as_micros() as Micros);
                     (verdict, exchange.is_ready().then_some(connection))
                 }
-                // For a task that connection never came up; a probe was not answered, and no more is known.
-                Err(Unopened { verdict: Verdict::TimedOut, .. }) if for_task => {
+                // For a request that connection never came up; a probe was not answered, and no more is
+                // known.
+                Err(Unopened { verdict: Verdict::TimedOut, .. }) if for_request => {
                     // Nothing was sent. After a standstill nobody saw whether the connection came up in time, and with
                     // little time left it may not have had enough.
                     let lost = shows_no_way(&context, began);
@@ -304,7 +305,7 @@
         }
         let replica_words = self.replica_words.get();
         let call = match purpose {
-            Purpose::Task { handle, sent, .. } => {
+            Purpose::Request { handle, sent, .. } => {
                 let told = self.told(&exchange, exchange.usage.as_deref(), age);
                 let took = self.context.lived.since(sent);
                 let gave = match verdict {
--- a/crates/proxy/src/trial.rs
+++ b/crates/proxy/src/trial.rs
@@ -13,7 +13,7 @@
 
 use crate::halt::OnTrial;
 
-/// What becomes of a task by one call.
+/// What becomes of a request by one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fate {
     Held,
@@ -163,7 +163,7 @@
     }
 }
 
-/// The last step for each task.
+/// The last step for each request.
 fn fates(todo: &Todo) -> BTreeMap<Handle, Step> {
     todo.steps.iter().copied().collect()
 }
--- a/crates/proxy/src/words.rs
+++ b/crates/proxy/src/words.rs
@@ -188,7 +188,7 @@
     /// Worded when it leaves: what it tells the member is the time that the client has left then.
     pub order: Rc<Order>,
     pub withdrawal: Withdrawal,
-    /// For whom room is asked for the answer, and whether the task is of the best paid.
+    /// For whom room is asked for the answer, and whether the request is of the best paid.
     pub holder: (Peer, bool),
     pub sent: Instant,
     pub until: Instant,
--- a/crates/proxy/tests/departure.rs
+++ b/crates/proxy/tests/departure.rs
@@ -54,7 +54,11 @@
         hold.open();
         assert!(honoured(&other.ask(&look(15000))));
         settle(&mut other);
-        assert!(member.tasks().iter().all(|task| !task.contains("id=left")), "{:?}", member.tasks());
+        assert!(
+            member.requests().iter().all(|request| !request.contains("id=left")),
+            "{:?}",
+            member.requests()
+        );
     }
 }
 
@@ -83,11 +87,11 @@
     until("the last that is taken", || waits(&mut other, 63));
     closed(client.stream);
     until("the leaving to be seen", || !waits(&mut other, 63));
-    let sent = member.tasks().len();
+    let sent = member.requests().len();
     hold.open();
     assert!(honoured(&other.ask(&look(15000))));
     settle(&mut other);
-    assert_eq!(member.tasks().len(), sent + 1, "what waited was sent on for nobody");
+    assert_eq!(member.requests().len(), sent + 1, "what waited was sent on for nobody");
 }
 
 #[test]
@@ -103,8 +107,8 @@
     thread::sleep(held);
     hold.open();
     assert!(honoured(&client.answer().unwrap()));
-    let task = member.tasks().pop().unwrap();
-    let told: u128 = task.split(",d=").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
+    let request = member.requests().pop().unwrap();
+    let told: u128 = request.split(",d=").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
     assert!(told <= 5000 - held.as_millis() + 1, "told {told} ms");
 }
 
@@ -126,7 +130,7 @@
     until("the move", || driver.logged("revision: 2"));
     hold.open();
     assert!(honoured(&client.answer().unwrap()), "where its member is now");
-    assert!(before.tasks().is_empty(), "{:?}", before.tasks());
+    assert!(before.requests().is_empty(), "{:?}", before.requests());
 }
 
 #[test]
@@ -150,5 +154,5 @@
     thread::sleep(window);
     hold.open();
     assert_eq!(client.answer().unwrap().code, "40003", "it may have run, and cannot be repeated");
-    assert_eq!(member.tasks().len(), 1, "{:?}", member.tasks());
+    assert_eq!(member.requests().len(), 1, "{:?}", member.requests());
 }
--- a/crates/proxy/tests/fresh.rs
+++ b/crates/proxy/tests/fresh.rs
@@ -53,7 +53,7 @@
             if now - position(now) > 320 {
                 seen_stale.fetch_add(1, Ordering::SeqCst);
             }
-            // Each task takes its connection along, so that the next one has to open one.
+            // Each request takes its connection along, so that the next one has to open one.
             let _ = stream.write_all(&lagging(text, position(now)));
             let _ = stream.shutdown(std::net::Shutdown::Both);
             return;
@@ -98,5 +98,5 @@
     thread::sleep(Duration::from_millis(350));
     assert!(honoured(&client.ask(&look(15000))), "its value came whole");
     assert_eq!(client.ask(&look(2000)).code, "53300", "no member is known to be fresh enough");
-    assert_eq!(member.tasks().len(), 2);
+    assert_eq!(member.requests().len(), 2);
 }
--- a/crates/proxy/tests/gateway.rs
+++ b/crates/proxy/tests/gateway.rs
@@ -48,15 +48,19 @@
 fn writes_cross_to_the_primarys_site_and_reads_stay_at_home() {
     let (near, far, cable, ledger) = pair(1);
     let mut client = near.client();
-    let before = (near.members[0].tasks().len(), far.members[0].tasks().len());
+    let before = (near.members[0].requests().len(), far.members[0].requests().len());
     assert!((0..20).all(|_| honoured(&client.ask(&order(3000))) && honoured(&client.ask(&look(3000)))));
     let looks = |site: &Site| {
-        site.members.iter().flat_map(|member| member.tasks()).filter(|text| text.contains("SELECT")).count()
+        site.members
+            .iter()
+            .flat_map(|member| member.requests())
+            .filter(|text| text.contains("SELECT"))
+            .count()
     };
     assert_eq!((looks(&near), looks(&far)), (20, 0));
-    assert!(far.members[0].tasks().len() >= before.1 + 20);
+    assert!(far.members[0].requests().len() >= before.1 + 20);
     // Once the home is known nobody here is asked for it.
-    assert!(near.members[0].tasks().len() <= before.0 + 20 + 4);
+    assert!(near.members[0].requests().len() <= before.0 + 20 + 4);
     assert!(ledger.doubles().is_empty() && cable.carried()[THERE] > 0);
     // Values larger than a frame cross whole, both ways.
     let large = order(5000).replace("9f", &"9f".repeat(50_000));
@@ -79,7 +83,7 @@
     let mut client = near.client();
     let mut counted = std::collections::BTreeMap::<String, usize>::new();
     for turn in 0..24 {
-        // Frames of a task and its answer are some 250 bytes; heartbeats go in between.
+        // Frames of a request and its answer are some 250 bytes; heartbeats go in between.
         cable.cut_after([THERE, BACK][turn % 2], 17 * (turn / 2));
         let (said, runs) = write(&mut client, &ledger, 3000);
         assert!(runs <= 1 && said.is_some(), "{runs}");
@@ -93,7 +97,7 @@
 }
 
 #[test]
-fn the_home_moves_with_tasks_under_way_on_both_sides() {
+fn the_home_moves_with_requests_under_way_on_both_sides() {
     let (near, far, cable, ledger) = pair(2);
     cable.delay(MS(10));
     ledger.work.store(5, Ordering::SeqCst);
@@ -185,7 +189,7 @@
 }
 
 #[test]
-fn who_leaves_costs_nothing_but_its_own_task_and_what_cannot_be_back_is_not_sent() {
+fn who_leaves_costs_nothing_but_its_own_request_and_what_cannot_be_back_is_not_sent() {
     let (near, _far, cable, ledger) = pair(1);
     ledger.work.store(200, Ordering::SeqCst);
     for _ in 0..5 {
--- a/crates/proxy/tests/idle_members.rs
+++ b/crates/proxy/tests/idle_members.rs
@@ -90,7 +90,8 @@
         let served = all.iter().filter(|said| honoured(said)).count();
         assert!(served * 10 >= all.len() * 9, "{end:?}: {served} of {}", all.len());
     }
-    let ran: Vec<String> = member.tasks().into_iter().filter(|task| task.contains("INSERT")).collect();
+    let ran: Vec<String> =
+        member.requests().into_iter().filter(|request| request.contains("INSERT")).collect();
     assert_eq!(ran.iter().collect::<HashSet<_>>().len(), ran.len(), "{end:?}: rule 2, a write twice");
 }
 
@@ -131,7 +132,7 @@
             let mut client = Client::connect(driver.address);
             let start = Instant::now();
             let said = client.ask(&statement(5000));
-            let sent: usize = members.iter().map(|member| member.tasks().len()).sum();
+            let sent: usize = members.iter().map(|member| member.requests().len()).sum();
             assert!(["53300", "40003"].contains(&said.code.as_str()), "{name}: {said:?}");
             assert!((1..=4).contains(&sent), "{name}: {sent} attempts");
             assert!(start.elapsed() < Duration::from_secs(1), "{name}: {:?}", start.elapsed());
--- a/crates/proxy/tests/list.rs
+++ b/crates/proxy/tests/list.rs
@@ -26,14 +26,14 @@
     discovery.mute.store(false, Ordering::SeqCst);
     until("a task at the new member", || {
         assert!(honoured(&client.ask(&look(15000))));
-        !new.tasks().is_empty()
+        !new.requests().is_empty()
     });
     // Once told of the drain, nothing more goes there.
-    let before = old.tasks().len();
+    let before = old.requests().len();
     for _ in 0..5 {
         assert!(honoured(&client.ask(&look(15000))));
     }
-    assert_eq!(old.tasks().len(), before);
+    assert_eq!(old.requests().len(), before);
     // Nonsense is logged and the list asked for anew, whole.
     let watches = discovery.requests.lock().unwrap().len();
     discovery.say("{\"revision\":3,\"members\":[{".to_owned());
@@ -44,7 +44,7 @@
     discovery.say(list(4, true, &[("b", &newer, "in_service")]));
     until("a task at the new address", || {
         assert!(honoured(&client.ask(&look(15000))));
-        !newer.tasks().is_empty()
+        !newer.requests().is_empty()
     });
     let requests = discovery.requests.lock().unwrap();
     assert!(!requests[watches].contains("index="), "{}", requests[watches]);
@@ -176,7 +176,7 @@
     until("the list", || driver.logged("revision: 2"));
     let mut client = Client::connect(driver.address);
     assert!(honoured(&client.ask(&look(15000))));
-    assert!(!new.tasks().is_empty(), "a new connection to a member");
+    assert!(!new.requests().is_empty(), "a new connection to a member");
     driver.signal("-HUP");
     until("the file", || driver.logged("configuration read anew"));
 }
--- a/crates/proxy/tests/little_time.rs
+++ b/crates/proxy/tests/little_time.rs
@@ -40,11 +40,11 @@
     for _ in 0..60 {
         assert!(honoured(&client.ask(&look(5000))) && honoured(&client.ask(&order(5000))));
     }
-    let before = member.tasks().len();
+    let before = member.requests().len();
     let served = hurry(&mut client);
-    let sent = &member.tasks()[before..];
+    let sent = &member.requests()[before..];
     assert!(served > 0 && sent.len() >= served, "{served} served of {} sent", sent.len());
-    assert!(sent.iter().all(|task| (1..=50).contains(&told(task))), "{sent:?}");
+    assert!(sent.iter().all(|request| (1..=50).contains(&told(request))), "{sent:?}");
 }
 
 #[test]
@@ -56,7 +56,11 @@
     for _ in 0..20 {
         assert!(honoured(&client.ask(&look(5000))) && honoured(&client.ask(&order(5000))));
     }
-    assert!(member.tasks().iter().all(|task| told(task) <= 5000 - reserve), "{:?}", member.tasks());
+    assert!(
+        member.requests().iter().all(|request| told(request) <= 5000 - reserve),
+        "{:?}",
+        member.requests()
+    );
 }
 
 #[test]
--- a/crates/proxy/tests/members.rs
+++ b/crates/proxy/tests/members.rs
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn an_id_under_way_is_an_error_and_leaves_its_task_alone() {
+fn an_id_under_way_is_an_error_and_leaves_its_request_alone() {
     let member = Member::start(|text, stream| {
         if text.starts_with("/*") {
             thread::sleep(Duration::from_millis(300));
@@ -168,8 +168,8 @@
     let (mut first, mut second) = (Client::connect(driver.address), Client::connect(driver.address));
     let statement = order(15000);
     first.send(&statement);
-    until("the launch", || member.tasks().len() == 1);
+    until("the launch", || member.requests().len() == 1);
     assert_eq!(second.ask(&statement).code, "08P01");
     assert!(honoured(&first.answer().unwrap()));
-    assert_eq!(member.tasks().len(), 1);
+    assert_eq!(member.requests().len(), 1);
 }
--- a/crates/proxy/tests/resting_clients.rs
+++ b/crates/proxy/tests/resting_clients.rs
@@ -12,7 +12,7 @@
 const REST: Duration = Duration::from_millis(2100);
 
 fn asked(member: &Member, id: &str) -> bool {
-    member.tasks().iter().any(|task| task.contains(&format!("id={id},")))
+    member.requests().iter().any(|request| request.contains(&format!("id={id},")))
 }
 
 #[test]
@@ -82,6 +82,7 @@
         assert!(honoured(&other.ask(&look(15000))));
     }
     assert!(honoured(&other.ask(&order(15000))));
-    let left: Vec<String> = member.tasks().into_iter().filter(|task| task.contains("id=left")).collect();
+    let left: Vec<String> =
+        member.requests().into_iter().filter(|request| request.contains("id=left")).collect();
     assert!(left.is_empty(), "rule 2: sent for nobody: {left:?}");
 }
--- a/crates/proxy/tests/same_instant.rs
+++ b/crates/proxy/tests/same_instant.rs
@@ -60,7 +60,7 @@
         let said = second.answer().expect("its one answer");
         assert_eq!(said.code, "53300", "nobody is left who may answer it: {said:?}");
         let id = format!("id=read{round},");
-        assert!(member.tasks().iter().all(|task| !task.contains(&id)), "rule 5: asked as a replica");
+        assert!(member.requests().iter().all(|request| !request.contains(&id)), "rule 5: asked as a replica");
     }
 }
 
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -70,7 +70,7 @@
     clients.iter_mut().for_each(|client| assert!(honoured(&client.ask(&look(15000)))));
     hold.close();
     clients.iter_mut().for_each(|client| client.send(&look(15000)));
-    until("the attempts", || member.tasks().len() == 6);
+    until("the attempts", || member.requests().len() == 6);
     stopping(&driver);
     // Sent ahead after the stop, on connections that are still open. The system holds these small writes back until
     // what went before is acknowledged, which is with the first answer: they come as the connection is to be closed.
@@ -103,7 +103,7 @@
     for (number, client) in clients.iter_mut().enumerate() {
         let answered = client.answer().is_some_and(|said| honoured(&said));
         let id = format!("id=crossing{number},");
-        assert_eq!(answered, member.tasks().iter().any(|task| task.contains(&id)), "{number}");
+        assert_eq!(answered, member.requests().iter().any(|request| request.contains(&id)), "{number}");
     }
     assert!(driver.child.wait().unwrap().success());
 }
@@ -142,7 +142,7 @@
     assert!(honoured(&idle.ask(&look(15000))));
     let mut fresh = Client::connect(driver.address);
     busy.iter_mut().for_each(|client| client.send(&look(15000)));
-    until("the launches", || member.tasks().len() == 5);
+    until("the launches", || member.requests().len() == 5);
     let told = Instant::now();
     driver.signal("-TERM");
     assert!(idle.ended());
--- a/crates/proxy/tests/slow_peers.rs
+++ b/crates/proxy/tests/slow_peers.rs
@@ -26,7 +26,8 @@
     (Driver::with("127.0.0.1:0".parse().unwrap(), &whole, Some(operator)), whole)
 }
 
-/// A primary whose values are as long as the task's key says: `k` for a short one, `v1000` for a thousand bytes.
+/// A primary whose values are as long as the request's key says: `k` for a short one, `v1000` for a thousand
+/// bytes.
 fn with_values() -> Member {
     Member::start(|text, stream| {
         let length = text.split_once("'v").and_then(|(_, rest)| rest.split('\'').next()?.parse().ok());
@@ -41,7 +42,7 @@
     look(15000).replace("'k'", &format!("'v{length}'"))
 }
 
-/// Usual clients, one task after another; each comes again where its connection was closed between two.
+/// Usual clients, one request after another; each comes again where its connection was closed between two.
 struct Usual {
     stop: Arc<AtomicBool>,
     asked: Arc<AtomicUsize>,
@@ -152,7 +153,7 @@
     }
     until("each is cut", || driver.logged("overdue: ") || driver.logged("room_wanted: "));
     slow.iter_mut().for_each(|client| while !client.sip(4096, MS(0), MS(50)).1 {});
-    let orders = member.tasks();
+    let orders = member.requests();
     assert!(orders.len() <= 20, "{}", orders.len());
     // What they held is free again: as many quick ones as ever fit.
     let mut quick: Vec<Client> = (0..20).map(|_| Client::connect(driver.address)).collect();
@@ -173,7 +174,7 @@
         assert!((0..8).all(|_| honoured(&client.ask(&look(15000)))));
         assert!(start.elapsed() < MS(8000), "{:?} for {piece} bytes a time", start.elapsed());
     }
-    // An effectful task ends as one that may have run, long before its time is up, and is sent once.
+    // An effectful request ends as one that may have run, long before its time is up, and is sent once.
     let trickles = Member::start(|text, stream| {
         let out = whole(b"x", text, "writer");
         if text.starts_with("/*") { drip(&out, 1, MS(250), stream) } else { drip(&out, 4096, MS(0), stream) }
@@ -182,7 +183,7 @@
     let start = Instant::now();
     assert_eq!(Client::connect(driver.address).ask(&order(15000)).code, "40003");
     assert!(start.elapsed() < MS(5000));
-    assert_eq!(trickles.tasks().len(), 1);
+    assert_eq!(trickles.requests().len(), 1);
 }
 
 #[test]
@@ -195,7 +196,7 @@
     let mut client = Client::connect(driver.address);
     assert!((0..4).all(|_| client.ask(&look(15000)).value.is_some_and(|value| value.len() == 60_000)));
     assert!(!driver.logged("nothing that can be used"));
-    assert_eq!(steady.tasks().len(), 4);
+    assert_eq!(steady.requests().len(), 4);
 }
 
 #[test]
@@ -215,7 +216,8 @@
         }
         true
     };
-    // One primary for each group: with two, each said to be it, the task's way would hang on whose word came last.
+    // One primary for each group: with two, each said to be it, the request's way would hang on whose word
+    // came last.
     let taker = Member::at(listener, bears, |text, stream| honour(text, "writer", stream));
     let replica = sound("reader");
     let (driver, _) = driver(&[("a", &taker), ("b", &replica)], 192, 128, "{}");
@@ -230,12 +232,12 @@
         assert!(honoured(&said), "{said:?}, after {:?}", start.elapsed());
     }
     assert!(start.elapsed() < MS(15_000), "{:?}", start.elapsed());
-    assert_eq!((taker.tasks().len(), replica.tasks().len()), (0, 4));
+    assert_eq!((taker.requests().len(), replica.requests().len()), (0, 4));
     ill.store(false, Ordering::SeqCst);
     until("the primary is asked again", || {
         honoured(&client.ask(&order(15000).replace("9f", &"9f".repeat(60_000))))
     });
-    assert_eq!(taker.tasks().len(), 1);
+    assert_eq!(taker.requests().len(), 1);
 }
 
 #[test]
@@ -296,7 +298,7 @@
     let (mut driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let mut slow: Vec<Client> = (0..10).map(|_| Client::narrow(driver.address).unwrap()).collect();
     slow.iter_mut().for_each(|client| client.send(&value(900_000)));
-    until("all have been asked", || member.tasks().len() == 10);
+    until("all have been asked", || member.requests().len() == 10);
     let start = Instant::now();
     driver.signal("-TERM");
     assert!(driver.child.wait().unwrap().success());
@@ -310,7 +312,7 @@
     let (driver, _) = driver(&[("a", &member)], 48, 128, &patient);
     let mut slow: Vec<Client> = (0..6).map(|_| Client::narrow(driver.address).unwrap()).collect();
     slow.iter_mut().for_each(|client| client.send(&value(900_000)));
-    until("all have been asked", || member.tasks().len() == 6);
+    until("all have been asked", || member.requests().len() == 6);
     thread::sleep(MS(800));
     assert!(!driver.logged("slow clients cut off"));
     let operator = driver.operator.clone().unwrap();
--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -22,7 +22,7 @@
     let asked: Vec<String> = (0..20).flat_map(|_| [look(15000), order(15000)]).collect();
     assert!(asked.iter().all(|text| honoured(&client.ask(text))));
     // The replica turned one write away at the most, before the primary was known.
-    let passed_on = [primary.tasks(), replica.tasks()].concat();
+    let passed_on = [primary.requests(), replica.requests()].concat();
     assert!(passed_on.len() <= 41, "{}", passed_on.len());
     let masked = |text: &str| {
         let (before, rest) = text.split_once(",d=").unwrap();
@@ -31,7 +31,7 @@
         format!("{before},d=15000,{after}")
     };
     assert!(passed_on.iter().all(|text| asked.contains(&masked(text))));
-    // One task at a time needs one connection a member, and one more for a probe on the way.
+    // One request at a time needs one connection a member, and one more for a probe on the way.
     assert!(primary.connections.load(Ordering::SeqCst) <= 3);
 }
 
@@ -123,7 +123,7 @@
     cancel.raw(&[0, 0, 0, 16, 4, 210, 22, 46, 0, 0, 0, 1, 0, 0, 0, 2]);
     assert!(cancel.ended());
     assert!(honoured(&client.ask(&look(15000))));
-    assert_eq!(member.tasks().len(), 3);
+    assert_eq!(member.requests().len(), 3);
 }
 
 #[test]
@@ -132,7 +132,7 @@
     let driver = Driver::before(&[("a", &first), ("b", &second), ("c", &primary)]);
     let mut client = Client::connect(driver.address);
     assert!(honoured(&client.ask(&order(15000))));
-    assert_eq!(primary.tasks().len(), 1);
+    assert_eq!(primary.requests().len(), 1);
 }
 
 #[test]
@@ -150,7 +150,7 @@
     );
     let mut client = Client::connect(driver.address);
     assert!(honoured(&client.ask(&order(15000))));
-    assert_eq!((replica.tasks().len(), primary.tasks().len()), (0, 1));
+    assert_eq!((replica.requests().len(), primary.requests().len()), (0, 1));
 }
 
 #[test]
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn an_effectful_task_of_unknown_fate_is_broken_off_after_one_copy() {
+fn an_effectful_request_of_unknown_fate_is_broken_off_after_one_copy() {
     // Silence after the whole statement, a reset, an error, nonsense, and half a value.
     let ways: [(&str, Box<Act>); 5] = [
         ("silent", Box::new(|_, _| {})),
@@ -195,7 +195,7 @@
         let mut client = Client::connect(driver.address);
         let said = client.ask(&order(3000));
         assert_eq!((&said.code[..], said.value), ("40003", None), "{way}");
-        assert_eq!(member.tasks().len(), 1, "{way}");
+        assert_eq!(member.requests().len(), 1, "{way}");
         if way != "silent" {
             assert!(member.connections.load(Ordering::SeqCst) >= 1);
         }
@@ -212,7 +212,7 @@
     socket.listen(64).unwrap();
     let cuts = Arc::new(AtomicUsize::new(0));
     let counted = cuts.clone();
-    // The first two times that a task's beginning comes, the connection is cut.
+    // The first two times that a request's beginning comes, the connection is cut.
     let bears = move |bytes: &[u8], welcomed: bool| {
         !welcomed || !bytes[5..].starts_with(b"/*") || counted.fetch_add(1, Ordering::SeqCst) >= 2
     };
@@ -222,7 +222,7 @@
     let large = order(15000).replace("9f", &"9f".repeat(60_000));
     assert!(honoured(&client.ask(&large)));
     assert!(cuts.load(Ordering::SeqCst) > 2);
-    assert_eq!(member.tasks().len(), 1);
+    assert_eq!(member.requests().len(), 1);
 }
 
 #[test]
@@ -247,7 +247,7 @@
     until("the list", || driver.logged("revision: 2"));
     hold.store(false, Ordering::SeqCst);
     assert!(honoured(&client.answer().unwrap()));
-    assert_eq!((drained.tasks().len(), primary.tasks().len()), (0, 1));
+    assert_eq!((drained.requests().len(), primary.requests().len()), (0, 1));
 }
 
 #[test]
--- a/crates/proxy/tests/staying.rs
+++ b/crates/proxy/tests/staying.rs
@@ -95,7 +95,7 @@
     let mut client = Client::connect(driver.address);
     until("a task at the member that only the new address names", || {
         assert!(honoured(&client.ask(&look(15000))));
-        !new.tasks().is_empty()
+        !new.requests().is_empty()
     });
     assert!(second.requests.lock().unwrap()[0].contains("index=1"), "the last list stays in force");
     assert!(driver.logged("cannot change while running, field: name"));
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_costs_nothing_but_its_own_task() {
+fn a_client_that_leaves_costs_nothing_but_its_own_request() {
     let member = Member::start(|text, stream| {
         if text.contains("id=5") {
             thread::sleep(Duration::from_millis(300));
@@ -146,17 +146,17 @@
     let slow = named(&look(15000), "5");
     let mut gone = Client::connect(driver.address);
     gone.send(&slow);
-    until("the launch", || member.tasks().len() == 1);
+    until("the launch", || member.requests().len() == 1);
     drop(gone);
     let mut client = Client::connect(driver.address);
     for _ in 0..5 {
         assert!(honoured(&client.ask(&look(15000))));
     }
-    assert_eq!(member.tasks().len(), 6);
+    assert_eq!(member.requests().len(), 6);
 }
 
 #[test]
-fn a_planned_restart_under_traffic_loses_no_task() {
+fn a_planned_restart_under_traffic_loses_no_request() {
     let member = Member::start(|text, stream| {
         if text.starts_with("/*") {
             thread::sleep(Duration::from_millis(30));
@@ -190,7 +190,8 @@
                 let late =
                     told.lock().unwrap().is_some_and(|told| told.elapsed() > Duration::from_millis(400));
                 assert!(said.as_ref().is_some_and(honoured) || late, "{said:?}");
-                // On a connection in use an end between tasks is allowed, half an answer or an error is not.
+                // On a connection in use an end between requests is allowed, half an answer or an error is
+                // not.
                 while said.is_some() && !over.load(Ordering::SeqCst) {
                     let mut query = Vec::new();
                     pg::query(&mut query, &[statement.as_bytes()]);
@@ -206,13 +207,13 @@
         })
     };
     let clients: Vec<_> = (0..8).map(traffic).collect();
-    until("traffic", || member.tasks().len() > 50);
+    until("traffic", || member.requests().len() > 50);
     *told.lock().unwrap() = Some(Instant::now());
     driver.signal("-TERM");
     assert!(driver.child.wait().unwrap().success());
-    let before = member.tasks().len();
+    let before = member.requests().len();
     let again = Driver::at(address, &config);
-    until("traffic again", || member.tasks().len() > before + 50);
+    until("traffic again", || member.requests().len() > before + 50);
     over.store(true, Ordering::SeqCst);
     for client in clients {
         assert!(client.join().unwrap() > 0);
@@ -254,7 +255,7 @@
     });
     let mut open: Vec<&mut Client> = open.collect();
     assert!((8..64).contains(&open.len()), "{}", open.len());
-    // With a task under way on each, the next is told that there is no room.
+    // With a request under way on each, the next is told that there is no room.
     for (number, client) in open.iter_mut().enumerate() {
         client.send(&named(&look(15000), &format!("5{number}")));
     }
--- a/crates/proxy/tests/system_calls.rs
+++ b/crates/proxy/tests/system_calls.rs
@@ -171,12 +171,12 @@
         let mut clients: Vec<Client> = (0..2).map(|_| Client::connect(driver.address)).collect();
         hold.close();
         clients.iter_mut().for_each(|client| client.send(&order(15000)));
-        until("both attempts", || member.tasks().len() == 2);
+        until("both attempts", || member.requests().len() == 2);
         hold.open();
         clients.iter_mut().for_each(|client| assert!(honoured(&client.answer().unwrap())));
         hold.close();
         clients[0].send(&named(&order(15000), "broken"));
-        until("the attempt", || member.tasks().len() == 3);
+        until("the attempt", || member.requests().len() == 3);
         faults.set(&format!("read:member {error} 100 -\npeek ECONNRESET 100 -"));
         hold.open();
         let said = clients[0].answer().unwrap();
--- a/crates/proxy/tests/trial.rs
+++ b/crates/proxy/tests/trial.rs
@@ -8,7 +8,7 @@
 mod trial;
 
 use aldermill_operator_config::Trial as Wanted;
-use aldermill_routing::{Listed, Outcome, Role, Router, Standing, Step, Task, Todo, Told, Verdict};
+use aldermill_routing::{Listed, Outcome, Request, Role, Router, Standing, Step, Todo, Told, Verdict};
 use aldermill_settings::Decoded;
 use aldermill_test_support::{TERMS, file};
 use trial::{Fate, Kind, Trial};
@@ -48,8 +48,8 @@
     for at in (1..400).map(|step| step * 40_000) {
         let class = (at / 40_000 % 3 / 2) as usize;
         let ttl = if at % 7 == 0 { 5_000 } else { 900_000 };
-        let task = Task { class, group: 1, ttl, ..Task::default() };
-        let todo = ask(&mut router, &|router| router.take(at, task.clone()).1);
+        let request = Request { class, group: 1, ttl, ..Request::default() };
+        let todo = ask(&mut router, &|router| router.take(at, request.clone()).1);
         for (handle, step) in todo.steps {
             let Step::Launch { member, .. } = step else { continue };
             let role = Some(if member == 2 { Role::Primary } else { Role::Replica });
--- a/crates/proxy/tests/wall_clock.rs
+++ b/crates/proxy/tests/wall_clock.rs
@@ -47,11 +47,11 @@
     until("the drain", || driver.logged("revision: 2"));
     discovery.say(told(3, "in_service", unix_millis()));
     until("the new start", || driver.logged("revision: 3"));
-    let before = members[2].tasks().len();
+    let before = members[2].requests().len();
     let mut got = vec![before];
     for half in 0..HALVES {
         ask_for(Duration::from_millis(500));
-        got.push(members[2].tasks().len());
+        got.push(members[2].requests().len());
         if half == 0 {
             clock.step(clock_at[2]);
         }
@@ -124,9 +124,9 @@
         let (driver, replica, _primary) = beside(&clock, standing_at(move || position), "own_writes");
         let mut client = Client::connect(driver.address);
         let mut reads = |after, times| {
-            let before = replica.tasks().len();
+            let before = replica.requests().len();
             (0..times).for_each(|_| assert!(honoured(&client.ask(&look_after(after)))));
-            replica.tasks().len() - before
+            replica.requests().len() - before
         };
         if at_start >= 0 {
             until("a read of the replica", || reads(position, 1) > 0);
@@ -155,10 +155,10 @@
             driver.logged("differs from the members'")
         });
         (0..5).for_each(|_| assert!(honoured(&client.ask(&order(15_000)))));
-        let before = replica.tasks().len();
+        let before = replica.requests().len();
         let mut reads = |times| {
             (0..times).for_each(|_| assert!(honoured(&client.ask(&look(15_000)))));
-            replica.tasks().len() - before
+            replica.requests().len() - before
         };
         if fresh {
             until("a read of the replica", || reads(1) > 0);
--- a/crates/proxy/tests/warm.rs
+++ b/crates/proxy/tests/warm.rs
@@ -42,12 +42,12 @@
 
     // Discovery is mute now, and the configuration knows no list.
     discovery.mute.store(true, Ordering::SeqCst);
-    let walked = a.tasks().len();
+    let walked = a.requests().len();
     let driver = start(&discovery, "null", &folder);
     until("the line", || driver.logged("warm state, newest_word_ms_ago"));
     let mut client = Client::connect(driver.address);
     assert!(client.ask("").empty && honoured(&client.ask(&order(5000))));
-    assert_eq!(a.tasks().len(), walked, "no walk");
+    assert_eq!(a.requests().len(), walked, "no walk");
 
     let (sound, text) = tool("check", &folder);
     assert!(sound && text.contains(" 0 bytes of a torn end"), "{text}");
@@ -74,7 +74,7 @@
     let driver = start(&discovery, &known, &folder);
     let mut client = Client::connect(driver.address);
     assert!(client.ask("").empty && honoured(&client.ask(&order(5000))));
-    assert_eq!((a.tasks().len(), b.tasks().len()), (0, 1), "nothing at what drains");
+    assert_eq!((a.requests().len(), b.requests().len()), (0, 1), "nothing at what drains");
     std::fs::remove_dir_all(folder).unwrap();
 }
 
@@ -170,14 +170,14 @@
     drop(driver);
 
     discovery.mute.store(true, Ordering::SeqCst);
-    let walked = a.tasks().len();
+    let walked = a.requests().len();
     let known = config(discovery.start(), 256, "null");
     let driver = Driver::on_full_disk(0, &known, &operator(&folder));
     until("it is read", || driver.logged("warm state, newest_word_ms_ago"));
     until("the line", || driver.logged("warm state is not kept yet, what was kept before is read"));
     let mut client = Client::connect(driver.address);
     assert!(client.ask("").empty && honoured(&client.ask(&order(5000))));
-    assert_eq!(a.tasks().len(), walked, "no walk");
+    assert_eq!(a.requests().len(), walked, "no walk");
     drop(driver);
     assert!(tool("check", &folder).0);
     std::fs::remove_dir_all(folder).unwrap();
--- a/crates/proxy/tests/whole_answers.rs
+++ b/crates/proxy/tests/whole_answers.rs
@@ -52,12 +52,12 @@
             let mut client = Client::connect(driver.address);
             let served = (0..20).filter(|_| honoured(&client.ask(&look(2000)))).count();
             assert!(served * 2 >= 20, "{ending:?}, {missing} bytes missing: {served} of 20");
-            let (mut written, before) = (0, member.tasks().len());
+            let (mut written, before) = (0, member.requests().len());
             for _ in 0..20 {
                 written += usize::from(honoured(&client.ask(&order(2000))));
             }
             assert!(written * 2 >= 20, "{ending:?}, {missing} bytes missing: {written} of 20 writes");
-            assert!(member.tasks().len() <= before + 20, "rule 2: a write twice");
+            assert!(member.requests().len() <= before + 20, "rule 2: a write twice");
         }
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,7 @@
 //! The routing decisions of aldermill and the types they are asked and answered in.
 //!
 //! [`Router`] in `policy` holds every decision. This file holds the interface: what a driver
-//! is told once ([`Terms`]), what it takes ([`Task`]), what it hears ([`Listed`], [`Outcome`],
+//! is told once ([`Terms`]), what it takes ([`Request`]), what it hears ([`Listed`], [`Outcome`],
 //! [`Told`]) and what it is to do next ([`Todo`]).
 
 mod policy;
@@ -88,7 +88,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Task {
+pub struct Request {
     pub class: usize,
     pub group: u64,
     /// How long the client still waits for this try, and how long it has waited; the first may be below zero where
@@ -182,7 +182,7 @@
     pub verdict: Verdict,
     pub took: Micros,
     pub told: Told,
-    /// The task is over, by this outcome or before it.
+    /// The request is over, by this outcome or before it.
     pub closed: bool,
 }
 
@@ -213,7 +213,7 @@
     pub const LASTING: Validity = Validity { until: Micros::MAX, while_primary: false };
 }
 
-/// What is to be done for one task.
+/// What is to be done for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// `afresh`: on a new connection, the idle ones being closed.
--- a/crates/routing/src/policy/decide.rs
+++ b/crates/routing/src/policy/decide.rs
@@ -1,47 +1,48 @@
-//! A task's way: taking it, placing it, what follows from a launch's end, and giving it up.
+//! A request's way: taking it, placing it, what follows from a launch's end, and giving it up.
 
 use super::*;
 
 impl Router {
-    pub fn take(&mut self, now: Micros, task: Task) -> (Handle, Todo) {
+    pub fn take(&mut self, now: Micros, request: Request) -> (Handle, Todo) {
         let handle = Handle(self.next_handle);
         self.next_handle += 1;
-        let group = self.group(task.group);
+        let group = self.group(request.group);
         self.allowance = (self.allowance + PROBES_A_TASK).min(self.members.len() as f64);
-        // Where repeats are not marked, first tries are told by the wait that most tasks bring.
-        let RequestClass { limit, quoted, .. } = self.terms.classes[task.class];
-        let (usual, votes) = &mut self.usual_wait[task.class];
-        let wait = task.ttl + task.waited;
+        // Where repeats are not marked, first tries are told by the wait that most requests bring.
+        let RequestClass { limit, quoted, .. } = self.terms.classes[request.class];
+        let (usual, votes) = &mut self.usual_wait[request.class];
+        let wait = request.ttl + request.waited;
         let common = (wait - *usual).abs() <= *usual / 64;
         *votes = if common { (*votes + 1).min(64) } else { *votes - 1 };
         (*usual, *votes) = if *votes < 0 { (wait, 1) } else { (*usual, *votes) };
-        let repeat = task.repeat || !self.terms.repeats_marked && !common;
+        let repeat = request.repeat || !self.terms.repeats_marked && !common;
         // What is missing to the time limit of a repeat has gone by already. Where repeats are not
         // marked, a wait cut short tells them once the usual one is sure. Harms clients in a hurry: they
         // are taken for late.
-        let cut = task.repeat || !self.terms.repeats_marked && !common && *votes >= 2 && wait < *usual;
-        let quoted_by = now - task.waited + quoted - if cut { (limit - wait).max(0) } else { 0 };
-        let errand = Errand { task, group, arrived: now, quoted_by, repeat, ..Errand::default() };
-        self.errands.insert(handle, errand);
+        let cut = request.repeat || !self.terms.repeats_marked && !common && *votes >= 2 && wait < *usual;
+        let quoted_by = now - request.waited + quoted - if cut { (limit - wait).max(0) } else { 0 };
+        let pending =
+            PendingRequest { request, group, arrived: now, quoted_by, repeat, ..PendingRequest::default() };
+        self.pending_requests.insert(handle, pending);
         self.place(now, handle);
         (handle, self.take_todo())
     }
 
-    /// Sends the task on its way, holds it, or gives it up.
+    /// Sends the request on its way, holds it, or gives it up.
     pub(super) fn place(&mut self, now: Micros, handle: Handle) {
-        let errand = &self.errands[&handle];
-        let class = &self.terms.classes[errand.task.class];
-        let (hopeless, useful) = self.useful_until(now, errand);
-        // Never again what may have run: an effectful task at all, a receipted one past its window.
-        let stuck = match (class.effect, errand.may_have_run) {
+        let pending = &self.pending_requests[&handle];
+        let class = &self.terms.classes[pending.request.class];
+        let (hopeless, useful) = self.useful_until(now, pending);
+        // Never again what may have run: an effectful request at all, a receipted one past its window.
+        let stuck = match (class.effect, pending.may_have_run) {
             (_, None) | (Effect::Pure, _) => false,
             (Effect::Effectful, Some(_)) => true,
             (Effect::Receipted { window, .. }, Some((at, _))) => now >= at + window - HELD_UP,
         };
         if stuck
-            || self.at_fault(errand)
+            || self.at_fault(pending)
             || now >= hopeless
-            || errand.launches - errand.unsent >= self.launches_allowed(class)
+            || pending.launches - pending.unsent >= self.launches_allowed(class)
         {
             return self.give_up(handle);
         }
@@ -50,25 +51,25 @@
         let waits = now < self.rush_until && self.rush < 1.0;
         let target = match class.need {
             _ if waits => None,
-            Need::Write => self.write_target(now, errand),
+            Need::Write => self.write_target(now, pending),
             need => self.read_target(now, handle, need),
         };
         let Some(id) = target else {
-            return self.groups[self.errands[&handle].group].held.push(handle);
+            return self.groups[self.pending_requests[&handle].group].held.push(handle);
         };
         self.account(now, id, writes);
         let rested = self.rested(now, id);
-        let validity = self.validity(&self.errands[&handle], id);
+        let validity = self.validity(&self.pending_requests[&handle], id);
         let tries_connection = self.takes_connection(now, id);
         let kept = self.members[id].idle.is_some();
         let afresh = !kept && rested.is_some_and(|rest| self.reaped(rest));
-        let errand = self.errands.get_mut(&handle).expect("held by its handle");
+        let pending = self.pending_requests.get_mut(&handle).expect("held by its handle");
         let member = &mut self.members[id];
         member.out.push(handle);
         member.sent.push_back(now);
-        (errand.launches, errand.rested) = (errand.launches + 1, rested.filter(|_| !afresh));
-        errand.tries_connection = tries_connection;
-        (errand.out, errand.waits_from) = (Some((id, now)), now);
+        (pending.launches, pending.rested) = (pending.launches + 1, rested.filter(|_| !afresh));
+        pending.tries_connection = tries_connection;
+        (pending.out, pending.waits_from) = (Some((id, now)), now);
         (self.launched, self.rush) = (self.launched + 1.0, self.rush - 1.0);
         self.session(handle).into_iter().for_each(|session| session.out += 1);
         self.todo.steps.push((handle, Step::Launch { member: id, limit: useful - now, afresh, validity }));
@@ -95,79 +96,80 @@
         group.owed = (group.owed + due).clamp(-3.0, 3.0);
     }
 
-    /// Until when a launch of the task would most likely pay, and until when an answer pays at all. Protects
-    /// a client from a long wait for nothing: what was never launched and pays little when late is not held
-    /// beyond half of its time, and a driver among many, who cannot see the crowd, launches nothing that
-    /// would pay only that little. Should also cover groups without members. Harms what finds room later.
-    pub(super) fn useful_until(&self, now: Micros, errand: &Errand) -> (Micros, Micros) {
-        let end = errand.arrived + errand.task.ttl;
-        let late_share = self.terms.classes[errand.task.class].late_share;
-        let useful = if late_share > 0.0 { end } else { end.min(errand.quoted_by) };
+    /// Until when a launch of the request would most likely pay, and until when an answer pays at all.
+    /// Protects a client from a long wait for nothing: what was never launched and pays little when late is
+    /// not held beyond half of its time, and a driver among many, who cannot see the crowd, launches nothing
+    /// that would pay only that little. Should also cover groups without members. Harms what finds room
+    /// later.
+    pub(super) fn useful_until(&self, now: Micros, pending: &PendingRequest) -> (Micros, Micros) {
+        let end = pending.arrived + pending.request.ttl;
+        let late_share = self.terms.classes[pending.request.class].late_share;
+        let useful = if late_share > 0.0 { end } else { end.min(pending.quoted_by) };
         // What waited for a replica's word alone has not waited for room.
-        let arrives = now == errand.arrived || errand.asked && now - errand.arrived <= 2 * BEAT;
+        let arrives = now == pending.arrived || pending.asked && now - pending.arrived <= 2 * BEAT;
         let share = if arrives { 0.5 } else { 0.85 };
-        let pays = if self.sparse() && late_share < 0.5 { useful.min(errand.quoted_by) } else { useful };
-        let hopeless = pays - self.took[errand.task.class].quantile(share).unwrap_or(0) - BEAT;
-        let waits_for_room = errand.launches == 0 && !self.backs_off(now);
+        let pays = if self.sparse() && late_share < 0.5 { useful.min(pending.quoted_by) } else { useful };
+        let hopeless = pays - self.took[pending.request.class].quantile(share).unwrap_or(0) - BEAT;
+        let waits_for_room = pending.launches == 0 && !self.backs_off(now);
         let held = waits_for_room && (late_share < 0.5 || self.sparse());
         // Told before half of the client's time is over, with what a beat and the way take.
-        let half = errand.arrived + (errand.task.ttl - errand.task.waited) / 2 - 2 * BEAT;
-        (if held { hopeless.min(half.max(errand.arrived + 1)) } else { hopeless }, useful)
+        let half = pending.arrived + (pending.request.ttl - pending.request.waited) / 2 - 2 * BEAT;
+        (if held { hopeless.min(half.max(pending.arrived + 1)) } else { hopeless }, useful)
     }
 
     /// Denied where that is true to say, else broken off.
     pub(super) fn give_up(&mut self, handle: Handle) {
-        let errand = &self.errands[&handle];
-        let deniable = match self.terms.classes[errand.task.class].effect {
+        let pending = &self.pending_requests[&handle];
+        let deniable = match self.terms.classes[pending.request.class].effect {
             Effect::Pure | Effect::Receipted { scope: Scope::All, .. } => true,
-            _ => errand.may_have_run.is_none() && errand.out.is_none(),
+            _ => pending.may_have_run.is_none() && pending.out.is_none(),
         };
         // What is denied for want of room has missed its quoted time: sooner again only adds to the crowd.
-        let cool_down = self.terms.classes[errand.task.class].quoted.min(self.terms.max_cool_down);
+        let cool_down = self.terms.classes[pending.request.class].quoted.min(self.terms.max_cool_down);
         self.todo.steps.push((
             handle,
-            if deniable && !self.at_fault(errand) { Step::Deny { cool_down } } else { Step::BreakOff },
+            if deniable && !self.at_fault(pending) { Step::Deny { cool_down } } else { Step::BreakOff },
         ));
         self.close(handle);
     }
 
     pub(super) fn close(&mut self, handle: Handle) {
-        let Some(errand) = self.errands.get_mut(&handle) else { return };
-        errand.closed = true;
-        self.groups[errand.group].held.retain(|&held| held != handle);
-        if errand.out.is_none() {
-            self.errands.remove(&handle);
+        let Some(pending) = self.pending_requests.get_mut(&handle) else { return };
+        pending.closed = true;
+        self.groups[pending.group].held.retain(|&held| held != handle);
+        if pending.out.is_none() {
+            self.pending_requests.remove(&handle);
         }
     }
 
     pub(super) fn launch_ended(&mut self, now: Micros, handle: Handle, outcome: Outcome) {
         let Outcome { verdict, told, .. } = outcome;
-        let errand = self.errands.get(&handle);
-        let out = errand.and_then(|errand| errand.out.map(|(id, _)| (id, errand.task.class)));
+        let pending = self.pending_requests.get(&handle);
+        let out = pending.and_then(|pending| pending.out.map(|(id, _)| (id, pending.request.class)));
         let mute = out.is_some_and(|(id, _)| self.mute(now, id));
         let patience = out.map_or(0, |(_, class)| self.patience(class));
         let (sparse, drivers) = (self.sparse(), self.terms.drivers as f64);
         let credit = self.first_credit();
         let usual_took = out.and_then(|(_, class)| self.took[class].quantile(0.5)).unwrap_or(0);
-        let rested = self.errands.get(&handle).and_then(|errand| errand.rested);
+        let rested = self.pending_requests.get(&handle).and_then(|pending| pending.rested);
         let reaped = verdict == Verdict::TimedOut && rested.is_some_and(|rest| self.reaped(rest));
         let way = out.map_or(0, |(id, _)| self.way(now, id));
-        let Some(errand) = self.errands.get_mut(&handle) else { return };
-        let Some((id, sent)) = errand.out.take() else { return };
-        let (group, class, waits_from) = (errand.group, errand.task.class, errand.waits_from);
-        let (tried, over) = (errand.tries_connection, outcome.closed || errand.closed);
+        let Some(pending) = self.pending_requests.get_mut(&handle) else { return };
+        let Some((id, sent)) = pending.out.take() else { return };
+        let (group, class, waits_from) = (pending.group, pending.request.class, pending.waits_from);
+        let (tried, over) = (pending.tries_connection, outcome.closed || pending.closed);
         match verdict {
             Verdict::LocalFailure => return self.not_sent(now, handle, id, sent, over),
             Verdict::Moot => {}
             _ => self.connected(now, id, tried, verdict.heard()),
         }
-        let errand = self.errands.get_mut(&handle).expect("not yet closed");
+        let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
         let member = &mut self.members[id];
         member.out.retain(|&out| out != handle);
         let ran = (!verdict.never_ran()).then_some((sent, member.zone));
-        errand.may_have_run = errand.may_have_run.or(ran);
+        pending.may_have_run = pending.may_have_run.or(ran);
         let mut refusal = false;
-        if let Some(rest) = errand.rested.filter(|_| verdict.heard() || verdict == Verdict::TimedOut) {
+        if let Some(rest) = pending.rested.filter(|_| verdict.heard() || verdict == Verdict::TimedOut) {
             let silent = &mut self.rests[rest];
             *silent += (f64::from(!verdict.heard()) - *silent) * 0.3;
         }
@@ -207,20 +209,20 @@
                 self.took[class].add(outcome.took, KEEP * 4);
                 self.any_took.add(outcome.took, KEEP * 4);
                 (member.honoured, member.spoilt) = (member.honoured + 0.1, 0);
-                std::mem::take(&mut errand.erred).into_iter().for_each(|id| self.failed(now, id));
+                std::mem::take(&mut pending.erred).into_iter().for_each(|id| self.failed(now, id));
             }
-            // Nobody's fault as yet: whoever honours the task proves that the member failed it. A quick one
-            // was no work, and gives its launch back, but for a cold member: the rule counts what it is
+            // Nobody's fault as yet: whoever honours the request proves that the member failed it. A quick
+            // one was no work, and gives its launch back, but for a cold member: the rule counts what it is
             // sent.
             Verdict::Error => {
-                errand.erred.push(id);
+                pending.erred.push(id);
                 let cold = member.since.is_some_and(|since| now - since < self.terms.warm_within);
                 member.credit += f64::from(outcome.took < usual_took / 10 && !cold);
             }
             Verdict::Full => (member.window, member.credit, member.credited) = (shrunk, 0.0, now),
             Verdict::Miss | Verdict::Moot | Verdict::Unseen => {}
             // Protects a group whose members all spoil alike from the bar: only those in a row are failures.
-            // Should also cover links that break connections. Harms tasks at a member that spoils most.
+            // Should also cover links that break connections. Harms requests at a member that spoils most.
             Verdict::Spoilt | Verdict::Dropped if member.spoilt < FAILURES => member.spoilt += 1,
             // A launch that outlasted its limit at a member that answers others met a crowd, not a fault.
             Verdict::TimedOut | Verdict::CalledOff if !mute || reaped => {}
@@ -230,8 +232,8 @@
             told.position.filter(|_| verdict == Verdict::Honoured).unwrap_or(self.members_now(now));
         let commit = if verdict.never_ran() { 0 } else { told_commit };
         self.session(handle).into_iter().for_each(|session| session.ended(commit));
-        let errand = self.errands.get_mut(&handle).expect("not yet closed");
-        errand.last = Some(id);
+        let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
+        pending.last = Some(id);
         let idle = self.members[id].out.is_empty();
         if refusal {
             self.refused(now, id);
@@ -241,10 +243,10 @@
         self.note(now, id, told, sent, now - told.age);
         if verdict == Verdict::Miss && self.groups[group].primary.is_none() {
             let round = self.groups[group].members.len().min(self.terms.max_launches as usize / 2);
-            let errand = self.errands.get_mut(&handle).expect("not yet closed");
-            errand.misses += 1;
-            let over = errand.misses >= round;
-            errand.misses = if over { 0 } else { errand.misses };
+            let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
+            pending.misses += 1;
+            let over = pending.misses >= round;
+            pending.misses = if over { 0 } else { pending.misses };
             let (over_hold, member) = (now + self.hold(), &mut self.members[id]);
             member.not_primary = member.not_primary.max(now - told.age);
             if over {
@@ -272,11 +274,11 @@
         }
     }
 
-    /// Protects members from bars, and the launches of others from being used up, by tasks that bring their
-    /// errors with them: two members that fail it alike, or one three times, prove it. Should also cover
-    /// statements that every member turns down. Harms a task that met two bad members.
-    fn at_fault(&self, errand: &Errand) -> bool {
-        errand.erred.len() > 2 || errand.erred.iter().any(|id| *id != errand.erred[0])
+    /// Protects members from bars, and the launches of others from being used up, by requests that bring
+    /// their errors with them: two members that fail it alike, or one three times, prove it. Should also
+    /// cover statements that every member turns down. Harms a request that met two bad members.
+    fn at_fault(&self, pending: &PendingRequest) -> bool {
+        pending.erred.len() > 2 || pending.erred.iter().any(|id| *id != pending.erred[0])
     }
 
     /// Protects members that take few connections from those that drivers keep idle: a driver among many
@@ -302,16 +304,16 @@
         (0..self.groups.len()).for_each(|group| self.pump(now, group));
     }
 
-    /// Places the held tasks of a group again: best paid first, then those that came last.
+    /// Places the held requests of a group again: best paid first, then those that came last.
     pub(super) fn pump(&mut self, now: Micros, group: usize) {
         if self.groups[group].held.is_empty() {
             return;
         }
         let mut held = std::mem::take(&mut self.groups[group].held);
         let worth = |handle: &Handle| {
-            let errand = &self.errands[handle];
-            let class = &self.terms.classes[errand.task.class];
-            let late = now > errand.quoted_by || errand.repeat;
+            let pending = &self.pending_requests[handle];
+            let class = &self.terms.classes[pending.request.class];
+            let late = now > pending.quoted_by || pending.repeat;
             class.payoff * if late { class.late_share } else { 1.0 }
         };
         held.sort_by(|a, b| worth(b).total_cmp(&worth(a)).then(b.cmp(a)));
--- a/crates/routing/src/policy/fresh.rs
+++ b/crates/routing/src/policy/fresh.rs
@@ -4,17 +4,17 @@
 
 impl Router {
     /// The believed primary; without one, the next member by sorted id, one write walking at a time.
-    pub(super) fn write_target(&self, now: Micros, errand: &Errand) -> Option<MemberId> {
-        let group = &self.groups[errand.group];
+    pub(super) fn write_target(&self, now: Micros, pending: &PendingRequest) -> Option<MemberId> {
+        let group = &self.groups[pending.group];
         if let Some(id) = group.primary {
             let takes = self.usable(now, id) && self.room(now, id) > 0.0;
             return takes.then_some(id);
         }
-        if errand.misses == 0 && now < group.walk_after {
+        if pending.misses == 0 && now < group.walk_after {
             return None;
         }
         let order = self.search_order(group);
-        let start = errand.last.and_then(|last| order.iter().position(|&id| id == last));
+        let start = pending.last.and_then(|last| order.iter().position(|&id| id == last));
         let start = start.map_or(0, |at| at + 1);
         let round = (0..order.len()).map(|step| order[(start + step) % order.len()]);
         let mut open = round.filter(|&id| self.may_be_primary(now, group, id));
@@ -24,26 +24,26 @@
 
     /// A random replica proven fresh enough, else the primary. A sparse driver draws first, then asks it.
     pub(super) fn read_target(&mut self, now: Micros, handle: Handle, need: Need) -> Option<MemberId> {
-        let errand = &self.errands[&handle];
+        let pending = &self.pending_requests[&handle];
         let floor = match need {
-            Need::Latest => self.members_now(errand.arrived),
+            Need::Latest => self.members_now(pending.arrived),
             Need::OwnWrites => {
-                let told = errand.task.last_write.map(|ago| errand.arrived - ago);
+                let told = pending.request.last_write.map(|ago| pending.arrived - ago);
                 let members_now = self.members_now(now);
                 let floor =
                     |name| self.sessions.get(name).map(|known| known.floor(members_now)).or(self.forgotten);
-                let remembered = errand.task.session.as_ref().and_then(floor);
+                let remembered = pending.request.session.as_ref().and_then(floor);
                 told.max(remembered).unwrap_or(Micros::MIN)
             }
             Need::Recent(bound) => self.members_now(now) - bound + HELD_UP,
             Need::Loose | Need::Write => Micros::MIN,
         };
-        let (group, asked, sparse) = (errand.group, errand.asked, self.sparse());
-        let class = errand.task.class;
+        let (group, asked, sparse) = (pending.group, pending.asked, self.sparse());
+        let class = pending.request.class;
         let long = need == Need::Loose && self.long(class);
-        let mut open = self.readable(now, errand, floor, long);
-        if open.iter().any(|&id| now >= self.members[id].barred_until && Some(id) != errand.last) {
-            open.retain(|&id| now >= self.members[id].barred_until && Some(id) != errand.last);
+        let mut open = self.readable(now, pending, floor, long);
+        if open.iter().any(|&id| now >= self.members[id].barred_until && Some(id) != pending.last) {
+            open.retain(|&id| now >= self.members[id].barred_until && Some(id) != pending.last);
         }
         let primary = self.groups[group].primary;
         let seen = primary.filter(|id| open.contains(id) && self.members[*id].seen_primary);
@@ -89,7 +89,7 @@
             ask.into_iter().for_each(|id| self.probe(now, id, PROBE_NEEDED));
         }
         let waits = (target.is_none() || unsure) && stale.iter().any(|&id| awaited(&self.members[id]));
-        self.errands.get_mut(&handle).expect("being placed").asked |= waits;
+        self.pending_requests.get_mut(&handle).expect("being placed").asked |= waits;
         if waits { None } else { target.or(resort) }
     }
 
@@ -104,14 +104,14 @@
     /// Until when the attempt may leave. Protects reads and repeats from what comes between the decision and the
     /// last byte: a connection that comes up late, a primary that steps down, a window of repeats that ends, a process
     /// that is held up behind the last look. Harms reads by that time's worth of proof.
-    pub(super) fn validity(&self, errand: &Errand, id: MemberId) -> Validity {
-        let RequestClass { effect, need, .. } = self.terms.classes[errand.task.class];
-        let repeats_until = match (effect, errand.may_have_run) {
+    pub(super) fn validity(&self, pending: &PendingRequest, id: MemberId) -> Validity {
+        let RequestClass { effect, need, .. } = self.terms.classes[pending.request.class];
+        let repeats_until = match (effect, pending.may_have_run) {
             (Effect::Receipted { window, .. }, Some((first, _))) => first + window - HELD_UP,
             _ => Micros::MAX,
         };
         let member = &self.members[id];
-        let primary = self.groups[errand.group].primary == Some(id) && member.seen_primary;
+        let primary = self.groups[pending.group].primary == Some(id) && member.seen_primary;
         let (fresh_until, while_primary) = match need {
             Need::Write | Need::Loose => (Micros::MAX, false),
             _ if self.terms.members_check => (Micros::MAX, false),
@@ -176,19 +176,24 @@
     }
 
     /// Whether a read may go to this member at all; a receipted one stays where its repeats are dropped.
-    pub(super) fn may_follow(&self, now: Micros, errand: &Errand, id: MemberId) -> bool {
-        let scope = self.terms.classes[errand.task.class].effect;
+    pub(super) fn may_follow(&self, now: Micros, pending: &PendingRequest, id: MemberId) -> bool {
+        let scope = self.terms.classes[pending.request.class].effect;
         let zoned = matches!(scope, Effect::Receipted { scope: Scope::Zone, .. });
-        let kept = errand.may_have_run.is_none_or(|(_, zone)| !zoned || zone == self.members[id].zone);
+        let kept = pending.may_have_run.is_none_or(|(_, zone)| !zoned || zone == self.members[id].zone);
         kept && self.usable(now, id)
     }
 
     /// The session that a request writes to, where it is to be remembered. Protects its reads from a write
     /// whose answer was lost or is on its way. Harms them by the primary's load while such a write is out.
     pub(super) fn session(&mut self, handle: Handle) -> Option<&mut Session> {
-        let task = &self.errands[&handle].task;
-        let writes = self.terms.remember_sessions && self.terms.classes[task.class].need == Need::Write;
-        task.session.as_ref().filter(|_| writes).cloned().map(|name| self.sessions.entry(name).or_default())
+        let request = &self.pending_requests[&handle].request;
+        let writes = self.terms.remember_sessions && self.terms.classes[request.class].need == Need::Write;
+        request
+            .session
+            .as_ref()
+            .filter(|_| writes)
+            .cloned()
+            .map(|name| self.sessions.entry(name).or_default())
     }
 
     /// Takes in what a member says of itself: true at `at`, and asked for no earlier than `asked`. Protects from
--- a/crates/routing/src/policy/local.rs
+++ b/crates/routing/src/policy/local.rs
@@ -73,9 +73,9 @@
 
     /// The attempt never left: what was counted of it is given back, and it is placed again.
     pub(super) fn not_sent(&mut self, now: Micros, handle: Handle, id: MemberId, sent: Micros, over: bool) {
-        let errand = self.errands.get_mut(&handle).expect("not yet closed");
-        let tried = errand.tries_connection;
-        (errand.unsent, errand.last) = (errand.unsent + 1, Some(id));
+        let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
+        let tried = pending.tries_connection;
+        (pending.unsent, pending.last) = (pending.unsent + 1, Some(id));
         (self.launched, self.rush) = (self.launched - 1.0, self.rush + 1.0);
         let member = &mut self.members[id];
         member.out.retain(|&out| out != handle);
--- a/crates/routing/src/policy/members.rs
+++ b/crates/routing/src/policy/members.rs
@@ -146,8 +146,8 @@
 
     /// When each launch out at the member was sent, and of which request class it is.
     pub(super) fn sent_out(&self, id: MemberId) -> impl Iterator<Item = (Micros, usize)> {
-        let out = self.members[id].out.iter().map(|out| &self.errands[out]);
-        out.filter_map(|errand| errand.out.map(|_| (errand.waits_from, errand.task.class)))
+        let out = self.members[id].out.iter().map(|out| &self.pending_requests[out]);
+        out.filter_map(|pending| pending.out.map(|_| (pending.waits_from, pending.request.class)))
     }
 
     /// Beyond what nearly all launches of a request class take.
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -1,9 +1,9 @@
 //! Every decision of the router.
 //!
 //! A driver starts one [`Router`] with its terms and a seed, hands it lists and probe answers, and
-//! wakes it at the time last asked for. `take` gives a [`Handle`] for a task; what happens to the task
+//! wakes it at the time last asked for. `take` gives a [`Handle`] for a request; what happens to the request
 //! later is a call on that handle. Each call brings `now` and returns a [`Todo`]. The interface types are
-//! in `lib.rs`; a task's way is `place`, from top to bottom.
+//! in `lib.rs`; a request's way is `place`, from top to bottom.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -12,10 +12,10 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::state::{Errand, Group, Handle, Member, Router, Session};
+use crate::state::{Group, Handle, Member, PendingRequest, Router, Session};
 use crate::{
-    Effect, Learnt, Listed, ListedRoles, MemberId, Micros, Need, Outcome, RequestClass, Role, Scope,
-    Standing, Step, Task, Terms, Todo, Told, Validity, Verdict,
+    Effect, Learnt, Listed, ListedRoles, MemberId, Micros, Need, Outcome, Request, RequestClass, Role, Scope,
+    Standing, Step, Terms, Todo, Told, Validity, Verdict,
 };
 
 mod decide;
@@ -43,7 +43,7 @@
 const PROBE_EVERY: Micros = 1_000 * MS;
 /// Probes of members whose proof of freshness has run out, and of a group without a primary.
 const PROBE_NEEDED: Micros = 100 * MS;
-const PROBES_A_TASK: f64 = 0.7; // that a task taken pays for: the allowance
+const PROBES_A_TASK: f64 = 0.7; // that a request taken pays for: the allowance
 const PROBES_AT_START: f64 = 4.0;
 const KEEP: u32 = 32;
 const SESSIONS: usize = 10_000; // remembered before older ones are forgotten
@@ -57,7 +57,7 @@
 const RUSH_LEAST: f64 = 0.2;
 
 impl Handle {
-    /// The task's launch has ended.
+    /// The request's launch has ended.
     pub fn ended(self, router: &mut Router, now: Micros, outcome: Outcome) -> Todo {
         router.launch_ended(now, self, outcome);
         router.take_todo()
@@ -95,7 +95,7 @@
             members: Vec::new(),
             groups: Vec::new(),
             group_ids: HashMap::new(),
-            errands: HashMap::new(),
+            pending_requests: HashMap::new(),
             next_handle: 0,
             sessions: HashMap::new(),
             clock_offset: 0,
@@ -127,7 +127,7 @@
 
     /// The driver stood still for so long, until now: what it measures of members goes on where it stopped.
     pub fn stood_still(&mut self, now: Micros, long: Micros) {
-        self.errands.values_mut().for_each(|errand| errand.waits_from += long);
+        self.pending_requests.values_mut().for_each(|pending| pending.waits_from += long);
         for member in &mut self.members {
             let Member { heard, answered, overtaken, probed, credited, .. } = member;
             for at in [heard, answered, overtaken, probed, credited] {
--- a/crates/routing/src/policy/replica_subset.rs
+++ b/crates/routing/src/policy/replica_subset.rs
@@ -62,14 +62,20 @@
     /// primary. Protects descriptors and members' connections where every router would open one to each of very
     /// many members and close it unused. Members that fail, drain, are blacklisted, lag or have no room are passed
     /// over, and the next ones stand in for them. Harms by less choice among fresh replicas.
-    pub(super) fn readable(&self, now: Micros, errand: &Errand, floor: Micros, all: bool) -> Vec<MemberId> {
-        let group = &self.groups[errand.group];
-        let may = |id: &MemberId| self.may_follow(now, errand, *id);
+    pub(super) fn readable(
+        &self,
+        now: Micros,
+        pending: &PendingRequest,
+        floor: Micros,
+        all: bool,
+    ) -> Vec<MemberId> {
+        let group = &self.groups[pending.group];
+        let may = |id: &MemberId| self.may_follow(now, pending, *id);
         let kept = self.kept(group);
         if all || kept >= group.members.len() {
             return group.members.iter().copied().filter(may).collect();
         }
-        let listed = |id: &MemberId| now >= self.members[*id].barred_until && Some(*id) != errand.last;
+        let listed = |id: &MemberId| now >= self.members[*id].barred_until && Some(*id) != pending.last;
         let behind = |id: MemberId| {
             let Member { position, heard, .. } = self.members[id];
             position < floor && now - heard < self.catches_up_in(id, floor)
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -6,14 +6,14 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::policy::Backoff;
-use crate::{Learnt, MemberId, Micros, Standing, Task, Terms, Todo};
+use crate::{Learnt, MemberId, Micros, Request, Standing, Terms, Todo};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Handle(pub(crate) u64);
 
 #[derive(Clone, Default)]
-pub(crate) struct Errand {
-    pub(crate) task: Task,
+pub(crate) struct PendingRequest {
+    pub(crate) request: Request,
     pub(crate) group: usize,
     pub(crate) arrived: Micros,
     pub(crate) quoted_by: Micros,
@@ -119,7 +119,7 @@
     pub(crate) members: Vec<Member>,
     pub(crate) groups: Vec<Group>,
     pub(crate) group_ids: HashMap<u64, usize>,
-    pub(crate) errands: HashMap<Handle, Errand>,
+    pub(crate) pending_requests: HashMap<Handle, PendingRequest>,
     pub(crate) next_handle: u64,
     pub(crate) sessions: HashMap<String, Session>,
     pub(crate) clock_offset: Micros, // what members' clock, by which positions are told, is ahead of this one
@@ -127,7 +127,7 @@
     pub(crate) took: Vec<Histogram>,
     pub(crate) ways: BTreeMap<usize, (Micros, Micros)>, // there and back by zone, and when last heard
     pub(crate) any_took: Histogram,                     // of launches of all request classes together
-    // that most tasks of a request class bring, and how sure that is
+    // that most requests of a request class bring, and how sure that is
     pub(crate) usual_wait: Vec<(Micros, i32)>,
     pub(crate) warm_load: f64,
     pub(crate) mean_size: f64,
@@ -154,7 +154,7 @@
     }
 
     pub fn knows(&self, handle: Handle) -> bool {
-        self.errands.contains_key(&handle)
+        self.pending_requests.contains_key(&handle)
     }
 
     pub fn learnt(&self) -> Learnt {
--- a/crates/routing/tests/router/among_many.rs
+++ b/crates/routing/tests/router/among_many.rs
@@ -4,7 +4,7 @@
 use aldermill_routing::{Handle, Listed, Standing, Verdict};
 
 #[test]
-fn probes_are_paid_for_by_tasks() {
+fn probes_are_paid_for_by_requests() {
     let mut world = heard(many());
     world.relist(0, Standing::Gone, None);
     world.primary = 9;
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_driver_among_many_probes_nobody_before_a_task_needs_it() {
+fn a_driver_among_many_probes_nobody_before_a_request_needs_it() {
     let mut world = World::new(many(), 4);
     world.pass(20_000 * MS);
     assert!(world.probes.is_empty());
@@ -133,16 +133,16 @@
 #[test]
 fn room_of_the_dead_is_taken_over_and_given_back_but_not_at_cold_members() {
     let mut world = heard(many());
-    // How many launches are out at once of what many tasks want, with so many drivers alive.
+    // How many launches are out at once of what many requests want, with so many drivers alive.
     let mut at_once = |living: usize| {
         world.router.fleet(living, 150);
         world.pass(1_500 * MS);
         world.hear_all();
-        let tasks: Vec<Handle> = (0..60).map(|_| world.take(LOOSE, 1_500 * MS)).collect();
+        let requests: Vec<Handle> = (0..60).map(|_| world.take(LOOSE, 1_500 * MS)).collect();
         let out = world.out().len();
-        for task in tasks {
-            if target(&world, task).is_some() {
-                world.end(task, Verdict::Honoured);
+        for request in requests {
+            if target(&world, request).is_some() {
+                world.end(request, Verdict::Honoured);
             }
         }
         world.pass(1_500 * MS);
@@ -157,9 +157,9 @@
         world.router.fleet(living, 150);
         world.relist(3, Standing::Ready, Some(world.now));
         for _ in 0..50 {
-            let task = world.take(LOOSE, 1_500 * MS);
-            if target(&world, task).is_some() {
-                world.end(task, Verdict::Honoured);
+            let request = world.take(LOOSE, 1_500 * MS);
+            if target(&world, request).is_some() {
+                world.end(request, Verdict::Honoured);
             }
             world.pass(20 * MS);
         }
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn errors_that_follow_a_task_bar_nobody_and_those_of_a_member_do() {
+fn errors_that_follow_a_request_bar_nobody_and_those_of_a_member_do() {
     let mut world = heard(many());
     for round in 0..40 {
         world.pass(200 * MS);
@@ -229,11 +229,11 @@
 }
 
 #[test]
-fn tasks_that_bring_a_quick_error_along_count_at_a_cold_member_as_others_do() {
+fn requests_that_bring_a_quick_error_along_count_at_a_cold_member_as_others_do() {
     hold_to_what_a_cold_member_bears(6);
 }
 
-/// So many in ten tasks end with a quick error wherever they go.
+/// So many in ten requests end with a quick error wherever they go.
 fn hold_to_what_a_cold_member_bears(bad: usize) {
     let terms = aldermill_routing::Terms { drivers: 30, drivers_at_cold: 30, ..terms() };
     let mut worlds: Vec<World> = (0..30).map(|seed| World::seeded(terms.clone(), 4, seed)).collect();
@@ -246,7 +246,7 @@
             if step == 500 {
                 world.relist(3, Standing::Ready, Some(world.now));
             }
-            // Ten tasks a second at each driver, each at its own moments.
+            // Ten requests a second at each driver, each at its own moments.
             if (step + index) % 10 == 0 {
                 let read = world.take(LOOSE, 1_000 * MS);
                 let fails = (step / 10 + index) % 10 < bad;
--- a/crates/routing/tests/router/cases.rs
+++ b/crates/routing/tests/router/cases.rs
@@ -1,7 +1,7 @@
 //! Plain cases of the design's path and of each failure found.
 
 use crate::world::{BOUND, LOOSE, MS, OWN, READ, REPORT, WRITE, World, heard, line, target, terms};
-use aldermill_routing::{Handle, Standing, Task, Terms, Verdict};
+use aldermill_routing::{Handle, Request, Standing, Terms, Verdict};
 
 #[test]
 fn a_write_goes_to_the_primary_and_a_read_to_a_fresh_replica() {
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_task_of_a_client_in_a_hurry_is_tried_where_there_is_room() {
+fn a_request_of_a_client_in_a_hurry_is_tried_where_there_is_room() {
     let mut world = heard(terms());
     // Three launches in ten take 50 ms, the others 10 ms.
     for (ttl, time) in (0..40).map(|i| if i < 12 { (1_000 * MS, 0) } else { (600 * MS, 590 * MS) }) {
@@ -346,11 +346,11 @@
 }
 
 #[test]
-fn a_task_that_is_over_when_it_is_read_is_denied_and_never_launched() {
+fn a_request_that_is_over_when_it_is_read_is_denied_and_never_launched() {
     let mut world = heard(terms());
     let (ttl, waited) = (-300 * MS, 1_800 * MS);
-    let task = Task { class: WRITE, group: 7, ttl, waited, ..Task::default() };
-    let over = world.take_task(task);
+    let request = Request { class: WRITE, group: 7, ttl, waited, ..Request::default() };
+    let over = world.take_request(request);
     assert_eq!((world.denied.as_slice(), world.launched.len()), ([over].as_slice(), 0));
 }
 
@@ -361,12 +361,12 @@
     world.positions.resize(10, 0);
     (0..4).for_each(|id| world.probe_answer(id, true));
     // No member is primary: some writes walk, those behind them wait.
-    let tasks: Vec<Handle> = (0..6).map(|_| world.take(WRITE, 2_000 * MS)).collect();
+    let requests: Vec<Handle> = (0..6).map(|_| world.take(WRITE, 2_000 * MS)).collect();
     (0..99).for_each(|_| world.pass(10 * MS));
-    let waited = |task: &&Handle| !world.launched.iter().any(|(launched, _)| launched == *task);
-    let waited: Vec<&Handle> = tasks.iter().filter(waited).collect();
+    let waited = |request: &&Handle| !world.launched.iter().any(|(launched, _)| launched == *request);
+    let waited: Vec<&Handle> = requests.iter().filter(waited).collect();
     assert!(
-        !waited.is_empty() && waited.iter().all(|task| world.denied.contains(task)),
+        !waited.is_empty() && waited.iter().all(|request| world.denied.contains(request)),
         "{:?}",
         world.denied
     );
--- a/crates/routing/tests/router/in_time.rs
+++ b/crates/routing/tests/router/in_time.rs
@@ -101,10 +101,10 @@
 #[test]
 fn after_a_standstill_launches_go_out_at_less_than_twice_the_usual_pace() {
     let mut world = heard(terms());
-    let step = |world: &mut World, tasks: usize| -> usize {
+    let step = |world: &mut World, requests: usize| -> usize {
         let before = world.launched.len();
         for _ in 0..5 {
-            for _ in 0..tasks {
+            for _ in 0..requests {
                 world.take(LOOSE, 1_500 * MS);
             }
             world.out().into_iter().for_each(|(handle, _)| world.end(handle, Verdict::Honoured));
--- a/crates/routing/tests/router/rules.rs
+++ b/crates/routing/tests/router/rules.rs
@@ -34,7 +34,7 @@
                 world.end(handle, VERDICTS[b % VERDICTS.len()]);
             }
         }
-        // The driver stands still, for a moment or for longer than any task lasts.
+        // The driver stands still, for a moment or for longer than any request lasts.
         12 if b % 4 == 0 => world.stand((1 + (a as i64 * b as i64) % 4_000) * MS),
         // Others are taken for dead, rightly or not, and are back.
         12 if b % 4 == 1 => world.router.fleet(1 + a % world.terms.drivers, world.terms.drivers),
--- a/crates/routing/tests/router/world.rs
+++ b/crates/routing/tests/router/world.rs
@@ -112,7 +112,7 @@
         self.run_out();
     }
 
-    /// Launches whose limit has passed end as timed out; no task outlives its end.
+    /// Launches whose limit has passed end as timed out; no request outlives its end.
     fn run_out(&mut self) {
         let due = |f: &Flight| f.out.is_some_and(|(_, limit)| limit <= self.now);
         let ends: Vec<Handle> =
@@ -141,12 +141,12 @@
 
     fn take_whole(&mut self, class: usize, ttl: Micros, repeat: bool, session: &str) -> Handle {
         let session = Some(session.to_owned());
-        self.take_task(Task { class, group: 7, ttl, session, repeat, ..Task::default() })
+        self.take_request(Request { class, group: 7, ttl, session, repeat, ..Request::default() })
     }
 
-    pub fn take_task(&mut self, task: Task) -> Handle {
-        let (class, ttl) = (task.class, task.ttl);
-        let (handle, todo) = self.router.take(self.now, task);
+    pub fn take_request(&mut self, request: Request) -> Handle {
+        let (class, ttl) = (request.class, request.ttl);
+        let (handle, todo) = self.router.take(self.now, request);
         let flight = Flight {
             class,
             end: self.now + ttl,
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -131,8 +131,8 @@
         let due = each_step * self.processes[number].part;
         let count = due.floor() as usize + usize::from(self.rng.random::<f64>() < due.fract());
         for _ in 0..count {
-            let task = Task { ttl: 1_000 * MS, ..Task::default() };
-            let (_, todo) = self.processes[number].router.take(now, task);
+            let request = Request { ttl: 1_000 * MS, ..Request::default() };
+            let (_, todo) = self.processes[number].router.take(now, request);
             self.carry_out(number, todo);
         }
         if now >= self.processes[number].wake_at {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -126,7 +126,7 @@
     pub connect_timeout: Micros,
     /// Nothing new goes to a member for longer than that after its drain was told, or could have been.
     pub drain_grace: Micros,
-    /// Tasks that one driver may hold.
+    /// Requests that one driver may hold.
     pub max_open: usize,
     classes: HashMap<String, usize>,
     zones: Vec<String>,
@@ -252,7 +252,7 @@
         self.classes.get(name).copied().map_or_else(|| bad("service", name), Ok)
     }
 
-    /// Whether a task's account is one that the settings name.
+    /// Whether a request's account is one that the settings name.
     pub fn account(&self, name: &str) -> Result<(), Trouble> {
         if self.tenants.is_empty() && name == "0" || self.tenants.iter().any(|tenant| tenant == name) {
             return Ok(());
--- a/crates/site-drain/src/farewell.rs
+++ b/crates/site-drain/src/farewell.rs
@@ -4,12 +4,13 @@
 
 use crate::Micros;
 
-/// What a driver has of a site that retires: sessions bound there, tasks out, fates that are open and promises not over,
-/// groups whose primary it believes there.
+/// What a driver has of a site that retires: sessions bound there, requests out, fates that are open and
+/// promises not over, groups whose primary it believes there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Open {
     pub sessions: u64,
-    pub tasks: u64,
+    #[serde(rename = "tasks")]
+    pub requests: u64,
     pub fates: u64,
     pub groups: u64,
 }
@@ -46,14 +47,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct Farewell {
     words: BTreeMap<String, Word>,
-    /// Drivers that are not heard any more, and until when they may act: a task's limit and a decree's life after they were.
+    /// Drivers that are not heard any more, and until when they may act: a request's limit and a decree's
+    /// life after they were.
     silent: BTreeMap<String, Micros>,
     /// The longest time for which a driver that hears nobody goes on by what it knew.
     acts: Micros,
 }
 
 impl Farewell {
-    /// `acts` is the longest of a task's limit, a promise and a decree's life.
+    /// `acts` is the longest of a request's limit, a promise and a decree's life.
     pub fn start(acts: Micros) -> Farewell {
         Farewell { acts, ..Farewell::default() }
     }
--- a/crates/site-drain/src/holder.rs
+++ b/crates/site-drain/src/holder.rs
@@ -14,7 +14,7 @@
 const FADES: f64 = 0.998;
 /// The weight of a new figure.
 const NEW: f64 = 0.4;
-/// Ended tasks of a second from which on a share of them says something.
+/// Ended requests of a second from which on a share of them says something.
 const ENOUGH: f64 = 5.0;
 /// What a driver said counts for so long: it may have other things to tell first.
 const FRESH: Micros = 6_000_000;
@@ -26,7 +26,7 @@
 pub struct Told {
     /// Its site; empty without a gateway.
     pub site: String,
-    /// Tasks that ended at members of its site, and how many of them in quoted time, over so long.
+    /// Requests that ended at members of its site, and how many of them in quoted time, over so long.
     pub over_ms: u32,
     pub ended: u32,
     pub in_time: u32,
@@ -79,7 +79,8 @@
 /// The holder of the duty: what it makes of all that drivers tell it. One that does not hold it only notes who is gone.
 #[derive(Debug)]
 pub struct Holder {
-    /// The longest for which a driver that is not heard may act, a task's limit and all that follows included.
+    /// The longest for which a driver that is not heard may act, a request's limit and all that follows
+    /// included.
     acts: Micros,
     gone: BTreeMap<String, Micros>,
     sites: BTreeMap<String, (Site, f64)>,
--- a/crates/site-drain/src/pace.rs
+++ b/crates/site-drain/src/pace.rs
@@ -34,7 +34,8 @@
 /// What is known of a site.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Site {
-    /// Tasks a second there, those of them that come of sessions bound to it, and how many more it was measured to bear.
+    /// Requests a second there, those of them that come of sessions bound to it, and how many more it was
+    /// measured to bear.
     pub rate: f64,
     pub bound: f64,
     pub room: f64,
@@ -139,8 +140,8 @@
             // Nobody asks there, or nobody can.
             return MOST.min(self.weight);
         };
-        // Of its weight of now so much is so many tasks a second. Each survivor takes its share of what moves, so that the
-        // one with the least room for its share bounds all.
+        // Of its weight of now so much is so many requests a second. Each survivor takes its share of what
+        // moves, so that the one with the least room for its share bounds all.
         let share = |name: &String| f64::from(self.shares.get(name).copied().unwrap_or(WHOLE));
         let takers = || self.survivors(looks).filter(|(_, site)| site.lives);
         let all: f64 = takers().map(|(name, _)| share(name)).sum();
--- a/crates/site-drain/tests/holder.rs
+++ b/crates/site-drain/tests/holder.rs
@@ -23,7 +23,7 @@
     term: u64,
     number: u64,
     words: Vec<Word>,
-    /// Tasks a second that one driver has of sessions of its site.
+    /// Requests a second that one driver has of sessions of its site.
     load: f64,
     standing: Vec<(Plan, (u64, u64))>,
     open: Open,
--- a/crates/site-drain/tests/retire.rs
+++ b/crates/site-drain/tests/retire.rs
@@ -135,8 +135,8 @@
     assert!(matches!(states[0], State::Moving { weight: 550, .. }), "{:?}", states[0]);
 }
 
-/// Drivers with sessions and tasks at a site, some of which die, stand still or are cut off; whoever holds the duty goes by
-/// what it is told. 'Nothing is left' is said only when it is true.
+/// Drivers with sessions and requests at a site, some of which die, stand still or are cut off; whoever holds
+/// the duty goes by what it is told. 'Nothing is left' is said only when it is true.
 #[test]
 fn retired_is_never_said_while_anything_is_left() {
     const ACTS: Micros = 6 * S;
@@ -201,7 +201,7 @@
     assert_eq!(left(&farewell, 0), Left::Drivers(vec!["a".to_owned()]), "it had not heard of the last step");
     farewell.hear(0, "a", 2, (7, 3), Open::default());
     assert_eq!(left(&farewell, 0), Left::Nothing);
-    farewell.hear(S, "a", 1, (7, 3), Open { tasks: 1, ..Open::default() });
+    farewell.hear(S, "a", 1, (7, 3), Open { requests: 1, ..Open::default() });
     assert_eq!(left(&farewell, S), Left::Nothing, "an earlier start");
     farewell.hear(S, "a", 3, (7, 3), Open { fates: 1, ..Open::default() });
     assert_eq!(left(&farewell, S), Left::Drivers(vec!["a".to_owned()]));
--- a/crates/site-link/src/frame.rs
+++ b/crates/site-link/src/frame.rs
@@ -15,14 +15,14 @@
     #[prost(message, tag = "1")]
     Hello(Hello),
     #[prost(message, tag = "2")]
-    Task(Task),
+    Request(Request),
     #[prost(message, tag = "3")]
     Data(Data),
     #[prost(message, tag = "4")]
     Window(Window),
     #[prost(message, tag = "5")]
     Outcome(Outcome),
-    /// The client of the task with this number has left.
+    /// The client of the request with this number has left.
     #[prost(uint64, tag = "6")]
     Cancel(u64),
     #[prost(message, tag = "7")]
@@ -62,10 +62,10 @@
     pub window: u32,
 }
 
-/// A task crosses; its statement follows as data of the stream with its number.
+/// A request crosses; its statement follows as data of the stream with its number.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Task {
-    /// With the sender's site, instance and start, the task's key.
+pub struct Request {
+    /// With the sender's site, instance and start, the request's key.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// The start of the receiver that it is meant for.
@@ -96,7 +96,7 @@
 pub struct Data {
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Set on parts of values, which go the other way than their task.
+    /// Set on parts of values, which go the other way than their request.
     #[prost(bool, tag = "2")]
     pub value: bool,
     #[prost(bytes = "vec", tag = "3")]
@@ -125,11 +125,11 @@
     BrokenOff = 3,
     /// It never ran: the group's primary is not there.
     NotHere = 4,
-    /// It never ran: it is no task there.
+    /// It never ran: it is no request there.
     Wrong = 5,
 }
 
-/// The one answer to a task.
+/// The one answer to a request.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Outcome {
     #[prost(uint64, tag = "1")]
@@ -150,7 +150,7 @@
     pub took_us: u64,
 }
 
-/// What became of the task with this number, which was sent to that start of the receiver?
+/// What became of the request with this number, which was sent to that start of the receiver?
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Ask {
     #[prost(uint64, tag = "1")]
@@ -208,13 +208,13 @@
     pub number: u64,
 }
 
-/// How many tasks of a request class the other side may have under way here.
+/// How many requests of a request class the other side may have under way here.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Credit {
     #[prost(string, tag = "1")]
     pub class: String,
     #[prost(uint32, tag = "2")]
-    pub tasks: u32,
+    pub requests: u32,
 }
 
 /// What is known here of a group.
--- a/crates/site-link/src/lib.rs
+++ b/crates/site-link/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub use frame::{
     Ask, Close, Confirm, Credit, Fate, FateKind, Frame, Hello, Home, Kind, Outcome, OutcomeKind, Ping, Pong,
-    Room, Task, VERSION,
+    Request, Room, VERSION,
 };
 pub use link::{Bounds, Event, Identity, Link, Said};
 
--- a/crates/site-link/src/link.rs
+++ b/crates/site-link/src/link.rs
@@ -3,7 +3,7 @@
 use prost::Message;
 
 use crate::frame::{
-    Ask, Close, Confirm, Fate, FateKind, Frame, Hello, Kind, Outcome, OutcomeKind, Ping, Pong, Room, Task,
+    Ask, Close, Confirm, Fate, FateKind, Frame, Hello, Kind, Outcome, OutcomeKind, Ping, Pong, Request, Room,
     VERSION, Window,
 };
 use crate::outbox::{Outbox, Stream};
@@ -56,8 +56,8 @@
 pub enum Event {
     /// The other side's greeting; nothing else comes before it.
     Met(Identity),
-    Task(Task, Vec<u8>),
-    /// The answer to a task of this side, with its value.
+    Request(Request, Vec<u8>),
+    /// The answer to a request of this side, with its value.
     Outcome(Outcome, Vec<u8>),
     Cancel(u64),
     Ask(Ask),
@@ -71,7 +71,7 @@
 /// What is said to the other side.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Said {
-    Task(Task, Vec<u8>),
+    Request(Request, Vec<u8>),
     Outcome(Outcome, Vec<u8>),
     Cancel(u64),
     Ask(Ask),
@@ -83,7 +83,7 @@
 /// What is announced by a frame whose data follows.
 #[derive(Debug)]
 enum Announced {
-    Task(Task),
+    Request(Request),
     Outcome(Outcome),
     Fate(Fate),
 }
@@ -176,15 +176,15 @@
                 self.met = Some(identity.clone());
                 events.push(Event::Met(identity));
             }
-            Kind::Task(task) => {
-                let (number, length) = (task.number, task.length as usize);
+            Kind::Request(request) => {
+                let (number, length) = (request.number, request.length as usize);
                 if length > self.bounds.statement || length == 0 {
                     return Err(Broken::Malformed("statement of impossible length"));
                 }
-                if task.class.len() > 256 || task.visited.len() > 16 {
+                if request.class.len() > 256 || request.visited.len() > 16 {
                     return Err(Broken::Malformed("task with too much to it"));
                 }
-                self.announce((number, false), Announced::Task(task), length, events)?;
+                self.announce((number, false), Announced::Request(request), length, events)?;
             }
             Kind::Outcome(outcome) => {
                 let (number, length) = (outcome.number, outcome.length as usize);
@@ -256,7 +256,7 @@
 
     fn data(&mut self, stream: Stream, bytes: Vec<u8>, events: &mut Vec<Event>) -> Result<(), Broken> {
         let Some(incoming) = self.incoming.get_mut(&stream) else {
-            // Of a task that was cancelled meanwhile, or of an answer that nobody waits for.
+            // Of a request that was cancelled meanwhile, or of an answer that nobody waits for.
             return Ok(());
         };
         if incoming.bytes.len() + bytes.len() > incoming.length {
@@ -279,10 +279,10 @@
     /// Says something. Nothing goes out before the greeting did.
     pub fn say(&mut self, said: Said) {
         match said {
-            Said::Task(mut task, statement) => {
-                task.length = statement.len() as u32;
-                let stream = (task.number, false);
-                self.outbox.short(Kind::Task(task));
+            Said::Request(mut request, statement) => {
+                request.length = statement.len() as u32;
+                let stream = (request.number, false);
+                self.outbox.short(Kind::Request(request));
                 self.outbox.data(stream, statement);
             }
             Said::Outcome(mut outcome, value) => {
@@ -349,7 +349,7 @@
 impl Incoming {
     fn whole(self) -> Event {
         match self.announced {
-            Announced::Task(task) => Event::Task(task, self.bytes),
+            Announced::Request(request) => Event::Request(request, self.bytes),
             Announced::Outcome(outcome) => Event::Outcome(outcome, self.bytes),
             Announced::Fate(fate) => Event::Fate(fate, self.bytes),
         }
--- a/crates/site-link/src/outbox.rs
+++ b/crates/site-link/src/outbox.rs
@@ -10,7 +10,7 @@
 /// No frame carries more of a statement or a value: nothing short waits longer than for one such part.
 const PART: usize = 8 * 1024;
 
-/// A stream's data: which task's, and whether it is a value.
+/// A stream's data: which request's, and whether it is a value.
 pub(crate) type Stream = (u64, bool);
 
 #[derive(Debug)]
--- a/crates/site-link/tests/frames.rs
+++ b/crates/site-link/tests/frames.rs
@@ -1,7 +1,7 @@
 //! Two ends of a link joined by bytes, and one end before hostile bytes.
 
 use aldermill_site_link::{
-    Ask, Bounds, Broken, Confirm, Event, Fate, FateKind, Identity, Link, Outcome, OutcomeKind, Said, Task,
+    Ask, Bounds, Broken, Confirm, Event, Fate, FateKind, Identity, Link, Outcome, OutcomeKind, Request, Said,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -22,8 +22,8 @@
     ends
 }
 
-fn task(number: u64) -> Task {
-    Task { number, class: "renew".into(), group: 3, left_us: 5, ..Task::default() }
+fn request(number: u64) -> Request {
+    Request { number, class: "renew".into(), group: 3, left_us: 5, ..Request::default() }
 }
 
 /// Carries all that waits either way, in pieces of such a size; what each end heard.
@@ -48,7 +48,7 @@
     for piece in [1, 7, 4096] {
         let mut ends = ends();
         let (statement, value) = (vec![1; 150_000], vec![2; 300_000]);
-        ends.0.say(Said::Task(task(1), statement.clone()));
+        ends.0.say(Said::Request(request(1), statement.clone()));
         ends.0.say(Said::Ask(Ask { number: 9, receiver_start: 7 }));
         ends.1.say(Said::Outcome(
             Outcome { number: 5, kind: OutcomeKind::Honoured.into(), ..Outcome::default() },
@@ -60,7 +60,9 @@
         ));
         let (a, b) = carry(&mut ends, piece);
         assert!(matches!(&b[0], Event::Ask(ask) if ask.number == 9), "what is short goes first");
-        assert!(matches!(&b[1], Event::Task(task, bytes) if task.number == 1 && *bytes == statement));
+        assert!(
+            matches!(&b[1], Event::Request(request, bytes) if request.number == 1 && *bytes == statement)
+        );
         assert!(matches!(&a[0], Event::Fate(fate, _) if fate.number == 6));
         assert!(matches!(&a[1], Event::Outcome(outcome, bytes) if outcome.number == 5 && *bytes == value));
     }
@@ -69,10 +71,10 @@
 #[test]
 fn a_large_value_holds_up_neither_a_short_one_nor_a_heartbeat() {
     let mut ends = ends();
-    ends.0.say(Said::Task(task(1), vec![1; 200_000]));
+    ends.0.say(Said::Request(request(1), vec![1; 200_000]));
     let first = ends.0.next_bytes(1).unwrap();
     ends.1.receive(0, &first).unwrap();
-    ends.0.say(Said::Task(task(2), vec![1; 20]));
+    ends.0.say(Said::Request(request(2), vec![1; 20]));
     ends.0.wake(0).unwrap();
     let mut before = 0;
     while let Some(bytes) = ends.0.next_bytes(1) {
@@ -82,7 +84,7 @@
             .receive(0, &bytes)
             .unwrap()
             .iter()
-            .any(|event| matches!(event, Event::Task(task, _) if task.number == 2))
+            .any(|event| matches!(event, Event::Request(request, _) if request.number == 2))
         {
             break;
         }
@@ -95,7 +97,7 @@
 #[test]
 fn nothing_goes_beyond_a_window_until_more_is_asked_for() {
     let mut ends = ends();
-    ends.0.say(Said::Task(task(1), vec![1; 200_000]));
+    ends.0.say(Said::Request(request(1), vec![1; 200_000]));
     let mut sent = 0;
     while let Some(bytes) = ends.0.next_bytes(1) {
         sent += bytes.len();
@@ -125,7 +127,7 @@
     assert!(matches!(link.receive(0, &hello), Err(Broken::OutOfPlace(_))));
     let mut link = fresh();
     link.receive(0, &hello).unwrap();
-    let (_, twice) = said(Said::Task(task(1), vec![1; 60_000]));
+    let (_, twice) = said(Said::Request(request(1), vec![1; 60_000]));
     let announced = 4 + u32::from_be_bytes(twice[..4].try_into().unwrap()) as usize;
     link.receive(0, &twice[..announced]).unwrap();
     assert!(matches!(link.receive(0, &twice[..announced]), Err(Broken::OutOfPlace(_))));
@@ -169,7 +171,7 @@
             }
             // Sound frames with one byte turned, among the noise.
             other.receive(0, &Link::start(bounds(), &identity("b"), 0).next_bytes(1).unwrap()).unwrap();
-            other.say(Said::Task(task(3), vec![9; 100]));
+            other.say(Said::Request(request(3), vec![9; 100]));
             let mut sound = other.next_bytes(4096).unwrap();
             let at = flip % sound.len();
             sound[at] ^= 1 << (flip % 8);
--- a/crates/site-routing/src/credit.rs
+++ b/crates/site-routing/src/credit.rs
@@ -1,4 +1,4 @@
-//! How many tasks others may have under way here, by request class.
+//! How many requests others may have under way here, by request class.
 
 use std::collections::HashMap;
 
@@ -12,7 +12,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Window {
-    tasks: f64,
+    requests: f64,
     under_way: u32,
     shrunk: Micros,
 }
@@ -20,7 +20,7 @@
 /// The windows that this gateway offers to others. Protects the own site's clients from what other sites cannot
 /// serve themselves. Should also cover floods of one request class: each has its own window, the best paid
 /// shrinks least.
-/// Harms a sudden shift of load to this site: windows grow by one a window's worth of tasks.
+/// Harms a sudden shift of load to this site: windows grow by one a window's worth of requests.
 #[derive(Debug)]
 pub struct Offers {
     windows: HashMap<GateId, Vec<Window>>,
@@ -38,7 +38,7 @@
     }
 
     pub fn credits(&mut self, gate: GateId) -> Vec<u32> {
-        self.of(gate).iter().map(|window| window.tasks.floor().max(LEAST) as u32).collect()
+        self.of(gate).iter().map(|window| window.requests.floor().max(LEAST) as u32).collect()
     }
 
     pub(crate) fn came(&mut self, gate: GateId, class: usize) {
@@ -47,19 +47,19 @@
         }
     }
 
-    /// A task of another site is over here; says whether what is offered has changed.
+    /// A request of another site is over here; says whether what is offered has changed.
     pub(crate) fn over(&mut self, now: Micros, gate: GateId, class: usize, denied: bool) -> bool {
         let (keep, most) = (self.keeps.get(class).copied().unwrap_or(0.5), self.most);
         let Some(window) = self.of(gate).get_mut(class) else { return false };
-        let before = window.tasks.floor();
-        let full = f64::from(window.under_way) >= window.tasks - 1.0;
+        let before = window.requests.floor();
+        let full = f64::from(window.under_way) >= window.requests - 1.0;
         window.under_way = window.under_way.saturating_sub(1);
         if denied && now - window.shrunk >= REST {
-            (window.tasks, window.shrunk) = ((window.tasks * keep).max(LEAST), now);
+            (window.requests, window.shrunk) = ((window.requests * keep).max(LEAST), now);
         } else if !denied && full {
-            window.tasks = (window.tasks + 1.0 / window.tasks).min(most);
+            window.requests = (window.requests + 1.0 / window.requests).min(most);
         }
-        window.tasks.floor() != before
+        window.requests.floor() != before
     }
 
     pub(crate) fn forget(&mut self, gate: GateId) {
@@ -67,7 +67,7 @@
     }
 
     fn of(&mut self, gate: GateId) -> &mut Vec<Window> {
-        let start = Window { tasks: START.min(self.most), under_way: 0, shrunk: Micros::MIN / 2 };
+        let start = Window { requests: START.min(self.most), under_way: 0, shrunk: Micros::MIN / 2 };
         self.windows.entry(gate).or_insert_with(|| vec![start; self.keeps.len()])
     }
 }
--- a/crates/site-routing/src/crossing.rs
+++ b/crates/site-routing/src/crossing.rs
@@ -4,7 +4,7 @@
 
 use crate::{Answer, Fate, GateId, Micros};
 
-/// What the sender knows of one task that crossed.
+/// What the sender knows of one request that crossed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Crossing {
     /// Sent over a link that stands: its outcome is on the way.
--- a/crates/site-routing/src/fates.rs
+++ b/crates/site-routing/src/fates.rs
@@ -11,7 +11,7 @@
 /// Starts of one instance that are over, and never taken from again; older ones are forgotten.
 const OVER: usize = 64;
 
-/// Who sent a key's task: the key is this and a number.
+/// Who sent a key's request: the key is this and a number.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Origin {
     pub site: String,
@@ -20,7 +20,7 @@
     pub start: u64,
 }
 
-/// What became of a key. `V` is what an honoured task brought.
+/// What became of a key. `V` is what an honoured request brought.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Fate<V> {
     /// It was never taken, and never will be.
@@ -61,8 +61,8 @@
     }
 }
 
-/// Why a task is not taken. Only where the book is full does the sender hear so: a copy of what may have run before
-/// is no news to it, and must never be called one that did not run.
+/// Why a request is not taken. Only where the book is full does the sender hear so: a copy of what may have
+/// run before is no news to it, and must never be called one that did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TurnedAway {
     /// Its key was fenced, or is below what was forgotten.
@@ -129,7 +129,7 @@
         true
     }
 
-    /// A task came: it is taken, now and never again.
+    /// A request came: it is taken, now and never again.
     pub fn take(&mut self, now: Micros, origin: &Origin, number: u64, ttl: Micros) -> Result<(), TurnedAway> {
         let (most, until) = (self.most, now.saturating_add(ttl.max(0)).saturating_add(self.slack));
         let book = self.book(origin).ok_or(TurnedAway::Over)?;
@@ -157,8 +157,8 @@
         }
     }
 
-    /// The sender asks. `receiver_start` is the start of this gateway that the task was sent to, `own_start` the one
-    /// that it has now.
+    /// The sender asks. `receiver_start` is the start of this gateway that the request was sent to,
+    /// `own_start` the one that it has now.
     pub fn ask(
         &mut self,
         now: Micros,
--- a/crates/site-routing/src/lib.rs
+++ b/crates/site-routing/src/lib.rs
@@ -1,9 +1,9 @@
-//! Which site a task goes to, and the books on the fate of what crossed.
+//! Which site a request goes to, and the books on the fate of what crossed.
 //!
-//! [`Sites`] decides for one gateway: whether a task is handed to the module of its own site or crosses to another
-//! gateway, when it waits, when it is asked again, when it is given up. `take` gives a [`Handle`] for a task; what
-//! happens to the task later is a call on that handle. [`Fates`] is the receiver's book on what came to it. Every call
-//! brings `now` and returns a [`Todo`]; nothing here does I/O or has a clock.
+//! [`Sites`] decides for one gateway: whether a request is handed to the module of its own site or crosses to
+//! another gateway, when it waits, when it is asked again, when it is given up. `take` gives a [`Handle`] for
+//! a request; what happens to the request later is a call on that handle. [`Fates`] is the receiver's book on
+//! what came to it. Every call brings `now` and returns a [`Todo`]; nothing here does I/O or has a clock.
 //!
 //! It carries the design of the router one level up: a believed home site for each group, corrected by answers; a
 //! walk over sites for writes; a hold after a round of 'not here'; bars on a gateway that expire.
@@ -35,7 +35,7 @@
 /// One instance of a gateway at another site, as a small index that the caller gives out.
 pub type GateId = usize;
 
-/// Whether a task may run again.
+/// Whether a request may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Pure,
@@ -47,7 +47,7 @@
     Effectful,
 }
 
-/// Where a task can be answered.
+/// Where a request can be answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
     /// Where the group's primary is.
@@ -74,16 +74,16 @@
     pub classes: Vec<RequestClass>,
     /// How many sites there are, the own one among them.
     pub sites: usize,
-    /// How many links a task may cross.
+    /// How many links a request may cross.
     pub max_hops: usize,
-    /// Tasks of one request class that another gateway may have under way here at most.
+    /// Requests of one request class that another gateway may have under way here at most.
     pub max_credit: u32,
     /// How long a denied client is told to stay away at most.
     pub max_cool_down: Micros,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Task {
+pub struct Request {
     pub class: usize,
     pub group: u64,
     /// How long it may take from now on.
@@ -94,7 +94,7 @@
     pub session: Option<String>,
 }
 
-/// How another gateway answered a task.
+/// How another gateway answered a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     Honoured,
@@ -106,7 +106,7 @@
     NotHere {
         hint: Option<SiteId>,
     },
-    /// It is no task there, or its key was fenced.
+    /// It is no request there, or its key was fenced.
     NeverTaken,
 }
 
@@ -117,7 +117,7 @@
     }
 }
 
-/// How the own site's module ended a task.
+/// How the own site's module ended a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HereEnded {
     Honoured,
@@ -125,7 +125,7 @@
     BrokenOff,
 }
 
-/// What is to be done for one task.
+/// What is to be done for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Hand it to the own site's module, with so much time.
--- a/crates/site-routing/src/sites.rs
+++ b/crates/site-routing/src/sites.rs
@@ -12,7 +12,8 @@
 use crate::crossing::{Crossing, Crossings, Settled};
 use crate::homes::Homes;
 use crate::{
-    Answer, Effect, Fate, GateId, HereEnded, Micros, Need, OWN, RequestClass, SiteId, Step, Task, Terms, Todo,
+    Answer, Effect, Fate, GateId, HereEnded, Micros, Need, OWN, Request, RequestClass, SiteId, Step, Terms,
+    Todo,
 };
 
 mod hear;
@@ -31,7 +32,7 @@
 /// Until a link's round trip is measured.
 const TRIP: Micros = 50 * MS;
 const KEEP: u32 = 128;
-/// Honoured tasks after which a gateway's times are believed.
+/// Honoured requests after which a gateway's times are believed.
 const ENOUGH: u32 = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -46,8 +47,8 @@
 
     /// A launch of it here, that began at that time, may have run.
     pub fn here_may_have_run(self, sites: &mut Sites, began: Micros) {
-        if let Some(errand) = sites.errands.get_mut(&self).filter(|errand| errand.here) {
-            errand.may_have_run.get_or_insert((began, OWN));
+        if let Some(pending) = sites.pending_requests.get_mut(&self).filter(|pending| pending.here) {
+            pending.may_have_run.get_or_insert((began, OWN));
         }
     }
 
@@ -59,8 +60,8 @@
 
     /// Nobody waits for it any more.
     pub fn left(self, sites: &mut Sites, now: Micros) -> Todo {
-        if let Some(errand) = sites.errands.get(&self)
-            && let Some(number) = errand.out
+        if let Some(pending) = sites.pending_requests.get(&self)
+            && let Some(number) = pending.out
             && let Some(sent) = sites.crossings.get(number)
         {
             sites.todo.steps.push((self, Step::Cancel { gate: sent.gate, number }));
@@ -72,8 +73,8 @@
 }
 
 #[derive(Debug)]
-struct Errand {
-    task: Task,
+struct PendingRequest {
+    request: Request,
     limit: Micros,
     quoted_by: Micros,
     /// With the own site's module.
@@ -102,14 +103,15 @@
     barred_until: Micros,
     failures: VecDeque<Micros>,
     took: Vec<Histogram>,
-    /// Tasks that it honoured, as far as they tell more than the first guess.
+    /// Requests that it honoured, as far as they tell more than the first guess.
     honoured: u32,
 }
 
 impl Gate {
-    /// How many tasks may be out so that those under way there are as many as it offers: on a long line most of them
-    /// are on the way at any time. Protects throughput over long lines from windows meant for work. Harms the other
-    /// side with a burst when what was on the way comes at once; what it cannot take it denies, and offers less.
+    /// How many requests may be out so that those under way there are as many as it offers: on a long line
+    /// most of them are on the way at any time. Protects throughput over long lines from windows meant for
+    /// work. Harms the other side with a burst when what was on the way comes at once; what it cannot take it
+    /// denies, and offers less.
     fn may_be_out(&self, class: usize, most: u32) -> usize {
         let credit = self.credits.get(class).copied().unwrap_or(0);
         let total = self.took[class].quantile(0.5).unwrap_or(0);
@@ -129,11 +131,11 @@
     pub credits: Vec<u32>,
     pub draining: bool,
     pub barred: bool,
-    /// Tasks under way there.
+    /// Requests under way there.
     pub out: usize,
 }
 
-/// The decisions of one gateway on which site a task goes to.
+/// The decisions of one gateway on which site a request goes to.
 #[derive(Debug)]
 pub struct Sites {
     terms: Terms,
@@ -141,11 +143,11 @@
     gates: BTreeMap<GateId, Gate>,
     homes: Homes,
     bound: Bound,
-    errands: HashMap<Handle, Errand>,
+    pending_requests: HashMap<Handle, PendingRequest>,
     next: u64,
     crossings: Crossings<Handle>,
     offers: Offers,
-    /// Tasks that wait, in the order in which they came.
+    /// Requests that wait, in the order in which they came.
     held: Vec<Handle>,
     next_beat: Micros,
     /// When the last standstill of this process ended.
@@ -160,7 +162,7 @@
             gates: BTreeMap::new(),
             homes: Homes::default(),
             bound: Bound::default(),
-            errands: HashMap::new(),
+            pending_requests: HashMap::new(),
             next: 0,
             crossings: Crossings::default(),
             offers: Offers::start(&terms.classes, terms.max_credit),
@@ -172,13 +174,13 @@
         }
     }
 
-    /// A task of a client, or one that came over a link.
-    pub fn take(&mut self, now: Micros, task: Task) -> (Handle, Todo) {
+    /// A request of a client, or one that came over a link.
+    pub fn take(&mut self, now: Micros, request: Request) -> (Handle, Todo) {
         let handle = Handle(self.next);
         self.next += 1;
-        let (limit, quoted_by) = (now + task.ttl, now + self.class(&task).quoted);
-        let errand = Errand {
-            task,
+        let (limit, quoted_by) = (now + request.ttl, now + self.class(&request).quoted);
+        let pending = PendingRequest {
+            request,
             limit,
             quoted_by,
             here: false,
@@ -188,7 +190,7 @@
             may_have_run: None,
             crossed: 0,
         };
-        self.errands.insert(handle, errand);
+        self.pending_requests.insert(handle, pending);
         self.place(now, handle);
         (handle, self.take_todo())
     }
@@ -203,24 +205,24 @@
     /// What is under way at each site that retires, as far as this gateway has part in it: what its own module has of it and
     /// which groups have their primary there, or what crossed to there. `fates` are those open in the receiver's book.
     pub fn open_at_retiring(&self, fates: u64) -> Opens {
-        let here = self.errands.values().filter(|errand| errand.here).count() as u64;
+        let here = self.pending_requests.values().filter(|pending| pending.here).count() as u64;
         let groups = self.homes.known().filter(|&group| self.homes.home(group) == Some(OWN)).count() as u64;
         let open = |site: SiteId, weight: u32| {
             if site == OWN {
-                return Open { sessions: weight.into(), tasks: here, fates, groups };
+                return Open { sessions: weight.into(), requests: here, fates, groups };
             }
             let gates = self.gates.iter().filter(|(_, gate)| gate.site == site);
             let out: usize = gates.map(|(&id, _)| self.crossings.open_at(id).len()).sum();
-            Open { tasks: out as u64, ..Open::default() }
+            Open { requests: out as u64, ..Open::default() }
         };
         self.bound.retiring().map(|(site, name, weight)| (name.to_owned(), open(site, weight))).collect()
     }
 
     pub fn knows(&self, handle: Handle) -> bool {
-        self.errands.contains_key(&handle)
+        self.pending_requests.contains_key(&handle)
     }
 
-    /// The task that crossed under this number, if it is not closed.
+    /// The request that crossed under this number, if it is not closed.
     pub fn crossed(&self, number: u64) -> Option<Handle> {
         self.crossings.get(number).map(|sent| sent.handle)
     }
@@ -246,10 +248,10 @@
     }
 
     /// This process stood still until now. What was out meanwhile says nothing of other gateways: neither how long
-    /// they take nor that they lose tasks.
+    /// they take nor that they lose requests.
     ///
-    /// Protects gateways from a bar for what fell into a standstill here. Harms tasks by a gateway that loses them at
-    /// that moment: it is found out by those sent after it.
+    /// Protects gateways from a bar for what fell into a standstill here. Harms requests by a gateway that
+    /// loses them at that moment: it is found out by those sent after it.
     pub fn stood_still(&mut self, now: Micros) {
         self.woke = now;
     }
--- a/crates/site-routing/src/sites/hear.rs
+++ b/crates/site-routing/src/sites/hear.rs
@@ -106,12 +106,12 @@
         }
     }
 
-    /// Another gateway answered a task.
+    /// Another gateway answered a request.
     pub fn answered(&mut self, now: Micros, number: u64, answer: Answer) -> Todo {
         if let Some(sent) = self.crossings.get_mut(number) {
             let (id, handle, class, at) = (sent.gate, sent.handle, sent.class, sent.since);
             let settled = sent.crossing.answered(answer);
-            let group = self.errands.get(&handle).map(|errand| errand.task.group);
+            let group = self.pending_requests.get(&handle).map(|pending| pending.request.group);
             if let Some(gate) = self.gates.get_mut(&id) {
                 let site = gate.site;
                 match answer {
@@ -127,8 +127,8 @@
                     }
                     Answer::NotHere { hint } => {
                         group.into_iter().for_each(|group| self.homes.missed(now, group, site, hint));
-                        if let Some(errand) = self.errands.get_mut(&handle) {
-                            errand.tried.push(site);
+                        if let Some(pending) = self.pending_requests.get_mut(&handle) {
+                            pending.tried.push(site);
                         }
                     }
                     Answer::Denied { .. } | Answer::BrokenOff | Answer::NeverTaken => {}
@@ -147,7 +147,7 @@
         self.take_todo()
     }
 
-    /// Another gateway said what became of a task that was asked about.
+    /// Another gateway said what became of a request that was asked about.
     pub fn fate<V>(&mut self, now: Micros, number: u64, fate: &Fate<V>) -> Todo {
         if let Some(sent) = self.crossings.get_mut(number) {
             let handle = sent.handle;
@@ -173,7 +173,7 @@
         (self.offers.credits(id), groups)
     }
 
-    /// A task of another gateway came, or is over here.
+    /// A request of another gateway came, or is over here.
     pub fn guest_came(&mut self, id: GateId, class: usize) {
         self.offers.came(id, class);
     }
--- a/crates/site-routing/src/sites/settle.rs
+++ b/crates/site-routing/src/sites/settle.rs
@@ -1,4 +1,4 @@
-//! What became of tasks that crossed, and the end of each.
+//! What became of requests that crossed, and the end of each.
 
 use super::*;
 
@@ -13,14 +13,14 @@
             self.failed(now, sent.gate);
         }
         let site = self.gates.get(&sent.gate).map_or(OWN, |gate| gate.site);
-        let Some(errand) = self.errands.get_mut(&handle) else { return };
+        let Some(pending) = self.pending_requests.get_mut(&handle) else { return };
         match settled {
             Settled::Honoured => {
                 self.todo.steps.push((handle, Step::Honour));
                 self.close(handle);
             }
             Settled::MayHaveRun => {
-                errand.may_have_run = errand.may_have_run.or(Some((sent.at, site)));
+                pending.may_have_run = pending.may_have_run.or(Some((sent.at, site)));
                 self.place(now, handle);
             }
             _ => self.place(now, handle),
@@ -30,8 +30,8 @@
     /// Takes a crossing out of the books; nothing more will be asked about it.
     pub(super) fn uncross(&mut self, number: u64) -> Option<crate::crossing::Sent<Handle>> {
         let sent = self.crossings.close(number)?;
-        if let Some(errand) = self.errands.get_mut(&sent.handle) {
-            errand.out = None;
+        if let Some(pending) = self.pending_requests.get_mut(&sent.handle) {
+            pending.out = None;
         }
         if let Some(upto) = self.crossings.confirm(sent.gate) {
             self.todo.confirms.retain(|(gate, _)| *gate != sent.gate);
@@ -40,8 +40,9 @@
         Some(sent)
     }
 
-    /// Protects tasks from a gateway that loses them. Should also cover one whose links break all the time. Harms
-    /// one whose link broke once under many tasks: it is barred for a while, unless it is the only one.
+    /// Protects requests from a gateway that loses them. Should also cover one whose links break all the
+    /// time. Harms one whose link broke once under many requests: it is barred for a while, unless it is the
+    /// only one.
     pub(super) fn failed(&mut self, now: Micros, id: GateId) {
         let Some(gate) = self.gates.get_mut(&id) else { return };
         gate.failures.push_back(now);
@@ -70,13 +71,13 @@
         }
     }
 
-    // ---- The end of a task.
+    // ---- The end of a request.
 
     pub(super) fn deny(&mut self, handle: Handle, cool_down: Micros) {
-        let Some(errand) = self.errands.get(&handle) else { return };
-        let pure = self.class(&errand.task).effect == Effect::Pure;
+        let Some(pending) = self.pending_requests.get(&handle) else { return };
+        let pure = self.class(&pending.request).effect == Effect::Pure;
         // A denial promises that nothing ran.
-        let step = if errand.may_have_run.is_none() || pure {
+        let step = if pending.may_have_run.is_none() || pure {
             Step::Deny { cool_down: cool_down.min(self.terms.max_cool_down) }
         } else {
             Step::BreakOff
@@ -86,14 +87,14 @@
     }
 
     pub(super) fn give_up(&mut self, handle: Handle) {
-        let Some(errand) = self.errands.get(&handle) else { return };
-        let quoted = self.class(&errand.task).quoted;
+        let Some(pending) = self.pending_requests.get(&handle) else { return };
+        let quoted = self.class(&pending.request).quoted;
         self.deny(handle, quoted);
     }
 
     pub(super) fn close(&mut self, handle: Handle) {
-        if let Some(errand) = self.errands.remove(&handle) {
-            if let Some(number) = errand.out {
+        if let Some(pending) = self.pending_requests.remove(&handle) {
+            if let Some(number) = pending.out {
                 self.uncross(number);
             }
             self.held.retain(|&held| held != handle);
@@ -102,10 +103,10 @@
 
     pub(super) fn pump_all(&mut self, now: Micros) {
         let mut held = std::mem::take(&mut self.held);
-        held.retain(|handle| self.errands.contains_key(handle));
+        held.retain(|handle| self.pending_requests.contains_key(handle));
         // Best paid first, then those that came first.
         held.sort_by(|a, b| {
-            let payoff = |handle: &Handle| self.class(&self.errands[handle].task).payoff;
+            let payoff = |handle: &Handle| self.class(&self.pending_requests[handle].request).payoff;
             payoff(b).total_cmp(&payoff(a)).then(a.cmp(b))
         });
         held.into_iter().for_each(|handle| self.place(now, handle));
@@ -113,12 +114,16 @@
 
     pub(super) fn beat(&mut self, now: Micros) {
         // What is out and unsettled when its time is nearly up ends as what it is: it may have run.
-        let ends = |errand: &Errand| errand.out.is_some() && now + BEAT >= errand.limit;
-        let mut late: Vec<Handle> =
-            self.errands.iter().filter(|(_, errand)| ends(errand)).map(|(&handle, _)| handle).collect();
+        let ends = |pending: &PendingRequest| pending.out.is_some() && now + BEAT >= pending.limit;
+        let mut late: Vec<Handle> = self
+            .pending_requests
+            .iter()
+            .filter(|(_, pending)| ends(pending))
+            .map(|(&handle, _)| handle)
+            .collect();
         late.sort();
         for handle in late {
-            let Some(number) = self.errands[&handle].out else { continue };
+            let Some(number) = self.pending_requests[&handle].out else { continue };
             if let Some(sent) = self.crossings.get(number) {
                 let gate = sent.gate;
                 self.todo.steps.push((handle, Step::Cancel { gate, number }));
@@ -146,8 +151,8 @@
         self.pump_all(now);
     }
 
-    pub(super) fn class(&self, task: &Task) -> &RequestClass {
-        &self.terms.classes[task.class]
+    pub(super) fn class(&self, request: &Request) -> &RequestClass {
+        &self.terms.classes[request.class]
     }
 
     pub(super) fn take_todo(&mut self) -> Todo {
--- a/crates/site-routing/tests/crossing.rs
+++ b/crates/site-routing/tests/crossing.rs
@@ -8,7 +8,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    Task { key: u64, start: u64 },
+    Request { key: u64, start: u64 },
     Ask { key: u64, start: u64 },
     Outcome { key: u64, what: What },
     Told { key: u64, what: What },
@@ -25,7 +25,7 @@
     Unknown,
 }
 
-/// What the sender has made of a task.
+/// What the sender has made of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     New,
@@ -42,7 +42,7 @@
     /// Never taken away: whatever was sent may come, at any time and any number of times, or not at all.
     network: BTreeSet<Message>,
     phases: Vec<Phase>,
-    /// The receiver's start that each task was sent to.
+    /// The receiver's start that each request was sent to.
     sent_to: Vec<u64>,
     fates: Fates<()>,
     start: u64,
@@ -150,7 +150,7 @@
 
     fn deliver(&self, state: &mut State, message: Message) {
         match message {
-            Message::Task { key, start } if start == state.start => {
+            Message::Request { key, start } if start == state.start => {
                 if state.fates.take(0, &origin(), key, 10).is_ok() {
                     // The record first; without one it is denied while the promise holds.
                     if self.disk && !state.away {
@@ -163,7 +163,7 @@
                 }
             }
             // Meant for an earlier start: nothing is said of it.
-            Message::Task { .. } => {}
+            Message::Request { .. } => {}
             Message::Ask { key, start } => {
                 let mut book = state.fates.clone();
                 let fate = match start < state.start && self.disk {
@@ -277,7 +277,7 @@
             Act::Send(key) => {
                 state.phases[key as usize - 1] = Phase::Crossed(Crossing::Out);
                 state.sent_to[key as usize - 1] = state.start;
-                state.network.insert(Message::Task { key, start: state.start });
+                state.network.insert(Message::Request { key, start: state.start });
             }
             Act::Cut => {
                 state.cuts += 1;
--- a/crates/site-routing/tests/retiring.rs
+++ b/crates/site-routing/tests/retiring.rs
@@ -4,7 +4,7 @@
 
 use aldermill_site_drain::{Order, Plan, Stage, Word};
 use aldermill_site_routing::{
-    Answer, Effect, HereEnded, Micros, Need, OWN, RequestClass, Sites, Step, Task, Terms,
+    Answer, Effect, HereEnded, Micros, Need, OWN, Request, RequestClass, Sites, Step, Terms,
 };
 
 const MS: Micros = 1_000;
@@ -37,11 +37,11 @@
     Plan { word, stage, weight, shares, waits: None }
 }
 
-/// The site that the task goes to at once; `None` where it waits. It is answered there.
+/// The site that the request goes to at once; `None` where it waits. It is answered there.
 fn goes(sites: &mut Sites, session: &str, class: usize) -> Option<usize> {
     let session = Some(session.to_owned());
-    let task = Task { class, group: GROUP, ttl: LIMIT, visited: Vec::new(), session };
-    let (handle, todo) = sites.take(0, task);
+    let request = Request { class, group: GROUP, ttl: LIMIT, visited: Vec::new(), session };
+    let (handle, todo) = sites.take(0, request);
     match todo.steps[..] {
         [] => None,
         [(_, Step::Here { .. })] => {
@@ -99,12 +99,12 @@
     assert!(matches!(said[..], [(_, Step::Deny { .. })]), "{said:?}");
     // Guests of gateways that have not heard of it are answered until it is retired.
     let guest = |sites: &mut Sites, class| {
-        let task = Task { class, group: GROUP, ttl: LIMIT, visited: vec![1], session: None };
-        sites.take(0, task).1.steps[0].1
+        let request = Request { class, group: GROUP, ttl: LIMIT, visited: vec![1], session: None };
+        sites.take(0, request).1.steps[0].1
     };
     assert!(matches!(guest(&mut sites, READ), Step::Here { .. }));
     let open = sites.open_at_retiring(3)["a"];
-    assert_eq!((open.sessions, open.tasks, open.fates, open.groups), (0, 1, 3, 0));
+    assert_eq!((open.sessions, open.requests, open.fates, open.groups), (0, 1, 3, 0));
     sites.primary_here(0, GROUP);
     assert_eq!(sites.open_at_retiring(0)["a"].groups, 1);
     assert!(matches!(guest(&mut sites, WRITE), Step::Here { .. }));
@@ -125,7 +125,7 @@
     sites.bind(0, &names(), vec![plan("b", Stage::Emptied, 0)]);
     assert_eq!(goes(&mut sites, "s", READ), Some(2));
     assert_eq!(goes(&mut sites, "s", WRITE), Some(1), "roles are not moved by anybody here");
-    assert_eq!(sites.open_at_retiring(0)["b"].tasks, 0);
+    assert_eq!(sites.open_at_retiring(0)["b"].requests, 0);
     sites.bind(0, &names(), vec![plan("b", Stage::Retired, 0)]);
     assert_eq!(goes(&mut sites, "s", WRITE), Some(2));
 }
--- a/crates/site-routing/tests/two_sites/main.rs
+++ b/crates/site-routing/tests/two_sites/main.rs
@@ -22,8 +22,8 @@
             let mut world = World::new(seed);
             steps.iter().for_each(|&(kind, a)| world.step(kind, a));
             world.pass(2 * LIMIT);
-            for task in &world.tasks {
-                *counted.borrow_mut().entry(task.answered.unwrap_or("left")).or_default() += 1;
+            for request in &world.requests {
+                *counted.borrow_mut().entry(request.answered.unwrap_or("left")).or_default() += 1;
             }
             Ok(())
         })
@@ -42,7 +42,7 @@
         world.pass(300 * MS);
     }
     let honoured =
-        |world: &World| world.tasks.iter().filter(|task| task.answered == Some("honoured")).count();
+        |world: &World| world.requests.iter().filter(|request| request.answered == Some("honoured")).count();
     assert!(honoured(&world) >= 30, "{}", honoured(&world));
     world.primary = 0;
     let before = honoured(&world);
--- a/crates/site-routing/tests/two_sites/one_site.rs
+++ b/crates/site-routing/tests/two_sites/one_site.rs
@@ -1,7 +1,7 @@
 //! One gateway by itself: what it sends, holds, and gives up.
 
 use aldermill_site_routing::{
-    Answer, Effect, Fate, HereEnded, OWN, RequestClass, Sites, Step, Task, Terms, Todo,
+    Answer, Effect, Fate, HereEnded, OWN, Request, RequestClass, Sites, Step, Terms, Todo,
 };
 
 use crate::world::{FAR, GATE, GROUP, LIMIT, MS, terms};
@@ -12,18 +12,18 @@
     sites.links(0, GATE, FAR, 1, true);
     (0..30).for_each(|_| sites.trip(GATE, 300 * MS));
     sites.room(0, GATE, vec![9; 4], &[(GROUP, true)], false);
-    let task = |class, ttl| Task { class, group: GROUP, ttl, visited: Vec::new(), session: None };
-    let (handle, todo) = sites.take(0, task(1, 250 * MS));
+    let request = |class, ttl| Request { class, group: GROUP, ttl, visited: Vec::new(), session: None };
+    let (handle, todo) = sites.take(0, request(1, 250 * MS));
     assert!(matches!(todo.steps[..], [(other, Step::Deny { .. })] if other == handle), "{todo:?}");
-    let (_, todo) = sites.take(0, task(1, 1_000 * MS));
+    let (_, todo) = sites.take(0, request(1, 1_000 * MS));
     assert!(matches!(todo.steps[..], [(_, Step::Cross { left, .. })] if left <= 850 * MS), "{todo:?}");
     // A read whose bound is shorter than the way waits for nothing there.
-    let (_, todo) = sites.take(0, task(3, 1_000 * MS));
+    let (_, todo) = sites.take(0, request(3, 1_000 * MS));
     assert!(todo.steps.is_empty(), "{todo:?}");
     // No more than there is credit for; the rest is held, and goes as room comes.
     let mut crossed = 1;
     for _ in 0..20 {
-        crossed += sites.take(0, task(1, 1_000 * MS)).1.steps.len();
+        crossed += sites.take(0, request(1, 1_000 * MS)).1.steps.len();
     }
     assert_eq!(crossed, 9);
     assert_eq!(sites.room(0, GATE, vec![12; 4], &[(GROUP, true)], false).steps.len(), 3);
@@ -32,16 +32,16 @@
     out.iter().for_each(|&number| drop(sites.answered(310 * MS, number, Answer::Honoured)));
     let mut crossed = Vec::new();
     for number in 13..60 {
-        let (_, todo) = sites.take(310 * MS, task(1, 1_000 * MS));
+        let (_, todo) = sites.take(310 * MS, request(1, 1_000 * MS));
         crossed.extend(todo.steps);
         drop(sites.answered(620 * MS, number, Answer::Honoured));
     }
     assert!(crossed.len() > 40, "{}", crossed.len());
-    let more = (0..60).map(|_| sites.take(620 * MS, task(1, 1_000 * MS)).1.steps.len()).sum::<usize>();
+    let more = (0..60).map(|_| sites.take(620 * MS, request(1, 1_000 * MS)).1.steps.len()).sum::<usize>();
     assert!(more > 12, "{more}");
     // Nothing goes to one that drains.
     sites.room(0, GATE, vec![50; 4], &[(GROUP, true)], true);
-    assert!(sites.take(0, task(1, 1_000 * MS)).1.steps.is_empty());
+    assert!(sites.take(0, request(1, 1_000 * MS)).1.steps.is_empty());
 }
 
 #[test]
@@ -53,7 +53,7 @@
         for _ in 0..9 {
             sites.take(
                 0,
-                Task { class: 1, group: GROUP, ttl: 1_000 * MS, visited: Vec::new(), session: None },
+                Request { class: 1, group: GROUP, ttl: 1_000 * MS, visited: Vec::new(), session: None },
             );
         }
         // Their answers came meanwhile, and nobody read them before their time was over.
@@ -71,14 +71,14 @@
 }
 
 #[test]
-fn a_task_is_never_sent_back_where_it_came_from() {
+fn a_request_is_never_sent_back_where_it_came_from() {
     let mut sites = Sites::start(terms(), 1, 0);
     sites.listed(0, &[(GROUP, 2)]);
     sites.links(0, GATE, FAR, 1, true);
     sites.room(0, GATE, vec![9; 4], &[(GROUP, true)], false);
     // Each believes the other to be home: the one that was asked says so, and nothing goes in a circle.
     let (handle, todo) =
-        sites.take(0, Task { class: 1, group: GROUP, ttl: 900 * MS, visited: vec![FAR], session: None });
+        sites.take(0, Request { class: 1, group: GROUP, ttl: 900 * MS, visited: vec![FAR], session: None });
     assert!(matches!(todo.steps[..], [(_, Step::Here { .. })]), "{todo:?}");
     let mut last = Todo::default();
     for _ in 0..2 {
@@ -102,11 +102,11 @@
         sites.room(0, GATE, vec![9], &[(GROUP, false)], false);
         sites
     };
-    let task = |visited| Task { class: 0, group: GROUP, ttl: LIMIT, visited, session: None };
+    let request = |visited| Request { class: 0, group: GROUP, ttl: LIMIT, visited, session: None };
     // Its launch was broken off, and then all members here said that they are not the primary.
     for visited in [vec![], vec![FAR]] {
         let mut sites = start();
-        let (handle, _) = sites.take(0, task(visited));
+        let (handle, _) = sites.take(0, request(visited));
         handle.here_may_have_run(&mut sites, 0);
         for _ in 0..6 {
             let todo = handle.here_missed(&mut sites, MS);
@@ -118,7 +118,7 @@
     // It crossed, and nobody can say what became of it there; the module here knows nothing of that.
     let mut sites = start();
     sites.room(0, GATE, vec![9], &[(GROUP, true)], false);
-    let (handle, todo) = sites.take(0, task(vec![]));
+    let (handle, todo) = sites.take(0, request(vec![]));
     let Step::Cross { number, .. } = todo.steps[0].1 else { panic!("{todo:?}") };
     let todo = sites.fate::<()>(MS, number, &Fate::Unknown);
     assert!(matches!(todo.steps[..], [(_, Step::Cross { .. })]), "{todo:?}");
