--- a/crates/site-routing/tests/two_sites/world.rs
+++ b/crates/site-routing/tests/two_sites/world.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use aldermill_site_routing::{
-    Answer, Effect, Fate, Fates, Handle, HereEnded, Micros, Need, Origin, RequestClass, Sites, Step, Task,
+    Answer, Effect, Fate, Fates, Handle, HereEnded, Micros, Need, Origin, Request, RequestClass, Sites, Step,
     Terms, Todo,
 };
 use rand::{Rng, SeedableRng};
@@ -35,7 +35,7 @@
 
 #[derive(Clone, Debug)]
 pub enum Word {
-    Task { number: u64, class: usize, left: Micros, start: u64 },
+    Request { number: u64, class: usize, left: Micros, start: u64 },
     Answer { number: u64, answer: Answer },
     Ask { number: u64, start: u64 },
     Told { number: u64, fate: Fate<()> },
@@ -43,7 +43,7 @@
     Confirm(u64),
 }
 
-/// A task as its client sees it.
+/// A request as its client sees it.
 #[derive(Debug)]
 pub struct Asked {
     pub class: usize,
@@ -57,7 +57,7 @@
     pub sites: Sites,
     pub fates: Fates<()>,
     pub start: u64,
-    /// Which client's task each handle is, or which number of the other side's.
+    /// Which client's request each handle is, or which number of the other side's.
     pub own: HashMap<Handle, usize>,
     pub guests: HashMap<Handle, (u64, usize)>,
     /// With the module here: when it is done, and by when it must be.
@@ -76,7 +76,7 @@
     pub delay: Micros,
     /// In flight: when it arrives, to whom.
     pub network: Vec<(Micros, usize, Word)>,
-    pub tasks: Vec<Asked>,
+    pub requests: Vec<Asked>,
     pub effects: HashMap<usize, u32>,
 }
 
@@ -109,7 +109,7 @@
             up: false,
             delay: 10 * MS,
             network: Vec::new(),
-            tasks: Vec::new(),
+            requests: Vec::new(),
             effects: HashMap::new(),
         };
         world.connect();
@@ -150,9 +150,9 @@
             self.cut();
         }
         let start = self.sides[at].start + 1;
-        for (_, task) in std::mem::take(&mut self.sides[at].own) {
+        for (_, request) in std::mem::take(&mut self.sides[at].own) {
             // Its clients went with it.
-            self.tasks[task].left = true;
+            self.requests[request].left = true;
         }
         self.sides[at] = side(start * 77 + at as u64, self.now, start);
         let todo = self.sides[1 - at].sites.links(self.now, GATE, FAR, 0, false);
@@ -172,12 +172,12 @@
     }
 
     pub fn take(&mut self, at: usize, class: usize) {
-        let task = self.tasks.len();
-        self.tasks.push(Asked { class, limit: self.now + LIMIT, answered: None, left: false, runs: 0 });
+        let request = self.requests.len();
+        self.requests.push(Asked { class, limit: self.now + LIMIT, answered: None, left: false, runs: 0 });
         let (handle, todo) = self.sides[at]
             .sites
-            .take(self.now, Task { class, group: GROUP, ttl: LIMIT, visited: Vec::new(), session: None });
-        self.sides[at].own.insert(handle, task);
+            .take(self.now, Request { class, group: GROUP, ttl: LIMIT, visited: Vec::new(), session: None });
+        self.sides[at].own.insert(handle, request);
         self.carry_out(at, todo);
     }
 
@@ -193,12 +193,12 @@
                 }
                 Step::Cross { number, left, .. } => {
                     assert!(left > 0, "sent with no time left");
-                    let (task, start) = (self.sides[at].own[&handle], self.sides[1 - at].start);
-                    self.effects.insert(number as usize * 2 + at, task as u32);
+                    let (request, start) = (self.sides[at].own[&handle], self.sides[1 - at].start);
+                    self.effects.insert(number as usize * 2 + at, request as u32);
                     self.sides[at].sent.push(number);
                     self.sides[at].sent_to.insert(number, start);
-                    let class = self.tasks[task].class;
-                    self.say(at, Word::Task { number, class, left, start });
+                    let class = self.requests[request].class;
+                    self.say(at, Word::Request { number, class, left, start });
                 }
                 Step::Ask { number, .. } => {
                     let start = self.sides[at].sent_to[&number];
@@ -218,10 +218,10 @@
 
     /// The one answer to a client, or to the other side.
     pub fn answer(&mut self, at: usize, handle: Handle, answer: Answer) {
-        if let Some(task) = self.sides[at].own.remove(&handle) {
+        if let Some(request) = self.sides[at].own.remove(&handle) {
             let now = self.now;
-            let task = &mut self.tasks[task];
-            if task.left {
+            let request = &mut self.requests[request];
+            if request.left {
                 return;
             }
             let said = match answer {
@@ -230,11 +230,11 @@
                 Answer::BrokenOff => "broken off",
                 _ => panic!("no answer for a client: {answer:?}"),
             };
-            assert_eq!(task.answered.replace(said), None, "answered twice");
-            assert!(now <= task.limit, "{} too late", now - task.limit);
-            let effectful = task.class == 1;
-            assert!(said != "denied" || !effectful || task.runs == 0, "denied, and it ran");
-            assert!(said != "honoured" || task.runs > 0, "honoured, and it never ran");
+            assert_eq!(request.answered.replace(said), None, "answered twice");
+            assert!(now <= request.limit, "{} too late", now - request.limit);
+            let effectful = request.class == 1;
+            assert!(said != "denied" || !effectful || request.runs == 0, "denied, and it ran");
+            assert!(said != "honoured" || request.runs > 0, "honoured, and it never ran");
         } else if let Some((number, class)) = self.sides[at].guests.remove(&handle) {
             let other = origin(1 - at, self.sides[1 - at].start);
             if class == 1 {
@@ -251,16 +251,16 @@
         }
     }
 
-    /// The module at a side is done with a task.
+    /// The module at a side is done with a request.
     pub fn here_done(&mut self, at: usize, handle: Handle, limit: Micros) {
         let side = &mut self.sides[at];
-        let task = match (side.own.get(&handle), side.guests.get(&handle)) {
-            (Some(&task), _) => task,
+        let request = match (side.own.get(&handle), side.guests.get(&handle)) {
+            (Some(&request), _) => request,
             (None, Some(&(number, _))) => self.effects[&(number as usize * 2 + (1 - at))] as usize,
             _ => return,
         };
         let primary = self.primary == at;
-        let needs_primary = matches!(self.tasks[task].class, 1 | 2);
+        let needs_primary = matches!(self.requests[request].class, 1 | 2);
         let todo = if needs_primary && !primary && self.now > limit - 60 * MS {
             handle.here_ended(&mut side.sites, self.now, HereEnded::Denied { cool_down: 0 })
         } else if needs_primary && !primary {
@@ -278,9 +278,9 @@
                 _ => HereEnded::Honoured,
             };
             if !matches!(ended, HereEnded::Denied { .. }) {
-                self.tasks[task].runs += 1;
-                let asked = &self.tasks[task];
-                assert!(asked.class != 1 || asked.runs == 1, "an effectful task ran twice");
+                self.requests[request].runs += 1;
+                let asked = &self.requests[request];
+                assert!(asked.class != 1 || asked.runs == 1, "an effectful request ran twice");
                 assert!(asked.class != 1 || asked.answered != Some("denied"), "it ran after a denial");
             }
             handle.here_ended(&mut side.sites, self.now, ended)
@@ -292,16 +292,21 @@
         let other = origin(1 - at, self.sides[1 - at].start);
         let (now, own) = (self.now, self.sides[at].start);
         match word {
-            Word::Task { start, .. } if start != own => {}
-            Word::Task { number, class, left, .. } => {
-                // Whatever its effect, a number is taken once: a doubled frame is no second task.
+            Word::Request { start, .. } if start != own => {}
+            Word::Request { number, class, left, .. } => {
+                // Whatever its effect, a number is taken once: a doubled frame is no second request.
                 if self.sides[at].fates.take(now, &other, number, left).is_err() {
                     return;
                 }
                 self.sides[at].sites.guest_came(GATE, class);
-                let task =
-                    Task { class, group: GROUP, ttl: left - self.delay, visited: vec![FAR], session: None };
-                let (handle, todo) = self.sides[at].sites.take(now, task);
+                let request = Request {
+                    class,
+                    group: GROUP,
+                    ttl: left - self.delay,
+                    visited: vec![FAR],
+                    session: None,
+                };
+                let (handle, todo) = self.sides[at].sites.take(now, request);
                 self.sides[at].guests.insert(handle, (number, class));
                 self.carry_out(at, todo);
             }
@@ -350,10 +355,10 @@
                 let todo = self.sides[at].sites.wake(now);
                 self.carry_out(at, todo);
             }
-            for task in &self.tasks {
+            for request in &self.requests {
                 assert!(
-                    task.answered.is_some() || task.left || now < task.limit,
-                    "no answer in time: {task:?}"
+                    request.answered.is_some() || request.left || now < request.limit,
+                    "no answer in time: {request:?}"
                 );
             }
         }
@@ -367,14 +372,17 @@
             9 => self.primary = (a % 2) as usize,
             10 if a.is_multiple_of(5) => self.restart((a / 5 % 2) as usize),
             11 => self.delay = [1, 10, 40, 150][(a % 4) as usize] * MS,
-            12 if !self.tasks.is_empty() => {
-                let task = a as usize % self.tasks.len();
+            12 if !self.requests.is_empty() => {
+                let request = a as usize % self.requests.len();
                 for at in 0..2 {
-                    let held =
-                        self.sides[at].own.iter().find(|(_, own)| **own == task).map(|(&handle, _)| handle);
+                    let held = self.sides[at]
+                        .own
+                        .iter()
+                        .find(|(_, own)| **own == request)
+                        .map(|(&handle, _)| handle);
                     // What the module here has begun is left to it, as by the driver.
                     if let Some(handle) = held.filter(|handle| !self.sides[at].here.contains_key(handle)) {
-                        self.tasks[task].left = true;
+                        self.requests[request].left = true;
                         self.sides[at].own.remove(&handle);
                         let todo = handle.left(&mut self.sides[at].sites, self.now);
                         self.carry_out(at, todo);
--- a/crates/store/src/keeping.rs
+++ b/crates/store/src/keeping.rs
@@ -17,9 +17,10 @@
 
 /// Whether work waits for the disk or goes on without it.
 ///
-/// Protects the tasks of everybody from a disk that stands still: what waits for a confirmation longer than the
-/// patience goes on without, and nothing more is handed over for a while. Should also cover a full disk and one that
-/// is gone. Harms what a crash meets meanwhile: it is unknown after it, and it was said that it would be.
+/// Protects the requests of everybody from a disk that stands still: what waits for a confirmation longer
+/// than the patience goes on without, and nothing more is handed over for a while. Should also cover a full
+/// disk and one that is gone. Harms what a crash meets meanwhile: it is unknown after it, and it was said
+/// that it would be.
 #[derive(Debug)]
 pub struct Keeping {
     state: State,
--- a/crates/test-support/src/member.rs
+++ b/crates/test-support/src/member.rs
@@ -45,8 +45,8 @@
         member
     }
 
-    /// Statements of tasks that came whole.
-    pub fn tasks(&self) -> Vec<String> {
+    /// Statements of requests that came whole.
+    pub fn requests(&self) -> Vec<String> {
         self.seen.lock().unwrap().iter().filter(|text| text.starts_with("/*")).cloned().collect()
     }
 }
@@ -90,7 +90,7 @@
     }
 }
 
-/// A whole answer: the value for tasks, the report for probes, and the role that the member claims.
+/// A whole answer: the value for requests, the report for probes, and the role that the member claims.
 pub fn honour(text: &str, role: &str, stream: &mut TcpStream) {
     honour_with(b"the value", text, role, stream);
 }
--- a/crates/test-support/src/site.rs
+++ b/crates/test-support/src/site.rs
@@ -15,7 +15,7 @@
     runs: Arc<Mutex<HashMap<String, u32>>>,
     /// Which site has the primary; any other number is none.
     pub home: Arc<AtomicUsize>,
-    /// How long a member takes for a task, in milliseconds.
+    /// How long a member takes for a request, in milliseconds.
     pub work: Arc<AtomicUsize>,
     /// Members turn everything away.
     pub full: Arc<AtomicUsize>,
--- a/crates/wire/src/statement.rs
+++ b/crates/wire/src/statement.rs
@@ -8,7 +8,7 @@
 /// An hour: no client waits longer for one answer.
 const MAX_WAIT: u32 = 3_600_000;
 
-/// What a statement's comment says of its task.
+/// What a statement's comment says of its request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Comment {
     pub id: String,
--- a/crates/wire/tests/parsers.rs
+++ b/crates/wire/tests/parsers.rs
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn comments_say_all_of_the_task_or_are_refused() {
+fn comments_say_all_of_the_request_or_are_refused() {
     let statement = b" /* id=9b1f,c=basket,d=480,r=1,cluster=2,after=1767225600123,more=x */ SELECT 1";
     let comment = Comment::parse(statement).unwrap();
     assert_eq!((&comment.class[..], comment.wait, comment.group), ("basket", 480, 2));
--- a/crates/zone-failover/src/tally.rs
+++ b/crates/zone-failover/src/tally.rs
@@ -39,7 +39,7 @@
         self.took_ms = self.took_ms.saturating_add(*took_ms);
     }
 
-    /// Those that say something of the zone: an error may be the task's own.
+    /// Those that say something of the zone: an error may be the request's own.
     fn telling(&self) -> f64 {
         f64::from((self.launches - self.errors.min(self.launches)).max(1))
     }
