--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -100,8 +100,8 @@
                     }
                     reply.call_out(who, ticket, &self.member_names[member], limit)
                 }
-                Step::Deny { cool_down } => reply.turn_away(who, ticket, cool_down),
-                Step::BreakOff => reply.error(who, ticket),
+                Step::Reject { cool_down } => reply.turn_away(who, ticket, cool_down),
+                Step::Fail => reply.error(who, ticket),
             }
             self.release(handle);
         }
--- a/crates/bench-adapter/src/wire.rs
+++ b/crates/bench-adapter/src/wire.rs
@@ -91,7 +91,7 @@
 
     pub fn verdict(&mut self, field: &str) -> Result<Verdict, Trouble> {
         match self.integer(field)? {
-            200 => Ok(Verdict::Honoured),
+            200 => Ok(Verdict::Served),
             204 => Ok(Verdict::Miss),
             408 => Ok(Verdict::TimedOut),
             409 => Ok(Verdict::Moot),
--- a/crates/fault-injection/examples/gateway.rs
+++ b/crates/fault-injection/examples/gateway.rs
@@ -69,7 +69,7 @@
         seen.asked += 1;
         *seen.by_code.entry(code.to_owned()).or_default() += 1;
         seen.late += usize::from(began.elapsed() > Duration::from_millis(3050));
-        // Denied although it ran, or honoured though it did not.
+        // Rejected although it ran, or served though it did not.
         seen.untrue += usize::from(code == "53300" && runs > 0 || code == "honoured" && runs == 0);
         if code == "honoured" {
             seen.took.push(began.elapsed());
--- a/crates/fault-injection/examples/slow_peers.rs
+++ b/crates/fault-injection/examples/slow_peers.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use aldermill_test_support::{
-    Client, Discovery, Driver, Member, config, drip, honour, honour_with, list, look, order, paced, quantile,
-    refuse, whole,
+    Client, Discovery, Driver, Member, config, drip, list, look, order, paced, quantile, refuse, serve,
+    serve_with, whole,
 };
 
 const CLIENTS: usize = 40;
@@ -118,8 +118,8 @@
     let member = {
         let value = value.clone();
         Member::start(move |text, stream| match text.contains("'large'") {
-            true => honour_with(&value, text, "writer", stream),
-            false => honour(text, "writer", stream),
+            true => serve_with(&value, text, "writer", stream),
+            false => serve(text, "writer", stream),
         })
     };
     let base = kernel().0;
@@ -159,7 +159,7 @@
             Member::start(move |text, stream| match role {
                 "reader" if text.contains("INSERT") => refuse("25006", role, stream),
                 _ if ill => drip(&whole(b"the value", text, role), 1, Duration::from_millis(250), stream),
-                _ => honour(text, role, stream),
+                _ => serve(text, role, stream),
             })
         };
         let members = [
--- a/crates/fault-injection/src/breaker.rs
+++ b/crates/fault-injection/src/breaker.rs
@@ -22,12 +22,12 @@
     Mute,
     /// Something comes behind the answer.
     Behind,
-    /// An effectful request that was honoured is launched again.
+    /// An effectful request that was served is launched again.
     Twice,
     /// Two launches are out at once.
     Both,
-    /// What ran is denied.
-    Denied,
+    /// What ran is rejected.
+    Rejected,
     /// What the list says of drains is not heeded.
     Drained,
     /// Launched when its client has gone.
@@ -44,7 +44,7 @@
     ("behind", How::Behind),
     ("twice", How::Twice),
     ("both", How::Both),
-    ("denied", How::Denied),
+    ("denied", How::Rejected),
     ("drained", How::Drained),
     ("late", How::Late),
     ("ends", How::Ends),
@@ -65,7 +65,7 @@
 
 /// What one launch brought.
 enum Brought {
-    Honoured(Vec<u8>),
+    Served(Vec<u8>),
     /// It never ran.
     Refused,
     /// Nobody knows.
@@ -204,11 +204,11 @@
         let spare = Duration::from_millis(40);
         let brought = timeout(wait.saturating_sub(spare), self.walk(&comment, class, text)).await;
         let brought = brought.unwrap_or(Brought::Lost);
-        if self.how == How::Twice && effect == "side_effect" && matches!(brought, Brought::Honoured(_)) {
+        if self.how == How::Twice && effect == "side_effect" && matches!(brought, Brought::Served(_)) {
             self.walk(&comment, class, text).await;
         }
         match brought {
-            Brought::Honoured(_) if self.how == How::Denied && effect != "pure" => {
+            Brought::Served(_) if self.how == How::Rejected && effect != "pure" => {
                 pg::error(out, false, "53300", "later", Some("500"));
             }
             brought => self.answer(out, brought),
@@ -218,7 +218,7 @@
 
     fn answer(&self, out: &mut Vec<u8>, brought: Brought) {
         match brought {
-            Brought::Honoured(rows) => out.extend_from_slice(&rows),
+            Brought::Served(rows) => out.extend_from_slice(&rows),
             Brought::Refused => pg::error(out, false, "53300", "nobody takes it", Some("200")),
             Brought::Lost => pg::error(out, false, "40003", "broken off", None),
         }
@@ -266,7 +266,7 @@
             }
             buffer.consume(length);
             if tag == b'Z' && welcomed {
-                return if refused { Brought::Refused } else { Brought::Honoured(rows) };
+                return if refused { Brought::Refused } else { Brought::Served(rows) };
             }
             if tag == b'Z' {
                 welcomed = true;
--- a/crates/fault-injection/src/figures.rs
+++ b/crates/fault-injection/src/figures.rs
@@ -43,8 +43,8 @@
     pub worst_second: f64,
     /// Of launches, where there are several zones.
     pub crossing: f64,
-    pub denied: usize,
-    pub broken_off: usize,
+    pub rejected: usize,
+    pub failed: usize,
     pub never_answered: usize,
     pub probes_a_request: f64,
     pub past_limit: usize,
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Bin {
     pub asked: usize,
-    /// Requests first asked here, and those of them honoured in their quoted time.
+    /// Requests first asked here, and those of them served in their quoted time.
     pub requests: usize,
     pub in_time: usize,
     pub launches: usize,
@@ -102,12 +102,12 @@
     bins
 }
 
-/// Each request with all its tries: when it was first asked, and whether it was honoured in its quoted time.
+/// Each request with all its tries: when it was first asked, and whether it was served in its quoted time.
 fn requests(events: &[(At, Event)]) -> Vec<(At, bool)> {
-    let mut honoured: HashMap<u64, At> = HashMap::new();
+    let mut served: HashMap<u64, At> = HashMap::new();
     for (at, event) in events {
-        if let Event::Answered { id, how: How::Honoured, .. } = event {
-            honoured.insert(*id, *at);
+        if let Event::Answered { id, how: How::Served, .. } = event {
+            served.insert(*id, *at);
         }
     }
     // Clients come one by one: no two requests have the same beginning.
@@ -115,7 +115,7 @@
     for (_, event) in events {
         if let Event::Asked { id, class, group, first, .. } = *event {
             let quoted = first + CLASSES[class].quoted_ms * 1000;
-            let in_time = honoured.get(&id).is_some_and(|&at| at <= quoted);
+            let in_time = served.get(&id).is_some_and(|&at| at <= quoted);
             *requests.entry((first, class, group)).or_default() |= in_time;
         }
     }
@@ -172,8 +172,8 @@
     figures.probes_a_request = probes as f64 / requests.len().max(1) as f64;
     for (_, event) in events {
         match event {
-            Event::Answered { how: How::Denied, .. } => figures.denied += 1,
-            Event::Answered { how: How::BrokenOff, .. } => figures.broken_off += 1,
+            Event::Answered { how: How::Rejected, .. } => figures.rejected += 1,
+            Event::Answered { how: How::Failed, .. } => figures.failed += 1,
             Event::Answered { how: How::Nothing | How::Lost, .. } => figures.never_answered += 1,
             _ => {}
         }
--- a/crates/fault-injection/src/front.rs
+++ b/crates/fault-injection/src/front.rs
@@ -211,12 +211,12 @@
             self.world.note(Event::Asked { id, driver, class, group, wait, first, after });
             let (how, again) = self.ask(driver, id, &text, wait).await;
             self.world.note(Event::Answered { id, driver, how });
-            if how == How::Honoured && is_write(class) {
+            if how == How::Served && is_write(class) {
                 // It took effect when it began; up to now is what a client may take it for.
                 self.world.wrote.borrow_mut().insert((session, group), self.world.now());
             }
             match how {
-                How::Denied => sleep(again.unwrap_or(Duration::from_millis(50))).await,
+                How::Rejected => sleep(again.unwrap_or(Duration::from_millis(50))).await,
                 How::Unreached => {
                     roams = true;
                     sleep(Duration::from_millis(50)).await;
@@ -302,12 +302,12 @@
         loop {
             while let Some(message) = pg::message(buffer.held(), 1 << 20).ok()? {
                 match message.tag {
-                    b'D' => how = How::Honoured,
+                    b'D' => how = How::Served,
                     b'E' => {
                         let refusal = pg::refusal(message.body).ok()?;
                         how = match refusal.code {
-                            "53300" | "57P03" => How::Denied,
-                            "40003" => How::BrokenOff,
+                            "53300" | "57P03" => How::Rejected,
+                            "40003" => How::Failed,
                             _ => How::Wrong,
                         };
                         again = refusal.detail.parse().ok().map(Duration::from_millis);
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -12,9 +12,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum How {
-    Honoured,
-    Denied,
-    BrokenOff,
+    Served,
+    Rejected,
+    Failed,
     /// Any other error.
     Wrong,
     /// The connection ended without a whole answer, after the statement was written.
--- a/crates/fault-injection/src/judge.rs
+++ b/crates/fault-injection/src/judge.rs
@@ -220,7 +220,7 @@
     }
 }
 
-/// Rule 2: no effect twice, no denial of what ran, and never two launches out at once.
+/// Rule 2: no effect twice, no rejection of what ran, and never two launches out at once.
 fn effects(broken: &mut Vec<Broken>, lines: &Lines, id: u64, one: &Try) {
     let mut found = |at: At, what: String| broken.push(Broken { rule: 2, at_ms: at / 1000, what });
     let effect = CLASSES[one.class].effect;
@@ -233,8 +233,8 @@
     {
         found(last.0, format!("request {id} ran again when its receipt was over"));
     }
-    if effect != "pure" && !one.ran.is_empty() && matches!(one.answered, Some((_, How::Denied))) {
-        found(one.asked, format!("request {id} was denied, and ran"));
+    if effect != "pure" && !one.ran.is_empty() && matches!(one.answered, Some((_, How::Rejected))) {
+        found(one.asked, format!("request {id} was rejected, and ran"));
     }
     // On a line that holds things back an end is seen late.
     for (at, &(reached, _)) in one.reached.iter().enumerate().skip(1) {
@@ -252,14 +252,14 @@
     for &(ran, member, age) in &one.ran {
         if let Some(after) = one.after
             && ran - age < after - CARRIED
-            && matches!(one.answered, Some((_, How::Honoured)))
+            && matches!(one.answered, Some((_, How::Served)))
         {
             let what = format!("request {id} did not see its session's write at s-{member:02}");
             broken.push(Broken { rule: 5, at_ms: ran / 1000, what });
         }
         let sent = one.reached.iter().filter(|&&(at, to)| to == member && at <= ran).map(|&(at, _)| at).max();
         let at_send = age - (ran - sent.unwrap_or(ran));
-        if bound > 0 && at_send > bound + lines.slack && matches!(one.answered, Some((_, How::Honoured))) {
+        if bound > 0 && at_send > bound + lines.slack && matches!(one.answered, Some((_, How::Served))) {
             let what = format!("request {id} read data {} ms old at s-{member:02}", at_send / 1000);
             broken.push(Broken { rule: 5, at_ms: ran / 1000, what });
         }
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -23,7 +23,7 @@
         format!("{:.4}, {:.4}", figures.in_quoted_time_before, figures.in_quoted_time)
     });
     row("denied, broken off, unanswered", {
-        format!("{}, {}, {}", figures.denied, figures.broken_off, figures.never_answered)
+        format!("{}, {}, {}", figures.rejected, figures.failed, figures.never_answered)
     });
     row("launched past the limit, writes", format!("{}, {}", figures.past_limit, figures.past_limit_writes));
     row("launches in 100 ms, most", format!("{:.1}, {}", figures.launches, figures.most_launches));
--- a/crates/fault-injection/src/sites.rs
+++ b/crates/fault-injection/src/sites.rs
@@ -70,7 +70,7 @@
         let own = session % plan.drivers % plan.sites;
         // A client that another site's front took is that site's.
         let at_home = one.driver % plan.sites == own;
-        if let (Some((_, member, _)), Some((_, How::Honoured))) = (one.ran.last(), one.answered)
+        if let (Some((_, member, _)), Some((_, How::Served))) = (one.ran.last(), one.answered)
             && replicas_do
             && at_home
         {
--- a/crates/fault-injection/src/world.rs
+++ b/crates/fault-injection/src/world.rs
@@ -16,7 +16,7 @@
     pub history: History,
     pub groups: Vec<Group>,
     pub rng: RefCell<Pcg64Mcg>,
-    /// When the last honoured write of a session took effect, by session and group.
+    /// When the last served write of a session took effect, by session and group.
     pub wrote: RefCell<HashMap<(usize, usize), At>>,
 }
 
--- a/crates/fault-injection/tests/judge.rs
+++ b/crates/fault-injection/tests/judge.rs
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_request_that_goes_well_breaks_nothing() {
-    let well = [asked(1, 2), reached(T + 1, 0), ran(T + 2, 0), over(T + 3), answered(T + 4, How::Honoured)];
+    let well = [asked(1, 2), reached(T + 1, 0), ran(T + 2, 0), over(T + 3), answered(T + 4, How::Served)];
     assert!(rules(&well).is_empty());
 }
 
@@ -52,19 +52,19 @@
     assert_eq!(rules(&[asked(1, 2), nothing]), [1]);
     assert_eq!(rules(&[asked(1, 2), answered(T + 9, How::Twice)]), [1]);
     let twice = [asked(1, 2), reached(T, 0), ran(T + 1, 0), over(T + 2), reached(T + 3, 0), ran(T + 4, 0)];
-    assert_eq!(rules(&[&twice[..], &[over(T + 5), answered(T + 9, How::Honoured)]].concat()), [2]);
-    let denied = [asked(1, 3), reached(T, 0), ran(T + 1, 0), over(T + 2), answered(T + 9, How::Denied)];
-    assert_eq!(rules(&denied), [2]);
+    assert_eq!(rules(&[&twice[..], &[over(T + 5), answered(T + 9, How::Served)]].concat()), [2]);
+    let rejected = [asked(1, 3), reached(T, 0), ran(T + 1, 0), over(T + 2), answered(T + 9, How::Rejected)];
+    assert_eq!(rules(&rejected), [2]);
     let both =
-        [asked(1, 0), reached(T, 0), reached(T + 1, 1), over(T + 9_000), answered(T + 9_001, How::Honoured)];
+        [asked(1, 0), reached(T, 0), reached(T + 1, 1), over(T + 9_000), answered(T + 9_001, How::Served)];
     assert_eq!(rules(&both), [2]);
     let said = (T - 700_000, Event::Said { driver: 0, member: 0, told: Told::Draining });
-    let drained = [said, asked(1, 0), reached(T, 0), over(T + 1), answered(T + 2, How::Honoured)];
+    let drained = [said, asked(1, 0), reached(T, 0), over(T + 1), answered(T + 2, How::Served)];
     assert_eq!(rules(&drained), [3]);
     assert_eq!(rules(&[(T, Event::Fell { member: 0 })]), [4]);
-    let old = [asked(1, 0), reached(T, 0), ran(T, 1_200_000), over(T + 1), answered(T + 2, How::Honoured)];
+    let old = [asked(1, 0), reached(T, 0), ran(T, 1_200_000), over(T + 1), answered(T + 2, How::Served)];
     assert_eq!(rules(&old), [5]);
-    let mut own = [asked(1, 4), reached(T, 0), ran(T, 9_000), over(T + 1), answered(T + 2, How::Honoured)];
+    let mut own = [asked(1, 4), reached(T, 0), ran(T, 9_000), over(T + 1), answered(T + 2, How::Served)];
     assert!(rules(&own).is_empty());
     if let Event::Asked { after, .. } = &mut own[0].1 {
         *after = Some(T - 3_000);
@@ -75,7 +75,7 @@
     assert_eq!(rules(&[moved.clone(), later.clone()]), [7]);
     assert!(rules(&[moved, (T + 9, Event::Listed { driver: 0 }), later]).is_empty());
     assert!(rules(&[(T, Event::Moved { driver: 0 }), (T + 9, Event::Knocked { driver: 0 })]).is_empty());
-    let late = [asked(1, 0), answered(T + 1, How::Denied), reached(T + 1_700_000, 0), over(T + 1_700_001)];
+    let late = [asked(1, 0), answered(T + 1, How::Rejected), reached(T + 1_700_000, 0), over(T + 1_700_001)];
     assert_eq!(rules(&late), [6]);
     assert_eq!(rules(&[(T, Event::Ended { driver: 0, well: false })]), [7]);
 }
@@ -112,7 +112,7 @@
 fn a_drain_counts_as_told_six_seconds_after_discovery_had_it_and_could_be_reached() {
     let learnt = (T - 10_000_000, Event::Learnt { member: 0, told: Told::Draining });
     let back = |ago: At| (T - ago, Event::Discovery { reached: true });
-    let goes = [asked(1, 0), reached(T, 0), over(T + 1), answered(T + 2, How::Honoured)];
+    let goes = [asked(1, 0), reached(T, 0), over(T + 1), answered(T + 2, How::Served)];
     let found = |before: &[(At, Event)]| {
         let all = [before, &goes[..]].concat();
         // From the start of the run on.
@@ -151,7 +151,7 @@
         let down = (T + 2_000_000..T + 2_800_000).contains(&at);
         events.push((
             at + 1,
-            Event::Answered { id: request, driver: 0, how: if down { How::Denied } else { How::Honoured } },
+            Event::Answered { id: request, driver: 0, how: if down { How::Rejected } else { How::Served } },
         ));
     }
     events.push((T + 2_000_000, Event::Fault { text: String::new() }));
--- a/crates/fault-injection/tests/judge_sites.rs
+++ b/crates/fault-injection/tests/judge_sites.rs
@@ -24,7 +24,7 @@
         (at, Event::Asked { id, driver, class: 0, group: 0, wait, first: at, after: None }),
         (at, Event::Reached { id, driver: member, member }),
         (at, Event::Ran { id, member, age: 0 }),
-        (at, Event::Answered { id, driver, how: How::Honoured }),
+        (at, Event::Answered { id, driver, how: How::Served }),
     ]
 }
 
--- a/crates/fault-injection/tests/judges.rs
+++ b/crates/fault-injection/tests/judges.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn effects_twice_launches_at_once_and_denials_of_what_ran() {
+fn effects_twice_launches_at_once_and_rejections_of_what_ran() {
     assert_eq!(found("twice", NOTHING), [2]);
     assert_eq!(found("both", NOTHING), [2]);
     assert_eq!(found("denied", NOTHING), [2]);
--- a/crates/proxy/src/client/asking.rs
+++ b/crates/proxy/src/client/asking.rs
@@ -78,8 +78,8 @@
         Ok(())
     }
 
-    /// Room for a large message, which the client is denied where others have taken it all and nobody who is too
-    /// slow can give it up.
+    /// Room for a large message, which the client is refused where others have taken it all and nobody who is
+    /// too slow can give it up.
     pub(super) async fn reserve(&mut self, size: usize) -> Result<Room, End> {
         let limits = &self.context.limits;
         let text = self.buffer.held().get(pg::BEFORE_BODY..).and_then(|text| Comment::parse(text).ok());
--- a/crates/proxy/src/client/ending.rs
+++ b/crates/proxy/src/client/ending.rs
@@ -45,13 +45,13 @@
 pub(super) fn encode(answer: Answer) -> (Vec<Vec<u8>>, Option<Room>) {
     let mut out = Vec::new();
     match answer {
-        Answer::Honoured(rows) => return (rows.pieces, rows.room),
-        Answer::Denied { cool_down } => {
+        Answer::Served(rows) => return (rows.pieces, rows.room),
+        Answer::Rejected { cool_down } => {
             let millis = (cool_down + 999) / 1000;
             let detail = (millis > 0).then(|| millis.to_string());
             pg::error(&mut out, false, "53300", "denied, trying again is harmless", detail.as_deref());
         }
-        Answer::BrokenOff => {
+        Answer::Failed => {
             pg::error(&mut out, false, "40003", "broken off, it is not known whether it took effect", None);
         }
         Answer::Wrong(why) => pg::error(&mut out, false, "08P01", why, None),
--- a/crates/proxy/src/desk.rs
+++ b/crates/proxy/src/desk.rs
@@ -272,14 +272,14 @@
         let elsewhere = self.hub.as_ref().is_some_and(|hub| hub.knows_group(order.comment.group));
         // The list may be older than its cluster: it was not sent on, and may be asked again.
         if !self.groups.contains(&order.comment.group) && !elsewhere {
-            return refuse(Answer::Denied { cool_down: 0 });
+            return refuse(Answer::Rejected { cool_down: 0 });
         }
         if self.open_ids.contains(&order.comment.id) {
             return refuse(Answer::Wrong("a task with this id is under way"));
         }
         let trips = self.hub.as_ref().map_or(0, Hub::trips);
         if self.open.len().max(trips) >= self.context.limits.requests {
-            return refuse(Answer::Denied { cool_down: 0 });
+            return refuse(Answer::Rejected { cool_down: 0 });
         }
         if self.hub.is_some() {
             return self.dispatch(order, class);
@@ -327,13 +327,13 @@
     fn ended(&mut self, ended: Ended) {
         let Ended { handle, verdict, sent, took, mut told, gave, replica_words } = ended;
         if let Some((member, words)) = replica_words {
-            let written = self.writes_once(handle) && verdict == Verdict::Honoured;
+            let written = self.writes_once(handle) && verdict == Verdict::Served;
             self.hears_clock(member, &mut told, written.then_some(sent));
             self.said_replica(member, words);
         }
         self.sees_end(handle, verdict, took);
         match gave {
-            Gave::Rows(rows) => self.answer(handle, Answer::Honoured(rows)),
+            Gave::Rows(rows) => self.answer(handle, Answer::Served(rows)),
             Gave::MoreThanFits => self.deny_for_room(handle),
             Gave::Nothing => {}
         }
@@ -343,7 +343,7 @@
         let (mut missed, mut taken_back) = (None, false);
         match via {
             Some(via) if verdict == Verdict::Miss => (missed, taken_back) = self.here_missed(via),
-            Some(via) if verdict != Verdict::Honoured && !verdict.never_ran() => self.may_have_run(via, took),
+            Some(via) if verdict != Verdict::Served && !verdict.never_ran() => self.may_have_run(via, took),
             _ => {}
         }
         let closed = taken_back || self.open.get(&handle).is_none_or(|open| open.client.is_none());
--- a/crates/proxy/src/desk/hub.rs
+++ b/crates/proxy/src/desk/hub.rs
@@ -33,7 +33,7 @@
 /// Guests' statements get numbers of their own beside the clients'.
 const GUESTS: ClientId = 1 << 63;
 
-/// What an effectful guest's honoured request brought, kept as long as anybody may ask.
+/// What an effectful guest's served request brought, kept as long as anybody may ask.
 #[derive(Clone)]
 pub struct Kept {
     bytes: Rc<Vec<u8>>,
--- a/crates/proxy/src/desk/hub/guests.rs
+++ b/crates/proxy/src/desk/hub/guests.rs
@@ -23,7 +23,7 @@
         match hub.fates.take(now, &origin, number, left) {
             Ok(()) => {}
             Err(TurnedAway::Full) => {
-                frame.kind = OutcomeKind::Denied.into();
+                frame.kind = OutcomeKind::Rejected.into();
                 hub.say(gate, Some(link), Said::Outcome(frame, Vec::new()));
                 return;
             }
@@ -39,7 +39,7 @@
             Some(book) => match book.take(now, &coming.origin, number, until) {
                 Taking::Waits(token) => drop(hub.coming.insert(token, coming)),
                 Taking::Without => self.guest_goes_on(coming),
-                Taking::Refused => self.refuse_guest(&coming, OutcomeKind::Denied),
+                Taking::Refused => self.refuse_guest(&coming, OutcomeKind::Rejected),
             },
         }
     }
@@ -47,7 +47,7 @@
     pub(super) fn refuse_guest(&mut self, coming: &Coming, kind: OutcomeKind) {
         let Some(hub) = &mut self.hub else { return };
         let frame = OutcomeFrame { number: coming.number, kind: kind.into(), ..OutcomeFrame::default() };
-        hub.fates.settle(&coming.origin, coming.number, Fate::Denied { cool_down: 0 });
+        hub.fates.settle(&coming.origin, coming.number, Fate::Rejected { cool_down: 0 });
         hub.say(coming.gate, Some(coming.link), Said::Outcome(frame, Vec::new()));
     }
 
@@ -82,7 +82,7 @@
         match hub.coming.remove(&token) {
             Some(coming) if well => self.guest_goes_on(coming),
             // Nothing of it has begun: that may be said whatever the disk holds.
-            Some(coming) => self.refuse_guest(&coming, OutcomeKind::Denied),
+            Some(coming) => self.refuse_guest(&coming, OutcomeKind::Rejected),
             None => {}
         }
     }
@@ -100,7 +100,7 @@
         let open = comment.as_ref().is_some_and(|comment| self.open_ids.contains(&comment.id));
         let refused = match (&comment, class) {
             (Some(_), Some(_)) if circle => Some(OutcomeKind::NotHere),
-            (Some(_), Some(_)) if busy || open || ttl <= 0 => Some(OutcomeKind::Denied),
+            (Some(_), Some(_)) if busy || open || ttl <= 0 => Some(OutcomeKind::Rejected),
             (Some(_), Some(_)) => None,
             _ => Some(OutcomeKind::Wrong),
         };
--- a/crates/proxy/src/desk/hub/links.rs
+++ b/crates/proxy/src/desk/hub/links.rs
@@ -88,11 +88,11 @@
             Event::Request(request, statement) => self.guest_came(link, gate, request, statement),
             Event::Outcome(outcome, value) => {
                 let answer = match outcome.kind() {
-                    OutcomeKind::Honoured => FarAnswer::Honoured,
-                    OutcomeKind::Denied => FarAnswer::Denied { cool_down: micros(outcome.cool_down_us) },
+                    OutcomeKind::Served => FarAnswer::Served,
+                    OutcomeKind::Rejected => FarAnswer::Rejected { cool_down: micros(outcome.cool_down_us) },
                     OutcomeKind::NotHere => FarAnswer::NotHere { hint: hub.site(&outcome.hint) },
                     OutcomeKind::Wrong => FarAnswer::NeverTaken,
-                    OutcomeKind::BrokenOff | OutcomeKind::Unset => FarAnswer::BrokenOff,
+                    OutcomeKind::Failed | OutcomeKind::Unset => FarAnswer::Failed,
                 };
                 let brought = self.brought(outcome.number, value);
                 let Some(hub) = &mut self.hub else { return };
@@ -104,10 +104,10 @@
                 let kind = told.kind();
                 let fate = match kind {
                     FateKind::NeverTaken => Fate::NeverTaken,
-                    FateKind::Denied => Fate::Denied { cool_down: micros(told.cool_down_us) },
-                    FateKind::Honoured => Fate::Honoured(()),
+                    FateKind::Rejected => Fate::Rejected { cool_down: micros(told.cool_down_us) },
+                    FateKind::Served => Fate::Served(()),
                     FateKind::UnderWay => Fate::UnderWay,
-                    FateKind::BrokenOff => Fate::BrokenOff,
+                    FateKind::Failed => Fate::Failed,
                     FateKind::Unknown | FateKind::Unset => Fate::Unknown,
                 };
                 if kind == FateKind::UnderWay
@@ -126,12 +126,12 @@
                     let before = hub.coming.len();
                     hub.coming.retain(|_, coming| (coming.gate, coming.number) != (gate, number));
                     if hub.coming.len() < before {
-                        hub.fates.settle(&origin, number, Fate::Denied { cool_down: 0 });
+                        hub.fates.settle(&origin, number, Fate::Rejected { cool_down: 0 });
                     }
                     return;
                 };
                 // What the module has begun may run yet.
-                hub.fates.settle(&origin, number, Fate::BrokenOff);
+                hub.fates.settle(&origin, number, Fate::Failed);
                 let class = hub.trips.get(&handle).map_or(0, |trip| trip.class);
                 hub.sites.guest_over(now, gate, class, false);
                 self.trip_left(handle);
@@ -149,9 +149,9 @@
                 let (kind, cool_down, value) = match fate {
                     Fate::NeverTaken => (FateKind::NeverTaken, 0, Vec::new()),
                     Fate::UnderWay => (FateKind::UnderWay, 0, Vec::new()),
-                    Fate::Denied { cool_down } => (FateKind::Denied, cool_down, Vec::new()),
-                    Fate::Honoured(kept) => (FateKind::Honoured, 0, kept.bytes.to_vec()),
-                    Fate::BrokenOff => (FateKind::BrokenOff, 0, Vec::new()),
+                    Fate::Rejected { cool_down } => (FateKind::Rejected, cool_down, Vec::new()),
+                    Fate::Served(kept) => (FateKind::Served, 0, kept.bytes.to_vec()),
+                    Fate::Failed => (FateKind::Failed, 0, Vec::new()),
                     Fate::Unknown => (FateKind::Unknown, 0, Vec::new()),
                 };
                 for coming in hub
@@ -196,6 +196,6 @@
                 return Some((handle, self.without_room(trip.class)));
             }
         }
-        Some((handle, Answer::Honoured(Rows { pieces: vec![value], room })))
+        Some((handle, Answer::Served(Rows { pieces: vec![value], room })))
     }
 }
--- a/crates/proxy/src/desk/hub/trips.rs
+++ b/crates/proxy/src/desk/hub/trips.rs
@@ -58,14 +58,14 @@
         let now = self.context.clock.now();
         let Some(hub) = &mut self.hub else { return };
         let ended = match &answer {
-            Answer::Honoured(_) => HereEnded::Honoured,
-            Answer::Denied { cool_down } => HereEnded::Denied { cool_down: *cool_down },
-            Answer::BrokenOff | Answer::Wrong(_) => HereEnded::BrokenOff,
+            Answer::Served(_) => HereEnded::Served,
+            Answer::Rejected { cool_down } => HereEnded::Rejected { cool_down: *cool_down },
+            Answer::Failed | Answer::Wrong(_) => HereEnded::Failed,
         };
         if let Some(trip) = hub.trips.get_mut(&handle) {
             trip.here = None;
             let quoted = self.decoded.terms.classes[trip.class].quoted;
-            let in_time = ended == HereEnded::Honoured && now - trip.order.arrived <= quoted;
+            let in_time = ended == HereEnded::Served && now - trip.order.arrived <= quoted;
             let need = self.decoded.terms.classes[trip.class].need;
             let reads = matches!(need, Need::Loose | Need::Recent(_));
             hub.ended.all += 1;
@@ -179,14 +179,14 @@
                     let link = hub.crossed.remove(&number).map(|crossed| crossed.link);
                     hub.say(gate, link, Said::Cancel(number));
                 }
-                Step::Honour => {
+                Step::Serve => {
                     let answer = brought.take_if(|(of, _)| *of == handle).map(|(_, answer)| answer);
-                    self.finish(handle, answer.unwrap_or(Answer::BrokenOff), None);
+                    self.finish(handle, answer.unwrap_or(Answer::Failed), None);
                 }
-                Step::Deny { cool_down } => self.finish(handle, Answer::Denied { cool_down }, None),
-                Step::BreakOff => self.finish(handle, Answer::BrokenOff, None),
+                Step::Reject { cool_down } => self.finish(handle, Answer::Rejected { cool_down }, None),
+                Step::Fail => self.finish(handle, Answer::Failed, None),
                 Step::NotHere { hint } => {
-                    self.finish(handle, Answer::Denied { cool_down: 0 }, Some(hint));
+                    self.finish(handle, Answer::Rejected { cool_down: 0 }, Some(hint));
                 }
             }
         }
@@ -271,25 +271,25 @@
         let effectful = matches!(self.decoded.terms.classes[trip.class].effect, Effect::Effectful);
         let mut frame = OutcomeFrame { number: guest.number, ..OutcomeFrame::default() };
         let (kind, fate, value) = match answer {
-            Answer::Honoured(rows) => {
+            Answer::Served(rows) => {
                 let bytes = Rc::new(rows.pieces.concat());
                 let kept = Kept { bytes: bytes.clone(), _room: rows.room.map(Rc::new) };
-                (OutcomeKind::Honoured, Fate::Honoured(kept), bytes)
+                (OutcomeKind::Served, Fate::Served(kept), bytes)
             }
-            Answer::Denied { cool_down } => {
+            Answer::Rejected { cool_down } => {
                 frame.cool_down_us = cool_down.max(0) as u64;
-                let kind = if elsewhere.is_some() { OutcomeKind::NotHere } else { OutcomeKind::Denied };
-                (kind, Fate::Denied { cool_down }, Rc::default())
+                let kind = if elsewhere.is_some() { OutcomeKind::NotHere } else { OutcomeKind::Rejected };
+                (kind, Fate::Rejected { cool_down }, Rc::default())
             }
-            Answer::BrokenOff => (OutcomeKind::BrokenOff, Fate::BrokenOff, Rc::default()),
-            Answer::Wrong(_) => (OutcomeKind::Wrong, Fate::Denied { cool_down: 0 }, Rc::default()),
+            Answer::Failed => (OutcomeKind::Failed, Fate::Failed, Rc::default()),
+            Answer::Wrong(_) => (OutcomeKind::Wrong, Fate::Rejected { cool_down: 0 }, Rc::default()),
         };
-        let denied = kind == OutcomeKind::Denied;
+        let rejected = kind == OutcomeKind::Rejected;
         frame.kind = kind.into();
         frame.hint = elsewhere.flatten().map_or(String::new(), |site| hub.names[site].clone());
         frame.took_us = (self.context.clock.now() - trip.order.arrived).max(0) as u64;
         // Nobody asks about what may simply be sent again.
-        let fate = if effectful { fate } else { Fate::BrokenOff };
+        let fate = if effectful { fate } else { Fate::Failed };
         let kept = fate.as_ref().map(|kept| &kept.bytes[..]);
         let until = now + Micros::from(trip.order.comment.wait) * 1000 + SLACK;
         let book = hub.book.as_mut().filter(|_| effectful);
@@ -306,7 +306,7 @@
                 None => drop(hub.say(guest.gate, Some(guest.link), Said::Outcome(frame, value))),
             }
         }
-        if hub.sites.guest_over(now, guest.gate, trip.class, denied) {
+        if hub.sites.guest_over(now, guest.gate, trip.class, rejected) {
             hub.tell_room(Some(guest.gate));
         }
     }
--- a/crates/proxy/src/desk/sight.rs
+++ b/crates/proxy/src/desk/sight.rs
@@ -59,7 +59,7 @@
     fn ended(&mut self, now: Micros, handle: Handle, verdict: Verdict, took: Micros) {
         let Some(Out { group, zone, quoted, write, key }) = self.out.remove(&handle) else { return };
         if let Some(keys) = &mut self.keys
-            && verdict == Verdict::Honoured
+            && verdict == Verdict::Served
             && !key.is_empty()
             && (keys.len() < GROUPS || keys.contains_key(&group))
         {
@@ -73,7 +73,7 @@
             return;
         }
         let end = match verdict {
-            Verdict::Honoured => End::Served { in_time: took <= quoted },
+            Verdict::Served => End::Served { in_time: took <= quoted },
             Verdict::Full => End::Refused,
             Verdict::Error | Verdict::Spoilt => End::Error,
             Verdict::TimedOut
--- a/crates/proxy/src/desk/steps.rs
+++ b/crates/proxy/src/desk/steps.rs
@@ -13,7 +13,8 @@
 const CLOSED_FOR_ROOM: usize = 3;
 
 impl Desk {
-    /// Its member answered, but there is no room for that: what is pure may be denied, anything else did run.
+    /// Its member answered, but there is no room for that: what is pure may be rejected, anything else did
+    /// run.
     pub(super) fn deny_for_room(&mut self, handle: Handle) {
         let Some(open) = self.open.get(&handle) else { return };
         let Ok(class) = self.decoded.class(&open.order.comment.class) else { return };
@@ -26,9 +27,9 @@
         let terms = &self.decoded.terms;
         match terms.classes[class].effect {
             Effect::Pure => {
-                Answer::Denied { cool_down: self.context.gate.come_back().min(terms.max_cool_down) }
+                Answer::Rejected { cool_down: self.context.gate.come_back().min(terms.max_cool_down) }
             }
-            _ => Answer::BrokenOff,
+            _ => Answer::Failed,
         }
     }
 
@@ -50,8 +51,8 @@
                 Step::Launch { member, limit, afresh, validity } => {
                     self.send_attempt(handle, member, limit, afresh, validity)
                 }
-                Step::Deny { cool_down } => self.answer(handle, Answer::Denied { cool_down }),
-                Step::BreakOff => self.answer(handle, Answer::BrokenOff),
+                Step::Reject { cool_down } => self.answer(handle, Answer::Rejected { cool_down }),
+                Step::Fail => self.answer(handle, Answer::Failed),
             }
             self.release(handle);
         }
--- a/crates/proxy/src/member.rs
+++ b/crates/proxy/src/member.rs
@@ -309,8 +309,8 @@
                 let told = self.told(&exchange, exchange.usage.as_deref(), age);
                 let took = self.context.lived.since(sent);
                 let gave = match verdict {
-                    Verdict::Honoured if crowded_out => Gave::MoreThanFits,
-                    Verdict::Honoured => Gave::Rows(Rows { pieces: exchange.rows, room }),
+                    Verdict::Served if crowded_out => Gave::MoreThanFits,
+                    Verdict::Served => Gave::Rows(Rows { pieces: exchange.rows, room }),
                     _ => Gave::Nothing,
                 };
                 let replica_words = Some((self.id, replica_words));
--- a/crates/proxy/src/member/visit.rs
+++ b/crates/proxy/src/member/visit.rs
@@ -87,7 +87,7 @@
         }
         let ended_by = self.take_in(connection).await;
         match self.exchange.error.as_deref() {
-            _ if self.exchange.is_served() => Verdict::Honoured,
+            _ if self.exchange.is_served() => Verdict::Served,
             Some("25006" | "72000") => Verdict::Miss,
             Some("53300") => Verdict::Full,
             Some(_) => Verdict::Error,
@@ -143,7 +143,7 @@
                 if room.is_none() {
                     // It did its part, and its place is wanted for others: the rest is not taken in.
                     *crowded_out = true;
-                    return Verdict::Honoured;
+                    return Verdict::Served;
                 }
                 connection.buffer.expect(claimed + 1);
             }
--- a/crates/proxy/src/trial.rs
+++ b/crates/proxy/src/trial.rs
@@ -18,8 +18,8 @@
 pub enum Fate {
     Held,
     Launched,
-    Denied,
-    BrokenOff,
+    Rejected,
+    Failed,
 }
 
 /// In what the other settings would have decided otherwise.
@@ -40,8 +40,8 @@
         let word = |fate: &Fate| match fate {
             Fate::Held => "held",
             Fate::Launched => "launched",
-            Fate::Denied => "denied",
-            Fate::BrokenOff => "broken_off",
+            Fate::Rejected => "denied",
+            Fate::Failed => "broken_off",
         };
         match self {
             Kind::Fate(was, would) => write!(f, "{}_not_{}", word(would), word(was)),
@@ -127,7 +127,7 @@
                     let kind = if member != other { Kind::Member } else { Kind::Limit };
                     (member != other || limit != within).then_some(kind)
                 }
-                (Some(Step::Deny { cool_down }), Some(Step::Deny { cool_down: other })) => {
+                (Some(Step::Reject { cool_down }), Some(Step::Reject { cool_down: other })) => {
                     (cool_down != other).then_some(Kind::CoolDown)
                 }
                 (was, would) => {
@@ -172,7 +172,7 @@
     match step {
         None => Fate::Held,
         Some(Step::Launch { .. }) => Fate::Launched,
-        Some(Step::Deny { .. }) => Fate::Denied,
-        Some(Step::BreakOff) => Fate::BrokenOff,
+        Some(Step::Reject { .. }) => Fate::Rejected,
+        Some(Step::Fail) => Fate::Failed,
     }
 }
--- a/crates/proxy/src/words.rs
+++ b/crates/proxy/src/words.rs
@@ -138,7 +138,7 @@
 /// What a launch brought.
 pub enum Gave {
     Nothing,
-    /// Where it was honoured: the messages that carry the value.
+    /// Where it was served: the messages that carry the value.
     Rows(Rows),
     /// It began an answer that nobody has room for, on the client's side: no fault of the member's.
     MoreThanFits,
@@ -159,11 +159,11 @@
 }
 
 pub enum Answer {
-    Honoured(Rows),
-    Denied {
+    Served(Rows),
+    Rejected {
         cool_down: Micros,
     },
-    BrokenOff,
+    Failed,
     /// Not taken: the statement names what is not there.
     Wrong(&'static str),
 }
--- a/crates/proxy/tests/departure.rs
+++ b/crates/proxy/tests/departure.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use aldermill_test_support::{
-    Client, Discovery, Driver, Hold, Member, closed, config, honour, honoured, list, look, named, order,
-    refuse, until,
+    Client, Discovery, Driver, Hold, Member, closed, config, list, look, named, order, refuse, serve, served,
+    until,
 };
 
 /// A member whose new connections wait at `hold` before they are welcomed.
@@ -42,7 +42,7 @@
 fn an_attempt_whose_client_left_while_its_connection_came_up_is_not_sent() {
     for statement in [look(15000), order(15000)] {
         let hold = Hold::default();
-        let member = late(&hold, |text, stream| honour(text, "writer", stream));
+        let member = late(&hold, |text, stream| serve(text, "writer", stream));
         let driver = before(&member, |config| config);
         let mut other = Client::connect(driver.address);
         hold.close();
@@ -52,7 +52,7 @@
         closed(client.stream);
         settle(&mut other);
         hold.open();
-        assert!(honoured(&other.ask(&look(15000))));
+        assert!(served(&other.ask(&look(15000))));
         settle(&mut other);
         assert!(
             member.requests().iter().all(|request| !request.contains("id=left")),
@@ -68,7 +68,7 @@
     let seen = hold.clone();
     let member = Member::start(move |text, stream| {
         seen.pass();
-        honour(text, "writer", stream);
+        serve(text, "writer", stream);
     });
     let driver = before(&member, |config| config);
     let mut other = Client::connect(driver.address);
@@ -89,7 +89,7 @@
     until("the leaving to be seen", || !waits(&mut other, 63));
     let sent = member.requests().len();
     hold.open();
-    assert!(honoured(&other.ask(&look(15000))));
+    assert!(served(&other.ask(&look(15000))));
     settle(&mut other);
     assert_eq!(member.requests().len(), sent + 1, "what waited was sent on for nobody");
 }
@@ -97,7 +97,7 @@
 #[test]
 fn a_member_is_told_no_more_time_than_the_client_has_left_when_its_connection_is_there() {
     let hold = Hold::default();
-    let member = late(&hold, |text, stream| honour(text, "writer", stream));
+    let member = late(&hold, |text, stream| serve(text, "writer", stream));
     let driver = before(&member, |config| config);
     let mut client = Client::connect(driver.address);
     hold.close();
@@ -106,7 +106,7 @@
     hold.reached();
     thread::sleep(held);
     hold.open();
-    assert!(honoured(&client.answer().unwrap()));
+    assert!(served(&client.answer().unwrap()));
     let request = member.requests().pop().unwrap();
     let told: u128 = request.split(",d=").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
     assert!(told <= 5000 - held.as_millis() + 1, "told {told} ms");
@@ -115,8 +115,8 @@
 #[test]
 fn an_attempt_does_not_follow_a_connection_to_where_its_member_was() {
     let hold = Hold::default();
-    let before = late(&hold, |text, stream| honour(text, "writer", stream));
-    let now = Member::start(|text, stream| honour(text, "writer", stream));
+    let before = late(&hold, |text, stream| serve(text, "writer", stream));
+    let now = Member::start(|text, stream| serve(text, "writer", stream));
     let discovery = Discovery::default();
     let known = list(1, true, &[("a", &before, "in_service")]);
     discovery.say(known.clone());
@@ -129,7 +129,7 @@
     discovery.say(list(2, false, &[("a", &now, "in_service")]));
     until("the move", || driver.logged("revision: 2"));
     hold.open();
-    assert!(honoured(&client.answer().unwrap()), "where its member is now");
+    assert!(served(&client.answer().unwrap()), "where its member is now");
     assert!(before.requests().is_empty(), "{:?}", before.requests());
 }
 
--- a/crates/proxy/tests/fresh.rs
+++ b/crates/proxy/tests/fresh.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use aldermill_test_support::{
-    Client, Discovery, Driver, Member, config, honour, honoured, list, look, order, unix_millis,
+    Client, Discovery, Driver, Member, config, list, look, order, serve, served, unix_millis,
 };
 use aldermill_wire::pg;
 
@@ -61,15 +61,15 @@
         let _ = stream.write_all(&lagging(text, position(now)));
     };
     let replica = Member::at(TcpListener::bind("127.0.0.1:0").unwrap(), bears, act);
-    let primary = Member::start(|text, stream| honour(text, "writer", stream));
+    let primary = Member::start(|text, stream| serve(text, "writer", stream));
     let discovery = Discovery::default();
     let known = list(1, true, &[("a", &replica, "in_service"), ("b", &primary, "in_service")]);
     let driver = Driver::of(&bounded(&discovery, &known));
     let mut client = Client::connect(driver.address);
-    assert!(honoured(&client.ask(&look(15000))));
+    assert!(served(&client.ask(&look(15000))));
     seen_slow.store(true, Ordering::SeqCst);
     for _ in 0..40 {
-        assert!(honoured(&client.ask(&look(15000))));
+        assert!(served(&client.ask(&look(15000))));
         thread::sleep(Duration::from_millis(23));
     }
     assert!(reads.load(Ordering::SeqCst) > 0, "the replica is read at all");
@@ -82,7 +82,7 @@
     let member = Member::start(|text, stream| {
         use std::io::Write;
         if text.contains("c=order") {
-            return honour(text, "writer", stream);
+            return serve(text, "writer", stream);
         }
         let whole = lagging(text, unix_millis() - 5000);
         let mut ready = Vec::new();
@@ -93,10 +93,10 @@
     let known = list(1, true, &[("a", &member, "in_service")]);
     let driver = Driver::of(&bounded(&discovery, &known).replace(r#""probes":true"#, r#""probes":false"#));
     let mut client = Client::connect(driver.address);
-    assert!(honoured(&client.ask(&order(15000))));
+    assert!(served(&client.ask(&order(15000))));
     // From here on its position proves nothing, its role alone does.
     thread::sleep(Duration::from_millis(350));
-    assert!(honoured(&client.ask(&look(15000))), "its value came whole");
+    assert!(served(&client.ask(&look(15000))), "its value came whole");
     assert_eq!(client.ask(&look(2000)).code, "53300", "no member is known to be fresh enough");
     assert_eq!(member.requests().len(), 2);
 }
--- a/crates/proxy/tests/gateway.rs
+++ b/crates/proxy/tests/gateway.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use aldermill_test_support::{
-    BACK, Cable, Client, Driver, Ledger, Said, Site, THERE, config, file, honoured, look, named, new_id,
-    order, program, until,
+    BACK, Cable, Client, Driver, Ledger, Said, Site, THERE, config, file, look, named, new_id, order,
+    program, served, until,
 };
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
@@ -24,7 +24,7 @@
     far.start(&[(0, None)]);
     near.start(&[(1, Some(cable.address))]);
     until("a link", || near.driver().logged("link up"));
-    until("a write crosses", || honoured(&near.client().ask(&order(3000))));
+    until("a write crosses", || served(&near.client().ask(&order(3000))));
     (near, far, cable, ledger)
 }
 
@@ -34,14 +34,14 @@
     let said = client.offer(&named(&order(wait), &id)).then(|| client.answer()).flatten();
     let runs = ledger.runs(&id);
     if let Some(said) = &said {
-        assert!(said.code != "53300" || runs == 0, "denied, and it ran");
-        assert!(said.value.is_none() || runs == 1, "honoured, and ran {runs} times");
+        assert!(said.code != "53300" || runs == 0, "rejected, and it ran");
+        assert!(said.value.is_none() || runs == 1, "served, and ran {runs} times");
     }
     (said, runs)
 }
 
 fn code(said: &Option<Said>) -> &str {
-    said.as_ref().map_or("none", |said| if said.value.is_some() { "honoured" } else { said.code.as_str() })
+    said.as_ref().map_or("none", |said| if said.value.is_some() { "served" } else { said.code.as_str() })
 }
 
 #[test]
@@ -49,7 +49,7 @@
     let (near, far, cable, ledger) = pair(1);
     let mut client = near.client();
     let before = (near.members[0].requests().len(), far.members[0].requests().len());
-    assert!((0..20).all(|_| honoured(&client.ask(&order(3000))) && honoured(&client.ask(&look(3000)))));
+    assert!((0..20).all(|_| served(&client.ask(&order(3000))) && served(&client.ask(&look(3000)))));
     let looks = |site: &Site| {
         site.members
             .iter()
@@ -64,7 +64,7 @@
     assert!(ledger.doubles().is_empty() && cable.carried()[THERE] > 0);
     // Values larger than a frame cross whole, both ways.
     let large = order(5000).replace("9f", &"9f".repeat(50_000));
-    assert!(honoured(&client.ask(&large)));
+    assert!(served(&client.ask(&large)));
     let said = Command::new(program()).arg("sites").arg(near.status()).output().unwrap();
     let said = String::from_utf8(said.stdout).unwrap();
     assert!(said.contains("\"home\": \"site1\"") && said.contains("\"links\": 2"), "{said}");
@@ -74,7 +74,7 @@
 fn a_site_without_members_of_a_group_sends_everything_across() {
     let (near, _far, _cable, _) = pair(0);
     let mut client = near.client();
-    assert!((0..10).all(|_| honoured(&client.ask(&order(3000))) && honoured(&client.ask(&look(3000)))));
+    assert!((0..10).all(|_| served(&client.ask(&order(3000))) && served(&client.ask(&look(3000)))));
 }
 
 #[test]
@@ -92,7 +92,7 @@
     println!("{counted:?}");
     assert!(ledger.doubles().is_empty(), "{:?}", ledger.doubles());
     // The book tells what became of most: a cut alone is no reason to break off.
-    assert!(counted["honoured"] >= 20, "{counted:?}");
+    assert!(counted["served"] >= 20, "{counted:?}");
     assert!(cable.cuts() >= 16, "{}", cable.cuts());
 }
 
@@ -119,7 +119,7 @@
                 while start.elapsed() < MS(3500) {
                     let (said, _) = write(&mut client, &ledger, 3000);
                     counted.0 += 1;
-                    counted.1 += usize::from(code(&said) == "honoured");
+                    counted.1 += usize::from(code(&said) == "served");
                     thread::sleep(MS(5));
                 }
                 counted
@@ -145,7 +145,7 @@
         // Then all at once: frames of links that are long given up.
         cable.hold(way, false);
         thread::sleep(MS(300));
-        until("it is served again", || code(&write(&mut client, &ledger, 2500).0) == "honoured");
+        until("it is served again", || code(&write(&mut client, &ledger, 2500).0) == "served");
     }
     assert!(ledger.doubles().is_empty());
     assert!(near.driver().logged("link down"));
@@ -170,12 +170,12 @@
     }
     // As soon as the new start has greeted, not at the time limit.
     assert!(start.elapsed() < MS(4500), "{:?}", start.elapsed());
-    until("it is served again", || code(&write(&mut clients[0], &ledger, 3000).0) == "honoured");
+    until("it is served again", || code(&write(&mut clients[0], &ledger, 3000).0) == "served");
     assert!(ledger.doubles().is_empty());
 }
 
 #[test]
-fn a_far_denial_comes_through_at_once_with_its_wait() {
+fn a_far_rejection_comes_through_at_once_with_its_wait() {
     let (near, _far, _cable, ledger) = pair(1);
     ledger.full.store(1, Ordering::SeqCst);
     let mut client = near.client();
@@ -185,7 +185,7 @@
     assert!(said.unwrap().detail.parse::<u32>().is_ok_and(|millis| millis <= 500));
     assert!(start.elapsed() < MS(6000), "{:?}", start.elapsed());
     ledger.full.store(0, Ordering::SeqCst);
-    until("it is served again", || code(&write(&mut client, &ledger, 3000).0) == "honoured");
+    until("it is served again", || code(&write(&mut client, &ledger, 3000).0) == "served");
 }
 
 #[test]
@@ -200,14 +200,14 @@
     ledger.work.store(0, Ordering::SeqCst);
     cable.delay(MS(150));
     let mut client = near.client();
-    until("the round trip is known", || code(&write(&mut client, &ledger, 5000).0) == "honoured");
+    until("the round trip is known", || code(&write(&mut client, &ledger, 5000).0) == "served");
     thread::sleep(MS(1500));
     let (mut client, ran) = (near.client(), ledger.len());
     let start = Instant::now();
     let (said, runs) = write(&mut client, &ledger, 200);
     assert_eq!((code(&said), runs, ledger.len()), ("53300", 0, ran));
     assert!(start.elapsed() < MS(150), "{:?}", start.elapsed());
-    assert_eq!(code(&write(&mut client, &ledger, 3000).0), "honoured");
+    assert_eq!(code(&write(&mut client, &ledger, 3000).0), "served");
     assert!(ledger.doubles().is_empty());
 }
 
@@ -220,10 +220,10 @@
     clients.iter_mut().zip(&ids).for_each(|(client, id)| client.send(&named(&order(4000), id)));
     until("all run", || ids.iter().all(|id| ledger.runs(id) == 1));
     far.driver().signal("-TERM");
-    assert!(clients.iter_mut().all(|client| honoured(&client.answer().unwrap())));
+    assert!(clients.iter_mut().all(|client| served(&client.answer().unwrap())));
     let mut driver = far.driver.take().unwrap();
     assert!(driver.child.wait().unwrap().success());
-    // With nobody there a write is denied in its time, and never ran.
+    // With nobody there a write is rejected in its time, and never ran.
     let (said, runs) = write(&mut clients[0], &ledger, 1200);
     assert_eq!((code(&said), runs), ("53300", 0));
 }
@@ -247,7 +247,7 @@
     let stranger = Driver::with("127.0.0.1:0".parse().unwrap(), &whole, Some(&liar));
     until("a stranger is refused", || far.driver().logged("none of this gateway's peers"));
     until("it hears why", || stranger.logged("none of this gateway's peers"));
-    assert_eq!(code(&write(&mut near.client(), &ledger, 3000).0), "honoured");
+    assert_eq!(code(&write(&mut near.client(), &ledger, 3000).0), "served");
     // A configuration that cannot be meant.
     let wrong = file("operator", r#"{"gateway":{"site":"a","peers":[{"site":"a","networks":["::1/128"]}]}}"#);
     let path = file("config", &whole);
@@ -277,15 +277,15 @@
     };
     restart(&mut far);
     cable.cut(false);
-    until("a write crosses again", || honoured(&near.client().ask(&order(3000))));
+    until("a write crosses again", || served(&near.client().ask(&order(3000))));
     cable.hold(BACK, true);
     let (id, mut client) = (new_id(), near.client());
     client.send(&named(&order(20_000), &id));
     until("it ran", || ledger.runs(&id) == 1);
     if warm {
         let dump = || Command::new(program()).args(["store", "dump"]).arg(&folder).output().unwrap().stdout;
-        let honoured = || String::from_utf8_lossy(&dump()).matches("\"space\":6,\"value\":\"H").count();
-        until("its outcome is kept", || honoured() >= 2);
+        let served = || String::from_utf8_lossy(&dump()).matches("\"space\":6,\"value\":\"H").count();
+        until("its outcome is kept", || served() >= 2);
     }
     restart(&mut far);
     cable.cut(false);
@@ -298,6 +298,6 @@
 
 #[test]
 fn a_gateway_that_starts_again_answers_for_its_earlier_start_where_its_book_was_kept() {
-    assert!(honoured(&outcome_over_a_restart(true)));
+    assert!(served(&outcome_over_a_restart(true)));
     assert_eq!(outcome_over_a_restart(false).code, "40003", "without it nobody knows");
 }
--- a/crates/proxy/tests/idle_members.rs
+++ b/crates/proxy/tests/idle_members.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use aldermill_test_support::{Client, Driver, Member, Said, honour, honoured, look, order, refuse};
+use aldermill_test_support::{Client, Driver, Member, Said, look, order, refuse, serve, served};
 use socket2::SockRef;
 
 /// How long a connection may rest at these members.
@@ -51,7 +51,7 @@
         *last = Instant::now();
         let uses = uses.clone();
         drop(known);
-        honour(text, "writer", stream);
+        serve(text, "writer", stream);
         if end != End::Forgotten {
             end_unless_used(stream, end, &uses);
         }
@@ -85,10 +85,10 @@
     let driver = Driver::before(&[("a", &member)]);
     for (statement, code) in [(look as fn(u32) -> String, "53300"), (order, "40003")] {
         let all = cross(&driver, statement);
-        let other = all.iter().find(|said| !honoured(said) && said.code != code);
+        let other = all.iter().find(|said| !served(said) && said.code != code);
         assert!(other.is_none(), "{end:?}: {other:?}");
-        let served = all.iter().filter(|said| honoured(said)).count();
-        assert!(served * 10 >= all.len() * 9, "{end:?}: {served} of {}", all.len());
+        let served_count = all.iter().filter(|said| served(said)).count();
+        assert!(served_count * 10 >= all.len() * 9, "{end:?}: {served_count} of {}", all.len());
     }
     let ran: Vec<String> =
         member.requests().into_iter().filter(|request| request.contains("INSERT")).collect();
@@ -110,10 +110,10 @@
     let member = resting(End::Forgotten);
     let driver = Driver::before(&[("a", &member)]);
     let reads = cross(&driver, look);
-    let served = reads.iter().filter(|said| honoured(said)).count();
+    let served_count = reads.iter().filter(|said| served(said)).count();
     // A read that meets silence waits for it to the end of its time: connections end around the clients' pauses here.
-    assert!(served * 4 >= reads.len() * 3, "{served} of {}", reads.len());
-    assert!(reads.iter().all(|said| honoured(said) || said.code == "53300"), "each has its answer");
+    assert!(served_count * 4 >= reads.len() * 3, "{served_count} of {}", reads.len());
+    assert!(reads.iter().all(|said| served(said) || said.code == "53300"), "each has its answer");
 }
 
 #[test]
@@ -124,7 +124,7 @@
     let closes: Act = |stream| stream.shutdown(Shutdown::Both).unwrap();
     for (name, act) in [("full", full), ("fails", fails), ("closes", closes)] {
         let answers = move |text: &str, stream: &mut TcpStream| {
-            if text.starts_with("/*") { act(stream) } else { honour(text, "writer", stream) }
+            if text.starts_with("/*") { act(stream) } else { serve(text, "writer", stream) }
         };
         for statement in [look, order] {
             let members: Vec<Member> = (0..3).map(|_| Member::start(answers)).collect();
--- a/crates/proxy/tests/list.rs
+++ b/crates/proxy/tests/list.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use aldermill_test_support::{Client, Discovery, Driver, config, honoured, list, look, sound, until};
+use aldermill_test_support::{Client, Discovery, Driver, config, list, look, served, sound, until};
 
 #[test]
 fn the_list_is_followed_through_changes_nonsense_and_silence() {
@@ -17,7 +17,7 @@
     let driver = Driver::start(&discovery, 256, &list(1, true, &[("a", &old, "in_service")]));
     let mut client = Client::connect(driver.address);
     assert!(client.ask("").empty);
-    assert!(honoured(&client.ask(&look(15000))));
+    assert!(served(&client.ask(&look(15000))));
     // A silent watch is opened again, from the revision held.
     until("another watch", || discovery.requests.lock().unwrap().len() >= 2);
     let mut client = Client::connect(driver.address);
@@ -25,13 +25,13 @@
     discovery.say(list(2, false, &[("a", &old, "terminating"), ("b", &new, "in_service")]));
     discovery.mute.store(false, Ordering::SeqCst);
     until("a task at the new member", || {
-        assert!(honoured(&client.ask(&look(15000))));
+        assert!(served(&client.ask(&look(15000))));
         !new.requests().is_empty()
     });
     // Once told of the drain, nothing more goes there.
     let before = old.requests().len();
     for _ in 0..5 {
-        assert!(honoured(&client.ask(&look(15000))));
+        assert!(served(&client.ask(&look(15000))));
     }
     assert_eq!(old.requests().len(), before);
     // Nonsense is logged and the list asked for anew, whole.
@@ -43,7 +43,7 @@
     discovery.lines.lock().unwrap().clear();
     discovery.say(list(4, true, &[("b", &newer, "in_service")]));
     until("a task at the new address", || {
-        assert!(honoured(&client.ask(&look(15000))));
+        assert!(served(&client.ask(&look(15000))));
         !newer.requests().is_empty()
     });
     let requests = discovery.requests.lock().unwrap();
@@ -65,7 +65,7 @@
     until("the list", || driver.logged("revision: 2"));
     assert!(!driver.logged("list lost"));
     let mut client = Client::connect(driver.address);
-    assert!(honoured(&client.ask(&look(15000))));
+    assert!(served(&client.ask(&look(15000))));
     // Half of one, and what comes between lists: the other half is not waited for.
     let watches = discovery.requests.lock().unwrap().len();
     discovery.say("{\"revision\":3,\n\"complete\":false,".to_owned());
@@ -175,7 +175,7 @@
     let _ = watch.write_all(format!("{head}{:x}\r\n{told}\n\r\n", told.len() + 1).as_bytes());
     until("the list", || driver.logged("revision: 2"));
     let mut client = Client::connect(driver.address);
-    assert!(honoured(&client.ask(&look(15000))));
+    assert!(served(&client.ask(&look(15000))));
     assert!(!new.requests().is_empty(), "a new connection to a member");
     driver.signal("-HUP");
     until("the file", || driver.logged("configuration read anew"));
--- a/crates/proxy/tests/little_time.rs
+++ b/crates/proxy/tests/little_time.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use aldermill_test_support::{Client, Driver, Member, honour, honoured, look, order, sound};
+use aldermill_test_support::{Client, Driver, Member, look, order, serve, served, sound};
 
 /// What a final answer may be late by and still count, less the delays of a busy machine.
 const LATE: Duration = Duration::from_millis(400);
@@ -16,7 +16,7 @@
 
 /// Asks for 5 to 50 ms, over and over; says how many were served.
 fn hurry(client: &mut Client) -> usize {
-    let mut served = 0;
+    let mut served_count = 0;
     for wait in (1..=50).chain((5..=50).rev()) {
         for statement in [look(wait), order(wait)] {
             let sent = Instant::now();
@@ -24,26 +24,26 @@
             let said = client.answer().expect("its one answer");
             let limit = Duration::from_millis(wait.into()) + LATE;
             assert!(sent.elapsed() < limit, "{wait} ms: {:?}, {said:?}", sent.elapsed());
-            assert!(honoured(&said) || ["53300", "40003"].contains(&said.code.as_str()), "{said:?}");
-            served += usize::from(honoured(&said));
+            assert!(served(&said) || ["53300", "40003"].contains(&said.code.as_str()), "{said:?}");
+            served_count += usize::from(served(&said));
         }
     }
-    served
+    served_count
 }
 
 #[test]
 fn requests_with_little_time_left_are_answered_in_it_and_never_sent_with_none() {
-    let member = Member::start(|text, stream| honour(text, "writer", stream));
+    let member = Member::start(|text, stream| serve(text, "writer", stream));
     let driver = Driver::before(&[("a", &member)]);
     let mut client = Client::connect(driver.address);
     // By then it is known how quick the member is.
     for _ in 0..60 {
-        assert!(honoured(&client.ask(&look(5000))) && honoured(&client.ask(&order(5000))));
+        assert!(served(&client.ask(&look(5000))) && served(&client.ask(&order(5000))));
     }
     let before = member.requests().len();
-    let served = hurry(&mut client);
+    let served_count = hurry(&mut client);
     let sent = &member.requests()[before..];
-    assert!(served > 0 && sent.len() >= served, "{served} served of {} sent", sent.len());
+    assert!(served_count > 0 && sent.len() >= served_count, "{served_count} served of {} sent", sent.len());
     assert!(sent.iter().all(|request| (1..=50).contains(&told(request))), "{sent:?}");
 }
 
@@ -54,7 +54,7 @@
     let mut client = Client::connect(driver.address);
     let reserve = 10;
     for _ in 0..20 {
-        assert!(honoured(&client.ask(&look(5000))) && honoured(&client.ask(&order(5000))));
+        assert!(served(&client.ask(&look(5000))) && served(&client.ask(&order(5000))));
     }
     assert!(
         member.requests().iter().all(|request| told(request) <= 5000 - reserve),
@@ -67,20 +67,20 @@
 fn a_member_that_drops_hurried_requests_without_a_word_serves_the_others() {
     let member = Member::start(|text, stream| {
         if !text.starts_with("/*") || told(text) > 50 {
-            honour(text, "writer", stream);
+            serve(text, "writer", stream);
         }
     });
     let driver = Driver::before(&[("a", &member)]);
     let mut client = Client::connect(driver.address);
     for _ in 0..60 {
-        assert!(honoured(&client.ask(&look(5000))) && honoured(&client.ask(&order(5000))));
+        assert!(served(&client.ask(&look(5000))) && served(&client.ask(&order(5000))));
     }
     assert_eq!(hurry(&mut client), 0);
     for _ in 0..10 {
         for statement in [look(5000), order(5000)] {
             let start = Instant::now();
             let said = client.ask(&statement);
-            assert!(honoured(&said), "{said:?} after {:?}", start.elapsed());
+            assert!(served(&said), "{said:?} after {:?}", start.elapsed());
             assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
         }
     }
--- a/crates/proxy/tests/local_failures.rs
+++ b/crates/proxy/tests/local_failures.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use aldermill_test_support::{
-    Client, Discovery, Driver, Faults, Member, config, honour, honoured, list, look, order, paced, refuse,
+    Client, Discovery, Driver, Faults, Member, config, list, look, order, paced, refuse, serve, served,
 };
 
 /// A client's whole time for a request, in milliseconds.
@@ -36,7 +36,7 @@
         if role == "reader" && text.contains("INSERT") {
             refuse("25006", role, stream);
         } else {
-            honour(text, role, stream);
+            serve(text, role, stream);
         }
         let peer = stream.peer_addr().ok();
         let age = since.lock().unwrap().entry(peer).or_insert_with(Instant::now).elapsed();
@@ -79,8 +79,8 @@
             let said = held.offer(&statement).then(|| held.answer()).flatten();
             if due >= from && due < to + Duration::from_secs(1) {
                 asked.fetch_add(1, Ordering::SeqCst);
-                let served = said.as_ref().is_some_and(honoured);
-                lost.fetch_add(usize::from(!served), Ordering::SeqCst);
+                let served_count = said.as_ref().is_some_and(served);
+                lost.fetch_add(usize::from(!served_count), Ordering::SeqCst);
             }
             *client = said.map(|_| held);
         });
--- a/crates/proxy/tests/members.rs
+++ b/crates/proxy/tests/members.rs
@@ -7,9 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use aldermill_test_support::{
-    Client, Driver, LONG, Member, honour, honoured, look, named, order, sound, until,
-};
+use aldermill_test_support::{Client, Driver, LONG, Member, look, named, order, serve, served, sound, until};
 use aldermill_wire::pg;
 
 #[test]
@@ -19,7 +17,7 @@
     let driver = Driver::before(&[("a", &broken), ("b", &primary)]);
     let mut client = Client::connect(driver.address);
     for _ in 0..10 {
-        assert!(honoured(&client.ask(&look(15000))));
+        assert!(served(&client.ask(&look(15000))));
     }
     until("the line on that member", || driver.logged("answers nothing that can be used"));
     let lines = driver
@@ -50,11 +48,11 @@
     let member = Member::start(|text, stream| match text {
         text if text.contains("id=slow") => {
             thread::sleep(Duration::from_millis(300));
-            honour(text, "writer", stream);
+            serve(text, "writer", stream);
         }
         text if text.contains("id=cut") => stream.shutdown(std::net::Shutdown::Both).unwrap(),
         text if text.contains("id=noise") => stream.write_all(b"?\0\0what is this").unwrap(),
-        text => honour(text, "writer", stream),
+        text => serve(text, "writer", stream),
     });
     let driver = Driver::before(&[("a", &member)]);
     let mut clients: Vec<Client> = (0..4).map(|_| Client::connect(driver.address)).collect();
@@ -63,10 +61,10 @@
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&named(&order(15000), &format!("slow{number}")));
     }
-    assert!(clients.iter_mut().all(|client| honoured(&client.answer().unwrap())));
+    assert!(clients.iter_mut().all(|client| served(&client.answer().unwrap())));
     for bad in ["cut", "noise"] {
         assert_eq!(clients[0].ask(&named(&order(15000), bad)).code, "40003");
-        assert!(honoured(&clients[0].ask(&order(15000))));
+        assert!(served(&clients[0].ask(&order(15000))));
     }
     assert!(!driver.logged("member lost"), "the member stood all the while");
 }
@@ -78,7 +76,7 @@
     // Two of three connections break at their opening.
     let bears = move |_: &[u8], welcomed: bool| welcomed || count.fetch_add(1, Ordering::SeqCst) % 3 == 2;
     let act = |text: &str, stream: &mut TcpStream| {
-        honour(text, "writer", stream);
+        serve(text, "writer", stream);
         stream.shutdown(std::net::Shutdown::Both).unwrap();
     };
     let member = Member::at(TcpListener::bind("127.0.0.1:0").unwrap(), bears, act);
@@ -86,7 +84,7 @@
     let mut client = Client::connect(driver.address);
     for _ in 0..10 {
         let said = client.ask(&order(15000));
-        assert!(honoured(&said), "{said:?}");
+        assert!(served(&said), "{said:?}");
     }
     assert!(opened.load(Ordering::SeqCst) >= 30 && !driver.logged("member lost"));
 }
@@ -96,7 +94,7 @@
     let member = sound("writer");
     let driver = Driver::before(&[("a", &member)]);
     let mut client = Client::connect(driver.address);
-    assert!(honoured(&client.ask(&look(15000))));
+    assert!(served(&client.ask(&look(15000))));
     assert!(client.ended(), "idle for long");
     // It is gone as a whole, so that a statement written now is known not to be taken.
     client.send(&look(15000));
@@ -106,7 +104,7 @@
 #[test]
 fn what_comes_behind_an_answer_is_never_taken_for_the_next_one() {
     let member = Member::start(move |text, stream| {
-        honour(text, "writer", stream);
+        serve(text, "writer", stream);
         if text.starts_with("/*") {
             // Late enough for the next statement to be decided on.
             thread::sleep(Duration::from_millis(2));
@@ -119,7 +117,7 @@
     let driver = Driver::before(&[("a", &member)]);
     let mut client = Client::connect(driver.address);
     for _ in 0..100 {
-        assert!(honoured(&client.ask(&look(15000))));
+        assert!(served(&client.ask(&look(15000))));
     }
     assert!(!driver.logged("member lost"));
 }
@@ -147,12 +145,12 @@
     });
     let driver = Driver::before(&[("a", &member)]);
     let mut client = Client::connect(driver.address);
-    assert!(honoured(&client.ask(&look(15000))));
+    assert!(served(&client.ask(&look(15000))));
     for bad in ["long", "huge", "short"] {
         let start = Instant::now();
         let said = client.ask(&named(&look(19000), bad));
         assert!(said.value.is_none() && start.elapsed() < Duration::from_secs(15), "{bad}: {said:?}");
-        assert!(honoured(&client.ask(&look(15000))), "{bad}");
+        assert!(served(&client.ask(&look(15000))), "{bad}");
     }
 }
 
@@ -162,7 +160,7 @@
         if text.starts_with("/*") {
             thread::sleep(Duration::from_millis(300));
         }
-        honour(text, "writer", stream);
+        serve(text, "writer", stream);
     });
     let driver = Driver::before(&[("a", &member)]);
     let (mut first, mut second) = (Client::connect(driver.address), Client::connect(driver.address));
@@ -170,6 +168,6 @@
     first.send(&statement);
     until("the launch", || member.requests().len() == 1);
     assert_eq!(second.ask(&statement).code, "08P01");
-    assert!(honoured(&first.answer().unwrap()));
+    assert!(served(&first.answer().unwrap()));
     assert_eq!(member.requests().len(), 1);
 }
--- a/crates/proxy/tests/same_instant.rs
+++ b/crates/proxy/tests/same_instant.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use aldermill_test_support::{
-    Client, Discovery, Driver, Hold, Member, config, delivered, honour, honoured, list, look, named, order,
+    Client, Discovery, Driver, Hold, Member, config, delivered, list, look, named, order, serve, served,
     until,
 };
 
@@ -17,7 +17,7 @@
     let (hold, replica, given) = (hold.clone(), replica.clone(), given.clone());
     Member::start(move |text, stream| {
         hold.pass();
-        honour(text, if replica.load(Ordering::SeqCst) { "reader" } else { "writer" }, stream);
+        serve(text, if replica.load(Ordering::SeqCst) { "reader" } else { "writer" }, stream);
         delivered(stream);
         given.store(true, Ordering::SeqCst);
     })
@@ -42,8 +42,8 @@
     let (mut first, mut second) = (Client::connect(driver.address), Client::connect(driver.address));
     for round in 0..5 {
         replica.store(false, Ordering::SeqCst);
-        until("the primary's word", || honoured(&first.ask(&order(2000))));
-        assert!(honoured(&first.ask(&look(2000))) && honoured(&second.ask(&look(2000))));
+        until("the primary's word", || served(&first.ask(&order(2000))));
+        assert!(served(&first.ask(&look(2000))) && served(&second.ask(&look(2000))));
         hold.close();
         first.send(&named(&look(2000), &format!("word{round}")));
         hold.reached();
@@ -70,10 +70,10 @@
     let member = holding(&hold, &replica, &given);
     let driver = before(&member);
     let mut client = Client::connect(driver.address);
-    until("the primary's word", || honoured(&client.ask(&order(2000))));
+    until("the primary's word", || served(&client.ask(&order(2000))));
     // By then it is known how quick the member is: a request with so little time is worth an attempt.
     for _ in 0..60 {
-        assert!(honoured(&client.ask(&look(2000))) && honoured(&client.ask(&order(2000))));
+        assert!(served(&client.ask(&look(2000))) && served(&client.ask(&order(2000))));
     }
     for statement in [order, look] {
         hold.close();
@@ -90,6 +90,6 @@
         thread::sleep((sent + wait).saturating_duration_since(Instant::now()));
         driver.signal("-CONT");
         let said = client.answer().expect("its one answer");
-        assert!(honoured(&said) || !in_time, "{said:?}");
+        assert!(served(&said) || !in_time, "{said:?}");
     }
 }
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use aldermill_test_support::{
-    Client, Driver, Hold, Member, delivered, honour, honoured, look, named, sound, until,
+    Client, Driver, Hold, Member, delivered, look, named, serve, served, sound, until,
 };
 use aldermill_wire::pg;
 
@@ -18,7 +18,7 @@
     let hold = hold.clone();
     Member::start(move |text, stream| {
         hold.pass();
-        honour(text, "writer", stream);
+        serve(text, "writer", stream);
     })
 }
 
@@ -46,7 +46,7 @@
     let member = sound("writer");
     let mut driver = Driver::before(&[("a", &member)]);
     let mut client = Client::connect(driver.address);
-    assert!(honoured(&client.ask(&look(15000))));
+    assert!(served(&client.ask(&look(15000))));
     let statement = message(&look(15000));
     let (front, rest) = statement.split_at(statement.len() / 2);
     client.raw(front);
@@ -54,7 +54,7 @@
     let told = Instant::now();
     stopping(&driver);
     client.raw(rest);
-    let answered = client.answer().is_some_and(|said| honoured(&said));
+    let answered = client.answer().is_some_and(|said| served(&said));
     // On a machine too slow to send it within the window nothing is claimed.
     assert!(answered || told.elapsed() > WINDOW / 2);
     assert!(client.ended());
@@ -67,7 +67,7 @@
     let member = held(&hold);
     let mut driver = Driver::before(&[("a", &member)]);
     let mut clients: Vec<Client> = (0..3).map(|_| Client::connect(driver.address)).collect();
-    clients.iter_mut().for_each(|client| assert!(honoured(&client.ask(&look(15000)))));
+    clients.iter_mut().for_each(|client| assert!(served(&client.ask(&look(15000)))));
     hold.close();
     clients.iter_mut().for_each(|client| client.send(&look(15000)));
     until("the attempts", || member.requests().len() == 6);
@@ -80,8 +80,8 @@
     until("the line on the file", || driver.logged("configuration read anew"));
     hold.open();
     for client in &mut clients {
-        assert!(honoured(&client.answer().expect("the answer to what was under way")));
-        assert!(honoured(&client.answer().expect("the answer to what came behind it")));
+        assert!(served(&client.answer().expect("the answer to what was under way")));
+        assert!(served(&client.answer().expect("the answer to what came behind it")));
         assert!(client.ended());
     }
     assert!(driver.child.wait().unwrap().success());
@@ -92,7 +92,7 @@
     let member = sound("writer");
     let mut driver = Driver::before(&[("a", &member)]);
     let mut clients: Vec<Client> = (0..20).map(|_| Client::connect(driver.address)).collect();
-    clients.iter_mut().for_each(|client| assert!(honoured(&client.ask(&look(15000)))));
+    clients.iter_mut().for_each(|client| assert!(served(&client.ask(&look(15000)))));
     // Signal and statements are there in the same instant.
     driver.signal("-STOP");
     driver.signal("-TERM");
@@ -101,7 +101,7 @@
     }
     driver.signal("-CONT");
     for (number, client) in clients.iter_mut().enumerate() {
-        let answered = client.answer().is_some_and(|said| honoured(&said));
+        let answered = client.answer().is_some_and(|said| served(&said));
         let id = format!("id=crossing{number},");
         assert_eq!(answered, member.requests().iter().any(|request| request.contains(&id)), "{number}");
     }
@@ -113,7 +113,7 @@
     let member = sound("writer");
     let mut driver = Driver::before(&[("a", &member)]);
     let mut busy = Client::connect(driver.address);
-    assert!(honoured(&busy.ask(&look(15000))));
+    assert!(served(&busy.ask(&look(15000))));
     stopping(&driver);
     driver.signal("-STOP");
     let mut queued: Vec<Client> = (0..5).map(|_| Client::bare(driver.address)).collect();
@@ -123,7 +123,7 @@
     driver.signal("-CONT");
     for client in &mut queued {
         assert!(client.answer().is_some(), "a welcome");
-        assert!(honoured(&client.answer().expect("its one answer")));
+        assert!(served(&client.answer().expect("its one answer")));
     }
     assert!(driver.child.wait().unwrap().success());
 }
@@ -134,12 +134,12 @@
         if text.starts_with("/*") {
             thread::sleep(Duration::from_millis(400));
         }
-        honour(text, "writer", stream);
+        serve(text, "writer", stream);
     });
     let mut driver = Driver::before(&[("a", &member)]);
     let mut busy: Vec<Client> = (0..4).map(|_| Client::connect(driver.address)).collect();
     let mut idle = Client::connect(driver.address);
-    assert!(honoured(&idle.ask(&look(15000))));
+    assert!(served(&idle.ask(&look(15000))));
     let mut fresh = Client::connect(driver.address);
     busy.iter_mut().for_each(|client| client.send(&look(15000)));
     until("the launches", || member.requests().len() == 5);
@@ -149,11 +149,11 @@
     // Who had no answer yet is still served for a while; on a machine too slow for that nothing is claimed.
     let mut out = Vec::new();
     pg::query(&mut out, &[look(15000).as_bytes()]);
-    let served = fresh.stream.write_all(&out).is_ok() && fresh.answer().is_some_and(|said| honoured(&said));
-    assert!(served || told.elapsed() > Duration::from_millis(500));
+    let answered = fresh.stream.write_all(&out).is_ok() && fresh.answer().is_some_and(|said| served(&said));
+    assert!(answered || told.elapsed() > Duration::from_millis(500));
     assert!(fresh.ended());
     for client in &mut busy {
-        assert!(honoured(&client.answer().unwrap()));
+        assert!(served(&client.answer().unwrap()));
         assert!(client.ended());
     }
     assert!(driver.child.wait().unwrap().success());
--- a/crates/proxy/tests/shutdown_hung.rs
+++ b/crates/proxy/tests/shutdown_hung.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use aldermill_test_support::{
-    Client, Discovery, Driver, Hold, Member, config, honour, honoured, list, look, until,
+    Client, Discovery, Driver, Hold, Member, config, list, look, serve, served, until,
 };
 use aldermill_wire::pg;
 
@@ -56,7 +56,7 @@
     let seen = hold.clone();
     let member = Member::start(move |text, stream| {
         seen.pass();
-        honour(text, "writer", stream);
+        serve(text, "writer", stream);
     });
     let known = list(1, true, &[("a", &member, "in_service")]);
     let discovery = Discovery::default();
@@ -65,7 +65,7 @@
         .replace(r#""targetMs":1000,"deadlineMs":20000"#, r#""targetMs":200,"deadlineMs":300"#);
     let mut driver = Driver::of(&short);
     let mut clients: Vec<Client> = (0..3).map(|_| Client::connect(driver.address)).collect();
-    clients.iter_mut().for_each(|client| assert!(honoured(&client.ask(&look(5000)))));
+    clients.iter_mut().for_each(|client| assert!(served(&client.ask(&look(5000)))));
     hold.close();
     // Busy when the signal comes: what is sent from then on is behind this.
     clients.iter_mut().for_each(|client| client.send(&look(DEADLINE)));
--- a/crates/proxy/tests/slow_peers.rs
+++ b/crates/proxy/tests/slow_peers.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use aldermill_test_support::{
-    Client, Discovery, Driver, Member, aldermill, config, drip, file, honour, honour_with, honoured, list,
-    look, order, sound, until, whole,
+    Client, Discovery, Driver, Member, aldermill, config, drip, file, list, look, order, serve, serve_with,
+    served, sound, until, whole,
 };
 use aldermill_wire::pg;
 
@@ -32,8 +32,8 @@
     Member::start(|text, stream| {
         let length = text.split_once("'v").and_then(|(_, rest)| rest.split('\'').next()?.parse().ok());
         match length {
-            Some(length) => honour_with(&vec![7; length], text, "writer", stream),
-            None => honour(text, "writer", stream),
+            Some(length) => serve_with(&vec![7; length], text, "writer", stream),
+            None => serve(text, "writer", stream),
         }
     })
 }
@@ -46,17 +46,17 @@
 struct Usual {
     stop: Arc<AtomicBool>,
     asked: Arc<AtomicUsize>,
-    honoured: Arc<AtomicUsize>,
+    served: Arc<AtomicUsize>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Usual {
     fn start(address: SocketAddr, clients: usize) -> Usual {
         let (stop, asked, good) = (Arc::default(), Arc::default(), Arc::default());
-        let mut usual = Usual { stop, asked, honoured: good, threads: Vec::new() };
+        let mut usual = Usual { stop, asked, served: good, threads: Vec::new() };
         for _ in 0..clients {
             let (stop, asked) = (usual.stop.clone(), usual.asked.clone());
-            let good = usual.honoured.clone();
+            let good = usual.served.clone();
             usual.threads.push(thread::spawn(move || {
                 let mut client = Some(Client::connect(address));
                 while !stop.load(Ordering::SeqCst) {
@@ -64,7 +64,7 @@
                         .as_mut()
                         .and_then(|client| client.offer(&look(5000)).then(|| client.answer()).flatten());
                     asked.fetch_add(1, Ordering::SeqCst);
-                    good.fetch_add(usize::from(said.as_ref().is_some_and(honoured)), Ordering::SeqCst);
+                    good.fetch_add(usize::from(said.as_ref().is_some_and(served)), Ordering::SeqCst);
                     if said.is_none() {
                         client = Client::bare(address).greeted();
                     }
@@ -79,7 +79,7 @@
     fn end(self) -> (usize, usize) {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().for_each(|thread| thread.join().unwrap());
-        (self.asked.load(Ordering::SeqCst), self.honoured.load(Ordering::SeqCst))
+        (self.asked.load(Ordering::SeqCst), self.served.load(Ordering::SeqCst))
     }
 }
 
@@ -148,7 +148,7 @@
     let (driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let mut slow: Vec<Client> = (0..20).map(|_| Client::narrow(driver.address).unwrap()).collect();
     for client in &mut slow {
-        // An effectful one: it is honoured once, whether or not anybody reads of it.
+        // An effectful one: it is served once, whether or not anybody reads of it.
         client.send(&order(15000).replace("'k'", "'v900000'"));
     }
     until("each is cut", || driver.logged("overdue: ") || driver.logged("room_wanted: "));
@@ -171,7 +171,7 @@
         let (driver, _) = driver(&[("a", &trickles), ("b", &primary)], 48, 128, "{}");
         let mut client = Client::connect(driver.address);
         let start = Instant::now();
-        assert!((0..8).all(|_| honoured(&client.ask(&look(15000)))));
+        assert!((0..8).all(|_| served(&client.ask(&look(15000)))));
         assert!(start.elapsed() < MS(8000), "{:?} for {piece} bytes a time", start.elapsed());
     }
     // An effectful request ends as one that may have run, long before its time is up, and is sent once.
@@ -218,24 +218,25 @@
     };
     // One primary for each group: with two, each said to be it, the request's way would hang on whose word
     // came last.
-    let taker = Member::at(listener, bears, |text, stream| honour(text, "writer", stream));
+    let taker = Member::at(listener, bears, |text, stream| serve(text, "writer", stream));
     let replica = sound("reader");
     let (driver, _) = driver(&[("a", &taker), ("b", &replica)], 192, 128, "{}");
     let mut client = Client::connect(driver.address);
     let start = Instant::now();
-    // What is denied never ran, and may come again: it is launched at the primary as often as the limits allow.
+    // What is rejected never ran, and may come again: it is launched at the primary as often as the limits
+    // allow.
     let said = client.ask(&order(15000).replace("9f", &"9f".repeat(60_000)));
     assert_eq!(said.code, "53300", "{said:?}, after {:?}", start.elapsed());
-    // Those that may be asked of the other are honoured there.
+    // Those that may be asked of the other are served there.
     for _ in 0..4 {
         let said = client.ask(&look(15000).replace("'k'", &format!("'{}'", "k".repeat(120_000))));
-        assert!(honoured(&said), "{said:?}, after {:?}", start.elapsed());
+        assert!(served(&said), "{said:?}, after {:?}", start.elapsed());
     }
     assert!(start.elapsed() < MS(15_000), "{:?}", start.elapsed());
     assert_eq!((taker.requests().len(), replica.requests().len()), (0, 4));
     ill.store(false, Ordering::SeqCst);
     until("the primary is asked again", || {
-        honoured(&client.ask(&order(15000).replace("9f", &"9f".repeat(60_000))))
+        served(&client.ask(&order(15000).replace("9f", &"9f".repeat(60_000))))
     });
     assert_eq!(taker.requests().len(), 1);
 }
@@ -257,8 +258,8 @@
     clients.iter_mut().for_each(|client| client.send(&look(1500)));
     clients.iter_mut().for_each(|client| drop(client.answer().unwrap()));
     ill.store(false, Ordering::SeqCst);
-    until("a task is honoured again", || honoured(&clients[0].ask(&look(3000))));
-    let good = (0..50).filter(|_| honoured(&clients[1].ask(&look(3000)))).count();
+    until("a task is honoured again", || served(&clients[0].ask(&look(3000))));
+    let good = (0..50).filter(|_| served(&clients[1].ask(&look(3000)))).count();
     assert!(good >= 45, "{good}");
 }
 
@@ -338,7 +339,7 @@
     let mut fourth = Client::bare(driver.address);
     fourth.raw(&hello);
     assert!(fourth.answer().is_none_or(|said| said.code == "53300"));
-    assert!(clients.iter_mut().all(|client| honoured(&client.ask(&look(5000)))));
+    assert!(clients.iter_mut().all(|client| served(&client.ask(&look(5000)))));
     drop(clients.pop());
     until("its place is free", || Client::narrow(driver.address).is_some());
 }
--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -8,19 +8,19 @@
 use std::time::Duration;
 
 use aldermill_test_support::{
-    Act, Client, Discovery, Driver, Member, Said, config, honour, honoured, list, look, order, refuse, sound,
+    Act, Client, Discovery, Driver, Member, Said, config, list, look, order, refuse, serve, served, sound,
     until,
 };
 use aldermill_wire::pg;
 
 #[test]
-fn reads_and_writes_are_honoured_and_passed_on_unchanged_but_for_the_wait() {
+fn reads_and_writes_are_served_and_passed_on_unchanged_but_for_the_wait() {
     let (primary, replica) = (sound("writer"), sound("reader"));
     let driver = Driver::before(&[("a", &replica), ("b", &primary)]);
     let mut client = Client::connect(driver.address);
     assert!(client.ask("").empty);
     let asked: Vec<String> = (0..20).flat_map(|_| [look(15000), order(15000)]).collect();
-    assert!(asked.iter().all(|text| honoured(&client.ask(text))));
+    assert!(asked.iter().all(|text| served(&client.ask(text))));
     // The replica turned one write away at the most, before the primary was known.
     let passed_on = [primary.requests(), replica.requests()].concat();
     assert!(passed_on.len() <= 41, "{}", passed_on.len());
@@ -55,10 +55,10 @@
         assert_eq!(declined, *b"N");
         bytes.chunks(size).for_each(|piece| client.raw(piece));
         assert_eq!(client.answer(), Some(Said::default()));
-        assert!(honoured(&client.answer().unwrap()));
+        assert!(served(&client.answer().unwrap()));
         assert!(client.answer().unwrap().empty);
         assert_eq!(client.answer().unwrap().code, "08P01");
-        assert!(honoured(&client.answer().unwrap()));
+        assert!(served(&client.answer().unwrap()));
     }
 }
 
@@ -101,7 +101,7 @@
     let unknown = look(15000).replace("c=look", "c=other");
     let elsewhere = look(15000).replace("cluster=2", "cluster=77");
     let absurd = look(15000).replace("cluster=2", &format!("cluster=2,after={}", u64::MAX));
-    assert!(honoured(&client.ask(&absurd)));
+    assert!(served(&client.ask(&absurd)));
     assert_eq!(client.ask(&elsewhere).code, "53300", "its list may be old, and nothing was sent on");
     for text in ["SELECT 1", &unknown, &look(0), "/* id=1", "SET x TO 1"] {
         assert_eq!(client.ask(text).code, "08P01", "{text}");
@@ -109,7 +109,7 @@
     // The extended protocol is passed over up to its Sync.
     client.raw(b"P\0\0\0\x08\0\0\0\0B\0\0\0\x04S\0\0\0\x04");
     assert_eq!(client.answer().unwrap().code, "0A000");
-    assert!(honoured(&client.ask(&look(15000))));
+    assert!(served(&client.ask(&look(15000))));
     // Where the framing is lost, the connection ends; the process lives.
     for garbage in
         [&b"Q\0\0\0\x01\0\0"[..], b"Q\x7f\xff\xff\xff", b"\x01\x02\x03\x04\x05\x06", b"y\0\0\0\x04"]
@@ -122,7 +122,7 @@
     let mut cancel = Client::bare(driver.address);
     cancel.raw(&[0, 0, 0, 16, 4, 210, 22, 46, 0, 0, 0, 1, 0, 0, 0, 2]);
     assert!(cancel.ended());
-    assert!(honoured(&client.ask(&look(15000))));
+    assert!(served(&client.ask(&look(15000))));
     assert_eq!(member.requests().len(), 3);
 }
 
@@ -131,7 +131,7 @@
     let (first, second, primary) = (sound("reader"), sound("reader"), sound("writer"));
     let driver = Driver::before(&[("a", &first), ("b", &second), ("c", &primary)]);
     let mut client = Client::connect(driver.address);
-    assert!(honoured(&client.ask(&order(15000))));
+    assert!(served(&client.ask(&order(15000))));
     assert_eq!(primary.requests().len(), 1);
 }
 
@@ -149,14 +149,14 @@
             .replace("\"roleListed\":\"off\"", "\"roleListed\":\"delayed\""),
     );
     let mut client = Client::connect(driver.address);
-    assert!(honoured(&client.ask(&order(15000))));
+    assert!(served(&client.ask(&order(15000))));
     assert_eq!((replica.requests().len(), primary.requests().len()), (0, 1));
 }
 
 #[test]
-fn what_finds_no_room_in_time_is_denied_with_a_cool_down() {
+fn what_finds_no_room_in_time_is_rejected_with_a_cool_down() {
     let member = Member::start(|text, stream| match text {
-        "SHOW usage" => honour(text, "writer", stream),
+        "SHOW usage" => serve(text, "writer", stream),
         _ => refuse("53300", "writer", stream),
     });
     let driver = Driver::before(&[("a", &member)]);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn an_effectful_request_of_unknown_fate_is_broken_off_after_one_copy() {
+fn an_effectful_request_of_unknown_fate_is_failed_after_one_copy() {
     // Silence after the whole statement, a reset, an error, nonsense, and half a value.
     let ways: [(&str, Box<Act>); 5] = [
         ("silent", Box::new(|_, _| {})),
@@ -188,7 +188,7 @@
     ];
     for (way, act) in ways {
         let member = Member::start(move |text, stream| match text {
-            "SHOW usage" => honour(text, "writer", stream),
+            "SHOW usage" => serve(text, "writer", stream),
             _ => act(text, stream),
         });
         let driver = Driver::before(&[("a", &member)]);
@@ -216,11 +216,11 @@
     let bears = move |bytes: &[u8], welcomed: bool| {
         !welcomed || !bytes[5..].starts_with(b"/*") || counted.fetch_add(1, Ordering::SeqCst) >= 2
     };
-    let member = Member::at(socket.into(), bears, |text, stream| honour(text, "writer", stream));
+    let member = Member::at(socket.into(), bears, |text, stream| serve(text, "writer", stream));
     let driver = Driver::before(&[("a", &member)]);
     let mut client = Client::connect(driver.address);
     let large = order(15000).replace("9f", &"9f".repeat(60_000));
-    assert!(honoured(&client.ask(&large)));
+    assert!(served(&client.ask(&large)));
     assert!(cuts.load(Ordering::SeqCst) > 2);
     assert_eq!(member.requests().len(), 1);
 }
@@ -236,7 +236,7 @@
         true
     };
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let drained = Member::at(listener, bears, |text, stream| honour(text, "writer", stream));
+    let drained = Member::at(listener, bears, |text, stream| serve(text, "writer", stream));
     let primary = sound("writer");
     let discovery = Discovery::default();
     let driver = Driver::start(&discovery, 256, &list(1, true, &[("a", &drained, "in_service")]));
@@ -246,7 +246,7 @@
     discovery.say(list(2, false, &[("a", &drained, "terminating"), ("b", &primary, "in_service")]));
     until("the list", || driver.logged("revision: 2"));
     hold.store(false, Ordering::SeqCst);
-    assert!(honoured(&client.answer().unwrap()));
+    assert!(served(&client.answer().unwrap()));
     assert_eq!((drained.requests().len(), primary.requests().len()), (0, 1));
 }
 
--- a/crates/proxy/tests/stalled_clients.rs
+++ b/crates/proxy/tests/stalled_clients.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use aldermill_test_support::{Client, Driver, Hold, Member, delivered, honour, honoured, look, named, sound};
+use aldermill_test_support::{Client, Driver, Hold, Member, delivered, look, named, serve, served, sound};
 use aldermill_wire::pg;
 
 /// What a bad client is owed, with a busy machine's delays.
@@ -61,14 +61,14 @@
         [&small[..1], &small[..3], &small[..30], &large[..20], &large[..60_000], &large[..large.len() - 1]];
     let mut clients: Vec<Client> = stopped.iter().map(|_| Client::connect(driver.address)).collect();
     for client in &mut clients {
-        assert!(honoured(&client.ask(&look(15000))));
+        assert!(served(&client.ask(&look(15000))));
     }
     let start = Instant::now();
     clients.iter_mut().zip(stopped).for_each(|(client, bytes)| client.raw(bytes));
     for (number, client) in clients.iter_mut().enumerate() {
         ends(client, start, &format!("stopped at {number}"));
     }
-    assert!(honoured(&Client::connect(driver.address).ask(&look(15000))));
+    assert!(served(&Client::connect(driver.address).ask(&look(15000))));
 }
 
 #[test]
@@ -79,7 +79,7 @@
         if text.contains("id=held") {
             seen.pass();
         }
-        honour(text, "writer", stream);
+        serve(text, "writer", stream);
     });
     let driver = Driver::before(&[("a", &member)]);
     let mut client = Client::connect(driver.address);
@@ -90,7 +90,7 @@
     delivered(&client.stream);
     hold.open();
     let start = Instant::now();
-    assert!(honoured(&client.answer().expect("the answer to what came whole")));
+    assert!(served(&client.answer().expect("the answer to what came whole")));
     ends(&mut client, start, "behind a request");
 }
 
@@ -99,12 +99,12 @@
     let member = sound("writer");
     let driver = Driver::before(&[("a", &member)]);
     let mut client = Client::connect(driver.address);
-    assert!(honoured(&client.ask(&look(15000))));
+    assert!(served(&client.ask(&look(15000))));
     let statement = message(&look(15000));
     // Pauses shorter than the limit on silence, together longer than it.
     for piece in statement.chunks(statement.len().div_ceil(4)) {
         std::thread::sleep(Duration::from_millis(900));
         client.raw(piece);
     }
-    assert!(honoured(&client.answer().expect("an answer")));
+    assert!(served(&client.answer().expect("an answer")));
 }
--- a/crates/proxy/tests/staying.rs
+++ b/crates/proxy/tests/staying.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 use aldermill_test_support::{
-    Client, Discovery, Driver, LONG, Member, TERMS, aldermill, config, delivered, file, honour, honoured,
-    list, look, named, order, sound, until,
+    Client, Discovery, Driver, LONG, Member, TERMS, aldermill, config, delivered, file, list, look, named,
+    order, serve, served, sound, until,
 };
 use aldermill_wire::{Buffer, pg};
 
@@ -21,7 +21,7 @@
     let discovery = Discovery::default();
     let driver = Driver::start(&discovery, 64, &list(1, true, &[("a", &member, "in_service")]));
     let mut usual = Client::connect(driver.address);
-    assert!(honoured(&usual.ask(&look(15000))));
+    assert!(served(&usual.ask(&look(15000))));
     let start = Instant::now();
     let silent: Vec<Client> = (0..150).map(|_| Client::bare(driver.address)).collect();
     // Some begin a statement and never end it.
@@ -32,9 +32,9 @@
     };
     let half: Vec<Client> = (0..50).map(|_| begin()).collect();
     for _ in 0..5 {
-        assert!(honoured(&Client::connect(driver.address).ask(&look(15000))), "there is room at once");
+        assert!(served(&Client::connect(driver.address).ask(&look(15000))), "there is room at once");
     }
-    assert!(honoured(&usual.ask(&look(15000))), "who was served before is not the first to go");
+    assert!(served(&usual.ask(&look(15000))), "who was served before is not the first to go");
     assert!(silent.into_iter().chain(half).all(|mut client| client.ended()));
     assert!(start.elapsed() < Duration::from_secs(15), "{:?}", start.elapsed());
 }
@@ -47,13 +47,13 @@
     let mut kept = Vec::new();
     for number in 0..80 {
         let mut client = Client::connect(driver.address);
-        assert!(honoured(&client.ask(&look(15000))), "{number}");
+        assert!(served(&client.ask(&look(15000))), "{number}");
         kept.push(client);
         if number == 70 {
             // Long before it would be closed for having stood idle.
             kept[0].stream.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
             assert!(matches!(kept[0].stream.read(&mut [0]), Ok(0)));
-            assert!(honoured(&kept[69].ask(&look(15000))));
+            assert!(served(&kept[69].ask(&look(15000))));
         }
     }
 }
@@ -71,7 +71,7 @@
     });
     assert_eq!(client.answer().unwrap().code, "08P01");
     assert!(sending.join().unwrap() < 900, "most of it was never taken in");
-    assert!(honoured(&Client::connect(driver.address).ask(&look(15000))));
+    assert!(served(&Client::connect(driver.address).ask(&look(15000))));
 }
 
 #[test]
@@ -82,7 +82,7 @@
     let told = list(1, true, &[("a", &old, "in_service")]);
     let mut driver = Driver::of(&config(first.start(), 256, &told));
     let mut client = Client::connect(driver.address);
-    assert!(honoured(&client.ask(&look(15000))));
+    assert!(served(&client.ask(&look(15000))));
     let whole = config(second.start(), 256, &told);
     // A file that is half written, or gone, changes nothing.
     std::fs::write(&driver.config, &whole[..whole.len() / 2]).unwrap();
@@ -94,7 +94,7 @@
     driver.signal("-HUP");
     let mut client = Client::connect(driver.address);
     until("a task at the member that only the new address names", || {
-        assert!(honoured(&client.ask(&look(15000))));
+        assert!(served(&client.ask(&look(15000))));
         !new.requests().is_empty()
     });
     assert!(second.requests.lock().unwrap()[0].contains("index=1"), "the last list stays in force");
@@ -117,19 +117,19 @@
         }
         // Connections from before it vanished stay open and silent; new ones are answered.
         if !seen_vanished.load(Ordering::SeqCst) || !seen_old.lock().unwrap().contains(&peer) {
-            honour(text, "writer", stream);
+            serve(text, "writer", stream);
         }
     });
     let driver = Driver::before(&[("a", &member)]);
     let mut clients: Vec<Client> = (0..6).map(|_| Client::connect(driver.address)).collect();
     clients.iter_mut().for_each(|client| client.send(&look(15000)));
-    assert!(clients.iter_mut().all(|client| honoured(&client.answer().unwrap())));
+    assert!(clients.iter_mut().all(|client| served(&client.answer().unwrap())));
     vanished.store(true, Ordering::SeqCst);
     let mut silent = 0;
     until("an answer over a new connection", || {
-        let honoured = honoured(&clients[0].ask(&order(1000)));
-        silent += usize::from(!honoured);
-        honoured
+        let served = served(&clients[0].ask(&order(1000)));
+        silent += usize::from(!served);
+        served
     });
     assert!(silent <= 2, "{silent}");
 }
@@ -140,7 +140,7 @@
         if text.contains("id=5") {
             thread::sleep(Duration::from_millis(300));
         }
-        honour(text, "writer", stream);
+        serve(text, "writer", stream);
     });
     let driver = Driver::before(&[("a", &member)]);
     let slow = named(&look(15000), "5");
@@ -150,7 +150,7 @@
     drop(gone);
     let mut client = Client::connect(driver.address);
     for _ in 0..5 {
-        assert!(honoured(&client.ask(&look(15000))));
+        assert!(served(&client.ask(&look(15000))));
     }
     assert_eq!(member.requests().len(), 6);
 }
@@ -161,7 +161,7 @@
         if text.starts_with("/*") {
             thread::sleep(Duration::from_millis(30));
         }
-        honour(text, "writer", stream);
+        serve(text, "writer", stream);
     });
     let config = config(Discovery::default().start(), 256, &list(1, true, &[("a", &member, "in_service")]));
     let mut driver = Driver::of(&config);
@@ -189,7 +189,7 @@
                 // What comes late in the stop may find the door closed.
                 let late =
                     told.lock().unwrap().is_some_and(|told| told.elapsed() > Duration::from_millis(400));
-                assert!(said.as_ref().is_some_and(honoured) || late, "{said:?}");
+                assert!(said.as_ref().is_some_and(served) || late, "{said:?}");
                 // On a connection in use an end between requests is allowed, half an answer or an error is
                 // not.
                 while said.is_some() && !over.load(Ordering::SeqCst) {
@@ -199,7 +199,7 @@
                     else {
                         break;
                     };
-                    assert!(honoured(&said), "{said:?}");
+                    assert!(served(&said), "{said:?}");
                     answers += 1;
                 }
             }
@@ -228,12 +228,12 @@
     let config = config(discovery.start(), 256, &list(1, true, &[("a", &member, "in_service")]));
     let mut driver = Driver::of(&config);
     let mut clients: Vec<Client> = (0..5).map(|_| Client::connect(driver.address)).collect();
-    assert!(clients.iter_mut().all(|client| honoured(&client.ask(&order(15000)))));
+    assert!(clients.iter_mut().all(|client| served(&client.ask(&order(15000)))));
     driver.child.kill().unwrap();
     driver.child.wait().unwrap();
     let again = Driver::at(driver.address, &config);
     assert!(clients.iter_mut().all(Client::ended));
-    assert!(honoured(&Client::connect(again.address).ask(&order(15000))));
+    assert!(served(&Client::connect(again.address).ask(&order(15000))));
 }
 
 #[test]
@@ -242,7 +242,7 @@
         if text.starts_with("/*") && text.contains("id=5") {
             thread::sleep(Duration::from_secs(2));
         }
-        honour(text, "writer", stream);
+        serve(text, "writer", stream);
     });
     let discovery = Discovery::default();
     let driver = Driver::start(&discovery, 64, &list(1, true, &[("a", &member, "in_service")]));
@@ -282,7 +282,7 @@
             if text.starts_with("/*") {
                 thread::sleep(Duration::from_millis(300));
             }
-            honour(text, "reader", stream);
+            serve(text, "reader", stream);
         })
     };
     let (first, second) = (slow(), slow());
@@ -292,7 +292,7 @@
     let mut clients: Vec<Client> = (0..10).map(|_| Client::connect(driver.address)).collect();
     for group in ["cluster=2", "cluster=3", "cluster=2"] {
         clients.iter_mut().for_each(|client| client.send(&look(15000).replace("cluster=2", group)));
-        assert!(clients.iter_mut().all(|client| honoured(&client.answer().unwrap())), "{group}");
+        assert!(clients.iter_mut().all(|client| served(&client.answer().unwrap())), "{group}");
     }
     // Ten at once do not fit into the members' share beside the first member's ten idle ones.
     assert!(second.connections.load(Ordering::SeqCst) >= 8);
@@ -341,7 +341,7 @@
     let config = config(discovery.start(), 256, &told);
     let mut driver = Driver::with("127.0.0.1:0".parse().unwrap(), &config, Some(&trial(&other)));
     let mut client = Client::connect(driver.address);
-    let ask = |client: &mut Client| (0..20).all(|_| honoured(&client.ask(&look(15000))));
+    let ask = |client: &mut Client| (0..20).all(|_| served(&client.ask(&look(15000))));
     assert!(ask(&mut client));
     until("counts", || driver.logged("settings on trial") && driver.logged("not_probed="));
     let operator = driver.operator.clone().unwrap();
--- a/crates/proxy/tests/system_calls.rs
+++ b/crates/proxy/tests/system_calls.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 use aldermill_test_support::{
-    Client, Discovery, Driver, Faults, Hold, LONG, Member, config, free_port, honoured, list, look, named,
-    order, sound, until, whole,
+    Client, Discovery, Driver, Faults, Hold, LONG, Member, config, free_port, list, look, named, order,
+    served, sound, until, whole,
 };
 use aldermill_wire::pg;
 
@@ -36,8 +36,8 @@
     client
 }
 
-fn served(client: &mut Client) -> bool {
-    client.answer().is_some() && client.answer().is_some_and(|said| honoured(&said))
+fn serves(client: &mut Client) -> bool {
+    client.answer().is_some() && client.answer().is_some_and(|said| served(&said))
 }
 
 /// What the socket at that path says.
@@ -60,7 +60,7 @@
         let (member, faults) = (sound("writer"), Faults::default());
         let mut driver = before("n0", &[("a", &member)], &faults, None);
         let mut busy = Client::connect(driver.address);
-        assert!(honoured(&busy.ask(&look(15000))));
+        assert!(served(&busy.ask(&look(15000))));
         driver.signal("-TERM");
         until("the line on the stop", || driver.logged("stopping"));
         driver.signal("-STOP");
@@ -69,7 +69,7 @@
         // The window ends while nobody accepts.
         thread::sleep(WINDOW);
         driver.signal("-CONT");
-        let lost = clients.iter_mut().filter_map(|client| (!served(client)).then_some(())).count();
+        let lost = clients.iter_mut().filter_map(|client| (!serves(client)).then_some(())).count();
         // What accept says is gone was one of the backlog.
         let gone = if error == "ECONNABORTED" { 2 } else { 0 };
         assert_eq!(lost, gone, "{error}");
@@ -87,9 +87,9 @@
     let _taken = queued(&driver);
     until("the line on that", || driver.logged("accepting failed"));
     let mut waiting = queued(&driver);
-    assert!(honoured(&busy.ask(&look(15000))));
+    assert!(served(&busy.ask(&look(15000))));
     faults.set("");
-    assert!(served(&mut waiting), "it waited in the backlog");
+    assert!(serves(&mut waiting), "it waited in the backlog");
     until("the line on the end of that", || driver.logged("accepting again"));
     faults.set("accept EMFILE 100 -");
     drop((busy, waiting));
@@ -137,10 +137,10 @@
     let (member, faults) = (sound("writer"), Faults::default());
     let driver = before("n0", &[("a", &member)], &faults, None);
     let mut client = Client::connect(driver.address);
-    assert!(honoured(&client.ask(&look(15000))));
+    assert!(served(&client.ask(&look(15000))));
     faults.set("seed 3\npeek EINTR 60 -");
     let opened = member.connections.load(Ordering::SeqCst);
-    (0..20).for_each(|_| assert!(honoured(&client.ask(&look(15000)))));
+    (0..20).for_each(|_| assert!(served(&client.ask(&look(15000)))));
     assert_eq!(member.connections.load(Ordering::SeqCst), opened, "idle connections are good as before");
 }
 
@@ -151,7 +151,7 @@
     let mut client = Client::connect(driver.address);
     let calls = ["read:client", "write:client", "read:member", "write:member"];
     faults.set(&calls.map(|call| format!("{call} EINTR 50 -")).join("\n"));
-    (0..20).for_each(|_| assert!(honoured(&client.ask(&order(15000)))));
+    (0..20).for_each(|_| assert!(served(&client.ask(&order(15000)))));
 }
 
 #[test]
@@ -173,7 +173,7 @@
         clients.iter_mut().for_each(|client| client.send(&order(15000)));
         until("both attempts", || member.requests().len() == 2);
         hold.open();
-        clients.iter_mut().for_each(|client| assert!(honoured(&client.answer().unwrap())));
+        clients.iter_mut().for_each(|client| assert!(served(&client.answer().unwrap())));
         hold.close();
         clients[0].send(&named(&order(15000), "broken"));
         until("the attempt", || member.requests().len() == 3);
--- a/crates/proxy/tests/trial.rs
+++ b/crates/proxy/tests/trial.rs
@@ -53,9 +53,9 @@
         for (handle, step) in todo.steps {
             let Step::Launch { member, .. } = step else { continue };
             let role = Some(if member == 2 { Role::Primary } else { Role::Replica });
-            let verdict = if member == 2 || class == 0 { Verdict::Honoured } else { Verdict::Miss };
+            let verdict = if member == 2 || class == 0 { Verdict::Served } else { Verdict::Miss };
             let told = Told { role, position: Some(at), age: 0 };
-            let closed = verdict == Verdict::Honoured;
+            let closed = verdict == Verdict::Served;
             let outcome = Outcome { verdict, took: 30_000, told, closed };
             ask(&mut router, &|router| handle.ended(router, at + 30_000, outcome));
         }
--- a/crates/proxy/tests/wall_clock.rs
+++ b/crates/proxy/tests/wall_clock.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use aldermill_test_support::{
-    Client, Discovery, Driver, Member, SteppedClock, config, honoured, list, look, order, sound, unix_millis,
+    Client, Discovery, Driver, Member, SteppedClock, config, list, look, order, served, sound, unix_millis,
     until,
 };
 use aldermill_wire::pg;
@@ -38,7 +38,7 @@
         let start = Instant::now();
         for at in 0..(long.as_millis() / 5) as u32 {
             thread::sleep((Duration::from_millis(5) * at).saturating_sub(start.elapsed()));
-            assert!(honoured(&client.ask(&look(15_000))));
+            assert!(served(&client.ask(&look(15_000))));
         }
     };
     ask_for(Duration::from_secs(1));
@@ -125,7 +125,7 @@
         let mut client = Client::connect(driver.address);
         let mut reads = |after, times| {
             let before = replica.requests().len();
-            (0..times).for_each(|_| assert!(honoured(&client.ask(&look_after(after)))));
+            (0..times).for_each(|_| assert!(served(&client.ask(&look_after(after)))));
             replica.requests().len() - before
         };
         if at_start >= 0 {
@@ -151,13 +151,13 @@
         let (driver, replica, _primary) = beside(&clock, replica, "recent");
         let mut client = Client::connect(driver.address);
         until("the members' clock", || {
-            assert!(honoured(&client.ask(&order(15_000))) && honoured(&client.ask(&look(15_000))));
+            assert!(served(&client.ask(&order(15_000))) && served(&client.ask(&look(15_000))));
             driver.logged("differs from the members'")
         });
-        (0..5).for_each(|_| assert!(honoured(&client.ask(&order(15_000)))));
+        (0..5).for_each(|_| assert!(served(&client.ask(&order(15_000)))));
         let before = replica.requests().len();
         let mut reads = |times| {
-            (0..times).for_each(|_| assert!(honoured(&client.ask(&look(15_000)))));
+            (0..times).for_each(|_| assert!(served(&client.ask(&look(15_000)))));
             replica.requests().len() - before
         };
         if fresh {
--- a/crates/proxy/tests/warm.rs
+++ b/crates/proxy/tests/warm.rs
@@ -36,7 +36,7 @@
     let driver = start(&discovery, "null", &folder);
     let mut client = Client::connect(driver.address);
     assert!(client.ask("").empty);
-    assert!(honoured(&client.ask(&order(5000))));
+    assert!(served(&client.ask(&order(5000))));
     until("the primary is kept", || tool("dump", &folder).1.contains(r#""member":"s-b""#));
     drop(driver);
 
@@ -46,7 +46,7 @@
     let driver = start(&discovery, "null", &folder);
     until("the line", || driver.logged("warm state, newest_word_ms_ago"));
     let mut client = Client::connect(driver.address);
-    assert!(client.ask("").empty && honoured(&client.ask(&order(5000))));
+    assert!(client.ask("").empty && served(&client.ask(&order(5000))));
     assert_eq!(a.requests().len(), walked, "no walk");
 
     let (sound, text) = tool("check", &folder);
@@ -73,7 +73,7 @@
     let known = list(8, true, &[("s-a", &a, "terminating"), ("s-b", &b, "in_service")]);
     let driver = start(&discovery, &known, &folder);
     let mut client = Client::connect(driver.address);
-    assert!(client.ask("").empty && honoured(&client.ask(&order(5000))));
+    assert!(client.ask("").empty && served(&client.ask(&order(5000))));
     assert_eq!((a.requests().len(), b.requests().len()), (0, 1), "nothing at what drains");
     std::fs::remove_dir_all(folder).unwrap();
 }
@@ -92,13 +92,13 @@
     until("the line", || {
         driver.logged("warm state refused, started without, why: kept by another driver, n0")
     });
-    assert!(honoured(&Client::connect(driver.address).ask(&order(5000))));
+    assert!(served(&Client::connect(driver.address).ask(&order(5000))));
     drop(driver);
     std::fs::remove_dir_all(&folder).unwrap();
     std::fs::write(&folder, "a file").unwrap();
     let driver = start(&discovery, &known, &folder);
     until("the line", || driver.logged("warm state refused, started without"));
-    assert!(honoured(&Client::connect(driver.address).ask(&order(5000))));
+    assert!(served(&Client::connect(driver.address).ask(&order(5000))));
     std::fs::remove_file(folder).unwrap();
 }
 
@@ -114,7 +114,7 @@
     let full = folder("full");
     let driver = Driver::on_full_disk(0, &config, &operator(&full));
     let mut client = Client::connect(driver.address);
-    assert!(client.ask("").empty && honoured(&client.ask(&order(5000))));
+    assert!(client.ask("").empty && served(&client.ask(&order(5000))));
     until("the line", || {
         driver.logged("warm state refused, started without") || driver.logged("warm state is not kept")
     });
@@ -131,7 +131,7 @@
     let many: Vec<_> = names.iter().map(|name| (name.as_str(), &member, "in_service")).collect();
     discovery.say(list(2, true, &many));
     until("the line", || driver.logged("warm state is not kept"));
-    assert!(honoured(&client.ask(&order(5000))) && !driver.logged("panic"));
+    assert!(served(&client.ask(&order(5000))) && !driver.logged("panic"));
     drop(driver);
     let (_, text) = tool("check", &filling);
     assert!(!text.contains("damaged"), "what was kept can be read: {text}");
@@ -151,7 +151,7 @@
     std::fs::remove_file(&folder).unwrap();
     until("it is taken in", || driver.logged("warm state is kept from now on"));
     let mut client = Client::connect(driver.address);
-    assert!(client.ask("").empty && honoured(&client.ask(&order(5000))));
+    assert!(client.ask("").empty && served(&client.ask(&order(5000))));
     until("the primary is kept", || tool("dump", &folder).1.contains(r#""member":"s-a""#));
     drop(driver);
     std::fs::remove_dir_all(folder).unwrap();
@@ -165,7 +165,7 @@
     discovery.say(list(7, true, &[("s-a", &a, "in_service"), ("s-b", &b, "in_service")]));
     let driver = start(&discovery, "null", &folder);
     let mut client = Client::connect(driver.address);
-    assert!(client.ask("").empty && honoured(&client.ask(&order(5000))));
+    assert!(client.ask("").empty && served(&client.ask(&order(5000))));
     until("the primary is kept", || tool("dump", &folder).1.contains(r#""member":"s-b""#));
     drop(driver);
 
@@ -176,7 +176,7 @@
     until("it is read", || driver.logged("warm state, newest_word_ms_ago"));
     until("the line", || driver.logged("warm state is not kept yet, what was kept before is read"));
     let mut client = Client::connect(driver.address);
-    assert!(client.ask("").empty && honoured(&client.ask(&order(5000))));
+    assert!(client.ask("").empty && served(&client.ask(&order(5000))));
     assert_eq!(a.requests().len(), walked, "no walk");
     drop(driver);
     assert!(tool("check", &folder).0);
--- a/crates/proxy/tests/whole_answers.rs
+++ b/crates/proxy/tests/whole_answers.rs
@@ -5,7 +5,7 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-use aldermill_test_support::{Client, Driver, Member, honour, honoured, look, order, whole};
+use aldermill_test_support::{Client, Driver, Member, look, order, serve, served, whole};
 use socket2::SockRef;
 
 #[derive(Clone, Copy, Debug)]
@@ -19,7 +19,7 @@
 fn short_of(missing: usize, ending: Ending) -> Member {
     Member::start(move |text: &str, stream: &mut TcpStream| {
         if !text.starts_with("/*") {
-            return honour(text, "writer", stream);
+            return serve(text, "writer", stream);
         }
         let bytes = whole(b"the value", text, "writer");
         let _ = stream.write_all(&bytes[..bytes.len() - missing]);
@@ -50,11 +50,11 @@
             let member = short_of(missing, ending);
             let driver = Driver::before(&[("a", &member)]);
             let mut client = Client::connect(driver.address);
-            let served = (0..20).filter(|_| honoured(&client.ask(&look(2000)))).count();
-            assert!(served * 2 >= 20, "{ending:?}, {missing} bytes missing: {served} of 20");
+            let served_count = (0..20).filter(|_| served(&client.ask(&look(2000)))).count();
+            assert!(served_count * 2 >= 20, "{ending:?}, {missing} bytes missing: {served_count} of 20");
             let (mut written, before) = (0, member.requests().len());
             for _ in 0..20 {
-                written += usize::from(honoured(&client.ask(&order(2000))));
+                written += usize::from(served(&client.ask(&order(2000))));
             }
             assert!(written * 2 >= 20, "{ending:?}, {missing} bytes missing: {written} of 20 writes");
             assert!(member.requests().len() <= before + 20, "rule 2: a write twice");
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -142,7 +142,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    Honoured,
+    Served,
     Error,
     Full,
     TimedOut,
@@ -173,7 +173,7 @@
     /// The member's process was heard.
     pub fn heard(self) -> bool {
         use Verdict::*;
-        matches!(self, Honoured | Error | Full | Miss | Spoilt | Dropped)
+        matches!(self, Served | Error | Full | Miss | Spoilt | Dropped)
     }
 }
 
@@ -223,10 +223,10 @@
         afresh: bool,
         validity: Validity,
     },
-    Deny {
+    Reject {
         cool_down: Micros,
     },
-    BreakOff,
+    Fail,
 }
 
 /// What the caller is to do now, in this order, and when to wake the router again.
--- a/crates/routing/src/policy/decide.rs
+++ b/crates/routing/src/policy/decide.rs
@@ -117,18 +117,18 @@
         (if held { hopeless.min(half.max(pending.arrived + 1)) } else { hopeless }, useful)
     }
 
-    /// Denied where that is true to say, else broken off.
+    /// Rejected where that is true to say, else failed.
     pub(super) fn give_up(&mut self, handle: Handle) {
         let pending = &self.pending_requests[&handle];
-        let deniable = match self.terms.classes[pending.request.class].effect {
+        let rejectable = match self.terms.classes[pending.request.class].effect {
             Effect::Pure | Effect::Receipted { scope: Scope::All, .. } => true,
             _ => pending.may_have_run.is_none() && pending.out.is_none(),
         };
-        // What is denied for want of room has missed its quoted time: sooner again only adds to the crowd.
+        // What is rejected for want of room has missed its quoted time: sooner again only adds to the crowd.
         let cool_down = self.terms.classes[pending.request.class].quoted.min(self.terms.max_cool_down);
         self.todo.steps.push((
             handle,
-            if deniable && !self.at_fault(pending) { Step::Deny { cool_down } } else { Step::BreakOff },
+            if rejectable && !self.at_fault(pending) { Step::Reject { cool_down } } else { Step::Fail },
         ));
         self.close(handle);
     }
@@ -190,10 +190,10 @@
         let crowded = verdict == Verdict::TimedOut && outcome.took < patience;
         let unseen = verdict == Verdict::Unseen;
         let seen = !verdict.never_ran() && !unseen && !reaped && verdict != Verdict::Error;
-        if verdict == Verdict::Honoured || crowded || sparse && seen {
+        if verdict == Verdict::Served || crowded || sparse && seen {
             member.took.add(outcome.took, KEEP / 4);
             let usual = member.took.quantile(0.6).unwrap_or(0);
-            let came = matches!(verdict, Verdict::Honoured | Verdict::Spoilt);
+            let came = matches!(verdict, Verdict::Served | Verdict::Spoilt);
             let took = if came { outcome.took - way } else { Micros::MAX };
             let (typical, share) = if sparse { (took, 70) } else { (usual, 30) };
             if typical > self.terms.classes[class].quoted * share / 100 {
@@ -205,10 +205,10 @@
             }
         }
         match verdict {
-            Verdict::Honoured => {
+            Verdict::Served => {
                 self.took[class].add(outcome.took, KEEP * 4);
                 self.any_took.add(outcome.took, KEEP * 4);
-                (member.honoured, member.spoilt) = (member.honoured + 0.1, 0);
+                (member.served, member.spoilt) = (member.served + 0.1, 0);
                 std::mem::take(&mut pending.erred).into_iter().for_each(|id| self.failed(now, id));
             }
             // Nobody's fault as yet: whoever honours the request proves that the member failed it. A quick
@@ -229,7 +229,7 @@
             _ => self.failed(now, id),
         }
         let told_commit =
-            told.position.filter(|_| verdict == Verdict::Honoured).unwrap_or(self.members_now(now));
+            told.position.filter(|_| verdict == Verdict::Served).unwrap_or(self.members_now(now));
         let commit = if verdict.never_ran() { 0 } else { told_commit };
         self.session(handle).into_iter().for_each(|session| session.ended(commit));
         let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
--- a/crates/routing/src/policy/members.rs
+++ b/crates/routing/src/policy/members.rs
@@ -221,7 +221,7 @@
         // may be dead.
         let (way, at) = self.ways.entry(member.zone).or_insert((0, now));
         match verdict {
-            Verdict::Honoured => {
+            Verdict::Served => {
                 (*way, *at) = ((*way + took) / 2, now);
                 member.way = ((member.way.0 + took) / 2, now);
             }
@@ -232,7 +232,7 @@
         member.probe_out = false;
         if matches!(verdict, Verdict::Moot | Verdict::Unseen | Verdict::LocalFailure) {
             // Nobody asked it, or nobody saw its answer.
-        } else if matches!(verdict, Verdict::Honoured | Verdict::Full | Verdict::Spoilt | Verdict::Dropped) {
+        } else if matches!(verdict, Verdict::Served | Verdict::Full | Verdict::Spoilt | Verdict::Dropped) {
             // An answered probe lifts the detect bar.
             member.barred_until = if was_barred { now } else { member.barred_until };
             member.probe_misses = 0;
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -225,7 +225,7 @@
     /// What fades with time at each member, and what warm members carry. Where there are many members this is done
     /// less often.
     fn walk_members(&mut self, now: Micros) {
-        // Only what was honoured counts as a warm member's load: misses and launches turned away are no work.
+        // Only what was served counts as a warm member's load: misses and launches turned away are no work.
         let window = self.terms.overload_window;
         let (mut load, mut warm) = (0.0, 0.0);
         let passed = if self.keeps_to_some() { WALK } else { BEAT };
@@ -235,9 +235,9 @@
             member.sent.retain(|&at| at > now - window);
             let cold = member.since.is_some_and(|since| now - since < self.terms.warm_within);
             if member.standing == Standing::Ready && !cold {
-                (load, warm) = (load + member.honoured, warm + member.size);
+                (load, warm) = (load + member.served, warm + member.size);
             }
-            member.honoured *= if cold { 0.0 } else { 1.0 - 0.1 * fading };
+            member.served *= if cold { 0.0 } else { 1.0 - 0.1 * fading };
         }
         // What members carry does not shrink with what they are sent: their best of late counts.
         let faded = self.warm_load * (1.0 - 0.02 * fading);
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -53,7 +53,7 @@
     pub(crate) fell: Option<Micros>, // since when its process seems dead; taken for cold when it is heard again
     pub(crate) barred_until: Micros,
     pub(crate) failures: VecDeque<Micros>,
-    pub(crate) spoilt: usize, // launches spoilt or dropped since the last honoured one
+    pub(crate) spoilt: usize, // launches spoilt or dropped since the last served one
     pub(crate) idle: Option<u32>, // connections known to be idle, since new ones to it failed here
     pub(crate) probe_misses: u32,
     pub(crate) probe_out: bool,
@@ -65,7 +65,7 @@
     pub(crate) credited: Micros,
     pub(crate) took: Histogram,
     pub(crate) sent: VecDeque<Micros>,
-    pub(crate) honoured: f64, // launches in one window of the overload rule, as of late
+    pub(crate) served: f64, // launches in one window of the overload rule, as of late
 }
 
 #[derive(Clone, Default)]
--- a/crates/routing/tests/router/among_many.rs
+++ b/crates/routing/tests/router/among_many.rs
@@ -48,7 +48,7 @@
         world.pass(30 * MS);
         let read = world.take(LOOSE, 1_000 * MS);
         if target(&world, read).is_some() {
-            world.end(read, Verdict::Honoured);
+            world.end(read, Verdict::Served);
         }
     }
     assert!(world.launched.len() <= 4, "{} launches in three windows at four", world.launched.len());
@@ -62,7 +62,7 @@
         world.hear_all();
         let read = world.take(LOOSE, 1_000 * MS);
         if target(&world, read).is_some() {
-            world.end(read, Verdict::Honoured);
+            world.end(read, Verdict::Served);
         }
     }
     let at_primary = world.launched.iter().filter(|&&(_, id)| id == 0).count();
@@ -76,7 +76,7 @@
         let write = world.take(WRITE, 2_000 * MS);
         world.pass(500 * MS);
         assert!(target(&world, write).is_some(), "held for half a second");
-        world.end(write, Verdict::Honoured);
+        world.end(write, Verdict::Served);
     }
 }
 
@@ -102,7 +102,7 @@
             let read = world.take(LOOSE, 1_000 * MS);
             let far = target(world, read).is_some_and(|id| id >= 4);
             if target(world, read).is_some() {
-                world.end(read, Verdict::Honoured);
+                world.end(read, Verdict::Served);
             }
             far
         });
@@ -126,7 +126,7 @@
     world.probe_answer(0, true);
     world.pass(300 * MS);
     assert_eq!(target(&world, write), Some(0), "what answers is not dead");
-    world.end(write, Verdict::Honoured);
+    world.end(write, Verdict::Served);
     assert_eq!(world.shut[4..], [0], "closed after use while connections are short");
 }
 
@@ -142,7 +142,7 @@
         let out = world.out().len();
         for request in requests {
             if target(&world, request).is_some() {
-                world.end(request, Verdict::Honoured);
+                world.end(request, Verdict::Served);
             }
         }
         world.pass(1_500 * MS);
@@ -159,7 +159,7 @@
         for _ in 0..50 {
             let request = world.take(LOOSE, 1_500 * MS);
             if target(&world, request).is_some() {
-                world.end(request, Verdict::Honoured);
+                world.end(request, Verdict::Served);
             }
             world.pass(20 * MS);
         }
@@ -178,30 +178,30 @@
         let mut met = Vec::new();
         while let Some(id) = target(&world, read) {
             met.push(id);
-            world.end(read, if bad { Verdict::Error } else { Verdict::Honoured });
+            world.end(read, if bad { Verdict::Error } else { Verdict::Served });
         }
-        // Two members' word is enough: it is broken off, and nobody is passed over for it.
-        assert_eq!((met.len(), world.broken_off.contains(&read)), if bad { (2, true) } else { (1, false) });
+        // Two members' word is enough: it is failed, and nobody is passed over for it.
+        assert_eq!((met.len(), world.failed.contains(&read)), if bad { (2, true) } else { (1, false) });
     }
-    world.broken_off.clear();
+    world.failed.clear();
     let mut met = 0;
     for _ in 0..60 {
         world.pass(100 * MS);
         let read = world.take(LOOSE, 1_000 * MS);
         while let Some(id) = target(&world, read) {
             met += usize::from(id == 2);
-            world.end(read, if id == 2 { Verdict::Error } else { Verdict::Honoured });
+            world.end(read, if id == 2 { Verdict::Error } else { Verdict::Served });
         }
     }
     assert!(met <= 4, "others honoured what it failed: it is barred, {met}");
-    assert!(world.broken_off.is_empty());
+    assert!(world.failed.is_empty());
 }
 
 #[test]
 fn connections_that_rested_and_met_silence_are_opened_afresh() {
     let mut world = World::new(many(), 1);
     world.hear_all();
-    // Whatever rested for over a second is dropped unseen; a launch just behind an answer is honoured.
+    // Whatever rested for over a second is dropped unseen; a launch just behind an answer is served.
     let mut silent = Vec::new();
     for round in 0..30 {
         for gap in [1_500, 100] {
@@ -215,7 +215,7 @@
                 silent.push(round);
                 world.pass(600 * MS);
             } else {
-                world.end(read, Verdict::Honoured);
+                world.end(read, Verdict::Served);
             }
         }
     }
@@ -254,7 +254,7 @@
                     usual += i64::from(id == 2 && !fails && (300..500).contains(&step));
                     at_cold.extend((id == 3 && step >= 500).then_some(step as i64 * 10 - 5_000));
                     world.pass(MS);
-                    world.end(read, if fails { Verdict::Error } else { Verdict::Honoured });
+                    world.end(read, if fails { Verdict::Error } else { Verdict::Served });
                 }
             }
             world.pass((step as i64 + 1) * 10 * MS - (world.now - began));
@@ -281,7 +281,7 @@
             world.pass(100 * MS);
             let read = world.take(LOOSE, 1_000 * MS);
             let met = target(world, read);
-            met.into_iter().for_each(|_| world.end(read, Verdict::Honoured));
+            met.into_iter().for_each(|_| world.end(read, Verdict::Served));
             met == Some(3)
         });
         met.count()
--- a/crates/routing/tests/router/cases.rs
+++ b/crates/routing/tests/router/cases.rs
@@ -59,7 +59,7 @@
         let read = world.take(LOOSE, 1_000 * MS);
         while let Some(id) = target(&world, read) {
             met[id] += 1;
-            world.end(read, if id == 1 { Verdict::Error } else { Verdict::Honoured });
+            world.end(read, if id == 1 { Verdict::Error } else { Verdict::Served });
         }
     }
     assert_eq!(met[1], 5);
@@ -79,10 +79,10 @@
         let (slow, quick) = (world.take(LOOSE, 1_000 * MS), world.take(LOOSE, 1_000 * MS));
         assert_eq!((target(&world, slow), target(&world, quick)), (Some(1), Some(1)));
         world.pass(MS);
-        world.end(quick, Verdict::Honoured);
+        world.end(quick, Verdict::Served);
         world.end(slow, Verdict::TimedOut);
         assert_eq!(target(&world, slow), Some(0), "another member is tried");
-        world.end(slow, Verdict::Honoured);
+        world.end(slow, Verdict::Served);
     }
 }
 
@@ -123,7 +123,7 @@
     for _ in 0..3 {
         world.pass(1_100 * MS);
         let newest = world.out().into_iter().map(|(handle, _)| handle).max().expect("one is tried");
-        world.end(newest, Verdict::Honoured);
+        world.end(newest, Verdict::Served);
     }
     let (first, out) = (lost.len() - held, world.out().len());
     assert!(2 * first <= out, "{out} out, {first} at first: lost launches hold up the held ones");
@@ -134,7 +134,7 @@
     let mut world = heard(terms());
     let write = world.take(WRITE, 2_000 * MS);
     world.pass(20 * MS);
-    world.end(write, Verdict::Honoured);
+    world.end(write, Verdict::Served);
     let read = world.take(OWN, 1_000 * MS);
     assert_eq!(target(&world, read), Some(0), "no replica is known to have the write");
 }
@@ -168,7 +168,7 @@
         world.pass(10 * MS);
         let read = world.take(LOOSE, 1_000 * MS);
         if target(&world, read).is_some() {
-            world.end(read, Verdict::Honoured);
+            world.end(read, Verdict::Served);
         }
     }
     let cold = world.launched.iter().filter(|&&(_, id)| id == 3).count();
@@ -205,9 +205,9 @@
     let read = world.take(READ, 2_000 * MS);
     let write = world.take(WRITE, 2_000 * MS);
     world.pass(600 * MS);
-    assert_eq!(world.denied, [read]);
+    assert_eq!(world.rejected, [read]);
     world.pass(1_500 * MS);
-    assert_eq!(world.denied, [read, write]);
+    assert_eq!(world.rejected, [read, write]);
 }
 
 #[test]
@@ -217,11 +217,11 @@
     for (ttl, time) in (0..40).map(|i| if i < 12 { (1_000 * MS, 0) } else { (600 * MS, 590 * MS) }) {
         let read = world.take(LOOSE, ttl);
         world.pass(time);
-        world.end(read, Verdict::Honoured);
+        world.end(read, Verdict::Served);
     }
     let hurried = world.take(LOOSE, 60 * MS);
     assert!(target(&world, hurried).is_some());
-    assert!(world.denied.is_empty());
+    assert!(world.rejected.is_empty());
 }
 
 #[test]
@@ -234,7 +234,7 @@
             while let Some(id) = target(&world, read) {
                 met[id] += 1;
                 let spoilt = if every == 1 { id == 1 } else { met[id] % every == 0 };
-                world.end(read, if spoilt { Verdict::Spoilt } else { Verdict::Honoured });
+                world.end(read, if spoilt { Verdict::Spoilt } else { Verdict::Served });
             }
         }
         assert!((9..=most).contains(&met[1]), "{met:?}");
@@ -250,7 +250,7 @@
     world.relist(id, Standing::Gone, None);
     world.pass(11_000 * MS);
     assert!(!world.router.forget(world.now, id), "its launch is out");
-    world.end(late, Verdict::Honoured);
+    world.end(late, Verdict::Served);
     assert!(!world.router.forget(world.now, id), "it was heard just now");
     world.pass(11_000 * MS);
     world.hear_all();
@@ -264,7 +264,7 @@
     let met = (0..30).filter(|_| {
         let read = world.take(LOOSE, 1_000 * MS);
         let met = target(&world, read) == Some(id);
-        world.end(read, Verdict::Honoured);
+        world.end(read, Verdict::Served);
         met
     });
     assert!(met.count() > 3);
@@ -281,7 +281,7 @@
     let mut met = 0;
     while let Some(id) = target(&world, write) {
         met += 1;
-        world.end(write, if id == 2 { Verdict::Honoured } else { Verdict::Miss });
+        world.end(write, if id == 2 { Verdict::Served } else { Verdict::Miss });
     }
     assert!((1..=3).contains(&met), "{met}");
 }
@@ -337,25 +337,25 @@
     let mut world = heard(Terms { repeats_marked: false, ..terms() });
     for _ in 0..3 {
         let read = world.take(READ, 1_200 * MS);
-        world.end(read, Verdict::Honoured);
+        world.end(read, Verdict::Served);
         world.hear_all();
     }
     // Of two seconds in all 1.3 s have gone by: its quoted time of half a second as well.
     let repeat = world.take(READ, 700 * MS);
-    assert_eq!(world.denied, [repeat]);
+    assert_eq!(world.rejected, [repeat]);
 }
 
 #[test]
-fn a_request_that_is_over_when_it_is_read_is_denied_and_never_launched() {
+fn a_request_that_is_over_when_it_is_read_is_rejected_and_never_launched() {
     let mut world = heard(terms());
     let (ttl, waited) = (-300 * MS, 1_800 * MS);
     let request = Request { class: WRITE, group: 7, ttl, waited, ..Request::default() };
     let over = world.take_request(request);
-    assert_eq!((world.denied.as_slice(), world.launched.len()), ([over].as_slice(), 0));
+    assert_eq!((world.rejected.as_slice(), world.launched.len()), ([over].as_slice(), 0));
 }
 
 #[test]
-fn what_was_never_launched_among_many_is_denied_before_half_of_its_time_is_over() {
+fn what_was_never_launched_among_many_is_rejected_before_half_of_its_time_is_over() {
     let mut world = World::new(Terms { drivers: 40, drivers_at_cold: 40, ..terms() }, 4);
     world.primary = 9;
     world.positions.resize(10, 0);
@@ -366,9 +366,9 @@
     let waited = |request: &&Handle| !world.launched.iter().any(|(launched, _)| launched == *request);
     let waited: Vec<&Handle> = requests.iter().filter(waited).collect();
     assert!(
-        !waited.is_empty() && waited.iter().all(|request| world.denied.contains(request)),
+        !waited.is_empty() && waited.iter().all(|request| world.rejected.contains(request)),
         "{:?}",
-        world.denied
+        world.rejected
     );
 }
 
@@ -385,5 +385,5 @@
     world.pass(6 * MS);
     world.positions[1] = world.now;
     world.probe_answer(1, true);
-    assert!(world.denied.is_empty() && world.launched.iter().any(|&(_, member)| member == 1));
+    assert!(world.rejected.is_empty() && world.launched.iter().any(|&(_, member)| member == 1));
 }
--- a/crates/routing/tests/router/fresh.rs
+++ b/crates/routing/tests/router/fresh.rs
@@ -9,7 +9,7 @@
     let writes = |world: &mut World, from: u32| {
         for number in from..from + 10_100 {
             let write = world.take_session(WRITE, 1_000 * MS, &number.to_string());
-            world.end(write, Verdict::Honoured);
+            world.end(write, Verdict::Served);
         }
     };
     writes(&mut world, 0);
@@ -100,13 +100,13 @@
 fn a_primary_that_says_it_is_a_replica_is_believed_though_its_position_stands_still() {
     let mut world = heard(terms());
     let write = world.take(WRITE, 1_000 * MS);
-    world.end(write, Verdict::Honoured);
+    world.end(write, Verdict::Served);
     assert_eq!(resort(&mut world), Some(0), "a read that lacks a fresh replica goes to the primary");
     let word = steps_down(&mut world);
     // A write's answer from before that, heard now, dates the group's word later than the position told below.
     world.pass(30 * MS);
     let write = world.take(WRITE, 1_000 * MS);
-    world.end_saying(write, Verdict::Honoured, Told { role: Some(Role::Primary), ..word });
+    world.end_saying(write, Verdict::Served, Told { role: Some(Role::Primary), ..word });
     world.probe_says(0, word);
     assert_eq!(resort(&mut world), None, "rule 5: by its own word it is no primary any more");
 }
@@ -119,7 +119,7 @@
     let word = steps_down(&mut world);
     // Both answers are there at once, and the newer one is heard first.
     world.end_saying(second, Verdict::Miss, word);
-    world.end_saying(first, Verdict::Honoured, Told { role: Some(Role::Primary), ..word });
+    world.end_saying(first, Verdict::Served, Told { role: Some(Role::Primary), ..word });
     assert_eq!(resort(&mut world), None, "rule 5: the older word comes second");
 }
 
@@ -131,7 +131,7 @@
     world.move_primary(0);
     world.pass(100 * MS);
     let write = world.take(WRITE, 1_000 * MS);
-    world.end(write, Verdict::Honoured);
+    world.end(write, Verdict::Served);
     world.late_report(0);
     assert_eq!(resort(&mut world), Some(0));
 }
@@ -152,7 +152,7 @@
     let mut world = heard(terms());
     world.pass(500 * MS);
     let write = world.take_session(WRITE, 1_000 * MS, "17");
-    world.end_saying(write, Verdict::Honoured, Told::default());
+    world.end_saying(write, Verdict::Served, Told::default());
     // The replicas were last heard before that.
     let read = world.take_session(OWN, 1_000 * MS, "17");
     while let Some(asked) = world.probes.pop() {
@@ -213,5 +213,5 @@
     world.pass(1_900 * MS);
     world.end(write, Verdict::Error);
     assert_eq!(target(&world, write), None, "rule 2: 100 ms are left of its window");
-    assert_eq!(world.broken_off, [write]);
+    assert_eq!(world.failed, [write]);
 }
--- a/crates/routing/tests/router/in_time.rs
+++ b/crates/routing/tests/router/in_time.rs
@@ -4,17 +4,17 @@
 use aldermill_routing::{Role, Standing, Told, Verdict};
 
 #[test]
-fn what_may_have_run_is_broken_off_or_repeated_within_its_receipt() {
+fn what_may_have_run_is_failed_or_repeated_within_its_receipt() {
     let mut world = heard(terms());
     let effectful = world.take(WRITE, 2_000 * MS);
     world.end(effectful, Verdict::Error);
-    assert_eq!((world.launched.len(), &world.broken_off[..]), (1, &[effectful][..]));
+    assert_eq!((world.launched.len(), &world.failed[..]), (1, &[effectful][..]));
     let receipted = world.take(RECEIPTED, 60_000 * MS);
     world.end(receipted, Verdict::Error);
     assert_eq!(target(&world, receipted), Some(0), "its receipt drops repeats");
     world.pass(2_100 * MS);
     world.end(receipted, Verdict::Reset);
-    assert_eq!(world.broken_off, [effectful, receipted]);
+    assert_eq!(world.failed, [effectful, receipted]);
 }
 
 #[test]
@@ -32,27 +32,27 @@
 }
 
 #[test]
-fn a_try_too_late_for_its_quoted_time_is_denied_at_once() {
+fn a_try_too_late_for_its_quoted_time_is_rejected_at_once() {
     let mut world = heard(terms());
     let soon = world.take_try(READ, 1_900 * MS, true);
     assert!(target(&world, soon).is_some());
     let later = world.take_try(READ, 1_400 * MS, true);
-    assert_eq!(world.denied, [later]);
+    assert_eq!(world.rejected, [later]);
     let late_but_paid = world.take_try(LOOSE, 1_400 * MS, true);
     assert!(target(&world, late_but_paid).is_some());
 }
 
 #[test]
-fn what_was_never_launched_and_pays_little_when_late_is_denied_by_half_of_its_time() {
+fn what_was_never_launched_and_pays_little_when_late_is_rejected_by_half_of_its_time() {
     let mut world = heard(terms());
     (0..4).for_each(|id| world.relist(id, Standing::Gone, None));
     let (read, write) = (world.take(LOOSE, 1_600 * MS), world.take(WRITE, 1_600 * MS));
     world.pass(700 * MS);
-    assert!(world.denied.is_empty());
+    assert!(world.rejected.is_empty());
     world.pass(140 * MS);
-    assert_eq!(world.denied, [read]);
+    assert_eq!(world.rejected, [read]);
     world.pass(600 * MS);
-    assert_eq!(world.denied, [read, write]);
+    assert_eq!(world.rejected, [read, write]);
 }
 
 #[test]
@@ -60,7 +60,7 @@
     let mut world = heard(many());
     // Of two seconds in all 0.6 s have gone by: the quoted half a second as well.
     let (read, write) = (world.take_try(LOOSE, 1_400 * MS, true), world.take_try(WRITE, 1_400 * MS, true));
-    assert_eq!(world.denied, [read]);
+    assert_eq!(world.rejected, [read]);
     assert_eq!(target(&world, write), Some(0), "half of its payoff is left");
 }
 
@@ -74,7 +74,7 @@
     world.pass(20 * MS);
     world.probes.clear();
     world.stand(2_500 * MS);
-    assert_eq!((world.broken_off.len(), world.denied.len()), (4, 0), "they may have run");
+    assert_eq!((world.failed.len(), world.rejected.len()), (4, 0), "they may have run");
     world.pass(20 * MS);
     assert!(world.probes.is_empty(), "nobody is asked for having been silent then");
     (0..5).for_each(|_| world.probe_ends(0, Verdict::Unseen));
@@ -93,7 +93,7 @@
     world.now += 2_500 * MS;
     world.router.stood_still(world.now, 2_500 * MS);
     let told = Told { role, position, age: world.now - now + 100 * MS };
-    let _ = world.router.probed(world.now, 0, Verdict::Honoured, MS, told);
+    let _ = world.router.probed(world.now, 0, Verdict::Served, MS, told);
     let write = world.take(WRITE, 1_000 * MS);
     assert_eq!(target(&world, write), Some(2));
 }
@@ -107,9 +107,9 @@
             for _ in 0..requests {
                 world.take(LOOSE, 1_500 * MS);
             }
-            world.out().into_iter().for_each(|(handle, _)| world.end(handle, Verdict::Honoured));
+            world.out().into_iter().for_each(|(handle, _)| world.end(handle, Verdict::Served));
             world.pass(20 * MS);
-            world.out().into_iter().for_each(|(handle, _)| world.end(handle, Verdict::Honoured));
+            world.out().into_iter().for_each(|(handle, _)| world.end(handle, Verdict::Served));
         }
         world.launched.len() - before
     };
--- a/crates/routing/tests/router/local.rs
+++ b/crates/routing/tests/router/local.rs
@@ -18,11 +18,11 @@
     }
     let tries = world.launched.len();
     assert!((10..60).contains(&tries), "{tries} tries in a second");
-    assert!(world.denied.is_empty() && world.broken_off.is_empty());
+    assert!(world.rejected.is_empty() && world.failed.is_empty());
     world.pass(100 * MS);
     assert_eq!(target(&world, write), Some(0), "the primary is as believed as before");
-    world.end(write, Verdict::Honoured);
-    assert!(world.denied.is_empty() && world.broken_off.is_empty());
+    world.end(write, Verdict::Served);
+    assert!(world.rejected.is_empty() && world.failed.is_empty());
 }
 
 #[test]
@@ -54,7 +54,7 @@
     let answered = ends(&world, 1);
     fail_all_but(&mut world, answered);
     let before = world.launched.len();
-    world.end(answered, Verdict::Honoured);
+    world.end(answered, Verdict::Served);
     assert_eq!(world.launched.len(), before + 1, "one waits no longer");
     assert_eq!(world.launched[before].1, 1, "where a connection is idle");
     // Connections can be opened again: those that wait come a few at a time.
--- a/crates/routing/tests/router/rules.rs
+++ b/crates/routing/tests/router/rules.rs
@@ -7,8 +7,8 @@
 
 const VERDICTS: [Verdict; 14] = [
     Verdict::Unseen,
-    Verdict::Honoured,
-    Verdict::Honoured,
+    Verdict::Served,
+    Verdict::Served,
     Verdict::Error,
     Verdict::Full,
     Verdict::TimedOut,
--- a/crates/routing/tests/router/wide_fleets.rs
+++ b/crates/routing/tests/router/wide_fleets.rs
@@ -14,7 +14,7 @@
         let read = world.take(LOOSE, 1_000 * MS);
         if let Some(id) = target(world, read) {
             used.insert(id);
-            world.end(read, Verdict::Honoured);
+            world.end(read, Verdict::Served);
         }
     }
     used
@@ -92,7 +92,7 @@
         }
         checks.extend(asked);
         if target(&world, read).is_some() {
-            world.end(read, Verdict::Honoured);
+            world.end(read, Verdict::Served);
         }
     }
     assert!(checks.len() <= 150, "{} health checks for 100 reads", checks.len());
--- a/crates/routing/tests/router/wide_groups.rs
+++ b/crates/routing/tests/router/wide_groups.rs
@@ -10,7 +10,7 @@
     let (begin, mut checks) = (world.now, Vec::new());
     while world.now - begin < 2_000 * MS {
         while let Some(id) = target(world, write) {
-            world.end(write, Verdict::Honoured);
+            world.end(write, Verdict::Served);
             if id == world.primary {
                 return Some((world.now - begin, checks));
             }
@@ -96,7 +96,7 @@
         world.pass(10 * MS);
         let read = world.take(LOOSE, 1_000 * MS);
         let id = target(&world, read).expect("a replica has room");
-        let verdict = if id == world.primary { Verdict::Full } else { Verdict::Honoured };
+        let verdict = if id == world.primary { Verdict::Full } else { Verdict::Served };
         heard[id] = id != world.primary;
         if id == world.primary {
             world.end_saying(read, verdict, Default::default());
--- a/crates/routing/tests/router/world.rs
+++ b/crates/routing/tests/router/world.rs
@@ -34,12 +34,12 @@
     standing: Vec<(Standing, Micros)>,
     pub since: Vec<Option<Micros>>,
     sent: Vec<VecDeque<Micros>>,
-    honoured: Vec<VecDeque<Micros>>,
+    served: Vec<VecDeque<Micros>>,
     most_warm: usize,
     flights: BTreeMap<Handle, Flight>,
     pub launched: Vec<(Handle, MemberId)>,
-    pub denied: Vec<Handle>,
-    pub broken_off: Vec<Handle>,
+    pub rejected: Vec<Handle>,
+    pub failed: Vec<Handle>,
     pub probes: Vec<MemberId>,
     pub shut: Vec<MemberId>,
     pub afresh: Vec<MemberId>,
@@ -66,12 +66,12 @@
             standing: vec![(Standing::Ready, now); members],
             since: vec![None; members],
             sent: vec![VecDeque::new(); members],
-            honoured: vec![VecDeque::new(); members],
+            served: vec![VecDeque::new(); members],
             most_warm: 2,
             flights: BTreeMap::new(),
             launched: Vec::new(),
-            denied: Vec::new(),
-            broken_off: Vec::new(),
+            rejected: Vec::new(),
+            failed: Vec::new(),
             probes: Vec::new(),
             shut: Vec::new(),
             afresh: Vec::new(),
@@ -169,7 +169,7 @@
     }
 
     pub fn probe_answer(&mut self, id: MemberId, answered: bool) {
-        self.probe_ends(id, if answered { Verdict::Honoured } else { Verdict::TimedOut });
+        self.probe_ends(id, if answered { Verdict::Served } else { Verdict::TimedOut });
     }
 
     /// A report made now, to come late.
@@ -183,19 +183,19 @@
 
     /// It answers a probe, after so long.
     pub fn probe_took(&mut self, id: MemberId, took: Micros) {
-        let todo = self.router.probed(self.now, id, Verdict::Honoured, took, self.told(id));
+        let todo = self.router.probed(self.now, id, Verdict::Served, took, self.told(id));
         self.carry_out(todo);
     }
 
     /// It answers a probe, and says this of itself.
     pub fn probe_says(&mut self, id: MemberId, told: Told) {
-        let todo = self.router.probed(self.now, id, Verdict::Honoured, MS, told);
+        let todo = self.router.probed(self.now, id, Verdict::Served, MS, told);
         self.carry_out(todo);
     }
 
     pub fn probe_ends(&mut self, id: MemberId, verdict: Verdict) {
         let took = if verdict == Verdict::TimedOut { 250 * MS } else { MS };
-        let told = if verdict == Verdict::Honoured { self.told(id) } else { Told::default() };
+        let told = if verdict == Verdict::Served { self.told(id) } else { Told::default() };
         let todo = self.router.probed(self.now, id, verdict, took, told);
         self.carry_out(todo);
     }
@@ -215,11 +215,11 @@
         let (id, _) = flight.out.expect("out");
         let write = self.terms.classes[flight.class].need == Need::Write;
         let verdict = match verdict {
-            Verdict::Honoured if write && id != self.primary => Verdict::Miss,
+            Verdict::Served if write && id != self.primary => Verdict::Miss,
             Verdict::Miss if !write => Verdict::Full,
             verdict => verdict,
         };
-        let answers = matches!(verdict, Verdict::Honoured | Verdict::Error | Verdict::Full | Verdict::Miss);
+        let answers = matches!(verdict, Verdict::Served | Verdict::Error | Verdict::Full | Verdict::Miss);
         let told = if answers { self.told(id) } else { Told::default() };
         if answers && id != self.primary {
             self.excused[id] = false;
@@ -242,11 +242,11 @@
             let at = sent.iter().rposition(|&at| at == flight.launched);
             at.map(|at| sent.remove(at));
         }
-        let honoured = verdict == Verdict::Honoured;
-        flight.over |= honoured;
+        let served = verdict == Verdict::Served;
+        flight.over |= served;
         let closed = flight.over;
-        if honoured {
-            let done = &mut self.honoured[id];
+        if served {
+            let done = &mut self.served[id];
             done.push_back(self.now);
             done.retain(|&at| at > self.now - self.terms.overload_window);
             if self.since[id].is_none_or(|since| self.now - since >= self.terms.warm_within) {
@@ -293,7 +293,7 @@
         self.standing.resize(members, (Standing::Gone, old));
         self.since.resize(members, None);
         self.sent.resize(members, VecDeque::new());
-        self.honoured.resize(members, VecDeque::new());
+        self.served.resize(members, VecDeque::new());
         self.reports.resize(members, Told::default());
     }
 
@@ -319,17 +319,17 @@
                     self.afresh.extend(afresh.then_some(member));
                     self.check_launch(handle, member, limit, validity);
                 }
-                Step::Deny { .. } => {
+                Step::Reject { .. } => {
                     let flight = self.flights.get_mut(&handle).expect("taken");
                     let pure = self.terms.classes[flight.class].effect == Effect::Pure;
                     assert!(pure || flight.may_have_run.is_none() && flight.out.is_none(), "rule 2: denied");
                     assert!(!std::mem::replace(&mut flight.over, true), "rule 1: a second answer");
-                    self.denied.push(handle);
+                    self.rejected.push(handle);
                 }
-                Step::BreakOff => {
+                Step::Fail => {
                     let flight = self.flights.get_mut(&handle).expect("taken");
                     assert!(!std::mem::replace(&mut flight.over, true), "rule 1: a second answer");
-                    self.broken_off.push(handle);
+                    self.failed.push(handle);
                 }
             }
         }
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -120,7 +120,7 @@
         while let Some(&(at, handle)) = self.processes[number].out.front().filter(|&&(at, _)| at <= now) {
             self.processes[number].out.pop_front();
             let outcome = Outcome {
-                verdict: Verdict::Honoured,
+                verdict: Verdict::Served,
                 took: WORK + now - at,
                 told: Told::default(),
                 closed: true,
@@ -153,7 +153,7 @@
         for member in todo.probes {
             self.sent.extend((member == COLD).then_some(self.now));
             let router = &mut self.processes[number].router;
-            let todo = router.probed(self.now, member, Verdict::Honoured, MS, Told::default());
+            let todo = router.probed(self.now, member, Verdict::Served, MS, Told::default());
             self.carry_out(number, todo);
         }
     }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn without_a_time_to_return_a_denial_names_none() {
+fn without_a_time_to_return_a_rejection_names_none() {
     assert_eq!(with("/limits/retryAfter", Some(json!(false))).unwrap().terms.max_cool_down, 0);
     assert_eq!(with("/limits/retryAfter", Some(json!(true))).unwrap().terms.max_cool_down, 500_000);
     assert!(refused("/limits/retryAfter", json!(1)).contains("expected a boolean"));
--- a/crates/site-drain/src/obeyed.rs
+++ b/crates/site-drain/src/obeyed.rs
@@ -75,7 +75,8 @@
     /// What to act by now, at this site.
     ///
     /// Protects sessions and effects from a driver of a site that others said is retired, and that hears nobody. Harms clients
-    /// there: those whose sessions had not moved yet are carried to the others all at once, or denied where none is reached.
+    /// there: those whose sessions had not moved yet are carried to the others all at once, or rejected where
+    /// none is reached.
     pub fn acting(&self, now: Micros, own: &str) -> Vec<Plan> {
         let acting = |(plan, _, heard): &(Plan, Place, Micros)| {
             let fenced = plan.word.site == own && now - heard > GOES_ON && plan.stage != Stage::Back;
--- a/crates/site-link/src/frame.rs
+++ b/crates/site-link/src/frame.rs
@@ -119,10 +119,10 @@
 pub enum OutcomeKind {
     Unset = 0,
     /// Its value follows as data.
-    Honoured = 1,
+    Served = 1,
     /// It never ran, and trying again is harmless.
-    Denied = 2,
-    BrokenOff = 3,
+    Rejected = 2,
+    Failed = 3,
     /// It never ran: the group's primary is not there.
     NotHere = 4,
     /// It never ran: it is no request there.
@@ -136,7 +136,7 @@
     pub number: u64,
     #[prost(enumeration = "OutcomeKind", tag = "2")]
     pub kind: i32,
-    /// After how long it may come again, where it was denied.
+    /// After how long it may come again, where it was rejected.
     #[prost(uint64, tag = "3")]
     pub cool_down_us: u64,
     /// The site that has the primary, where it is not here and that is known.
@@ -166,10 +166,10 @@
     /// It was never taken, and from now on never will be.
     NeverTaken = 1,
     /// It never ran.
-    Denied = 2,
+    Rejected = 2,
     /// Its value follows as data.
-    Honoured = 3,
-    BrokenOff = 4,
+    Served = 3,
+    Failed = 4,
     /// The receiver cannot know.
     Unknown = 5,
     /// It is under way; its outcome comes on this link.
--- a/crates/site-link/tests/frames.rs
+++ b/crates/site-link/tests/frames.rs
@@ -51,7 +51,7 @@
         ends.0.say(Said::Request(request(1), statement.clone()));
         ends.0.say(Said::Ask(Ask { number: 9, receiver_start: 7 }));
         ends.1.say(Said::Outcome(
-            Outcome { number: 5, kind: OutcomeKind::Honoured.into(), ..Outcome::default() },
+            Outcome { number: 5, kind: OutcomeKind::Served.into(), ..Outcome::default() },
             value.clone(),
         ));
         ends.1.say(Said::Fate(
--- a/crates/site-routing/src/credit.rs
+++ b/crates/site-routing/src/credit.rs
@@ -7,7 +7,8 @@
 /// At first, and at least: with nothing nobody would notice that there is room again.
 const START: f64 = 16.0;
 const LEAST: f64 = 1.0;
-/// After a denial shrank a window, it is not shrunk again for so long: the denials of one crowd are one sign.
+/// After a rejection shrank a window, it is not shrunk again for so long: the rejections of one crowd are one
+/// sign.
 const REST: Micros = 100_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +25,7 @@
 #[derive(Debug)]
 pub struct Offers {
     windows: HashMap<GateId, Vec<Window>>,
-    /// What a denial leaves of each request class's window.
+    /// What a rejection leaves of each request class's window.
     keeps: Vec<f64>,
     most: f64,
 }
@@ -48,15 +49,15 @@
     }
 
     /// A request of another site is over here; says whether what is offered has changed.
-    pub(crate) fn over(&mut self, now: Micros, gate: GateId, class: usize, denied: bool) -> bool {
+    pub(crate) fn over(&mut self, now: Micros, gate: GateId, class: usize, rejected: bool) -> bool {
         let (keep, most) = (self.keeps.get(class).copied().unwrap_or(0.5), self.most);
         let Some(window) = self.of(gate).get_mut(class) else { return false };
         let before = window.requests.floor();
         let full = f64::from(window.under_way) >= window.requests - 1.0;
         window.under_way = window.under_way.saturating_sub(1);
-        if denied && now - window.shrunk >= REST {
+        if rejected && now - window.shrunk >= REST {
             (window.requests, window.shrunk) = ((window.requests * keep).max(LEAST), now);
-        } else if !denied && full {
+        } else if !rejected && full {
             window.requests = (window.requests + 1.0 / window.requests).min(most);
         }
         window.requests.floor() != before
--- a/crates/site-routing/src/crossing.rs
+++ b/crates/site-routing/src/crossing.rs
@@ -20,9 +20,9 @@
 pub enum Settled {
     /// Nothing is known yet.
     Open,
-    /// It never ran: it may go elsewhere, or be denied.
+    /// It never ran: it may go elsewhere, or be rejected.
     NeverRan,
-    Honoured,
+    Served,
     /// It may have run, and more will not be known.
     MayHaveRun,
 }
@@ -36,8 +36,8 @@
 
     pub fn answered(&mut self, answer: Answer) -> Settled {
         match answer {
-            Answer::Honoured => Settled::Honoured,
-            Answer::BrokenOff => Settled::MayHaveRun,
+            Answer::Served => Settled::Served,
+            Answer::Failed => Settled::MayHaveRun,
             _ if answer.never_ran() => Settled::NeverRan,
             _ => Settled::Open,
         }
@@ -46,9 +46,9 @@
     /// The gateway said what became of it.
     pub fn told<V>(&mut self, fate: &Fate<V>) -> Settled {
         match fate {
-            Fate::NeverTaken | Fate::Denied { .. } => Settled::NeverRan,
-            Fate::Honoured(_) => Settled::Honoured,
-            Fate::BrokenOff | Fate::Unknown => Settled::MayHaveRun,
+            Fate::NeverTaken | Fate::Rejected { .. } => Settled::NeverRan,
+            Fate::Served(_) => Settled::Served,
+            Fate::Failed | Fate::Unknown => Settled::MayHaveRun,
             Fate::UnderWay => {
                 *self = Crossing::Out;
                 Settled::Open
--- a/crates/site-routing/src/earlier.rs
+++ b/crates/site-routing/src/earlier.rs
@@ -14,8 +14,8 @@
 ///
 /// Protects the sender's next launch: 'never taken' is said of an earlier start only where that is certain. Should also
 /// cover a disk that stands still, fills up or goes. Harms guests whose requests come while the disk is away
-/// and the promise holds: they are denied, for five seconds at most. What was taken without a record puts the
-/// next promise off until nobody can ask about it any more.
+/// and the promise holds: they are rejected, for five seconds at most. What was taken without a record puts
+/// the next promise off until nobody can ask about it any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Default)]
 pub struct Promise {
     /// Confirmed, and handed over since.
@@ -92,7 +92,7 @@
         let Some(start) = self.starts.get(&start) else { return Fate::Unknown };
         match start.records.get(&(origin.clone(), number)) {
             // It was taken, and the end of that start came before its outcome.
-            Some(Fate::UnderWay) => Fate::BrokenOff,
+            Some(Fate::UnderWay) => Fate::Failed,
             Some(fate) => fate.clone(),
             None if start.whole => Fate::NeverTaken,
             None => Fate::Unknown,
@@ -138,9 +138,9 @@
     match fate {
         Fate::UnderWay => vec![b'T'],
         Fate::NeverTaken => vec![b'N'],
-        Fate::Denied { cool_down } => [&[b'D'][..], &cool_down.to_be_bytes()].concat(),
-        Fate::Honoured(bytes) => [&[b'H'][..], bytes].concat(),
-        Fate::BrokenOff | Fate::Unknown => vec![b'B'],
+        Fate::Rejected { cool_down } => [&[b'D'][..], &cool_down.to_be_bytes()].concat(),
+        Fate::Served(bytes) => [&[b'H'][..], bytes].concat(),
+        Fate::Failed | Fate::Unknown => vec![b'B'],
     }
 }
 
@@ -150,10 +150,10 @@
         Some((b'T', [])) => Fate::UnderWay,
         Some((b'N', [])) => Fate::NeverTaken,
         Some((b'D', rest)) => match rest.try_into().map(Micros::from_be_bytes) {
-            Ok(cool_down) => Fate::Denied { cool_down: cool_down.max(0) },
-            Err(_) => Fate::BrokenOff,
+            Ok(cool_down) => Fate::Rejected { cool_down: cool_down.max(0) },
+            Err(_) => Fate::Failed,
         },
-        Some((b'H', rest)) => Fate::Honoured(rest.to_vec()),
-        _ => Fate::BrokenOff,
+        Some((b'H', rest)) => Fate::Served(rest.to_vec()),
+        _ => Fate::Failed,
     }
 }
--- a/crates/site-routing/src/fates.rs
+++ b/crates/site-routing/src/fates.rs
@@ -20,7 +20,7 @@
     pub start: u64,
 }
 
-/// What became of a key. `V` is what an honoured request brought.
+/// What became of a key. `V` is what a served request brought.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Fate<V> {
     /// It was never taken, and never will be.
@@ -28,11 +28,11 @@
     /// It was taken, and no outcome is known yet.
     UnderWay,
     /// It never ran.
-    Denied {
+    Rejected {
         cool_down: Micros,
     },
-    Honoured(V),
-    BrokenOff,
+    Served(V),
+    Failed,
     /// It may have been taken; nothing of it is known.
     Unknown,
 }
@@ -42,9 +42,9 @@
         match self {
             Fate::NeverTaken => Fate::NeverTaken,
             Fate::UnderWay => Fate::UnderWay,
-            Fate::Denied { cool_down } => Fate::Denied { cool_down: *cool_down },
-            Fate::Honoured(value) => Fate::Honoured(value),
-            Fate::BrokenOff => Fate::BrokenOff,
+            Fate::Rejected { cool_down } => Fate::Rejected { cool_down: *cool_down },
+            Fate::Served(value) => Fate::Served(value),
+            Fate::Failed => Fate::Failed,
             Fate::Unknown => Fate::Unknown,
         }
     }
@@ -53,9 +53,9 @@
         match self {
             Fate::NeverTaken => Fate::NeverTaken,
             Fate::UnderWay => Fate::UnderWay,
-            Fate::Denied { cool_down } => Fate::Denied { cool_down },
-            Fate::Honoured(value) => Fate::Honoured(of(value)),
-            Fate::BrokenOff => Fate::BrokenOff,
+            Fate::Rejected { cool_down } => Fate::Rejected { cool_down },
+            Fate::Served(value) => Fate::Served(of(value)),
+            Fate::Failed => Fate::Failed,
             Fate::Unknown => Fate::Unknown,
         }
     }
--- a/crates/site-routing/src/lib.rs
+++ b/crates/site-routing/src/lib.rs
@@ -78,7 +78,7 @@
     pub max_hops: usize,
     /// Requests of one request class that another gateway may have under way here at most.
     pub max_credit: u32,
-    /// How long a denied client is told to stay away at most.
+    /// How long a rejected client is told to stay away at most.
     pub max_cool_down: Micros,
 }
 
@@ -97,11 +97,11 @@
 /// How another gateway answered a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    Honoured,
-    Denied {
+    Served,
+    Rejected {
         cool_down: Micros,
     },
-    BrokenOff,
+    Failed,
     /// The group's primary is not there, but perhaps at this site.
     NotHere {
         hint: Option<SiteId>,
@@ -113,16 +113,16 @@
 impl Answer {
     /// It is certain that nothing ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Answer::Denied { .. } | Answer::NotHere { .. } | Answer::NeverTaken)
+        matches!(self, Answer::Rejected { .. } | Answer::NotHere { .. } | Answer::NeverTaken)
     }
 }
 
 /// How the own site's module ended a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HereEnded {
-    Honoured,
-    Denied { cool_down: Micros },
-    BrokenOff,
+    Served,
+    Rejected { cool_down: Micros },
+    Failed,
 }
 
 /// What is to be done for one request.
@@ -151,11 +151,11 @@
         number: u64,
     },
     /// Give the client what the other gateway sent.
-    Honour,
-    Deny {
+    Serve,
+    Reject {
         cool_down: Micros,
     },
-    BreakOff,
+    Fail,
     /// Tell the gateway that sent it that the primary is not here.
     NotHere {
         hint: Option<SiteId>,
--- a/crates/site-routing/src/sites.rs
+++ b/crates/site-routing/src/sites.rs
@@ -32,7 +32,7 @@
 /// Until a link's round trip is measured.
 const TRIP: Micros = 50 * MS;
 const KEEP: u32 = 128;
-/// Honoured requests after which a gateway's times are believed.
+/// Served requests after which a gateway's times are believed.
 const ENOUGH: u32 = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -103,19 +103,19 @@
     barred_until: Micros,
     failures: VecDeque<Micros>,
     took: Vec<Histogram>,
-    /// Requests that it honoured, as far as they tell more than the first guess.
-    honoured: u32,
+    /// Requests that it served, as far as they tell more than the first guess.
+    served: u32,
 }
 
 impl Gate {
     /// How many requests may be out so that those under way there are as many as it offers: on a long line
     /// most of them are on the way at any time. Protects throughput over long lines from windows meant for
     /// work. Harms the other side with a burst when what was on the way comes at once; what it cannot take it
-    /// denies, and offers less.
+    /// rejects, and offers less.
     fn may_be_out(&self, class: usize, most: u32) -> usize {
         let credit = self.credits.get(class).copied().unwrap_or(0);
         let total = self.took[class].quantile(0.5).unwrap_or(0);
-        if self.honoured < ENOUGH || credit == 0 {
+        if self.served < ENOUGH || credit == 0 {
             return credit as usize;
         }
         let there = (total - self.trip.mean()).max(MS);
--- a/crates/site-routing/src/sites/hear.rs
+++ b/crates/site-routing/src/sites/hear.rs
@@ -38,7 +38,7 @@
             draining: false,
             barred_until: Micros::MIN / 2,
             failures: VecDeque::new(),
-            honoured: 0,
+            served: 0,
             took: classes.iter().map(|class| Histogram::of(class.quoted / 8, 4)).collect(),
         });
         if gate.links > 0 && links == 0 {
@@ -115,11 +115,11 @@
             if let Some(gate) = self.gates.get_mut(&id) {
                 let site = gate.site;
                 match answer {
-                    Answer::Honoured => {
+                    Answer::Served => {
                         if at >= self.woke {
                             gate.took[class].add(now - at, KEEP);
                         }
-                        gate.honoured = gate.honoured.saturating_add(1);
+                        gate.served = gate.served.saturating_add(1);
                         gate.failures.clear();
                         if let (Some(group), Need::Primary) = (group, self.terms.classes[class].need) {
                             self.homes.answered(now, group, site);
@@ -131,14 +131,14 @@
                             pending.tried.push(site);
                         }
                     }
-                    Answer::Denied { .. } | Answer::BrokenOff | Answer::NeverTaken => {}
+                    Answer::Rejected { .. } | Answer::Failed | Answer::NeverTaken => {}
                 }
             }
             match answer {
                 // The far site's word on when to come again goes to the client as it is.
-                Answer::Denied { cool_down } => {
+                Answer::Rejected { cool_down } => {
                     self.uncross(number);
-                    self.deny(handle, cool_down);
+                    self.reject(handle, cool_down);
                 }
                 _ => self.settle(now, number, settled),
             }
@@ -153,9 +153,9 @@
             let handle = sent.handle;
             let settled = sent.crossing.told(fate);
             match fate {
-                Fate::Denied { cool_down } => {
+                Fate::Rejected { cool_down } => {
                     self.uncross(number);
-                    self.deny(handle, *cool_down);
+                    self.reject(handle, *cool_down);
                 }
                 _ => self.settle(now, number, settled),
             }
@@ -178,8 +178,8 @@
         self.offers.came(id, class);
     }
 
-    pub fn guest_over(&mut self, now: Micros, id: GateId, class: usize, denied: bool) -> bool {
-        self.offers.over(now, id, class, denied)
+    pub fn guest_over(&mut self, now: Micros, id: GateId, class: usize, rejected: bool) -> bool {
+        self.offers.over(now, id, class, rejected)
     }
 
     pub fn wake(&mut self, now: Micros) -> Todo {
--- a/crates/site-routing/src/sites/place.rs
+++ b/crates/site-routing/src/sites/place.rs
@@ -30,7 +30,7 @@
         let usual = gate.took[pending.request.class].quantile(0.5).unwrap_or(0).max(gate.trip.mean());
         let useful =
             if class.late_share > 0.0 { pending.limit } else { pending.limit.min(pending.quoted_by) };
-        // What cannot be back in time is denied before it is sent.
+        // What cannot be back in time is rejected before it is sent.
         if now + usual.max(2 * way) >= useful {
             return self.give_up(handle);
         }
@@ -198,7 +198,7 @@
             return self.not_here(handle, OWN);
         }
         // Protects a client from a long wait for nothing, as the module does: a read that no site has room for by half of its
-        // time is denied then. Harms what finds room later.
+        // time is rejected then. Harms what finds room later.
         let reads = self.terms.classes[pending.request.class].need != Need::Primary;
         if reads && now + pending.request.ttl / 2 >= pending.limit {
             return self.give_up(handle);
@@ -223,9 +223,9 @@
         let Some(pending) = self.pending_requests.get_mut(&handle).filter(|pending| pending.here) else {
             return;
         };
-        // Protects what the module knows: taken back it would be denied, or sent elsewhere, as one that never ran. Harms a
-        // receipted request whose group's primary moved to another site: it is broken off where it might have
-        // been honoured.
+        // Protects what the module knows: taken back it would be rejected, or sent elsewhere, as one that
+        // never ran. Harms a receipted request whose group's primary moved to another site: it is failed
+        // where it might have been served.
         if matches!(pending.may_have_run, Some((_, OWN))) {
             return;
         }
@@ -260,18 +260,20 @@
         let Some(pending) = self.pending_requests.get(&handle).filter(|pending| pending.here) else { return };
         let (group, need) = (pending.request.group, self.class(&pending.request).need);
         match ended {
-            HereEnded::Honoured => {
+            HereEnded::Served => {
                 if need == Need::Primary && self.homes.answered(now, group, OWN) {
                     self.todo.offers = true;
                 }
-                self.todo.steps.push((handle, Step::Honour));
+                self.todo.steps.push((handle, Step::Serve));
             }
             // The module knows nothing of what it did at another site.
-            HereEnded::Denied { cool_down } if pending.may_have_run.is_some_and(|(_, site)| site != OWN) => {
-                return self.deny(handle, cool_down);
+            HereEnded::Rejected { cool_down }
+                if pending.may_have_run.is_some_and(|(_, site)| site != OWN) =>
+            {
+                return self.reject(handle, cool_down);
             }
-            HereEnded::Denied { cool_down } => self.todo.steps.push((handle, Step::Deny { cool_down })),
-            HereEnded::BrokenOff => self.todo.steps.push((handle, Step::BreakOff)),
+            HereEnded::Rejected { cool_down } => self.todo.steps.push((handle, Step::Reject { cool_down })),
+            HereEnded::Failed => self.todo.steps.push((handle, Step::Fail)),
         }
         self.close(handle);
     }
--- a/crates/site-routing/src/sites/settle.rs
+++ b/crates/site-routing/src/sites/settle.rs
@@ -15,8 +15,8 @@
         let site = self.gates.get(&sent.gate).map_or(OWN, |gate| gate.site);
         let Some(pending) = self.pending_requests.get_mut(&handle) else { return };
         match settled {
-            Settled::Honoured => {
-                self.todo.steps.push((handle, Step::Honour));
+            Settled::Served => {
+                self.todo.steps.push((handle, Step::Serve));
                 self.close(handle);
             }
             Settled::MayHaveRun => {
@@ -73,14 +73,14 @@
 
     // ---- The end of a request.
 
-    pub(super) fn deny(&mut self, handle: Handle, cool_down: Micros) {
+    pub(super) fn reject(&mut self, handle: Handle, cool_down: Micros) {
         let Some(pending) = self.pending_requests.get(&handle) else { return };
         let pure = self.class(&pending.request).effect == Effect::Pure;
-        // A denial promises that nothing ran.
+        // A rejection promises that nothing ran.
         let step = if pending.may_have_run.is_none() || pure {
-            Step::Deny { cool_down: cool_down.min(self.terms.max_cool_down) }
+            Step::Reject { cool_down: cool_down.min(self.terms.max_cool_down) }
         } else {
-            Step::BreakOff
+            Step::Fail
         };
         self.todo.steps.push((handle, step));
         self.close(handle);
@@ -89,7 +89,7 @@
     pub(super) fn give_up(&mut self, handle: Handle) {
         let Some(pending) = self.pending_requests.get(&handle) else { return };
         let quoted = self.class(&pending.request).quoted;
-        self.deny(handle, quoted);
+        self.reject(handle, quoted);
     }
 
     pub(super) fn close(&mut self, handle: Handle) {
--- a/crates/site-routing/tests/crossing.rs
+++ b/crates/site-routing/tests/crossing.rs
@@ -19,9 +19,9 @@
 enum What {
     NeverTaken,
     UnderWay,
-    Denied,
-    Honoured,
-    BrokenOff,
+    Rejected,
+    Served,
+    Failed,
     Unknown,
 }
 
@@ -30,11 +30,11 @@
 enum Phase {
     New,
     Crossed(Crossing),
-    /// It never ran there: it runs here, or was denied.
+    /// It never ran there: it runs here, or was rejected.
     RunHere,
-    Denied,
-    Honoured,
-    BrokenOff,
+    Rejected,
+    Served,
+    Failed,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -69,8 +69,8 @@
     Confirm,
     Deliver(Message),
     Run(u64),
-    Deny(u64),
-    BreakOff(u64),
+    Reject(u64),
+    Fail(u64),
     DiskGoes,
     PromiseEnds,
     Restart,
@@ -99,9 +99,9 @@
     match fate {
         Fate::NeverTaken => What::NeverTaken,
         Fate::UnderWay => What::UnderWay,
-        Fate::Denied { .. } => What::Denied,
-        Fate::Honoured(()) => What::Honoured,
-        Fate::BrokenOff => What::BrokenOff,
+        Fate::Rejected { .. } => What::Rejected,
+        Fate::Served(()) => What::Served,
+        Fate::Failed => What::Failed,
         Fate::Unknown => What::Unknown,
     }
 }
@@ -110,9 +110,9 @@
     match what {
         What::NeverTaken => Fate::NeverTaken,
         What::UnderWay => Fate::UnderWay,
-        What::Denied => Fate::Denied { cool_down: 0 },
-        What::Honoured => Fate::Honoured(()),
-        What::BrokenOff => Fate::BrokenOff,
+        What::Rejected => Fate::Rejected { cool_down: 0 },
+        What::Served => Fate::Served(()),
+        What::Failed => Fate::Failed,
         What::Unknown => Fate::Unknown,
     }
 }
@@ -137,14 +137,14 @@
         let at = key as usize - 1;
         state.phases[at] = match settled {
             Settled::Open => return,
-            // Either may follow; a denial promises more, and running it here shows a double.
+            // Either may follow; a rejection promises more, and running it here shows a double.
             Settled::NeverRan if key % 2 == 1 => {
                 state.runs[at] += 1;
                 Phase::RunHere
             }
-            Settled::NeverRan => Phase::Denied,
-            Settled::Honoured => Phase::Honoured,
-            Settled::MayHaveRun => Phase::BrokenOff,
+            Settled::NeverRan => Phase::Rejected,
+            Settled::Served => Phase::Served,
+            Settled::MayHaveRun => Phase::Failed,
         };
     }
 
@@ -152,12 +152,12 @@
         match message {
             Message::Request { key, start } if start == state.start => {
                 if state.fates.take(0, &origin(), key, 10).is_ok() {
-                    // The record first; without one it is denied while the promise holds.
+                    // The record first; without one it is rejected while the promise holds.
                     if self.disk && !state.away {
                         state.kept.record(start, origin(), key, Fate::UnderWay);
                     }
                     if self.disk && state.away && self.minds && !state.promise.lets_go_without(state.now) {
-                        return self.end(state, key, Fate::Denied { cool_down: 0 });
+                        return self.end(state, key, Fate::Rejected { cool_down: 0 });
                     }
                     state.taken.insert(key);
                 }
@@ -180,9 +180,9 @@
             Message::Outcome { key, what } => {
                 if let Phase::Crossed(mut crossing) = state.phases[key as usize - 1] {
                     let settled = crossing.answered(match what {
-                        What::Honoured => Answer::Honoured,
-                        What::Denied => Answer::Denied { cool_down: 0 },
-                        _ => Answer::BrokenOff,
+                        What::Served => Answer::Served,
+                        What::Rejected => Answer::Rejected { cool_down: 0 },
+                        _ => Answer::Failed,
                     });
                     state.phases[key as usize - 1] = Phase::Crossed(crossing);
                     self.settle(state, key, settled);
@@ -248,7 +248,7 @@
             acts.push(Act::Cut);
         }
         acts.extend(state.network.iter().cloned().map(Act::Deliver));
-        state.taken.iter().for_each(|&key| acts.extend([Act::Run(key), Act::Deny(key), Act::BreakOff(key)]));
+        state.taken.iter().for_each(|&key| acts.extend([Act::Run(key), Act::Reject(key), Act::Fail(key)]));
         if state.start <= self.restarts {
             acts.push(Act::Restart);
         }
@@ -292,7 +292,7 @@
                 state.phases[key as usize - 1] = Phase::Crossed(Crossing::Asked);
                 state.network.insert(Message::Ask { key, start });
             }
-            Act::GiveUp(key) => state.phases[key as usize - 1] = Phase::BrokenOff,
+            Act::GiveUp(key) => state.phases[key as usize - 1] = Phase::Failed,
             Act::Confirm => {
                 let open = |phase: &&Phase| matches!(phase, Phase::New | Phase::Crossed(_));
                 let closed = state.phases.iter().take_while(|phase| !open(phase)).count() as u64;
@@ -302,13 +302,13 @@
             Act::Deliver(message) => self.deliver(&mut state, message),
             Act::Run(key) => {
                 state.runs[key as usize - 1] += 1;
-                self.end(&mut state, key, Fate::Honoured(()));
+                self.end(&mut state, key, Fate::Served(()));
             }
-            Act::Deny(key) => self.end(&mut state, key, Fate::Denied { cool_down: 0 }),
-            Act::BreakOff(key) => {
+            Act::Reject(key) => self.end(&mut state, key, Fate::Rejected { cool_down: 0 }),
+            Act::Fail(key) => {
                 // It ran, and the answer was lost.
                 state.runs[key as usize - 1] += 1;
-                self.end(&mut state, key, Fate::BrokenOff);
+                self.end(&mut state, key, Fate::Failed);
             }
             Act::DiskGoes => state.away = true,
             Act::PromiseEnds => state.now += 10_000_000,
@@ -347,17 +347,17 @@
                     .phases
                     .iter()
                     .zip(&state.runs)
-                    .all(|(phase, &runs)| *phase != Phase::Denied || runs == 0)
+                    .all(|(phase, &runs)| *phase != Phase::Rejected || runs == 0)
             }),
             Property::always("what was honoured ran", |_: &Protocol, state: &State| {
                 state
                     .phases
                     .iter()
                     .zip(&state.runs)
-                    .all(|(phase, &runs)| *phase != Phase::Honoured || runs == 1)
+                    .all(|(phase, &runs)| *phase != Phase::Served || runs == 1)
             }),
             Property::sometimes("a cut task is honoured after all", |_: &Protocol, state: &State| {
-                state.cuts > 0 && state.phases.contains(&Phase::Honoured)
+                state.cuts > 0 && state.phases.contains(&Phase::Served)
             }),
             Property::sometimes("a cut task runs here instead", |_: &Protocol, state: &State| {
                 state.cuts > 0 && state.phases.contains(&Phase::RunHere)
--- a/crates/site-routing/tests/earlier.rs
+++ b/crates/site-routing/tests/earlier.rs
@@ -12,13 +12,13 @@
     let read = read_key(&key(7, &origin(), 3));
     assert_eq!(read, Some((7, origin(), 3)));
     assert!(read_key(b"short").is_none() && read_key(&[255; 40]).is_none());
-    let fates = [Fate::UnderWay, Fate::NeverTaken, Fate::Denied { cool_down: 5 }, Fate::Honoured(&b"v"[..])];
+    let fates = [Fate::UnderWay, Fate::NeverTaken, Fate::Rejected { cool_down: 5 }, Fate::Served(&b"v"[..])];
     for fate in fates {
         let back = read_value(&value(&fate));
         assert_eq!(format!("{back:?}"), format!("{fate:?}").replace("b\"v\"", "[118]"));
     }
-    assert_eq!(read_value(b"?"), Fate::BrokenOff);
-    assert_eq!(read_value(b""), Fate::BrokenOff);
+    assert_eq!(read_value(b"?"), Fate::Failed);
+    assert_eq!(read_value(b""), Fate::Failed);
 }
 
 #[test]
@@ -40,12 +40,12 @@
 fn never_taken_is_said_only_while_the_promise_held() {
     let mut earlier = Earlier::<()>::default();
     earlier.record(7, origin(), 3, Fate::UnderWay);
-    earlier.record(7, origin(), 4, Fate::Honoured(()));
+    earlier.record(7, origin(), 4, Fate::Served(()));
     earlier.promised(100, 7, 100);
     earlier.promised(101, 8, 100);
     let asked =
         [(3, 7), (4, 7), (5, 7), (5, 8), (5, 9)].map(|(number, start)| earlier.ask(&origin(), number, start));
-    assert_eq!(asked, [Fate::BrokenOff, Fate::Honoured(()), Fate::NeverTaken, Fate::Unknown, Fate::Unknown]);
+    assert_eq!(asked, [Fate::Failed, Fate::Served(()), Fate::NeverTaken, Fate::Unknown, Fate::Unknown]);
 }
 
 #[test]
--- a/crates/site-routing/tests/retiring.rs
+++ b/crates/site-routing/tests/retiring.rs
@@ -45,11 +45,11 @@
     match todo.steps[..] {
         [] => None,
         [(_, Step::Here { .. })] => {
-            handle.here_ended(sites, 0, HereEnded::Honoured);
+            handle.here_ended(sites, 0, HereEnded::Served);
             Some(OWN)
         }
         [(_, Step::Cross { gate, number, .. })] => {
-            sites.answered(0, number, Answer::Honoured);
+            sites.answered(0, number, Answer::Served);
             Some(gate + 1)
         }
         ref other => panic!("{other:?}"),
@@ -93,10 +93,10 @@
     assert_eq!(goes(&mut sites, "s", READ), Some(OWN));
     sites.bind(0, &names(), vec![plan("a", Stage::Emptied, 0)]);
     assert_eq!(goes(&mut sites, "s", READ), None);
-    // It is denied by half of its time, not at the end of it.
+    // It is rejected by half of its time, not at the end of it.
     assert!(sites.wake(LIMIT / 2 - MS).steps.is_empty());
     let said = sites.wake(LIMIT / 2 + 20 * MS).steps;
-    assert!(matches!(said[..], [(_, Step::Deny { .. })]), "{said:?}");
+    assert!(matches!(said[..], [(_, Step::Reject { .. })]), "{said:?}");
     // Guests of gateways that have not heard of it are answered until it is retired.
     let guest = |sites: &mut Sites, class| {
         let request = Request { class, group: GROUP, ttl: LIMIT, visited: vec![1], session: None };
--- a/crates/site-routing/tests/two_sites/main.rs
+++ b/crates/site-routing/tests/two_sites/main.rs
@@ -30,7 +30,7 @@
         .unwrap();
     println!("{counted:?}");
     let counted = counted.into_inner();
-    assert!(["honoured", "denied", "broken off"].iter().all(|said| counted[said] > 100));
+    assert!(["served", "rejected", "failed"].iter().all(|said| counted[said] > 100));
 }
 
 #[test]
@@ -41,14 +41,14 @@
         world.take(0, 1);
         world.pass(300 * MS);
     }
-    let honoured =
-        |world: &World| world.requests.iter().filter(|request| request.answered == Some("honoured")).count();
-    assert!(honoured(&world) >= 30, "{}", honoured(&world));
+    let served =
+        |world: &World| world.requests.iter().filter(|request| request.answered == Some("served")).count();
+    assert!(served(&world) >= 30, "{}", served(&world));
     world.primary = 0;
-    let before = honoured(&world);
+    let before = served(&world);
     for _ in 0..40 {
         world.take(0, 1);
         world.pass(300 * MS);
     }
-    assert!(honoured(&world) - before >= 30, "{}", honoured(&world) - before);
+    assert!(served(&world) - before >= 30, "{}", served(&world) - before);
 }
--- a/crates/site-routing/tests/two_sites/one_site.rs
+++ b/crates/site-routing/tests/two_sites/one_site.rs
@@ -7,14 +7,14 @@
 use crate::world::{FAR, GATE, GROUP, LIMIT, MS, terms};
 
 #[test]
-fn what_cannot_be_back_in_time_is_denied_before_it_is_sent() {
+fn what_cannot_be_back_in_time_is_rejected_before_it_is_sent() {
     let mut sites = Sites::start(terms(), 1, 0);
     sites.links(0, GATE, FAR, 1, true);
     (0..30).for_each(|_| sites.trip(GATE, 300 * MS));
     sites.room(0, GATE, vec![9; 4], &[(GROUP, true)], false);
     let request = |class, ttl| Request { class, group: GROUP, ttl, visited: Vec::new(), session: None };
     let (handle, todo) = sites.take(0, request(1, 250 * MS));
-    assert!(matches!(todo.steps[..], [(other, Step::Deny { .. })] if other == handle), "{todo:?}");
+    assert!(matches!(todo.steps[..], [(other, Step::Reject { .. })] if other == handle), "{todo:?}");
     let (_, todo) = sites.take(0, request(1, 1_000 * MS));
     assert!(matches!(todo.steps[..], [(_, Step::Cross { left, .. })] if left <= 850 * MS), "{todo:?}");
     // A read whose bound is shorter than the way waits for nothing there.
@@ -29,12 +29,12 @@
     assert_eq!(sites.room(0, GATE, vec![12; 4], &[(GROUP, true)], false).steps.len(), 3);
     // Over a long line more may be out than it takes at once: most of them are on the way.
     let out: Vec<u64> = (1..=12).collect();
-    out.iter().for_each(|&number| drop(sites.answered(310 * MS, number, Answer::Honoured)));
+    out.iter().for_each(|&number| drop(sites.answered(310 * MS, number, Answer::Served)));
     let mut crossed = Vec::new();
     for number in 13..60 {
         let (_, todo) = sites.take(310 * MS, request(1, 1_000 * MS));
         crossed.extend(todo.steps);
-        drop(sites.answered(620 * MS, number, Answer::Honoured));
+        drop(sites.answered(620 * MS, number, Answer::Served));
     }
     assert!(crossed.len() > 40, "{}", crossed.len());
     let more = (0..60).map(|_| sites.take(620 * MS, request(1, 1_000 * MS)).1.steps.len()).sum::<usize>();
@@ -62,7 +62,7 @@
             sites.stood_still(now);
         }
         let todo = sites.wake(now);
-        let ended = todo.steps.iter().filter(|(_, step)| matches!(step, Step::BreakOff)).count();
+        let ended = todo.steps.iter().filter(|(_, step)| matches!(step, Step::Fail)).count();
         assert_eq!(ended, 9, "{todo:?}");
         sites.view(now, GATE).barred
     };
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn what_may_have_run_here_is_not_taken_back_and_what_may_have_run_there_is_not_denied() {
+fn what_may_have_run_here_is_not_taken_back_and_what_may_have_run_there_is_not_rejected() {
     let classes = || {
         let receipted = Effect::Receipted { window: 2_000 * MS, within_site: false };
         vec![RequestClass { effect: receipted, ..terms().classes[1] }]
@@ -103,7 +103,7 @@
         sites
     };
     let request = |visited| Request { class: 0, group: GROUP, ttl: LIMIT, visited, session: None };
-    // Its launch was broken off, and then all members here said that they are not the primary.
+    // Its launch was failed, and then all members here said that they are not the primary.
     for visited in [vec![], vec![FAR]] {
         let mut sites = start();
         let (handle, _) = sites.take(0, request(visited));
@@ -112,8 +112,8 @@
             let todo = handle.here_missed(&mut sites, MS);
             assert!(todo.steps.is_empty(), "{todo:?}");
         }
-        let todo = handle.here_ended(&mut sites, 2 * MS, HereEnded::BrokenOff);
-        assert_eq!(todo.steps, [(handle, Step::BreakOff)]);
+        let todo = handle.here_ended(&mut sites, 2 * MS, HereEnded::Failed);
+        assert_eq!(todo.steps, [(handle, Step::Fail)]);
     }
     // It crossed, and nobody can say what became of it there; the module here knows nothing of that.
     let mut sites = start();
@@ -126,6 +126,6 @@
     let Step::Cross { number, .. } = todo.steps[0].1 else { panic!("{todo:?}") };
     let todo = sites.answered(3 * MS, number, Answer::NotHere { hint: None });
     assert!(matches!(todo.steps[..], [(_, Step::Here { .. })]), "{todo:?}");
-    let todo = handle.here_ended(&mut sites, 4 * MS, HereEnded::Denied { cool_down: 0 });
-    assert_eq!(todo.steps, [(handle, Step::BreakOff)]);
+    let todo = handle.here_ended(&mut sites, 4 * MS, HereEnded::Rejected { cool_down: 0 });
+    assert_eq!(todo.steps, [(handle, Step::Fail)]);
 }
