--- a/crates/site-routing/tests/two_sites/world.rs
+++ b/crates/site-routing/tests/two_sites/world.rs
@@ -205,9 +205,9 @@
                     self.say(at, Word::Ask { number, start });
                 }
                 Step::Cancel { number, .. } => self.say(at, Word::Cancel(number)),
-                Step::Honour => self.answer(at, handle, Answer::Honoured),
-                Step::Deny { cool_down } => self.answer(at, handle, Answer::Denied { cool_down }),
-                Step::BreakOff => self.answer(at, handle, Answer::BrokenOff),
+                Step::Serve => self.answer(at, handle, Answer::Served),
+                Step::Reject { cool_down } => self.answer(at, handle, Answer::Rejected { cool_down }),
+                Step::Fail => self.answer(at, handle, Answer::Failed),
                 Step::NotHere { hint } => self.answer(at, handle, Answer::NotHere { hint }),
             }
         }
@@ -225,28 +225,28 @@
                 return;
             }
             let said = match answer {
-                Answer::Honoured => "honoured",
-                Answer::Denied { .. } => "denied",
-                Answer::BrokenOff => "broken off",
+                Answer::Served => "served",
+                Answer::Rejected { .. } => "rejected",
+                Answer::Failed => "failed",
                 _ => panic!("no answer for a client: {answer:?}"),
             };
             assert_eq!(request.answered.replace(said), None, "answered twice");
             assert!(now <= request.limit, "{} too late", now - request.limit);
             let effectful = request.class == 1;
-            assert!(said != "denied" || !effectful || request.runs == 0, "denied, and it ran");
-            assert!(said != "honoured" || request.runs > 0, "honoured, and it never ran");
+            assert!(said != "rejected" || !effectful || request.runs == 0, "rejected, and it ran");
+            assert!(said != "served" || request.runs > 0, "served, and it never ran");
         } else if let Some((number, class)) = self.sides[at].guests.remove(&handle) {
             let other = origin(1 - at, self.sides[1 - at].start);
             if class == 1 {
                 let fate = match answer {
-                    Answer::Honoured => Fate::Honoured(()),
-                    Answer::BrokenOff => Fate::BrokenOff,
-                    _ => Fate::Denied { cool_down: 0 },
+                    Answer::Served => Fate::Served(()),
+                    Answer::Failed => Fate::Failed,
+                    _ => Fate::Rejected { cool_down: 0 },
                 };
                 self.sides[at].fates.settle(&other, number, fate);
             }
-            let denied = matches!(answer, Answer::Denied { .. });
-            self.sides[at].sites.guest_over(self.now, GATE, class, denied);
+            let rejected = matches!(answer, Answer::Rejected { .. });
+            self.sides[at].sites.guest_over(self.now, GATE, class, rejected);
             self.say(at, Word::Answer { number, answer });
         }
     }
@@ -262,7 +262,7 @@
         let primary = self.primary == at;
         let needs_primary = matches!(self.requests[request].class, 1 | 2);
         let todo = if needs_primary && !primary && self.now > limit - 60 * MS {
-            handle.here_ended(&mut side.sites, self.now, HereEnded::Denied { cool_down: 0 })
+            handle.here_ended(&mut side.sites, self.now, HereEnded::Rejected { cool_down: 0 })
         } else if needs_primary && !primary {
             let todo = handle.here_missed(&mut side.sites, self.now);
             if !todo.steps.contains(&(handle, Step::TakeBack)) {
@@ -273,15 +273,15 @@
             todo
         } else {
             let ended = match self.rng.random_range(0..20) {
-                0 => HereEnded::Denied { cool_down: 0 },
-                1 => HereEnded::BrokenOff,
-                _ => HereEnded::Honoured,
+                0 => HereEnded::Rejected { cool_down: 0 },
+                1 => HereEnded::Failed,
+                _ => HereEnded::Served,
             };
-            if !matches!(ended, HereEnded::Denied { .. }) {
+            if !matches!(ended, HereEnded::Rejected { .. }) {
                 self.requests[request].runs += 1;
                 let asked = &self.requests[request];
                 assert!(asked.class != 1 || asked.runs == 1, "an effectful request ran twice");
-                assert!(asked.class != 1 || asked.answered != Some("denied"), "it ran after a denial");
+                assert!(asked.class != 1 || asked.answered != Some("rejected"), "it ran after a denial");
             }
             handle.here_ended(&mut side.sites, self.now, ended)
         };
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -97,7 +97,7 @@
     }
 }
 
-pub fn honoured(said: &Said) -> bool {
+pub fn served(said: &Said) -> bool {
     said.value.as_deref() == Some(b"the value") && said.code.is_empty()
 }
 
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -18,12 +18,12 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 pub use cable::{BACK, Cable, THERE};
-pub use client::{Client, Said, honoured, paced};
+pub use client::{Client, Said, paced, served};
 pub use discovery::{Discovery, list};
 pub use faults::Faults;
 pub use hold::Hold;
 pub use kernel::{closed, delivered};
-pub use member::{Act, Member, honour, honour_with, refuse, sound, whole};
+pub use member::{Act, Member, refuse, serve, serve_with, sound, whole};
 pub use program::{Driver, TERMS, aldermill, config, file, program};
 pub use site::{Ledger, Site, free_port};
 pub use slow::drip;
--- a/crates/test-support/src/member.rs
+++ b/crates/test-support/src/member.rs
@@ -91,11 +91,11 @@
 }
 
 /// A whole answer: the value for requests, the report for probes, and the role that the member claims.
-pub fn honour(text: &str, role: &str, stream: &mut TcpStream) {
-    honour_with(b"the value", text, role, stream);
+pub fn serve(text: &str, role: &str, stream: &mut TcpStream) {
+    serve_with(b"the value", text, role, stream);
 }
 
-pub fn honour_with(value: &[u8], text: &str, role: &str, stream: &mut TcpStream) {
+pub fn serve_with(value: &[u8], text: &str, role: &str, stream: &mut TcpStream) {
     let _ = stream.write_all(&whole(value, text, role));
 }
 
@@ -125,7 +125,7 @@
         if role == "reader" && text.contains("INSERT") {
             refuse("25006", role, stream);
         } else {
-            honour(text, role, stream);
+            serve(text, role, stream);
         }
     })
 }
--- a/crates/test-support/src/site.rs
+++ b/crates/test-support/src/site.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::{Client, Discovery, Driver, Member, config, honour, list, refuse, until};
+use crate::{Client, Discovery, Driver, Member, config, list, refuse, serve, until};
 
 /// What effects were had, over all sites: how often each id ran.
 #[derive(Clone, Default)]
@@ -132,7 +132,7 @@
         let primary = at == 0 && ledger.home.load(Ordering::SeqCst) == site;
         let role = if primary { "writer" } else { "reader" };
         if !text.starts_with("/*") {
-            return honour(text, role, stream);
+            return serve(text, role, stream);
         }
         if ledger.full.load(Ordering::SeqCst) > 0 {
             return refuse("53300", role, stream);
@@ -146,6 +146,6 @@
             *ledger.runs.lock().unwrap().entry(id.to_owned()).or_default() += 1;
         }
         thread::sleep(Duration::from_millis(ledger.work.load(Ordering::SeqCst) as u64));
-        honour(text, role, stream);
+        serve(text, role, stream);
     })
 }
--- a/crates/zone-failover/src/tally.rs
+++ b/crates/zone-failover/src/tally.rs
@@ -5,7 +5,7 @@
 /// How a launch ended, as far as zones are concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// Honoured within its request class's quoted time, or later.
+    /// Served within its request class's quoted time, or later.
     Served {
         in_time: bool,
     },
