--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -94,7 +94,7 @@
         for (handle, step) in todo.steps {
             let Some(&ticket) = self.tickets.get(&handle) else { continue };
             match step {
-                Step::Launch { member, limit, afresh, .. } => {
+                Step::Attempt { member, limit, afresh, .. } => {
                     if afresh {
                         reply.shut_idle(who, &self.member_names[member]);
                     }
--- a/crates/bench-adapter/src/wire.rs
+++ b/crates/bench-adapter/src/wire.rs
@@ -92,11 +92,11 @@
     pub fn verdict(&mut self, field: &str) -> Result<Verdict, Trouble> {
         match self.integer(field)? {
             200 => Ok(Verdict::Served),
-            204 => Ok(Verdict::Miss),
+            204 => Ok(Verdict::NotPrimary),
             408 => Ok(Verdict::TimedOut),
-            409 => Ok(Verdict::Moot),
-            429 => Ok(Verdict::Full),
-            444 => Ok(Verdict::CalledOff),
+            409 => Ok(Verdict::NotSent),
+            429 => Ok(Verdict::Overloaded),
+            444 => Ok(Verdict::Cancelled),
             502 => Ok(Verdict::Error),
             520 => Ok(Verdict::Reset),
             521 => Ok(Verdict::Unconnected),
--- a/crates/fault-injection/src/breaker.rs
+++ b/crates/fault-injection/src/breaker.rs
@@ -22,9 +22,9 @@
     Mute,
     /// Something comes behind the answer.
     Behind,
-    /// An effectful request that was served is launched again.
+    /// An effectful request that was served is attempted again.
     Twice,
-    /// Two launches are out at once.
+    /// Two attempts are out at once.
     Both,
     /// What ran is rejected.
     Rejected,
@@ -63,7 +63,7 @@
     turn: Cell<usize>,
 }
 
-/// What one launch brought.
+/// What one attempt brought.
 enum Brought {
     Served(Vec<u8>),
     /// It never ran.
@@ -238,7 +238,7 @@
             addresses.rotate_left(1 + turn % others);
         }
         for address in addresses {
-            match launch(&address, text).await {
+            match attempt(&address, text).await {
                 Brought::Refused => continue,
                 brought => return brought,
             }
@@ -247,7 +247,7 @@
     }
 }
 
-async fn launch(address: &str, text: &[u8]) -> Brought {
+async fn attempt(address: &str, text: &[u8]) -> Brought {
     let Ok(mut stream) = TcpStream::connect(address).await else { return Brought::Refused };
     let mut hello = Vec::new();
     pg::startup(&mut hello, "client", "core");
--- a/crates/fault-injection/src/figures.rs
+++ b/crates/fault-injection/src/figures.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Wants {
-    /// Launches, and new connections, in any 100 ms after the first fault, as a multiple of the ordinary.
+    /// Attempts, and new connections, in any 100 ms after the first fault, as a multiple of the ordinary.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub burst: Option<f64>,
     /// Lists asked for in any 100 ms after the first fault, as a share of the drivers restarted.
@@ -41,7 +41,7 @@
     /// Of those that came in the 10 s after the first fault, and the worst second of them.
     pub in_quoted_time_after: f64,
     pub worst_second: f64,
-    /// Of launches, where there are several zones.
+    /// Of attempts, where there are several zones.
     pub crossing: f64,
     pub rejected: usize,
     pub failed: usize,
@@ -50,8 +50,8 @@
     pub past_limit: usize,
     pub past_limit_writes: usize,
     /// In 100 ms: ordinary, and the most after the first fault was over.
-    pub launches: f64,
-    pub most_launches: usize,
+    pub attempts: f64,
+    pub most_attempts: usize,
     pub connections: f64,
     pub most_connections: usize,
     pub most_lists: usize,
@@ -75,7 +75,7 @@
     /// Requests first asked here, and those of them served in their quoted time.
     pub requests: usize,
     pub in_time: usize,
-    pub launches: usize,
+    pub attempts: usize,
     pub connections: usize,
     pub probes: usize,
     pub lists: usize,
@@ -88,7 +88,7 @@
         let bin = &mut bins[(*at / BIN) as usize];
         match event {
             Event::Asked { .. } => bin.asked += 1,
-            Event::Reached { .. } => bin.launches += 1,
+            Event::Reached { .. } => bin.attempts += 1,
             Event::Connected { .. } => bin.connections += 1,
             Event::Probed { .. } => bin.probes += 1,
             Event::Listed { .. } => bin.lists += 1,
@@ -141,7 +141,7 @@
         counts.iter().sum::<usize>() as f64 / counts.len().max(1) as f64
     };
     let most = |of| fault.map_or(0, |from| number(from, end, of).into_iter().max().unwrap_or(0));
-    (figures.launches, figures.most_launches) = (mean(|bin| bin.launches), most(|bin| bin.launches));
+    (figures.attempts, figures.most_attempts) = (mean(|bin| bin.attempts), most(|bin| bin.attempts));
     (figures.connections, figures.most_connections) =
         (mean(|bin| bin.connections), most(|bin| bin.connections));
     figures.most_lists = most(|bin| bin.lists);
@@ -160,14 +160,14 @@
         let seconds = (0..10).map(|second| share(fault + second * 10 * BIN, fault + (second + 1) * 10 * BIN));
         figures.worst_second = seconds.fold(1.0, f64::min);
     }
-    let (mut crossed, mut launches) = (0, 0);
+    let (mut crossed, mut attempts) = (0, 0);
     for (_, event) in events {
         if let Event::Reached { driver, member, .. } = event {
-            launches += 1;
+            attempts += 1;
             crossed += usize::from(driver % plan.zones != member % plan.members % plan.zones);
         }
     }
-    figures.crossing = crossed as f64 / f64::from(launches.max(1));
+    figures.crossing = crossed as f64 / f64::from(attempts.max(1));
     let probes = events.iter().filter(|(_, event)| matches!(event, Event::Probed { .. })).count();
     figures.probes_a_request = probes as f64 / requests.len().max(1) as f64;
     for (_, event) in events {
@@ -209,9 +209,9 @@
     let mut found = |what: String| broken.push(Broken { rule: 8, at_ms: 0, what });
     let wants = &plan.wants;
     if let Some(times) = wants.burst
-        && figures.most_launches as f64 > bearable(figures.launches, times)
+        && figures.most_attempts as f64 > bearable(figures.attempts, times)
     {
-        found(format!("{} launches in 100 ms, ordinary are {:.1}", figures.most_launches, figures.launches));
+        found(format!("{} attempts in 100 ms, ordinary are {:.1}", figures.most_attempts, figures.attempts));
     }
     if let Some(share) = wants.list_share
         && figures.most_lists as f64 > (share * figures.restarted as f64).max(1.0)
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -60,7 +60,7 @@
         driver: usize,
         how: How,
     },
-    /// A launch came whole to a member.
+    /// An attempt came whole to a member.
     Reached {
         id: u64,
         driver: usize,
@@ -210,7 +210,7 @@
     pub first: At,
     pub after: Option<At>,
     pub answered: Option<(At, How)>,
-    /// Where launches of it came, and when.
+    /// Where attempts of it came, and when.
     pub reached: Vec<(At, usize)>,
     pub ran: Vec<(At, usize, At)>,
     pub over: Vec<(At, usize)>,
--- a/crates/fault-injection/src/judge.rs
+++ b/crates/fault-injection/src/judge.rs
@@ -22,9 +22,10 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Broken {
-    /// One to five, 6 for a launch past its limit, 7 for a process that ended by itself or did not do what its operator
-    /// told it, 8 for what the plan wants, 9 for two that hold one duty, 10 for decrees taken out of order, 11
-    /// for a session that moved otherwise than once, 12 for what came to a site that was said to be retired.
+    /// One to five, 6 for an attempt past its limit, 7 for a process that ended by itself or did not do what
+    /// its operator told it, 8 for what the plan wants, 9 for two that hold one duty, 10 for decrees taken
+    /// out of order, 11 for a session that moved otherwise than once, 12 for what came to a site that was
+    /// said to be retired.
     pub rule: u8,
     pub at_ms: At,
     pub what: String,
@@ -93,7 +94,8 @@
         ages(&mut broken, &lines, id, one);
         for &(at, member) in &one.reached {
             let late = at - one.asked - one.wait;
-            // What was on its way before a stop, or on a line that holds things back, is no launch of the driver's.
+            // What was on its way before a stop, or on a line that holds things back, is no attempt of the
+            // driver's.
             if late > lines.slack && !lines.slow && !spells.any(one.driver, at - 2_000, at) {
                 figures.past_limit += 1;
                 figures.past_limit_writes += usize::from(CLASSES[one.class].effect == "side_effect");
@@ -220,7 +222,7 @@
     }
 }
 
-/// Rule 2: no effect twice, no rejection of what ran, and never two launches out at once.
+/// Rule 2: no effect twice, no rejection of what ran, and never two attempts out at once.
 fn effects(broken: &mut Vec<Broken>, lines: &Lines, id: u64, one: &Try) {
     let mut found = |at: At, what: String| broken.push(Broken { rule: 2, at_ms: at / 1000, what });
     let effect = CLASSES[one.class].effect;
@@ -240,7 +242,7 @@
     for (at, &(reached, _)) in one.reached.iter().enumerate().skip(1) {
         let over = one.over.iter().filter(|&&(over, _)| over <= reached + 6_000).count();
         if over < at && !lines.slow {
-            found(reached, format!("request {id} was launched while another launch of it was out"));
+            found(reached, format!("request {id} was attempted while another attempt of it was out"));
         }
     }
 }
--- a/crates/fault-injection/src/member.rs
+++ b/crates/fault-injection/src/member.rs
@@ -312,7 +312,7 @@
     }
 }
 
-/// Notes the end of a launch wherever that comes.
+/// Notes the end of an attempt wherever that comes.
 struct Over<'a> {
     world: &'a World,
     id: u64,
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -25,8 +25,8 @@
     row("denied, broken off, unanswered", {
         format!("{}, {}, {}", figures.rejected, figures.failed, figures.never_answered)
     });
-    row("launched past the limit, writes", format!("{}, {}", figures.past_limit, figures.past_limit_writes));
-    row("launches in 100 ms, most", format!("{:.1}, {}", figures.launches, figures.most_launches));
+    row("attempted past the limit, writes", format!("{}, {}", figures.past_limit, figures.past_limit_writes));
+    row("attempts in 100 ms, most", format!("{:.1}, {}", figures.attempts, figures.most_attempts));
     row("connections in 100 ms, most", format!("{:.1}, {}", figures.connections, figures.most_connections));
     row("lists in 100 ms, restarted", format!("{}, {}", figures.most_lists, figures.restarted));
     row("probes a request", format!("{:.3}", figures.probes_a_request));
@@ -36,7 +36,7 @@
     row("in 10 s after the fault, worst of them", {
         format!("{:.4}, {:.4}", figures.in_quoted_time_after, figures.worst_second)
     });
-    row("launches that crossed zones", format!("{:.4}", figures.crossing));
+    row("attempts that crossed zones", format!("{:.4}", figures.crossing));
     if let Some(held) = figures.held {
         row("duties held, longest without, ms", format!("{held:.4}, {}", figures.longest_unheld_ms));
     }
@@ -63,7 +63,7 @@
     all.fold(String::new(), |text, line| text + &line + "\n")
 }
 
-/// Served share, launches, connections, probes and list calls for each 100 ms, with the faults marked.
+/// Served share, attempts, connections, probes and list calls for each 100 ms, with the faults marked.
 pub fn picture(run: &Run, path: &Path) -> Result<(), Trouble> {
     draw(run, path).map_err(|why| Trouble::Picture { path: path.to_owned(), why: why.to_string() })
 }
@@ -83,7 +83,7 @@
     type Row = (&'static str, fn(&Bin) -> f64);
     let rows: [Row; 5] = [
         ("served in quoted time, share", share),
-        ("launches", |bin| bin.launches as f64),
+        ("attempts", |bin| bin.attempts as f64),
         ("new connections to members", |bin| bin.connections as f64),
         ("probes", |bin| bin.probes as f64),
         ("lists asked for", |bin| bin.lists as f64),
--- a/crates/fault-injection/tests/judges.rs
+++ b/crates/fault-injection/tests/judges.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn effects_twice_launches_at_once_and_rejections_of_what_ran() {
+fn effects_twice_attempts_at_once_and_rejections_of_what_ran() {
     assert_eq!(found("twice", NOTHING), [2]);
     assert_eq!(found("both", NOTHING), [2]);
     assert_eq!(found("denied", NOTHING), [2]);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn launches_when_their_clients_have_gone() {
+fn attempts_when_their_clients_have_gone() {
     assert_eq!(found("late", NOTHING), [6]);
 }
 
--- a/crates/fault-injection/tests/plans.rs
+++ b/crates/fault-injection/tests/plans.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn drivers_that_stood_still_launch_nothing_that_is_over() {
+fn drivers_that_stood_still_attempt_nothing_that_is_over() {
     let run = play(r#"{"at_ms":2000,"do":{"stop":{"share":0.7,"for_ms":2200}}}"#, "{}");
     let figures = &run.verdict.figures;
     assert_eq!(figures.past_limit, 0);
--- a/crates/flow-control/src/pace.rs
+++ b/crates/flow-control/src/pace.rs
@@ -249,9 +249,10 @@
         lacking
     }
 
-    /// Protects members from launches that wait for room which nobody gives back: each holds a place that others'
-    /// requests need. Last come are told at once, as far as room does not come free quickly enough. Should
-    /// also cover floods of large answers. Harms a large answer just before a pause of many readers ends.
+    /// Protects members from attempts that wait for room which nobody gives back: each holds a place that
+    /// others' requests need. Last come are told at once, as far as room does not come free quickly enough.
+    /// Should also cover floods of large answers. Harms a large answer just before a pause of many readers
+    /// ends.
     fn refuse_hopeless(&mut self, now: Micros, lacking: u64, todo: &mut Todo) {
         let mut lacking = lacking;
         while lacking > 0 && self.turnover.time_for(now, lacking) > self.bounds.patience {
--- a/crates/operator-config/src/slow_peers.rs
+++ b/crates/operator-config/src/slow_peers.rs
@@ -60,7 +60,8 @@
     pub answering: Rate,
     /// Members that are to take a statement.
     pub taking: Rate,
-    /// How long an answer waits for room at most, in milliseconds: its launch holds a place at a member meanwhile.
+    /// How long an answer waits for room at most, in milliseconds: its attempt holds a place at a member
+    /// meanwhile.
     pub patience_ms: Option<u32>,
     /// Who is under the least rate for so long is cut off though nobody wants its room, in milliseconds.
     pub overdue_ms: Option<u32>,
--- a/crates/proxy/src/desk.rs
+++ b/crates/proxy/src/desk.rs
@@ -342,7 +342,7 @@
         // The gateway hears of a miss first: it may take the request back before the module sends it on.
         let (mut missed, mut taken_back) = (None, false);
         match via {
-            Some(via) if verdict == Verdict::Miss => (missed, taken_back) = self.here_missed(via),
+            Some(via) if verdict == Verdict::NotPrimary => (missed, taken_back) = self.here_missed(via),
             Some(via) if verdict != Verdict::Served && !verdict.never_ran() => self.may_have_run(via, took),
             _ => {}
         }
--- a/crates/proxy/src/desk/hub/trips.rs
+++ b/crates/proxy/src/desk/hub/trips.rs
@@ -76,7 +76,7 @@
         self.carry_out_sites(todo, Some((handle, answer)));
     }
 
-    /// A launch here that lasted so long may have run.
+    /// An attempt here that lasted so long may have run.
     pub(crate) fn may_have_run(&mut self, handle: Handle, took: Micros) {
         let began = self.context.clock.now() - took;
         if let Some(hub) = &mut self.hub {
@@ -84,8 +84,8 @@
         }
     }
 
-    /// A launch here was answered 'miss'. What follows is carried out once the module has heard it, too; whether the
-    /// request was taken back from it.
+    /// An attempt here was answered 'miss'. What follows is carried out once the module has heard it, too;
+    /// whether the request was taken back from it.
     pub(crate) fn here_missed(&mut self, handle: Handle) -> (Option<Todo>, bool) {
         let now = self.context.clock.now();
         let Some(hub) = &mut self.hub else { return (None, false) };
--- a/crates/proxy/src/desk/sight.rs
+++ b/crates/proxy/src/desk/sight.rs
@@ -16,7 +16,7 @@
 /// Groups of whose keys something is kept.
 const GROUPS: usize = 64;
 
-/// A launch that is out: where, what is quoted for its request class, whether it writes, and its key.
+/// An attempt that is out: where, what is quoted for its request class, whether it writes, and its key.
 struct Out {
     group: u64,
     zone: usize,
@@ -40,7 +40,7 @@
         Sight { tally: Tally::start(now), out: HashMap::new(), keys, seed }
     }
 
-    pub(super) fn launched(
+    pub(super) fn attempted(
         &mut self,
         handle: Handle,
         place: Option<(u64, usize)>,
@@ -74,15 +74,19 @@
         }
         let end = match verdict {
             Verdict::Served => End::Served { in_time: took <= quoted },
-            Verdict::Full => End::Refused,
-            Verdict::Error | Verdict::Spoilt => End::Error,
+            Verdict::Overloaded => End::Refused,
+            Verdict::Error | Verdict::Malformed => End::Error,
             Verdict::TimedOut
             | Verdict::Unconnected
             | Verdict::Unreachable
             | Verdict::Reset
-            | Verdict::Dropped => End::Silent,
+            | Verdict::ConnectionLost => End::Silent,
             // Nothing was seen of the member.
-            Verdict::CalledOff | Verdict::Unseen | Verdict::LocalFailure | Verdict::Moot | Verdict::Miss => {
+            Verdict::Cancelled
+            | Verdict::Unobserved
+            | Verdict::LocalFailure
+            | Verdict::NotSent
+            | Verdict::NotPrimary => {
                 return;
             }
         };
--- a/crates/proxy/src/desk/steps.rs
+++ b/crates/proxy/src/desk/steps.rs
@@ -1,4 +1,4 @@
-//! Carries out what the router says is to be done: answers, launches, probes.
+//! Carries out what the router says is to be done: answers, attempts, probes.
 
 use aldermill_routing::{Effect, Handle, MemberId, Micros, Step, Todo, Told, Validity, Verdict};
 use slog::warn;
@@ -48,7 +48,7 @@
     pub(crate) fn carry_out(&mut self, todo: Todo) {
         for (handle, step) in todo.steps {
             match step {
-                Step::Launch { member, limit, afresh, validity } => {
+                Step::Attempt { member, limit, afresh, validity } => {
                     self.send_attempt(handle, member, limit, afresh, validity)
                 }
                 Step::Reject { cool_down } => self.answer(handle, Answer::Rejected { cool_down }),
@@ -61,7 +61,7 @@
             let until = sent + self.context.limits.probe;
             let peer = self.peers[member].as_ref();
             if peer.is_none_or(|peer| peer.commands.try_send(MemberCommand::Probe { sent, until }).is_err()) {
-                let (verdict, told) = (Verdict::Moot, Told::default());
+                let (verdict, told) = (Verdict::NotSent, Told::default());
                 let replica_words = peer.map_or(0, |peer| peer.replica_words);
                 self.pending.push_back(Call::Probed { member, verdict, took: 0, told, replica_words });
             }
@@ -95,7 +95,7 @@
         let holder = (open.order.holder, open.best);
         if let Some(sight) = &mut self.sight {
             let place = self.peers[member].as_ref().map(|peer| (peer.group, peer.zone));
-            sight.launched(handle, place, &self.decoded, &open.order);
+            sight.attempted(handle, place, &self.decoded, &open.order);
         }
         let peer = self.peers[member].as_ref();
         let attempt = Attempt {
@@ -111,7 +111,7 @@
         };
         if peer.is_none_or(|peer| peer.commands.try_send(MemberCommand::Send(attempt)).is_err()) {
             warn!(self.context.log, "member's mailbox full, attempt not sent"; "member" => member);
-            let (verdict, told) = (Verdict::Moot, Told::default());
+            let (verdict, told) = (Verdict::NotSent, Told::default());
             let gave = Gave::Nothing;
             let ended = Ended { handle, verdict, sent, took: 0, told, gave, replica_words: None };
             self.pending.push_back(Call::Ended(ended));
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -94,8 +94,8 @@
     /// A connection to a member that is not there after less than this says nothing of the member.
     pub opening: Duration,
     pub probe: Duration,
-    /// After so many spoilt answers in a row there is a line in the log.
-    pub spoilt_told: usize,
+    /// After so many malformed answers in a row there is a line in the log.
+    pub malformed_told: usize,
     /// From the last byte of a value to the end of its answer.
     pub closing: Duration,
     /// How long a connection to a member has stood after an answer when nothing more can come of that.
@@ -177,7 +177,7 @@
             connect: duration(decoded.connect_timeout),
             opening: duration(decoded.connect_timeout).min(Duration::from_millis(100)),
             probe: duration(decoded.connect_timeout),
-            spoilt_told: 3,
+            malformed_told: 3,
             closing: Duration::from_millis(5),
             rest: Duration::from_millis(100),
             ahead_of_clock: 1_000_000,
--- a/crates/proxy/src/member.rs
+++ b/crates/proxy/src/member.rs
@@ -1,4 +1,4 @@
-//! The actor of one member: its pool of connections, and the launches and probes on them.
+//! The actor of one member: its pool of connections, and the attempts and probes on them.
 
 mod connection;
 mod life;
@@ -32,7 +32,7 @@
 /// Between two lines in the log on connections to one member that cannot be opened here.
 const LOCAL_FAILURE_TOLD_EVERY: Duration = Duration::from_secs(10);
 
-/// What a launch or a probe is for.
+/// What an attempt or a probe is for.
 enum Purpose {
     Request { handle: Handle, sent: Instant },
     Probe { sent: Instant },
@@ -75,7 +75,7 @@
     /// How often it has said that it is a replica.
     replica_words: Rc<Cell<u64>>,
     /// Answers in a row that were cut short or could not be read.
-    spoilt: usize,
+    malformed: usize,
     /// It could not be reached or broke connections, and that was logged.
     lost: bool,
     /// When it was last logged that this machine can open no connection to it.
@@ -112,7 +112,7 @@
             heard: Instant::now(),
             last_heard,
             replica_words: Rc::default(),
-            spoilt: 0,
+            malformed: 0,
             lost: false,
             local_failure_told: None,
         }
@@ -222,7 +222,7 @@
                 None => connect(&context, id, address, until).await,
             };
             let (verdict, connection) = match opened {
-                Ok(connection) if !departure.may_leave(&context) => (Verdict::Moot, Some(connection)),
+                Ok(connection) if !departure.may_leave(&context) => (Verdict::NotSent, Some(connection)),
                 Ok(mut connection) => {
                     let query = departure.query();
                     let mut visit = Visit { context: &context, holder, until, exchange, room, crowded_out };
@@ -238,7 +238,7 @@
                     // Nothing was sent. After a standstill nobody saw whether the connection came up in time, and with
                     // little time left it may not have had enough.
                     let lost = shows_no_way(&context, began);
-                    (if lost { Verdict::Unconnected } else { Verdict::Moot }, None)
+                    (if lost { Verdict::Unconnected } else { Verdict::NotSent }, None)
                 }
                 Err(Unopened { verdict, why }) => {
                     unopened = why;
@@ -247,7 +247,7 @@
             };
             // Its time limit fell into a standstill: nobody was there to see an answer.
             let unseen = verdict == Verdict::TimedOut && context.lived.stood_since(began);
-            let verdict = if unseen { Verdict::Unseen } else { verdict };
+            let verdict = if unseen { Verdict::Unobserved } else { verdict };
             Done { verdict, exchange, room, crowded_out, age, connection, began, era, unopened }
         });
         self.purposes.insert(visit.id(), purpose);
@@ -265,16 +265,16 @@
         }
         if verdict == Verdict::Reset && !self.all_reset() {
             // Only this connection broke, as far as can be seen. Where the process did die, the next one is refused.
-            verdict = Verdict::Spoilt;
+            verdict = Verdict::Malformed;
         }
-        if matches!(verdict, Verdict::Spoilt | Verdict::Dropped) {
-            self.spoilt += 1;
-            if self.spoilt == self.context.limits.spoilt_told {
+        if matches!(verdict, Verdict::Malformed | Verdict::ConnectionLost) {
+            self.malformed += 1;
+            if self.malformed == self.context.limits.malformed_told {
                 warn!(self.context.log, "member answers nothing that can be used"; "member" => &self.name,
-                    "peer" => %self.address.get(), "launches" => self.spoilt);
+                    "peer" => %self.address.get(), "attempts" => self.malformed);
             }
         } else if exchange.is_ready() {
-            self.spoilt = 0;
+            self.malformed = 0;
         }
         if verdict == Verdict::LocalFailure {
             self.tell_local_failure(unopened);
@@ -318,7 +318,7 @@
             }
             Purpose::Probe { sent } => {
                 if exchange.error.as_deref() == Some("57P03") {
-                    verdict = Verdict::Full;
+                    verdict = Verdict::Overloaded;
                 }
                 let told = self.told(&exchange, std::str::from_utf8(exchange.value()).ok(), age);
                 let took = self.context.lived.since(sent);
--- a/crates/proxy/src/member/connection.rs
+++ b/crates/proxy/src/member/connection.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Why there is no connection: nothing of the launch ever ran.
+/// Why there is no connection: nothing of the attempt ever ran.
 pub(super) struct Unopened {
     pub(super) verdict: Verdict,
     /// What the system said, where that was it.
@@ -59,7 +59,7 @@
         Meaning::Refused => Verdict::Unconnected,
         Meaning::Path => Verdict::Unreachable,
         // One that took the connection and then broke it stands.
-        Meaning::Reset => Verdict::Dropped,
+        Meaning::Reset => Verdict::ConnectionLost,
     }
 }
 
@@ -161,10 +161,10 @@
     system::write_all(Party::Member, &mut stream, &hello).await?;
     let mut buffer = Buffer::default();
     loop {
-        let message = pg::message(buffer.held(), limits.answer).map_err(|_| Verdict::Dropped)?;
+        let message = pg::message(buffer.held(), limits.answer).map_err(|_| Verdict::ConnectionLost)?;
         let Some(message) = message else {
             if system::read(Party::Member, &mut stream, buffer.tail()).await? == 0 {
-                return Err(Verdict::Dropped.into());
+                return Err(Verdict::ConnectionLost.into());
             }
             continue;
         };
@@ -176,9 +176,9 @@
             }
             b'E' => {
                 let full = pg::refusal(message.body).is_ok_and(|refusal| refusal.code == "53300");
-                return Err(if full { Verdict::Full } else { Verdict::Dropped }.into());
+                return Err(if full { Verdict::Overloaded } else { Verdict::ConnectionLost }.into());
             }
-            b'R' if message.body != [0; 4] => return Err(Verdict::Dropped.into()),
+            b'R' if message.body != [0; 4] => return Err(Verdict::ConnectionLost.into()),
             _ => buffer.consume(length),
         }
     }
--- a/crates/proxy/src/member/visit.rs
+++ b/crates/proxy/src/member/visit.rs
@@ -88,8 +88,8 @@
         let ended_by = self.take_in(connection).await;
         match self.exchange.error.as_deref() {
             _ if self.exchange.is_served() => Verdict::Served,
-            Some("25006" | "72000") => Verdict::Miss,
-            Some("53300") => Verdict::Full,
+            Some("25006" | "72000") => Verdict::NotPrimary,
+            Some("53300") => Verdict::Overloaded,
             Some(_) => Verdict::Error,
             None => ended_by,
         }
@@ -113,23 +113,23 @@
                     }
                     Ok(Err(error)) => return Err(before_send(&error)),
                     Err(_) if due >= self.until => return Err(Verdict::Unconnected),
-                    _ => return Err(Verdict::Dropped),
+                    _ => return Err(Verdict::ConnectionLost),
                 }
             }
         }
         Ok(())
     }
 
-    /// An answer comes in one piece, or nearly: what has begun and goes on under the least rate is spoilt, and at
-    /// once where its last bytes are those of a whole answer. One that is whole but for its end waits no longer for
-    /// that.
+    /// An answer comes in one piece, or nearly: what has begun and goes on under the least rate is malformed,
+    /// and at once where its last bytes are those of a whole answer. One that is whole but for its end waits
+    /// no longer for that.
     pub(super) async fn take_in(&mut self, connection: &mut Connection) -> Verdict {
         let Visit { context, holder, until, exchange, room, crowded_out } = self;
         let (limits, clock, until) = (&context.limits, &context.lived, *until);
         let mut answering: Option<Meter> = None;
         loop {
             if exchange.absorb(&mut connection.buffer, limits.answer).is_err() {
-                return Verdict::Spoilt;
+                return Verdict::Malformed;
             }
             if exchange.is_over() {
                 return Verdict::Reset;
@@ -137,7 +137,7 @@
             let claimed = pg::claimed(connection.buffer.held());
             if claimed > limits.small && room.is_none() {
                 // While there is no room nothing is read: what the member sends stays with it, and holds its place.
-                let Some((peer, best)) = *holder else { return Verdict::Spoilt };
+                let Some((peer, best)) = *holder else { return Verdict::Malformed };
                 answering.iter_mut().for_each(|meter| meter.rests(clock.now()));
                 *room = context.gate.room(peer, claimed, best, until).await;
                 if room.is_none() {
@@ -160,7 +160,7 @@
                 read = timeout(limits.closing, system::read(Party::Member, stream, buffer.tail())).await;
             }
             match read {
-                Err(_) if wait < until => return Verdict::Spoilt,
+                Err(_) if wait < until => return Verdict::Malformed,
                 Err(_) => return Verdict::TimedOut,
                 Ok(Ok(count)) if count > 0 => {
                     let now = clock.now();
@@ -184,6 +184,6 @@
         Meaning::Reset | Meaning::Refused => Verdict::Reset,
         // No answer came through in time, by the system's measure.
         Meaning::Path => Verdict::TimedOut,
-        Meaning::Local => Verdict::Unseen,
+        Meaning::Local => Verdict::Unobserved,
     }
 }
--- a/crates/proxy/src/trial.rs
+++ b/crates/proxy/src/trial.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fate {
     Held,
-    Launched,
+    Attempted,
     Rejected,
     Failed,
 }
@@ -39,7 +39,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let word = |fate: &Fate| match fate {
             Fate::Held => "held",
-            Fate::Launched => "launched",
+            Fate::Attempted => "launched",
             Fate::Rejected => "denied",
             Fate::Failed => "broken_off",
         };
@@ -121,8 +121,8 @@
             let steps = (was.get(handle).copied(), would.get(handle).copied());
             let kind = match steps {
                 (
-                    Some(Step::Launch { member, limit, .. }),
-                    Some(Step::Launch { member: other, limit: within, .. }),
+                    Some(Step::Attempt { member, limit, .. }),
+                    Some(Step::Attempt { member: other, limit: within, .. }),
                 ) => {
                     let kind = if member != other { Kind::Member } else { Kind::Limit };
                     (member != other || limit != within).then_some(kind)
@@ -171,7 +171,7 @@
 fn fate(step: Option<Step>) -> Fate {
     match step {
         None => Fate::Held,
-        Some(Step::Launch { .. }) => Fate::Launched,
+        Some(Step::Attempt { .. }) => Fate::Attempted,
         Some(Step::Reject { .. }) => Fate::Rejected,
         Some(Step::Fail) => Fate::Failed,
     }
--- a/crates/proxy/src/words.rs
+++ b/crates/proxy/src/words.rs
@@ -121,7 +121,7 @@
     Micros::try_from(millis).map_or(Micros::MAX, |millis| millis.saturating_mul(1000))
 }
 
-/// How a launch ended.
+/// How an attempt ended.
 pub struct Ended {
     pub handle: Handle,
     pub verdict: Verdict,
@@ -135,7 +135,7 @@
     pub replica_words: Option<(MemberId, u64)>,
 }
 
-/// What a launch brought.
+/// What an attempt brought.
 pub enum Gave {
     Nothing,
     /// Where it was served: the messages that carry the value.
--- a/crates/proxy/tests/members.rs
+++ b/crates/proxy/tests/members.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_connection_that_breaks_alone_or_an_answer_that_cannot_be_read_costs_one_launch() {
+fn a_connection_that_breaks_alone_or_an_answer_that_cannot_be_read_costs_one_attempt() {
     let member = Member::start(|text, stream| match text {
         text if text.contains("id=slow") => {
             thread::sleep(Duration::from_millis(300));
@@ -166,7 +166,7 @@
     let (mut first, mut second) = (Client::connect(driver.address), Client::connect(driver.address));
     let statement = order(15000);
     first.send(&statement);
-    until("the launch", || member.requests().len() == 1);
+    until("the attempt", || member.requests().len() == 1);
     assert_eq!(second.ask(&statement).code, "08P01");
     assert!(served(&first.answer().unwrap()));
     assert_eq!(member.requests().len(), 1);
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -142,7 +142,7 @@
     assert!(served(&idle.ask(&look(15000))));
     let mut fresh = Client::connect(driver.address);
     busy.iter_mut().for_each(|client| client.send(&look(15000)));
-    until("the launches", || member.requests().len() == 5);
+    until("the attempts", || member.requests().len() == 5);
     let told = Instant::now();
     driver.signal("-TERM");
     assert!(idle.ended());
--- a/crates/proxy/tests/slow_peers.rs
+++ b/crates/proxy/tests/slow_peers.rs
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_member_that_trickles_costs_a_launch_and_one_that_is_slow_but_sound_none() {
+fn a_member_that_trickles_costs_a_attempt_and_one_that_is_slow_but_sound_none() {
     for (piece, pause) in [(1, 1000), (1, 250), (20, 250)] {
         let trickles = Member::start(move |text, stream| {
             drip(&whole(&[7; 4000], text, "reader"), piece, MS(pause), stream);
@@ -223,7 +223,7 @@
     let (driver, _) = driver(&[("a", &taker), ("b", &replica)], 192, 128, "{}");
     let mut client = Client::connect(driver.address);
     let start = Instant::now();
-    // What is rejected never ran, and may come again: it is launched at the primary as often as the limits
+    // What is rejected never ran, and may come again: it is attempted at the primary as often as the limits
     // allow.
     let said = client.ask(&order(15000).replace("9f", &"9f".repeat(60_000)));
     assert_eq!(said.code, "53300", "{said:?}, after {:?}", start.elapsed());
--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_launch_cut_before_its_last_byte_never_ran_and_goes_again() {
+fn a_attempt_cut_before_its_last_byte_never_ran_and_goes_again() {
     // A narrow way: with small segments the statement cannot be handed to the system whole.
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_drain_told_while_a_connection_opens_keeps_the_launch_back() {
+fn a_drain_told_while_a_connection_opens_keeps_the_attempt_back() {
     let (asked, hold) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(true)));
     let (seen_asked, seen_hold) = (asked.clone(), hold.clone());
     // The first member admits nobody until the list has told of its drain.
--- a/crates/proxy/tests/staying.rs
+++ b/crates/proxy/tests/staying.rs
@@ -146,7 +146,7 @@
     let slow = named(&look(15000), "5");
     let mut gone = Client::connect(driver.address);
     gone.send(&slow);
-    until("the launch", || member.requests().len() == 1);
+    until("the attempt", || member.requests().len() == 1);
     drop(gone);
     let mut client = Client::connect(driver.address);
     for _ in 0..5 {
--- a/crates/proxy/tests/trial.rs
+++ b/crates/proxy/tests/trial.rs
@@ -51,9 +51,9 @@
         let request = Request { class, group: 1, ttl, ..Request::default() };
         let todo = ask(&mut router, &|router| router.take(at, request.clone()).1);
         for (handle, step) in todo.steps {
-            let Step::Launch { member, .. } = step else { continue };
+            let Step::Attempt { member, .. } = step else { continue };
             let role = Some(if member == 2 { Role::Primary } else { Role::Replica });
-            let verdict = if member == 2 || class == 0 { Verdict::Served } else { Verdict::Miss };
+            let verdict = if member == 2 || class == 0 { Verdict::Served } else { Verdict::NotPrimary };
             let told = Told { role, position: Some(at), age: 0 };
             let closed = verdict == Verdict::Served;
             let outcome = Outcome { verdict, took: 30_000, told, closed };
@@ -81,7 +81,7 @@
     let many = TERMS.replace(r#""balancers":1"#, r#""balancers":400"#);
     let mut trial = Trial::read(&wanted(&many), &decoded(TERMS)).unwrap();
     assert_eq!(day(Some(&mut trial)), day(None));
-    assert!(trial.kinds.contains_key(&Kind::Fate(Fate::Launched, Fate::Held)), "{:?}", trial.kinds);
+    assert!(trial.kinds.contains_key(&Kind::Fate(Fate::Attempted, Fate::Held)), "{:?}", trial.kinds);
     assert!(trial.kinds.contains_key(&Kind::NotProbed), "{:?}", trial.kinds);
 }
 
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -70,7 +70,7 @@
     pub zone: usize,
     /// How many zones there are.
     pub zones: usize,
-    pub max_launches: u32,
+    pub max_attempts: u32,
     pub may_probe: bool,
     pub max_cool_down: Micros,
     pub listed_roles: ListedRoles,
@@ -144,7 +144,7 @@
 pub enum Verdict {
     Served,
     Error,
-    Full,
+    Overloaded,
     TimedOut,
     Unconnected,
     /// No path leads to it (ETIMEDOUT, EHOSTUNREACH): never sent whole, and its process may well live.
@@ -153,27 +153,30 @@
     LocalFailure,
     Reset,
     /// What came back is of no use, or its connection alone broke: it may have run, and the member stands.
-    Spoilt,
+    Malformed,
     /// Its connection broke before it was written whole, though the member stands.
-    Dropped,
-    CalledOff,
+    ConnectionLost,
+    Cancelled,
     /// Its time limit passed while the driver stood still: it may have run, and nothing was seen of the member.
-    Unseen,
-    Moot,
-    Miss,
+    Unobserved,
+    NotSent,
+    NotPrimary,
 }
 
 impl Verdict {
-    /// The launch is known never to have run.
+    /// The attempt is known never to have run.
     pub fn never_ran(self) -> bool {
         use Verdict::*;
-        matches!(self, Full | Unconnected | Unreachable | LocalFailure | Dropped | Moot | Miss)
+        matches!(
+            self,
+            Overloaded | Unconnected | Unreachable | LocalFailure | ConnectionLost | NotSent | NotPrimary
+        )
     }
 
     /// The member's process was heard.
     pub fn heard(self) -> bool {
         use Verdict::*;
-        matches!(self, Served | Error | Full | Miss | Spoilt | Dropped)
+        matches!(self, Served | Error | Overloaded | NotPrimary | Malformed | ConnectionLost)
     }
 }
 
@@ -191,15 +194,16 @@
 pub struct Learnt {
     /// Believed primaries, each with the time of the newest word on it.
     pub primaries: Vec<(MemberId, Micros)>,
-    /// By request class: what half of its launches take at most, and nine tenths.
+    /// By request class: what half of its attempts take at most, and nine tenths.
     pub took: Vec<(Micros, Micros)>,
-    /// Launches that may be out at a member, in powers of two.
+    /// Attempts that may be out at a member, in powers of two.
     pub windows: Vec<(MemberId, i32)>,
 }
 
 /// What must still hold when an attempt's last byte leaves, however long it waited for a connection; where it does
-/// not, the attempt is not sent, and ends as `Moot`. Sources: the rule on stale reads, by which a bound counts from
-/// the send, not from the decision; the rule on effects, by which a repeat stays within its window.
+/// not, the attempt is not sent, and ends as `NotSent`. Sources: the rule on stale reads, by which a bound
+/// counts from the send, not from the decision; the rule on effects, by which a repeat stays within its
+/// window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Validity {
     /// On the router's clock; `Micros::MAX` where nothing runs out.
@@ -217,7 +221,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// `afresh`: on a new connection, the idle ones being closed.
-    Launch {
+    Attempt {
         member: MemberId,
         limit: Micros,
         afresh: bool,
--- a/crates/routing/src/policy/decide.rs
+++ b/crates/routing/src/policy/decide.rs
@@ -1,4 +1,4 @@
-//! A request's way: taking it, placing it, what follows from a launch's end, and giving it up.
+//! A request's way: taking it, placing it, what follows from an attempt's end, and giving it up.
 
 use super::*;
 
@@ -42,7 +42,7 @@
         if stuck
             || self.at_fault(pending)
             || now >= hopeless
-            || pending.launches - pending.unsent >= self.launches_allowed(class)
+            || pending.attempts - pending.unsent >= self.attempts_allowed(class)
         {
             return self.give_up(handle);
         }
@@ -67,15 +67,16 @@
         let member = &mut self.members[id];
         member.out.push(handle);
         member.sent.push_back(now);
-        (pending.launches, pending.rested) = (pending.launches + 1, rested.filter(|_| !afresh));
+        (pending.attempts, pending.rested) = (pending.attempts + 1, rested.filter(|_| !afresh));
         pending.tries_connection = tries_connection;
         (pending.out, pending.waits_from) = (Some((id, now)), now);
-        (self.launched, self.rush) = (self.launched + 1.0, self.rush - 1.0);
+        (self.attempted, self.rush) = (self.attempted + 1.0, self.rush - 1.0);
         self.session(handle).into_iter().for_each(|session| session.out += 1);
-        self.todo.steps.push((handle, Step::Launch { member: id, limit: useful - now, afresh, validity }));
+        self.todo.steps.push((handle, Step::Attempt { member: id, limit: useful - now, afresh, validity }));
     }
 
-    /// A launch uses up what was saved for its member; the primary is owed its part of its group's launches.
+    /// An attempt uses up what was saved for its member; the primary is owed its part of its group's
+    /// attempts.
     pub(super) fn account(&mut self, now: Micros, id: MemberId, writes: bool) {
         let (credit, hold) = (self.credit(now, id) - 1.0, self.hold());
         (self.members[id].credit, self.members[id].credited) = (credit, now);
@@ -96,9 +97,9 @@
         group.owed = (group.owed + due).clamp(-3.0, 3.0);
     }
 
-    /// Until when a launch of the request would most likely pay, and until when an answer pays at all.
-    /// Protects a client from a long wait for nothing: what was never launched and pays little when late is
-    /// not held beyond half of its time, and a driver among many, who cannot see the crowd, launches nothing
+    /// Until when an attempt of the request would most likely pay, and until when an answer pays at all.
+    /// Protects a client from a long wait for nothing: what was never attempted and pays little when late is
+    /// not held beyond half of its time, and a driver among many, who cannot see the crowd, attempts nothing
     /// that would pay only that little. Should also cover groups without members. Harms what finds room
     /// later.
     pub(super) fn useful_until(&self, now: Micros, pending: &PendingRequest) -> (Micros, Micros) {
@@ -110,7 +111,7 @@
         let share = if arrives { 0.5 } else { 0.85 };
         let pays = if self.sparse() && late_share < 0.5 { useful.min(pending.quoted_by) } else { useful };
         let hopeless = pays - self.took[pending.request.class].quantile(share).unwrap_or(0) - BEAT;
-        let waits_for_room = pending.launches == 0 && !self.backs_off(now);
+        let waits_for_room = pending.attempts == 0 && !self.backs_off(now);
         let held = waits_for_room && (late_share < 0.5 || self.sparse());
         // Told before half of the client's time is over, with what a beat and the way take.
         let half = pending.arrived + (pending.request.ttl - pending.request.waited) / 2 - 2 * BEAT;
@@ -142,7 +143,7 @@
         }
     }
 
-    pub(super) fn launch_ended(&mut self, now: Micros, handle: Handle, outcome: Outcome) {
+    pub(super) fn attempt_ended(&mut self, now: Micros, handle: Handle, outcome: Outcome) {
         let Outcome { verdict, told, .. } = outcome;
         let pending = self.pending_requests.get(&handle);
         let out = pending.and_then(|pending| pending.out.map(|(id, _)| (id, pending.request.class)));
@@ -160,7 +161,7 @@
         let (tried, over) = (pending.tries_connection, outcome.closed || pending.closed);
         match verdict {
             Verdict::LocalFailure => return self.not_sent(now, handle, id, sent, over),
-            Verdict::Moot => {}
+            Verdict::NotSent => {}
             _ => self.connected(now, id, tried, verdict.heard()),
         }
         let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
@@ -188,12 +189,12 @@
         let least = if sparse { STAY / drivers } else { (STAY / drivers).max(1.0) };
         let shrunk = (member.window * step.min(0.7)).max(least.min(1.0));
         let crowded = verdict == Verdict::TimedOut && outcome.took < patience;
-        let unseen = verdict == Verdict::Unseen;
+        let unseen = verdict == Verdict::Unobserved;
         let seen = !verdict.never_ran() && !unseen && !reaped && verdict != Verdict::Error;
         if verdict == Verdict::Served || crowded || sparse && seen {
             member.took.add(outcome.took, KEEP / 4);
             let usual = member.took.quantile(0.6).unwrap_or(0);
-            let came = matches!(verdict, Verdict::Served | Verdict::Spoilt);
+            let came = matches!(verdict, Verdict::Served | Verdict::Malformed);
             let took = if came { outcome.took - way } else { Micros::MAX };
             let (typical, share) = if sparse { (took, 70) } else { (usual, 30) };
             if typical > self.terms.classes[class].quoted * share / 100 {
@@ -208,24 +209,26 @@
             Verdict::Served => {
                 self.took[class].add(outcome.took, KEEP * 4);
                 self.any_took.add(outcome.took, KEEP * 4);
-                (member.served, member.spoilt) = (member.served + 0.1, 0);
+                (member.served, member.malformed) = (member.served + 0.1, 0);
                 std::mem::take(&mut pending.erred).into_iter().for_each(|id| self.failed(now, id));
             }
             // Nobody's fault as yet: whoever honours the request proves that the member failed it. A quick
-            // one was no work, and gives its launch back, but for a cold member: the rule counts what it is
+            // one was no work, and gives its attempt back, but for a cold member: the rule counts what it is
             // sent.
             Verdict::Error => {
                 pending.erred.push(id);
                 let cold = member.since.is_some_and(|since| now - since < self.terms.warm_within);
                 member.credit += f64::from(outcome.took < usual_took / 10 && !cold);
             }
-            Verdict::Full => (member.window, member.credit, member.credited) = (shrunk, 0.0, now),
-            Verdict::Miss | Verdict::Moot | Verdict::Unseen => {}
+            Verdict::Overloaded => (member.window, member.credit, member.credited) = (shrunk, 0.0, now),
+            Verdict::NotPrimary | Verdict::NotSent | Verdict::Unobserved => {}
             // Protects a group whose members all spoil alike from the bar: only those in a row are failures.
             // Should also cover links that break connections. Harms requests at a member that spoils most.
-            Verdict::Spoilt | Verdict::Dropped if member.spoilt < FAILURES => member.spoilt += 1,
-            // A launch that outlasted its limit at a member that answers others met a crowd, not a fault.
-            Verdict::TimedOut | Verdict::CalledOff if !mute || reaped => {}
+            Verdict::Malformed | Verdict::ConnectionLost if member.malformed < FAILURES => {
+                member.malformed += 1
+            }
+            // An attempt that outlasted its limit at a member that answers others met a crowd, not a fault.
+            Verdict::TimedOut | Verdict::Cancelled if !mute || reaped => {}
             _ => self.failed(now, id),
         }
         let told_commit =
@@ -241,8 +244,8 @@
             self.todo.shut.push(id);
         }
         self.note(now, id, told, sent, now - told.age);
-        if verdict == Verdict::Miss && self.groups[group].primary.is_none() {
-            let round = self.groups[group].members.len().min(self.terms.max_launches as usize / 2);
+        if verdict == Verdict::NotPrimary && self.groups[group].primary.is_none() {
+            let round = self.groups[group].members.len().min(self.terms.max_attempts as usize / 2);
             let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
             pending.misses += 1;
             let over = pending.misses >= round;
@@ -274,7 +277,7 @@
         }
     }
 
-    /// Protects members from bars, and the launches of others from being used up, by requests that bring
+    /// Protects members from bars, and the attempts of others from being used up, by requests that bring
     /// their errors with them: two members that fail it alike, or one three times, prove it. Should also
     /// cover statements that every member turns down. Harms a request that met two bad members.
     fn at_fault(&self, pending: &PendingRequest) -> bool {
@@ -283,7 +286,7 @@
 
     /// Protects members that take few connections from those that drivers keep idle: a driver among many
     /// that was refused closes its own, for a while after each use. A probe tells whether the process is
-    /// dead. Harms launches by a handshake each.
+    /// dead. Harms attempts by a handshake each.
     pub(super) fn refused(&mut self, now: Micros, id: MemberId) {
         if now >= self.tight_until {
             let idle = (0..self.members.len()).filter(|&id| self.members[id].out.is_empty());
@@ -293,10 +296,10 @@
         self.probe(now, id, PROBE_NEEDED);
     }
 
-    /// Further launches go by payoff: the best paid request class may use them all.
-    pub(super) fn launches_allowed(&self, class: &RequestClass) -> u32 {
+    /// Further attempts go by payoff: the best paid request class may use them all.
+    pub(super) fn attempts_allowed(&self, class: &RequestClass) -> u32 {
         let best = self.terms.classes.iter().map(|o| o.payoff).fold(f64::MIN_POSITIVE, f64::max);
-        let most = f64::from(self.terms.max_launches);
+        let most = f64::from(self.terms.max_attempts);
         (most * (class.payoff / best).max(0.5)).ceil().min(most) as u32
     }
 
--- a/crates/routing/src/policy/fresh.rs
+++ b/crates/routing/src/policy/fresh.rs
@@ -1,4 +1,4 @@
-//! Where a launch may go: believed primaries, replicas proven fresh enough, near and far.
+//! Where an attempt may go: believed primaries, replicas proven fresh enough, near and far.
 
 use super::*;
 
--- a/crates/routing/src/policy/local.rs
+++ b/crates/routing/src/policy/local.rs
@@ -76,7 +76,7 @@
         let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
         let tried = pending.tries_connection;
         (pending.unsent, pending.last) = (pending.unsent + 1, Some(id));
-        (self.launched, self.rush) = (self.launched - 1.0, self.rush + 1.0);
+        (self.attempted, self.rush) = (self.attempted - 1.0, self.rush + 1.0);
         let member = &mut self.members[id];
         member.out.retain(|&out| out != handle);
         if let Some(at) = member.sent.iter().rposition(|&at| at == sent) {
--- a/crates/routing/src/policy/members.rs
+++ b/crates/routing/src/policy/members.rs
@@ -113,15 +113,15 @@
     }
 
     /// Protects against members that take work and answer nothing: a hang, a cut link, a long pause, a
-    /// death without a reset. One launch a second tries whether it answers again. Harms a member whose few
-    /// launches out are all long ones: it is passed over until it answers one or a second has passed.
+    /// death without a reset. One attempt a second tries whether it answers again. Harms a member whose few
+    /// attempts out are all long ones: it is passed over until it answers one or a second has passed.
     pub(super) fn silent(&self, now: Micros, id: MemberId) -> bool {
         let member = &self.members[id];
         let tried = member.sent.back().is_some_and(|&last| now - last < 2 * HOLD);
         now < member.lost_until || tried && self.mute(now, id)
     }
 
-    /// Has launches out that no later one overtook, and answered none for far longer than launches take.
+    /// Has attempts out that no later one overtook, and answered none for far longer than attempts take.
     pub(super) fn mute(&self, now: Micros, id: MemberId) -> bool {
         let member = &self.members[id];
         let mut waiting = self.sent_out(id).filter(|&(at, _)| at >= member.overtaken);
@@ -136,7 +136,7 @@
         known.then_some((64 - rest.leading_zeros()) as usize)
     }
 
-    /// Protects launches from connections that something on the way has dropped unseen: rested ones mostly
+    /// Protects attempts from connections that something on the way has dropped unseen: rested ones mostly
     /// meet silence, and those less rested do not. Should also cover idle limits shorter than the settings
     /// say. Harms by handshakes where members fall silent at random.
     pub(super) fn reaped(&self, rest: usize) -> bool {
@@ -144,26 +144,26 @@
         least > 0 && rest >= least && self.rests[..least].iter().all(|&silent| silent < 0.25)
     }
 
-    /// When each launch out at the member was sent, and of which request class it is.
+    /// When each attempt out at the member was sent, and of which request class it is.
     pub(super) fn sent_out(&self, id: MemberId) -> impl Iterator<Item = (Micros, usize)> {
         let out = self.members[id].out.iter().map(|out| &self.pending_requests[out]);
         out.filter_map(|pending| pending.out.map(|_| (pending.waits_from, pending.request.class)))
     }
 
-    /// Beyond what nearly all launches of a request class take.
+    /// Beyond what nearly all attempts of a request class take.
     pub(super) fn patience(&self, class: usize) -> Micros {
         let quoted = self.terms.classes[class].quoted;
         self.took[class].quantile(0.9).unwrap_or(200 * MS).min(quoted).max(100 * MS) * 2
     }
 
-    /// How many more launches this driver may have out at the member: its window, and for a cold one its
-    /// part of what the member can bear. Where less than one launch is due, launches are saved up for.
+    /// How many more attempts this driver may have out at the member: its window, and for a cold one its
+    /// part of what the member can bear. Where less than one attempt is due, attempts are saved up for.
     pub(super) fn room(&self, now: Micros, id: MemberId) -> f64 {
         if !self.connectable(now, id) {
             return 0.0;
         }
         let member = &self.members[id];
-        // Launches that were overtaken and stay out for long are taken for lost: they hold no place.
+        // Attempts that were overtaken and stay out for long are taken for lost: they hold no place.
         let overdue = |(at, class)| at < member.overtaken && now - at > self.patience(class);
         let lost = self.sent_out(id).filter(|&out| overdue(out)).count();
         let out = (member.out.len() - lost) as f64;
@@ -171,7 +171,7 @@
         let bearable = self.bearable(now, id);
         let sent = member.sent.iter().filter(|&&at| at > now - self.terms.overload_window).count() as f64;
         if self.sparse() {
-            // Of a cold member's part none is lost to whole numbers: many drivers' launches add up to it.
+            // Of a cold member's part none is lost to whole numbers: many drivers' attempts add up to it.
             let free = out < 1.0 && self.credit(now, id) >= 1.0 && sent <= bearable;
             return if free { member.window } else { 0.0 };
         } else if self.mute(now, id) {
@@ -197,7 +197,7 @@
         self.terms.overload_factor * part * load * member.size
     }
 
-    /// Launches saved up: at most two at a warm member and one at a cold one.
+    /// Attempts saved up: at most two at a warm member and one at a cold one.
     pub(super) fn credit(&self, now: Micros, id: MemberId) -> f64 {
         let member = &self.members[id];
         let bearable = self.bearable(now, id);
@@ -230,9 +230,12 @@
         }
         let (group, was_barred) = (member.group, member.probe_misses >= PROBE_MISSES);
         member.probe_out = false;
-        if matches!(verdict, Verdict::Moot | Verdict::Unseen | Verdict::LocalFailure) {
+        if matches!(verdict, Verdict::NotSent | Verdict::Unobserved | Verdict::LocalFailure) {
             // Nobody asked it, or nobody saw its answer.
-        } else if matches!(verdict, Verdict::Served | Verdict::Full | Verdict::Spoilt | Verdict::Dropped) {
+        } else if matches!(
+            verdict,
+            Verdict::Served | Verdict::Overloaded | Verdict::Malformed | Verdict::ConnectionLost
+        ) {
             // An answered probe lifts the detect bar.
             member.barred_until = if was_barred { now } else { member.barred_until };
             member.probe_misses = 0;
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -47,19 +47,19 @@
 const PROBES_AT_START: f64 = 4.0;
 const KEEP: u32 = 32;
 const SESSIONS: usize = 10_000; // remembered before older ones are forgotten
-/// Launches at a member that windows start with and stay at, all drivers together.
+/// Attempts at a member that windows start with and stay at, all drivers together.
 const START: f64 = 10.0;
 const STAY: f64 = 4.0;
 const MOST: f64 = 100.0;
-/// After a standstill: how long launches are paced, at how many times the usual, and a beat's least.
+/// After a standstill: how long attempts are paced, at how many times the usual, and a beat's least.
 const RUSH: Micros = 2_000 * MS;
 const RUSH_PACE: f64 = 1.6;
 const RUSH_LEAST: f64 = 0.2;
 
 impl Handle {
-    /// The request's launch has ended.
+    /// The request's attempt has ended.
     pub fn ended(self, router: &mut Router, now: Micros, outcome: Outcome) -> Todo {
-        router.launch_ended(now, self, outcome);
+        router.attempt_ended(now, self, outcome);
         router.take_todo()
     }
 
@@ -100,7 +100,7 @@
             sessions: HashMap::new(),
             clock_offset: 0,
             forgotten: None,
-            // Until launches tell better, most are taken to last half of the quoted time.
+            // Until attempts tell better, most are taken to last half of the quoted time.
             took: terms.classes.iter().map(|class| Histogram::of(class.quoted / 2, 4)).collect(),
             ways: BTreeMap::new(),
             any_took: Histogram::of(terms.classes.iter().map(|o| o.quoted / 2).min().unwrap_or(0), 4),
@@ -115,7 +115,7 @@
             next_walk: now,
             usual: STAY,
             attempts: replica_subset::at_start(),
-            launched: 0.0,
+            attempted: 0.0,
             rush_until: now,
             rush: 0.0,
             ask_at,
@@ -188,17 +188,17 @@
         HOLD.max(HOLD * self.terms.drivers as Micros * 2 / 50)
     }
 
-    /// A driver among so many that it is not due one launch at a time at each member.
+    /// A driver among so many that it is not due one attempt at a time at each member.
     fn sparse(&self) -> bool {
         self.terms.drivers as f64 > 1.5 * START
     }
 
     fn beat(&mut self, now: Micros) {
         self.rests.iter_mut().for_each(|silent| *silent *= 1.0 - BEAT as f64 / (3 * FAILURE_WINDOW) as f64);
-        self.usual += if now < self.rush_until { 0.0 } else { (self.launched - self.usual) * 0.02 };
-        self.attempts += (self.launched - self.attempts) * 0.02;
+        self.usual += if now < self.rush_until { 0.0 } else { (self.attempted - self.usual) * 0.02 };
+        self.attempts += (self.attempted - self.attempts) * 0.02;
         let pace = (self.usual * RUSH_PACE).max(RUSH_LEAST);
-        (self.launched, self.rush) = (0.0, (self.rush + pace).min((5.0 * pace).max(1.0)));
+        (self.attempted, self.rush) = (0.0, (self.rush + pace).min((5.0 * pace).max(1.0)));
         if now >= self.next_walk {
             self.walk_members(now);
         }
@@ -225,7 +225,7 @@
     /// What fades with time at each member, and what warm members carry. Where there are many members this is done
     /// less often.
     fn walk_members(&mut self, now: Micros) {
-        // Only what was served counts as a warm member's load: misses and launches turned away are no work.
+        // Only what was served counts as a warm member's load: misses and attempts turned away are no work.
         let window = self.terms.overload_window;
         let (mut load, mut warm) = (0.0, 0.0);
         let passed = if self.keeps_to_some() { WALK } else { BEAT };
--- a/crates/routing/src/policy/primary_search.rs
+++ b/crates/routing/src/policy/primary_search.rs
@@ -11,7 +11,7 @@
 impl Router {
     /// One round of misses reaches only a part of the group.
     pub(super) fn is_wide(&self, group: &Group) -> bool {
-        group.members.len() > self.terms.max_launches as usize
+        group.members.len() > self.terms.max_attempts as usize
     }
 
     /// No primary is believed, or it cannot be reached.
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -18,16 +18,17 @@
     pub(crate) arrived: Micros,
     pub(crate) quoted_by: Micros,
     pub(crate) repeat: bool,
-    pub(crate) launches: u32,
+    pub(crate) attempts: u32,
     pub(crate) unsent: u32,            // of these, that could not leave this machine
-    pub(crate) tries_connection: bool, // its launch is on a new connection where these failed
-    pub(crate) out: Option<(MemberId, Micros)>, // where a launch is out, and since when
+    pub(crate) tries_connection: bool, // its attempt is on a new connection where these failed
+    pub(crate) out: Option<(MemberId, Micros)>, // where an attempt is out, and since when
     pub(crate) waits_from: Micros,     // the same, without the time in which the driver stood still
     pub(crate) may_have_run: Option<(Micros, usize)>, // when first, and in which zone
     pub(crate) misses: usize,
-    pub(crate) rested: Option<usize>, // how long its launch's connection had, as a power of two; none where it is new
-    pub(crate) erred: Vec<MemberId>,  // that answered it with an error
-    pub(crate) asked: bool,           // it has waited for a replica's word
+    // how long its attempt's connection had, as a power of two; none where it is new
+    pub(crate) rested: Option<usize>,
+    pub(crate) erred: Vec<MemberId>, // that answered it with an error
+    pub(crate) asked: bool,          // it has waited for a replica's word
     pub(crate) last: Option<MemberId>,
     pub(crate) closed: bool,
 }
@@ -48,24 +49,25 @@
     pub(crate) primary_position: Micros, // the newest that it told as primary, or zero
     pub(crate) heard: Micros,
     pub(crate) answered: Micros,
-    pub(crate) overtaken: Micros, // when the newest launch that it answered was sent
+    pub(crate) overtaken: Micros, // when the newest attempt that it answered was sent
     pub(crate) lost_until: Micros, // it could not be reached; believed until then, or until it is heard
     pub(crate) fell: Option<Micros>, // since when its process seems dead; taken for cold when it is heard again
     pub(crate) barred_until: Micros,
     pub(crate) failures: VecDeque<Micros>,
-    pub(crate) spoilt: usize, // launches spoilt or dropped since the last served one
+    pub(crate) malformed: usize, // attempts malformed or dropped since the last served one
     pub(crate) idle: Option<u32>, // connections known to be idle, since new ones to it failed here
     pub(crate) probe_misses: u32,
     pub(crate) probe_out: bool,
     pub(crate) probed: Micros,
     pub(crate) way: (Micros, Micros), // there and back by its own probes, and when last heard
     pub(crate) out: Vec<Handle>,
-    pub(crate) window: f64, // launches that may be out at once; below one, the part of the time that one may be
-    pub(crate) credit: f64, // launches saved up at `credited`, where window or a cold part is below one
+    // attempts that may be out at once; below one, the part of the time that one may be
+    pub(crate) window: f64,
+    pub(crate) credit: f64, // attempts saved up at `credited`, where window or a cold part is below one
     pub(crate) credited: Micros,
     pub(crate) took: Histogram,
     pub(crate) sent: VecDeque<Micros>,
-    pub(crate) served: f64, // launches in one window of the overload rule, as of late
+    pub(crate) served: f64, // attempts in one window of the overload rule, as of late
 }
 
 #[derive(Clone, Default)]
@@ -77,7 +79,7 @@
     pub(crate) listed: Option<MemberId>,
     pub(crate) walk_after: Micros,
     pub(crate) search: PrimarySearch,
-    pub(crate) owed: f64, // launches due to the primary by its size and window, beyond those it had
+    pub(crate) owed: f64, // attempts due to the primary by its size and window, beyond those it had
     pub(crate) held: Vec<Handle>,
     pub(crate) lean: (f64, BTreeMap<usize, f64>), // what the fleet decreed: the part that goes away, and where
 }
@@ -126,22 +128,23 @@
     pub(crate) forgotten: Option<Micros>, // a write of a session not found may be as new as that
     pub(crate) took: Vec<Histogram>,
     pub(crate) ways: BTreeMap<usize, (Micros, Micros)>, // there and back by zone, and when last heard
-    pub(crate) any_took: Histogram,                     // of launches of all request classes together
+    pub(crate) any_took: Histogram,                     // of attempts of all request classes together
     // that most requests of a request class bring, and how sure that is
     pub(crate) usual_wait: Vec<(Micros, i32)>,
     pub(crate) warm_load: f64,
     pub(crate) mean_size: f64,
     pub(crate) allowance: f64,
-    pub(crate) rests: [f64; 6], // the share met by silence of late, by how long the launch's connection had rested
+    // the share met by silence of late, by how long the attempt's connection had rested
+    pub(crate) rests: [f64; 6],
     pub(crate) tight_until: Micros, // a member lately had no connection to spare
-    pub(crate) backoff: Backoff, // of new connections that fail here
+    pub(crate) backoff: Backoff,    // of new connections that fail here
     pub(crate) next_beat: Micros,
     pub(crate) next_walk: Micros, // when all members are looked at again
-    pub(crate) usual: f64,        // launches in a beat, as of late
-    pub(crate) launched: f64,     // in this beat
+    pub(crate) usual: f64,        // attempts in a beat, as of late
+    pub(crate) attempted: f64,    // in this beat
     pub(crate) attempts: f64,     // in a beat, as of late, from a careful start
     pub(crate) rush_until: Micros,
-    pub(crate) rush: f64, // launches due until then
+    pub(crate) rush: f64, // attempts due until then
     pub(crate) ask_at: Micros,
     pub(crate) ask_wait: Micros,
     pub(crate) todo: Todo,
--- a/crates/routing/tests/router/among_many.rs
+++ b/crates/routing/tests/router/among_many.rs
@@ -24,7 +24,7 @@
     world.pass(5_000 * MS);
     world.hear_all();
     let write = world.take(WRITE, 2_000 * MS);
-    world.end(write, Verdict::Full);
+    world.end(write, Verdict::Overloaded);
     world.pass(300 * MS);
     assert_eq!(target(&world, write), None);
 }
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn of_many_drivers_each_sends_a_cold_member_less_than_a_launch_a_window() {
+fn of_many_drivers_each_sends_a_cold_member_less_than_a_attempt_a_window() {
     let mut world = heard(many());
     for id in 0..4 {
         let since = world.now;
@@ -51,7 +51,7 @@
             world.end(read, Verdict::Served);
         }
     }
-    assert!(world.launched.len() <= 4, "{} launches in three windows at four", world.launched.len());
+    assert!(world.attempted.len() <= 4, "{} attempts in three windows at four", world.attempted.len());
 }
 
 #[test]
@@ -65,8 +65,8 @@
             world.end(read, Verdict::Served);
         }
     }
-    let at_primary = world.launched.iter().filter(|&&(_, id)| id == 0).count();
-    assert!((5..=25).contains(&at_primary), "{at_primary} of {}", world.launched.len());
+    let at_primary = world.attempted.iter().filter(|&&(_, id)| id == 0).count();
+    assert!((5..=25).contains(&at_primary), "{at_primary} of {}", world.attempted.len());
 }
 
 #[test]
@@ -133,7 +133,7 @@
 #[test]
 fn room_of_the_dead_is_taken_over_and_given_back_but_not_at_cold_members() {
     let mut world = heard(many());
-    // How many launches are out at once of what many requests want, with so many drivers alive.
+    // How many attempts are out at once of what many requests want, with so many drivers alive.
     let mut at_once = |living: usize| {
         world.router.fleet(living, 150);
         world.pass(1_500 * MS);
@@ -163,7 +163,7 @@
             }
             world.pass(20 * MS);
         }
-        world.launched.iter().filter(|&&(_, id)| id == 3).count()
+        world.attempted.iter().filter(|&&(_, id)| id == 3).count()
     };
     assert!(cold(3) <= cold(150).max(1), "{} and {}", cold(3), cold(150));
 }
@@ -201,7 +201,7 @@
 fn connections_that_rested_and_met_silence_are_opened_afresh() {
     let mut world = World::new(many(), 1);
     world.hear_all();
-    // Whatever rested for over a second is dropped unseen; a launch just behind an answer is served.
+    // Whatever rested for over a second is dropped unseen; an attempt just behind an answer is served.
     let mut silent = Vec::new();
     for round in 0..30 {
         for gap in [1_500, 100] {
--- a/crates/routing/tests/router/cases.rs
+++ b/crates/routing/tests/router/cases.rs
@@ -40,7 +40,7 @@
     let write = world.take(WRITE, 4_000 * MS);
     for expected in 0..4 {
         assert_eq!(target(&world, write), Some(expected));
-        world.end(write, Verdict::Miss);
+        world.end(write, Verdict::NotPrimary);
     }
     assert_eq!(target(&world, write), None);
     let second = world.take(WRITE, 4_000 * MS);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn launches_that_were_overtaken_and_stay_out_for_long_hold_no_place() {
+fn attempts_that_were_overtaken_and_stay_out_for_long_hold_no_place() {
     let mut world = heard(terms());
     let lost: Vec<Handle> = (0..40).map(|_| world.take(WRITE, 60_000 * MS)).collect();
     let held = lost.iter().filter(|&&write| target(&world, write).is_none()).count();
@@ -126,7 +126,7 @@
         world.end(newest, Verdict::Served);
     }
     let (first, out) = (lost.len() - held, world.out().len());
-    assert!(2 * first <= out, "{out} out, {first} at first: lost launches hold up the held ones");
+    assert!(2 * first <= out, "{out} out, {first} at first: lost attempts hold up the held ones");
 }
 
 #[test]
@@ -143,7 +143,7 @@
 fn a_probe_turned_away_by_a_full_member_is_an_answer() {
     let mut world = heard(terms());
     for _ in 0..4 {
-        world.probe_ends(0, Verdict::Full);
+        world.probe_ends(0, Verdict::Overloaded);
     }
     let write = world.take(WRITE, 2_000 * MS);
     assert_eq!(target(&world, write), Some(0));
@@ -171,19 +171,19 @@
             world.end(read, Verdict::Served);
         }
     }
-    let cold = world.launched.iter().filter(|&&(_, id)| id == 3).count();
+    let cold = world.attempted.iter().filter(|&&(_, id)| id == 3).count();
     assert!(cold > 0 && cold < 75, "{cold} of 300 at the cold member");
 }
 
 #[test]
-fn launches_turned_away_do_not_widen_the_part_of_a_cold_member() {
+fn attempts_turned_away_do_not_widen_the_part_of_a_cold_member() {
     let mut world = heard(terms());
     world.relist(3, Standing::Gone, None);
     for _ in 0..1_000 {
         world.pass(2 * MS);
         let read = world.take(LOOSE, 1_000 * MS);
         while target(&world, read).is_some() {
-            world.end(read, Verdict::Full);
+            world.end(read, Verdict::Overloaded);
         }
     }
     world.pass(1_100 * MS);
@@ -213,7 +213,7 @@
 #[test]
 fn a_request_of_a_client_in_a_hurry_is_tried_where_there_is_room() {
     let mut world = heard(terms());
-    // Three launches in ten take 50 ms, the others 10 ms.
+    // Three attempts in ten take 50 ms, the others 10 ms.
     for (ttl, time) in (0..40).map(|i| if i < 12 { (1_000 * MS, 0) } else { (600 * MS, 590 * MS) }) {
         let read = world.take(LOOSE, ttl);
         world.pass(time);
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn spoilt_answers_among_good_ones_bar_nobody_and_in_a_row_they_do() {
+fn malformed_answers_among_good_ones_bar_nobody_and_in_a_row_they_do() {
     for (every, most) in [(3, 200), (1, 2 * 5)] {
         let mut world = heard(terms());
         let mut met = [0; 4];
@@ -233,8 +233,8 @@
             let read = world.take(LOOSE, 1_000 * MS);
             while let Some(id) = target(&world, read) {
                 met[id] += 1;
-                let spoilt = if every == 1 { id == 1 } else { met[id] % every == 0 };
-                world.end(read, if spoilt { Verdict::Spoilt } else { Verdict::Served });
+                let malformed = if every == 1 { id == 1 } else { met[id] % every == 0 };
+                world.end(read, if malformed { Verdict::Malformed } else { Verdict::Served });
             }
         }
         assert!((9..=most).contains(&met[1]), "{met:?}");
@@ -249,7 +249,7 @@
     let id = target(&world, late).unwrap();
     world.relist(id, Standing::Gone, None);
     world.pass(11_000 * MS);
-    assert!(!world.router.forget(world.now, id), "its launch is out");
+    assert!(!world.router.forget(world.now, id), "its attempt is out");
     world.end(late, Verdict::Served);
     assert!(!world.router.forget(world.now, id), "it was heard just now");
     world.pass(11_000 * MS);
@@ -281,7 +281,7 @@
     let mut met = 0;
     while let Some(id) = target(&world, write) {
         met += 1;
-        world.end(write, if id == 2 { Verdict::Served } else { Verdict::Miss });
+        world.end(write, if id == 2 { Verdict::Served } else { Verdict::NotPrimary });
     }
     assert!((1..=3).contains(&met), "{met}");
 }
@@ -306,7 +306,7 @@
     for expected in [3, 3, 3, 2, 2] {
         let report = world.take(REPORT, 12_000 * MS);
         assert_eq!(target(&world, report), Some(expected));
-        if world.launched.len() == 3 {
+        if world.attempted.len() == 3 {
             world.relist(3, Standing::Draining, None);
         }
     }
@@ -346,16 +346,16 @@
 }
 
 #[test]
-fn a_request_that_is_over_when_it_is_read_is_rejected_and_never_launched() {
+fn a_request_that_is_over_when_it_is_read_is_rejected_and_never_attempted() {
     let mut world = heard(terms());
     let (ttl, waited) = (-300 * MS, 1_800 * MS);
     let request = Request { class: WRITE, group: 7, ttl, waited, ..Request::default() };
     let over = world.take_request(request);
-    assert_eq!((world.rejected.as_slice(), world.launched.len()), ([over].as_slice(), 0));
+    assert_eq!((world.rejected.as_slice(), world.attempted.len()), ([over].as_slice(), 0));
 }
 
 #[test]
-fn what_was_never_launched_among_many_is_rejected_before_half_of_its_time_is_over() {
+fn what_was_never_attempted_among_many_is_rejected_before_half_of_its_time_is_over() {
     let mut world = World::new(Terms { drivers: 40, drivers_at_cold: 40, ..terms() }, 4);
     world.primary = 9;
     world.positions.resize(10, 0);
@@ -363,7 +363,7 @@
     // No member is primary: some writes walk, those behind them wait.
     let requests: Vec<Handle> = (0..6).map(|_| world.take(WRITE, 2_000 * MS)).collect();
     (0..99).for_each(|_| world.pass(10 * MS));
-    let waited = |request: &&Handle| !world.launched.iter().any(|(launched, _)| launched == *request);
+    let waited = |request: &&Handle| !world.attempted.iter().any(|(attempted, _)| attempted == *request);
     let waited: Vec<&Handle> = requests.iter().filter(waited).collect();
     assert!(
         !waited.is_empty() && waited.iter().all(|request| world.rejected.contains(request)),
@@ -375,7 +375,7 @@
 #[test]
 fn a_read_that_waited_for_a_replicas_word_is_held_to_the_standard_of_an_arrival() {
     let mut terms = Terms { drivers: 40, drivers_at_cold: 40, ..terms() };
-    // Launches are taken to last 30 ms: half come in time after a wait of 6 ms, 85 of a hundred do not.
+    // Attempts are taken to last 30 ms: half come in time after a wait of 6 ms, 85 of a hundred do not.
     terms.classes[READ].quoted = 60 * MS;
     let mut world = World::new(terms, 2);
     world.probe_answer(0, true);
@@ -385,5 +385,5 @@
     world.pass(6 * MS);
     world.positions[1] = world.now;
     world.probe_answer(1, true);
-    assert!(world.rejected.is_empty() && world.launched.iter().any(|&(_, member)| member == 1));
+    assert!(world.rejected.is_empty() && world.attempted.iter().any(|&(_, member)| member == 1));
 }
--- a/crates/routing/tests/router/fresh.rs
+++ b/crates/routing/tests/router/fresh.rs
@@ -118,7 +118,7 @@
     world.pass(10 * MS);
     let word = steps_down(&mut world);
     // Both answers are there at once, and the newer one is heard first.
-    world.end_saying(second, Verdict::Miss, word);
+    world.end_saying(second, Verdict::NotPrimary, word);
     world.end_saying(first, Verdict::Served, Told { role: Some(Role::Primary), ..word });
     assert_eq!(resort(&mut world), None, "rule 5: the older word comes second");
 }
@@ -163,7 +163,7 @@
 
 #[test]
 fn a_write_that_may_have_run_counts_as_written_by_its_session() {
-    for verdict in [Verdict::Spoilt, Verdict::Reset, Verdict::TimedOut, Verdict::Error] {
+    for verdict in [Verdict::Malformed, Verdict::Reset, Verdict::TimedOut, Verdict::Error] {
         let mut world = heard(terms());
         let write = world.take_session(WRITE, 1_000 * MS, "17");
         world.pass(300 * MS);
@@ -183,9 +183,9 @@
 fn a_write_that_never_ran_leaves_its_session_as_it_was() {
     let mut world = heard(terms());
     let write = world.take_session(WRITE, 1_000 * MS, "17");
-    world.end_saying(write, Verdict::Moot, Told::default());
+    world.end_saying(write, Verdict::NotSent, Told::default());
     world.leave(write);
-    world.out().into_iter().for_each(|(again, _)| world.end_saying(again, Verdict::Moot, Told::default()));
+    world.out().into_iter().for_each(|(again, _)| world.end_saying(again, Verdict::NotSent, Told::default()));
     let read = world.take_session(OWN, 1_000 * MS, "17");
     assert!(target(&world, read).is_some_and(|id| id != 0));
 }
--- a/crates/routing/tests/router/givens.rs
+++ b/crates/routing/tests/router/givens.rs
@@ -42,7 +42,7 @@
         repeats_marked: true,
         zone: 0,
         zones: 1,
-        max_launches: 8,
+        max_attempts: 8,
         may_probe: true,
         max_cool_down: 1_000 * MS,
         listed_roles: ListedRoles::Never,
--- a/crates/routing/tests/router/in_time.rs
+++ b/crates/routing/tests/router/in_time.rs
@@ -8,7 +8,7 @@
     let mut world = heard(terms());
     let effectful = world.take(WRITE, 2_000 * MS);
     world.end(effectful, Verdict::Error);
-    assert_eq!((world.launched.len(), &world.failed[..]), (1, &[effectful][..]));
+    assert_eq!((world.attempted.len(), &world.failed[..]), (1, &[effectful][..]));
     let receipted = world.take(RECEIPTED, 60_000 * MS);
     world.end(receipted, Verdict::Error);
     assert_eq!(target(&world, receipted), Some(0), "its receipt drops repeats");
@@ -24,7 +24,7 @@
     world.pass(BOUND + 10 * MS);
     world.move_primary(1);
     let write = world.take(WRITE, 2_000 * MS);
-    world.end(write, Verdict::Miss);
+    world.end(write, Verdict::NotPrimary);
     world.late_report(0);
     world.pass(BOUND + 10 * MS);
     let read = world.take(READ, 1_000 * MS);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn what_was_never_launched_and_pays_little_when_late_is_rejected_by_half_of_its_time() {
+fn what_was_never_attempted_and_pays_little_when_late_is_rejected_by_half_of_its_time() {
     let mut world = heard(terms());
     (0..4).for_each(|id| world.relist(id, Standing::Gone, None));
     let (read, write) = (world.take(LOOSE, 1_600 * MS), world.take(WRITE, 1_600 * MS));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_driver_among_many_launches_nothing_that_pays_only_a_small_late_share() {
+fn a_driver_among_many_attempts_nothing_that_pays_only_a_small_late_share() {
     let mut world = heard(many());
     // Of two seconds in all 0.6 s have gone by: the quoted half a second as well.
     let (read, write) = (world.take_try(LOOSE, 1_400 * MS, true), world.take_try(WRITE, 1_400 * MS, true));
@@ -77,7 +77,7 @@
     assert_eq!((world.failed.len(), world.rejected.len()), (4, 0), "they may have run");
     world.pass(20 * MS);
     assert!(world.probes.is_empty(), "nobody is asked for having been silent then");
-    (0..5).for_each(|_| world.probe_ends(0, Verdict::Unseen));
+    (0..5).for_each(|_| world.probe_ends(0, Verdict::Unobserved));
     let write = world.take(WRITE, 1_000 * MS);
     assert_eq!(target(&world, write), Some(0), "neither mute, lost nor barred");
 }
@@ -99,10 +99,10 @@
 }
 
 #[test]
-fn after_a_standstill_launches_go_out_at_less_than_twice_the_usual_pace() {
+fn after_a_standstill_attempts_go_out_at_less_than_twice_the_usual_pace() {
     let mut world = heard(terms());
     let step = |world: &mut World, requests: usize| -> usize {
-        let before = world.launched.len();
+        let before = world.attempted.len();
         for _ in 0..5 {
             for _ in 0..requests {
                 world.take(LOOSE, 1_500 * MS);
@@ -111,7 +111,7 @@
             world.pass(20 * MS);
             world.out().into_iter().for_each(|(handle, _)| world.end(handle, Verdict::Served));
         }
-        world.launched.len() - before
+        world.attempted.len() - before
     };
     for _ in 0..60 {
         step(&mut world, 1);
@@ -134,5 +134,5 @@
     for _ in 0..12 {
         world.take(LOOSE, 1_500 * MS);
     }
-    assert!(world.launched.len() >= 8, "{} launched", world.launched.len());
+    assert!(world.attempted.len() >= 8, "{} attempted", world.attempted.len());
 }
--- a/crates/routing/tests/router/local.rs
+++ b/crates/routing/tests/router/local.rs
@@ -16,7 +16,7 @@
         fail_all(&mut world);
         world.pass(10 * MS);
     }
-    let tries = world.launched.len();
+    let tries = world.attempted.len();
     assert!((10..60).contains(&tries), "{tries} tries in a second");
     assert!(world.rejected.is_empty() && world.failed.is_empty());
     world.pass(100 * MS);
@@ -53,14 +53,14 @@
     // All find no connection, but for one at member 1, which was answered.
     let answered = ends(&world, 1);
     fail_all_but(&mut world, answered);
-    let before = world.launched.len();
+    let before = world.attempted.len();
     world.end(answered, Verdict::Served);
-    assert_eq!(world.launched.len(), before + 1, "one waits no longer");
-    assert_eq!(world.launched[before].1, 1, "where a connection is idle");
+    assert_eq!(world.attempted.len(), before + 1, "one waits no longer");
+    assert_eq!(world.attempted[before].1, 1, "where a connection is idle");
     // Connections can be opened again: those that wait come a few at a time.
     let waiting = reads.len() - 2;
     world.pass(20 * MS);
-    assert!(world.launched.len() - before - 1 < waiting, "{:?}", &world.launched[before..]);
+    assert!(world.attempted.len() - before - 1 < waiting, "{:?}", &world.attempted[before..]);
     world.pass(300 * MS);
     assert_eq!(world.out().len(), waiting + 1, "all are out by now");
 }
--- a/crates/routing/tests/router/rules.rs
+++ b/crates/routing/tests/router/rules.rs
@@ -6,20 +6,20 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
 const VERDICTS: [Verdict; 14] = [
-    Verdict::Unseen,
+    Verdict::Unobserved,
     Verdict::Served,
     Verdict::Served,
     Verdict::Error,
-    Verdict::Full,
+    Verdict::Overloaded,
     Verdict::TimedOut,
     Verdict::Unconnected,
     Verdict::Unreachable,
     Verdict::LocalFailure,
     Verdict::Reset,
-    Verdict::Spoilt,
-    Verdict::Dropped,
-    Verdict::Moot,
-    Verdict::Miss,
+    Verdict::Malformed,
+    Verdict::ConnectionLost,
+    Verdict::NotSent,
+    Verdict::NotPrimary,
 ];
 
 fn step(world: &mut World, kind: u8, a: u16, b: u16) {
--- a/crates/routing/tests/router/wide_groups.rs
+++ b/crates/routing/tests/router/wide_groups.rs
@@ -24,7 +24,7 @@
 }
 
 fn wide(drivers: usize, members: usize, seed: u64) -> World {
-    let few = Terms { list_on_request: false, max_launches: 8, ..terms() };
+    let few = Terms { list_on_request: false, max_attempts: 8, ..terms() };
     let mut world = World::seeded(Terms { drivers, drivers_at_cold: drivers, ..few }, members, seed);
     world.primary = members * 2 / 3;
     world
@@ -68,7 +68,7 @@
         world.positions.resize(201, 0);
         world.take(WRITE, 2_400 * MS);
         world.pass(100 * MS);
-        world.launched.iter().for_each(|&(_, id)| asked_at_first[id] += 1);
+        world.attempted.iter().for_each(|&(_, id)| asked_at_first[id] += 1);
         world.probes.iter().for_each(|&id| asked_at_first[id] += 1);
     }
     let most = asked_at_first.iter().max().expect("members");
@@ -81,7 +81,7 @@
     world.primary = 1_000;
     world.positions.resize(1_001, 0);
     let write = world.take(WRITE, 20_000 * MS);
-    (0..4).for_each(|_| world.end(write, Verdict::Miss));
+    (0..4).for_each(|_| world.end(write, Verdict::NotPrimary));
     world.pass(2_000 * MS);
     let members_share = 900.0 * world.probes.len() as f64 / 800.0 / 2.0;
     assert!((20.0..=70.0).contains(&members_share), "{members_share} health checks a second and member");
@@ -96,7 +96,7 @@
         world.pass(10 * MS);
         let read = world.take(LOOSE, 1_000 * MS);
         let id = target(&world, read).expect("a replica has room");
-        let verdict = if id == world.primary { Verdict::Full } else { Verdict::Served };
+        let verdict = if id == world.primary { Verdict::Overloaded } else { Verdict::Served };
         heard[id] = id != world.primary;
         if id == world.primary {
             world.end_saying(read, verdict, Default::default());
@@ -109,7 +109,7 @@
     let write = world.take(WRITE, 2_000 * MS);
     let mut misses = 0;
     while target(&world, write).is_some_and(|id| id != world.primary) {
-        world.end(write, Verdict::Miss);
+        world.end(write, Verdict::NotPrimary);
         misses += 1;
     }
     assert!(misses <= 1, "{misses} misses with two members left");
--- a/crates/routing/tests/router/world.rs
+++ b/crates/routing/tests/router/world.rs
@@ -13,10 +13,10 @@
 struct Flight {
     class: usize,
     end: Micros,
-    launches: u32,
-    /// Where a launch is out, and its limit.
+    attempts: u32,
+    /// Where an attempt is out, and its limit.
     out: Option<(MemberId, Micros)>,
-    launched: Micros,
+    attempted: Micros,
     may_have_run: Option<Micros>,
     /// What an own-writes read must see.
     floor: Micros,
@@ -37,7 +37,7 @@
     served: Vec<VecDeque<Micros>>,
     most_warm: usize,
     flights: BTreeMap<Handle, Flight>,
-    pub launched: Vec<(Handle, MemberId)>,
+    pub attempted: Vec<(Handle, MemberId)>,
     pub rejected: Vec<Handle>,
     pub failed: Vec<Handle>,
     pub probes: Vec<MemberId>,
@@ -69,7 +69,7 @@
             served: vec![VecDeque::new(); members],
             most_warm: 2,
             flights: BTreeMap::new(),
-            launched: Vec::new(),
+            attempted: Vec::new(),
             rejected: Vec::new(),
             failed: Vec::new(),
             probes: Vec::new(),
@@ -106,13 +106,13 @@
         let over = |f: &Flight| f.out.is_some_and(|(_, limit)| limit <= self.now);
         let ends: Vec<Handle> =
             self.flights.iter().filter(|(_, f)| over(f)).map(|(&handle, _)| handle).collect();
-        ends.into_iter().for_each(|handle| self.end(handle, Verdict::Unseen));
+        ends.into_iter().for_each(|handle| self.end(handle, Verdict::Unobserved));
         let todo = self.router.wake(self.now);
         self.carry_out(todo);
         self.run_out();
     }
 
-    /// Launches whose limit has passed end as timed out; no request outlives its end.
+    /// Attempts whose limit has passed end as timed out; no request outlives its end.
     fn run_out(&mut self) {
         let due = |f: &Flight| f.out.is_some_and(|(_, limit)| limit <= self.now);
         let ends: Vec<Handle> =
@@ -150,9 +150,9 @@
         let flight = Flight {
             class,
             end: self.now + ttl,
-            launches: 0,
+            attempts: 0,
             out: None,
-            launched: 0,
+            attempted: 0,
             may_have_run: None,
             floor: self.session_floor,
             over: false,
@@ -215,11 +215,12 @@
         let (id, _) = flight.out.expect("out");
         let write = self.terms.classes[flight.class].need == Need::Write;
         let verdict = match verdict {
-            Verdict::Served if write && id != self.primary => Verdict::Miss,
-            Verdict::Miss if !write => Verdict::Full,
+            Verdict::Served if write && id != self.primary => Verdict::NotPrimary,
+            Verdict::NotPrimary if !write => Verdict::Overloaded,
             verdict => verdict,
         };
-        let answers = matches!(verdict, Verdict::Served | Verdict::Error | Verdict::Full | Verdict::Miss);
+        let answers =
+            matches!(verdict, Verdict::Served | Verdict::Error | Verdict::Overloaded | Verdict::NotPrimary);
         let told = if answers { self.told(id) } else { Told::default() };
         if answers && id != self.primary {
             self.excused[id] = false;
@@ -233,13 +234,13 @@
         let (id, limit) = flight.out.take().expect("out");
         let write = self.terms.classes[flight.class].need == Need::Write;
         if !verdict.never_ran() {
-            flight.may_have_run.get_or_insert(flight.launched);
+            flight.may_have_run.get_or_insert(flight.attempted);
         }
         if verdict == Verdict::LocalFailure {
             // Nothing came to the member, and the request has its attempts still.
-            flight.launches -= 1;
+            flight.attempts -= 1;
             let sent = &mut self.sent[id];
-            let at = sent.iter().rposition(|&at| at == flight.launched);
+            let at = sent.iter().rposition(|&at| at == flight.attempted);
             at.map(|at| sent.remove(at));
         }
         let served = verdict == Verdict::Served;
@@ -315,9 +316,9 @@
         self.shut.extend(todo.shut);
         for (handle, step) in todo.steps {
             match step {
-                Step::Launch { member, limit, afresh, validity } => {
+                Step::Attempt { member, limit, afresh, validity } => {
                     self.afresh.extend(afresh.then_some(member));
-                    self.check_launch(handle, member, limit, validity);
+                    self.check_attempt(handle, member, limit, validity);
                 }
                 Step::Reject { .. } => {
                     let flight = self.flights.get_mut(&handle).expect("taken");
@@ -335,16 +336,16 @@
         }
     }
 
-    fn check_launch(&mut self, handle: Handle, id: MemberId, limit: Micros, validity: Validity) {
+    fn check_attempt(&mut self, handle: Handle, id: MemberId, limit: Micros, validity: Validity) {
         let now = self.now;
         let flight = self.flights.get_mut(&handle).expect("taken");
         let class = &self.terms.classes[flight.class];
-        assert!(!flight.over, "rule 1: launched after its answer");
-        assert!(flight.out.is_none(), "rule 2: two launches out at once");
-        assert!(flight.launches < self.terms.max_launches && limit > 0);
-        assert!(now < flight.end, "launched when its client has gone");
+        assert!(!flight.over, "rule 1: attempted after its answer");
+        assert!(flight.out.is_none(), "rule 2: two attempts out at once");
+        assert!(flight.attempts < self.terms.max_attempts && limit > 0);
+        assert!(now < flight.end, "attempted when its client has gone");
         match class.effect {
-            Effect::Effectful => assert!(flight.may_have_run.is_none(), "rule 2: launched again"),
+            Effect::Effectful => assert!(flight.may_have_run.is_none(), "rule 2: attempted again"),
             Effect::Receipted { window, .. } => {
                 let forgotten = flight.may_have_run.map_or(Micros::MAX, |at| at + window - HELD_UP);
                 assert!(now < forgotten && validity.until <= forgotten, "rule 2: repeats forgotten")
@@ -352,7 +353,7 @@
             Effect::Pure => {}
         }
         let (standing, at) = self.standing[id];
-        assert!(standing == Standing::Ready || now == at, "rule 3: launched at a drain");
+        assert!(standing == Standing::Ready || now == at, "rule 3: attempted at a drain");
         let floor = match class.need {
             Need::Recent(bound) => now - bound + HELD_UP,
             Need::OwnWrites => flight.floor,
@@ -370,10 +371,10 @@
             _ => true,
         };
         assert!(lasts, "rule 5: proven for longer than it is");
-        flight.launches += 1;
-        flight.launched = now;
+        flight.attempts += 1;
+        flight.attempted = now;
         flight.out = Some((id, (now + limit).min(flight.end)));
-        self.launched.push((handle, id));
+        self.attempted.push((handle, id));
         self.check_cold(id);
     }
 
@@ -391,6 +392,6 @@
         // What one of many has saved up may come at once: over all of them it evens out.
         let saved = if self.terms.drivers > 15 { 1.0 } else { 0.0 };
         let budget = (self.terms.overload_factor * part * self.most_warm as f64).max(1.0) + saved;
-        assert!(sent as f64 <= budget, "rule 4: {sent} launches at a cold member that bears {budget}");
+        assert!(sent as f64 <= budget, "rule 4: {sent} attempts at a cold member that bears {budget}");
     }
 }
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -31,7 +31,7 @@
         repeats_marked: true,
         zone: 0,
         zones: 1,
-        max_launches: 4,
+        max_attempts: 4,
         may_probe: true,
         max_cool_down: 500 * MS,
         listed_roles: ListedRoles::Never,
@@ -145,7 +145,7 @@
         let process = &mut self.processes[number];
         process.wake_at = todo.wake_at.unwrap_or(process.wake_at);
         for (handle, step) in todo.steps {
-            if let Step::Launch { member, .. } = step {
+            if let Step::Attempt { member, .. } = step {
                 process.out.push_back((self.now + WORK, handle));
                 self.sent.extend((member == COLD).then_some(self.now));
             }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -216,7 +216,7 @@
             repeats_marked: message.clients.marks_retry,
             zone: zone(&message.my_zone).unwrap_or(message.azs.len()),
             zones: message.azs.len(),
-            max_launches: limits.max_attempts,
+            max_attempts: limits.max_attempts,
             may_probe: limits.probes,
             max_cool_down: match time("limits.maxRetryAfterMs", limits.max_retry_after_ms)? {
                 longest if limits.retry_after => longest,
--- a/crates/site-routing/src/earlier.rs
+++ b/crates/site-routing/src/earlier.rs
@@ -12,10 +12,10 @@
 /// That until a stated time nothing is taken without a record. It stands on the disk, so that a later start knows
 /// whether a key without a record can have been taken.
 ///
-/// Protects the sender's next launch: 'never taken' is said of an earlier start only where that is certain. Should also
-/// cover a disk that stands still, fills up or goes. Harms guests whose requests come while the disk is away
-/// and the promise holds: they are rejected, for five seconds at most. What was taken without a record puts
-/// the next promise off until nobody can ask about it any more.
+/// Protects the sender's next attempt: 'never taken' is said of an earlier start only where that is certain.
+/// Should also cover a disk that stands still, fills up or goes. Harms guests whose requests come while the
+/// disk is away and the promise holds: they are rejected, for five seconds at most. What was taken without a
+/// record puts the next promise off until nobody can ask about it any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Default)]
 pub struct Promise {
     /// Confirmed, and handed over since.
--- a/crates/site-routing/src/sites.rs
+++ b/crates/site-routing/src/sites.rs
@@ -39,13 +39,13 @@
 pub struct Handle(u64);
 
 impl Handle {
-    /// A launch of it here was answered 'miss': that member is not the primary.
+    /// An attempt of it here was answered 'miss': that member is not the primary.
     pub fn here_missed(self, sites: &mut Sites, now: Micros) -> Todo {
         sites.here_missed(now, self);
         sites.take_todo()
     }
 
-    /// A launch of it here, that began at that time, may have run.
+    /// An attempt of it here, that began at that time, may have run.
     pub fn here_may_have_run(self, sites: &mut Sites, began: Micros) {
         if let Some(pending) = sites.pending_requests.get_mut(&self).filter(|pending| pending.here) {
             pending.may_have_run.get_or_insert((began, OWN));
--- a/crates/site-routing/tests/two_sites/one_site.rs
+++ b/crates/site-routing/tests/two_sites/one_site.rs
@@ -103,7 +103,7 @@
         sites
     };
     let request = |visited| Request { class: 0, group: GROUP, ttl: LIMIT, visited, session: None };
-    // Its launch was failed, and then all members here said that they are not the primary.
+    // Its attempt was failed, and then all members here said that they are not the primary.
     for visited in [vec![], vec![FAR]] {
         let mut sites = start();
         let (handle, _) = sites.take(0, request(visited));
--- a/crates/store/tests/power/mod.rs
+++ b/crates/store/tests/power/mod.rs
@@ -32,7 +32,7 @@
     /// How many of them are surely on the disk.
     synced: usize,
     /// A sync failed: a later one succeeds with nothing written.
-    spoilt: bool,
+    malformed: bool,
 }
 
 pub struct State {
@@ -102,7 +102,7 @@
         for file in &mut state.files {
             let unsure = (file.bytes.len() - file.synced) as u64;
             file.bytes.truncate(file.synced + state.dice.below(unsure + 1) as usize);
-            (file.synced, file.spoilt) = (file.bytes.len(), false);
+            (file.synced, file.malformed) = (file.bytes.len(), false);
         }
     }
 }
@@ -200,10 +200,10 @@
         let lies = state.lies;
         let file = state.file(name)?;
         if fails != Fails::Never {
-            file.spoilt = true;
+            file.malformed = true;
             return Err(broken());
         }
-        if !file.spoilt && !lies {
+        if !file.malformed && !lies {
             file.synced = file.bytes.len();
         }
         Ok(())
--- a/crates/warm-start/src/kept.rs
+++ b/crates/warm-start/src/kept.rs
@@ -4,7 +4,7 @@
 
 use crate::{Beliefs, FORMAT, Identity, Micros, ONE, Paces, space};
 
-/// Paces move with every launch; they are written no more often than that.
+/// Paces move with every attempt; they are written no more often than that.
 const PACES_EVERY: Micros = 10_000_000;
 
 /// A record to be written, or removed where it has no value.
--- a/crates/warm-start/src/lib.rs
+++ b/crates/warm-start/src/lib.rs
@@ -44,7 +44,7 @@
     pub word: Micros,
 }
 
-/// How long launches of a request class took: half of them no longer than the first, nine tenths than the
+/// How long attempts of a request class took: half of them no longer than the first, nine tenths than the
 /// second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pace {
@@ -63,7 +63,7 @@
     pub homes: BTreeMap<u64, String>,
     /// By request class.
     pub paces: BTreeMap<String, Pace>,
-    /// Launches that may be out at a member, in powers of two.
+    /// Attempts that may be out at a member, in powers of two.
     pub windows: BTreeMap<String, i32>,
 }
 
--- a/crates/warm-start/src/recall.rs
+++ b/crates/warm-start/src/recall.rs
@@ -34,7 +34,7 @@
 /// Reads records back: `(space, key, value)`. No record at all is a new folder.
 ///
 /// Protects members from walks and from work at those that are gone, and clients from the wait for the list. Harms,
-/// where the world has moved meanwhile, one launch a group: its primary is a guess until somebody answers.
+/// where the world has moved meanwhile, one attempt a group: its primary is a guess until somebody answers.
 pub fn recall<'a>(
     name: &str,
     now: Micros,
--- a/crates/wire/tests/parsers.rs
+++ b/crates/wire/tests/parsers.rs
@@ -216,12 +216,12 @@
             text
         };
         let _ = absorb(&spoil(&answer), &cuts);
-        let spoilt = spoil(&chunked);
-        if let Ok(Some(head)) = http::head(&spoilt, MAX) {
-            let _ = lines(&spoilt[head.length..], &cuts, head.body);
+        let malformed = spoil(&chunked);
+        if let Ok(Some(head)) = http::head(&malformed, MAX) {
+            let _ = lines(&malformed[head.length..], &cuts, head.body);
         }
-        let spoilt = spoil(&comment);
-        let _ = (Comment::parse(&spoilt), quoted(&spoilt));
+        let malformed = spoil(&comment);
+        let _ = (Comment::parse(&malformed), quoted(&malformed));
         Ok(())
     });
 }
--- a/crates/zone-failover/src/evidence.rs
+++ b/crates/zone-failover/src/evidence.rs
@@ -3,15 +3,15 @@
 use crate::frame::Told;
 use crate::{Group, Seen, Zone};
 
-/// Launches of a second, all drivers together, under which nothing is concluded, and drivers.
+/// Attempts of a second, all drivers together, under which nothing is concluded, and drivers.
 const LEAST: u32 = 12;
 const DRIVERS: usize = 2;
-/// So many launches that find nobody are enough, since drivers soon stop asking there.
+/// So many attempts that find nobody are enough, since drivers soon stop asking there.
 const NOBODY: u32 = 4;
 /// A zone serves in time from this share on, and does not under that one; between them all stays as it is.
 pub const WELL: f64 = 0.95;
 pub const BADLY: f64 = 0.85;
-/// From this share on launches met nobody.
+/// From this share on attempts met nobody.
 const MUTE: f64 = 0.5;
 /// A driver whose share in time is this much under the median of its zone's, at all zones alike, is itself ill.
 const ILL: f64 = 0.3;
@@ -21,12 +21,12 @@
 /// What is the matter with one zone, as its own drivers and the others see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finding {
-    /// Too few launches, or drivers, to say.
+    /// Too few attempts, or drivers, to say.
     Unknown,
     Well,
     /// It serves neither well nor badly.
     Between,
-    /// Most launches of its own drivers find nobody, and so do those of others.
+    /// Most attempts of its own drivers find nobody, and so do those of others.
     Lost,
     /// Its own drivers are served, and others find nobody: the way between is gone.
     CutOff,
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct View {
     pub finding: Finding,
-    /// By its own drivers: what they ask of it and of others, launches a second.
+    /// By its own drivers: what they ask of it and of others, attempts a second.
     pub asked: f64,
     /// What was sent to it by all, and served in time, a second.
     pub sent: f64,
@@ -91,10 +91,10 @@
             for row in &told.rows {
                 let rate = rates.entry((row.group, told.zone, row.zone)).or_default();
                 rate.seen.add(&row.seen);
-                rate.a_second += f64::from(row.seen.launches) / seconds;
+                rate.a_second += f64::from(row.seen.attempts) / seconds;
                 rate.in_time_a_second += f64::from(row.seen.in_time) / seconds;
                 rate.drivers += 1;
-                if told.zone == row.zone && row.seen.launches > 0 {
+                if told.zone == row.zone && row.seen.attempts > 0 {
                     near.entry((row.group, row.zone)).or_default().push(row.seen);
                 }
             }
@@ -156,7 +156,7 @@
         }
         // Where it fares best.
         let best =
-            by_zone.values().filter(|seen| seen.launches > 0).map(Seen::share_in_time).reduce(f64::max);
+            by_zone.values().filter(|seen| seen.attempts > 0).map(Seen::share_in_time).reduce(f64::max);
         if let (Some(first), Some(best)) = (parts.first(), best) {
             shares.entry(first.zone).or_default().push((best, name));
         }
@@ -173,8 +173,8 @@
 }
 
 fn find(own: &Rate, others: &Rate, near: &[Seen]) -> Finding {
-    let enough = |rate: &Rate| rate.seen.launches >= LEAST && rate.drivers >= DRIVERS;
-    // In a crowd launches run out of time too, but some are served.
+    let enough = |rate: &Rate| rate.seen.attempts >= LEAST && rate.drivers >= DRIVERS;
+    // In a crowd attempts run out of time too, but some are served.
     let mute = |rate: &Rate| {
         let few = rate.seen.share_silent() >= MUTE && rate.seen.share_in_time() < 0.1;
         few && rate.seen.silent >= NOBODY && rate.drivers >= DRIVERS
--- a/crates/zone-failover/src/frame.rs
+++ b/crates/zone-failover/src/frame.rs
@@ -1,9 +1,9 @@
 //! The form of a report and of a decree's body, big-endian.
 //!
 //! Report: 1 byte of the driver's zone, 4 of milliseconds, then for each row 8 bytes of the group, 1 of the zone, 4 each of
-//! launches, in time, refused, errors, silent, and milliseconds taken. Decree: 1 byte of the level, 2 of thousandths that go
-//! elsewhere, 1 that says whether room was short, then for each other zone 1 byte of the zone and 2 of thousandths of what
-//! goes elsewhere.
+//! attempts, in time, refused, errors, silent, and milliseconds taken. Decree: 1 byte of the level, 2 of
+//! thousandths that go elsewhere, 1 that says whether room was short, then for each other zone 1 byte of the
+//! zone and 2 of thousandths of what goes elsewhere.
 
 use bytes::{Buf, BufMut};
 use thiserror::Error;
@@ -39,8 +39,8 @@
     for Row { group, zone, seen } in told.rows.iter().take(ROWS) {
         to.put_u64(*group);
         to.put_u8((*zone).min(255) as u8);
-        let Seen { launches, in_time, refused, errors, silent, took_ms } = *seen;
-        [launches, in_time, refused, errors, silent, took_ms].into_iter().for_each(|count| to.put_u32(count));
+        let Seen { attempts, in_time, refused, errors, silent, took_ms } = *seen;
+        [attempts, in_time, refused, errors, silent, took_ms].into_iter().for_each(|count| to.put_u32(count));
     }
     to
 }
@@ -57,8 +57,8 @@
         for count in &mut counts {
             *count = from.try_get_u32().map_err(short)?;
         }
-        let [launches, in_time, refused, errors, silent, took_ms] = counts;
-        rows.push(Row { group, zone, seen: Seen { launches, in_time, refused, errors, silent, took_ms } });
+        let [attempts, in_time, refused, errors, silent, took_ms] = counts;
+        rows.push(Row { group, zone, seen: Seen { attempts, in_time, refused, errors, silent, took_ms } });
     }
     Ok(Told { zone, over, rows })
 }
--- a/crates/zone-failover/src/tally.rs
+++ b/crates/zone-failover/src/tally.rs
@@ -2,7 +2,7 @@
 
 use crate::{Group, Micros, Zone};
 
-/// How a launch ended, as far as zones are concerned.
+/// How an attempt ended, as far as zones are concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// Served within its request class's quoted time, or later.
@@ -16,10 +16,10 @@
     Silent,
 }
 
-/// What became of launches of one group at one zone.
+/// What became of attempts of one group at one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Seen {
-    pub launches: u32,
+    pub attempts: u32,
     pub in_time: u32,
     pub refused: u32,
     pub errors: u32,
@@ -30,8 +30,8 @@
 
 impl Seen {
     pub fn add(&mut self, other: &Seen) {
-        let Seen { launches, in_time, refused, errors, silent, took_ms } = other;
-        self.launches = self.launches.saturating_add(*launches);
+        let Seen { attempts, in_time, refused, errors, silent, took_ms } = other;
+        self.attempts = self.attempts.saturating_add(*attempts);
         self.in_time = self.in_time.saturating_add(*in_time);
         self.refused = self.refused.saturating_add(*refused);
         self.errors = self.errors.saturating_add(*errors);
@@ -41,7 +41,7 @@
 
     /// Those that say something of the zone: an error may be the request's own.
     fn telling(&self) -> f64 {
-        f64::from((self.launches - self.errors.min(self.launches)).max(1))
+        f64::from((self.attempts - self.errors.min(self.attempts)).max(1))
     }
 
     pub fn share_in_time(&self) -> f64 {
@@ -81,7 +81,7 @@
 
     pub fn ended(&mut self, group: Group, zone: Zone, end: End, took: Micros) {
         let seen = self.of.entry((group, zone)).or_default();
-        seen.launches += 1;
+        seen.attempts += 1;
         match end {
             End::Served { in_time } => {
                 seen.in_time += u32::from(in_time);
--- a/crates/zone-failover/tests/zones.rs
+++ b/crates/zone-failover/tests/zones.rs
@@ -34,11 +34,11 @@
             for driver in 0..12 {
                 let own = driver % 3;
                 let rows = (0..3).map(|zone| {
-                    let launches = if zone == own { 20 } else { 2 };
+                    let attempts = if zone == own { 20 } else { 2 };
                     let (in_time, silent) = (self.sees)(driver, zone);
-                    let part = |share: f64| (f64::from(launches) * share).round() as u32;
+                    let part = |share: f64| (f64::from(attempts) * share).round() as u32;
                     let seen =
-                        Seen { launches, in_time: part(in_time), silent: part(silent), ..Seen::default() };
+                        Seen { attempts, in_time: part(in_time), silent: part(silent), ..Seen::default() };
                     Row { group: 7, zone, seen }
                 });
                 let one = Told { zone: own, over: S, rows: rows.collect() };
@@ -174,10 +174,10 @@
             for (second, told) in seconds.into_iter().enumerate() {
                 let now = second as i64 * S;
                 for (driver, (zone, over, rows)) in told {
-                    let rows = rows.into_iter().map(|(group, zone, launches, in_time, silent)| {
-                        let part = |share: f64| (f64::from(launches) * share) as u32;
+                    let rows = rows.into_iter().map(|(group, zone, attempts, in_time, silent)| {
+                        let part = |share: f64| (f64::from(attempts) * share) as u32;
                         let seen = Seen {
-                            launches,
+                            attempts,
                             in_time: part(in_time),
                             silent: part(silent),
                             ..Seen::default()
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_and_a_tally_counts_each_launch_once() {
+fn what_is_written_is_read_and_a_tally_counts_each_attempt_once() {
     let mut tally = Tally::start(0);
     tally.ended(7, 1, End::Served { in_time: true }, 20_000);
     tally.ended(7, 1, End::Served { in_time: false }, 600_000);
@@ -232,8 +232,8 @@
     tally.ended(7, 2, End::Refused, 0);
     tally.ended(7, 2, End::Error, 0);
     let (over, rows) = tally.take(S);
-    assert_eq!((over, rows.len(), rows[0].seen.launches, rows[0].seen.took_ms), (S, 2, 3, 620));
-    assert_eq!(tally.take(2 * S).1[0].seen.launches, 3, "told of the last two seconds");
+    assert_eq!((over, rows.len(), rows[0].seen.attempts, rows[0].seen.took_ms), (S, 2, 3, 620));
+    assert_eq!(tally.take(2 * S).1[0].seen.attempts, 3, "told of the last two seconds");
     assert!(tally.take(3 * S).1.is_empty());
     let told = Told { zone: 1, over, rows };
     assert_eq!(frame::read_report(&frame::report(&told)), Ok(told));
