--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -94,11 +94,11 @@
         for (handle, step) in todo.steps {
             let Some(&ticket) = self.tickets.get(&handle) else { continue };
             match step {
-                Step::Attempt { member, limit, afresh, .. } => {
+                Step::Attempt { member, timeout, afresh, .. } => {
                     if afresh {
                         reply.shut_idle(who, &self.member_names[member]);
                     }
-                    reply.call_out(who, ticket, &self.member_names[member], limit)
+                    reply.call_out(who, ticket, &self.member_names[member], timeout)
                 }
                 Step::Reject { cool_down } => reply.turn_away(who, ticket, cool_down),
                 Step::Fail => reply.error(who, ticket),
--- a/crates/bench-adapter/src/wire.rs
+++ b/crates/bench-adapter/src/wire.rs
@@ -122,8 +122,8 @@
         self.text.push('\n');
     }
 
-    pub fn call_out(&mut self, who: u32, ticket: u64, member: &str, limit: Micros) {
-        self.add(format_args!("CALL_OUT\t{who}\t{ticket}\t{member}\t{}", millis(limit)));
+    pub fn call_out(&mut self, who: u32, ticket: u64, member: &str, timeout: Micros) {
+        self.add(format_args!("CALL_OUT\t{who}\t{ticket}\t{member}\t{}", millis(timeout)));
     }
 
     pub fn turn_away(&mut self, who: u32, ticket: u64, cool_down: Micros) {
--- a/crates/fault-injection/src/figures.rs
+++ b/crates/fault-injection/src/figures.rs
@@ -27,7 +27,7 @@
     /// Time from the first restart to full service.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub full_service_ms: Option<u64>,
-    /// Share of all requests that come in their quoted time.
+    /// Share of all requests that come within their latency objective.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub served: Option<f64>,
 }
@@ -36,10 +36,10 @@
 pub struct Figures {
     pub requests: usize,
     /// Of all requests, and of those before the first fault.
-    pub in_quoted_time: f64,
-    pub in_quoted_time_before: f64,
+    pub within_objective: f64,
+    pub within_objective_before: f64,
     /// Of those that came in the 10 s after the first fault, and the worst second of them.
-    pub in_quoted_time_after: f64,
+    pub within_objective_after: f64,
     pub worst_second: f64,
     /// Of attempts, where there are several zones.
     pub crossing: f64,
@@ -64,7 +64,7 @@
     /// From an operator's word that a site retires until it was said to be empty, and retired.
     pub emptied_ms: Option<At>,
     pub retired_ms: Option<At>,
-    /// From the first restart until the share in quoted time was back for good; -1 is never.
+    /// From the first restart until the share within the latency objective was back for good; -1 is never.
     pub full_service_ms: Option<At>,
 }
 
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Bin {
     pub asked: usize,
-    /// Requests first asked here, and those of them served in their quoted time.
+    /// Requests first asked here, and those of them served within their latency objective.
     pub requests: usize,
     pub in_time: usize,
     pub attempts: usize,
@@ -102,7 +102,8 @@
     bins
 }
 
-/// Each request with all its tries: when it was first asked, and whether it was served in its quoted time.
+/// Each request with all its tries: when it was first asked, and whether it was served within its latency
+/// objective.
 fn requests(events: &[(At, Event)]) -> Vec<(At, bool)> {
     let mut served: HashMap<u64, At> = HashMap::new();
     for (at, event) in events {
@@ -114,8 +115,8 @@
     let mut requests: HashMap<(At, usize, usize), bool> = HashMap::new();
     for (_, event) in events {
         if let Event::Asked { id, class, group, first, .. } = *event {
-            let quoted = first + CLASSES[class].quoted_ms * 1000;
-            let in_time = served.get(&id).is_some_and(|&at| at <= quoted);
+            let objective = first + CLASSES[class].objective_ms * 1000;
+            let in_time = served.get(&id).is_some_and(|&at| at <= objective);
             *requests.entry((first, class, group)).or_default() |= in_time;
         }
     }
@@ -153,10 +154,10 @@
         of.iter().filter(|&&in_time| in_time).count() as f64 / of.len().max(1) as f64
     };
     figures.requests = requests.len();
-    figures.in_quoted_time = share(start + FIRST, end);
-    figures.in_quoted_time_before = share(start + FIRST, calm_until.min(end));
+    figures.within_objective = share(start + FIRST, end);
+    figures.within_objective_before = share(start + FIRST, calm_until.min(end));
     if let Some(fault) = fault {
-        figures.in_quoted_time_after = share(fault, fault + 100 * BIN);
+        figures.within_objective_after = share(fault, fault + 100 * BIN);
         let seconds = (0..10).map(|second| share(fault + second * 10 * BIN, fault + (second + 1) * 10 * BIN));
         figures.worst_second = seconds.fold(1.0, f64::min);
     }
@@ -188,7 +189,7 @@
         // From the end backwards: the last second, in steps of a tenth, whose share is not back. At high load single
         // tenths vary by more than what is asked for.
         let window = 10 * BIN;
-        let before = figures.in_quoted_time_before;
+        let before = figures.within_objective_before;
         let counted = requests.iter().filter(|(at, _)| (first..first + window).contains(at)).count().max(1);
         // Three standard deviations of as many requests are chance.
         let wanted = 0.98 * before - 3.0 * (before * (1.0 - before) / counted as f64).sqrt();
@@ -225,8 +226,8 @@
         }
     }
     if let Some(wanted) = wants.served
-        && figures.in_quoted_time < wanted
+        && figures.within_objective < wanted
     {
-        found(format!("{:.3} in quoted time, {wanted} are wanted", figures.in_quoted_time));
+        found(format!("{:.3} within the latency objective, {wanted} are wanted", figures.within_objective));
     }
 }
--- a/crates/fault-injection/src/front.rs
+++ b/crates/fault-injection/src/front.rs
@@ -166,7 +166,7 @@
             let session = rng.random_range(0..self.places.len() * 20);
             (session, class.unwrap_or(0), rng.random_range(0..self.world.plan.groups))
         };
-        let (first, limit) = (self.world.now(), self.world.plan.limit_ms(class) * 1000);
+        let (first, limit) = (self.world.now(), self.world.plan.timeout_ms(class) * 1000);
         let keys = self.world.plan.keys;
         let key = keys::key(keys, &mut self.world.rng.borrow_mut(), session, first);
         if keys != Keys::Sessions {
--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -166,8 +166,8 @@
     }
 
     /// How long a client waits for a request of that request class.
-    pub fn limit_ms(&self, class: usize) -> i64 {
-        self.deadline_ms.unwrap_or(CLASSES[class].limit_ms)
+    pub fn timeout_ms(&self, class: usize) -> i64 {
+        self.deadline_ms.unwrap_or(CLASSES[class].timeout_ms)
     }
 
     pub fn schema() -> String {
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -19,8 +19,8 @@
     };
     row("plan, seed", format!("{}, {}", run.plan.name, run.seed));
     row("tasks", figures.requests.to_string());
-    row("in quoted time, before and in all", {
-        format!("{:.4}, {:.4}", figures.in_quoted_time_before, figures.in_quoted_time)
+    row("within the latency objective, before and in all", {
+        format!("{:.4}, {:.4}", figures.within_objective_before, figures.within_objective)
     });
     row("denied, broken off, unanswered", {
         format!("{}, {}, {}", figures.rejected, figures.failed, figures.never_answered)
@@ -34,7 +34,7 @@
         row("full service after, ms", if took < 0 { "never".to_owned() } else { took.to_string() });
     }
     row("in 10 s after the fault, worst of them", {
-        format!("{:.4}, {:.4}", figures.in_quoted_time_after, figures.worst_second)
+        format!("{:.4}, {:.4}", figures.within_objective_after, figures.worst_second)
     });
     row("attempts that crossed zones", format!("{:.4}", figures.crossing));
     if let Some(held) = figures.held {
@@ -82,7 +82,7 @@
     let share = |bin: &Bin| bin.in_time as f64 / bin.requests.max(1) as f64;
     type Row = (&'static str, fn(&Bin) -> f64);
     let rows: [Row; 5] = [
-        ("served in quoted time, share", share),
+        ("served within the latency objective, share", share),
         ("attempts", |bin| bin.attempts as f64),
         ("new connections to members", |bin| bin.connections as f64),
         ("probes", |bin| bin.probes as f64),
--- a/crates/fault-injection/src/terms.rs
+++ b/crates/fault-injection/src/terms.rs
@@ -8,10 +8,10 @@
     pub need: &'static str,
     /// How old the data may be, in milliseconds; 0 is any age.
     pub bound_ms: i64,
-    pub quoted_ms: i64,
-    pub limit_ms: i64,
-    pub payoff: f64,
-    pub late_share: f64,
+    pub objective_ms: i64,
+    pub timeout_ms: i64,
+    pub priority_weight: f64,
+    pub late_priority_weight: f64,
     /// Of the requests, and what one keeps a worker busy.
     pub share: f64,
     pub work_ms: f64,
@@ -19,10 +19,26 @@
 
 pub const MINE: usize = 4;
 
-const fn class(name: &'static str, effect: &'static str, need: &'static str, payoff: f64) -> RequestClass {
-    let (quoted_ms, limit_ms, late_share) = (400, 1500, 0.5);
+const fn class(
+    name: &'static str,
+    effect: &'static str,
+    need: &'static str,
+    priority_weight: f64,
+) -> RequestClass {
+    let (objective_ms, timeout_ms, late_priority_weight) = (400, 1500, 0.5);
     let (bound_ms, share, work_ms) = (0, 0.25, 16.0);
-    RequestClass { name, effect, need, bound_ms, quoted_ms, limit_ms, payoff, late_share, share, work_ms }
+    RequestClass {
+        name,
+        effect,
+        need,
+        bound_ms,
+        objective_ms,
+        timeout_ms,
+        priority_weight,
+        late_priority_weight,
+        share,
+        work_ms,
+    }
 }
 
 pub const CLASSES: [RequestClass; 5] = [
@@ -56,8 +72,8 @@
         .map(|class| {
             json!({"name": class.name, "effect": class.effect, "dedupScope": "cell",
                 "windowMs": if class.effect == "token" { RECEIPT_MS } else { 0 },
-                "targetMs": class.quoted_ms, "deadlineMs": class.limit_ms, "worth": class.payoff,
-                "lateWorth": class.late_share})
+                "targetMs": class.objective_ms, "deadlineMs": class.timeout_ms, "worth": class.priority_weight,
+                "lateWorth": class.late_priority_weight})
         })
         .collect();
     let needs: Vec<_> = CLASSES.iter().map(|class| class.need).collect();
--- a/crates/fault-injection/src/wide/clients.rs
+++ b/crates/fault-injection/src/wide/clients.rs
@@ -110,7 +110,7 @@
         } else {
             format!("SELECT val FROM state WHERE uid = 'k{id}'")
         };
-        let (name, limit) = (CLASSES[class].name, CLASSES[class].limit_ms);
+        let (name, limit) = (CLASSES[class].name, CLASSES[class].timeout_ms);
         let text = format!("/* id={process}-{id:012},c={name},d={limit},cluster={group} */ {verb}");
         let until = Duration::from_millis(limit as u64) + SLACK;
         let outcome = timeout(until, self.ask(process, text.as_bytes())).await;
--- a/crates/fault-injection/tests/fellows.rs
+++ b/crates/fault-injection/tests/fellows.rs
@@ -87,7 +87,7 @@
 fn a_divided_fleet_finds_together_again_and_no_rule_is_broken() {
     let cut = r#"{"cut":{"between":"drivers_drivers","share":0.4,"way":"both","for_ms":7000}}"#;
     let (run, logs) = play("divided", 15.0, &format!(r#"{{"at_ms":2000,"do":{cut}}}"#));
-    assert!(run.verdict.figures.in_quoted_time > 0.97, "{}", report::table(&run));
+    assert!(run.verdict.figures.within_objective > 0.97, "{}", report::table(&run));
     assert!(
         logs.iter().all(|log| !told(log, "fellow down").is_empty()),
         "each side loses sight of the other"
--- a/crates/fault-injection/tests/retire.rs
+++ b/crates/fault-injection/tests/retire.rs
@@ -44,7 +44,7 @@
 fn what_is_taken_back_comes_back() {
     let back = GOES.replace("goes", "taken_back").replace("3000", "9000");
     let run = play(24.0, 0.15, &format!("{GOES},{back}"));
-    assert!(run.verdict.figures.in_quoted_time > 0.98, "{}", report::table(&run));
+    assert!(run.verdict.figures.within_objective > 0.98, "{}", report::table(&run));
     let says = |wanted: &str| {
         let of = |event: &aldermill_fault_injection::history::Event| matches!(event, aldermill_fault_injection::history::Event::Decreed { about, says, .. } if about == "retire/s2" && says.contains(wanted));
         run.events.iter().filter(|(_, event)| of(event)).count()
--- a/crates/proxy/src/council.rs
+++ b/crates/proxy/src/council.rs
@@ -69,13 +69,13 @@
 }
 
 impl Council {
-    /// The receiver hears of each write to the folder, in their order. `limit` is the longest time limit of a
-    /// request.
+    /// The receiver hears of each write to the folder, in their order. `longest_timeout` is the longest
+    /// timeout of a request.
     pub fn open(
         wanted: Wanted,
         own: Driver,
         folder: Option<Rc<Folder>>,
-        (zone, limit): (usize, Micros),
+        (zone, longest_timeout): (usize, Micros),
         moment: Moment,
         seed: u64,
         log: Logger,
@@ -97,7 +97,7 @@
         let zones = has(work::DUTY).then(|| ZonesWork::start(zone, log.clone()));
         let splits = has(splits::DUTY).then(|| SplitsWork::start(wanted.cuts, log.clone()));
         let leaving = has(leaving::DUTY)
-            .then(|| LeavingWork::start(now, &wanted.retire, limit, memory.is_some(), log.clone()));
+            .then(|| LeavingWork::start(now, &wanted.retire, longest_timeout, memory.is_some(), log.clone()));
         let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(7));
         let mut council = Council {
             own,
--- a/crates/proxy/src/council/leaving.rs
+++ b/crates/proxy/src/council/leaving.rs
@@ -16,7 +16,7 @@
 pub const DUTY: &str = "retire";
 /// Reports count for so long: a driver tells of other duties between two.
 const COUNTS: Micros = 6_000_000;
-/// What follows a request's time limit at the book of fates.
+/// What follows a request's deadline at the book of fates.
 const SLACK: Micros = 5_000_000;
 
 pub struct LeavingWork {
@@ -59,9 +59,15 @@
 }
 
 impl LeavingWork {
-    /// `limit` is the longest time limit of a request; `durable` says that there is a folder.
-    pub fn start(now: Micros, wanted: &[Retiring], limit: Micros, durable: bool, log: Logger) -> LeavingWork {
-        let acts = Obeyed::acts(LASTS) + limit + SLACK;
+    /// `longest_timeout` is the longest timeout of a request; `durable` says that there is a folder.
+    pub fn start(
+        now: Micros,
+        wanted: &[Retiring],
+        longest_timeout: Micros,
+        durable: bool,
+        log: Logger,
+    ) -> LeavingWork {
+        let acts = Obeyed::acts(LASTS) + longest_timeout + SLACK;
         LeavingWork {
             words: words(wanted),
             obeyed: Obeyed::default(),
--- a/crates/proxy/src/desk/hub.rs
+++ b/crates/proxy/src/desk/hub.rs
@@ -105,8 +105,8 @@
     tell_at: Micros,
 }
 
-/// Requests that ended with the module here since it was last asked, how many of them in quoted time, and how
-/// many would go elsewhere with their sessions.
+/// Requests that ended with the module here since it was last asked, how many of them within the latency
+/// objective, and how many would go elsewhere with their sessions.
 #[derive(Default)]
 struct Ended {
     since: Micros,
@@ -151,7 +151,7 @@
     value: Vec<u8>,
 }
 
-/// How long after its time limit somebody may still ask about a request.
+/// How long after its deadline somebody may still ask about a request.
 const SLACK: Micros = 5_000_000;
 /// How often others are told of the room here though nothing has changed.
 const TELL: Micros = 500_000;
@@ -179,9 +179,9 @@
         let classes = decoded.terms.classes.iter().map(|class| RequestClass {
             effect: effect(class.effect),
             need: need(class.need),
-            quoted: class.quoted,
-            payoff: class.payoff,
-            late_share: class.late_share,
+            objective: class.objective,
+            priority_weight: class.priority_weight,
+            late_priority_weight: class.late_priority_weight,
         });
         let terms = Terms {
             classes: classes.collect(),
--- a/crates/proxy/src/desk/hub/trips.rs
+++ b/crates/proxy/src/desk/hub/trips.rs
@@ -64,8 +64,8 @@
         };
         if let Some(trip) = hub.trips.get_mut(&handle) {
             trip.here = None;
-            let quoted = self.decoded.terms.classes[trip.class].quoted;
-            let in_time = ended == HereEnded::Served && now - trip.order.arrived <= quoted;
+            let objective = self.decoded.terms.classes[trip.class].objective;
+            let in_time = ended == HereEnded::Served && now - trip.order.arrived <= objective;
             let need = self.decoded.terms.classes[trip.class].need;
             let reads = matches!(need, Need::Loose | Need::Recent(_));
             hub.ended.all += 1;
--- a/crates/proxy/src/desk/sight.rs
+++ b/crates/proxy/src/desk/sight.rs
@@ -16,11 +16,11 @@
 /// Groups of whose keys something is kept.
 const GROUPS: usize = 64;
 
-/// An attempt that is out: where, what is quoted for its request class, whether it writes, and its key.
+/// An attempt that is out: where, its request class's latency objective, whether it writes, and its key.
 struct Out {
     group: u64,
     zone: usize,
-    quoted: Micros,
+    objective: Micros,
     write: bool,
     key: Vec<u8>,
 }
@@ -52,12 +52,12 @@
         let Some((group, zone)) = place else { return };
         let key = self.keys.as_ref().and_then(|_| quoted(&order.statement[order.comment.end..]));
         let key = key.unwrap_or_default().into_bytes();
-        let (quoted, write) = (class.quoted, class.need == Need::Write);
-        self.out.insert(handle, Out { group, zone, quoted, write, key });
+        let (objective, write) = (class.objective, class.need == Need::Write);
+        self.out.insert(handle, Out { group, zone, objective, write, key });
     }
 
     fn ended(&mut self, now: Micros, handle: Handle, verdict: Verdict, took: Micros) {
-        let Some(Out { group, zone, quoted, write, key }) = self.out.remove(&handle) else { return };
+        let Some(Out { group, zone, objective, write, key }) = self.out.remove(&handle) else { return };
         if let Some(keys) = &mut self.keys
             && verdict == Verdict::Served
             && !key.is_empty()
@@ -73,7 +73,7 @@
             return;
         }
         let end = match verdict {
-            Verdict::Served => End::Served { in_time: took <= quoted },
+            Verdict::Served => End::Served { in_time: took <= objective },
             Verdict::Overloaded => End::Refused,
             Verdict::Error | Verdict::Malformed => End::Error,
             Verdict::TimedOut
--- a/crates/proxy/src/desk/steps.rs
+++ b/crates/proxy/src/desk/steps.rs
@@ -48,8 +48,8 @@
     pub(crate) fn carry_out(&mut self, todo: Todo) {
         for (handle, step) in todo.steps {
             match step {
-                Step::Attempt { member, limit, afresh, validity } => {
-                    self.send_attempt(handle, member, limit, afresh, validity)
+                Step::Attempt { member, timeout, afresh, validity } => {
+                    self.send_attempt(handle, member, timeout, afresh, validity)
                 }
                 Step::Reject { cool_down } => self.answer(handle, Answer::Rejected { cool_down }),
                 Step::Fail => self.answer(handle, Answer::Failed),
@@ -86,7 +86,7 @@
         &mut self,
         handle: Handle,
         member: MemberId,
-        limit: Micros,
+        timeout: Micros,
         afresh: bool,
         validity: Validity,
     ) {
@@ -104,7 +104,7 @@
             withdrawal: open.withdrawal.clone(),
             holder,
             sent,
-            until: (sent + duration(limit)).min(self.context.clock.instant(open.deadline)),
+            until: (sent + duration(timeout)).min(self.context.clock.instant(open.deadline)),
             afresh,
             validity,
             replica_words: peer.map_or(0, |peer| peer.replica_words),
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -20,7 +20,7 @@
 /// Guards answers against a kill that finds them unwritten. Harms requests that come late in a shutdown: they have less
 /// time than they ask for.
 fn stop_end(decoded: &Decoded) -> Duration {
-    let longest = decoded.terms.classes.iter().map(|class| duration(class.limit)).max();
+    let longest = decoded.terms.classes.iter().map(|class| duration(class.timeout)).max();
     longest.unwrap_or_default().min(LONGEST_WAIT) + KILLED_BEHIND - HELD_UP
 }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -256,7 +256,7 @@
     let room = bounds.room as usize;
     let (on_request, drivers) = (decoded.terms.list_on_request, decoded.terms.drivers);
     let zone = decoded.terms.zone;
-    let limit = decoded.terms.classes.iter().map(|class| class.limit).max().unwrap_or(0);
+    let longest_timeout = decoded.terms.classes.iter().map(|class| class.timeout).max().unwrap_or(0);
     let grace = decoded.drain_grace;
     let (request, requests) = mpsc::channel(1);
     let context = Rc::new(Context {
@@ -306,7 +306,7 @@
     });
     let mut bound = Vec::new();
     if let Some(terms) = fellows {
-        let place = (zone, limit);
+        let place = (zone, longest_timeout);
         let wanted = council.map(|wanted| Sitting { wanted, folder: kept_in, place, reread });
         let own = (&*name, drivers, hub.is_some());
         let mut company = Company::open(context.clone(), terms, wanted, own, seed.rotate_left(16)).await?;
--- a/crates/proxy/src/member.rs
+++ b/crates/proxy/src/member.rs
@@ -199,7 +199,7 @@
         None
     }
 
-    /// Starts one query on a connection of its own, to its end or its time limit: an attempt, or else a probe.
+    /// Starts one query on a connection of its own, to its end or its deadline: an attempt, or else a probe.
     fn visit(&mut self, purpose: Purpose, attempt: Option<Attempt>, until: Instant) {
         let for_request = attempt.is_some();
         let holder = attempt.as_ref().map(|attempt| attempt.holder);
@@ -245,7 +245,7 @@
                     (verdict, None)
                 }
             };
-            // Its time limit fell into a standstill: nobody was there to see an answer.
+            // Its deadline fell into a standstill: nobody was there to see an answer.
             let unseen = verdict == Verdict::TimedOut && context.lived.stood_since(began);
             let verdict = if unseen { Verdict::Unobserved } else { verdict };
             Done { verdict, exchange, room, crowded_out, age, connection, began, era, unopened }
--- a/crates/proxy/src/member/visit.rs
+++ b/crates/proxy/src/member/visit.rs
@@ -40,8 +40,9 @@
 }
 
 impl Departure {
-    /// A drain or a move that was told since the decision forbids it, and so does the time limit, which a standstill may
-    /// have passed over; for an attempt its client's leaving, and the end of what made it valid.
+    /// A drain or a move that was told since the decision forbids it, and so does the deadline, which a
+    /// standstill may have passed over; for an attempt its client's leaving, and the end of what made it
+    /// valid.
     pub(super) fn may_leave(&self, context: &Context) -> bool {
         let in_time = Instant::now() < self.until;
         let allowed = *self.open.borrow() && self.to == self.listed.get();
@@ -80,7 +81,7 @@
 }
 
 impl Visit<'_> {
-    /// Sends the query and takes in the answer, as far as it comes before the time limit.
+    /// Sends the query and takes in the answer, as far as it comes before the deadline.
     pub(super) async fn converse(&mut self, connection: &mut Connection, query: &Query) -> Verdict {
         if let Err(verdict) = self.send(connection, query).await {
             return verdict;
--- a/crates/proxy/src/trial.rs
+++ b/crates/proxy/src/trial.rs
@@ -121,11 +121,11 @@
             let steps = (was.get(handle).copied(), would.get(handle).copied());
             let kind = match steps {
                 (
-                    Some(Step::Attempt { member, limit, .. }),
-                    Some(Step::Attempt { member: other, limit: within, .. }),
+                    Some(Step::Attempt { member, timeout, .. }),
+                    Some(Step::Attempt { member: other, timeout: within, .. }),
                 ) => {
                     let kind = if member != other { Kind::Member } else { Kind::Limit };
-                    (member != other || limit != within).then_some(kind)
+                    (member != other || timeout != within).then_some(kind)
                 }
                 (Some(Step::Reject { cool_down }), Some(Step::Reject { cool_down: other })) => {
                     (cool_down != other).then_some(Kind::CoolDown)
--- a/crates/proxy/tests/gateway.rs
+++ b/crates/proxy/tests/gateway.rs
@@ -168,7 +168,7 @@
     for client in &mut clients {
         assert_eq!(client.answer().unwrap().code, "40003");
     }
-    // As soon as the new start has greeted, not at the time limit.
+    // As soon as the new start has greeted, not at the deadline.
     assert!(start.elapsed() < MS(4500), "{:?}", start.elapsed());
     until("it is served again", || code(&write(&mut clients[0], &ledger, 3000).0) == "served");
     assert!(ledger.doubles().is_empty());
--- a/crates/proxy/tests/same_instant.rs
+++ b/crates/proxy/tests/same_instant.rs
@@ -86,7 +86,7 @@
         given.store(false, Ordering::SeqCst);
         hold.open();
         until("the answer", || given.load(Ordering::SeqCst));
-        // Both are there when it goes on: the answer, and the end of the time limit.
+        // Both are there when it goes on: the answer, and the end of the deadline.
         thread::sleep((sent + wait).saturating_duration_since(Instant::now()));
         driver.signal("-CONT");
         let said = client.answer().expect("its one answer");
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -43,12 +43,12 @@
 pub struct RequestClass {
     pub effect: Effect,
     pub need: Need,
-    pub quoted: Micros,
+    pub objective: Micros,
     /// How long a client waits for all its tries together.
-    pub limit: Micros,
-    pub payoff: f64,
-    /// The part of the payoff that an answer after the quoted time still earns.
-    pub late_share: f64,
+    pub timeout: Micros,
+    pub priority_weight: f64,
+    /// The part of the priority weight that an answer after the latency objective still earns.
+    pub late_priority_weight: f64,
 }
 
 /// What the list's word on roles is worth.
@@ -157,7 +157,7 @@
     /// Its connection broke before it was written whole, though the member stands.
     ConnectionLost,
     Cancelled,
-    /// Its time limit passed while the driver stood still: it may have run, and nothing was seen of the member.
+    /// Its deadline passed while the driver stood still: it may have run, and nothing was seen of the member.
     Unobserved,
     NotSent,
     NotPrimary,
@@ -223,7 +223,7 @@
     /// `afresh`: on a new connection, the idle ones being closed.
     Attempt {
         member: MemberId,
-        limit: Micros,
+        timeout: Micros,
         afresh: bool,
         validity: Validity,
     },
--- a/crates/routing/src/policy/decide.rs
+++ b/crates/routing/src/policy/decide.rs
@@ -9,20 +9,26 @@
         let group = self.group(request.group);
         self.allowance = (self.allowance + PROBES_A_TASK).min(self.members.len() as f64);
         // Where repeats are not marked, first tries are told by the wait that most requests bring.
-        let RequestClass { limit, quoted, .. } = self.terms.classes[request.class];
+        let RequestClass { timeout, objective, .. } = self.terms.classes[request.class];
         let (usual, votes) = &mut self.usual_wait[request.class];
         let wait = request.ttl + request.waited;
         let common = (wait - *usual).abs() <= *usual / 64;
         *votes = if common { (*votes + 1).min(64) } else { *votes - 1 };
         (*usual, *votes) = if *votes < 0 { (wait, 1) } else { (*usual, *votes) };
         let repeat = request.repeat || !self.terms.repeats_marked && !common;
-        // What is missing to the time limit of a repeat has gone by already. Where repeats are not
+        // What is missing to the deadline of a repeat has gone by already. Where repeats are not
         // marked, a wait cut short tells them once the usual one is sure. Harms clients in a hurry: they
         // are taken for late.
         let cut = request.repeat || !self.terms.repeats_marked && !common && *votes >= 2 && wait < *usual;
-        let quoted_by = now - request.waited + quoted - if cut { (limit - wait).max(0) } else { 0 };
-        let pending =
-            PendingRequest { request, group, arrived: now, quoted_by, repeat, ..PendingRequest::default() };
+        let objective_at = now - request.waited + objective - if cut { (timeout - wait).max(0) } else { 0 };
+        let pending = PendingRequest {
+            request,
+            group,
+            arrived: now,
+            objective_at,
+            repeat,
+            ..PendingRequest::default()
+        };
         self.pending_requests.insert(handle, pending);
         self.place(now, handle);
         (handle, self.take_todo())
@@ -72,7 +78,7 @@
         (pending.out, pending.waits_from) = (Some((id, now)), now);
         (self.attempted, self.rush) = (self.attempted + 1.0, self.rush - 1.0);
         self.session(handle).into_iter().for_each(|session| session.out += 1);
-        self.todo.steps.push((handle, Step::Attempt { member: id, limit: useful - now, afresh, validity }));
+        self.todo.steps.push((handle, Step::Attempt { member: id, timeout: useful - now, afresh, validity }));
     }
 
     /// An attempt uses up what was saved for its member; the primary is owed its part of its group's
@@ -104,15 +110,19 @@
     /// later.
     pub(super) fn useful_until(&self, now: Micros, pending: &PendingRequest) -> (Micros, Micros) {
         let end = pending.arrived + pending.request.ttl;
-        let late_share = self.terms.classes[pending.request.class].late_share;
-        let useful = if late_share > 0.0 { end } else { end.min(pending.quoted_by) };
+        let late_priority_weight = self.terms.classes[pending.request.class].late_priority_weight;
+        let useful = if late_priority_weight > 0.0 { end } else { end.min(pending.objective_at) };
         // What waited for a replica's word alone has not waited for room.
         let arrives = now == pending.arrived || pending.asked && now - pending.arrived <= 2 * BEAT;
         let share = if arrives { 0.5 } else { 0.85 };
-        let pays = if self.sparse() && late_share < 0.5 { useful.min(pending.quoted_by) } else { useful };
+        let pays = if self.sparse() && late_priority_weight < 0.5 {
+            useful.min(pending.objective_at)
+        } else {
+            useful
+        };
         let hopeless = pays - self.took[pending.request.class].quantile(share).unwrap_or(0) - BEAT;
         let waits_for_room = pending.attempts == 0 && !self.backs_off(now);
-        let held = waits_for_room && (late_share < 0.5 || self.sparse());
+        let held = waits_for_room && (late_priority_weight < 0.5 || self.sparse());
         // Told before half of the client's time is over, with what a beat and the way take.
         let half = pending.arrived + (pending.request.ttl - pending.request.waited) / 2 - 2 * BEAT;
         (if held { hopeless.min(half.max(pending.arrived + 1)) } else { hopeless }, useful)
@@ -125,8 +135,9 @@
             Effect::Pure | Effect::Receipted { scope: Scope::All, .. } => true,
             _ => pending.may_have_run.is_none() && pending.out.is_none(),
         };
-        // What is rejected for want of room has missed its quoted time: sooner again only adds to the crowd.
-        let cool_down = self.terms.classes[pending.request.class].quoted.min(self.terms.max_cool_down);
+        // What is rejected for want of room has missed its latency objective: sooner again only adds to the
+        // crowd.
+        let cool_down = self.terms.classes[pending.request.class].objective.min(self.terms.max_cool_down);
         self.todo.steps.push((
             handle,
             if rejectable && !self.at_fault(pending) { Step::Reject { cool_down } } else { Step::Fail },
@@ -197,7 +208,7 @@
             let came = matches!(verdict, Verdict::Served | Verdict::Malformed);
             let took = if came { outcome.took - way } else { Micros::MAX };
             let (typical, share) = if sparse { (took, 70) } else { (usual, 30) };
-            if typical > self.terms.classes[class].quoted * share / 100 {
+            if typical > self.terms.classes[class].objective * share / 100 {
                 member.window = (member.window * step).max(least);
             } else if sparse {
                 member.window = (member.window / step.powf(weight / 16.0)).min(MOST / drivers * member.size);
@@ -296,11 +307,11 @@
         self.probe(now, id, PROBE_NEEDED);
     }
 
-    /// Further attempts go by payoff: the best paid request class may use them all.
+    /// Further attempts go by priority weight: the best paid request class may use them all.
     pub(super) fn attempts_allowed(&self, class: &RequestClass) -> u32 {
-        let best = self.terms.classes.iter().map(|o| o.payoff).fold(f64::MIN_POSITIVE, f64::max);
+        let best = self.terms.classes.iter().map(|o| o.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
         let most = f64::from(self.terms.max_attempts);
-        (most * (class.payoff / best).max(0.5)).ceil().min(most) as u32
+        (most * (class.priority_weight / best).max(0.5)).ceil().min(most) as u32
     }
 
     pub(super) fn pump_all(&mut self, now: Micros) {
@@ -316,8 +327,8 @@
         let worth = |handle: &Handle| {
             let pending = &self.pending_requests[handle];
             let class = &self.terms.classes[pending.request.class];
-            let late = now > pending.quoted_by || pending.repeat;
-            class.payoff * if late { class.late_share } else { 1.0 }
+            let late = now > pending.objective_at || pending.repeat;
+            class.priority_weight * if late { class.late_priority_weight } else { 1.0 }
         };
         held.sort_by(|a, b| worth(b).total_cmp(&worth(a)).then(b.cmp(a)));
         held.into_iter().for_each(|handle| self.place(now, handle));
--- a/crates/routing/src/policy/fresh.rs
+++ b/crates/routing/src/policy/fresh.rs
@@ -143,7 +143,7 @@
         let usual = self.took[class].quantile(0.5).unwrap_or(0);
         let far = zone != self.terms.zone && now - at < BAR;
         let way = if far { way.max(self.way(now, id)) } else { self.way(now, id) };
-        way + usual > self.terms.classes[class].quoted / 2
+        way + usual > self.terms.classes[class].objective / 2
     }
 
     /// There and back to the member, as far as its probes of late tell.
--- a/crates/routing/src/policy/members.rs
+++ b/crates/routing/src/policy/members.rs
@@ -152,8 +152,8 @@
 
     /// Beyond what nearly all attempts of a request class take.
     pub(super) fn patience(&self, class: usize) -> Micros {
-        let quoted = self.terms.classes[class].quoted;
-        self.took[class].quantile(0.9).unwrap_or(200 * MS).min(quoted).max(100 * MS) * 2
+        let objective = self.terms.classes[class].objective;
+        self.took[class].quantile(0.9).unwrap_or(200 * MS).min(objective).max(100 * MS) * 2
     }
 
     /// How many more attempts this driver may have out at the member: its window, and for a cold one its
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -100,10 +100,10 @@
             sessions: HashMap::new(),
             clock_offset: 0,
             forgotten: None,
-            // Until attempts tell better, most are taken to last half of the quoted time.
-            took: terms.classes.iter().map(|class| Histogram::of(class.quoted / 2, 4)).collect(),
+            // Until attempts tell better, most are taken to last half of the latency objective.
+            took: terms.classes.iter().map(|class| Histogram::of(class.objective / 2, 4)).collect(),
             ways: BTreeMap::new(),
-            any_took: Histogram::of(terms.classes.iter().map(|o| o.quoted / 2).min().unwrap_or(0), 4),
+            any_took: Histogram::of(terms.classes.iter().map(|o| o.objective / 2).min().unwrap_or(0), 4),
             usual_wait: vec![(0, 0); terms.classes.len()],
             warm_load: 0.0,
             mean_size: 1.0,
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -16,7 +16,7 @@
     pub(crate) request: Request,
     pub(crate) group: usize,
     pub(crate) arrived: Micros,
-    pub(crate) quoted_by: Micros,
+    pub(crate) objective_at: Micros,
     pub(crate) repeat: bool,
     pub(crate) attempts: u32,
     pub(crate) unsent: u32,            // of these, that could not leave this machine
--- a/crates/routing/tests/router/cases.rs
+++ b/crates/routing/tests/router/cases.rs
@@ -314,9 +314,9 @@
 
 #[test]
 fn reads_of_which_a_few_in_a_row_outlast_the_bound_are_long_but_not_among_many() {
-    // A report is taken to last half of its quoted time: under the bound, and over a third of it.
+    // A report is taken to last half of its latency objective: under the bound, and over a third of it.
     let met = |terms: Terms| {
-        let report = terms.classes[REPORT].quoted / 2;
+        let report = terms.classes[REPORT].objective / 2;
         let mut terms = terms;
         terms.classes[READ].need = aldermill_routing::Need::Recent(report * 2);
         let mut world = heard(terms);
@@ -340,7 +340,7 @@
         world.end(read, Verdict::Served);
         world.hear_all();
     }
-    // Of two seconds in all 1.3 s have gone by: its quoted time of half a second as well.
+    // Of two seconds in all 1.3 s have gone by: its latency objective of half a second as well.
     let repeat = world.take(READ, 700 * MS);
     assert_eq!(world.rejected, [repeat]);
 }
@@ -376,7 +376,7 @@
 fn a_read_that_waited_for_a_replicas_word_is_held_to_the_standard_of_an_arrival() {
     let mut terms = Terms { drivers: 40, drivers_at_cold: 40, ..terms() };
     // Attempts are taken to last 30 ms: half come in time after a wait of 6 ms, 85 of a hundred do not.
-    terms.classes[READ].quoted = 60 * MS;
+    terms.classes[READ].objective = 60 * MS;
     let mut world = World::new(terms, 2);
     world.probe_answer(0, true);
     world.pass(BOUND + 30 * MS);
--- a/crates/routing/tests/router/givens.rs
+++ b/crates/routing/tests/router/givens.rs
@@ -15,13 +15,13 @@
 pub const REPORT: usize = 5;
 
 pub fn terms() -> Terms {
-    let class = |effect, need, payoff, late_share| RequestClass {
+    let class = |effect, need, priority_weight, late_priority_weight| RequestClass {
         effect,
         need,
-        quoted: 500 * MS,
-        limit: 2_000 * MS,
-        payoff,
-        late_share,
+        objective: 500 * MS,
+        timeout: 2_000 * MS,
+        priority_weight,
+        late_priority_weight,
     };
     let receipted = Effect::Receipted { scope: Scope::Group, window: 2_000 * MS };
     Terms {
@@ -32,8 +32,8 @@
             class(receipted, Need::Write, 3.0, 0.5),
             class(Effect::Pure, Need::OwnWrites, 1.0, 0.0),
             RequestClass {
-                quoted: 6_000 * MS,
-                limit: 12_000 * MS,
+                objective: 6_000 * MS,
+                timeout: 12_000 * MS,
                 ..class(Effect::Pure, Need::Loose, 4.0, 0.0)
             },
         ],
--- a/crates/routing/tests/router/in_time.rs
+++ b/crates/routing/tests/router/in_time.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_try_too_late_for_its_quoted_time_is_rejected_at_once() {
+fn a_try_too_late_for_its_latency_objective_is_rejected_at_once() {
     let mut world = heard(terms());
     let soon = world.take_try(READ, 1_900 * MS, true);
     assert!(target(&world, soon).is_some());
@@ -56,12 +56,12 @@
 }
 
 #[test]
-fn a_driver_among_many_attempts_nothing_that_pays_only_a_small_late_share() {
+fn a_driver_among_many_attempts_nothing_that_pays_only_a_small_late_priority_weight() {
     let mut world = heard(many());
     // Of two seconds in all 0.6 s have gone by: the quoted half a second as well.
     let (read, write) = (world.take_try(LOOSE, 1_400 * MS, true), world.take_try(WRITE, 1_400 * MS, true));
     assert_eq!(world.rejected, [read]);
-    assert_eq!(target(&world, write), Some(0), "half of its payoff is left");
+    assert_eq!(target(&world, write), Some(0), "half of its priority weight is left");
 }
 
 #[test]
--- a/crates/routing/tests/router/world.rs
+++ b/crates/routing/tests/router/world.rs
@@ -103,7 +103,7 @@
     pub fn stand(&mut self, long: Micros) {
         self.now += long;
         self.router.stood_still(self.now, long);
-        let over = |f: &Flight| f.out.is_some_and(|(_, limit)| limit <= self.now);
+        let over = |f: &Flight| f.out.is_some_and(|(_, deadline)| deadline <= self.now);
         let ends: Vec<Handle> =
             self.flights.iter().filter(|(_, f)| over(f)).map(|(&handle, _)| handle).collect();
         ends.into_iter().for_each(|handle| self.end(handle, Verdict::Unobserved));
@@ -114,7 +114,7 @@
 
     /// Attempts whose limit has passed end as timed out; no request outlives its end.
     fn run_out(&mut self) {
-        let due = |f: &Flight| f.out.is_some_and(|(_, limit)| limit <= self.now);
+        let due = |f: &Flight| f.out.is_some_and(|(_, deadline)| deadline <= self.now);
         let ends: Vec<Handle> =
             self.flights.iter().filter(|(_, f)| due(f)).map(|(&handle, _)| handle).collect();
         for handle in ends {
@@ -231,7 +231,7 @@
     /// An attempt ends, and its member says this of itself.
     pub fn end_saying(&mut self, handle: Handle, verdict: Verdict, told: Told) {
         let flight = self.flights.get_mut(&handle).expect("taken");
-        let (id, limit) = flight.out.take().expect("out");
+        let (id, deadline) = flight.out.take().expect("out");
         let write = self.terms.classes[flight.class].need == Need::Write;
         if !verdict.never_ran() {
             flight.may_have_run.get_or_insert(flight.attempted);
@@ -258,7 +258,7 @@
             self.session_floor = self.now;
         }
         let most = if verdict == Verdict::Error { MS } else { 50 * MS };
-        let took = (limit - self.now).clamp(MS, most);
+        let took = (deadline - self.now).clamp(MS, most);
         let todo = handle.ended(&mut self.router, self.now, Outcome { verdict, took, told, closed });
         self.carry_out(todo);
     }
@@ -316,9 +316,9 @@
         self.shut.extend(todo.shut);
         for (handle, step) in todo.steps {
             match step {
-                Step::Attempt { member, limit, afresh, validity } => {
+                Step::Attempt { member, timeout, afresh, validity } => {
                     self.afresh.extend(afresh.then_some(member));
-                    self.check_attempt(handle, member, limit, validity);
+                    self.check_attempt(handle, member, timeout, validity);
                 }
                 Step::Reject { .. } => {
                     let flight = self.flights.get_mut(&handle).expect("taken");
@@ -336,13 +336,13 @@
         }
     }
 
-    fn check_attempt(&mut self, handle: Handle, id: MemberId, limit: Micros, validity: Validity) {
+    fn check_attempt(&mut self, handle: Handle, id: MemberId, timeout: Micros, validity: Validity) {
         let now = self.now;
         let flight = self.flights.get_mut(&handle).expect("taken");
         let class = &self.terms.classes[flight.class];
         assert!(!flight.over, "rule 1: attempted after its answer");
         assert!(flight.out.is_none(), "rule 2: two attempts out at once");
-        assert!(flight.attempts < self.terms.max_attempts && limit > 0);
+        assert!(flight.attempts < self.terms.max_attempts && timeout > 0);
         assert!(now < flight.end, "attempted when its client has gone");
         match class.effect {
             Effect::Effectful => assert!(flight.may_have_run.is_none(), "rule 2: attempted again"),
@@ -373,7 +373,7 @@
         assert!(lasts, "rule 5: proven for longer than it is");
         flight.attempts += 1;
         flight.attempted = now;
-        flight.out = Some((id, (now + limit).min(flight.end)));
+        flight.out = Some((id, (now + timeout).min(flight.end)));
         self.attempted.push((handle, id));
         self.check_cold(id);
     }
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -19,10 +19,10 @@
     let class = RequestClass {
         effect: Effect::Pure,
         need: Need::Loose,
-        quoted: 500 * MS,
-        limit: 1_000 * MS,
-        payoff: 1.0,
-        late_share: 0.0,
+        objective: 500 * MS,
+        timeout: 1_000 * MS,
+        priority_weight: 1.0,
+        late_priority_weight: 0.0,
     };
     Terms {
         classes: vec![class],
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -195,10 +195,10 @@
             classes.push(RequestClass {
                 effect,
                 need,
-                quoted: time("targetMs", category.target_ms)?,
-                limit: time("deadlineMs", category.deadline_ms)?,
-                payoff: figure("worth", category.worth)?,
-                late_share: figure("lateWorth", category.late_worth)?,
+                objective: time("targetMs", category.target_ms)?,
+                timeout: time("deadlineMs", category.deadline_ms)?,
+                priority_weight: figure("worth", category.worth)?,
+                late_priority_weight: figure("lateWorth", category.late_worth)?,
             });
         }
         let listed_roles = match family.role_listed.as_str() {
@@ -276,9 +276,9 @@
 
     /// The names of those request classes that pay most.
     pub fn best_paid(&self) -> Vec<String> {
-        let payoff = |index: usize| self.terms.classes[index].payoff;
-        let most = (0..self.terms.classes.len()).map(payoff).fold(f64::NEG_INFINITY, f64::max);
-        let best = self.classes.iter().filter(|&(_, &index)| payoff(index) >= most);
+        let priority_weight = |index: usize| self.terms.classes[index].priority_weight;
+        let most = (0..self.terms.classes.len()).map(priority_weight).fold(f64::NEG_INFINITY, f64::max);
+        let best = self.classes.iter().filter(|&(_, &index)| priority_weight(index) >= most);
         best.map(|(name, _)| name.clone()).collect()
     }
 
--- a/crates/site-drain/src/holder.rs
+++ b/crates/site-drain/src/holder.rs
@@ -26,7 +26,8 @@
 pub struct Told {
     /// Its site; empty without a gateway.
     pub site: String,
-    /// Requests that ended at members of its site, and how many of them in quoted time, over so long.
+    /// Requests that ended at members of its site, and how many of them within the latency objective, over so
+    /// long.
     pub over_ms: u32,
     pub ended: u32,
     pub in_time: u32,
--- a/crates/site-routing/src/credit.rs
+++ b/crates/site-routing/src/credit.rs
@@ -32,9 +32,9 @@
 
 impl Offers {
     pub fn start(classes: &[RequestClass], most: u32) -> Offers {
-        let best = classes.iter().map(|class| class.payoff).fold(f64::MIN_POSITIVE, f64::max);
+        let best = classes.iter().map(|class| class.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
         // Half for what pays nothing, nine tenths for the best paid.
-        let keeps = classes.iter().map(|class| 0.5 + 0.4 * (class.payoff / best).clamp(0.0, 1.0));
+        let keeps = classes.iter().map(|class| 0.5 + 0.4 * (class.priority_weight / best).clamp(0.0, 1.0));
         Offers { windows: HashMap::new(), keeps: keeps.collect(), most: f64::from(most.max(1)) }
     }
 
--- a/crates/site-routing/src/fates.rs
+++ b/crates/site-routing/src/fates.rs
@@ -1,8 +1,8 @@
 //! The receiver's book: what came to this gateway, and what became of it.
 //!
 //! A key is taken once. Who asks about a key that was never taken fences it: from then on it never will be. What may
-//! be forgotten is what nobody can ask about any more, by its time limit or by the sender's word; a number that was
-//! forgotten stays fenced by a floor under all later ones.
+//! be forgotten is what nobody can ask about any more, by its deadline or by the sender's word; a number that
+//! was forgotten stays fenced by a floor under all later ones.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -96,7 +96,7 @@
     books: BTreeMap<(String, String), Book<V>>,
     /// Records that one sender may have.
     most: usize,
-    /// How long after its time limit somebody may still ask about a key.
+    /// How long after its deadline somebody may still ask about a key.
     slack: Micros,
 }
 
--- a/crates/site-routing/src/lib.rs
+++ b/crates/site-routing/src/lib.rs
@@ -62,10 +62,10 @@
 pub struct RequestClass {
     pub effect: Effect,
     pub need: Need,
-    pub quoted: Micros,
-    pub payoff: f64,
-    /// The part of the payoff that an answer after the quoted time still earns.
-    pub late_share: f64,
+    pub objective: Micros,
+    pub priority_weight: f64,
+    /// The part of the priority weight that an answer after the latency objective still earns.
+    pub late_priority_weight: f64,
 }
 
 /// What a gateway is told once.
--- a/crates/site-routing/src/sites.rs
+++ b/crates/site-routing/src/sites.rs
@@ -75,8 +75,8 @@
 #[derive(Debug)]
 struct PendingRequest {
     request: Request,
-    limit: Micros,
-    quoted_by: Micros,
+    deadline: Micros,
+    objective_at: Micros,
     /// With the own site's module.
     here: bool,
     /// Misses that it met here in this round.
@@ -178,11 +178,11 @@
     pub fn take(&mut self, now: Micros, request: Request) -> (Handle, Todo) {
         let handle = Handle(self.next);
         self.next += 1;
-        let (limit, quoted_by) = (now + request.ttl, now + self.class(&request).quoted);
+        let (deadline, objective_at) = (now + request.ttl, now + self.class(&request).objective);
         let pending = PendingRequest {
             request,
-            limit,
-            quoted_by,
+            deadline,
+            objective_at,
             here: false,
             misses: 0,
             out: None,
--- a/crates/site-routing/src/sites/hear.rs
+++ b/crates/site-routing/src/sites/hear.rs
@@ -39,7 +39,7 @@
             barred_until: Micros::MIN / 2,
             failures: VecDeque::new(),
             served: 0,
-            took: classes.iter().map(|class| Histogram::of(class.quoted / 8, 4)).collect(),
+            took: classes.iter().map(|class| Histogram::of(class.objective / 8, 4)).collect(),
         });
         if gate.links > 0 && links == 0 {
             gate.lost = now;
--- a/crates/site-routing/src/sites/place.rs
+++ b/crates/site-routing/src/sites/place.rs
@@ -15,7 +15,7 @@
             return self.hold(now, handle);
         };
         if site == OWN {
-            let ttl = pending.limit - now;
+            let ttl = pending.deadline - now;
             let pending = self.pending_requests.get_mut(&handle).expect("held by its handle");
             (pending.here, pending.misses) = (true, 0);
             return self.todo.steps.push((handle, Step::Here { ttl }));
@@ -28,13 +28,16 @@
         let gate = &self.gates[&id];
         let (way, pending) = (gate.trip.one_way(), &self.pending_requests[&handle]);
         let usual = gate.took[pending.request.class].quantile(0.5).unwrap_or(0).max(gate.trip.mean());
-        let useful =
-            if class.late_share > 0.0 { pending.limit } else { pending.limit.min(pending.quoted_by) };
+        let useful = if class.late_priority_weight > 0.0 {
+            pending.deadline
+        } else {
+            pending.deadline.min(pending.objective_at)
+        };
         // What cannot be back in time is rejected before it is sent.
         if now + usual.max(2 * way) >= useful {
             return self.give_up(handle);
         }
-        let left = pending.limit - now - way;
+        let left = pending.deadline - now - way;
         let number = self.crossings.send(now, handle, id, pending.request.class);
         let pending = self.pending_requests.get_mut(&handle).expect("held by its handle");
         (pending.out, pending.crossed) = (Some(number), pending.crossed + 1);
@@ -50,7 +53,7 @@
         };
         // Protects other sites from requests that are lost again and again; each crossing costs both sides
         // work.
-        never_again || now + BEAT >= pending.limit || pending.crossed > 2 + self.terms.sites as u32
+        never_again || now + BEAT >= pending.deadline || pending.crossed > 2 + self.terms.sites as u32
     }
 
     /// Where it goes next; `None` is nowhere for now.
@@ -200,7 +203,7 @@
         // Protects a client from a long wait for nothing, as the module does: a read that no site has room for by half of its
         // time is rejected then. Harms what finds room later.
         let reads = self.terms.classes[pending.request.class].need != Need::Primary;
-        if reads && now + pending.request.ttl / 2 >= pending.limit {
+        if reads && now + pending.request.ttl / 2 >= pending.deadline {
             return self.give_up(handle);
         }
         let round = !pending.tried.is_empty();
--- a/crates/site-routing/src/sites/settle.rs
+++ b/crates/site-routing/src/sites/settle.rs
@@ -88,8 +88,8 @@
 
     pub(super) fn give_up(&mut self, handle: Handle) {
         let Some(pending) = self.pending_requests.get(&handle) else { return };
-        let quoted = self.class(&pending.request).quoted;
-        self.reject(handle, quoted);
+        let objective = self.class(&pending.request).objective;
+        self.reject(handle, objective);
     }
 
     pub(super) fn close(&mut self, handle: Handle) {
@@ -106,15 +106,16 @@
         held.retain(|handle| self.pending_requests.contains_key(handle));
         // Best paid first, then those that came first.
         held.sort_by(|a, b| {
-            let payoff = |handle: &Handle| self.class(&self.pending_requests[handle].request).payoff;
-            payoff(b).total_cmp(&payoff(a)).then(a.cmp(b))
+            let priority_weight =
+                |handle: &Handle| self.class(&self.pending_requests[handle].request).priority_weight;
+            priority_weight(b).total_cmp(&priority_weight(a)).then(a.cmp(b))
         });
         held.into_iter().for_each(|handle| self.place(now, handle));
     }
 
     pub(super) fn beat(&mut self, now: Micros) {
         // What is out and unsettled when its time is nearly up ends as what it is: it may have run.
-        let ends = |pending: &PendingRequest| pending.out.is_some() && now + BEAT >= pending.limit;
+        let ends = |pending: &PendingRequest| pending.out.is_some() && now + BEAT >= pending.deadline;
         let mut late: Vec<Handle> = self
             .pending_requests
             .iter()
--- a/crates/site-routing/tests/retiring.rs
+++ b/crates/site-routing/tests/retiring.rs
@@ -19,7 +19,13 @@
 
 /// A gateway of site a, with links to one gateway of b and one of c; all have members of the group.
 fn gateway() -> Sites {
-    let class = |effect, need| RequestClass { effect, need, quoted: 400 * MS, payoff: 1.0, late_share: 0.5 };
+    let class = |effect, need| RequestClass {
+        effect,
+        need,
+        objective: 400 * MS,
+        priority_weight: 1.0,
+        late_priority_weight: 0.5,
+    };
     let classes = vec![class(Effect::Pure, Need::Any), class(Effect::Effectful, Need::Primary)];
     let terms = Terms { classes, sites: 3, max_hops: 1, max_credit: 10_000, max_cool_down: 500 * MS };
     let mut sites = Sites::start(terms, 1, 0);
--- a/crates/site-routing/tests/two_sites/world.rs
+++ b/crates/site-routing/tests/two_sites/world.rs
@@ -17,8 +17,13 @@
 pub const FAR: usize = 1;
 
 pub fn terms() -> Terms {
-    let class =
-        |effect, need, payoff| RequestClass { effect, need, quoted: 700 * MS, payoff, late_share: 0.5 };
+    let class = |effect, need, priority_weight| RequestClass {
+        effect,
+        need,
+        objective: 700 * MS,
+        priority_weight,
+        late_priority_weight: 0.5,
+    };
     Terms {
         classes: vec![
             class(Effect::Pure, Need::Any, 1.0),
@@ -47,7 +52,7 @@
 #[derive(Debug)]
 pub struct Asked {
     pub class: usize,
-    pub limit: Micros,
+    pub deadline: Micros,
     pub answered: Option<&'static str>,
     pub left: bool,
     pub runs: u32,
@@ -173,7 +178,7 @@
 
     pub fn take(&mut self, at: usize, class: usize) {
         let request = self.requests.len();
-        self.requests.push(Asked { class, limit: self.now + LIMIT, answered: None, left: false, runs: 0 });
+        self.requests.push(Asked { class, deadline: self.now + LIMIT, answered: None, left: false, runs: 0 });
         let (handle, todo) = self.sides[at]
             .sites
             .take(self.now, Request { class, group: GROUP, ttl: LIMIT, visited: Vec::new(), session: None });
@@ -231,7 +236,7 @@
                 _ => panic!("no answer for a client: {answer:?}"),
             };
             assert_eq!(request.answered.replace(said), None, "answered twice");
-            assert!(now <= request.limit, "{} too late", now - request.limit);
+            assert!(now <= request.deadline, "{} too late", now - request.deadline);
             let effectful = request.class == 1;
             assert!(said != "rejected" || !effectful || request.runs == 0, "rejected, and it ran");
             assert!(said != "served" || request.runs > 0, "served, and it never ran");
@@ -252,7 +257,7 @@
     }
 
     /// The module at a side is done with a request.
-    pub fn here_done(&mut self, at: usize, handle: Handle, limit: Micros) {
+    pub fn here_done(&mut self, at: usize, handle: Handle, deadline: Micros) {
         let side = &mut self.sides[at];
         let request = match (side.own.get(&handle), side.guests.get(&handle)) {
             (Some(&request), _) => request,
@@ -261,12 +266,12 @@
         };
         let primary = self.primary == at;
         let needs_primary = matches!(self.requests[request].class, 1 | 2);
-        let todo = if needs_primary && !primary && self.now > limit - 60 * MS {
+        let todo = if needs_primary && !primary && self.now > deadline - 60 * MS {
             handle.here_ended(&mut side.sites, self.now, HereEnded::Rejected { cool_down: 0 })
         } else if needs_primary && !primary {
             let todo = handle.here_missed(&mut side.sites, self.now);
             if !todo.steps.contains(&(handle, Step::TakeBack)) {
-                side.here.insert(handle, (self.now + 30 * MS, limit));
+                side.here.insert(handle, (self.now + 30 * MS, deadline));
             } else {
                 side.here.insert(handle, (0, 0));
             }
@@ -347,9 +352,11 @@
             }
             for at in 0..2 {
                 let due = self.sides[at].here.iter().filter(|(_, (due, _))| *due <= now);
-                for (handle, limit) in due.map(|(&handle, &(_, limit))| (handle, limit)).collect::<Vec<_>>() {
+                for (handle, deadline) in
+                    due.map(|(&handle, &(_, deadline))| (handle, deadline)).collect::<Vec<_>>()
+                {
                     self.sides[at].here.remove(&handle);
-                    self.here_done(at, handle, limit);
+                    self.here_done(at, handle, deadline);
                 }
                 self.sides[at].fates.expire(now);
                 let todo = self.sides[at].sites.wake(now);
@@ -357,7 +364,7 @@
             }
             for request in &self.requests {
                 assert!(
-                    request.answered.is_some() || request.left || now < request.limit,
+                    request.answered.is_some() || request.left || now < request.deadline,
                     "no answer in time: {request:?}"
                 );
             }
--- a/crates/zone-failover/src/tally.rs
+++ b/crates/zone-failover/src/tally.rs
@@ -5,7 +5,7 @@
 /// How an attempt ended, as far as zones are concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// Served within its request class's quoted time, or later.
+    /// Served within its request class's latency objective, or later.
     Served {
         in_time: bool,
     },
