--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 
 use aldermill_routing::{
-    Handle, Listed, MemberId, Micros, Outcome, Request, Role, Router, Standing, Step, Todo, Told,
+    Action, Actions, Handle, Listed, MemberId, MemberReport, Micros, Outcome, Request, Role, Router, Standing,
 };
 use aldermill_settings::{Decoded, Trouble};
 use wire::Fields;
@@ -90,31 +90,31 @@
         items.iter().map(listed).collect()
     }
 
-    fn encode(&mut self, who: u32, now: Micros, todo: Todo, reply: &mut wire::Reply) {
-        for (handle, step) in todo.steps {
+    fn encode(&mut self, who: u32, now: Micros, actions: Actions, reply: &mut wire::Reply) {
+        for (handle, step) in actions.requests {
             let Some(&ticket) = self.tickets.get(&handle) else { continue };
             match step {
-                Step::Attempt { member, timeout, afresh, .. } => {
+                Action::Attempt { member, timeout, afresh, .. } => {
                     if afresh {
                         reply.shut_idle(who, &self.member_names[member]);
                     }
                     reply.call_out(who, ticket, &self.member_names[member], timeout)
                 }
-                Step::Reject { cool_down } => reply.turn_away(who, ticket, cool_down),
-                Step::Fail => reply.error(who, ticket),
+                Action::Reject { cool_down } => reply.turn_away(who, ticket, cool_down),
+                Action::Fail => reply.error(who, ticket),
             }
             self.release(handle);
         }
-        for member in todo.probes {
+        for member in actions.health_checks {
             reply.poll(who, &self.member_names[member]);
         }
-        for member in todo.shut {
+        for member in actions.shut {
             reply.shut_idle(who, &self.member_names[member]);
         }
-        if todo.subscribe {
+        if actions.subscribe {
             reply.stream_changes(who);
         }
-        if let Some(at) = todo.wake_at
+        if let Some(at) = actions.wake_at
             && self.armed.is_none_or(|armed| armed <= now || at < armed)
         {
             self.timers += 1;
@@ -124,22 +124,22 @@
     }
 
     /// What an answer's note and a load report say; the newer position of the two.
-    fn told(&self, stand: Option<u64>, load: Option<&str>) -> Result<Told, Trouble> {
+    fn report(&self, stand: Option<u64>, load: Option<&str>) -> Result<MemberReport, Trouble> {
         let pairs = load.into_iter().flat_map(|load| load.split(','));
         let pairs = pairs.map(|pair| pair.split_once(':').unwrap_or((pair, "")));
-        let mut told = Decoded::report(pairs, self.decoded.zero)?;
+        let mut report = Decoded::report(pairs, self.decoded.zero)?;
         if let Some(stand) = stand.filter(|&stand| stand > 0) {
-            told.role = match stand % 4 {
+            report.role = match stand % 4 {
                 1 => Some(Role::Primary),
                 2 => Some(Role::Replica),
-                _ => told.role,
+                _ => report.role,
             };
             if stand >= 4 {
                 let position = self.decoded.zero + (stand / 4) as Micros * 1000;
-                told.position = told.position.max(Some(position));
+                report.position = report.position.max(Some(position));
             }
         }
-        Ok(told)
+        Ok(report)
     }
 
     /// Drops the names of a request of which nothing more can be heard.
@@ -209,7 +209,7 @@
         let now = self.now;
         let who = fields.instance()?;
         let Some(driver) = self.drivers.get_mut(&who) else { return Ok(()) };
-        let todo = match verb {
+        let actions = match verb {
             "UPDATE" => {
                 fields.skip("serial")?;
                 let page = fields.optional("page")?;
@@ -240,10 +240,10 @@
                 let last_write = fields.optional_time("lastWriteMs")?.filter(|&ago| ago > 0);
                 let repeat = fields.optional_integer("options")?.unwrap_or(0) & 2 != 0;
                 let request = Request { class, group, ttl, waited: 0, session, last_write, repeat };
-                let (handle, todo) = driver.router.take(now, request);
+                let (handle, actions) = driver.router.take(now, request);
                 driver.handles.insert(ticket, handle);
                 driver.tickets.insert(handle, ticket);
-                todo
+                actions
             }
             "OUTCOME" => {
                 let ticket = fields.integer("ticket")?;
@@ -254,19 +254,19 @@
                 let stand = fields.optional_integer("stand")?;
                 let closed = fields.flag("closed")?;
                 let load = fields.optional("load")?;
-                let told = driver.told(stand, load)?;
+                let report = driver.report(stand, load)?;
                 let Some(&handle) = driver.handles.get(&ticket) else { return Ok(()) };
-                let outcome = Outcome { verdict, took, told, closed };
-                let todo = handle.ended(&mut driver.router, now, outcome);
-                driver.encode(who, now, todo, &mut self.reply);
+                let outcome = Outcome { verdict, took, report, closed };
+                let actions = handle.ended(&mut driver.router, now, outcome);
+                driver.encode(who, now, actions, &mut self.reply);
                 driver.release(handle);
                 return Ok(());
             }
             "ABANDONED" => {
                 let ticket = fields.integer("ticket")?;
                 let Some(&handle) = driver.handles.get(&ticket) else { return Ok(()) };
-                let todo = handle.left(&mut driver.router, now);
-                driver.encode(who, now, todo, &mut self.reply);
+                let actions = handle.left(&mut driver.router, now);
+                driver.encode(who, now, actions, &mut self.reply);
                 driver.release(handle);
                 return Ok(());
             }
@@ -274,16 +274,16 @@
                 let name = fields.text("member")?;
                 let verdict = fields.verdict("how")?;
                 let took = fields.time("timeTakenMs")?;
-                let told = driver.told(None, fields.optional("load")?)?;
+                let report = driver.report(None, fields.optional("load")?)?;
                 let member = driver.member(name);
-                driver.router.probed(now, member, verdict, took, told)
+                driver.router.health_checked(now, member, verdict, took, report)
             }
             _ => {
                 fields.integer("name")?;
                 driver.router.wake(now)
             }
         };
-        driver.encode(who, now, todo, &mut self.reply);
+        driver.encode(who, now, actions, &mut self.reply);
         Ok(())
     }
 }
--- a/crates/fault-injection/src/figures.rs
+++ b/crates/fault-injection/src/figures.rs
@@ -46,7 +46,7 @@
     pub rejected: usize,
     pub failed: usize,
     pub never_answered: usize,
-    pub probes_a_request: f64,
+    pub health_checks_a_request: f64,
     pub past_limit: usize,
     pub past_limit_writes: usize,
     /// In 100 ms: ordinary, and the most after the first fault was over.
@@ -77,7 +77,7 @@
     pub in_time: usize,
     pub attempts: usize,
     pub connections: usize,
-    pub probes: usize,
+    pub health_checks: usize,
     pub lists: usize,
 }
 
@@ -90,7 +90,7 @@
             Event::Asked { .. } => bin.asked += 1,
             Event::Reached { .. } => bin.attempts += 1,
             Event::Connected { .. } => bin.connections += 1,
-            Event::Probed { .. } => bin.probes += 1,
+            Event::HealthChecked { .. } => bin.health_checks += 1,
             Event::Listed { .. } => bin.lists += 1,
             _ => {}
         }
@@ -169,8 +169,9 @@
         }
     }
     figures.crossing = crossed as f64 / f64::from(attempts.max(1));
-    let probes = events.iter().filter(|(_, event)| matches!(event, Event::Probed { .. })).count();
-    figures.probes_a_request = probes as f64 / requests.len().max(1) as f64;
+    let health_checks =
+        events.iter().filter(|(_, event)| matches!(event, Event::HealthChecked { .. })).count();
+    figures.health_checks_a_request = health_checks as f64 / requests.len().max(1) as f64;
     for (_, event) in events {
         match event {
             Event::Answered { how: How::Rejected, .. } => figures.rejected += 1,
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -82,7 +82,7 @@
         driver: usize,
         member: usize,
     },
-    Probed {
+    HealthChecked {
         driver: usize,
         member: usize,
     },
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -90,37 +90,48 @@
     let seconds = long("seconds").argument::<u64>("S").fallback(usual.length.as_secs());
     let failover = long("failover").help("primaries move after so long").argument::<u64>("S").optional();
     let idle_ms = long("idle-ms").argument::<u64>("MS").fallback(usual.idle.as_millis() as u64);
-    let no_probes = long("no-probes").help("the settings allow none").switch();
+    let no_health_checks = long("no-probes").help("the settings allow none").switch();
     let sockets = long("sockets").argument::<u64>("N").fallback(usual.sockets);
     let memory_mb = long("memory-mb").argument::<u64>("N").fallback(usual.memory_mb);
     let seed = long("seed").argument::<u64>("N").fallback(usual.seed);
-    construct!(processes, members, groups, seconds, failover, idle_ms, no_probes, sockets, memory_mb, seed)
-        .map(
-            |(
-                processes,
-                members,
-                groups,
-                seconds,
-                failover,
-                idle_ms,
-                no_probes,
-                sockets,
-                memory_mb,
-                seed,
-            )| Day {
-                processes,
-                members,
-                groups: groups.unwrap_or((members / 5).max(1)),
-                length: Duration::from_secs(seconds),
-                failover: failover.map(Duration::from_secs),
-                idle: Duration::from_millis(idle_ms),
-                probes: !no_probes,
-                sockets,
-                memory_mb,
-                seed,
-                ..Day::default()
-            },
-        )
+    construct!(
+        processes,
+        members,
+        groups,
+        seconds,
+        failover,
+        idle_ms,
+        no_health_checks,
+        sockets,
+        memory_mb,
+        seed
+    )
+    .map(
+        |(
+            processes,
+            members,
+            groups,
+            seconds,
+            failover,
+            idle_ms,
+            no_health_checks,
+            sockets,
+            memory_mb,
+            seed,
+        )| Day {
+            processes,
+            members,
+            groups: groups.unwrap_or((members / 5).max(1)),
+            length: Duration::from_secs(seconds),
+            failover: failover.map(Duration::from_secs),
+            idle: Duration::from_millis(idle_ms),
+            health_checks: !no_health_checks,
+            sockets,
+            memory_mb,
+            seed,
+            ..Day::default()
+        },
+    )
 }
 
 /// Whether all figures of the wide fleets are within their bounds.
--- a/crates/fault-injection/src/member.rs
+++ b/crates/fault-injection/src/member.rs
@@ -191,7 +191,7 @@
             } else if let Ok(comment) = Comment::parse(&text) {
                 self.request(stream, &mut out, driver, &comment).await?;
             } else {
-                self.world.note(Event::Probed { driver, member: self.id });
+                self.world.note(Event::HealthChecked { driver, member: self.id });
                 self.awake().await;
                 let primary = u8::from(self.world.is_primary(self.id));
                 let report = format!("x0={:.3},x1={primary},inflight=0", self.unix_millis() as f64 / 1000.0);
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -29,7 +29,7 @@
     row("attempts in 100 ms, most", format!("{:.1}, {}", figures.attempts, figures.most_attempts));
     row("connections in 100 ms, most", format!("{:.1}, {}", figures.connections, figures.most_connections));
     row("lists in 100 ms, restarted", format!("{}, {}", figures.most_lists, figures.restarted));
-    row("probes a request", format!("{:.3}", figures.probes_a_request));
+    row("probes a request", format!("{:.3}", figures.health_checks_a_request));
     if let Some(took) = figures.full_service_ms {
         row("full service after, ms", if took < 0 { "never".to_owned() } else { took.to_string() });
     }
@@ -63,7 +63,7 @@
     all.fold(String::new(), |text, line| text + &line + "\n")
 }
 
-/// Served share, attempts, connections, probes and list calls for each 100 ms, with the faults marked.
+/// Served share, attempts, connections, health checks and list calls for each 100 ms, with the faults marked.
 pub fn picture(run: &Run, path: &Path) -> Result<(), Trouble> {
     draw(run, path).map_err(|why| Trouble::Picture { path: path.to_owned(), why: why.to_string() })
 }
@@ -85,7 +85,7 @@
         ("served within the latency objective, share", share),
         ("attempts", |bin| bin.attempts as f64),
         ("new connections to members", |bin| bin.connections as f64),
-        ("probes", |bin| bin.probes as f64),
+        ("probes", |bin| bin.health_checks as f64),
         ("lists asked for", |bin| bin.lists as f64),
     ];
     for ((name, of), area) in rows.iter().zip(area.split_evenly((5, 1))) {
--- a/crates/fault-injection/src/wide/ground.rs
+++ b/crates/fault-injection/src/wide/ground.rs
@@ -27,7 +27,7 @@
     /// By round, process and group.
     searches: RefCell<BTreeMap<(usize, usize, usize), Search>>,
     pub connections: Cell<u64>,
-    pub probes: Cell<u64>,
+    pub health_checks: Cell<u64>,
     pub misses: Cell<u64>,
     pub writes: Cell<Answers>,
     pub reads: Cell<Answers>,
@@ -50,7 +50,7 @@
             round: Cell::default(),
             searches: RefCell::default(),
             connections: Cell::default(),
-            probes: Cell::default(),
+            health_checks: Cell::default(),
             misses: Cell::default(),
             writes: Cell::default(),
             reads: Cell::default(),
--- a/crates/fault-injection/src/wide/member.rs
+++ b/crates/fault-injection/src/wide/member.rs
@@ -118,7 +118,7 @@
             self.request(&comment, out).await;
             self.state(out);
         } else {
-            count(&self.ground.probes);
+            count(&self.ground.health_checks);
             let primary = u8::from(self.ground.is_primary(self.id));
             let report = format!("x0={:.3},x1={primary},inflight=0", self.position_ms() as f64 / 1000.0);
             pg::single_row(out, "usage", report.as_bytes(), "SHOW");
--- a/crates/fault-injection/src/wide/mod.rs
+++ b/crates/fault-injection/src/wide/mod.rs
@@ -51,8 +51,8 @@
     pub failover: Option<Duration>,
     /// What the settings say of idle connections; members close theirs after it too.
     pub idle: Duration,
-    /// Whether the settings allow probes.
-    pub probes: bool,
+    /// Whether the settings allow health checks.
+    pub health_checks: bool,
     /// The limits of each process.
     pub sockets: u64,
     pub memory_mb: u64,
@@ -73,7 +73,7 @@
             connections: 4000.0,
             failover: None,
             idle: Duration::from_secs(30),
-            probes: true,
+            health_checks: true,
             sockets: 256,
             memory_mb: 64,
             seed: 1,
@@ -116,8 +116,8 @@
     pub list_kb: f64,
     pub writes: Answers,
     pub reads: Answers,
-    /// Probes, and writes that reached a member other than the primary.
-    pub probes: f64,
+    /// Health checks, and writes that reached a member other than the primary.
+    pub health_checks: f64,
     pub misses: f64,
     /// Groups that clients of a process wrote to: no policy touches fewer members than these have primaries.
     pub primaries: f64,
@@ -196,7 +196,7 @@
         list_kb: agent.bytes() as f64 / 1000.0 / count,
         writes: ground.writes.get(),
         reads: ground.reads.get(),
-        probes: ground.probes.get() as f64 / count,
+        health_checks: ground.health_checks.get() as f64 / count,
         misses: ground.misses.get() as f64 / count,
         primaries: ground.written_groups() as f64 / count,
         found_at_start: ground.found(0),
--- a/crates/fault-injection/src/wide/process.rs
+++ b/crates/fault-injection/src/wide/process.rs
@@ -38,7 +38,7 @@
         std::fs::create_dir_all(&folder)?;
         let mut settings = terms::settings(day.processes, WARM_MS, 1, 0);
         settings["limits"]["connIdleMs"] = json!(day.idle.as_millis() as u64);
-        settings["limits"]["probes"] = json!(day.probes);
+        settings["limits"]["probes"] = json!(day.health_checks);
         let config = json!({"name": format!("n{at}"), "listen": address.to_string(),
             "discovery": discovery.to_string(), "seed": format!("{:016x}", day.seed * 1000 + at as u64),
             "limits": {"cores": 1.0, "memory_mb": day.memory_mb, "sockets": day.sockets}, "known": known,
--- a/crates/fault-injection/src/wide/table.rs
+++ b/crates/fault-injection/src/wide/table.rs
@@ -83,7 +83,7 @@
     row("writes: rejected, failed", &|of| format!("{}, {}", of.writes.rejected, of.writes.failed));
     row("reads: asked", &|of| of.reads.asked.to_string());
     row("reads: rejected, failed", &|of| format!("{}, {}", of.reads.rejected, of.reads.failed));
-    row("probes, misses", &|of| format!("{:.0}, {:.0}", of.probes, of.misses));
+    row("probes, misses", &|of| format!("{:.0}, {:.0}", of.health_checks, of.misses));
     row("least members to touch by writes", &|of| format!("{:.1}", of.primaries));
     searches(&mut row, "at start", &|of| &of.found_at_start);
     if day.failover.is_some() {
--- a/crates/flow-control/src/lib.rs
+++ b/crates/flow-control/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`Pace`] keeps the books over everything that waits for somebody: statements not yet whole, answers not yet
 //! taken, what the system's buffers may still hold of either, and what is left of closed connections. A connection
 //! is a [`Peer`], a piece of room a [`Claim`]; what happens to either is a call on its handle. Every call brings
-//! `now` and returns a [`Todo`]. Nothing here does I/O or has a clock.
+//! `now` and returns a [`Actions`]. Nothing here does I/O or has a clock.
 //!
 //! [`Meter`] says whether one peer moves quickly enough. Members' connections use it alone.
 
@@ -74,7 +74,7 @@
 
 /// What the caller is to do now, and when to wake the books again.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Todo {
+pub struct Actions {
     pub granted: Vec<Claim>,
     pub refused: Vec<Claim>,
     /// To be closed without another byte; `Peer::left` is due when that is done.
--- a/crates/flow-control/src/pace.rs
+++ b/crates/flow-control/src/pace.rs
@@ -7,11 +7,11 @@
 use crate::handles::{Claim, Peer};
 use crate::room::{Entry, Room};
 use crate::turnover::Turnover;
-use crate::{Ask, Bounds, Meter, Micros, Pressure, Todo, TooMany, Way, Why};
+use crate::{Actions, Ask, Bounds, Meter, Micros, Pressure, TooMany, Way, Why};
 
 impl Peer {
-    /// Asks for room; the answer comes in this or a later `Todo`, by the time that the ask names.
-    pub fn asks(self, pace: &mut Pace, now: Micros, ask: Ask) -> (Claim, Todo) {
+    /// Asks for room; the answer comes in this or a later `Actions`, by the time that the ask names.
+    pub fn asks(self, pace: &mut Pace, now: Micros, ask: Ask) -> (Claim, Actions) {
         let address = pace.peers.get(&self).and_then(|account| account.address);
         let ask = Ask { until: ask.until.min(now + pace.bounds.patience), ..ask };
         let claim = pace.room.wait(now, self, address, ask, pace.bounds.reading.rate);
@@ -19,7 +19,7 @@
     }
 
     /// From now on something waits for the peer to move.
-    pub fn owes(self, pace: &mut Pace, now: Micros, way: Way) -> Todo {
+    pub fn owes(self, pace: &mut Pace, now: Micros, way: Way) -> Actions {
         let least = pace.bounds.least(way);
         if let Some(account) = pace.peers.get_mut(&self) {
             if account.way != Some(way) {
@@ -46,7 +46,7 @@
     }
 
     /// The connection is closed. What it held is given back by its claims.
-    pub fn left(self, pace: &mut Pace, now: Micros) -> Todo {
+    pub fn left(self, pace: &mut Pace, now: Micros) -> Actions {
         if let Some(Account { address: Some(address), .. }) = pace.peers.remove(&self) {
             pace.addresses.left(now, address);
         }
@@ -56,7 +56,7 @@
 
 impl Claim {
     /// No more than so much of it is needed from now on.
-    pub fn shrinks(self, pace: &mut Pace, now: Micros, bytes: u64) -> Todo {
+    pub fn shrinks(self, pace: &mut Pace, now: Micros, bytes: u64) -> Actions {
         let entry = pace.room.entry(self).copied();
         let less = pace.room.shrink(self, bytes);
         pace.turnover.freed(now, less);
@@ -67,7 +67,7 @@
     }
 
     /// Nothing of it is needed any more, granted or not.
-    pub fn given_back(self, pace: &mut Pace, now: Micros) -> Todo {
+    pub fn given_back(self, pace: &mut Pace, now: Micros) -> Actions {
         if let Some((entry, true)) = pace.room.remove(self) {
             pace.turnover.freed(now, entry.ask.bytes);
             pace.return_to(now, &entry, entry.ask.bytes);
@@ -76,7 +76,7 @@
     }
 
     /// Its connection is closed and the system may still hold that much unread: closed is not gone.
-    pub fn lingers(self, pace: &mut Pace, now: Micros) -> Todo {
+    pub fn lingers(self, pace: &mut Pace, now: Micros) -> Actions {
         let until = now + pace.bounds.lingering;
         if let Some(entry) = pace.room.linger(self, until) {
             pace.return_to(now, &entry, entry.ask.bytes);
@@ -155,21 +155,21 @@
     }
 
     /// A new connection wants a place and there is none: who is to give up theirs, if anybody.
-    pub fn slot_wanted(&mut self, now: Micros) -> Todo {
-        let mut todo = self.settle(now);
+    pub fn slot_wanted(&mut self, now: Micros) -> Actions {
+        let mut actions = self.settle(now);
         if let Some(peer) = self.behind(now).first().map(|&(_, peer)| peer) {
-            self.cut(now, peer, Why::Slot, &mut todo);
+            self.cut(now, peer, Why::Slot, &mut actions);
         }
-        todo
+        actions
     }
 
-    pub fn wake(&mut self, now: Micros) -> Todo {
+    pub fn wake(&mut self, now: Micros) -> Actions {
         self.settle(now)
     }
 
     /// The operator's limits have changed. What is granted beyond them stays until it is given back; those who
     /// are behind give way for it.
-    pub fn rebound(&mut self, now: Micros, bounds: Bounds) -> Todo {
+    pub fn rebound(&mut self, now: Micros, bounds: Bounds) -> Actions {
         self.bounds = bounds;
         for account in self.peers.values_mut() {
             account.meter.under(bounds.least(account.way.unwrap_or(Way::Sending)), now);
@@ -178,7 +178,7 @@
     }
 
     /// The program is to end: nobody is waited for any longer than for the usual readers.
-    pub fn stop(&mut self, now: Micros) -> Todo {
+    pub fn stop(&mut self, now: Micros) -> Actions {
         self.stopping.get_or_insert(now + self.bounds.stopping);
         self.settle(now)
     }
@@ -193,8 +193,8 @@
     }
 
     /// Grants what fits, refuses what has waited for long enough, and cuts off those who must give way.
-    fn settle(&mut self, now: Micros) -> Todo {
-        let mut todo = Todo::default();
+    fn settle(&mut self, now: Micros) -> Actions {
+        let mut actions = Actions::default();
         self.room.expire(now);
         let waiting: Vec<(Claim, Entry)> =
             self.room.waiting().map(|(claim, entry)| (claim, *entry)).collect();
@@ -204,14 +204,15 @@
             if self.fits(&entry) {
                 self.room.grant(claim);
                 self.account_for(&entry);
-                todo.granted.push(claim);
+                actions.granted.push(claim);
                 continue;
             }
             let parted = self.peers.get(&entry.peer).is_none_or(|account| account.cut.is_some());
-            let barred = self.short && entry.address.is_some_and(|from| self.addresses.cut_lately(now, from));
-            if parted || barred || !self.could_fit(&entry) || now >= entry.ask.until {
+            let blacklisted =
+                self.short && entry.address.is_some_and(|from| self.addresses.cut_lately(now, from));
+            if parted || blacklisted || !self.could_fit(&entry) || now >= entry.ask.until {
                 self.room.remove(claim);
-                todo.refused.push(claim);
+                actions.refused.push(claim);
             } else if self.fits_its_peer(&entry) && self.is_fair(&entry) {
                 wanted += entry.ask.bytes;
                 wanted_plain += if entry.ask.best { 0 } else { entry.ask.bytes };
@@ -221,17 +222,17 @@
         let lacking_plain = if wanted_plain > 0 { used + wanted_plain } else { 0 };
         let lacking = (used + wanted).saturating_sub(self.bounds.room);
         let lacking = lacking.max(lacking_plain.saturating_sub(self.open_to(false)));
-        let lacking = self.make_room(now, lacking, &mut todo);
-        self.refuse_hopeless(now, lacking, &mut todo);
-        self.cut_overdue(now, &mut todo);
-        self.judge_pressure(now, &mut todo);
-        todo.wake_at = self.due(now);
-        todo
+        let lacking = self.make_room(now, lacking, &mut actions);
+        self.refuse_hopeless(now, lacking, &mut actions);
+        self.cut_overdue(now, &mut actions);
+        self.judge_pressure(now, &mut actions);
+        actions.wake_at = self.due(now);
+        actions
     }
 
     /// Those who are behind give way for what is lacking, also where changed limits are exceeded: who holds most
     /// first. Says how much is lacking even so.
-    fn make_room(&mut self, now: Micros, lacking: u64, todo: &mut Todo) -> u64 {
+    fn make_room(&mut self, now: Micros, lacking: u64, actions: &mut Actions) -> u64 {
         // What those who were cut hold is on its way back.
         let returning: u64 =
             self.peers.values().filter(|account| account.cut.is_some()).map(|account| account.held).sum();
@@ -243,7 +244,7 @@
             if lacking == 0 || held == 0 {
                 break;
             }
-            self.cut(now, peer, Why::Room, todo);
+            self.cut(now, peer, Why::Room, actions);
             lacking = lacking.saturating_sub(held);
         }
         lacking
@@ -253,13 +254,13 @@
     /// others' requests need. Last come are told at once, as far as room does not come free quickly enough.
     /// Should also cover floods of large answers. Harms a large answer just before a pause of many readers
     /// ends.
-    fn refuse_hopeless(&mut self, now: Micros, lacking: u64, todo: &mut Todo) {
+    fn refuse_hopeless(&mut self, now: Micros, lacking: u64, actions: &mut Actions) {
         let mut lacking = lacking;
         while lacking > 0 && self.turnover.time_for(now, lacking) > self.bounds.patience {
             let last = self.room.waiting().filter(|(_, entry)| self.fits_its_peer(entry)).last();
             let Some((claim, entry)) = last.map(|(claim, entry)| (claim, *entry)) else { return };
             self.room.remove(claim);
-            todo.refused.push(claim);
+            actions.refused.push(claim);
             lacking = lacking.saturating_sub(entry.ask.bytes);
         }
     }
@@ -288,7 +289,7 @@
 
     /// Protects the room and the books from peers that stay under the least rate though nobody asks for what
     /// they hold. Should also cover machines that vanished. Harms nobody who was quick in between.
-    fn cut_overdue(&mut self, now: Micros, todo: &mut Todo) {
+    fn cut_overdue(&mut self, now: Micros, actions: &mut Actions) {
         let ends = self.stopping.is_some_and(|until| now >= until);
         let late = |account: &Account| -> Option<Why> {
             let behind = account.meter.behind_since(now);
@@ -300,16 +301,16 @@
         let uncut = self.peers.iter().filter(|(_, account)| account.cut.is_none());
         let late: Vec<(Peer, Why)> =
             uncut.filter_map(|(&peer, account)| Some((peer, late(account)?))).collect();
-        late.into_iter().for_each(|(peer, why)| self.cut(now, peer, why, todo));
+        late.into_iter().for_each(|(peer, why)| self.cut(now, peer, why, actions));
     }
 
-    fn cut(&mut self, now: Micros, peer: Peer, why: Why, todo: &mut Todo) {
+    fn cut(&mut self, now: Micros, peer: Peer, why: Why, actions: &mut Actions) {
         let Some(account) = self.peers.get_mut(&peer) else { return };
         account.cut = Some(why);
         if let Some(address) = account.address {
             self.addresses.was_cut(address, now + self.bounds.overdue);
         }
-        todo.cut.push((peer, why));
+        actions.cut.push((peer, why));
     }
 
     fn fits(&self, entry: &Entry) -> bool {
@@ -356,7 +357,7 @@
     }
 
     /// Room is short from a level to enter to a lower one to leave, or while anybody waits for it.
-    fn judge_pressure(&mut self, now: Micros, todo: &mut Todo) {
+    fn judge_pressure(&mut self, now: Micros, actions: &mut Actions) {
         let (enter, leave) = self.bounds.short;
         let used = self.room.used();
         let short = match self.short {
@@ -367,7 +368,7 @@
             self.turnover = Turnover::start(self.bounds.room, now);
         }
         if std::mem::replace(&mut self.short, short) != short {
-            todo.pressure = Some(Pressure { short, used, waiting: self.room.waiting().count() });
+            actions.pressure = Some(Pressure { short, used, waiting: self.room.waiting().count() });
         }
     }
 
--- a/crates/flow-control/tests/books.rs
+++ b/crates/flow-control/tests/books.rs
@@ -4,7 +4,7 @@
 use std::net::{IpAddr, Ipv4Addr};
 
 use aldermill_flow_control::{
-    Ask, Bounds, Claim, Least, Meter, Micros, Pace, Peer, PerAddress, Todo, TooMany, Way, Why,
+    Actions, Ask, Bounds, Claim, Least, Meter, Micros, Pace, Peer, PerAddress, TooMany, Way, Why,
 };
 use proptest::collection::vec;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -71,23 +71,23 @@
     let peers: Vec<Peer> = (0..5).map(|last| pace.meet(0, from(last)).unwrap()).collect();
     let mut claims = Vec::new();
     for &peer in &peers[..3] {
-        let (claim, todo) = peer.asks(&mut pace, 0, ask(256 * KIB, 0));
-        assert_eq!(todo.granted, [claim]);
+        let (claim, actions) = peer.asks(&mut pace, 0, ask(256 * KIB, 0));
+        assert_eq!(actions.granted, [claim]);
         claims.push(claim);
     }
     // The part of the best paid is theirs alone.
-    let (plain, todo) = peers[3].asks(&mut pace, 0, ask(256 * KIB, S));
-    assert_eq!((todo.granted, todo.cut), (vec![], vec![]));
-    let (small, todo) = peers[4].asks(&mut pace, 1, ask(20 * KIB, S));
-    assert_eq!(todo.granted, [small]);
-    let (best, todo) = peers[4].asks(&mut pace, 1, Ask { best: true, ..ask(200 * KIB, 1) });
-    assert_eq!(todo.granted, [best]);
+    let (plain, actions) = peers[3].asks(&mut pace, 0, ask(256 * KIB, S));
+    assert_eq!((actions.granted, actions.cut), (vec![], vec![]));
+    let (small, actions) = peers[4].asks(&mut pace, 1, ask(20 * KIB, S));
+    assert_eq!(actions.granted, [small]);
+    let (best, actions) = peers[4].asks(&mut pace, 1, Ask { best: true, ..ask(200 * KIB, 1) });
+    assert_eq!(actions.granted, [best]);
     assert_eq!(claims[0].given_back(&mut pace, 2).granted, []);
     assert_eq!(best.given_back(&mut pace, 3).granted, [plain]);
     // What waits no longer is refused, and what could never fit at once.
     let (late, _) = peers[0].asks(&mut pace, 4, ask(200 * KIB, S));
-    let (never, todo) = peers[0].asks(&mut pace, 4, ask(257 * KIB, S));
-    assert_eq!(todo.refused, [never]);
+    let (never, actions) = peers[0].asks(&mut pace, 4, ask(257 * KIB, S));
+    assert_eq!(actions.refused, [never]);
     assert_eq!(pace.wake(S).refused, [late]);
     for claim in [claims[1], claims[2], plain, small] {
         claim.given_back(&mut pace, S);
@@ -108,8 +108,8 @@
     let quick = 2;
     peers[quick].moved(&mut pace, S, 64 * KIB);
     assert_eq!(pace.wake(3 * S).cut, []);
-    let (claim, todo) = peers[4].asks(&mut pace, 3 * S, ask(100 * KIB, 9 * S));
-    assert_eq!(todo.cut, [(peers[1], Why::Room)]);
+    let (claim, actions) = peers[4].asks(&mut pace, 3 * S, ask(100 * KIB, 9 * S));
+    assert_eq!(actions.cut, [(peers[1], Why::Room)]);
     // Nothing more until that one is gone; what the system may hold of it counts for a while.
     assert_eq!(pace.wake(3 * S + 1).cut, []);
     assert_eq!(held[1].shrinks(&mut pace, 3 * S + 2, 32 * KIB).granted, [claim]);
@@ -132,20 +132,20 @@
     let held: Vec<Claim> =
         peers[..4].iter().map(|peer| peer.asks(&mut pace, 0, ask(220 * KIB, 0)).0).collect();
     // At first it is taken to come free within a second: a little may wait, much may not.
-    let (little, todo) = peers[4].asks(&mut pace, 0, ask(200 * KIB, 9 * S));
-    assert_eq!((todo.granted, todo.refused), (vec![], vec![]));
-    let (much, todo) = peers[5].asks(&mut pace, 0, ask(250 * KIB, 9 * S));
-    assert_eq!(todo.refused, [much]);
+    let (little, actions) = peers[4].asks(&mut pace, 0, ask(200 * KIB, 9 * S));
+    assert_eq!((actions.granted, actions.refused), (vec![], vec![]));
+    let (much, actions) = peers[5].asks(&mut pace, 0, ask(250 * KIB, 9 * S));
+    assert_eq!(actions.refused, [much]);
     assert_eq!(pace.wake(S / 4).refused, [little]);
     // Nothing came free for seconds: not even a little may wait. Where it does, it may.
-    let (none, todo) = peers[6].asks(&mut pace, 9 * S, ask(200 * KIB, 19 * S));
-    assert_eq!(todo.refused, [none]);
+    let (none, actions) = peers[6].asks(&mut pace, 9 * S, ask(200 * KIB, 19 * S));
+    assert_eq!(actions.refused, [none]);
     for claim in held {
         claim.shrinks(&mut pace, 9 * S, 160 * KIB);
     }
     peers[7].asks(&mut pace, 9 * S, ask(200 * KIB, 9 * S));
-    let (again, todo) = peers[8].asks(&mut pace, 9 * S, ask(100 * KIB, 19 * S));
-    assert_eq!((todo.granted, todo.refused), (vec![], vec![]));
+    let (again, actions) = peers[8].asks(&mut pace, 9 * S, ask(100 * KIB, 19 * S));
+    assert_eq!((actions.granted, actions.refused), (vec![], vec![]));
     assert_eq!(pace.wake(10 * S).refused, [again]);
 }
 
@@ -156,8 +156,8 @@
     let [first, second] = [pace.meet(0, from(1)).unwrap(), pace.meet(0, from(1)).unwrap()];
     assert_eq!(pace.meet(0, from(1)), Err(TooMany::AtAddress));
     let (held, _) = first.asks(&mut pace, 0, ask(250 * KIB, 0));
-    let (wanted, todo) = second.asks(&mut pace, 0, ask(100 * KIB, 0));
-    assert_eq!(todo.refused, [wanted]);
+    let (wanted, actions) = second.asks(&mut pace, 0, ask(100 * KIB, 0));
+    assert_eq!(actions.refused, [wanted]);
     first.owes(&mut pace, 0, Way::Reading);
     assert_eq!(pace.slot_wanted(3 * S).cut, [(first, Why::Slot)]);
     first.left(&mut pace, 3 * S);
@@ -178,10 +178,10 @@
     quick.moved(&mut pace, 2 * S, 64 * KIB);
     let lowered = Bounds { room: 400 * KIB, ..bounds() };
     assert_eq!(pace.rebound(3 * S, lowered).cut, [(slow, Why::Room)]);
-    let (more, todo) = quick.asks(&mut pace, 3 * S, ask(KIB, 3 * S));
-    assert_eq!(todo.refused, [more]);
-    let todo = pace.stop(4 * S);
-    assert_eq!((todo.cut, todo.wake_at), (vec![], Some(6 * S + 1)));
+    let (more, actions) = quick.asks(&mut pace, 3 * S, ask(KIB, 3 * S));
+    assert_eq!(actions.refused, [more]);
+    let actions = pace.stop(4 * S);
+    assert_eq!((actions.cut, actions.wake_at), (vec![], Some(6 * S + 1)));
     quick.moved(&mut pace, 5 * S, 64 * KIB);
     assert_eq!(pace.wake(9 * S).cut, [(quick, Why::Stopping)]);
 }
@@ -233,15 +233,15 @@
 }
 
 impl Walker {
-    fn heard(&mut self, todo: Todo) {
-        for claim in todo.granted {
+    fn heard(&mut self, actions: Actions) {
+        for claim in actions.granted {
             let (peer, ask) = self.waiting.remove(&claim).expect("granted once, and asked for before");
             self.claims.insert(claim, (peer, ask.bytes, ask.best));
         }
-        for claim in todo.refused {
+        for claim in actions.refused {
             self.waiting.remove(&claim).expect("refused once, and not after it was granted");
         }
-        for (peer, why) in todo.cut {
+        for (peer, why) in actions.cut {
             let now = self.now;
             let walk = self.peers.get_mut(&peer).expect("a peer that is there");
             assert!(!std::mem::replace(&mut walk.cut, true), "cut twice");
@@ -282,31 +282,31 @@
             (2..=4, Some(peer), _) if !self.peers[&peer].cut => {
                 let until = self.now + (b % 7) as Micros * S;
                 let ask = Ask { bytes: 1 + b % (250 * KIB), best: b.is_multiple_of(5), until };
-                let (claim, todo) = peer.asks(&mut self.pace, self.now, ask);
+                let (claim, actions) = peer.asks(&mut self.pace, self.now, ask);
                 self.waiting.insert(claim, (peer, ask));
-                self.heard(todo);
+                self.heard(actions);
             }
             (5, _, Some(claim)) => {
                 self.claims.remove(&claim);
-                let todo = claim.given_back(&mut self.pace, self.now);
-                self.heard(todo);
+                let actions = claim.given_back(&mut self.pace, self.now);
+                self.heard(actions);
             }
             (6, _, Some(claim)) => {
                 let kept = self.claims.get_mut(&claim).unwrap();
                 kept.1 = kept.1.min(b % (64 * KIB));
-                let todo = claim.shrinks(&mut self.pace, self.now, kept.1);
-                self.heard(todo);
+                let actions = claim.shrinks(&mut self.pace, self.now, kept.1);
+                self.heard(actions);
             }
             (7, _, Some(claim)) => {
                 self.claims.remove(&claim);
-                let todo = claim.lingers(&mut self.pace, self.now);
-                self.heard(todo);
+                let actions = claim.lingers(&mut self.pace, self.now);
+                self.heard(actions);
             }
             (8 | 9, Some(peer), _) => {
                 let walk = self.peers.get_mut(&peer).unwrap();
                 walk.owing.get_or_insert(self.now);
-                let todo = peer.owes(&mut self.pace, self.now, Way::Reading);
-                self.heard(todo);
+                let actions = peer.owes(&mut self.pace, self.now, Way::Reading);
+                self.heard(actions);
             }
             (10..=12, Some(peer), _) if self.peers[&peer].owing.is_some() => {
                 let walk = self.peers.get_mut(&peer).unwrap();
@@ -322,22 +322,22 @@
                 };
                 while let Some(claim) = of_peer(&self.waiting) {
                     self.waiting.remove(&claim);
-                    let todo = claim.given_back(&mut self.pace, self.now);
-                    self.heard(todo);
+                    let actions = claim.given_back(&mut self.pace, self.now);
+                    self.heard(actions);
                 }
                 let held = self.claims.iter().filter(|(_, held)| held.0 == peer).map(|(&claim, _)| claim);
                 for claim in held.collect::<Vec<_>>() {
                     self.claims.remove(&claim);
-                    let todo = claim.given_back(&mut self.pace, self.now);
-                    self.heard(todo);
+                    let actions = claim.given_back(&mut self.pace, self.now);
+                    self.heard(actions);
                 }
-                let todo = peer.left(&mut self.pace, self.now);
-                self.heard(todo);
+                let actions = peer.left(&mut self.pace, self.now);
+                self.heard(actions);
             }
             _ => {
                 self.now += 1 + (b % (700 * 1000)) as Micros;
-                let todo = self.pace.wake(self.now);
-                self.heard(todo);
+                let actions = self.pace.wake(self.now);
+                self.heard(actions);
             }
         }
     }
--- a/crates/leases/src/agreement.rs
+++ b/crates/leases/src/agreement.rs
@@ -38,7 +38,7 @@
 
 /// What the caller is to do now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Todo {
+pub struct Actions {
     pub send: Vec<(String, Said)>,
     /// To be kept on the disk; [`Agreement::kept`] is to be called then.
     pub keep: Vec<(String, Term)>,
@@ -57,7 +57,7 @@
     /// Grants that are told once their term is on the disk.
     unkept: Vec<(String, Term, String, Said)>,
     rng: Pcg64Mcg,
-    todo: Todo,
+    actions: Actions,
 }
 
 impl Agreement {
@@ -89,7 +89,7 @@
             seekers: BTreeMap::new(),
             unkept: Vec::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            todo: Todo::default(),
+            actions: Actions::default(),
             own,
         };
         if let Some(from) = agreement.voter.as_ref().map(Voter::speaks_from) {
@@ -132,7 +132,7 @@
     }
 
     /// `wall` is the Unix time in milliseconds, here and below.
-    pub fn wake(&mut self, now: Micros, wall: u64) -> Todo {
+    pub fn wake(&mut self, now: Micros, wall: u64) -> Actions {
         for duty in self.seekers.keys().cloned().collect::<Vec<_>>() {
             let lease = self.voter.as_ref().and_then(|voter| voter.lease(now, &duty));
             let other = lease.filter(|(by, _)| **by != self.own).map(|(_, until)| until);
@@ -143,7 +143,7 @@
         self.settle()
     }
 
-    pub fn hear(&mut self, now: Micros, wall: u64, from: &Driver, said: &Said) -> Todo {
+    pub fn hear(&mut self, now: Micros, wall: u64, from: &Driver, said: &Said) -> Actions {
         // Whoever is not named has no vote, and seeks nothing.
         if self.voters.contains(&from.name) {
             self.take_in(now, wall, from, said);
@@ -168,7 +168,7 @@
             let said = Said { duty: duty.clone(), word: answer.word };
             match answer.once_kept {
                 Some(term) => {
-                    self.todo.keep.push((duty.clone(), term));
+                    self.actions.keep.push((duty.clone(), term));
                     self.unkept.push((duty.clone(), term, from.name.clone(), said));
                 }
                 None => self.say(now, wall, from.name.clone(), said),
@@ -187,8 +187,8 @@
     /// Protects a duty from terms that nobody takes: of voters that all forgot, under clocks that are behind those under
     /// which earlier terms were made. A holder of a lower term gives it up and seeks one above. Harms nobody: who holds a
     /// lower term was overtaken.
-    pub fn saw(&mut self, now: Micros, wall: u64, duty: &str, term: Term) -> Todo {
-        let Some(voter) = &mut self.voter else { return Todo::default() };
+    pub fn saw(&mut self, now: Micros, wall: u64, duty: &str, term: Term) -> Actions {
+        let Some(voter) = &mut self.voter else { return Actions::default() };
         voter.saw(duty, term);
         if let Some(seeker) = self.seekers.get_mut(duty)
             && seeker.may_act(now).is_some_and(|own| own < term)
@@ -201,7 +201,7 @@
     }
 
     /// The record of this term is on the disk; what waited for it is said.
-    pub fn kept(&mut self, now: Micros, wall: u64, duty: &str, term: Term) -> Todo {
+    pub fn kept(&mut self, now: Micros, wall: u64, duty: &str, term: Term) -> Actions {
         if let Some(voter) = &mut self.voter {
             voter.kept(duty, term);
         }
@@ -220,14 +220,14 @@
     }
 
     /// What this driver needs for a duty is there, or is not.
-    pub fn able(&mut self, now: Micros, duty: &str, able: bool) -> Todo {
+    pub fn able(&mut self, now: Micros, duty: &str, able: bool) -> Actions {
         let moves = self.seekers.get_mut(duty).map(|seeker| seeker.able(now, able));
         self.carry_out(now, 0, duty, moves.unwrap_or_default());
         self.settle()
     }
 
     /// It goes: all duties are laid down, so that others need not wait for their end.
-    pub fn leave(&mut self, now: Micros) -> Todo {
+    pub fn leave(&mut self, now: Micros) -> Actions {
         for duty in self.seekers.keys().cloned().collect::<Vec<_>>() {
             let moves = self.seekers.get_mut(&duty).map(|seeker| seeker.lay_down(now));
             self.carry_out(now, 0, &duty, moves.unwrap_or_default());
@@ -244,8 +244,8 @@
                         self.say(now, wall, to, Said { duty: duty.to_owned(), word: word.clone() });
                     }
                 }
-                Move::Got(term) => self.todo.changes.push(Change::Got { duty: duty.to_owned(), term }),
-                Move::Lost(term) => self.todo.changes.push(Change::Lost { duty: duty.to_owned(), term }),
+                Move::Got(term) => self.actions.changes.push(Change::Got { duty: duty.to_owned(), term }),
+                Move::Lost(term) => self.actions.changes.push(Change::Lost { duty: duty.to_owned(), term }),
             }
         }
     }
@@ -253,15 +253,15 @@
     /// To another, or to itself at once.
     fn say(&mut self, now: Micros, wall: u64, to: String, said: Said) {
         if to != self.own.name {
-            return self.todo.send.push((to, said));
+            return self.actions.send.push((to, said));
         }
         let own = self.own.clone();
         self.take_in(now, wall, &own, &said);
     }
 
-    fn settle(&mut self) -> Todo {
-        self.todo.wake_at = self.seekers.values().map(Seeker::wake_at).min();
-        std::mem::take(&mut self.todo)
+    fn settle(&mut self) -> Actions {
+        self.actions.wake_at = self.seekers.values().map(Seeker::wake_at).min();
+        std::mem::take(&mut self.actions)
     }
 }
 
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -19,7 +19,7 @@
 mod voter;
 mod words;
 
-pub use agreement::{Agreement, Change, Terms, Todo, Unusable};
+pub use agreement::{Actions, Agreement, Change, Terms, Unusable};
 pub use fence::{Fence, Taken};
 pub use seeker::{Move, Seeker};
 pub use tenure::Tenure;
--- a/crates/leases/tests/agreement.rs
+++ b/crates/leases/tests/agreement.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use aldermill_leases::{Agreement, Change, Driver, Fence, Micros, Said, Taken, Term, Terms, Todo};
+use aldermill_leases::{Actions, Agreement, Change, Driver, Fence, Micros, Said, Taken, Term, Terms};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -162,8 +162,8 @@
                     match &mut state.agreement {
                         Some(_) if state.stands => state.inbox.push((from, said)),
                         Some(agreement) => {
-                            let todo = agreement.hear(now, wall, &from, &said);
-                            self.carry_out(to, todo);
+                            let actions = agreement.hear(now, wall, &from, &said);
+                            self.carry_out(to, actions);
                         }
                         None => {}
                     }
@@ -176,8 +176,8 @@
                     if state.start == start
                         && let Some(agreement) = &mut state.agreement
                     {
-                        let todo = agreement.kept(now, wall, DUTY, term);
-                        self.carry_out(node, todo);
+                        let actions = agreement.kept(now, wall, DUTY, term);
+                        self.carry_out(node, actions);
                     }
                 }
                 Event::Act { by, term } => {
@@ -202,8 +202,8 @@
     fn overtaken(&mut self, node: usize, term: Term) {
         let (now, wall) = (self.own(node), self.wall(node));
         if let Some(agreement) = &mut self.nodes[node].agreement {
-            let todo = agreement.saw(now, wall, DUTY, term);
-            self.carry_out(node, todo);
+            let actions = agreement.saw(now, wall, DUTY, term);
+            self.carry_out(node, actions);
         }
     }
 
@@ -214,18 +214,18 @@
             return;
         }
         let Some(agreement) = &mut state.agreement else { return };
-        let todo = agreement.wake(now, wall);
+        let actions = agreement.wake(now, wall);
         let acts = agreement.may_act(now, DUTY);
-        self.carry_out(node, todo);
+        self.carry_out(node, actions);
         if let Some(term) = acts {
             let late = self.rng.random_range(0..5 * MS);
             self.at(self.now + late, Event::Act { by: node, term });
         }
     }
 
-    fn carry_out(&mut self, node: usize, todo: Todo) {
+    fn carry_out(&mut self, node: usize, actions: Actions) {
         let from = Driver { name: format!("n{node}"), start: self.nodes[node].start };
-        for (to, said) in todo.send {
+        for (to, said) in actions.send {
             let to: usize = to[1..].parse().unwrap();
             let joined = self.cut >> node & 1 == self.cut >> to & 1;
             for _ in 0..1 + usize::from(self.rng.random_bool(0.05)) {
@@ -236,17 +236,18 @@
                 }
             }
         }
-        for (_, term) in todo.keep {
+        for (_, term) in actions.keep {
             let wait = self.rng.random_range(MS..20 * MS);
             self.at(self.now + wait, Event::Kept { node, start: self.nodes[node].start, term });
         }
-        for change in todo.changes {
+        for change in actions.changes {
             if let Change::Got { term, .. } = change {
                 self.got.push((self.now, node, term));
             }
         }
-        let wake =
-            todo.wake_at.map_or(self.now + 100 * MS, |at| (at as f64 / self.nodes[node].pace) as Micros + 1);
+        let wake = actions
+            .wake_at
+            .map_or(self.now + 100 * MS, |at| (at as f64 / self.nodes[node].pace) as Micros + 1);
         self.at(wake.clamp(self.now + MS, self.now + 100 * MS), Event::Wake(node, self.nodes[node].start));
     }
 
@@ -271,8 +272,8 @@
                 self.nodes[node].stands = false;
                 for (from, said) in std::mem::take(&mut self.nodes[node].inbox) {
                     if let Some(agreement) = &mut self.nodes[node].agreement {
-                        let todo = agreement.hear(now, wall, &from, &said);
-                        self.carry_out(node, todo);
+                        let actions = agreement.hear(now, wall, &from, &said);
+                        self.carry_out(node, actions);
                     }
                 }
                 self.wake(node, self.nodes[node].start);
@@ -281,8 +282,8 @@
             Fault::Leave(node) => {
                 let now = self.own(node);
                 if let Some(mut agreement) = self.nodes[node].agreement.take() {
-                    let todo = agreement.leave(now);
-                    self.carry_out(node, todo);
+                    let actions = agreement.leave(now);
+                    self.carry_out(node, actions);
                 }
             }
             Fault::Start(_) => {}
@@ -389,8 +390,8 @@
     assert!(world.held.0 * 1000 > world.held.1 * 999);
     let (holder, now) = (world.holder().unwrap(), world.now);
     let own = world.own(holder);
-    let todo = world.nodes[holder].agreement.as_mut().unwrap().able(own, DUTY, false);
-    world.carry_out(holder, todo);
+    let actions = world.nodes[holder].agreement.as_mut().unwrap().able(own, DUTY, false);
+    world.carry_out(holder, actions);
     world.run(now + S);
     assert!(world.holder().is_some_and(|next| next != holder));
     world.check();
--- a/crates/membership/src/fellows.rs
+++ b/crates/membership/src/fellows.rs
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::frame::{self, Foreign, Form, Inner};
-use crate::interface::{Change, Dropped, Own, Peer, Tempo, Todo};
+use crate::interface::{Actions, Change, Dropped, Own, Peer, Tempo};
 use crate::view::{Counted, View};
 use crate::{Fellow, Health, Micros};
 
@@ -48,7 +48,7 @@
     rng: Pcg64Mcg,
     /// It left, or a later start has its name.
     silent: bool,
-    todo: Todo,
+    actions: Actions,
 }
 
 fn micros(duration: Duration) -> Micros {
@@ -65,7 +65,7 @@
         tempo: Tempo,
         drivers: usize,
         seed: u64,
-    ) -> (Fellows, Todo) {
+    ) -> (Fellows, Actions) {
         let Own { fleet, name, address, start } = own;
         let own = Fellow { name: name.as_str().into(), start, turn: 0, address };
         let form = Form { own: Rc::new(RefCell::new(own.clone())), later_self: Rc::default() };
@@ -112,10 +112,10 @@
             ask_at: now,
             rng: Pcg64Mcg::seed_from_u64(seed.rotate_left(17)),
             silent: false,
-            todo: Todo::default(),
+            actions: Actions::default(),
         };
-        let todo = fellows.wake(now);
-        (fellows, todo)
+        let actions = fellows.wake(now);
+        (fellows, actions)
     }
 
     pub fn view(&self, now: Micros) -> View {
@@ -145,9 +145,9 @@
     }
 
     /// A datagram came. Whatever it holds, it harms nothing beyond itself.
-    pub fn heard(&mut self, now: Micros, from: IpAddr, datagram: &[u8]) -> Todo {
+    pub fn heard(&mut self, now: Micros, from: IpAddr, datagram: &[u8]) -> Actions {
         if self.silent {
-            return Todo::default();
+            return Actions::default();
         }
         if !self.networks.iter().any(|network| network.contains(&from)) {
             self.dropped.stranger += 1;
@@ -182,11 +182,11 @@
         let later = self.alive().find(supersedes).cloned();
         if let Some(later) = later {
             let word = frame::later_start(self.fleet, &later);
-            self.todo.send.push((sender.address, word));
+            self.actions.send.push((sender.address, word));
             return self.settle(now);
         }
         // An earlier start's words count no more.
-        self.todo.words.extend(word.map(|word| (sender, word.to_vec())));
+        self.actions.words.extend(word.map(|word| (sender, word.to_vec())));
         let Some(gossip) = gossip else { return self.settle(now) };
         let mut out = AccumulatingRuntime::new();
         match self.swim.handle_data(gossip, &mut out) {
@@ -203,13 +203,13 @@
     /// gave one name twice: the older falls silent, and says why.
     fn displaced(&mut self, later: Fellow) {
         self.silent = true;
-        self.todo.changes.push(Change::Displaced(later));
+        self.actions.changes.push(Change::Displaced(later));
     }
 
     /// To be called at the time that was asked for, after all datagrams that are there.
-    pub fn wake(&mut self, now: Micros) -> Todo {
+    pub fn wake(&mut self, now: Micros) -> Actions {
         if self.silent {
-            return Todo::default();
+            return Actions::default();
         }
         self.call(now);
         self.ask(now);
@@ -243,15 +243,15 @@
     }
 
     /// The others are told that it goes; nothing is sent after that.
-    pub fn leave(&mut self) -> Todo {
+    pub fn leave(&mut self) -> Actions {
         let mut out = AccumulatingRuntime::new();
         if !self.silent && self.swim.leave_cluster(&mut out).is_ok() {
             self.carry_out(0, out);
         }
         self.silent = true;
-        let mut todo = std::mem::take(&mut self.todo);
-        todo.changes.clear();
-        todo
+        let mut actions = std::mem::take(&mut self.actions);
+        actions.changes.clear();
+        actions
     }
 
     /// Calls some of those whom the operator names and who are not known to live.
@@ -298,7 +298,7 @@
     fn carry_out(&mut self, now: Micros, mut out: AccumulatingRuntime<Fellow>) {
         while let Some((to, inner)) = out.to_send() {
             let address = self.routes.get(&*to.name).copied().unwrap_or(to.address);
-            self.todo.send.push((address, frame::gossip(self.fleet, &inner)));
+            self.actions.send.push((address, frame::gossip(self.fleet, &inner)));
         }
         self.schedule(now, std::iter::from_fn(|| out.to_schedule()), self.health);
         while let Some(note) = out.to_notify() {
@@ -315,7 +315,7 @@
                 }
                 _ => continue,
             };
-            self.todo.changes.push(change);
+            self.actions.changes.push(change);
         }
     }
 
@@ -340,14 +340,14 @@
         }
     }
 
-    fn settle(&mut self, now: Micros) -> Todo {
+    fn settle(&mut self, now: Micros) -> Actions {
         self.counted.alive(now, self.swim.num_members() + 1);
         let first = self.timers.first_key_value().map(|(&(at, _), _)| at);
         let asks = (now - self.new_at <= NEW).then_some(self.ask_at);
-        self.todo.wake_at = [first, Some(self.call_at), asks].into_iter().flatten().min();
+        self.actions.wake_at = [first, Some(self.call_at), asks].into_iter().flatten().min();
         if self.silent {
-            self.todo.wake_at = None;
+            self.actions.wake_at = None;
         }
-        std::mem::take(&mut self.todo)
+        std::mem::take(&mut self.actions)
     }
 }
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -72,7 +72,7 @@
 
 /// What the caller is to do now, and when to wake the books again.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Todo {
+pub struct Actions {
     pub send: Vec<(SocketAddr, Vec<u8>)>,
     pub changes: Vec<Change>,
     /// What others said with [`crate::Fellows::say`], and who.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -17,7 +17,7 @@
 pub use fellow::Fellow;
 pub use fellows::Fellows;
 pub use health::Health;
-pub use interface::{Change, Dropped, Own, Peer, Tempo, Todo};
+pub use interface::{Actions, Change, Dropped, Own, Peer, Tempo};
 pub use view::{Counted, View};
 
 /// Whole microseconds, on the caller's clock.
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::collections::BinaryHeap;
 use std::net::{IpAddr, SocketAddr};
 
-use aldermill_membership::{Change, Fellows, Micros, Own, Peer, Tempo, Todo};
+use aldermill_membership::{Actions, Change, Fellows, Micros, Own, Peer, Tempo};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -101,9 +101,9 @@
         let state = &mut self.nodes[node];
         (state.away, state.stands, state.starts, state.wakes) = (0, None, state.starts + 1, None);
         state.inbox.clear();
-        let (fellows, todo) = Fellows::start(self.now, own, peers, networks, self.tempo, count, seed);
+        let (fellows, actions) = Fellows::start(self.now, own, peers, networks, self.tempo, count, seed);
         state.fellows = Some(fellows);
-        self.carry_out(node, todo);
+        self.carry_out(node, actions);
     }
 
     pub fn start_all(&mut self) {
@@ -116,8 +116,8 @@
 
     pub fn leave(&mut self, node: usize) {
         if let Some(mut fellows) = self.nodes[node].fellows.take() {
-            let todo = fellows.leave();
-            self.carry_out(node, todo);
+            let actions = fellows.leave();
+            self.carry_out(node, actions);
         }
     }
 
@@ -132,9 +132,9 @@
         let (lived, inbox) = (self.now - state.away, std::mem::take(&mut state.inbox));
         let Some(fellows) = state.fellows.as_mut() else { return };
         fellows.stood_still(lived);
-        let mut todos: Vec<Todo> = inbox.iter().map(|bytes| fellows.heard(lived, HOME, bytes)).collect();
+        let mut todos: Vec<Actions> = inbox.iter().map(|bytes| fellows.heard(lived, HOME, bytes)).collect();
         todos.push(fellows.wake(lived));
-        todos.into_iter().for_each(|todo| self.carry_out(node, todo));
+        todos.into_iter().for_each(|actions| self.carry_out(node, actions));
     }
 
     fn at(&mut self, at: Micros, event: Event) {
@@ -143,8 +143,8 @@
         self.next += 1;
     }
 
-    fn carry_out(&mut self, node: usize, todo: Todo) {
-        for (to, bytes) in todo.send {
+    fn carry_out(&mut self, node: usize, actions: Actions) {
+        for (to, bytes) in actions.send {
             (self.nodes[node].sent, self.nodes[node].bytes) =
                 (self.nodes[node].sent + 1, self.nodes[node].bytes + bytes.len() as u64);
             let target = usize::from(to.port()).wrapping_sub(10_000);
@@ -155,8 +155,8 @@
             }
         }
         let now = self.now;
-        self.nodes[node].heard.extend(todo.changes.into_iter().map(|change| (now, change)));
-        if let Some(at) = todo.wake_at {
+        self.nodes[node].heard.extend(actions.changes.into_iter().map(|change| (now, change)));
+        if let Some(at) = actions.wake_at {
             let at = (at + self.nodes[node].away).max(now);
             if self.nodes[node].wakes != Some(at) {
                 self.nodes[node].wakes = Some(at);
@@ -175,7 +175,7 @@
             self.events.pop();
             self.now = self.now.max(at);
             let now = self.now;
-            let (node, todo) = match self.what.remove(&id) {
+            let (node, actions) = match self.what.remove(&id) {
                 Some(Event::Wake(node, starts)) => {
                     let state = &mut self.nodes[node];
                     if state.starts != starts || state.stands.is_some() || state.wakes != Some(at) {
@@ -202,7 +202,7 @@
                 }
                 None => continue,
             };
-            self.carry_out(node, todo);
+            self.carry_out(node, actions);
         }
         self.now = end;
     }
--- a/crates/proxy/src/council.rs
+++ b/crates/proxy/src/council.rs
@@ -14,7 +14,7 @@
 use aldermill_directives::{
     About, Book, COMPARED, Decree, EVERY, FANOUT, Heard, LASTS, Ledger, Micros, Reporter,
 };
-use aldermill_leases::{Agreement, Change, Driver, Term, Terms, Todo, Unusable};
+use aldermill_leases::{Actions, Agreement, Change, Driver, Term, Terms, Unusable};
 use aldermill_membership::Fellow;
 use aldermill_operator_config::Council as Wanted;
 use aldermill_site_drain::Plan;
@@ -142,8 +142,8 @@
                 // Words of before a standstill say nothing of leases now; whoever said them says them again.
                 let Ok(said) = aldermill_leases::frame::decode(words) else { return };
                 let from = Driver { name: from.name.to_string(), start: from.start };
-                let todo = self.agreement.hear(at.now, at.wall, &from, &said);
-                self.carry_out(at, todo, others);
+                let actions = self.agreement.hear(at.now, at.wall, &from, &said);
+                self.carry_out(at, actions, others);
             }
             DECREE => match frame::decode(words) {
                 Ok(Message::Decrees(decrees)) => {
@@ -203,8 +203,8 @@
         let now = at.now;
         self.read_memory(now);
         if self.agree_at.is_some_and(|due| due <= now) {
-            let todo = self.agreement.wake(now, at.wall);
-            self.carry_out(at, todo, others);
+            let actions = self.agreement.wake(now, at.wall);
+            self.carry_out(at, actions, others);
         }
         if now >= self.decree_at {
             self.decree_at = now + EVERY;
@@ -235,17 +235,17 @@
         }
     }
 
-    fn carry_out(&mut self, at: Moment, todo: Todo, others: &[Rc<str>]) {
-        self.agree_at = todo.wake_at;
-        for (to, said) in todo.send {
+    fn carry_out(&mut self, at: Moment, actions: Actions, others: &[Rc<str>]) {
+        self.agree_at = actions.wake_at;
+        for (to, said) in actions.send {
             self.say(&to, DUTY, &aldermill_leases::frame::encode(&said));
         }
-        for (duty, term) in todo.keep {
+        for (duty, term) in actions.keep {
             self.keep(Record::Granted(duty, term));
         }
         let got = |change: &Change| matches!(change, Change::Got { .. });
-        let heard_of = todo.changes.iter().any(got);
-        for change in todo.changes {
+        let heard_of = actions.changes.iter().any(got);
+        for change in actions.changes {
             match change {
                 Change::Got { duty, term } => {
                     info!(self.log, "duty got"; "term" => term, "name" => &duty);
@@ -270,8 +270,8 @@
 
     /// It lays down what it holds.
     pub fn leave(&mut self, at: Moment) {
-        let todo = self.agreement.leave(at.now);
-        self.carry_out(at, todo, &[]);
+        let actions = self.agreement.leave(at.now);
+        self.carry_out(at, actions, &[]);
     }
 
     fn say(&mut self, to: &str, kind: u8, words: &[u8]) {
--- a/crates/proxy/src/council/memory.rs
+++ b/crates/proxy/src/council/memory.rs
@@ -134,8 +134,8 @@
         }
         match record {
             Record::Granted(duty, term) => {
-                let todo = self.agreement.kept(at.now, at.wall, &duty, term);
-                self.carry_out(at, todo, others);
+                let actions = self.agreement.kept(at.now, at.wall, &duty, term);
+                self.carry_out(at, actions, others);
             }
             Record::Decreed(duty, term) => {
                 memory.decreed.retain(|of, highest| *of != duty || *highest > term);
--- a/crates/proxy/src/desk.rs
+++ b/crates/proxy/src/desk.rs
@@ -16,7 +16,7 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 
-use aldermill_routing::{Handle, MemberId, Micros, Need, Outcome, Request, Role, Router, Todo, Verdict};
+use aldermill_routing::{Actions, Handle, MemberId, Micros, Need, Outcome, Request, Role, Router, Verdict};
 use aldermill_settings::Decoded;
 use aldermill_site_routing::Handle as SitesHandle;
 use aldermill_statistics::ClockOffset;
@@ -168,8 +168,8 @@
                 Next::Bulletin(bulletin) => self.bulletin(bulletin),
                 Next::Wake => {
                     let now = self.context.clock.now();
-                    let ((), todo) = self.ask(|router| ((), router.wake(now)));
-                    self.carry_out(todo);
+                    let ((), actions) = self.ask(|router| ((), router.wake(now)));
+                    self.carry_out(actions);
                     self.keep_warm();
                 }
                 Next::WakeSites => self.wake_sites(),
@@ -200,7 +200,7 @@
     }
 
     /// Asks the router, and, for a sample, a copy of it under the settings on trial, whose answer is only counted.
-    pub(crate) fn ask<T>(&mut self, decide: impl Fn(&mut Router) -> (T, Todo)) -> (T, Todo) {
+    pub(crate) fn ask<T>(&mut self, decide: impl Fn(&mut Router) -> (T, Actions)) -> (T, Actions) {
         self.tell_of_standstills();
         let Some(trial) = &mut self.trial else { return decide(&mut self.router) };
         let asked = trial.ask(&mut self.router, decide);
@@ -220,13 +220,14 @@
                 }
             }
             Call::Ended(ended) => self.ended(ended),
-            Call::Probed { member, verdict, took, mut told, replica_words } => {
-                self.hears_clock(member, &mut told, None);
+            Call::HealthChecked { member, verdict, took, mut report, replica_words } => {
+                self.hears_clock(member, &mut report, None);
                 self.said_replica(member, replica_words);
                 let now = self.context.clock.now();
-                let ((), todo) = self.ask(|router| ((), router.probed(now, member, verdict, took, told)));
-                self.carry_out(todo);
-                if told.role == Some(Role::Primary)
+                let ((), actions) =
+                    self.ask(|router| ((), router.health_checked(now, member, verdict, took, report)));
+                self.carry_out(actions);
+                if report.role == Some(Role::Primary)
                     && let Some(group) =
                         self.peers.get(member).and_then(Option::as_ref).map(|peer| peer.group)
                 {
@@ -247,9 +248,9 @@
                 self.parted.push(asked);
             }
             Call::Fleet { living, at_cold } => {
-                let told = |router: &mut Router| (router.fleet(living, at_cold), Todo::default());
-                let ((), todo) = self.ask(told);
-                self.carry_out(todo);
+                let told = |router: &mut Router| (router.fleet(living, at_cold), Actions::default());
+                let ((), actions) = self.ask(told);
+                self.carry_out(actions);
             }
             Call::Sight(asked) => self.tell_sight(asked),
             Call::Lean(leans) => self.leans(&leans),
@@ -288,10 +289,10 @@
         let deadline = order.arrived + Micros::from(order.comment.wait) * 1000;
         let (client, id) = (order.client, order.comment.id.clone());
         let mailbox = Some((client, order.mailbox.clone()));
-        let (handle, todo) = self.hand_over(Rc::new(order), class, deadline, mailbox, None);
+        let (handle, actions) = self.hand_over(Rc::new(order), class, deadline, mailbox, None);
         self.by_client.insert(client, Holder::Here(handle));
         self.open_ids.insert(id);
-        self.carry_out(todo);
+        self.carry_out(actions);
     }
 
     /// Hands a request to the module here, to be answered by `deadline` on the router's clock: a moment,
@@ -304,7 +305,7 @@
         deadline: Micros,
         client: Option<(ClientId, mpsc::Sender<Mail>)>,
         via: Option<SitesHandle>,
-    ) -> (Handle, Todo) {
+    ) -> (Handle, Actions) {
         let now = self.context.clock.now();
         let keyed = matches!(self.decoded.terms.classes[class].need, Need::Write | Need::OwnWrites);
         let session = if keyed { quoted(&order.statement[order.comment.end..]) } else { None };
@@ -317,18 +318,18 @@
             last_write: order.last_write(now),
             repeat: order.comment.repeat,
         };
-        let (handle, todo) = self.ask(|router| router.take(now, request.clone()));
+        let (handle, actions) = self.ask(|router| router.take(now, request.clone()));
         let best = self.context.best_paid.contains(&order.comment.class);
         let withdrawal = Withdrawal::default();
         self.open.insert(handle, Open { via, best, deadline, client, withdrawal, order });
-        (handle, todo)
+        (handle, actions)
     }
 
     fn ended(&mut self, ended: Ended) {
-        let Ended { handle, verdict, sent, took, mut told, gave, replica_words } = ended;
+        let Ended { handle, verdict, sent, took, mut report, gave, replica_words } = ended;
         if let Some((member, words)) = replica_words {
             let written = self.writes_once(handle) && verdict == Verdict::Served;
-            self.hears_clock(member, &mut told, written.then_some(sent));
+            self.hears_clock(member, &mut report, written.then_some(sent));
             self.said_replica(member, words);
         }
         self.sees_end(handle, verdict, took);
@@ -347,15 +348,15 @@
             _ => {}
         }
         let closed = taken_back || self.open.get(&handle).is_none_or(|open| open.client.is_none());
-        let outcome = Outcome { verdict, took, told, closed };
+        let outcome = Outcome { verdict, took, report, closed };
         let now = self.context.clock.now();
-        let ((), todo) = self.ask(|router| ((), handle.ended(router, now, outcome)));
-        self.carry_out(todo);
+        let ((), actions) = self.ask(|router| ((), handle.ended(router, now, outcome)));
+        self.carry_out(actions);
         self.release(handle);
         if let Some(missed) = missed {
             self.carry_out_sites(missed, None);
         }
-        if via.is_some() && told.role == Some(Role::Primary) {
+        if via.is_some() && report.role == Some(Role::Primary) {
             self.primary_here(group);
         }
     }
@@ -366,8 +367,8 @@
             open.withdraw();
         }
         let now = self.context.clock.now();
-        let ((), todo) = self.ask(|router| ((), handle.left(router, now)));
-        self.carry_out(todo);
+        let ((), actions) = self.ask(|router| ((), handle.left(router, now)));
+        self.carry_out(actions);
         self.release(handle);
     }
 
--- a/crates/proxy/src/desk/hub.rs
+++ b/crates/proxy/src/desk/hub.rs
@@ -12,8 +12,8 @@
     OutcomeKind, Request as RequestFrame, Room as RoomFrame, Said,
 };
 use aldermill_site_routing::{
-    Answer as FarAnswer, Effect as FarEffect, Fate, Fates, GateId, Handle, HereEnded, Need as FarNeed, OWN,
-    Origin, Request, RequestClass, SiteId, Sites, Step, Terms, Todo, TurnedAway,
+    Action, Actions, Answer as FarAnswer, Effect as FarEffect, Fate, Fates, GateId, Handle, HereEnded,
+    Need as FarNeed, OWN, Origin, Request, RequestClass, SiteId, Sites, Terms, TurnedAway,
 };
 use aldermill_wire::statement::Comment;
 use serde_json::json;
@@ -302,7 +302,7 @@
                 let view = self.sites.view(now, id);
                 json!({
                     "site": self.names[gate.site], "instance": gate.origin.instance, "links": gate.links.len(),
-                    "round_trip_us": view.trip, "draining": view.draining, "barred": view.barred,
+                    "round_trip_us": view.trip, "draining": view.draining, "barred": view.blacklisted,
                     "credits": self.classes.iter().cloned().zip(view.credits).collect::<HashMap<_, _>>(),
                     "under_way": view.out,
                 })
--- a/crates/proxy/src/desk/hub/links.rs
+++ b/crates/proxy/src/desk/hub/links.rs
@@ -55,9 +55,9 @@
             state.gate = Some(id);
         }
         let links = hub.gates[id].links.len();
-        let todo = hub.sites.links(now, id, site, links, same);
+        let actions = hub.sites.links(now, id, site, links, same);
         hub.tell_room(Some(id));
-        self.carry_out_sites(todo, None);
+        self.carry_out_sites(actions, None);
     }
 
     pub(super) fn link_broke(&mut self, link: LinkId) {
@@ -96,9 +96,9 @@
                 };
                 let brought = self.brought(outcome.number, value);
                 let Some(hub) = &mut self.hub else { return };
-                let todo = hub.sites.answered(now, outcome.number, answer);
+                let actions = hub.sites.answered(now, outcome.number, answer);
                 hub.crossed.remove(&outcome.number);
-                self.carry_out_sites(todo, brought);
+                self.carry_out_sites(actions, brought);
             }
             Event::Fate(told, value) => {
                 let kind = told.kind();
@@ -117,8 +117,8 @@
                 }
                 let brought = self.brought(told.number, value);
                 let Some(hub) = &mut self.hub else { return };
-                let todo = hub.sites.fate(now, told.number, &fate);
-                self.carry_out_sites(todo, brought);
+                let actions = hub.sites.fate(now, told.number, &fate);
+                self.carry_out_sites(actions, brought);
             }
             Event::Cancel(number) => {
                 let Some(&handle) = hub.guests.get(&(gate, number)) else {
@@ -176,8 +176,8 @@
                 let credits = hub.classes.iter().map(|name| credit(name).map_or(0, |credit| credit.requests));
                 let homes: Vec<(u64, bool)> =
                     room.homes.iter().map(|home| (home.group, home.primary)).collect();
-                let todo = hub.sites.room(now, gate, credits.collect(), &homes, room.draining);
-                self.carry_out_sites(todo, None);
+                let actions = hub.sites.room(now, gate, credits.collect(), &homes, room.draining);
+                self.carry_out_sites(actions, None);
             }
             Event::Trip(took) => hub.sites.trip(gate, took),
         }
--- a/crates/proxy/src/desk/hub/trips.rs
+++ b/crates/proxy/src/desk/hub/trips.rs
@@ -29,7 +29,7 @@
         // One that is of no session known has none to keep with.
         let session = Some(named.unwrap_or(&order.comment.id).to_owned());
         let by: Vec<SiteId> = visited.iter().filter_map(|name| hub.site(name)).collect();
-        let (handle, todo) =
+        let (handle, actions) =
             hub.sites.take(now, Request { class, group: order.comment.group, ttl, visited: by, session });
         if let Some(guest) = &guest {
             hub.guests.insert((guest.gate, guest.number), handle);
@@ -38,7 +38,7 @@
         self.open_ids.insert(order.comment.id.clone());
         let trip = Trip { order: Rc::new(order), class, here: None, client, guest, visited };
         hub.trips.insert(handle, trip);
-        self.carry_out_sites(todo, None);
+        self.carry_out_sites(actions, None);
     }
 
     /// Nobody waits for a request any more.
@@ -49,8 +49,8 @@
             self.leave_here(here);
         }
         let Some(hub) = &mut self.hub else { return };
-        let todo = handle.left(&mut hub.sites, now);
-        self.carry_out_sites(todo, None);
+        let actions = handle.left(&mut hub.sites, now);
+        self.carry_out_sites(actions, None);
     }
 
     /// The module here has answered a request for the gateway.
@@ -72,8 +72,8 @@
             hub.ended.in_time += u32::from(in_time);
             hub.ended.bound += u32::from(reads && trip.guest.is_none());
         }
-        let todo = handle.here_ended(&mut hub.sites, now, ended);
-        self.carry_out_sites(todo, Some((handle, answer)));
+        let actions = handle.here_ended(&mut hub.sites, now, ended);
+        self.carry_out_sites(actions, Some((handle, answer)));
     }
 
     /// An attempt here that lasted so long may have run.
@@ -86,27 +86,27 @@
 
     /// An attempt here was answered 'miss'. What follows is carried out once the module has heard it, too;
     /// whether the request was taken back from it.
-    pub(crate) fn here_missed(&mut self, handle: Handle) -> (Option<Todo>, bool) {
+    pub(crate) fn here_missed(&mut self, handle: Handle) -> (Option<Actions>, bool) {
         let now = self.context.clock.now();
         let Some(hub) = &mut self.hub else { return (None, false) };
-        let todo = handle.here_missed(&mut hub.sites, now);
-        let taken_back = todo.steps.contains(&(handle, Step::TakeBack));
-        (Some(todo), taken_back)
+        let actions = handle.here_missed(&mut hub.sites, now);
+        let taken_back = actions.requests.contains(&(handle, Action::TakeBack));
+        (Some(actions), taken_back)
     }
 
     pub(crate) fn primary_here(&mut self, group: u64) {
         let now = self.context.clock.now();
         if let Some(hub) = &mut self.hub {
-            let todo = hub.sites.primary_here(now, group);
-            self.carry_out_sites(todo, None);
+            let actions = hub.sites.primary_here(now, group);
+            self.carry_out_sites(actions, None);
         }
     }
 
     pub(crate) fn groups_listed(&mut self, groups: &[(u64, usize)]) {
         let now = self.context.clock.now();
         if let Some(hub) = &mut self.hub {
-            let todo = hub.sites.listed(now, groups);
-            self.carry_out_sites(todo, None);
+            let actions = hub.sites.listed(now, groups);
+            self.carry_out_sites(actions, None);
         }
     }
 
@@ -123,16 +123,16 @@
             let sites = &hub.sites;
             hub.crossed.retain(|&number, _| sites.crossed(number).is_some());
         }
-        let todo = hub.sites.wake(now);
-        self.carry_out_sites(todo, None);
+        let actions = hub.sites.wake(now);
+        self.carry_out_sites(actions, None);
     }
 
     /// What the fleet decided of sites that retire.
     pub(crate) fn bind(&mut self, plans: Vec<Plan>) {
         let now = self.context.clock.now();
         if let Some(hub) = &mut self.hub {
-            let todo = hub.sites.bind(now, &hub.names, plans);
-            self.carry_out_sites(todo, None);
+            let actions = hub.sites.bind(now, &hub.names, plans);
+            self.carry_out_sites(actions, None);
         }
     }
 
@@ -157,47 +157,47 @@
     }
 
     /// Carries out what the books return. `brought` is what a request has just been answered with.
-    pub(crate) fn carry_out_sites(&mut self, todo: Todo, brought: Option<(Handle, Answer)>) {
+    pub(crate) fn carry_out_sites(&mut self, actions: Actions, brought: Option<(Handle, Answer)>) {
         let mut brought = brought;
-        for (handle, step) in todo.steps {
+        for (handle, step) in actions.requests {
             match step {
-                Step::Here { ttl } => self.start_here(handle, ttl),
-                Step::TakeBack => {
+                Action::Here { ttl } => self.start_here(handle, ttl),
+                Action::TakeBack => {
                     let trip = self.hub.as_mut().and_then(|hub| hub.trips.get_mut(&handle));
                     if let Some(here) = trip.and_then(|trip| trip.here.take()) {
                         self.leave_here(here);
                     }
                 }
-                Step::Cross { gate, number, left } => self.cross(handle, gate, number, left),
-                Step::Ask { gate, number } => {
+                Action::Cross { gate, number, left } => self.cross(handle, gate, number, left),
+                Action::Ask { gate, number } => {
                     let Some(hub) = &mut self.hub else { return };
                     let Some(start) = hub.crossed.get(&number).map(|crossed| crossed.start) else { continue };
                     hub.say(gate, None, Said::Ask(Ask { number, receiver_start: start }));
                 }
-                Step::Cancel { gate, number } => {
+                Action::Cancel { gate, number } => {
                     let Some(hub) = &mut self.hub else { return };
                     let link = hub.crossed.remove(&number).map(|crossed| crossed.link);
                     hub.say(gate, link, Said::Cancel(number));
                 }
-                Step::Serve => {
+                Action::Serve => {
                     let answer = brought.take_if(|(of, _)| *of == handle).map(|(_, answer)| answer);
                     self.finish(handle, answer.unwrap_or(Answer::Failed), None);
                 }
-                Step::Reject { cool_down } => self.finish(handle, Answer::Rejected { cool_down }, None),
-                Step::Fail => self.finish(handle, Answer::Failed, None),
-                Step::NotHere { hint } => {
+                Action::Reject { cool_down } => self.finish(handle, Answer::Rejected { cool_down }, None),
+                Action::Fail => self.finish(handle, Answer::Failed, None),
+                Action::NotHere { hint } => {
                     self.finish(handle, Answer::Rejected { cool_down: 0 }, Some(hint));
                 }
             }
         }
         let Some(hub) = &mut self.hub else { return };
-        for (gate, upto) in todo.confirms {
+        for (gate, upto) in actions.confirms {
             hub.say(gate, None, Said::Confirm(Confirm { upto }));
         }
-        if todo.offers {
+        if actions.offers {
             hub.tell_room(None);
         }
-        if let Some(at) = todo.wake_at {
+        if let Some(at) = actions.wake_at {
             hub.wake_at = at;
         }
     }
@@ -207,11 +207,11 @@
         let Some((order, class)) = trip.map(|trip| (trip.order.clone(), trip.class)) else { return };
         let client = Some((order.client, order.mailbox.clone()));
         let deadline = self.context.clock.now() + ttl;
-        let (here, todo) = self.hand_over(order, class, deadline, client, Some(handle));
+        let (here, actions) = self.hand_over(order, class, deadline, client, Some(handle));
         if let Some(trip) = self.hub.as_mut().and_then(|hub| hub.trips.get_mut(&handle)) {
             trip.here = Some(here);
         }
-        self.carry_out(todo);
+        self.carry_out(actions);
     }
 
     pub(super) fn cross(&mut self, handle: Handle, gate: GateId, number: u64, left: Micros) {
@@ -241,8 +241,8 @@
             }
             None => {
                 // It never left this process.
-                let todo = hub.sites.answered(now, number, FarAnswer::NeverTaken);
-                self.carry_out_sites(todo, None);
+                let actions = hub.sites.answered(now, number, FarAnswer::NeverTaken);
+                self.carry_out_sites(actions, None);
             }
         }
     }
--- a/crates/proxy/src/desk/lists.rs
+++ b/crates/proxy/src/desk/lists.rs
@@ -51,18 +51,18 @@
 impl Desk {
     pub(super) fn bulletin(&mut self, bulletin: Bulletin) {
         let now = self.context.clock.now();
-        let todo = match bulletin {
+        let actions = match bulletin {
             Bulletin::Unavailable => self.ask(|router| ((), router.list_unavailable(now))).1,
             Bulletin::List(catalog) => {
                 info!(self.context.log, "list"; "revision" => catalog.revision,
                     "complete" => catalog.complete, "entries" => catalog.members.len());
                 let lines = self.lines(&catalog);
-                let todo = self.ask(|router| ((), router.list(now, catalog.complete, lines.clone()))).1;
+                let actions = self.ask(|router| ((), router.list(now, catalog.complete, lines.clone()))).1;
                 self.warm_up(&catalog);
-                todo
+                actions
             }
         };
-        self.carry_out(todo);
+        self.carry_out(actions);
         self.forget(now);
         if self.hub.is_some() {
             let mut groups: BTreeMap<u64, usize> = BTreeMap::new();
--- a/crates/proxy/src/desk/members_clock.rs
+++ b/crates/proxy/src/desk/members_clock.rs
@@ -1,6 +1,6 @@
 //! The members' clock against the router's: a process may have been started under a wrong wall clock.
 
-use aldermill_routing::{Effect, Handle, MemberId, Micros, Need, Told};
+use aldermill_routing::{Effect, Handle, MemberId, MemberReport, Micros, Need};
 use slog::warn;
 use tokio::time::Instant;
 
@@ -21,8 +21,13 @@
     /// Takes in the position of an answer, which is the commit of a write that was sent at `written`, as word of the
     /// members' clock. One that is still ahead of that clock proves nothing, as nothing is applied before it was
     /// committed: it is left out.
-    pub(super) fn hears_clock(&mut self, member: MemberId, told: &mut Told, written: Option<Instant>) {
-        let Some(position) = told.position else { return };
+    pub(super) fn hears_clock(
+        &mut self,
+        member: MemberId,
+        report: &mut MemberReport,
+        written: Option<Instant>,
+    ) {
+        let Some(position) = report.position else { return };
         let clock = self.context.clock;
         let now = clock.now();
         self.clock_offset.told(member, position, now);
@@ -35,7 +40,7 @@
             self.tell_offset(offset);
         }
         let believable = now + self.told_offset + self.context.limits.ahead_of_clock;
-        told.position = Some(position).filter(|&position| position <= believable);
+        report.position = Some(position).filter(|&position| position <= believable);
     }
 
     fn tell_offset(&mut self, offset: Micros) {
--- a/crates/proxy/src/desk/steps.rs
+++ b/crates/proxy/src/desk/steps.rs
@@ -1,6 +1,6 @@
-//! Carries out what the router says is to be done: answers, attempts, probes.
+//! Carries out what the router says is to be done: answers, attempts, health checks.
 
-use aldermill_routing::{Effect, Handle, MemberId, Micros, Step, Todo, Told, Validity, Verdict};
+use aldermill_routing::{Action, Actions, Effect, Handle, MemberId, MemberReport, Micros, Validity, Verdict};
 use slog::warn;
 use tokio::time::Instant;
 
@@ -45,39 +45,45 @@
         let _ = mailbox.try_send(Mail::Answer(client, answer));
     }
 
-    pub(crate) fn carry_out(&mut self, todo: Todo) {
-        for (handle, step) in todo.steps {
+    pub(crate) fn carry_out(&mut self, actions: Actions) {
+        for (handle, step) in actions.requests {
             match step {
-                Step::Attempt { member, timeout, afresh, validity } => {
+                Action::Attempt { member, timeout, afresh, validity } => {
                     self.send_attempt(handle, member, timeout, afresh, validity)
                 }
-                Step::Reject { cool_down } => self.answer(handle, Answer::Rejected { cool_down }),
-                Step::Fail => self.answer(handle, Answer::Failed),
+                Action::Reject { cool_down } => self.answer(handle, Answer::Rejected { cool_down }),
+                Action::Fail => self.answer(handle, Answer::Failed),
             }
             self.release(handle);
         }
-        for member in todo.probes {
+        for member in actions.health_checks {
             let sent = Instant::now();
-            let until = sent + self.context.limits.probe;
+            let until = sent + self.context.limits.health_check;
             let peer = self.peers[member].as_ref();
             if peer.is_none_or(|peer| peer.commands.try_send(MemberCommand::Probe { sent, until }).is_err()) {
-                let (verdict, told) = (Verdict::NotSent, Told::default());
+                let (verdict, report) = (Verdict::NotSent, MemberReport::default());
                 let replica_words = peer.map_or(0, |peer| peer.replica_words);
-                self.pending.push_back(Call::Probed { member, verdict, took: 0, told, replica_words });
+                self.pending.push_back(Call::HealthChecked {
+                    member,
+                    verdict,
+                    took: 0,
+                    report,
+                    replica_words,
+                });
             }
         }
-        for member in todo.shut {
+        for member in actions.shut {
             if let Some(peer) = &self.peers[member] {
                 // A full mailbox means that its connections are wanted.
                 let _ = peer.commands.try_send(MemberCommand::CloseIdle);
             }
         }
-        if todo.subscribe
+        if actions.subscribe
             && let Some(requests) = &self.requests
         {
             let _ = requests.try_send(());
         }
-        if let Some(at) = todo.wake_at {
+        if let Some(at) = actions.wake_at {
             self.wake_at = at;
         }
     }
@@ -111,9 +117,9 @@
         };
         if peer.is_none_or(|peer| peer.commands.try_send(MemberCommand::Send(attempt)).is_err()) {
             warn!(self.context.log, "member's mailbox full, attempt not sent"; "member" => member);
-            let (verdict, told) = (Verdict::NotSent, Told::default());
+            let (verdict, report) = (Verdict::NotSent, MemberReport::default());
             let gave = Gave::Nothing;
-            let ended = Ended { handle, verdict, sent, took: 0, told, gave, replica_words: None };
+            let ended = Ended { handle, verdict, sent, took: 0, report, gave, replica_words: None };
             self.pending.push_back(Call::Ended(ended));
         }
     }
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/fellows.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use aldermill_leases::Driver;
-use aldermill_membership::{Change, Dropped, Fellow, Micros, Own, Peer, Tempo, Todo, View};
+use aldermill_membership::{Actions, Change, Dropped, Fellow, Micros, Own, Peer, Tempo, View};
 use aldermill_operator_config::{Council as Wanted, Fellows as Terms};
 use aldermill_site_drain::Plan;
 use serde_json::{Value, json};
@@ -99,7 +99,7 @@
             }
             None => None,
         };
-        let (fellows, todo) =
+        let (fellows, actions) =
             aldermill_membership::Fellows::start(now, own, peers, terms.networks, tempo, drivers, seed);
         let stood = context.lived.stood();
         let (shared, told) = ((drivers, drivers), drivers);
@@ -120,7 +120,7 @@
             sent: (0, 0),
             unsent: 0,
         };
-        company.carry_out(todo).await;
+        company.carry_out(actions).await;
         Ok(company)
     }
 
@@ -175,8 +175,8 @@
             }
         }
         self.counsel(|council, at, _| council.leave(at));
-        let todo = self.fellows.leave();
-        self.carry_out(todo).await;
+        let actions = self.fellows.leave();
+        self.carry_out(actions).await;
     }
 
     /// Before anything else that is done after a standstill.
@@ -202,8 +202,8 @@
                 Received::Failed => return,
             };
             let now = self.context.lived.now();
-            let todo = self.fellows.heard(now, from.ip(), &bytes[..length]);
-            self.carry_out(todo).await;
+            let actions = self.fellows.heard(now, from.ip(), &bytes[..length]);
+            self.carry_out(actions).await;
         }
     }
 
@@ -250,17 +250,17 @@
     }
 
     async fn wake(&mut self) {
-        let todo = self.fellows.wake(self.context.lived.now());
-        self.carry_out(todo).await;
+        let actions = self.fellows.wake(self.context.lived.now());
+        self.carry_out(actions).await;
     }
 
-    async fn carry_out(&mut self, todo: Todo) {
-        todo.send.into_iter().for_each(|(to, datagram)| self.send(to, &datagram));
+    async fn carry_out(&mut self, actions: Actions) {
+        actions.send.into_iter().for_each(|(to, datagram)| self.send(to, &datagram));
         let age = self.age;
-        for (from, words) in todo.words {
+        for (from, words) in actions.words {
             self.counsel(|council, at, others| council.hear(at, age, &from, &words, others));
         }
-        for change in todo.changes {
+        for change in actions.changes {
             if let (Change::Down(gone) | Change::Restarted(gone), Some((council, _))) =
                 (&change, &mut self.council)
             {
@@ -281,7 +281,7 @@
                 _ => info!(self.context.log, "{}", what; "fellow" => of),
             }
         }
-        self.wake_at = todo.wake_at;
+        self.wake_at = actions.wake_at;
         let view = self.fellows.view(self.context.lived.now());
         let shared = (view.sharing(self.told), view.sharing_cold(self.told));
         if shared != self.shared && !self.spans {
--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/gate.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_flow_control::{Ask, Bounds, Claim, Pace, Peer, Todo, TooMany, Way, Why};
+use aldermill_flow_control::{Actions, Ask, Bounds, Claim, Pace, Peer, TooMany, Way, Why};
 use slog::{Logger, info, warn};
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, sleep_until};
@@ -96,8 +96,8 @@
     /// Somebody's place is wanted; whether one was found who is to give it up.
     pub fn frees_a_place(&self) -> bool {
         self.with(|pace, now| {
-            let todo = pace.slot_wanted(now);
-            (todo.cut.iter().any(|(_, why)| *why == Why::Slot), todo)
+            let actions = pace.slot_wanted(now);
+            (actions.cut.iter().any(|(_, why)| *why == Why::Slot), actions)
         })
     }
 
@@ -114,9 +114,9 @@
     pub async fn room(self: &Rc<Gate>, peer: Peer, bytes: usize, best: bool, until: Instant) -> Option<Room> {
         let until = self.lived.at(until);
         let (claim, granted, waits) = self.with(|pace, now| {
-            let (claim, todo) = peer.asks(pace, now, Ask { bytes: bytes as u64, best, until });
-            let (granted, refused) = (todo.granted.contains(&claim), todo.refused.contains(&claim));
-            ((claim, granted, !granted && !refused), todo)
+            let (claim, actions) = peer.asks(pace, now, Ask { bytes: bytes as u64, best, until });
+            let (granted, refused) = (actions.granted.contains(&claim), actions.refused.contains(&claim));
+            ((claim, granted, !granted && !refused), actions)
         });
         let room = Room { gate: self.clone(), claim: Some(claim) };
         if waits {
@@ -130,17 +130,17 @@
     /// Room on behalf of a peer, if it is there now.
     pub fn room_now(self: &Rc<Gate>, peer: Peer, bytes: usize, best: bool) -> Option<Room> {
         let claim = self.with(|pace, now| {
-            let (claim, todo) = peer.asks(pace, now, Ask { bytes: bytes as u64, best, until: now });
-            (todo.granted.contains(&claim).then_some(claim), todo)
+            let (claim, actions) = peer.asks(pace, now, Ask { bytes: bytes as u64, best, until: now });
+            (actions.granted.contains(&claim).then_some(claim), actions)
         });
         claim.map(|claim| Room { gate: self.clone(), claim: Some(claim) })
     }
 
     /// Asks the books and carries out what they return.
-    fn with<T>(&self, ask: impl FnOnce(&mut Pace, i64) -> (T, Todo)) -> T {
+    fn with<T>(&self, ask: impl FnOnce(&mut Pace, i64) -> (T, Actions)) -> T {
         let mut books = self.books.borrow_mut();
-        let (told, todo) = ask(&mut books.pace, self.lived.now());
-        let Todo { granted, refused, cut, pressure, wake_at } = todo;
+        let (told, actions) = ask(&mut books.pace, self.lived.now());
+        let Actions { granted, refused, cut, pressure, wake_at } = actions;
         for claim in granted {
             if let Some(waiter) = books.waiting.remove(&claim) {
                 let _ = waiter.send(());
@@ -229,12 +229,12 @@
     pub fn may_leave(&self, bytes: usize) -> bool {
         self.gate.with(|pace, now| {
             let ask = Ask { bytes: bytes as u64, best: false, until: now };
-            let (claim, todo) = self.peer.asks(pace, now, ask);
-            let granted = todo.granted.contains(&claim);
+            let (claim, actions) = self.peer.asks(pace, now, ask);
+            let granted = actions.granted.contains(&claim);
             if granted {
                 claim.lingers(pace, now);
             }
-            (granted, todo)
+            (granted, actions)
         })
     }
 
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -93,7 +93,7 @@
     pub connect: Duration,
     /// A connection to a member that is not there after less than this says nothing of the member.
     pub opening: Duration,
-    pub probe: Duration,
+    pub health_check: Duration,
     /// After so many malformed answers in a row there is a line in the log.
     pub malformed_told: usize,
     /// From the last byte of a value to the end of its answer.
@@ -176,7 +176,7 @@
             parting: Duration::from_millis(300),
             connect: duration(decoded.connect_timeout),
             opening: duration(decoded.connect_timeout).min(Duration::from_millis(100)),
-            probe: duration(decoded.connect_timeout),
+            health_check: duration(decoded.connect_timeout),
             malformed_told: 3,
             closing: Duration::from_millis(5),
             rest: Duration::from_millis(100),
--- a/crates/proxy/src/member.rs
+++ b/crates/proxy/src/member.rs
@@ -1,4 +1,4 @@
-//! The actor of one member: its pool of connections, and the attempts and probes on them.
+//! The actor of one member: its pool of connections, and the attempts and health checks on them.
 
 mod connection;
 mod life;
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_routing::{Handle, MemberId, Micros, Role, Told, Verdict};
+use aldermill_routing::{Handle, MemberId, MemberReport, Micros, Role, Verdict};
 use aldermill_settings::Decoded;
 use aldermill_wire::Exchange;
 use slog::{error, info, warn};
@@ -32,7 +32,7 @@
 /// Between two lines in the log on connections to one member that cannot be opened here.
 const LOCAL_FAILURE_TOLD_EVERY: Duration = Duration::from_secs(10);
 
-/// What an attempt or a probe is for.
+/// What an attempt or a health check is for.
 enum Purpose {
     Request { handle: Handle, sent: Instant },
     Probe { sent: Instant },
@@ -199,7 +199,8 @@
         None
     }
 
-    /// Starts one query on a connection of its own, to its end or its deadline: an attempt, or else a probe.
+    /// Starts one query on a connection of its own, to its end or its deadline: an attempt, or else a health
+    /// check.
     fn visit(&mut self, purpose: Purpose, attempt: Option<Attempt>, until: Instant) {
         let for_request = attempt.is_some();
         let holder = attempt.as_ref().map(|attempt| attempt.holder);
@@ -232,8 +233,8 @@
                     age = came.map_or(0, |(_, last)| last.elapsed().as_micros() as Micros);
                     (verdict, exchange.is_ready().then_some(connection))
                 }
-                // For a request that connection never came up; a probe was not answered, and no more is
-                // known.
+                // For a request that connection never came up; a health check was not answered, and no more
+                // is known.
                 Err(Unopened { verdict: Verdict::TimedOut, .. }) if for_request => {
                     // Nothing was sent. After a standstill nobody saw whether the connection came up in time, and with
                     // little time left it may not have had enough.
@@ -306,7 +307,7 @@
         let replica_words = self.replica_words.get();
         let call = match purpose {
             Purpose::Request { handle, sent, .. } => {
-                let told = self.told(&exchange, exchange.usage.as_deref(), age);
+                let report = self.report(&exchange, exchange.usage.as_deref(), age);
                 let took = self.context.lived.since(sent);
                 let gave = match verdict {
                     Verdict::Served if crowded_out => Gave::MoreThanFits,
@@ -314,15 +315,15 @@
                     _ => Gave::Nothing,
                 };
                 let replica_words = Some((self.id, replica_words));
-                Call::Ended(Ended { handle, verdict, sent, took, told, gave, replica_words })
+                Call::Ended(Ended { handle, verdict, sent, took, report, gave, replica_words })
             }
             Purpose::Probe { sent } => {
                 if exchange.error.as_deref() == Some("57P03") {
                     verdict = Verdict::Overloaded;
                 }
-                let told = self.told(&exchange, std::str::from_utf8(exchange.value()).ok(), age);
+                let report = self.report(&exchange, std::str::from_utf8(exchange.value()).ok(), age);
                 let took = self.context.lived.since(sent);
-                Call::Probed { member: self.id, verdict, took, told, replica_words }
+                Call::HealthChecked { member: self.id, verdict, took, report, replica_words }
             }
         };
         self.context.desk.send(call).await
@@ -342,22 +343,26 @@
     /// What an answer says of the member; what cannot be read says nothing. Of one that was cut short no more is
     /// believed than that the member is a replica: where that is wrong it costs an answer, where it is missed reads
     /// are stale.
-    fn told(&self, exchange: &Exchange, usage: Option<&str>, age: Micros) -> Told {
+    fn report(&self, exchange: &Exchange, usage: Option<&str>, age: Micros) -> MemberReport {
         let says_replica = exchange.role.as_deref() == Some(REPLICA);
         if !exchange.is_over() {
-            return Told { role: says_replica.then_some(Role::Replica), age, ..Told::default() };
+            return MemberReport {
+                role: says_replica.then_some(Role::Replica),
+                age,
+                ..MemberReport::default()
+            };
         }
         let pairs = usage.into_iter().flat_map(|usage| usage.split(','));
         let pairs = pairs.filter_map(|pair| pair.trim().split_once('='));
-        let mut told = Decoded::report(pairs, 0).unwrap_or_default();
-        told.age = age;
+        let mut report = Decoded::report(pairs, 0).unwrap_or_default();
+        report.age = age;
         match exchange.role.as_deref() {
-            Some(PRIMARY) => told.role = Some(Role::Primary),
-            Some(REPLICA) => told.role = Some(Role::Replica),
+            Some(PRIMARY) => report.role = Some(Role::Primary),
+            Some(REPLICA) => report.role = Some(Role::Replica),
             _ => {}
         }
         let position = exchange.position.as_ref().and_then(|position| position.parse::<Micros>().ok());
-        told.position = told.position.max(position.map(|millis| millis.saturating_mul(1000)));
-        told
+        report.position = report.position.max(position.map(|millis| millis.saturating_mul(1000)));
+        report
     }
 }
--- a/crates/proxy/src/member/visit.rs
+++ b/crates/proxy/src/member/visit.rs
@@ -18,8 +18,8 @@
 use crate::system::{self, Meaning, Party, Peeked};
 use crate::words::{Attempt, Query};
 
-/// The probe, as members know it.
-const PROBE: &[u8] = b"SHOW usage";
+/// The health check, as members know it.
+const HEALTH_CHECK: &[u8] = b"SHOW usage";
 
 /// What a member is told less than is left: it may be told 0.15 s too much, which is as long as the process may be held up
 /// before the statement is written. This covers what comes on top, as the way from the client. Of little time, an eighth.
@@ -27,7 +27,7 @@
 
 /// What is asked for again when the connection is there, however long that took: whether the query may leave.
 pub(super) struct Departure {
-    /// None for a probe.
+    /// None for a health check.
     pub(super) attempt: Option<Attempt>,
     pub(super) until: Instant,
     /// Whether the list's last word lets anything new be sent to the member.
@@ -59,9 +59,9 @@
     /// milliseconds.
     pub(super) fn query(&self) -> Query {
         let Some(attempt) = &self.attempt else {
-            let mut probe = Vec::new();
-            pg::query(&mut probe, &[PROBE]);
-            return Query::Whole(probe);
+            let mut health_check = Vec::new();
+            pg::query(&mut health_check, &[HEALTH_CHECK]);
+            return Query::Whole(health_check);
         };
         let left = self.until.saturating_duration_since(Instant::now());
         let wait = left.saturating_sub((left / 8).min(RESERVE)).as_millis().max(1);
@@ -72,7 +72,7 @@
 /// One query on one connection.
 pub(super) struct Visit<'a> {
     pub(super) context: &'a Context,
-    /// For whom room is asked for a large answer; a probe has none.
+    /// For whom room is asked for a large answer; a health check has none.
     pub(super) holder: Option<(Peer, bool)>,
     pub(super) until: Instant,
     pub(super) exchange: Exchange,
--- a/crates/proxy/src/trial.rs
+++ b/crates/proxy/src/trial.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use aldermill_operator_config::Trial as Wanted;
-use aldermill_routing::{Handle, Router, Step, Terms, Todo};
+use aldermill_routing::{Action, Actions, Handle, Router, Terms};
 use aldermill_settings::Decoded;
 use slog::{Logger, info};
 use tokio::time::Instant;
@@ -29,8 +29,8 @@
     Member,
     Limit,
     CoolDown,
-    Probed,
-    NotProbed,
+    HealthChecked,
+    NotHealthChecked,
     Closing,
     AskingForList,
 }
@@ -48,8 +48,8 @@
             Kind::Member => f.write_str("another_member"),
             Kind::Limit => f.write_str("another_limit"),
             Kind::CoolDown => f.write_str("another_cool_down"),
-            Kind::Probed => f.write_str("probed"),
-            Kind::NotProbed => f.write_str("not_probed"),
+            Kind::HealthChecked => f.write_str("probed"),
+            Kind::NotHealthChecked => f.write_str("not_probed"),
             Kind::Closing => f.write_str("other_connections_closed"),
             Kind::AskingForList => f.write_str("list_asked_for_otherwise"),
         }
@@ -93,13 +93,17 @@
     }
 
     /// Lets the router decide, and for the sample a copy of it under the other settings, whose answer is counted.
-    pub fn ask<T>(&mut self, router: &mut Router, decide: impl Fn(&mut Router) -> (T, Todo)) -> (T, Todo) {
+    pub fn ask<T>(
+        &mut self,
+        router: &mut Router,
+        decide: impl Fn(&mut Router) -> (T, Actions),
+    ) -> (T, Actions) {
         let copy = self.sampled(router);
-        let (made, todo) = decide(router);
+        let (made, actions) = decide(router);
         if let Some(mut copy) = copy {
-            self.compare(&todo, &decide(&mut copy).1);
+            self.compare(&actions, &decide(&mut copy).1);
         }
-        (made, todo)
+        (made, actions)
     }
 
     /// A copy that is to decide under the other settings, if this decision is in the sample.
@@ -113,7 +117,7 @@
     }
 
     /// Counts where the copy would have done otherwise.
-    fn compare(&mut self, done: &Todo, other: &Todo) {
+    fn compare(&mut self, done: &Actions, other: &Actions) {
         self.compared += 1;
         let (was, would) = (fates(done), fates(other));
         let handles = was.keys().chain(would.keys().filter(|handle| !was.contains_key(handle)));
@@ -121,13 +125,13 @@
             let steps = (was.get(handle).copied(), would.get(handle).copied());
             let kind = match steps {
                 (
-                    Some(Step::Attempt { member, timeout, .. }),
-                    Some(Step::Attempt { member: other, timeout: within, .. }),
+                    Some(Action::Attempt { member, timeout, .. }),
+                    Some(Action::Attempt { member: other, timeout: within, .. }),
                 ) => {
                     let kind = if member != other { Kind::Member } else { Kind::Limit };
                     (member != other || timeout != within).then_some(kind)
                 }
-                (Some(Step::Reject { cool_down }), Some(Step::Reject { cool_down: other })) => {
+                (Some(Action::Reject { cool_down }), Some(Action::Reject { cool_down: other })) => {
                     (cool_down != other).then_some(Kind::CoolDown)
                 }
                 (was, would) => {
@@ -139,8 +143,8 @@
         }
         let lacking =
             |these: &[usize], those: &[usize]| these.iter().filter(|id| !those.contains(id)).count() as u64;
-        self.count(Some(Kind::Probed), lacking(&other.probes, &done.probes));
-        self.count(Some(Kind::NotProbed), lacking(&done.probes, &other.probes));
+        self.count(Some(Kind::HealthChecked), lacking(&other.health_checks, &done.health_checks));
+        self.count(Some(Kind::NotHealthChecked), lacking(&done.health_checks, &other.health_checks));
         self.count(Some(Kind::Closing), u64::from(done.shut != other.shut));
         self.count(Some(Kind::AskingForList), u64::from(done.subscribe != other.subscribe));
     }
@@ -164,15 +168,15 @@
 }
 
 /// The last step for each request.
-fn fates(todo: &Todo) -> BTreeMap<Handle, Step> {
-    todo.steps.iter().copied().collect()
+fn fates(actions: &Actions) -> BTreeMap<Handle, Action> {
+    actions.requests.iter().copied().collect()
 }
 
-fn fate(step: Option<Step>) -> Fate {
+fn fate(step: Option<Action>) -> Fate {
     match step {
         None => Fate::Held,
-        Some(Step::Attempt { .. }) => Fate::Attempted,
-        Some(Step::Reject { .. }) => Fate::Rejected,
-        Some(Step::Fail) => Fate::Failed,
+        Some(Action::Attempt { .. }) => Fate::Attempted,
+        Some(Action::Reject { .. }) => Fate::Rejected,
+        Some(Action::Fail) => Fate::Failed,
     }
 }
--- a/crates/proxy/src/words.rs
+++ b/crates/proxy/src/words.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use aldermill_flow_control::Peer;
-use aldermill_routing::{Handle, MemberId, Micros, Told, Validity, Verdict};
+use aldermill_routing::{Handle, MemberId, MemberReport, Micros, Validity, Verdict};
 use aldermill_site_drain::Plan;
 use aldermill_site_link::{Event, Said};
 use aldermill_site_routing::Opens;
@@ -27,11 +27,11 @@
     Take(Order),
     Left(ClientId),
     Ended(Ended),
-    Probed {
+    HealthChecked {
         member: MemberId,
         verdict: Verdict,
         took: Micros,
-        told: Told,
+        report: MemberReport,
         replica_words: u64,
     },
     /// The settings that are on trial from now on.
@@ -128,7 +128,7 @@
     /// When the attempt was decided.
     pub sent: Instant,
     pub took: Micros,
-    pub told: Told,
+    pub report: MemberReport,
     /// What the member gave.
     pub gave: Gave,
     /// The member, and how often it has said that it is a replica, this answer included.
--- a/crates/proxy/tests/departure.rs
+++ b/crates/proxy/tests/departure.rs
@@ -22,7 +22,7 @@
     Member::at(TcpListener::bind("127.0.0.1:0").unwrap(), bears, act)
 }
 
-/// A proxy before this member alone, which sends no probes; `settings` changes its settings.
+/// A proxy before this member alone, which sends no health checks; `settings` changes its settings.
 fn before(member: &Member, settings: impl Fn(String) -> String) -> Driver {
     let known = list(1, true, &[("a", member, "in_service")]);
     let discovery = Discovery::default();
--- a/crates/proxy/tests/local_failures.rs
+++ b/crates/proxy/tests/local_failures.rs
@@ -102,7 +102,7 @@
     for rule in ["socket EMFILE 100 -", "connect EADDRNOTAVAIL 100 -", "connect ENETUNREACH 60 -"] {
         let (lost, after) = second_of(rule);
         assert!(lost < 0.01, "{rule}: {lost}");
-        // One is tried each 20 ms, and probes have their own.
+        // One is tried each 20 ms, and health checks have their own.
         assert!(after <= 8, "{rule}: {after} connections in 100 ms");
     }
 }
--- a/crates/proxy/tests/members.rs
+++ b/crates/proxy/tests/members.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_probe_that_finds_no_connection_in_time_is_no_sign_of_a_dead_process() {
+fn a_health_check_that_finds_no_connection_in_time_is_no_sign_of_a_dead_process() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let refuses = || loop {
         thread::sleep(LONG);
--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -31,7 +31,7 @@
         format!("{before},d=15000,{after}")
     };
     assert!(passed_on.iter().all(|text| asked.contains(&masked(text))));
-    // One request at a time needs one connection a member, and one more for a probe on the way.
+    // One request at a time needs one connection a member, and one more for a health check on the way.
     assert!(primary.connections.load(Ordering::SeqCst) <= 3);
 }
 
--- a/crates/proxy/tests/trial.rs
+++ b/crates/proxy/tests/trial.rs
@@ -8,7 +8,9 @@
 mod trial;
 
 use aldermill_operator_config::Trial as Wanted;
-use aldermill_routing::{Listed, Outcome, Request, Role, Router, Standing, Step, Todo, Told, Verdict};
+use aldermill_routing::{
+    Action, Actions, Listed, MemberReport, Outcome, Request, Role, Router, Standing, Verdict,
+};
 use aldermill_settings::Decoded;
 use aldermill_test_support::{TERMS, file};
 use trial::{Fate, Kind, Trial};
@@ -26,13 +28,13 @@
 fn day(mut trial: Option<&mut Trial>) -> Vec<String> {
     let mut router = Router::start(decoded(TERMS).terms, 7, 0);
     let mut done = Vec::new();
-    let mut ask = |router: &mut Router, decide: &dyn Fn(&mut Router) -> Todo| {
-        let todo = match &mut trial {
+    let mut ask = |router: &mut Router, decide: &dyn Fn(&mut Router) -> Actions| {
+        let actions = match &mut trial {
             Some(trial) => trial.ask(router, |router| ((), decide(router))).1,
             None => decide(router),
         };
-        done.push(format!("{todo:?}"));
-        todo
+        done.push(format!("{actions:?}"));
+        actions
     };
     let line = |member: usize| Listed {
         member,
@@ -49,14 +51,14 @@
         let class = (at / 40_000 % 3 / 2) as usize;
         let ttl = if at % 7 == 0 { 5_000 } else { 900_000 };
         let request = Request { class, group: 1, ttl, ..Request::default() };
-        let todo = ask(&mut router, &|router| router.take(at, request.clone()).1);
-        for (handle, step) in todo.steps {
-            let Step::Attempt { member, .. } = step else { continue };
+        let actions = ask(&mut router, &|router| router.take(at, request.clone()).1);
+        for (handle, step) in actions.requests {
+            let Action::Attempt { member, .. } = step else { continue };
             let role = Some(if member == 2 { Role::Primary } else { Role::Replica });
             let verdict = if member == 2 || class == 0 { Verdict::Served } else { Verdict::NotPrimary };
-            let told = Told { role, position: Some(at), age: 0 };
+            let report = MemberReport { role, position: Some(at), age: 0 };
             let closed = verdict == Verdict::Served;
-            let outcome = Outcome { verdict, took: 30_000, told, closed };
+            let outcome = Outcome { verdict, took: 30_000, report, closed };
             ask(&mut router, &|router| handle.ended(router, at + 30_000, outcome));
         }
         ask(&mut router, &|router| router.wake(at + 35_000));
@@ -82,7 +84,7 @@
     let mut trial = Trial::read(&wanted(&many), &decoded(TERMS)).unwrap();
     assert_eq!(day(Some(&mut trial)), day(None));
     assert!(trial.kinds.contains_key(&Kind::Fate(Fate::Attempted, Fate::Held)), "{:?}", trial.kinds);
-    assert!(trial.kinds.contains_key(&Kind::NotProbed), "{:?}", trial.kinds);
+    assert!(trial.kinds.contains_key(&Kind::NotHealthChecked), "{:?}", trial.kinds);
 }
 
 #[test]
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Router`] in `policy` holds every decision. This file holds the interface: what a driver
 //! is told once ([`Terms`]), what it takes ([`Request`]), what it hears ([`Listed`], [`Outcome`],
-//! [`Told`]) and what it is to do next ([`Todo`]).
+//! [`MemberReport`]) and what it is to do next ([`Actions`]).
 
 mod policy;
 mod state;
@@ -71,7 +71,7 @@
     /// How many zones there are.
     pub zones: usize,
     pub max_attempts: u32,
-    pub may_probe: bool,
+    pub health_checks_allowed: bool,
     pub max_cool_down: Micros,
     pub listed_roles: ListedRoles,
     /// Members turn away reads for which they are too far behind.
@@ -133,7 +133,7 @@
 
 /// What a member says of itself: its role, and the time up to which it has applied all commits.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Told {
+pub struct MemberReport {
     pub role: Option<Role>,
     pub position: Option<Micros>,
     /// How long ago it said so, at the most, where the driver stood still meanwhile.
@@ -184,7 +184,7 @@
 pub struct Outcome {
     pub verdict: Verdict,
     pub took: Micros,
-    pub told: Told,
+    pub report: MemberReport,
     /// The request is over, by this outcome or before it.
     pub closed: bool,
 }
@@ -219,7 +219,7 @@
 
 /// What is to be done for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum Action {
     /// `afresh`: on a new connection, the idle ones being closed.
     Attempt {
         member: MemberId,
@@ -235,9 +235,9 @@
 
 /// What the caller is to do now, in this order, and when to wake the router again.
 #[derive(Clone, Debug, Default)]
-pub struct Todo {
-    pub steps: Vec<(Handle, Step)>,
-    pub probes: Vec<MemberId>,
+pub struct Actions {
+    pub requests: Vec<(Handle, Action)>,
+    pub health_checks: Vec<MemberId>,
     /// Members whose idle connections are to be closed.
     pub shut: Vec<MemberId>,
     pub subscribe: bool,
--- a/crates/routing/src/policy/decide.rs
+++ b/crates/routing/src/policy/decide.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Router {
-    pub fn take(&mut self, now: Micros, request: Request) -> (Handle, Todo) {
+    pub fn take(&mut self, now: Micros, request: Request) -> (Handle, Actions) {
         let handle = Handle(self.next_handle);
         self.next_handle += 1;
         let group = self.group(request.group);
@@ -31,7 +31,7 @@
         };
         self.pending_requests.insert(handle, pending);
         self.place(now, handle);
-        (handle, self.take_todo())
+        (handle, self.take_actions())
     }
 
     /// Sends the request on its way, holds it, or gives it up.
@@ -78,7 +78,9 @@
         (pending.out, pending.waits_from) = (Some((id, now)), now);
         (self.attempted, self.rush) = (self.attempted + 1.0, self.rush - 1.0);
         self.session(handle).into_iter().for_each(|session| session.out += 1);
-        self.todo.steps.push((handle, Step::Attempt { member: id, timeout: useful - now, afresh, validity }));
+        self.actions
+            .requests
+            .push((handle, Action::Attempt { member: id, timeout: useful - now, afresh, validity }));
     }
 
     /// An attempt uses up what was saved for its member; the primary is owed its part of its group's
@@ -138,9 +140,9 @@
         // What is rejected for want of room has missed its latency objective: sooner again only adds to the
         // crowd.
         let cool_down = self.terms.classes[pending.request.class].objective.min(self.terms.max_cool_down);
-        self.todo.steps.push((
+        self.actions.requests.push((
             handle,
-            if rejectable && !self.at_fault(pending) { Step::Reject { cool_down } } else { Step::Fail },
+            if rejectable && !self.at_fault(pending) { Action::Reject { cool_down } } else { Action::Fail },
         ));
         self.close(handle);
     }
@@ -155,7 +157,7 @@
     }
 
     pub(super) fn attempt_ended(&mut self, now: Micros, handle: Handle, outcome: Outcome) {
-        let Outcome { verdict, told, .. } = outcome;
+        let Outcome { verdict, report, .. } = outcome;
         let pending = self.pending_requests.get(&handle);
         let out = pending.and_then(|pending| pending.out.map(|(id, _)| (id, pending.request.class)));
         let mute = out.is_some_and(|(id, _)| self.mute(now, id));
@@ -190,7 +192,7 @@
             member.hear(now, credit);
         } else if matches!(verdict, Verdict::Unconnected | Verdict::Unreachable | Verdict::Reset) {
             member.lost_until = now + 2 * HOLD;
-            let refused = verdict == Verdict::Unconnected && outcome.took < PROBE_NEEDED;
+            let refused = verdict == Verdict::Unconnected && outcome.took < HEALTH_CHECK_NEEDED;
             member.fell = member.fell.or((verdict == Verdict::Reset || refused).then_some(now));
             refusal = refused && sparse;
         }
@@ -233,7 +235,8 @@
             }
             Verdict::Overloaded => (member.window, member.credit, member.credited) = (shrunk, 0.0, now),
             Verdict::NotPrimary | Verdict::NotSent | Verdict::Unobserved => {}
-            // Protects a group whose members all spoil alike from the bar: only those in a row are failures.
+            // Protects a group whose members all spoil alike from the blacklist: only those in a row are
+            // failures.
             // Should also cover links that break connections. Harms requests at a member that spoils most.
             Verdict::Malformed | Verdict::ConnectionLost if member.malformed < FAILURES => {
                 member.malformed += 1
@@ -243,7 +246,7 @@
             _ => self.failed(now, id),
         }
         let told_commit =
-            told.position.filter(|_| verdict == Verdict::Served).unwrap_or(self.members_now(now));
+            report.position.filter(|_| verdict == Verdict::Served).unwrap_or(self.members_now(now));
         let commit = if verdict.never_ran() { 0 } else { told_commit };
         self.session(handle).into_iter().for_each(|session| session.ended(commit));
         let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
@@ -252,9 +255,9 @@
         if refusal {
             self.refused(now, id);
         } else if now < self.tight_until && idle {
-            self.todo.shut.push(id);
+            self.actions.shut.push(id);
         }
-        self.note(now, id, told, sent, now - told.age);
+        self.note(now, id, report, sent, now - report.age);
         if verdict == Verdict::NotPrimary && self.groups[group].primary.is_none() {
             let round = self.groups[group].members.len().min(self.terms.max_attempts as usize / 2);
             let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
@@ -262,7 +265,7 @@
             let over = pending.misses >= round;
             pending.misses = if over { 0 } else { pending.misses };
             let (over_hold, member) = (now + self.hold(), &mut self.members[id]);
-            member.not_primary = member.not_primary.max(now - told.age);
+            member.not_primary = member.not_primary.max(now - report.age);
             if over {
                 self.groups[group].walk_after = over_hold;
             }
@@ -276,35 +279,35 @@
         self.pump(now, group);
     }
 
-    /// A failure that is the member's own: some in a row bar it, fewer where each driver sees few of its
-    /// answers.
+    /// A failure that is the member's own: some in a row blacklist it, fewer where each driver sees few of
+    /// its answers.
     fn failed(&mut self, now: Micros, id: MemberId) {
         let (member, drivers) = (&mut self.members[id], self.terms.drivers as f64);
         member.failures.push_back(now);
         member.failures.retain(|&at| at >= now - FAILURE_WINDOW);
         if member.failures.len() as f64 >= (FAILURES as f64 * 25.0 / drivers).min(FAILURES as f64) {
             member.failures.clear();
-            member.barred_until = now + BAR;
+            member.blacklisted_until = now + BLACKLISTED_FOR;
         }
     }
 
-    /// Protects members from bars, and the attempts of others from being used up, by requests that bring
-    /// their errors with them: two members that fail it alike, or one three times, prove it. Should also
-    /// cover statements that every member turns down. Harms a request that met two bad members.
+    /// Protects members from blacklists, and the attempts of others from being used up, by requests that
+    /// bring their errors with them: two members that fail it alike, or one three times, prove it. Should
+    /// also cover statements that every member turns down. Harms a request that met two bad members.
     fn at_fault(&self, pending: &PendingRequest) -> bool {
         pending.erred.len() > 2 || pending.erred.iter().any(|id| *id != pending.erred[0])
     }
 
     /// Protects members that take few connections from those that drivers keep idle: a driver among many
-    /// that was refused closes its own, for a while after each use. A probe tells whether the process is
-    /// dead. Harms attempts by a handshake each.
+    /// that was refused closes its own, for a while after each use. A health check tells whether the process
+    /// is dead. Harms attempts by a handshake each.
     pub(super) fn refused(&mut self, now: Micros, id: MemberId) {
         if now >= self.tight_until {
             let idle = (0..self.members.len()).filter(|&id| self.members[id].out.is_empty());
-            self.todo.shut.extend(idle);
+            self.actions.shut.extend(idle);
         }
         self.tight_until = now + FAILURE_WINDOW;
-        self.probe(now, id, PROBE_NEEDED);
+        self.health_check(now, id, HEALTH_CHECK_NEEDED);
     }
 
     /// Further attempts go by priority weight: the best paid request class may use them all.
--- a/crates/routing/src/policy/fresh.rs
+++ b/crates/routing/src/policy/fresh.rs
@@ -19,7 +19,9 @@
         let round = (0..order.len()).map(|step| order[(start + step) % order.len()]);
         let mut open = round.filter(|&id| self.may_be_primary(now, group, id));
         let first = open.clone().next();
-        open.find(|&id| now >= self.members[id].barred_until).or(first).filter(|&id| self.room(now, id) > 0.0)
+        open.find(|&id| now >= self.members[id].blacklisted_until)
+            .or(first)
+            .filter(|&id| self.room(now, id) > 0.0)
     }
 
     /// A random replica proven fresh enough, else the primary. A sparse driver draws first, then asks it.
@@ -42,8 +44,8 @@
         let class = pending.request.class;
         let long = need == Need::Loose && self.long(class);
         let mut open = self.readable(now, pending, floor, long);
-        if open.iter().any(|&id| now >= self.members[id].barred_until && Some(id) != pending.last) {
-            open.retain(|&id| now >= self.members[id].barred_until && Some(id) != pending.last);
+        if open.iter().any(|&id| now >= self.members[id].blacklisted_until && Some(id) != pending.last) {
+            open.retain(|&id| now >= self.members[id].blacklisted_until && Some(id) != pending.last);
         }
         let primary = self.groups[group].primary;
         let seen = primary.filter(|id| open.contains(id) && self.members[*id].seen_primary);
@@ -81,24 +83,25 @@
             return target.or(resort);
         }
         // One stale replica at a time is asked; a read waits for its word before it burdens the primary.
-        let awaited = |member: &Member| member.probe_out && now - member.probed < BEAT;
+        let awaited = |member: &Member| member.health_check_out && now - member.health_checked < BEAT;
         if !stale.iter().any(|&id| awaited(&self.members[id])) {
-            let due = |&id: &MemberId| now - self.members[id].probed >= self.catches_up_in(id, floor);
+            let due = |&id: &MemberId| now - self.members[id].health_checked >= self.catches_up_in(id, floor);
             let due: Vec<MemberId> = stale.iter().copied().filter(due).collect();
             let ask = drawn.filter(|id| due.contains(id)).or_else(|| due.choose(&mut self.rng).copied());
-            ask.into_iter().for_each(|id| self.probe(now, id, PROBE_NEEDED));
+            ask.into_iter().for_each(|id| self.health_check(now, id, HEALTH_CHECK_NEEDED));
         }
         let waits = (target.is_none() || unsure) && stale.iter().any(|&id| awaited(&self.members[id]));
         self.pending_requests.get_mut(&handle).expect("being placed").asked |= waits;
         if waits { None } else { target.or(resort) }
     }
 
-    /// Protects the price of probes and the time of writes: a member far behind is not asked again before it
-    /// can have caught up, at twice the pace of time. Harms one that catches up faster, for a second at most.
+    /// Protects the price of health checks and the time of writes: a member far behind is not asked again
+    /// before it can have caught up, at twice the pace of time. Harms one that catches up faster, for a
+    /// second at most.
     pub(super) fn catches_up_in(&self, id: MemberId, floor: Micros) -> Micros {
         let position = self.members[id].position;
         let lacks = if position == Micros::MIN { 0 } else { floor.saturating_sub(position) };
-        (lacks / 2).clamp(PROBE_NEEDED, PROBE_EVERY)
+        (lacks / 2).clamp(HEALTH_CHECK_NEEDED, HEALTH_CHECK_EVERY)
     }
 
     /// Until when the attempt may leave. Protects reads and repeats from what comes between the decision and the
@@ -135,21 +138,22 @@
         bound.is_some_and(|bound| usual(class) > (bound / row).max(3 * least))
     }
 
-    /// Protects reads from a way that has grown so long that answers come too late, as its probes tell.
-    /// Tried again after a while. Harms members beyond it that are probed just when a neighbour dies.
+    /// Protects reads from a way that has grown so long that answers come too late, as its health checks
+    /// tell.
+    /// Tried again after a while. Harms members beyond it that are health checked just when a neighbour dies.
     pub(super) fn remote(&self, now: Micros, id: MemberId, class: usize) -> bool {
         let zone = self.members[id].zone;
         let (way, at) = self.ways.get(&zone).copied().unwrap_or_default();
         let usual = self.took[class].quantile(0.5).unwrap_or(0);
-        let far = zone != self.terms.zone && now - at < BAR;
+        let far = zone != self.terms.zone && now - at < BLACKLISTED_FOR;
         let way = if far { way.max(self.way(now, id)) } else { self.way(now, id) };
         way + usual > self.terms.classes[class].objective / 2
     }
 
-    /// There and back to the member, as far as its probes of late tell.
+    /// There and back to the member, as far as its health checks of late tell.
     pub(super) fn way(&self, now: Micros, id: MemberId) -> Micros {
         let (way, at) = self.members[id].way;
-        if now - at < BAR { way } else { 0 }
+        if now - at < BLACKLISTED_FOR { way } else { 0 }
     }
 
     /// A member drawn by its room. Where crossing has a price the own zone is preferred, by a sparse driver
@@ -200,12 +204,19 @@
     /// words that come late or out of order: an older one never beats a newer one, and reads take a member for
     /// primary only by a word asked for after it was last heard to be a replica, which holds unless provably
     /// older, as positions never go back. Harms reads without a fresh replica just after a hand-over.
-    pub(super) fn note(&mut self, now: Micros, id: MemberId, told: Told, asked: Micros, at: Micros) {
+    pub(super) fn note(
+        &mut self,
+        now: Micros,
+        id: MemberId,
+        report: MemberReport,
+        asked: Micros,
+        at: Micros,
+    ) {
         let member = &mut self.members[id];
-        let position = told.position.unwrap_or(Micros::MIN);
+        let position = report.position.unwrap_or(Micros::MIN);
         member.position = member.position.max(position);
         let group = &mut self.groups[member.group];
-        match told.role {
+        match report.role {
             Some(Role::Primary) if at >= member.demoted => {
                 member.seen_primary |= asked >= member.replica_heard;
                 member.primary_position = member.primary_position.max(position);
@@ -214,7 +225,7 @@
                 }
             }
             Some(Role::Replica) => {
-                member.not_primary = member.not_primary.max(now - told.age);
+                member.not_primary = member.not_primary.max(now - report.age);
                 let newer = at >= group.word || position >= member.primary_position;
                 if newer && group.primary == Some(id) {
                     (group.primary, group.word) = (None, at);
--- a/crates/routing/src/policy/members.rs
+++ b/crates/routing/src/policy/members.rs
@@ -1,9 +1,9 @@
-//! What is believed of members: the list, bars, silence, windows, cold parts, probes.
+//! What is believed of members: the list, blacklists, silence, windows, cold parts, health checks.
 
 use super::*;
 
 impl Router {
-    pub fn list(&mut self, now: Micros, full: bool, lines: Vec<Listed>) -> Todo {
+    pub fn list(&mut self, now: Micros, full: bool, lines: Vec<Listed>) -> Actions {
         // The list held at the start is no answer to a call.
         self.ask_at = if self.members.is_empty() { self.ask_at } else { Micros::MAX };
         let listed: HashSet<&str> = lines.iter().map(|line| line.name.as_str()).collect();
@@ -21,7 +21,7 @@
             self.list_line(now, line);
         }
         self.pump_all(now);
-        self.take_todo()
+        self.take_actions()
     }
 
     pub(super) fn list_line(&mut self, now: Micros, line: Listed) {
@@ -39,14 +39,14 @@
         }
         let member = &mut self.members[id];
         if !known || member.since != line.since && line.standing == Standing::Ready {
-            (member.barred_until, member.seen_primary) = (member.barred_until.min(now), false);
+            (member.blacklisted_until, member.seen_primary) = (member.blacklisted_until.min(now), false);
             (member.since, member.credit, member.credited) = (line.since, credit, now);
         }
         self.stand(now, id, line.standing);
         if !known && !self.sparse() && !self.keeps_to_some() {
-            // A probe for each member and one in reserve.
+            // A health check for each member and one in reserve.
             self.allowance += 2.0;
-            self.probe(now, id, PROBE_NEEDED);
+            self.health_check(now, id, HEALTH_CHECK_NEEDED);
         }
         let group = &mut self.groups[group];
         if line.primary && line.standing == Standing::Ready && group.listed != Some(id) {
@@ -87,7 +87,7 @@
     /// may be given out anew, and one that comes back is another member.
     pub fn forget(&mut self, now: Micros, id: MemberId) -> bool {
         let member = &self.members[id];
-        let quiet = member.out.is_empty() && !member.probe_out && now - member.heard > FAILURE_WINDOW;
+        let quiet = member.out.is_empty() && !member.health_check_out && now - member.heard > FAILURE_WINDOW;
         let forgotten = member.standing == Standing::Gone && quiet;
         if forgotten {
             let group = &mut self.groups[member.group];
@@ -99,10 +99,10 @@
         forgotten
     }
 
-    pub fn list_unavailable(&mut self, now: Micros) -> Todo {
+    pub fn list_unavailable(&mut self, now: Micros) -> Actions {
         self.ask_wait = (self.ask_wait * 2).min(8_000 * MS);
         self.ask_at = now + self.rng.random_range(self.ask_wait / 2..self.ask_wait);
-        self.take_todo()
+        self.take_actions()
     }
 
     /// Whether anything may be sent there: never against the drain rule, nor into silence.
@@ -213,10 +213,17 @@
         self.rng.random::<f64>() + STAY / self.terms.drivers_at_cold as f64
     }
 
-    /// How a probe ended. A member too full to report has answered all the same.
-    pub fn probed(&mut self, now: Micros, id: MemberId, verdict: Verdict, took: Micros, told: Told) -> Todo {
+    /// How a health check ended. A member too full to report has answered all the same.
+    pub fn health_checked(
+        &mut self,
+        now: Micros,
+        id: MemberId,
+        verdict: Verdict,
+        took: Micros,
+        report: MemberReport,
+    ) -> Actions {
         let credit = self.first_credit();
-        let Some(member) = self.members.get_mut(id) else { return self.take_todo() };
+        let Some(member) = self.members.get_mut(id) else { return self.take_actions() };
         // The way to its zone: an answer halves the difference, silence tells less, as one member alone
         // may be dead.
         let (way, at) = self.ways.entry(member.zone).or_insert((0, now));
@@ -228,40 +235,45 @@
             Verdict::TimedOut => (*way, *at) = (*way + (took - *way) / 4, now),
             _ => {}
         }
-        let (group, was_barred) = (member.group, member.probe_misses >= PROBE_MISSES);
-        member.probe_out = false;
+        let (group, was_blacklisted) = (member.group, member.health_check_misses >= HEALTH_CHECK_MISSES);
+        member.health_check_out = false;
         if matches!(verdict, Verdict::NotSent | Verdict::Unobserved | Verdict::LocalFailure) {
             // Nobody asked it, or nobody saw its answer.
         } else if matches!(
             verdict,
             Verdict::Served | Verdict::Overloaded | Verdict::Malformed | Verdict::ConnectionLost
         ) {
-            // An answered probe lifts the detect bar.
-            member.barred_until = if was_barred { now } else { member.barred_until };
-            member.probe_misses = 0;
+            // An answered health check lifts the detect blacklist.
+            member.blacklisted_until = if was_blacklisted { now } else { member.blacklisted_until };
+            member.health_check_misses = 0;
             member.hear(now, credit);
-            let at = told.position.map(|position| position.saturating_sub(self.clock_offset));
-            let at = at.unwrap_or(now - HOLD - told.age);
-            self.note(now, id, told, at, at);
+            let at = report.position.map(|position| position.saturating_sub(self.clock_offset));
+            let at = at.unwrap_or(now - HOLD - report.age);
+            self.note(now, id, report, at, at);
         } else {
-            member.probe_misses += 1;
+            member.health_check_misses += 1;
             member.fell = member.fell.or((verdict == Verdict::Unconnected).then_some(now));
             member.lost_until = now + 2 * HOLD;
-            let barred = member.probe_misses >= PROBE_MISSES;
-            member.barred_until = if barred { now + BAR } else { member.barred_until };
+            let blacklisted = member.health_check_misses >= HEALTH_CHECK_MISSES;
+            member.blacklisted_until =
+                if blacklisted { now + BLACKLISTED_FOR } else { member.blacklisted_until };
         }
         self.pump(now, group);
         self.part_with(id);
-        self.take_todo()
+        self.take_actions()
     }
 
-    pub(super) fn probe(&mut self, now: Micros, id: MemberId, gap: Micros) {
+    pub(super) fn health_check(&mut self, now: Micros, id: MemberId, gap: Micros) {
         let member = &mut self.members[id];
-        let early = member.probe_out || now - member.probed < gap;
-        if self.terms.may_probe && member.standing == Standing::Ready && !early && self.allowance >= 1.0 {
+        let early = member.health_check_out || now - member.health_checked < gap;
+        if self.terms.health_checks_allowed
+            && member.standing == Standing::Ready
+            && !early
+            && self.allowance >= 1.0
+        {
             self.allowance -= 1.0;
-            (member.probe_out, member.probed) = (true, now);
-            self.todo.probes.push(id);
+            (member.health_check_out, member.health_checked) = (true, now);
+            self.actions.health_checks.push(id);
         }
     }
 }
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -1,8 +1,8 @@
 //! Every decision of the router.
 //!
-//! A driver starts one [`Router`] with its terms and a seed, hands it lists and probe answers, and
+//! A driver starts one [`Router`] with its terms and a seed, hands it lists and health check answers, and
 //! wakes it at the time last asked for. `take` gives a [`Handle`] for a request; what happens to the request
-//! later is a call on that handle. Each call brings `now` and returns a [`Todo`]. The interface types are
+//! later is a call on that handle. Each call brings `now` and returns a [`Actions`]. The interface types are
 //! in `lib.rs`; a request's way is `place`, from top to bottom.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -14,8 +14,8 @@
 
 use crate::state::{Group, Handle, Member, PendingRequest, Router, Session};
 use crate::{
-    Effect, Learnt, Listed, ListedRoles, MemberId, Micros, Need, Outcome, Request, RequestClass, Role, Scope,
-    Standing, Step, Terms, Todo, Told, Validity, Verdict,
+    Action, Actions, Effect, Learnt, Listed, ListedRoles, MemberId, MemberReport, Micros, Need, Outcome,
+    Request, RequestClass, Role, Scope, Standing, Terms, Validity, Verdict,
 };
 
 mod decide;
@@ -36,13 +36,13 @@
 /// For so long may the process be held up between a decision and the write that follows from it.
 const HELD_UP: Micros = 150 * MS;
 const HOLD: Micros = 500 * MS; // the design's, of a write after a round of misses
-const BAR: Micros = 5_000 * MS;
+const BLACKLISTED_FOR: Micros = 5_000 * MS;
 const FAILURES: usize = 5;
 const FAILURE_WINDOW: Micros = 10_000 * MS;
-const PROBE_MISSES: u32 = 3;
-const PROBE_EVERY: Micros = 1_000 * MS;
-/// Probes of members whose proof of freshness has run out, and of a group without a primary.
-const PROBE_NEEDED: Micros = 100 * MS;
+const HEALTH_CHECK_MISSES: u32 = 3;
+const HEALTH_CHECK_EVERY: Micros = 1_000 * MS;
+/// Health checks of members whose proof of freshness has run out, and of a group without a primary.
+const HEALTH_CHECK_NEEDED: Micros = 100 * MS;
 const PROBES_A_TASK: f64 = 0.7; // that a request taken pays for: the allowance
 const PROBES_AT_START: f64 = 4.0;
 const KEEP: u32 = 32;
@@ -58,16 +58,16 @@
 
 impl Handle {
     /// The request's attempt has ended.
-    pub fn ended(self, router: &mut Router, now: Micros, outcome: Outcome) -> Todo {
+    pub fn ended(self, router: &mut Router, now: Micros, outcome: Outcome) -> Actions {
         router.attempt_ended(now, self, outcome);
-        router.take_todo()
+        router.take_actions()
     }
 
     /// The client has left; nothing more is owed.
-    pub fn left(self, router: &mut Router, now: Micros) -> Todo {
+    pub fn left(self, router: &mut Router, now: Micros) -> Actions {
         router.close(self);
         router.pump_all(now);
-        router.take_todo()
+        router.take_actions()
     }
 }
 
@@ -120,7 +120,7 @@
             rush: 0.0,
             ask_at,
             ask_wait: 500 * MS,
-            todo: Todo::default(),
+            actions: Actions::default(),
             terms,
         }
     }
@@ -129,8 +129,8 @@
     pub fn stood_still(&mut self, now: Micros, long: Micros) {
         self.pending_requests.values_mut().for_each(|pending| pending.waits_from += long);
         for member in &mut self.members {
-            let Member { heard, answered, overtaken, probed, credited, .. } = member;
-            for at in [heard, answered, overtaken, probed, credited] {
+            let Member { heard, answered, overtaken, health_checked, credited, .. } = member;
+            for at in [heard, answered, overtaken, health_checked, credited] {
                 *at = (*at + long).min(now);
             }
         }
@@ -174,16 +174,16 @@
         }
     }
 
-    pub fn wake(&mut self, now: Micros) -> Todo {
+    pub fn wake(&mut self, now: Micros) -> Actions {
         if now >= self.next_beat {
             self.next_beat = now + BEAT;
             self.beat(now);
         }
-        self.take_todo()
+        self.take_actions()
     }
 
     /// How long writes wait between walks. Protects members, cold ones most, from walks of many drivers at
-    /// once. Harms where probes are untrue: a sparse driver then learns of a new primary late.
+    /// once. Harms where health checks are untrue: a sparse driver then learns of a new primary late.
     fn hold(&self) -> Micros {
         HOLD.max(HOLD * self.terms.drivers as Micros * 2 / 50)
     }
@@ -205,18 +205,18 @@
         for group in 0..self.groups.len() {
             if !self.groups[group].held.is_empty() {
                 self.search_primary(now, group);
-                self.probe_for_held(now, group);
+                self.health_check_for_held(now, group);
             }
         }
         if !self.sparse() && !self.keeps_to_some() {
-            (0..self.members.len()).for_each(|id| self.probe_to_spare(now, id));
+            (0..self.members.len()).for_each(|id| self.health_check_to_spare(now, id));
         }
         if self.sessions.len() > SESSIONS {
             self.forgotten = Some(self.members_now(now) - FAILURE_WINDOW);
             self.sessions.retain(|_, session| session.out > 0 || Some(session.commit) > self.forgotten);
         }
         if self.terms.list_on_request && now >= self.ask_at {
-            self.todo.subscribe = true;
+            self.actions.subscribe = true;
             self.ask_at = now + 10_000 * MS;
         }
         self.pump_all(now);
@@ -245,22 +245,22 @@
     }
 
     /// Checks members of a group in which requests are held, where that may set them free.
-    fn probe_for_held(&mut self, now: Micros, group: usize) {
+    fn health_check_for_held(&mut self, now: Micros, group: usize) {
         let sought = !self.is_wide(&self.groups[group]) && self.lacks_primary(now, &self.groups[group]);
-        let gap = if self.sparse() { HOLD } else { PROBE_NEEDED };
+        let gap = if self.sparse() { HOLD } else { HEALTH_CHECK_NEEDED };
         for at in 0..self.groups[group].members.len() {
             let id = self.groups[group].members[at];
             if sought || now < self.members[id].lost_until {
-                self.probe(now, id, gap);
+                self.health_check(now, id, gap);
             }
         }
     }
 
     /// Checks a member that was not heard of late, where requests have paid for more than they need.
-    fn probe_to_spare(&mut self, now: Micros, id: MemberId) {
+    fn health_check_to_spare(&mut self, now: Micros, id: MemberId) {
         let spare = self.allowance > self.members.len() as f64 * 0.5;
-        if spare && now - self.members[id].heard > PROBE_EVERY {
-            self.probe(now, id, PROBE_EVERY);
+        if spare && now - self.members[id].heard > HEALTH_CHECK_EVERY {
+            self.health_check(now, id, HEALTH_CHECK_EVERY);
         }
     }
 }
--- a/crates/routing/src/policy/primary_search.rs
+++ b/crates/routing/src/policy/primary_search.rs
@@ -48,7 +48,7 @@
             let search = &mut self.groups[group].search;
             (search.since, search.next) = (now, 0);
         }
-        if self.terms.may_probe && self.is_wide(&self.groups[group]) {
+        if self.terms.health_checks_allowed && self.is_wide(&self.groups[group]) {
             self.check_candidates(now, group);
         }
     }
@@ -74,8 +74,8 @@
     fn check_candidate(&mut self, now: Micros, group: usize, at: usize) {
         let searched = &self.groups[group];
         let id = self.search_order(searched)[at];
-        let Member { standing, probe_out, probed, .. } = self.members[id];
-        let early = probe_out || now - probed < SEARCH_ROUND;
+        let Member { standing, health_check_out, health_checked, .. } = self.members[id];
+        let early = health_check_out || now - health_checked < SEARCH_ROUND;
         if standing != Standing::Ready || early || !self.may_be_primary(now, searched, id) {
             return;
         }
@@ -84,7 +84,7 @@
         // Writes keep their attempts for the member that the health checks find.
         searched.walk_after = searched.walk_after.max(now + SEARCH_ROUND);
         let member = &mut self.members[id];
-        (member.probe_out, member.probed) = (true, now);
-        self.todo.probes.push(id);
+        (member.health_check_out, member.health_checked) = (true, now);
+        self.actions.health_checks.push(id);
     }
 }
--- a/crates/routing/src/policy/replica_subset.rs
+++ b/crates/routing/src/policy/replica_subset.rs
@@ -75,7 +75,7 @@
         if all || kept >= group.members.len() {
             return group.members.iter().copied().filter(may).collect();
         }
-        let listed = |id: &MemberId| now >= self.members[*id].barred_until && Some(*id) != pending.last;
+        let listed = |id: &MemberId| now >= self.members[*id].blacklisted_until && Some(*id) != pending.last;
         let behind = |id: MemberId| {
             let Member { position, heard, .. } = self.members[id];
             position < floor && now - heard < self.catches_up_in(id, floor)
@@ -98,7 +98,7 @@
         let group = &self.groups[member.group];
         let mut kept = group.preferred.iter().take(self.kept(group)).chain(&group.primary);
         if member.out.is_empty() && !kept.any(|&kept| kept == id) {
-            self.todo.shut.push(id);
+            self.actions.shut.push(id);
         }
     }
 }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -6,7 +6,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::policy::Backoff;
-use crate::{Learnt, MemberId, Micros, Request, Standing, Terms, Todo};
+use crate::{Actions, Learnt, MemberId, Micros, Request, Standing, Terms};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Handle(pub(crate) u64);
@@ -52,14 +52,14 @@
     pub(crate) overtaken: Micros, // when the newest attempt that it answered was sent
     pub(crate) lost_until: Micros, // it could not be reached; believed until then, or until it is heard
     pub(crate) fell: Option<Micros>, // since when its process seems dead; taken for cold when it is heard again
-    pub(crate) barred_until: Micros,
+    pub(crate) blacklisted_until: Micros,
     pub(crate) failures: VecDeque<Micros>,
     pub(crate) malformed: usize, // attempts malformed or dropped since the last served one
     pub(crate) idle: Option<u32>, // connections known to be idle, since new ones to it failed here
-    pub(crate) probe_misses: u32,
-    pub(crate) probe_out: bool,
-    pub(crate) probed: Micros,
-    pub(crate) way: (Micros, Micros), // there and back by its own probes, and when last heard
+    pub(crate) health_check_misses: u32,
+    pub(crate) health_check_out: bool,
+    pub(crate) health_checked: Micros,
+    pub(crate) way: (Micros, Micros), // there and back by its own health checks, and when last heard
     pub(crate) out: Vec<Handle>,
     // attempts that may be out at once; below one, the part of the time that one may be
     pub(crate) window: f64,
@@ -147,7 +147,7 @@
     pub(crate) rush: f64, // attempts due until then
     pub(crate) ask_at: Micros,
     pub(crate) ask_wait: Micros,
-    pub(crate) todo: Todo,
+    pub(crate) actions: Actions,
 }
 
 impl Router {
@@ -176,9 +176,9 @@
         now + self.clock_offset
     }
 
-    pub(crate) fn take_todo(&mut self) -> Todo {
-        self.todo.wake_at = Some(self.next_beat);
-        std::mem::take(&mut self.todo)
+    pub(crate) fn take_actions(&mut self) -> Actions {
+        self.actions.wake_at = Some(self.next_beat);
+        std::mem::take(&mut self.actions)
     }
 
     pub(crate) fn group(&mut self, name: u64) -> usize {
--- a/crates/routing/tests/router/among_many.rs
+++ b/crates/routing/tests/router/among_many.rs
@@ -4,18 +4,22 @@
 use aldermill_routing::{Handle, Listed, Standing, Verdict};
 
 #[test]
-fn probes_are_paid_for_by_requests() {
+fn health_checks_are_paid_for_by_requests() {
     let mut world = heard(many());
     world.relist(0, Standing::Gone, None);
     world.primary = 9;
     world.positions.resize(10, 0);
-    world.probes.clear();
+    world.health_checks.clear();
     world.take(WRITE, 60_000 * MS);
     for _ in 0..100 {
         world.pass(100 * MS);
-        (1..4).for_each(|id| world.probe_answer(id, true));
+        (1..4).for_each(|id| world.health_check_answer(id, true));
     }
-    assert!((1..=5).contains(&world.probes.len()), "{} probes for one task", world.probes.len());
+    assert!(
+        (1..=5).contains(&world.health_checks.len()),
+        "{} probes for one task",
+        world.health_checks.len()
+    );
 }
 
 #[test]
@@ -81,12 +85,12 @@
 }
 
 #[test]
-fn a_driver_among_many_probes_nobody_before_a_request_needs_it() {
+fn a_driver_among_many_health_checks_nobody_before_a_request_needs_it() {
     let mut world = World::new(many(), 4);
     world.pass(20_000 * MS);
-    assert!(world.probes.is_empty());
+    assert!(world.health_checks.is_empty());
     world.take(READ, 1_000 * MS);
-    assert_eq!(world.probes.len(), 1);
+    assert_eq!(world.health_checks.len(), 1);
 }
 
 #[test]
@@ -110,20 +114,20 @@
     };
     assert!(met(&mut world) > 5);
     // One member does not answer; its neighbour is not asked.
-    (0..8).for_each(|_| world.probe_ends(4, Verdict::TimedOut));
+    (0..8).for_each(|_| world.health_check_ends(4, Verdict::TimedOut));
     assert_eq!(met(&mut world), 0);
     world.pass(5_000 * MS);
     assert!(met(&mut world) > 5, "tried again after a while");
 }
 
 #[test]
-fn a_driver_among_many_that_is_refused_a_connection_closes_its_idle_ones_and_probes() {
+fn a_driver_among_many_that_is_refused_a_connection_closes_its_idle_ones_and_health_checks() {
     let mut world = heard(many());
-    world.probes.clear();
+    world.health_checks.clear();
     let write = world.take(WRITE, 2_000 * MS);
     world.end(write, Verdict::Unconnected);
-    assert_eq!((&world.probes[..], world.shut.len()), (&[0][..], 4));
-    world.probe_answer(0, true);
+    assert_eq!((&world.health_checks[..], world.shut.len()), (&[0][..], 4));
+    world.health_check_answer(0, true);
     world.pass(300 * MS);
     assert_eq!(target(&world, write), Some(0), "what answers is not dead");
     world.end(write, Verdict::Served);
@@ -169,7 +173,7 @@
 }
 
 #[test]
-fn errors_that_follow_a_request_bar_nobody_and_those_of_a_member_do() {
+fn errors_that_follow_a_request_blacklist_nobody_and_those_of_a_member_do() {
     let mut world = heard(many());
     for round in 0..40 {
         world.pass(200 * MS);
@@ -193,7 +197,7 @@
             world.end(read, if id == 2 { Verdict::Error } else { Verdict::Served });
         }
     }
-    assert!(met <= 4, "others honoured what it failed: it is barred, {met}");
+    assert!(met <= 4, "others honoured what it failed: it is blacklisted, {met}");
     assert!(world.failed.is_empty());
 }
 
@@ -288,7 +292,7 @@
     };
     assert!(met(&mut world) > 3);
     // Its neighbours in the zone answer as ever.
-    (0..6).for_each(|_| world.probe_took(3, 300 * MS));
-    (0..3).for_each(|id| (0..6).for_each(|_| world.probe_answer(id, true)));
+    (0..6).for_each(|_| world.health_check_took(3, 300 * MS));
+    (0..3).for_each(|id| (0..6).for_each(|_| world.health_check_answer(id, true)));
     assert_eq!(met(&mut world), 0);
 }
--- a/crates/routing/tests/router/cases.rs
+++ b/crates/routing/tests/router/cases.rs
@@ -10,7 +10,7 @@
     assert_eq!(target(&world, write), Some(0));
     world.positions[2] = world.now + 50 * MS;
     world.pass(50 * MS);
-    world.probe_answer(2, true);
+    world.health_check_answer(2, true);
     world.pass(BOUND - 170 * MS);
     // Members 1 and 3 were heard too long ago to be proven fresh, for a process that is held up for 150 ms.
     for _ in 0..3 {
@@ -23,11 +23,11 @@
 fn a_read_asks_one_replica_at_a_time_and_goes_to_the_primary_when_none_is_fresh() {
     let mut world = heard(terms());
     world.pass(BOUND + 10 * MS);
-    world.probes.clear();
+    world.health_checks.clear();
     let read = world.take(READ, 1_000 * MS);
     for asked in 1..=3 {
-        assert_eq!((target(&world, read), world.probes.len()), (None, asked));
-        world.probe_answer(world.probes[asked - 1], true);
+        assert_eq!((target(&world, read), world.health_checks.len()), (None, asked));
+        world.health_check_answer(world.health_checks[asked - 1], true);
     }
     assert_eq!(target(&world, read), Some(0));
 }
@@ -47,12 +47,12 @@
     world.pass(100 * MS);
     assert!(world.out().is_empty(), "writes of a group without a primary wait");
     world.primary = 2;
-    world.probe_answer(2, true);
+    world.health_check_answer(2, true);
     assert_eq!((target(&world, write), target(&world, second)), (Some(2), Some(2)));
 }
 
 #[test]
-fn five_failures_bar_a_member_and_the_last_one_left_is_still_tried() {
+fn five_failures_blacklist_a_member_and_the_last_one_left_is_still_tried() {
     let mut world = heard(terms());
     let mut met = [0; 4];
     for _ in 0..60 {
@@ -100,7 +100,7 @@
         world.end(tried, Verdict::Unconnected);
     }
     world.pass(990 * MS);
-    world.probe_answer(0, true);
+    world.health_check_answer(0, true);
     assert_eq!(world.out().len(), 1, "what came back is taken for cold");
 }
 
@@ -110,7 +110,7 @@
     let (write, second) = (world.take(WRITE, 2_000 * MS), world.take(WRITE, 2_000 * MS));
     world.end(write, Verdict::Unconnected);
     world.pass(600 * MS);
-    world.probe_answer(0, true);
+    world.health_check_answer(0, true);
     assert_eq!((target(&world, write), target(&world, second)), (Some(0), Some(0)));
 }
 
@@ -140,10 +140,10 @@
 }
 
 #[test]
-fn a_probe_turned_away_by_a_full_member_is_an_answer() {
+fn a_health_check_turned_away_by_a_full_member_is_an_answer() {
     let mut world = heard(terms());
     for _ in 0..4 {
-        world.probe_ends(0, Verdict::Overloaded);
+        world.health_check_ends(0, Verdict::Overloaded);
     }
     let write = world.take(WRITE, 2_000 * MS);
     assert_eq!(target(&world, write), Some(0));
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn malformed_answers_among_good_ones_bar_nobody_and_in_a_row_they_do() {
+fn malformed_answers_among_good_ones_blacklist_nobody_and_in_a_row_they_do() {
     for (every, most) in [(3, 200), (1, 2 * 5)] {
         let mut world = heard(terms());
         let mut met = [0; 4];
@@ -359,7 +359,7 @@
     let mut world = World::new(Terms { drivers: 40, drivers_at_cold: 40, ..terms() }, 4);
     world.primary = 9;
     world.positions.resize(10, 0);
-    (0..4).for_each(|id| world.probe_answer(id, true));
+    (0..4).for_each(|id| world.health_check_answer(id, true));
     // No member is primary: some writes walk, those behind them wait.
     let requests: Vec<Handle> = (0..6).map(|_| world.take(WRITE, 2_000 * MS)).collect();
     (0..99).for_each(|_| world.pass(10 * MS));
@@ -378,12 +378,12 @@
     // Attempts are taken to last 30 ms: half come in time after a wait of 6 ms, 85 of a hundred do not.
     terms.classes[READ].objective = 60 * MS;
     let mut world = World::new(terms, 2);
-    world.probe_answer(0, true);
+    world.health_check_answer(0, true);
     world.pass(BOUND + 30 * MS);
     let reads: Vec<Handle> = (0..8).map(|_| world.take(READ, 1_500 * MS)).collect();
-    assert!(world.probes.contains(&1) && reads.iter().any(|&read| target(&world, read).is_none()));
+    assert!(world.health_checks.contains(&1) && reads.iter().any(|&read| target(&world, read).is_none()));
     world.pass(6 * MS);
     world.positions[1] = world.now;
-    world.probe_answer(1, true);
+    world.health_check_answer(1, true);
     assert!(world.rejected.is_empty() && world.attempted.iter().any(|&(_, member)| member == 1));
 }
--- a/crates/routing/tests/router/givens.rs
+++ b/crates/routing/tests/router/givens.rs
@@ -43,7 +43,7 @@
         zone: 0,
         zones: 1,
         max_attempts: 8,
-        may_probe: true,
+        health_checks_allowed: true,
         max_cool_down: 1_000 * MS,
         listed_roles: ListedRoles::Never,
         members_check: false,
--- a/crates/routing/tests/router/in_time.rs
+++ b/crates/routing/tests/router/in_time.rs
@@ -1,7 +1,7 @@
 //! What is late, may have run, or fell into a standstill.
 
 use crate::world::{BOUND, LOOSE, MS, READ, RECEIPTED, WRITE, World, heard, many, target, terms};
-use aldermill_routing::{Role, Standing, Told, Verdict};
+use aldermill_routing::{MemberReport, Role, Standing, Verdict};
 
 #[test]
 fn what_may_have_run_is_failed_or_repeated_within_its_receipt() {
@@ -72,14 +72,14 @@
         assert_eq!(target(&world, write), Some(0));
     }
     world.pass(20 * MS);
-    world.probes.clear();
+    world.health_checks.clear();
     world.stand(2_500 * MS);
     assert_eq!((world.failed.len(), world.rejected.len()), (4, 0), "they may have run");
     world.pass(20 * MS);
-    assert!(world.probes.is_empty(), "nobody is asked for having been silent then");
-    (0..5).for_each(|_| world.probe_ends(0, Verdict::Unobserved));
+    assert!(world.health_checks.is_empty(), "nobody is asked for having been silent then");
+    (0..5).for_each(|_| world.health_check_ends(0, Verdict::Unobserved));
     let write = world.take(WRITE, 1_000 * MS);
-    assert_eq!(target(&world, write), Some(0), "neither mute, lost nor barred");
+    assert_eq!(target(&world, write), Some(0), "neither mute, lost nor blacklisted");
 }
 
 #[test]
@@ -89,11 +89,11 @@
     // Member 2 says that it is primary, and after that member 0 is read, which said so before.
     let (role, position) = (Some(Role::Primary), None);
     world.move_primary(2);
-    world.probe_answer(2, true);
+    world.health_check_answer(2, true);
     world.now += 2_500 * MS;
     world.router.stood_still(world.now, 2_500 * MS);
-    let told = Told { role, position, age: world.now - now + 100 * MS };
-    let _ = world.router.probed(world.now, 0, Verdict::Served, MS, told);
+    let report = MemberReport { role, position, age: world.now - now + 100 * MS };
+    let _ = world.router.health_checked(world.now, 0, Verdict::Served, MS, report);
     let write = world.take(WRITE, 1_000 * MS);
     assert_eq!(target(&world, write), Some(2));
 }
--- a/crates/routing/tests/router/local.rs
+++ b/crates/routing/tests/router/local.rs
@@ -28,7 +28,7 @@
 #[test]
 fn attempts_that_cannot_leave_cost_their_members_nothing() {
     let mut world = heard(terms());
-    // More in a row than failures that bar a member; what still waits is given up by its own deadline.
+    // More in a row than failures that blacklist a member; what still waits is given up by its own deadline.
     for round in 0..60 {
         if round < 40 {
             world.take(LOOSE, 200 * MS);
@@ -86,7 +86,7 @@
             world.end(tried, verdict);
         }
         world.pass(990 * MS);
-        world.probe_answer(0, true);
+        world.health_check_answer(0, true);
         assert_eq!(world.out().len(), if cold { 1 } else { 2 }, "{verdict:?}");
     }
 }
--- a/crates/routing/tests/router/rules.rs
+++ b/crates/routing/tests/router/rules.rs
@@ -42,10 +42,10 @@
         13 => world.pass((1 + b as i64 % 15) * MS),
         14 => world.positions[id] = world.positions[id].max(world.now - (b as i64 % 2) * 100 * MS),
         15 => match b % 5 {
-            0 => world.probe_answer(id, false),
+            0 => world.health_check_answer(id, false),
             1 => world.report(id),
             2 => world.late_report(id),
-            _ => world.probe_answer(id, true),
+            _ => world.health_check_answer(id, true),
         },
         16 => world.move_primary(id),
         17 => {
--- a/crates/routing/tests/router/wide_fleets.rs
+++ b/crates/routing/tests/router/wide_fleets.rs
@@ -85,10 +85,10 @@
     for _ in 0..100 {
         world.pass(100 * MS);
         let read = world.take(READ, 1_000 * MS);
-        let asked = std::mem::take(&mut world.probes);
+        let asked = std::mem::take(&mut world.health_checks);
         for &id in &asked {
             world.positions[id] = world.now;
-            world.probe_answer(id, true);
+            world.health_check_answer(id, true);
         }
         checks.extend(asked);
         if target(&world, read).is_some() {
@@ -107,9 +107,9 @@
     let kept = used(&mut world, 100);
     assert!(world.shut.is_empty(), "closed after reads: {:?}", world.shut);
     let other = (0..320).find(|id| !kept.contains(id) && *id != world.primary).expect("not all are used");
-    world.probe_answer(other, true);
+    world.health_check_answer(other, true);
     let in_use = *kept.iter().find(|id| **id != world.primary).expect("some are used");
-    world.probe_answer(in_use, true);
+    world.health_check_answer(in_use, true);
     assert_eq!(world.shut, [other]);
 }
 
--- a/crates/routing/tests/router/wide_groups.rs
+++ b/crates/routing/tests/router/wide_groups.rs
@@ -16,8 +16,8 @@
             }
         }
         world.pass(5 * MS);
-        let asked = std::mem::take(&mut world.probes);
-        asked.iter().for_each(|&id| world.probe_answer(id, true));
+        let asked = std::mem::take(&mut world.health_checks);
+        asked.iter().for_each(|&id| world.health_check_answer(id, true));
         checks.extend(asked);
     }
     None
@@ -69,7 +69,7 @@
         world.take(WRITE, 2_400 * MS);
         world.pass(100 * MS);
         world.attempted.iter().for_each(|&(_, id)| asked_at_first[id] += 1);
-        world.probes.iter().for_each(|&id| asked_at_first[id] += 1);
+        world.health_checks.iter().for_each(|&id| asked_at_first[id] += 1);
     }
     let most = asked_at_first.iter().max().expect("members");
     assert!(*most <= 15, "{most} of 30 routers asked the same member first");
@@ -83,14 +83,14 @@
     let write = world.take(WRITE, 20_000 * MS);
     (0..4).for_each(|_| world.end(write, Verdict::NotPrimary));
     world.pass(2_000 * MS);
-    let members_share = 900.0 * world.probes.len() as f64 / 800.0 / 2.0;
+    let members_share = 900.0 * world.health_checks.len() as f64 / 800.0 / 2.0;
     assert!((20.0..=70.0).contains(&members_share), "{members_share} health checks a second and member");
 }
 
 #[test]
 fn answers_of_reads_narrow_the_search() {
     let mut world = wide(2, 12, 5);
-    world.probes.clear();
+    world.health_checks.clear();
     let mut heard = [false; 12];
     while heard.iter().filter(|&&heard| heard).count() < 10 {
         world.pass(10 * MS);
--- a/crates/routing/tests/router/world.rs
+++ b/crates/routing/tests/router/world.rs
@@ -40,11 +40,11 @@
     pub attempted: Vec<(Handle, MemberId)>,
     pub rejected: Vec<Handle>,
     pub failed: Vec<Handle>,
-    pub probes: Vec<MemberId>,
+    pub health_checks: Vec<MemberId>,
     pub shut: Vec<MemberId>,
     pub afresh: Vec<MemberId>,
     pub asked: usize,
-    reports: Vec<Told>,
+    reports: Vec<MemberReport>,
     wake_at: Micros,
     session_floor: Micros,
 }
@@ -72,18 +72,18 @@
             attempted: Vec::new(),
             rejected: Vec::new(),
             failed: Vec::new(),
-            probes: Vec::new(),
+            health_checks: Vec::new(),
             shut: Vec::new(),
             afresh: Vec::new(),
             asked: 0,
-            reports: vec![Told::default(); members],
+            reports: vec![MemberReport::default(); members],
             wake_at: now,
             session_floor: Micros::MIN,
         };
         world.excused[0] = true;
         let lines = (0..members).map(|id| line(id, Standing::Ready, None)).collect();
-        let todo = world.router.list(now, true, lines);
-        world.carry_out(todo);
+        let actions = world.router.list(now, true, lines);
+        world.carry_out(actions);
         world
     }
 
@@ -92,8 +92,8 @@
         while self.wake_at <= until {
             self.now = self.wake_at.max(self.now);
             self.run_out();
-            let todo = self.router.wake(self.now);
-            self.carry_out(todo);
+            let actions = self.router.wake(self.now);
+            self.carry_out(actions);
         }
         self.now = until;
         self.run_out();
@@ -107,8 +107,8 @@
         let ends: Vec<Handle> =
             self.flights.iter().filter(|(_, f)| over(f)).map(|(&handle, _)| handle).collect();
         ends.into_iter().for_each(|handle| self.end(handle, Verdict::Unobserved));
-        let todo = self.router.wake(self.now);
-        self.carry_out(todo);
+        let actions = self.router.wake(self.now);
+        self.carry_out(actions);
         self.run_out();
     }
 
@@ -146,7 +146,7 @@
 
     pub fn take_request(&mut self, request: Request) -> Handle {
         let (class, ttl) = (request.class, request.ttl);
-        let (handle, todo) = self.router.take(self.now, request);
+        let (handle, actions) = self.router.take(self.now, request);
         let flight = Flight {
             class,
             end: self.now + ttl,
@@ -158,51 +158,52 @@
             over: false,
         };
         self.flights.insert(handle, flight);
-        self.carry_out(todo);
+        self.carry_out(actions);
         handle
     }
 
-    pub fn told(&self, id: MemberId) -> Told {
+    pub fn member_report(&self, id: MemberId) -> MemberReport {
         let role = if id == self.primary { Role::Primary } else { Role::Replica };
         let position = if id == self.primary { self.now } else { self.positions[id] };
-        Told { role: Some(role), position: Some(position), age: 0 }
+        MemberReport { role: Some(role), position: Some(position), age: 0 }
     }
 
-    pub fn probe_answer(&mut self, id: MemberId, answered: bool) {
-        self.probe_ends(id, if answered { Verdict::Served } else { Verdict::TimedOut });
+    pub fn health_check_answer(&mut self, id: MemberId, answered: bool) {
+        self.health_check_ends(id, if answered { Verdict::Served } else { Verdict::TimedOut });
     }
 
     /// A report made now, to come late.
     pub fn report(&mut self, id: MemberId) {
-        self.reports[id] = self.told(id);
+        self.reports[id] = self.member_report(id);
     }
 
     pub fn late_report(&mut self, id: MemberId) {
-        self.probe_says(id, self.reports[id]);
+        self.health_check_says(id, self.reports[id]);
     }
 
-    /// It answers a probe, after so long.
-    pub fn probe_took(&mut self, id: MemberId, took: Micros) {
-        let todo = self.router.probed(self.now, id, Verdict::Served, took, self.told(id));
-        self.carry_out(todo);
+    /// It answers a health check, after so long.
+    pub fn health_check_took(&mut self, id: MemberId, took: Micros) {
+        let actions = self.router.health_checked(self.now, id, Verdict::Served, took, self.member_report(id));
+        self.carry_out(actions);
     }
 
-    /// It answers a probe, and says this of itself.
-    pub fn probe_says(&mut self, id: MemberId, told: Told) {
-        let todo = self.router.probed(self.now, id, Verdict::Served, MS, told);
-        self.carry_out(todo);
+    /// It answers a health check, and says this of itself.
+    pub fn health_check_says(&mut self, id: MemberId, report: MemberReport) {
+        let actions = self.router.health_checked(self.now, id, Verdict::Served, MS, report);
+        self.carry_out(actions);
     }
 
-    pub fn probe_ends(&mut self, id: MemberId, verdict: Verdict) {
+    pub fn health_check_ends(&mut self, id: MemberId, verdict: Verdict) {
         let took = if verdict == Verdict::TimedOut { 250 * MS } else { MS };
-        let told = if verdict == Verdict::Served { self.told(id) } else { Told::default() };
-        let todo = self.router.probed(self.now, id, verdict, took, told);
-        self.carry_out(todo);
+        let report =
+            if verdict == Verdict::Served { self.member_report(id) } else { MemberReport::default() };
+        let actions = self.router.health_checked(self.now, id, verdict, took, report);
+        self.carry_out(actions);
     }
 
-    /// All members answer a probe.
+    /// All members answer a health check.
     pub fn hear_all(&mut self) {
-        (0..self.positions.len()).for_each(|id| self.probe_answer(id, true));
+        (0..self.positions.len()).for_each(|id| self.health_check_answer(id, true));
     }
 
     pub fn out(&self) -> Vec<(Handle, MemberId)> {
@@ -221,15 +222,15 @@
         };
         let answers =
             matches!(verdict, Verdict::Served | Verdict::Error | Verdict::Overloaded | Verdict::NotPrimary);
-        let told = if answers { self.told(id) } else { Told::default() };
+        let report = if answers { self.member_report(id) } else { MemberReport::default() };
         if answers && id != self.primary {
             self.excused[id] = false;
         }
-        self.end_saying(handle, verdict, told);
+        self.end_saying(handle, verdict, report);
     }
 
     /// An attempt ends, and its member says this of itself.
-    pub fn end_saying(&mut self, handle: Handle, verdict: Verdict, told: Told) {
+    pub fn end_saying(&mut self, handle: Handle, verdict: Verdict, report: MemberReport) {
         let flight = self.flights.get_mut(&handle).expect("taken");
         let (id, deadline) = flight.out.take().expect("out");
         let write = self.terms.classes[flight.class].need == Need::Write;
@@ -259,16 +260,16 @@
         }
         let most = if verdict == Verdict::Error { MS } else { 50 * MS };
         let took = (deadline - self.now).clamp(MS, most);
-        let todo = handle.ended(&mut self.router, self.now, Outcome { verdict, took, told, closed });
-        self.carry_out(todo);
+        let actions = handle.ended(&mut self.router, self.now, Outcome { verdict, took, report, closed });
+        self.carry_out(actions);
     }
 
     pub fn leave(&mut self, handle: Handle) {
         let flight = self.flights.get_mut(&handle).expect("taken");
         if flight.out.is_some() || !flight.over {
             flight.over = true;
-            let todo = handle.left(&mut self.router, self.now);
-            self.carry_out(todo);
+            let actions = handle.left(&mut self.router, self.now);
+            self.carry_out(actions);
         }
     }
 
@@ -282,8 +283,8 @@
             self.standing[id] = (standing, self.now);
         }
         self.since[id] = since;
-        let todo = self.router.list(self.now, false, vec![line]);
-        self.carry_out(todo);
+        let actions = self.router.list(self.now, false, vec![line]);
+        self.carry_out(actions);
     }
 
     /// The fleet grows to so many members; they are still to be listed.
@@ -295,12 +296,12 @@
         self.since.resize(members, None);
         self.sent.resize(members, VecDeque::new());
         self.served.resize(members, VecDeque::new());
-        self.reports.resize(members, Told::default());
+        self.reports.resize(members, MemberReport::default());
     }
 
     pub fn list_fails(&mut self) {
-        let todo = self.router.list_unavailable(self.now);
-        self.carry_out(todo);
+        let actions = self.router.list_unavailable(self.now);
+        self.carry_out(actions);
     }
 
     pub fn move_primary(&mut self, id: MemberId) {
@@ -309,25 +310,25 @@
         self.excused[id] = true;
     }
 
-    fn carry_out(&mut self, todo: Todo) {
-        self.wake_at = todo.wake_at.expect("a router always wants waking").max(self.now + 1);
-        self.asked += usize::from(todo.subscribe);
-        self.probes.extend(todo.probes);
-        self.shut.extend(todo.shut);
-        for (handle, step) in todo.steps {
+    fn carry_out(&mut self, actions: Actions) {
+        self.wake_at = actions.wake_at.expect("a router always wants waking").max(self.now + 1);
+        self.asked += usize::from(actions.subscribe);
+        self.health_checks.extend(actions.health_checks);
+        self.shut.extend(actions.shut);
+        for (handle, step) in actions.requests {
             match step {
-                Step::Attempt { member, timeout, afresh, validity } => {
+                Action::Attempt { member, timeout, afresh, validity } => {
                     self.afresh.extend(afresh.then_some(member));
                     self.check_attempt(handle, member, timeout, validity);
                 }
-                Step::Reject { .. } => {
+                Action::Reject { .. } => {
                     let flight = self.flights.get_mut(&handle).expect("taken");
                     let pure = self.terms.classes[flight.class].effect == Effect::Pure;
                     assert!(pure || flight.may_have_run.is_none() && flight.out.is_none(), "rule 2: denied");
                     assert!(!std::mem::replace(&mut flight.over, true), "rule 1: a second answer");
                     self.rejected.push(handle);
                 }
-                Step::Fail => {
+                Action::Fail => {
                     let flight = self.flights.get_mut(&handle).expect("taken");
                     assert!(!std::mem::replace(&mut flight.over, true), "rule 1: a second answer");
                     self.failed.push(handle);
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -32,7 +32,7 @@
         zone: 0,
         zones: 1,
         max_attempts: 4,
-        may_probe: true,
+        health_checks_allowed: true,
         max_cool_down: 500 * MS,
         listed_roles: ListedRoles::Never,
         members_check: false,
@@ -75,7 +75,7 @@
     terms: Terms,
     processes: Vec<Process>,
     rng: Pcg64Mcg,
-    /// When the cold member was sent something, probes included, over one window.
+    /// When the cold member was sent something, health checks included, over one window.
     sent: VecDeque<Micros>,
     started: Option<Micros>,
 }
@@ -114,47 +114,48 @@
         let process = &mut self.processes[number];
         if now >= process.told_at {
             process.told_at = Micros::MAX;
-            let todo = process.router.list(now, false, vec![line(COLD, self.started)]);
-            self.carry_out(number, todo);
+            let actions = process.router.list(now, false, vec![line(COLD, self.started)]);
+            self.carry_out(number, actions);
         }
         while let Some(&(at, handle)) = self.processes[number].out.front().filter(|&&(at, _)| at <= now) {
             self.processes[number].out.pop_front();
             let outcome = Outcome {
                 verdict: Verdict::Served,
                 took: WORK + now - at,
-                told: Told::default(),
+                report: MemberReport::default(),
                 closed: true,
             };
-            let todo = handle.ended(&mut self.processes[number].router, now, outcome);
-            self.carry_out(number, todo);
+            let actions = handle.ended(&mut self.processes[number].router, now, outcome);
+            self.carry_out(number, actions);
         }
         let due = each_step * self.processes[number].part;
         let count = due.floor() as usize + usize::from(self.rng.random::<f64>() < due.fract());
         for _ in 0..count {
             let request = Request { ttl: 1_000 * MS, ..Request::default() };
-            let (_, todo) = self.processes[number].router.take(now, request);
-            self.carry_out(number, todo);
+            let (_, actions) = self.processes[number].router.take(now, request);
+            self.carry_out(number, actions);
         }
         if now >= self.processes[number].wake_at {
-            let todo = self.processes[number].router.wake(now);
-            self.carry_out(number, todo);
+            let actions = self.processes[number].router.wake(now);
+            self.carry_out(number, actions);
         }
     }
 
-    fn carry_out(&mut self, number: usize, todo: Todo) {
+    fn carry_out(&mut self, number: usize, actions: Actions) {
         let process = &mut self.processes[number];
-        process.wake_at = todo.wake_at.unwrap_or(process.wake_at);
-        for (handle, step) in todo.steps {
-            if let Step::Attempt { member, .. } = step {
+        process.wake_at = actions.wake_at.unwrap_or(process.wake_at);
+        for (handle, step) in actions.requests {
+            if let Action::Attempt { member, .. } = step {
                 process.out.push_back((self.now + WORK, handle));
                 self.sent.extend((member == COLD).then_some(self.now));
             }
         }
-        for member in todo.probes {
+        for member in actions.health_checks {
             self.sent.extend((member == COLD).then_some(self.now));
             let router = &mut self.processes[number].router;
-            let todo = router.probed(self.now, member, Verdict::Served, MS, Told::default());
-            self.carry_out(number, todo);
+            let actions =
+                router.health_checked(self.now, member, Verdict::Served, MS, MemberReport::default());
+            self.carry_out(number, actions);
         }
     }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::fmt;
 
-use aldermill_routing::{Effect, ListedRoles, Micros, Need, RequestClass, Role, Scope, Terms, Told};
+use aldermill_routing::{Effect, ListedRoles, MemberReport, Micros, Need, RequestClass, Role, Scope, Terms};
 use serde::Deserialize;
 
 /// What cannot be read: the field, and why.
@@ -217,7 +217,7 @@
             zone: zone(&message.my_zone).unwrap_or(message.azs.len()),
             zones: message.azs.len(),
             max_attempts: limits.max_attempts,
-            may_probe: limits.probes,
+            health_checks_allowed: limits.probes,
             max_cool_down: match time("limits.maxRetryAfterMs", limits.max_retry_after_ms)? {
                 longest if limits.retry_after => longest,
                 _ => 0,
@@ -295,8 +295,8 @@
     pub fn report<'a>(
         pairs: impl Iterator<Item = (&'a str, &'a str)>,
         zero: Micros,
-    ) -> Result<Told, Trouble> {
-        let mut told = Told::default();
+    ) -> Result<MemberReport, Trouble> {
+        let mut report = MemberReport::default();
         for (name, value) in pairs.filter(|(name, _)| matches!(*name, "x0" | "x1")) {
             let value: f64 = value
                 .parse()
@@ -304,11 +304,11 @@
                 .filter(|value: &f64| value.is_finite())
                 .ok_or_else(|| Trouble::new("load", &format!("bad number {name}:{value:?}")))?;
             if name == "x0" {
-                told.position = Some(zero.saturating_add((value * 1e6).floor() as Micros));
+                report.position = Some(zero.saturating_add((value * 1e6).floor() as Micros));
             } else {
-                told.role = Some(if value >= 0.5 { Role::Primary } else { Role::Replica });
+                report.role = Some(if value >= 0.5 { Role::Primary } else { Role::Replica });
             }
         }
-        Ok(told)
+        Ok(report)
     }
 }
--- a/crates/site-routing/src/lib.rs
+++ b/crates/site-routing/src/lib.rs
@@ -3,10 +3,10 @@
 //! [`Sites`] decides for one gateway: whether a request is handed to the module of its own site or crosses to
 //! another gateway, when it waits, when it is asked again, when it is given up. `take` gives a [`Handle`] for
 //! a request; what happens to the request later is a call on that handle. [`Fates`] is the receiver's book on
-//! what came to it. Every call brings `now` and returns a [`Todo`]; nothing here does I/O or has a clock.
+//! what came to it. Every call brings `now` and returns a [`Actions`]; nothing here does I/O or has a clock.
 //!
 //! It carries the design of the router one level up: a believed home site for each group, corrected by answers; a
-//! walk over sites for writes; a hold after a round of 'not here'; bars on a gateway that expire.
+//! walk over sites for writes; a hold after a round of 'not here'; blacklists on a gateway that expire.
 
 mod bound;
 mod credit;
@@ -127,7 +127,7 @@
 
 /// What is to be done for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum Action {
     /// Hand it to the own site's module, with so much time.
     Here {
         ttl: Micros,
@@ -164,8 +164,8 @@
 
 /// What the caller is to do now, in this order, and when to wake the books again.
 #[derive(Debug, Default)]
-pub struct Todo {
-    pub steps: Vec<(Handle, Step)>,
+pub struct Actions {
+    pub requests: Vec<(Handle, Action)>,
     /// Nothing up to this number will be asked of that gateway again.
     pub confirms: Vec<(GateId, u64)>,
     /// What is offered to other gateways has changed.
--- a/crates/site-routing/src/sites.rs
+++ b/crates/site-routing/src/sites.rs
@@ -12,8 +12,8 @@
 use crate::crossing::{Crossing, Crossings, Settled};
 use crate::homes::Homes;
 use crate::{
-    Answer, Effect, Fate, GateId, HereEnded, Micros, Need, OWN, Request, RequestClass, SiteId, Step, Terms,
-    Todo,
+    Action, Actions, Answer, Effect, Fate, GateId, HereEnded, Micros, Need, OWN, Request, RequestClass,
+    SiteId, Terms,
 };
 
 mod hear;
@@ -24,7 +24,7 @@
 const BEAT: Micros = 20 * MS;
 /// Of a write after a round of 'not here', as the router holds one after a round of misses.
 const HOLD: Micros = 500 * MS;
-const BAR: Micros = 5_000 * MS;
+const BLACKLISTED_FOR: Micros = 5_000 * MS;
 const FAILURES: usize = 5;
 const FAILURE_WINDOW: Micros = 10_000 * MS;
 /// An unsettled crossing is asked about again after so long without an answer.
@@ -40,9 +40,9 @@
 
 impl Handle {
     /// An attempt of it here was answered 'miss': that member is not the primary.
-    pub fn here_missed(self, sites: &mut Sites, now: Micros) -> Todo {
+    pub fn here_missed(self, sites: &mut Sites, now: Micros) -> Actions {
         sites.here_missed(now, self);
-        sites.take_todo()
+        sites.take_actions()
     }
 
     /// An attempt of it here, that began at that time, may have run.
@@ -53,22 +53,22 @@
     }
 
     /// The own site's module is done with it.
-    pub fn here_ended(self, sites: &mut Sites, now: Micros, ended: HereEnded) -> Todo {
+    pub fn here_ended(self, sites: &mut Sites, now: Micros, ended: HereEnded) -> Actions {
         sites.here_ended(now, self, ended);
-        sites.take_todo()
+        sites.take_actions()
     }
 
     /// Nobody waits for it any more.
-    pub fn left(self, sites: &mut Sites, now: Micros) -> Todo {
+    pub fn left(self, sites: &mut Sites, now: Micros) -> Actions {
         if let Some(pending) = sites.pending_requests.get(&self)
             && let Some(number) = pending.out
             && let Some(sent) = sites.crossings.get(number)
         {
-            sites.todo.steps.push((self, Step::Cancel { gate: sent.gate, number }));
+            sites.actions.requests.push((self, Action::Cancel { gate: sent.gate, number }));
         }
         sites.close(self);
         sites.pump_all(now);
-        sites.take_todo()
+        sites.take_actions()
     }
 }
 
@@ -100,7 +100,7 @@
     trip: Trip,
     credits: Vec<u32>,
     draining: bool,
-    barred_until: Micros,
+    blacklisted_until: Micros,
     failures: VecDeque<Micros>,
     took: Vec<Histogram>,
     /// Requests that it served, as far as they tell more than the first guess.
@@ -130,7 +130,7 @@
     pub trip: Micros,
     pub credits: Vec<u32>,
     pub draining: bool,
-    pub barred: bool,
+    pub blacklisted: bool,
     /// Requests under way there.
     pub out: usize,
 }
@@ -152,7 +152,7 @@
     next_beat: Micros,
     /// When the last standstill of this process ended.
     woke: Micros,
-    todo: Todo,
+    actions: Actions,
 }
 
 impl Sites {
@@ -169,13 +169,13 @@
             held: Vec::new(),
             next_beat: now,
             woke: Micros::MIN / 2,
-            todo: Todo::default(),
+            actions: Actions::default(),
             terms,
         }
     }
 
     /// A request of a client, or one that came over a link.
-    pub fn take(&mut self, now: Micros, request: Request) -> (Handle, Todo) {
+    pub fn take(&mut self, now: Micros, request: Request) -> (Handle, Actions) {
         let handle = Handle(self.next);
         self.next += 1;
         let (deadline, objective_at) = (now + request.ttl, now + self.class(&request).objective);
@@ -192,14 +192,14 @@
         };
         self.pending_requests.insert(handle, pending);
         self.place(now, handle);
-        (handle, self.take_todo())
+        (handle, self.take_actions())
     }
 
     /// What the fleet decided of sites that retire; `names` are all sites', by their index.
-    pub fn bind(&mut self, now: Micros, names: &[String], plans: Vec<Plan>) -> Todo {
+    pub fn bind(&mut self, now: Micros, names: &[String], plans: Vec<Plan>) -> Actions {
         self.bound = Bound::of(names, plans);
         self.pump_all(now);
-        self.take_todo()
+        self.take_actions()
     }
 
     /// What is under way at each site that retires, as far as this gateway has part in it: what its own module has of it and
@@ -242,7 +242,7 @@
             trip: gate.trip.mean(),
             credits: gate.credits.clone(),
             draining: gate.draining,
-            barred: now < gate.barred_until,
+            blacklisted: now < gate.blacklisted_until,
             out: self.crossings.open_at(id).len(),
         }
     }
@@ -250,8 +250,8 @@
     /// This process stood still until now. What was out meanwhile says nothing of other gateways: neither how long
     /// they take nor that they lose requests.
     ///
-    /// Protects gateways from a bar for what fell into a standstill here. Harms requests by a gateway that
-    /// loses them at that moment: it is found out by those sent after it.
+    /// Protects gateways from a blacklist for what fell into a standstill here. Harms requests by a gateway
+    /// that loses them at that moment: it is found out by those sent after it.
     pub fn stood_still(&mut self, now: Micros) {
         self.woke = now;
     }
--- a/crates/site-routing/src/sites/hear.rs
+++ b/crates/site-routing/src/sites/hear.rs
@@ -9,25 +9,25 @@
     }
 
     /// The groups that have members here, and how many.
-    pub fn listed(&mut self, now: Micros, groups: &[(u64, usize)]) -> Todo {
+    pub fn listed(&mut self, now: Micros, groups: &[(u64, usize)]) -> Actions {
         self.homes.listed(groups);
-        self.todo.offers = true;
+        self.actions.offers = true;
         self.pump_all(now);
-        self.take_todo()
+        self.take_actions()
     }
 
     /// A member here said that it is its group's primary.
-    pub fn primary_here(&mut self, now: Micros, group: u64) -> Todo {
+    pub fn primary_here(&mut self, now: Micros, group: u64) -> Actions {
         if self.homes.answered(now, group, OWN) {
-            self.todo.offers = true;
+            self.actions.offers = true;
             self.pump_all(now);
         }
-        self.take_todo()
+        self.take_actions()
     }
 
     /// Another gateway was greeted, or one of its links came or went: so many stand now. `same` is false where its
     /// process is another one than before: what that one took it knows as far as it was kept.
-    pub fn links(&mut self, now: Micros, id: GateId, site: SiteId, links: usize, same: bool) -> Todo {
+    pub fn links(&mut self, now: Micros, id: GateId, site: SiteId, links: usize, same: bool) -> Actions {
         let classes = &self.terms.classes;
         let gate = self.gates.entry(id).or_insert_with(|| Gate {
             site,
@@ -36,7 +36,7 @@
             trip: Trip::guessed(TRIP),
             credits: vec![0; classes.len()],
             draining: false,
-            barred_until: Micros::MIN / 2,
+            blacklisted_until: Micros::MIN / 2,
             failures: VecDeque::new(),
             served: 0,
             took: classes.iter().map(|class| Histogram::of(class.objective / 8, 4)).collect(),
@@ -63,11 +63,11 @@
             gate.credits.iter_mut().for_each(|credit| *credit = 0);
         }
         self.pump_all(now);
-        self.take_todo()
+        self.take_actions()
     }
 
     /// The link that these numbers went out on broke.
-    pub fn lost(&mut self, now: Micros, id: GateId, numbers: &[u64]) -> Todo {
+    pub fn lost(&mut self, now: Micros, id: GateId, numbers: &[u64]) -> Actions {
         for &number in numbers {
             let Some(sent) = self.crossings.get(number).filter(|sent| sent.gate == id) else { continue };
             let harmless = self.terms.classes[sent.class].effect != Effect::Effectful;
@@ -78,7 +78,7 @@
         }
         self.ask_all(now, id);
         self.pump_all(now);
-        self.take_todo()
+        self.take_actions()
     }
 
     /// What another gateway says of itself: its credits by request class, its groups and which of them have
@@ -90,14 +90,14 @@
         credits: Vec<u32>,
         homes: &[(u64, bool)],
         draining: bool,
-    ) -> Todo {
+    ) -> Actions {
         if let Some(gate) = self.gates.get_mut(&id) {
             (gate.credits, gate.draining) = (credits, draining);
             let site = gate.site;
             self.homes.told(now, site, homes);
         }
         self.pump_all(now);
-        self.take_todo()
+        self.take_actions()
     }
 
     pub fn trip(&mut self, id: GateId, took: Micros) {
@@ -107,7 +107,7 @@
     }
 
     /// Another gateway answered a request.
-    pub fn answered(&mut self, now: Micros, number: u64, answer: Answer) -> Todo {
+    pub fn answered(&mut self, now: Micros, number: u64, answer: Answer) -> Actions {
         if let Some(sent) = self.crossings.get_mut(number) {
             let (id, handle, class, at) = (sent.gate, sent.handle, sent.class, sent.since);
             let settled = sent.crossing.answered(answer);
@@ -144,11 +144,11 @@
             }
         }
         self.pump_all(now);
-        self.take_todo()
+        self.take_actions()
     }
 
     /// Another gateway said what became of a request that was asked about.
-    pub fn fate<V>(&mut self, now: Micros, number: u64, fate: &Fate<V>) -> Todo {
+    pub fn fate<V>(&mut self, now: Micros, number: u64, fate: &Fate<V>) -> Actions {
         if let Some(sent) = self.crossings.get_mut(number) {
             let handle = sent.handle;
             let settled = sent.crossing.told(fate);
@@ -161,7 +161,7 @@
             }
         }
         self.pump_all(now);
-        self.take_todo()
+        self.take_actions()
     }
 
     /// What is offered to another gateway now: credits by request class, and the groups here with their
@@ -182,11 +182,11 @@
         self.offers.over(now, id, class, rejected)
     }
 
-    pub fn wake(&mut self, now: Micros) -> Todo {
+    pub fn wake(&mut self, now: Micros) -> Actions {
         if now >= self.next_beat {
             self.next_beat = now + BEAT;
             self.beat(now);
         }
-        self.take_todo()
+        self.take_actions()
     }
 }
