--- a/crates/site-routing/src/sites/place.rs
+++ b/crates/site-routing/src/sites/place.rs
@@ -18,7 +18,7 @@
             let ttl = pending.deadline - now;
             let pending = self.pending_requests.get_mut(&handle).expect("held by its handle");
             (pending.here, pending.misses) = (true, 0);
-            return self.todo.steps.push((handle, Step::Here { ttl }));
+            return self.actions.requests.push((handle, Action::Here { ttl }));
         }
         if pending.request.visited.len() >= self.terms.max_hops {
             return self.not_here(handle, site);
@@ -41,7 +41,7 @@
         let number = self.crossings.send(now, handle, id, pending.request.class);
         let pending = self.pending_requests.get_mut(&handle).expect("held by its handle");
         (pending.out, pending.crossed) = (Some(number), pending.crossed + 1);
-        self.todo.steps.push((handle, Step::Cross { gate: id, number, left }));
+        self.actions.requests.push((handle, Action::Cross { gate: id, number, left }));
     }
 
     /// Whether it can be sent nowhere any more: its time is up, or it may have run and must not again.
@@ -148,7 +148,7 @@
     }
 
     /// A gateway of that site with credit left for the request class, by chance in proportion to it. One that
-    /// is barred is still tried where all are.
+    /// is blacklisted is still tried where all are.
     pub(super) fn gate_to(&mut self, now: Micros, site: SiteId, class: usize) -> Option<GateId> {
         let credit = |id: GateId, gate: &Gate| {
             let most = gate.may_be_out(class, self.terms.max_credit);
@@ -156,8 +156,12 @@
         };
         let open = |(&id, gate): (&GateId, &Gate)| (id, credit(id, gate));
         let may = |gate: &Gate| gate.site == site && gate.links > 0 && !gate.draining;
-        let mut gates: Vec<(GateId, usize)> =
-            self.gates.iter().filter(|(_, gate)| may(gate) && now >= gate.barred_until).map(open).collect();
+        let mut gates: Vec<(GateId, usize)> = self
+            .gates
+            .iter()
+            .filter(|(_, gate)| may(gate) && now >= gate.blacklisted_until)
+            .map(open)
+            .collect();
         if gates.is_empty() {
             gates = self.gates.iter().filter(|(_, gate)| may(gate)).map(open).collect();
         }
@@ -189,9 +193,9 @@
         self.gates.values().any(|gate| gate.site == site && !gate.draining && now - gate.lost < HOLD)
     }
 
-    /// The three bars: its own word that it drains, no link that stands, failures in a row.
+    /// The three blacklists: its own word that it drains, no link that stands, failures in a row.
     pub(super) fn usable(&self, now: Micros, gate: &Gate) -> bool {
-        gate.links > 0 && !gate.draining && now >= gate.barred_until
+        gate.links > 0 && !gate.draining && now >= gate.blacklisted_until
     }
 
     pub(super) fn hold(&mut self, now: Micros, handle: Handle) {
@@ -218,7 +222,7 @@
     /// To the gateway that sent it: it never ran, and the primary is elsewhere.
     pub(super) fn not_here(&mut self, handle: Handle, believed: SiteId) {
         let hint = (believed != OWN).then_some(believed);
-        self.todo.steps.push((handle, Step::NotHere { hint }));
+        self.actions.requests.push((handle, Action::NotHere { hint }));
         self.close(handle);
     }
 
@@ -252,7 +256,7 @@
             // With the own module again, which holds it after its round of misses; then all may be asked anew.
             return self.pending_requests.get_mut(&handle).expect("held by its handle").tried.clear();
         }
-        self.todo.steps.push((handle, Step::TakeBack));
+        self.actions.requests.push((handle, Action::TakeBack));
         let pending = self.pending_requests.get_mut(&handle).expect("held by its handle");
         pending.here = false;
         pending.tried.push(OWN);
@@ -265,9 +269,9 @@
         match ended {
             HereEnded::Served => {
                 if need == Need::Primary && self.homes.answered(now, group, OWN) {
-                    self.todo.offers = true;
+                    self.actions.offers = true;
                 }
-                self.todo.steps.push((handle, Step::Serve));
+                self.actions.requests.push((handle, Action::Serve));
             }
             // The module knows nothing of what it did at another site.
             HereEnded::Rejected { cool_down }
@@ -275,8 +279,10 @@
             {
                 return self.reject(handle, cool_down);
             }
-            HereEnded::Rejected { cool_down } => self.todo.steps.push((handle, Step::Reject { cool_down })),
-            HereEnded::Failed => self.todo.steps.push((handle, Step::Fail)),
+            HereEnded::Rejected { cool_down } => {
+                self.actions.requests.push((handle, Action::Reject { cool_down }))
+            }
+            HereEnded::Failed => self.actions.requests.push((handle, Action::Fail)),
         }
         self.close(handle);
     }
--- a/crates/site-routing/src/sites/settle.rs
+++ b/crates/site-routing/src/sites/settle.rs
@@ -16,7 +16,7 @@
         let Some(pending) = self.pending_requests.get_mut(&handle) else { return };
         match settled {
             Settled::Served => {
-                self.todo.steps.push((handle, Step::Serve));
+                self.actions.requests.push((handle, Action::Serve));
                 self.close(handle);
             }
             Settled::MayHaveRun => {
@@ -34,21 +34,21 @@
             pending.out = None;
         }
         if let Some(upto) = self.crossings.confirm(sent.gate) {
-            self.todo.confirms.retain(|(gate, _)| *gate != sent.gate);
-            self.todo.confirms.push((sent.gate, upto));
+            self.actions.confirms.retain(|(gate, _)| *gate != sent.gate);
+            self.actions.confirms.push((sent.gate, upto));
         }
         Some(sent)
     }
 
     /// Protects requests from a gateway that loses them. Should also cover one whose links break all the
-    /// time. Harms one whose link broke once under many requests: it is barred for a while, unless it is the
-    /// only one.
+    /// time. Harms one whose link broke once under many requests: it is blacklisted for a while, unless it is
+    /// the only one.
     pub(super) fn failed(&mut self, now: Micros, id: GateId) {
         let Some(gate) = self.gates.get_mut(&id) else { return };
         gate.failures.push_back(now);
         gate.failures.retain(|&at| at >= now - FAILURE_WINDOW);
         if gate.failures.len() >= FAILURES {
-            gate.barred_until = now + BAR;
+            gate.blacklisted_until = now + BLACKLISTED_FOR;
             gate.failures.clear();
         }
     }
@@ -67,7 +67,7 @@
             && sent.crossing == Crossing::Unsettled
         {
             (sent.crossing, sent.at) = (Crossing::Asked, now);
-            self.todo.steps.push((sent.handle, Step::Ask { gate: sent.gate, number }));
+            self.actions.requests.push((sent.handle, Action::Ask { gate: sent.gate, number }));
         }
     }
 
@@ -78,11 +78,11 @@
         let pure = self.class(&pending.request).effect == Effect::Pure;
         // A rejection promises that nothing ran.
         let step = if pending.may_have_run.is_none() || pure {
-            Step::Reject { cool_down: cool_down.min(self.terms.max_cool_down) }
+            Action::Reject { cool_down: cool_down.min(self.terms.max_cool_down) }
         } else {
-            Step::Fail
+            Action::Fail
         };
-        self.todo.steps.push((handle, step));
+        self.actions.requests.push((handle, step));
         self.close(handle);
     }
 
@@ -127,7 +127,7 @@
             let Some(number) = self.pending_requests[&handle].out else { continue };
             if let Some(sent) = self.crossings.get(number) {
                 let gate = sent.gate;
-                self.todo.steps.push((handle, Step::Cancel { gate, number }));
+                self.actions.requests.push((handle, Action::Cancel { gate, number }));
             }
             self.settle(now, number, Settled::MayHaveRun);
         }
@@ -156,8 +156,8 @@
         &self.terms.classes[request.class]
     }
 
-    pub(super) fn take_todo(&mut self) -> Todo {
-        self.todo.wake_at = Some(self.next_beat);
-        std::mem::take(&mut self.todo)
+    pub(super) fn take_actions(&mut self) -> Actions {
+        self.actions.wake_at = Some(self.next_beat);
+        std::mem::take(&mut self.actions)
     }
 }
--- a/crates/site-routing/tests/retiring.rs
+++ b/crates/site-routing/tests/retiring.rs
@@ -4,7 +4,7 @@
 
 use aldermill_site_drain::{Order, Plan, Stage, Word};
 use aldermill_site_routing::{
-    Answer, Effect, HereEnded, Micros, Need, OWN, Request, RequestClass, Sites, Step, Terms,
+    Action, Answer, Effect, HereEnded, Micros, Need, OWN, Request, RequestClass, Sites, Terms,
 };
 
 const MS: Micros = 1_000;
@@ -47,14 +47,14 @@
 fn goes(sites: &mut Sites, session: &str, class: usize) -> Option<usize> {
     let session = Some(session.to_owned());
     let request = Request { class, group: GROUP, ttl: LIMIT, visited: Vec::new(), session };
-    let (handle, todo) = sites.take(0, request);
-    match todo.steps[..] {
+    let (handle, actions) = sites.take(0, request);
+    match actions.requests[..] {
         [] => None,
-        [(_, Step::Here { .. })] => {
+        [(_, Action::Here { .. })] => {
             handle.here_ended(sites, 0, HereEnded::Served);
             Some(OWN)
         }
-        [(_, Step::Cross { gate, number, .. })] => {
+        [(_, Action::Cross { gate, number, .. })] => {
             sites.answered(0, number, Answer::Served);
             Some(gate + 1)
         }
@@ -100,23 +100,23 @@
     sites.bind(0, &names(), vec![plan("a", Stage::Emptied, 0)]);
     assert_eq!(goes(&mut sites, "s", READ), None);
     // It is rejected by half of its time, not at the end of it.
-    assert!(sites.wake(LIMIT / 2 - MS).steps.is_empty());
-    let said = sites.wake(LIMIT / 2 + 20 * MS).steps;
-    assert!(matches!(said[..], [(_, Step::Reject { .. })]), "{said:?}");
+    assert!(sites.wake(LIMIT / 2 - MS).requests.is_empty());
+    let said = sites.wake(LIMIT / 2 + 20 * MS).requests;
+    assert!(matches!(said[..], [(_, Action::Reject { .. })]), "{said:?}");
     // Guests of gateways that have not heard of it are answered until it is retired.
     let guest = |sites: &mut Sites, class| {
         let request = Request { class, group: GROUP, ttl: LIMIT, visited: vec![1], session: None };
-        sites.take(0, request).1.steps[0].1
+        sites.take(0, request).1.requests[0].1
     };
-    assert!(matches!(guest(&mut sites, READ), Step::Here { .. }));
+    assert!(matches!(guest(&mut sites, READ), Action::Here { .. }));
     let open = sites.open_at_retiring(3)["a"];
     assert_eq!((open.sessions, open.requests, open.fates, open.groups), (0, 1, 3, 0));
     sites.primary_here(0, GROUP);
     assert_eq!(sites.open_at_retiring(0)["a"].groups, 1);
-    assert!(matches!(guest(&mut sites, WRITE), Step::Here { .. }));
+    assert!(matches!(guest(&mut sites, WRITE), Action::Here { .. }));
     sites.bind(0, &names(), vec![plan("a", Stage::Retired, 0)]);
-    assert!(matches!(guest(&mut sites, READ), Step::NotHere { .. }));
-    assert!(matches!(guest(&mut sites, WRITE), Step::NotHere { .. }));
+    assert!(matches!(guest(&mut sites, READ), Action::NotHere { .. }));
+    assert!(matches!(guest(&mut sites, WRITE), Action::NotHere { .. }));
     assert_eq!(goes(&mut sites, "s", WRITE), None);
 }
 
--- a/crates/site-routing/tests/two_sites/one_site.rs
+++ b/crates/site-routing/tests/two_sites/one_site.rs
@@ -1,7 +1,7 @@
 //! One gateway by itself: what it sends, holds, and gives up.
 
 use aldermill_site_routing::{
-    Answer, Effect, Fate, HereEnded, OWN, Request, RequestClass, Sites, Step, Terms, Todo,
+    Action, Actions, Answer, Effect, Fate, HereEnded, OWN, Request, RequestClass, Sites, Terms,
 };
 
 use crate::world::{FAR, GATE, GROUP, LIMIT, MS, terms};
@@ -13,40 +13,46 @@
     (0..30).for_each(|_| sites.trip(GATE, 300 * MS));
     sites.room(0, GATE, vec![9; 4], &[(GROUP, true)], false);
     let request = |class, ttl| Request { class, group: GROUP, ttl, visited: Vec::new(), session: None };
-    let (handle, todo) = sites.take(0, request(1, 250 * MS));
-    assert!(matches!(todo.steps[..], [(other, Step::Reject { .. })] if other == handle), "{todo:?}");
-    let (_, todo) = sites.take(0, request(1, 1_000 * MS));
-    assert!(matches!(todo.steps[..], [(_, Step::Cross { left, .. })] if left <= 850 * MS), "{todo:?}");
+    let (handle, actions) = sites.take(0, request(1, 250 * MS));
+    assert!(
+        matches!(actions.requests[..], [(other, Action::Reject { .. })] if other == handle),
+        "{actions:?}"
+    );
+    let (_, actions) = sites.take(0, request(1, 1_000 * MS));
+    assert!(
+        matches!(actions.requests[..], [(_, Action::Cross { left, .. })] if left <= 850 * MS),
+        "{actions:?}"
+    );
     // A read whose bound is shorter than the way waits for nothing there.
-    let (_, todo) = sites.take(0, request(3, 1_000 * MS));
-    assert!(todo.steps.is_empty(), "{todo:?}");
+    let (_, actions) = sites.take(0, request(3, 1_000 * MS));
+    assert!(actions.requests.is_empty(), "{actions:?}");
     // No more than there is credit for; the rest is held, and goes as room comes.
     let mut crossed = 1;
     for _ in 0..20 {
-        crossed += sites.take(0, request(1, 1_000 * MS)).1.steps.len();
+        crossed += sites.take(0, request(1, 1_000 * MS)).1.requests.len();
     }
     assert_eq!(crossed, 9);
-    assert_eq!(sites.room(0, GATE, vec![12; 4], &[(GROUP, true)], false).steps.len(), 3);
+    assert_eq!(sites.room(0, GATE, vec![12; 4], &[(GROUP, true)], false).requests.len(), 3);
     // Over a long line more may be out than it takes at once: most of them are on the way.
     let out: Vec<u64> = (1..=12).collect();
     out.iter().for_each(|&number| drop(sites.answered(310 * MS, number, Answer::Served)));
     let mut crossed = Vec::new();
     for number in 13..60 {
-        let (_, todo) = sites.take(310 * MS, request(1, 1_000 * MS));
-        crossed.extend(todo.steps);
+        let (_, actions) = sites.take(310 * MS, request(1, 1_000 * MS));
+        crossed.extend(actions.requests);
         drop(sites.answered(620 * MS, number, Answer::Served));
     }
     assert!(crossed.len() > 40, "{}", crossed.len());
-    let more = (0..60).map(|_| sites.take(620 * MS, request(1, 1_000 * MS)).1.steps.len()).sum::<usize>();
+    let more = (0..60).map(|_| sites.take(620 * MS, request(1, 1_000 * MS)).1.requests.len()).sum::<usize>();
     assert!(more > 12, "{more}");
     // Nothing goes to one that drains.
     sites.room(0, GATE, vec![50; 4], &[(GROUP, true)], true);
-    assert!(sites.take(0, request(1, 1_000 * MS)).1.steps.is_empty());
+    assert!(sites.take(0, request(1, 1_000 * MS)).1.requests.is_empty());
 }
 
 #[test]
-fn what_fell_into_a_standstill_here_bars_no_gateway() {
-    let barred = |told: bool| {
+fn what_fell_into_a_standstill_here_blacklists_no_gateway() {
+    let blacklisted = |told: bool| {
         let mut sites = Sites::start(terms(), 1, 0);
         sites.links(0, GATE, FAR, 1, true);
         sites.room(0, GATE, vec![50; 4], &[(GROUP, true)], false);
@@ -61,13 +67,13 @@
         if told {
             sites.stood_still(now);
         }
-        let todo = sites.wake(now);
-        let ended = todo.steps.iter().filter(|(_, step)| matches!(step, Step::Fail)).count();
-        assert_eq!(ended, 9, "{todo:?}");
-        sites.view(now, GATE).barred
+        let actions = sites.wake(now);
+        let ended = actions.requests.iter().filter(|(_, step)| matches!(step, Action::Fail)).count();
+        assert_eq!(ended, 9, "{actions:?}");
+        sites.view(now, GATE).blacklisted
     };
-    assert!(!barred(true));
-    assert!(barred(false), "gateways that lose tasks are barred");
+    assert!(!blacklisted(true));
+    assert!(blacklisted(false), "gateways that lose tasks are blacklisted");
 }
 
 #[test]
@@ -77,14 +83,14 @@
     sites.links(0, GATE, FAR, 1, true);
     sites.room(0, GATE, vec![9; 4], &[(GROUP, true)], false);
     // Each believes the other to be home: the one that was asked says so, and nothing goes in a circle.
-    let (handle, todo) =
+    let (handle, actions) =
         sites.take(0, Request { class: 1, group: GROUP, ttl: 900 * MS, visited: vec![FAR], session: None });
-    assert!(matches!(todo.steps[..], [(_, Step::Here { .. })]), "{todo:?}");
-    let mut last = Todo::default();
+    assert!(matches!(actions.requests[..], [(_, Action::Here { .. })]), "{actions:?}");
+    let mut last = Actions::default();
     for _ in 0..2 {
         last = handle.here_missed(&mut sites, 10 * MS);
     }
-    assert_eq!(last.steps, [(handle, Step::TakeBack), (handle, Step::NotHere { hint: None })]);
+    assert_eq!(last.requests, [(handle, Action::TakeBack), (handle, Action::NotHere { hint: None })]);
     assert_eq!(sites.crossed(1), None);
     assert_eq!(OWN, 0);
 }
@@ -109,23 +115,23 @@
         let (handle, _) = sites.take(0, request(visited));
         handle.here_may_have_run(&mut sites, 0);
         for _ in 0..6 {
-            let todo = handle.here_missed(&mut sites, MS);
-            assert!(todo.steps.is_empty(), "{todo:?}");
+            let actions = handle.here_missed(&mut sites, MS);
+            assert!(actions.requests.is_empty(), "{actions:?}");
         }
-        let todo = handle.here_ended(&mut sites, 2 * MS, HereEnded::Failed);
-        assert_eq!(todo.steps, [(handle, Step::Fail)]);
+        let actions = handle.here_ended(&mut sites, 2 * MS, HereEnded::Failed);
+        assert_eq!(actions.requests, [(handle, Action::Fail)]);
     }
     // It crossed, and nobody can say what became of it there; the module here knows nothing of that.
     let mut sites = start();
     sites.room(0, GATE, vec![9], &[(GROUP, true)], false);
-    let (handle, todo) = sites.take(0, request(vec![]));
-    let Step::Cross { number, .. } = todo.steps[0].1 else { panic!("{todo:?}") };
-    let todo = sites.fate::<()>(MS, number, &Fate::Unknown);
-    assert!(matches!(todo.steps[..], [(_, Step::Cross { .. })]), "{todo:?}");
+    let (handle, actions) = sites.take(0, request(vec![]));
+    let Action::Cross { number, .. } = actions.requests[0].1 else { panic!("{actions:?}") };
+    let actions = sites.fate::<()>(MS, number, &Fate::Unknown);
+    assert!(matches!(actions.requests[..], [(_, Action::Cross { .. })]), "{actions:?}");
     sites.primary_here(2 * MS, GROUP);
-    let Step::Cross { number, .. } = todo.steps[0].1 else { panic!("{todo:?}") };
-    let todo = sites.answered(3 * MS, number, Answer::NotHere { hint: None });
-    assert!(matches!(todo.steps[..], [(_, Step::Here { .. })]), "{todo:?}");
-    let todo = handle.here_ended(&mut sites, 4 * MS, HereEnded::Rejected { cool_down: 0 });
-    assert_eq!(todo.steps, [(handle, Step::Fail)]);
+    let Action::Cross { number, .. } = actions.requests[0].1 else { panic!("{actions:?}") };
+    let actions = sites.answered(3 * MS, number, Answer::NotHere { hint: None });
+    assert!(matches!(actions.requests[..], [(_, Action::Here { .. })]), "{actions:?}");
+    let actions = handle.here_ended(&mut sites, 4 * MS, HereEnded::Rejected { cool_down: 0 });
+    assert_eq!(actions.requests, [(handle, Action::Fail)]);
 }
--- a/crates/site-routing/tests/two_sites/world.rs
+++ b/crates/site-routing/tests/two_sites/world.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, HashMap};
 
 use aldermill_site_routing::{
-    Answer, Effect, Fate, Fates, Handle, HereEnded, Micros, Need, Origin, Request, RequestClass, Sites, Step,
-    Terms, Todo,
+    Action, Actions, Answer, Effect, Fate, Fates, Handle, HereEnded, Micros, Need, Origin, Request,
+    RequestClass, Sites, Terms,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -127,10 +127,10 @@
             let start = self.sides[1 - at].start;
             self.sides[at].fates.greeted(&origin(1 - at, start), false);
             let (credits, groups) = self.sides[1 - at].sites.offered(GATE);
-            let todo = self.sides[at].sites.links(self.now, GATE, FAR, 1, true);
-            self.carry_out(at, todo);
-            let todo = self.sides[at].sites.room(self.now, GATE, credits, &groups, false);
-            self.carry_out(at, todo);
+            let actions = self.sides[at].sites.links(self.now, GATE, FAR, 1, true);
+            self.carry_out(at, actions);
+            let actions = self.sides[at].sites.room(self.now, GATE, credits, &groups, false);
+            self.carry_out(at, actions);
         }
     }
 
@@ -138,11 +138,11 @@
     pub fn cut(&mut self) {
         self.up = false;
         for at in 0..2 {
-            let todo = self.sides[at].sites.links(self.now, GATE, FAR, 0, true);
-            self.carry_out(at, todo);
+            let actions = self.sides[at].sites.links(self.now, GATE, FAR, 0, true);
+            self.carry_out(at, actions);
             let sent = std::mem::take(&mut self.sides[at].sent);
-            let todo = self.sides[at].sites.lost(self.now, GATE, &sent);
-            self.carry_out(at, todo);
+            let actions = self.sides[at].sites.lost(self.now, GATE, &sent);
+            self.carry_out(at, actions);
         }
         let (rng, now) = (&mut self.rng, self.now);
         self.network.retain(|_| rng.random_bool(0.5));
@@ -160,8 +160,8 @@
             self.requests[request].left = true;
         }
         self.sides[at] = side(start * 77 + at as u64, self.now, start);
-        let todo = self.sides[1 - at].sites.links(self.now, GATE, FAR, 0, false);
-        self.carry_out(1 - at, todo);
+        let actions = self.sides[1 - at].sites.links(self.now, GATE, FAR, 0, false);
+        self.carry_out(1 - at, actions);
         self.sides[1 - at].fates.greeted(&origin(at, start), false);
         self.sides[at].fates.greeted(&origin(1 - at, self.sides[1 - at].start), false);
     }
@@ -179,24 +179,24 @@
     pub fn take(&mut self, at: usize, class: usize) {
         let request = self.requests.len();
         self.requests.push(Asked { class, deadline: self.now + LIMIT, answered: None, left: false, runs: 0 });
-        let (handle, todo) = self.sides[at]
+        let (handle, actions) = self.sides[at]
             .sites
             .take(self.now, Request { class, group: GROUP, ttl: LIMIT, visited: Vec::new(), session: None });
         self.sides[at].own.insert(handle, request);
-        self.carry_out(at, todo);
+        self.carry_out(at, actions);
     }
 
-    pub fn carry_out(&mut self, at: usize, todo: Todo) {
-        for (handle, step) in todo.steps {
+    pub fn carry_out(&mut self, at: usize, actions: Actions) {
+        for (handle, step) in actions.requests {
             match step {
-                Step::Here { ttl } => {
+                Action::Here { ttl } => {
                     let takes = (self.rng.random_range(1..150) * MS).min((ttl - 20 * MS).max(0));
                     self.sides[at].here.insert(handle, (self.now + takes, self.now + ttl));
                 }
-                Step::TakeBack => {
+                Action::TakeBack => {
                     self.sides[at].here.remove(&handle).expect("taken back from where it is");
                 }
-                Step::Cross { number, left, .. } => {
+                Action::Cross { number, left, .. } => {
                     assert!(left > 0, "sent with no time left");
                     let (request, start) = (self.sides[at].own[&handle], self.sides[1 - at].start);
                     self.effects.insert(number as usize * 2 + at, request as u32);
@@ -205,18 +205,18 @@
                     let class = self.requests[request].class;
                     self.say(at, Word::Request { number, class, left, start });
                 }
-                Step::Ask { number, .. } => {
+                Action::Ask { number, .. } => {
                     let start = self.sides[at].sent_to[&number];
                     self.say(at, Word::Ask { number, start });
                 }
-                Step::Cancel { number, .. } => self.say(at, Word::Cancel(number)),
-                Step::Serve => self.answer(at, handle, Answer::Served),
-                Step::Reject { cool_down } => self.answer(at, handle, Answer::Rejected { cool_down }),
-                Step::Fail => self.answer(at, handle, Answer::Failed),
-                Step::NotHere { hint } => self.answer(at, handle, Answer::NotHere { hint }),
+                Action::Cancel { number, .. } => self.say(at, Word::Cancel(number)),
+                Action::Serve => self.answer(at, handle, Answer::Served),
+                Action::Reject { cool_down } => self.answer(at, handle, Answer::Rejected { cool_down }),
+                Action::Fail => self.answer(at, handle, Answer::Failed),
+                Action::NotHere { hint } => self.answer(at, handle, Answer::NotHere { hint }),
             }
         }
-        for (_, upto) in todo.confirms {
+        for (_, upto) in actions.confirms {
             self.say(at, Word::Confirm(upto));
         }
     }
@@ -266,16 +266,16 @@
         };
         let primary = self.primary == at;
         let needs_primary = matches!(self.requests[request].class, 1 | 2);
-        let todo = if needs_primary && !primary && self.now > deadline - 60 * MS {
+        let actions = if needs_primary && !primary && self.now > deadline - 60 * MS {
             handle.here_ended(&mut side.sites, self.now, HereEnded::Rejected { cool_down: 0 })
         } else if needs_primary && !primary {
-            let todo = handle.here_missed(&mut side.sites, self.now);
-            if !todo.steps.contains(&(handle, Step::TakeBack)) {
+            let actions = handle.here_missed(&mut side.sites, self.now);
+            if !actions.requests.contains(&(handle, Action::TakeBack)) {
                 side.here.insert(handle, (self.now + 30 * MS, deadline));
             } else {
                 side.here.insert(handle, (0, 0));
             }
-            todo
+            actions
         } else {
             let ended = match self.rng.random_range(0..20) {
                 0 => HereEnded::Rejected { cool_down: 0 },
@@ -290,7 +290,7 @@
             }
             handle.here_ended(&mut side.sites, self.now, ended)
         };
-        self.carry_out(at, todo);
+        self.carry_out(at, actions);
     }
 
     pub fn arrive(&mut self, at: usize, word: Word) {
@@ -311,29 +311,29 @@
                     visited: vec![FAR],
                     session: None,
                 };
-                let (handle, todo) = self.sides[at].sites.take(now, request);
+                let (handle, actions) = self.sides[at].sites.take(now, request);
                 self.sides[at].guests.insert(handle, (number, class));
-                self.carry_out(at, todo);
+                self.carry_out(at, actions);
             }
             Word::Answer { number, answer } => {
-                let todo = self.sides[at].sites.answered(now, number, answer);
-                self.carry_out(at, todo);
+                let actions = self.sides[at].sites.answered(now, number, answer);
+                self.carry_out(at, actions);
             }
             Word::Ask { number, start } => {
                 let fate = self.sides[at].fates.ask(now, &other, number, start, own);
                 self.say(at, Word::Told { number, fate });
             }
             Word::Told { number, fate } => {
-                let todo = self.sides[at].sites.fate(now, number, &fate);
-                self.carry_out(at, todo);
+                let actions = self.sides[at].sites.fate(now, number, &fate);
+                self.carry_out(at, actions);
             }
             Word::Cancel(number) => {
                 let guest = self.sides[at].guests.iter().find(|(_, guest)| guest.0 == number);
                 if let Some((&handle, _)) = guest {
                     // What the module has begun goes on there.
                     if !self.sides[at].here.contains_key(&handle) {
-                        let todo = handle.left(&mut self.sides[at].sites, now);
-                        self.carry_out(at, todo);
+                        let actions = handle.left(&mut self.sides[at].sites, now);
+                        self.carry_out(at, actions);
                     }
                 }
             }
@@ -359,8 +359,8 @@
                     self.here_done(at, handle, deadline);
                 }
                 self.sides[at].fates.expire(now);
-                let todo = self.sides[at].sites.wake(now);
-                self.carry_out(at, todo);
+                let actions = self.sides[at].sites.wake(now);
+                self.carry_out(at, actions);
             }
             for request in &self.requests {
                 assert!(
@@ -391,8 +391,8 @@
                     if let Some(handle) = held.filter(|handle| !self.sides[at].here.contains_key(handle)) {
                         self.requests[request].left = true;
                         self.sides[at].own.remove(&handle);
-                        let todo = handle.left(&mut self.sides[at].sites, self.now);
-                        self.carry_out(at, todo);
+                        let actions = handle.left(&mut self.sides[at].sites, self.now);
+                        self.carry_out(at, actions);
                     }
                 }
             }
--- a/crates/test-support/src/member.rs
+++ b/crates/test-support/src/member.rs
@@ -90,7 +90,7 @@
     }
 }
 
-/// A whole answer: the value for requests, the report for probes, and the role that the member claims.
+/// A whole answer: the value for requests, the report for health checks, and the role that the member claims.
 pub fn serve(text: &str, role: &str, stream: &mut TcpStream) {
     serve_with(b"the value", text, role, stream);
 }
