--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -72,7 +72,7 @@
     pub connected: Instant,
     /// What is owed to the client, in the order of its statements.
     pub owed: VecDeque<Owed>,
-    /// Requests handed to the desk so far.
+    /// Requests handed to the dispatcher so far.
     pub asked: u64,
     /// Bytes sent since the client last asked: they may be unread.
     pub unread: usize,
@@ -105,7 +105,7 @@
             Err(end) => Err(end),
         };
         for owed in self.owed.drain(..).filter(|owed| owed.answer.is_none()) {
-            let _ = self.context.desk.send(Call::Left(owed.request)).await;
+            let _ = self.context.dispatcher.send(Call::Left(owed.request)).await;
         }
         if matches!(end, Err(End::Cut)) || !self.may_leave_unread() {
             // With nothing left to be handed over the system forgets the connection at once.
--- a/crates/proxy/src/client/asking.rs
+++ b/crates/proxy/src/client/asking.rs
@@ -1,4 +1,4 @@
-//! From a message of a client to a statement that the desk is asked about, and the room for it.
+//! From a message of a client to a statement that the dispatcher is asked about, and the room for it.
 
 use super::*;
 
@@ -31,7 +31,7 @@
         key.is_some() && self.owed.iter().any(|owed| owed.answer.is_none() && owed.key == key)
     }
 
-    /// One whole message: a request goes to the desk, anything else has its answer at once.
+    /// One whole message: a request goes to the dispatcher, anything else has its answer at once.
     pub(super) async fn handle(
         &mut self,
         tag: u8,
@@ -98,7 +98,7 @@
         Err(End::Quiet)
     }
 
-    /// Hands the request to the desk.
+    /// Hands the request to the dispatcher.
     pub(super) async fn ask(
         &mut self,
         statement: Vec<u8>,
@@ -128,7 +128,7 @@
             comment,
             written_ago: None,
         };
-        self.context.desk.send(Call::Take(order)).await.map_err(|_| End::Quiet)
+        self.context.dispatcher.send(Call::Take(order)).await.map_err(|_| End::Quiet)
     }
 
     /// Dates what was just read, where that may have waited for this process.
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -22,7 +22,7 @@
     pub log: Logger,
     /// Where discovery is, as the configuration last said.
     pub discovery: watch::Receiver<SocketAddr>,
-    pub desk: mpsc::Sender<Call>,
+    pub dispatcher: mpsc::Sender<Call>,
     /// There is a list to decide on.
     pub ready: watch::Receiver<bool>,
     /// Set once the driver is to stop: until when new connections are still taken.
--- a/crates/proxy/src/council/leaving.rs
+++ b/crates/proxy/src/council/leaving.rs
@@ -134,7 +134,7 @@
         let open = seen.site.as_ref().map_or(&empty, |site| &site.open);
         for plan in self.obeyed.plans() {
             let site = &plan.word.site;
-            // What the desk does not know of yet says nothing, nor what a restart could forget.
+            // What the dispatcher does not know of yet says nothing, nor what a restart could forget.
             let stands = self.acted.contains(plan) && self.is_kept(plan);
             let Some(place) = self.obeyed.place(site).filter(|_| stands) else {
                 continue;
--- a/crates/proxy/src/desk.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -1,7 +1,7 @@
 //! The actor that owns the router: every decision is asked for here, and carried out at once.
 
 mod book;
-mod hub;
+mod gateway_part;
 mod lists;
 mod members_clock;
 mod open;
@@ -9,7 +9,7 @@
 mod steps;
 mod warmth;
 
-pub use hub::{Hub, Opening};
+pub use gateway_part::{GatewayPart, Opening};
 pub use sight::Sight;
 pub use warmth::Warmth;
 
@@ -27,8 +27,8 @@
 use tokio::time::sleep_until;
 
 use crate::context::Context;
-use crate::desk::lists::Peer;
-use crate::desk::open::Open;
+use crate::dispatcher::lists::Peer;
+use crate::dispatcher::open::Open;
 use crate::trial::Trial;
 use crate::words::{Answer, Bulletin, Call, ClientId, Ended, Gave, Mail, Order, Withdrawal};
 
@@ -39,7 +39,7 @@
     Via(SitesHandle),
 }
 
-/// What the desk turns to.
+/// What the dispatcher turns to.
 enum Next {
     Bulletin(Bulletin),
     Wake,
@@ -51,18 +51,18 @@
     Call(Call),
 }
 
-/// How often others have their turn after a standstill, before the desk goes on: to hear of what came, to read it,
-/// and to hand it on.
+/// How often others have their turn after a standstill, before the dispatcher goes on: to hear of what came,
+/// to read it, and to hand it on.
 const TURNS: usize = 3;
 
-pub struct Desk {
+pub struct Dispatcher {
     pub(crate) context: Rc<Context>,
     pub(crate) decoded: Decoded,
     pub(crate) router: Router,
     /// Other settings that are watched.
     trial: Option<Trial>,
     /// Where this driver is a gateway to other sites.
-    pub(crate) hub: Option<Hub>,
+    pub(crate) gateway_part: Option<GatewayPart>,
     /// By the router's index; an index whose member was let go stands empty until it is given out anew.
     peers: Vec<Option<Peer>>,
     member_ids: HashMap<String, MemberId>,
@@ -89,25 +89,25 @@
     parted: Vec<oneshot::Sender<()>>,
 }
 
-impl Desk {
+impl Dispatcher {
     #[expect(clippy::too_many_arguments)]
     pub fn new(
         context: Rc<Context>,
         decoded: Decoded,
         seed: u64,
-        hub: Option<Hub>,
+        gateway_part: Option<GatewayPart>,
         trial: Option<Trial>,
         warmth: Warmth,
         sight: Option<Sight>,
         ready: watch::Sender<bool>,
         requests: Option<mpsc::Sender<()>>,
-    ) -> Desk {
+    ) -> Dispatcher {
         let now = context.clock.now();
-        Desk {
+        Dispatcher {
             router: Router::start(decoded.terms.clone(), seed, now),
             decoded,
             trial,
-            hub,
+            gateway_part,
             peers: Vec::new(),
             member_ids: HashMap::new(),
             clock_offset: ClockOffset::default(),
@@ -134,10 +134,12 @@
     pub async fn run(mut self, mut bulletins: mpsc::Receiver<Bulletin>, mut calls: mpsc::Receiver<Call>) {
         let mut stopping = self.context.stopping.clone();
         loop {
-            let (hub_wakes, draining) =
-                self.hub.as_ref().map_or((None, true), |hub| (Some(hub.wake_at), hub.is_draining()));
-            let book_due = self.hub.as_ref().and_then(|hub| hub.book.as_ref()?.due());
-            let kept = self.hub.as_mut().and_then(|hub| hub.kept.as_mut());
+            let (hub_wakes, draining) = self.gateway_part.as_ref().map_or((None, true), |gateway_part| {
+                (Some(gateway_part.wake_at), gateway_part.is_draining())
+            });
+            let book_due =
+                self.gateway_part.as_ref().and_then(|gateway_part| gateway_part.book.as_ref()?.due());
+            let kept = self.gateway_part.as_mut().and_then(|gateway_part| gateway_part.kept.as_mut());
             let clock = self.context.clock;
             let next = tokio::select! {
                 biased;
@@ -181,7 +183,9 @@
             while let Some(call) = self.pending.pop_front() {
                 self.call(call);
             }
-            if !self.parted.is_empty() && self.hub.as_ref().is_none_or(|hub| hub.guests() == 0) {
+            if !self.parted.is_empty()
+                && self.gateway_part.as_ref().is_none_or(|gateway_part| gateway_part.guests() == 0)
+            {
                 for asked in self.parted.drain(..) {
                     let _ = asked.send(());
                 }
@@ -270,7 +274,10 @@
         let Ok(class) = self.decoded.class(&order.comment.class) else {
             return refuse(Answer::Wrong("unknown offering"));
         };
-        let elsewhere = self.hub.as_ref().is_some_and(|hub| hub.knows_group(order.comment.group));
+        let elsewhere = self
+            .gateway_part
+            .as_ref()
+            .is_some_and(|gateway_part| gateway_part.knows_group(order.comment.group));
         // The list may be older than its cluster: it was not sent on, and may be asked again.
         if !self.groups.contains(&order.comment.group) && !elsewhere {
             return refuse(Answer::Rejected { cool_down: 0 });
@@ -278,11 +285,11 @@
         if self.open_ids.contains(&order.comment.id) {
             return refuse(Answer::Wrong("a task with this id is under way"));
         }
-        let trips = self.hub.as_ref().map_or(0, Hub::trips);
+        let trips = self.gateway_part.as_ref().map_or(0, GatewayPart::trips);
         if self.open.len().max(trips) >= self.context.limits.requests {
             return refuse(Answer::Rejected { cool_down: 0 });
         }
-        if self.hub.is_some() {
+        if self.gateway_part.is_some() {
             return self.dispatch(order, class);
         }
         // The wait has run since the statement arrived.
--- a/crates/proxy/src/desk/hub.rs
+++ b/crates/proxy/src/dispatcher/gateway_part.rs
@@ -1,5 +1,5 @@
-//! The desk's part in the gateway: requests that cross to other sites, and guests that come from them. What
-//! `crates/site-routing` returns is carried out here; no choice is made.
+//! The dispatcher's part in the gateway: requests that cross to other sites, and guests that come from them.
+//! What `crates/site-routing` returns is carried out here; no choice is made.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 use tokio::sync::mpsc;
 
 use super::book::{Book, Taking, Token};
-use super::{Desk, Holder};
+use super::{Dispatcher, Holder};
 use crate::gate::Room;
 use crate::keep::Folder;
 use crate::words::{Answer, ClientId, LinkCall, LinkId, Mail, Order, Rows, SiteSeen};
@@ -78,7 +78,7 @@
     link: LinkId,
 }
 
-pub struct Hub {
+pub struct GatewayPart {
     own: Identity,
     /// The sites' names, the own one first.
     names: Vec<String>,
@@ -156,11 +156,11 @@
 /// How often others are told of the room here though nothing has changed.
 const TELL: Micros = 500_000;
 const MOST: Micros = 1_000_000_000;
-/// Confirmations that may wait for the desk: as many as records may wait for the disk, and more.
+/// Confirmations that may wait for the dispatcher: as many as records may wait for the disk, and more.
 const BOOK_WORDS: usize = 2048;
 
-impl Hub {
-    pub fn new(opening: Opening, decoded: &Decoded, seed: u64, now: Micros) -> Hub {
+impl GatewayPart {
+    pub fn new(opening: Opening, decoded: &Decoded, seed: u64, now: Micros) -> GatewayPart {
         let Opening { own, peers, homes, hops, credit, session, fates, folder } = opening;
         let (told, kept) = mpsc::channel(BOOK_WORDS);
         let book = folder.map(|folder| Book::open(folder, own.start, now, told));
@@ -197,7 +197,7 @@
                 sites.guess(group, site);
             }
         }
-        Hub {
+        GatewayPart {
             own,
             names,
             classes: decoded.names(),
--- a/crates/proxy/src/desk/hub/guests.rs
+++ b/crates/proxy/src/dispatcher/gateway_part/guests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Desk {
+impl Dispatcher {
     pub(super) fn guest_came(
         &mut self,
         link: LinkId,
@@ -11,20 +11,20 @@
         statement: Vec<u8>,
     ) {
         let now = self.context.clock.now();
-        let Some(hub) = &mut self.hub else { return };
+        let Some(gateway_part) = &mut self.gateway_part else { return };
         let number = request.number;
         // Meant for an earlier start of this gateway: what that one did with it is not known, so nothing is said.
-        if request.receiver_start != hub.own.start {
+        if request.receiver_start != gateway_part.own.start {
             return;
         }
-        let origin = hub.gates[gate].origin.clone();
+        let origin = gateway_part.gates[gate].origin.clone();
         let left = micros(request.left_us);
         let mut frame = OutcomeFrame { number, ..OutcomeFrame::default() };
-        match hub.fates.take(now, &origin, number, left) {
+        match gateway_part.fates.take(now, &origin, number, left) {
             Ok(()) => {}
             Err(TurnedAway::Full) => {
                 frame.kind = OutcomeKind::Rejected.into();
-                hub.say(gate, Some(link), Said::Outcome(frame, Vec::new()));
+                gateway_part.say(gate, Some(link), Said::Outcome(frame, Vec::new()));
                 return;
             }
             // Another copy, or one that was asked about before it came: no news to the sender.
@@ -34,10 +34,10 @@
         let class = self.decoded.class(&coming.request.class).ok();
         let effect = class.map(|class| self.decoded.terms.classes[class].effect);
         let until = now + left + SLACK;
-        match hub.book.as_mut().filter(|_| effect == Some(Effect::Effectful)) {
+        match gateway_part.book.as_mut().filter(|_| effect == Some(Effect::Effectful)) {
             None => self.guest_goes_on(coming),
             Some(book) => match book.take(now, &coming.origin, number, until) {
-                Taking::Waits(token) => drop(hub.coming.insert(token, coming)),
+                Taking::Waits(token) => drop(gateway_part.coming.insert(token, coming)),
                 Taking::Without => self.guest_goes_on(coming),
                 Taking::Refused => self.refuse_guest(&coming, OutcomeKind::Rejected),
             },
@@ -45,16 +45,19 @@
     }
 
     pub(super) fn refuse_guest(&mut self, coming: &Coming, kind: OutcomeKind) {
-        let Some(hub) = &mut self.hub else { return };
+        let Some(gateway_part) = &mut self.gateway_part else { return };
         let frame = OutcomeFrame { number: coming.number, kind: kind.into(), ..OutcomeFrame::default() };
-        hub.fates.settle(&coming.origin, coming.number, Fate::Rejected { cool_down: 0 });
-        hub.say(coming.gate, Some(coming.link), Said::Outcome(frame, Vec::new()));
+        gateway_part.fates.settle(&coming.origin, coming.number, Fate::Rejected { cool_down: 0 });
+        gateway_part.say(coming.gate, Some(coming.link), Said::Outcome(frame, Vec::new()));
     }
 
     /// A record was kept, or was not: what waited for it goes on.
     pub(crate) fn kept(&mut self, well: bool) {
         let now = self.context.clock.now();
-        let Some(book) = self.hub.as_mut().and_then(|hub| hub.book.as_mut()) else { return };
+        let Some(book) = self.gateway_part.as_mut().and_then(|gateway_part| gateway_part.book.as_mut())
+        else {
+            return;
+        };
         if let Some((token, well)) = book.told(now, well) {
             self.kept_or_not(token, well);
         }
@@ -63,7 +66,10 @@
     /// The disk is too slow: what waits for it goes on without.
     pub(crate) fn book_gives_up(&mut self) {
         let now = self.context.clock.now();
-        let Some(book) = self.hub.as_mut().and_then(|hub| hub.book.as_mut()) else { return };
+        let Some(book) = self.gateway_part.as_mut().and_then(|gateway_part| gateway_part.book.as_mut())
+        else {
+            return;
+        };
         let tokens = book.given_up(now);
         if !tokens.is_empty() {
             warn!(self.context.log, "the gateway's book waits for the disk no longer"; "records" => tokens.len());
@@ -72,14 +78,14 @@
     }
 
     pub(super) fn kept_or_not(&mut self, token: Token, well: bool) {
-        let Some(hub) = &mut self.hub else { return };
-        if let Some(Leaving { gate, link, frame, value }) = hub.leaving.remove(&token) {
-            if hub.gates[gate].links.contains(&link) {
-                hub.say(gate, Some(link), Said::Outcome(frame, value));
+        let Some(gateway_part) = &mut self.gateway_part else { return };
+        if let Some(Leaving { gate, link, frame, value }) = gateway_part.leaving.remove(&token) {
+            if gateway_part.gates[gate].links.contains(&link) {
+                gateway_part.say(gate, Some(link), Said::Outcome(frame, value));
             }
             return;
         }
-        match hub.coming.remove(&token) {
+        match gateway_part.coming.remove(&token) {
             Some(coming) if well => self.guest_goes_on(coming),
             // Nothing of it has begun: that may be said whatever the disk holds.
             Some(coming) => self.refuse_guest(&coming, OutcomeKind::Rejected),
@@ -89,14 +95,14 @@
 
     /// A request of another gateway that is in the book goes to the module, or is turned away.
     pub(super) fn guest_goes_on(&mut self, coming: Coming) {
-        let Some(hub) = &mut self.hub else { return };
+        let Some(gateway_part) = &mut self.gateway_part else { return };
         let Coming { link, gate, number, ref request, ref statement, .. } = coming;
         let left = micros(request.left_us) - (self.context.clock.now() - coming.came);
-        let class = hub.classes.iter().position(|name| *name == request.class);
+        let class = gateway_part.classes.iter().position(|name| *name == request.class);
         let comment = Comment::parse(statement).ok().filter(|comment| comment.group == request.group);
-        let circle = request.visited.contains(&hub.own.site);
-        let busy = hub.draining || hub.trips.len() >= self.context.limits.requests;
-        let ttl = left - hub.sites.one_way(gate);
+        let circle = request.visited.contains(&gateway_part.own.site);
+        let busy = gateway_part.draining || gateway_part.trips.len() >= self.context.limits.requests;
+        let ttl = left - gateway_part.sites.one_way(gate);
         let open = comment.as_ref().is_some_and(|comment| self.open_ids.contains(&comment.id));
         let refused = match (&comment, class) {
             (Some(_), Some(_)) if circle => Some(OutcomeKind::NotHere),
@@ -109,11 +115,11 @@
         }
         let Coming { origin, request, statement, .. } = coming;
         let (Some(comment), Some(class)) = (comment, class) else { return };
-        let Some(holder) = hub.links.get(&link).map(|state| state.holder) else { return };
-        hub.sites.guest_came(gate, class);
-        hub.next_guest += 1;
+        let Some(holder) = gateway_part.links.get(&link).map(|state| state.holder) else { return };
+        gateway_part.sites.guest_came(gate, class);
+        gateway_part.next_guest += 1;
         let written_ago = (request.written_ago_us > 0).then(|| micros(request.written_ago_us));
-        let client = hub.next_guest;
+        let client = gateway_part.next_guest;
         // Its answer goes over the link; this mailbox is nobody's.
         let (mailbox, _) = mpsc::channel(1);
         let arrived = self.context.clock.now();
--- a/crates/proxy/src/desk/lists.rs
+++ b/crates/proxy/src/dispatcher/lists.rs
@@ -11,12 +11,12 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-use super::Desk;
+use super::Dispatcher;
 use crate::catalog::{Catalog, Entry};
 use crate::member::{LastHeard, Member};
 use crate::words::{Bulletin, MemberCommand};
 
-/// A member's actor, as the desk sees it.
+/// A member's actor, as the dispatcher sees it.
 pub(super) struct Peer {
     pub(super) group: u64,
     pub(super) zone: usize,
@@ -48,7 +48,7 @@
     }
 }
 
-impl Desk {
+impl Dispatcher {
     pub(super) fn bulletin(&mut self, bulletin: Bulletin) {
         let now = self.context.clock.now();
         let actions = match bulletin {
@@ -64,7 +64,7 @@
         };
         self.carry_out(actions);
         self.forget(now);
-        if self.hub.is_some() {
+        if self.gateway_part.is_some() {
             let mut groups: BTreeMap<u64, usize> = BTreeMap::new();
             for peer in self.peers.iter().flatten().filter(|peer| peer.ready) {
                 *groups.entry(peer.group).or_default() += 1;
@@ -78,7 +78,7 @@
 
     /// Lets go of members that are gone and will not be heard of again: actor, connections and index.
     fn forget(&mut self, now: Micros) {
-        let Desk { router, peers, member_ids, clock_offset, .. } = self;
+        let Dispatcher { router, peers, member_ids, clock_offset, .. } = self;
         member_ids.retain(|_, &mut id| {
             let forgotten = router.forget(now, id);
             if forgotten {
--- a/crates/proxy/src/desk/members_clock.rs
+++ b/crates/proxy/src/dispatcher/members_clock.rs
@@ -4,12 +4,12 @@
 use slog::warn;
 use tokio::time::Instant;
 
-use super::Desk;
+use super::Dispatcher;
 
 /// A smaller change is not worth telling the router.
 const CHANGE: Micros = 20_000;
 
-impl Desk {
+impl Dispatcher {
     /// Whether the request is a write that takes effect anew each time: its commit is never one from before.
     pub(super) fn writes_once(&self, handle: Handle) -> bool {
         let comment = self.open.get(&handle).map(|open| &open.order.comment);
--- a/crates/proxy/src/desk/sight.rs
+++ b/crates/proxy/src/dispatcher/sight.rs
@@ -10,7 +10,7 @@
 use aldermill_zone_failover::{End, Lean, Tally};
 use tokio::sync::oneshot;
 
-use super::Desk;
+use super::Dispatcher;
 use crate::words::{Order, Seen};
 
 /// Groups of whose keys something is kept.
@@ -94,7 +94,7 @@
     }
 }
 
-impl Desk {
+impl Dispatcher {
     pub(super) fn sees_end(&mut self, handle: Handle, verdict: Verdict, took: Micros) {
         if let Some(sight) = &mut self.sight {
             sight.ended(self.context.clock.now(), handle, verdict, took);
@@ -109,7 +109,7 @@
                 (group, aldermill_split_points::frame::encode(sketch, now))
             };
             let keys = sight.keys.iter_mut().flatten().map(summary).collect();
-            let site = self.hub.as_mut().map(|hub| hub.seen(now));
+            let site = self.gateway_part.as_mut().map(|gateway_part| gateway_part.seen(now));
             let _ = asked.send(Seen { over, rows, keys, site });
         }
     }
--- a/crates/proxy/src/desk/steps.rs
+++ b/crates/proxy/src/dispatcher/steps.rs
@@ -4,7 +4,7 @@
 use slog::warn;
 use tokio::time::Instant;
 
-use super::Desk;
+use super::Dispatcher;
 use super::lists::Peer;
 use crate::clock::duration;
 use crate::words::{Answer, Attempt, Call, Ended, Gave, Mail, MemberCommand};
@@ -12,7 +12,7 @@
 /// Idle connections that are closed where one descriptor is wanted.
 const CLOSED_FOR_ROOM: usize = 3;
 
-impl Desk {
+impl Dispatcher {
     /// Its member answered, but there is no room for that: what is pure may be rejected, anything else did
     /// run.
     pub(super) fn deny_for_room(&mut self, handle: Handle) {
--- a/crates/proxy/src/desk/warmth.rs
+++ b/crates/proxy/src/dispatcher/warmth.rs
@@ -1,4 +1,5 @@
-//! The desk's part in what is kept over a restart: what is believed now, and what an earlier start believed.
+//! The dispatcher's part in what is kept over a restart: what is believed now, and what an earlier start
+//! believed.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +7,7 @@
 use aldermill_warm_start::{Beliefs, Pace, Primary};
 use tokio::sync::watch;
 
-use super::Desk;
+use super::Dispatcher;
 use crate::catalog::Catalog;
 
 /// How often what is believed is told to the keeper.
@@ -26,7 +27,7 @@
     next: Micros,
 }
 
-impl Desk {
+impl Dispatcher {
     /// A list came; the first one says who the members are of whom something is recalled.
     pub(super) fn warm_up(&mut self, catalog: &Catalog) {
         if self.warmth.keeping.is_some() {
@@ -75,7 +76,7 @@
         let group = |id: usize| self.peers.get(id).and_then(Option::as_ref).map(|peer| peer.group);
         let primary = |&(id, word): &(usize, Micros)| Some((group(id)?, Primary { member: name(id)?, word }));
         let took = self.decoded.names().into_iter().zip(&learnt.took).filter(|(_, took)| took.0 > 0);
-        let homes = self.hub.as_ref().map(|hub| hub.homes()).unwrap_or_default();
+        let homes = self.gateway_part.as_ref().map(|gateway_part| gateway_part.homes()).unwrap_or_default();
         let beliefs = Beliefs {
             revision: self.lines.revision,
             members: self.lines.entries.clone(),
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/fellows.rs
@@ -1,5 +1,5 @@
 //! The actor that carries datagrams between this driver and the others of its fleet. What is said and believed is
-//! `crates/membership`'; the desk is told how many live.
+//! `crates/membership`'; the dispatcher is told how many live.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -45,7 +45,7 @@
     told: usize,
     /// The fleet may be that of several sites: how many of it are at this one is not known, so room is shared as told.
     spans: bool,
-    /// What the desk was last told: by how many room is shared, and at cold members.
+    /// What the dispatcher was last told: by how many room is shared, and at cold members.
     shared: (usize, usize),
     wake_at: Option<Micros>,
     stood: Micros,
@@ -124,7 +124,7 @@
         Ok(company)
     }
 
-    /// What an earlier start knew of sites that retire, before the desk takes its first request.
+    /// What an earlier start knew of sites that retire, before the dispatcher takes its first request.
     pub fn bound(&mut self) -> Vec<Plan> {
         let now = self.context.clock.now();
         self.council.as_mut().and_then(|(council, _)| council.plans(now)).unwrap_or_default()
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Once a second: the desk says what it saw, and hears what is decreed.
+    /// Once a second: the dispatcher says what it saw, and hears what is decreed.
     async fn sees(&mut self) {
         let now = self.context.clock.now();
         let Some((council, _)) = &mut self.council else { return };
@@ -229,12 +229,12 @@
         self.sees_at = now + WORKS;
         let (leans, plans) = (council.leans(now), council.plans(now));
         let (asked, told) = oneshot::channel();
-        let _ = self.context.desk.send(Call::Sight(asked)).await;
+        let _ = self.context.dispatcher.send(Call::Sight(asked)).await;
         if let Some(leans) = leans {
-            let _ = self.context.desk.send(Call::Lean(leans)).await;
+            let _ = self.context.dispatcher.send(Call::Lean(leans)).await;
         }
         if let Some(plans) = plans {
-            let _ = self.context.desk.send(Call::Bind(plans)).await;
+            let _ = self.context.dispatcher.send(Call::Bind(plans)).await;
         }
         if let (Ok(seen), Some((council, _))) = (told.await, &mut self.council) {
             council.saw(seen);
@@ -286,8 +286,8 @@
         let shared = (view.sharing(self.told), view.sharing_cold(self.told));
         if shared != self.shared && !self.spans {
             self.shared = shared;
-            // A desk that is gone ends the program by itself.
-            let _ = self.context.desk.send(Call::Fleet { living: shared.0, at_cold: shared.1 }).await;
+            // A dispatcher that is gone ends the program by itself.
+            let _ = self.context.dispatcher.send(Call::Fleet { living: shared.0, at_cold: shared.1 }).await;
         }
     }
 
--- a/crates/proxy/src/gateway/link.rs
+++ b/crates/proxy/src/gateway/link.rs
@@ -1,4 +1,4 @@
-//! The actor of one link: a socket, the protocol's state, and the words between it and the desk.
+//! The actor of one link: a socket, the protocol's state, and the words between it and the dispatcher.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -57,7 +57,7 @@
         let why = self.converse(id, &mut met).await;
         match &met {
             Some(peer) => {
-                let _ = context.desk.send(Call::Link(id, LinkCall::Broke)).await;
+                let _ = context.dispatcher.send(Call::Link(id, LinkCall::Broke)).await;
                 warn!(context.log, "link down"; "link" => id, "site" => peer, "peer" => %from, "why" => %why);
             }
             None => warn!(context.log, "link refused"; "peer" => %from, "why" => %why),
@@ -152,7 +152,7 @@
                 word = said.recv() => match word {
                     Some(word) => link.say(word),
                     None => {
-                        // The desk wants it no more: another link of this peer is from a newer start.
+                        // The dispatcher wants it no more: another link of this peer is from a newer start.
                         self.finish(&mut link, &waiting[at..], "not wanted").await;
                         return Ok(Over::NotWanted);
                     }
@@ -182,7 +182,7 @@
     }
 
     async fn tell(&self, id: LinkId, call: LinkCall) -> Result<(), Over> {
-        self.context.desk.send(Call::Link(id, call)).await.map_err(|_| Over::Stopped)
+        self.context.dispatcher.send(Call::Link(id, call)).await.map_err(|_| Over::Stopped)
     }
 }
 
--- a/crates/proxy/src/gateway/mod.rs
+++ b/crates/proxy/src/gateway/mod.rs
@@ -83,7 +83,7 @@
     loop {
         let mut stream = acceptor.next().await;
         let (sender, answer) = oneshot::channel();
-        if context.desk.send(Call::Describe(sender)).await.is_err() {
+        if context.dispatcher.send(Call::Describe(sender)).await.is_err() {
             return;
         }
         let Ok(text) = answer.await else { continue };
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -5,7 +5,7 @@
 mod clock;
 mod context;
 mod council;
-mod desk;
+mod dispatcher;
 mod fellows;
 mod gate;
 mod gateway;
@@ -43,7 +43,7 @@
 use crate::catalog::Catalog;
 use crate::clock::{Clock, Lived, duration};
 use crate::context::Context;
-use crate::desk::{Desk, Hub, Opening, Sight, Warmth};
+use crate::dispatcher::{Dispatcher, GatewayPart, Opening, Sight, Warmth};
 use crate::fellows::{Company, Sitting};
 use crate::gate::Gate;
 use crate::gateway::Yard;
@@ -236,14 +236,14 @@
     })?;
 
     let (wanted, reread) = notice::channel(None);
-    let (desk, calls) = mpsc::channel(limits.calls);
+    let (dispatcher, calls) = mpsc::channel(limits.calls);
     spawn_local(
         Reload {
             files,
             fixed,
             discovery: address,
             gate: gate.clone(),
-            desk: desk.clone(),
+            dispatcher: dispatcher.clone(),
             council: wanted,
             log: log.clone(),
         }
@@ -265,7 +265,7 @@
         limits,
         log: log.clone(),
         discovery,
-        desk,
+        dispatcher,
         ready: seen_ready,
         stopping,
         gate: gate.clone(),
@@ -292,7 +292,7 @@
         known.complete = true;
         let _ = bulletin.send(Bulletin::List(known)).await;
     }
-    let hub = match gateway {
+    let gateway_part = match gateway {
         Some(mut gateway) => {
             gateway.homes.extend(std::mem::take(&mut recalled.beliefs.homes));
             Some(open_gateway(&context, &decoded, gateway, &name, seed, room, kept_in.clone()).await?)
@@ -308,19 +308,22 @@
     if let Some(terms) = fellows {
         let place = (zone, longest_timeout);
         let wanted = council.map(|wanted| Sitting { wanted, folder: kept_in, place, reread });
-        let own = (&*name, drivers, hub.is_some());
+        let own = (&*name, drivers, gateway_part.is_some());
         let mut company = Company::open(context.clone(), terms, wanted, own, seed.rotate_left(16)).await?;
         bound = company.bound();
         spawn_local(company.run());
     }
     let request = on_request.then_some(request);
-    let mut desk = Desk::new(context.clone(), decoded, seed, hub, trial, warmth, sight, ready, request);
-    desk.bind(bound);
-    let deciding = spawn_local(desk.run(bulletins, calls));
+    let mut dispatcher =
+        Dispatcher::new(context.clone(), decoded, seed, gateway_part, trial, warmth, sight, ready, request);
+    dispatcher.bind(bound);
+    let deciding = spawn_local(dispatcher.run(bulletins, calls));
     let requests = on_request.then_some(requests);
     let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(32));
     let first = duration(apart::wait(&name, drivers, grace, &mut rng));
-    spawn_local(Watch { context: context.clone(), desk: bulletin, requests, revision, first, rng }.run());
+    spawn_local(
+        Watch { context: context.clone(), dispatcher: bulletin, requests, revision, first, rng }.run(),
+    );
     let serving = spawn_local(listener::run(context.clone(), listener));
 
     tokio::select! {
@@ -333,14 +336,14 @@
     serving.await.map_err(|error| Halt::Ended(format!("the listener ({error})")))?;
     // What other sites sent has its answer, too, before the end.
     let (asked, done) = oneshot::channel();
-    if context.desk.send(Call::Parted(asked)).await.is_ok() {
+    if context.dispatcher.send(Call::Parted(asked)).await.is_ok() {
         let _ = timeout(stop_guests, done).await;
     }
     info!(log, "stopped");
     Ok(())
 }
 
-/// Starts what keeps and accepts links, and the desk's part in it.
+/// Starts what keeps and accepts links, and the dispatcher's part in it.
 async fn open_gateway(
     context: &Rc<Context>,
     decoded: &Decoded,
@@ -349,7 +352,7 @@
     seed: u64,
     room: usize,
     folder: Option<Rc<Folder>>,
-) -> Result<Hub, Halt> {
+) -> Result<GatewayPart, Halt> {
     let limits = &context.limits;
     let now = context.clock.now();
     // New with every start: the time of it, which a restart does not share.
@@ -384,5 +387,5 @@
         fates: limits.fates,
         folder,
     };
-    Ok(Hub::new(opening, decoded, seed, now))
+    Ok(GatewayPart::new(opening, decoded, seed, now))
 }
--- a/crates/proxy/src/member.rs
+++ b/crates/proxy/src/member.rs
@@ -326,7 +326,7 @@
                 Call::HealthChecked { member: self.id, verdict, took, report, replica_words }
             }
         };
-        self.context.desk.send(call).await
+        self.context.dispatcher.send(call).await
     }
 
     fn tell_local_failure(&mut self, why: Option<std::io::Error>) {
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -17,7 +17,7 @@
     pub fixed: Fixed,
     pub discovery: watch::Sender<SocketAddr>,
     pub gate: Rc<Gate>,
-    pub desk: mpsc::Sender<Call>,
+    pub dispatcher: mpsc::Sender<Call>,
     /// What drivers decide in common, as the operator's file has it now.
     pub council: watch::Sender<Option<Council>>,
     pub log: Logger,
@@ -42,8 +42,8 @@
             }
             self.fixed = start.fixed;
             self.gate.rebound(start.bounds);
-            // A desk that is gone ends the program by itself.
-            let _ = self.desk.send(Call::Trial(start.trial.map(Box::new))).await;
+            // A dispatcher that is gone ends the program by itself.
+            let _ = self.dispatcher.send(Call::Trial(start.trial.map(Box::new))).await;
             self.council.send_replace(start.council);
             let moved = self
                 .discovery
--- a/crates/proxy/src/watch.rs
+++ b/crates/proxy/src/watch.rs
@@ -56,8 +56,8 @@
 
 pub struct Watch {
     pub context: Rc<Context>,
-    pub desk: mpsc::Sender<Bulletin>,
-    /// Where the list comes only on request: the desk's requests.
+    pub dispatcher: mpsc::Sender<Bulletin>,
+    /// Where the list comes only on request: the dispatcher's requests.
     pub requests: Option<mpsc::Receiver<()>>,
     pub revision: Option<u64>,
     /// How long it waits before it first asks, so that drivers that start together do not ask together.
@@ -109,7 +109,7 @@
                     "peer" => %peer, "why" => %why, "revision" => self.revision);
             }
             if self.requests.is_some() {
-                if self.desk.send(Bulletin::Unavailable).await.is_err() {
+                if self.dispatcher.send(Bulletin::Unavailable).await.is_err() {
                     return;
                 }
             } else if matches!(why, Lost::Silence | Lost::Mute) {
@@ -218,7 +218,7 @@
         }
         // Counted as held once it is handed on: the watch may be broken off while it waits for that.
         let revision = catalog.revision;
-        let taken = self.desk.send(Bulletin::List(catalog)).await.is_ok();
+        let taken = self.dispatcher.send(Bulletin::List(catalog)).await.is_ok();
         self.revision = Some(revision);
         Ok(taken)
     }
--- a/crates/proxy/src/words.rs
+++ b/crates/proxy/src/words.rs
@@ -22,7 +22,7 @@
 /// A statement of a client, new for each.
 pub type ClientId = u64;
 
-/// What clients and members tell the desk.
+/// What clients and members tell the dispatcher.
 pub enum Call {
     Take(Order),
     Left(ClientId),
@@ -83,7 +83,7 @@
 /// One connection to another gateway.
 pub type LinkId = u64;
 
-/// What the actor of a link tells the desk.
+/// What the actor of a link tells the dispatcher.
 pub enum LinkCall {
     /// It stands, and the other side has greeted as one that it may be. Room for its values is asked for this peer.
     Up {
@@ -151,7 +151,7 @@
     pub room: Option<Room>,
 }
 
-/// What the desk and the listener tell a client's actor.
+/// What the dispatcher and the listener tell a client's actor.
 pub enum Mail {
     Answer(ClientId, Answer),
     /// Close the connection if nothing is under way on it.
@@ -168,7 +168,7 @@
     Wrong(&'static str),
 }
 
-/// What the desk asks of a member's actor.
+/// What the dispatcher asks of a member's actor.
 pub enum MemberCommand {
     Send(Attempt),
     Probe {
@@ -215,7 +215,7 @@
     }
 }
 
-/// What the list's actor tells the desk.
+/// What the list's actor tells the dispatcher.
 pub enum Bulletin {
     List(Catalog),
     Unavailable,
