--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -16,8 +16,8 @@
 
 use crate::context::Context;
 use crate::gate::{Presence, Room};
+use crate::messages::{Answer, Call, ClientId, ClientMessage, Order};
 use crate::system::{self, Party};
-use crate::words::{Answer, Call, ClientId, Mail, Order};
 
 mod asking;
 mod ending;
@@ -67,8 +67,8 @@
     pub presence: Presence,
     pub buffer: Buffer,
     pub seat: Rc<Seat>,
-    pub mailbox: mpsc::Receiver<Mail>,
-    pub address: mpsc::Sender<Mail>,
+    pub mailbox: mpsc::Receiver<ClientMessage>,
+    pub address: mpsc::Sender<ClientMessage>,
     pub connected: Instant,
     /// What is owed to the client, in the order of its statements.
     pub owed: VecDeque<Owed>,
@@ -257,8 +257,8 @@
         };
         tokio::select! {
             biased;
-            mail = self.mailbox.recv() => match mail {
-                Some(Mail::Answer(request, answer)) => {
+            message = self.mailbox.recv() => match message {
+                Some(ClientMessage::Answer(request, answer)) => {
                     self.seat.served.set(true);
                     if let Some(owed) = self.owed.iter_mut().find(|owed| owed.request == request) {
                         let (mut pieces, rows) = encode(answer);
@@ -271,7 +271,7 @@
                     }
                     Ok(())
                 }
-                Some(Mail::Yield) => Ok(()),
+                Some(ClientMessage::Yield) => Ok(()),
                 None => Err(End::Quiet),
             },
             count = reading => match count {
@@ -321,8 +321,8 @@
             tokio::select! {
                 biased;
                 read = system::read(Party::Client, &mut self.stream, self.buffer.tail()) => break read,
-                mail = self.mailbox.recv() => match mail {
-                    Some(Mail::Yield) | None => {}
+                message = self.mailbox.recv() => match message {
+                    Some(ClientMessage::Yield) | None => {}
                     Some(_) => continue,
                 },
                 () = self.presence.cut(), if !between => return Err(End::Cut),
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -12,7 +12,7 @@
 use crate::clock::{Clock, Lived};
 use crate::gate::Gate;
 use crate::limits::Limits;
-use crate::words::Call;
+use crate::messages::Call;
 
 /// What every actor of the driver needs.
 pub struct Context {
--- a/crates/proxy/src/council/leaving.rs
+++ b/crates/proxy/src/council/leaving.rs
@@ -11,7 +11,7 @@
 use slog::{Logger, info};
 
 use super::Moment;
-use crate::words::Seen;
+use crate::messages::Seen;
 
 pub const DUTY: &str = "retire";
 /// Reports count for so long: a driver tells of other duties between two.
--- a/crates/proxy/src/council/splits.rs
+++ b/crates/proxy/src/council/splits.rs
@@ -9,7 +9,7 @@
 use slog::{Logger, info};
 
 use super::duties::Holding;
-use crate::words::Seen;
+use crate::messages::Seen;
 
 pub const DUTY: &str = "splits";
 /// Reports count for so long: a driver tells of one group after the other.
--- a/crates/proxy/src/council/work.rs
+++ b/crates/proxy/src/council/work.rs
@@ -10,7 +10,7 @@
 use slog::{Logger, info};
 
 use super::duties::Holding;
-use crate::words::Seen;
+use crate::messages::Seen;
 
 pub const DUTY: &str = "zones";
 /// Reports count for so long: a driver tells every second, in up to three parts.
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -29,8 +29,8 @@
 use crate::context::Context;
 use crate::dispatcher::lists::Peer;
 use crate::dispatcher::open::Open;
+use crate::messages::{Answer, Call, ClientId, ClientMessage, Ended, Gave, ListUpdate, Order, Withdrawal};
 use crate::trial::Trial;
-use crate::words::{Answer, Bulletin, Call, ClientId, Ended, Gave, Mail, Order, Withdrawal};
 
 /// Where a client's request is.
 #[derive(Clone, Copy)]
@@ -41,7 +41,7 @@
 
 /// What the dispatcher turns to.
 enum Next {
-    Bulletin(Bulletin),
+    ListUpdate(ListUpdate),
     Wake,
     WakeSites,
     Drain,
@@ -131,7 +131,11 @@
 
     /// Serves until every other actor is gone. The list comes first: the rule on drains counts from when it
     /// was written. Nothing here ever waits for another actor, but for some turns of all after a standstill.
-    pub async fn run(mut self, mut bulletins: mpsc::Receiver<Bulletin>, mut calls: mpsc::Receiver<Call>) {
+    pub async fn run(
+        mut self,
+        mut list_updates: mpsc::Receiver<ListUpdate>,
+        mut calls: mpsc::Receiver<Call>,
+    ) {
         let mut stopping = self.context.stopping.clone();
         loop {
             let (hub_wakes, draining) = self.gateway_part.as_ref().map_or((None, true), |gateway_part| {
@@ -143,7 +147,7 @@
             let clock = self.context.clock;
             let next = tokio::select! {
                 biased;
-                Some(bulletin) = bulletins.recv() => Next::Bulletin(bulletin),
+                Some(list_update) = list_updates.recv() => Next::ListUpdate(list_update),
                 () = sleep_until(clock.instant(self.wake_at)) => Next::Wake,
                 () = sleep_until(clock.instant(hub_wakes.unwrap_or(0))), if hub_wakes.is_some() => Next::WakeSites,
                 Ok(_) = stopping.wait_for(Option::is_some), if !draining => Next::Drain,
@@ -162,12 +166,12 @@
                 for _ in 0..TURNS {
                     yield_now().await;
                 }
-                while let Ok(bulletin) = bulletins.try_recv() {
-                    self.bulletin(bulletin);
+                while let Ok(list_update) = list_updates.try_recv() {
+                    self.list_update(list_update);
                 }
             }
             match next {
-                Next::Bulletin(bulletin) => self.bulletin(bulletin),
+                Next::ListUpdate(list_update) => self.list_update(list_update),
                 Next::Wake => {
                     let now = self.context.clock.now();
                     let ((), actions) = self.ask(|router| ((), router.wake(now)));
@@ -269,7 +273,7 @@
     /// A client's request: from its statement to the router, and on its way.
     fn take(&mut self, order: Order) {
         let refuse = |answer| {
-            let _ = order.mailbox.try_send(Mail::Answer(order.client, answer));
+            let _ = order.mailbox.try_send(ClientMessage::Answer(order.client, answer));
         };
         let Ok(class) = self.decoded.class(&order.comment.class) else {
             return refuse(Answer::Wrong("unknown offering"));
@@ -310,7 +314,7 @@
         order: Rc<Order>,
         class: usize,
         deadline: Micros,
-        client: Option<(ClientId, mpsc::Sender<Mail>)>,
+        client: Option<(ClientId, mpsc::Sender<ClientMessage>)>,
         via: Option<SitesHandle>,
     ) -> (Handle, Actions) {
         let now = self.context.clock.now();
--- a/crates/proxy/src/dispatcher/gateway_part.rs
+++ b/crates/proxy/src/dispatcher/gateway_part.rs
@@ -24,7 +24,7 @@
 use super::{Dispatcher, Holder};
 use crate::gate::Room;
 use crate::keep::Folder;
-use crate::words::{Answer, ClientId, LinkCall, LinkId, Mail, Order, Rows, SiteSeen};
+use crate::messages::{Answer, ClientId, ClientMessage, LinkCall, LinkId, Order, Rows, SiteSeen};
 
 mod guests;
 mod links;
@@ -53,7 +53,7 @@
     order: Rc<Order>,
     class: usize,
     here: Option<HereHandle>,
-    client: Option<(ClientId, mpsc::Sender<Mail>)>,
+    client: Option<(ClientId, mpsc::Sender<ClientMessage>)>,
     guest: Option<Guest>,
     visited: Vec<String>,
 }
--- a/crates/proxy/src/dispatcher/gateway_part/trips.rs
+++ b/crates/proxy/src/dispatcher/gateway_part/trips.rs
@@ -19,7 +19,7 @@
         order: Order,
         class: usize,
         ttl: Micros,
-        client: Option<(ClientId, mpsc::Sender<Mail>)>,
+        client: Option<(ClientId, mpsc::Sender<ClientMessage>)>,
         guest: Option<Guest>,
         visited: Vec<String>,
     ) {
@@ -277,7 +277,7 @@
         let Some(trip) = self.forget_trip(handle) else { return };
         if let Some((client, mailbox)) = trip.client {
             // Its mailbox always has room for the answers it waits for; it may be gone.
-            let _ = mailbox.try_send(Mail::Answer(client, answer));
+            let _ = mailbox.try_send(ClientMessage::Answer(client, answer));
             return;
         }
         let (Some(gateway_part), Some(guest)) = (&mut self.gateway_part, trip.guest) else { return };
--- a/crates/proxy/src/dispatcher/lists.rs
+++ b/crates/proxy/src/dispatcher/lists.rs
@@ -14,7 +14,7 @@
 use super::Dispatcher;
 use crate::catalog::{Catalog, Entry};
 use crate::member::{LastHeard, Member};
-use crate::words::{Bulletin, MemberCommand};
+use crate::messages::{ListUpdate, MemberCommand};
 
 /// A member's actor, as the dispatcher sees it.
 pub(super) struct Peer {
@@ -49,11 +49,11 @@
 }
 
 impl Dispatcher {
-    pub(super) fn bulletin(&mut self, bulletin: Bulletin) {
+    pub(super) fn list_update(&mut self, list_update: ListUpdate) {
         let now = self.context.clock.now();
-        let actions = match bulletin {
-            Bulletin::Unavailable => self.ask(|router| ((), router.list_unavailable(now))).1,
-            Bulletin::List(catalog) => {
+        let actions = match list_update {
+            ListUpdate::Unavailable => self.ask(|router| ((), router.list_unavailable(now))).1,
+            ListUpdate::List(catalog) => {
                 info!(self.context.log, "list"; "revision" => catalog.revision,
                     "complete" => catalog.complete, "entries" => catalog.members.len());
                 let lines = self.lines(&catalog);
--- a/crates/proxy/src/dispatcher/open.rs
+++ b/crates/proxy/src/dispatcher/open.rs
@@ -6,7 +6,7 @@
 use aldermill_site_routing::Handle as SitesHandle;
 use tokio::sync::mpsc;
 
-use crate::words::{ClientId, Mail, Order, Withdrawal};
+use crate::messages::{ClientId, ClientMessage, Order, Withdrawal};
 
 /// A request under way and the client that waits for it.
 pub(crate) struct Open {
@@ -16,7 +16,7 @@
     pub best: bool,
     /// When the client's time is over, on the router's clock. No attempt may last longer.
     pub deadline: Micros,
-    pub client: Option<(ClientId, mpsc::Sender<Mail>)>,
+    pub client: Option<(ClientId, mpsc::Sender<ClientMessage>)>,
     /// Set when the client left, or the gateway took the request back.
     pub withdrawal: Withdrawal,
     pub order: Rc<Order>,
--- a/crates/proxy/src/dispatcher/sight.rs
+++ b/crates/proxy/src/dispatcher/sight.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 
 use super::Dispatcher;
-use crate::words::{Order, Seen};
+use crate::messages::{Order, Seen};
 
 /// Groups of whose keys something is kept.
 const GROUPS: usize = 64;
--- a/crates/proxy/src/dispatcher/steps.rs
+++ b/crates/proxy/src/dispatcher/steps.rs
@@ -7,7 +7,7 @@
 use super::Dispatcher;
 use super::lists::Peer;
 use crate::clock::duration;
-use crate::words::{Answer, Attempt, Call, Ended, Gave, Mail, MemberCommand};
+use crate::messages::{Answer, Attempt, Call, ClientMessage, Ended, Gave, MemberCommand};
 
 /// Idle connections that are closed where one descriptor is wanted.
 const CLOSED_FOR_ROOM: usize = 3;
@@ -42,7 +42,7 @@
         }
         self.by_client.remove(&client);
         // Its mailbox always has room for the answers it waits for; it may be gone.
-        let _ = mailbox.try_send(Mail::Answer(client, answer));
+        let _ = mailbox.try_send(ClientMessage::Answer(client, answer));
     }
 
     pub(crate) fn carry_out(&mut self, actions: Actions) {
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/fellows.rs
@@ -20,9 +20,9 @@
 use crate::council::{Council, Moment, WORKS};
 use crate::halt::Halt;
 use crate::keep::Folder;
+use crate::messages::Call;
 use crate::status;
 use crate::system::{self, Acceptor, Datagrams, Received};
-use crate::words::Call;
 
 /// Datagrams read before it is looked whether anything is due.
 const TURN: usize = 64;
--- a/crates/proxy/src/gateway/link.rs
+++ b/crates/proxy/src/gateway/link.rs
@@ -14,7 +14,7 @@
 use super::{Unwelcome, Yard};
 use crate::context::Context;
 use crate::gate::Presence;
-use crate::words::{Call, LinkCall, LinkId};
+use crate::messages::{Call, LinkCall, LinkId};
 
 /// What is read at once, and what is written at once.
 const PIECE: usize = 32 * 1024;
--- a/crates/proxy/src/gateway/mod.rs
+++ b/crates/proxy/src/gateway/mod.rs
@@ -17,9 +17,9 @@
 pub use meeting::{accept, start};
 
 use crate::context::Context;
+use crate::messages::{Call, LinkId};
 use crate::status;
 use crate::system::Acceptor;
-use crate::words::{Call, LinkId};
 
 /// Why a gateway that greets may not be there.
 #[derive(Debug, Error)]
--- a/crates/proxy/src/listener.rs
+++ b/crates/proxy/src/listener.rs
@@ -16,12 +16,12 @@
 use crate::client::{Client, Seat, turn_away};
 use crate::context::Context;
 use crate::gate::Presence;
+use crate::messages::{ClientId, ClientMessage};
 use crate::system::Acceptor;
-use crate::words::{ClientId, Mail};
 
 struct Guest {
     seat: Rc<Seat>,
-    address: mpsc::Sender<Mail>,
+    address: mpsc::Sender<ClientMessage>,
 }
 
 /// Serves until the driver is to stop and the last client has its answer.
@@ -130,7 +130,7 @@
         let rank = |guest: &&Guest| (guest.seat.served.get(), guest.seat.idle_since.get());
         let Some(guest) = idle.min_by_key(rank) else { return false };
         guest.seat.idle_since.set(None);
-        guest.address.try_send(Mail::Yield).is_ok()
+        guest.address.try_send(ClientMessage::Yield).is_ok()
     }
 
     fn admit(&mut self, stream: TcpStream, presence: Presence) {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -14,13 +14,13 @@
 mod limits;
 mod listener;
 mod member;
+mod messages;
 mod reload;
 mod start;
 mod status;
 mod system;
 mod trial;
 mod watch;
-mod words;
 
 use std::cell::Cell;
 use std::process::ExitCode;
@@ -50,10 +50,10 @@
 use crate::halt::Halt;
 use crate::keep::Folder;
 use crate::limits::Limits;
+use crate::messages::{Call, ListUpdate};
 use crate::reload::Reload;
 use crate::start::{Files, Start};
 use crate::watch::Watch;
-use crate::words::{Bulletin, Call};
 
 /// A proxy before groups of databases, each a primary and its replicas
 #[derive(Clone, Debug, Bpaf)]
@@ -249,7 +249,7 @@
         }
         .run(hangup),
     );
-    let (bulletin, bulletins) = mpsc::channel(limits.lists);
+    let (list_update, list_updates) = mpsc::channel(limits.lists);
     let (ready, seen_ready) = notice::channel(false);
     let (stop, stopping) = notice::channel(None);
     let member_room = Arc::new(Semaphore::new(limits.members));
@@ -290,7 +290,7 @@
     let revision = known.as_ref().map(|known| known.revision);
     if let Some(mut known) = known {
         known.complete = true;
-        let _ = bulletin.send(Bulletin::List(known)).await;
+        let _ = list_update.send(ListUpdate::List(known)).await;
     }
     let gateway_part = match gateway {
         Some(mut gateway) => {
@@ -317,12 +317,12 @@
     let mut dispatcher =
         Dispatcher::new(context.clone(), decoded, seed, gateway_part, trial, warmth, sight, ready, request);
     dispatcher.bind(bound);
-    let deciding = spawn_local(dispatcher.run(bulletins, calls));
+    let deciding = spawn_local(dispatcher.run(list_updates, calls));
     let requests = on_request.then_some(requests);
     let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(32));
     let first = duration(apart::wait(&name, drivers, grace, &mut rng));
     spawn_local(
-        Watch { context: context.clone(), dispatcher: bulletin, requests, revision, first, rng }.run(),
+        Watch { context: context.clone(), dispatcher: list_update, requests, revision, first, rng }.run(),
     );
     let serving = spawn_local(listener::run(context.clone(), listener));
 
--- a/crates/proxy/src/member.rs
+++ b/crates/proxy/src/member.rs
@@ -20,7 +20,7 @@
 
 use crate::context::Context;
 use crate::gate::Room;
-use crate::words::{Attempt, Call, Ended, Gave, MemberCommand, Rows};
+use crate::messages::{Attempt, Call, Ended, Gave, MemberCommand, Rows};
 use connection::{Connection, Unopened, connect, settled};
 pub use life::LastHeard;
 use visit::{Departure, Visit};
--- a/crates/proxy/src/member/connection.rs
+++ b/crates/proxy/src/member/connection.rs
@@ -11,8 +11,8 @@
 
 use crate::context::Context;
 use crate::limits::Limits;
+use crate::messages::Call;
 use crate::system::{self, BufferSizes, Meaning, Party, Peeked};
-use crate::words::Call;
 
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
--- a/crates/proxy/src/member/visit.rs
+++ b/crates/proxy/src/member/visit.rs
@@ -15,8 +15,8 @@
 use super::connection::{Connection, before_send};
 use crate::context::Context;
 use crate::gate::Room;
+use crate::messages::{Attempt, Query};
 use crate::system::{self, Meaning, Party, Peeked};
-use crate::words::{Attempt, Query};
 
 /// The health check, as members know it.
 const HEALTH_CHECK: &[u8] = b"SHOW usage";
--- a/crates/proxy/src/words.rs
+++ b/crates/proxy/src/messages.rs
@@ -99,7 +99,7 @@
     pub client: ClientId,
     /// For whom room is asked for what comes back.
     pub holder: Peer,
-    pub mailbox: mpsc::Sender<Mail>,
+    pub mailbox: mpsc::Sender<ClientMessage>,
     /// On the router's clock.
     pub arrived: Micros,
     pub statement: Vec<u8>,
@@ -152,7 +152,7 @@
 }
 
 /// What the dispatcher and the listener tell a client's actor.
-pub enum Mail {
+pub enum ClientMessage {
     Answer(ClientId, Answer),
     /// Close the connection if nothing is under way on it.
     Yield,
@@ -216,7 +216,7 @@
 }
 
 /// What the list's actor tells the dispatcher.
-pub enum Bulletin {
+pub enum ListUpdate {
     List(Catalog),
     Unavailable,
 }
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -9,8 +9,8 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::gate::Gate;
+use crate::messages::Call;
 use crate::start::{Files, Fixed, Start};
-use crate::words::Call;
 
 pub struct Reload {
     pub files: Files,
--- a/crates/proxy/src/watch.rs
+++ b/crates/proxy/src/watch.rs
@@ -15,8 +15,8 @@
 use crate::catalog::Catalog;
 use crate::clock::duration;
 use crate::context::Context;
+use crate::messages::ListUpdate;
 use crate::system::{self, Meaning, Party};
-use crate::words::Bulletin;
 
 /// So much within the time of silence is no silence, though no line has come to its end: a long list on a slow line.
 const COMES: usize = 8 * 1024;
@@ -56,7 +56,7 @@
 
 pub struct Watch {
     pub context: Rc<Context>,
-    pub dispatcher: mpsc::Sender<Bulletin>,
+    pub dispatcher: mpsc::Sender<ListUpdate>,
     /// Where the list comes only on request: the dispatcher's requests.
     pub requests: Option<mpsc::Receiver<()>>,
     pub revision: Option<u64>,
@@ -109,7 +109,7 @@
                     "peer" => %peer, "why" => %why, "revision" => self.revision);
             }
             if self.requests.is_some() {
-                if self.dispatcher.send(Bulletin::Unavailable).await.is_err() {
+                if self.dispatcher.send(ListUpdate::Unavailable).await.is_err() {
                     return;
                 }
             } else if matches!(why, Lost::Silence | Lost::Mute) {
@@ -218,7 +218,7 @@
         }
         // Counted as held once it is handed on: the watch may be broken off while it waits for that.
         let revision = catalog.revision;
-        let taken = self.dispatcher.send(Bulletin::List(catalog)).await.is_ok();
+        let taken = self.dispatcher.send(ListUpdate::List(catalog)).await.is_ok();
         self.revision = Some(revision);
         Ok(taken)
     }
