--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -27,7 +27,7 @@
 
 /// What the listener sees of a client: since when nothing is under way, and whether anything ever was.
 #[derive(Default)]
-pub struct Seat {
+pub struct ConnectionState {
     pub idle_since: Cell<Option<Instant>>,
     pub served: Cell<bool>,
     /// It is slow to read its answer.
@@ -66,7 +66,7 @@
     pub stream: TcpStream,
     pub presence: Presence,
     pub buffer: Buffer,
-    pub seat: Rc<Seat>,
+    pub state: Rc<ConnectionState>,
     pub mailbox: mpsc::Receiver<ClientMessage>,
     pub address: mpsc::Sender<ClientMessage>,
     pub connected: Instant,
@@ -99,7 +99,7 @@
 
 impl Client {
     pub async fn run(mut self) {
-        self.seat.idle_since.set(Some(self.connected));
+        self.state.idle_since.set(Some(self.connected));
         let end = match self.greet().await {
             Ok(()) => self.serve().await,
             Err(end) => Err(end),
@@ -212,7 +212,7 @@
                                 if std::mem::take(&mut self.sending) {
                                     self.presence.rests();
                                 }
-                                self.seat.idle_since.set(None);
+                                self.state.idle_since.set(None);
                                 begun = None;
                                 let handled = self.handle(tag, statement, &mut passing_over, &mut large);
                                 match handled.await {
@@ -259,7 +259,7 @@
             biased;
             message = self.mailbox.recv() => match message {
                 Some(ClientMessage::Answer(request, answer)) => {
-                    self.seat.served.set(true);
+                    self.state.served.set(true);
                     if let Some(owed) = self.owed.iter_mut().find(|owed| owed.request == request) {
                         let (mut pieces, rows) = encode(answer);
                         owed.rows = rows;
@@ -290,7 +290,7 @@
         let context = self.context.clone();
         let limits = &context.limits;
         let mut stopping = context.stopping.clone();
-        let served = self.seat.served.get();
+        let served = self.state.served.get();
         let between = self.buffer.is_empty();
         let now = Instant::now();
         let (mut since, mut until) = (now, now + limits.client_idle);
@@ -304,7 +304,7 @@
             until = if between { first } else { until.min(first) };
             since = self.connected;
         }
-        self.seat.idle_since.set(Some(since));
+        self.state.idle_since.set(Some(since));
         if !between {
             self.sending = true;
             self.presence.owes(Way::Sending);
@@ -361,7 +361,7 @@
                     }
                     Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {
                         if !std::mem::replace(&mut owing, true) {
-                            self.seat.stuck.set(true);
+                            self.state.stuck.set(true);
                             self.presence.owes(Way::Reading);
                         }
                         tokio::select! {
@@ -375,7 +375,7 @@
             }
         }
         if owing {
-            self.seat.stuck.set(false);
+            self.state.stuck.set(false);
             self.presence.rests();
         }
         if let Some(room) = room {
--- a/crates/proxy/src/listener.rs
+++ b/crates/proxy/src/listener.rs
@@ -13,14 +13,14 @@
 use tokio::task::{self, JoinError, JoinSet};
 use tokio::time::{Instant, sleep_until};
 
-use crate::client::{Client, Seat, turn_away};
+use crate::client::{Client, ConnectionState, turn_away};
 use crate::context::Context;
 use crate::gate::Presence;
 use crate::messages::{ClientId, ClientMessage};
 use crate::system::Acceptor;
 
-struct Guest {
-    seat: Rc<Seat>,
+struct Connection {
+    state: Rc<ConnectionState>,
     address: mpsc::Sender<ClientMessage>,
 }
 
@@ -28,20 +28,20 @@
 pub async fn run(context: Rc<Context>, listener: TcpListener) {
     let mut stopping = context.stopping.clone();
     let mut acceptor = Acceptor::new(listener, context.log.clone());
-    let mut hall = Hall::new(context);
+    let mut registry = ConnectionRegistry::new(context);
     let mut closes_at: Option<Instant> = None;
     loop {
         tokio::select! {
             biased;
-            Some(left) = hall.clients.join_next_with_id() => hall.left(left),
-            Some(_) = hall.turned_away.join_next() => {}
+            Some(left) = registry.clients.join_next_with_id() => registry.left(left),
+            Some(_) = registry.turned_away.join_next() => {}
             Ok(window) = stopping.wait_for(Option::is_some), if closes_at.is_none() => {
                 closes_at = *window;
-                info!(hall.context.log, "stopping"; "clients" => hall.guests.len());
+                info!(registry.context.log, "stopping"; "clients" => registry.connections.len());
             }
             () = sleep_until(closes_at.unwrap_or_else(Instant::now)), if closes_at.is_some() => break,
             (stream, from) = acceptor.next() => {
-                hall.receive(stream, from.ip());
+                registry.receive(stream, from.ip());
                 // However many come at once, those already here are served in between.
                 task::yield_now().await;
             }
@@ -50,23 +50,23 @@
     // Those that the system had accepted by then are served, too; it is asked once more who they are.
     task::yield_now().await;
     while let Some((stream, from)) = acceptor.next_waiting().await {
-        while let Some(left) = hall.clients.try_join_next_with_id() {
-            hall.left(left);
+        while let Some(left) = registry.clients.try_join_next_with_id() {
+            registry.left(left);
         }
-        hall.receive(stream, from.ip());
+        registry.receive(stream, from.ip());
     }
     drop(acceptor);
-    while let Some(left) = hall.clients.join_next_with_id().await {
-        hall.left(left);
+    while let Some(left) = registry.clients.join_next_with_id().await {
+        registry.left(left);
     }
     // Who was told that there is no room is to read that: a process that ends resets what is left.
-    while hall.turned_away.join_next().await.is_some() {}
+    while registry.turned_away.join_next().await.is_some() {}
 }
 
 /// The clients that are there.
-struct Hall {
+struct ConnectionRegistry {
     context: Rc<Context>,
-    guests: HashMap<task::Id, Guest>,
+    connections: HashMap<task::Id, Connection>,
     clients: JoinSet<()>,
     turned_away: JoinSet<()>,
     next_id: ClientId,
@@ -74,12 +74,12 @@
     keepalive: TcpKeepalive,
 }
 
-impl Hall {
-    fn new(context: Rc<Context>) -> Hall {
+impl ConnectionRegistry {
+    fn new(context: Rc<Context>) -> ConnectionRegistry {
         let time = context.limits.keepalive;
-        Hall {
+        ConnectionRegistry {
             context,
-            guests: HashMap::new(),
+            connections: HashMap::new(),
             clients: JoinSet::new(),
             turned_away: JoinSet::new(),
             next_id: 0,
@@ -92,13 +92,13 @@
         let _ = stream.set_nodelay(true);
         // Ends connections whose other side is gone without a word.
         let _ = SockRef::from(&stream).set_tcp_keepalive(&self.keepalive);
-        let served = |guest: &&Guest| guest.seat.served.get();
+        let served = |connection: &&Connection| connection.state.served.get();
         // Those who are slow to read take no place of the others': they give way by themselves.
-        let regular = |guest: &&Guest| served(guest) && !guest.seat.stuck.get();
-        if self.guests.values().filter(regular).count() >= self.context.limits.regulars {
+        let regular = |connection: &&Connection| served(connection) && !connection.state.stuck.get();
+        if self.connections.values().filter(regular).count() >= self.context.limits.regulars {
             self.ask_to_yield(Duration::ZERO, served);
         }
-        let place = self.guests.len() < self.context.limits.clients || self.makes_room();
+        let place = self.connections.len() < self.context.limits.clients || self.makes_room();
         if let Some(presence) = place.then(|| self.context.gate.meet(from).ok()).flatten() {
             self.admit(stream, presence);
         } else if self.turned_away.len() < self.context.limits.turned_away {
@@ -111,26 +111,28 @@
         let limits = &self.context.limits;
         if !std::mem::replace(&mut self.full, true) {
             warn!(self.context.log, "client share of descriptors used up, idle ones are closed, else new ones denied";
-                "clients" => self.guests.len());
+                "clients" => self.connections.len());
         }
-        if self.guests.len() >= limits.clients + limits.yielding {
+        if self.connections.len() >= limits.clients + limits.yielding {
             return false;
         }
         self.context.gate.frees_a_place() || self.ask_to_yield(self.context.limits.between, |_| true)
     }
 
-    /// Of these guests without a request, one that never had any is closed first, else the one idle longest.
+    /// Of these connections without a request, one that never had any is closed first, else the one idle
+    /// longest.
     /// Protects those who are between two requests from a flood of newcomers. Harms one newcomer where all
     /// are between two.
-    fn ask_to_yield(&self, between: Duration, whom: impl Fn(&&Guest) -> bool) -> bool {
-        let idle = self.guests.values().filter(whom).filter(|guest| {
-            let since = guest.seat.idle_since.get();
-            since.is_some_and(|since| !guest.seat.served.get() || since.elapsed() >= between)
+    fn ask_to_yield(&self, between: Duration, whom: impl Fn(&&Connection) -> bool) -> bool {
+        let idle = self.connections.values().filter(whom).filter(|connection| {
+            let since = connection.state.idle_since.get();
+            since.is_some_and(|since| !connection.state.served.get() || since.elapsed() >= between)
         });
-        let rank = |guest: &&Guest| (guest.seat.served.get(), guest.seat.idle_since.get());
-        let Some(guest) = idle.min_by_key(rank) else { return false };
-        guest.seat.idle_since.set(None);
-        guest.address.try_send(ClientMessage::Yield).is_ok()
+        let rank =
+            |connection: &&Connection| (connection.state.served.get(), connection.state.idle_since.get());
+        let Some(connection) = idle.min_by_key(rank) else { return false };
+        connection.state.idle_since.set(None);
+        connection.address.try_send(ClientMessage::Yield).is_ok()
     }
 
     fn admit(&mut self, stream: TcpStream, presence: Presence) {
@@ -138,8 +140,8 @@
         self.next_id += 1;
         // Room for the answers it may wait for and a request to yield.
         let (address, mailbox) = mpsc::channel(self.context.limits.pipelined + 4);
-        let seat = Rc::new(Seat::default());
-        let guest = Guest { seat: seat.clone(), address: address.clone() };
+        let state = Rc::new(ConnectionState::default());
+        let connection = Connection { state: state.clone(), address: address.clone() };
         let client = Client {
             context: self.context.clone(),
             id,
@@ -151,7 +153,7 @@
             read: None,
             old: None,
             buffer: Buffer::default(),
-            seat,
+            state,
             mailbox,
             address,
             connected: Instant::now(),
@@ -159,7 +161,7 @@
             asked: 0,
         };
         let task = self.clients.spawn_local(client.run());
-        self.guests.insert(task.id(), guest);
+        self.connections.insert(task.id(), connection);
     }
 
     fn left(&mut self, left: Result<(task::Id, ()), JoinError>) {
@@ -170,9 +172,9 @@
             },
             |(id, ())| id,
         );
-        self.guests.remove(&id);
-        if self.guests.len() < self.context.limits.clients / 2 && std::mem::take(&mut self.full) {
-            info!(self.context.log, "room for clients again"; "clients" => self.guests.len());
+        self.connections.remove(&id);
+        if self.connections.len() < self.context.limits.clients / 2 && std::mem::take(&mut self.full) {
+            info!(self.context.log, "room for clients again"; "clients" => self.connections.len());
         }
     }
 }
