--- a/crates/proxy/src/halt.rs
+++ b/crates/proxy/src/error.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 #[derive(Debug, Error)]
-pub enum Halt {
+pub enum ProgramError {
     #[error("{path}: {why}; see that the file is there and may be read")]
     File { path: String, why: io::Error },
     #[error("{path}: {why}")]
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/fellows.rs
@@ -18,7 +18,7 @@
 
 use crate::context::Context;
 use crate::council::{Council, Moment, WORKS};
-use crate::halt::Halt;
+use crate::error::ProgramError;
 use crate::keep::Folder;
 use crate::messages::Call;
 use crate::status;
@@ -68,10 +68,11 @@
         wanted: Option<Sitting>,
         (name, drivers, spans): (&str, usize, bool),
         seed: u64,
-    ) -> Result<Company, Halt> {
+    ) -> Result<Company, ProgramError> {
         let listen = terms.listen;
         let bound = system::bind_datagrams(listen).await;
-        let socket = bound.map_err(|why| Halt::Listen { field: "fellows.listen", address: listen, why })?;
+        let socket =
+            bound.map_err(|why| ProgramError::Listen { field: "fellows.listen", address: listen, why })?;
         let socket = Datagrams::new(socket, context.log.clone());
         let own = Own {
             fleet: terms.fleet,
@@ -344,13 +345,13 @@
 }
 
 /// What the driver behind that socket knows of the others: a table, or its JSON as it comes.
-pub fn ask(path: &str, as_json: bool) -> Result<String, Halt> {
+pub fn ask(path: &str, as_json: bool) -> Result<String, ProgramError> {
     let text = status::ask(path)?;
     if as_json {
         return Ok(text);
     }
     let known: Value =
-        serde_json::from_str(&text).map_err(|why| Halt::Said { path: path.to_owned(), why })?;
+        serde_json::from_str(&text).map_err(|why| ProgramError::Said { path: path.to_owned(), why })?;
     let (view, own) = (&known["view"], &known["self"]);
     let mut out = format!(
         "{} knows of {} drivers, itself among them; {} at most{}{}\n",
--- a/crates/proxy/src/keep/tools.rs
+++ b/crates/proxy/src/keep/tools.rs
@@ -5,12 +5,12 @@
 use aldermill_store::{Bounds, Disk, Recovered, Snapshot, Store};
 
 use crate::clock::unix_now;
-use crate::halt::Halt;
+use crate::error::ProgramError;
 
 const ALL: Bounds = Bounds { segment: 4 << 20, batch: 1 << 30, live: 1 << 40, slack: 4 };
 
 /// What a recovery would find; whether all of it is sound.
-pub fn check(folder: &str) -> Result<bool, Halt> {
+pub fn check(folder: &str) -> Result<bool, ProgramError> {
     let (_, found) = look(folder)?;
     println!("{} segments, {} records, {} bytes of a torn end", found.segments, found.records, found.torn);
     for damage in &found.damage {
@@ -20,7 +20,7 @@
 }
 
 /// Every record as a line of JSON.
-pub fn dump(folder: &str) -> Result<(), Halt> {
+pub fn dump(folder: &str) -> Result<(), ProgramError> {
     for (space, key, value) in look(folder)?.0.everything() {
         let value = serde_json::from_slice(value)
             .unwrap_or_else(|_| serde_json::Value::String(String::from_utf8_lossy(value).into_owned()));
@@ -31,9 +31,9 @@
 }
 
 /// Writes what is live to one segment; no driver may have the folder open.
-pub fn compact(folder: &str) -> Result<(), Halt> {
+pub fn compact(folder: &str) -> Result<(), ProgramError> {
     look(folder)?;
-    let refused = |why| Halt::Store { folder: folder.to_owned(), why };
+    let refused = |why| ProgramError::Store { folder: folder.to_owned(), why };
     let disk = Disk::open(Path::new(folder)).map_err(|why| refused(why.into()))?;
     let (mut store, _) = Store::open(disk, ALL, unix_now()).map_err(refused)?;
     let before = store.size().1;
@@ -42,10 +42,10 @@
     Ok(())
 }
 
-fn look(folder: &str) -> Result<(Snapshot, Recovered), Halt> {
+fn look(folder: &str) -> Result<(Snapshot, Recovered), ProgramError> {
     if !Path::new(folder).is_dir() {
-        return Err(Halt::NoFolder(folder.to_owned()));
+        return Err(ProgramError::NoFolder(folder.to_owned()));
     }
     Store::look(Disk::look(Path::new(folder)), ALL, unix_now())
-        .map_err(|why| Halt::Store { folder: folder.to_owned(), why })
+        .map_err(|why| ProgramError::Store { folder: folder.to_owned(), why })
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -6,10 +6,10 @@
 mod context;
 mod council;
 mod dispatcher;
+mod error;
 mod fellows;
 mod gate;
 mod gateway;
-mod halt;
 mod keep;
 mod limits;
 mod listener;
@@ -44,10 +44,10 @@
 use crate::clock::{Clock, Lived, duration};
 use crate::context::Context;
 use crate::dispatcher::{Dispatcher, GatewayPart, Opening, Sight, Warmth};
+use crate::error::ProgramError;
 use crate::fellows::{Company, Sitting};
 use crate::gate::Gate;
 use crate::gateway::Yard;
-use crate::halt::Halt;
 use crate::keep::Folder;
 use crate::limits::Limits;
 use crate::messages::{Call, ListUpdate};
@@ -141,7 +141,7 @@
         Command::Sites { socket } => status::ask(&socket).map(|text| print!("{text}")),
         Command::Fellows { json, socket } => fellows::ask(&socket, json).map(|text| print!("{text}")),
         Command::Store { work: FolderWork::Check { folder } } => keep::tools::check(&folder)
-            .and_then(|sound| sound.then_some(()).ok_or_else(|| Halt::Damaged(folder.clone()))),
+            .and_then(|sound| sound.then_some(()).ok_or_else(|| ProgramError::Damaged(folder.clone()))),
         Command::Store { work: FolderWork::Dump { folder } } => keep::tools::dump(&folder),
         Command::Store { work: FolderWork::Compact { folder } } => keep::tools::compact(&folder),
         Command::Schema => {
@@ -162,7 +162,7 @@
     }
 }
 
-fn read(files: &Files) -> Result<Start, Halt> {
+fn read(files: &Files) -> Result<Start, ProgramError> {
     Start::read(files, |name| std::env::var(name).ok().filter(|value| !value.is_empty()))
 }
 
@@ -187,14 +187,14 @@
     (Logger::root(drain.fuse(), o!()), guard)
 }
 
-fn serve(files: Files) -> Result<(), Halt> {
+fn serve(files: Files) -> Result<(), ProgramError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|why| Halt::System { what: "runtime", why })?;
+        .map_err(|why| ProgramError::System { what: "runtime", why })?;
     runtime.block_on(LocalSet::new().run_until(async {
         // Before anything else: from here on none of them ends the program by itself.
-        let heard = |kind| signal(kind).map_err(|why| Halt::System { what: "signals", why });
+        let heard = |kind| signal(kind).map_err(|why| ProgramError::System { what: "signals", why });
         let ends = [heard(SignalKind::terminate())?, heard(SignalKind::interrupt())?];
         let hangup = heard(SignalKind::hangup())?;
         run(read(&files)?, files, ends, hangup).await
@@ -202,7 +202,7 @@
 }
 
 /// Starts the actors and stays until the listener has served its last client.
-async fn run(start: Start, files: Files, ends: [Signal; 2], hangup: Signal) -> Result<(), Halt> {
+async fn run(start: Start, files: Files, ends: [Signal; 2], hangup: Signal) -> Result<(), ProgramError> {
     let Start {
         name,
         listen,
@@ -229,11 +229,8 @@
     let lived = Lived::start(clock);
     let gate = Gate::new(lived.clone(), log.clone(), bounds);
     spawn_local(gate.clone().run());
-    let listener = system::listen(listen, limits.backlog, limits.buffer).map_err(|why| Halt::Listen {
-        field: "listen",
-        address: listen,
-        why,
-    })?;
+    let listener = system::listen(listen, limits.backlog, limits.buffer)
+        .map_err(|why| ProgramError::Listen { field: "listen", address: listen, why })?;
 
     let (wanted, reread) = notice::channel(None);
     let (dispatcher, calls) = mpsc::channel(limits.calls);
@@ -329,11 +326,11 @@
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
-        ended = deciding => return Err(Halt::Ended(format!("the router's actor ({ended:?})"))),
+        ended = deciding => return Err(ProgramError::Ended(format!("the router's actor ({ended:?})"))),
     }
     stop.send_replace(Some(Instant::now() + stop_window));
     gate.stop();
-    serving.await.map_err(|error| Halt::Ended(format!("the listener ({error})")))?;
+    serving.await.map_err(|error| ProgramError::Ended(format!("the listener ({error})")))?;
     // What other sites sent has its answer, too, before the end.
     let (asked, done) = oneshot::channel();
     if context.dispatcher.send(Call::Parted(asked)).await.is_ok() {
@@ -352,7 +349,7 @@
     seed: u64,
     room: usize,
     folder: Option<Rc<Folder>>,
-) -> Result<GatewayPart, Halt> {
+) -> Result<GatewayPart, ProgramError> {
     let limits = &context.limits;
     let now = context.clock.now();
     // New with every start: the time of it, which a restart does not share.
@@ -364,7 +361,7 @@
     let yard = Yard::new(own.clone(), &gateway, bounds);
     if let Some(listen) = gateway.listen {
         let listener = system::listen(listen, limits.backlog, limits.member_buffer)
-            .map_err(|why| Halt::Listen { field: "gateway.listen", address: listen, why })?;
+            .map_err(|why| ProgramError::Listen { field: "gateway.listen", address: listen, why })?;
         let address = listener.local_addr().unwrap_or(listen);
         info!(context.log, "gateway"; "site" => &own.site, "links" => %address);
         spawn_local(gateway::accept(context.clone(), yard.clone(), listener));
--- a/crates/proxy/src/start.rs
+++ b/crates/proxy/src/start.rs
@@ -8,7 +8,7 @@
 use serde_json::value::RawValue;
 
 use crate::catalog::Catalog;
-use crate::halt::{Halt, Unclear};
+use crate::error::{ProgramError, Unclear};
 use crate::limits::Limits;
 use crate::trial::Trial;
 
@@ -64,22 +64,21 @@
 
 impl Start {
     /// Reads the configuration; GW_NAME, GW_LISTEN and GW_DISCOVERY come before what it says.
-    pub fn read(files: &Files, env: impl Fn(&str) -> Option<String>) -> Result<Start, Halt> {
+    pub fn read(files: &Files, env: impl Fn(&str) -> Option<String>) -> Result<Start, ProgramError> {
         let text = |path: &String| {
-            std::fs::read_to_string(path).map_err(|why| Halt::File { path: path.clone(), why })
+            std::fs::read_to_string(path).map_err(|why| ProgramError::File { path: path.clone(), why })
         };
         let operator = match &files.operator {
-            Some(path) => {
-                Operator::parse(&text(path)?).map_err(|why| Halt::Operator { path: path.clone(), why })?
-            }
+            Some(path) => Operator::parse(&text(path)?)
+                .map_err(|why| ProgramError::Operator { path: path.clone(), why })?,
             None => Operator::default(),
         };
-        let unclear = |why| Halt::Config { path: files.config.clone(), why };
+        let unclear = |why| ProgramError::Config { path: files.config.clone(), why };
         let mut start = Start::parse(&text(&files.config)?, env, &operator).map_err(unclear)?;
         let path = || files.operator.as_ref().unwrap_or(&files.config).clone();
         if let Some(wanted) = &operator.trial {
             let trial = Trial::read(wanted, &start.decoded);
-            start.trial = Some(trial.map_err(|why| Halt::Trial { path: path(), why })?);
+            start.trial = Some(trial.map_err(|why| ProgramError::Trial { path: path(), why })?);
         }
         // What the operator wants must hold one statement and one answer of full size.
         let sizes = (start.limits.statement as u64, start.limits.answer as u64);
@@ -91,7 +90,7 @@
                 "connection" => ("connection_kib", least.div_ceil(1024)),
                 _ => ("room_kib", least.div_ceil(1024)),
             };
-            Halt::Little { path: path(), field, least }
+            ProgramError::Little { path: path(), field, least }
         })?;
         Ok(start)
     }
--- a/crates/proxy/src/status.rs
+++ b/crates/proxy/src/status.rs
@@ -5,7 +5,7 @@
 use slog::{Logger, warn};
 use tokio::net::UnixListener;
 
-use crate::halt::Halt;
+use crate::error::ProgramError;
 use crate::system;
 
 /// The socket at that path; `None` where there can be none, which the log then says.
@@ -17,8 +17,8 @@
 }
 
 /// What the driver behind that socket says.
-pub fn ask(path: &str) -> Result<String, Halt> {
-    let failed = |why| Halt::Status { path: path.to_owned(), why };
+pub fn ask(path: &str) -> Result<String, ProgramError> {
+    let failed = |why| ProgramError::Status { path: path.to_owned(), why };
     let mut stream = std::os::unix::net::UnixStream::connect(path).map_err(failed)?;
     let mut text = String::new();
     stream.read_to_string(&mut text).map_err(failed)?;
--- a/crates/proxy/tests/trial.rs
+++ b/crates/proxy/tests/trial.rs
@@ -1,8 +1,8 @@
 //! Other settings that are watched beside those in force.
 
-#[path = "../src/halt.rs"]
+#[path = "../src/error.rs"]
 #[allow(dead_code, reason = "the program uses the rest")]
-mod halt;
+mod error;
 #[path = "../src/trial.rs"]
 #[allow(dead_code, reason = "the program uses the rest")]
 mod trial;
