--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -4,13 +4,13 @@
 mod gateway_part;
 mod lists;
 mod members_clock;
+mod observations;
 mod open;
-mod sight;
 mod steps;
 mod warmth;
 
 pub use gateway_part::{GatewayPart, Opening};
-pub use sight::Sight;
+pub use observations::Observations;
 pub use warmth::Warmth;
 
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -79,7 +79,7 @@
     warmth: Warmth,
     lines: warmth::Lines,
     /// Where the fleet decides on zones or splits in common: what it is to know of this driver.
-    sight: Option<Sight>,
+    observations: Option<Observations>,
     wake_at: Micros,
     /// Of the time spent standing, what router and sites know of.
     stood: Micros,
@@ -98,7 +98,7 @@
         gateway_part: Option<GatewayPart>,
         trial: Option<Trial>,
         warmth: Warmth,
-        sight: Option<Sight>,
+        observations: Option<Observations>,
         ready: watch::Sender<bool>,
         requests: Option<mpsc::Sender<()>>,
     ) -> Dispatcher {
@@ -119,7 +119,7 @@
             pending: VecDeque::new(),
             warmth,
             lines: warmth::Lines::default(),
-            sight,
+            observations,
             wake_at: now,
             stood: 0,
             ready,
@@ -260,7 +260,7 @@
                 let ((), actions) = self.ask(told);
                 self.carry_out(actions);
             }
-            Call::Sight(asked) => self.tell_sight(asked),
+            Call::Observations(asked) => self.tell_sight(asked),
             Call::Lean(leans) => self.leans(&leans),
             Call::Bind(plans) => self.bind(plans),
             Call::Describe(asked) => {
--- a/crates/proxy/src/dispatcher/sight.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -1,5 +1,5 @@
 //! What this driver lets the fleet know of what it sees, and what the fleet decreed of zones. Where nothing is decided in
-//! common there is no `Sight`, and nothing is counted.
+//! common there is no `Observations`, and nothing is counted.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -25,7 +25,7 @@
     key: Vec<u8>,
 }
 
-pub struct Sight {
+pub struct Observations {
     tally: Tally,
     out: HashMap<Handle, Out>,
     /// By group, which keys cost what; nothing where nobody asks for that.
@@ -33,11 +33,11 @@
     seed: u64,
 }
 
-impl Sight {
+impl Observations {
     /// `splits` says whether the fleet decides where key ranges are cut.
-    pub fn start(now: Micros, seed: u64, splits: bool) -> Sight {
+    pub fn start(now: Micros, seed: u64, splits: bool) -> Observations {
         let keys = splits.then(BTreeMap::new);
-        Sight { tally: Tally::start(now), out: HashMap::new(), keys, seed }
+        Observations { tally: Tally::start(now), out: HashMap::new(), keys, seed }
     }
 
     pub(super) fn attempted(
@@ -96,19 +96,19 @@
 
 impl Dispatcher {
     pub(super) fn sees_end(&mut self, handle: Handle, verdict: Verdict, took: Micros) {
-        if let Some(sight) = &mut self.sight {
-            sight.ended(self.context.clock.now(), handle, verdict, took);
+        if let Some(observations) = &mut self.observations {
+            observations.ended(self.context.clock.now(), handle, verdict, took);
         }
     }
 
     pub(super) fn tell_sight(&mut self, asked: oneshot::Sender<Seen>) {
         let now = self.context.clock.now();
-        if let Some(sight) = &mut self.sight {
-            let (over, rows) = sight.tally.take(now);
+        if let Some(observations) = &mut self.observations {
+            let (over, rows) = observations.tally.take(now);
             let summary = |(&group, sketch): (&u64, &mut Sketch)| {
                 (group, aldermill_split_points::frame::encode(sketch, now))
             };
-            let keys = sight.keys.iter_mut().flatten().map(summary).collect();
+            let keys = observations.keys.iter_mut().flatten().map(summary).collect();
             let site = self.gateway_part.as_mut().map(|gateway_part| gateway_part.seen(now));
             let _ = asked.send(Seen { over, rows, keys, site });
         }
--- a/crates/proxy/src/dispatcher/steps.rs
+++ b/crates/proxy/src/dispatcher/steps.rs
@@ -99,9 +99,9 @@
         let Some(open) = self.open.get(&handle) else { return };
         let sent = Instant::now();
         let holder = (open.order.holder, open.best);
-        if let Some(sight) = &mut self.sight {
+        if let Some(observations) = &mut self.observations {
             let place = self.peers[member].as_ref().map(|peer| (peer.group, peer.zone));
-            sight.attempted(handle, place, &self.decoded, &open.order);
+            observations.attempted(handle, place, &self.decoded, &open.order);
         }
         let peer = self.peers[member].as_ref();
         let attempt = Attempt {
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/fellows.rs
@@ -230,7 +230,7 @@
         self.sees_at = now + WORKS;
         let (leans, plans) = (council.leans(now), council.plans(now));
         let (asked, told) = oneshot::channel();
-        let _ = self.context.dispatcher.send(Call::Sight(asked)).await;
+        let _ = self.context.dispatcher.send(Call::Observations(asked)).await;
         if let Some(leans) = leans {
             let _ = self.context.dispatcher.send(Call::Lean(leans)).await;
         }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -43,7 +43,7 @@
 use crate::catalog::Catalog;
 use crate::clock::{Clock, Lived, duration};
 use crate::context::Context;
-use crate::dispatcher::{Dispatcher, GatewayPart, Opening, Sight, Warmth};
+use crate::dispatcher::{Dispatcher, GatewayPart, Observations, Opening, Warmth};
 use crate::error::ProgramError;
 use crate::fellows::{Company, Sitting};
 use crate::gate::Gate;
@@ -297,9 +297,9 @@
         None => None,
     };
     let warmth = Warmth { recalled: recalled.beliefs, keeping };
-    let sight = council.as_ref().map(|council| {
+    let observations = council.as_ref().map(|council| {
         let splits = council.duties.contains(&Duty::Splits);
-        Sight::start(clock.now(), seed.rotate_left(24), splits)
+        Observations::start(clock.now(), seed.rotate_left(24), splits)
     });
     let mut bound = Vec::new();
     if let Some(terms) = fellows {
@@ -311,8 +311,17 @@
         spawn_local(company.run());
     }
     let request = on_request.then_some(request);
-    let mut dispatcher =
-        Dispatcher::new(context.clone(), decoded, seed, gateway_part, trial, warmth, sight, ready, request);
+    let mut dispatcher = Dispatcher::new(
+        context.clone(),
+        decoded,
+        seed,
+        gateway_part,
+        trial,
+        warmth,
+        observations,
+        ready,
+        request,
+    );
     dispatcher.bind(bound);
     let deciding = spawn_local(dispatcher.run(list_updates, calls));
     let requests = on_request.then_some(requests);
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -48,7 +48,7 @@
         at_cold: usize,
     },
     /// What was seen since this was last asked, for the fleet.
-    Sight(oneshot::Sender<Seen>),
+    Observations(oneshot::Sender<Seen>),
     /// What the fleet decreed for this driver's zone, by group.
     Lean(Vec<(u64, Lean)>),
     /// What the fleet decided of sites that retire.
