--- /dev/null
+++ b/crates/routing/src/policy/endpoint_list.rs
@@ -0,0 +1,105 @@
+//! The endpoint list: members that come, change, drain and go.
+
+use std::collections::HashSet;
+
+use rand::Rng;
+
+use super::MS;
+use super::blacklist::FAILURE_WINDOW;
+use super::concurrency_limit::{MOST, START};
+use super::health_checks::HEALTH_CHECK_NEEDED;
+use crate::state::{Member, Router};
+use crate::{Actions, Listed, ListedRoles, MemberId, Micros, Standing};
+
+impl Router {
+    pub fn list(&mut self, now: Micros, full: bool, lines: Vec<Listed>) -> Actions {
+        // The list held at the start is no answer to a call.
+        self.ask_at = if self.members.is_empty() { self.ask_at } else { Micros::MAX };
+        let listed: HashSet<&str> = lines.iter().map(|line| line.name.as_str()).collect();
+        for id in 0..self.members.len() {
+            if full && !listed.contains(self.members[id].name.as_str()) {
+                self.stand(now, id, Standing::Gone);
+            }
+        }
+        if self.members.is_empty() {
+            self.mean_size = lines.iter().map(|line| line.size).sum::<f64>() / lines.len().max(1) as f64;
+        }
+        let slots = lines.iter().map(|line| line.member + 1).max().unwrap_or(0);
+        self.members.resize_with(slots.max(self.members.len()), Member::default);
+        for line in lines {
+            self.list_line(now, line);
+        }
+        self.pump_all(now);
+        self.take_actions()
+    }
+
+    pub(super) fn list_line(&mut self, now: Micros, line: Listed) {
+        let group = self.group(line.group);
+        let credit = self.first_credit() + f64::from(line.since.is_none());
+        let (id, drivers) = (line.member, self.terms.drivers as f64);
+        let known = self.members[id].group == group && self.members[id].name == line.name;
+        if !known {
+            let size = line.size / self.mean_size;
+            let window = if self.sparse() { MOST / drivers * size } else { (START / drivers).max(1.0) };
+            let fresh = Member { position: Micros::MIN, heard: now, answered: now, ..Member::default() };
+            let fresh = Member { not_primary: Micros::MIN, ..fresh };
+            self.members[id] = Member { name: line.name, group, zone: line.zone, size, window, ..fresh };
+            self.enter(group, id);
+        }
+        let member = &mut self.members[id];
+        if !known || member.since != line.since && line.standing == Standing::Ready {
+            (member.blacklisted_until, member.seen_primary) = (member.blacklisted_until.min(now), false);
+            (member.since, member.credit, member.credited) = (line.since, credit, now);
+        }
+        self.stand(now, id, line.standing);
+        if !known && !self.sparse() && !self.keeps_to_some() {
+            // A health check for each member and one in reserve.
+            self.allowance += 2.0;
+            self.health_check(now, id, HEALTH_CHECK_NEEDED);
+        }
+        let group = &mut self.groups[group];
+        if line.primary && line.standing == Standing::Ready && group.listed != Some(id) {
+            let first = group.listed.replace(id).is_none();
+            let trusted = match self.terms.listed_roles {
+                ListedRoles::Late => first || now - group.word > 1_000 * MS,
+                ListedRoles::AtStart => first && group.primary.is_none(),
+                ListedRoles::Never => false,
+            };
+            group.primary = if trusted { Some(id) } else { group.primary };
+        }
+    }
+
+    pub(super) fn stand(&mut self, now: Micros, id: MemberId, standing: Standing) {
+        self.members[id].standing = standing;
+        self.members[id].seen_primary &= standing == Standing::Ready;
+        let hold = self.hold();
+        let group = &mut self.groups[self.members[id].group];
+        if standing != Standing::Ready && group.primary == Some(id) {
+            // The list tells all drivers, but they are not to walk all at once.
+            (group.primary, group.walk_after) = (None, now + self.rng.random_range(0..hold));
+            group.search.since = now;
+        }
+    }
+
+    /// Lets go of a member that is gone, once nothing of it is out and it was not heard for long: its index
+    /// may be given out anew, and one that comes back is another member.
+    pub fn forget(&mut self, now: Micros, id: MemberId) -> bool {
+        let member = &self.members[id];
+        let quiet = member.out.is_empty() && !member.health_check_out && now - member.heard > FAILURE_WINDOW;
+        let forgotten = member.standing == Standing::Gone && quiet;
+        if forgotten {
+            let group = &mut self.groups[member.group];
+            group.members.retain(|&member| member != id);
+            group.preferred.retain(|&member| member != id);
+            group.listed = group.listed.filter(|&listed| listed != id);
+            self.members[id] = Member::default();
+        }
+        forgotten
+    }
+
+    pub fn list_unavailable(&mut self, now: Micros) -> Actions {
+        self.ask_wait = (self.ask_wait * 2).min(8_000 * MS);
+        self.ask_at = now + self.rng.random_range(self.ask_wait / 2..self.ask_wait);
+        self.take_actions()
+    }
+}
--- /dev/null
+++ b/crates/routing/src/policy/freshness.rs
@@ -0,0 +1,116 @@
+//! How new the data of members is: positions, roles, sessions, and for how long a proof of freshness holds.
+
+use super::HELD_UP;
+use super::blacklist::FAILURE_WINDOW;
+use super::health_checks::{HEALTH_CHECK_EVERY, HEALTH_CHECK_NEEDED};
+use crate::state::{Handle, PendingRequest, Router, Session};
+use crate::{Effect, MemberId, MemberReport, Micros, Need, RequestClass, Role, Standing, Validity};
+
+/// Sessions that are remembered before older ones are forgotten.
+const SESSIONS: usize = 10_000;
+
+impl Router {
+    /// The members' clock is so much ahead of this one, and these are their starts on this one. Protects bounded reads
+    /// and slow start from a process whose wall clock is wrong. Harms them where the caller is.
+    pub fn members_clock(&mut self, offset: Micros, starts: &[(MemberId, Option<Micros>)]) {
+        self.clock_offset = offset;
+        for &(id, since) in starts {
+            if let Some(member) = self.members.get_mut(id) {
+                member.since = since;
+            }
+        }
+    }
+
+    /// Protects the price of health checks and the time of writes: a member far behind is not asked again
+    /// before it can have caught up, at twice the pace of time. Harms one that catches up faster, for a
+    /// second at most.
+    pub(super) fn catches_up_in(&self, id: MemberId, floor: Micros) -> Micros {
+        let position = self.members[id].position;
+        let lacks = if position == Micros::MIN { 0 } else { floor.saturating_sub(position) };
+        (lacks / 2).clamp(HEALTH_CHECK_NEEDED, HEALTH_CHECK_EVERY)
+    }
+
+    /// Until when the attempt may leave. Protects reads and repeats from what comes between the decision and the
+    /// last byte: a connection that comes up late, a primary that steps down, a window of repeats that ends, a process
+    /// that is held up behind the last look. Harms reads by that time's worth of proof.
+    pub(super) fn validity(&self, pending: &PendingRequest, id: MemberId) -> Validity {
+        let RequestClass { effect, need, .. } = self.terms.classes[pending.request.class];
+        let repeats_until = match (effect, pending.may_have_run) {
+            (Effect::Receipted { window, .. }, Some((first, _))) => first + window - HELD_UP,
+            _ => Micros::MAX,
+        };
+        let member = &self.members[id];
+        let primary = self.groups[pending.group].primary == Some(id) && member.seen_primary;
+        let (fresh_until, while_primary) = match need {
+            Need::Write | Need::Loose => (Micros::MAX, false),
+            _ if self.terms.members_check => (Micros::MAX, false),
+            Need::Recent(bound) if !primary => {
+                (member.position.saturating_add(bound - HELD_UP - self.clock_offset), false)
+            }
+            _ => (Micros::MAX, primary),
+        };
+        Validity { until: repeats_until.min(fresh_until), while_primary }
+    }
+
+    /// The session that a request writes to, where it is to be remembered. Protects its reads from a write
+    /// whose answer was lost or is on its way. Harms them by the primary's load while such a write is out.
+    pub(super) fn session(&mut self, handle: Handle) -> Option<&mut Session> {
+        let request = &self.pending_requests[&handle].request;
+        let writes = self.terms.remember_sessions && self.terms.classes[request.class].need == Need::Write;
+        request
+            .session
+            .as_ref()
+            .filter(|_| writes)
+            .cloned()
+            .map(|name| self.sessions.entry(name).or_default())
+    }
+
+    /// Takes in what a member says of itself: true at `at`, and asked for no earlier than `asked`. Protects from
+    /// words that come late or out of order: an older one never beats a newer one, and reads take a member for
+    /// primary only by a word asked for after it was last heard to be a replica, which holds unless provably
+    /// older, as positions never go back. Harms reads without a fresh replica just after a hand-over.
+    pub(super) fn note(
+        &mut self,
+        now: Micros,
+        id: MemberId,
+        report: MemberReport,
+        asked: Micros,
+        at: Micros,
+    ) {
+        let member = &mut self.members[id];
+        let position = report.position.unwrap_or(Micros::MIN);
+        member.position = member.position.max(position);
+        let group = &mut self.groups[member.group];
+        match report.role {
+            Some(Role::Primary) if at >= member.demoted => {
+                member.seen_primary |= asked >= member.replica_heard;
+                member.primary_position = member.primary_position.max(position);
+                if member.standing == Standing::Ready && (at >= group.word || group.primary.is_none()) {
+                    (group.primary, group.word) = (Some(id), at);
+                }
+            }
+            Some(Role::Replica) => {
+                member.not_primary = member.not_primary.max(now - report.age);
+                let newer = at >= group.word || position >= member.primary_position;
+                if newer && group.primary == Some(id) {
+                    (group.primary, group.word) = (None, at);
+                    group.search.since = now;
+                }
+                if newer || group.primary != Some(id) {
+                    (member.seen_primary, member.replica_heard) = (false, now);
+                    member.demoted = member.demoted.max(at);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Forgets sessions that wrote long ago, where there are very many.
+    pub(super) fn forget_old_sessions(&mut self, now: Micros) {
+        if self.sessions.len() <= SESSIONS {
+            return;
+        }
+        self.forgotten = Some(self.members_now(now) - FAILURE_WINDOW);
+        self.sessions.retain(|_, session| session.out > 0 || Some(session.commit) > self.forgotten);
+    }
+}
--- /dev/null
+++ b/crates/routing/src/policy/health_checks.rs
@@ -0,0 +1,103 @@
+//! Health checks: when they are sent, and what their results say.
+
+use super::blacklist::BLACKLISTED_FOR;
+use super::{HOLD, MS};
+use crate::state::Router;
+use crate::{Actions, MemberId, MemberReport, Micros, Standing, Verdict};
+
+/// So many health checks in a row without an answer blacklist a member.
+const HEALTH_CHECK_MISSES: u32 = 3;
+/// How often a member that is not heard otherwise is checked where credit is left over.
+pub(super) const HEALTH_CHECK_EVERY: Micros = 1_000 * MS;
+/// Health checks of members whose proof of freshness has run out, and of a group without a primary.
+pub(super) const HEALTH_CHECK_NEEDED: Micros = 100 * MS;
+/// Health checks that one admitted request pays for.
+pub(super) const CREDIT_PER_REQUEST: f64 = 0.7;
+/// Health checks that a router may send before it has admitted any request.
+pub(super) const CREDIT_AT_START: f64 = 4.0;
+
+impl Router {
+    /// Checks members of a group in which requests are held, where that may set them free.
+    pub(super) fn health_check_for_held(&mut self, now: Micros, group: usize) {
+        let sought = !self.is_wide(&self.groups[group]) && self.lacks_primary(now, &self.groups[group]);
+        let gap = if self.sparse() { HOLD } else { HEALTH_CHECK_NEEDED };
+        for at in 0..self.groups[group].members.len() {
+            let id = self.groups[group].members[at];
+            if sought || now < self.members[id].lost_until {
+                self.health_check(now, id, gap);
+            }
+        }
+    }
+
+    /// Checks a member that was not heard of late, where requests have paid for more than they need.
+    pub(super) fn health_check_to_spare(&mut self, now: Micros, id: MemberId) {
+        let spare = self.allowance > self.members.len() as f64 * 0.5;
+        if spare && now - self.members[id].heard > HEALTH_CHECK_EVERY {
+            self.health_check(now, id, HEALTH_CHECK_EVERY);
+        }
+    }
+
+    /// How a health check ended. A member too full to report has answered all the same.
+    pub fn health_checked(
+        &mut self,
+        now: Micros,
+        id: MemberId,
+        verdict: Verdict,
+        took: Micros,
+        report: MemberReport,
+    ) -> Actions {
+        let credit = self.first_credit();
+        let Some(member) = self.members.get_mut(id) else { return self.take_actions() };
+        // The way to its zone: an answer halves the difference, silence tells less, as one member alone
+        // may be dead.
+        let (way, at) = self.ways.entry(member.zone).or_insert((0, now));
+        match verdict {
+            Verdict::Served => {
+                (*way, *at) = ((*way + took) / 2, now);
+                member.way = ((member.way.0 + took) / 2, now);
+            }
+            Verdict::TimedOut => (*way, *at) = (*way + (took - *way) / 4, now),
+            _ => {}
+        }
+        let (group, was_blacklisted) = (member.group, member.health_check_misses >= HEALTH_CHECK_MISSES);
+        member.health_check_out = false;
+        if matches!(verdict, Verdict::NotSent | Verdict::Unobserved | Verdict::LocalFailure) {
+            // Nobody asked it, or nobody saw its answer.
+        } else if matches!(
+            verdict,
+            Verdict::Served | Verdict::Overloaded | Verdict::Malformed | Verdict::ConnectionLost
+        ) {
+            // An answered health check lifts the detect blacklist.
+            member.blacklisted_until = if was_blacklisted { now } else { member.blacklisted_until };
+            member.health_check_misses = 0;
+            member.hear(now, credit);
+            let at = report.position.map(|position| position.saturating_sub(self.clock_offset));
+            let at = at.unwrap_or(now - HOLD - report.age);
+            self.note(now, id, report, at, at);
+        } else {
+            member.health_check_misses += 1;
+            member.fell = member.fell.or((verdict == Verdict::Unconnected).then_some(now));
+            member.lost_until = now + 2 * HOLD;
+            let blacklisted = member.health_check_misses >= HEALTH_CHECK_MISSES;
+            member.blacklisted_until =
+                if blacklisted { now + BLACKLISTED_FOR } else { member.blacklisted_until };
+        }
+        self.pump(now, group);
+        self.part_with(id);
+        self.take_actions()
+    }
+
+    pub(super) fn health_check(&mut self, now: Micros, id: MemberId, gap: Micros) {
+        let member = &mut self.members[id];
+        let early = member.health_check_out || now - member.health_checked < gap;
+        if self.terms.health_checks_allowed
+            && member.standing == Standing::Ready
+            && !early
+            && self.allowance >= 1.0
+        {
+            self.allowance -= 1.0;
+            (member.health_check_out, member.health_checked) = (true, now);
+            self.actions.health_checks.push(id);
+        }
+    }
+}
--- a/crates/routing/src/policy/local.rs
+++ b/crates/routing/src/policy/local_failures.rs
@@ -1,10 +1,14 @@
-//! Attempts that could not leave because this machine opens no connections for a moment: no descriptor, port, route or
-//! memory is free.
+//! Attempts that could not leave because this machine opens no connections for a moment: no descriptor, port,
+//! route or memory is free.
 //!
 //! Nothing is learnt of the member then. The attempt is placed again: on a member that an idle connection leads to,
 //! else after a backoff, for as long as its deadline allows.
 
-use super::*;
+use rand::Rng;
+
+use super::MS;
+use crate::state::{Handle, Router};
+use crate::{MemberId, Micros};
 
 /// Waits between tries of a new connection, to whichever member, after one failed: at first and at the least, and at
 /// most.
--- a/crates/routing/src/policy/fresh.rs
+++ b/crates/routing/src/policy/read_routing.rs
@@ -1,27 +1,25 @@
-//! Where an attempt may go: believed primaries, replicas proven fresh enough, near and far.
+//! The member that a read goes to: replicas proven fresh enough, near and far.
 
-use super::*;
+use std::collections::{BTreeMap, HashMap};
+
+use rand::Rng;
+use rand::seq::IndexedRandom;
+
+use super::blacklist::BLACKLISTED_FOR;
+use super::concurrency_limit::MOST;
+use super::health_checks::HEALTH_CHECK_NEEDED;
+use super::{BEAT, HELD_UP};
+use crate::state::{Handle, Member, PendingRequest, Router};
+use crate::{Effect, MemberId, Micros, Need, RequestClass, Scope};
 
 impl Router {
-    /// The believed primary; without one, the next member by sorted id, one write walking at a time.
-    pub(super) fn write_target(&self, now: Micros, pending: &PendingRequest) -> Option<MemberId> {
-        let group = &self.groups[pending.group];
-        if let Some(id) = group.primary {
-            let takes = self.usable(now, id) && self.room(now, id) > 0.0;
-            return takes.then_some(id);
-        }
-        if pending.misses == 0 && now < group.walk_after {
-            return None;
+    /// What the fleet decreed for the own zone, by group: the part of its reads that goes to other zones,
+    /// and how much of that to each. It weighs what the draw leaves open, and opens nothing. Protects a
+    /// crowded or returning zone's members; harms reads by a crossing each where the decree is out of date.
+    pub fn lean(&mut self, leans: HashMap<u64, (f64, BTreeMap<usize, f64>)>) {
+        for (name, &group) in &self.group_ids {
+            self.groups[group].lean = leans.get(name).cloned().unwrap_or_default();
         }
-        let order = self.search_order(group);
-        let start = pending.last.and_then(|last| order.iter().position(|&id| id == last));
-        let start = start.map_or(0, |at| at + 1);
-        let round = (0..order.len()).map(|step| order[(start + step) % order.len()]);
-        let mut open = round.filter(|&id| self.may_be_primary(now, group, id));
-        let first = open.clone().next();
-        open.find(|&id| now >= self.members[id].blacklisted_until)
-            .or(first)
-            .filter(|&id| self.room(now, id) > 0.0)
     }
 
     /// A random replica proven fresh enough, else the primary. A sparse driver draws first, then asks it.
@@ -95,37 +93,6 @@
         if waits { None } else { target.or(resort) }
     }
 
-    /// Protects the price of health checks and the time of writes: a member far behind is not asked again
-    /// before it can have caught up, at twice the pace of time. Harms one that catches up faster, for a
-    /// second at most.
-    pub(super) fn catches_up_in(&self, id: MemberId, floor: Micros) -> Micros {
-        let position = self.members[id].position;
-        let lacks = if position == Micros::MIN { 0 } else { floor.saturating_sub(position) };
-        (lacks / 2).clamp(HEALTH_CHECK_NEEDED, HEALTH_CHECK_EVERY)
-    }
-
-    /// Until when the attempt may leave. Protects reads and repeats from what comes between the decision and the
-    /// last byte: a connection that comes up late, a primary that steps down, a window of repeats that ends, a process
-    /// that is held up behind the last look. Harms reads by that time's worth of proof.
-    pub(super) fn validity(&self, pending: &PendingRequest, id: MemberId) -> Validity {
-        let RequestClass { effect, need, .. } = self.terms.classes[pending.request.class];
-        let repeats_until = match (effect, pending.may_have_run) {
-            (Effect::Receipted { window, .. }, Some((first, _))) => first + window - HELD_UP,
-            _ => Micros::MAX,
-        };
-        let member = &self.members[id];
-        let primary = self.groups[pending.group].primary == Some(id) && member.seen_primary;
-        let (fresh_until, while_primary) = match need {
-            Need::Write | Need::Loose => (Micros::MAX, false),
-            _ if self.terms.members_check => (Micros::MAX, false),
-            Need::Recent(bound) if !primary => {
-                (member.position.saturating_add(bound - HELD_UP - self.clock_offset), false)
-            }
-            _ => (Micros::MAX, primary),
-        };
-        Validity { until: repeats_until.min(fresh_until), while_primary }
-    }
-
     /// Protects the freshness of replicas from reads of which a few in a row hold up their log for longer
     /// than bounded reads bear: these share one replica. Harms them where that one is slow, and where other
     /// long reads hold up nothing; a driver among many cannot see a crowd there, and goes by the whole bound.
@@ -186,57 +153,4 @@
         let kept = pending.may_have_run.is_none_or(|(_, zone)| !zoned || zone == self.members[id].zone);
         kept && self.usable(now, id)
     }
-
-    /// The session that a request writes to, where it is to be remembered. Protects its reads from a write
-    /// whose answer was lost or is on its way. Harms them by the primary's load while such a write is out.
-    pub(super) fn session(&mut self, handle: Handle) -> Option<&mut Session> {
-        let request = &self.pending_requests[&handle].request;
-        let writes = self.terms.remember_sessions && self.terms.classes[request.class].need == Need::Write;
-        request
-            .session
-            .as_ref()
-            .filter(|_| writes)
-            .cloned()
-            .map(|name| self.sessions.entry(name).or_default())
-    }
-
-    /// Takes in what a member says of itself: true at `at`, and asked for no earlier than `asked`. Protects from
-    /// words that come late or out of order: an older one never beats a newer one, and reads take a member for
-    /// primary only by a word asked for after it was last heard to be a replica, which holds unless provably
-    /// older, as positions never go back. Harms reads without a fresh replica just after a hand-over.
-    pub(super) fn note(
-        &mut self,
-        now: Micros,
-        id: MemberId,
-        report: MemberReport,
-        asked: Micros,
-        at: Micros,
-    ) {
-        let member = &mut self.members[id];
-        let position = report.position.unwrap_or(Micros::MIN);
-        member.position = member.position.max(position);
-        let group = &mut self.groups[member.group];
-        match report.role {
-            Some(Role::Primary) if at >= member.demoted => {
-                member.seen_primary |= asked >= member.replica_heard;
-                member.primary_position = member.primary_position.max(position);
-                if member.standing == Standing::Ready && (at >= group.word || group.primary.is_none()) {
-                    (group.primary, group.word) = (Some(id), at);
-                }
-            }
-            Some(Role::Replica) => {
-                member.not_primary = member.not_primary.max(now - report.age);
-                let newer = at >= group.word || position >= member.primary_position;
-                if newer && group.primary == Some(id) {
-                    (group.primary, group.word) = (None, at);
-                    group.search.since = now;
-                }
-                if newer || group.primary != Some(id) {
-                    (member.seen_primary, member.replica_heard) = (false, now);
-                    member.demoted = member.demoted.max(at);
-                }
-            }
-            _ => {}
-        }
-    }
 }
