--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use aldermill_routing::{Handle, Micros, Need, Verdict};
+use aldermill_routing::{Handle, Micros, Need, ReadShift, Verdict};
 use aldermill_settings::Decoded;
 use aldermill_split_points::Sketch;
 use aldermill_wire::statement::quoted;
@@ -116,12 +116,12 @@
 
     /// What the fleet decreed for this driver's own zone, by group; a group that is not named has nothing to obey.
     pub(super) fn leans(&mut self, leans: &[(u64, Lean)]) {
-        let shares = |lean: &Lean| {
-            let part = |thousandths: u16| f64::from(thousandths) / 1000.0;
-            let to = lean.to.iter().map(|&(zone, share)| (zone, part(share))).collect();
-            (part(lean.away), to)
+        let part = |thousandths: u16| f64::from(thousandths) / 1000.0;
+        let shift = |lean: &Lean| ReadShift {
+            away: part(lean.away),
+            to_zones: lean.to.iter().map(|&(zone, share)| (zone, part(share))).collect(),
         };
-        let leans = leans.iter().map(|(group, lean)| (*group, shares(lean))).collect();
-        self.router.lean(leans);
+        let shifts = leans.iter().map(|(group, lean)| (*group, shift(lean))).collect();
+        self.router.shift_reads(&shifts);
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -4,6 +4,8 @@
 //! is told once ([`Terms`]), what it takes ([`Request`]), what it hears ([`Listed`], [`Outcome`],
 //! [`MemberReport`]) and what it is to do next ([`Actions`]).
 
+use std::collections::BTreeMap;
+
 mod policy;
 mod state;
 
@@ -200,6 +202,15 @@
     pub windows: Vec<(MemberId, i32)>,
 }
 
+/// What a zone-wide directive asks of a group's reads in this zone.
+#[derive(Clone, Debug, Default)]
+pub struct ReadShift {
+    /// The part of the reads that goes to other zones, from 0 to 1.
+    pub away: f64,
+    /// How that part is shared out, by zone; a zone that is not named gets none.
+    pub to_zones: BTreeMap<usize, f64>,
+}
+
 /// What must still hold when an attempt's last byte leaves, however long it waited for a connection; where it does
 /// not, the attempt is not sent, and ends as `NotSent`. Sources: the rule on stale reads, by which a bound
 /// counts from the send, not from the decision; the rule on effects, by which a repeat stays within its
--- a/crates/routing/src/policy/admission.rs
+++ b/crates/routing/src/policy/admission.rs
@@ -2,6 +2,7 @@
 
 use super::BEAT;
 use super::health_checks::CREDIT_PER_REQUEST;
+use super::retry_detection::ClientAttempt;
 use crate::state::{Handle, PendingRequest, Router};
 use crate::{Action, Actions, Effect, Micros, Request, RequestClass, Scope};
 
@@ -11,25 +12,14 @@
         self.next_handle += 1;
         let group = self.group(request.group);
         self.allowance = (self.allowance + CREDIT_PER_REQUEST).min(self.members.len() as f64);
-        // Where repeats are not marked, first tries are told by the wait that most requests bring.
-        let RequestClass { timeout, objective, .. } = self.terms.classes[request.class];
-        let (usual, votes) = &mut self.usual_wait[request.class];
-        let wait = request.ttl + request.waited;
-        let common = (wait - *usual).abs() <= *usual / 64;
-        *votes = if common { (*votes + 1).min(64) } else { *votes - 1 };
-        (*usual, *votes) = if *votes < 0 { (wait, 1) } else { (*usual, *votes) };
-        let repeat = request.repeat || !self.terms.repeats_marked && !common;
-        // What is missing to the deadline of a repeat has gone by already. Where repeats are not
-        // marked, a wait cut short tells them once the usual one is sure. Harms clients in a hurry: they
-        // are taken for late.
-        let cut = request.repeat || !self.terms.repeats_marked && !common && *votes >= 2 && wait < *usual;
-        let objective_at = now - request.waited + objective - if cut { (timeout - wait).max(0) } else { 0 };
+        let kind = self.client_attempt(&request);
+        let objective_at = self.objective_at(now, &request, kind);
         let pending = PendingRequest {
             request,
             group,
             arrived: now,
             objective_at,
-            repeat,
+            is_retry: kind != ClientAttempt::First,
             ..PendingRequest::default()
         };
         self.pending_requests.insert(handle, pending);
@@ -37,6 +27,24 @@
         (handle, self.take_actions())
     }
 
+    /// What the request is to its client; where clients do not mark retries, by how long they wait.
+    fn client_attempt(&mut self, request: &Request) -> ClientAttempt {
+        let guess = self.retry_detectors[request.class].classify(request.ttl + request.waited);
+        match request.repeat {
+            true => ClientAttempt::Retry,
+            false if self.terms.repeats_marked => ClientAttempt::First,
+            false => guess,
+        }
+    }
+
+    /// When the answer is due: of a retry's timeout, what is missing from its wait has gone by already.
+    fn objective_at(&self, now: Micros, request: &Request, kind: ClientAttempt) -> Micros {
+        let RequestClass { timeout, objective, .. } = self.terms.classes[request.class];
+        let missing = (timeout - request.ttl - request.waited).max(0);
+        let gone_by = if kind == ClientAttempt::Retry { missing } else { 0 };
+        now - request.waited + objective - gone_by
+    }
+
     /// Until when an attempt of the request would most likely pay, and until when an answer pays at all.
     /// Protects a client from a long wait for nothing: what was never attempted and pays little when late is
     /// not held beyond half of its time, and a driver among many, who cannot see the crowd, attempts nothing
--- a/crates/routing/src/policy/blacklist.rs
+++ b/crates/routing/src/policy/blacklist.rs
@@ -44,7 +44,7 @@
     /// Has attempts out that no later one overtook, and answered none for far longer than attempts take.
     pub(super) fn mute(&self, now: Micros, id: MemberId) -> bool {
         let member = &self.members[id];
-        let mut waiting = self.sent_out(id).filter(|&(at, _)| at >= member.overtaken);
+        let mut waiting = self.sent_out(id).filter(|&(at, _)| at >= member.newest_answered_sent);
         waiting.any(|(at, class)| now - at.max(member.answered) > self.patience(class))
     }
 
@@ -59,4 +59,17 @@
         let objective = self.terms.classes[class].objective;
         self.took[class].quantile(0.9).unwrap_or(200 * MS).min(objective).max(100 * MS) * 2
     }
+
+    /// A malformed response, or a connection lost before the attempt was sent.
+    ///
+    /// Guards against blacklisting a whole group whose members all answer so alike, as links that break
+    /// connections make them: only those in a row are failures. Costs requests at the member that does so most.
+    pub(super) fn malformed(&mut self, now: Micros, id: MemberId) {
+        let member = &mut self.members[id];
+        if member.malformed < FAILURES {
+            member.malformed += 1;
+        } else {
+            self.failed(now, id);
+        }
+    }
 }
--- a/crates/routing/src/policy/concurrency_limit.rs
+++ b/crates/routing/src/policy/concurrency_limit.rs
@@ -1,8 +1,8 @@
 //! How many attempts this router may have in flight at a member.
 
-use super::MS;
+use super::{KEEP, MS};
 use crate::state::{Member, Router};
-use crate::{MemberId, Micros, Standing};
+use crate::{MemberId, Micros, Outcome, Standing, Verdict};
 
 /// Attempts at a member that all routers together start with.
 pub(super) const START: f64 = 10.0;
@@ -11,12 +11,22 @@
 /// Attempts at a member of usual size that all routers together may have in flight at most.
 pub(super) const MOST: f64 = 100.0;
 
+/// An attempt that has ended, as far as it tells of its member's load.
+pub(super) struct EndedLoad {
+    pub(super) member: MemberId,
+    pub(super) class: usize,
+    /// Its connection had most likely been dropped on the way while it rested.
+    pub(super) reaped: bool,
+    pub(super) outcome: Outcome,
+}
+
 impl Router {
     /// So many drivers live: room of the dead is taken over, or given back, at once. Cold members are shared
     /// by `at_cold`, whoever may come back. Harms members where drivers that live are taken for dead.
     pub fn fleet(&mut self, living: usize, at_cold: usize) {
         let part = self.terms.drivers as f64 / living as f64;
-        (self.terms.drivers, self.terms.drivers_at_cold) = (living, at_cold);
+        self.terms.drivers = living;
+        self.terms.drivers_at_cold = at_cold;
         let least = if self.sparse() { 0.0 } else { 1.0 };
         self.members.iter_mut().for_each(|member| member.window = (member.window * part).max(least));
     }
@@ -29,7 +39,7 @@
         }
         let member = &self.members[id];
         // Attempts that were overtaken and stay out for long are taken for lost: they hold no place.
-        let overdue = |(at, class)| at < member.overtaken && now - at > self.patience(class);
+        let overdue = |(at, class)| at < member.newest_answered_sent && now - at > self.patience(class);
         let lost = self.sent_out(id).filter(|&out| overdue(out)).count();
         let out = (member.out.len() - lost) as f64;
         let mut room = member.window.floor() - out;
@@ -62,8 +72,10 @@
     /// An attempt uses up what was saved for its member; the primary is owed its part of its group's
     /// attempts.
     pub(super) fn account(&mut self, now: Micros, id: MemberId, writes: bool) {
-        let (credit, hold) = (self.credit(now, id) - 1.0, self.hold());
-        (self.members[id].credit, self.members[id].credited) = (credit, now);
+        let credit = self.credit(now, id) - 1.0;
+        let hold = self.hold();
+        self.members[id].credit = credit;
+        self.members[id].credited = now;
         if !self.sparse() && self.groups[self.members[id].group].primary.is_some() {
             return;
         }
@@ -80,4 +92,76 @@
         let due = part(&primary) / all.max(f64::EPSILON) - f64::from(id == primary);
         group.owed = (group.owed + due).clamp(-3.0, 3.0);
     }
+
+    /// Widens or narrows the window by how long the attempt took, where that says something of the member's load.
+    pub(super) fn adapt_concurrency_limit(&mut self, now: Micros, ended: &EndedLoad) {
+        let (many_routers, drivers) = (self.sparse(), self.terms.drivers as f64);
+        let verdict = ended.outcome.verdict;
+        let crowded = verdict == Verdict::TimedOut && ended.outcome.took < self.patience(ended.class);
+        let seen = !verdict.never_ran()
+            && !ended.reaped
+            && verdict != Verdict::Unobserved
+            && verdict != Verdict::Error;
+        if verdict != Verdict::Served && !crowded && !(many_routers && seen) {
+            return;
+        }
+        let round_trip = self.way(now, ended.member);
+        let (step, least) = (self.window_step(), self.least_window());
+        let weight = self.answer_weight();
+        let objective = self.terms.classes[ended.class].objective;
+        let member = &mut self.members[ended.member];
+        member.took.add(ended.outcome.took, KEEP / 4);
+        let usual = member.took.quantile(0.6).unwrap_or(0);
+        let came = matches!(verdict, Verdict::Served | Verdict::Malformed);
+        let slow = if many_routers {
+            let took = if came { ended.outcome.took - round_trip } else { Micros::MAX };
+            took > objective * 70 / 100
+        } else {
+            usual > objective * 30 / 100
+        };
+        if slow {
+            member.window = (member.window * step).max(least);
+        } else if many_routers {
+            let most = MOST / drivers * member.size;
+            member.window = (member.window / step.powf(weight / 16.0)).min(most);
+        } else if member.out.len() as f64 >= member.window - 2.0 {
+            member.window += 1.0 / member.window;
+        }
+    }
+
+    /// The member rejected an attempt as overloaded: its window narrows, and nothing is saved up for it.
+    pub(super) fn shrink_concurrency_limit(&mut self, now: Micros, id: MemberId) {
+        let (step, least) = (self.window_step(), self.least_window());
+        let member = &mut self.members[id];
+        member.window = (member.window * step.min(0.7)).max(least.min(1.0));
+        member.credit = 0.0;
+        member.credited = now;
+    }
+
+    /// A quick error was no work and gives its attempt back, but not at a member that is warming up: the
+    /// overload rule counts what that one is sent.
+    pub(super) fn give_back_quick_error(&mut self, now: Micros, id: MemberId, class: usize, took: Micros) {
+        let usual = self.took[class].quantile(0.5).unwrap_or(0);
+        let warm_within = self.terms.warm_within;
+        let member = &mut self.members[id];
+        if took < usual / 10 && !member.is_warming_up(now, warm_within) {
+            member.credit += 1.0;
+        }
+    }
+
+    /// A router among many gets few of a member's answers: each then counts for more.
+    fn answer_weight(&self) -> f64 {
+        if self.sparse() { (self.terms.drivers as f64 / 4.0).min(16.0) } else { 1.0 }
+    }
+
+    /// The factor by which one slow answer narrows a window.
+    fn window_step(&self) -> f64 {
+        0.92f64.powf(self.answer_weight())
+    }
+
+    /// What slow answers narrow a window to at the most.
+    fn least_window(&self) -> f64 {
+        let least = STAY / self.terms.drivers as f64;
+        if self.sparse() { least } else { least.max(1.0) }
+    }
 }
--- a/crates/routing/src/policy/dispatch.rs
+++ b/crates/routing/src/policy/dispatch.rs
@@ -1,7 +1,7 @@
 //! A request's way: to a member, among the queued requests, or to its end.
 
 use super::HELD_UP;
-use crate::state::{Handle, Router};
+use crate::state::{Handle, InFlight, Router};
 use crate::{Action, Effect, Micros, Need};
 
 impl Router {
@@ -14,7 +14,7 @@
         let stuck = match (class.effect, pending.may_have_run) {
             (_, None) | (Effect::Pure, _) => false,
             (Effect::Effectful, Some(_)) => true,
-            (Effect::Receipted { window, .. }, Some((at, _))) => now >= at + window - HELD_UP,
+            (Effect::Receipted { window, .. }, Some(first)) => now >= first.sent_at + window - HELD_UP,
         };
         if stuck
             || self.at_fault(pending)
@@ -44,10 +44,13 @@
         let member = &mut self.members[id];
         member.out.push(handle);
         member.sent.push_back(now);
-        (pending.attempts, pending.rested) = (pending.attempts + 1, rested.filter(|_| !afresh));
+        pending.attempts += 1;
+        pending.rested = rested.filter(|_| !afresh);
         pending.tries_connection = tries_connection;
-        (pending.out, pending.waits_from) = (Some((id, now)), now);
-        (self.attempted, self.rush) = (self.attempted + 1.0, self.rush - 1.0);
+        pending.out = Some(InFlight { member: id, sent_at: now });
+        pending.waits_from = now;
+        self.attempted += 1.0;
+        self.rush -= 1.0;
         self.session(handle).into_iter().for_each(|session| session.out += 1);
         self.actions
             .requests
@@ -76,7 +79,7 @@
         let worth = |handle: &Handle| {
             let pending = &self.pending_requests[handle];
             let class = &self.terms.classes[pending.request.class];
-            let late = now > pending.objective_at || pending.repeat;
+            let late = now > pending.objective_at || pending.is_retry;
             class.priority_weight * if late { class.late_priority_weight } else { 1.0 }
         };
         held.sort_by(|a, b| worth(b).total_cmp(&worth(a)).then(b.cmp(a)));
--- a/crates/routing/src/policy/endpoint_list.rs
+++ b/crates/routing/src/policy/endpoint_list.rs
@@ -48,8 +48,11 @@
         }
         let member = &mut self.members[id];
         if !known || member.since != line.since && line.standing == Standing::Ready {
-            (member.blacklisted_until, member.seen_primary) = (member.blacklisted_until.min(now), false);
-            (member.since, member.credit, member.credited) = (line.since, credit, now);
+            member.blacklisted_until = member.blacklisted_until.min(now);
+            member.seen_primary = false;
+            member.since = line.since;
+            member.credit = credit;
+            member.credited = now;
         }
         self.stand(now, id, line.standing);
         if !known && !self.sparse() && !self.keeps_to_some() {
@@ -76,7 +79,8 @@
         let group = &mut self.groups[self.members[id].group];
         if standing != Standing::Ready && group.primary == Some(id) {
             // The list tells all drivers, but they are not to walk all at once.
-            (group.primary, group.walk_after) = (None, now + self.rng.random_range(0..hold));
+            group.primary = None;
+            group.walk_after = now + self.rng.random_range(0..hold);
             group.search.since = now;
         }
     }
--- a/crates/routing/src/policy/freshness.rs
+++ b/crates/routing/src/policy/freshness.rs
@@ -4,7 +4,9 @@
 use super::blacklist::FAILURE_WINDOW;
 use super::health_checks::{HEALTH_CHECK_EVERY, HEALTH_CHECK_NEEDED};
 use crate::state::{Handle, PendingRequest, Router, Session};
-use crate::{Effect, MemberId, MemberReport, Micros, Need, RequestClass, Role, Standing, Validity};
+use crate::{
+    Effect, MemberId, MemberReport, Micros, Need, Outcome, RequestClass, Role, Standing, Validity, Verdict,
+};
 
 /// Sessions that are remembered before older ones are forgotten.
 const SESSIONS: usize = 10_000;
@@ -36,7 +38,7 @@
     pub(super) fn validity(&self, pending: &PendingRequest, id: MemberId) -> Validity {
         let RequestClass { effect, need, .. } = self.terms.classes[pending.request.class];
         let repeats_until = match (effect, pending.may_have_run) {
-            (Effect::Receipted { window, .. }, Some((first, _))) => first + window - HELD_UP,
+            (Effect::Receipted { window, .. }, Some(first)) => first.sent_at + window - HELD_UP,
             _ => Micros::MAX,
         };
         let member = &self.members[id];
@@ -86,18 +88,21 @@
                 member.seen_primary |= asked >= member.replica_heard;
                 member.primary_position = member.primary_position.max(position);
                 if member.standing == Standing::Ready && (at >= group.word || group.primary.is_none()) {
-                    (group.primary, group.word) = (Some(id), at);
+                    group.primary = Some(id);
+                    group.word = at;
                 }
             }
             Some(Role::Replica) => {
                 member.not_primary = member.not_primary.max(now - report.age);
                 let newer = at >= group.word || position >= member.primary_position;
                 if newer && group.primary == Some(id) {
-                    (group.primary, group.word) = (None, at);
+                    group.primary = None;
+                    group.word = at;
                     group.search.since = now;
                 }
                 if newer || group.primary != Some(id) {
-                    (member.seen_primary, member.replica_heard) = (false, now);
+                    member.seen_primary = false;
+                    member.replica_heard = now;
                     member.demoted = member.demoted.max(at);
                 }
             }
@@ -113,4 +118,34 @@
         self.forgotten = Some(self.members_now(now) - FAILURE_WINDOW);
         self.sessions.retain(|_, session| session.out > 0 || Some(session.commit) > self.forgotten);
     }
+
+    /// A write of a session has ended: it was committed when its answer says, else by now if at all.
+    pub(super) fn end_session_write(&mut self, now: Micros, handle: Handle, outcome: &Outcome) {
+        let verdict = outcome.verdict;
+        let reported = outcome.report.position.filter(|_| verdict == Verdict::Served);
+        let commit = if verdict.never_ran() { 0 } else { reported.unwrap_or(self.members_now(now)) };
+        if let Some(session) = self.session(handle) {
+            session.ended(commit);
+        }
+    }
+
+    /// The position, by the members' clock, that a replica must have reached to serve the read.
+    pub(super) fn position_floor(&self, now: Micros, pending: &PendingRequest, need: Need) -> Micros {
+        match need {
+            Need::Latest => self.members_now(pending.arrived),
+            Need::OwnWrites => self.session_floor(now, pending),
+            Need::Recent(bound) => self.members_now(now) - bound + HELD_UP,
+            Need::Loose | Need::Write => Micros::MIN,
+        }
+    }
+
+    /// The newest write of the read's session, as far as the client says or this router remembers.
+    fn session_floor(&self, now: Micros, pending: &PendingRequest) -> Micros {
+        let said = pending.request.last_write.map(|ago| pending.arrived - ago);
+        let remembered = pending.request.session.as_ref().and_then(|name| {
+            let session = self.sessions.get(name);
+            session.map(|session| session.floor(self.members_now(now))).or(self.forgotten)
+        });
+        said.max(remembered).unwrap_or(Micros::MIN)
+    }
 }
--- a/crates/routing/src/policy/health_checks.rs
+++ b/crates/routing/src/policy/health_checks.rs
@@ -2,7 +2,7 @@
 
 use super::blacklist::BLACKLISTED_FOR;
 use super::{HOLD, MS};
-use crate::state::Router;
+use crate::state::{RoundTrip, Router};
 use crate::{Actions, MemberId, MemberReport, Micros, Standing, Verdict};
 
 /// So many health checks in a row without an answer blacklist a member.
@@ -16,6 +16,18 @@
 /// Health checks that a router may send before it has admitted any request.
 pub(super) const CREDIT_AT_START: f64 = 4.0;
 
+impl RoundTrip {
+    fn measure(&mut self, estimate: Micros, now: Micros) {
+        self.estimate = estimate;
+        self.measured_at = now;
+    }
+
+    /// The estimate, in microseconds; zero where it is too old to be believed.
+    pub(super) fn of_late(self, now: Micros) -> Micros {
+        if now - self.measured_at < BLACKLISTED_FOR { self.estimate } else { 0 }
+    }
+}
+
 impl Router {
     /// Checks members of a group in which requests are held, where that may set them free.
     pub(super) fn health_check_for_held(&mut self, now: Micros, group: usize) {
@@ -50,13 +62,14 @@
         let Some(member) = self.members.get_mut(id) else { return self.take_actions() };
         // The way to its zone: an answer halves the difference, silence tells less, as one member alone
         // may be dead.
-        let (way, at) = self.ways.entry(member.zone).or_insert((0, now));
+        let unmeasured = RoundTrip { estimate: 0, measured_at: now };
+        let zone = self.zone_round_trips.entry(member.zone).or_insert(unmeasured);
         match verdict {
             Verdict::Served => {
-                (*way, *at) = ((*way + took) / 2, now);
-                member.way = ((member.way.0 + took) / 2, now);
+                zone.measure((zone.estimate + took) / 2, now);
+                member.round_trip.measure((member.round_trip.estimate + took) / 2, now);
             }
-            Verdict::TimedOut => (*way, *at) = (*way + (took - *way) / 4, now),
+            Verdict::TimedOut => zone.measure(zone.estimate + (took - zone.estimate) / 4, now),
             _ => {}
         }
         let (group, was_blacklisted) = (member.group, member.health_check_misses >= HEALTH_CHECK_MISSES);
@@ -96,8 +109,14 @@
             && self.allowance >= 1.0
         {
             self.allowance -= 1.0;
-            (member.health_check_out, member.health_checked) = (true, now);
+            member.health_check_out = true;
+            member.health_checked = now;
             self.actions.health_checks.push(id);
         }
     }
+
+    /// There and back to the member, in microseconds, as far as its health checks of late tell.
+    pub(super) fn way(&self, now: Micros, id: MemberId) -> Micros {
+        self.members[id].round_trip.of_late(now)
+    }
 }
--- a/crates/routing/src/policy/idle_connections.rs
+++ b/crates/routing/src/policy/idle_connections.rs
@@ -9,9 +9,9 @@
 impl Router {
     /// How long the connection to the member has rested, as a power of two, where it would be used again.
     pub(super) fn rested(&self, now: Micros, id: MemberId) -> Option<usize> {
-        let Member { out, overtaken, answered, .. } = &self.members[id];
+        let Member { out, newest_answered_sent, answered, .. } = &self.members[id];
         let rest = ((now - answered) / (250 * MS)).max(0);
-        let known = out.is_empty() && *overtaken > 0 && rest < 32;
+        let known = out.is_empty() && *newest_answered_sent > 0 && rest < 32;
         known.then_some((64 - rest.leading_zeros()) as usize)
     }
 
@@ -40,4 +40,13 @@
         let faded = 1.0 - BEAT as f64 / (3 * FAILURE_WINDOW) as f64;
         self.rests.iter_mut().for_each(|silent| *silent *= faded);
     }
+
+    /// After an attempt: closes what is idle at the member, or at all, while members take few connections.
+    pub(super) fn release_connections(&mut self, now: Micros, id: MemberId, refused: bool) {
+        if refused {
+            self.refused(now, id);
+        } else if now < self.tight_until && self.members[id].out.is_empty() {
+            self.actions.shut.push(id);
+        }
+    }
 }
--- a/crates/routing/src/policy/local_failures.rs
+++ b/crates/routing/src/policy/local_failures.rs
@@ -79,8 +79,10 @@
     pub(super) fn not_sent(&mut self, now: Micros, handle: Handle, id: MemberId, sent: Micros, over: bool) {
         let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
         let tried = pending.tries_connection;
-        (pending.unsent, pending.last) = (pending.unsent + 1, Some(id));
-        (self.attempted, self.rush) = (self.attempted - 1.0, self.rush + 1.0);
+        pending.unsent += 1;
+        pending.last = Some(id);
+        self.attempted -= 1.0;
+        self.rush += 1.0;
         let member = &mut self.members[id];
         member.out.retain(|&out| out != handle);
         if let Some(at) = member.sent.iter().rposition(|&at| at == sent) {
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -27,6 +27,7 @@
 mod read_routing;
 mod replica_subset;
 mod retry;
+mod retry_detection;
 mod slow_start;
 mod stalls;
 mod write_routing;
@@ -35,6 +36,7 @@
 use replica_subset::salt;
 
 pub(crate) use local_failures::Backoff;
+pub(crate) use retry_detection::RetryDetector;
 
 /// A millisecond.
 const MS: Micros = 1_000;
@@ -81,9 +83,9 @@
             forgotten: None,
             // Until attempts tell better, most are taken to last half of the latency objective.
             took: terms.classes.iter().map(|class| Histogram::of(class.objective / 2, 4)).collect(),
-            ways: BTreeMap::new(),
+            zone_round_trips: BTreeMap::new(),
             any_took: Histogram::of(terms.classes.iter().map(|o| o.objective / 2).min().unwrap_or(0), 4),
-            usual_wait: vec![(0, 0); terms.classes.len()],
+            retry_detectors: vec![RetryDetector::default(); terms.classes.len()],
             warm_load: 0.0,
             mean_size: 1.0,
             allowance: health_checks::CREDIT_AT_START,
@@ -110,7 +112,8 @@
         for &(id, word) in &learnt.primaries {
             let group = &mut self.groups[self.members[id].group];
             if self.members[id].standing == Standing::Ready && group.primary.is_none() {
-                (group.primary, group.word) = (Some(id), word);
+                group.primary = Some(id);
+                group.word = word;
             }
         }
         for (took, &(usual, _)) in self.took.iter_mut().zip(&learnt.took).filter(|(_, of)| of.0 > 0) {
--- a/crates/routing/src/policy/read_routing.rs
+++ b/crates/routing/src/policy/read_routing.rs
@@ -1,98 +1,151 @@
 //! The member that a read goes to: replicas proven fresh enough, near and far.
 
-use std::collections::{BTreeMap, HashMap};
+use std::collections::HashMap;
 
 use rand::Rng;
 use rand::seq::IndexedRandom;
+use rand_pcg::Pcg64Mcg;
 
-use super::blacklist::BLACKLISTED_FOR;
+use super::BEAT;
 use super::concurrency_limit::MOST;
 use super::health_checks::HEALTH_CHECK_NEEDED;
-use super::{BEAT, HELD_UP};
 use crate::state::{Handle, Member, PendingRequest, Router};
-use crate::{Effect, MemberId, Micros, Need, RequestClass, Scope};
+use crate::{Effect, MemberId, Micros, Need, ReadShift, RequestClass, Scope};
+
+/// A member that a read may go to, and the attempts that it has room for.
+#[derive(Clone, Copy)]
+struct Candidate {
+    member: MemberId,
+    room: f64,
+}
+
+/// What a read may be sent to.
+struct ReadChoice {
+    /// The position that a member must have reached.
+    floor: Micros,
+    primary: Option<MemberId>,
+    /// The primary, where the read may go there and it has said itself that it is the primary.
+    seen_primary: Option<MemberId>,
+    /// The same, where it is due attempts beyond those that it had.
+    owed_primary: Option<MemberId>,
+    replicas: Vec<MemberId>,
+    /// Those with room, and only those on a short way where there are any.
+    candidates: Vec<Candidate>,
+}
+
+/// One of the candidates by chance, weighed by their room.
+fn choose(rng: &mut Pcg64Mcg, candidates: &[Candidate]) -> Option<MemberId> {
+    candidates.choose_weighted(rng, |candidate| candidate.room).ok().map(|candidate| candidate.member)
+}
 
 impl Router {
-    /// What the fleet decreed for the own zone, by group: the part of its reads that goes to other zones,
-    /// and how much of that to each. It weighs what the draw leaves open, and opens nothing. Protects a
-    /// crowded or returning zone's members; harms reads by a crossing each where the decree is out of date.
-    pub fn lean(&mut self, leans: HashMap<u64, (f64, BTreeMap<usize, f64>)>) {
+    /// Sets what part of the own zone's reads goes to other zones, by group; groups that are not named keep to
+    /// their own choice.
+    ///
+    /// It weighs what the draw leaves open, and opens nothing. Guards against crowding the members of a full or
+    /// returning zone; costs reads a crossing each when the directive is out of date.
+    pub fn shift_reads(&mut self, shifts: &HashMap<u64, ReadShift>) {
         for (name, &group) in &self.group_ids {
-            self.groups[group].lean = leans.get(name).cloned().unwrap_or_default();
+            self.groups[group].read_shift = shifts.get(name).cloned().unwrap_or_default();
         }
     }
 
-    /// A random replica proven fresh enough, else the primary. A sparse driver draws first, then asks it.
+    /// A random replica proven fresh enough, else the primary. A router among many draws first, then checks what
+    /// it drew. None where the read has to wait.
     pub(super) fn read_target(&mut self, now: Micros, handle: Handle, need: Need) -> Option<MemberId> {
         let pending = &self.pending_requests[&handle];
-        let floor = match need {
-            Need::Latest => self.members_now(pending.arrived),
-            Need::OwnWrites => {
-                let told = pending.request.last_write.map(|ago| pending.arrived - ago);
-                let members_now = self.members_now(now);
-                let floor =
-                    |name| self.sessions.get(name).map(|known| known.floor(members_now)).or(self.forgotten);
-                let remembered = pending.request.session.as_ref().and_then(floor);
-                told.max(remembered).unwrap_or(Micros::MIN)
-            }
-            Need::Recent(bound) => self.members_now(now) - bound + HELD_UP,
-            Need::Loose | Need::Write => Micros::MIN,
-        };
-        let (group, asked, sparse) = (pending.group, pending.asked, self.sparse());
-        let class = pending.request.class;
-        let long = need == Need::Loose && self.long(class);
-        let mut open = self.readable(now, pending, floor, long);
-        if open.iter().any(|&id| now >= self.members[id].blacklisted_until && Some(id) != pending.last) {
-            open.retain(|&id| now >= self.members[id].blacklisted_until && Some(id) != pending.last);
-        }
-        let primary = self.groups[group].primary;
-        let seen = primary.filter(|id| open.contains(id) && self.members[*id].seen_primary);
-        let replicas: Vec<MemberId> = open.iter().copied().filter(|&id| Some(id) != primary).collect();
-        let idle = seen.filter(|_| sparse && self.groups[group].owed > 0.0);
-        let drawable = replicas.iter().copied().chain(idle).map(|id| (id, self.room(now, id)));
-        let mut rooms: Vec<(MemberId, f64)> = drawable.filter(|&(_, room)| room > 0.0).collect();
-        let at_hand = rooms.iter().copied().filter(|&(id, _)| !self.remote(now, id, class));
-        let at_hand: Vec<(MemberId, f64)> = at_hand.collect();
-        rooms = if at_hand.is_empty() { rooms } else { at_hand };
+        let asked = pending.asked;
+        let floor = self.position_floor(now, pending, need);
+        let long = need == Need::Loose && self.long(pending.request.class);
+        let choice = self.read_choice(now, pending, floor, long);
         if long {
-            // All drivers alike: the last replica by sorted id that has room.
-            let last = rooms.iter().rev().find(|&&(id, _)| Some(id) != primary);
-            return last.map(|&(id, _)| id);
+            // All routers alike: the last replica by name that has room.
+            let replica = |candidate: &&Candidate| Some(candidate.member) != choice.primary;
+            return choice.candidates.iter().rev().find(replica).map(|candidate| candidate.member);
         }
-        let fresh = |router: &Router, id| Some(id) == idle || router.members[id].position >= floor;
-        let proven: Vec<(MemberId, f64)> = rooms.iter().copied().filter(|&(id, _)| fresh(self, id)).collect();
-        let drawn = if sparse && !asked { self.draw(&rooms) } else { None };
-        let target = drawn.filter(|&id| fresh(self, id)).or_else(|| self.draw(&proven));
-        let uncrowded =
-            |id: &MemberId| !sparse || self.members[*id].window * 3.0 > MOST / self.terms.drivers as f64;
-        let mut resort =
-            seen.filter(|&id| self.room(now, id) > self.members[id].window.floor() * 0.3).filter(uncrowded);
-        if self.terms.members_check && resort.is_none() {
-            // Not one that has just said how far behind it is: it would turn the read away, or hold it for
-            // nothing.
-            let may_be = |&id: &MemberId| now - self.members[id].heard >= self.catches_up_in(id, floor);
-            let behind = replicas.iter().copied().filter(may_be).filter(|&id| self.room(now, id) > 0.0);
-            resort = behind.max_by_key(|&id| self.members[id].position);
-        }
-        let stale: Vec<MemberId> = replicas.iter().copied().filter(|&id| !fresh(self, id)).collect();
+        let mut proven = choice.candidates.clone();
+        proven.retain(|candidate| self.is_fresh(&choice, candidate.member));
+        let drawn = if self.sparse() && !asked { self.draw(&choice.candidates) } else { None };
+        let fresh_drawn = drawn.filter(|&id| self.is_fresh(&choice, id));
+        let target = fresh_drawn.or_else(|| self.draw(&proven));
+        let resort = self.last_resort(now, &choice);
+        let mut stale = choice.replicas.clone();
+        stale.retain(|&id| !self.is_fresh(&choice, id));
         let crowded = |id| self.room(now, id) < self.members[id].window.floor() * 0.7;
         let unsure = drawn.is_some_and(|id| stale.contains(&id));
         if stale.is_empty() || !unsure && !target.is_none_or(crowded) {
             return target.or(resort);
         }
-        // One stale replica at a time is asked; a read waits for its word before it burdens the primary.
-        let awaited = |member: &Member| member.health_check_out && now - member.health_checked < BEAT;
-        if !stale.iter().any(|&id| awaited(&self.members[id])) {
-            let due = |&id: &MemberId| now - self.members[id].health_checked >= self.catches_up_in(id, floor);
-            let due: Vec<MemberId> = stale.iter().copied().filter(due).collect();
-            let ask = drawn.filter(|id| due.contains(id)).or_else(|| due.choose(&mut self.rng).copied());
-            ask.into_iter().for_each(|id| self.health_check(now, id, HEALTH_CHECK_NEEDED));
-        }
-        let waits = (target.is_none() || unsure) && stale.iter().any(|&id| awaited(&self.members[id]));
+        self.check_stale(now, &stale, drawn, floor);
+        let waits = (target.is_none() || unsure) && self.awaits_report(now, &stale);
         self.pending_requests.get_mut(&handle).expect("being placed").asked |= waits;
         if waits { None } else { target.or(resort) }
     }
 
+    /// The members that the read may go to, without those that failed it or are blacklisted where others are left.
+    fn read_choice(&self, now: Micros, pending: &PendingRequest, floor: Micros, long: bool) -> ReadChoice {
+        let mut open = self.readable(now, pending, floor, long);
+        let preferred = |id: MemberId| now >= self.members[id].blacklisted_until && Some(id) != pending.last;
+        if open.iter().any(|&id| preferred(id)) {
+            open.retain(|&id| preferred(id));
+        }
+        let group = &self.groups[pending.group];
+        let primary = group.primary;
+        let seen_primary = primary.filter(|id| open.contains(id) && self.members[*id].seen_primary);
+        let owed_primary = seen_primary.filter(|_| self.sparse() && group.owed > 0.0);
+        let replicas: Vec<MemberId> = open.into_iter().filter(|&id| Some(id) != primary).collect();
+        let drawable = replicas.iter().copied().chain(owed_primary);
+        let candidates = drawable.map(|member| Candidate { member, room: self.room(now, member) });
+        let mut candidates: Vec<Candidate> = candidates.filter(|candidate| candidate.room > 0.0).collect();
+        let at_hand = |candidate: &Candidate| !self.remote(now, candidate.member, pending.request.class);
+        if candidates.iter().any(at_hand) {
+            candidates.retain(at_hand);
+        }
+        ReadChoice { floor, primary, seen_primary, owed_primary, replicas, candidates }
+    }
+
+    fn is_fresh(&self, choice: &ReadChoice, id: MemberId) -> bool {
+        Some(id) == choice.owed_primary || self.members[id].position >= choice.floor
+    }
+
+    /// Where a read goes when no replica is proven fresh: to the primary where it has room to spare, else, where
+    /// members check freshness themselves, to the newest replica that may have caught up.
+    fn last_resort(&self, now: Micros, choice: &ReadChoice) -> Option<MemberId> {
+        let uncrowded = |id: MemberId| {
+            let window = self.members[id].window;
+            let most = MOST / self.terms.drivers as f64;
+            self.room(now, id) > window.floor() * 0.3 && (!self.sparse() || window * 3.0 > most)
+        };
+        let primary = choice.seen_primary.filter(|&id| uncrowded(id));
+        if !self.terms.members_check || primary.is_some() {
+            return primary;
+        }
+        // Not one that has just said how far behind it is: it would reject the read, or hold it for nothing.
+        let may_be_fresh =
+            |id: MemberId| now - self.members[id].heard >= self.catches_up_in(id, choice.floor);
+        let usable = |&id: &MemberId| may_be_fresh(id) && self.room(now, id) > 0.0;
+        choice.replicas.iter().copied().filter(usable).max_by_key(|&id| self.members[id].position)
+    }
+
+    /// Checks one stale replica at a time: the one that was drawn, else one by chance.
+    fn check_stale(&mut self, now: Micros, stale: &[MemberId], drawn: Option<MemberId>, floor: Micros) {
+        if self.awaits_report(now, stale) {
+            return;
+        }
+        let due = |id: &MemberId| now - self.members[*id].health_checked >= self.catches_up_in(*id, floor);
+        let due: Vec<MemberId> = stale.iter().copied().filter(due).collect();
+        let checked = drawn.filter(|id| due.contains(id)).or_else(|| due.choose(&mut self.rng).copied());
+        if let Some(id) = checked {
+            self.health_check(now, id, HEALTH_CHECK_NEEDED);
+        }
+    }
+
+    /// A report of one of them is due at any moment: a read waits for it before it burdens the primary.
+    fn awaits_report(&self, now: Micros, stale: &[MemberId]) -> bool {
+        let awaited = |member: &Member| member.health_check_out && now - member.health_checked < BEAT;
+        stale.iter().any(|&id| awaited(&self.members[id]))
+    }
+
     /// Protects the freshness of replicas from reads of which a few in a row hold up their log for longer
     /// than bounded reads bear: these share one replica. Harms them where that one is slow, and where other
     /// long reads hold up nothing; a driver among many cannot see a crowd there, and goes by the whole bound.
@@ -110,47 +163,53 @@
     /// Tried again after a while. Harms members beyond it that are health checked just when a neighbour dies.
     pub(super) fn remote(&self, now: Micros, id: MemberId, class: usize) -> bool {
         let zone = self.members[id].zone;
-        let (way, at) = self.ways.get(&zone).copied().unwrap_or_default();
         let usual = self.took[class].quantile(0.5).unwrap_or(0);
-        let far = zone != self.terms.zone && now - at < BLACKLISTED_FOR;
-        let way = if far { way.max(self.way(now, id)) } else { self.way(now, id) };
+        let mut way = self.way(now, id);
+        if zone != self.terms.zone {
+            let to_zone = self.zone_round_trips.get(&zone).copied().unwrap_or_default();
+            way = way.max(to_zone.of_late(now));
+        }
         way + usual > self.terms.classes[class].objective / 2
     }
 
-    /// There and back to the member, as far as its health checks of late tell.
-    pub(super) fn way(&self, now: Micros, id: MemberId) -> Micros {
-        let (way, at) = self.members[id].way;
-        if now - at < BLACKLISTED_FOR { way } else { 0 }
+    /// A member drawn by its room.
+    ///
+    /// Where crossing has a price the own zone is preferred; a router among many prefers it for what that zone's
+    /// members carry if all zones send alike.
+    fn draw(&mut self, candidates: &[Candidate]) -> Option<MemberId> {
+        let (near, far): (Vec<Candidate>, Vec<Candidate>) =
+            candidates.iter().partition(|candidate| self.members[candidate.member].zone == self.terms.zone);
+        if let Some(id) = self.draw_shifted(candidates, &far) {
+            return Some(id);
+        }
+        let room = |of: &[Candidate]| of.iter().map(|candidate| candidate.room).sum::<f64>();
+        let stays =
+            if self.sparse() { room(&near) / room(candidates) * self.terms.zones as f64 } else { 1.0 };
+        let priced = self.terms.crossing_price > 0.0 && !near.is_empty() && !far.is_empty();
+        let drawn_from = if priced && self.rng.random::<f64>() < stays { &near } else { candidates };
+        choose(&mut self.rng, drawn_from)
     }
 
-    /// A member drawn by its room. Where crossing has a price the own zone is preferred, by a sparse driver
-    /// for what that zone's members carry if all zones send alike.
-    pub(super) fn draw(&mut self, rooms: &[(MemberId, f64)]) -> Option<MemberId> {
-        let (near, far): (Vec<_>, Vec<_>) =
-            rooms.iter().partition(|&&(id, _)| self.members[id].zone == self.terms.zone);
-        let sum = |rooms: &[(MemberId, f64)]| rooms.iter().map(|&(_, room)| room).sum::<f64>();
-        let stays = if self.sparse() { sum(&near) / sum(rooms) * self.terms.zones as f64 } else { 1.0 };
-        let group = rooms.first().map(|&(id, _)| self.members[id].group);
-        let (away, to) = group.map(|group| self.groups[group].lean.clone()).unwrap_or_default();
-        if away > 0.0 && self.rng.random::<f64>() < away {
-            let weighed = |&(id, room): &(MemberId, f64)| {
-                (id, room * to.get(&self.members[id].zone).copied().unwrap_or(0.0))
-            };
-            let weighed: Vec<(MemberId, f64)> = far.iter().map(weighed).collect();
-            if let Ok(&(id, _)) = weighed.choose_weighted(&mut self.rng, |&(_, room)| room) {
-                return Some(id);
-            }
+    /// A member of another zone, where the group's read shift sends this read away.
+    fn draw_shifted(&mut self, candidates: &[Candidate], far: &[Candidate]) -> Option<MemberId> {
+        let group = self.members[candidates.first()?.member].group;
+        let shift = &self.groups[group].read_shift;
+        if shift.away <= 0.0 || self.rng.random::<f64>() >= shift.away {
+            return None;
         }
-        let priced = self.terms.crossing_price > 0.0 && !near.is_empty() && !far.is_empty();
-        let rooms = if priced && self.rng.random::<f64>() < stays { &near } else { rooms };
-        rooms.choose_weighted(&mut self.rng, |&(_, room)| room).ok().map(|&(id, _)| id)
+        let weighed = |candidate: &Candidate| {
+            let weight = shift.to_zones.get(&self.members[candidate.member].zone).copied().unwrap_or(0.0);
+            Candidate { room: candidate.room * weight, ..*candidate }
+        };
+        let weighed: Vec<Candidate> = far.iter().map(weighed).collect();
+        choose(&mut self.rng, &weighed)
     }
 
     /// Whether a read may go to this member at all; a receipted one stays where its repeats are dropped.
     pub(super) fn may_follow(&self, now: Micros, pending: &PendingRequest, id: MemberId) -> bool {
         let scope = self.terms.classes[pending.request.class].effect;
         let zoned = matches!(scope, Effect::Receipted { scope: Scope::Zone, .. });
-        let kept = pending.may_have_run.is_none_or(|(_, zone)| !zoned || zone == self.members[id].zone);
+        let kept = pending.may_have_run.is_none_or(|first| !zoned || first.zone == self.members[id].zone);
         kept && self.usable(now, id)
     }
 }
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -1,133 +1,170 @@
-//! What follows from an attempt's end.
+//! What follows from an attempt's end: what it says of the member, and whether the request is tried again.
 
-use super::blacklist::FAILURES;
-use super::concurrency_limit::{MOST, STAY};
+use super::concurrency_limit::EndedLoad;
 use super::health_checks::HEALTH_CHECK_NEEDED;
 use super::{HOLD, KEEP};
-use crate::state::{Handle, Router};
-use crate::{Micros, Outcome, Verdict};
+use crate::state::{FirstRun, Handle, Router};
+use crate::{MemberId, Micros, Outcome, Verdict};
+
+/// An attempt that has ended, with what was known just before its end was entered.
+struct EndedAttempt {
+    outcome: Outcome,
+    member: MemberId,
+    group: usize,
+    class: usize,
+    sent: Micros,
+    /// As `sent`, without the time in which the process stalled.
+    waits_from: Micros,
+    /// How long its connection had rested, as a power of two.
+    rested: Option<usize>,
+    tried_connection: bool,
+    /// The member had left its attempts without an answer for too long.
+    mute: bool,
+    /// Its connection had most likely been dropped on the way while it rested.
+    reaped: bool,
+    request_closed: bool,
+}
 
 impl Router {
+    /// Enters the end of an attempt; its request is closed, or placed again.
     pub(super) fn attempt_ended(&mut self, now: Micros, handle: Handle, outcome: Outcome) {
-        let Outcome { verdict, report, .. } = outcome;
-        let pending = self.pending_requests.get(&handle);
-        let out = pending.and_then(|pending| pending.out.map(|(id, _)| (id, pending.request.class)));
-        let mute = out.is_some_and(|(id, _)| self.mute(now, id));
-        let patience = out.map_or(0, |(_, class)| self.patience(class));
-        let (sparse, drivers) = (self.sparse(), self.terms.drivers as f64);
-        let credit = self.first_credit();
-        let usual_took = out.and_then(|(_, class)| self.took[class].quantile(0.5)).unwrap_or(0);
-        let rested = self.pending_requests.get(&handle).and_then(|pending| pending.rested);
-        let reaped = verdict == Verdict::TimedOut && rested.is_some_and(|rest| self.reaped(rest));
-        let way = out.map_or(0, |(id, _)| self.way(now, id));
-        let Some(pending) = self.pending_requests.get_mut(&handle) else { return };
-        let Some((id, sent)) = pending.out.take() else { return };
-        let (group, class, waits_from) = (pending.group, pending.request.class, pending.waits_from);
-        let (tried, over) = (pending.tries_connection, outcome.closed || pending.closed);
-        match verdict {
-            Verdict::LocalFailure => return self.not_sent(now, handle, id, sent, over),
+        let slow_start_credit = self.first_credit();
+        let Some(ended) = self.take_ended(now, handle, outcome) else { return };
+        let id = ended.member;
+        match outcome.verdict {
+            Verdict::LocalFailure => {
+                return self.not_sent(now, handle, id, ended.sent, ended.request_closed);
+            }
             Verdict::NotSent => {}
-            _ => self.connected(now, id, tried, verdict.heard()),
+            verdict => self.connected(now, id, ended.tried_connection, verdict.heard()),
         }
-        let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
-        let member = &mut self.members[id];
+        self.release_attempt(handle, &ended);
+        self.learn_of_rested_connection(&ended);
+        let refused = self.learn_of_reachability(now, &ended, slow_start_credit);
+        let load = EndedLoad { member: id, class: ended.class, reaped: ended.reaped, outcome };
+        self.adapt_concurrency_limit(now, &load);
+        self.judge_member(now, handle, &ended);
+        self.end_session_write(now, handle, &outcome);
+        self.pending_requests.get_mut(&handle).expect("not yet closed").last = Some(id);
+        self.release_connections(now, id, refused);
+        self.note(now, id, outcome.report, ended.sent, now - outcome.report.age);
+        if outcome.verdict == Verdict::NotPrimary && self.groups[ended.group].primary.is_none() {
+            self.count_miss(now, handle, &ended);
+        }
+        if ended.request_closed {
+            self.close(handle);
+        } else {
+            self.place(now, handle);
+        }
+        self.pump(now, ended.group);
+    }
+
+    /// Takes the attempt out of its request; none where the request has no attempt in flight.
+    fn take_ended(&mut self, now: Micros, handle: Handle, outcome: Outcome) -> Option<EndedAttempt> {
+        let pending = self.pending_requests.get(&handle)?;
+        let attempt = pending.out?;
+        let timed_out = outcome.verdict == Verdict::TimedOut;
+        let ended = EndedAttempt {
+            outcome,
+            member: attempt.member,
+            group: pending.group,
+            class: pending.request.class,
+            sent: attempt.sent_at,
+            waits_from: pending.waits_from,
+            rested: pending.rested,
+            tried_connection: pending.tries_connection,
+            mute: self.mute(now, attempt.member),
+            reaped: timed_out && pending.rested.is_some_and(|rest| self.reaped(rest)),
+            request_closed: outcome.closed || pending.closed,
+        };
+        self.pending_requests.get_mut(&handle)?.out = None;
+        Some(ended)
+    }
+
+    /// The attempt is no longer in flight at its member, and may have run there.
+    fn release_attempt(&mut self, handle: Handle, ended: &EndedAttempt) {
+        let member = &mut self.members[ended.member];
         member.out.retain(|&out| out != handle);
-        let ran = (!verdict.never_ran()).then_some((sent, member.zone));
-        pending.may_have_run = pending.may_have_run.or(ran);
-        let mut refusal = false;
-        if let Some(rest) = pending.rested.filter(|_| verdict.heard() || verdict == Verdict::TimedOut) {
+        if !ended.outcome.verdict.never_ran() {
+            let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
+            pending.may_have_run.get_or_insert(FirstRun { sent_at: ended.sent, zone: member.zone });
+        }
+    }
+
+    fn learn_of_rested_connection(&mut self, ended: &EndedAttempt) {
+        let verdict = ended.outcome.verdict;
+        let Some(rest) = ended.rested else { return };
+        if verdict.heard() || verdict == Verdict::TimedOut {
             let silent = &mut self.rests[rest];
             *silent += (f64::from(!verdict.heard()) - *silent) * 0.3;
         }
+    }
+
+    /// Says whether the member refused a connection at once, as seen by a router among many.
+    fn learn_of_reachability(&mut self, now: Micros, ended: &EndedAttempt, slow_start_credit: f64) -> bool {
+        let many_routers = self.sparse();
+        let verdict = ended.outcome.verdict;
+        let member = &mut self.members[ended.member];
         if verdict.heard() {
-            (member.answered, member.overtaken) = (now, member.overtaken.max(waits_from));
-            member.hear(now, credit);
-        } else if matches!(verdict, Verdict::Unconnected | Verdict::Unreachable | Verdict::Reset) {
-            member.lost_until = now + 2 * HOLD;
-            let refused = verdict == Verdict::Unconnected && outcome.took < HEALTH_CHECK_NEEDED;
-            member.fell = member.fell.or((verdict == Verdict::Reset || refused).then_some(now));
-            refusal = refused && sparse;
+            member.answered = now;
+            member.newest_answered_sent = member.newest_answered_sent.max(ended.waits_from);
+            member.hear(now, slow_start_credit);
+            return false;
         }
-        // A driver among many hears of few answers of a member: each then counts for more.
-        let weight = if sparse { (drivers / 4.0).min(16.0) } else { 1.0 };
-        let step = 0.92f64.powf(weight);
-        let least = if sparse { STAY / drivers } else { (STAY / drivers).max(1.0) };
-        let shrunk = (member.window * step.min(0.7)).max(least.min(1.0));
-        let crowded = verdict == Verdict::TimedOut && outcome.took < patience;
-        let unseen = verdict == Verdict::Unobserved;
-        let seen = !verdict.never_ran() && !unseen && !reaped && verdict != Verdict::Error;
-        if verdict == Verdict::Served || crowded || sparse && seen {
-            member.took.add(outcome.took, KEEP / 4);
-            let usual = member.took.quantile(0.6).unwrap_or(0);
-            let came = matches!(verdict, Verdict::Served | Verdict::Malformed);
-            let took = if came { outcome.took - way } else { Micros::MAX };
-            let (typical, share) = if sparse { (took, 70) } else { (usual, 30) };
-            if typical > self.terms.classes[class].objective * share / 100 {
-                member.window = (member.window * step).max(least);
-            } else if sparse {
-                member.window = (member.window / step.powf(weight / 16.0)).min(MOST / drivers * member.size);
-            } else if member.out.len() as f64 >= member.window - 2.0 {
-                member.window += 1.0 / member.window;
-            }
+        if !matches!(verdict, Verdict::Unconnected | Verdict::Unreachable | Verdict::Reset) {
+            return false;
         }
-        match verdict {
-            Verdict::Served => {
-                self.took[class].add(outcome.took, KEEP * 4);
-                self.any_took.add(outcome.took, KEEP * 4);
-                (member.served, member.malformed) = (member.served + 0.1, 0);
-                std::mem::take(&mut pending.erred).into_iter().for_each(|id| self.failed(now, id));
-            }
-            // Nobody's fault as yet: whoever honours the request proves that the member failed it. A quick
-            // one was no work, and gives its attempt back, but for a cold member: the rule counts what it is
-            // sent.
+        let refused = verdict == Verdict::Unconnected && ended.outcome.took < HEALTH_CHECK_NEEDED;
+        member.lost_until = now + 2 * HOLD;
+        if verdict == Verdict::Reset || refused {
+            member.fell.get_or_insert(now);
+        }
+        refused && many_routers
+    }
+
+    /// Enters what the verdict says for or against the member.
+    fn judge_member(&mut self, now: Micros, handle: Handle, ended: &EndedAttempt) {
+        let (id, took) = (ended.member, ended.outcome.took);
+        match ended.outcome.verdict {
+            Verdict::Served => self.attempt_served(now, handle, ended),
+            // Nobody's fault as yet: whoever serves the request proves that the member failed it.
             Verdict::Error => {
-                pending.erred.push(id);
-                let cold = member.since.is_some_and(|since| now - since < self.terms.warm_within);
-                member.credit += f64::from(outcome.took < usual_took / 10 && !cold);
+                self.pending_requests.get_mut(&handle).expect("not yet closed").erred.push(id);
+                self.give_back_quick_error(now, id, ended.class, took);
             }
-            Verdict::Overloaded => (member.window, member.credit, member.credited) = (shrunk, 0.0, now),
+            Verdict::Overloaded => self.shrink_concurrency_limit(now, id),
             Verdict::NotPrimary | Verdict::NotSent | Verdict::Unobserved => {}
-            // Protects a group whose members all spoil alike from the blacklist: only those in a row are
-            // failures.
-            // Should also cover links that break connections. Harms requests at a member that spoils most.
-            Verdict::Malformed | Verdict::ConnectionLost if member.malformed < FAILURES => {
-                member.malformed += 1
-            }
+            Verdict::Malformed | Verdict::ConnectionLost => self.malformed(now, id),
             // An attempt that outlasted its limit at a member that answers others met a crowd, not a fault.
-            Verdict::TimedOut | Verdict::Cancelled if !mute || reaped => {}
+            Verdict::TimedOut | Verdict::Cancelled if !ended.mute || ended.reaped => {}
             _ => self.failed(now, id),
         }
-        let told_commit =
-            report.position.filter(|_| verdict == Verdict::Served).unwrap_or(self.members_now(now));
-        let commit = if verdict.never_ran() { 0 } else { told_commit };
-        self.session(handle).into_iter().for_each(|session| session.ended(commit));
+    }
+
+    fn attempt_served(&mut self, now: Micros, handle: Handle, ended: &EndedAttempt) {
+        self.took[ended.class].add(ended.outcome.took, KEEP * 4);
+        self.any_took.add(ended.outcome.took, KEEP * 4);
+        let member = &mut self.members[ended.member];
+        member.served += 0.1;
+        member.malformed = 0;
         let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
-        pending.last = Some(id);
-        let idle = self.members[id].out.is_empty();
-        if refusal {
-            self.refused(now, id);
-        } else if now < self.tight_until && idle {
-            self.actions.shut.push(id);
+        for erred in std::mem::take(&mut pending.erred) {
+            self.failed(now, erred);
         }
-        self.note(now, id, report, sent, now - report.age);
-        if verdict == Verdict::NotPrimary && self.groups[group].primary.is_none() {
-            let round = self.groups[group].members.len().min(self.terms.max_attempts as usize / 2);
-            let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
-            pending.misses += 1;
-            let over = pending.misses >= round;
-            pending.misses = if over { 0 } else { pending.misses };
-            let (over_hold, member) = (now + self.hold(), &mut self.members[id]);
-            member.not_primary = member.not_primary.max(now - report.age);
-            if over {
-                self.groups[group].walk_after = over_hold;
-            }
-            self.part_with(id);
-        }
-        if over {
-            self.close(handle);
-        } else {
-            self.place(now, handle);
+    }
+
+    /// A write that met a replica: after a round of misses the group's writes wait for a while.
+    fn count_miss(&mut self, now: Micros, handle: Handle, ended: &EndedAttempt) {
+        let round = self.groups[ended.group].members.len().min(self.terms.max_attempts as usize / 2);
+        let hold = self.hold();
+        let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
+        pending.misses += 1;
+        if pending.misses >= round {
+            pending.misses = 0;
+            self.groups[ended.group].walk_after = now + hold;
         }
-        self.pump(now, group);
+        let member = &mut self.members[ended.member];
+        member.not_primary = member.not_primary.max(now - ended.outcome.report.age);
+        self.part_with(ended.member);
     }
 }
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -11,13 +11,21 @@
 const WALK: Micros = 10 * BEAT;
 
 impl Member {
+    /// Whether it started so recently that it is to be sent little.
+    pub(super) fn is_warming_up(&self, now: Micros, warm_within: Micros) -> bool {
+        self.since.is_some_and(|since| now - since < warm_within)
+    }
+
     /// Protects a process that died and came back from the crowd that waits for it. Should also cover
     /// starts that no list tells. Harms a member that only refused: it gets a cold part until it must be
     /// warm, unless it is heard sooner than any process comes back.
     pub(super) fn hear(&mut self, now: Micros, credit: f64) {
-        (self.heard, self.lost_until) = (now, now);
+        self.heard = now;
+        self.lost_until = now;
         if self.fell.take().is_some_and(|at| now - at > 4 * HOLD) {
-            (self.since, self.credit, self.credited) = (Some(now), credit, now);
+            self.since = Some(now);
+            self.credit = credit;
+            self.credited = now;
         }
     }
 }
@@ -53,11 +61,12 @@
         let fading = passed as f64 / window as f64;
         for member in &mut self.members {
             member.sent.retain(|&at| at > now - window);
-            let cold = member.since.is_some_and(|since| now - since < self.terms.warm_within);
-            if member.standing == Standing::Ready && !cold {
-                (load, warm) = (load + member.served, warm + member.size);
+            let warming_up = member.is_warming_up(now, self.terms.warm_within);
+            if member.standing == Standing::Ready && !warming_up {
+                load += member.served;
+                warm += member.size;
             }
-            member.served *= if cold { 0.0 } else { 1.0 - 0.1 * fading };
+            member.served *= if warming_up { 0.0 } else { 1.0 - 0.1 * fading };
         }
         // What members carry does not shrink with what they are sent: their best of late counts.
         let faded = self.warm_load * (1.0 - 0.02 * fading);
--- a/crates/routing/src/policy/stalls.rs
+++ b/crates/routing/src/policy/stalls.rs
@@ -16,12 +16,13 @@
     pub fn stood_still(&mut self, now: Micros, long: Micros) {
         self.pending_requests.values_mut().for_each(|pending| pending.waits_from += long);
         for member in &mut self.members {
-            let Member { heard, answered, overtaken, health_checked, credited, .. } = member;
-            for at in [heard, answered, overtaken, health_checked, credited] {
+            let Member { heard, answered, newest_answered_sent, health_checked, credited, .. } = member;
+            for at in [heard, answered, newest_answered_sent, health_checked, credited] {
                 *at = (*at + long).min(now);
             }
         }
-        (self.next_beat, self.rush) = (now, 1.0);
+        self.next_beat = now;
+        self.rush = 1.0;
         self.rush_until = self.rush_until.max(if long > 10 * BEAT { now + RUSH } else { 0 });
     }
 
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -5,25 +5,46 @@
 use aldermill_statistics::Histogram;
 use rand_pcg::Pcg64Mcg;
 
-use crate::policy::Backoff;
-use crate::{Actions, Learnt, MemberId, Micros, Request, Standing, Terms};
+use crate::policy::{Backoff, RetryDetector};
+use crate::{Actions, Learnt, MemberId, Micros, ReadShift, Request, Standing, Terms};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Handle(pub(crate) u64);
 
+/// The attempt of a request that is in flight.
+#[derive(Clone, Copy)]
+pub(crate) struct InFlight {
+    pub(crate) member: MemberId,
+    pub(crate) sent_at: Micros,
+}
+
+/// The first attempt of a request that may have run.
+#[derive(Clone, Copy)]
+pub(crate) struct FirstRun {
+    pub(crate) sent_at: Micros,
+    pub(crate) zone: usize,
+}
+
+/// How long the way to a member or a zone and back takes, by health checks of late.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct RoundTrip {
+    pub(crate) estimate: Micros,
+    pub(crate) measured_at: Micros,
+}
+
 #[derive(Clone, Default)]
 pub(crate) struct PendingRequest {
     pub(crate) request: Request,
     pub(crate) group: usize,
     pub(crate) arrived: Micros,
     pub(crate) objective_at: Micros,
-    pub(crate) repeat: bool,
+    pub(crate) is_retry: bool,
     pub(crate) attempts: u32,
     pub(crate) unsent: u32,            // of these, that could not leave this machine
     pub(crate) tries_connection: bool, // its attempt is on a new connection where these failed
-    pub(crate) out: Option<(MemberId, Micros)>, // where an attempt is out, and since when
-    pub(crate) waits_from: Micros,     // the same, without the time in which the driver stood still
-    pub(crate) may_have_run: Option<(Micros, usize)>, // when first, and in which zone
+    pub(crate) out: Option<InFlight>,
+    pub(crate) waits_from: Micros, // the same, without the time in which the driver stood still
+    pub(crate) may_have_run: Option<FirstRun>,
     pub(crate) misses: usize,
     // how long its attempt's connection had, as a power of two; none where it is new
     pub(crate) rested: Option<usize>,
@@ -49,7 +70,7 @@
     pub(crate) primary_position: Micros, // the newest that it told as primary, or zero
     pub(crate) heard: Micros,
     pub(crate) answered: Micros,
-    pub(crate) overtaken: Micros, // when the newest attempt that it answered was sent
+    pub(crate) newest_answered_sent: Micros, // when the newest attempt that it answered was sent
     pub(crate) lost_until: Micros, // it could not be reached; believed until then, or until it is heard
     pub(crate) fell: Option<Micros>, // since when its process seems dead; taken for cold when it is heard again
     pub(crate) blacklisted_until: Micros,
@@ -59,7 +80,7 @@
     pub(crate) health_check_misses: u32,
     pub(crate) health_check_out: bool,
     pub(crate) health_checked: Micros,
-    pub(crate) way: (Micros, Micros), // there and back by its own health checks, and when last heard
+    pub(crate) round_trip: RoundTrip, // by its own health checks
     pub(crate) out: Vec<Handle>,
     // attempts that may be out at once; below one, the part of the time that one may be
     pub(crate) window: f64,
@@ -81,7 +102,7 @@
     pub(crate) search: PrimarySearch,
     pub(crate) owed: f64, // attempts due to the primary by its size and window, beyond those it had
     pub(crate) held: Vec<Handle>,
-    pub(crate) lean: (f64, BTreeMap<usize, f64>), // what the fleet decreed: the part that goes away, and where
+    pub(crate) read_shift: ReadShift,
 }
 
 /// The search for the primary of a group.
@@ -127,10 +148,10 @@
     pub(crate) clock_offset: Micros, // what members' clock, by which positions are told, is ahead of this one
     pub(crate) forgotten: Option<Micros>, // a write of a session not found may be as new as that
     pub(crate) took: Vec<Histogram>,
-    pub(crate) ways: BTreeMap<usize, (Micros, Micros)>, // there and back by zone, and when last heard
-    pub(crate) any_took: Histogram,                     // of attempts of all request classes together
-    // that most requests of a request class bring, and how sure that is
-    pub(crate) usual_wait: Vec<(Micros, i32)>,
+    pub(crate) zone_round_trips: BTreeMap<usize, RoundTrip>,
+    pub(crate) any_took: Histogram, // of attempts of all request classes together
+    /// By request class.
+    pub(crate) retry_detectors: Vec<RetryDetector>,
     pub(crate) warm_load: f64,
     pub(crate) mean_size: f64,
     pub(crate) allowance: f64,
