--- a/crates/routing/src/policy/admission.rs
+++ b/crates/routing/src/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Taking a request, and giving up one that cannot be served in time.
+//! Admission: accepting a request, and shedding one that cannot be served in time.
 
 use super::BEAT;
 use super::health_checks::CREDIT_PER_REQUEST;
@@ -6,7 +6,25 @@
 use crate::state::{Handle, PendingRequest, Router};
 use crate::{Action, Actions, Effect, Micros, Request, RequestClass, Scope};
 
+/// The instants that bound what is done for a request.
+pub(super) struct RequestDeadlines {
+    /// From then on an attempt would most likely end too late.
+    pub(super) give_up_at: Micros,
+    /// From then on an answer is worth nothing.
+    pub(super) useful_until: Micros,
+}
+
+/// Before half of the client's time is over, less what a beat and the way to the client take.
+fn shed_at(pending: &PendingRequest) -> Micros {
+    let half = (pending.request.ttl - pending.request.waited) / 2;
+    (pending.arrived + half - 2 * BEAT).max(pending.arrived + 1)
+}
+
 impl Router {
+    /// Accepts a request and decides on its first attempt.
+    ///
+    /// The caller carries out the returned actions in order. A request that cannot be served in time is
+    /// rejected or failed among them at once.
     pub fn take(&mut self, now: Micros, request: Request) -> (Handle, Actions) {
         let handle = Handle(self.next_handle);
         self.next_handle += 1;
@@ -45,58 +63,73 @@
         now - request.waited + objective - gone_by
     }
 
-    /// Until when an attempt of the request would most likely pay, and until when an answer pays at all.
-    /// Protects a client from a long wait for nothing: what was never attempted and pays little when late is
-    /// not held beyond half of its time, and a driver among many, who cannot see the crowd, attempts nothing
-    /// that would pay only that little. Should also cover groups without members. Harms what finds room
-    /// later.
-    pub(super) fn useful_until(&self, now: Micros, pending: &PendingRequest) -> (Micros, Micros) {
+    /// When the request is to be given up, and until when an answer is worth anything.
+    pub(super) fn deadlines(&self, now: Micros, pending: &PendingRequest) -> RequestDeadlines {
         let end = pending.arrived + pending.request.ttl;
-        let late_priority_weight = self.terms.classes[pending.request.class].late_priority_weight;
-        let useful = if late_priority_weight > 0.0 { end } else { end.min(pending.objective_at) };
-        // What waited for a replica's word alone has not waited for room.
-        let arrives = now == pending.arrived || pending.asked && now - pending.arrived <= 2 * BEAT;
-        let share = if arrives { 0.5 } else { 0.85 };
-        let pays = if self.sparse() && late_priority_weight < 0.5 {
-            useful.min(pending.objective_at)
+        let late_weight = self.terms.classes[pending.request.class].late_priority_weight;
+        let useful_until = if late_weight > 0.0 { end } else { end.min(pending.objective_at) };
+        // A router among many cannot see the crowd: it attempts nothing that would be worth little by then.
+        let worthwhile_until = if self.sparse() && late_weight < 0.5 {
+            useful_until.min(pending.objective_at)
         } else {
-            useful
+            useful_until
         };
-        let hopeless = pays - self.took[pending.request.class].quantile(share).unwrap_or(0) - BEAT;
-        let waits_for_room = pending.attempts == 0 && !self.backs_off(now);
-        let held = waits_for_room && (late_priority_weight < 0.5 || self.sparse());
-        // Told before half of the client's time is over, with what a beat and the way take.
-        let half = pending.arrived + (pending.request.ttl - pending.request.waited) / 2 - 2 * BEAT;
-        (if held { hopeless.min(half.max(pending.arrived + 1)) } else { hopeless }, useful)
+        let duration = self.expected_duration(now, pending);
+        let last_start = worthwhile_until - duration - BEAT;
+        let give_up_at =
+            if self.shed_early(now, pending) { last_start.min(shed_at(pending)) } else { last_start };
+        RequestDeadlines { give_up_at, useful_until }
+    }
+
+    /// How long an attempt of the request takes: a typical time as it arrives, a cautious one once it has
+    /// waited.
+    fn expected_duration(&self, now: Micros, pending: &PendingRequest) -> Micros {
+        // What waited for a replica's report alone has not waited for capacity.
+        let arrives = now == pending.arrived || pending.asked && now - pending.arrived <= 2 * BEAT;
+        let share = if arrives { 0.5 } else { 0.85 };
+        self.took[pending.request.class].quantile(share).unwrap_or(0)
+    }
+
+    /// Whether the request is given up before half of its client's time is over.
+    ///
+    /// Guards clients against a long wait for nothing, in groups without members too: what was never
+    /// attempted and is worth little when late is not held for longer. Costs a request that would have found
+    /// capacity later.
+    fn shed_early(&self, now: Micros, pending: &PendingRequest) -> bool {
+        let late_weight = self.terms.classes[pending.request.class].late_priority_weight;
+        let waits_for_capacity = pending.attempts == 0 && !self.backs_off(now);
+        waits_for_capacity && (late_weight < 0.5 || self.sparse())
     }
 
-    /// Rejected where that is true to say, else failed.
+    /// Rejects the request where that is true to say, else fails it.
     pub(super) fn give_up(&mut self, handle: Handle) {
         let pending = &self.pending_requests[&handle];
         let rejectable = match self.terms.classes[pending.request.class].effect {
             Effect::Pure | Effect::Receipted { scope: Scope::All, .. } => true,
             _ => pending.may_have_run.is_none() && pending.out.is_none(),
         };
-        // What is rejected for want of room has missed its latency objective: sooner again only adds to the
-        // crowd.
+        // What is rejected for want of capacity has missed its latency objective: a client that comes back
+        // sooner only adds to the crowd.
         let cool_down = self.terms.classes[pending.request.class].objective.min(self.terms.max_cool_down);
-        self.actions.requests.push((
-            handle,
-            if rejectable && !self.at_fault(pending) { Action::Reject { cool_down } } else { Action::Fail },
-        ));
+        let rejected = rejectable && !self.at_fault(pending);
+        let action = if rejected { Action::Reject { cool_down } } else { Action::Fail };
+        self.actions.requests.push((handle, action));
         self.close(handle);
     }
 
-    /// Further attempts go by priority weight: the best paid request class may use them all.
+    /// How many attempts a request of the class may use: the class with the highest priority weight all of
+    /// them, others at least half.
     pub(super) fn attempts_allowed(&self, class: &RequestClass) -> u32 {
         let best = self.terms.classes.iter().map(|o| o.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
         let most = f64::from(self.terms.max_attempts);
         (most * (class.priority_weight / best).max(0.5)).ceil().min(most) as u32
     }
 
-    /// Protects members from blacklists, and the attempts of others from being used up, by requests that
-    /// bring their errors with them: two members that fail it alike, or one three times, prove it. Should
-    /// also cover statements that every member turns down. Harms a request that met two bad members.
+    /// Whether the request itself causes the errors that answer it: two members failed it alike, or one three
+    /// times.
+    ///
+    /// Guards members against being blacklisted, and attempts against being used up, for statements that
+    /// every member rejects; costs a request its last attempts when it met two faulty members.
     pub(super) fn at_fault(&self, pending: &PendingRequest) -> bool {
         pending.erred.len() > 2 || pending.erred.iter().any(|id| *id != pending.erred[0])
     }
--- a/crates/routing/src/policy/concurrency_limit.rs
+++ b/crates/routing/src/policy/concurrency_limit.rs
@@ -1,5 +1,6 @@
 //! How many attempts this router may have in flight at a member.
 
+use super::blacklist::SentAttempt;
 use super::{KEEP, MS};
 use crate::state::{Member, Router};
 use crate::{MemberId, Micros, Outcome, Standing, Verdict};
@@ -21,32 +22,37 @@
 }
 
 impl Router {
-    /// So many drivers live: room of the dead is taken over, or given back, at once. Cold members are shared
-    /// by `at_cold`, whoever may come back. Harms members where drivers that live are taken for dead.
-    pub fn fleet(&mut self, living: usize, at_cold: usize) {
-        let part = self.terms.drivers as f64 / living as f64;
+    /// Sets how many routers live: the capacity of dead ones is taken over, or given back, at once. Members
+    /// that warm up are shared by `warming`, whoever may come back.
+    ///
+    /// Costs members a crowd when routers that live are taken for dead.
+    pub fn fleet(&mut self, living: usize, warming: usize) {
+        let ratio = self.terms.drivers as f64 / living as f64;
         self.terms.drivers = living;
-        self.terms.drivers_at_cold = at_cold;
+        self.terms.drivers_at_cold = warming;
         let least = if self.sparse() { 0.0 } else { 1.0 };
-        self.members.iter_mut().for_each(|member| member.window = (member.window * part).max(least));
+        self.members.iter_mut().for_each(|member| member.window = (member.window * ratio).max(least));
     }
 
-    /// How many more attempts this driver may have out at the member: its window, and for a cold one its
-    /// part of what the member can bear. Where less than one attempt is due, attempts are saved up for.
+    /// How many more attempts this router may have in flight at the member: its window and, while the member
+    /// warms up, its slow-start allowance. Where less than one attempt is due, attempts are saved up for.
     pub(super) fn room(&self, now: Micros, id: MemberId) -> f64 {
         if !self.connectable(now, id) {
             return 0.0;
         }
         let member = &self.members[id];
-        // Attempts that were overtaken and stay out for long are taken for lost: they hold no place.
-        let overdue = |(at, class)| at < member.newest_answered_sent && now - at > self.patience(class);
-        let lost = self.sent_out(id).filter(|&out| overdue(out)).count();
+        // Attempts that stay in flight for long while later ones are answered are taken for lost: they hold
+        // no place.
+        let overdue = |sent: &SentAttempt| {
+            sent.at < member.newest_answered_sent && now - sent.at > self.patience(sent.class)
+        };
+        let lost = self.sent_out(id).filter(overdue).count();
         let out = (member.out.len() - lost) as f64;
         let mut room = member.window.floor() - out;
         let bearable = self.bearable(now, id);
         let sent = member.sent.iter().filter(|&&at| at > now - self.terms.overload_window).count() as f64;
         if self.sparse() {
-            // Of a cold member's part none is lost to whole numbers: many drivers' attempts add up to it.
+            // None of a slow-start allowance is lost to whole numbers: many routers' attempts add up to it.
             let free = out < 1.0 && self.credit(now, id) >= 1.0 && sent <= bearable;
             return if free { member.window } else { 0.0 };
         } else if self.mute(now, id) {
@@ -58,7 +64,7 @@
         room.min(bearable.max(1.0).floor() - sent)
     }
 
-    /// Attempts saved up: at most two at a warm member and one at a cold one.
+    /// Attempts saved up: at most two at a warm member and one at a member that is warming up.
     pub(super) fn credit(&self, now: Micros, id: MemberId) -> f64 {
         let member = &self.members[id];
         let bearable = self.bearable(now, id);
@@ -69,7 +75,7 @@
         (member.credit + (now - member.credited) as f64 * pace).min(most)
     }
 
-    /// An attempt uses up what was saved for its member; the primary is owed its part of its group's
+    /// An attempt uses up what was saved for its member; the primary is owed its quota of its group's
     /// attempts.
     pub(super) fn account(&mut self, now: Micros, id: MemberId, writes: bool) {
         let credit = self.credit(now, id) - 1.0;
@@ -79,21 +85,24 @@
         if !self.sparse() && self.groups[self.members[id].group].primary.is_some() {
             return;
         }
-        let part = |&id: &MemberId| {
+        let weight = |&id: &MemberId| {
             let Member { standing, size, window, lost_until, .. } = self.members[id];
             if standing == Standing::Ready && now >= lost_until { size * window } else { 0.0 }
         };
         let group = &mut self.groups[self.members[id].group];
         let Some(primary) = group.primary else {
-            group.walk_after = if writes { now + hold } else { group.walk_after };
+            if writes {
+                group.walk_after = now + hold;
+            }
             return;
         };
-        let all: f64 = group.members.iter().map(part).sum();
-        let due = part(&primary) / all.max(f64::EPSILON) - f64::from(id == primary);
+        let all: f64 = group.members.iter().map(weight).sum();
+        let due = weight(&primary) / all.max(f64::EPSILON) - f64::from(id == primary);
         group.owed = (group.owed + due).clamp(-3.0, 3.0);
     }
 
-    /// Widens or narrows the window by how long the attempt took, where that says something of the member's load.
+    /// Widens or narrows the window by how long the attempt took, where that says something of the member's
+    /// load.
     pub(super) fn adapt_concurrency_limit(&mut self, now: Micros, ended: &EndedLoad) {
         let (many_routers, drivers) = (self.sparse(), self.terms.drivers as f64);
         let verdict = ended.outcome.verdict;
--- a/crates/routing/src/policy/dispatch.rs
+++ b/crates/routing/src/policy/dispatch.rs
@@ -1,62 +1,74 @@
 //! A request's way: to a member, among the queued requests, or to its end.
 
 use super::HELD_UP;
-use crate::state::{Handle, InFlight, Router};
-use crate::{Action, Effect, Micros, Need};
+use crate::state::{Handle, InFlight, PendingRequest, Router};
+use crate::{Action, Effect, MemberId, Micros, Need};
+
+/// Whether another attempt may have an effect: of what may have run never for a non-idempotent request, and
+/// for a deduplicated one only within its window.
+fn may_run_again(now: Micros, effect: Effect, pending: &PendingRequest) -> bool {
+    match (effect, pending.may_have_run) {
+        (_, None) | (Effect::Pure, _) => true,
+        (Effect::Effectful, Some(_)) => false,
+        (Effect::Receipted { window, .. }, Some(first)) => now < first.sent_at + window - HELD_UP,
+    }
+}
 
 impl Router {
-    /// Sends the request on its way, holds it, or gives it up.
+    /// Sends an attempt of the request, holds the request, or gives it up.
     pub(super) fn place(&mut self, now: Micros, handle: Handle) {
         let pending = &self.pending_requests[&handle];
         let class = &self.terms.classes[pending.request.class];
-        let (hopeless, useful) = self.useful_until(now, pending);
-        // Never again what may have run: an effectful request at all, a receipted one past its window.
-        let stuck = match (class.effect, pending.may_have_run) {
-            (_, None) | (Effect::Pure, _) => false,
-            (Effect::Effectful, Some(_)) => true,
-            (Effect::Receipted { window, .. }, Some(first)) => now >= first.sent_at + window - HELD_UP,
-        };
-        if stuck
+        let deadlines = self.deadlines(now, pending);
+        if !may_run_again(now, class.effect, pending)
             || self.at_fault(pending)
-            || now >= hopeless
+            || now >= deadlines.give_up_at
             || pending.attempts - pending.unsent >= self.attempts_allowed(class)
         {
             return self.give_up(handle);
         }
-        // Protects members from all that drivers which stood still owe at once. Harms what would be in time.
-        let writes = class.need == Need::Write;
-        let waits = now < self.rush_until && self.rush < 1.0;
-        let target = match class.need {
-            _ if waits => None,
+        let need = class.need;
+        let target = match need {
+            _ if self.is_paced(now) => None,
             Need::Write => self.write_target(now, pending),
-            need => self.read_target(now, handle, need),
-        };
-        let Some(id) = target else {
-            return self.groups[self.pending_requests[&handle].group].held.push(handle);
+            _ => self.read_target(now, handle, need),
         };
-        self.account(now, id, writes);
+        match target {
+            Some(id) => {
+                self.account(now, id, need == Need::Write);
+                self.send_attempt(now, handle, id, deadlines.useful_until);
+            }
+            None => self.groups[self.pending_requests[&handle].group].held.push(handle),
+        }
+    }
+
+    /// Sends an attempt to the member, which ends at `useful_until` at the latest.
+    fn send_attempt(&mut self, now: Micros, handle: Handle, id: MemberId, useful_until: Micros) {
         let rested = self.rested(now, id);
         let validity = self.validity(&self.pending_requests[&handle], id);
         let tries_connection = self.takes_connection(now, id);
         let kept = self.members[id].idle.is_some();
         let afresh = !kept && rested.is_some_and(|rest| self.reaped(rest));
-        let pending = self.pending_requests.get_mut(&handle).expect("held by its handle");
         let member = &mut self.members[id];
         member.out.push(handle);
         member.sent.push_back(now);
+        let pending = self.pending_requests.get_mut(&handle).expect("held by its handle");
         pending.attempts += 1;
         pending.rested = rested.filter(|_| !afresh);
         pending.tries_connection = tries_connection;
         pending.out = Some(InFlight { member: id, sent_at: now });
         pending.waits_from = now;
         self.attempted += 1.0;
-        self.rush -= 1.0;
-        self.session(handle).into_iter().for_each(|session| session.out += 1);
-        self.actions
-            .requests
-            .push((handle, Action::Attempt { member: id, timeout: useful - now, afresh, validity }));
+        self.paced_attempts -= 1.0;
+        if let Some(session) = self.session(handle) {
+            session.out += 1;
+        }
+        let timeout = useful_until - now;
+        let action = Action::Attempt { member: id, timeout, afresh, validity };
+        self.actions.requests.push((handle, action));
     }
 
+    /// The request is over; it is forgotten once no attempt of it is in flight.
     pub(super) fn close(&mut self, handle: Handle) {
         let Some(pending) = self.pending_requests.get_mut(&handle) else { return };
         pending.closed = true;
@@ -66,23 +78,24 @@
         }
     }
 
+    /// Places the held requests of all groups again.
     pub(super) fn pump_all(&mut self, now: Micros) {
         (0..self.groups.len()).for_each(|group| self.pump(now, group));
     }
 
-    /// Places the held requests of a group again: best paid first, then those that came last.
+    /// Places the held requests of a group again: by priority weight, then the newest first.
     pub(super) fn pump(&mut self, now: Micros, group: usize) {
         if self.groups[group].held.is_empty() {
             return;
         }
         let mut held = std::mem::take(&mut self.groups[group].held);
-        let worth = |handle: &Handle| {
+        let weight = |handle: &Handle| {
             let pending = &self.pending_requests[handle];
             let class = &self.terms.classes[pending.request.class];
             let late = now > pending.objective_at || pending.is_retry;
             class.priority_weight * if late { class.late_priority_weight } else { 1.0 }
         };
-        held.sort_by(|a, b| worth(b).total_cmp(&worth(a)).then(b.cmp(a)));
+        held.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then(b.cmp(a)));
         held.into_iter().for_each(|handle| self.place(now, handle));
     }
 }
--- a/crates/routing/src/policy/endpoint_list.rs
+++ b/crates/routing/src/policy/endpoint_list.rs
@@ -12,6 +12,8 @@
 use crate::{Actions, Listed, ListedRoles, MemberId, Micros, Standing};
 
 impl Router {
+    /// Takes in an endpoint list, or with `full` unset an update of one: members that it does not name are
+    /// gone only where it is full.
     pub fn list(&mut self, now: Micros, full: bool, lines: Vec<Listed>) -> Actions {
         // The list held at the start is no answer to a call.
         self.ask_at = if self.members.is_empty() { self.ask_at } else { Micros::MAX };
@@ -33,10 +35,12 @@
         self.take_actions()
     }
 
+    /// Takes in one line: a new member, or what changed of a known one.
     pub(super) fn list_line(&mut self, now: Micros, line: Listed) {
         let group = self.group(line.group);
         let credit = self.first_credit() + f64::from(line.since.is_none());
-        let (id, drivers) = (line.member, self.terms.drivers as f64);
+        let id = line.member;
+        let drivers = self.terms.drivers as f64;
         let known = self.members[id].group == group && self.members[id].name == line.name;
         if !known {
             let size = line.size / self.mean_size;
@@ -64,29 +68,32 @@
         if line.primary && line.standing == Standing::Ready && group.listed != Some(id) {
             let first = group.listed.replace(id).is_none();
             let trusted = match self.terms.listed_roles {
-                ListedRoles::Late => first || now - group.word > 1_000 * MS,
+                ListedRoles::Late => first || now - group.primary_reported_at > 1_000 * MS,
                 ListedRoles::AtStart => first && group.primary.is_none(),
                 ListedRoles::Never => false,
             };
-            group.primary = if trusted { Some(id) } else { group.primary };
+            if trusted {
+                group.primary = Some(id);
+            }
         }
     }
 
+    /// Sets whether a member is ready, draining or gone; a primary that is not ready is no longer believed.
     pub(super) fn stand(&mut self, now: Micros, id: MemberId, standing: Standing) {
         self.members[id].standing = standing;
         self.members[id].seen_primary &= standing == Standing::Ready;
         let hold = self.hold();
         let group = &mut self.groups[self.members[id].group];
         if standing != Standing::Ready && group.primary == Some(id) {
-            // The list tells all drivers, but they are not to walk all at once.
+            // All routers are notified at once, but their searches are not to begin at once.
             group.primary = None;
             group.walk_after = now + self.rng.random_range(0..hold);
             group.search.since = now;
         }
     }
 
-    /// Lets go of a member that is gone, once nothing of it is out and it was not heard for long: its index
-    /// may be given out anew, and one that comes back is another member.
+    /// Forgets a member that is gone, once nothing of it is in flight and it was not heard for long, and says
+    /// whether it did: its index may then be given out anew, and one that comes back is another member.
     pub fn forget(&mut self, now: Micros, id: MemberId) -> bool {
         let member = &self.members[id];
         let quiet = member.out.is_empty() && !member.health_check_out && now - member.heard > FAILURE_WINDOW;
@@ -101,6 +108,7 @@
         forgotten
     }
 
+    /// Discovery did not answer: the list is asked for again after a backoff.
     pub fn list_unavailable(&mut self, now: Micros) -> Actions {
         self.ask_wait = (self.ask_wait * 2).min(8_000 * MS);
         self.ask_at = now + self.rng.random_range(self.ask_wait / 2..self.ask_wait);
--- a/crates/routing/src/policy/freshness.rs
+++ b/crates/routing/src/policy/freshness.rs
@@ -12,8 +12,11 @@
 const SESSIONS: usize = 10_000;
 
 impl Router {
-    /// The members' clock is so much ahead of this one, and these are their starts on this one. Protects bounded reads
-    /// and slow start from a process whose wall clock is wrong. Harms them where the caller is.
+    /// Sets by how many microseconds the members' clock is ahead of this one, and when members started by
+    /// this one.
+    ///
+    /// Guards bounded reads and slow start against a process whose wall clock is wrong; costs both when the
+    /// caller's estimate is.
     pub fn members_clock(&mut self, offset: Micros, starts: &[(MemberId, Option<Micros>)]) {
         self.clock_offset = offset;
         for &(id, since) in starts {
@@ -23,18 +26,22 @@
         }
     }
 
-    /// Protects the price of health checks and the time of writes: a member far behind is not asked again
-    /// before it can have caught up, at twice the pace of time. Harms one that catches up faster, for a
-    /// second at most.
+    /// The least time between two health checks of a member that is behind: half of what it lacks, as it may
+    /// catch up at twice the pace of time.
+    ///
+    /// Guards the budget of health checks and the time of writes; costs up to a second when a member catches
+    /// up faster.
     pub(super) fn catches_up_in(&self, id: MemberId, floor: Micros) -> Micros {
         let position = self.members[id].position;
         let lacks = if position == Micros::MIN { 0 } else { floor.saturating_sub(position) };
         (lacks / 2).clamp(HEALTH_CHECK_NEEDED, HEALTH_CHECK_EVERY)
     }
 
-    /// Until when the attempt may leave. Protects reads and repeats from what comes between the decision and the
-    /// last byte: a connection that comes up late, a primary that steps down, a window of repeats that ends, a process
-    /// that is held up behind the last look. Harms reads by that time's worth of proof.
+    /// What must still hold when the attempt leaves.
+    ///
+    /// Guards reads and repeats against what comes between the decision and the last byte: a connection that
+    /// comes up late, a primary that steps down, a window of repeats that ends, a process that is held up.
+    /// Costs reads as much proof of freshness as [`HELD_UP`].
     pub(super) fn validity(&self, pending: &PendingRequest, id: MemberId) -> Validity {
         let RequestClass { effect, need, .. } = self.terms.classes[pending.request.class];
         let repeats_until = match (effect, pending.may_have_run) {
@@ -54,8 +61,10 @@
         Validity { until: repeats_until.min(fresh_until), while_primary }
     }
 
-    /// The session that a request writes to, where it is to be remembered. Protects its reads from a write
-    /// whose answer was lost or is on its way. Harms them by the primary's load while such a write is out.
+    /// The session that a request writes to, where it is to be remembered.
+    ///
+    /// Guards its reads against a write whose answer was lost or is on its way; costs the primary these reads
+    /// while such a write is in flight.
     pub(super) fn session(&mut self, handle: Handle) -> Option<&mut Session> {
         let request = &self.pending_requests[&handle].request;
         let writes = self.terms.remember_sessions && self.terms.classes[request.class].need == Need::Write;
@@ -67,10 +76,12 @@
             .map(|name| self.sessions.entry(name).or_default())
     }
 
-    /// Takes in what a member says of itself: true at `at`, and asked for no earlier than `asked`. Protects from
-    /// words that come late or out of order: an older one never beats a newer one, and reads take a member for
-    /// primary only by a word asked for after it was last heard to be a replica, which holds unless provably
-    /// older, as positions never go back. Harms reads without a fresh replica just after a hand-over.
+    /// Takes in what a member reports of itself: true at `at`, and asked for no earlier than `asked`.
+    ///
+    /// Guards against reports that come late or out of order: an older one never beats a newer one, and reads
+    /// take a member for primary only by a report asked for after it was last heard to be a replica, which
+    /// holds unless provably older, as positions never go back. Costs reads without a fresh replica a wait
+    /// just after a failover.
     pub(super) fn note(
         &mut self,
         now: Micros,
@@ -87,17 +98,19 @@
             Some(Role::Primary) if at >= member.demoted => {
                 member.seen_primary |= asked >= member.replica_heard;
                 member.primary_position = member.primary_position.max(position);
-                if member.standing == Standing::Ready && (at >= group.word || group.primary.is_none()) {
+                if member.standing == Standing::Ready
+                    && (at >= group.primary_reported_at || group.primary.is_none())
+                {
                     group.primary = Some(id);
-                    group.word = at;
+                    group.primary_reported_at = at;
                 }
             }
             Some(Role::Replica) => {
                 member.not_primary = member.not_primary.max(now - report.age);
-                let newer = at >= group.word || position >= member.primary_position;
+                let newer = at >= group.primary_reported_at || position >= member.primary_position;
                 if newer && group.primary == Some(id) {
                     group.primary = None;
-                    group.word = at;
+                    group.primary_reported_at = at;
                     group.search.since = now;
                 }
                 if newer || group.primary != Some(id) {
--- a/crates/routing/src/policy/health_checks.rs
+++ b/crates/routing/src/policy/health_checks.rs
@@ -49,7 +49,8 @@
         }
     }
 
-    /// How a health check ended. A member too full to report has answered all the same.
+    /// Takes in how a health check ended, after `took` microseconds. A member too full to report has answered
+    /// all the same. A member that is not known is passed over.
     pub fn health_checked(
         &mut self,
         now: Micros,
@@ -58,10 +59,28 @@
         took: Micros,
         report: MemberReport,
     ) -> Actions {
-        let credit = self.first_credit();
+        let slow_start_credit = self.first_credit();
         let Some(member) = self.members.get_mut(id) else { return self.take_actions() };
-        // The way to its zone: an answer halves the difference, silence tells less, as one member alone
-        // may be dead.
+        let group = member.group;
+        member.health_check_out = false;
+        self.measure_round_trip(now, id, verdict, took);
+        match verdict {
+            // Nobody asked it, or nobody saw its answer.
+            Verdict::NotSent | Verdict::Unobserved | Verdict::LocalFailure => {}
+            Verdict::Served | Verdict::Overloaded | Verdict::Malformed | Verdict::ConnectionLost => {
+                self.health_check_answered(now, id, report, slow_start_credit);
+            }
+            _ => self.health_check_missed(now, id, verdict),
+        }
+        self.pump(now, group);
+        self.part_with(id);
+        self.take_actions()
+    }
+
+    /// The way to the member and its zone: an answer halves the difference; silence says less, as one member
+    /// alone may be dead.
+    fn measure_round_trip(&mut self, now: Micros, id: MemberId, verdict: Verdict, took: Micros) {
+        let member = &mut self.members[id];
         let unmeasured = RoundTrip { estimate: 0, measured_at: now };
         let zone = self.zone_round_trips.entry(member.zone).or_insert(unmeasured);
         match verdict {
@@ -72,42 +91,46 @@
             Verdict::TimedOut => zone.measure(zone.estimate + (took - zone.estimate) / 4, now),
             _ => {}
         }
-        let (group, was_blacklisted) = (member.group, member.health_check_misses >= HEALTH_CHECK_MISSES);
-        member.health_check_out = false;
-        if matches!(verdict, Verdict::NotSent | Verdict::Unobserved | Verdict::LocalFailure) {
-            // Nobody asked it, or nobody saw its answer.
-        } else if matches!(
-            verdict,
-            Verdict::Served | Verdict::Overloaded | Verdict::Malformed | Verdict::ConnectionLost
-        ) {
-            // An answered health check lifts the detect blacklist.
-            member.blacklisted_until = if was_blacklisted { now } else { member.blacklisted_until };
-            member.health_check_misses = 0;
-            member.hear(now, credit);
-            let at = report.position.map(|position| position.saturating_sub(self.clock_offset));
-            let at = at.unwrap_or(now - HOLD - report.age);
-            self.note(now, id, report, at, at);
-        } else {
-            member.health_check_misses += 1;
-            member.fell = member.fell.or((verdict == Verdict::Unconnected).then_some(now));
-            member.lost_until = now + 2 * HOLD;
-            let blacklisted = member.health_check_misses >= HEALTH_CHECK_MISSES;
-            member.blacklisted_until =
-                if blacklisted { now + BLACKLISTED_FOR } else { member.blacklisted_until };
+    }
+
+    /// An answer lifts the blacklisting that missing ones brought about.
+    fn health_check_answered(
+        &mut self,
+        now: Micros,
+        id: MemberId,
+        report: MemberReport,
+        slow_start_credit: f64,
+    ) {
+        let member = &mut self.members[id];
+        if member.health_check_misses >= HEALTH_CHECK_MISSES {
+            member.blacklisted_until = now;
+        }
+        member.health_check_misses = 0;
+        member.hear(now, slow_start_credit);
+        let position_at = report.position.map(|position| position.saturating_sub(self.clock_offset));
+        let reported_at = position_at.unwrap_or(now - HOLD - report.age);
+        self.note(now, id, report, reported_at, reported_at);
+    }
+
+    fn health_check_missed(&mut self, now: Micros, id: MemberId, verdict: Verdict) {
+        let member = &mut self.members[id];
+        member.health_check_misses += 1;
+        if verdict == Verdict::Unconnected {
+            member.fell.get_or_insert(now);
+        }
+        member.lost_until = now + 2 * HOLD;
+        if member.health_check_misses >= HEALTH_CHECK_MISSES {
+            member.blacklisted_until = now + BLACKLISTED_FOR;
         }
-        self.pump(now, group);
-        self.part_with(id);
-        self.take_actions()
     }
 
+    /// Sends a health check, where one is allowed and paid for and the last one was sent at least `gap`
+    /// microseconds ago.
     pub(super) fn health_check(&mut self, now: Micros, id: MemberId, gap: Micros) {
         let member = &mut self.members[id];
         let early = member.health_check_out || now - member.health_checked < gap;
-        if self.terms.health_checks_allowed
-            && member.standing == Standing::Ready
-            && !early
-            && self.allowance >= 1.0
-        {
+        let allowed = self.terms.health_checks_allowed && self.allowance >= 1.0;
+        if allowed && member.standing == Standing::Ready && !early {
             self.allowance -= 1.0;
             member.health_check_out = true;
             member.health_checked = now;
--- a/crates/routing/src/policy/idle_connections.rs
+++ b/crates/routing/src/policy/idle_connections.rs
@@ -15,17 +15,21 @@
         known.then_some((64 - rest.leading_zeros()) as usize)
     }
 
-    /// Protects attempts from connections that something on the way has dropped unseen: rested ones mostly
-    /// meet silence, and those less rested do not. Should also cover idle limits shorter than the settings
-    /// say. Harms by handshakes where members fall silent at random.
+    /// Whether a connection that has rested for so long has most likely been dropped on the way.
+    ///
+    /// Guards attempts against connections that something on the way drops unseen, within the settings' idle
+    /// limits too: rested ones mostly meet silence, and those less rested do not. Costs handshakes when
+    /// members fall silent at random.
     pub(super) fn reaped(&self, rest: usize) -> bool {
         let least = self.rests.iter().position(|&silent| silent > 0.5).unwrap_or(0);
         least > 0 && rest >= least && self.rests[..least].iter().all(|&silent| silent < 0.25)
     }
 
-    /// Protects members that take few connections from those that drivers keep idle: a driver among many
-    /// that was refused closes its own, for a while after each use. A health check tells whether the process
-    /// is dead. Harms attempts by a handshake each.
+    /// A router among many that was refused closes its idle connections, for a while after each use; a health
+    /// check tells whether the process is dead.
+    ///
+    /// Guards members that take few connections against those that routers keep idle; costs attempts a
+    /// handshake each.
     pub(super) fn refused(&mut self, now: Micros, id: MemberId) {
         if now >= self.tight_until {
             let idle = (0..self.members.len()).filter(|&id| self.members[id].out.is_empty());
--- a/crates/routing/src/policy/local_failures.rs
+++ b/crates/routing/src/policy/local_failures.rs
@@ -1,8 +1,8 @@
 //! Attempts that could not leave because this machine opens no connections for a moment: no descriptor, port,
 //! route or memory is free.
 //!
-//! Nothing is learnt of the member then. The attempt is placed again: on a member that an idle connection leads to,
-//! else after a backoff, for as long as its deadline allows.
+//! Nothing is learnt of the member then. The attempt is placed again: on a member that an idle connection
+//! leads to, else after a backoff, for as long as its deadline allows.
 
 use rand::Rng;
 
@@ -10,16 +10,19 @@
 use crate::state::{Handle, Router};
 use crate::{MemberId, Micros};
 
-/// Waits between tries of a new connection, to whichever member, after one failed: at first and at the least, and at
-/// most.
-const RETRY: (Micros, Micros) = (20 * MS, 80 * MS);
-/// For so long after a failure new connections are tried one by one, and no request that was never sent is given up
-/// early: it has not waited for members.
+/// The shortest wait between two tries of a new connection, to whichever member, after one failed.
+const SHORTEST_WAIT: Micros = 20 * MS;
+/// The longest such wait.
+const LONGEST_WAIT: Micros = 80 * MS;
+/// For so long after a failure new connections are tried one by one, and no request that was never sent is
+/// given up early: it has not waited for members.
 const TROUBLE: Micros = 1_000 * MS;
 
-/// Until when new connections are tried one by one, because they failed here. Protects this machine and the members
-/// from all that waits at once when connections can be opened again: one is tried after each wait, which doubles where
-/// that fails and halves where it works. Harms what waits by some tens of milliseconds.
+/// Until when new connections are tried one by one, because they failed here: one is tried after each wait,
+/// which doubles where that fails and halves where it works.
+///
+/// Guards this machine and the members against all that waits at once when connections can be opened again;
+/// costs what waits some tens of milliseconds.
 #[derive(Clone, Copy)]
 pub(crate) struct Backoff {
     until: Micros,
@@ -28,8 +31,9 @@
 }
 
 impl Backoff {
+    /// New connections are not known to fail.
     pub(super) fn none(now: Micros) -> Backoff {
-        Backoff { until: now, wait: RETRY.0, retry_at: now }
+        Backoff { until: now, wait: SHORTEST_WAIT, retry_at: now }
     }
 }
 
@@ -70,7 +74,7 @@
         }
         if tried {
             let Backoff { wait, retry_at, .. } = &mut self.backoff;
-            *wait = (*wait / 2).max(RETRY.0);
+            *wait = (*wait / 2).max(SHORTEST_WAIT);
             *retry_at = (*retry_at).min(now + *wait);
         }
     }
@@ -82,7 +86,7 @@
         pending.unsent += 1;
         pending.last = Some(id);
         self.attempted -= 1.0;
-        self.rush += 1.0;
+        self.paced_attempts += 1.0;
         let member = &mut self.members[id];
         member.out.retain(|&out| out != handle);
         if let Some(at) = member.sent.iter().rposition(|&at| at == sent) {
@@ -93,8 +97,8 @@
         member.idle = Some(0);
         let group = member.group;
         let wait = match self.backoff.wait {
-            _ if !self.backs_off(now) => RETRY.0,
-            wait if tried => (wait * 2).min(RETRY.1),
+            _ if !self.backs_off(now) => SHORTEST_WAIT,
+            wait if tried => (wait * 2).min(LONGEST_WAIT),
             wait => wait,
         };
         let retry_at = now + self.rng.random_range(wait / 2..=wait);
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -1,9 +1,9 @@
 //! Every decision of the router.
 //!
-//! A driver starts one [`Router`] with its terms and a seed, hands it lists and health check answers, and
+//! A caller starts one [`Router`] with its terms and a seed, hands it lists and answers of health checks, and
 //! wakes it at the time last asked for. `take` gives a [`Handle`] for a request; what happens to the request
-//! later is a call on that handle. Each call brings `now` and returns a [`Actions`]. The interface types are
-//! in `lib.rs`; a request's way is `place`, from top to bottom.
+//! later is a call on that handle. Each call brings `now` and returns [`Actions`]. The interface types are in
+//! `lib.rs`. A request's way: `admission`, `dispatch`, `read_routing` or `write_routing`, `retry`.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -65,9 +65,10 @@
 }
 
 impl Router {
+    /// A router with its terms and a seed for its chance, before its first list.
     pub fn start(terms: Terms, seed: u64, now: Micros) -> Router {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        // All drivers ask at their start: the window grows with their number.
+        // All routers ask at their start: the window grows with their number.
         let ask_at =
             now + rng.random_range(0..(30 * MS * terms.drivers as Micros).clamp(200 * MS, 1_200 * MS));
         Router {
@@ -94,11 +95,11 @@
             backoff: Backoff::none(now),
             next_beat: now,
             next_walk: now,
-            usual: STAY,
+            usual_attempts: STAY,
             attempts: replica_subset::at_start(),
             attempted: 0.0,
-            rush_until: now,
-            rush: 0.0,
+            paced_until: now,
+            paced_attempts: 0.0,
             ask_at,
             ask_wait: 500 * MS,
             actions: Actions::default(),
@@ -106,14 +107,17 @@
         }
     }
 
-    /// Takes in what an earlier start learnt. Protects members from walks of those that come back:
-    /// primaries are guesses, as the list's are, windows are narrower. Harms by a miss where they moved.
+    /// Takes in what an earlier start learnt: primaries are guesses, as the list's are, and windows are
+    /// narrowed.
+    ///
+    /// Guards members against the searches and bursts of routers that come back; costs a miss when a primary
+    /// moved.
     pub fn recall(&mut self, learnt: &Learnt) {
-        for &(id, word) in &learnt.primaries {
+        for &(id, reported_at) in &learnt.primaries {
             let group = &mut self.groups[self.members[id].group];
             if self.members[id].standing == Standing::Ready && group.primary.is_none() {
                 group.primary = Some(id);
-                group.word = word;
+                group.primary_reported_at = reported_at;
             }
         }
         for (took, &(usual, _)) in self.took.iter_mut().zip(&learnt.took).filter(|(_, of)| of.0 > 0) {
@@ -125,6 +129,7 @@
         }
     }
 
+    /// Does what is due by now; the caller wakes the router at [`Actions::wake_at`].
     pub fn wake(&mut self, now: Micros) -> Actions {
         if now >= self.next_beat {
             self.next_beat = now + BEAT;
@@ -133,11 +138,12 @@
         self.take_actions()
     }
 
-    /// A driver among so many that it is not due one attempt at a time at each member.
+    /// Whether this router is one among so many that it is not due one attempt at a time at each member.
     fn sparse(&self) -> bool {
         self.terms.drivers as f64 > 1.5 * START
     }
 
+    /// What is due each [`BEAT`].
     fn beat(&mut self, now: Micros) {
         self.fade_silence();
         self.count_attempts(now);
--- a/crates/routing/src/policy/read_routing.rs
+++ b/crates/routing/src/policy/read_routing.rs
@@ -39,19 +39,19 @@
 }
 
 impl Router {
-    /// Sets what part of the own zone's reads goes to other zones, by group; groups that are not named keep to
-    /// their own choice.
+    /// Sets what part of the own zone's reads goes to other zones, by group; groups that are not named keep
+    /// to their own choice.
     ///
-    /// It weighs what the draw leaves open, and opens nothing. Guards against crowding the members of a full or
-    /// returning zone; costs reads a crossing each when the directive is out of date.
+    /// It weighs what the draw leaves open, and opens nothing. Guards against crowding the members of a full
+    /// or returning zone; costs reads a crossing each when the directive is out of date.
     pub fn shift_reads(&mut self, shifts: &HashMap<u64, ReadShift>) {
         for (name, &group) in &self.group_ids {
             self.groups[group].read_shift = shifts.get(name).cloned().unwrap_or_default();
         }
     }
 
-    /// A random replica proven fresh enough, else the primary. A router among many draws first, then checks what
-    /// it drew. None where the read has to wait.
+    /// A random replica proven fresh enough, else the primary. A router among many draws first, then checks
+    /// what it drew. None where the read has to wait.
     pub(super) fn read_target(&mut self, now: Micros, handle: Handle, need: Need) -> Option<MemberId> {
         let pending = &self.pending_requests[&handle];
         let asked = pending.asked;
@@ -82,7 +82,8 @@
         if waits { None } else { target.or(resort) }
     }
 
-    /// The members that the read may go to, without those that failed it or are blacklisted where others are left.
+    /// The members that the read may go to, without those that failed it or are blacklisted where others are
+    /// left.
     fn read_choice(&self, now: Micros, pending: &PendingRequest, floor: Micros, long: bool) -> ReadChoice {
         let mut open = self.readable(now, pending, floor, long);
         let preferred = |id: MemberId| now >= self.members[id].blacklisted_until && Some(id) != pending.last;
@@ -108,8 +109,8 @@
         Some(id) == choice.owed_primary || self.members[id].position >= choice.floor
     }
 
-    /// Where a read goes when no replica is proven fresh: to the primary where it has room to spare, else, where
-    /// members check freshness themselves, to the newest replica that may have caught up.
+    /// Where a read goes when no replica is proven fresh: to the primary where it has room to spare, else,
+    /// where members check freshness themselves, to the newest replica that may have caught up.
     fn last_resort(&self, now: Micros, choice: &ReadChoice) -> Option<MemberId> {
         let uncrowded = |id: MemberId| {
             let window = self.members[id].window;
@@ -146,9 +147,11 @@
         stale.iter().any(|&id| awaited(&self.members[id]))
     }
 
-    /// Protects the freshness of replicas from reads of which a few in a row hold up their log for longer
-    /// than bounded reads bear: these share one replica. Harms them where that one is slow, and where other
-    /// long reads hold up nothing; a driver among many cannot see a crowd there, and goes by the whole bound.
+    /// Whether reads of the class last so long that they share one replica.
+    ///
+    /// Guards the freshness of replicas against reads of which a few in a row hold up their log for longer
+    /// than bounded reads bear; costs long reads time when that replica is slow, or when they hold up
+    /// nothing. A router among many cannot see a crowd there, and goes by the whole bound.
     pub(super) fn long(&self, class: usize) -> bool {
         let usual = |class: usize| self.took[class].quantile(0.5).unwrap_or(0);
         let bound = |o: &RequestClass| if let Need::Recent(bound) = o.need { Some(bound) } else { None };
@@ -158,9 +161,11 @@
         bound.is_some_and(|bound| usual(class) > (bound / row).max(3 * least))
     }
 
-    /// Protects reads from a way that has grown so long that answers come too late, as its health checks
-    /// tell.
-    /// Tried again after a while. Harms members beyond it that are health checked just when a neighbour dies.
+    /// Whether the way to the member has grown so long that answers would come too late, as health checks of
+    /// late say.
+    ///
+    /// Guards reads against a slow link; costs the members beyond it their reads when they are checked just
+    /// as a neighbour dies.
     pub(super) fn remote(&self, now: Micros, id: MemberId, class: usize) -> bool {
         let zone = self.members[id].zone;
         let usual = self.took[class].quantile(0.5).unwrap_or(0);
@@ -174,8 +179,8 @@
 
     /// A member drawn by its room.
     ///
-    /// Where crossing has a price the own zone is preferred; a router among many prefers it for what that zone's
-    /// members carry if all zones send alike.
+    /// Where crossing has a price the own zone is preferred; a router among many prefers it for what that
+    /// zone's members carry if all zones send alike.
     fn draw(&mut self, candidates: &[Candidate]) -> Option<MemberId> {
         let (near, far): (Vec<Candidate>, Vec<Candidate>) =
             candidates.iter().partition(|candidate| self.members[candidate.member].zone == self.terms.zone);
@@ -205,7 +210,8 @@
         choose(&mut self.rng, &weighed)
     }
 
-    /// Whether a read may go to this member at all; a receipted one stays where its repeats are dropped.
+    /// Whether a read may go to this member at all; one that may have run stays where its repeats are
+    /// deduplicated.
     pub(super) fn may_follow(&self, now: Micros, pending: &PendingRequest, id: MemberId) -> bool {
         let scope = self.terms.classes[pending.request.class].effect;
         let zoned = matches!(scope, Effect::Receipted { scope: Scope::Zone, .. });
--- a/crates/routing/src/policy/retry_detection.rs
+++ b/crates/routing/src/policy/retry_detection.rs
@@ -12,17 +12,18 @@
 pub(crate) enum ClientAttempt {
     /// The first attempt of its client.
     First,
-    /// Its client waits for another time than most; it is ranked as a retry, but its objective counts from now.
+    /// Its client waits for another time than most; it is ranked as a retry, but its objective counts from
+    /// now.
     Unusual,
     /// A retry: the time missing from its wait has gone by already.
     Retry,
 }
 
-/// Learns how long most clients of a request class wait: most first attempts bring the same time, so a shorter
-/// one is a retry.
+/// Learns how long most clients of a request class wait: most first attempts bring the same time, so a
+/// shorter one is a retry.
 ///
-/// Guards against serving first what a client has already waited for in vain; costs a client in a hurry, whose
-/// first attempt is ranked as a retry, when clients of one class wait for different times.
+/// Guards against serving first what a client has already waited for in vain; costs a client in a hurry,
+/// whose first attempt is ranked as a retry, when clients of one class wait for different times.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RetryDetector {
     usual_wait: Micros,
@@ -30,7 +31,8 @@
 }
 
 impl RetryDetector {
-    /// Takes in the whole wait of a request that is not marked, in microseconds, and says what the request is.
+    /// Takes in the whole wait of a request that is not marked, in microseconds, and says what the request
+    /// is.
     pub(crate) fn classify(&mut self, wait: Micros) -> ClientAttempt {
         let usual = (wait - self.usual_wait).abs() <= self.usual_wait / 64;
         self.learn(wait, usual);
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -16,9 +16,11 @@
         self.since.is_some_and(|since| now - since < warm_within)
     }
 
-    /// Protects a process that died and came back from the crowd that waits for it. Should also cover
-    /// starts that no list tells. Harms a member that only refused: it gets a cold part until it must be
-    /// warm, unless it is heard sooner than any process comes back.
+    /// The member's process was heard. One that seemed dead for long is taken for started now.
+    ///
+    /// Guards a process that died and came back against the crowd that waits for it, where no list tells its
+    /// start; costs a member that only refused connections: it gets a slow-start allowance, unless it is
+    /// heard sooner than any process comes back.
     pub(super) fn hear(&mut self, now: Micros, credit: f64) {
         self.heard = now;
         self.lost_until = now;
@@ -31,31 +33,33 @@
 }
 
 impl Router {
-    /// How much a cold member may be sent in one window of the overload rule.
+    /// The slow-start allowance: attempts that the member may be sent in one window of the overload rule;
+    /// infinite once it is warm.
     pub(super) fn bearable(&self, now: Micros, id: MemberId) -> f64 {
         let member = &self.members[id];
         let age = member.since.map_or(Micros::MAX, |since| now - since);
         if age >= self.terms.warm_within {
             return f64::INFINITY;
         }
-        // The part at the middle of the window that ends now: capacity grows about evenly.
+        // The capacity at the middle of the window that ends now: it grows about evenly.
         let age = (age - self.terms.overload_window / 2).max(0) as f64 / self.terms.warm_within as f64;
-        let part = self.terms.cold_from + (1.0 - self.terms.cold_from) * age;
+        let capacity = self.terms.cold_from + (1.0 - self.terms.cold_from) * age;
         let load = self.warm_load.max(STAY / self.terms.drivers_at_cold as f64);
-        self.terms.overload_factor * part * load * member.size
+        self.terms.overload_factor * capacity * load * member.size
     }
 
-    /// A cold member's part is saved up for from a random start, so that not all drivers come at once.
+    /// Saving up for a member that warms up begins at a random credit, so that not all routers come at once.
     pub(super) fn first_credit(&mut self) -> f64 {
         self.rng.random::<f64>() + STAY / self.terms.drivers_at_cold as f64
     }
 
-    /// What fades with time at each member, and what warm members carry. Where there are many members this is done
-    /// less often.
+    /// Lets fade what is remembered of each member, and measures what warm members carry. Where there are
+    /// many members this is done less often.
     pub(super) fn walk_members(&mut self, now: Micros) {
-        // Only what was served counts as a warm member's load: misses and attempts turned away are no work.
+        // Only what was served counts as a warm member's load: misses and rejected attempts are no work.
         let window = self.terms.overload_window;
-        let (mut load, mut warm) = (0.0, 0.0);
+        let mut load = 0.0;
+        let mut warm = 0.0;
         let passed = if self.keeps_to_some() { WALK } else { BEAT };
         self.next_walk = now + passed;
         let fading = passed as f64 / window as f64;
--- a/crates/routing/src/policy/write_routing.rs
+++ b/crates/routing/src/policy/write_routing.rs
@@ -5,7 +5,7 @@
 use crate::{MemberId, Micros};
 
 impl Router {
-    /// The believed primary; without one, the next member by sorted id, one write walking at a time.
+    /// The believed primary; without one, the next member of the search order, one write at a time.
     pub(super) fn write_target(&self, now: Micros, pending: &PendingRequest) -> Option<MemberId> {
         let group = &self.groups[pending.group];
         if let Some(id) = group.primary {
@@ -26,8 +26,10 @@
             .filter(|&id| self.room(now, id) > 0.0)
     }
 
-    /// How long writes wait between walks. Protects members, cold ones most, from walks of many drivers at
-    /// once. Harms where health checks are untrue: a sparse driver then learns of a new primary late.
+    /// How long writes wait between rounds of misses, in microseconds.
+    ///
+    /// Guards members, those that warm up most, against searches of many routers at once; costs a router
+    /// among many time to find a new primary when health checks do not tell it.
     pub(super) fn hold(&self) -> Micros {
         HOLD.max(HOLD * self.terms.drivers as Micros * 2 / 50)
     }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -8,6 +8,7 @@
 use crate::policy::{Backoff, RetryDetector};
 use crate::{Actions, Learnt, MemberId, Micros, ReadShift, Request, Standing, Terms};
 
+/// A request that a router has taken, until it knows it no more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Handle(pub(crate) u64);
 
@@ -32,75 +33,116 @@
     pub(crate) measured_at: Micros,
 }
 
+/// A request that has no final answer yet, or an attempt in flight still.
 #[derive(Clone, Default)]
 pub(crate) struct PendingRequest {
     pub(crate) request: Request,
     pub(crate) group: usize,
     pub(crate) arrived: Micros,
     pub(crate) objective_at: Micros,
+    /// Its client has tried before, or is taken to have.
     pub(crate) is_retry: bool,
     pub(crate) attempts: u32,
-    pub(crate) unsent: u32,            // of these, that could not leave this machine
-    pub(crate) tries_connection: bool, // its attempt is on a new connection where these failed
+    /// Of these, those that could not leave this machine.
+    pub(crate) unsent: u32,
+    /// Its attempt is on a new connection where these failed.
+    pub(crate) tries_connection: bool,
     pub(crate) out: Option<InFlight>,
-    pub(crate) waits_from: Micros, // the same, without the time in which the driver stood still
+    /// When its attempt was sent, without the time in which the process stalled.
+    pub(crate) waits_from: Micros,
     pub(crate) may_have_run: Option<FirstRun>,
+    /// Members in this round that answered that they are not the primary.
     pub(crate) misses: usize,
-    // how long its attempt's connection had, as a power of two; none where it is new
+    /// How long its attempt's connection had rested, as a power of two; none where it is new.
     pub(crate) rested: Option<usize>,
-    pub(crate) erred: Vec<MemberId>, // that answered it with an error
-    pub(crate) asked: bool,          // it has waited for a replica's word
+    /// Members that answered it with an error.
+    pub(crate) erred: Vec<MemberId>,
+    /// It has waited for a replica's report.
+    pub(crate) asked: bool,
+    /// Where its newest attempt that ended was.
     pub(crate) last: Option<MemberId>,
+    /// It has its final answer.
     pub(crate) closed: bool,
 }
 
+/// What is believed of a member.
 #[derive(Clone, Default)]
 pub(crate) struct Member {
     pub(crate) name: String,
     pub(crate) group: usize,
     pub(crate) zone: usize,
     pub(crate) standing: Standing,
+    /// When it started; none is long ago.
     pub(crate) since: Option<Micros>,
     pub(crate) size: f64,
+    /// The newest that it reported, by the members' clock.
     pub(crate) position: Micros,
-    pub(crate) seen_primary: bool, // by its own word, and not since seen as replica
-    pub(crate) demoted: Micros,    // the time of its newest word that it is a replica
-    pub(crate) replica_heard: Micros, // when such a word was last heard
-    pub(crate) not_primary: Micros, // the newest time at which it was known not to be the primary
-    pub(crate) primary_position: Micros, // the newest that it told as primary, or zero
+    /// It reported itself primary, and not since replica.
+    pub(crate) seen_primary: bool,
+    /// The time of its newest report that it is a replica.
+    pub(crate) demoted: Micros,
+    /// When such a report was last heard.
+    pub(crate) replica_heard: Micros,
+    /// The newest time at which it was known not to be the primary.
+    pub(crate) not_primary: Micros,
+    /// The newest position that it reported as primary, or zero.
+    pub(crate) primary_position: Micros,
     pub(crate) heard: Micros,
+    /// When it last answered an attempt.
     pub(crate) answered: Micros,
-    pub(crate) newest_answered_sent: Micros, // when the newest attempt that it answered was sent
-    pub(crate) lost_until: Micros, // it could not be reached; believed until then, or until it is heard
-    pub(crate) fell: Option<Micros>, // since when its process seems dead; taken for cold when it is heard again
+    /// When the newest attempt that it answered was sent.
+    pub(crate) newest_answered_sent: Micros,
+    /// It could not be reached; believed until then, or until it is heard.
+    pub(crate) lost_until: Micros,
+    /// Since when its process seems dead; taken for warming up when it is heard again.
+    pub(crate) fell: Option<Micros>,
     pub(crate) blacklisted_until: Micros,
+    /// When it failed of late.
     pub(crate) failures: VecDeque<Micros>,
-    pub(crate) malformed: usize, // attempts malformed or dropped since the last served one
-    pub(crate) idle: Option<u32>, // connections known to be idle, since new ones to it failed here
+    /// Attempts with a malformed response or a lost connection since the last served one.
+    pub(crate) malformed: usize,
+    /// Connections known to be idle, since new ones to it failed here.
+    pub(crate) idle: Option<u32>,
+    /// Health checks in a row without an answer.
     pub(crate) health_check_misses: u32,
     pub(crate) health_check_out: bool,
+    /// When the last health check was sent.
     pub(crate) health_checked: Micros,
-    pub(crate) round_trip: RoundTrip, // by its own health checks
+    /// By its own health checks.
+    pub(crate) round_trip: RoundTrip,
+    /// Requests with an attempt in flight there.
     pub(crate) out: Vec<Handle>,
-    // attempts that may be out at once; below one, the part of the time that one may be
+    /// Attempts that may be in flight at once; below one, the part of the time that one may be.
     pub(crate) window: f64,
-    pub(crate) credit: f64, // attempts saved up at `credited`, where window or a cold part is below one
+    /// Attempts saved up at `credited`, where the window or a slow-start allowance is below one.
+    pub(crate) credit: f64,
     pub(crate) credited: Micros,
     pub(crate) took: Histogram,
+    /// When attempts were sent to it, in the last window of the overload rule.
     pub(crate) sent: VecDeque<Micros>,
-    pub(crate) served: f64, // attempts in one window of the overload rule, as of late
+    /// Attempts served in one window of the overload rule, as of late.
+    pub(crate) served: f64,
 }
 
+/// What is believed of a group.
 #[derive(Clone, Default)]
 pub(crate) struct Group {
-    pub(crate) members: Vec<MemberId>,   // by name
-    pub(crate) preferred: Vec<MemberId>, // the same, in the order in which this router prefers them
+    /// By name.
+    pub(crate) members: Vec<MemberId>,
+    /// The same, in the order in which this router prefers them.
+    pub(crate) preferred: Vec<MemberId>,
+    /// The believed primary.
     pub(crate) primary: Option<MemberId>,
-    pub(crate) word: Micros, // the time of the newest word on the primary
+    /// The time of the newest report of the primary.
+    pub(crate) primary_reported_at: Micros,
+    /// The primary by the list.
     pub(crate) listed: Option<MemberId>,
+    /// Until then no write looks for the primary by itself.
     pub(crate) walk_after: Micros,
     pub(crate) search: PrimarySearch,
-    pub(crate) owed: f64, // attempts due to the primary by its size and window, beyond those it had
+    /// Attempts due to the primary by its size and window, beyond those it had.
+    pub(crate) owed: f64,
+    /// Requests that wait for a member.
     pub(crate) held: Vec<Handle>,
     pub(crate) read_shift: ReadShift,
 }
@@ -126,47 +168,66 @@
         if self.out > 0 { now } else { self.commit }
     }
 
-    /// A write that was out has ended, and was committed by then at the latest: by now, if at all, where the answer
-    /// does not tell.
+    /// A write that was out has ended, and was committed by then at the latest: by now, if at all, where the
+    /// answer does not tell.
     pub(crate) fn ended(&mut self, commit: Micros) {
         self.out -= 1;
         self.commit = self.commit.max(commit);
     }
 }
 
+/// Decides where requests go. It does no I/O and has no clock: each call brings `now`, in microseconds that
+/// never go back, and returns what to do.
 #[derive(Clone)]
 pub struct Router {
     pub(crate) terms: Terms,
     pub(crate) rng: Pcg64Mcg,
-    pub(crate) salt: u64, // sets this router's choices apart from those of others
+    /// Sets this router's choices apart from those of others.
+    pub(crate) salt: u64,
     pub(crate) members: Vec<Member>,
     pub(crate) groups: Vec<Group>,
     pub(crate) group_ids: HashMap<u64, usize>,
     pub(crate) pending_requests: HashMap<Handle, PendingRequest>,
     pub(crate) next_handle: u64,
     pub(crate) sessions: HashMap<String, Session>,
-    pub(crate) clock_offset: Micros, // what members' clock, by which positions are told, is ahead of this one
-    pub(crate) forgotten: Option<Micros>, // a write of a session not found may be as new as that
+    /// How far the members' clock, by which positions are reported, is ahead of this one.
+    pub(crate) clock_offset: Micros,
+    /// A write of a session not found may be as new as that.
+    pub(crate) forgotten: Option<Micros>,
+    /// How long attempts take, by request class.
     pub(crate) took: Vec<Histogram>,
     pub(crate) zone_round_trips: BTreeMap<usize, RoundTrip>,
-    pub(crate) any_took: Histogram, // of attempts of all request classes together
+    /// How long attempts of all request classes together take.
+    pub(crate) any_took: Histogram,
     /// By request class.
     pub(crate) retry_detectors: Vec<RetryDetector>,
+    /// Attempts that a warm member of size one serves in one window of the overload rule.
     pub(crate) warm_load: f64,
     pub(crate) mean_size: f64,
+    /// Health checks that are paid for.
     pub(crate) allowance: f64,
-    // the share met by silence of late, by how long the attempt's connection had rested
+    /// The share met by silence of late, by how long the attempt's connection had rested.
     pub(crate) rests: [f64; 6],
-    pub(crate) tight_until: Micros, // a member lately had no connection to spare
-    pub(crate) backoff: Backoff,    // of new connections that fail here
+    /// A member lately had no connection to spare.
+    pub(crate) tight_until: Micros,
+    /// Of new connections that fail here.
+    pub(crate) backoff: Backoff,
     pub(crate) next_beat: Micros,
-    pub(crate) next_walk: Micros, // when all members are looked at again
-    pub(crate) usual: f64,        // attempts in a beat, as of late
-    pub(crate) attempted: f64,    // in this beat
-    pub(crate) attempts: f64,     // in a beat, as of late, from a careful start
-    pub(crate) rush_until: Micros,
-    pub(crate) rush: f64, // attempts due until then
+    /// When all members are looked at again.
+    pub(crate) next_walk: Micros,
+    /// Attempts in a beat, as of late.
+    pub(crate) usual_attempts: f64,
+    /// Attempts in this beat.
+    pub(crate) attempted: f64,
+    /// Attempts in a beat, as of late, from a careful start.
+    pub(crate) attempts: f64,
+    /// Until then attempts are paced after a stall.
+    pub(crate) paced_until: Micros,
+    /// Attempts due until then.
+    pub(crate) paced_attempts: f64,
+    /// When the endpoint list is subscribed to again.
     pub(crate) ask_at: Micros,
+    /// The backoff between two such calls.
     pub(crate) ask_wait: Micros,
     pub(crate) actions: Actions,
 }
@@ -177,12 +238,14 @@
         Router { terms: terms.clone(), ..self.clone() }
     }
 
+    /// Whether the request has an attempt in flight or no final answer yet.
     pub fn knows(&self, handle: Handle) -> bool {
         self.pending_requests.contains_key(&handle)
     }
 
+    /// What may be kept over a restart.
     pub fn learnt(&self) -> Learnt {
-        let primary = |group: &Group| group.primary.map(|id| (id, group.word));
+        let primary = |group: &Group| group.primary.map(|id| (id, group.primary_reported_at));
         let took = |of: &Histogram| (of.quantile(0.5).unwrap_or(0), of.quantile(0.9).unwrap_or(0));
         let window = |id: MemberId| (id, self.members[id].window.log2().floor() as i32);
         Learnt {
@@ -192,7 +255,7 @@
         }
     }
 
-    /// Now by the members' clock: no position that is told later than this is older.
+    /// Now by the members' clock: no position that is reported later than this is older.
     pub(crate) fn members_now(&self, now: Micros) -> Micros {
         now + self.clock_offset
     }
@@ -204,7 +267,11 @@
 
     pub(crate) fn group(&mut self, name: u64) -> usize {
         *self.group_ids.entry(name).or_insert_with(|| {
-            self.groups.push(Group { word: Micros::MIN / 2, walk_after: Micros::MIN, ..Group::default() });
+            self.groups.push(Group {
+                primary_reported_at: Micros::MIN / 2,
+                walk_after: Micros::MIN,
+                ..Group::default()
+            });
             self.groups.len() - 1
         })
     }
