--- a/crates/fault-injection/src/breaker.rs
+++ b/crates/fault-injection/src/breaker.rs
@@ -30,7 +30,7 @@
     Rejected,
     /// What the list says of drains is not heeded.
     Drained,
-    /// Launched when its client has gone.
+    /// Attempted when its client has gone.
     Late,
     /// It ends by itself.
     Ends,
--- a/crates/fault-injection/src/terms.rs
+++ b/crates/fault-injection/src/terms.rs
@@ -53,7 +53,7 @@
 pub const COLD_FROM: f64 = 0.2;
 pub const OVERLOAD_FACTOR: f64 = 2.5;
 pub const FALL_MS: i64 = 1000;
-pub const MAX_LAUNCHES: usize = 4;
+pub const MAX_ATTEMPTS: usize = 4;
 
 pub fn is_write(class: usize) -> bool {
     CLASSES[class].need == "update"
@@ -84,7 +84,7 @@
         "categories": categories, "clients": {"marksRetry": true}, "deductions": {"crossZone": crossing},
         "familyInfo": {"behind": "off", "maxAgeMs": ages, "needsByClass": needs, "positionZeroMs": 0,
             "roleListed": "off", "tokens": "client"},
-        "limits": {"maxAttempts": MAX_LAUNCHES, "maxRetryAfterMs": 500, "retryAfter": true, "probes": true,
+        "limits": {"maxAttempts": MAX_ATTEMPTS, "maxRetryAfterMs": 500, "retryAfter": true, "probes": true,
             "connIdleMs": 30000, "connectTimeoutMs": 1000, "maxOpen": 1000},
         "rules": {"coldFrom": COLD_FROM, "warmWithinMs": warm_ms, "overloadFactor": OVERLOAD_FACTOR,
             "fallMs": FALL_MS, "drainGraceMs": 500}})
