--- a/crates/routing/src/policy/concurrency_limit.rs
+++ b/crates/routing/src/policy/concurrency_limit.rs
@@ -75,27 +75,27 @@
         (member.credit + (now - member.credited) as f64 * pace).min(most)
     }
 
-    /// An attempt uses up what was saved for its member; the primary is owed its quota of its group's
-    /// attempts.
+    /// An attempt uses up what was saved for its member, and counts against its group's primary or search.
     pub(super) fn account(&mut self, now: Micros, id: MemberId, writes: bool) {
         let credit = self.credit(now, id) - 1.0;
-        let hold = self.hold();
-        self.members[id].credit = credit;
-        self.members[id].credited = now;
-        if !self.sparse() && self.groups[self.members[id].group].primary.is_some() {
-            return;
+        let member = &mut self.members[id];
+        member.credit = credit;
+        member.credited = now;
+        let group = member.group;
+        match self.groups[group].primary {
+            Some(primary) if self.sparse() => self.owe_primary(now, id, primary),
+            None if writes => self.groups[group].walk_after = now + self.hold(),
+            _ => {}
         }
+    }
+
+    /// The primary is owed its quota, by size and window, of each attempt that its group's members get.
+    fn owe_primary(&mut self, now: Micros, id: MemberId, primary: MemberId) {
         let weight = |&id: &MemberId| {
             let Member { standing, size, window, lost_until, .. } = self.members[id];
             if standing == Standing::Ready && now >= lost_until { size * window } else { 0.0 }
         };
         let group = &mut self.groups[self.members[id].group];
-        let Some(primary) = group.primary else {
-            if writes {
-                group.walk_after = now + hold;
-            }
-            return;
-        };
         let all: f64 = group.members.iter().map(weight).sum();
         let due = weight(&primary) / all.max(f64::EPSILON) - f64::from(id == primary);
         group.owed = (group.owed + due).clamp(-3.0, 3.0);
@@ -104,7 +104,8 @@
     /// Widens or narrows the window by how long the attempt took, where that says something of the member's
     /// load.
     pub(super) fn adapt_concurrency_limit(&mut self, now: Micros, ended: &EndedLoad) {
-        let (many_routers, drivers) = (self.sparse(), self.terms.drivers as f64);
+        let many_routers = self.sparse();
+        let drivers = self.terms.drivers as f64;
         let verdict = ended.outcome.verdict;
         let crowded = verdict == Verdict::TimedOut && ended.outcome.took < self.patience(ended.class);
         let seen = !verdict.never_ran()
@@ -115,7 +116,8 @@
             return;
         }
         let round_trip = self.way(now, ended.member);
-        let (step, least) = (self.window_step(), self.least_window());
+        let step = self.window_step();
+        let least = self.least_window();
         let weight = self.answer_weight();
         let objective = self.terms.classes[ended.class].objective;
         let member = &mut self.members[ended.member];
@@ -140,7 +142,8 @@
 
     /// The member rejected an attempt as overloaded: its window narrows, and nothing is saved up for it.
     pub(super) fn shrink_concurrency_limit(&mut self, now: Micros, id: MemberId) {
-        let (step, least) = (self.window_step(), self.least_window());
+        let step = self.window_step();
+        let least = self.least_window();
         let member = &mut self.members[id];
         member.window = (member.window * step.min(0.7)).max(least.min(1.0));
         member.credit = 0.0;
--- a/crates/routing/src/policy/endpoint_list.rs
+++ b/crates/routing/src/policy/endpoint_list.rs
@@ -11,6 +11,11 @@
 use crate::state::{Member, Router};
 use crate::{Actions, Listed, ListedRoles, MemberId, Micros, Standing};
 
+/// A primary reported longer ago than that is overruled by a list whose roles follow changes late.
+const LISTED_ROLES_LAG: Micros = 1_000 * MS;
+/// The longest backoff between two subscriptions to the list.
+const LONGEST_ASK_WAIT: Micros = 8_000 * MS;
+
 impl Router {
     /// Takes in an endpoint list, or with `full` unset an update of one: members that it does not name are
     /// gone only where it is full.
@@ -36,26 +41,20 @@
     }
 
     /// Takes in one line: a new member, or what changed of a known one.
-    pub(super) fn list_line(&mut self, now: Micros, line: Listed) {
+    fn list_line(&mut self, now: Micros, line: Listed) {
         let group = self.group(line.group);
-        let credit = self.first_credit() + f64::from(line.since.is_none());
+        let slow_start_credit = self.first_credit() + f64::from(line.since.is_none());
         let id = line.member;
-        let drivers = self.terms.drivers as f64;
         let known = self.members[id].group == group && self.members[id].name == line.name;
         if !known {
-            let size = line.size / self.mean_size;
-            let window = if self.sparse() { MOST / drivers * size } else { (START / drivers).max(1.0) };
-            let fresh = Member { position: Micros::MIN, heard: now, answered: now, ..Member::default() };
-            let fresh = Member { not_primary: Micros::MIN, ..fresh };
-            self.members[id] = Member { name: line.name, group, zone: line.zone, size, window, ..fresh };
-            self.enter(group, id);
+            self.add_member(now, group, &line);
         }
         let member = &mut self.members[id];
         if !known || member.since != line.since && line.standing == Standing::Ready {
             member.blacklisted_until = member.blacklisted_until.min(now);
             member.seen_primary = false;
             member.since = line.since;
-            member.credit = credit;
+            member.credit = slow_start_credit;
             member.credited = now;
         }
         self.stand(now, id, line.standing);
@@ -64,17 +63,44 @@
             self.allowance += 2.0;
             self.health_check(now, id, HEALTH_CHECK_NEEDED);
         }
+        if line.primary && line.standing == Standing::Ready {
+            self.learn_listed_primary(now, group, id);
+        }
+    }
+
+    fn add_member(&mut self, now: Micros, group: usize, line: &Listed) {
+        let drivers = self.terms.drivers as f64;
+        let size = line.size / self.mean_size;
+        let window = if self.sparse() { MOST / drivers * size } else { (START / drivers).max(1.0) };
+        self.members[line.member] = Member {
+            name: line.name.clone(),
+            group,
+            zone: line.zone,
+            size,
+            window,
+            position: Micros::MIN,
+            not_primary: Micros::MIN,
+            heard: now,
+            answered: now,
+            ..Member::default()
+        };
+        self.enter(group, line.member);
+    }
+
+    /// The list says that the member is its group's primary, which is believed as far as the list is.
+    fn learn_listed_primary(&mut self, now: Micros, group: usize, id: MemberId) {
         let group = &mut self.groups[group];
-        if line.primary && line.standing == Standing::Ready && group.listed != Some(id) {
-            let first = group.listed.replace(id).is_none();
-            let trusted = match self.terms.listed_roles {
-                ListedRoles::Late => first || now - group.primary_reported_at > 1_000 * MS,
-                ListedRoles::AtStart => first && group.primary.is_none(),
-                ListedRoles::Never => false,
-            };
-            if trusted {
-                group.primary = Some(id);
-            }
+        if group.listed == Some(id) {
+            return;
+        }
+        let first = group.listed.replace(id).is_none();
+        let trusted = match self.terms.listed_roles {
+            ListedRoles::Late => first || now - group.primary_reported_at > LISTED_ROLES_LAG,
+            ListedRoles::AtStart => first && group.primary.is_none(),
+            ListedRoles::Never => false,
+        };
+        if trusted {
+            group.primary = Some(id);
         }
     }
 
@@ -110,7 +136,7 @@
 
     /// Discovery did not answer: the list is asked for again after a backoff.
     pub fn list_unavailable(&mut self, now: Micros) -> Actions {
-        self.ask_wait = (self.ask_wait * 2).min(8_000 * MS);
+        self.ask_wait = (self.ask_wait * 2).min(LONGEST_ASK_WAIT);
         self.ask_at = now + self.rng.random_range(self.ask_wait / 2..self.ask_wait);
         self.take_actions()
     }
