--- a/crates/routing/src/policy/freshness.rs
+++ b/crates/routing/src/policy/freshness.rs
@@ -4,9 +4,7 @@
 use super::blacklist::FAILURE_WINDOW;
 use super::health_checks::{HEALTH_CHECK_EVERY, HEALTH_CHECK_NEEDED};
 use crate::state::{Handle, PendingRequest, Router, Session};
-use crate::{
-    Effect, MemberId, MemberReport, Micros, Need, Outcome, RequestClass, Role, Standing, Validity, Verdict,
-};
+use crate::{Effect, MemberId, MemberReport, Micros, Need, Outcome, Role, Standing, Validity, Verdict};
 
 /// Sessions that are remembered before older ones are forgotten.
 const SESSIONS: usize = 10_000;
@@ -43,22 +41,28 @@
     /// comes up late, a primary that steps down, a window of repeats that ends, a process that is held up.
     /// Costs reads as much proof of freshness as [`HELD_UP`].
     pub(super) fn validity(&self, pending: &PendingRequest, id: MemberId) -> Validity {
-        let RequestClass { effect, need, .. } = self.terms.classes[pending.request.class];
+        let effect = self.terms.classes[pending.request.class].effect;
         let repeats_until = match (effect, pending.may_have_run) {
             (Effect::Receipted { window, .. }, Some(first)) => first.sent_at + window - HELD_UP,
             _ => Micros::MAX,
         };
+        let fresh = self.freshness(pending, id);
+        Validity { until: repeats_until.min(fresh.until), ..fresh }
+    }
+
+    /// For how long the member is proven fresh enough for the request.
+    fn freshness(&self, pending: &PendingRequest, id: MemberId) -> Validity {
         let member = &self.members[id];
         let primary = self.groups[pending.group].primary == Some(id) && member.seen_primary;
-        let (fresh_until, while_primary) = match need {
-            Need::Write | Need::Loose => (Micros::MAX, false),
-            _ if self.terms.members_check => (Micros::MAX, false),
+        match self.terms.classes[pending.request.class].need {
+            Need::Write | Need::Loose => Validity::LASTING,
+            _ if self.terms.members_check => Validity::LASTING,
             Need::Recent(bound) if !primary => {
-                (member.position.saturating_add(bound - HELD_UP - self.clock_offset), false)
+                let until = member.position.saturating_add(bound - HELD_UP - self.clock_offset);
+                Validity { until, while_primary: false }
             }
-            _ => (Micros::MAX, primary),
-        };
-        Validity { until: repeats_until.min(fresh_until), while_primary }
+            _ => Validity { until: Micros::MAX, while_primary: primary },
+        }
     }
 
     /// The session that a request writes to, where it is to be remembered.
@@ -68,12 +72,11 @@
     pub(super) fn session(&mut self, handle: Handle) -> Option<&mut Session> {
         let request = &self.pending_requests[&handle].request;
         let writes = self.terms.remember_sessions && self.terms.classes[request.class].need == Need::Write;
-        request
-            .session
-            .as_ref()
-            .filter(|_| writes)
-            .cloned()
-            .map(|name| self.sessions.entry(name).or_default())
+        if !writes {
+            return None;
+        }
+        let name = request.session.clone()?;
+        Some(self.sessions.entry(name).or_default())
     }
 
     /// Takes in what a member reports of itself: true at `at`, and asked for no earlier than `asked`.
@@ -93,36 +96,44 @@
         let member = &mut self.members[id];
         let position = report.position.unwrap_or(Micros::MIN);
         member.position = member.position.max(position);
-        let group = &mut self.groups[member.group];
         match report.role {
-            Some(Role::Primary) if at >= member.demoted => {
-                member.seen_primary |= asked >= member.replica_heard;
-                member.primary_position = member.primary_position.max(position);
-                if member.standing == Standing::Ready
-                    && (at >= group.primary_reported_at || group.primary.is_none())
-                {
-                    group.primary = Some(id);
-                    group.primary_reported_at = at;
-                }
-            }
+            Some(Role::Primary) if at >= member.demoted => self.reported_primary(id, position, asked, at),
             Some(Role::Replica) => {
                 member.not_primary = member.not_primary.max(now - report.age);
-                let newer = at >= group.primary_reported_at || position >= member.primary_position;
-                if newer && group.primary == Some(id) {
-                    group.primary = None;
-                    group.primary_reported_at = at;
-                    group.search.since = now;
-                }
-                if newer || group.primary != Some(id) {
-                    member.seen_primary = false;
-                    member.replica_heard = now;
-                    member.demoted = member.demoted.max(at);
-                }
+                self.reported_replica(now, id, position, at);
             }
             _ => {}
         }
     }
 
+    fn reported_primary(&mut self, id: MemberId, position: Micros, asked: Micros, at: Micros) {
+        let member = &mut self.members[id];
+        member.seen_primary |= asked >= member.replica_heard;
+        member.primary_position = member.primary_position.max(position);
+        let group = &mut self.groups[member.group];
+        let newer = at >= group.primary_reported_at || group.primary.is_none();
+        if member.standing == Standing::Ready && newer {
+            group.primary = Some(id);
+            group.primary_reported_at = at;
+        }
+    }
+
+    fn reported_replica(&mut self, now: Micros, id: MemberId, position: Micros, at: Micros) {
+        let member = &mut self.members[id];
+        let group = &mut self.groups[member.group];
+        let newer = at >= group.primary_reported_at || position >= member.primary_position;
+        if newer && group.primary == Some(id) {
+            group.primary = None;
+            group.primary_reported_at = at;
+            group.search.since = now;
+        }
+        if newer || group.primary != Some(id) {
+            member.seen_primary = false;
+            member.replica_heard = now;
+            member.demoted = member.demoted.max(at);
+        }
+    }
+
     /// Forgets sessions that wrote long ago, where there are very many.
     pub(super) fn forget_old_sessions(&mut self, now: Micros) {
         if self.sessions.len() <= SESSIONS {
