--- a/crates/routing/src/policy/write_routing.rs
+++ b/crates/routing/src/policy/write_routing.rs
@@ -8,22 +8,25 @@
     /// The believed primary; without one, the next member of the search order, one write at a time.
     pub(super) fn write_target(&self, now: Micros, pending: &PendingRequest) -> Option<MemberId> {
         let group = &self.groups[pending.group];
-        if let Some(id) = group.primary {
-            let takes = self.usable(now, id) && self.room(now, id) > 0.0;
-            return takes.then_some(id);
-        }
-        if pending.misses == 0 && now < group.walk_after {
-            return None;
-        }
+        let target = match group.primary {
+            Some(primary) => Some(primary).filter(|&id| self.usable(now, id)),
+            None if pending.misses == 0 && now < group.walk_after => None,
+            None => self.next_candidate(now, pending),
+        };
+        target.filter(|&id| self.room(now, id) > 0.0)
+    }
+
+    /// The next member of the search order, behind the one that the request asked last, that may be the
+    /// primary; one that is blacklisted only where no other is left.
+    fn next_candidate(&self, now: Micros, pending: &PendingRequest) -> Option<MemberId> {
+        let group = &self.groups[pending.group];
         let order = self.search_order(group);
-        let start = pending.last.and_then(|last| order.iter().position(|&id| id == last));
-        let start = start.map_or(0, |at| at + 1);
+        let asked = pending.last.and_then(|last| order.iter().position(|&id| id == last));
+        let start = asked.map_or(0, |position| position + 1);
         let round = (0..order.len()).map(|step| order[(start + step) % order.len()]);
-        let mut open = round.filter(|&id| self.may_be_primary(now, group, id));
-        let first = open.clone().next();
-        open.find(|&id| now >= self.members[id].blacklisted_until)
-            .or(first)
-            .filter(|&id| self.room(now, id) > 0.0)
+        let mut candidates = round.filter(|&id| self.may_be_primary(now, group, id));
+        let first = candidates.clone().next();
+        candidates.find(|&id| now >= self.members[id].blacklisted_until).or(first)
     }
 
     /// How long writes wait between rounds of misses, in microseconds.
