--- a/crates/fault-injection/src/front.rs
+++ b/crates/fault-injection/src/front.rs
@@ -2,6 +2,7 @@
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
+use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -25,6 +26,9 @@
 /// A connection that stood idle and ends so soon behind a request was closed as that crossed it; later, the
 /// request was read.
 const CROSSES: Duration = Duration::from_millis(200);
+/// How long a client goes on waiting for an answer that has not come in time, so that one that comes late is told from
+/// one that never comes.
+const STAYS: Duration = Duration::from_secs(2);
 const TRIES: u32 = 4;
 const IDLE: usize = 16;
 
@@ -210,7 +214,6 @@
             }
             self.world.note(Event::Asked { id, driver, class, group, wait, first, after });
             let (how, again) = self.ask(driver, id, &text, wait).await;
-            self.world.note(Event::Answered { id, driver, how });
             if how == How::Served && is_write(class) {
                 // It took effect when it began; up to now is what a client may take it for.
                 self.world.wrote.borrow_mut().insert((session, group), self.world.now());
@@ -230,20 +233,33 @@
 
     /// One try, and after how long the client is asked to come again.
     async fn ask(&self, driver: usize, id: u64, text: &str, wait: At) -> (How, Option<Duration>) {
-        let place = &self.places[driver];
         let until = Instant::now() + Duration::from_micros((wait + SLACK) as u64);
+        let mut exchange = pin!(self.exchange(driver, id, text));
+        let in_time = timeout_at(until, &mut exchange).await;
+        let said = in_time.unwrap_or((How::Nothing, None));
+        self.world.note(Event::Answered { id, driver, how: said.0 });
+        if said.0 == How::Nothing {
+            let late = timeout_at(until + STAYS, exchange).await;
+            let how = late.map_or(How::Nothing, |(how, _)| how);
+            self.world.note(Event::AnsweredLate { id, how });
+        }
+        said
+    }
+
+    /// Asks and waits, however long it takes.
+    async fn exchange(&self, driver: usize, id: u64, text: &str) -> (How, Option<Duration>) {
+        let place = &self.places[driver];
         loop {
             let pooled = place.idle.borrow_mut().pop();
             let was_idle = pooled.is_some();
             let connection = match pooled {
                 Some(connection) => connection,
-                None => match timeout_at(until, TcpStream::connect(place.address)).await {
-                    Err(_) => return (How::Nothing, None),
-                    Ok(Err(_)) => {
+                None => match TcpStream::connect(place.address).await {
+                    Err(_) => {
                         self.fails(driver);
                         return (How::Unreached, None);
                     }
-                    Ok(Ok(stream)) => {
+                    Ok(stream) => {
                         let _ = stream.set_nodelay(true);
                         Connection { stream, buffer: Buffer::default(), last: None }
                     }
@@ -251,16 +267,14 @@
             };
             let mut connection = connection;
             let asked = Instant::now();
-            let said = timeout_at(until, self.converse(&mut connection, text)).await;
-            return match said {
-                Err(_) => (How::Nothing, None),
+            return match self.converse(&mut connection, text).await {
                 // It was closed for standing idle, as this crossed it.
-                Ok(None) if was_idle && asked.elapsed() < CROSSES => continue,
-                Ok(None) => {
+                None if was_idle && asked.elapsed() < CROSSES => continue,
+                None => {
                     self.fails(driver);
                     (How::Lost, None)
                 }
-                Ok(Some(said)) => {
+                Some(said) => {
                     place.fails.set(None);
                     connection.last = Some(id);
                     if place.idle.borrow().len() < IDLE {
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -21,7 +21,7 @@
     Lost,
     /// Nobody took the connection.
     Unreached,
-    /// Nothing had come when the client left at its limit.
+    /// Nothing had come when the client's time was over.
     Nothing,
     /// Something came behind the answer.
     Twice,
@@ -60,6 +60,11 @@
         driver: usize,
         how: How,
     },
+    /// What came, or became of the connection, while the client went on waiting for an answer that had not come in time.
+    AnsweredLate {
+        id: u64,
+        how: How,
+    },
     /// An attempt came whole to a member.
     Reached {
         id: u64,
@@ -210,6 +215,8 @@
     pub first: At,
     pub after: Option<At>,
     pub answered: Option<(At, How)>,
+    /// What came after the time was over.
+    pub late: Option<(At, How)>,
     /// Where attempts of it came, and when.
     pub reached: Vec<(At, usize)>,
     pub ran: Vec<(At, usize, At)>,
@@ -222,9 +229,10 @@
         let at = *at;
         match *event {
             Event::Asked { id, driver, class, wait, first, after, .. } => {
-                let (answered, reached, ran, over) = (None, Vec::new(), Vec::new(), Vec::new());
-                let asked = at;
-                let one = Try { driver, class, asked, wait, first, after, answered, reached, ran, over };
+                let (answered, late, asked) = (None, None, at);
+                let (reached, ran, over) = (Vec::new(), Vec::new(), Vec::new());
+                let one =
+                    Try { driver, class, asked, wait, first, after, answered, late, reached, ran, over };
                 tries.insert(id, one);
             }
             Event::Answered { id, how, .. } => {
@@ -233,6 +241,9 @@
                     one.answered = Some((at, how));
                 }
             }
+            Event::AnsweredLate { id, how } => {
+                tries.entry(id).and_modify(|one| one.late = Some((at, how)));
+            }
             Event::Reached { id, member, .. } => {
                 tries.entry(id).and_modify(|one| one.reached.push((at, member)));
             }
--- a/crates/fault-injection/src/judge.rs
+++ b/crates/fault-injection/src/judge.rs
@@ -14,8 +14,6 @@
 
 /// What clocks, wires and this process itself may take, in microseconds.
 pub const SLACK: At = 150_000;
-/// So much processor time kept from a driver while a client waited explains that its answer came too late.
-const EXPLAINS: At = 100_000;
 pub(crate) const GRACE: At = 500_000;
 /// What rounding to milliseconds takes from a position that a client carries.
 const CARRIED: At = 5_000;
@@ -205,18 +203,31 @@
 fn answers(broken: &mut Vec<Broken>, spells: &Spells, lines: &Lines, kept: &Kept, id: u64, one: &Try) {
     let at_ms = one.asked / 1000;
     let mut found = |what: String| broken.push(Broken { rule: 1, at_ms, what });
-    let excused =
-        lines.clients || spells.any(one.driver, one.asked - lines.slack, one.asked + one.wait + lines.slack);
     let until = one.asked + one.wait + lines.slack;
-    let explained = kept.from(one.driver, one.asked, until) >= EXPLAINS;
+    let excused = |to: At| lines.clients || spells.any(one.driver, one.asked - lines.slack, to);
     match one.answered {
         Some((_, How::Twice)) => found(format!("something came behind the answer to request {id}")),
         Some((_, How::Wrong)) => found(format!("request {id} was answered with an error of no meaning")),
-        Some((_, How::Lost)) if !excused => {
+        Some((_, How::Lost)) if !excused(until) => {
             found(format!("n{} broke off without an answer to request {id}", one.driver))
         }
-        Some((_, How::Nothing)) if !excused && !explained => {
-            found(format!("n{} never answered request {id}", one.driver))
+        Some((_, How::Nothing)) => {
+            let (at, how) = one.late.unwrap_or((until, How::Nothing));
+            let allowed = until + kept.from(one.driver, one.asked, at);
+            let n = one.driver;
+            match how {
+                How::Twice => found(format!("something came behind the answer to request {id}")),
+                How::Wrong => found(format!("request {id} was answered with an error of no meaning")),
+                _ if excused(allowed) => {}
+                // No processor time that was kept from a process explains that it never answers.
+                How::Nothing | How::Unreached => found(format!("n{n} never answered request {id}")),
+                How::Lost => found(format!("n{n} broke off without an answer to request {id}, late")),
+                How::Served | How::Rejected | How::Failed if at > allowed => {
+                    let late = (at - allowed) / 1000;
+                    found(format!("n{n} answered request {id} {late} ms later than the machine explains"))
+                }
+                How::Served | How::Rejected | How::Failed => {}
+            }
         }
         _ => {}
     }
@@ -235,7 +246,8 @@
     {
         found(last.0, format!("request {id} ran again when its receipt was over"));
     }
-    if effect != "pure" && !one.ran.is_empty() && matches!(one.answered, Some((_, How::Rejected))) {
+    let rejected = [one.answered, one.late].into_iter().flatten().any(|(_, how)| how == How::Rejected);
+    if effect != "pure" && !one.ran.is_empty() && rejected {
         found(one.asked, format!("request {id} was rejected, and ran"));
     }
     // On a line that holds things back an end is seen late.
--- a/crates/fault-injection/tests/judge.rs
+++ b/crates/fault-injection/tests/judge.rs
@@ -96,16 +96,65 @@
     assert_eq!(rules(&late), [6]);
 }
 
+/// What is found where nothing came in time, then this, at that time, while so much processor time was kept from a driver.
+fn later(driver: usize, kept: At, at: At, how: How) -> Vec<u8> {
+    let unscheduled = (T + 1_000_000, Event::Unscheduled { driver, by: kept });
+    let late = (T + at, Event::AnsweredLate { id: 1, how });
+    rules(&[asked(1, 2), unscheduled, answered(T + 1_650_000, How::Nothing), late])
+}
+
+#[test]
+fn a_late_answer_is_excused_by_as_much_processor_time_as_was_kept_from_its_driver() {
+    // Due at 1.65 s with the slack.
+    for how in [How::Served, How::Rejected, How::Failed] {
+        assert!(later(0, 120_000, 1_770_000, how).is_empty());
+        assert_eq!(later(0, 120_000, 1_770_001, how), [1]);
+        assert_eq!(later(1, 120_000, 1_660_000, how), [1]);
+        assert_eq!(later(0, 0, 1_650_001, how), [1]);
+    }
+    // The time that this process itself was late counts likewise, beside the slack that grows by it.
+    let late = |at: At| {
+        let (own, came) =
+            ((T + 1, Event::Late { by: 50_000 }), Event::AnsweredLate { id: 1, how: How::Served });
+        rules(&[asked(1, 2), own, answered(T + 1_650_000, How::Nothing), (T + at, came)])
+    };
+    assert!(late(1_800_000).is_empty());
+    assert_eq!(late(1_800_001), [1]);
+}
+
 #[test]
-fn an_answer_that_never_came_is_excused_by_processor_time_that_was_kept_from_its_driver_alone() {
-    let found = |driver: usize, by: At, how: How| {
-        let unscheduled = (T + 1_000_000, Event::Unscheduled { driver, by });
-        rules(&[asked(1, 2), unscheduled, answered(T + 1_700_000, how)])
+fn an_answer_that_never_came_or_whose_connection_broke_is_a_fault_whatever_the_machine_did() {
+    for how in [How::Nothing, How::Lost, How::Unreached, How::Wrong, How::Twice] {
+        assert_eq!(later(0, 3_000_000, 2_000_000, how), [1], "{how:?}");
+    }
+    let unscheduled = (T + 1_000_000, Event::Unscheduled { driver: 0, by: 3_000_000 });
+    assert_eq!(rules(&[asked(1, 2), unscheduled.clone(), answered(T + 1_650_000, How::Nothing)]), [1]);
+    assert_eq!(rules(&[asked(1, 2), unscheduled, answered(T + 1_000_001, How::Lost)]), [1]);
+}
+
+#[test]
+fn a_driver_that_was_killed_after_the_time_was_over_is_excused_only_while_its_answer_was_not_due() {
+    let found = |killed: At| {
+        let unscheduled = (T + 1_000_000, Event::Unscheduled { driver: 0, by: 100_000 });
+        let (killed, lost) =
+            ((T + killed, Event::Killed { driver: 0 }), Event::AnsweredLate { id: 1, how: How::Lost });
+        rules(&[
+            asked(1, 2),
+            unscheduled,
+            answered(T + 1_650_000, How::Nothing),
+            killed,
+            (T + 1_900_000, lost),
+        ])
     };
-    assert!(found(0, 120_000, How::Nothing).is_empty());
-    assert_eq!(found(0, 60_000, How::Nothing), [1]);
-    assert_eq!(found(1, 120_000, How::Nothing), [1]);
-    assert_eq!(found(0, 120_000, How::Lost), [1]);
+    assert!(found(1_740_000).is_empty());
+    assert_eq!(found(1_760_000), [1]);
+}
+
+#[test]
+fn a_late_rejection_of_what_ran_is_found() {
+    let late = (T + 1_900_000, Event::AnsweredLate { id: 1, how: How::Rejected });
+    let ran = [asked(1, 2), reached(T, 0), ran(T + 1, 0), over(T + 2), answered(T + 1_650_000, How::Nothing)];
+    assert_eq!(rules(&[&ran[..], &[late]].concat()), [1, 2]);
 }
 
 #[test]
