--- /dev/null
+++ b/crates/site-routing/tests/failing.rs
@@ -0,0 +1,345 @@
+//! Drawn histories of a gateway's outcome log over a folder whose calls fail for a while, and whose process is killed at any
+//! byte: what a later start says of an earlier one's requests is true, and what was confirmed is not forgotten.
+
+#[path = "../../store/tests/power/mod.rs"]
+mod power;
+
+use std::collections::{BTreeMap, VecDeque};
+
+use aldermill_site_routing::earlier::{key, read_key, read_value, value};
+use aldermill_site_routing::{Earlier, Fate, Micros, Origin, Promise};
+use aldermill_store::{Batch, Bounds, Keeping, State, Store};
+use power::{Dice, FailingDisk};
+
+type Outcome = Fate<Vec<u8>>;
+
+const HISTORIES: u64 = 500;
+const STEPS: u32 = 200;
+const BOOK: u32 = 6;
+const PROMISES: u32 = 7;
+const BOUNDS: Bounds = Bounds { segment: 2_000, batch: 10_000, live: 100_000, slack: 2 };
+const PATIENCE: Micros = 250_000;
+const WAITING: usize = 8;
+/// How long a record is kept beyond its request's deadline, as the gateway does.
+const SLACK: Micros = 5_000_000;
+/// How the wall clock may step between two starts.
+const CLOCK_STEPS: [Micros; 4] = [2_000_000, 4_900_000, 5_100_000, 3_600_000_000];
+
+/// What the gateway does wrong, to show that the judge bites.
+#[derive(Clone, Copy, PartialEq)]
+enum Flaw {
+    None,
+    /// A request that the disk refuses goes on although a promise holds.
+    BreaksPromises,
+    /// Requests and outcomes go on before they are confirmed.
+    WaitsForNothing,
+}
+
+/// What a write is for.
+#[derive(Clone, Copy)]
+enum Write {
+    Taking(u64),
+    Outcome(u64),
+    Promise,
+    /// Nobody waits for it any more.
+    GivenUp,
+}
+
+/// The judge's: what truly became of a request, and what is owed of it.
+struct Request {
+    start: u64,
+    /// Until when its sender may ask, in real time.
+    deadline: Micros,
+    ran: bool,
+    outcome: Option<Outcome>,
+    /// What was confirmed last; a start under another clock may have found it expired.
+    owed: Option<Outcome>,
+}
+
+/// One life of the gateway's process.
+struct Life {
+    start: u64,
+    store: Option<Store<FailingDisk>>,
+    earlier: Option<Earlier<Vec<u8>>>,
+    keeping: Keeping,
+    promise: Promise,
+    waiting: VecDeque<(Batch, Write)>,
+}
+
+struct History {
+    disk: FailingDisk,
+    dice: Dice,
+    flaw: Flaw,
+    /// Real time, and by how much the wall clock is ahead of it.
+    now: Micros,
+    ahead: Micros,
+    requests: BTreeMap<u64, Request>,
+    /// Answers of later starts: never taken, known, unknown.
+    answers: [u32; 3],
+}
+
+fn origin() -> Origin {
+    Origin { site: "north".to_owned(), instance: "n1".to_owned(), start: 9 }
+}
+
+impl History {
+    fn new(seed: u64, flaw: Flaw) -> History {
+        let (disk, dice, now) = (FailingDisk::new(seed), Dice(!seed), 1_000_000_000_000_000);
+        History { disk, dice, flaw, now, ahead: 0, requests: BTreeMap::new(), answers: [0; 3] }
+    }
+
+    fn clock(&self) -> Micros {
+        self.now + self.ahead
+    }
+
+    fn start(&mut self, start: u64) -> Life {
+        let (keeping, promise) = (Keeping::start(PATIENCE, WAITING), Promise::default());
+        let (store, earlier, waiting) = (None, None, VecDeque::new());
+        let mut life = Life { start, store, earlier, keeping, promise, waiting };
+        self.open(&mut life);
+        life
+    }
+
+    /// Reading may do where writing does not.
+    fn open(&mut self, life: &mut Life) {
+        let opened = Store::open(self.disk.clone(), BOUNDS, self.clock());
+        let snapshot = match opened {
+            Ok((store, recovered)) => {
+                assert!(recovered.damage.is_empty(), "{recovered:?}");
+                let snapshot = store.snapshot();
+                life.store = Some(store);
+                Some(snapshot)
+            }
+            Err(_) => Store::look(self.disk.clone(), BOUNDS, self.clock()).ok().map(|(snapshot, _)| snapshot),
+        };
+        let (None, Some(snapshot)) = (&life.earlier, snapshot) else { return };
+        let mut earlier = Earlier::default();
+        for (name, fate) in snapshot.all(BOOK) {
+            let (start, origin, number) = read_key(name).expect("a key");
+            earlier.record(start, origin, number, read_value(fate));
+        }
+        for (start, until) in snapshot.all(PROMISES) {
+            let word = |bytes: &[u8]| i64::from_be_bytes(bytes.try_into().expect("a word"));
+            earlier.promised(self.clock(), word(start) as u64, word(until));
+        }
+        life.earlier = Some(earlier);
+        life.keeping = Keeping::start(PATIENCE, WAITING);
+    }
+
+    fn hand_over(&self, life: &mut Life, batch: Batch, write: Write) -> bool {
+        if !life.keeping.hands_over(self.clock(), true) {
+            return false;
+        }
+        if life.store.is_none() || life.waiting.len() >= WAITING {
+            life.keeping.failed(self.clock());
+            return false;
+        }
+        life.waiting.push_back((batch, write));
+        true
+    }
+
+    fn renew(&self, life: &mut Life) {
+        let rests = matches!(life.keeping.state(), State::Without { until } if self.clock() < until);
+        if !rests && let Some(until) = life.promise.renew(self.clock()) {
+            let (mut batch, over) = (Batch::default(), until + 3_600_000_000);
+            batch.put(PROMISES, &life.start.to_be_bytes(), &until.to_be_bytes(), Some(over));
+            if !self.hand_over(life, batch, Write::Promise) {
+                life.promise.settled();
+            }
+        }
+    }
+
+    fn record(&self, life: &mut Life, number: u64, fate: &Outcome, write: Write) -> bool {
+        let until = self.requests[&number].deadline + self.ahead + SLACK;
+        let mut batch = Batch::default();
+        let fate = value(&fate.as_ref().map(|bytes| &bytes[..]));
+        batch.put(BOOK, &key(life.start, &origin(), number), &fate, Some(until));
+        self.hand_over(life, batch, write)
+    }
+
+    fn request_comes(&mut self, life: &mut Life) {
+        let number = self.requests.len() as u64;
+        let deadline = self.now + 100_000 + self.dice.below(6_000_000) as Micros;
+        let request = Request { start: life.start, deadline, ran: false, outcome: None, owed: None };
+        self.requests.insert(number, request);
+        if self.record(life, number, &Fate::UnderWay, Write::Taking(number)) {
+            self.now_runs(number, self.flaw == Flaw::WaitsForNothing);
+        } else if life.promise.lets_go_without(self.clock()) {
+            life.promise.took_without(deadline + self.ahead + SLACK);
+            self.now_runs(number, true);
+        } else {
+            self.now_runs(number, self.flaw == Flaw::BreaksPromises);
+        }
+    }
+
+    fn now_runs(&mut self, number: u64, runs: bool) {
+        self.requests.entry(number).and_modify(|request| request.ran |= runs);
+    }
+
+    /// One of those that run comes to its outcome.
+    fn request_ends(&mut self, life: &mut Life) {
+        let runs =
+            |request: &Request| request.start == life.start && request.ran && request.outcome.is_none();
+        let Some(number) = self.requests.iter().find(|(_, request)| runs(request)).map(|(&number, _)| number)
+        else {
+            return;
+        };
+        let outcome = match self.dice.below(3) {
+            0 => Fate::Rejected { cool_down: self.dice.below(9) as Micros },
+            1 => Fate::Failed,
+            _ => Fate::Served(number.to_be_bytes().to_vec()),
+        };
+        self.requests.entry(number).and_modify(|request| request.outcome = Some(outcome.clone()));
+        let handed_over = self.record(life, number, &outcome, Write::Outcome(number));
+        if handed_over && self.flaw == Flaw::WaitsForNothing {
+            self.is_owed(number, Some(outcome));
+        }
+    }
+
+    fn is_owed(&mut self, number: u64, owed: Option<Outcome>) {
+        self.requests.entry(number).and_modify(|request| request.owed = owed);
+    }
+
+    /// The disk's thread writes what waits longest; after a failure all is written anew first.
+    fn disk_works(&mut self, life: &mut Life) {
+        let Some((batch, write)) = life.waiting.pop_front() else { return };
+        let Some(store) = &mut life.store else { return };
+        let healed = !store.has_failed() || store.heal().is_ok();
+        let well = healed && store.commit(self.now + self.ahead, vec![batch]).is_ok();
+        if well && store.wants_compaction() {
+            // It failing is known by the next write.
+            let _ = store.compact();
+        }
+        // A process that is killed does nothing more, whatever it had learnt.
+        if self.is_killed() {
+            return;
+        }
+        match well {
+            true => life.keeping.confirmed(self.now + self.ahead),
+            false => life.keeping.failed(self.now + self.ahead),
+        }
+        match write {
+            Write::Promise => life.promise.settled(),
+            // One that was not kept is rejected: it never runs.
+            Write::Taking(number) if well => {
+                self.now_runs(number, true);
+                self.is_owed(number, Some(Fate::UnderWay));
+            }
+            Write::Outcome(number) if well => {
+                let outcome = self.requests[&number].outcome.clone();
+                self.is_owed(number, outcome);
+            }
+            _ => {}
+        }
+    }
+
+    fn patience_ends(&mut self, life: &mut Life) {
+        if life.keeping.gives_up(self.clock()) {
+            for (_, write) in &mut life.waiting {
+                if matches!(std::mem::replace(write, Write::GivenUp), Write::Promise) {
+                    life.promise.settled();
+                }
+            }
+        }
+    }
+
+    fn is_killed(&self) -> bool {
+        self.disk.state().left == Some(0)
+    }
+
+    /// Senders ask this start what became of their requests to earlier ones.
+    fn senders_ask(&mut self, life: &Life) -> Result<(), String> {
+        for (&number, request) in &self.requests {
+            if request.start == life.start || request.deadline <= self.now {
+                continue;
+            }
+            let answer = match &life.earlier {
+                Some(earlier) => earlier.ask(&origin(), number, request.start),
+                None => Fate::Unknown,
+            };
+            let true_to_it = match &answer {
+                Fate::NeverTaken => !request.ran,
+                Fate::UnderWay => false,
+                Fate::Failed => !matches!(request.owed, Some(Fate::Served(_) | Fate::Rejected { .. })),
+                Fate::Unknown => life.earlier.is_none() || request.owed.is_none(),
+                said => request.outcome.as_ref() == Some(said),
+            };
+            if !true_to_it {
+                let Request { start, ran, outcome, owed, .. } = request;
+                let truth = format!("ran {ran}, outcome {outcome:?}, owed {owed:?}");
+                return Err(format!("start {} says {answer:?} of {number} at {start}: {truth}", life.start));
+            }
+            self.answers[match answer {
+                Fate::NeverTaken => 0,
+                Fate::Unknown => 2,
+                _ => 1,
+            }] += 1;
+        }
+        Ok(())
+    }
+
+    fn step(&mut self, life: &mut Life) -> Result<(), String> {
+        self.now += self.dice.below(200_000) as Micros;
+        self.patience_ends(life);
+        self.renew(life);
+        match self.dice.below(24) {
+            0 => {
+                let one_in = 1 + self.dice.below(6);
+                let state = &mut *self.disk.state();
+                state.fails_one_in = state.fails_one_in.is_none().then_some(one_in);
+            }
+            1 => {
+                let room = self.dice.below(300) as usize;
+                let state = &mut *self.disk.state();
+                state.room = state.room.is_none().then_some(room);
+            }
+            2 => self.disk.state().left = Some(self.dice.below(600) as usize),
+            3..9 => self.request_comes(life),
+            9..14 => self.request_ends(life),
+            14 => {}
+            _ => self.disk_works(life),
+        }
+        if self.is_killed() || self.dice.one_in(30) {
+            self.disk.restart(self.dice.one_in(2));
+            self.now += self.dice.below(1_500_000) as Micros;
+            if self.dice.one_in(4) {
+                self.ahead += CLOCK_STEPS[self.dice.below(4) as usize];
+                // By that clock they may be over: what a start then may say is that it does not know.
+                self.requests.values_mut().for_each(|request| request.owed = None);
+            }
+            *life = self.start(life.start + 1);
+        } else if life.store.is_none() {
+            self.open(life);
+        }
+        self.senders_ask(life)
+    }
+}
+
+fn lives(seed: u64, flaw: Flaw, lies: bool) -> Result<[u32; 3], String> {
+    let mut history = History::new(seed, flaw);
+    history.disk.state().lies = lies;
+    let mut life = history.start(1);
+    for _ in 0..STEPS {
+        history.step(&mut life)?;
+    }
+    Ok(history.answers)
+}
+
+#[test]
+fn a_later_start_says_nothing_untrue_of_an_earlier_one_whatever_its_folder_does() {
+    let mut answers = [0; 3];
+    for seed in 0..HISTORIES {
+        let drawn = lives(seed, Flaw::None, false).unwrap_or_else(|why| panic!("history {seed}: {why}"));
+        answers.iter_mut().zip(drawn).for_each(|(sum, count)| *sum += count);
+    }
+    println!("never taken, known, unknown: {answers:?}");
+    assert!(answers.iter().all(|&count| count > 2_000), "{answers:?}");
+}
+
+#[test]
+fn the_judge_finds_broken_promises_what_was_not_waited_for_and_a_disk_that_lies() {
+    let found = |flaw, lies| (0..50).any(|seed| lives(seed, flaw, lies).is_err());
+    assert!(found(Flaw::BreaksPromises, false));
+    assert!(found(Flaw::WaitsForNothing, false));
+    assert!(found(Flaw::None, true));
+}
