--- a/crates/fault-injection/src/council.rs
+++ b/crates/fault-injection/src/council.rs
@@ -67,7 +67,7 @@
 
 impl Stage {
     /// Who holds a duty, as it last said itself.
-    fn holder(&self, duty: &str) -> Option<usize> {
+    pub(crate) fn holder(&self, duty: &str) -> Option<usize> {
         let last = |(_, event): &(_, Event)| match event {
             Event::Holds { driver, duty: of, .. } if of == duty => Some(*driver),
             _ => None,
--- a/crates/fault-injection/src/drivers.rs
+++ b/crates/fault-injection/src/drivers.rs
@@ -6,7 +6,7 @@
 use std::fs::File;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
+use std::process::{Child, Stdio};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -55,11 +55,11 @@
 }
 
 pub struct Drivers {
-    world: Rc<World>,
+    pub(crate) world: Rc<World>,
     discovery: Rc<Discovery>,
     all: Vec<Driver>,
     /// The program, and what stands before its own arguments.
-    program: Vec<OsString>,
+    pub(crate) program: Vec<OsString>,
     pub folder: PathBuf,
     keep_logs: bool,
 }
@@ -183,30 +183,22 @@
         std::fs::write(path("config.json"), config.to_string())?;
         *last.borrow_mut() = config;
         self.write_operator(driver)?;
-        let log = File::options().create(true).append(true).open(path("log"))?;
-        let mut command = self.command();
+        let (log, logging) = self.log(driver)?;
+        let mut command = self.command(driver);
         command.arg("serve").arg("--config").arg(path("config.json"));
         command.arg("--operator").arg(path("operator.json"));
-        command.env_clear().stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         leaving.set(false);
         starts.set(starts.get() + 1);
-        *child.borrow_mut() = Some(command.spawn()?);
+        let mut started = command.spawn()?;
+        if let (Some(logging), Some(from)) = (logging, started.stderr.take()) {
+            logging.copy(from);
+        }
+        *child.borrow_mut() = Some(started);
         self.world.note(Event::Started { driver });
         Ok(())
     }
 
-    /// The program, to be given its own arguments.
-    fn command(&self) -> Command {
-        let Some(descriptors) = self.world.plan.descriptors else {
-            let mut command = Command::new(&self.program[0]);
-            command.args(&self.program[1..]);
-            return command;
-        };
-        let mut command = Command::new("sh");
-        command.args(["-c", "ulimit -n $0; exec \"$@\"", &descriptors.to_string()]).args(&self.program);
-        command
-    }
-
     /// A signal to one that runs; whether there was one.
     pub fn signal(&self, driver: usize, signal: Signal) -> bool {
         let leaving = &self.all[driver].leaving;
--- a/crates/fault-injection/src/faults.rs
+++ b/crates/fault-injection/src/faults.rs
@@ -99,6 +99,8 @@
             What::Descriptors { share, spare, for_ms } => {
                 self.starve(&some(share, &drivers, &mut rng), spare, for_ms).await;
             }
+            What::StepClock { share, by_ms } => self.step_clocks(&some(share, &drivers, &mut rng), by_ms),
+            What::VoterFolderFails { for_ms } => self.fail_voter_folder(for_ms).await,
             What::MoveList { share } => {
                 for driver in some(share, &drivers, &mut rng) {
                     if let Err(error) = self.move_list(driver).await {
--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -128,6 +128,9 @@
         if !(matches!(self.voters, 0 | 3 | 5 | 7) && self.voters <= self.drivers) {
             return Err(Trouble::Voters { voters: self.voters, drivers: self.drivers });
         }
+        if self.fails_folders() && !(self.keeps && self.voters > 0) {
+            return Err(Trouble::NoFolder);
+        }
         if self.voters > 0 && !self.fellows {
             return Err(Trouble::Alone);
         }
@@ -138,6 +141,7 @@
                 | What::Kill { share, .. }
                 | What::Terminate { share, .. }
                 | What::Descriptors { share, .. }
+                | What::StepClock { share, .. }
                 | What::MoveList { share }
                 | What::Cut { share, .. }
                 | What::Hold { share, .. }
@@ -150,7 +154,7 @@
                     within(&format!("faults[{at}].do.group"), group as f64, 0.0, self.groups as f64 - 1.0)?;
                     continue;
                 }
-                What::List { .. } | What::Holder { .. } => continue,
+                What::List { .. } | What::Holder { .. } | What::VoterFolderFails { .. } => continue,
                 What::Retire { site, .. } | What::SiteDown { site, .. } | What::SiteCut { site, .. } => {
                     within(&format!("faults[{at}].do.site"), site as f64, 0.0, self.sites as f64 - 1.0)?;
                     continue;
@@ -174,6 +178,14 @@
         serde_json::to_string_pretty(&schemars::schema_for!(Plan)).unwrap_or_default() + "\n"
     }
 
+    pub fn steps_clocks(&self) -> bool {
+        self.faults.iter().any(|fault| matches!(fault.what, What::StepClock { .. }))
+    }
+
+    pub fn fails_folders(&self) -> bool {
+        self.faults.iter().any(|fault| matches!(fault.what, What::VoterFolderFails { .. }))
+    }
+
     pub fn needs_client_cables(&self) -> bool {
         self.faults.iter().any(|fault| match fault.what {
             What::Cut { between, .. }
--- a/crates/fault-injection/src/trouble.rs
+++ b/crates/fault-injection/src/trouble.rs
@@ -14,6 +14,8 @@
     Sites(usize),
     #[error("voters: {voters} is not 0, 3, 5 or 7 of {drivers} drivers")]
     Voters { voters: usize, drivers: usize },
+    #[error("voter_folder_fails: needs `voters` and `keeps`")]
+    NoFolder,
     #[error("voters: needs `fellows`")]
     Alone,
     #[error("{path}: {why}; `aldermill-fault-injection plans` lists those that are kept")]
--- a/crates/fault-injection/src/what.rs
+++ b/crates/fault-injection/src/what.rs
@@ -47,6 +47,17 @@
         spare: u64,
         for_ms: u64,
     },
+    /// The wall clocks of processes are off by so much from now on, also after a restart; only builds with debug
+    /// assertions heed it.
+    StepClock {
+        share: f64,
+        by_ms: i64,
+    },
+    /// The folder of the first voter that holds no duty takes nothing for so long (RLIMIT_FSIZE), or until that voter is
+    /// started again.
+    VoterFolderFails {
+        for_ms: u64,
+    },
     /// The list is elsewhere from now on: the configuration is written anew, and SIGHUP sent.
     MoveList {
         share: f64,
--- a/crates/fault-injection/tests/plan.rs
+++ b/crates/fault-injection/tests/plan.rs
@@ -14,6 +14,8 @@
     assert!(said(r#"{"name":"a","drivers":3,"load":0.5,"seconds":5,"faluts":[]}"#).contains("faluts"));
     let stop = r#"{"name":"a","drivers":3,"load":0.5,"seconds":5,"faults":[{"at_ms":1,"do":{"stop":{"share":7,"for_ms":1}}}]}"#;
     assert!(said(stop).starts_with("faults[0].do.share: "));
+    let folder = r#"{"name":"a","drivers":3,"load":0.5,"seconds":5,"faults":[{"at_ms":1,"do":{"voter_folder_fails":{"for_ms":1}}}]}"#;
+    assert!(said(folder).starts_with("voter_folder_fails: "));
     assert!(Plan::schema().contains("full_service_ms"));
 }
 
--- a/crates/fault-injection/tests/troubles.rs
+++ b/crates/fault-injection/tests/troubles.rs
@@ -1,6 +1,6 @@
 //! Short forms of the plans on discovery, restarts and shortages, with all judges.
 
-use aldermill_fault_injection::history::Event;
+use aldermill_fault_injection::history::{At, Event};
 use aldermill_fault_injection::plan::Plan;
 use aldermill_fault_injection::report;
 use aldermill_fault_injection::run::{Run, run, run_of};
@@ -101,3 +101,79 @@
         {"at_ms":2500,"do":{"kill_members":{"share":0.2,"down_ms":300}}}"#;
     holds(1, 4.0, "", faults);
 }
+
+/// What cold members and slow start come to while wall clocks step: all rules hold, a cold member's among them.
+fn under_stepped_clocks(before_ms: i64, during_ms: i64) -> Run {
+    let faults = format!(
+        r#"{{"at_ms":1000,"do":{{"step_clock":{{"share":0.5,"by_ms":{before_ms}}}}}}},
+        {{"at_ms":1500,"do":{{"kill_members":{{"share":0.4,"down_ms":300}}}}}},
+        {{"at_ms":2600,"do":{{"step_clock":{{"share":0.5,"by_ms":{during_ms}}}}}}}"#
+    );
+    let more = r#""keeps":true,"fellows":true,"bearing":{"warm_ms":2500},"#;
+    holds(6, 5.0, more, &faults)
+}
+
+const HOUR_MS: i64 = 3_600_000;
+
+#[test]
+fn wall_clocks_that_step_by_seconds_before_and_during_slow_start_break_no_rule() {
+    under_stepped_clocks(2_000, -2_000);
+    under_stepped_clocks(-2_000, 2_000);
+}
+
+#[test]
+fn wall_clocks_that_step_by_an_hour_before_and_during_slow_start_break_no_rule() {
+    under_stepped_clocks(HOUR_MS, -HOUR_MS);
+    under_stepped_clocks(-HOUR_MS, HOUR_MS);
+}
+
+#[test]
+fn wall_clocks_that_step_are_seen_by_others_when_their_processes_start_again() {
+    let faults = format!(
+        r#"{{"at_ms":800,"do":{{"step_clock":{{"share":1.0,"by_ms":{HOUR_MS}}}}}}},
+        {{"at_ms":1000,"do":{{"kill":{{"share":0.4,"down_ms":100}}}}}}"#
+    );
+    let folder = std::env::temp_dir().join(format!("aldermill-stepped-{}", std::process::id()));
+    let run = run(&plan(3, 3.0, r#""fellows":true,"#, &faults), 1, Some(&folder)).unwrap();
+    assert!(run.verdict.broken.is_empty(), "{}", report::table(&run));
+    let ahead = aldermill_test_support::unix_millis() as i64 + HOUR_MS / 2;
+    let started = |line: &str| {
+        let micros: i64 = line.split_once(" started ")?.1.split(' ').next()?.parse().ok()?;
+        Some(micros / 1_000)
+    };
+    let logs = (0..3).map(|driver| std::fs::read_to_string(folder.join(format!("n{driver}-log"))).unwrap());
+    let logs: String = logs.collect();
+    assert!(logs.lines().filter_map(started).any(|at| at > ahead), "the step was real: {logs}");
+    std::fs::remove_dir_all(folder).unwrap();
+}
+
+#[test]
+fn a_voter_whose_folder_fails_for_a_while_keeps_the_rules_on_leases() {
+    // Where the holder that is killed is a voter, nothing is granted meanwhile without the one whose folder fails.
+    let faults = r#"{"at_ms":3500,"do":{"voter_folder_fails":{"for_ms":5000}}},
+        {"at_ms":4000,"do":{"move_primary":{"group":0,"election_ms":200}}},
+        {"at_ms":4500,"do":{"holder":{"duty":"zones","how":"kill","for_ms":800}}},
+        {"at_ms":9500,"do":{"move_primary":{"group":0,"election_ms":200}}}"#;
+    let folder = std::env::temp_dir().join(format!("aldermill-voter-{}", std::process::id()));
+    let more = r#""keeps":true,"fellows":true,"voters":3,"duties":["zones"],"#;
+    let run = run(&plan(4, 13.0, more, faults), 1, Some(&folder)).unwrap();
+    assert!(run.verdict.broken.is_empty(), "{}", report::table(&run));
+    let failed = run.events.iter().find_map(|(_, event)| match event {
+        Event::Fault { text } => {
+            text.strip_prefix("the folder of n")?.split(' ').next()?.parse::<usize>().ok()
+        }
+        _ => None,
+    });
+    let log = std::fs::read_to_string(folder.join(format!("n{}-log", failed.unwrap()))).unwrap();
+    for said in ["warm state is not kept", "warm state is kept again"] {
+        assert!(log.contains(said), "the failure was real, and over: {log}");
+    }
+    let term = |(_, event): &(At, Event)| match event {
+        Event::Holds { term, .. } => Some(*term),
+        _ => None,
+    };
+    let killed = run.events.iter().position(|(_, event)| matches!(event, Event::Killed { .. })).unwrap();
+    let before = run.events[..killed].iter().filter_map(term).max();
+    assert!(run.events[killed..].iter().filter_map(term).max() > before, "{}", report::table(&run));
+    std::fs::remove_dir_all(folder).unwrap();
+}
