--- a/crates/site-routing/tests/failing.rs
+++ b/crates/site-routing/tests/failing.rs
@@ -23,7 +23,8 @@
 /// How long a record is kept beyond its request's deadline, as the gateway does.
 const SLACK: Micros = 5_000_000;
 /// How the wall clock may step between two starts.
-const CLOCK_STEPS: [Micros; 4] = [2_000_000, 4_900_000, 5_100_000, 3_600_000_000];
+const FORWARD: [Micros; 4] = [2_000_000, 4_900_000, 5_100_000, 3_600_000_000];
+const BACK: [Micros; 4] = [-1_000_000, -2_000_000, -4_900_000, -3_600_000_000];
 
 /// What the gateway does wrong, to show that the judge bites.
 #[derive(Clone, Copy, PartialEq)]
@@ -73,6 +74,7 @@
     /// Real time, and by how much the wall clock is ahead of it.
     now: Micros,
     ahead: Micros,
+    clock_steps: [Micros; 4],
     requests: BTreeMap<u64, Request>,
     /// Answers of later starts: never taken, known, unknown.
     answers: [u32; 3],
@@ -85,7 +87,8 @@
 impl History {
     fn new(seed: u64, flaw: Flaw) -> History {
         let (disk, dice, now) = (FailingDisk::new(seed), Dice(!seed), 1_000_000_000_000_000);
-        History { disk, dice, flaw, now, ahead: 0, requests: BTreeMap::new(), answers: [0; 3] }
+        let (ahead, clock_steps, requests) = (0, FORWARD, BTreeMap::new());
+        History { disk, dice, flaw, now, ahead, clock_steps, requests, answers: [0; 3] }
     }
 
     fn clock(&self) -> Micros {
@@ -303,7 +306,7 @@
             self.disk.restart(self.dice.one_in(2));
             self.now += self.dice.below(1_500_000) as Micros;
             if self.dice.one_in(4) {
-                self.ahead += CLOCK_STEPS[self.dice.below(4) as usize];
+                self.ahead += self.clock_steps[self.dice.below(4) as usize];
                 // By that clock they may be over: what a start then may say is that it does not know.
                 self.requests.values_mut().for_each(|request| request.owed = None);
             }
@@ -316,8 +319,12 @@
 }
 
 fn lives(seed: u64, flaw: Flaw, lies: bool) -> Result<[u32; 3], String> {
-    let mut history = History::new(seed, flaw);
+    let history = History::new(seed, flaw);
     history.disk.state().lies = lies;
+    lived(history)
+}
+
+fn lived(mut history: History) -> Result<[u32; 3], String> {
     let mut life = history.start(1);
     for _ in 0..STEPS {
         history.step(&mut life)?;
@@ -343,3 +350,13 @@
     assert!(found(Flaw::WaitsForNothing, false));
     assert!(found(Flaw::None, true));
 }
+
+/// A promise is read by a clock that says an earlier time than when it was broken, lawfully, after its end.
+#[test]
+fn a_later_start_says_nothing_untrue_of_an_earlier_one_though_the_wall_clock_was_set_back() {
+    for seed in 0..HISTORIES {
+        let mut history = History::new(seed, Flaw::None);
+        history.clock_steps = BACK;
+        lived(history).unwrap_or_else(|why| panic!("history {seed}: {why}"));
+    }
+}
