--- /dev/null
+++ b/crates/leases/src/candidate.rs
@@ -0,0 +1,312 @@
+//! How one process gets one lease, renews it and releases it.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+use crate::{Ballot, HeldLease, Incarnation, Micros, Payload, Term};
+
+/// For how long an expiry under the holder's hands counts towards its backoff.
+const LOSS_WINDOW: Micros = 300_000_000;
+/// The backoff after the first loss; it doubles with each further one.
+const FIRST_BACKOFF: Micros = 1_000_000;
+const LONGEST_BACKOFF: Micros = 60_000_000;
+
+/// What a candidate is to do, in this order.
+#[derive(Clone, Debug, PartialEq, Eq)]
+#[must_use]
+pub enum CandidateAction {
+    /// Send it to all voters, itself among them.
+    Broadcast(Payload),
+    /// It holds the lease from now on, under this term.
+    Acquired(Term),
+    /// It no longer holds the lease.
+    Lost(Term),
+}
+
+/// Which answers of the voters are awaited.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+enum Round {
+    Idle,
+    Preparing {
+        ballot: Ballot,
+        /// Voters that promised and know of no other lease holder.
+        promised: BTreeSet<String>,
+        /// The highest term that the voters named.
+        highest_term: Term,
+        /// Voters that know of another lease holder, and for how long its lease runs.
+        held_elsewhere: BTreeMap<String, Micros>,
+    },
+    Proposing {
+        ballot: Ballot,
+        /// The lease counts from here, by the candidate's clock.
+        sent_at: Micros,
+        term: Term,
+        granted: BTreeSet<String>,
+    },
+}
+
+/// A lease that is held, and the ballot under which it is renewed.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Holding {
+    lease: HeldLease,
+    ballot: Ballot,
+}
+
+/// One process's part in who holds one lease: it gets the lease, renews it and releases it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Candidate {
+    own: Incarnation,
+    majority: usize,
+    duration: Micros,
+    /// Whether this process can do what the lease is for.
+    able: bool,
+    round: Round,
+    holding: Option<Holding>,
+    /// The highest number of a ballot that it knows of.
+    ballot_number: u64,
+    /// When it turns to the voters again, unless they answer before.
+    next_round_at: Micros,
+    losses: VecDeque<Micros>,
+}
+
+impl Candidate {
+    /// A candidate for a lease of `duration` that first turns to the `voters` (their number) at `first_round_at`.
+    #[must_use]
+    pub fn start(own: Incarnation, voters: usize, duration: Micros, first_round_at: Micros) -> Candidate {
+        Candidate {
+            own,
+            majority: voters / 2 + 1,
+            duration,
+            able: true,
+            round: Round::Idle,
+            holding: None,
+            ballot_number: 0,
+            next_round_at: first_round_at,
+            losses: VecDeque::new(),
+        }
+    }
+
+    /// The term to act under, while it holds the lease. To be asked immediately before each act.
+    #[must_use]
+    pub fn may_act(&self, now: Micros) -> Option<Term> {
+        self.holding.as_ref().and_then(|holding| holding.lease.may_act(now))
+    }
+
+    /// When [`Candidate::wake`] is to be called.
+    #[must_use]
+    pub fn wake_at(&self) -> Micros {
+        let expires_at = self.holding.as_ref().map_or(Micros::MAX, |holding| holding.lease.expires_at());
+        self.next_round_at.min(expires_at)
+    }
+
+    fn answer_timeout(&self) -> Micros {
+        self.duration / 20
+    }
+
+    /// Until when it leaves the lease to others after it lost it.
+    ///
+    /// Guards a lease from a process that takes it again and again and cannot keep it. Costs one that was unlucky a
+    /// second; a lease that nobody else takes for its whole duration is sought all the same.
+    fn backoff_until(&self, free_since: Micros) -> Micros {
+        let Some(&last_loss) = self.losses.back() else { return Micros::MIN };
+        let doublings = (self.losses.len() - 1).min(6);
+        let backoff = (FIRST_BACKOFF << doublings).min(LONGEST_BACKOFF);
+        (last_loss + backoff).min(free_since + self.duration)
+    }
+
+    /// A lease that another held has expired or was released: it may be sought after `delay`.
+    pub fn lease_freed(&mut self, now: Micros, delay: Micros) {
+        if self.holding.is_none() {
+            self.round = Round::Idle;
+            self.next_round_at = (now + delay).max(self.backoff_until(now));
+        }
+    }
+
+    /// This process can do what the lease is for, or no longer.
+    pub fn set_able(&mut self, now: Micros, able: bool) -> Vec<CandidateAction> {
+        self.able = able;
+        if able { Vec::new() } else { self.release(now) }
+    }
+
+    /// Gives the lease up at once; whoever seeks it next need not wait until it expires.
+    pub fn release(&mut self, now: Micros) -> Vec<CandidateAction> {
+        self.round = Round::Idle;
+        self.next_round_at = now + self.duration;
+        let Some(holding) = self.holding.take() else { return Vec::new() };
+        let term = holding.lease.term();
+        vec![CandidateAction::Lost(term), CandidateAction::Broadcast(Payload::Release { term })]
+    }
+
+    /// To be called at [`Candidate::wake_at`].
+    ///
+    /// `held_elsewhere_until` is when the lease of another expires, as far as this process's own voter knows; `chance` is
+    /// drawn from zero to one, so that two candidates do not keep outbidding each other.
+    pub fn wake(
+        &mut self,
+        now: Micros,
+        held_elsewhere_until: Option<Micros>,
+        chance: f64,
+    ) -> Vec<CandidateAction> {
+        let mut actions: Vec<CandidateAction> = self.expire(now).into_iter().collect();
+        if now < self.next_round_at || !self.able {
+            return actions;
+        }
+        let jitter = (self.answer_timeout() as f64 * chance) as Micros;
+        match (&self.holding, held_elsewhere_until, &self.round) {
+            (None, Some(until), _) => self.rest_until(until.max(now) + 1 + jitter),
+            // Too few voters answered the last round.
+            (None, None, Round::Preparing { .. } | Round::Proposing { .. }) => {
+                self.rest_until(now + self.answer_timeout() / 4 + jitter);
+            }
+            (Some(Holding { lease, ballot }), _, Round::Idle) => {
+                let (ballot, term) = (ballot.clone(), lease.term());
+                actions.push(self.propose(now, ballot, term));
+            }
+            // A renewal whose ballot was outbid, or that nothing came of, begins anew like a first round.
+            _ => actions.push(self.prepare(now)),
+        }
+        actions
+    }
+
+    fn rest_until(&mut self, at: Micros) {
+        self.round = Round::Idle;
+        self.next_round_at = at;
+    }
+
+    fn expire(&mut self, now: Micros) -> Option<CandidateAction> {
+        let expired = self.holding.take_if(|holding| now >= holding.lease.expires_at())?;
+        self.losses.push_back(now);
+        self.losses.retain(|&at| now - at < LOSS_WINDOW);
+        self.rest_until(self.backoff_until(now));
+        Some(CandidateAction::Lost(expired.lease.term()))
+    }
+
+    fn prepare(&mut self, now: Micros) -> CandidateAction {
+        self.ballot_number += 1;
+        let ballot = Ballot { number: self.ballot_number, candidate: self.own.clone() };
+        self.round = Round::Preparing {
+            ballot: ballot.clone(),
+            promised: BTreeSet::new(),
+            highest_term: 0,
+            held_elsewhere: BTreeMap::new(),
+        };
+        self.next_round_at = now + self.answer_timeout();
+        CandidateAction::Broadcast(Payload::Prepare { ballot })
+    }
+
+    fn propose(&mut self, now: Micros, ballot: Ballot, term: Term) -> CandidateAction {
+        let payload = Payload::Propose { ballot: ballot.clone(), term, duration: self.duration };
+        self.round = Round::Proposing { ballot, sent_at: now, term, granted: BTreeSet::new() };
+        self.next_round_at = now + self.answer_timeout();
+        CandidateAction::Broadcast(payload)
+    }
+
+    /// Takes a voter's answer. `wall` is the Unix time in milliseconds: no new term is lower.
+    pub fn receive(&mut self, now: Micros, wall: u64, from: &str, answer: &Payload) -> Vec<CandidateAction> {
+        let action = match answer {
+            Payload::Promise { ballot, term, outstanding } => {
+                let held_elsewhere = outstanding.as_ref().filter(|lease| lease.holder != self.own);
+                self.promised(now, wall, from, ballot, *term, held_elsewhere.map(|lease| lease.remaining))
+            }
+            Payload::Accept { ballot, term } => self.accepted(now, from, ballot, *term),
+            Payload::Reject { ballot, promised } => self.rejected(now, ballot, *promised),
+            Payload::Prepare { .. } | Payload::Propose { .. } | Payload::Release { .. } => None,
+        };
+        action.into_iter().collect()
+    }
+
+    fn promised(
+        &mut self,
+        now: Micros,
+        wall: u64,
+        from: &str,
+        answered: &Ballot,
+        term: Term,
+        other_lease_remaining: Option<Micros>,
+    ) -> Option<CandidateAction> {
+        let Round::Preparing { ballot, promised, highest_term, held_elsewhere } = &mut self.round else {
+            return None;
+        };
+        if answered != ballot {
+            return None;
+        }
+        *highest_term = term.max(*highest_term);
+        match other_lease_remaining {
+            Some(remaining) => drop(held_elsewhere.insert(from.to_owned(), remaining)),
+            None => drop(promised.insert(from.to_owned())),
+        }
+        if promised.len() >= self.majority {
+            let new_term = (*highest_term + 1).max(wall);
+            // The own term goes on as long as its lease has not expired.
+            let term = self.may_act(now).unwrap_or(new_term);
+            return Some(self.propose(now, answered.clone(), term));
+        }
+        // No majority can be had while these wait for another's lease to expire.
+        if held_elsewhere.len() >= self.majority {
+            let remaining = held_elsewhere.values().max().copied().unwrap_or(0);
+            self.rest_until(now + remaining);
+        }
+        None
+    }
+
+    fn accepted(
+        &mut self,
+        now: Micros,
+        from: &str,
+        answered: &Ballot,
+        answered_term: Term,
+    ) -> Option<CandidateAction> {
+        let Round::Proposing { ballot, sent_at, term, granted } = &mut self.round else { return None };
+        if answered != ballot || answered_term != *term {
+            return None;
+        }
+        granted.insert(from.to_owned());
+        if granted.len() < self.majority {
+            return None;
+        }
+        let sent_at = *sent_at;
+        self.round = Round::Idle;
+        self.hold(now, answered.clone(), answered_term, sent_at)
+    }
+
+    /// A majority granted the lease under this term: it is renewed, or acquired.
+    fn hold(
+        &mut self,
+        now: Micros,
+        ballot: Ballot,
+        term: Term,
+        requested_at: Micros,
+    ) -> Option<CandidateAction> {
+        let held = self.holding.take().filter(|holding| holding.lease.term() == term);
+        let (lease, action) = match held {
+            Some(Holding { mut lease, .. }) => {
+                lease.renew(requested_at);
+                (lease, None)
+            }
+            None => {
+                let lease = HeldLease::granted(term, requested_at, self.duration);
+                if lease.may_act(now).is_none() {
+                    // The answers came after it had expired.
+                    self.next_round_at = now;
+                    return None;
+                }
+                (lease, Some(CandidateAction::Acquired(term)))
+            }
+        };
+        self.next_round_at = lease.renew_at();
+        self.holding = Some(Holding { lease, ballot });
+        action
+    }
+
+    fn rejected(&mut self, now: Micros, answered: &Ballot, promised: u64) -> Option<CandidateAction> {
+        let ballot = match &self.round {
+            Round::Preparing { ballot, .. } | Round::Proposing { ballot, .. } => ballot,
+            Round::Idle => return None,
+        };
+        if answered != ballot {
+            return None;
+        }
+        self.ballot_number = self.ballot_number.max(promised);
+        // A challenger has learnt of the lease and waits, but its ballot is in the way of the renewal.
+        self.holding.is_some().then(|| self.prepare(now))
+    }
+}
--- a/crates/leases/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -1,57 +1,69 @@
+//! Fencing: a receiver of acts refuses those of a lease holder that has been superseded.
+
 use std::collections::BTreeMap;
 
 use crate::Term;
 
-/// What becomes of an act that came with a term.
+/// What to do with an act that arrived under a term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
-    Yes,
-    /// Once the term is kept: [`Fence::kept`] is to be called then, and the act asked about again.
-    WhenKept,
-    /// A higher term was seen.
-    No {
+pub enum FenceDecision {
+    /// Take it.
+    Accept,
+    /// Persist the term, call [`Fence::persisted`], then ask again.
+    PersistFirst,
+    /// Refuse it: a higher term was seen.
+    Stale {
+        /// The highest term seen.
         highest: Term,
     },
 }
 
-/// What a receiver of acts has seen of terms, by duty.
+/// The highest term that a receiver of acts has seen, for each lease.
 ///
-/// Protects what acts change from a holder that was stopped between its look at the lease and its act. Harms nobody who
-/// holds the duty. A receiver with a store takes no act of a term that it could forget.
+/// Guards against a lease holder that was stopped between its check of the lease and its act; costs nothing to one that
+/// still holds the lease. A receiver with a store takes no act of a term that it could forget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fence {
     seen: BTreeMap<String, Term>,
-    kept: BTreeMap<String, Term>,
-    durable: bool,
+    /// The terms that are on the disk; `None` without a store.
+    persisted: Option<BTreeMap<String, Term>>,
 }
 
 impl Fence {
-    /// One that forgets with its process.
-    pub fn passing() -> Fence {
+    /// A fence that forgets with its process.
+    #[must_use]
+    pub fn volatile() -> Fence {
         Fence::default()
     }
 
-    /// One with a store, which held these.
+    /// A fence with a store, which held these terms by lease.
     pub fn durable(records: impl IntoIterator<Item = (String, Term)>) -> Fence {
-        let kept: BTreeMap<String, Term> = records.into_iter().collect();
-        Fence { seen: kept.clone(), kept, durable: true }
+        let persisted: BTreeMap<String, Term> = records.into_iter().collect();
+        Fence { seen: persisted.clone(), persisted: Some(persisted) }
     }
 
-    pub fn receive(&mut self, duty: &str, term: Term) -> Taken {
-        let highest = self.seen.get(duty).copied().unwrap_or(0);
+    /// Decides on an act of the lease under this term.
+    pub fn receive(&mut self, lease: &str, term: Term) -> FenceDecision {
+        let highest = self.seen.get(lease).copied().unwrap_or(0);
         if term < highest {
-            return Taken::No { highest };
+            return FenceDecision::Stale { highest };
         }
         if term > highest {
-            self.seen.insert(duty.to_owned(), term);
+            self.seen.insert(lease.to_owned(), term);
+        }
+        match &self.persisted {
+            Some(persisted) if persisted.get(lease).copied().unwrap_or(0) < term => {
+                FenceDecision::PersistFirst
+            }
+            _ => FenceDecision::Accept,
         }
-        let kept = !self.durable || self.kept.get(duty).copied().unwrap_or(0) >= term;
-        if kept { Taken::Yes } else { Taken::WhenKept }
     }
 
     /// The record of this term is on the disk.
-    pub fn kept(&mut self, duty: &str, term: Term) {
-        let kept = self.kept.entry(duty.to_owned()).or_default();
-        *kept = term.max(*kept);
+    pub fn persisted(&mut self, lease: &str, term: Term) {
+        if let Some(persisted) = &mut self.persisted {
+            let highest = persisted.entry(lease.to_owned()).or_default();
+            *highest = term.max(*highest);
+        }
     }
 }
--- a/crates/leases/src/voter.rs
+++ b/crates/leases/src/voter.rs
@@ -1,136 +1,193 @@
+//! One voter: what it promised and granted of each lease.
+
 use std::collections::BTreeMap;
 
-use crate::{Ballot, Driver, Held, Micros, Said, Term, Word};
+use crate::{Ballot, Incarnation, Message, Micros, OutstandingLease, Payload, Term, clock_margin};
+
+/// A lease as one voter granted it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct GrantedLease {
+    /// To whom.
+    pub holder: Incarnation,
+    /// Under which term.
+    pub term: Term,
+    /// When it expires, by the voter's clock.
+    pub expires_at: Micros,
+}
 
-/// What one voter promised and granted of one duty.
+/// What one voter knows of one lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Seat {
+struct LeaseRecord {
     promised: Option<Ballot>,
-    /// The highest term granted, and the highest that this start may tell of having granted: with a store one that is kept.
+    /// The highest term granted.
     term: Term,
-    kept: Term,
-    lease: Option<(Driver, Term, Micros)>,
+    /// The highest term that may be told at once; with a store, one that is on the disk.
+    persisted: Term,
+    granted: Option<GrantedLease>,
 }
 
-/// What a voter says, and whether it is to say so only once the term is on the disk.
+/// What a voter answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
-    pub word: Word,
-    pub once_kept: Option<Term>,
+pub struct Reply {
+    /// To be sent to whoever asked.
+    pub payload: Payload,
+    /// Send it only once this term is on the disk.
+    pub once_persisted: Option<Term>,
+}
+
+/// Where a voter keeps the terms that it granted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+enum TermStorage {
+    /// Nowhere: they are forgotten with the process.
+    Volatile,
+    /// In a store that has not been read yet: no vote is cast.
+    Unread,
+    /// In a store whose records are known.
+    Durable,
 }
 
-/// One voter, for all duties.
+/// One voter, for all leases.
 ///
-/// It forgets with its process what it promised and granted, so that a start is silent for one lease: whatever was granted
-/// before is over then. Protects holders from a voter that forgot them and grants another. Harms the fleet by one voter for
-/// that long. Terms alone are kept, where there is a store.
+/// Promises and grants are forgotten with the process, so that a voter is silent for one lease after its start: whatever
+/// it granted before has expired then. Guards lease holders from a voter that forgot them and grants their lease to
+/// another; costs the fleet one voter for that long. Only terms are kept, where there is a store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
     silent_until: Micros,
     /// The longest lease that it grants; the same at all voters.
-    longest: Micros,
-    durable: bool,
-    /// What its store held is not known yet.
-    unread: bool,
-    seats: BTreeMap<String, Seat>,
+    longest_lease: Micros,
+    storage: TermStorage,
+    records: BTreeMap<String, LeaseRecord>,
 }
 
 impl Voter {
-    /// `kept` is what its store held, where it has one.
+    /// A voter that starts now. `persisted` is what its store held, where it has one.
     pub fn start(
         now: Micros,
-        longest: Micros,
-        kept: Option<impl IntoIterator<Item = (String, Term)>>,
+        longest_lease: Micros,
+        persisted: Option<impl IntoIterator<Item = (String, Term)>>,
     ) -> Voter {
-        let durable = kept.is_some();
-        let seat = |(duty, term)| (duty, Seat { term, kept: term, ..Seat::default() });
-        let seats = kept.into_iter().flatten().map(seat).collect();
-        let margin = longest.div_euclid(crate::DRIFT) + 1;
-        Voter { silent_until: now + longest + margin, longest, durable, unread: false, seats }
+        let storage = if persisted.is_some() { TermStorage::Durable } else { TermStorage::Volatile };
+        let restored =
+            |(lease, term)| (lease, LeaseRecord { term, persisted: term, ..LeaseRecord::default() });
+        let records = persisted.into_iter().flatten().map(restored).collect();
+        let silent_until = now + longest_lease + clock_margin(longest_lease);
+        Voter { silent_until, longest_lease, storage, records }
     }
 
-    /// It has a store that cannot be read yet: no vote is cast before [`Voter::read`].
+    /// Its store cannot be read yet: no vote is cast before [`Voter::restore`].
     ///
-    /// Protects terms from a voter that forgot which it granted. Harms the fleet by one voter for as long as that lasts.
-    pub fn hold_back(&mut self) {
-        (self.durable, self.unread) = (true, true);
+    /// Guards terms from a voter that forgot which it granted; costs the fleet one voter for as long as that lasts.
+    pub fn withhold_votes(&mut self) {
+        self.storage = TermStorage::Unread;
     }
 
-    /// What its store held, once it is read.
-    pub fn read(&mut self, kept: impl IntoIterator<Item = (String, Term)>) {
-        self.unread = false;
-        for (duty, term) in kept {
-            let seat = self.seats.entry(duty).or_default();
-            // Not as kept: what was read and not written again may be in the memory of the system only.
-            seat.term = seat.term.max(term);
+    /// What its store held, once it has been read.
+    pub fn restore(&mut self, records: impl IntoIterator<Item = (String, Term)>) {
+        if self.storage == TermStorage::Unread {
+            self.storage = TermStorage::Durable;
+        }
+        for (lease, term) in records {
+            let record = self.records.entry(lease).or_default();
+            // Not as persisted: what was read and not written again may be in the system's memory only.
+            record.term = record.term.max(term);
         }
     }
 
-    pub fn speaks_from(&self) -> Micros {
+    /// Until when it casts no vote after its start.
+    #[must_use]
+    pub fn silent_until(&self) -> Micros {
         self.silent_until
     }
 
-    /// The highest term that it granted of a duty, under any start that it knows of.
-    pub fn term(&self, duty: &str) -> Term {
-        self.seats.get(duty).map_or(0, |seat| seat.term)
+    /// The highest term of a lease that it knows to have been granted.
+    #[must_use]
+    pub fn term(&self, lease: &str) -> Term {
+        self.records.get(lease).map_or(0, |record| record.term)
     }
 
-    /// Until when a lease is out, as far as this voter granted it, and to whom.
-    pub fn lease(&self, now: Micros, duty: &str) -> Option<(&Driver, Micros)> {
-        let (by, _, until) = self.seats.get(duty)?.lease.as_ref()?;
-        (now < *until).then_some((by, *until))
+    /// A lease that this voter granted and that has not expired.
+    #[must_use]
+    pub fn granted(&self, now: Micros, lease: &str) -> Option<&GrantedLease> {
+        let granted = self.records.get(lease)?.granted.as_ref()?;
+        (now < granted.expires_at).then_some(granted)
     }
 
-    pub fn hear(&mut self, now: Micros, from: &Driver, said: &Said) -> Option<Answer> {
-        let at_once = |word| Some(Answer { word, once_kept: None });
-        if let Word::LayDown { term } = said.word {
-            let seat = self.seats.get_mut(&said.duty)?;
-            // Only its holder's word counts, and only for this term.
-            if seat.lease.as_ref().is_some_and(|(by, held, _)| by == from && *held == term) {
-                seat.lease = None;
-            }
+    /// Takes a message for voters, and answers it where there is something to say.
+    pub fn receive(&mut self, now: Micros, from: &Incarnation, message: &Message) -> Option<Reply> {
+        if let Payload::Release { term } = message.payload {
+            self.release(from, &message.lease, term);
             return None;
         }
-        if now < self.silent_until || self.unread {
+        if now < self.silent_until || self.storage == TermStorage::Unread {
             return None;
         }
-        let seat = self.seats.entry(said.duty.clone()).or_default();
-        let ballot = match &said.word {
-            Word::Prepare { ballot } | Word::Propose { ballot, .. } if ballot.by == *from => ballot.clone(),
+        let ballot = match &message.payload {
+            Payload::Prepare { ballot } | Payload::Propose { ballot, .. } if ballot.candidate == *from => {
+                ballot.clone()
+            }
             _ => return None,
         };
-        if let Some(promised) = seat.promised.as_ref().filter(|promised| **promised > ballot) {
-            let promised = promised.count;
-            return at_once(Word::Refuse { ballot, promised });
+        let record = self.records.entry(message.lease.clone()).or_default();
+        if let Some(promised) = record.promised.as_ref().filter(|promised| **promised > ballot) {
+            return Some(Reply::at_once(Payload::Reject { ballot, promised: promised.number }));
         }
-        match said.word {
-            Word::Prepare { .. } => {
-                seat.promised = Some(ballot.clone());
-                let lease = seat.lease.clone().filter(|(.., until)| now < *until);
-                let held = lease.map(|(by, _, until)| Held { by, left: until - now });
-                at_once(Word::Promise { ballot, term: seat.term, held })
-            }
-            // One whose lease is longer than this voter is silent after a start is configured otherwise than the rest.
-            Word::Propose { term, lasts, .. } if term >= seat.term && lasts <= self.longest && term > 0 => {
-                seat.promised = Some(ballot.clone());
-                (seat.term, seat.lease) = (term, Some((ballot.by.clone(), term, now + lasts)));
-                let once_kept = (self.durable && seat.kept < term).then_some(term);
-                Some(Answer { word: Word::Accept { ballot, term }, once_kept })
+        match message.payload {
+            Payload::Prepare { .. } => Some(record.promise(now, ballot)),
+            // A lease longer than this voter's silence after a start: the candidate is configured otherwise than the rest.
+            Payload::Propose { duration, .. } if duration > self.longest_lease => None,
+            Payload::Propose { term, duration, .. } if term >= record.term && term > 0 => {
+                let durable = self.storage != TermStorage::Volatile;
+                Some(record.grant(ballot, term, now + duration, durable))
             }
             _ => None,
         }
     }
 
-    /// A term that others took acts of, whoever granted it: what is granted from now on is no lower.
-    pub fn saw(&mut self, duty: &str, term: Term) {
-        let seat = self.seats.entry(duty.to_owned()).or_default();
-        seat.term = seat.term.max(term);
+    /// Only its holder releases a lease, and only under the term that it holds.
+    fn release(&mut self, from: &Incarnation, lease: &str, term: Term) {
+        let Some(record) = self.records.get_mut(lease) else { return };
+        if record.granted.as_ref().is_some_and(|granted| granted.holder == *from && granted.term == term) {
+            record.granted = None;
+        }
+    }
+
+    /// Others took acts of this term, whoever granted it: what is granted from now on is no lower.
+    pub fn observe_term(&mut self, lease: &str, term: Term) {
+        let record = self.records.entry(lease.to_owned()).or_default();
+        record.term = record.term.max(term);
     }
 
     /// The record of this term is on the disk.
-    pub fn kept(&mut self, duty: &str, term: Term) {
-        if let Some(seat) = self.seats.get_mut(duty) {
-            seat.kept = seat.kept.max(term);
+    pub fn persisted(&mut self, lease: &str, term: Term) {
+        if let Some(record) = self.records.get_mut(lease) {
+            record.persisted = record.persisted.max(term);
         }
     }
 }
+
+impl LeaseRecord {
+    fn promise(&mut self, now: Micros, ballot: Ballot) -> Reply {
+        self.promised = Some(ballot.clone());
+        let granted = self.granted.as_ref().filter(|granted| now < granted.expires_at);
+        let outstanding = granted.map(|granted| OutstandingLease {
+            holder: granted.holder.clone(),
+            remaining: granted.expires_at - now,
+        });
+        Reply::at_once(Payload::Promise { ballot, term: self.term, outstanding })
+    }
+
+    fn grant(&mut self, ballot: Ballot, term: Term, expires_at: Micros, durable: bool) -> Reply {
+        self.promised = Some(ballot.clone());
+        self.term = term;
+        self.granted = Some(GrantedLease { holder: ballot.candidate.clone(), term, expires_at });
+        let once_persisted = (durable && self.persisted < term).then_some(term);
+        Reply { payload: Payload::Accept { ballot, term }, once_persisted }
+    }
+}
+
+impl Reply {
+    fn at_once(payload: Payload) -> Reply {
+        Reply { payload, once_persisted: None }
+    }
+}
--- a/crates/leases/tests/failing.rs
+++ b/crates/leases/tests/failing.rs
@@ -4,7 +4,7 @@
 #[path = "../../store/tests/power/mod.rs"]
 mod power;
 
-use aldermill_leases::{Ballot, Driver, Micros, Said, Term, Voter, Word};
+use aldermill_leases::{Ballot, Incarnation, Message, Micros, Payload, Term, Voter};
 use aldermill_store::{Batch, Bounds, Store};
 use power::{Dice, FailingDisk};
 
@@ -48,7 +48,7 @@
     fn start(&mut self) -> Life {
         let mut voter = Voter::start(self.now, LASTS, None::<Vec<(String, Term)>>);
         if self.unread == Unread::HoldsBack {
-            voter.hold_back();
+            voter.withhold_votes();
         }
         let mut life = Life { voter, store: None };
         self.open(&mut life);
@@ -70,7 +70,7 @@
         if let Some(snapshot) = snapshot {
             let terms =
                 snapshot.all(GRANTED).map(|(_, value)| Term::from_be_bytes(value.try_into().unwrap()));
-            life.voter.read(terms.map(|term| ("d".to_owned(), term)));
+            life.voter.restore(terms.map(|term| ("d".to_owned(), term)));
         }
     }
 
@@ -90,26 +90,28 @@
         kept
     }
 
-    fn hear(&mut self, life: &mut Life, word: impl FnOnce(Ballot) -> Word) -> Result<(), String> {
-        let from = Driver { name: format!("n{}", self.dice.below(3)), start: 1 };
+    fn hear(&mut self, life: &mut Life, payload: impl FnOnce(Ballot) -> Payload) -> Result<(), String> {
+        let from = Incarnation { name: format!("n{}", self.dice.below(3)), start: 1 };
         self.ballots += 1;
-        let word = word(Ballot { count: self.ballots, by: from.clone() });
-        let answer = life.voter.hear(self.now, &from, &Said { duty: "d".to_owned(), word });
+        let payload = payload(Ballot { number: self.ballots, candidate: from.clone() });
+        let answer = life.voter.receive(self.now, &from, &Message { lease: "d".to_owned(), payload });
         let Some(answer) = answer else { return Ok(()) };
-        if let Some(term) = answer.once_kept {
+        if let Some(term) = answer.once_persisted {
             let kept = self.keep(life, term);
             // A process that is killed says nothing more, whatever it had learnt.
             if !kept || self.disk.state().left == Some(0) {
                 self.figures.1 += 1;
                 return Ok(());
             }
-            life.voter.kept("d", term);
+            life.voter.persisted("d", term);
         }
-        let (Word::Promise { term, .. } | Word::Accept { term, .. }) = answer.word else { return Ok(()) };
+        let (Payload::Promise { term, .. } | Payload::Accept { term, .. }) = answer.payload else {
+            return Ok(());
+        };
         if term < self.said {
-            return Err(format!("said {:?} after a grant of term {}", answer.word, self.said));
+            return Err(format!("said {:?} after a grant of term {}", answer.payload, self.said));
         }
-        if matches!(answer.word, Word::Accept { .. }) {
+        if matches!(answer.payload, Payload::Accept { .. }) {
             self.said = term;
             self.figures.0 += 1;
         }
@@ -131,11 +133,11 @@
             }
             2 => self.disk.state().left = Some(self.dice.below(300) as usize),
             3 | 4 => {}
-            5..10 => self.hear(life, |ballot| Word::Prepare { ballot })?,
+            5..10 => self.hear(life, |ballot| Payload::Prepare { ballot })?,
             // A holder that lost its memory seeks with a low term, others above all that was granted.
             _ => {
                 let term = (self.said + 2).saturating_sub(self.dice.below(4)).max(1);
-                self.hear(life, |ballot| Word::Propose { ballot, term, lasts: LASTS })?;
+                self.hear(life, |ballot| Payload::Propose { ballot, term, duration: LASTS })?;
             }
         }
         let killed = self.disk.state().left == Some(0);
@@ -178,15 +180,15 @@
 #[test]
 fn an_unread_voter_hears_and_says_nothing_and_votes_at_once_when_it_has_read() {
     let mut voter = Voter::start(0, LASTS, None::<Vec<(String, Term)>>);
-    voter.hold_back();
-    let from = Driver { name: "a".to_owned(), start: 1 };
-    let now = voter.speaks_from();
-    let prepare = |count| {
-        let ballot = Ballot { count, by: from.clone() };
-        Said { duty: "d".to_owned(), word: Word::Prepare { ballot } }
+    voter.withhold_votes();
+    let from = Incarnation { name: "a".to_owned(), start: 1 };
+    let now = voter.silent_until();
+    let prepare = |number| {
+        let ballot = Ballot { number, candidate: from.clone() };
+        Message { lease: "d".to_owned(), payload: Payload::Prepare { ballot } }
     };
-    assert_eq!(voter.hear(now, &from, &prepare(1)), None);
-    voter.read([("d".to_owned(), 7)]);
-    let answer = voter.hear(now, &from, &prepare(2)).expect("it votes");
-    assert!(matches!(answer.word, Word::Promise { term: 7, .. }));
+    assert_eq!(voter.receive(now, &from, &prepare(1)), None);
+    voter.restore([("d".to_owned(), 7)]);
+    let answer = voter.receive(now, &from, &prepare(2)).expect("it votes");
+    assert!(matches!(answer.payload, Payload::Promise { term: 7, .. }));
 }
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,13 +1,15 @@
-//! Model checking of a duty that one of three voters holds and another seeks: words that are late, doubled and lost, clocks
+//! Model checking of a lease that one of three voters holds and another seeks: messages that are late, doubled and lost, clocks
 //! that run apart, a voter that starts anew and has forgotten what it granted.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use aldermill_leases::{Driver, Move, Said, Seeker, Tenure, Term, Voter, Word};
+use aldermill_leases::{
+    Candidate, CandidateAction, Incarnation, Message, Payload, Term, Voter, clock_margin,
+};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-const DUTY: &str = "d";
+const LEASE: &str = "d";
 /// In ticks; the margin is one.
 const LASTS: i64 = 3;
 const TIME: i64 = 5;
@@ -16,38 +18,38 @@
 const ASKINGS: [u8; 2] = [1, 2];
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
-fn driver(at: usize, start: u64) -> Driver {
-    Driver { name: NAMES[at].into(), start }
+fn incarnation(at: usize, start: u64) -> Incarnation {
+    Incarnation { name: NAMES[at].into(), start }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: i64,
-    /// Both seekers' own clocks, one of which may be slower by a tick a lease.
+    /// Both candidates' own clocks, one of which may be slower by a tick a lease.
     clocks: [i64; 2],
     slowed: bool,
-    seekers: [Seeker; 2],
+    candidates: [Candidate; 2],
     voters: [Voter; 3],
     restarts: u8,
     /// How often each has turned to the voters.
     asked: [u8; 2],
     /// Words under way: from, to, what. A word stays, so that it may come again; those lost never come.
-    under_way: BTreeSet<(usize, usize, Arc<Said2>)>,
+    under_way: BTreeSet<(usize, usize, Arc<Ordered>)>,
     got: BTreeSet<(Term, usize)>,
 }
 
 /// A word in an order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Said2(Said);
+struct Ordered(Message);
 
-impl PartialOrd for Said2 {
-    fn partial_cmp(&self, other: &Said2) -> Option<std::cmp::Ordering> {
+impl PartialOrd for Ordered {
+    fn partial_cmp(&self, other: &Ordered) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Said2 {
-    fn cmp(&self, other: &Said2) -> std::cmp::Ordering {
+impl Ord for Ordered {
+    fn cmp(&self, other: &Ordered) -> std::cmp::Ordering {
         aldermill_leases::frame::encode(&self.0).cmp(&aldermill_leases::frame::encode(&other.0))
     }
 }
@@ -57,7 +59,7 @@
     Tick,
     SlowTick(usize),
     Wake(usize),
-    Deliver(usize, usize, Arc<Said2>),
+    Deliver(usize, usize, Arc<Ordered>),
     Restart,
 }
 
@@ -72,37 +74,42 @@
 const WHOLE: Protocol = Protocol { margin: true, silent: true };
 
 impl Protocol {
-    /// What a seeker says to its own voter is heard at once, and so is the answer.
-    fn send(&self, state: &mut State, from: usize, moves: Vec<Move>) {
+    /// What a candidate says to its own voter is heard at once, and so is the answer.
+    fn send(&self, state: &mut State, from: usize, moves: Vec<CandidateAction>) {
         for step in moves {
             match step {
-                Move::Say(word) => {
-                    let said = Said { duty: DUTY.into(), word };
+                CandidateAction::Broadcast(payload) => {
+                    let said = Message { lease: LEASE.into(), payload };
                     for to in (0..3).filter(|&to| to != from) {
-                        state.under_way.insert((from, to, Arc::new(Said2(said.clone()))));
+                        state.under_way.insert((from, to, Arc::new(Ordered(said.clone()))));
                     }
-                    if let Some(answer) = state.voters[from].hear(state.now, &driver(from, 1), &said) {
-                        let moves =
-                            state.seekers[from].hear(state.clocks[from], 0, NAMES[from], &answer.word);
+                    if let Some(answer) = state.voters[from].receive(state.now, &incarnation(from, 1), &said)
+                    {
+                        let moves = state.candidates[from].receive(
+                            state.clocks[from],
+                            0,
+                            NAMES[from],
+                            &answer.payload,
+                        );
                         self.send(state, from, moves);
                     }
                 }
-                Move::Got(term) => drop(state.got.insert((term, from))),
-                Move::Lost(_) => {}
+                CandidateAction::Acquired(term) => drop(state.got.insert((term, from))),
+                CandidateAction::Lost(_) => {}
             }
         }
     }
 
-    fn deliver(&self, state: &mut State, from: usize, to: usize, said: &Said) {
-        match &said.word {
-            Word::Prepare { .. } | Word::Propose { .. } | Word::LayDown { .. } => {
-                if let Some(answer) = state.voters[to].hear(state.now, &driver(from, 1), said) {
-                    let said = Arc::new(Said2(Said { duty: DUTY.into(), word: answer.word }));
+    fn deliver(&self, state: &mut State, from: usize, to: usize, said: &Message) {
+        match &said.payload {
+            Payload::Prepare { .. } | Payload::Propose { .. } | Payload::Release { .. } => {
+                if let Some(answer) = state.voters[to].receive(state.now, &incarnation(from, 1), said) {
+                    let said = Arc::new(Ordered(Message { lease: LEASE.into(), payload: answer.payload }));
                     state.under_way.insert((to, from, said));
                 }
             }
-            word => {
-                let moves = state.seekers[to].hear(state.clocks[to], 0, NAMES[from], word);
+            answer => {
+                let moves = state.candidates[to].receive(state.clocks[to], 0, NAMES[from], answer);
                 self.send(state, to, moves);
             }
         }
@@ -110,8 +117,8 @@
 
     /// Whether this one may act now, by its own clock.
     fn may(&self, state: &State, at: usize) -> Option<Term> {
-        let behind = if self.margin { 0 } else { Tenure::margin(LASTS) };
-        state.seekers[at].may_act(state.clocks[at] - behind)
+        let behind = if self.margin { 0 } else { clock_margin(LASTS) };
+        state.candidates[at].may_act(state.clocks[at] - behind)
     }
 }
 
@@ -125,7 +132,7 @@
             now: 0,
             clocks: [0; 2],
             slowed: false,
-            seekers: [0, 1].map(|at| Seeker::start(driver(at, 1), 3, LASTS, 0)),
+            candidates: [0, 1].map(|at| Candidate::start(incarnation(at, 1), 3, LASTS, 0)),
             voters: [voter(), voter(), voter()],
             restarts: 0,
             asked: [0; 2],
@@ -133,7 +140,7 @@
             got: BTreeSet::new(),
         };
         // One holds it, by its own vote and the third's; the other has heard of nothing yet.
-        let moves = state.seekers[0].wake(0, None, 0.0);
+        let moves = state.candidates[0].wake(0, None, 0.0);
         self.send(&mut state, 0, moves);
         while state.got.is_empty() {
             let (from, to, said) =
@@ -173,18 +180,20 @@
             }
             Step::Wake(at) => {
                 let now = state.clocks[at];
-                if now < state.seekers[at].wake_at() || state.asked[at] >= ASKINGS[at] {
+                if now < state.candidates[at].wake_at() || state.asked[at] >= ASKINGS[at] {
                     return None;
                 }
-                let lease = state.voters[at].lease(state.now, DUTY);
-                let other = lease.filter(|(by, _)| *by.name != *NAMES[at]).map(|(_, until)| until);
-                let moves = state.seekers[at].wake(now, other, 0.0);
-                state.asked[at] += u8::from(moves.iter().any(|step| matches!(step, Move::Say(_))));
+                let lease = state.voters[at].granted(state.now, LEASE);
+                let other =
+                    lease.filter(|lease| *lease.holder.name != *NAMES[at]).map(|lease| lease.expires_at);
+                let moves = state.candidates[at].wake(now, other, 0.0);
+                state.asked[at] +=
+                    u8::from(moves.iter().any(|step| matches!(step, CandidateAction::Broadcast(_))));
                 self.send(&mut state, at, moves);
             }
             Step::Deliver(from, to, said) => {
                 // A grant may come twice; what else comes again says nothing new.
-                let again = matches!(said.0.word, Word::Propose { .. } | Word::Accept { .. });
+                let again = matches!(said.0.payload, Payload::Propose { .. } | Payload::Accept { .. });
                 if !again {
                     state.under_way.remove(&(from, to, said.clone()));
                 }
@@ -193,22 +202,25 @@
             Step::Restart => {
                 state.restarts += 1;
                 let began = if self.silent { state.now } else { state.now - 10 };
-                // Terms are the store's to keep, or the clock's.
-                let kept = vec![(DUTY.into(), state.voters[2].term(DUTY))];
+                // LeaseConfig are the store's to keep, or the clock's.
+                let kept = vec![(LEASE.into(), state.voters[2].term(LEASE))];
                 state.voters[2] = Voter::start(began, LASTS, Some(kept));
-                state.voters[2].kept(DUTY, Term::MAX);
+                state.voters[2].persisted(LEASE, Term::MAX);
             }
         }
         // An answer to what is asked no longer changes nothing, and need not be remembered.
-        let stale = |(_, to, said): &(usize, usize, Arc<Said2>)| {
-            let mut seeker = state.seekers.get(*to).cloned();
-            let heard = |seeker: &mut Seeker| seeker.hear(state.clocks[*to], 0, "x", &said.0.word);
-            let answer =
-                !matches!(said.0.word, Word::Prepare { .. } | Word::Propose { .. } | Word::LayDown { .. });
+        let stale = |(_, to, said): &(usize, usize, Arc<Ordered>)| {
+            let mut candidate = state.candidates.get(*to).cloned();
+            let heard =
+                |candidate: &mut Candidate| candidate.receive(state.clocks[*to], 0, "x", &said.0.payload);
+            let answer = !matches!(
+                said.0.payload,
+                Payload::Prepare { .. } | Payload::Propose { .. } | Payload::Release { .. }
+            );
             answer
-                && seeker
-                    .as_mut()
-                    .is_none_or(|seeker| heard(seeker).is_empty() && *seeker == state.seekers[*to])
+                && candidate.as_mut().is_none_or(|candidate| {
+                    heard(candidate).is_empty() && *candidate == state.candidates[*to]
+                })
         };
         let kept = state.under_way.iter().filter(|word| !stale(word)).cloned().collect();
         state.under_way = kept;
@@ -223,7 +235,7 @@
             Property::<Self>::always("never two may act at one time", |protocol, state| {
                 !(protocol.may(state, 0).is_some() && protocol.may(state, 1).is_some())
             }),
-            Property::<Self>::sometimes("the duty is held", |_, state| !state.got.is_empty()),
+            Property::<Self>::sometimes("the lease is held", |_, state| !state.got.is_empty()),
         ]
     }
 }
@@ -234,13 +246,13 @@
     let checker = checker.finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     eprintln!("{} states", checker.unique_state_count());
     let mut found: Vec<&'static str> =
-        checker.discoveries().into_keys().filter(|name| *name != "the duty is held").collect();
+        checker.discoveries().into_keys().filter(|name| *name != "the lease is held").collect();
     found.sort_unstable();
     found
 }
 
 #[test]
-fn nobody_gets_a_duty_while_another_may_act_and_each_term_has_one_holder() {
+fn nobody_gets_a_lease_while_another_may_act_and_each_term_has_one_holder() {
     assert!(broken(WHOLE, DEPTH).is_empty());
 }
 
--- a/crates/leases/tests/agreement.rs
+++ b/crates/leases/tests/participants.rs
@@ -4,22 +4,25 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use aldermill_leases::{Actions, Agreement, Change, Driver, Fence, Micros, Said, Taken, Term, Terms};
+use aldermill_leases::{
+    Actions, Fence, FenceDecision, Incarnation, LeaseChange, LeaseConfig, Message, Micros, Outgoing,
+    Participant, Term,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
 const LASTS: Micros = 2 * S;
-const DUTY: &str = "d";
+const LEASE: &str = "d";
 
 #[derive(Clone, Debug)]
 enum Event {
     Wake(usize, u64),
     Comes {
         to: usize,
-        from: Driver,
-        said: Said,
+        from: Incarnation,
+        message: Message,
     },
     Kept {
         node: usize,
@@ -46,10 +49,10 @@
 
 #[derive(Default)]
 struct Node {
-    agreement: Option<Agreement>,
+    participant: Option<Participant>,
     start: u64,
     stands: bool,
-    inbox: Vec<(Driver, Said)>,
+    inbox: Vec<(Incarnation, Message)>,
     disk: Option<BTreeMap<String, Term>>,
     /// Its clock runs faster or slower by so much, and its wall clock is off by so many milliseconds.
     pace: f64,
@@ -59,7 +62,7 @@
 struct World {
     now: Micros,
     nodes: Vec<Node>,
-    terms: Terms,
+    config: LeaseConfig,
     /// Those on one side of a cut.
     cut: u8,
     loss: f64,
@@ -86,11 +89,12 @@
             ..Node::default()
         };
         let nodes = (0..voters).map(node).collect();
-        let terms = Terms { voters: names, duties: vec![DUTY.to_owned()], lasts: LASTS, least_term: 0 };
+        let config =
+            LeaseConfig { voters: names, leases: vec![LEASE.to_owned()], duration: LASTS, least_term: 0 };
         let mut world = World {
             now: 0,
             nodes,
-            terms,
+            config,
             cut: 0,
             loss: 0.0,
             events: BinaryHeap::new(),
@@ -98,7 +102,7 @@
             next: 0,
             starts: 0,
             rng,
-            fence: Fence::passing(),
+            fence: Fence::volatile(),
             taken: Vec::new(),
             got: Vec::new(),
             held: (0, 0),
@@ -124,7 +128,7 @@
     fn holder(&self) -> Option<usize> {
         let may = |at: &usize| {
             let node = &self.nodes[*at];
-            node.agreement.as_ref().is_some_and(|of| of.may_act(self.own(*at), DUTY).is_some())
+            node.participant.as_ref().is_some_and(|of| of.may_act(self.own(*at), LEASE).is_some())
         };
         let holders: Vec<usize> = (0..self.nodes.len()).filter(may).collect();
         assert!(holders.len() < 2, "{holders:?} hold it at {}", self.now);
@@ -136,7 +140,7 @@
         let side = |which: bool| {
             let live = |at: &usize| {
                 let node = &self.nodes[*at];
-                node.agreement.is_some() && !node.stands && (self.cut >> at & 1 == 1) == which
+                node.participant.is_some() && !node.stands && (self.cut >> at & 1 == 1) == which
             };
             (0..self.nodes.len()).filter(live).count()
         };
@@ -156,13 +160,13 @@
             self.now = at;
             match self.what.remove(&key).unwrap() {
                 Event::Wake(node, start) => self.wake(node, start),
-                Event::Comes { to, from, said } => {
+                Event::Comes { to, from, message } => {
                     let (now, wall) = (self.own(to), self.wall(to));
                     let state = &mut self.nodes[to];
-                    match &mut state.agreement {
-                        Some(_) if state.stands => state.inbox.push((from, said)),
-                        Some(agreement) => {
-                            let actions = agreement.hear(now, wall, &from, &said);
+                    match &mut state.participant {
+                        Some(_) if state.stands => state.inbox.push((from, message)),
+                        Some(participant) => {
+                            let actions = participant.receive(now, wall, &from, &message);
                             self.carry_out(to, actions);
                         }
                         None => {}
@@ -172,11 +176,11 @@
                     let (now, wall) = (self.own(node), self.wall(node));
                     let state = &mut self.nodes[node];
                     // It is on the disk although its process may be gone.
-                    state.disk.as_mut().unwrap().insert(DUTY.to_owned(), term);
+                    state.disk.as_mut().unwrap().insert(LEASE.to_owned(), term);
                     if state.start == start
-                        && let Some(agreement) = &mut state.agreement
+                        && let Some(participant) = &mut state.participant
                     {
-                        let actions = agreement.kept(now, wall, DUTY, term);
+                        let actions = participant.persisted(now, wall, LEASE, term);
                         self.carry_out(node, actions);
                     }
                 }
@@ -185,10 +189,10 @@
                         // It stands between look and act.
                         self.at(self.now + 100 * MS, Event::Act { by, term });
                     } else {
-                        match self.fence.receive(DUTY, term) {
-                            Taken::Yes => self.taken.push(term),
-                            Taken::No { highest } => self.overtaken(by, highest),
-                            Taken::WhenKept => {}
+                        match self.fence.receive(LEASE, term) {
+                            FenceDecision::Accept => self.taken.push(term),
+                            FenceDecision::Stale { highest } => self.overtaken(by, highest),
+                            FenceDecision::PersistFirst => {}
                         }
                     }
                 }
@@ -201,8 +205,8 @@
     /// Whoever refused an act says which term it knows of.
     fn overtaken(&mut self, node: usize, term: Term) {
         let (now, wall) = (self.own(node), self.wall(node));
-        if let Some(agreement) = &mut self.nodes[node].agreement {
-            let actions = agreement.saw(now, wall, DUTY, term);
+        if let Some(participant) = &mut self.nodes[node].participant {
+            let actions = participant.observe_term(now, wall, LEASE, term);
             self.carry_out(node, actions);
         }
     }
@@ -213,9 +217,9 @@
         if state.start != start || state.stands {
             return;
         }
-        let Some(agreement) = &mut state.agreement else { return };
-        let actions = agreement.wake(now, wall);
-        let acts = agreement.may_act(now, DUTY);
+        let Some(participant) = &mut state.participant else { return };
+        let actions = participant.wake(now, wall);
+        let acts = participant.may_act(now, LEASE);
         self.carry_out(node, actions);
         if let Some(term) = acts {
             let late = self.rng.random_range(0..5 * MS);
@@ -224,24 +228,27 @@
     }
 
     fn carry_out(&mut self, node: usize, actions: Actions) {
-        let from = Driver { name: format!("n{node}"), start: self.nodes[node].start };
-        for (to, said) in actions.send {
+        let from = Incarnation { name: format!("n{node}"), start: self.nodes[node].start };
+        for Outgoing { to, message } in actions.send {
             let to: usize = to[1..].parse().unwrap();
             let joined = self.cut >> node & 1 == self.cut >> to & 1;
             for _ in 0..1 + usize::from(self.rng.random_bool(0.05)) {
                 if joined && !self.rng.random_bool(self.loss) {
                     let late = if self.rng.random_bool(0.02) { 700 * MS } else { 2 * MS };
                     let way = self.rng.random_range(100..late);
-                    self.at(self.now + way, Event::Comes { to, from: from.clone(), said: said.clone() });
+                    self.at(
+                        self.now + way,
+                        Event::Comes { to, from: from.clone(), message: message.clone() },
+                    );
                 }
             }
         }
-        for (_, term) in actions.keep {
+        for (_, term) in actions.persist {
             let wait = self.rng.random_range(MS..20 * MS);
             self.at(self.now + wait, Event::Kept { node, start: self.nodes[node].start, term });
         }
         for change in actions.changes {
-            if let Change::Got { term, .. } = change {
+            if let LeaseChange::Acquired { term, .. } = change {
                 self.got.push((self.now, node, term));
             }
         }
@@ -253,26 +260,26 @@
 
     fn does(&mut self, fault: Fault) {
         match fault {
-            Fault::Kill(node) => self.nodes[node].agreement = None,
-            Fault::Start(node) if self.nodes[node].agreement.is_none() => {
+            Fault::Kill(node) => self.nodes[node].participant = None,
+            Fault::Start(node) if self.nodes[node].participant.is_none() => {
                 self.starts += 1;
                 let (now, start, seed) = (self.own(node), self.starts, self.rng.random());
-                let own = Driver { name: format!("n{node}"), start };
+                let own = Incarnation { name: format!("n{node}"), start };
                 let kept = self.nodes[node].disk.clone().map(|disk| disk.into_iter().collect());
-                let agreement = Agreement::start(now, own, &self.terms, kept, seed).unwrap();
+                let participant = Participant::start(now, own, &self.config, kept, seed).unwrap();
                 let state = &mut self.nodes[node];
                 (state.start, state.stands) = (start, false);
                 state.inbox.clear();
-                state.agreement = Some(agreement);
+                state.participant = Some(participant);
                 self.wake(node, start);
             }
             Fault::Stop(node) => self.nodes[node].stands = true,
             Fault::GoOn(node) => {
                 let (now, wall) = (self.own(node), self.wall(node));
                 self.nodes[node].stands = false;
-                for (from, said) in std::mem::take(&mut self.nodes[node].inbox) {
-                    if let Some(agreement) = &mut self.nodes[node].agreement {
-                        let actions = agreement.hear(now, wall, &from, &said);
+                for (from, message) in std::mem::take(&mut self.nodes[node].inbox) {
+                    if let Some(participant) = &mut self.nodes[node].participant {
+                        let actions = participant.receive(now, wall, &from, &message);
                         self.carry_out(node, actions);
                     }
                 }
@@ -281,8 +288,8 @@
             Fault::Cut(side) => self.cut = side,
             Fault::Leave(node) => {
                 let now = self.own(node);
-                if let Some(mut agreement) = self.nodes[node].agreement.take() {
-                    let actions = agreement.leave(now);
+                if let Some(mut participant) = self.nodes[node].participant.take() {
+                    let actions = participant.release_all(now);
                     self.carry_out(node, actions);
                 }
             }
@@ -365,7 +372,7 @@
 }
 
 #[test]
-fn a_duty_passes_on_at_once_when_it_is_laid_down_and_within_two_leases_when_not() {
+fn a_lease_passes_on_at_once_when_it_is_laid_down_and_within_two_leases_when_not() {
     let report = |name: &str, took: &[Micros]| {
         eprintln!("{name}: median {} ms, worst {} ms", took[25] / MS, took[49] / MS);
     };
@@ -383,14 +390,14 @@
 }
 
 #[test]
-fn a_calm_duty_stays_where_it_is_and_one_that_is_unable_gives_it_up() {
+fn a_calm_lease_stays_where_it_is_and_one_that_is_unable_gives_it_up() {
     let mut world = World::new(3, 5, false);
     world.run(60 * S);
     assert_eq!(world.got.len(), 1);
     assert!(world.held.0 * 1000 > world.held.1 * 999);
     let (holder, now) = (world.holder().unwrap(), world.now);
     let own = world.own(holder);
-    let actions = world.nodes[holder].agreement.as_mut().unwrap().able(own, DUTY, false);
+    let actions = world.nodes[holder].participant.as_mut().unwrap().set_able(own, LEASE, false);
     world.carry_out(holder, actions);
     world.run(now + S);
     assert!(world.holder().is_some_and(|next| next != holder));
--- a/crates/proxy/src/council.rs
+++ b/crates/proxy/src/council.rs
@@ -14,7 +14,9 @@
 use aldermill_directives::{
     About, Book, COMPARED, Decree, EVERY, FANOUT, Heard, LASTS, Ledger, Micros, Reporter,
 };
-use aldermill_leases::{Actions, Agreement, Change, Driver, Term, Terms, Unusable};
+use aldermill_leases::{
+    Actions, ConfigError, Incarnation, LeaseChange, LeaseConfig, Outgoing, Participant, Term,
+};
 use aldermill_membership::Fellow;
 use aldermill_operator_config::Council as Wanted;
 use aldermill_site_drain::Plan;
@@ -48,9 +50,9 @@
 }
 
 pub struct Council {
-    own: Driver,
+    own: Incarnation,
     duties: Vec<String>,
-    agreement: Agreement,
+    participant: Participant,
     book: Book,
     ledger: Ledger,
     reporter: Reporter,
@@ -73,26 +75,26 @@
     /// timeout of a request.
     pub fn open(
         wanted: Wanted,
-        own: Driver,
+        own: Incarnation,
         folder: Option<Rc<Folder>>,
         (zone, longest_timeout): (usize, Micros),
         moment: Moment,
         seed: u64,
         log: Logger,
-    ) -> Result<(Council, mpsc::Receiver<bool>), Unusable> {
+    ) -> Result<(Council, mpsc::Receiver<bool>), ConfigError> {
         let now = moment.now;
         let duties: Vec<String> = wanted.duties.iter().map(|duty| duty.name().to_owned()).collect();
-        let terms = Terms {
+        let config = LeaseConfig {
             voters: wanted.voters,
-            duties: duties.clone(),
-            lasts: Micros::from(wanted.lease_ms) * 1000,
+            leases: duties.clone(),
+            duration: Micros::from(wanted.lease_ms) * 1000,
             least_term: wanted.least_term,
         };
         let book = Book::default();
-        let agreement = Agreement::start(now, own.clone(), &terms, None, seed)?;
+        let participant = Participant::start(now, own.clone(), &config, None, seed)?;
         let (told, confirmed) = mpsc::channel(UNDER_WAY);
         let memory = folder.map(|folder| Memory::start(folder, told));
-        info!(log, "council"; "votes" => agreement.is_voter(), "duties" => duties.join(" "), "kept" => memory.is_some());
+        info!(log, "council"; "votes" => participant.is_voter(), "duties" => duties.join(" "), "kept" => memory.is_some());
         let has = |duty: &str| duties.iter().any(|of| of == duty);
         let zones = has(work::DUTY).then(|| ZonesWork::start(zone, log.clone()));
         let splits = has(splits::DUTY).then(|| SplitsWork::start(wanted.cuts, log.clone()));
@@ -102,7 +104,7 @@
         let mut council = Council {
             own,
             duties,
-            agreement,
+            participant,
             book,
             ledger: Ledger::default(),
             reporter: Reporter::default(),
@@ -141,8 +143,8 @@
             DUTY => {
                 // Words of before a standstill say nothing of leases now; whoever said them says them again.
                 let Ok(said) = aldermill_leases::frame::decode(words) else { return };
-                let from = Driver { name: from.name.to_string(), start: from.start };
-                let actions = self.agreement.hear(at.now, at.wall, &from, &said);
+                let from = Incarnation { name: from.name.to_string(), start: from.start };
+                let actions = self.participant.receive(at.now, at.wall, &from, &said);
                 self.carry_out(at, actions, others);
             }
             DECREE => match frame::decode(words) {
@@ -165,7 +167,7 @@
                     }
                 }
                 Ok(Message::Report(report)) => {
-                    if self.agreement.may_act(at.now, &report.about.duty).is_some() {
+                    if self.participant.may_act(at.now, &report.about.duty).is_some() {
                         self.ledger.hear(at.now, age, &from.name, from.start, report);
                     }
                 }
@@ -203,7 +205,7 @@
         let now = at.now;
         self.read_memory(now);
         if self.agree_at.is_some_and(|due| due <= now) {
-            let actions = self.agreement.wake(now, at.wall);
+            let actions = self.participant.wake(now, at.wall);
             self.carry_out(at, actions, others);
         }
         if now >= self.decree_at {
@@ -227,7 +229,7 @@
             && let Some(holder) = self.book.holder(now, &report.about.duty).map(|(by, _)| by.to_owned())
         {
             if *holder == *self.own.name {
-                let Driver { name, start } = self.own.clone();
+                let Incarnation { name, start } = self.own.clone();
                 self.ledger.hear(now, 0, &name, start, report);
             } else {
                 self.say(&holder, DECREE, &frame::report(&report));
@@ -237,21 +239,21 @@
 
     fn carry_out(&mut self, at: Moment, actions: Actions, others: &[Rc<str>]) {
         self.agree_at = actions.wake_at;
-        for (to, said) in actions.send {
-            self.say(&to, DUTY, &aldermill_leases::frame::encode(&said));
+        for Outgoing { to, message } in actions.send {
+            self.say(&to, DUTY, &aldermill_leases::frame::encode(&message));
         }
-        for (duty, term) in actions.keep {
+        for (duty, term) in actions.persist {
             self.keep(Record::Granted(duty, term));
         }
-        let got = |change: &Change| matches!(change, Change::Got { .. });
+        let got = |change: &LeaseChange| matches!(change, LeaseChange::Acquired { .. });
         let heard_of = actions.changes.iter().any(got);
         for change in actions.changes {
             match change {
-                Change::Got { duty, term } => {
+                LeaseChange::Acquired { lease: duty, term } => {
                     info!(self.log, "duty got"; "term" => term, "name" => &duty);
                     self.keep(Record::Decreed(duty, term));
                 }
-                Change::Lost { duty, term } => {
+                LeaseChange::Lost { lease: duty, term } => {
                     info!(self.log, "duty no longer held"; "term" => term, "name" => &duty);
                 }
             }
@@ -270,7 +272,7 @@
 
     /// It lays down what it holds.
     pub fn leave(&mut self, at: Moment) {
-        let actions = self.agreement.leave(at.now);
+        let actions = self.participant.release_all(at.now);
         self.carry_out(at, actions, &[]);
     }
 
@@ -284,14 +286,14 @@
             let told = self.ledger.told(now, LASTS, duty).map(|(name, ..)| name);
             let reporting = told.collect::<std::collections::BTreeSet<_>>().len();
             json!({"name": duty, "held_by": holder.map(|(by, _)| by), "term": holder.map(|(_, term)| term),
-                "holds": self.agreement.may_act(now, duty), "reporting": reporting})
+                "holds": self.participant.may_act(now, duty), "reporting": reporting})
         });
         let decrees = self.book.all(now).map(|decree| {
             json!({"duty": decree.about.duty, "subject": decree.about.subject, "term": decree.term,
                 "number": decree.number, "by": decree.by, "left_ms": decree.left / 1000,
                 "says": String::from_utf8_lossy(&decree.body)})
         });
-        json!({"votes": self.agreement.is_voter(), "zones": self.zones.as_ref().map(ZonesWork::describe),
+        json!({"votes": self.participant.is_voter(), "zones": self.zones.as_ref().map(ZonesWork::describe),
             "retire": self.leaving.as_ref().map(LeavingWork::describe),
             "aside": self.splits.as_ref().map(SplitsWork::aside), "duties": duties.collect::<Vec<_>>(),
             "decrees": decrees.collect::<Vec<_>>()})
--- a/crates/proxy/src/council/duties.rs
+++ b/crates/proxy/src/council/duties.rs
@@ -32,7 +32,7 @@
     pub(super) fn decree(&mut self, now: Micros, others: &[Rc<str>]) {
         let mut decrees = Vec::new();
         for duty in self.duties.clone() {
-            let Some(term) = self.agreement.may_act(now, &duty) else { continue };
+            let Some(term) = self.participant.may_act(now, &duty) else { continue };
             let about = About::new(&duty, "");
             match self.book.issue(now, about, term, &self.own.name, LASTS, Vec::new()) {
                 Some(decree) => decrees.push(decree),
@@ -45,18 +45,18 @@
     /// Decides what there is to decide under the duties that it holds.
     pub(super) fn work(&mut self, at: Moment, others: &[Rc<str>]) {
         let (now, living) = (at.now, others.len() + 1);
-        let Council { agreement, book, ledger, own, zones, splits, leaving, .. } = self;
+        let Council { participant, book, ledger, own, zones, splits, leaving, .. } = self;
         let mut decided = Vec::new();
         if let Some(zones) = zones {
-            let term = agreement.may_act(now, work::DUTY);
+            let term = participant.may_act(now, work::DUTY);
             decided.push((work::DUTY, term, zones.decide(now, term, ledger, book)));
         }
         if let Some(splits) = splits {
-            let term = agreement.may_act(now, splits::DUTY);
+            let term = participant.may_act(now, splits::DUTY);
             decided.push((splits::DUTY, term, splits.decide(now, term, ledger, book, living)));
         }
         if let Some(leaving) = leaving {
-            let term = agreement.may_act(now, leaving::DUTY);
+            let term = participant.may_act(now, leaving::DUTY);
             let living: Vec<&str> = others.iter().map(|name| &**name).chain([&*own.name]).collect();
             decided.push((leaving::DUTY, term, leaving.decide(at, term, ledger, book, &living)));
         }
@@ -64,7 +64,7 @@
         for (duty, term, bodies) in decided {
             for (subject, body) in bodies {
                 // The lease is looked at before each act.
-                if let Some(term) = term.filter(|_| agreement.may_act(now, duty) == term) {
+                if let Some(term) = term.filter(|_| participant.may_act(now, duty) == term) {
                     decrees.extend(book.issue(now, About::new(duty, &subject), term, &own.name, LASTS, body));
                 }
             }
--- a/crates/proxy/src/council/memory.rs
+++ b/crates/proxy/src/council/memory.rs
@@ -80,7 +80,7 @@
     /// No vote before the folder is read, which may be at once.
     pub(super) fn begin_memory(&mut self, now: Micros) {
         if self.memory.is_some() {
-            self.agreement.hold_back();
+            self.participant.withhold_votes();
             self.read_memory(now);
         }
     }
@@ -92,7 +92,7 @@
             return;
         }
         memory.unread = false;
-        self.agreement.read(memory.terms(space::GRANTED));
+        self.participant.restore(memory.terms(space::GRANTED));
         let decreed: BTreeMap<String, Term> = memory.terms(space::DECREED).into_iter().collect();
         // What was taken meanwhile must not replace a higher term.
         memory.decreed.retain(|duty, term| decreed.get(duty).is_none_or(|kept| kept < term));
@@ -134,7 +134,7 @@
         }
         match record {
             Record::Granted(duty, term) => {
-                let actions = self.agreement.kept(at.now, at.wall, &duty, term);
+                let actions = self.participant.persisted(at.now, at.wall, &duty, term);
                 self.carry_out(at, actions, others);
             }
             Record::Decreed(duty, term) => {
@@ -148,7 +148,7 @@
         match record {
             Record::Granted(duty, term) => {
                 warn!(self.log, "a term is not kept, so no vote is given"; "duty" => &duty, "term" => term);
-                self.agreement.not_kept();
+                self.participant.not_persisted();
             }
             // Handed over again with the next work.
             Record::Decreed(..) => {}
--- a/crates/proxy/src/council/overtaken.rs
+++ b/crates/proxy/src/council/overtaken.rs
@@ -28,7 +28,7 @@
     pub(super) fn learn_terms(&mut self, at: Moment, entries: &[Entry], others: &[Rc<str>]) {
         for Entry { about, place } in entries {
             if self.duties.contains(&about.duty) {
-                let actions = self.agreement.saw(at.now, at.wall, &about.duty, place.0);
+                let actions = self.participant.observe_term(at.now, at.wall, &about.duty, place.0);
                 self.carry_out(at, actions, others);
             }
         }
--- a/crates/proxy/src/error.rs
+++ b/crates/proxy/src/error.rs
@@ -22,7 +22,7 @@
     #[error("{field}: {address}: {why}; another process may have it, or it is no address of this machine")]
     Listen { field: &'static str, address: SocketAddr, why: io::Error },
     #[error("council.{0}")]
-    Council(#[from] aldermill_leases::Unusable),
+    Council(#[from] aldermill_leases::ConfigError),
     #[error("{what}: {why}; the system refuses what every program needs, see its limits")]
     System { what: &'static str, why: io::Error },
     #[error("{0} ended by itself; that is a fault in the program, keep the log")]
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/fellows.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_leases::Driver;
+use aldermill_leases::Incarnation;
 use aldermill_membership::{Actions, Change, Dropped, Fellow, Micros, Own, Peer, Tempo, View};
 use aldermill_operator_config::{Council as Wanted, Fellows as Terms};
 use aldermill_site_drain::Plan;
@@ -93,7 +93,7 @@
         let council = match wanted {
             Some(Sitting { wanted, folder, place, reread: again }) => {
                 reread = Some(again);
-                let (own, log) = (Driver { name: name.to_owned(), start }, context.log.clone());
+                let (own, log) = (Incarnation { name: name.to_owned(), start }, context.log.clone());
                 let opened =
                     Council::open(wanted, own, folder, place, moment(&context), seed.rotate_left(3), log);
                 Some(opened?)
