--- a/crates/directives/src/lib.rs
+++ b/crates/directives/src/lib.rs
@@ -1,55 +1,38 @@
-//! What the holder of a duty says to all drivers, and what they report to it.
+//! Directives: what a lease holder announces to all processes, and the reports that they send to it.
 //!
-//! A [`Decree`] has a duty and a subject, the term of its holder, a number that rises within the term, a life, and a body that
-//! this package does not look into. Each driver keeps the highest of each subject in its [`Book`], passes on what is news to
-//! it, and makes good what it missed by comparing digests with others. What is not renewed runs out. A [`Reporter`] sends what
-//! a driver has to report, one datagram at a time; the holder keeps the newest of each driver in its [`Ledger`].
+//! A [`Directive`] has a topic (a lease, and a subject under it), a version (the term of the lease, and a number that
+//! rises within the term), a lifetime, and a body that this package does not look into. Each process keeps the highest
+//! version of each topic in its [`DirectiveStore`], forwards what is new to it, and fetches what it missed by comparing
+//! digests with others. What is not renewed expires. A [`Reporter`] paces what a process has to report; the lease holder
+//! keeps the newest report of each process in its [`Reports`].
 //!
-//! `now` is the time of a clock that counts standstills. What is read just after one may be as old as the standstill was long:
-//! the caller brings that as `age`. Nothing here does I/O or has a clock.
+//! Nothing here does I/O or has a clock. `now` is the time of a clock that counts stalls. What is received just after a
+//! stall may be as old as the stall was long: the caller passes that as `age`.
 
-mod book;
+#![warn(missing_docs)]
+
+mod directive;
 pub mod frame;
-mod ledger;
+mod reporter;
+mod reports;
+mod store;
 
-pub use book::{Book, Entry, Heard, Place};
-pub use ledger::{Ledger, Report, Reporter};
+pub use directive::{DigestEntry, Directive, Topic, Version};
+pub use reporter::{Report, Reporter};
+pub use reports::{ReceivedReport, Reports};
+pub use store::{Acceptance, DirectiveStore, KnownHolder};
 
-/// Whole microseconds, on the caller's clock.
+/// Whole microseconds: an instant on the caller's clock, or a span.
 pub type Micros = i64;
 
-/// Rises with every grant of a duty to another holder.
+/// Rises with every grant of a lease to another holder.
 pub type Term = u64;
 
-/// What a decree is about: a duty, and one of its subjects. The empty subject only says who holds the duty.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct About {
-    pub duty: String,
-    pub subject: String,
-}
-
-impl About {
-    pub fn new(duty: &str, subject: &str) -> About {
-        About { duty: duty.to_owned(), subject: subject.to_owned() }
-    }
-}
-
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Decree {
-    pub about: About,
-    pub term: Term,
-    pub number: u64,
-    /// Who holds the duty under this term.
-    pub by: String,
-    /// For how long it is in force still.
-    pub left: Micros,
-    pub body: Vec<u8>,
-}
-
-/// How often the holder of a duty says its decrees anew, and how long each is in force.
-pub const EVERY: Micros = 2_000_000;
-pub const LASTS: Micros = 3 * EVERY;
-/// How often a driver compares what it knows with one other.
-pub const COMPARED: Micros = 1_000_000;
-/// To how many others news is passed on.
+/// How often a lease holder renews its directives.
+pub const RENEWAL_INTERVAL: Micros = 2_000_000;
+/// For how long each of them is in force: two renewals may be lost.
+pub const LIFETIME: Micros = 3 * RENEWAL_INTERVAL;
+/// How often a process compares what it knows with one other.
+pub const DIGEST_INTERVAL: Micros = 1_000_000;
+/// To how many others a new directive is forwarded.
 pub const FANOUT: usize = 3;
--- a/crates/proxy/src/council.rs
+++ b/crates/proxy/src/council.rs
@@ -12,7 +12,8 @@
 
 use aldermill_directives::frame::{self, Message};
 use aldermill_directives::{
-    About, Book, COMPARED, Decree, EVERY, FANOUT, Heard, LASTS, Ledger, Micros, Reporter,
+    Acceptance, DIGEST_INTERVAL, Directive, DirectiveStore, FANOUT, LIFETIME, Micros, RENEWAL_INTERVAL,
+    Reporter, Reports, Topic,
 };
 use aldermill_leases::{
     Actions, ConfigError, Incarnation, LeaseChange, LeaseConfig, Outgoing, Participant, Term,
@@ -53,8 +54,8 @@
     own: Incarnation,
     duties: Vec<String>,
     participant: Participant,
-    book: Book,
-    ledger: Ledger,
+    directives: DirectiveStore,
+    reports: Reports,
     reporter: Reporter,
     memory: Option<Memory>,
     rng: Pcg64Mcg,
@@ -90,7 +91,6 @@
             duration: Micros::from(wanted.lease_ms) * 1000,
             least_term: wanted.least_term,
         };
-        let book = Book::default();
         let participant = Participant::start(now, own.clone(), &config, None, seed)?;
         let (told, confirmed) = mpsc::channel(UNDER_WAY);
         let memory = folder.map(|folder| Memory::start(folder, told));
@@ -105,8 +105,8 @@
             own,
             duties,
             participant,
-            book,
-            ledger: Ledger::default(),
+            directives: DirectiveStore::default(),
+            reports: Reports::default(),
             reporter: Reporter::default(),
             memory,
             log,
@@ -115,7 +115,7 @@
             leaving,
             decree_at: now,
             work_at: now,
-            compare_at: now + rng.random_range(0..COMPARED),
+            compare_at: now + rng.random_range(0..DIGEST_INTERVAL),
             agree_at: Some(now),
             out: Vec::new(),
             rng,
@@ -125,7 +125,7 @@
     }
 
     pub fn wake_at(&self) -> Micros {
-        let reports = self.reporter.due().unwrap_or(Micros::MAX);
+        let reports = self.reporter.due_at().unwrap_or(Micros::MAX);
         let agrees = self.agree_at.unwrap_or(Micros::MAX);
         self.compare_at.min(self.decree_at).min(self.work_at).min(agrees).min(reports)
     }
@@ -148,27 +148,31 @@
                 self.carry_out(at, actions, others);
             }
             DECREE => match frame::decode(words) {
-                Ok(Message::Decrees(decrees)) => {
-                    self.tell_overtaken(&decrees);
-                    self.tell_overtaken(&decrees);
-                    let news: Vec<Decree> =
-                        decrees.into_iter().filter(|decree| self.take_in(at.now, age, decree)).collect();
+                Ok(Message::Directives(directives)) => {
+                    self.tell_overtaken(&directives);
+                    self.tell_overtaken(&directives);
+                    let news: Vec<Directive> = directives
+                        .into_iter()
+                        .filter(|directive| self.take_in(at.now, age, directive))
+                        .collect();
                     self.pass_on(&news, age, others);
                 }
-                Ok(Message::Digest { entries, answer }) => {
+                Ok(Message::Digest { entries, is_answer }) => {
                     self.learn_terms(at, &entries, others);
-                    let lacks = self.book.lacks(at.now, &entries);
-                    if !lacks.is_empty() {
-                        frame::decrees(&lacks).iter().for_each(|words| self.say(&from.name, DECREE, words));
+                    let missing = self.directives.missing_from(at.now, &entries);
+                    if !missing.is_empty() {
+                        frame::encode_directives(&missing)
+                            .iter()
+                            .for_each(|words| self.say(&from.name, DECREE, words));
                     }
-                    if !answer && self.book.is_behind(&entries) {
-                        let own = frame::digest(&self.book.digest(at.now), true);
+                    if !is_answer && self.directives.is_behind(&entries) {
+                        let own = frame::encode_digest(&self.directives.digest(at.now), true);
                         own.iter().for_each(|words| self.say(&from.name, DECREE, words));
                     }
                 }
                 Ok(Message::Report(report)) => {
-                    if self.participant.may_act(at.now, &report.about.duty).is_some() {
-                        self.ledger.hear(at.now, age, &from.name, from.start, report);
+                    if self.participant.may_act(at.now, &report.topic.lease).is_some() {
+                        self.reports.receive(at.now, age, &from.name, from.start, report);
                     }
                 }
                 Err(_) => {}
@@ -178,24 +182,25 @@
     }
 
     /// Whether it is news.
-    fn take_in(&mut self, now: Micros, age: Micros, decree: &Decree) -> bool {
-        let before = self.book.holder(now, &decree.about.duty).map(|(_, term)| term);
-        let news = self.book.hear(now, age, decree.clone()) == Heard::News;
-        if news && before != Some(decree.term) {
-            info!(self.log, "duty"; "held_by" => &decree.by, "term" => decree.term, "name" => &decree.about.duty);
-            self.keep(Record::Decreed(decree.about.duty.clone(), decree.term));
+    fn take_in(&mut self, now: Micros, age: Micros, directive: &Directive) -> bool {
+        let before = self.directives.holder(now, &directive.topic.lease).map(|holder| holder.term);
+        let news = self.directives.receive(now, age, directive.clone()) == Acceptance::New;
+        if news && before != Some(directive.version.term) {
+            info!(self.log, "duty"; "held_by" => &directive.issuer, "term" => directive.version.term, "name" => &directive.topic.lease);
+            self.keep(Record::Decreed(directive.topic.lease.clone(), directive.version.term));
         }
         news
     }
 
-    fn pass_on(&mut self, news: &[Decree], age: Micros, others: &[Rc<str>]) {
+    fn pass_on(&mut self, news: &[Directive], age: Micros, others: &[Rc<str>]) {
         if news.is_empty() {
             return;
         }
-        let aged = |decree: &Decree| Decree { left: decree.left - age, ..decree.clone() };
-        let news: Vec<Decree> = news.iter().map(aged).collect();
+        let aged =
+            |directive: &Directive| Directive { remaining: directive.remaining - age, ..directive.clone() };
+        let news: Vec<Directive> = news.iter().map(aged).collect();
         let to: Vec<Rc<str>> = others.iter().cloned().choose_multiple(&mut self.rng, FANOUT);
-        for words in frame::decrees(&news) {
+        for words in frame::encode_directives(&news) {
             to.iter().for_each(|to| self.say(to, DECREE, &words));
         }
     }
@@ -209,8 +214,8 @@
             self.carry_out(at, actions, others);
         }
         if now >= self.decree_at {
-            self.decree_at = now + EVERY;
-            self.book.wake(now);
+            self.decree_at = now + RENEWAL_INTERVAL;
+            self.directives.expire(now);
             self.decree(now, others);
         }
         if now >= self.work_at {
@@ -219,20 +224,21 @@
             self.work(at, others);
         }
         if now >= self.compare_at {
-            self.compare_at = now + COMPARED;
+            self.compare_at = now + DIGEST_INTERVAL;
             if let Some(to) = others.iter().cloned().choose(&mut self.rng) {
-                let digest = frame::digest(&self.book.digest(now), false);
+                let digest = frame::encode_digest(&self.directives.digest(now), false);
                 digest.iter().for_each(|words| self.say(&to, DECREE, words));
             }
         }
         if let Some(report) = self.reporter.next(now)
-            && let Some(holder) = self.book.holder(now, &report.about.duty).map(|(by, _)| by.to_owned())
+            && let Some(holder) =
+                self.directives.holder(now, &report.topic.lease).map(|holder| holder.name.to_owned())
         {
             if *holder == *self.own.name {
                 let Incarnation { name, start } = self.own.clone();
-                self.ledger.hear(now, 0, &name, start, report);
+                self.reports.receive(now, 0, &name, start, report);
             } else {
-                self.say(&holder, DECREE, &frame::report(&report));
+                self.say(&holder, DECREE, &frame::encode_report(&report));
             }
         }
     }
@@ -266,7 +272,7 @@
 
     /// A driver is gone.
     pub fn gone(&mut self, now: Micros, name: &str) {
-        self.ledger.gone(name);
+        self.reports.forget(name);
         self.leaving.iter_mut().for_each(|leaving| leaving.gone(now, name));
     }
 
@@ -282,20 +288,20 @@
 
     pub fn describe(&self, now: Micros) -> Value {
         let duties = self.duties.iter().map(|duty| {
-            let holder = self.book.holder(now, duty);
-            let told = self.ledger.told(now, LASTS, duty).map(|(name, ..)| name);
+            let holder = self.directives.holder(now, duty);
+            let told = self.reports.recent(now, LIFETIME, duty).map(|report| report.reporter);
             let reporting = told.collect::<std::collections::BTreeSet<_>>().len();
-            json!({"name": duty, "held_by": holder.map(|(by, _)| by), "term": holder.map(|(_, term)| term),
+            json!({"name": duty, "held_by": holder.map(|holder| holder.name), "term": holder.map(|holder| holder.term),
                 "holds": self.participant.may_act(now, duty), "reporting": reporting})
         });
-        let decrees = self.book.all(now).map(|decree| {
-            json!({"duty": decree.about.duty, "subject": decree.about.subject, "term": decree.term,
-                "number": decree.number, "by": decree.by, "left_ms": decree.left / 1000,
-                "says": String::from_utf8_lossy(&decree.body)})
+        let directives = self.directives.all(now).map(|directive| {
+            json!({"duty": directive.topic.lease, "subject": directive.topic.subject, "term": directive.version.term,
+                "number": directive.version.number, "by": directive.issuer, "left_ms": directive.remaining / 1000,
+                "says": String::from_utf8_lossy(&directive.body)})
         });
         json!({"votes": self.participant.is_voter(), "zones": self.zones.as_ref().map(ZonesWork::describe),
             "retire": self.leaving.as_ref().map(LeavingWork::describe),
             "aside": self.splits.as_ref().map(SplitsWork::aside), "duties": duties.collect::<Vec<_>>(),
-            "decrees": decrees.collect::<Vec<_>>()})
+            "decrees": directives.collect::<Vec<_>>()})
     }
 }
--- a/crates/proxy/src/council/duties.rs
+++ b/crates/proxy/src/council/duties.rs
@@ -30,46 +30,53 @@
 impl Council {
     /// Says anew what it decrees under the duties that it holds; whether it may is asked before each.
     pub(super) fn decree(&mut self, now: Micros, others: &[Rc<str>]) {
-        let mut decrees = Vec::new();
+        let mut issued = Vec::new();
         for duty in self.duties.clone() {
             let Some(term) = self.participant.may_act(now, &duty) else { continue };
-            let about = About::new(&duty, "");
-            match self.book.issue(now, about, term, &self.own.name, LASTS, Vec::new()) {
-                Some(decree) => decrees.push(decree),
+            let topic = Topic::new(&duty, "");
+            match self.directives.issue(now, topic, term, &self.own.name, LIFETIME, Vec::new()) {
+                Some(directive) => issued.push(directive),
                 None => warn!(self.log, "a higher term was heard"; "duty" => &duty, "term" => term),
             }
         }
-        self.pass_on(&decrees, 0, others);
+        self.pass_on(&issued, 0, others);
     }
 
     /// Decides what there is to decide under the duties that it holds.
     pub(super) fn work(&mut self, at: Moment, others: &[Rc<str>]) {
         let (now, living) = (at.now, others.len() + 1);
-        let Council { participant, book, ledger, own, zones, splits, leaving, .. } = self;
+        let Council { participant, directives, reports, own, zones, splits, leaving, .. } = self;
         let mut decided = Vec::new();
         if let Some(zones) = zones {
             let term = participant.may_act(now, work::DUTY);
-            decided.push((work::DUTY, term, zones.decide(now, term, ledger, book)));
+            decided.push((work::DUTY, term, zones.decide(now, term, reports, directives)));
         }
         if let Some(splits) = splits {
             let term = participant.may_act(now, splits::DUTY);
-            decided.push((splits::DUTY, term, splits.decide(now, term, ledger, book, living)));
+            decided.push((splits::DUTY, term, splits.decide(now, term, reports, directives, living)));
         }
         if let Some(leaving) = leaving {
             let term = participant.may_act(now, leaving::DUTY);
             let living: Vec<&str> = others.iter().map(|name| &**name).chain([&*own.name]).collect();
-            decided.push((leaving::DUTY, term, leaving.decide(at, term, ledger, book, &living)));
+            decided.push((leaving::DUTY, term, leaving.decide(at, term, reports, directives, &living)));
         }
-        let mut decrees = Vec::new();
+        let mut issued = Vec::new();
         for (duty, term, bodies) in decided {
             for (subject, body) in bodies {
                 // The lease is looked at before each act.
                 if let Some(term) = term.filter(|_| participant.may_act(now, duty) == term) {
-                    decrees.extend(book.issue(now, About::new(duty, &subject), term, &own.name, LASTS, body));
+                    issued.extend(directives.issue(
+                        now,
+                        Topic::new(duty, &subject),
+                        term,
+                        &own.name,
+                        LIFETIME,
+                        body,
+                    ));
                 }
             }
         }
-        self.pass_on(&decrees, 0, others);
+        self.pass_on(&issued, 0, others);
     }
 
     /// What this driver saw, to be reported.
@@ -86,15 +93,15 @@
 
     /// What is decreed for this driver's zone, where that has changed.
     pub fn leans(&mut self, now: Micros) -> Option<Vec<(Group, Lean)>> {
-        let book = &self.book;
-        self.zones.as_mut().and_then(|zones| zones.obey(now, book))
+        let directives = &self.directives;
+        self.zones.as_mut().and_then(|zones| zones.obey(now, directives))
     }
 
     /// What is decreed of sites that retire, where that has changed.
     pub fn plans(&mut self, now: Micros) -> Option<Vec<Plan>> {
-        let book = &self.book;
+        let directives = &self.directives;
         let (acting, keeps) =
-            self.leaving.as_mut().map(|leaving| leaving.obey(now, book)).unwrap_or_default();
+            self.leaving.as_mut().map(|leaving| leaving.obey(now, directives)).unwrap_or_default();
         for plan in keeps {
             self.keep(Record::Bound(plan));
         }
--- a/crates/proxy/src/council/leaving.rs
+++ b/crates/proxy/src/council/leaving.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_directives::{About, Book, LASTS, Ledger, Micros};
+use aldermill_directives::{DirectiveStore, LIFETIME, Micros, ReceivedReport, Reports, Topic};
 use aldermill_leases::Term;
 use aldermill_operator_config::{Pace, Retiring};
 use aldermill_site_drain::{Holder, Keeps, Obeyed, Order, Place, Plan, Told, Word};
@@ -50,12 +50,12 @@
     of.iter().map(word).collect()
 }
 
-fn standing(book: &Book, now: Micros) -> Vec<(Plan, Place)> {
+fn in_force(directives: &DirectiveStore, now: Micros) -> Vec<(Plan, Place)> {
     let read = |(site, body): (&str, &[u8])| {
-        let place = book.place(&About::new(DUTY, site))?;
-        Some((Plan::decode(body).ok()?, place))
+        let version = directives.version(&Topic::new(DUTY, site))?;
+        Some((Plan::decode(body).ok()?, (version.term, version.number)))
     };
-    book.of_duty(now, DUTY).filter_map(read).collect()
+    directives.in_force_under(now, DUTY).filter_map(read).collect()
 }
 
 impl LeavingWork {
@@ -67,7 +67,7 @@
         durable: bool,
         log: Logger,
     ) -> LeavingWork {
-        let acts = Obeyed::acts(LASTS) + longest_timeout + SLACK;
+        let acts = Obeyed::acts(LIFETIME) + longest_timeout + SLACK;
         LeavingWork {
             words: words(wanted),
             obeyed: Obeyed::default(),
@@ -128,7 +128,7 @@
         self.holder.gone(now, driver);
     }
 
-    pub fn report(&mut self, seen: &Seen) -> (About, Vec<u8>) {
+    pub fn report(&mut self, seen: &Seen) -> (Topic, Vec<u8>) {
         let mut told = Told { words: self.words.clone(), ..Told::default() };
         let empty = Default::default();
         let open = seen.site.as_ref().map_or(&empty, |site| &site.open);
@@ -154,7 +154,7 @@
                 *known = millis.min(*known);
             }
         }
-        (About::new(DUTY, ""), told.encode())
+        (Topic::new(DUTY, ""), told.encode())
     }
 
     /// Once a second: what is decreed, by site, where this driver holds the duty; `living` are all drivers.
@@ -162,8 +162,8 @@
         &mut self,
         at: Moment,
         term: Option<Term>,
-        ledger: &Ledger,
-        book: &Book,
+        reports: &Reports,
+        directives: &DirectiveStore,
         living: &[&str],
     ) -> Vec<(String, Vec<u8>)> {
         if self.term != term {
@@ -173,11 +173,13 @@
         if term.is_none() {
             return Vec::new();
         }
-        let read = |(driver, _, when, body): (&str, &str, Micros, &[u8])| {
-            Some((driver.to_owned(), (ledger.start(driver)?, when, Told::decode(body).ok()?)))
+        let read = |report: ReceivedReport<'_>| {
+            let start = reports.start_of(report.reporter)?;
+            let told = Told::decode(report.body).ok()?;
+            Some((report.reporter.to_owned(), (start, report.received_at, told)))
         };
-        let told = ledger.told(at.now, COUNTS, DUTY).filter_map(read).collect();
-        let mut standing = standing(book, at.now);
+        let told = reports.recent(at.now, COUNTS, DUTY).filter_map(read).collect();
+        let mut standing = in_force(directives, at.now);
         // A holder that was alone knows by what it keeps to itself.
         for plan in self.obeyed.plans() {
             if !standing.iter().any(|(known, _)| known.word.site == plan.word.site) {
@@ -189,8 +191,8 @@
     }
 
     /// What is to be acted by from now on, where that has changed, and what of it is to be kept.
-    pub fn obey(&mut self, now: Micros, book: &Book) -> (Option<Vec<Plan>>, Vec<Plan>) {
-        for (plan, place) in standing(book, now) {
+    pub fn obey(&mut self, now: Micros, directives: &DirectiveStore) -> (Option<Vec<Plan>>, Vec<Plan>) {
+        for (plan, place) in in_force(directives, now) {
             let (site, waits) = (plan.word.site.clone(), plan.waits.clone());
             let news = self.obeyed.hear(now, plan, place);
             let Some(plan) = self.obeyed.plan(&site) else { continue };
--- a/crates/proxy/src/council/memory.rs
+++ b/crates/proxy/src/council/memory.rs
@@ -6,6 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
+use aldermill_directives::Version;
 use aldermill_store::Batch;
 use aldermill_warm_start::space;
 
@@ -96,7 +97,9 @@
         let decreed: BTreeMap<String, Term> = memory.terms(space::DECREED).into_iter().collect();
         // What was taken meanwhile must not replace a higher term.
         memory.decreed.retain(|duty, term| decreed.get(duty).is_none_or(|kept| kept < term));
-        self.book.read(decreed.iter().map(|(duty, term)| (About::new(duty, ""), (*term, 0))));
+        self.directives.restore(
+            decreed.iter().map(|(duty, term)| (Topic::new(duty, ""), Version { term: *term, number: 0 })),
+        );
         if let Some(leaving) = &mut self.leaving {
             leaving.read(now, memory.plans());
         }
--- a/crates/proxy/src/council/splits.rs
+++ b/crates/proxy/src/council/splits.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_directives::{About, Book, Ledger, Micros};
+use aldermill_directives::{DirectiveStore, Micros, Reports, Topic};
 use aldermill_leases::Term;
 use aldermill_split_points::{Group, Picture, RangeAdvice, Ranges, Said, State, Summary, frame};
 use serde_json::{Value, json};
@@ -84,8 +84,8 @@
 }
 
 /// The cut proposed for a range by an earlier holder's word.
-fn standing(book: &Book, now: Micros, subject: &str) -> Option<Vec<u8>> {
-    let body: Value = serde_json::from_slice(book.in_force(now, &About::new(DUTY, subject))?).ok()?;
+fn proposed_cut(directives: &DirectiveStore, now: Micros, subject: &str) -> Option<Vec<u8>> {
+    let body: Value = serde_json::from_slice(directives.in_force(now, &Topic::new(DUTY, subject))?).ok()?;
     let proposed = body["state"] == "proposed";
     from_hex(body["at"].as_str().filter(|_| proposed)?)
 }
@@ -103,8 +103,8 @@
         }
     }
 
-    pub fn report(&self, seen: &Seen) -> Vec<(About, Vec<u8>)> {
-        let about = |group: &u64| About::new(DUTY, &group.to_string());
+    pub fn report(&self, seen: &Seen) -> Vec<(Topic, Vec<u8>)> {
+        let about = |group: &u64| Topic::new(DUTY, &group.to_string());
         seen.keys.iter().map(|(group, summary)| (about(group), summary.clone())).collect()
     }
 
@@ -113,22 +113,24 @@
         &mut self,
         now: Micros,
         term: Option<Term>,
-        ledger: &Ledger,
-        book: &Book,
+        reports: &Reports,
+        directives: &DirectiveStore,
         living: usize,
     ) -> Vec<(String, Vec<u8>)> {
         let Some(groups) = self.holding.under(term, BTreeMap::new) else { return Vec::new() };
         let mut told: BTreeMap<Group, BTreeMap<String, Summary>> = BTreeMap::new();
-        for (driver, group, _, body) in ledger.told(now, COUNTS, DUTY) {
-            if let (Ok(group), Ok(summary)) = (group.parse(), frame::decode(body)) {
-                told.entry(group).or_default().insert(driver.to_owned(), summary);
+        for report in reports.recent(now, COUNTS, DUTY) {
+            if let Ok(group) = report.subject.parse()
+                && let Ok(summary) = frame::decode(report.body)
+            {
+                told.entry(group).or_default().insert(report.reporter.to_owned(), summary);
             }
         }
         let pictures: BTreeMap<Group, Picture> =
             told.into_iter().map(|(group, told)| (group, Picture::of(&told))).collect();
         for group in pictures.keys() {
             groups.entry(*group).or_insert_with(|| {
-                let stands = |from: &[u8]| standing(book, now, &subject(*group, from));
+                let stands = |from: &[u8]| proposed_cut(directives, now, &subject(*group, from));
                 Ranges::start(now, &cuts_of(&self.cuts, *group), stands)
             });
         }
--- a/crates/proxy/src/council/work.rs
+++ b/crates/proxy/src/council/work.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_directives::{About, Book, Ledger, Micros};
+use aldermill_directives::{DirectiveStore, Micros, Reports, Topic};
 use aldermill_leases::Term;
 use aldermill_zone_failover::frame::{self, Told};
 use aldermill_zone_failover::{Evidence, Group, Lean, Level, Zone, Zones};
@@ -27,12 +27,12 @@
 }
 
 /// All that stands now, as far as it can be read.
-fn standing(book: &Book, now: Micros) -> Vec<(Group, Zone, Lean)> {
+fn in_force(directives: &DirectiveStore, now: Micros) -> Vec<(Group, Zone, Lean)> {
     let read = |(subject, body): (&str, &[u8])| {
         let (group, zone) = read_subject(subject)?;
         Some((group, zone, frame::read_decree(body).ok()?))
     };
-    book.of_duty(now, DUTY).filter_map(read).collect()
+    directives.in_force_under(now, DUTY).filter_map(read).collect()
 }
 
 pub struct ZonesWork {
@@ -50,10 +50,10 @@
     }
 
     /// What is to be reported of what was seen, in parts.
-    pub fn report(&self, seen: Seen) -> Vec<(About, Vec<u8>)> {
+    pub fn report(&self, seen: Seen) -> Vec<(Topic, Vec<u8>)> {
         let parts = seen.rows.chunks(frame::ROWS).enumerate().map(|(at, rows)| {
             let told = Told { zone: self.own, over: seen.over, rows: rows.to_vec() };
-            (About::new(DUTY, &at.to_string()), frame::report(&told))
+            (Topic::new(DUTY, &at.to_string()), frame::report(&told))
         });
         parts.collect()
     }
@@ -63,21 +63,21 @@
         &mut self,
         now: Micros,
         term: Option<Term>,
-        ledger: &Ledger,
-        book: &Book,
+        reports: &Reports,
+        directives: &DirectiveStore,
     ) -> Vec<(String, Vec<u8>)> {
         let begin = || {
             let mut zones = Zones::default();
-            for (group, zone, lean) in standing(book, now) {
+            for (group, zone, lean) in in_force(directives, now) {
                 zones.goes_on(now, group, zone, &lean);
             }
             (Evidence::default(), zones)
         };
         let Some((evidence, zones)) = self.holding.under(term, begin) else { return Vec::new() };
         let mut told: BTreeMap<String, Vec<Told>> = BTreeMap::new();
-        for (driver, _, _, body) in ledger.told(now, COUNTS, DUTY) {
-            if let Ok(one) = frame::read_report(body) {
-                told.entry(driver.to_owned()).or_default().push(one);
+        for report in reports.recent(now, COUNTS, DUTY) {
+            if let Ok(one) = frame::read_report(report.body) {
+                told.entry(report.reporter.to_owned()).or_default().push(one);
             }
         }
         evidence.take(&told);
@@ -90,9 +90,10 @@
     }
 
     /// What is decreed for this driver's own zone, where that has changed.
-    pub fn obey(&mut self, now: Micros, book: &Book) -> Option<Vec<(Group, Lean)>> {
-        let own =
-            standing(book, now).into_iter().filter(|(_, zone, lean)| *zone == self.own && lean.away > 0);
+    pub fn obey(&mut self, now: Micros, directives: &DirectiveStore) -> Option<Vec<(Group, Lean)>> {
+        let own = in_force(directives, now)
+            .into_iter()
+            .filter(|(_, zone, lean)| *zone == self.own && lean.away > 0);
         let leans: Vec<(Group, Lean)> = own.map(|(group, _, lean)| (group, lean)).collect();
         if leans == self.obeyed {
             return None;
