--- /dev/null
+++ b/crates/proxy/src/coordination.rs
@@ -0,0 +1,365 @@
+//! This proxy's part in what the fleet decides in common: its vote, the leases that it holds, directives and reports.
+//!
+//! The protocols are those of `crates/leases` and `crates/directives`; here they are put into datagrams, on the disk and
+//! in the log.
+
+mod lease_work;
+mod records;
+mod site_drain;
+mod split_points;
+mod superseded;
+mod zone_failover;
+
+use std::collections::BTreeSet;
+use std::rc::Rc;
+
+use aldermill_directives::frame::{self, Message};
+use aldermill_directives::{
+    Acceptance, DIGEST_INTERVAL, DigestEntry, Directive, DirectiveStore, FANOUT, LIFETIME, Micros,
+    RENEWAL_INTERVAL, Report, Reporter, Reports,
+};
+use aldermill_leases::{Actions, ConfigError, Incarnation, LeaseChange, LeaseConfig, Outgoing, Participant};
+use aldermill_membership::Fellow;
+use aldermill_operator_config::Council as Config;
+use rand::seq::IteratorRandom;
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use serde_json::{Value, json};
+use slog::{Logger, info};
+use tokio::sync::mpsc;
+
+use crate::keep::Folder;
+use records::{MOST_IN_FLIGHT, Record, Records};
+use site_drain::SiteDrainWork;
+use split_points::SplitPointWork;
+use zone_failover::ZoneFailoverWork;
+
+/// The first byte of a datagram: what follows is a message of the lease protocol, or one about directives.
+const LEASE_MESSAGE: u8 = 1;
+const DIRECTIVE_MESSAGE: u8 = 2;
+/// How often a lease holder decides, and each proxy looks at the directives in force.
+pub const DECISION_INTERVAL: Micros = 1_000_000;
+
+/// When a call is made.
+#[derive(Clone, Copy)]
+pub struct CallTime {
+    /// By the clock that counts stalls, in microseconds.
+    pub now: Micros,
+    /// The Unix time in milliseconds, by the wall clock of the start and the monotonic clock since.
+    pub wall: u64,
+}
+
+/// What is to be sent to another proxy.
+pub struct Datagram {
+    /// The other's name.
+    pub to: String,
+    /// What its [`Coordination::receive`] takes.
+    pub payload: Vec<u8>,
+}
+
+/// This proxy's part in what the fleet decides in common.
+pub struct Coordination {
+    own: Incarnation,
+    /// The names of all leases.
+    leases: Vec<String>,
+    participant: Participant,
+    directives: DirectiveStore,
+    reports: Reports,
+    reporter: Reporter,
+    records: Option<Records>,
+    rng: Pcg64Mcg,
+    log: Logger,
+    zone_failover: Option<ZoneFailoverWork>,
+    split_points: Option<SplitPointWork>,
+    site_drain: Option<SiteDrainWork>,
+    renew_at: Micros,
+    decide_at: Micros,
+    compare_at: Micros,
+    participant_at: Option<Micros>,
+    outgoing: Vec<Datagram>,
+}
+
+impl Coordination {
+    /// Starts this proxy's part. The receiver is told of each write to the folder, in their order; its news are for
+    /// [`Coordination::write_confirmed`]. `zone` is the own one, `longest_timeout` that of all requests.
+    ///
+    /// # Errors
+    ///
+    /// The operator's configuration of leases cannot work.
+    pub fn open(
+        config: Config,
+        own: Incarnation,
+        folder: Option<Rc<Folder>>,
+        (zone, longest_timeout): (usize, Micros),
+        at: CallTime,
+        seed: u64,
+        log: Logger,
+    ) -> Result<(Coordination, mpsc::Receiver<bool>), ConfigError> {
+        let now = at.now;
+        let leases: Vec<String> = config.duties.iter().map(|duty| duty.name().to_owned()).collect();
+        let lease_config = LeaseConfig {
+            voters: config.voters,
+            leases: leases.clone(),
+            duration: Micros::from(config.lease_ms) * 1000,
+            least_term: config.least_term,
+        };
+        let participant = Participant::start(now, own.clone(), &lease_config, None, seed)?;
+        let (confirmations, confirmed) = mpsc::channel(MOST_IN_FLIGHT);
+        let records = folder.map(|folder| Records::start(folder, confirmations));
+        info!(log, "coordination started"; "votes" => participant.is_voter(), "leases" => leases.join(" "),
+            "kept" => records.is_some());
+        let has = |lease: &str| leases.iter().any(|name| name == lease);
+        let zone_failover = has(zone_failover::LEASE).then(|| ZoneFailoverWork::start(zone, log.clone()));
+        let split_points = has(split_points::LEASE).then(|| SplitPointWork::start(config.cuts, log.clone()));
+        let durable = records.is_some();
+        let site_drain = has(site_drain::LEASE)
+            .then(|| SiteDrainWork::start(now, &config.retire, longest_timeout, durable, log.clone()));
+        let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(7));
+        let mut coordination = Coordination {
+            own,
+            leases,
+            participant,
+            directives: DirectiveStore::default(),
+            reports: Reports::default(),
+            reporter: Reporter::default(),
+            records,
+            log,
+            zone_failover,
+            split_points,
+            site_drain,
+            renew_at: now,
+            decide_at: now,
+            compare_at: now + rng.random_range(0..DIGEST_INTERVAL),
+            participant_at: Some(now),
+            outgoing: Vec::new(),
+            rng,
+        };
+        coordination.withhold_votes_until_read(now);
+        Ok((coordination, confirmed))
+    }
+
+    /// When [`Coordination::wake`] is to be called.
+    pub fn wake_at(&self) -> Micros {
+        let report_at = self.reporter.due_at().unwrap_or(Micros::MAX);
+        let participant_at = self.participant_at.unwrap_or(Micros::MAX);
+        self.compare_at.min(self.renew_at).min(self.decide_at).min(participant_at).min(report_at)
+    }
+
+    /// What is to be sent now.
+    pub fn take_outgoing(&mut self) -> Vec<Datagram> {
+        std::mem::take(&mut self.outgoing)
+    }
+
+    /// Takes another proxy's datagram; `age` is how long it may have waited here unread. One that cannot be decoded is
+    /// ignored.
+    pub fn receive(&mut self, at: CallTime, age: Micros, from: &Fellow, payload: &[u8], others: &[Rc<str>]) {
+        let Some((&kind, bytes)) = payload.split_first() else { return };
+        self.read_records(at.now);
+        match kind {
+            LEASE_MESSAGE => self.receive_lease_message(at, from, bytes, others),
+            DIRECTIVE_MESSAGE => match frame::decode(bytes) {
+                Ok(Message::Directives(directives)) => {
+                    self.receive_directives(at.now, age, directives, others);
+                }
+                Ok(Message::Digest { entries, is_answer }) => {
+                    self.receive_digest(at, from, &entries, is_answer, others);
+                }
+                Ok(Message::Report(report)) => self.receive_report(at.now, age, from, report),
+                Err(_) => {}
+            },
+            _ => {}
+        }
+    }
+
+    /// Its age does not matter: a message of before a stall says nothing of leases now, and is repeated by its sender.
+    fn receive_lease_message(&mut self, at: CallTime, from: &Fellow, bytes: &[u8], others: &[Rc<str>]) {
+        let Ok(message) = aldermill_leases::frame::decode(bytes) else { return };
+        let from = Incarnation { name: from.name.to_string(), start: from.start };
+        let actions = self.participant.receive(at.now, at.wall, &from, &message);
+        self.carry_out(at, actions, others);
+    }
+
+    fn receive_directives(
+        &mut self,
+        now: Micros,
+        age: Micros,
+        directives: Vec<Directive>,
+        others: &[Rc<str>],
+    ) {
+        self.tell_superseded(&directives);
+        self.tell_superseded(&directives);
+        let mut new = directives;
+        new.retain(|directive| self.accept(now, age, directive));
+        self.forward(&new, age, others);
+    }
+
+    fn receive_digest(
+        &mut self,
+        at: CallTime,
+        from: &Fellow,
+        entries: &[DigestEntry],
+        is_answer: bool,
+        others: &[Rc<str>],
+    ) {
+        self.learn_terms(at, entries, others);
+        let missing = self.directives.missing_from(at.now, entries);
+        if !missing.is_empty() {
+            self.send_directive_messages(&from.name, frame::encode_directives(&missing));
+        }
+        if !is_answer && self.directives.is_behind(entries) {
+            let own = frame::encode_digest(&self.directives.digest(at.now), true);
+            self.send_directive_messages(&from.name, own);
+        }
+    }
+
+    fn receive_report(&mut self, now: Micros, age: Micros, from: &Fellow, report: Report) {
+        if self.participant.may_act(now, &report.topic.lease).is_some() {
+            self.reports.receive(now, age, &from.name, from.start, report);
+        }
+    }
+
+    /// Takes a directive; whether it is new.
+    fn accept(&mut self, now: Micros, age: Micros, directive: &Directive) -> bool {
+        let lease = &directive.topic.lease;
+        let term = directive.version.term;
+        let known_term = self.directives.holder(now, lease).map(|holder| holder.term);
+        let is_new = self.directives.receive(now, age, directive.clone()) == Acceptance::New;
+        if is_new && known_term != Some(term) {
+            info!(self.log, "lease held by another"; "holder" => &directive.issuer, "term" => term, "lease" => lease);
+            self.persist(Record::Accepted { lease: lease.clone(), term });
+        }
+        is_new
+    }
+
+    /// Sends new directives on to a few others.
+    fn forward(&mut self, new: &[Directive], age: Micros, others: &[Rc<str>]) {
+        if new.is_empty() {
+            return;
+        }
+        let aged =
+            |directive: &Directive| Directive { remaining: directive.remaining - age, ..directive.clone() };
+        let aged: Vec<Directive> = new.iter().map(aged).collect();
+        let to: Vec<Rc<str>> = others.iter().cloned().choose_multiple(&mut self.rng, FANOUT);
+        for message in frame::encode_directives(&aged) {
+            to.iter().for_each(|to| self.send(to, DIRECTIVE_MESSAGE, &message));
+        }
+    }
+
+    /// To be called at [`Coordination::wake_at`]; `others` are the proxies known to live.
+    pub fn wake(&mut self, at: CallTime, others: &[Rc<str>]) {
+        let now = at.now;
+        self.read_records(now);
+        if self.participant_at.is_some_and(|due| due <= now) {
+            let actions = self.participant.wake(now, at.wall);
+            self.carry_out(at, actions, others);
+        }
+        if now >= self.renew_at {
+            self.renew_at = now + RENEWAL_INTERVAL;
+            self.directives.expire(now);
+            self.announce_held_leases(now, others);
+        }
+        if now >= self.decide_at {
+            self.decide_at = now + DECISION_INTERVAL;
+            self.persist_again();
+            self.decide(at, others);
+        }
+        if now >= self.compare_at {
+            self.compare_at = now + DIGEST_INTERVAL;
+            self.send_digest(now, others);
+        }
+        self.send_report(now);
+    }
+
+    fn send_digest(&mut self, now: Micros, others: &[Rc<str>]) {
+        if let Some(to) = others.iter().cloned().choose(&mut self.rng) {
+            let digest = frame::encode_digest(&self.directives.digest(now), false);
+            self.send_directive_messages(&to, digest);
+        }
+    }
+
+    fn send_report(&mut self, now: Micros) {
+        let Some(report) = self.reporter.next(now) else { return };
+        let Some(holder) = self.directives.holder(now, &report.topic.lease) else { return };
+        if holder.name == self.own.name {
+            self.reports.receive(now, 0, &self.own.name, self.own.start, report);
+        } else {
+            let holder = holder.name.to_owned();
+            self.send(&holder, DIRECTIVE_MESSAGE, &frame::encode_report(&report));
+        }
+    }
+
+    fn carry_out(&mut self, at: CallTime, actions: Actions, others: &[Rc<str>]) {
+        self.participant_at = actions.wake_at;
+        for Outgoing { to, message } in actions.send {
+            self.send(&to, LEASE_MESSAGE, &aldermill_leases::frame::encode(&message));
+        }
+        for (lease, term) in actions.persist {
+            self.persist(Record::Granted { lease, term });
+        }
+        let mut has_acquired = false;
+        for change in actions.changes {
+            match change {
+                LeaseChange::Acquired { lease, term } => {
+                    has_acquired = true;
+                    info!(self.log, "lease acquired"; "term" => term, "lease" => &lease);
+                    self.persist(Record::Accepted { lease, term });
+                }
+                LeaseChange::Lost { lease, term } => {
+                    info!(self.log, "lease lost"; "term" => term, "lease" => lease);
+                }
+            }
+        }
+        if has_acquired {
+            // Others are to know at once whom to report to.
+            self.announce_held_leases(at.now, others);
+        }
+    }
+
+    /// Another proxy is gone, or has started again.
+    pub fn peer_gone(&mut self, now: Micros, name: &str) {
+        self.reports.forget(name);
+        if let Some(site_drain) = &mut self.site_drain {
+            site_drain.peer_gone(now, name);
+        }
+    }
+
+    /// This proxy shuts down: it releases the leases that it holds.
+    pub fn release_leases(&mut self, at: CallTime) {
+        let actions = self.participant.release_all(at.now);
+        self.carry_out(at, actions, &[]);
+    }
+
+    fn send(&mut self, to: &str, kind: u8, message: &[u8]) {
+        self.outgoing.push(Datagram { to: to.to_owned(), payload: [&[kind], message].concat() });
+    }
+
+    fn send_directive_messages(&mut self, to: &str, messages: Vec<Vec<u8>>) {
+        messages.iter().for_each(|message| self.send(to, DIRECTIVE_MESSAGE, message));
+    }
+
+    /// What is known here, for the status socket.
+    pub fn describe(&self, now: Micros) -> Value {
+        let leases = self.leases.iter().map(|lease| self.describe_lease(now, lease));
+        json!({"votes": self.participant.is_voter(),
+            "zones": self.zone_failover.as_ref().map(ZoneFailoverWork::describe),
+            "retire": self.site_drain.as_ref().map(SiteDrainWork::describe),
+            "aside": self.split_points.as_ref().map(SplitPointWork::set_aside),
+            "duties": leases.collect::<Vec<_>>(),
+            "decrees": self.directives.all(now).map(describe_directive).collect::<Vec<_>>()})
+    }
+
+    fn describe_lease(&self, now: Micros, lease: &str) -> Value {
+        let holder = self.directives.holder(now, lease);
+        let reports = self.reports.recent(now, LIFETIME, lease);
+        let reporting: BTreeSet<&str> = reports.map(|report| report.reporter).collect();
+        json!({"name": lease, "held_by": holder.map(|holder| holder.name),
+            "term": holder.map(|holder| holder.term), "holds": self.participant.may_act(now, lease),
+            "reporting": reporting.len()})
+    }
+}
+
+fn describe_directive(directive: Directive) -> Value {
+    json!({"duty": directive.topic.lease, "subject": directive.topic.subject,
+        "term": directive.version.term, "number": directive.version.number, "by": directive.issuer,
+        "left_ms": directive.remaining / 1000, "says": String::from_utf8_lossy(&directive.body)})
+}
--- /dev/null
+++ b/crates/proxy/src/coordination/site_drain.rs
@@ -0,0 +1,261 @@
+//! The work of the lease `retire`: what this proxy reports of its site, what it decides on sites that drain while it holds
+//! the lease, and what it obeys.
+
+use std::collections::BTreeMap;
+
+use aldermill_directives::{DirectiveStore, LIFETIME, Micros, ReceivedReport, Reports, Topic};
+use aldermill_leases::Term;
+use aldermill_operator_config::{Pace, Retiring};
+use aldermill_site_drain::{Holder, Keeps, Obeyed, Order, Place, Plan, Told, Word};
+use serde_json::{Value, json};
+use slog::{Logger, info};
+
+use super::CallTime;
+use super::lease_work::Decision;
+use crate::messages::Seen;
+
+/// The lease's name.
+pub const LEASE: &str = "retire";
+/// For how long a report counts: a proxy reports under other leases between two.
+const REPORTS_COUNT_FOR: Micros = 6_000_000;
+/// For how long after a request's deadline its outcome may still be written.
+const OUTCOME_SLACK: Micros = 5_000_000;
+
+/// A plan that was handed to the disk.
+struct PlanRecord {
+    plan: Plan,
+    is_persisted: bool,
+}
+
+/// What a proxy is to do about the plans in force.
+pub struct ObeyedPlans {
+    /// What to act by from now on, if that has changed.
+    pub acting: Option<Vec<Plan>>,
+    /// What to hand to the disk.
+    pub to_persist: Vec<Plan>,
+}
+
+/// A plan in force, and the version of its directive.
+struct InForce {
+    plan: Plan,
+    place: Place,
+}
+
+/// This proxy's part in the drains of sites.
+pub struct SiteDrainWork {
+    /// What the operators want of sites, as this proxy was told.
+    orders: Vec<Word>,
+    obeyed: Obeyed,
+    /// By site; `None` without a folder.
+    records: Option<BTreeMap<String, PlanRecord>>,
+    /// What the dispatcher acts by.
+    acting: Vec<Plan>,
+    holder: Holder,
+    term: Option<Term>,
+    /// What the next step of each site waits for, as it was last logged.
+    logged_waits: BTreeMap<String, Option<String>>,
+    own_site: String,
+    log: Logger,
+}
+
+fn orders(configured: &[Retiring]) -> Vec<Word> {
+    let order = |pace| match pace {
+        Pace::Goes => Order::Goes,
+        Pace::Held => Order::Held,
+        Pace::TakenBack => Order::TakenBack,
+        Pace::Hurried => Order::Hurried,
+    };
+    let word = |one: &Retiring| Word {
+        site: one.site.clone(),
+        number: one.number,
+        order: order(one.order),
+        by_ms: one.by.saturating_mul(1000),
+    };
+    configured.iter().map(word).collect()
+}
+
+fn in_force(directives: &DirectiveStore, now: Micros) -> Vec<InForce> {
+    let read = |(site, body): (&str, &[u8])| {
+        let version = directives.version(&Topic::new(LEASE, site))?;
+        let plan = Plan::decode(body).ok()?;
+        Some(InForce { plan, place: (version.term, version.number) })
+    };
+    directives.in_force_under(now, LEASE).filter_map(read).collect()
+}
+
+impl SiteDrainWork {
+    /// The part of a proxy that starts now. `longest_timeout` is the longest timeout of a request; `durable` says that
+    /// there is a folder.
+    pub fn start(
+        now: Micros,
+        configured: &[Retiring],
+        longest_timeout: Micros,
+        durable: bool,
+        log: Logger,
+    ) -> SiteDrainWork {
+        let acts = Obeyed::acts(LIFETIME) + longest_timeout + OUTCOME_SLACK;
+        SiteDrainWork {
+            orders: orders(configured),
+            obeyed: Obeyed::default(),
+            records: durable.then(BTreeMap::new),
+            acting: Vec::new(),
+            holder: Holder::start(now, acts),
+            term: None,
+            logged_waits: BTreeMap::new(),
+            own_site: String::new(),
+            log,
+        }
+    }
+
+    /// The plans that an earlier start kept.
+    pub fn restore(&mut self, now: Micros, kept: Vec<Plan>) {
+        if let Some(records) = &mut self.records {
+            let record = |plan: &Plan| PlanRecord { plan: plan.clone(), is_persisted: true };
+            records.extend(kept.iter().map(|plan| (plan.word.site.clone(), record(plan))));
+        }
+        self.obeyed.read(now, kept);
+    }
+
+    /// This plan is on the disk.
+    pub fn persisted(&mut self, plan: &Plan) {
+        let record = self.records.as_mut().and_then(|records| records.get_mut(&plan.word.site));
+        if let Some(record) = record.filter(|record| record.plan == *plan) {
+            record.is_persisted = true;
+        }
+    }
+
+    /// The disk did not take this plan: it is handed over again.
+    pub fn not_persisted(&mut self, plan: &Plan) {
+        if let Some(records) = &mut self.records {
+            records.retain(|_, record| record.plan != *plan);
+        }
+    }
+
+    /// Whether a restart would know of the plan, as far as that is provided for.
+    fn survives_restart(&self, plan: &Plan) -> bool {
+        let Some(records) = &self.records else { return true };
+        records.get(&plan.word.site).is_some_and(|record| record.is_persisted && record.plan == *plan)
+    }
+
+    /// What is to be handed to the disk now.
+    fn take_to_persist(&mut self) -> Vec<Plan> {
+        let Some(records) = &mut self.records else { return Vec::new() };
+        let is_known =
+            |plan: &&Plan| records.get(&plan.word.site).is_some_and(|record| record.plan == **plan);
+        let new: Vec<Plan> = self.obeyed.plans().filter(|plan| !is_known(plan)).cloned().collect();
+        let record = |plan: &Plan| PlanRecord { plan: plan.clone(), is_persisted: false };
+        records.extend(new.iter().map(|plan| (plan.word.site.clone(), record(plan))));
+        new
+    }
+
+    /// The operator's file was read again.
+    pub fn reconfigure(&mut self, configured: &[Retiring]) {
+        self.orders = orders(configured);
+    }
+
+    /// Another proxy is gone, or has started again.
+    pub fn peer_gone(&mut self, now: Micros, name: &str) {
+        self.holder.gone(now, name);
+    }
+
+    /// What is to be reported of what was observed.
+    pub fn report(&mut self, seen: &Seen) -> (Topic, Vec<u8>) {
+        let mut told = Told { words: self.orders.clone(), ..Told::default() };
+        told.keeps = self.kept_plans(seen);
+        if let Some(seen) = &seen.site {
+            self.own_site.clone_from(&seen.site);
+            told.site.clone_from(&seen.site);
+            told.over_ms = (seen.over / 1000).clamp(1, 60_000) as u32;
+            told.ended = seen.ended;
+            told.in_time = seen.in_time;
+            told.bound = seen.bound;
+            for (site, trip) in &seen.trips {
+                let millis = (trip / 1000).clamp(0, 60_000) as u32;
+                let shortest = told.trips.entry(site.clone()).or_insert(millis);
+                *shortest = millis.min(*shortest);
+            }
+        }
+        (Topic::new(LEASE, ""), told.encode())
+    }
+
+    /// The plans that this proxy obeys, by site. What the dispatcher does not act by yet is left out, and what a restart
+    /// could forget.
+    fn kept_plans(&self, seen: &Seen) -> BTreeMap<String, Keeps> {
+        let mut kept = BTreeMap::new();
+        let open = seen.site.as_ref().map(|site| &site.open);
+        for plan in self.obeyed.plans() {
+            let site = &plan.word.site;
+            let is_obeyed = self.acting.contains(plan) && self.survives_restart(plan);
+            let Some(place) = self.obeyed.place(site).filter(|_| is_obeyed) else { continue };
+            let open = open.and_then(|open| open.get(site)).copied().unwrap_or_default();
+            let keeps =
+                Keeps { place, number: plan.word.number, weight: plan.weight, stage: plan.stage, open };
+            kept.insert(site.clone(), keeps);
+        }
+        kept
+    }
+
+    /// Once a second: what is decided, by site, while this proxy holds the lease under `term`; `living` are all proxies.
+    pub fn decide(
+        &mut self,
+        at: CallTime,
+        term: Option<Term>,
+        reports: &Reports,
+        directives: &DirectiveStore,
+        living: &[&str],
+    ) -> Vec<Decision> {
+        if self.term != term {
+            self.term = term;
+            self.holder.lays_down();
+        }
+        if term.is_none() {
+            return Vec::new();
+        }
+        let read = |report: ReceivedReport<'_>| {
+            let start = reports.start_of(report.reporter)?;
+            let told = Told::decode(report.body).ok()?;
+            Some((report.reporter.to_owned(), (start, report.received_at, told)))
+        };
+        let told = reports.recent(at.now, REPORTS_COUNT_FOR, LEASE).filter_map(read).collect();
+        let standing = self.known_plans(at.now, directives);
+        let plans = self.holder.decide(at.now, at.wall, &told, living, &standing);
+        let decision = |plan: Plan| Decision { subject: plan.word.site.clone(), body: plan.encode() };
+        plans.into_iter().map(decision).collect()
+    }
+
+    /// The plans in force, and those that only this proxy still obeys: a lease holder that was alone knows them by that.
+    fn known_plans(&self, now: Micros, directives: &DirectiveStore) -> Vec<(Plan, Place)> {
+        let in_force = in_force(directives, now).into_iter();
+        let mut known: Vec<(Plan, Place)> = in_force.map(|known| (known.plan, known.place)).collect();
+        for plan in self.obeyed.plans() {
+            if !known.iter().any(|(known, _)| known.word.site == plan.word.site) {
+                known.push((plan.clone(), (0, 0)));
+            }
+        }
+        known
+    }
+
+    /// Takes the plans in force.
+    pub fn obey(&mut self, now: Micros, directives: &DirectiveStore) -> ObeyedPlans {
+        for InForce { plan, place } in in_force(directives, now) {
+            let site = plan.word.site.clone();
+            let waits = plan.waits.clone();
+            let is_new = self.obeyed.hear(now, plan, place);
+            let Some(plan) = self.obeyed.plan(&site) else { continue };
+            if is_new || self.logged_waits.get(&site) != Some(&waits) {
+                info!(self.log, "site drain"; "waits" => &waits, "weight" => plan.weight,
+                    "stage" => ?plan.stage, "site" => &site);
+                self.logged_waits.insert(site, waits);
+            }
+        }
+        let acting = self.obeyed.acting(now, &self.own_site);
+        let has_changed = acting != self.acting;
+        self.acting.clone_from(&acting);
+        ObeyedPlans { acting: has_changed.then_some(acting), to_persist: self.take_to_persist() }
+    }
+
+    /// What this proxy obeys and was told, for the status socket.
+    pub fn describe(&self) -> Value {
+        json!({"acts_by": self.acting, "words": self.orders})
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/coordination/superseded.rs
@@ -0,0 +1,46 @@
+//! Terms that others took acts of: told to a lease holder under a lower one, and learnt from others.
+//!
+//! Voters that all forgot what they granted, under clocks behind those by which earlier terms were made, grant terms whose
+//! directives no proxy accepts. The proxy that refuses says so, in a digest that names the highest term.
+
+use std::rc::Rc;
+
+use aldermill_directives::frame;
+use aldermill_directives::{DigestEntry, Directive, Topic, Version};
+
+use super::{CallTime, Coordination};
+
+/// The digest that a superseded lease holder is sent.
+struct Notice {
+    to: String,
+    entry: DigestEntry,
+}
+
+impl Coordination {
+    /// Tells the issuers of refused directives the highest term of their lease, each lease once.
+    pub(super) fn tell_superseded(&mut self, directives: &[Directive]) {
+        let mut notices: Vec<Notice> = Vec::new();
+        for directive in directives.iter().filter(|directive| directive.issuer != self.own.name) {
+            let topic = Topic::new(&directive.topic.lease, "");
+            let highest = self.directives.highest_term(&topic.lease);
+            let is_same = |notice: &Notice| notice.to == directive.issuer && notice.entry.topic == topic;
+            if directive.version.term < highest && !notices.iter().any(is_same) {
+                let version = Version { term: highest, number: 0 };
+                notices.push(Notice { to: directive.issuer.clone(), entry: DigestEntry { topic, version } });
+            }
+        }
+        for Notice { to, entry } in notices {
+            self.send_directive_messages(&to, frame::encode_digest(&[entry], true));
+        }
+    }
+
+    /// Takes the terms that another proxy's digest shows.
+    pub(super) fn learn_terms(&mut self, at: CallTime, entries: &[DigestEntry], others: &[Rc<str>]) {
+        for DigestEntry { topic, version } in entries {
+            if self.leases.contains(&topic.lease) {
+                let actions = self.participant.observe_term(at.now, at.wall, &topic.lease, version.term);
+                self.carry_out(at, actions, others);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/coordination/zone_failover.rs
@@ -0,0 +1,143 @@
+//! The work of the lease `zones`: what this proxy reports, what it decides while it holds the lease, and what it obeys.
+
+use std::collections::BTreeMap;
+
+use aldermill_directives::{DirectiveStore, Micros, Reports, Topic};
+use aldermill_leases::Term;
+use aldermill_zone_failover::frame::{self, Told};
+use aldermill_zone_failover::{Evidence, Group, Lean, Level, Zone, Zones};
+use serde_json::{Value, json};
+use slog::{Logger, info};
+
+use super::lease_work::{Decision, WhileHeld};
+use crate::messages::Seen;
+
+/// The lease's name.
+pub const LEASE: &str = "zones";
+/// For how long a report counts: a proxy reports every second, in up to three parts.
+const REPORTS_COUNT_FOR: Micros = 4_000_000;
+
+/// What is decided for one group's reads in one zone.
+struct GroupLean {
+    group: Group,
+    zone: Zone,
+    lean: Lean,
+}
+
+fn subject(group: Group, zone: Zone) -> String {
+    format!("{group}.{zone}")
+}
+
+fn read_directive(subject: &str, body: &[u8]) -> Option<GroupLean> {
+    let (group, zone) = subject.split_once('.')?;
+    let lean = frame::read_decree(body).ok()?;
+    Some(GroupLean { group: group.parse().ok()?, zone: zone.parse().ok()?, lean })
+}
+
+/// All directives in force under the lease that can be read.
+fn in_force(directives: &DirectiveStore, now: Micros) -> impl Iterator<Item = GroupLean> {
+    directives.in_force_under(now, LEASE).filter_map(|(subject, body)| read_directive(subject, body))
+}
+
+/// What the holder of the lease knows.
+struct Holder {
+    evidence: Evidence,
+    zones: Zones,
+}
+
+impl Holder {
+    /// Goes on from what an earlier lease holder decided.
+    fn start(now: Micros, directives: &DirectiveStore) -> Holder {
+        let mut zones = Zones::default();
+        for GroupLean { group, zone, lean } in in_force(directives, now) {
+            zones.goes_on(now, group, zone, &lean);
+        }
+        Holder { evidence: Evidence::default(), zones }
+    }
+}
+
+/// This proxy's part in failover between zones.
+pub struct ZoneFailoverWork {
+    own_zone: Zone,
+    holder: WhileHeld<Holder>,
+    /// What the dispatcher was last told.
+    obeyed: Vec<(Group, Lean)>,
+    log: Logger,
+}
+
+impl ZoneFailoverWork {
+    /// The part of a proxy in this zone.
+    pub fn start(own_zone: Zone, log: Logger) -> ZoneFailoverWork {
+        ZoneFailoverWork { own_zone, holder: WhileHeld::none(), obeyed: Vec::new(), log }
+    }
+
+    /// What is to be reported of what was observed, in parts that fit into a datagram each.
+    pub fn report(&self, seen: Seen) -> Vec<(Topic, Vec<u8>)> {
+        let part = |(at, rows): (usize, &[_])| {
+            let told = Told { zone: self.own_zone, over: seen.over, rows: rows.to_vec() };
+            (Topic::new(LEASE, &at.to_string()), frame::report(&told))
+        };
+        seen.rows.chunks(frame::ROWS).enumerate().map(part).collect()
+    }
+
+    /// Once a second: what is decided, while this proxy holds the lease under `term`.
+    pub fn decide(
+        &mut self,
+        now: Micros,
+        term: Option<Term>,
+        reports: &Reports,
+        directives: &DirectiveStore,
+    ) -> Vec<Decision> {
+        let begin = || Holder::start(now, directives);
+        let Some(Holder { evidence, zones }) = self.holder.under(term, begin) else { return Vec::new() };
+        evidence.take(&recent_reports(now, reports));
+        let mut decisions = Vec::new();
+        for (group, zone, lean) in &zones.decide(now, evidence) {
+            if lean.short {
+                info!(self.log, "zone failover: not enough capacity elsewhere";
+                    "zone" => zone, "group" => group, "away" => lean.away);
+            }
+            decisions.push(Decision { subject: subject(*group, *zone), body: frame::decree(lean) });
+        }
+        decisions
+    }
+
+    /// What is decided for this proxy's own zone, if that has changed.
+    pub fn obey(&mut self, now: Micros, directives: &DirectiveStore) -> Option<Vec<(Group, Lean)>> {
+        let own = in_force(directives, now).filter(|of| of.zone == self.own_zone && of.lean.away > 0);
+        let leans: Vec<(Group, Lean)> = own.map(|of| (of.group, of.lean)).collect();
+        if leans == self.obeyed {
+            return None;
+        }
+        for (group, lean) in &leans {
+            info!(self.log, "zone failover: own zone";
+                "away" => lean.away, "level" => ?lean.level, "group" => group);
+        }
+        if leans.is_empty() {
+            info!(self.log, "zone failover: own zone"; "level" => ?Level::Near);
+        }
+        self.obeyed = leans;
+        Some(self.obeyed.clone())
+    }
+
+    /// What the lease holder concludes from all reports, for the status socket.
+    pub fn describe(&self) -> Value {
+        let Some(Holder { evidence, zones }) = self.holder.get() else { return Value::Null };
+        let views = evidence.views().iter().map(|(&(group, zone), view)| {
+            json!({"group": group, "zone": zone, "finding": format!("{:?}", view.finding),
+                "level": zones.level(group, zone).map(|level| format!("{level:?}")), "asked": view.asked,
+                "sent": view.sent, "served": view.served, "bears": view.bears, "drivers": view.drivers})
+        });
+        json!({"views": views.collect::<Vec<_>>(), "ill": evidence.ill()})
+    }
+}
+
+fn recent_reports(now: Micros, reports: &Reports) -> BTreeMap<String, Vec<Told>> {
+    let mut by_reporter: BTreeMap<String, Vec<Told>> = BTreeMap::new();
+    for report in reports.recent(now, REPORTS_COUNT_FOR, LEASE) {
+        if let Ok(part) = frame::read_report(report.body) {
+            by_reporter.entry(report.reporter.to_owned()).or_default().push(part);
+        }
+    }
+    by_reporter
+}
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/fellows.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, sleep_until};
 
 use crate::context::Context;
-use crate::council::{Council, Moment, WORKS};
+use crate::coordination::{CallTime, Coordination, DECISION_INTERVAL, Datagram};
 use crate::error::ProgramError;
 use crate::keep::Folder;
 use crate::messages::Call;
@@ -53,7 +53,7 @@
     age: Micros,
     sees_at: Micros,
     /// What is decided in common, where that is wanted, and word of each of its writes to the disk.
-    council: Option<(Council, mpsc::Receiver<bool>)>,
+    council: Option<(Coordination, mpsc::Receiver<bool>)>,
     /// The operator's wishes for it, once they are read anew.
     reread: Option<watch::Receiver<Option<Wanted>>>,
     /// Datagrams and bytes sent, and datagrams that could not be.
@@ -94,8 +94,15 @@
             Some(Sitting { wanted, folder, place, reread: again }) => {
                 reread = Some(again);
                 let (own, log) = (Incarnation { name: name.to_owned(), start }, context.log.clone());
-                let opened =
-                    Council::open(wanted, own, folder, place, moment(&context), seed.rotate_left(3), log);
+                let opened = Coordination::open(
+                    wanted,
+                    own,
+                    folder,
+                    place,
+                    moment(&context),
+                    seed.rotate_left(3),
+                    log,
+                );
                 Some(opened?)
             }
             None => None,
@@ -128,7 +135,7 @@
     /// What an earlier start knew of sites that retire, before the dispatcher takes its first request.
     pub fn bound(&mut self) -> Vec<Plan> {
         let now = self.context.clock.now();
-        self.council.as_mut().and_then(|(council, _)| council.plans(now)).unwrap_or_default()
+        self.council.as_mut().and_then(|(council, _)| council.drain_plans(now)).unwrap_or_default()
     }
 
     /// Until the driver is to stop; then the others are told.
@@ -150,9 +157,9 @@
                 // Seldom, and before what may never end.
                 _ = stopping.wait_for(Option::is_some) => break,
                 stream = asked => self.describe(stream),
-                Some(wanted) = anew(&mut self.reread) => self.counsel(|council, at, _| council.reread(at.now, wanted)),
+                Some(wanted) = anew(&mut self.reread) => self.counsel(|council, at, _| council.reconfigure(at.now, wanted)),
                 Some(well) = confirmed(&mut self.council) => {
-                    self.counsel(|council, at, others| council.told(at, well, others));
+                    self.counsel(|council, at, others| council.write_confirmed(at, well, others));
                 }
                 () = sleep_until(council_at.unwrap_or_else(Instant::now)), if council_at.is_some() => {
                     self.listens_up();
@@ -175,7 +182,7 @@
                 }
             }
         }
-        self.counsel(|council, at, _| council.leave(at));
+        self.counsel(|council, at, _| council.release_leases(at));
         let actions = self.fellows.leave();
         self.carry_out(actions).await;
     }
@@ -209,12 +216,12 @@
     }
 
     /// Asks the council, where there is one, and sends what it says.
-    fn counsel(&mut self, ask: impl FnOnce(&mut Council, Moment, &[Rc<str>])) {
+    fn counsel(&mut self, ask: impl FnOnce(&mut Coordination, CallTime, &[Rc<str>])) {
         let Some((council, _)) = &mut self.council else { return };
         let others: Vec<Rc<str>> = self.fellows.alive().map(|fellow| fellow.name.clone()).collect();
         ask(council, moment(&self.context), &others);
-        for (to, words) in council.take_out() {
-            if let Some((address, datagram)) = self.fellows.say(&to, &words) {
+        for Datagram { to, payload } in council.take_outgoing() {
+            if let Some((address, datagram)) = self.fellows.say(&to, &payload) {
                 self.send(address, &datagram);
             }
         }
@@ -227,8 +234,8 @@
         if now < self.sees_at {
             return;
         }
-        self.sees_at = now + WORKS;
-        let (leans, plans) = (council.leans(now), council.plans(now));
+        self.sees_at = now + DECISION_INTERVAL;
+        let (leans, plans) = (council.zone_leans(now), council.drain_plans(now));
         let (asked, told) = oneshot::channel();
         let _ = self.context.dispatcher.send(Call::Observations(asked)).await;
         if let Some(leans) = leans {
@@ -238,7 +245,7 @@
             let _ = self.context.dispatcher.send(Call::Bind(plans)).await;
         }
         if let (Ok(seen), Some((council, _))) = (told.await, &mut self.council) {
-            council.saw(seen);
+            council.observed(seen);
         }
     }
 
@@ -259,13 +266,13 @@
         actions.send.into_iter().for_each(|(to, datagram)| self.send(to, &datagram));
         let age = self.age;
         for (from, words) in actions.words {
-            self.counsel(|council, at, others| council.hear(at, age, &from, &words, others));
+            self.counsel(|council, at, others| council.receive(at, age, &from, &words, others));
         }
         for change in actions.changes {
             if let (Change::Down(gone) | Change::Restarted(gone), Some((council, _))) =
                 (&change, &mut self.council)
             {
-                council.gone(self.context.clock.now(), &gone.name);
+                council.peer_gone(self.context.clock.now(), &gone.name);
             }
             let (what, of) = match &change {
                 Change::Up(fellow) => ("fellow up", Some(fellow)),
@@ -307,13 +314,13 @@
 }
 
 /// The router's clock stands for the wall clock, which may be stepped: it never steps, and began with it.
-fn moment(context: &Context) -> Moment {
+fn moment(context: &Context) -> CallTime {
     let now = context.clock.now();
-    Moment { now, wall: (now / 1000).max(1) as u64 }
+    CallTime { now, wall: (now / 1000).max(1) as u64 }
 }
 
 /// The next word on a write of the council's, where there is one.
-async fn confirmed(council: &mut Option<(Council, mpsc::Receiver<bool>)>) -> Option<bool> {
+async fn confirmed(council: &mut Option<(Coordination, mpsc::Receiver<bool>)>) -> Option<bool> {
     match council {
         Some((_, confirmed)) => confirmed.recv().await,
         None => None,
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -4,7 +4,7 @@
 mod client;
 mod clock;
 mod context;
-mod council;
+mod coordination;
 mod dispatcher;
 mod error;
 mod fellows;
