--- a/crates/proxy/src/coordination/lease_work.rs
+++ b/crates/proxy/src/coordination/lease_work.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use aldermill_directives::{LIFETIME, Micros, Topic};
+use aldermill_directives::{DirectiveStore, LIFETIME, Micros, Reports, Topic};
 use aldermill_leases::Term;
 use aldermill_operator_config::Council as Config;
 use aldermill_site_drain::Plan;
@@ -20,6 +20,17 @@
     pub(super) body: Vec<u8>,
 }
 
+/// What decisions under a lease go by.
+pub(super) struct DecisionInputs<'a> {
+    pub(super) at: CallTime,
+    /// The term under which this proxy holds the lease; without one it decides nothing.
+    pub(super) term: Option<Term>,
+    pub(super) reports: &'a Reports,
+    pub(super) directives: &'a DirectiveStore,
+    /// The names of all proxies that live, this one among them.
+    pub(super) living: &'a [&'a str],
+}
+
 /// All that is decided under one lease at a time.
 struct LeaseDecisions {
     lease: &'static str,
@@ -27,6 +38,17 @@
     decisions: Vec<Decision>,
 }
 
+impl LeaseDecisions {
+    fn under<'a>(
+        lease: &'static str,
+        inputs: impl FnOnce(&'static str) -> DecisionInputs<'a>,
+        decide: impl FnOnce(&DecisionInputs<'a>) -> Vec<Decision>,
+    ) -> LeaseDecisions {
+        let inputs = inputs(lease);
+        LeaseDecisions { lease, term: inputs.term, decisions: decide(&inputs) }
+    }
+}
+
 /// What a lease holder keeps while it holds a lease under one term.
 pub(super) struct WhileHeld<T>(Option<HeldState<T>>);
 
@@ -95,25 +117,23 @@
 
     fn decisions(&mut self, at: CallTime, others: &[Rc<str>]) -> Vec<LeaseDecisions> {
         let Coordination { participant, directives, reports, own, .. } = self;
-        let now = at.now;
+        let living: Vec<&str> = others.iter().map(|name| &**name).chain([&*own.name]).collect();
+        let inputs = |lease: &'static str| DecisionInputs {
+            at,
+            term: participant.may_act(at.now, lease),
+            reports,
+            directives,
+            living: &living,
+        };
         let mut all = Vec::new();
         if let Some(work) = &mut self.zone_failover {
-            let lease = zone_failover::LEASE;
-            let term = participant.may_act(now, lease);
-            all.push(LeaseDecisions { lease, term, decisions: work.decide(now, term, reports, directives) });
+            all.push(LeaseDecisions::under(zone_failover::LEASE, inputs, |inputs| work.decide(inputs)));
         }
         if let Some(work) = &mut self.split_points {
-            let lease = split_points::LEASE;
-            let term = participant.may_act(now, lease);
-            let decisions = work.decide(now, term, reports, directives, others.len() + 1);
-            all.push(LeaseDecisions { lease, term, decisions });
+            all.push(LeaseDecisions::under(split_points::LEASE, inputs, |inputs| work.decide(inputs)));
         }
         if let Some(work) = &mut self.site_drain {
-            let lease = site_drain::LEASE;
-            let term = participant.may_act(now, lease);
-            let living: Vec<&str> = others.iter().map(|name| &**name).chain([&*own.name]).collect();
-            let decisions = work.decide(at, term, reports, directives, &living);
-            all.push(LeaseDecisions { lease, term, decisions });
+            all.push(LeaseDecisions::under(site_drain::LEASE, inputs, |inputs| work.decide(inputs)));
         }
         all
     }
--- a/crates/proxy/src/coordination/site_drain.rs
+++ b/crates/proxy/src/coordination/site_drain.rs
@@ -3,15 +3,14 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_directives::{DirectiveStore, LIFETIME, Micros, ReceivedReport, Reports, Topic};
+use aldermill_directives::{DirectiveStore, LIFETIME, Micros, ReceivedReport, Topic};
 use aldermill_leases::Term;
 use aldermill_operator_config::{Pace, Retiring};
 use aldermill_site_drain::{Holder, Keeps, Obeyed, Order, Place, Plan, Told, Word};
 use serde_json::{Value, json};
 use slog::{Logger, info};
 
-use super::CallTime;
-use super::lease_work::Decision;
+use super::lease_work::{Decision, DecisionInputs};
 use crate::messages::Seen;
 
 /// The lease's name.
@@ -195,15 +194,9 @@
         kept
     }
 
-    /// Once a second: what is decided, by site, while this proxy holds the lease under `term`; `living` are all proxies.
-    pub fn decide(
-        &mut self,
-        at: CallTime,
-        term: Option<Term>,
-        reports: &Reports,
-        directives: &DirectiveStore,
-        living: &[&str],
-    ) -> Vec<Decision> {
+    /// Once a second: what is decided, by site, while this proxy holds the lease.
+    pub(super) fn decide(&mut self, inputs: &DecisionInputs<'_>) -> Vec<Decision> {
+        let DecisionInputs { at, term, reports, directives, living } = *inputs;
         if self.term != term {
             self.term = term;
             self.holder.lays_down();
--- a/crates/proxy/src/coordination/split_points.rs
+++ b/crates/proxy/src/coordination/split_points.rs
@@ -4,12 +4,11 @@
 use std::collections::BTreeMap;
 
 use aldermill_directives::{DirectiveStore, Micros, Reports, Topic};
-use aldermill_leases::Term;
 use aldermill_split_points::{Group, Picture, RangeAdvice, Ranges, Said, State, Summary, frame};
 use serde_json::{Value, json};
 use slog::{Logger, info};
 
-use super::lease_work::{Decision, WhileHeld};
+use super::lease_work::{Decision, DecisionInputs, WhileHeld};
 use crate::messages::Seen;
 
 /// The lease's name.
@@ -55,7 +54,8 @@
     if from.is_empty() { group.to_string() } else { format!("{group}+{}", hex(from)) }
 }
 
-/// What is recommended for a range, as it stands in the directive and on the status socket. Keys are in hexadecimal, and as text.
+/// What is recommended for a range, as it stands in the directive and on the status socket. Keys are in hexadecimal, and
+/// as text.
 fn body(of: &RangeAdvice, alone: bool) -> Value {
     let advice = &of.advice;
     let state = match advice.state {
@@ -141,21 +141,14 @@
         seen.keys.iter().map(|(group, summary)| (topic(group), summary.clone())).collect()
     }
 
-    /// Once a second: what is recommended, while this proxy holds the lease under `term`; `living` is how many proxies
-    /// there are.
-    pub fn decide(
-        &mut self,
-        now: Micros,
-        term: Option<Term>,
-        reports: &Reports,
-        directives: &DirectiveStore,
-        living: usize,
-    ) -> Vec<Decision> {
-        let Some(groups) = self.ranges.under(term, BTreeMap::new) else { return Vec::new() };
-        let pictures = recent_pictures(now, reports);
+    /// Once a second: what is recommended, while this proxy holds the lease.
+    pub(super) fn decide(&mut self, inputs: &DecisionInputs<'_>) -> Vec<Decision> {
+        let now = inputs.at.now;
+        let Some(groups) = self.ranges.under(inputs.term, BTreeMap::new) else { return Vec::new() };
+        let pictures = recent_pictures(now, inputs.reports);
         for group in pictures.keys() {
             groups.entry(*group).or_insert_with(|| {
-                let proposed = |from: &[u8]| proposed_cut(directives, now, &subject(*group, from));
+                let proposed = |from: &[u8]| proposed_cut(inputs.directives, now, &subject(*group, from));
                 Ranges::start(now, &cuts_of(&self.cuts, *group), proposed)
             });
         }
@@ -166,7 +159,7 @@
         for (group, picture) in pictures {
             let Some(ranges) = groups.get_mut(&group) else { continue };
             self.set_aside.extend(picture.aside.iter().cloned());
-            let advice = ranges.look(now, &picture, living, usual_cost);
+            let advice = ranges.look(now, &picture, inputs.living.len(), usual_cost);
             for of in &advice {
                 let subject = subject(group, &of.from);
                 let body = body(of, advice.len() == 1);
--- a/crates/proxy/src/coordination/zone_failover.rs
+++ b/crates/proxy/src/coordination/zone_failover.rs
@@ -3,13 +3,12 @@
 use std::collections::BTreeMap;
 
 use aldermill_directives::{DirectiveStore, Micros, Reports, Topic};
-use aldermill_leases::Term;
 use aldermill_zone_failover::frame::{self, Told};
 use aldermill_zone_failover::{Evidence, Group, Lean, Level, Zone, Zones};
 use serde_json::{Value, json};
 use slog::{Logger, info};
 
-use super::lease_work::{Decision, WhileHeld};
+use super::lease_work::{Decision, DecisionInputs, WhileHeld};
 use crate::messages::Seen;
 
 /// The lease's name.
@@ -80,17 +79,14 @@
         seen.rows.chunks(frame::ROWS).enumerate().map(part).collect()
     }
 
-    /// Once a second: what is decided, while this proxy holds the lease under `term`.
-    pub fn decide(
-        &mut self,
-        now: Micros,
-        term: Option<Term>,
-        reports: &Reports,
-        directives: &DirectiveStore,
-    ) -> Vec<Decision> {
-        let begin = || Holder::start(now, directives);
-        let Some(Holder { evidence, zones }) = self.holder.under(term, begin) else { return Vec::new() };
-        evidence.take(&recent_reports(now, reports));
+    /// Once a second: what is decided, while this proxy holds the lease.
+    pub(super) fn decide(&mut self, inputs: &DecisionInputs<'_>) -> Vec<Decision> {
+        let now = inputs.at.now;
+        let begin = || Holder::start(now, inputs.directives);
+        let Some(Holder { evidence, zones }) = self.holder.under(inputs.term, begin) else {
+            return Vec::new();
+        };
+        evidence.take(&recent_reports(now, inputs.reports));
         let mut decisions = Vec::new();
         for (group, zone, lean) in &zones.decide(now, evidence) {
             if lean.short {
