--- a/crates/fault-injection/tests/troubles.rs
+++ b/crates/fault-injection/tests/troubles.rs
@@ -127,24 +127,36 @@
     under_stepped_clocks(-HOUR_MS, HOUR_MS);
 }
 
-#[test]
-fn wall_clocks_that_step_are_seen_by_others_when_their_processes_start_again() {
+/// One of three processes starts again after all wall clocks stepped; gives back what all of them logged.
+fn restarted_under_a_step(name: &str, by_ms: i64) -> String {
     let faults = format!(
-        r#"{{"at_ms":800,"do":{{"step_clock":{{"share":1.0,"by_ms":{HOUR_MS}}}}}}},
+        r#"{{"at_ms":800,"do":{{"step_clock":{{"share":1.0,"by_ms":{by_ms}}}}}}},
         {{"at_ms":1000,"do":{{"kill":{{"share":0.4,"down_ms":100}}}}}}"#
     );
-    let folder = std::env::temp_dir().join(format!("aldermill-stepped-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("aldermill-{name}-{}", std::process::id()));
     let run = run(&plan(3, 3.0, r#""fellows":true,"#, &faults), 1, Some(&folder)).unwrap();
     assert!(run.verdict.broken.is_empty(), "{}", report::table(&run));
+    let logs = (0..3).map(|driver| std::fs::read_to_string(folder.join(format!("n{driver}-log"))).unwrap());
+    let logs: String = logs.collect();
+    std::fs::remove_dir_all(folder).unwrap();
+    logs
+}
+
+#[test]
+fn wall_clocks_that_step_are_seen_by_others_when_their_processes_start_again() {
+    let logs = restarted_under_a_step("ahead", HOUR_MS);
     let ahead = aldermill_test_support::unix_millis() as i64 + HOUR_MS / 2;
     let started = |line: &str| {
         let micros: i64 = line.split_once(" started ")?.1.split(' ').next()?.parse().ok()?;
         Some(micros / 1_000)
     };
-    let logs = (0..3).map(|driver| std::fs::read_to_string(folder.join(format!("n{driver}-log"))).unwrap());
-    let logs: String = logs.collect();
     assert!(logs.lines().filter_map(started).any(|at| at > ahead), "the step was real: {logs}");
-    std::fs::remove_dir_all(folder).unwrap();
+}
+
+#[test]
+fn a_process_that_starts_again_under_a_clock_set_back_is_heard_by_the_others() {
+    let logs = restarted_under_a_step("set-back", -HOUR_MS);
+    assert!(!logs.contains("silent from now on"), "{logs}");
 }
 
 #[test]
