--- /dev/null
+++ b/crates/routing/src/policy/slow_start.rs
@@ -0,0 +1,79 @@
+//! How much a member that is warming up may be sent.
+
+use rand::Rng;
+
+use super::concurrency_limit::STAY;
+use super::{BEAT, HOLD};
+use crate::state::{Member, Router};
+use crate::{MemberId, Micros, Standing};
+
+/// How often all members are looked at where a router keeps to some of them.
+const WALK: Micros = 10 * BEAT;
+
+impl Member {
+    /// Whether it started so recently that it is to be sent little.
+    pub(super) fn is_warming_up(&self, now: Micros, warm_within: Micros) -> bool {
+        self.since.is_some_and(|since| now - since < warm_within)
+    }
+
+    /// The member's process was heard. One that seemed dead for long is taken for started now.
+    ///
+    /// Guards a process that died and came back against the crowd that waits for it, where no list tells its
+    /// start; costs a member that only refused connections: it gets a slow-start allowance, unless it is
+    /// heard sooner than any process comes back.
+    pub(super) fn hear(&mut self, now: Micros, credit: f64) {
+        self.heard = now;
+        self.lost_until = now;
+        if self.fell.take().is_some_and(|at| now - at > 4 * HOLD) {
+            self.since = Some(now);
+            self.credit = credit;
+            self.credited = now;
+        }
+    }
+}
+
+impl Router {
+    /// The slow-start allowance: attempts that the member may be sent in one window of the overload rule;
+    /// infinite once it is warm.
+    pub(super) fn bearable(&self, now: Micros, id: MemberId) -> f64 {
+        let member = &self.members[id];
+        let age = member.since.map_or(Micros::MAX, |since| now - since);
+        if age >= self.terms.warm_within {
+            return f64::INFINITY;
+        }
+        // The capacity at the middle of the window that ends now: it grows about evenly.
+        let age = (age - self.terms.overload_window / 2).max(0) as f64 / self.terms.warm_within as f64;
+        let capacity = self.terms.cold_from + (1.0 - self.terms.cold_from) * age;
+        let load = self.warm_load.max(STAY / self.terms.drivers_at_cold as f64);
+        self.terms.overload_factor * capacity * load * member.size
+    }
+
+    /// Saving up for a member that warms up begins at a random credit, so that not all routers come at once.
+    pub(super) fn first_credit(&mut self) -> f64 {
+        self.rng.random::<f64>() + STAY / self.terms.drivers_at_cold as f64
+    }
+
+    /// Lets fade what is remembered of each member, and measures what warm members carry. Where there are
+    /// many members this is done less often.
+    pub(super) fn walk_members(&mut self, now: Micros) {
+        // Only what was served counts as a warm member's load: misses and rejected attempts are no work.
+        let window = self.terms.overload_window;
+        let mut load = 0.0;
+        let mut warm = 0.0;
+        let passed = if self.keeps_to_some() { WALK } else { BEAT };
+        self.next_walk = now + passed;
+        let fading = passed as f64 / window as f64;
+        for member in &mut self.members {
+            member.sent.retain(|&at| at > now - window);
+            let warming_up = member.is_warming_up(now, self.terms.warm_within);
+            if member.standing == Standing::Ready && !warming_up {
+                load += member.served;
+                warm += member.size;
+            }
+            member.served *= if warming_up { 0.0 } else { 1.0 - 0.1 * fading };
+        }
+        // What members carry does not shrink with what they are sent: their best of late counts.
+        let faded = self.warm_load * (1.0 - 0.02 * fading);
+        self.warm_load = faded.max(if warm > 0.0 { load / warm } else { 0.0 });
+    }
+}
