--- a/crates/routing/tests/router/wide_fleets.rs
+++ b/crates/routing/tests/router/wide_fleets.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use aldermill_routing::{MemberId, Standing, Terms, Verdict};
+use aldermill_routing::{Listed, MemberId, Request, Standing, Terms, Verdict};
 
-use crate::world::{LOOSE, MS, READ, World, many, target, terms};
+use crate::world::{LOOSE, MS, READ, World, line, many, target, terms};
 
 /// A router that gets ten requests a second, and the members that served its reads.
 fn used(world: &mut World, reads: usize) -> BTreeSet<MemberId> {
@@ -119,3 +119,46 @@
     let used = used(&mut world, 300);
     assert!(used.len() <= 40, "{} members", used.len());
 }
+
+const WIDE_GROUP: usize = 80;
+const WIDE_GROUPS: usize = 24;
+
+/// The reads that each member of wide groups got from one of thirty routers, which gets 45 reads a second: the first
+/// 300 tell it how many requests it gets, the next 300 count.
+fn reads_by_member(seed: u64) -> Vec<usize> {
+    let terms = Terms { drivers: 30, drivers_at_cold: 30, ..many() };
+    let mut world = World::seeded(terms, WIDE_GROUP, seed);
+    world.grow(WIDE_GROUP * WIDE_GROUPS);
+    for id in WIDE_GROUP..WIDE_GROUP * WIDE_GROUPS {
+        let group = 100 + (id / WIDE_GROUP) as u64;
+        world.relist_as(Listed { group, ..line(id, Standing::Ready, None) });
+    }
+    let mut reads = vec![0; WIDE_GROUP * WIDE_GROUPS];
+    for turn in 0..600 {
+        world.pass(22 * MS);
+        let group = if turn % WIDE_GROUPS == 0 { 7 } else { 100 + (turn % WIDE_GROUPS) as u64 };
+        let ttl = 1_000 * MS;
+        let read = world.take_request(Request { class: LOOSE, group, ttl, ..Request::default() });
+        let id = target(&world, read).expect("placed at once");
+        reads[id] += usize::from(turn >= 300);
+        world.end(read, Verdict::Served);
+    }
+    reads
+}
+
+#[test]
+fn thirty_routers_share_groups_of_eighty_and_each_keeps_to_two_replicas_of_each() {
+    let mut by_member = vec![0; WIDE_GROUP * WIDE_GROUPS];
+    for seed in 0..30 {
+        let reads = reads_by_member(seed);
+        let used = reads.iter().filter(|&&reads| reads > 0).count();
+        assert!(used <= 2 * WIDE_GROUPS, "{used} members used by router {seed}");
+        by_member.iter_mut().zip(reads).for_each(|(sum, reads)| *sum += reads);
+    }
+    let mean = by_member.iter().sum::<usize>() as f64 / by_member.len() as f64;
+    let most = *by_member.iter().max().expect("members");
+    let unused = by_member.iter().filter(|&&reads| reads == 0).count() as f64 / by_member.len() as f64;
+    // Sixty draws among eighty by chance leave out 0.47 of them, and one of 1,920 is drawn five or six times.
+    assert!(most as f64 <= 8.0 * mean, "{most} reads at one member, mean {mean}");
+    assert!(unused <= 0.5, "{unused} of the members not used");
+}
