--- a/crates/routing/src/policy/primary_search.rs
+++ b/crates/routing/src/policy/primary_search.rs
@@ -7,6 +7,11 @@
 const SEARCH_CHECKS: f64 = 60.0;
 /// A round of health checks takes this long at the least.
 const SEARCH_ROUND: Micros = 600 * MS;
+/// Health checks that the searches of one router wait for at a time, in all groups together: of the connections to
+/// members that the fewest usual descriptors (256) allow, some 87, less than half.
+const SEARCH_OUT: usize = 32;
+/// A health check that was not answered in this time is not waited for.
+const SEARCH_AWAITED: Micros = 200 * MS;
 
 impl Router {
     /// One round of misses reaches only a part of the group.
@@ -53,13 +58,29 @@
         }
     }
 
+    /// How many more health checks the search of this group may wait for. Protects requests, members and descriptors
+    /// where a router looks for the primaries of many groups at once: it asks no faster than it is answered. Harms
+    /// by a longer search there.
+    fn search_slots(&self, now: Micros, group: usize) -> usize {
+        let searched =
+            |group: &&Group| self.is_wide(group) && !group.held.is_empty() && self.lacks_primary(now, group);
+        let searches = self.groups.iter().filter(searched).count();
+        let awaited = |id: &&MemberId| {
+            let Member { health_check_out, health_checked, .. } = self.members[**id];
+            health_check_out && now - health_checked < SEARCH_AWAITED
+        };
+        let out = self.groups[group].members.iter().filter(awaited).count();
+        (SEARCH_OUT / searches.max(1)).max(1).saturating_sub(out)
+    }
+
     /// The health checks that are due in this beat.
     fn check_candidates(&mut self, now: Micros, group: usize) {
+        let slots = self.search_slots(now, group) as f64;
         let count = self.groups[group].members.len();
         let bearable = SEARCH_CHECKS * SEARCH_ROUND as f64 / (1_000 * MS) as f64 / self.terms.drivers as f64;
         let due = count as f64 * bearable.min(1.0) * BEAT as f64 / SEARCH_ROUND as f64;
         let search = &mut self.groups[group].search;
-        search.saved = (search.saved + due).min(due.max(1.0));
+        search.saved = (search.saved + due).min(due.max(1.0)).min(slots);
         for _ in 0..count {
             let searched = &self.groups[group];
             if searched.search.saved < 1.0 {
--- a/crates/routing/tests/router/wide_groups.rs
+++ b/crates/routing/tests/router/wide_groups.rs
@@ -1,6 +1,6 @@
 //! Groups of so many members that a walk by misses does not reach the primary in the time of a write.
 
-use aldermill_routing::{Handle, MemberId, Standing, Terms, Verdict};
+use aldermill_routing::{Handle, Listed, MemberId, Request, Standing, Terms, Verdict};
 
 use crate::world::{LOOSE, MS, WRITE, World, line, many, target, terms};
 
@@ -87,6 +87,51 @@
     assert!((20.0..=70.0).contains(&members_share), "{members_share} health checks a second and member");
 }
 
+/// A router that looks for the primaries of 24 groups of eighty at once.
+fn searching_everywhere() -> World {
+    let mut world = wide(30, 80, 1);
+    world.grow(1_920);
+    world.primary = 2_000;
+    world.positions.resize(2_001, 0);
+    for id in 80..1_920 {
+        let group = 100 + (id / 80) as u64;
+        world.relist_as(Listed { group, ..line(id, Standing::Ready, None) });
+    }
+    for group in 101..124 {
+        world.take_request(Request { class: WRITE, group, ttl: 20_000 * MS, ..Request::default() });
+    }
+    world.take(WRITE, 20_000 * MS);
+    for _ in 0..4 {
+        world.out().into_iter().for_each(|(write, _)| world.end(write, Verdict::NotPrimary));
+    }
+    world.health_checks.clear();
+    world
+}
+
+#[test]
+fn searches_of_many_groups_at_once_ask_no_faster_than_they_are_answered() {
+    let mut world = searching_everywhere();
+    world.pass(190 * MS);
+    let unanswered = world.health_checks.len();
+    assert!((16..=32).contains(&unanswered), "{unanswered} health checks with none answered");
+    world.pass(1_000 * MS);
+    let silent = world.health_checks.len();
+    assert!((64..=200).contains(&silent), "{silent} health checks of members that are silent");
+}
+
+#[test]
+fn searches_of_many_groups_at_once_ask_all_members_where_these_answer() {
+    let mut world = searching_everywhere();
+    let mut asked = std::collections::BTreeSet::new();
+    for _ in 0..200 {
+        world.pass(10 * MS);
+        let checks = std::mem::take(&mut world.health_checks);
+        checks.iter().for_each(|&id| world.health_check_answer(id, true));
+        asked.extend(checks);
+    }
+    assert!(asked.len() >= 1_800, "{} of 1,920 members asked in two seconds", asked.len());
+}
+
 #[test]
 fn answers_of_reads_narrow_the_search() {
     let mut world = wide(2, 12, 5);
