--- a/crates/routing/src/policy/primary_search.rs
+++ b/crates/routing/src/policy/primary_search.rs
@@ -1,5 +1,5 @@
-//! The search for a group's primary: by misses, by the answers of reads and by health checks, until a member says
-//! that it is the primary.
+//! The search for a group's primary: by misses, by the answers of reads and by health checks, until a member
+//! says that it is the primary.
 
 use super::*;
 
@@ -7,11 +7,13 @@
 const SEARCH_CHECKS: f64 = 60.0;
 /// A round of health checks takes this long at the least.
 const SEARCH_ROUND: Micros = 600 * MS;
-/// Health checks that the searches of one router wait for at a time, in all groups together: of the connections to
-/// members that the fewest usual descriptors (256) allow, some 87, less than half.
+/// Health checks that the searches of one router wait for at a time, in all groups together: of the
+/// connections to members that the fewest usual descriptors (256) allow, some 87, less than half.
 const SEARCH_OUT: usize = 32;
-/// A health check that was not answered in this time is not waited for.
-const SEARCH_AWAITED: Micros = 200 * MS;
+/// A health check that was not answered in this time is not waited for: far longer than a crowded member takes, as
+/// what is sent before that only adds to the crowd. Harms searches of many groups with vanished members: each may
+/// hold up its group for so long.
+const SEARCH_AWAITED: Micros = 1_000 * MS;
 
 impl Router {
     /// One round of misses reaches only a part of the group.
@@ -24,9 +26,9 @@
         group.primary.is_none_or(|id| self.silent(now, id))
     }
 
-    /// The order in which the members of a group are asked: by name, in a wide group by this router's preference.
-    /// Protects its first members from the misses and health checks of all routers at once, and finds first those
-    /// to which this router has connections.
+    /// The order in which the members of a group are asked: by name, in a wide group by this router's
+    /// preference. Protects its first members from the misses and health checks of all routers at once, and
+    /// finds first those to which this router has connections.
     pub(super) fn search_order<'a>(&self, group: &'a Group) -> &'a [MemberId] {
         if self.is_wide(group) { &group.preferred } else { &group.members }
     }
@@ -39,10 +41,10 @@
         self.members[id].not_primary <= group.search.since.max(heard) && self.usable(now, id)
     }
 
-    /// Looks on for the primary of a group in which requests are held: the members that may be it are asked one
-    /// after another, in an order that differs from router to router; once none is left all may be it
-    /// again. Protects writes of wide groups, whose primary a walk by misses does not reach in their time. Harms
-    /// members by one health check for each router and round, which the pace bounds.
+    /// Looks on for the primary of a group in which requests are held: the members that may be it are asked
+    /// one after another, in an order that differs from router to router; once none is left all may be it
+    /// again. Protects writes of wide groups, whose primary a walk by misses does not reach in their time.
+    /// Harms members by one health check for each router and round, which the pace bounds.
     pub(super) fn search_primary(&mut self, now: Micros, group: usize) {
         let searched = &self.groups[group];
         if searched.members.is_empty() || !self.lacks_primary(now, searched) {
@@ -58,9 +60,9 @@
         }
     }
 
-    /// How many more health checks the search of this group may wait for. Protects requests, members and descriptors
-    /// where a router looks for the primaries of many groups at once: it asks no faster than it is answered. Harms
-    /// by a longer search there.
+    /// How many more health checks the search of this group may wait for. Protects requests, members and
+    /// descriptors where a router looks for the primaries of many groups at once: it asks no faster than it
+    /// is answered. Harms by a longer search there.
     fn search_slots(&self, now: Micros, group: usize) -> usize {
         let searched =
             |group: &&Group| self.is_wide(group) && !group.held.is_empty() && self.lacks_primary(now, group);
