--- /dev/null
+++ b/crates/routing/src/policy/dispatch.rs
@@ -0,0 +1,101 @@
+//! A request's way: to a member, among the queued requests, or to its end.
+
+use super::HELD_UP;
+use crate::state::{Handle, InFlight, PendingRequest, Router};
+use crate::{Action, Effect, MemberId, Micros, Need};
+
+/// Whether another attempt may have an effect: of what may have run never for a non-idempotent request, and
+/// for a deduplicated one only within its window.
+fn may_run_again(now: Micros, effect: Effect, pending: &PendingRequest) -> bool {
+    match (effect, pending.may_have_run) {
+        (_, None) | (Effect::Pure, _) => true,
+        (Effect::Effectful, Some(_)) => false,
+        (Effect::Receipted { window, .. }, Some(first)) => now < first.sent_at + window - HELD_UP,
+    }
+}
+
+impl Router {
+    /// Sends an attempt of the request, holds the request, or gives it up.
+    pub(super) fn place(&mut self, now: Micros, handle: Handle) {
+        let pending = &self.pending_requests[&handle];
+        let class = &self.terms.classes[pending.request.class];
+        let deadlines = self.deadlines(now, pending);
+        if !may_run_again(now, class.effect, pending)
+            || self.at_fault(pending)
+            || now >= deadlines.give_up_at
+            || pending.attempts - pending.unsent >= self.attempts_allowed(class)
+        {
+            return self.give_up(handle);
+        }
+        let need = class.need;
+        let target = match need {
+            _ if self.is_paced(now) => None,
+            Need::Write => self.write_target(now, pending),
+            _ => self.read_target(now, handle, need),
+        };
+        match target {
+            Some(id) => {
+                self.account(now, id, need == Need::Write);
+                self.send_attempt(now, handle, id, deadlines.useful_until);
+            }
+            None => self.groups[self.pending_requests[&handle].group].held.push(handle),
+        }
+    }
+
+    /// Sends an attempt to the member, which ends at `useful_until` at the latest.
+    fn send_attempt(&mut self, now: Micros, handle: Handle, id: MemberId, useful_until: Micros) {
+        let rested = self.rested(now, id);
+        let validity = self.validity(&self.pending_requests[&handle], id);
+        let tries_connection = self.takes_connection(now, id);
+        let kept = self.members[id].idle.is_some();
+        let afresh = !kept && rested.is_some_and(|rest| self.reaped(rest));
+        let member = &mut self.members[id];
+        member.out.push(handle);
+        member.sent.push_back(now);
+        let pending = self.pending_requests.get_mut(&handle).expect("held by its handle");
+        pending.attempts += 1;
+        pending.rested = rested.filter(|_| !afresh);
+        pending.tries_connection = tries_connection;
+        pending.out = Some(InFlight { member: id, sent_at: now });
+        pending.waits_from = now;
+        self.attempted += 1.0;
+        self.paced_attempts -= 1.0;
+        if let Some(session) = self.session(handle) {
+            session.out += 1;
+        }
+        let timeout = useful_until - now;
+        let action = Action::Attempt { member: id, timeout, afresh, validity };
+        self.actions.requests.push((handle, action));
+    }
+
+    /// The request is over; it is forgotten once no attempt of it is in flight.
+    pub(super) fn close(&mut self, handle: Handle) {
+        let Some(pending) = self.pending_requests.get_mut(&handle) else { return };
+        pending.closed = true;
+        self.groups[pending.group].held.retain(|&held| held != handle);
+        if pending.out.is_none() {
+            self.pending_requests.remove(&handle);
+        }
+    }
+
+    /// Places the held requests of all groups again.
+    pub(super) fn pump_all(&mut self, now: Micros) {
+        (0..self.groups.len()).for_each(|group| self.pump(now, group));
+    }
+
+    /// Places the held requests of a group again: by priority weight, then the newest first.
+    pub(super) fn pump(&mut self, now: Micros, group: usize) {
+        if self.groups[group].held.is_empty() {
+            return;
+        }
+        let mut held = std::mem::take(&mut self.groups[group].held);
+        let weight = |handle: &Handle| {
+            let pending = &self.pending_requests[handle];
+            let class = &self.terms.classes[pending.request.class];
+            let late = now > pending.objective_at || pending.is_retry;
+            class.priority_weight * if late { class.late_priority_weight } else { 1.0 }
+        };
+        held.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then(b.cmp(a)));
+        held.into_iter().for_each(|handle| self.place(now, handle));
+    }
+}
