--- a/crates/routing/src/policy/primary_search.rs
+++ b/crates/routing/src/policy/primary_search.rs
@@ -10,9 +10,9 @@
 /// Health checks that the searches of one router wait for at a time, in all groups together: of the
 /// connections to members that the fewest usual descriptors (256) allow, some 87, less than half.
 const SEARCH_OUT: usize = 32;
-/// A health check that was not answered in this time is not waited for: far longer than a crowded member takes, as
-/// what is sent before that only adds to the crowd. Harms searches of many groups with vanished members: each may
-/// hold up its group for so long.
+/// A health check that was not answered in this time is not waited for: far longer than a crowded member
+/// takes, as what is sent before that only adds to the crowd. Harms searches of many groups with vanished
+/// members: each may hold up its group for so long.
 const SEARCH_AWAITED: Micros = 1_000 * MS;
 
 impl Router {
