--- a/crates/proxy/src/dispatcher/steps.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use super::Dispatcher;
-use super::lists::Peer;
+use super::endpoints::Peer;
 use crate::clock::duration;
 use crate::messages::{Answer, Attempt, Call, ClientMessage, Ended, Gave, MemberCommand};
 
--- a/crates/proxy/src/dispatcher/gateway_part.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -20,15 +20,15 @@
 use slog::{info, warn};
 use tokio::sync::mpsc;
 
-use super::book::{Book, Taking, Token};
+use super::outcome_log::{Book, Taking, Token};
 use super::{Dispatcher, Holder};
 use crate::gate::Room;
 use crate::keep::Folder;
 use crate::messages::{Answer, ClientId, ClientMessage, LinkCall, LinkId, Order, Rows, SiteSeen};
 
-mod guests;
+mod forwarded_requests;
 mod links;
-mod trips;
+mod remote_requests;
 
 /// Guests' statements get numbers of their own beside the clients'.
 const GUESTS: ClientId = 1 << 63;
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -1,17 +1,17 @@
 //! The actor that owns the router: every decision is asked for here, and carried out at once.
 
-mod book;
-mod gateway_part;
-mod lists;
+mod actions;
+mod endpoints;
+mod gateway;
 mod members_clock;
 mod observations;
-mod open;
-mod steps;
-mod warmth;
+mod open_request;
+mod outcome_log;
+mod warm_state;
 
-pub use gateway_part::{GatewayPart, Opening};
+pub use gateway::{GatewayPart, Opening};
 pub use observations::Observations;
-pub use warmth::Warmth;
+pub use warm_state::Warmth;
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -27,8 +27,8 @@
 use tokio::time::sleep_until;
 
 use crate::context::Context;
-use crate::dispatcher::lists::Peer;
-use crate::dispatcher::open::Open;
+use crate::dispatcher::endpoints::Peer;
+use crate::dispatcher::open_request::Open;
 use crate::messages::{Answer, Call, ClientId, ClientMessage, Ended, Gave, ListUpdate, Order, Withdrawal};
 use crate::trial::Trial;
 
@@ -77,7 +77,7 @@
     /// What ended while a decision was being carried out.
     pending: VecDeque<Call>,
     warmth: Warmth,
-    lines: warmth::Lines,
+    lines: warm_state::Lines,
     /// Where the fleet decides on zones or splits in common: what it is to know of this driver.
     observations: Option<Observations>,
     wake_at: Micros,
@@ -118,7 +118,7 @@
             by_client: HashMap::new(),
             pending: VecDeque::new(),
             warmth,
-            lines: warmth::Lines::default(),
+            lines: warm_state::Lines::default(),
             observations,
             wake_at: now,
             stood: 0,
