--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -1,143 +1,189 @@
-//! Carries out what the router says is to be done: answers, attempts, health checks.
+//! Carries out what the router decided: answers, attempts, health checks, connections to close.
 
 use aldermill_routing::{Action, Actions, Effect, Handle, MemberId, MemberReport, Micros, Validity, Verdict};
 use slog::warn;
 use tokio::time::Instant;
 
 use super::Dispatcher;
-use super::endpoints::Peer;
+use super::endpoints::MemberEntry;
+use super::open_request::OpenRequest;
 use crate::clock::duration;
-use crate::messages::{Answer, Attempt, Call, ClientMessage, Ended, Gave, MemberCommand};
+use crate::messages::{Answer, Attempt, Call, Ended, Gave, MemberCommand};
 
 /// Idle connections that are closed where one descriptor is wanted.
-const CLOSED_FOR_ROOM: usize = 3;
+const CLOSED_PER_DESCRIPTOR: usize = 3;
+
+/// An attempt as the router decided it.
+struct DecidedAttempt {
+    handle: Handle,
+    member: MemberId,
+    /// How long it may last.
+    timeout: Micros,
+    /// Whether it needs a new connection.
+    afresh: bool,
+    /// What must still hold when it leaves.
+    validity: Validity,
+}
 
 impl Dispatcher {
-    /// Its member answered, but there is no room for that: what is pure may be rejected, anything else did
-    /// run.
-    pub(super) fn deny_for_room(&mut self, handle: Handle) {
-        let Some(open) = self.open.get(&handle) else { return };
-        let Ok(class) = self.decoded.class(&open.order.comment.class) else { return };
-        let answer = self.without_room(class);
-        self.answer(handle, answer);
+    /// Carries out the router's actions, in their order.
+    pub(super) fn carry_out(&mut self, actions: Actions) {
+        for (handle, action) in actions.requests {
+            self.carry_out_for_request(handle, action);
+            self.release(handle);
+        }
+        for member in actions.health_checks {
+            self.send_health_check(member);
+        }
+        for member in actions.shut {
+            self.close_idle_connections(member);
+        }
+        if actions.subscribe {
+            self.ask_for_list();
+        }
+        if let Some(at) = actions.wake_at {
+            self.wake_at = at;
+        }
     }
 
-    /// What a client hears whose answer finds no room.
-    pub(crate) fn without_room(&self, class: usize) -> Answer {
-        let terms = &self.decoded.terms;
-        match terms.classes[class].effect {
-            Effect::Pure => {
-                Answer::Rejected { cool_down: self.context.gate.come_back().min(terms.max_cool_down) }
+    fn carry_out_for_request(&mut self, handle: Handle, action: Action) {
+        match action {
+            Action::Attempt { member, timeout, afresh, validity } => {
+                self.send_attempt(DecidedAttempt { handle, member, timeout, afresh, validity })
             }
-            _ => Answer::Failed,
+            Action::Reject { cool_down } => self.answer(handle, Answer::Rejected { cool_down }),
+            Action::Fail => self.answer(handle, Answer::Failed),
         }
     }
 
     /// Gives a request its one answer.
     pub(super) fn answer(&mut self, handle: Handle, answer: Answer) {
-        let Some(open) = self.open.get_mut(&handle) else { return };
-        let Some((client, mailbox)) = open.client.take() else { return };
+        let Some(open) = self.open_requests.get_mut(&handle) else { return };
+        let Some(client) = open.client.take() else { return };
         if let Some(via) = open.via {
-            return self.here_answered(via, answer);
+            return self.answered_here(via, answer);
         }
-        self.by_client.remove(&client);
-        // Its mailbox always has room for the answers it waits for; it may be gone.
-        let _ = mailbox.try_send(ClientMessage::Answer(client, answer));
+        self.locations.remove(&client.id);
+        client.answer(answer);
     }
 
-    pub(crate) fn carry_out(&mut self, actions: Actions) {
-        for (handle, step) in actions.requests {
-            match step {
-                Action::Attempt { member, timeout, afresh, validity } => {
-                    self.send_attempt(handle, member, timeout, afresh, validity)
-                }
-                Action::Reject { cool_down } => self.answer(handle, Answer::Rejected { cool_down }),
-                Action::Fail => self.answer(handle, Answer::Failed),
-            }
-            self.release(handle);
-        }
-        for member in actions.health_checks {
-            let sent = Instant::now();
-            let until = sent + self.context.limits.health_check;
-            let peer = self.peers[member].as_ref();
-            if peer.is_none_or(|peer| peer.commands.try_send(MemberCommand::Probe { sent, until }).is_err()) {
-                let (verdict, report) = (Verdict::NotSent, MemberReport::default());
-                let replica_words = peer.map_or(0, |peer| peer.replica_words);
-                self.pending.push_back(Call::HealthChecked {
-                    member,
-                    verdict,
-                    took: 0,
-                    report,
-                    replica_words,
-                });
-            }
-        }
-        for member in actions.shut {
-            if let Some(peer) = &self.peers[member] {
-                // A full mailbox means that its connections are wanted.
-                let _ = peer.commands.try_send(MemberCommand::CloseIdle);
+    /// Answers a request whose member answered while there is no room for that answer.
+    pub(super) fn answer_without_room(&mut self, handle: Handle) {
+        let Some(open) = self.open_requests.get(&handle) else { return };
+        let Ok(class) = self.decoded.class(&open.request.comment.class) else { return };
+        let answer = self.without_room(class);
+        self.answer(handle, answer);
+    }
+
+    /// What a client hears whose answer finds no room: an idempotent request may be rejected, any other did run.
+    pub(super) fn without_room(&self, class: usize) -> Answer {
+        let terms = &self.decoded.terms;
+        match terms.classes[class].effect {
+            Effect::Pure => {
+                Answer::Rejected { cool_down: self.context.gate.come_back().min(terms.max_cool_down) }
             }
+            _ => Answer::Failed,
         }
-        if actions.subscribe
-            && let Some(requests) = &self.requests
-        {
-            let _ = requests.try_send(());
+    }
+
+    fn send_attempt(&mut self, decided: DecidedAttempt) {
+        let Some(open) = self.open_requests.get(&decided.handle) else { return };
+        let (handle, member) = (decided.handle, decided.member);
+        let entry = self.members[member].as_ref();
+        if let Some(observations) = &mut self.observations {
+            observations.attempted(handle, entry, &self.decoded, &open.request);
         }
-        if let Some(at) = actions.wake_at {
-            self.wake_at = at;
+        let attempt = self.attempt(decided, open, entry);
+        let sent = attempt.sent;
+        if entry.is_none_or(|entry| entry.commands.try_send(MemberCommand::Send(attempt)).is_err()) {
+            warn!(self.context.log, "member's mailbox full, attempt not sent"; "member" => member);
+            self.deferred.push_back(Call::Ended(attempt_not_sent(handle, sent)));
         }
     }
 
-    fn send_attempt(
-        &mut self,
-        handle: Handle,
-        member: MemberId,
-        timeout: Micros,
-        afresh: bool,
-        validity: Validity,
-    ) {
-        let Some(open) = self.open.get(&handle) else { return };
+    /// The attempt as its member's actor takes it. It never lasts past the request's deadline.
+    fn attempt(&self, decided: DecidedAttempt, open: &OpenRequest, entry: Option<&MemberEntry>) -> Attempt {
         let sent = Instant::now();
-        let holder = (open.order.holder, open.best);
-        if let Some(observations) = &mut self.observations {
-            let place = self.peers[member].as_ref().map(|peer| (peer.group, peer.zone));
-            observations.attempted(handle, place, &self.decoded, &open.order);
-        }
-        let peer = self.peers[member].as_ref();
-        let attempt = Attempt {
-            handle,
-            order: open.order.clone(),
+        let deadline = self.context.clock.instant(open.deadline);
+        Attempt {
+            handle: decided.handle,
+            order: open.request.clone(),
             withdrawal: open.withdrawal.clone(),
-            holder,
+            holder: (open.request.holder, open.best),
             sent,
-            until: (sent + duration(timeout)).min(self.context.clock.instant(open.deadline)),
-            afresh,
-            validity,
-            replica_words: peer.map_or(0, |peer| peer.replica_words),
-        };
-        if peer.is_none_or(|peer| peer.commands.try_send(MemberCommand::Send(attempt)).is_err()) {
-            warn!(self.context.log, "member's mailbox full, attempt not sent"; "member" => member);
-            let (verdict, report) = (Verdict::NotSent, MemberReport::default());
-            let gave = Gave::Nothing;
-            let ended = Ended { handle, verdict, sent, took: 0, report, gave, replica_words: None };
-            self.pending.push_back(Call::Ended(ended));
+            until: (sent + duration(decided.timeout)).min(deadline),
+            afresh: decided.afresh,
+            validity: decided.validity,
+            replica_words: entry.map_or(0, |entry| entry.replica_words),
+        }
+    }
+
+    fn send_health_check(&mut self, member: MemberId) {
+        let sent = Instant::now();
+        let until = sent + self.context.limits.health_check;
+        let command = MemberCommand::Probe { sent, until };
+        let entry = self.members[member].as_ref();
+        if entry.is_none_or(|entry| entry.commands.try_send(command).is_err()) {
+            let replica_words = entry.map_or(0, |entry| entry.replica_words);
+            self.deferred.push_back(Call::HealthChecked {
+                member,
+                verdict: Verdict::NotSent,
+                took: 0,
+                report: MemberReport::default(),
+                replica_words,
+            });
+        }
+    }
+
+    fn close_idle_connections(&self, member: MemberId) {
+        if let Some(entry) = &self.members[member] {
+            // A full mailbox means that its connections are wanted.
+            let _ = entry.commands.try_send(MemberCommand::CloseIdle);
+        }
+    }
+
+    /// The first request is there: the endpoint list is asked for now.
+    fn ask_for_list(&self) {
+        if let Some(list_wanted) = &self.list_wanted {
+            let _ = list_wanted.try_send(());
         }
     }
 
     /// A member found no descriptor free: idle connections of others make room, those that rested longest. Protects
     /// the rest, which are used again. One that is taken into use just then makes no room, so some are closed.
-    pub(super) fn make_room(&mut self, member: MemberId) {
-        let others = self.peers.iter().enumerate().filter(|(id, _)| *id != member);
-        let resting = |(id, peer): (usize, &Option<Peer>)| Some((peer.as_ref()?.resting.get()?, id));
-        let mut resting: Vec<_> = others.filter_map(resting).collect();
-        resting.sort_unstable();
-        for (_, id) in resting.into_iter().take(CLOSED_FOR_ROOM) {
-            let Some(peer) = &self.peers[id] else { continue };
-            peer.resting.set(None);
-            if peer.commands.try_send(MemberCommand::Shed).is_err() {
+    pub(super) fn free_descriptors(&mut self, member: MemberId) {
+        for id in self.members_by_idle_time(member).into_iter().take(CLOSED_PER_DESCRIPTOR) {
+            let Some(entry) = &self.members[id] else { continue };
+            entry.resting.set(None);
+            if entry.commands.try_send(MemberCommand::Shed).is_err() {
                 warn!(self.context.log, "member's mailbox full, it keeps its idle connections";
                     "member" => id);
             }
         }
     }
+
+    /// Members with idle connections but for `excluded`, the longest idle first.
+    fn members_by_idle_time(&self, excluded: MemberId) -> Vec<MemberId> {
+        let mut idle: Vec<(Instant, MemberId)> = Vec::new();
+        for (id, entry) in self.members.iter().enumerate().filter(|(id, _)| *id != excluded) {
+            if let Some(since) = entry.as_ref().and_then(|entry| entry.resting.get()) {
+                idle.push((since, id));
+            }
+        }
+        idle.sort_unstable();
+        idle.into_iter().map(|(_, id)| id).collect()
+    }
+}
+
+/// The end of an attempt that never left this process.
+fn attempt_not_sent(handle: Handle, sent: Instant) -> Ended {
+    Ended {
+        handle,
+        verdict: Verdict::NotSent,
+        sent,
+        took: 0,
+        report: MemberReport::default(),
+        gave: Gave::Nothing,
+        replica_words: None,
+    }
 }
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -17,7 +17,7 @@
 use crate::messages::{ListUpdate, MemberCommand};
 
 /// A member's actor, as the dispatcher sees it.
-pub(super) struct Peer {
+pub(super) struct MemberEntry {
     pub(super) group: u64,
     pub(super) zone: usize,
     pub(super) ready: bool,
@@ -37,7 +37,7 @@
     pub(super) replica_words: u64,
 }
 
-impl Peer {
+impl MemberEntry {
     /// Its last start on the router's clock, by the list's word, where zero is long ago. It lies neither in the future nor
     /// before its former life was last heard, whatever the wall clock was when this process started. `offset` is what
     /// the members' clock is ahead.
@@ -52,59 +52,60 @@
     pub(super) fn list_update(&mut self, list_update: ListUpdate) {
         let now = self.context.clock.now();
         let actions = match list_update {
-            ListUpdate::Unavailable => self.ask(|router| ((), router.list_unavailable(now))).1,
+            ListUpdate::Unavailable => self.decide(|router| ((), router.list_unavailable(now))).1,
             ListUpdate::List(catalog) => {
                 info!(self.context.log, "list"; "revision" => catalog.revision,
                     "complete" => catalog.complete, "entries" => catalog.members.len());
-                let lines = self.lines(&catalog);
-                let actions = self.ask(|router| ((), router.list(now, catalog.complete, lines.clone()))).1;
-                self.warm_up(&catalog);
+                let listed = self.listed_members(&catalog);
+                let actions =
+                    self.decide(|router| ((), router.list(now, catalog.complete, listed.clone()))).1;
+                self.use_warm_state(&catalog);
                 actions
             }
         };
         self.carry_out(actions);
-        self.forget(now);
+        self.forget_gone_members(now);
         if self.gateway_part.is_some() {
             let mut groups: BTreeMap<u64, usize> = BTreeMap::new();
-            for peer in self.peers.iter().flatten().filter(|peer| peer.ready) {
-                *groups.entry(peer.group).or_default() += 1;
+            for known in self.members.iter().flatten().filter(|known| known.ready) {
+                *groups.entry(known.group).or_default() += 1;
             }
             self.groups_listed(&groups.into_iter().collect::<Vec<_>>());
         }
-        if !self.peers.is_empty() {
+        if !self.members.is_empty() {
             self.ready.send_if_modified(|ready| !std::mem::replace(ready, true));
         }
     }
 
     /// Lets go of members that are gone and will not be heard of again: actor, connections and index.
-    fn forget(&mut self, now: Micros) {
-        let Dispatcher { router, peers, member_ids, clock_offset, .. } = self;
+    fn forget_gone_members(&mut self, now: Micros) {
+        let Dispatcher { router, members, member_ids, clock_offset, .. } = self;
         member_ids.retain(|_, &mut id| {
             let forgotten = router.forget(now, id);
             if forgotten {
-                peers[id] = None;
+                members[id] = None;
                 clock_offset.forget(id);
             }
             !forgotten
         });
     }
 
-    fn lines(&mut self, catalog: &Catalog) -> Vec<Listed> {
+    fn listed_members(&mut self, catalog: &Catalog) -> Vec<Listed> {
         if catalog.complete {
             let listed: HashSet<&str> = catalog.members.iter().map(|entry| entry.id.as_str()).collect();
-            let open = self.lets_send(Standing::Gone);
+            let open = self.accepts_requests(Standing::Gone);
             for (_, &id) in self.member_ids.iter().filter(|(name, _)| !listed.contains(name.as_str())) {
-                if let Some(peer) = &mut self.peers[id] {
-                    peer.open.send_replace(open);
-                    peer.ready = false;
+                if let Some(known) = &mut self.members[id] {
+                    known.open.send_replace(open);
+                    known.ready = false;
                 }
             }
         }
-        catalog.members.iter().filter_map(|entry| self.line(entry)).collect()
+        catalog.members.iter().filter_map(|entry| self.listed_member(entry)).collect()
     }
 
     /// The rule on drains: where only draining members are bound by it, others may be asked still.
-    fn lets_send(&self, standing: Standing) -> bool {
+    fn accepts_requests(&self, standing: Standing) -> bool {
         match standing {
             Standing::Ready => true,
             Standing::Draining => false,
@@ -112,7 +113,7 @@
         }
     }
 
-    fn line(&mut self, entry: &Entry) -> Option<Listed> {
+    fn listed_member(&mut self, entry: &Entry) -> Option<Listed> {
         let Ok(address) = entry.host_port.parse::<SocketAddr>() else {
             warn!(self.context.log, "list entry without a usable address, left out";
                 "member" => &entry.id, "host_port" => &entry.host_port);
@@ -122,27 +123,27 @@
         let member = match self.member_ids.get(&entry.id) {
             Some(&member) => member,
             None if standing == Standing::Gone => return None,
-            None => self.meet(entry, address),
+            None => self.start_member(entry, address),
         };
-        let (clock, offset) = (self.context.clock, self.told_offset);
-        let open = self.lets_send(standing);
-        let peer = self.peers[member].as_mut()?;
-        let was_open = peer.open.send_replace(open);
-        (peer.group, peer.zone) = (entry.cell, self.decoded.zone(&entry.locality));
-        peer.ready = standing == Standing::Ready;
-        let restarted = peer.up_since != entry.up_since_ms && standing == Standing::Ready;
+        let (clock, offset) = (self.context.clock, self.reported_offset);
+        let open = self.accepts_requests(standing);
+        let known = self.members[member].as_mut()?;
+        let was_open = known.open.send_replace(open);
+        (known.group, known.zone) = (entry.cell, self.decoded.zone(&entry.locality));
+        known.ready = standing == Standing::Ready;
+        let restarted = known.up_since != entry.up_since_ms && standing == Standing::Ready;
         if restarted {
-            peer.up_since = entry.up_since_ms;
-            let former = peer.last_heard.former_life(was_open).map(|heard| clock.at(heard));
-            peer.started_within = (former.unwrap_or(Micros::MIN), clock.now());
-            peer.since = peer.started(offset);
+            known.up_since = entry.up_since_ms;
+            let former = known.last_heard.former_life(was_open).map(|heard| clock.at(heard));
+            known.started_within = (former.unwrap_or(Micros::MIN), clock.now());
+            known.since = known.started(offset);
         }
-        if (restarted || peer.address != address)
-            && peer.commands.try_send(MemberCommand::Renew(address)).is_ok()
+        if (restarted || known.address != address)
+            && known.commands.try_send(MemberCommand::Renew(address)).is_ok()
         {
-            peer.address = address;
+            known.address = address;
         }
-        let since = peer.since;
+        let since = known.since;
         self.groups.insert(entry.cell);
         Some(Listed {
             member,
@@ -158,16 +159,16 @@
 
     /// The router is about to hear this word, and decides with it from now on.
     pub(super) fn said_replica(&mut self, member: MemberId, words: u64) {
-        if let Some(peer) = self.peers.get_mut(member).and_then(Option::as_mut) {
-            peer.replica_words = peer.replica_words.max(words);
+        if let Some(known) = self.members.get_mut(member).and_then(Option::as_mut) {
+            known.replica_words = known.replica_words.max(words);
         }
     }
 
     /// Starts the actor of a member that was never listed before.
-    fn meet(&mut self, entry: &Entry, address: SocketAddr) -> MemberId {
-        let id = self.peers.iter().position(Option::is_none).unwrap_or(self.peers.len());
+    fn start_member(&mut self, entry: &Entry, address: SocketAddr) -> MemberId {
+        let id = self.members.iter().position(Option::is_none).unwrap_or(self.members.len());
         let (commands, mailbox) = mpsc::channel(self.context.limits.commands);
-        let (open, seen) = watch::channel(self.lets_send(entry.standing()));
+        let (open, seen) = watch::channel(self.accepts_requests(entry.standing()));
         let (resting, last_heard) = (Rc::new(Cell::new(None)), LastHeard::default());
         let member = Member::new(
             self.context.clone(),
@@ -179,11 +180,11 @@
             last_heard.clone(),
         );
         spawn_local(member.run(mailbox));
-        if id == self.peers.len() {
-            self.peers.push(None);
+        if id == self.members.len() {
+            self.members.push(None);
         }
         let (group, ready, zone) = (entry.cell, false, self.decoded.zone(&entry.locality));
-        let mut peer = Peer {
+        let mut known = MemberEntry {
             group,
             zone,
             ready,
@@ -197,8 +198,8 @@
             started_within: (Micros::MIN, self.context.clock.now()),
             replica_words: 0,
         };
-        peer.since = peer.started(self.told_offset);
-        self.peers[id] = Some(peer);
+        known.since = known.started(self.reported_offset);
+        self.members[id] = Some(known);
         self.member_ids.insert(entry.id.clone(), id);
         id
     }
--- a/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
@@ -4,23 +4,24 @@
 use aldermill_wire::statement;
 
 use super::*;
+use crate::dispatcher::requests::{Handover, SiteMiss};
 
 impl Dispatcher {
     /// A client's request where there is a gateway: to the module here, or to another site.
-    pub(crate) fn dispatch(&mut self, order: Order, class: usize) {
+    pub(in crate::dispatcher) fn route_between_sites(&mut self, order: Order, class: usize) {
         let now = self.context.clock.now();
         let ttl = Micros::from(order.comment.wait) * 1000 - (now - order.arrived);
-        let client = Some((order.client, order.mailbox.clone()));
-        self.set_out(order, class, ttl, client, None, Vec::new());
+        let client = Some(WaitingClient::of(&order));
+        self.forward(order, class, ttl, client, None, Vec::new());
     }
 
-    pub(super) fn set_out(
+    pub(super) fn forward(
         &mut self,
         order: Order,
         class: usize,
         ttl: Micros,
-        client: Option<(ClientId, mpsc::Sender<ClientMessage>)>,
-        guest: Option<Guest>,
+        client: Option<WaitingClient>,
+        guest: Option<RemoteRequest>,
         visited: Vec<String>,
     ) {
         let now = self.context.clock.now();
@@ -33,21 +34,21 @@
             .sites
             .take(now, Request { class, group: order.comment.group, ttl, visited: by, session });
         if let Some(guest) = &guest {
-            gateway_part.guests.insert((guest.gate, guest.number), handle);
+            gateway_part.remote_requests.insert((guest.gate, guest.number), handle);
         }
-        self.by_client.insert(order.client, Holder::Via(handle));
+        self.locations.insert(order.client, RequestLocation::Gateway(handle));
         self.open_ids.insert(order.comment.id.clone());
-        let trip = Trip { order: Rc::new(order), class, here: None, client, guest, visited };
-        gateway_part.trips.insert(handle, trip);
+        let forwarded = ForwardedRequest { order: Rc::new(order), class, here: None, client, guest, visited };
+        gateway_part.forwarded.insert(handle, forwarded);
         self.carry_out_sites(actions, None);
     }
 
     /// Nobody waits for a request any more.
-    pub(crate) fn trip_left(&mut self, handle: Handle) {
+    pub(in crate::dispatcher) fn forwarded_request_left(&mut self, handle: Handle) {
         let now = self.context.clock.now();
-        let Some(trip) = self.forget_trip(handle) else { return };
-        if let Some(here) = trip.here {
-            self.leave_here(here);
+        let Some(forwarded) = self.forget_forwarded(handle) else { return };
+        if let Some(here) = forwarded.here {
+            self.abandon(here);
         }
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let actions = handle.left(&mut gateway_part.sites, now);
@@ -55,7 +56,7 @@
     }
 
     /// The module here has answered a request for the gateway.
-    pub(crate) fn here_answered(&mut self, handle: Handle, answer: Answer) {
+    pub(in crate::dispatcher) fn answered_here(&mut self, handle: Handle, answer: Answer) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let ended = match &answer {
@@ -63,22 +64,22 @@
             Answer::Rejected { cool_down } => HereEnded::Rejected { cool_down: *cool_down },
             Answer::Failed | Answer::Wrong(_) => HereEnded::Failed,
         };
-        if let Some(trip) = gateway_part.trips.get_mut(&handle) {
-            trip.here = None;
-            let objective = self.decoded.terms.classes[trip.class].objective;
-            let in_time = ended == HereEnded::Served && now - trip.order.arrived <= objective;
-            let need = self.decoded.terms.classes[trip.class].need;
+        if let Some(forwarded) = gateway_part.forwarded.get_mut(&handle) {
+            forwarded.here = None;
+            let objective = self.decoded.terms.classes[forwarded.class].objective;
+            let in_time = ended == HereEnded::Served && now - forwarded.order.arrived <= objective;
+            let need = self.decoded.terms.classes[forwarded.class].need;
             let reads = matches!(need, Need::Loose | Need::Recent(_));
             gateway_part.ended.all += 1;
             gateway_part.ended.in_time += u32::from(in_time);
-            gateway_part.ended.bound += u32::from(reads && trip.guest.is_none());
+            gateway_part.ended.bound += u32::from(reads && forwarded.guest.is_none());
         }
         let actions = handle.here_ended(&mut gateway_part.sites, now, ended);
         self.carry_out_sites(actions, Some((handle, answer)));
     }
 
     /// An attempt here that lasted so long may have run.
-    pub(crate) fn may_have_run(&mut self, handle: Handle, took: Micros) {
+    pub(in crate::dispatcher) fn may_have_run(&mut self, handle: Handle, took: Micros) {
         let began = self.context.clock.now() - took;
         if let Some(gateway_part) = &mut self.gateway_part {
             handle.here_may_have_run(&mut gateway_part.sites, began);
@@ -87,15 +88,15 @@
 
     /// An attempt here was answered 'miss'. What follows is carried out once the module has heard it, too;
     /// whether the request was taken back from it.
-    pub(crate) fn here_missed(&mut self, handle: Handle) -> (Option<Actions>, bool) {
+    pub(in crate::dispatcher) fn not_primary_here(&mut self, handle: Handle) -> SiteMiss {
         let now = self.context.clock.now();
-        let Some(gateway_part) = &mut self.gateway_part else { return (None, false) };
+        let Some(gateway_part) = &mut self.gateway_part else { return SiteMiss::default() };
         let actions = handle.here_missed(&mut gateway_part.sites, now);
         let taken_back = actions.requests.contains(&(handle, Action::TakeBack));
-        (Some(actions), taken_back)
+        SiteMiss { actions: Some(actions), taken_back }
     }
 
-    pub(crate) fn primary_here(&mut self, group: u64) {
+    pub(in crate::dispatcher) fn primary_here(&mut self, group: u64) {
         let now = self.context.clock.now();
         if let Some(gateway_part) = &mut self.gateway_part {
             let actions = gateway_part.sites.primary_here(now, group);
@@ -103,7 +104,7 @@
         }
     }
 
-    pub(crate) fn groups_listed(&mut self, groups: &[(u64, usize)]) {
+    pub(in crate::dispatcher) fn groups_listed(&mut self, groups: &[(u64, usize)]) {
         let now = self.context.clock.now();
         if let Some(gateway_part) = &mut self.gateway_part {
             let actions = gateway_part.sites.listed(now, groups);
@@ -111,25 +112,25 @@
         }
     }
 
-    pub(crate) fn wake_sites(&mut self) {
+    pub(in crate::dispatcher) fn wake_sites(&mut self) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         gateway_part.fates.expire(now);
-        if now >= gateway_part.tell_at {
-            gateway_part.tell_at = now + TELL;
-            gateway_part.tell_room(None);
-            if let Some(book) = &mut gateway_part.book {
-                book.renew(now);
+        if now >= gateway_part.announce_at {
+            gateway_part.announce_at = now + ANNOUNCE_EVERY;
+            gateway_part.announce_room(None);
+            if let Some(outcome_log) = &mut gateway_part.outcome_log {
+                outcome_log.renew(now);
             }
             let sites = &gateway_part.sites;
-            gateway_part.crossed.retain(|&number, _| sites.crossed(number).is_some());
+            gateway_part.sent.retain(|&number, _| sites.crossed(number).is_some());
         }
         let actions = gateway_part.sites.wake(now);
         self.carry_out_sites(actions, None);
     }
 
     /// What the fleet decided of sites that retire.
-    pub(crate) fn bind(&mut self, plans: Vec<Plan>) {
+    pub fn bind(&mut self, plans: Vec<Plan>) {
         let now = self.context.clock.now();
         if let Some(gateway_part) = &mut self.gateway_part {
             let actions = gateway_part.sites.bind(now, &gateway_part.names, plans);
@@ -137,22 +138,22 @@
         }
     }
 
-    pub(crate) fn sites_stood_still(&mut self) {
+    pub(in crate::dispatcher) fn report_stall_to_sites(&mut self) {
         let now = self.context.clock.now();
         if let Some(gateway_part) = &mut self.gateway_part {
             gateway_part.sites.stood_still(now);
         }
     }
 
-    pub(crate) fn drain_sites(&mut self) {
+    pub(in crate::dispatcher) fn drain_sites(&mut self) {
         if let Some(gateway_part) = &mut self.gateway_part
             && !std::mem::replace(&mut gateway_part.draining, true)
         {
-            gateway_part.tell_room(None);
+            gateway_part.announce_room(None);
         }
     }
 
-    pub(crate) fn describe(&self) -> String {
+    pub(in crate::dispatcher) fn describe(&self) -> String {
         let now = self.context.clock.now();
         self.gateway_part
             .as_ref()
@@ -160,81 +161,92 @@
     }
 
     /// Carries out what the books return. `brought` is what a request has just been answered with.
-    pub(crate) fn carry_out_sites(&mut self, actions: Actions, brought: Option<(Handle, Answer)>) {
+    pub(in crate::dispatcher) fn carry_out_sites(
+        &mut self,
+        actions: Actions,
+        brought: Option<(Handle, Answer)>,
+    ) {
         let mut brought = brought;
         for (handle, step) in actions.requests {
             match step {
-                Action::Here { ttl } => self.start_here(handle, ttl),
+                Action::Here { ttl } => self.hand_to_router(handle, ttl),
                 Action::TakeBack => {
-                    let trip = self
+                    let forwarded = self
                         .gateway_part
                         .as_mut()
-                        .and_then(|gateway_part| gateway_part.trips.get_mut(&handle));
-                    if let Some(here) = trip.and_then(|trip| trip.here.take()) {
-                        self.leave_here(here);
+                        .and_then(|gateway_part| gateway_part.forwarded.get_mut(&handle));
+                    if let Some(here) = forwarded.and_then(|forwarded| forwarded.here.take()) {
+                        self.abandon(here);
                     }
                 }
-                Action::Cross { gate, number, left } => self.cross(handle, gate, number, left),
+                Action::Cross { gate, number, left } => self.send_to_site(handle, gate, number, left),
                 Action::Ask { gate, number } => {
                     let Some(gateway_part) = &mut self.gateway_part else { return };
-                    let Some(start) = gateway_part.crossed.get(&number).map(|crossed| crossed.start) else {
+                    let Some(start) = gateway_part.sent.get(&number).map(|crossed| crossed.start) else {
                         continue;
                     };
-                    gateway_part.say(gate, None, Said::Ask(Ask { number, receiver_start: start }));
+                    gateway_part.send(gate, None, Said::Ask(Ask { number, receiver_start: start }));
                 }
                 Action::Cancel { gate, number } => {
                     let Some(gateway_part) = &mut self.gateway_part else { return };
-                    let link = gateway_part.crossed.remove(&number).map(|crossed| crossed.link);
-                    gateway_part.say(gate, link, Said::Cancel(number));
+                    let link = gateway_part.sent.remove(&number).map(|crossed| crossed.link);
+                    gateway_part.send(gate, link, Said::Cancel(number));
                 }
                 Action::Serve => {
                     let answer = brought.take_if(|(of, _)| *of == handle).map(|(_, answer)| answer);
-                    self.finish(handle, answer.unwrap_or(Answer::Failed), None);
+                    self.answer_forwarded(handle, answer.unwrap_or(Answer::Failed), None);
+                }
+                Action::Reject { cool_down } => {
+                    self.answer_forwarded(handle, Answer::Rejected { cool_down }, None)
                 }
-                Action::Reject { cool_down } => self.finish(handle, Answer::Rejected { cool_down }, None),
-                Action::Fail => self.finish(handle, Answer::Failed, None),
+                Action::Fail => self.answer_forwarded(handle, Answer::Failed, None),
                 Action::NotHere { hint } => {
-                    self.finish(handle, Answer::Rejected { cool_down: 0 }, Some(hint));
+                    self.answer_forwarded(handle, Answer::Rejected { cool_down: 0 }, Some(hint));
                 }
             }
         }
         let Some(gateway_part) = &mut self.gateway_part else { return };
         for (gate, upto) in actions.confirms {
-            gateway_part.say(gate, None, Said::Confirm(Confirm { upto }));
+            gateway_part.send(gate, None, Said::Confirm(Confirm { upto }));
         }
         if actions.offers {
-            gateway_part.tell_room(None);
+            gateway_part.announce_room(None);
         }
         if let Some(at) = actions.wake_at {
             gateway_part.wake_at = at;
         }
     }
 
-    pub(super) fn start_here(&mut self, handle: Handle, ttl: Micros) {
-        let trip = self.gateway_part.as_ref().and_then(|gateway_part| gateway_part.trips.get(&handle));
-        let Some((order, class)) = trip.map(|trip| (trip.order.clone(), trip.class)) else { return };
-        let client = Some((order.client, order.mailbox.clone()));
+    pub(super) fn hand_to_router(&mut self, handle: Handle, ttl: Micros) {
+        let forwarded =
+            self.gateway_part.as_ref().and_then(|gateway_part| gateway_part.forwarded.get(&handle));
+        let Some((order, class)) = forwarded.map(|forwarded| (forwarded.order.clone(), forwarded.class))
+        else {
+            return;
+        };
         let deadline = self.context.clock.now() + ttl;
-        let (here, actions) = self.hand_over(order, class, deadline, client, Some(handle));
-        if let Some(trip) =
-            self.gateway_part.as_mut().and_then(|gateway_part| gateway_part.trips.get_mut(&handle))
+        let handover = Handover { request: order, class, deadline, via: Some(handle) };
+        let (here, actions) = self.hand_over(handover);
+        if let Some(forwarded) =
+            self.gateway_part.as_mut().and_then(|gateway_part| gateway_part.forwarded.get_mut(&handle))
         {
-            trip.here = Some(here);
+            forwarded.here = Some(here);
         }
         self.carry_out(actions);
     }
 
-    pub(super) fn cross(&mut self, handle: Handle, gate: GateId, number: u64, left: Micros) {
+    pub(super) fn send_to_site(&mut self, handle: Handle, gate: GateId, number: u64, left: Micros) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let (Some(trip), Some(state)) = (gateway_part.trips.get(&handle), gateway_part.gates.get(gate))
+        let (Some(forwarded), Some(state)) =
+            (gateway_part.forwarded.get(&handle), gateway_part.peer_gateways.get(gate))
         else {
             return;
         };
-        let order = &trip.order;
+        let order = &forwarded.order;
         // Zero on the wire is no word of it.
         let written_ago = order.last_write(now).map(|ago| ago.max(1));
-        let visited = trip.visited.iter().cloned().chain([gateway_part.own.site.clone()]).collect();
+        let visited = forwarded.visited.iter().cloned().chain([gateway_part.own.site.clone()]).collect();
         let start = state.origin.start;
         let request = RequestFrame {
             number,
@@ -248,9 +260,9 @@
             length: 0,
         };
         let said = Said::Request(request, order.statement.clone());
-        match gateway_part.say(gate, None, said) {
+        match gateway_part.send(gate, None, said) {
             Some(link) => {
-                gateway_part.crossed.insert(number, Crossed { gate, start, link });
+                gateway_part.sent.insert(number, SentRequest { gate, start, link });
             }
             None => {
                 // It never left this process.
@@ -260,33 +272,36 @@
         }
     }
 
-    pub(super) fn forget_trip(&mut self, handle: Handle) -> Option<Trip> {
+    pub(super) fn forget_forwarded(&mut self, handle: Handle) -> Option<ForwardedRequest> {
         let gateway_part = self.gateway_part.as_mut()?;
-        let trip = gateway_part.trips.remove(&handle)?;
-        if let Some(guest) = &trip.guest {
-            gateway_part.guests.remove(&(guest.gate, guest.number));
+        let forwarded = gateway_part.forwarded.remove(&handle)?;
+        if let Some(guest) = &forwarded.guest {
+            gateway_part.remote_requests.remove(&(guest.gate, guest.number));
         }
-        self.open_ids.remove(&trip.order.comment.id);
-        self.by_client.remove(&trip.order.client);
-        Some(trip)
+        self.open_ids.remove(&forwarded.order.comment.id);
+        self.locations.remove(&forwarded.order.client);
+        Some(forwarded)
     }
 
     /// Gives a request its one answer. `elsewhere` says that its primary is not here, and perhaps where.
-    pub(super) fn finish(&mut self, handle: Handle, answer: Answer, elsewhere: Option<Option<SiteId>>) {
+    pub(super) fn answer_forwarded(
+        &mut self,
+        handle: Handle,
+        answer: Answer,
+        elsewhere: Option<Option<SiteId>>,
+    ) {
         let now = self.context.clock.now();
-        let Some(trip) = self.forget_trip(handle) else { return };
-        if let Some((client, mailbox)) = trip.client {
-            // Its mailbox always has room for the answers it waits for; it may be gone.
-            let _ = mailbox.try_send(ClientMessage::Answer(client, answer));
-            return;
+        let Some(forwarded) = self.forget_forwarded(handle) else { return };
+        if let Some(client) = &forwarded.client {
+            return client.answer(answer);
         }
-        let (Some(gateway_part), Some(guest)) = (&mut self.gateway_part, trip.guest) else { return };
-        let effectful = matches!(self.decoded.terms.classes[trip.class].effect, Effect::Effectful);
+        let (Some(gateway_part), Some(guest)) = (&mut self.gateway_part, forwarded.guest) else { return };
+        let effectful = matches!(self.decoded.terms.classes[forwarded.class].effect, Effect::Effectful);
         let mut frame = OutcomeFrame { number: guest.number, ..OutcomeFrame::default() };
         let (kind, fate, value) = match answer {
             Answer::Served(rows) => {
                 let bytes = Rc::new(rows.pieces.concat());
-                let kept = Kept { bytes: bytes.clone(), _room: rows.room.map(Rc::new) };
+                let kept = KeptValue { bytes: bytes.clone(), _room: rows.room.map(Rc::new) };
                 (OutcomeKind::Served, Fate::Served(kept), bytes)
             }
             Answer::Rejected { cool_down } => {
@@ -300,27 +315,28 @@
         let rejected = kind == OutcomeKind::Rejected;
         frame.kind = kind.into();
         frame.hint = elsewhere.flatten().map_or(String::new(), |site| gateway_part.names[site].clone());
-        frame.took_us = (self.context.clock.now() - trip.order.arrived).max(0) as u64;
+        frame.took_us = (self.context.clock.now() - forwarded.order.arrived).max(0) as u64;
         // Nobody asks about what may simply be sent again.
         let fate = if effectful { fate } else { Fate::Failed };
         let kept = fate.as_ref().map(|kept| &kept.bytes[..]);
-        let until = now + Micros::from(trip.order.comment.wait) * 1000 + SLACK;
-        let book = gateway_part.book.as_mut().filter(|_| effectful);
-        let token = book.and_then(|book| book.settle(now, &guest.origin, guest.number, until, &kept));
+        let until = now + Micros::from(forwarded.order.comment.wait) * 1000 + ASKED_AFTER_DEADLINE;
+        let outcome_log = gateway_part.outcome_log.as_mut().filter(|_| effectful);
+        let token = outcome_log
+            .and_then(|outcome_log| outcome_log.settle(now, &guest.origin, guest.number, until, &kept));
         gateway_part.fates.settle(&guest.origin, guest.number, fate);
         // Over the link that it came by, or was last asked about on; where that broke, it will be asked about.
-        if gateway_part.gates[guest.gate].links.contains(&guest.link) {
+        if gateway_part.peer_gateways[guest.gate].links.contains(&guest.link) {
             let value = Rc::try_unwrap(value).unwrap_or_else(|shared| shared.to_vec());
             match token {
                 Some(token) => {
                     let (gate, link) = (guest.gate, guest.link);
-                    gateway_part.leaving.insert(token, Leaving { gate, link, frame, value });
+                    gateway_part.departing.insert(token, DepartingOutcome { gate, link, frame, value });
                 }
-                None => drop(gateway_part.say(guest.gate, Some(guest.link), Said::Outcome(frame, value))),
+                None => drop(gateway_part.send(guest.gate, Some(guest.link), Said::Outcome(frame, value))),
             }
         }
-        if gateway_part.sites.guest_over(now, guest.gate, trip.class, rejected) {
-            gateway_part.tell_room(Some(guest.gate));
+        if gateway_part.sites.guest_over(now, guest.gate, forwarded.class, rejected) {
+            gateway_part.announce_room(Some(guest.gate));
         }
     }
 }
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -20,28 +20,29 @@
 use slog::{info, warn};
 use tokio::sync::mpsc;
 
-use super::outcome_log::{Book, Taking, Token};
-use super::{Dispatcher, Holder};
+use super::Dispatcher;
+use super::open_request::{RequestLocation, WaitingClient};
+use super::outcome_log::{OutcomeLog, Taking, Token};
 use crate::gate::Room;
 use crate::keep::Folder;
-use crate::messages::{Answer, ClientId, ClientMessage, LinkCall, LinkId, Order, Rows, SiteSeen};
+use crate::messages::{Answer, ClientId, LinkCall, LinkId, Order, Rows, SiteSeen};
 
 mod forwarded_requests;
 mod links;
 mod remote_requests;
 
 /// Guests' statements get numbers of their own beside the clients'.
-const GUESTS: ClientId = 1 << 63;
+const FIRST_REMOTE_ID: ClientId = 1 << 63;
 
 /// What an effectful guest's served request brought, kept as long as anybody may ask.
 #[derive(Clone)]
-pub struct Kept {
+pub struct KeptValue {
     bytes: Rc<Vec<u8>>,
     _room: Option<Rc<Room>>,
 }
 
 /// A request of another gateway, and over which link its answer goes.
-struct Guest {
+struct RemoteRequest {
     gate: GateId,
     number: u64,
     link: LinkId,
@@ -49,12 +50,12 @@
 }
 
 /// A request on its way: with the module here, over a link, or waiting for either.
-struct Trip {
+struct ForwardedRequest {
     order: Rc<Order>,
     class: usize,
     here: Option<HereHandle>,
-    client: Option<(ClientId, mpsc::Sender<ClientMessage>)>,
-    guest: Option<Guest>,
+    client: Option<WaitingClient>,
+    guest: Option<RemoteRequest>,
     visited: Vec<String>,
 }
 
@@ -65,14 +66,14 @@
 }
 
 /// Another gateway's process, as it greeted last.
-struct GateState {
+struct PeerGateway {
     site: SiteId,
     origin: Origin,
     links: Vec<LinkId>,
 }
 
 /// A request that crossed: to which start of which gateway, and over which link.
-struct Crossed {
+struct SentRequest {
     gate: GateId,
     start: u64,
     link: LinkId,
@@ -84,31 +85,31 @@
     names: Vec<String>,
     classes: Vec<String>,
     sites: Sites,
-    fates: Fates<Kept>,
-    gates: Vec<GateState>,
+    fates: Fates<KeptValue>,
+    peer_gateways: Vec<PeerGateway>,
     links: HashMap<LinkId, LinkState>,
-    trips: HashMap<Handle, Trip>,
-    guests: HashMap<(GateId, u64), Handle>,
-    crossed: HashMap<u64, Crossed>,
-    /// Where the book is kept over a restart, and what waits for the disk.
-    pub book: Option<Book>,
-    pub kept: Option<mpsc::Receiver<bool>>,
-    coming: HashMap<Token, Coming>,
-    leaving: HashMap<Token, Leaving>,
-    next_guest: ClientId,
+    forwarded: HashMap<Handle, ForwardedRequest>,
+    remote_requests: HashMap<(GateId, u64), Handle>,
+    sent: HashMap<u64, SentRequest>,
+    /// Where the outcome log is kept over a restart, and what waits for the disk.
+    pub outcome_log: Option<OutcomeLog>,
+    pub written: Option<mpsc::Receiver<bool>>,
+    arriving: HashMap<Token, ArrivingRequest>,
+    departing: HashMap<Token, DepartingOutcome>,
+    next_remote_id: ClientId,
     /// The comment's field that names a session.
     session: Option<String>,
-    ended: Ended,
+    ended: EndedCounts,
     draining: bool,
     /// When the books want to be woken, and when others are next told of the room here unasked.
     pub wake_at: Micros,
-    tell_at: Micros,
+    announce_at: Micros,
 }
 
 /// Requests that ended with the module here since it was last asked, how many of them within the latency
 /// objective, and how many would go elsewhere with their sessions.
 #[derive(Default)]
-struct Ended {
+struct EndedCounts {
     since: Micros,
     all: u32,
     in_time: u32,
@@ -127,24 +128,24 @@
     pub session: Option<String>,
     /// Fates kept for one sender.
     pub fates: usize,
-    /// Where the book is kept.
+    /// Where the outcome log is kept.
     pub folder: Option<Rc<Folder>>,
 }
 
 /// An effectful request of another gateway that is taken once its record is kept.
-struct Coming {
+struct ArrivingRequest {
     link: LinkId,
     gate: GateId,
     origin: Origin,
     number: u64,
     /// On the router's clock.
-    came: Micros,
+    received_at: Micros,
     request: RequestFrame,
     statement: Vec<u8>,
 }
 
 /// An outcome that leaves once its record is kept.
-struct Leaving {
+struct DepartingOutcome {
     gate: GateId,
     link: LinkId,
     frame: OutcomeFrame,
@@ -152,18 +153,18 @@
 }
 
 /// How long after its deadline somebody may still ask about a request.
-const SLACK: Micros = 5_000_000;
+const ASKED_AFTER_DEADLINE: Micros = 5_000_000;
 /// How often others are told of the room here though nothing has changed.
-const TELL: Micros = 500_000;
-const MOST: Micros = 1_000_000_000;
+const ANNOUNCE_EVERY: Micros = 500_000;
+const LONGEST_SPAN: Micros = 1_000_000_000;
 /// Confirmations that may wait for the dispatcher: as many as records may wait for the disk, and more.
-const BOOK_WORDS: usize = 2048;
+const CONFIRMATIONS: usize = 2048;
 
 impl GatewayPart {
     pub fn new(opening: Opening, decoded: &Decoded, seed: u64, now: Micros) -> GatewayPart {
         let Opening { own, peers, homes, hops, credit, session, fates, folder } = opening;
-        let (told, kept) = mpsc::channel(BOOK_WORDS);
-        let book = folder.map(|folder| Book::open(folder, own.start, now, told));
+        let (told, written) = mpsc::channel(CONFIRMATIONS);
+        let outcome_log = folder.map(|folder| OutcomeLog::open(folder, own.start, now, told));
         let effect = |effect| match effect {
             Effect::Pure => FarEffect::Pure,
             Effect::Receipted { scope, window } => {
@@ -202,22 +203,22 @@
             names,
             classes: decoded.names(),
             sites,
-            fates: Fates::start(fates, SLACK),
-            gates: Vec::new(),
+            fates: Fates::start(fates, ASKED_AFTER_DEADLINE),
+            peer_gateways: Vec::new(),
             links: HashMap::new(),
-            trips: HashMap::new(),
-            guests: HashMap::new(),
-            crossed: HashMap::new(),
-            kept: book.is_some().then_some(kept),
-            book,
-            coming: HashMap::new(),
-            leaving: HashMap::new(),
-            next_guest: GUESTS,
+            forwarded: HashMap::new(),
+            remote_requests: HashMap::new(),
+            sent: HashMap::new(),
+            written: outcome_log.is_some().then_some(written),
+            outcome_log,
+            arriving: HashMap::new(),
+            departing: HashMap::new(),
+            next_remote_id: FIRST_REMOTE_ID,
             session,
-            ended: Ended { since: now, ..Ended::default() },
+            ended: EndedCounts { since: now, ..EndedCounts::default() },
             draining: false,
             wake_at: now,
-            tell_at: now,
+            announce_at: now,
         }
     }
 
@@ -231,24 +232,24 @@
         homes.filter_map(|(group, home, _)| Some((group, self.names[home?].clone()))).collect()
     }
 
-    pub fn trips(&self) -> usize {
-        self.trips.len()
+    pub fn open_requests(&self) -> usize {
+        self.forwarded.len()
     }
 
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    pub fn guests(&self) -> usize {
-        self.guests.len() + self.coming.len() + self.leaving.len()
+    pub fn remote_requests(&self) -> usize {
+        self.remote_requests.len() + self.arriving.len() + self.departing.len()
     }
 
     /// What this gateway saw of its site since it was last asked, and what it has of those that retire.
     pub fn seen(&mut self, now: Micros) -> SiteSeen {
-        let Ended { since, all, in_time, bound } = std::mem::take(&mut self.ended);
+        let EndedCounts { since, all, in_time, bound } = std::mem::take(&mut self.ended);
         self.ended.since = now;
-        let fates = (self.fates.len() + self.coming.len() + self.leaving.len()) as u64;
-        let gates = self.gates.iter().enumerate().filter(|(_, gate)| !gate.links.is_empty());
+        let fates = (self.fates.len() + self.arriving.len() + self.departing.len()) as u64;
+        let gates = self.peer_gateways.iter().enumerate().filter(|(_, gate)| !gate.links.is_empty());
         let trips = gates.map(|(id, gate)| (self.names[gate.site].clone(), self.sites.view(now, id).trip));
         SiteSeen {
             site: self.own.site.clone(),
@@ -266,8 +267,8 @@
     }
 
     /// Says something to a gateway, over the link named or any that stands. Whether it could be said.
-    fn say(&self, gate: GateId, link: Option<LinkId>, said: Said) -> Option<LinkId> {
-        let links = &self.gates.get(gate)?.links;
+    fn send(&self, gate: GateId, link: Option<LinkId>, said: Said) -> Option<LinkId> {
+        let links = &self.peer_gateways.get(gate)?.links;
         let link = link.filter(|link| links.contains(link)).or_else(|| {
             // The one with most room in its mailbox.
             links
@@ -279,9 +280,9 @@
     }
 
     /// Tells a gateway, or all, what room there is here.
-    fn tell_room(&mut self, only: Option<GateId>) {
-        for id in 0..self.gates.len() {
-            if only.is_some_and(|only| only != id) || self.gates[id].links.is_empty() {
+    fn announce_room(&mut self, only: Option<GateId>) {
+        for id in 0..self.peer_gateways.len() {
+            if only.is_some_and(|only| only != id) || self.peer_gateways[id].links.is_empty() {
                 continue;
             }
             let (credits, groups) = self.sites.offered(id);
@@ -291,13 +292,13 @@
                 homes: groups.into_iter().map(|(group, primary)| Home { group, primary }).collect(),
                 draining: self.draining,
             };
-            self.say(id, None, Said::Room(room));
+            self.send(id, None, Said::Room(room));
         }
     }
 
     /// What is believed here, for people.
     fn describe(&self, now: Micros) -> String {
-        let gates: Vec<_> = (self.gates.iter().enumerate())
+        let gates: Vec<_> = (self.peer_gateways.iter().enumerate())
             .map(|(id, gate)| {
                 let view = self.sites.view(now, id);
                 json!({
@@ -315,14 +316,14 @@
             .collect();
         let text = json!({
             "site": self.own.site, "instance": self.own.instance, "start": self.own.start, "draining": self.draining,
-            "gateways": gates, "groups": homes, "tasks": self.trips.len(), "guests": self.guests.len(),
-            "fates_kept": self.fates.len(), "book": self.book.as_ref().map(|book| json!({
-                "disk": !book.is_without(), "earlier_records": book.earlier().0, "earlier_starts": book.earlier().1})),
+            "gateways": gates, "groups": homes, "tasks": self.forwarded.len(), "guests": self.remote_requests.len(),
+            "fates_kept": self.fates.len(), "book": self.outcome_log.as_ref().map(|outcome_log| json!({
+                "disk": !outcome_log.is_without(), "earlier_records": outcome_log.earlier().0, "earlier_starts": outcome_log.earlier().1})),
         });
         format!("{text:#}\n")
     }
 }
 
 fn micros(told: u64) -> Micros {
-    Micros::try_from(told).unwrap_or(MOST).min(MOST)
+    Micros::try_from(told).unwrap_or(LONGEST_SPAN).min(LONGEST_SPAN)
 }
--- a/crates/proxy/src/dispatcher/members_clock.rs
+++ b/crates/proxy/src/dispatcher/members_clock.rs
@@ -11,8 +11,8 @@
 
 impl Dispatcher {
     /// Whether the request is a write that takes effect anew each time: its commit is never one from before.
-    pub(super) fn writes_once(&self, handle: Handle) -> bool {
-        let comment = self.open.get(&handle).map(|open| &open.order.comment);
+    pub(super) fn is_non_idempotent_write(&self, handle: Handle) -> bool {
+        let comment = self.open_requests.get(&handle).map(|open| &open.request.comment);
         let class = comment.and_then(|comment| self.decoded.class(&comment.class).ok());
         let class = class.map(|class| &self.decoded.terms.classes[class]);
         class.is_some_and(|class| class.effect == Effect::Effectful && class.need == Need::Write)
@@ -21,7 +21,7 @@
     /// Takes in the position of an answer, which is the commit of a write that was sent at `written`, as word of the
     /// members' clock. One that is still ahead of that clock proves nothing, as nothing is applied before it was
     /// committed: it is left out.
-    pub(super) fn hears_clock(
+    pub(super) fn observe_clock(
         &mut self,
         member: MemberId,
         report: &mut MemberReport,
@@ -35,23 +35,23 @@
             self.clock_offset.committed(member, position, clock.at(sent));
         }
         let offset = self.clock_offset.ahead();
-        if (offset - self.told_offset).abs() > CHANGE {
+        if (offset - self.reported_offset).abs() > CHANGE {
             warn!(self.context.log, "the wall clock at the start differs from the members'"; "ms" => offset / 1000);
-            self.tell_offset(offset);
+            self.report_offset(offset);
         }
-        let believable = now + self.told_offset + self.context.limits.ahead_of_clock;
+        let believable = now + self.reported_offset + self.context.limits.ahead_of_clock;
         report.position = Some(position).filter(|&position| position <= believable);
     }
 
-    fn tell_offset(&mut self, offset: Micros) {
-        self.told_offset = offset;
+    fn report_offset(&mut self, offset: Micros) {
+        self.reported_offset = offset;
         let mut starts = Vec::new();
-        for (id, peer) in self.peers.iter_mut().enumerate() {
-            if let Some(peer) = peer {
-                peer.since = peer.started(offset);
-                starts.push((id, peer.since));
+        for (id, entry) in self.members.iter_mut().enumerate() {
+            if let Some(entry) = entry {
+                entry.since = entry.started(offset);
+                starts.push((id, entry.since));
             }
         }
-        let _ = self.ask(|router| (router.members_clock(offset, &starts), Default::default()));
+        let _ = self.decide(|router| (router.members_clock(offset, &starts), Default::default()));
     }
 }
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -1,4 +1,7 @@
 //! The actor that owns the router: every decision is asked for here, and carried out at once.
+//!
+//! This file holds the actor's loop. What it turns to stands beside it: requests, the router's actions, the endpoint
+//! list, the members' clock, observations, the warm state, and the gateway part.
 
 mod actions;
 mod endpoints;
@@ -7,400 +10,301 @@
 mod observations;
 mod open_request;
 mod outcome_log;
+mod requests;
 mod warm_state;
 
 pub use gateway::{GatewayPart, Opening};
 pub use observations::Observations;
-pub use warm_state::Warmth;
+pub use warm_state::WarmState;
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 
-use aldermill_routing::{Actions, Handle, MemberId, Micros, Need, Outcome, Request, Role, Router, Verdict};
+use aldermill_routing::{Actions, Handle, MemberId, Micros, Role, Router};
 use aldermill_settings::Decoded;
-use aldermill_site_routing::Handle as SitesHandle;
 use aldermill_statistics::ClockOffset;
-use aldermill_wire::statement::quoted;
 use slog::warn;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::yield_now;
 use tokio::time::sleep_until;
 
 use crate::context::Context;
-use crate::dispatcher::endpoints::Peer;
-use crate::dispatcher::open_request::Open;
-use crate::messages::{Answer, Call, ClientId, ClientMessage, Ended, Gave, ListUpdate, Order, Withdrawal};
+use crate::dispatcher::endpoints::MemberEntry;
+use crate::dispatcher::open_request::{OpenRequest, RequestLocation};
+use crate::dispatcher::warm_state::ListedEntries;
+use crate::messages::{Call, ClientId, ListUpdate};
 use crate::trial::Trial;
 
-/// Where a client's request is.
-#[derive(Clone, Copy)]
-pub(crate) enum Holder {
-    Here(Handle),
-    Via(SitesHandle),
-}
+/// How often other actors have their turn after a stall, before the dispatcher goes on: to be woken by what came,
+/// to read it, and to hand it on.
+const TURNS_AFTER_STALL: usize = 3;
 
 /// What the dispatcher turns to.
-enum Next {
+enum Event {
     ListUpdate(ListUpdate),
-    Wake,
-    WakeSites,
-    Drain,
-    /// A record of the gateway's book was kept, or was not; or has waited too long.
-    Kept(bool),
-    KeptLate,
-    Call(Call),
+    RouterDue,
+    SitesDue,
+    Stopping,
+    /// A record of the outcome log was written, or was not.
+    RecordWritten(bool),
+    /// A record of the outcome log has waited too long.
+    RecordLate,
+    Message(Call),
 }
 
-/// How often others have their turn after a standstill, before the dispatcher goes on: to hear of what came,
-/// to read it, and to hand it on.
-const TURNS: usize = 3;
+/// Where the dispatcher's events come from, but for its own timers.
+struct Inputs {
+    list_updates: mpsc::Receiver<ListUpdate>,
+    messages: mpsc::Receiver<Call>,
+    stopping: watch::Receiver<Option<tokio::time::Instant>>,
+}
 
+/// What a dispatcher is made of at its start.
+pub struct DispatcherParts {
+    /// What every actor needs.
+    pub context: Rc<Context>,
+    /// The settings in force.
+    pub decoded: Decoded,
+    /// Seed of the router's random choices.
+    pub seed: u64,
+    /// Present where this process is a gateway to other sites.
+    pub gateway_part: Option<GatewayPart>,
+    /// Other settings, whose decisions are only counted.
+    pub trial: Option<Trial>,
+    /// What an earlier start believed, and who keeps what is believed now.
+    pub warm_state: WarmState,
+    /// Present where the processes decide on zones or splits together.
+    pub observations: Option<Observations>,
+    /// Set once there is an endpoint list to decide on.
+    pub ready: watch::Sender<bool>,
+    /// Where the first request asks for the endpoint list.
+    pub list_wanted: Option<mpsc::Sender<()>>,
+}
+
+/// The actor that owns the router and the requests under way.
 pub struct Dispatcher {
-    pub(crate) context: Rc<Context>,
-    pub(crate) decoded: Decoded,
-    pub(crate) router: Router,
-    /// Other settings that are watched.
+    context: Rc<Context>,
+    decoded: Decoded,
+    router: Router,
     trial: Option<Trial>,
-    /// Where this driver is a gateway to other sites.
-    pub(crate) gateway_part: Option<GatewayPart>,
+    gateway_part: Option<GatewayPart>,
     /// By the router's index; an index whose member was let go stands empty until it is given out anew.
-    peers: Vec<Option<Peer>>,
+    members: Vec<Option<MemberEntry>>,
     member_ids: HashMap<String, MemberId>,
-    /// What the members' clock is ahead of the router's, and what the router was told of that.
+    /// What the members' clock is ahead of the router's.
     clock_offset: ClockOffset,
-    told_offset: Micros,
+    /// What the router was last told of that, in microseconds.
+    reported_offset: Micros,
+    /// Groups that were ever listed.
     groups: HashSet<u64>,
-    pub(crate) open: HashMap<Handle, Open>,
-    /// The ids of the requests under way.
-    pub(crate) open_ids: HashSet<String>,
-    pub(crate) by_client: HashMap<ClientId, Holder>,
+    open_requests: HashMap<Handle, OpenRequest>,
+    /// The ids, as clients give them, of the requests under way.
+    open_ids: HashSet<String>,
+    locations: HashMap<ClientId, RequestLocation>,
     /// What ended while a decision was being carried out.
-    pending: VecDeque<Call>,
-    warmth: Warmth,
-    lines: warm_state::Lines,
-    /// Where the fleet decides on zones or splits in common: what it is to know of this driver.
+    deferred: VecDeque<Call>,
+    warm_state: WarmState,
+    listed: ListedEntries,
     observations: Option<Observations>,
+    /// When the router wants to be woken, on its clock.
     wake_at: Micros,
-    /// Of the time spent standing, what router and sites know of.
-    stood: Micros,
+    /// The stalled time that router and sites were told of.
+    reported_stall: Micros,
     ready: watch::Sender<bool>,
-    requests: Option<mpsc::Sender<()>>,
-    /// Who waits until nothing of other gateways is under way.
-    parted: Vec<oneshot::Sender<()>>,
+    list_wanted: Option<mpsc::Sender<()>>,
+    /// Who waits until no remote request is under way.
+    remote_end_waiters: Vec<oneshot::Sender<()>>,
 }
 
 impl Dispatcher {
-    #[expect(clippy::too_many_arguments)]
-    pub fn new(
-        context: Rc<Context>,
-        decoded: Decoded,
-        seed: u64,
-        gateway_part: Option<GatewayPart>,
-        trial: Option<Trial>,
-        warmth: Warmth,
-        observations: Option<Observations>,
-        ready: watch::Sender<bool>,
-        requests: Option<mpsc::Sender<()>>,
-    ) -> Dispatcher {
-        let now = context.clock.now();
+    /// A dispatcher that knows no member yet.
+    pub fn new(parts: DispatcherParts) -> Dispatcher {
+        let now = parts.context.clock.now();
         Dispatcher {
-            router: Router::start(decoded.terms.clone(), seed, now),
-            decoded,
-            trial,
-            gateway_part,
-            peers: Vec::new(),
+            router: Router::start(parts.decoded.terms.clone(), parts.seed, now),
+            decoded: parts.decoded,
+            trial: parts.trial,
+            gateway_part: parts.gateway_part,
+            members: Vec::new(),
             member_ids: HashMap::new(),
             clock_offset: ClockOffset::default(),
-            told_offset: 0,
+            reported_offset: 0,
             groups: HashSet::new(),
-            open: HashMap::new(),
+            open_requests: HashMap::new(),
             open_ids: HashSet::new(),
-            by_client: HashMap::new(),
-            pending: VecDeque::new(),
-            warmth,
-            lines: warm_state::Lines::default(),
-            observations,
+            locations: HashMap::new(),
+            deferred: VecDeque::new(),
+            warm_state: parts.warm_state,
+            listed: ListedEntries::default(),
+            observations: parts.observations,
             wake_at: now,
-            stood: 0,
-            ready,
-            requests,
-            parted: Vec::new(),
-            context,
+            reported_stall: 0,
+            ready: parts.ready,
+            list_wanted: parts.list_wanted,
+            remote_end_waiters: Vec::new(),
+            context: parts.context,
         }
     }
 
-    /// Serves until every other actor is gone. The list comes first: the rule on drains counts from when it
-    /// was written. Nothing here ever waits for another actor, but for some turns of all after a standstill.
-    pub async fn run(
-        mut self,
-        mut list_updates: mpsc::Receiver<ListUpdate>,
-        mut calls: mpsc::Receiver<Call>,
-    ) {
-        let mut stopping = self.context.stopping.clone();
-        loop {
-            let (hub_wakes, draining) = self.gateway_part.as_ref().map_or((None, true), |gateway_part| {
-                (Some(gateway_part.wake_at), gateway_part.is_draining())
-            });
-            let book_due =
-                self.gateway_part.as_ref().and_then(|gateway_part| gateway_part.book.as_ref()?.due());
-            let kept = self.gateway_part.as_mut().and_then(|gateway_part| gateway_part.kept.as_mut());
-            let clock = self.context.clock;
-            let next = tokio::select! {
-                biased;
-                Some(list_update) = list_updates.recv() => Next::ListUpdate(list_update),
-                () = sleep_until(clock.instant(self.wake_at)) => Next::Wake,
-                () = sleep_until(clock.instant(hub_wakes.unwrap_or(0))), if hub_wakes.is_some() => Next::WakeSites,
-                Ok(_) = stopping.wait_for(Option::is_some), if !draining => Next::Drain,
-                Some(well) = confirmed(kept) => Next::Kept(well),
-                () = sleep_until(clock.instant(book_due.unwrap_or(0))), if book_due.is_some() => Next::KeptLate,
-                call = calls.recv() => match call {
-                    Some(call) => Next::Call(call),
-                    None => return,
-                },
-            };
-            let stood = self.context.lived.stood() - self.stood;
-            if stood > 0 {
-                warn!(self.context.log, "stood still"; "ms" => stood / 1000);
-                self.tell_of_standstills();
-                // What the list said meanwhile comes before what it forbids: the list's actor reads it first.
-                for _ in 0..TURNS {
-                    yield_now().await;
-                }
-                while let Ok(list_update) = list_updates.try_recv() {
-                    self.list_update(list_update);
-                }
-            }
-            match next {
-                Next::ListUpdate(list_update) => self.list_update(list_update),
-                Next::Wake => {
-                    let now = self.context.clock.now();
-                    let ((), actions) = self.ask(|router| ((), router.wake(now)));
-                    self.carry_out(actions);
-                    self.keep_warm();
-                }
-                Next::WakeSites => self.wake_sites(),
-                Next::Drain => self.drain_sites(),
-                Next::Kept(well) => self.kept(well),
-                Next::KeptLate => self.book_gives_up(),
-                Next::Call(call) => self.call(call),
-            }
-            while let Some(call) = self.pending.pop_front() {
-                self.call(call);
-            }
-            if !self.parted.is_empty()
-                && self.gateway_part.as_ref().is_none_or(|gateway_part| gateway_part.guests() == 0)
-            {
-                for asked in self.parted.drain(..) {
-                    let _ = asked.send(());
-                }
+    /// Serves until every other actor is gone. Nothing here ever waits for another actor, but for some turns of all
+    /// after a stall.
+    pub async fn run(mut self, list_updates: mpsc::Receiver<ListUpdate>, messages: mpsc::Receiver<Call>) {
+        let stopping = self.context.stopping.clone();
+        let mut inputs = Inputs { list_updates, messages, stopping };
+        while let Some(event) = self.next_event(&mut inputs).await {
+            self.catch_up_after_stall(&mut inputs.list_updates).await;
+            self.handle_event(event);
+            while let Some(message) = self.deferred.pop_front() {
+                self.handle_message(message);
             }
+            self.notify_remote_end();
         }
     }
 
-    /// Whoever decides hears of a standstill before anything that fell into it.
-    fn tell_of_standstills(&mut self) {
-        let stood = self.context.lived.stood();
-        let long = stood - std::mem::replace(&mut self.stood, stood);
-        if long > 0 {
-            self.router.stood_still(self.context.clock.now(), long);
-            self.sites_stood_still();
+    /// The next event; `None` once every other actor is gone. The list comes first: the rule on drains counts from
+    /// when it was written.
+    async fn next_event(&mut self, inputs: &mut Inputs) -> Option<Event> {
+        let clock = self.context.clock;
+        let gateway_part = self.gateway_part.as_mut();
+        let sites_due = gateway_part.as_ref().map(|gateway_part| gateway_part.wake_at);
+        let draining = gateway_part.as_ref().is_none_or(|gateway_part| gateway_part.is_draining());
+        let record_due =
+            gateway_part.as_ref().and_then(|gateway_part| gateway_part.outcome_log.as_ref()?.due());
+        let written = gateway_part.and_then(|gateway_part| gateway_part.written.as_mut());
+        tokio::select! {
+            biased;
+            Some(list_update) = inputs.list_updates.recv() => Some(Event::ListUpdate(list_update)),
+            () = sleep_until(clock.instant(self.wake_at)) => Some(Event::RouterDue),
+            () = sleep_until(clock.instant(sites_due.unwrap_or(0))), if sites_due.is_some() => Some(Event::SitesDue),
+            Ok(_) = inputs.stopping.wait_for(Option::is_some), if !draining => Some(Event::Stopping),
+            Some(well) = next_written(written) => Some(Event::RecordWritten(well)),
+            () = sleep_until(clock.instant(record_due.unwrap_or(0))), if record_due.is_some() => Some(Event::RecordLate),
+            message = inputs.messages.recv() => message.map(Event::Message),
         }
     }
 
-    /// Asks the router, and, for a sample, a copy of it under the settings on trial, whose answer is only counted.
-    pub(crate) fn ask<T>(&mut self, decide: impl Fn(&mut Router) -> (T, Actions)) -> (T, Actions) {
-        self.tell_of_standstills();
-        let Some(trial) = &mut self.trial else { return decide(&mut self.router) };
-        let asked = trial.ask(&mut self.router, decide);
-        trial.tell(&self.context.log, false);
-        asked
+    /// After a stall, what the list said meanwhile comes before what it forbids: the list's actor reads it first.
+    async fn catch_up_after_stall(&mut self, list_updates: &mut mpsc::Receiver<ListUpdate>) {
+        let stalled = self.context.lived.stood() - self.reported_stall;
+        if stalled <= 0 {
+            return;
+        }
+        warn!(self.context.log, "stood still"; "ms" => stalled / 1000);
+        self.report_stall();
+        for _ in 0..TURNS_AFTER_STALL {
+            yield_now().await;
+        }
+        while let Ok(list_update) = list_updates.try_recv() {
+            self.list_update(list_update);
+        }
     }
 
-    fn call(&mut self, call: Call) {
-        match call {
-            Call::Take(order) => self.take(order),
-            Call::Left(client) => {
-                // Nobody waits for it any more, wherever it is.
-                match self.by_client.remove(&client) {
-                    Some(Holder::Here(handle)) => self.leave_here(handle),
-                    Some(Holder::Via(handle)) => self.trip_left(handle),
-                    None => {}
-                }
-            }
-            Call::Ended(ended) => self.ended(ended),
+    /// Whoever decides hears of a stall before anything that fell into it.
+    fn report_stall(&mut self) {
+        let total = self.context.lived.stood();
+        let unreported = total - std::mem::replace(&mut self.reported_stall, total);
+        if unreported > 0 {
+            self.router.stood_still(self.context.clock.now(), unreported);
+            self.report_stall_to_sites();
+        }
+    }
+
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::ListUpdate(list_update) => self.list_update(list_update),
+            Event::RouterDue => self.wake_router(),
+            Event::SitesDue => self.wake_sites(),
+            Event::Stopping => self.drain_sites(),
+            Event::RecordWritten(well) => self.record_written(well),
+            Event::RecordLate => self.stop_waiting_for_records(),
+            Event::Message(message) => self.handle_message(message),
+        }
+    }
+
+    fn handle_message(&mut self, message: Call) {
+        match message {
+            Call::Take(request) => self.client_request(request),
+            Call::Left(client) => self.client_left(client),
+            Call::Ended(ended) => self.attempt_finished(ended),
             Call::HealthChecked { member, verdict, took, mut report, replica_words } => {
-                self.hears_clock(member, &mut report, None);
+                self.observe_clock(member, &mut report, None);
                 self.said_replica(member, replica_words);
                 let now = self.context.clock.now();
                 let ((), actions) =
-                    self.ask(|router| ((), router.health_checked(now, member, verdict, took, report)));
+                    self.decide(|router| ((), router.health_checked(now, member, verdict, took, report)));
                 self.carry_out(actions);
                 if report.role == Some(Role::Primary)
                     && let Some(group) =
-                        self.peers.get(member).and_then(Option::as_ref).map(|peer| peer.group)
+                        self.members.get(member).and_then(Option::as_ref).map(|entry| entry.group)
                 {
                     self.primary_here(group);
                 }
             }
-            Call::Trial(trial) => {
-                if let Some(ended) = &mut self.trial {
-                    ended.tell(&self.context.log, true);
-                }
-                self.trial = trial.map(|trial| *trial);
-            }
-            Call::Link(link, call) => self.link(link, call),
-            Call::Parted(asked) => {
-                if let Some(trial) = &mut self.trial {
-                    trial.tell(&self.context.log, true);
-                }
-                self.parted.push(asked);
-            }
-            Call::Fleet { living, at_cold } => {
-                let told = |router: &mut Router| (router.fleet(living, at_cold), Actions::default());
-                let ((), actions) = self.ask(told);
-                self.carry_out(actions);
-            }
-            Call::Observations(asked) => self.tell_sight(asked),
-            Call::Lean(leans) => self.leans(&leans),
+            Call::Trial(trial) => self.replace_trial(trial.map(|trial| *trial)),
+            Call::Link(link, message) => self.link_message(link, message),
+            Call::Parted(reply) => self.await_remote_end(reply),
+            Call::Fleet { living, at_cold } => self.fleet_size(living, at_cold),
+            Call::Observations(reply) => self.report_observations(reply),
+            Call::Lean(leans) => self.zone_directives(&leans),
             Call::Bind(plans) => self.bind(plans),
-            Call::Describe(asked) => {
-                let _ = asked.send(self.describe());
+            Call::Describe(reply) => {
+                let _ = reply.send(self.describe());
             }
-            Call::Crowded(member) => self.make_room(member),
+            Call::Crowded(member) => self.free_descriptors(member),
         }
     }
 
-    /// A client's request: from its statement to the router, and on its way.
-    fn take(&mut self, order: Order) {
-        let refuse = |answer| {
-            let _ = order.mailbox.try_send(ClientMessage::Answer(order.client, answer));
-        };
-        let Ok(class) = self.decoded.class(&order.comment.class) else {
-            return refuse(Answer::Wrong("unknown offering"));
-        };
-        let elsewhere = self
-            .gateway_part
-            .as_ref()
-            .is_some_and(|gateway_part| gateway_part.knows_group(order.comment.group));
-        // The list may be older than its cluster: it was not sent on, and may be asked again.
-        if !self.groups.contains(&order.comment.group) && !elsewhere {
-            return refuse(Answer::Rejected { cool_down: 0 });
-        }
-        if self.open_ids.contains(&order.comment.id) {
-            return refuse(Answer::Wrong("a task with this id is under way"));
-        }
-        let trips = self.gateway_part.as_ref().map_or(0, GatewayPart::trips);
-        if self.open.len().max(trips) >= self.context.limits.requests {
-            return refuse(Answer::Rejected { cool_down: 0 });
-        }
-        if self.gateway_part.is_some() {
-            return self.dispatch(order, class);
-        }
-        // The wait has run since the statement arrived.
-        let deadline = order.arrived + Micros::from(order.comment.wait) * 1000;
-        let (client, id) = (order.client, order.comment.id.clone());
-        let mailbox = Some((client, order.mailbox.clone()));
-        let (handle, actions) = self.hand_over(Rc::new(order), class, deadline, mailbox, None);
-        self.by_client.insert(client, Holder::Here(handle));
-        self.open_ids.insert(id);
-        self.carry_out(actions);
+    /// Asks the router, and, for a sample, a copy of it under the settings on trial, whose answer is only counted.
+    fn decide<T>(&mut self, decision: impl Fn(&mut Router) -> (T, Actions)) -> (T, Actions) {
+        self.report_stall();
+        let Some(trial) = &mut self.trial else { return decision(&mut self.router) };
+        let decided = trial.ask(&mut self.router, decision);
+        trial.tell(&self.context.log, false);
+        decided
     }
 
-    /// Hands a request to the module here, to be answered by `deadline` on the router's clock: a moment,
-    /// which a process that is held up on the way does not put off. What the module returns is not carried
-    /// out yet.
-    pub(crate) fn hand_over(
-        &mut self,
-        order: Rc<Order>,
-        class: usize,
-        deadline: Micros,
-        client: Option<(ClientId, mpsc::Sender<ClientMessage>)>,
-        via: Option<SitesHandle>,
-    ) -> (Handle, Actions) {
+    fn wake_router(&mut self) {
         let now = self.context.clock.now();
-        let keyed = matches!(self.decoded.terms.classes[class].need, Need::Write | Need::OwnWrites);
-        let session = if keyed { quoted(&order.statement[order.comment.end..]) } else { None };
-        let request = Request {
-            class,
-            group: order.comment.group,
-            ttl: deadline - now,
-            waited: now - order.arrived,
-            session,
-            last_write: order.last_write(now),
-            repeat: order.comment.repeat,
-        };
-        let (handle, actions) = self.ask(|router| router.take(now, request.clone()));
-        let best = self.context.best_paid.contains(&order.comment.class);
-        let withdrawal = Withdrawal::default();
-        self.open.insert(handle, Open { via, best, deadline, client, withdrawal, order });
-        (handle, actions)
+        let ((), actions) = self.decide(|router| ((), router.wake(now)));
+        self.carry_out(actions);
+        self.keep_warm_state();
     }
 
-    fn ended(&mut self, ended: Ended) {
-        let Ended { handle, verdict, sent, took, mut report, gave, replica_words } = ended;
-        if let Some((member, words)) = replica_words {
-            let written = self.writes_once(handle) && verdict == Verdict::Served;
-            self.hears_clock(member, &mut report, written.then_some(sent));
-            self.said_replica(member, words);
-        }
-        self.sees_end(handle, verdict, took);
-        match gave {
-            Gave::Rows(rows) => self.answer(handle, Answer::Served(rows)),
-            Gave::MoreThanFits => self.deny_for_room(handle),
-            Gave::Nothing => {}
-        }
-        let open = self.open.get(&handle);
-        let (via, group) = open.map_or((None, 0), |open| (open.via, open.order.comment.group));
-        // The gateway hears of a miss first: it may take the request back before the module sends it on.
-        let (mut missed, mut taken_back) = (None, false);
-        match via {
-            Some(via) if verdict == Verdict::NotPrimary => (missed, taken_back) = self.here_missed(via),
-            Some(via) if verdict != Verdict::Served && !verdict.never_ran() => self.may_have_run(via, took),
-            _ => {}
-        }
-        let closed = taken_back || self.open.get(&handle).is_none_or(|open| open.client.is_none());
-        let outcome = Outcome { verdict, took, report, closed };
-        let now = self.context.clock.now();
-        let ((), actions) = self.ask(|router| ((), handle.ended(router, now, outcome)));
+    fn fleet_size(&mut self, living: usize, at_cold: usize) {
+        let ((), actions) = self.decide(|router| (router.fleet(living, at_cold), Actions::default()));
         self.carry_out(actions);
-        self.release(handle);
-        if let Some(missed) = missed {
-            self.carry_out_sites(missed, None);
-        }
-        if via.is_some() && report.role == Some(Role::Primary) {
-            self.primary_here(group);
+    }
+
+    fn replace_trial(&mut self, trial: Option<Trial>) {
+        if let Some(ended) = &mut self.trial {
+            ended.tell(&self.context.log, true);
         }
+        self.trial = trial;
     }
 
-    /// The router is to forget a request that nobody waits for here any more; what was sent of it goes on.
-    pub(crate) fn leave_here(&mut self, handle: Handle) {
-        if let Some(open) = self.open.get_mut(&handle) {
-            open.withdraw();
+    /// The program is about to end: the trial's last counts are said, and `reply` is sent once no remote request is
+    /// under way.
+    fn await_remote_end(&mut self, reply: oneshot::Sender<()>) {
+        if let Some(trial) = &mut self.trial {
+            trial.tell(&self.context.log, true);
         }
-        let now = self.context.clock.now();
-        let ((), actions) = self.ask(|router| ((), handle.left(router, now)));
-        self.carry_out(actions);
-        self.release(handle);
+        self.remote_end_waiters.push(reply);
     }
 
-    /// Drops what is kept for a request of which nothing more can be heard.
-    pub(crate) fn release(&mut self, handle: Handle) {
-        if !self.router.knows(handle)
-            && let Some(open) = self.open.remove(&handle)
-            && open.via.is_none()
-        {
-            self.open_ids.remove(&open.order.comment.id);
-            if let Some((client, _)) = open.client {
-                self.by_client.remove(&client);
-            }
+    fn notify_remote_end(&mut self) {
+        if self.gateway_part.as_ref().is_some_and(|gateway_part| gateway_part.remote_requests() > 0) {
+            return;
+        }
+        for waiter in self.remote_end_waiters.drain(..) {
+            let _ = waiter.send(());
         }
     }
 }
 
-/// The next word on a record of the gateway's book, where there is one.
-async fn confirmed(kept: Option<&mut mpsc::Receiver<bool>>) -> Option<bool> {
-    match kept {
-        Some(kept) => kept.recv().await,
+/// The next confirmation of a record of the outcome log, where there is one.
+async fn next_written(written: Option<&mut mpsc::Receiver<bool>>) -> Option<bool> {
+    match written {
+        Some(written) => written.recv().await,
         None => None,
     }
 }
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -11,13 +11,14 @@
 use tokio::sync::oneshot;
 
 use super::Dispatcher;
+use super::endpoints::MemberEntry;
 use crate::messages::{Order, Seen};
 
 /// Groups of whose keys something is kept.
 const GROUPS: usize = 64;
 
 /// An attempt that is out: where, its request class's latency objective, whether it writes, and its key.
-struct Out {
+struct AttemptInFlight {
     group: u64,
     zone: usize,
     objective: Micros,
@@ -27,7 +28,7 @@
 
 pub struct Observations {
     tally: Tally,
-    out: HashMap<Handle, Out>,
+    in_flight: HashMap<Handle, AttemptInFlight>,
     /// By group, which keys cost what; nothing where nobody asks for that.
     keys: Option<BTreeMap<u64, Sketch>>,
     seed: u64,
@@ -37,27 +38,33 @@
     /// `splits` says whether the fleet decides where key ranges are cut.
     pub fn start(now: Micros, seed: u64, splits: bool) -> Observations {
         let keys = splits.then(BTreeMap::new);
-        Observations { tally: Tally::start(now), out: HashMap::new(), keys, seed }
+        Observations { tally: Tally::start(now), in_flight: HashMap::new(), keys, seed }
     }
 
     pub(super) fn attempted(
         &mut self,
         handle: Handle,
-        place: Option<(u64, usize)>,
+        member: Option<&MemberEntry>,
         decoded: &Decoded,
         order: &Order,
     ) {
         let Ok(class) = decoded.class(&order.comment.class) else { return };
         let class = &decoded.terms.classes[class];
-        let Some((group, zone)) = place else { return };
+        let Some(member) = member else { return };
         let key = self.keys.as_ref().and_then(|_| quoted(&order.statement[order.comment.end..]));
         let key = key.unwrap_or_default().into_bytes();
         let (objective, write) = (class.objective, class.need == Need::Write);
-        self.out.insert(handle, Out { group, zone, objective, write, key });
+        self.in_flight.insert(
+            handle,
+            AttemptInFlight { group: member.group, zone: member.zone, objective, write, key },
+        );
     }
 
     fn ended(&mut self, now: Micros, handle: Handle, verdict: Verdict, took: Micros) {
-        let Some(Out { group, zone, objective, write, key }) = self.out.remove(&handle) else { return };
+        let Some(AttemptInFlight { group, zone, objective, write, key }) = self.in_flight.remove(&handle)
+        else {
+            return;
+        };
         if let Some(keys) = &mut self.keys
             && verdict == Verdict::Served
             && !key.is_empty()
@@ -95,13 +102,13 @@
 }
 
 impl Dispatcher {
-    pub(super) fn sees_end(&mut self, handle: Handle, verdict: Verdict, took: Micros) {
+    pub(super) fn observe_end(&mut self, handle: Handle, verdict: Verdict, took: Micros) {
         if let Some(observations) = &mut self.observations {
             observations.ended(self.context.clock.now(), handle, verdict, took);
         }
     }
 
-    pub(super) fn tell_sight(&mut self, asked: oneshot::Sender<Seen>) {
+    pub(super) fn report_observations(&mut self, asked: oneshot::Sender<Seen>) {
         let now = self.context.clock.now();
         if let Some(observations) = &mut self.observations {
             let (over, rows) = observations.tally.take(now);
@@ -115,7 +122,7 @@
     }
 
     /// What the fleet decreed for this driver's own zone, by group; a group that is not named has nothing to obey.
-    pub(super) fn leans(&mut self, leans: &[(u64, Lean)]) {
+    pub(super) fn zone_directives(&mut self, leans: &[(u64, Lean)]) {
         let shares = |lean: &Lean| {
             let part = |thousandths: u16| f64::from(thousandths) / 1000.0;
             let to = lean.to.iter().map(|&(zone, share)| (zone, part(share))).collect();
--- a/crates/proxy/src/dispatcher/open_request.rs
+++ b/crates/proxy/src/dispatcher/open_request.rs
@@ -2,29 +2,58 @@
 
 use std::rc::Rc;
 
-use aldermill_routing::Micros;
+use aldermill_routing::{Handle, Micros};
 use aldermill_site_routing::Handle as SitesHandle;
 use tokio::sync::mpsc;
 
-use crate::messages::{ClientId, ClientMessage, Order, Withdrawal};
+use crate::messages::{Answer, ClientId, ClientMessage, Order, Withdrawal};
 
-/// A request under way and the client that waits for it.
-pub(crate) struct Open {
-    /// Of the gateway, where there is one: it is told what the module says, and answers the client.
-    pub via: Option<SitesHandle>,
-    /// Of the best paid request class.
-    pub best: bool,
+/// Who decides on a client's request.
+#[derive(Clone, Copy)]
+pub(super) enum RequestLocation {
+    /// The router alone.
+    Router(Handle),
+    /// The gateway part, which may have handed it to the router.
+    Gateway(SitesHandle),
+}
+
+/// The client that waits for a request.
+pub(super) struct WaitingClient {
+    pub(super) id: ClientId,
+    pub(super) mailbox: mpsc::Sender<ClientMessage>,
+}
+
+impl WaitingClient {
+    /// Whoever sent this request.
+    pub(super) fn of(request: &Order) -> WaitingClient {
+        WaitingClient { id: request.client, mailbox: request.mailbox.clone() }
+    }
+
+    /// Gives the client its one answer.
+    pub(super) fn answer(&self, answer: Answer) {
+        // Its mailbox always has room for the answers it waits for; it may be gone.
+        let _ = self.mailbox.try_send(ClientMessage::Answer(self.id, answer));
+    }
+}
+
+/// A request that the router decides on, and the client that waits for it.
+pub(super) struct OpenRequest {
+    /// Present where it came through the gateway part, which is told what the router says and answers the client.
+    pub(super) via: Option<SitesHandle>,
+    /// Whether its class is the best paid.
+    pub(super) best: bool,
     /// When the client's time is over, on the router's clock. No attempt may last longer.
-    pub deadline: Micros,
-    pub client: Option<(ClientId, mpsc::Sender<ClientMessage>)>,
-    /// Set when the client left, or the gateway took the request back.
-    pub withdrawal: Withdrawal,
-    pub order: Rc<Order>,
+    pub(super) deadline: Micros,
+    /// `None` once it was answered, or nobody waits for it.
+    pub(super) client: Option<WaitingClient>,
+    /// Set when the client left, or the gateway part took the request back.
+    pub(super) withdrawal: Withdrawal,
+    pub(super) request: Rc<Order>,
 }
 
-impl Open {
+impl OpenRequest {
     /// Nobody waits for it here any more.
-    pub fn withdraw(&mut self) {
+    pub(super) fn withdraw(&mut self) {
         self.client = None;
         self.withdrawal.set();
     }
--- a/crates/proxy/src/dispatcher/outcome_log.rs
+++ b/crates/proxy/src/dispatcher/outcome_log.rs
@@ -1,4 +1,4 @@
-//! The gateway's book on a disk: what guests' effectful requests became, so that a later start can tell.
+//! The gateway's outcome log on a disk: what became of non-idempotent remote requests, so that a later start can tell.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -38,7 +38,7 @@
     Refused,
 }
 
-pub struct Book {
+pub struct OutcomeLog {
     folder: Rc<Folder>,
     start: u64,
     keeping: Keeping,
@@ -51,14 +51,15 @@
     told: mpsc::Sender<bool>,
 }
 
-impl Book {
+impl OutcomeLog {
     /// What earlier starts kept is read from the folder, once that can be done; `told` hears of each write, in their order.
-    pub fn open(folder: Rc<Folder>, start: u64, now: Micros, told: mpsc::Sender<bool>) -> Book {
+    pub fn open(folder: Rc<Folder>, start: u64, now: Micros, told: mpsc::Sender<bool>) -> OutcomeLog {
         let (keeping, promise) = (Keeping::start(PATIENCE, WAITING), Promise::default());
         let waiting = VecDeque::new();
-        let mut book = Book { folder, start, keeping, promise, earlier: None, next: 0, waiting, told };
-        book.read(now);
-        book
+        let mut outcome_log =
+            OutcomeLog { folder, start, keeping, promise, earlier: None, next: 0, waiting, told };
+        outcome_log.read(now);
+        outcome_log
     }
 
     /// Looks whether the folder can be read by now.
--- /dev/null
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -0,0 +1,196 @@
+//! A request from its arrival to its end: admitted, handed to the router, finished or abandoned.
+
+use std::rc::Rc;
+
+use aldermill_routing::{Handle, Micros, Need, Outcome, Request, Role, Verdict};
+use aldermill_site_routing::{Actions as SiteActions, Handle as SitesHandle};
+use aldermill_wire::statement::quoted;
+
+use super::Dispatcher;
+use super::gateway::GatewayPart;
+use super::open_request::{OpenRequest, RequestLocation, WaitingClient};
+use crate::messages::{Answer, ClientId, Ended, Gave, Order, Withdrawal};
+
+/// A request for the router, and until when it must be answered.
+pub(super) struct Handover {
+    pub(super) request: Rc<Order>,
+    pub(super) class: usize,
+    /// On the router's clock: an instant, which a process that is held up on the way does not put off.
+    pub(super) deadline: Micros,
+    /// Present where the gateway part hands it over.
+    pub(super) via: Option<SitesHandle>,
+}
+
+/// What the gateway part makes of an answer that its member is not primary.
+#[derive(Default)]
+pub(super) struct SiteMiss {
+    /// To be carried out once the router has heard the answer, too.
+    pub(super) actions: Option<SiteActions>,
+    /// Whether the gateway part takes the request back from the router.
+    pub(super) taken_back: bool,
+}
+
+impl Dispatcher {
+    /// A client's request: rejected at once, or on its way.
+    pub(super) fn client_request(&mut self, request: Order) {
+        match self.check(&request) {
+            Err(answer) => WaitingClient::of(&request).answer(answer),
+            Ok(class) if self.gateway_part.is_some() => self.route_between_sites(request, class),
+            Ok(class) => self.admit(request, class),
+        }
+    }
+
+    /// The request's class, or why it is not taken.
+    fn check(&self, request: &Order) -> Result<usize, Answer> {
+        let comment = &request.comment;
+        let Ok(class) = self.decoded.class(&comment.class) else {
+            return Err(Answer::Wrong("unknown offering"));
+        };
+        // The list may be older than its group: the request was not sent on, and may be sent again.
+        if !self.knows_group(comment.group) {
+            return Err(Answer::Rejected { cool_down: 0 });
+        }
+        if self.open_ids.contains(&comment.id) {
+            return Err(Answer::Wrong("a task with this id is under way"));
+        }
+        if self.is_full() {
+            return Err(Answer::Rejected { cool_down: 0 });
+        }
+        Ok(class)
+    }
+
+    fn knows_group(&self, group: u64) -> bool {
+        let elsewhere = |gateway_part: &GatewayPart| gateway_part.knows_group(group);
+        self.groups.contains(&group) || self.gateway_part.as_ref().is_some_and(elsewhere)
+    }
+
+    /// Whether as many requests are under way as the operator allows.
+    fn is_full(&self) -> bool {
+        let crossing = self.gateway_part.as_ref().map_or(0, GatewayPart::open_requests);
+        self.open_requests.len().max(crossing) >= self.context.limits.requests
+    }
+
+    /// Hands a checked request to the router and carries out its first decision.
+    fn admit(&mut self, request: Order, class: usize) {
+        // The timeout has run since the statement arrived.
+        let deadline = request.arrived + Micros::from(request.comment.wait) * 1000;
+        let (client, id) = (request.client, request.comment.id.clone());
+        let handover = Handover { request: Rc::new(request), class, deadline, via: None };
+        let (handle, actions) = self.hand_over(handover);
+        self.locations.insert(client, RequestLocation::Router(handle));
+        self.open_ids.insert(id);
+        self.carry_out(actions);
+    }
+
+    /// Hands a request to the router. What the router returns is not carried out yet.
+    pub(super) fn hand_over(&mut self, handover: Handover) -> (Handle, aldermill_routing::Actions) {
+        let Handover { request, class, deadline, via } = handover;
+        let now = self.context.clock.now();
+        let routed = self.routed_request(&request, class, deadline, now);
+        let (handle, actions) = self.decide(|router| router.take(now, routed.clone()));
+        let open = OpenRequest {
+            via,
+            best: self.context.best_paid.contains(&request.comment.class),
+            deadline,
+            client: Some(WaitingClient::of(&request)),
+            withdrawal: Withdrawal::default(),
+            request,
+        };
+        self.open_requests.insert(handle, open);
+        (handle, actions)
+    }
+
+    /// The request as the router sees it.
+    fn routed_request(&self, request: &Order, class: usize, deadline: Micros, now: Micros) -> Request {
+        let comment = &request.comment;
+        let keyed = matches!(self.decoded.terms.classes[class].need, Need::Write | Need::OwnWrites);
+        let session = if keyed { quoted(&request.statement[comment.end..]) } else { None };
+        Request {
+            class,
+            group: comment.group,
+            ttl: deadline - now,
+            waited: now - request.arrived,
+            session,
+            last_write: request.last_write(now),
+            repeat: comment.repeat,
+        }
+    }
+
+    /// An attempt ended: observed, answered where there is an answer, and the router decides what follows.
+    pub(super) fn attempt_finished(&mut self, finished: Ended) {
+        let Ended { handle, verdict, sent, took, mut report, gave, replica_words } = finished;
+        if let Some((member, words)) = replica_words {
+            let written = self.is_non_idempotent_write(handle) && verdict == Verdict::Served;
+            self.observe_clock(member, &mut report, written.then_some(sent));
+            self.said_replica(member, words);
+        }
+        self.observe_end(handle, verdict, took);
+        match gave {
+            Gave::Rows(rows) => self.answer(handle, Answer::Served(rows)),
+            Gave::MoreThanFits => self.answer_without_room(handle),
+            Gave::Nothing => {}
+        }
+        let open = self.open_requests.get(&handle);
+        let (via, group) = open.map_or((None, 0), |open| (open.via, open.request.comment.group));
+        // The gateway part hears of a miss first: it may take the request back before the router tries again.
+        let miss = self.gateway_part_hears(via, verdict, took);
+        let no_longer_awaited = self.open_requests.get(&handle).is_none_or(|open| open.client.is_none());
+        let closed = miss.taken_back || no_longer_awaited;
+        let outcome = Outcome { verdict, took, report, closed };
+        let now = self.context.clock.now();
+        let ((), actions) = self.decide(|router| ((), handle.ended(router, now, outcome)));
+        self.carry_out(actions);
+        self.release(handle);
+        if let Some(actions) = miss.actions {
+            self.carry_out_sites(actions, None);
+        }
+        if via.is_some() && report.role == Some(Role::Primary) {
+            self.primary_here(group);
+        }
+    }
+
+    /// Tells the gateway part, where the request came through it, that an attempt missed or may have run.
+    fn gateway_part_hears(&mut self, via: Option<SitesHandle>, verdict: Verdict, took: Micros) -> SiteMiss {
+        match via {
+            Some(via) if verdict == Verdict::NotPrimary => return self.not_primary_here(via),
+            Some(via) if verdict != Verdict::Served && !verdict.never_ran() => self.may_have_run(via, took),
+            _ => {}
+        }
+        SiteMiss::default()
+    }
+
+    /// A client no longer waits for its request, whoever decides on it.
+    pub(super) fn client_left(&mut self, client: ClientId) {
+        match self.locations.remove(&client) {
+            Some(RequestLocation::Router(handle)) => self.abandon(handle),
+            Some(RequestLocation::Gateway(handle)) => self.forwarded_request_left(handle),
+            None => {}
+        }
+    }
+
+    /// The router is to forget a request that nobody waits for here any more; what was sent of it goes on.
+    pub(super) fn abandon(&mut self, handle: Handle) {
+        if let Some(open) = self.open_requests.get_mut(&handle) {
+            open.withdraw();
+        }
+        let now = self.context.clock.now();
+        let ((), actions) = self.decide(|router| ((), handle.left(router, now)));
+        self.carry_out(actions);
+        self.release(handle);
+    }
+
+    /// Drops what is kept for a request of which nothing more can be heard.
+    pub(super) fn release(&mut self, handle: Handle) {
+        if self.router.knows(handle) {
+            return;
+        }
+        let Some(open) = self.open_requests.remove(&handle) else { return };
+        // The gateway part keeps these of its own requests.
+        if open.via.is_none() {
+            self.open_ids.remove(&open.request.comment.id);
+            if let Some(client) = open.client {
+                self.locations.remove(&client.id);
+            }
+        }
+    }
+}
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -43,7 +43,7 @@
 use crate::catalog::Catalog;
 use crate::clock::{Clock, Lived, duration};
 use crate::context::Context;
-use crate::dispatcher::{Dispatcher, GatewayPart, Observations, Opening, Warmth};
+use crate::dispatcher::{Dispatcher, DispatcherParts, GatewayPart, Observations, Opening, WarmState};
 use crate::error::ProgramError;
 use crate::fellows::{Company, Sitting};
 use crate::gate::Gate;
@@ -296,7 +296,7 @@
         }
         None => None,
     };
-    let warmth = Warmth { recalled: recalled.beliefs, keeping };
+    let warm_state = WarmState { recalled: recalled.beliefs, keeping };
     let observations = council.as_ref().map(|council| {
         let splits = council.duties.contains(&Duty::Splits);
         Observations::start(clock.now(), seed.rotate_left(24), splits)
@@ -310,18 +310,17 @@
         bound = company.bound();
         spawn_local(company.run());
     }
-    let request = on_request.then_some(request);
-    let mut dispatcher = Dispatcher::new(
-        context.clone(),
+    let mut dispatcher = Dispatcher::new(DispatcherParts {
+        context: context.clone(),
         decoded,
         seed,
         gateway_part,
         trial,
-        warmth,
+        warm_state,
         observations,
         ready,
-        request,
-    );
+        list_wanted: on_request.then_some(request),
+    });
     dispatcher.bind(bound);
     let deciding = spawn_local(dispatcher.run(list_updates, calls));
     let requests = on_request.then_some(requests);
