--- /dev/null
+++ b/crates/proxy/src/dispatcher/gateway/announcements.rs
@@ -0,0 +1,135 @@
+//! What others are told of this gateway: its available capacity, what it saw, and what it believes.
+
+use std::collections::HashMap;
+
+use aldermill_routing::Micros;
+use aldermill_site_link::{Credit, Home, Room as RoomFrame, Said};
+use aldermill_site_routing::GateId;
+use serde_json::{Value, json};
+
+use super::{EndedCounts, GatewayPart, PeerGateway};
+use crate::dispatcher::Dispatcher;
+use crate::messages::SiteSeen;
+
+/// How often others are told of the capacity here though nothing has changed.
+const ANNOUNCE_EVERY: Micros = 500_000;
+
+impl GatewayPart {
+    /// Tells all gateways the available capacity here.
+    pub(super) fn announce_room(&mut self) {
+        for gate in 0..self.peer_gateways.len() {
+            self.announce_room_to(gate);
+        }
+    }
+
+    /// Tells one gateway, where a link to it stands, the available capacity here.
+    pub(super) fn announce_room_to(&mut self, gate: GateId) {
+        if self.peer_gateways.get(gate).is_some_and(|peer| !peer.links.is_empty()) {
+            let room = self.room_frame(gate);
+            self.send(gate, None, Said::Room(room));
+        }
+    }
+
+    fn room_frame(&mut self, gate: GateId) -> RoomFrame {
+        let (credits, groups) = self.sites.offered(gate);
+        let credits = self.classes.iter().zip(credits);
+        RoomFrame {
+            credits: credits.map(|(name, requests)| Credit { class: name.clone(), requests }).collect(),
+            homes: groups.into_iter().map(|(group, primary)| Home { group, primary }).collect(),
+            draining: self.draining,
+        }
+    }
+
+    /// Announces what is due, and forgets what nobody asks about any more.
+    pub(super) fn do_periodic_work(&mut self, now: Micros) {
+        self.fates.expire(now);
+        if now < self.announce_at {
+            return;
+        }
+        self.announce_at = now + ANNOUNCE_EVERY;
+        self.announce_room();
+        if let Some(outcome_log) = &mut self.outcome_log {
+            outcome_log.renew(now);
+        }
+        let sites = &self.sites;
+        self.sent.retain(|&number, _| sites.crossed(number).is_some());
+    }
+
+    /// What this gateway saw of its site since it was last asked, and what it has of those that drain.
+    pub(in crate::dispatcher) fn take_observations(&mut self, now: Micros) -> SiteSeen {
+        let fresh = EndedCounts { since: now, ..EndedCounts::default() };
+        let ended = std::mem::replace(&mut self.ended, fresh);
+        let fates = (self.fates.len() + self.arriving.len() + self.departing.len()) as u64;
+        SiteSeen {
+            site: self.own.site.clone(),
+            over: now - ended.since,
+            ended: ended.all,
+            in_time: ended.in_time,
+            bound: ended.bound,
+            trips: self.round_trips(now),
+            open: self.sites.open_at_retiring(fates),
+        }
+    }
+
+    /// The round trip to each gateway that a link leads to, by the name of its site.
+    fn round_trips(&self, now: Micros) -> Vec<(String, Micros)> {
+        let gateways = self.peer_gateways.iter().enumerate();
+        let linked = gateways.filter(|(_, peer)| !peer.links.is_empty());
+        linked.map(|(id, peer)| (self.names[peer.site].clone(), self.sites.view(now, id).trip)).collect()
+    }
+
+    /// What is believed here, for people, as JSON.
+    fn describe(&self, now: Micros) -> String {
+        let gateways = self.peer_gateways.iter().enumerate();
+        let gateways: Vec<Value> = gateways.map(|(id, peer)| self.describe_gateway(now, id, peer)).collect();
+        let text = json!({
+            "site": self.own.site, "instance": self.own.instance, "start": self.own.start, "draining": self.draining,
+            "gateways": gateways, "groups": self.describe_groups(), "tasks": self.forwarded.len(),
+            "guests": self.remote_requests.len(), "fates_kept": self.fates.len(), "book": self.describe_outcome_log(),
+        });
+        format!("{text:#}\n")
+    }
+
+    fn describe_gateway(&self, now: Micros, id: GateId, peer: &PeerGateway) -> Value {
+        let view = self.sites.view(now, id);
+        let credits: HashMap<_, _> = self.classes.iter().cloned().zip(view.credits).collect();
+        json!({
+            "site": self.names[peer.site], "instance": peer.origin.instance, "links": peer.links.len(),
+            "round_trip_us": view.trip, "draining": view.draining, "barred": view.blacklisted,
+            "credits": credits, "under_way": view.out,
+        })
+    }
+
+    fn describe_groups(&self) -> Vec<Value> {
+        let mut groups = Vec::new();
+        for (group, home, here) in self.sites.homes() {
+            let home = home.map(|site| &self.names[site]);
+            groups.push(json!({"group": group, "home": home, "members_here": here}));
+        }
+        groups
+    }
+
+    fn describe_outcome_log(&self) -> Option<Value> {
+        let outcome_log = self.outcome_log.as_ref()?;
+        let (records, starts) = outcome_log.earlier();
+        Some(json!({"disk": !outcome_log.is_without(), "earlier_records": records, "earlier_starts": starts}))
+    }
+}
+
+impl Dispatcher {
+    /// The program stops: other gateways are told, once, that this one drains.
+    pub(in crate::dispatcher) fn drain_sites(&mut self) {
+        let Some(gateway_part) = &mut self.gateway_part else { return };
+        let drained_before = std::mem::replace(&mut gateway_part.draining, true);
+        if !drained_before {
+            gateway_part.announce_room();
+        }
+    }
+
+    /// What is believed of sites and links, as JSON.
+    pub(in crate::dispatcher) fn describe(&self) -> String {
+        let now = self.context.clock.now();
+        let gateway_part = self.gateway_part.as_ref();
+        gateway_part.map_or_else(|| "{}\n".to_owned(), |gateway_part| gateway_part.describe(now))
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/dispatcher/gateway/answers.rs
@@ -0,0 +1,141 @@
+//! The one answer of a forwarded request: to a client here, or over a link to the gateway that sent it.
+
+use std::rc::Rc;
+
+use aldermill_routing::{Effect, Micros};
+use aldermill_site_link::{Outcome as OutcomeFrame, OutcomeKind, Said};
+use aldermill_site_routing::{Fate, Handle, SiteId};
+
+use super::{
+    ASKED_AFTER_DEADLINE, DepartingOutcome, ForwardedRequest, GatewayPart, KeptValue, RemoteRequest,
+    Requester,
+};
+use crate::dispatcher::Dispatcher;
+use crate::messages::{Answer, Rows};
+
+/// How a forwarded request ends.
+pub(super) enum FinalAnswer {
+    Ended(Answer),
+    /// Its group's primary is not here, and perhaps at the site named.
+    NotHere {
+        hint: Option<SiteId>,
+    },
+}
+
+impl FinalAnswer {
+    /// What a client hears.
+    fn for_client(self) -> Answer {
+        match self {
+            FinalAnswer::Ended(answer) => answer,
+            FinalAnswer::NotHere { .. } => Answer::Rejected { cool_down: 0 },
+        }
+    }
+}
+
+/// What a remote request came to.
+struct RemoteOutcome {
+    kind: OutcomeKind,
+    /// What whoever asks later is told.
+    fate: Fate<KeptValue>,
+    value: Rc<Vec<u8>>,
+    retry_after: Micros,
+    hint: Option<SiteId>,
+}
+
+impl RemoteOutcome {
+    fn new(answer: FinalAnswer) -> RemoteOutcome {
+        match answer {
+            FinalAnswer::Ended(Answer::Served(rows)) => RemoteOutcome::served(rows),
+            FinalAnswer::Ended(Answer::Rejected { cool_down }) => {
+                let fate = Fate::Rejected { cool_down };
+                RemoteOutcome { retry_after: cool_down, ..RemoteOutcome::empty(OutcomeKind::Rejected, fate) }
+            }
+            FinalAnswer::Ended(Answer::Failed) => RemoteOutcome::empty(OutcomeKind::Failed, Fate::Failed),
+            FinalAnswer::Ended(Answer::Wrong(_)) => {
+                RemoteOutcome::empty(OutcomeKind::Wrong, Fate::Rejected { cool_down: 0 })
+            }
+            FinalAnswer::NotHere { hint } => {
+                let fate = Fate::Rejected { cool_down: 0 };
+                RemoteOutcome { hint, ..RemoteOutcome::empty(OutcomeKind::NotHere, fate) }
+            }
+        }
+    }
+
+    fn served(rows: Rows) -> RemoteOutcome {
+        let value = Rc::new(rows.pieces.concat());
+        let kept = KeptValue { bytes: value.clone(), _room: rows.room.map(Rc::new) };
+        RemoteOutcome { value, ..RemoteOutcome::empty(OutcomeKind::Served, Fate::Served(kept)) }
+    }
+
+    fn empty(kind: OutcomeKind, fate: Fate<KeptValue>) -> RemoteOutcome {
+        RemoteOutcome { kind, fate, value: Rc::default(), retry_after: 0, hint: None }
+    }
+}
+
+impl Dispatcher {
+    /// Gives a forwarded request its one answer.
+    pub(super) fn answer_forwarded(&mut self, handle: Handle, answer: FinalAnswer) {
+        let Some(forwarded) = self.forget_forwarded(handle) else { return };
+        match &forwarded.requester {
+            Requester::Client(client) => client.answer(answer.for_client()),
+            Requester::Gateway(remote) => self.answer_remote(&forwarded, remote, answer),
+        }
+    }
+
+    /// Remembers what a remote request came to, and sends that over its link; a non-idempotent one's once its record
+    /// is written.
+    fn answer_remote(&mut self, forwarded: &ForwardedRequest, remote: &RemoteRequest, answer: FinalAnswer) {
+        let now = self.context.clock.now();
+        let Some(gateway_part) = &mut self.gateway_part else { return };
+        let effect = self.decoded.terms.classes[forwarded.class].effect;
+        let RemoteOutcome { kind, fate, value, retry_after, hint } = RemoteOutcome::new(answer);
+        let frame = OutcomeFrame {
+            number: remote.number,
+            kind: kind.into(),
+            cool_down_us: retry_after.max(0) as u64,
+            hint: hint.map_or(String::new(), |site| gateway_part.names[site].clone()),
+            took_us: (now - forwarded.request.arrived).max(0) as u64,
+            ..OutcomeFrame::default()
+        };
+        let timeout = Micros::from(forwarded.request.comment.wait) * 1000;
+        let non_idempotent = matches!(effect, Effect::Effectful);
+        // Nobody asks about what may simply be sent again.
+        let fate = if non_idempotent { fate } else { Fate::Failed };
+        let kept_until = non_idempotent.then_some(now + timeout + ASKED_AFTER_DEADLINE);
+        gateway_part.remember_and_send(now, remote, fate, kept_until, frame, value);
+        let rejected = kind == OutcomeKind::Rejected;
+        if gateway_part.sites.guest_over(now, remote.gate, forwarded.class, rejected) {
+            gateway_part.announce_room_to(remote.gate);
+        }
+    }
+}
+
+impl GatewayPart {
+    /// `kept_until` is set where the outcome is to survive a restart.
+    fn remember_and_send(
+        &mut self,
+        now: Micros,
+        remote: &RemoteRequest,
+        fate: Fate<KeptValue>,
+        kept_until: Option<Micros>,
+        frame: OutcomeFrame,
+        value: Rc<Vec<u8>>,
+    ) {
+        let mut token = None;
+        if let (Some(outcome_log), Some(until)) = (&mut self.outcome_log, kept_until) {
+            let bytes = fate.as_ref().map(|kept| &kept.bytes[..]);
+            token = outcome_log.settle(now, &remote.origin, remote.number, until, &bytes);
+        }
+        self.fates.settle(&remote.origin, remote.number, fate);
+        // Over the link that it came by, or was last asked about on; where that broke, it will be asked about.
+        let (gate, link) = (remote.gate, remote.link);
+        if !self.peer_gateways[gate].links.contains(&link) {
+            return;
+        }
+        let value = Rc::try_unwrap(value).unwrap_or_else(|shared| shared.to_vec());
+        match token {
+            Some(token) => drop(self.departing.insert(token, DepartingOutcome { gate, link, frame, value })),
+            None => drop(self.send(gate, Some(link), Said::Outcome(frame, value))),
+        }
+    }
+}
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -1,67 +1,77 @@
-//! The dispatcher's part in the gateway: requests that cross to other sites, and guests that come from them.
+//! The dispatcher's part in the gateway: requests that cross to other sites, and remote requests that come from them.
+//!
 //! What `crates/site-routing` returns is carried out here; no choice is made.
 
-use std::collections::HashMap;
+mod announcements;
+mod answers;
+mod forwarded_requests;
+mod link_events;
+mod links;
+mod remote_requests;
+mod site_actions;
+mod start;
+
+pub use start::Opening;
+
+use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
 use aldermill_flow_control::Peer;
-use aldermill_routing::{Effect, Handle as HereHandle, Micros, Need};
-use aldermill_settings::Decoded;
-use aldermill_site_link::{
-    Ask, Confirm, Credit, Event, Fate as FateFrame, FateKind, Home, Identity, Outcome as OutcomeFrame,
-    OutcomeKind, Request as RequestFrame, Room as RoomFrame, Said,
-};
-use aldermill_site_routing::{
-    Action, Actions, Answer as FarAnswer, Effect as FarEffect, Fate, Fates, GateId, Handle, HereEnded,
-    Need as FarNeed, OWN, Origin, Request, RequestClass, SiteId, Sites, Terms, TurnedAway,
-};
-use aldermill_wire::statement::Comment;
-use serde_json::json;
-use slog::{info, warn};
+use aldermill_routing::{Handle as RouterHandle, Micros};
+use aldermill_site_link::{Identity, Outcome as OutcomeFrame, Request as RequestFrame, Said};
+use aldermill_site_routing::{Fates, GateId, Handle, Origin, SiteId, Sites};
 use tokio::sync::mpsc;
 
-use super::Dispatcher;
-use super::open_request::{RequestLocation, WaitingClient};
-use super::outcome_log::{OutcomeLog, Taking, Token};
+use super::open_request::WaitingClient;
+use super::outcome_log::{OutcomeLog, Token};
 use crate::gate::Room;
-use crate::keep::Folder;
-use crate::messages::{Answer, ClientId, LinkCall, LinkId, Order, Rows, SiteSeen};
-
-mod forwarded_requests;
-mod links;
-mod remote_requests;
+use crate::messages::{ClientId, LinkId, Order};
 
-/// Guests' statements get numbers of their own beside the clients'.
-const FIRST_REMOTE_ID: ClientId = 1 << 63;
+/// How long after its deadline somebody may still ask about a request.
+const ASKED_AFTER_DEADLINE: Micros = 5_000_000;
+/// No span that another gateway tells is taken for longer than this.
+const LONGEST_SPAN: Micros = 1_000_000_000;
 
-/// What an effectful guest's served request brought, kept as long as anybody may ask.
+/// What a served remote request that is non-idempotent brought, kept as long as anybody may ask.
 #[derive(Clone)]
 pub struct KeptValue {
     bytes: Rc<Vec<u8>>,
+    /// The buffer space that the value takes, held as long as the value.
     _room: Option<Rc<Room>>,
 }
 
 /// A request of another gateway, and over which link its answer goes.
 struct RemoteRequest {
     gate: GateId,
+    /// The other gateway's number for it.
     number: u64,
     link: LinkId,
     origin: Origin,
 }
 
-/// A request on its way: with the module here, over a link, or waiting for either.
+/// Who waits for a forwarded request.
+enum Requester {
+    Client(WaitingClient),
+    Gateway(RemoteRequest),
+}
+
+/// A request on its way: with the router here, over a link, or waiting for either.
 struct ForwardedRequest {
-    order: Rc<Order>,
+    request: Rc<Order>,
     class: usize,
-    here: Option<HereHandle>,
-    client: Option<WaitingClient>,
-    guest: Option<RemoteRequest>,
+    /// The router's handle, while the router here decides on it.
+    local: Option<RouterHandle>,
+    requester: Requester,
+    /// The sites that it has come through.
     visited: Vec<String>,
 }
 
+/// A link that stands.
 struct LinkState {
+    /// The gateway on the other side, once it has greeted.
     gate: Option<GateId>,
-    said: mpsc::Sender<Said>,
+    outbox: mpsc::Sender<Said>,
+    /// For whom buffer space for its values is asked.
     holder: Peer,
 }
 
@@ -79,60 +89,18 @@
     link: LinkId,
 }
 
-pub struct GatewayPart {
-    own: Identity,
-    /// The sites' names, the own one first.
-    names: Vec<String>,
-    classes: Vec<String>,
-    sites: Sites,
-    fates: Fates<KeptValue>,
-    peer_gateways: Vec<PeerGateway>,
-    links: HashMap<LinkId, LinkState>,
-    forwarded: HashMap<Handle, ForwardedRequest>,
-    remote_requests: HashMap<(GateId, u64), Handle>,
-    sent: HashMap<u64, SentRequest>,
-    /// Where the outcome log is kept over a restart, and what waits for the disk.
-    pub outcome_log: Option<OutcomeLog>,
-    pub written: Option<mpsc::Receiver<bool>>,
-    arriving: HashMap<Token, ArrivingRequest>,
-    departing: HashMap<Token, DepartingOutcome>,
-    next_remote_id: ClientId,
-    /// The comment's field that names a session.
-    session: Option<String>,
-    ended: EndedCounts,
-    draining: bool,
-    /// When the books want to be woken, and when others are next told of the room here unasked.
-    pub wake_at: Micros,
-    announce_at: Micros,
-}
-
-/// Requests that ended with the module here since it was last asked, how many of them within the latency
-/// objective, and how many would go elsewhere with their sessions.
+/// Requests that ended with the router here since this was last asked.
 #[derive(Default)]
 struct EndedCounts {
     since: Micros,
     all: u32,
+    /// Those served within their latency objective.
     in_time: u32,
+    /// Those that would go elsewhere with their sessions.
     bound: u32,
 }
 
-/// What a gateway is told at its start.
-pub struct Opening {
-    pub own: Identity,
-    /// The names of the other sites.
-    pub peers: Vec<String>,
-    pub homes: Vec<(u64, String)>,
-    pub hops: usize,
-    pub credit: u32,
-    /// The comment's field that names a session.
-    pub session: Option<String>,
-    /// Fates kept for one sender.
-    pub fates: usize,
-    /// Where the outcome log is kept.
-    pub folder: Option<Rc<Folder>>,
-}
-
-/// An effectful request of another gateway that is taken once its record is kept.
+/// A non-idempotent remote request that is taken once its record is written.
 struct ArrivingRequest {
     link: LinkId,
     gate: GateId,
@@ -140,11 +108,11 @@
     number: u64,
     /// On the router's clock.
     received_at: Micros,
-    request: RequestFrame,
+    frame: RequestFrame,
     statement: Vec<u8>,
 }
 
-/// An outcome that leaves once its record is kept.
+/// An outcome that leaves once its record is written.
 struct DepartingOutcome {
     gate: GateId,
     link: LinkId,
@@ -152,178 +120,83 @@
     value: Vec<u8>,
 }
 
-/// How long after its deadline somebody may still ask about a request.
-const ASKED_AFTER_DEADLINE: Micros = 5_000_000;
-/// How often others are told of the room here though nothing has changed.
-const ANNOUNCE_EVERY: Micros = 500_000;
-const LONGEST_SPAN: Micros = 1_000_000_000;
-/// Confirmations that may wait for the dispatcher: as many as records may wait for the disk, and more.
-const CONFIRMATIONS: usize = 2048;
+/// What the dispatcher keeps as a gateway to other sites.
+pub struct GatewayPart {
+    own: Identity,
+    /// The sites' names, the own one first.
+    names: Vec<String>,
+    classes: Vec<String>,
+    sites: Sites,
+    fates: Fates<KeptValue>,
+    peer_gateways: Vec<PeerGateway>,
+    links: HashMap<LinkId, LinkState>,
+    forwarded: HashMap<Handle, ForwardedRequest>,
+    remote_requests: HashMap<(GateId, u64), Handle>,
+    /// By the number under which they crossed.
+    sent: HashMap<u64, SentRequest>,
+    /// Where outcomes are kept over a restart.
+    pub(super) outcome_log: Option<OutcomeLog>,
+    /// Confirms each record of that log, in their order.
+    pub(super) written: Option<mpsc::Receiver<bool>>,
+    arriving: HashMap<Token, ArrivingRequest>,
+    departing: HashMap<Token, DepartingOutcome>,
+    next_remote_id: ClientId,
+    /// The comment's field that names a session.
+    session_field: Option<String>,
+    ended: EndedCounts,
+    draining: bool,
+    /// When the site router wants to be woken.
+    pub(super) wake_at: Micros,
+    /// When others are next told of the available capacity here unasked.
+    announce_at: Micros,
+}
 
 impl GatewayPart {
-    pub fn new(opening: Opening, decoded: &Decoded, seed: u64, now: Micros) -> GatewayPart {
-        let Opening { own, peers, homes, hops, credit, session, fates, folder } = opening;
-        let (told, written) = mpsc::channel(CONFIRMATIONS);
-        let outcome_log = folder.map(|folder| OutcomeLog::open(folder, own.start, now, told));
-        let effect = |effect| match effect {
-            Effect::Pure => FarEffect::Pure,
-            Effect::Receipted { scope, window } => {
-                FarEffect::Receipted { window, within_site: scope == aldermill_routing::Scope::Zone }
-            }
-            Effect::Effectful => FarEffect::Effectful,
-        };
-        let need = |need| match need {
-            Need::Write | Need::Latest | Need::OwnWrites => FarNeed::Primary,
-            Need::Recent(bound) => FarNeed::Recent(bound),
-            Need::Loose => FarNeed::Any,
-        };
-        let classes = decoded.terms.classes.iter().map(|class| RequestClass {
-            effect: effect(class.effect),
-            need: need(class.need),
-            objective: class.objective,
-            priority_weight: class.priority_weight,
-            late_priority_weight: class.late_priority_weight,
-        });
-        let terms = Terms {
-            classes: classes.collect(),
-            sites: 1 + peers.len(),
-            max_hops: hops,
-            max_credit: credit,
-            max_cool_down: decoded.terms.max_cool_down,
-        };
-        let names: Vec<String> = std::iter::once(own.site.clone()).chain(peers).collect();
-        let mut sites = Sites::start(terms, seed, now);
-        for (group, site) in homes {
-            if let Some(site) = names.iter().position(|name| *name == site) {
-                sites.guess(group, site);
-            }
-        }
-        GatewayPart {
-            own,
-            names,
-            classes: decoded.names(),
-            sites,
-            fates: Fates::start(fates, ASKED_AFTER_DEADLINE),
-            peer_gateways: Vec::new(),
-            links: HashMap::new(),
-            forwarded: HashMap::new(),
-            remote_requests: HashMap::new(),
-            sent: HashMap::new(),
-            written: outcome_log.is_some().then_some(written),
-            outcome_log,
-            arriving: HashMap::new(),
-            departing: HashMap::new(),
-            next_remote_id: FIRST_REMOTE_ID,
-            session,
-            ended: EndedCounts { since: now, ..EndedCounts::default() },
-            draining: false,
-            wake_at: now,
-            announce_at: now,
-        }
-    }
-
-    pub fn knows_group(&self, group: u64) -> bool {
+    /// Whether any site is known to have this group.
+    pub(super) fn knows_group(&self, group: u64) -> bool {
         self.sites.knows_group(group)
     }
 
     /// Where groups have their primary, by the name of the site.
-    pub fn homes(&self) -> std::collections::BTreeMap<u64, String> {
+    pub(super) fn homes(&self) -> BTreeMap<u64, String> {
         let homes = self.sites.homes().into_iter();
         homes.filter_map(|(group, home, _)| Some((group, self.names[home?].clone()))).collect()
     }
 
-    pub fn open_requests(&self) -> usize {
+    /// Requests that the gateway part decides on, whoever sent them.
+    pub(super) fn open_requests(&self) -> usize {
         self.forwarded.len()
     }
 
-    pub fn is_draining(&self) -> bool {
+    /// Whether other gateways were told that this one drains.
+    pub(super) fn is_draining(&self) -> bool {
         self.draining
     }
 
-    pub fn remote_requests(&self) -> usize {
+    /// Remote requests under way, those included that wait for a record.
+    pub(super) fn remote_requests(&self) -> usize {
         self.remote_requests.len() + self.arriving.len() + self.departing.len()
     }
 
-    /// What this gateway saw of its site since it was last asked, and what it has of those that retire.
-    pub fn seen(&mut self, now: Micros) -> SiteSeen {
-        let EndedCounts { since, all, in_time, bound } = std::mem::take(&mut self.ended);
-        self.ended.since = now;
-        let fates = (self.fates.len() + self.arriving.len() + self.departing.len()) as u64;
-        let gates = self.peer_gateways.iter().enumerate().filter(|(_, gate)| !gate.links.is_empty());
-        let trips = gates.map(|(id, gate)| (self.names[gate.site].clone(), self.sites.view(now, id).trip));
-        SiteSeen {
-            site: self.own.site.clone(),
-            over: now - since,
-            ended: all,
-            in_time,
-            bound,
-            trips: trips.collect(),
-            open: self.sites.open_at_retiring(fates),
-        }
-    }
-
     fn site(&self, name: &str) -> Option<SiteId> {
         self.names.iter().position(|known| known == name)
     }
 
-    /// Says something to a gateway, over the link named or any that stands. Whether it could be said.
-    fn send(&self, gate: GateId, link: Option<LinkId>, said: Said) -> Option<LinkId> {
+    /// Sends a frame to a gateway, over the link named or any that stands. Returns the link, unless none could take it.
+    fn send(&self, gate: GateId, link: Option<LinkId>, frame: Said) -> Option<LinkId> {
         let links = &self.peer_gateways.get(gate)?.links;
-        let link = link.filter(|link| links.contains(link)).or_else(|| {
-            // The one with most room in its mailbox.
-            links
-                .iter()
-                .copied()
-                .max_by_key(|link| self.links.get(link).map_or(0, |state| state.said.capacity()))
-        })?;
-        self.links.get(&link)?.said.try_send(said).is_ok().then_some(link)
-    }
-
-    /// Tells a gateway, or all, what room there is here.
-    fn announce_room(&mut self, only: Option<GateId>) {
-        for id in 0..self.peer_gateways.len() {
-            if only.is_some_and(|only| only != id) || self.peer_gateways[id].links.is_empty() {
-                continue;
-            }
-            let (credits, groups) = self.sites.offered(id);
-            let credits = self.classes.iter().zip(credits);
-            let room = RoomFrame {
-                credits: credits.map(|(name, requests)| Credit { class: name.clone(), requests }).collect(),
-                homes: groups.into_iter().map(|(group, primary)| Home { group, primary }).collect(),
-                draining: self.draining,
-            };
-            self.send(id, None, Said::Room(room));
-        }
+        let named = link.filter(|link| links.contains(link));
+        let link = named.or_else(|| self.link_with_most_capacity(links))?;
+        self.links.get(&link)?.outbox.try_send(frame).is_ok().then_some(link)
     }
 
-    /// What is believed here, for people.
-    fn describe(&self, now: Micros) -> String {
-        let gates: Vec<_> = (self.peer_gateways.iter().enumerate())
-            .map(|(id, gate)| {
-                let view = self.sites.view(now, id);
-                json!({
-                    "site": self.names[gate.site], "instance": gate.origin.instance, "links": gate.links.len(),
-                    "round_trip_us": view.trip, "draining": view.draining, "barred": view.blacklisted,
-                    "credits": self.classes.iter().cloned().zip(view.credits).collect::<HashMap<_, _>>(),
-                    "under_way": view.out,
-                })
-            })
-            .collect();
-        let homes = self.sites.homes();
-        let homes: Vec<_> = homes
-            .into_iter()
-            .map(|(group, home, here)| json!({"group": group, "home": home.map(|site| &self.names[site]), "members_here": here}))
-            .collect();
-        let text = json!({
-            "site": self.own.site, "instance": self.own.instance, "start": self.own.start, "draining": self.draining,
-            "gateways": gates, "groups": homes, "tasks": self.forwarded.len(), "guests": self.remote_requests.len(),
-            "fates_kept": self.fates.len(), "book": self.outcome_log.as_ref().map(|outcome_log| json!({
-                "disk": !outcome_log.is_without(), "earlier_records": outcome_log.earlier().0, "earlier_starts": outcome_log.earlier().1})),
-        });
-        format!("{text:#}\n")
+    fn link_with_most_capacity(&self, links: &[LinkId]) -> Option<LinkId> {
+        let capacity = |link: &LinkId| self.links.get(link).map_or(0, |state| state.outbox.capacity());
+        links.iter().copied().max_by_key(capacity)
     }
 }
 
-fn micros(told: u64) -> Micros {
+/// A span as another gateway tells it, in microseconds.
+fn received_span(told: u64) -> Micros {
     Micros::try_from(told).unwrap_or(LONGEST_SPAN).min(LONGEST_SPAN)
 }
--- /dev/null
+++ b/crates/proxy/src/dispatcher/gateway/site_actions.rs
@@ -0,0 +1,140 @@
+//! Carries out what the site router decided: hand a request to the router here, send it to a site, answer it.
+
+use aldermill_routing::Micros;
+use aldermill_site_link::{Ask, Confirm, Request as RequestFrame, Said};
+use aldermill_site_routing::{Action, Actions, Answer as SiteAnswer, GateId, Handle};
+
+use super::answers::FinalAnswer;
+use super::{ForwardedRequest, GatewayPart, SentRequest};
+use crate::dispatcher::Dispatcher;
+use crate::dispatcher::requests::Handover;
+use crate::messages::Answer;
+
+/// What a request has just been answered with, here or at another site.
+pub(in crate::dispatcher) struct ReceivedAnswer {
+    pub(super) handle: Handle,
+    pub(super) answer: Answer,
+}
+
+impl Dispatcher {
+    /// Carries out the site router's actions, in their order. `received` is passed on where a request is served with it.
+    pub(in crate::dispatcher) fn carry_out_sites(
+        &mut self,
+        actions: Actions,
+        mut received: Option<ReceivedAnswer>,
+    ) {
+        for (handle, action) in actions.requests {
+            self.carry_out_site_action(handle, action, &mut received);
+        }
+        let Some(gateway_part) = &mut self.gateway_part else { return };
+        for (gate, upto) in actions.confirms {
+            gateway_part.send(gate, None, Said::Confirm(Confirm { upto }));
+        }
+        if actions.offers {
+            gateway_part.announce_room();
+        }
+        if let Some(at) = actions.wake_at {
+            gateway_part.wake_at = at;
+        }
+    }
+
+    fn carry_out_site_action(
+        &mut self,
+        handle: Handle,
+        action: Action,
+        received: &mut Option<ReceivedAnswer>,
+    ) {
+        match action {
+            Action::Here { ttl } => self.hand_to_router(handle, ttl),
+            Action::TakeBack => self.take_back_from_router(handle),
+            Action::Cross { gate, number, left } => self.send_to_site(handle, gate, number, left),
+            Action::Ask { gate, number } => self.ask_about(gate, number),
+            Action::Cancel { gate, number } => self.cancel_at_site(gate, number),
+            Action::Serve => {
+                let received = received.take_if(|received| received.handle == handle);
+                let answer = received.map_or(Answer::Failed, |received| received.answer);
+                self.answer_forwarded(handle, FinalAnswer::Ended(answer));
+            }
+            Action::Reject { cool_down } => {
+                self.answer_forwarded(handle, FinalAnswer::Ended(Answer::Rejected { cool_down }))
+            }
+            Action::Fail => self.answer_forwarded(handle, FinalAnswer::Ended(Answer::Failed)),
+            Action::NotHere { hint } => self.answer_forwarded(handle, FinalAnswer::NotHere { hint }),
+        }
+    }
+
+    fn hand_to_router(&mut self, handle: Handle, ttl: Micros) {
+        let Some(forwarded) = self.forwarded_mut(handle) else { return };
+        let (request, class) = (forwarded.request.clone(), forwarded.class);
+        let deadline = self.context.clock.now() + ttl;
+        let (local, actions) = self.hand_over(Handover { request, class, deadline, via: Some(handle) });
+        if let Some(forwarded) = self.forwarded_mut(handle) {
+            forwarded.local = Some(local);
+        }
+        self.carry_out(actions);
+    }
+
+    fn forwarded_mut(&mut self, handle: Handle) -> Option<&mut ForwardedRequest> {
+        self.gateway_part.as_mut()?.forwarded.get_mut(&handle)
+    }
+
+    fn take_back_from_router(&mut self, handle: Handle) {
+        let local = self.gateway_part.as_mut().and_then(|gateway_part| gateway_part.take_back(handle));
+        if let Some(local) = local {
+            self.abandon(local);
+        }
+    }
+
+    /// Sends a request to another site's gateway. Where no link takes it, it never left this process.
+    fn send_to_site(&mut self, handle: Handle, gate: GateId, number: u64, left: Micros) {
+        let now = self.context.clock.now();
+        let Some(gateway_part) = &mut self.gateway_part else { return };
+        let Some(forwarded) = gateway_part.forwarded.get(&handle) else { return };
+        let Some(peer) = gateway_part.peer_gateways.get(gate) else { return };
+        let start = peer.origin.start;
+        let mut frame = gateway_part.request_frame(forwarded, now);
+        frame.number = number;
+        frame.receiver_start = start;
+        frame.left_us = left.max(0) as u64;
+        let said = Said::Request(frame, forwarded.request.statement.clone());
+        if let Some(link) = gateway_part.send(gate, None, said) {
+            gateway_part.sent.insert(number, SentRequest { gate, start, link });
+            return;
+        }
+        let actions = gateway_part.sites.answered(now, number, SiteAnswer::NeverTaken);
+        self.carry_out_sites(actions, None);
+    }
+
+    /// Asks another gateway what became of a request that was sent there.
+    fn ask_about(&mut self, gate: GateId, number: u64) {
+        let Some(gateway_part) = &mut self.gateway_part else { return };
+        let Some(sent) = gateway_part.sent.get(&number) else { return };
+        let ask = Ask { number, receiver_start: sent.start };
+        gateway_part.send(gate, None, Said::Ask(ask));
+    }
+
+    fn cancel_at_site(&mut self, gate: GateId, number: u64) {
+        let Some(gateway_part) = &mut self.gateway_part else { return };
+        let link = gateway_part.sent.remove(&number).map(|sent| sent.link);
+        gateway_part.send(gate, link, Said::Cancel(number));
+    }
+}
+
+impl GatewayPart {
+    /// A request as another gateway is sent it, but for whom it is meant and how long it may take.
+    fn request_frame(&self, forwarded: &ForwardedRequest, now: Micros) -> RequestFrame {
+        let request = &forwarded.request;
+        // Zero on the wire says that no last write is known.
+        let written_ago = request.last_write(now).map_or(0, |ago| ago.max(1));
+        let mut visited = forwarded.visited.clone();
+        visited.push(self.own.site.clone());
+        RequestFrame {
+            class: request.comment.class.clone(),
+            group: request.comment.group,
+            written_ago_us: written_ago as u64,
+            repeat: request.comment.repeat,
+            visited,
+            ..RequestFrame::default()
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/dispatcher/gateway/start.rs
@@ -0,0 +1,118 @@
+//! How the gateway part begins: from the settings and the operator's file.
+
+use std::collections::HashMap;
+use std::rc::Rc;
+
+use aldermill_routing::{Effect as RouterEffect, Micros, Need as RouterNeed, Scope};
+use aldermill_settings::Decoded;
+use aldermill_site_link::Identity;
+use aldermill_site_routing::{Effect, Fates, Need, RequestClass, Sites, Terms};
+use tokio::sync::mpsc;
+
+use super::{ASKED_AFTER_DEADLINE, EndedCounts, GatewayPart};
+use crate::dispatcher::outcome_log::OutcomeLog;
+use crate::keep::Folder;
+use crate::messages::ClientId;
+
+/// Remote requests get client ids of their own, from here on.
+const FIRST_REMOTE_ID: ClientId = 1 << 63;
+/// Confirmations that may wait for the dispatcher: as many as records may wait for the disk, and more.
+const CONFIRMATIONS: usize = 2048;
+
+/// What a gateway is told at its start.
+pub struct Opening {
+    /// Who this gateway is.
+    pub own: Identity,
+    /// The names of the other sites.
+    pub peers: Vec<String>,
+    /// Groups and the site that is taken for their primary's.
+    pub homes: Vec<(u64, String)>,
+    /// Sites that a request may come through.
+    pub hops: usize,
+    /// Requests that another gateway may have under way here, at most.
+    pub credit: u32,
+    /// The comment's field that names a session.
+    pub session: Option<String>,
+    /// Outcomes kept for one sender.
+    pub fates: usize,
+    /// Where outcomes are kept over a restart.
+    pub folder: Option<Rc<Folder>>,
+}
+
+impl GatewayPart {
+    /// A gateway without links. `now` is on the router's clock.
+    pub fn new(opening: Opening, decoded: &Decoded, seed: u64, now: Micros) -> GatewayPart {
+        let terms = site_terms(&opening, decoded);
+        let Opening { own, peers, homes, session, fates, folder, .. } = opening;
+        let (confirmations, written) = mpsc::channel(CONFIRMATIONS);
+        let outcome_log = folder.map(|folder| OutcomeLog::open(folder, own.start, now, confirmations));
+        let names: Vec<String> = std::iter::once(own.site.clone()).chain(peers).collect();
+        let mut sites = Sites::start(terms, seed, now);
+        for (group, site) in homes {
+            if let Some(site) = names.iter().position(|name| *name == site) {
+                sites.guess(group, site);
+            }
+        }
+        GatewayPart {
+            own,
+            names,
+            classes: decoded.names(),
+            sites,
+            fates: Fates::start(fates, ASKED_AFTER_DEADLINE),
+            peer_gateways: Vec::new(),
+            links: HashMap::new(),
+            forwarded: HashMap::new(),
+            remote_requests: HashMap::new(),
+            sent: HashMap::new(),
+            written: outcome_log.is_some().then_some(written),
+            outcome_log,
+            arriving: HashMap::new(),
+            departing: HashMap::new(),
+            next_remote_id: FIRST_REMOTE_ID,
+            session_field: session,
+            ended: EndedCounts { since: now, ..EndedCounts::default() },
+            draining: false,
+            wake_at: now,
+            announce_at: now,
+        }
+    }
+}
+
+/// The settings as the site router takes them.
+fn site_terms(opening: &Opening, decoded: &Decoded) -> Terms {
+    Terms {
+        classes: decoded.terms.classes.iter().map(site_class).collect(),
+        sites: 1 + opening.peers.len(),
+        max_hops: opening.hops,
+        max_credit: opening.credit,
+        max_cool_down: decoded.terms.max_cool_down,
+    }
+}
+
+fn site_class(class: &aldermill_routing::RequestClass) -> RequestClass {
+    RequestClass {
+        effect: site_effect(class.effect),
+        need: site_need(class.need),
+        objective: class.objective,
+        priority_weight: class.priority_weight,
+        late_priority_weight: class.late_priority_weight,
+    }
+}
+
+fn site_effect(effect: RouterEffect) -> Effect {
+    match effect {
+        RouterEffect::Pure => Effect::Pure,
+        RouterEffect::Receipted { scope, window } => {
+            Effect::Receipted { window, within_site: scope == Scope::Zone }
+        }
+        RouterEffect::Effectful => Effect::Effectful,
+    }
+}
+
+fn site_need(need: RouterNeed) -> Need {
+    match need {
+        RouterNeed::Write | RouterNeed::Latest | RouterNeed::OwnWrites => Need::Primary,
+        RouterNeed::Recent(bound) => Need::Recent(bound),
+        RouterNeed::Loose => Need::Any,
+    }
+}
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -246,7 +246,7 @@
             Call::Fleet { living, at_cold } => self.fleet_size(living, at_cold),
             Call::Observations(reply) => self.report_observations(reply),
             Call::Lean(leans) => self.zone_directives(&leans),
-            Call::Bind(plans) => self.bind(plans),
+            Call::Bind(plans) => self.follow_site_drains(plans),
             Call::Describe(reply) => {
                 let _ = reply.send(self.describe());
             }
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -116,7 +116,7 @@
                 (group, aldermill_split_points::frame::encode(sketch, now))
             };
             let keys = observations.keys.iter_mut().flatten().map(summary).collect();
-            let site = self.gateway_part.as_mut().map(|gateway_part| gateway_part.seen(now));
+            let site = self.gateway_part.as_mut().map(|gateway_part| gateway_part.take_observations(now));
             let _ = asked.send(Seen { over, rows, keys, site });
         }
     }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -321,7 +321,7 @@
         ready,
         list_wanted: on_request.then_some(request),
     });
-    dispatcher.bind(bound);
+    dispatcher.follow_site_drains(bound);
     let deciding = spawn_local(dispatcher.run(list_updates, calls));
     let requests = on_request.then_some(requests);
     let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(32));
