--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -16,7 +16,7 @@
 
 use crate::context::Context;
 use crate::gate::{Presence, Room};
-use crate::messages::{Answer, Call, ClientId, ClientMessage, Order};
+use crate::messages::{Answer, ClientId, ClientLeft, ClientMessage, ClientRequest, DispatcherMessage};
 use crate::system::{self, Party};
 
 mod asking;
@@ -105,7 +105,11 @@
             Err(end) => Err(end),
         };
         for owed in self.owed.drain(..).filter(|owed| owed.answer.is_none()) {
-            let _ = self.context.dispatcher.send(Call::Left(owed.request)).await;
+            let _ = self
+                .context
+                .dispatcher
+                .send(DispatcherMessage::ClientLeft(ClientLeft { client: owed.request }))
+                .await;
         }
         if matches!(end, Err(End::Cut)) || !self.may_leave_unread() {
             // With nothing left to be handed over the system forgets the connection at once.
--- a/crates/proxy/src/client/asking.rs
+++ b/crates/proxy/src/client/asking.rs
@@ -119,7 +119,7 @@
         let old = self.old.map(|(first, last)| if self.buffer.is_empty() { last } else { first });
         let arrived = self.context.clock.at(old.unwrap_or_else(Instant::now));
         let mailbox = self.address.clone();
-        let order = Order {
+        let request = ClientRequest {
             client,
             holder: self.presence.peer,
             mailbox,
@@ -128,7 +128,7 @@
             comment,
             written_ago: None,
         };
-        self.context.dispatcher.send(Call::Take(order)).await.map_err(|_| End::Quiet)
+        self.context.dispatcher.send(DispatcherMessage::ClientRequest(request)).await.map_err(|_| End::Quiet)
     }
 
     /// Dates what was just read, where that may have waited for this process.
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -12,7 +12,7 @@
 use crate::clock::{Clock, Lived};
 use crate::gate::Gate;
 use crate::limits::Limits;
-use crate::messages::Call;
+use crate::messages::DispatcherMessage;
 
 /// What every actor of the driver needs.
 pub struct Context {
@@ -22,7 +22,7 @@
     pub log: Logger,
     /// Where discovery is, as the configuration last said.
     pub discovery: watch::Receiver<SocketAddr>,
-    pub dispatcher: mpsc::Sender<Call>,
+    pub dispatcher: mpsc::Sender<DispatcherMessage>,
     /// There is a list to decide on.
     pub ready: watch::Receiver<bool>,
     /// Set once the driver is to stop: until when new connections are still taken.
--- a/crates/proxy/src/council.rs
+++ b/crates/proxy/src/council.rs
@@ -28,7 +28,7 @@
 use aldermill_zone_failover::{Group, Lean};
 
 use crate::keep::Folder;
-use crate::messages::Seen;
+use crate::messages::ObservationSummary;
 use leaving::LeavingWork;
 use memory::{Memory, Record, UNDER_WAY};
 use splits::SplitsWork;
--- a/crates/proxy/src/council/duties.rs
+++ b/crates/proxy/src/council/duties.rs
@@ -73,7 +73,7 @@
     }
 
     /// What this driver saw, to be reported.
-    pub fn saw(&mut self, seen: Seen) {
+    pub fn saw(&mut self, seen: ObservationSummary) {
         if let Some((about, body)) = self.leaving.as_mut().map(|leaving| leaving.report(&seen)) {
             self.reporter.put(about, body);
         }
--- a/crates/proxy/src/council/leaving.rs
+++ b/crates/proxy/src/council/leaving.rs
@@ -11,7 +11,7 @@
 use slog::{Logger, info};
 
 use super::Moment;
-use crate::messages::Seen;
+use crate::messages::ObservationSummary;
 
 pub const DUTY: &str = "retire";
 /// Reports count for so long: a driver tells of other duties between two.
@@ -128,7 +128,7 @@
         self.holder.gone(now, driver);
     }
 
-    pub fn report(&mut self, seen: &Seen) -> (About, Vec<u8>) {
+    pub fn report(&mut self, seen: &ObservationSummary) -> (About, Vec<u8>) {
         let mut told = Told { words: self.words.clone(), ..Told::default() };
         let empty = Default::default();
         let open = seen.site.as_ref().map_or(&empty, |site| &site.open);
@@ -148,7 +148,7 @@
             told.site.clone_from(&seen.site);
             told.over_ms = (seen.over / 1000).clamp(1, 60_000) as u32;
             (told.ended, told.in_time, told.bound) = (seen.ended, seen.in_time, seen.bound);
-            for (site, trip) in &seen.trips {
+            for (site, trip) in &seen.round_trips {
                 let millis = (trip / 1000).clamp(0, 60_000) as u32;
                 let known = told.trips.entry(site.clone()).or_insert(millis);
                 *known = millis.min(*known);
--- a/crates/proxy/src/council/splits.rs
+++ b/crates/proxy/src/council/splits.rs
@@ -9,7 +9,7 @@
 use slog::{Logger, info};
 
 use super::duties::Holding;
-use crate::messages::Seen;
+use crate::messages::ObservationSummary;
 
 pub const DUTY: &str = "splits";
 /// Reports count for so long: a driver tells of one group after the other.
@@ -103,7 +103,7 @@
         }
     }
 
-    pub fn report(&self, seen: &Seen) -> Vec<(About, Vec<u8>)> {
+    pub fn report(&self, seen: &ObservationSummary) -> Vec<(About, Vec<u8>)> {
         let about = |group: &u64| About::new(DUTY, &group.to_string());
         seen.keys.iter().map(|(group, summary)| (about(group), summary.clone())).collect()
     }
--- a/crates/proxy/src/council/work.rs
+++ b/crates/proxy/src/council/work.rs
@@ -10,7 +10,7 @@
 use slog::{Logger, info};
 
 use super::duties::Holding;
-use crate::messages::Seen;
+use crate::messages::ObservationSummary;
 
 pub const DUTY: &str = "zones";
 /// Reports count for so long: a driver tells every second, in up to three parts.
@@ -50,7 +50,7 @@
     }
 
     /// What is to be reported of what was seen, in parts.
-    pub fn report(&self, seen: Seen) -> Vec<(About, Vec<u8>)> {
+    pub fn report(&self, seen: ObservationSummary) -> Vec<(About, Vec<u8>)> {
         let parts = seen.rows.chunks(frame::ROWS).enumerate().map(|(at, rows)| {
             let told = Told { zone: self.own, over: seen.over, rows: rows.to_vec() };
             (About::new(DUTY, &at.to_string()), frame::report(&told))
--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -8,7 +8,10 @@
 use super::endpoints::MemberEntry;
 use super::open_request::OpenRequest;
 use crate::clock::duration;
-use crate::messages::{Answer, Attempt, Call, Ended, Gave, MemberCommand};
+use crate::messages::{
+    Answer, Attempt, AttemptFinished, AttemptResponse, DispatcherMessage, HealthCheckFinished, MemberCommand,
+    ReplicaReports,
+};
 
 /// Idle connections that are closed where one descriptor is wanted.
 const CLOSED_PER_DESCRIPTOR: usize = 3;
@@ -97,7 +100,7 @@
         let sent = attempt.sent;
         if entry.is_none_or(|entry| entry.commands.try_send(MemberCommand::Send(attempt)).is_err()) {
             warn!(self.context.log, "member's mailbox full, attempt not sent"; "member" => member);
-            self.deferred.push_back(Call::Ended(attempt_not_sent(handle, sent)));
+            self.deferred.push_back(DispatcherMessage::AttemptFinished(attempt_not_sent(handle, sent)));
         }
     }
 
@@ -107,7 +110,7 @@
         let deadline = self.context.clock.instant(open.deadline);
         Attempt {
             handle: decided.handle,
-            order: open.request.clone(),
+            request: open.request.clone(),
             withdrawal: open.withdrawal.clone(),
             holder: (open.request.holder, open.best),
             sent,
@@ -121,17 +124,16 @@
     fn send_health_check(&mut self, member: MemberId) {
         let sent = Instant::now();
         let until = sent + self.context.limits.health_check;
-        let command = MemberCommand::Probe { sent, until };
+        let command = MemberCommand::HealthCheck { sent, until };
         let entry = self.members[member].as_ref();
         if entry.is_none_or(|entry| entry.commands.try_send(command).is_err()) {
-            let replica_words = entry.map_or(0, |entry| entry.replica_words);
-            self.deferred.push_back(Call::HealthChecked {
-                member,
+            let count = entry.map_or(0, |entry| entry.replica_words);
+            self.deferred.push_back(DispatcherMessage::HealthCheckFinished(HealthCheckFinished {
                 verdict: Verdict::NotSent,
-                took: 0,
+                elapsed: 0,
                 report: MemberReport::default(),
-                replica_words,
-            });
+                replica_reports: ReplicaReports { member, count },
+            }));
         }
     }
 
@@ -176,14 +178,14 @@
 }
 
 /// The end of an attempt that never left this process.
-fn attempt_not_sent(handle: Handle, sent: Instant) -> Ended {
-    Ended {
-        handle,
+fn attempt_not_sent(handle: Handle, sent: Instant) -> AttemptFinished {
+    AttemptFinished {
+        request: handle,
         verdict: Verdict::NotSent,
-        sent,
-        took: 0,
+        decided_at: sent,
+        elapsed: 0,
         report: MemberReport::default(),
-        gave: Gave::Nothing,
-        replica_words: None,
+        response: AttemptResponse::None,
+        replica_reports: None,
     }
 }
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -14,7 +14,7 @@
 use super::Dispatcher;
 use crate::catalog::{Catalog, Entry};
 use crate::member::{LastHeard, Member};
-use crate::messages::{ListUpdate, MemberCommand};
+use crate::messages::{ListUpdate, MemberCommand, ReplicaReports};
 
 /// A member's actor, as the dispatcher sees it.
 pub(super) struct MemberEntry {
@@ -157,10 +157,10 @@
         })
     }
 
-    /// The router is about to hear this word, and decides with it from now on.
-    pub(super) fn said_replica(&mut self, member: MemberId, words: u64) {
-        if let Some(known) = self.members.get_mut(member).and_then(Option::as_mut) {
-            known.replica_words = known.replica_words.max(words);
+    /// The router is about to hear these reports, and decides with them from now on.
+    pub(super) fn note_replica_reports(&mut self, reports: ReplicaReports) {
+        if let Some(known) = self.members.get_mut(reports.member).and_then(Option::as_mut) {
+            known.replica_words = known.replica_words.max(reports.count);
         }
     }
 
--- a/crates/proxy/src/dispatcher/gateway/announcements.rs
+++ b/crates/proxy/src/dispatcher/gateway/announcements.rs
@@ -9,7 +9,7 @@
 
 use super::{EndedCounts, GatewayPart, PeerGateway};
 use crate::dispatcher::Dispatcher;
-use crate::messages::SiteSeen;
+use crate::messages::SiteObservations;
 
 /// How often others are told of the capacity here though nothing has changed.
 const ANNOUNCE_EVERY: Micros = 500_000;
@@ -56,17 +56,17 @@
     }
 
     /// What this gateway saw of its site since it was last asked, and what it has of those that drain.
-    pub(in crate::dispatcher) fn take_observations(&mut self, now: Micros) -> SiteSeen {
+    pub(in crate::dispatcher) fn take_observations(&mut self, now: Micros) -> SiteObservations {
         let fresh = EndedCounts { since: now, ..EndedCounts::default() };
         let ended = std::mem::replace(&mut self.ended, fresh);
         let fates = (self.fates.len() + self.arriving.len() + self.departing.len()) as u64;
-        SiteSeen {
+        SiteObservations {
             site: self.own.site.clone(),
             over: now - ended.since,
             ended: ended.all,
             in_time: ended.in_time,
             bound: ended.bound,
-            trips: self.round_trips(now),
+            round_trips: self.round_trips(now),
             open: self.sites.open_at_retiring(fates),
         }
     }
--- a/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
@@ -12,11 +12,11 @@
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::open_request::{RequestLocation, WaitingClient};
 use crate::dispatcher::requests::SiteMiss;
-use crate::messages::{Answer, Order};
+use crate::messages::{Answer, ClientRequest};
 
 /// A request for the site router, and who waits for it.
 pub(super) struct RequestToForward {
-    pub(super) request: Order,
+    pub(super) request: ClientRequest,
     pub(super) class: usize,
     /// How long the requester still waits, in microseconds.
     pub(super) ttl: Micros,
@@ -27,7 +27,7 @@
 
 impl Dispatcher {
     /// A client's request where there is a gateway: to the router here, or to another site.
-    pub(in crate::dispatcher) fn route_between_sites(&mut self, request: Order, class: usize) {
+    pub(in crate::dispatcher) fn route_between_sites(&mut self, request: ClientRequest, class: usize) {
         let waited = self.context.clock.now() - request.arrived;
         let ttl = Micros::from(request.comment.wait) * 1000 - waited;
         let requester = Requester::Client(WaitingClient::of(&request));
--- a/crates/proxy/src/dispatcher/gateway/links.rs
+++ b/crates/proxy/src/dispatcher/gateway/links.rs
@@ -6,19 +6,19 @@
 
 use super::{GatewayPart, LinkState, PeerGateway};
 use crate::dispatcher::Dispatcher;
-use crate::messages::{LinkCall, LinkId};
+use crate::messages::{LinkEvent, LinkId};
 
 impl Dispatcher {
     /// What the actor of a link says.
-    pub(in crate::dispatcher) fn link_message(&mut self, link: LinkId, message: LinkCall) {
+    pub(in crate::dispatcher) fn link_message(&mut self, link: LinkId, event: LinkEvent) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        match message {
-            LinkCall::Up { said, holder } => {
-                gateway_part.links.insert(link, LinkState { gate: None, outbox: said, holder });
+        match event {
+            LinkEvent::Up { outbox, holder } => {
+                gateway_part.links.insert(link, LinkState { gate: None, outbox, holder });
             }
-            LinkCall::Broke => self.link_lost(link),
-            LinkCall::Heard(Event::Met(identity)) => self.greeted_on(link, identity),
-            LinkCall::Heard(event) => {
+            LinkEvent::Lost => self.link_lost(link),
+            LinkEvent::Heard(Event::Met(identity)) => self.greeted_on(link, identity),
+            LinkEvent::Heard(event) => {
                 let Some(gate) = gateway_part.links.get(&link).and_then(|state| state.gate) else { return };
                 self.link_event(link, gate, event);
             }
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -25,7 +25,7 @@
 use super::open_request::WaitingClient;
 use super::outcome_log::{OutcomeLog, Token};
 use crate::gate::Room;
-use crate::messages::{ClientId, LinkId, Order};
+use crate::messages::{ClientId, ClientRequest, LinkId};
 
 /// How long after its deadline somebody may still ask about a request.
 const ASKED_AFTER_DEADLINE: Micros = 5_000_000;
@@ -57,7 +57,7 @@
 
 /// A request on its way: with the router here, over a link, or waiting for either.
 struct ForwardedRequest {
-    request: Rc<Order>,
+    request: Rc<ClientRequest>,
     class: usize,
     /// The router's handle, while the router here decides on it.
     local: Option<RouterHandle>,
--- a/crates/proxy/src/dispatcher/gateway/remote_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/remote_requests.rs
@@ -14,7 +14,7 @@
 };
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::outcome_log::{OutcomeLog, Taking, Token};
-use crate::messages::{LinkId, Order};
+use crate::messages::{ClientRequest, LinkId};
 
 /// What an arriving request was found to be.
 struct Checked {
@@ -130,7 +130,7 @@
         gateway_part.next_remote_id += 1;
         // Its answer goes over the link; this mailbox is nobody's.
         let (mailbox, _) = mpsc::channel(1);
-        let request = Order {
+        let request = ClientRequest {
             client: gateway_part.next_remote_id,
             holder,
             mailbox,
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -20,7 +20,7 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 
-use aldermill_routing::{Actions, Handle, MemberId, Micros, Role, Router};
+use aldermill_routing::{Actions, Handle, MemberId, Micros, Router};
 use aldermill_settings::Decoded;
 use aldermill_statistics::ClockOffset;
 use slog::warn;
@@ -32,7 +32,7 @@
 use crate::dispatcher::endpoints::MemberEntry;
 use crate::dispatcher::open_request::{OpenRequest, RequestLocation};
 use crate::dispatcher::warm_state::ListedEntries;
-use crate::messages::{Call, ClientId, ListUpdate};
+use crate::messages::{ClientId, DispatcherMessage, FleetSize, ListUpdate};
 use crate::trial::Trial;
 
 /// How often other actors have their turn after a stall, before the dispatcher goes on: to be woken by what came,
@@ -49,13 +49,13 @@
     RecordWritten(bool),
     /// A record of the outcome log has waited too long.
     RecordLate,
-    Message(Call),
+    Message(DispatcherMessage),
 }
 
 /// Where the dispatcher's events come from, but for its own timers.
 struct Inputs {
     list_updates: mpsc::Receiver<ListUpdate>,
-    messages: mpsc::Receiver<Call>,
+    messages: mpsc::Receiver<DispatcherMessage>,
     stopping: watch::Receiver<Option<tokio::time::Instant>>,
 }
 
@@ -102,7 +102,7 @@
     open_ids: HashSet<String>,
     locations: HashMap<ClientId, RequestLocation>,
     /// What ended while a decision was being carried out.
-    deferred: VecDeque<Call>,
+    deferred: VecDeque<DispatcherMessage>,
     warm_state: WarmState,
     listed: ListedEntries,
     observations: Option<Observations>,
@@ -148,7 +148,11 @@
 
     /// Serves until every other actor is gone. Nothing here ever waits for another actor, but for some turns of all
     /// after a stall.
-    pub async fn run(mut self, list_updates: mpsc::Receiver<ListUpdate>, messages: mpsc::Receiver<Call>) {
+    pub async fn run(
+        mut self,
+        list_updates: mpsc::Receiver<ListUpdate>,
+        messages: mpsc::Receiver<DispatcherMessage>,
+    ) {
         let stopping = self.context.stopping.clone();
         let mut inputs = Inputs { list_updates, messages, stopping };
         while let Some(event) = self.next_event(&mut inputs).await {
@@ -221,36 +225,23 @@
         }
     }
 
-    fn handle_message(&mut self, message: Call) {
+    fn handle_message(&mut self, message: DispatcherMessage) {
         match message {
-            Call::Take(request) => self.client_request(request),
-            Call::Left(client) => self.client_left(client),
-            Call::Ended(ended) => self.attempt_finished(ended),
-            Call::HealthChecked { member, verdict, took, mut report, replica_words } => {
-                self.observe_clock(member, &mut report, None);
-                self.said_replica(member, replica_words);
-                let now = self.context.clock.now();
-                let ((), actions) =
-                    self.decide(|router| ((), router.health_checked(now, member, verdict, took, report)));
-                self.carry_out(actions);
-                if report.role == Some(Role::Primary)
-                    && let Some(group) =
-                        self.members.get(member).and_then(Option::as_ref).map(|entry| entry.group)
-                {
-                    self.primary_here(group);
-                }
-            }
-            Call::Trial(trial) => self.replace_trial(trial.map(|trial| *trial)),
-            Call::Link(link, message) => self.link_message(link, message),
-            Call::Parted(reply) => self.await_remote_end(reply),
-            Call::Fleet { living, at_cold } => self.fleet_size(living, at_cold),
-            Call::Observations(reply) => self.report_observations(reply),
-            Call::Lean(leans) => self.zone_directives(&leans),
-            Call::Bind(plans) => self.follow_site_drains(plans),
-            Call::Describe(reply) => {
+            DispatcherMessage::ClientRequest(request) => self.client_request(request),
+            DispatcherMessage::ClientLeft(left) => self.client_left(left.client),
+            DispatcherMessage::AttemptFinished(finished) => self.attempt_finished(finished),
+            DispatcherMessage::HealthCheckFinished(finished) => self.health_check_finished(finished),
+            DispatcherMessage::TrialReplaced(trial) => self.replace_trial(trial.map(|trial| *trial)),
+            DispatcherMessage::Link(message) => self.link_message(message.link, message.event),
+            DispatcherMessage::AwaitRemoteEnd(reply) => self.await_remote_end(reply),
+            DispatcherMessage::FleetSize(size) => self.fleet_size(&size),
+            DispatcherMessage::TakeObservations(reply) => self.report_observations(reply),
+            DispatcherMessage::ZoneDirectives(leans) => self.zone_directives(&leans),
+            DispatcherMessage::SiteDrainPlans(plans) => self.follow_site_drains(plans),
+            DispatcherMessage::DescribeSites(reply) => {
                 let _ = reply.send(self.describe());
             }
-            Call::Crowded(member) => self.free_descriptors(member),
+            DispatcherMessage::DescriptorsExhausted(member) => self.free_descriptors(member),
         }
     }
 
@@ -270,8 +261,9 @@
         self.keep_warm_state();
     }
 
-    fn fleet_size(&mut self, living: usize, at_cold: usize) {
-        let ((), actions) = self.decide(|router| (router.fleet(living, at_cold), Actions::default()));
+    fn fleet_size(&mut self, size: &FleetSize) {
+        let ((), actions) =
+            self.decide(|router| (router.fleet(size.living, size.at_cold), Actions::default()));
         self.carry_out(actions);
     }
 
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -12,7 +12,7 @@
 
 use super::Dispatcher;
 use super::endpoints::MemberEntry;
-use crate::messages::{Order, Seen};
+use crate::messages::{ClientRequest, ObservationSummary};
 
 /// Groups of whose keys something is kept.
 const GROUPS: usize = 64;
@@ -46,12 +46,12 @@
         handle: Handle,
         member: Option<&MemberEntry>,
         decoded: &Decoded,
-        order: &Order,
+        request: &ClientRequest,
     ) {
-        let Ok(class) = decoded.class(&order.comment.class) else { return };
+        let Ok(class) = decoded.class(&request.comment.class) else { return };
         let class = &decoded.terms.classes[class];
         let Some(member) = member else { return };
-        let key = self.keys.as_ref().and_then(|_| quoted(&order.statement[order.comment.end..]));
+        let key = self.keys.as_ref().and_then(|_| quoted(&request.statement[request.comment.end..]));
         let key = key.unwrap_or_default().into_bytes();
         let (objective, write) = (class.objective, class.need == Need::Write);
         self.in_flight.insert(
@@ -108,7 +108,7 @@
         }
     }
 
-    pub(super) fn report_observations(&mut self, asked: oneshot::Sender<Seen>) {
+    pub(super) fn report_observations(&mut self, asked: oneshot::Sender<ObservationSummary>) {
         let now = self.context.clock.now();
         if let Some(observations) = &mut self.observations {
             let (over, rows) = observations.tally.take(now);
@@ -117,7 +117,7 @@
             };
             let keys = observations.keys.iter_mut().flatten().map(summary).collect();
             let site = self.gateway_part.as_mut().map(|gateway_part| gateway_part.take_observations(now));
-            let _ = asked.send(Seen { over, rows, keys, site });
+            let _ = asked.send(ObservationSummary { over, rows, keys, site });
         }
     }
 
--- a/crates/proxy/src/dispatcher/open_request.rs
+++ b/crates/proxy/src/dispatcher/open_request.rs
@@ -6,7 +6,7 @@
 use aldermill_site_routing::Handle as SitesHandle;
 use tokio::sync::mpsc;
 
-use crate::messages::{Answer, ClientId, ClientMessage, Order, Withdrawal};
+use crate::messages::{Answer, ClientId, ClientMessage, ClientRequest, Withdrawal};
 
 /// Who decides on a client's request.
 #[derive(Clone, Copy)]
@@ -25,7 +25,7 @@
 
 impl WaitingClient {
     /// Whoever sent this request.
-    pub(super) fn of(request: &Order) -> WaitingClient {
+    pub(super) fn of(request: &ClientRequest) -> WaitingClient {
         WaitingClient { id: request.client, mailbox: request.mailbox.clone() }
     }
 
@@ -48,7 +48,7 @@
     pub(super) client: Option<WaitingClient>,
     /// Set when the client left, or the gateway part took the request back.
     pub(super) withdrawal: Withdrawal,
-    pub(super) request: Rc<Order>,
+    pub(super) request: Rc<ClientRequest>,
 }
 
 impl OpenRequest {
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -9,11 +9,13 @@
 use super::Dispatcher;
 use super::gateway::GatewayPart;
 use super::open_request::{OpenRequest, RequestLocation, WaitingClient};
-use crate::messages::{Answer, ClientId, Ended, Gave, Order, Withdrawal};
+use crate::messages::{
+    Answer, AttemptFinished, AttemptResponse, ClientId, ClientRequest, HealthCheckFinished, Withdrawal,
+};
 
 /// A request for the router, and until when it must be answered.
 pub(super) struct Handover {
-    pub(super) request: Rc<Order>,
+    pub(super) request: Rc<ClientRequest>,
     pub(super) class: usize,
     /// On the router's clock: an instant, which a process that is held up on the way does not put off.
     pub(super) deadline: Micros,
@@ -32,7 +34,7 @@
 
 impl Dispatcher {
     /// A client's request: rejected at once, or on its way.
-    pub(super) fn client_request(&mut self, request: Order) {
+    pub(super) fn client_request(&mut self, request: ClientRequest) {
         match self.check(&request) {
             Err(answer) => WaitingClient::of(&request).answer(answer),
             Ok(class) if self.gateway_part.is_some() => self.route_between_sites(request, class),
@@ -41,7 +43,7 @@
     }
 
     /// The request's class, or why it is not taken.
-    fn check(&self, request: &Order) -> Result<usize, Answer> {
+    fn check(&self, request: &ClientRequest) -> Result<usize, Answer> {
         let comment = &request.comment;
         let Ok(class) = self.decoded.class(&comment.class) else {
             return Err(Answer::Wrong("unknown offering"));
@@ -71,7 +73,7 @@
     }
 
     /// Hands a checked request to the router and carries out its first decision.
-    fn admit(&mut self, request: Order, class: usize) {
+    fn admit(&mut self, request: ClientRequest, class: usize) {
         // The timeout has run since the statement arrived.
         let deadline = request.arrived + Micros::from(request.comment.wait) * 1000;
         let (client, id) = (request.client, request.comment.id.clone());
@@ -101,7 +103,13 @@
     }
 
     /// The request as the router sees it.
-    fn routed_request(&self, request: &Order, class: usize, deadline: Micros, now: Micros) -> Request {
+    fn routed_request(
+        &self,
+        request: &ClientRequest,
+        class: usize,
+        deadline: Micros,
+        now: Micros,
+    ) -> Request {
         let comment = &request.comment;
         let keyed = matches!(self.decoded.terms.classes[class].need, Need::Write | Need::OwnWrites);
         let session = if keyed { quoted(&request.statement[comment.end..]) } else { None };
@@ -117,26 +125,27 @@
     }
 
     /// An attempt ended: observed, answered where there is an answer, and the router decides what follows.
-    pub(super) fn attempt_finished(&mut self, finished: Ended) {
-        let Ended { handle, verdict, sent, took, mut report, gave, replica_words } = finished;
-        if let Some((member, words)) = replica_words {
+    pub(super) fn attempt_finished(&mut self, finished: AttemptFinished) {
+        let AttemptFinished { request: handle, verdict, elapsed, mut report, .. } = finished;
+        if let Some(replica_reports) = finished.replica_reports {
             let written = self.is_non_idempotent_write(handle) && verdict == Verdict::Served;
-            self.observe_clock(member, &mut report, written.then_some(sent));
-            self.said_replica(member, words);
+            let written_at = written.then_some(finished.decided_at);
+            self.observe_clock(replica_reports.member, &mut report, written_at);
+            self.note_replica_reports(replica_reports);
         }
-        self.observe_end(handle, verdict, took);
-        match gave {
-            Gave::Rows(rows) => self.answer(handle, Answer::Served(rows)),
-            Gave::MoreThanFits => self.answer_without_room(handle),
-            Gave::Nothing => {}
+        self.observe_end(handle, verdict, elapsed);
+        match finished.response {
+            AttemptResponse::Rows(rows) => self.answer(handle, Answer::Served(rows)),
+            AttemptResponse::TooLarge => self.answer_without_room(handle),
+            AttemptResponse::None => {}
         }
         let open = self.open_requests.get(&handle);
         let (via, group) = open.map_or((None, 0), |open| (open.via, open.request.comment.group));
         // The gateway part hears of a miss first: it may take the request back before the router tries again.
-        let miss = self.gateway_part_hears(via, verdict, took);
+        let miss = self.gateway_part_hears(via, verdict, elapsed);
         let no_longer_awaited = self.open_requests.get(&handle).is_none_or(|open| open.client.is_none());
         let closed = miss.taken_back || no_longer_awaited;
-        let outcome = Outcome { verdict, took, report, closed };
+        let outcome = Outcome { verdict, took: elapsed, report, closed };
         let now = self.context.clock.now();
         let ((), actions) = self.decide(|router| ((), handle.ended(router, now, outcome)));
         self.carry_out(actions);
@@ -149,11 +158,36 @@
         }
     }
 
+    /// A health check ended: observed, and the router decides what follows.
+    pub(super) fn health_check_finished(&mut self, finished: HealthCheckFinished) {
+        let HealthCheckFinished { verdict, elapsed, mut report, replica_reports } = finished;
+        let member = replica_reports.member;
+        self.observe_clock(member, &mut report, None);
+        self.note_replica_reports(replica_reports);
+        let now = self.context.clock.now();
+        let ((), actions) =
+            self.decide(|router| ((), router.health_checked(now, member, verdict, elapsed, report)));
+        self.carry_out(actions);
+        let entry = self.members.get(member).and_then(Option::as_ref);
+        if report.role == Some(Role::Primary)
+            && let Some(group) = entry.map(|entry| entry.group)
+        {
+            self.primary_here(group);
+        }
+    }
+
     /// Tells the gateway part, where the request came through it, that an attempt missed or may have run.
-    fn gateway_part_hears(&mut self, via: Option<SitesHandle>, verdict: Verdict, took: Micros) -> SiteMiss {
+    fn gateway_part_hears(
+        &mut self,
+        via: Option<SitesHandle>,
+        verdict: Verdict,
+        elapsed: Micros,
+    ) -> SiteMiss {
         match via {
             Some(via) if verdict == Verdict::NotPrimary => return self.not_primary_here(via),
-            Some(via) if verdict != Verdict::Served && !verdict.never_ran() => self.may_have_run(via, took),
+            Some(via) if verdict != Verdict::Served && !verdict.never_ran() => {
+                self.may_have_run(via, elapsed)
+            }
             _ => {}
         }
         SiteMiss::default()
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/fellows.rs
@@ -20,7 +20,7 @@
 use crate::council::{Council, Moment, WORKS};
 use crate::error::ProgramError;
 use crate::keep::Folder;
-use crate::messages::Call;
+use crate::messages::{DispatcherMessage, FleetSize};
 use crate::status;
 use crate::system::{self, Acceptor, Datagrams, Received};
 
@@ -230,12 +230,12 @@
         self.sees_at = now + WORKS;
         let (leans, plans) = (council.leans(now), council.plans(now));
         let (asked, told) = oneshot::channel();
-        let _ = self.context.dispatcher.send(Call::Observations(asked)).await;
+        let _ = self.context.dispatcher.send(DispatcherMessage::TakeObservations(asked)).await;
         if let Some(leans) = leans {
-            let _ = self.context.dispatcher.send(Call::Lean(leans)).await;
+            let _ = self.context.dispatcher.send(DispatcherMessage::ZoneDirectives(leans)).await;
         }
         if let Some(plans) = plans {
-            let _ = self.context.dispatcher.send(Call::Bind(plans)).await;
+            let _ = self.context.dispatcher.send(DispatcherMessage::SiteDrainPlans(plans)).await;
         }
         if let (Ok(seen), Some((council, _))) = (told.await, &mut self.council) {
             council.saw(seen);
@@ -288,7 +288,11 @@
         if shared != self.shared && !self.spans {
             self.shared = shared;
             // A dispatcher that is gone ends the program by itself.
-            let _ = self.context.dispatcher.send(Call::Fleet { living: shared.0, at_cold: shared.1 }).await;
+            let _ = self
+                .context
+                .dispatcher
+                .send(DispatcherMessage::FleetSize(FleetSize { living: shared.0, at_cold: shared.1 }))
+                .await;
         }
     }
 
--- a/crates/proxy/src/gateway/link.rs
+++ b/crates/proxy/src/gateway/link.rs
@@ -14,7 +14,7 @@
 use super::{Unwelcome, Yard};
 use crate::context::Context;
 use crate::gate::Presence;
-use crate::messages::{Call, LinkCall, LinkId};
+use crate::messages::{DispatcherMessage, LinkEvent, LinkId, LinkMessage};
 
 /// What is read at once, and what is written at once.
 const PIECE: usize = 32 * 1024;
@@ -57,7 +57,10 @@
         let why = self.converse(id, &mut met).await;
         match &met {
             Some(peer) => {
-                let _ = context.dispatcher.send(Call::Link(id, LinkCall::Broke)).await;
+                let _ = context
+                    .dispatcher
+                    .send(DispatcherMessage::Link(LinkMessage { link: id, event: LinkEvent::Lost }))
+                    .await;
                 warn!(context.log, "link down"; "link" => id, "site" => peer, "peer" => %from, "why" => %why);
             }
             None => warn!(context.log, "link refused"; "peer" => %from, "why" => %why),
@@ -142,11 +145,11 @@
                                 "instance" => &peer.instance, "peer" => %self.from);
                             *met = Some(peer.site.clone());
                             if let Some(said) = sender.take() {
-                                let up = LinkCall::Up { said, holder: self.presence.peer };
+                                let up = LinkEvent::Up { outbox: said, holder: self.presence.peer };
                                 self.tell(id, up).await?;
                             }
                         }
-                        self.tell(id, LinkCall::Heard(event)).await?;
+                        self.tell(id, LinkEvent::Heard(event)).await?;
                     }
                 }
                 word = said.recv() => match word {
@@ -181,8 +184,12 @@
         let _ = timeout(self.context.limits.parting, write).await;
     }
 
-    async fn tell(&self, id: LinkId, call: LinkCall) -> Result<(), Over> {
-        self.context.dispatcher.send(Call::Link(id, call)).await.map_err(|_| Over::Stopped)
+    async fn tell(&self, id: LinkId, call: LinkEvent) -> Result<(), Over> {
+        self.context
+            .dispatcher
+            .send(DispatcherMessage::Link(LinkMessage { link: id, event: call }))
+            .await
+            .map_err(|_| Over::Stopped)
     }
 }
 
--- a/crates/proxy/src/gateway/mod.rs
+++ b/crates/proxy/src/gateway/mod.rs
@@ -17,7 +17,7 @@
 pub use meeting::{accept, start};
 
 use crate::context::Context;
-use crate::messages::{Call, LinkId};
+use crate::messages::{DispatcherMessage, LinkId};
 use crate::status;
 use crate::system::Acceptor;
 
@@ -83,7 +83,7 @@
     loop {
         let mut stream = acceptor.next().await;
         let (sender, answer) = oneshot::channel();
-        if context.dispatcher.send(Call::Describe(sender)).await.is_err() {
+        if context.dispatcher.send(DispatcherMessage::DescribeSites(sender)).await.is_err() {
             return;
         }
         let Ok(text) = answer.await else { continue };
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -50,7 +50,7 @@
 use crate::gateway::Yard;
 use crate::keep::Folder;
 use crate::limits::Limits;
-use crate::messages::{Call, ListUpdate};
+use crate::messages::{DispatcherMessage, ListUpdate};
 use crate::reload::Reload;
 use crate::start::{Files, Start};
 use crate::watch::Watch;
@@ -341,7 +341,7 @@
     serving.await.map_err(|error| ProgramError::Ended(format!("the listener ({error})")))?;
     // What other sites sent has its answer, too, before the end.
     let (asked, done) = oneshot::channel();
-    if context.dispatcher.send(Call::Parted(asked)).await.is_ok() {
+    if context.dispatcher.send(DispatcherMessage::AwaitRemoteEnd(asked)).await.is_ok() {
         let _ = timeout(stop_guests, done).await;
     }
     info!(log, "stopped");
--- a/crates/proxy/src/member.rs
+++ b/crates/proxy/src/member.rs
@@ -20,7 +20,10 @@
 
 use crate::context::Context;
 use crate::gate::Room;
-use crate::messages::{Attempt, Call, Ended, Gave, MemberCommand, Rows};
+use crate::messages::{
+    Attempt, AttemptFinished, AttemptResponse, DispatcherMessage, HealthCheckFinished, MemberCommand,
+    ReplicaReports, Rows,
+};
 use connection::{Connection, Unopened, connect, settled};
 pub use life::LastHeard;
 use visit::{Departure, Visit};
@@ -149,7 +152,7 @@
                         let Attempt { handle, sent, until, .. } = attempt;
                         self.visit(Purpose::Request { handle, sent }, Some(attempt), until);
                     }
-                    Some(MemberCommand::Probe { sent, until }) => {
+                    Some(MemberCommand::HealthCheck { sent, until }) => {
                         self.visit(Purpose::Probe { sent }, None, until);
                     }
                     Some(MemberCommand::Renew(address)) => {
@@ -254,7 +257,11 @@
         self.purposes.insert(visit.id(), purpose);
     }
 
-    async fn ended(&mut self, purpose: Purpose, done: Done) -> Result<(), mpsc::error::SendError<Call>> {
+    async fn ended(
+        &mut self,
+        purpose: Purpose,
+        done: Done,
+    ) -> Result<(), mpsc::error::SendError<DispatcherMessage>> {
         let Done { mut verdict, exchange, room, crowded_out, age, connection, began, era, unopened } = done;
         if exchange.is_over() || crowded_out {
             self.heard = Instant::now();
@@ -304,18 +311,25 @@
         if exchange.role.as_deref() == Some(REPLICA) {
             self.replica_words.set(self.replica_words.get() + 1);
         }
-        let replica_words = self.replica_words.get();
-        let call = match purpose {
+        let replica_reports = ReplicaReports { member: self.id, count: self.replica_words.get() };
+        let message = match purpose {
             Purpose::Request { handle, sent, .. } => {
                 let report = self.report(&exchange, exchange.usage.as_deref(), age);
                 let took = self.context.lived.since(sent);
-                let gave = match verdict {
-                    Verdict::Served if crowded_out => Gave::MoreThanFits,
-                    Verdict::Served => Gave::Rows(Rows { pieces: exchange.rows, room }),
-                    _ => Gave::Nothing,
+                let response = match verdict {
+                    Verdict::Served if crowded_out => AttemptResponse::TooLarge,
+                    Verdict::Served => AttemptResponse::Rows(Rows { pieces: exchange.rows, room }),
+                    _ => AttemptResponse::None,
                 };
-                let replica_words = Some((self.id, replica_words));
-                Call::Ended(Ended { handle, verdict, sent, took, report, gave, replica_words })
+                DispatcherMessage::AttemptFinished(AttemptFinished {
+                    request: handle,
+                    verdict,
+                    decided_at: sent,
+                    elapsed: took,
+                    report,
+                    response,
+                    replica_reports: Some(replica_reports),
+                })
             }
             Purpose::Probe { sent } => {
                 if exchange.error.as_deref() == Some("57P03") {
@@ -323,10 +337,15 @@
                 }
                 let report = self.report(&exchange, std::str::from_utf8(exchange.value()).ok(), age);
                 let took = self.context.lived.since(sent);
-                Call::HealthChecked { member: self.id, verdict, took, report, replica_words }
+                DispatcherMessage::HealthCheckFinished(HealthCheckFinished {
+                    verdict,
+                    elapsed: took,
+                    report,
+                    replica_reports,
+                })
             }
         };
-        self.context.dispatcher.send(call).await
+        self.context.dispatcher.send(message).await
     }
 
     fn tell_local_failure(&mut self, why: Option<std::io::Error>) {
--- a/crates/proxy/src/member/connection.rs
+++ b/crates/proxy/src/member/connection.rs
@@ -11,7 +11,7 @@
 
 use crate::context::Context;
 use crate::limits::Limits;
-use crate::messages::Call;
+use crate::messages::DispatcherMessage;
 use crate::system::{self, BufferSizes, Meaning, Party, Peeked};
 
 pub(super) struct Connection {
@@ -134,7 +134,7 @@
     let permit = match context.member_room.clone().try_acquire_owned() {
         Ok(permit) => permit,
         Err(_) => {
-            let _ = context.dispatcher.send(Call::Crowded(id)).await;
+            let _ = context.dispatcher.send(DispatcherMessage::DescriptorsExhausted(id)).await;
             let _waits = Waits::start(&context.waiting_for_room);
             let room = timeout_at(until, context.member_room.clone().acquire_owned()).await;
             // That this process has no descriptor to spare is no word on the member.
--- a/crates/proxy/src/member/visit.rs
+++ b/crates/proxy/src/member/visit.rs
@@ -65,7 +65,7 @@
         };
         let left = self.until.saturating_duration_since(Instant::now());
         let wait = left.saturating_sub((left / 8).min(RESERVE)).as_millis().max(1);
-        Query::of(&attempt.order, &wait.to_string())
+        Query::of(&attempt.request, &wait.to_string())
     }
 }
 
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -1,4 +1,4 @@
-//! What actors say to each other; no actor is named here.
+//! What actors say to each other, one type a message. Imports no actor.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -19,96 +19,116 @@
 use crate::gate::Room;
 use crate::trial::Trial;
 
-/// A statement of a client, new for each.
+/// Names a statement of a client, new for each.
 pub type ClientId = u64;
 
-/// What clients and members tell the dispatcher.
-pub enum Call {
-    Take(Order),
-    Left(ClientId),
-    Ended(Ended),
-    HealthChecked {
-        member: MemberId,
-        verdict: Verdict,
-        took: Micros,
-        report: MemberReport,
-        replica_words: u64,
-    },
-    /// The settings that are on trial from now on.
-    Trial(Option<Box<Trial>>),
-    /// A link to another site's gateway came up, heard something, or broke.
-    Link(LinkId, LinkCall),
-    /// To be answered once nothing of other gateways is under way here.
-    Parted(oneshot::Sender<()>),
-    /// What is believed of sites and links, as JSON.
-    Describe(oneshot::Sender<String>),
-    /// By how many drivers room at members is shared, and at cold ones.
-    Fleet {
-        living: usize,
-        at_cold: usize,
-    },
-    /// What was seen since this was last asked, for the fleet.
-    Observations(oneshot::Sender<Seen>),
-    /// What the fleet decreed for this driver's zone, by group.
-    Lean(Vec<(u64, Lean)>),
-    /// What the fleet decided of sites that retire.
-    Bind(Vec<Plan>),
+/// Names one connection to another gateway.
+pub type LinkId = u64;
+
+/// What other actors tell the dispatcher.
+pub enum DispatcherMessage {
+    ClientRequest(ClientRequest),
+    ClientLeft(ClientLeft),
+    AttemptFinished(AttemptFinished),
+    HealthCheckFinished(HealthCheckFinished),
+    /// The settings that are on trial from now on, if any.
+    TrialReplaced(Option<Box<Trial>>),
+    Link(LinkMessage),
+    /// To be answered once no remote request is under way.
+    AwaitRemoteEnd(oneshot::Sender<()>),
+    /// To be answered with what is believed of sites and links, as JSON.
+    DescribeSites(oneshot::Sender<String>),
+    FleetSize(FleetSize),
+    /// To be answered with what was observed since this was last asked.
+    TakeObservations(oneshot::Sender<ObservationSummary>),
+    /// What was decided in common for this process's zone, by group.
+    ZoneDirectives(Vec<(u64, Lean)>),
+    /// What was decided in common of sites that drain.
+    SiteDrainPlans(Vec<Plan>),
     /// This member found no descriptor free for a connection.
-    Crowded(MemberId),
+    DescriptorsExhausted(MemberId),
 }
 
-/// What a driver saw of zones of late, over how long, and, by group, of its keys.
+/// A client no longer waits for its request.
+pub struct ClientLeft {
+    pub client: ClientId,
+}
+
+/// By how many processes the available capacity of members is shared.
+pub struct FleetSize {
+    /// Processes that share members which are warm.
+    pub living: usize,
+    /// Processes that share members which are warming up.
+    pub at_cold: usize,
+}
+
+/// What a process observed of late, for those who decide in common.
 #[derive(Default)]
-pub struct Seen {
+pub struct ObservationSummary {
+    /// The span that `rows` were observed over, in microseconds.
     pub over: Micros,
+    /// Ends of attempts, by group and zone.
     pub rows: Vec<Row>,
+    /// By group, an encoded summary of which keys cost what.
     pub keys: Vec<(u64, Vec<u8>)>,
-    /// Where there is a gateway.
-    pub site: Option<SiteSeen>,
+    /// Present where the process is a gateway.
+    pub site: Option<SiteObservations>,
 }
 
-/// What a gateway saw of its own site over that time, the round trips to others, and what it has of sites that retire.
+/// What a gateway observed of its own site, the round trips to others, and what it has of sites that drain.
 #[derive(Default)]
-pub struct SiteSeen {
+pub struct SiteObservations {
+    /// The own site's name.
     pub site: String,
+    /// The span that this was observed over, in microseconds.
     pub over: Micros,
+    /// Requests that ended with the router here.
     pub ended: u32,
+    /// Those served within their latency objective.
     pub in_time: u32,
     /// Those that would go elsewhere with their sessions.
     pub bound: u32,
-    pub trips: Vec<(String, Micros)>,
+    /// By the other site's name, in microseconds.
+    pub round_trips: Vec<(String, Micros)>,
+    /// What is still open of sites that drain.
     pub open: Opens,
 }
 
-/// One connection to another gateway.
-pub type LinkId = u64;
-
 /// What the actor of a link tells the dispatcher.
-pub enum LinkCall {
-    /// It stands, and the other side has greeted as one that it may be. Room for its values is asked for this peer.
+pub struct LinkMessage {
+    pub link: LinkId,
+    pub event: LinkEvent,
+}
+
+/// What happened to a link.
+pub enum LinkEvent {
+    /// It stands, and the other side has greeted as one that it may be.
     Up {
-        said: mpsc::Sender<Said>,
+        /// What is sent here goes over the link.
+        outbox: mpsc::Sender<Said>,
+        /// For whom buffer space for its values is asked.
         holder: Peer,
     },
     Heard(Event),
-    Broke,
+    Lost,
 }
 
-/// A client's statement with its comment, when it was whole.
-pub struct Order {
+/// A client's statement with its comment, once it was received whole.
+pub struct ClientRequest {
     pub client: ClientId,
-    /// For whom room is asked for what comes back.
+    /// For whom buffer space for its answer is asked.
     pub holder: Peer,
+    /// Where its answer goes.
     pub mailbox: mpsc::Sender<ClientMessage>,
     /// On the router's clock.
     pub arrived: Micros,
     pub statement: Vec<u8>,
     pub comment: Comment,
-    /// How long ago the session's last write was committed, where another gateway says so.
+    /// How long ago the session's last write was committed, in microseconds, where another gateway says so.
     pub written_ago: Option<Micros>,
 }
 
-impl Order {
+impl ClientRequest {
     /// How long before `now` the session's last write was committed; below zero where this process's clock is behind.
     /// The client's own word comes first: as long as both stand on one clock it is compared with positions as told.
     pub fn last_write(&self, now: Micros) -> Option<Micros> {
@@ -122,26 +142,42 @@
 }
 
 /// How an attempt ended.
-pub struct Ended {
-    pub handle: Handle,
+pub struct AttemptFinished {
+    pub request: Handle,
     pub verdict: Verdict,
     /// When the attempt was decided.
-    pub sent: Instant,
-    pub took: Micros,
+    pub decided_at: Instant,
+    /// Unstalled time since then, in microseconds.
+    pub elapsed: Micros,
+    pub report: MemberReport,
+    pub response: AttemptResponse,
+    /// `None` where the attempt never reached its member's actor.
+    pub replica_reports: Option<ReplicaReports>,
+}
+
+/// How a health check ended.
+pub struct HealthCheckFinished {
+    pub verdict: Verdict,
+    /// Unstalled time since it was decided, in microseconds.
+    pub elapsed: Micros,
     pub report: MemberReport,
-    /// What the member gave.
-    pub gave: Gave,
-    /// The member, and how often it has said that it is a replica, this answer included.
-    pub replica_words: Option<(MemberId, u64)>,
+    pub replica_reports: ReplicaReports,
+}
+
+/// How often a member has said that it is a replica, the answer at hand included.
+#[derive(Clone, Copy)]
+pub struct ReplicaReports {
+    pub member: MemberId,
+    pub count: u64,
 }
 
 /// What an attempt brought.
-pub enum Gave {
-    Nothing,
+pub enum AttemptResponse {
+    None,
     /// Where it was served: the messages that carry the value.
     Rows(Rows),
-    /// It began an answer that nobody has room for, on the client's side: no fault of the member's.
-    MoreThanFits,
+    /// It began an answer that nobody has buffer space for, on the client's side: no fault of the member's.
+    TooLarge,
 }
 
 /// The messages that carry a value, and the room reserved for them where they are large.
@@ -171,7 +207,7 @@
 /// What the dispatcher asks of a member's actor.
 pub enum MemberCommand {
     Send(Attempt),
-    Probe {
+    HealthCheck {
         sent: Instant,
         until: Instant,
     },
@@ -185,8 +221,8 @@
 
 pub struct Attempt {
     pub handle: Handle,
-    /// Worded when it leaves: what it tells the member is the time that the client has left then.
-    pub order: Rc<Order>,
+    /// Its statement is written when it leaves: it tells the member the time that the client has left then.
+    pub request: Rc<ClientRequest>,
     pub withdrawal: Withdrawal,
     /// For whom room is asked for the answer, and whether the request is of the best paid.
     pub holder: (Peer, bool),
@@ -224,20 +260,20 @@
 /// Statements up to this size go out in one piece.
 const SMALL: usize = 8 * 1024;
 
-/// A statement as it goes to a member. A large one is held once, by its order.
+/// A statement as it goes to a member. A large one is held once, by its request.
 pub enum Query {
     Whole(Vec<u8>),
     Split {
-        /// All up to where the order's own bytes go on.
+        /// All up to where the request's own bytes go on.
         front: Vec<u8>,
-        order: Rc<Order>,
+        request: Rc<ClientRequest>,
     },
 }
 
 impl Query {
-    /// The client's statement with another wait.
-    pub fn of(order: &Rc<Order>, wait: &str) -> Query {
-        let Order { statement, comment, .. } = &**order;
+    /// The client's statement with another timeout, `wait`, in milliseconds.
+    pub fn of(request: &Rc<ClientRequest>, wait: &str) -> Query {
+        let ClientRequest { statement, comment, .. } = &**request;
         let (before, after) = (&statement[..comment.wait_at.start], &statement[comment.wait_at.end..]);
         if statement.len() <= SMALL {
             let mut query = Vec::with_capacity(statement.len() + 16);
@@ -246,14 +282,16 @@
         }
         let mut front = Vec::with_capacity(before.len() + 16);
         pg::query_front(&mut front, &[before, wait.as_bytes()].concat(), after.len() + 1);
-        Query::Split { front, order: order.clone() }
+        Query::Split { front, request: request.clone() }
     }
 
     /// Its bytes, in their order; the closing zero of a large one stands by itself.
     pub fn pieces(&self) -> [&[u8]; 3] {
         match self {
             Query::Whole(query) => [query, &[], &[]],
-            Query::Split { front, order } => [front, &order.statement[order.comment.wait_at.end..], &[0]],
+            Query::Split { front, request } => {
+                [front, &request.statement[request.comment.wait_at.end..], &[0]]
+            }
         }
     }
 }
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::gate::Gate;
-use crate::messages::Call;
+use crate::messages::DispatcherMessage;
 use crate::start::{Files, Fixed, Start};
 
 pub struct Reload {
@@ -17,7 +17,7 @@
     pub fixed: Fixed,
     pub discovery: watch::Sender<SocketAddr>,
     pub gate: Rc<Gate>,
-    pub dispatcher: mpsc::Sender<Call>,
+    pub dispatcher: mpsc::Sender<DispatcherMessage>,
     /// What drivers decide in common, as the operator's file has it now.
     pub council: watch::Sender<Option<Council>>,
     pub log: Logger,
@@ -43,7 +43,7 @@
             self.fixed = start.fixed;
             self.gate.rebound(start.bounds);
             // A dispatcher that is gone ends the program by itself.
-            let _ = self.dispatcher.send(Call::Trial(start.trial.map(Box::new))).await;
+            let _ = self.dispatcher.send(DispatcherMessage::TrialReplaced(start.trial.map(Box::new))).await;
             self.council.send_replace(start.council);
             let moved = self
                 .discovery
