--- a/crates/proxy/src/dispatcher/members_clock.rs
+++ b/crates/proxy/src/dispatcher/members_clock.rs
@@ -7,7 +7,7 @@
 use super::Dispatcher;
 
 /// A smaller change is not worth telling the router.
-const CHANGE: Micros = 20_000;
+const MIN_CHANGE: Micros = 20_000;
 
 impl Dispatcher {
     /// Whether the request is a write that takes effect anew each time: its commit is never one from before.
@@ -18,7 +18,7 @@
         class.is_some_and(|class| class.effect == Effect::Effectful && class.need == Need::Write)
     }
 
-    /// Takes in the position of an answer, which is the commit of a write that was sent at `written`, as word of the
+    /// Takes in the position of an answer, which is the commit of a write that was sent at `written`, as a reading of the
     /// members' clock. One that is still ahead of that clock proves nothing, as nothing is applied before it was
     /// committed: it is left out.
     pub(super) fn observe_clock(
@@ -35,7 +35,7 @@
             self.clock_offset.committed(member, position, clock.at(sent));
         }
         let offset = self.clock_offset.ahead();
-        if (offset - self.reported_offset).abs() > CHANGE {
+        if (offset - self.reported_offset).abs() > MIN_CHANGE {
             warn!(self.context.log, "the wall clock at the start differs from the members'"; "ms" => offset / 1000);
             self.report_offset(offset);
         }
@@ -43,6 +43,7 @@
         report.position = Some(position).filter(|&position| position <= believable);
     }
 
+    /// Tells the router, and dates the members' starts anew.
     fn report_offset(&mut self, offset: Micros) {
         self.reported_offset = offset;
         let mut starts = Vec::new();
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -1,46 +1,50 @@
-//! What this driver lets the fleet know of what it sees, and what the fleet decreed of zones. Where nothing is decided in
+//! What this process observes for those who decide in common, and what they decided of zones. Where nothing is decided in
 //! common there is no `Observations`, and nothing is counted.
 
 use std::collections::{BTreeMap, HashMap};
 
 use aldermill_routing::{Handle, Micros, Need, Verdict};
 use aldermill_settings::Decoded;
-use aldermill_split_points::Sketch;
+use aldermill_split_points::{Sketch, frame};
 use aldermill_wire::statement::quoted;
 use aldermill_zone_failover::{End, Lean, Tally};
 use tokio::sync::oneshot;
 
 use super::Dispatcher;
 use super::endpoints::MemberEntry;
-use crate::messages::{ClientRequest, ObservationSummary};
+use crate::messages::{ClientRequest, ObservationSummary, SiteObservations};
 
-/// Groups of whose keys something is kept.
-const GROUPS: usize = 64;
+/// Groups of whose keys a summary is kept, at most.
+const MAX_GROUPS: usize = 64;
 
-/// An attempt that is out: where, its request class's latency objective, whether it writes, and its key.
+/// An attempt in flight.
 struct AttemptInFlight {
     group: u64,
     zone: usize,
+    /// Its request class's latency objective, in microseconds.
     objective: Micros,
     write: bool,
+    /// Empty where no keys are observed.
     key: Vec<u8>,
 }
 
+/// Ends of attempts by group and zone, and which keys cost what.
 pub struct Observations {
     tally: Tally,
     in_flight: HashMap<Handle, AttemptInFlight>,
-    /// By group, which keys cost what; nothing where nobody asks for that.
+    /// By group; `None` where nobody asks for that.
     keys: Option<BTreeMap<u64, Sketch>>,
     seed: u64,
 }
 
 impl Observations {
-    /// `splits` says whether the fleet decides where key ranges are cut.
+    /// `splits` says whether split points are decided in common.
     pub fn start(now: Micros, seed: u64, splits: bool) -> Observations {
         let keys = splits.then(BTreeMap::new);
         Observations { tally: Tally::start(now), in_flight: HashMap::new(), keys, seed }
     }
 
+    /// An attempt is about to be sent to this member.
     pub(super) fn attempted(
         &mut self,
         handle: Handle,
@@ -51,84 +55,106 @@
         let Ok(class) = decoded.class(&request.comment.class) else { return };
         let class = &decoded.terms.classes[class];
         let Some(member) = member else { return };
-        let key = self.keys.as_ref().and_then(|_| quoted(&request.statement[request.comment.end..]));
-        let key = key.unwrap_or_default().into_bytes();
-        let (objective, write) = (class.objective, class.need == Need::Write);
-        self.in_flight.insert(
-            handle,
-            AttemptInFlight { group: member.group, zone: member.zone, objective, write, key },
-        );
+        let attempt = AttemptInFlight {
+            group: member.group,
+            zone: member.zone,
+            objective: class.objective,
+            write: class.need == Need::Write,
+            key: self.key(request),
+        };
+        self.in_flight.insert(handle, attempt);
     }
 
-    fn ended(&mut self, now: Micros, handle: Handle, verdict: Verdict, took: Micros) {
-        let Some(AttemptInFlight { group, zone, objective, write, key }) = self.in_flight.remove(&handle)
-        else {
-            return;
-        };
-        if let Some(keys) = &mut self.keys
-            && verdict == Verdict::Served
-            && !key.is_empty()
-            && (keys.len() < GROUPS || keys.contains_key(&group))
-        {
-            // What an access costs: the time that the member took, in milliseconds.
-            let seed = self.seed ^ group;
-            let sketch = keys.entry(group).or_insert_with(|| Sketch::start(now, seed));
-            sketch.access(now, &key, write, took as f64 / 1000.0);
+    fn key(&self, request: &ClientRequest) -> Vec<u8> {
+        if self.keys.is_none() {
+            return Vec::new();
+        }
+        quoted(&request.statement[request.comment.end..]).unwrap_or_default().into_bytes()
+    }
+
+    fn ended(&mut self, now: Micros, handle: Handle, verdict: Verdict, elapsed: Micros) {
+        let Some(attempt) = self.in_flight.remove(&handle) else { return };
+        if verdict == Verdict::Served {
+            self.count_key(now, &attempt, elapsed);
         }
         // Writes go wherever the primary is, and say nothing of zones.
-        if write {
+        if attempt.write {
             return;
         }
-        let end = match verdict {
-            Verdict::Served => End::Served { in_time: took <= objective },
-            Verdict::Overloaded => End::Refused,
-            Verdict::Error | Verdict::Malformed => End::Error,
-            Verdict::TimedOut
-            | Verdict::Unconnected
-            | Verdict::Unreachable
-            | Verdict::Reset
-            | Verdict::ConnectionLost => End::Silent,
-            // Nothing was seen of the member.
-            Verdict::Cancelled
-            | Verdict::Unobserved
-            | Verdict::LocalFailure
-            | Verdict::NotSent
-            | Verdict::NotPrimary => {
-                return;
-            }
-        };
-        self.tally.ended(group, zone, end, took);
+        if let Some(end) = end_of_read(verdict, elapsed, attempt.objective) {
+            self.tally.ended(attempt.group, attempt.zone, end, elapsed);
+        }
+    }
+
+    /// Counts a served access to a key. It costs the time that the member took.
+    fn count_key(&mut self, now: Micros, attempt: &AttemptInFlight, elapsed: Micros) {
+        let Some(keys) = &mut self.keys else { return };
+        let group = attempt.group;
+        let has_room = keys.len() < MAX_GROUPS || keys.contains_key(&group);
+        if attempt.key.is_empty() || !has_room {
+            return;
+        }
+        let seed = self.seed ^ group;
+        let sketch = keys.entry(group).or_insert_with(|| Sketch::start(now, seed));
+        let cost_ms = elapsed as f64 / 1000.0;
+        sketch.access(now, &attempt.key, attempt.write, cost_ms);
+    }
+
+    fn summary(&mut self, now: Micros, site: Option<SiteObservations>) -> ObservationSummary {
+        let (over, rows) = self.tally.take(now);
+        let encoded = |(&group, sketch): (&u64, &mut Sketch)| (group, frame::encode(sketch, now));
+        let keys = self.keys.iter_mut().flatten().map(encoded).collect();
+        ObservationSummary { over, rows, keys, site }
+    }
+}
+
+/// What the end of a read says of its zone; `None` where nothing was seen of the member.
+fn end_of_read(verdict: Verdict, elapsed: Micros, objective: Micros) -> Option<End> {
+    match verdict {
+        Verdict::Served => Some(End::Served { in_time: elapsed <= objective }),
+        Verdict::Overloaded => Some(End::Refused),
+        Verdict::Error | Verdict::Malformed => Some(End::Error),
+        Verdict::TimedOut
+        | Verdict::Unconnected
+        | Verdict::Unreachable
+        | Verdict::Reset
+        | Verdict::ConnectionLost => Some(End::Silent),
+        Verdict::Cancelled
+        | Verdict::Unobserved
+        | Verdict::LocalFailure
+        | Verdict::NotSent
+        | Verdict::NotPrimary => None,
     }
 }
 
 impl Dispatcher {
-    pub(super) fn observe_end(&mut self, handle: Handle, verdict: Verdict, took: Micros) {
+    /// An attempt ended, for the observations if there are any.
+    pub(super) fn observe_end(&mut self, handle: Handle, verdict: Verdict, elapsed: Micros) {
         if let Some(observations) = &mut self.observations {
-            observations.ended(self.context.clock.now(), handle, verdict, took);
+            observations.ended(self.context.clock.now(), handle, verdict, elapsed);
         }
     }
 
-    pub(super) fn report_observations(&mut self, asked: oneshot::Sender<ObservationSummary>) {
+    /// Answers with what was observed since this was last asked. Without observations, `reply` is dropped.
+    pub(super) fn report_observations(&mut self, reply: oneshot::Sender<ObservationSummary>) {
         let now = self.context.clock.now();
-        if let Some(observations) = &mut self.observations {
-            let (over, rows) = observations.tally.take(now);
-            let summary = |(&group, sketch): (&u64, &mut Sketch)| {
-                (group, aldermill_split_points::frame::encode(sketch, now))
-            };
-            let keys = observations.keys.iter_mut().flatten().map(summary).collect();
-            let site = self.gateway_part.as_mut().map(|gateway_part| gateway_part.take_observations(now));
-            let _ = asked.send(ObservationSummary { over, rows, keys, site });
-        }
+        let Some(observations) = &mut self.observations else { return };
+        let gateway_part = self.gateway_part.as_mut();
+        let site = gateway_part.map(|gateway_part| gateway_part.take_observations(now));
+        let _ = reply.send(observations.summary(now, site));
     }
 
-    /// What the fleet decreed for this driver's own zone, by group; a group that is not named has nothing to obey.
+    /// What was decided for this process's zone, by group; a group that is not named has nothing to obey.
     pub(super) fn zone_directives(&mut self, leans: &[(u64, Lean)]) {
-        let shares = |lean: &Lean| {
-            let part = |thousandths: u16| f64::from(thousandths) / 1000.0;
-            let to = lean.to.iter().map(|&(zone, share)| (zone, part(share))).collect();
-            (part(lean.away), to)
-        };
-        let leans = leans.iter().map(|(group, lean)| (*group, shares(lean))).collect();
-        self.router.lean(leans);
+        let mut shares = Vec::new();
+        for (group, lean) in leans {
+            let to = lean.to.iter().map(|&(zone, share)| (zone, fraction(share))).collect();
+            shares.push((*group, (fraction(lean.away), to)));
+        }
+        self.router.lean(shares.into_iter().collect());
     }
 }
+
+fn fraction(thousandths: u16) -> f64 {
+    f64::from(thousandths) / 1000.0
+}
--- a/crates/proxy/src/dispatcher/outcome_log.rs
+++ b/crates/proxy/src/dispatcher/outcome_log.rs
@@ -12,9 +12,12 @@
 
 use crate::keep::Folder;
 
-/// How long a guest's request, and an outcome, wait for the disk before they go on without it.
-const PATIENCE: Micros = 250_000;
-const WAITING: usize = 512;
+/// How long a remote request, and an outcome, wait for the disk before they go on without it.
+const LONGEST_WAIT: Micros = 250_000;
+/// How long a promise is kept after it has run out.
+const PROMISE_KEPT: Micros = 3_600_000_000;
+/// Records that may wait for the disk.
+const MAX_WAITING: usize = 512;
 
 /// Something that waits until its record is on the disk.
 pub type Token = u64;
@@ -28,7 +31,7 @@
     Over,
 }
 
-/// What becomes of a taking.
+/// How a remote request goes on once it was taken.
 pub enum Taking {
     /// Goes on when its record is there.
     Waits(Token),
@@ -38,6 +41,7 @@
     Refused,
 }
 
+/// Records of remote requests, and the promise that none goes on without its record.
 pub struct OutcomeLog {
     folder: Rc<Folder>,
     start: u64,
@@ -54,7 +58,7 @@
 impl OutcomeLog {
     /// What earlier starts kept is read from the folder, once that can be done; `told` hears of each write, in their order.
     pub fn open(folder: Rc<Folder>, start: u64, now: Micros, told: mpsc::Sender<bool>) -> OutcomeLog {
-        let (keeping, promise) = (Keeping::start(PATIENCE, WAITING), Promise::default());
+        let (keeping, promise) = (Keeping::start(LONGEST_WAIT, MAX_WAITING), Promise::default());
         let waiting = VecDeque::new();
         let mut outcome_log =
             OutcomeLog { folder, start, keeping, promise, earlier: None, next: 0, waiting, told };
@@ -71,23 +75,14 @@
         let mut earlier = Earlier::default();
         for (space, key, value) in records {
             match *space {
-                space::BOOK => {
-                    if let Some((own, origin, number)) = read_key(key) {
-                        earlier.record(own, origin, number, read_value(value).map(Rc::new));
-                    }
-                }
-                space::PROMISES => {
-                    let word = |bytes: &[u8]| bytes.try_into().ok().map(i64::from_be_bytes);
-                    if let (Some(own), Some(until)) = (word(key), word(value)) {
-                        earlier.promised(now, own as u64, until);
-                    }
-                }
+                space::BOOK => read_record(&mut earlier, key, value),
+                space::PROMISES => read_promise(&mut earlier, now, key, value),
                 _ => {}
             }
         }
         self.earlier = Some(earlier);
         // What failed before the folder was there says nothing of it now.
-        self.keeping = Keeping::start(PATIENCE, WAITING);
+        self.keeping = Keeping::start(LONGEST_WAIT, MAX_WAITING);
     }
 
     /// What became of a request that an earlier start may have taken. Nothing is known of it while the folder
@@ -109,7 +104,7 @@
             && let Some(until) = self.promise.renew(now)
         {
             let mut batch = Batch::default();
-            let over = until.saturating_add(3_600_000_000);
+            let over = until.saturating_add(PROMISE_KEPT);
             batch.put(space::PROMISES, &self.start.to_be_bytes(), &until.to_be_bytes(), Some(over));
             if !self.hand_over(now, batch, Wait::Promise) {
                 self.promise.settled();
@@ -117,6 +112,7 @@
         }
     }
 
+    /// Records that a remote request was taken. `until` is when nobody asks about it any more.
     pub fn take(&mut self, now: Micros, origin: &Origin, number: u64, until: Micros) -> Taking {
         match self.settle(now, origin, number, until, &Fate::UnderWay) {
             Some(token) => Taking::Waits(token),
@@ -188,6 +184,7 @@
         tokens
     }
 
+    /// When waiting records have waited too long, on the router's clock.
     pub fn due(&self) -> Option<Micros> {
         self.keeping.due()
     }
@@ -197,3 +194,17 @@
         matches!(self.keeping.state(), State::Without { .. })
     }
 }
+
+fn read_record(earlier: &mut Earlier<Rc<Vec<u8>>>, key: &[u8], value: &[u8]) {
+    if let Some((start, origin, number)) = read_key(key) {
+        earlier.record(start, origin, number, read_value(value).map(Rc::new));
+    }
+}
+
+/// A promise: the start that gave it, and until when it holds.
+fn read_promise(earlier: &mut Earlier<Rc<Vec<u8>>>, now: Micros, key: &[u8], value: &[u8]) {
+    let number = |bytes: &[u8]| bytes.try_into().ok().map(i64::from_be_bytes);
+    if let (Some(start), Some(until)) = (number(key), number(value)) {
+        earlier.promised(now, start as u64, until);
+    }
+}
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -180,7 +180,7 @@
     TooLarge,
 }
 
-/// The messages that carry a value, and the room reserved for them where they are large.
+/// The messages that carry a value, and the buffer space reserved for them where they are large.
 #[derive(Default)]
 pub struct Rows {
     pub pieces: Vec<Vec<u8>>,
@@ -194,9 +194,11 @@
     Yield,
 }
 
+/// The one answer of a request.
 pub enum Answer {
     Served(Rows),
     Rejected {
+        /// The retry-after, in microseconds.
         cool_down: Micros,
     },
     Failed,
@@ -219,14 +221,17 @@
     CloseIdle,
 }
 
+/// An attempt for a member's actor to send.
 pub struct Attempt {
     pub handle: Handle,
     /// Its statement is written when it leaves: it tells the member the time that the client has left then.
     pub request: Rc<ClientRequest>,
     pub withdrawal: Withdrawal,
-    /// For whom room is asked for the answer, and whether the request is of the best paid.
+    /// For whom buffer space for the answer is asked, and whether the request's class is the best paid.
     pub holder: (Peer, bool),
+    /// When it was decided.
     pub sent: Instant,
+    /// When it times out.
     pub until: Instant,
     /// On a new connection, the idle ones being closed.
     pub afresh: bool,
@@ -236,7 +241,7 @@
     pub replica_words: u64,
 }
 
-/// Set once nobody waits for a request any more: a first or further attempt that has not left by then is not to
+/// Set once nobody waits for a request any more: a first attempt or a retry that has not left by then is not to
 /// leave, whatever it waits for.
 #[derive(Clone, Default)]
 pub struct Withdrawal(Rc<Cell<bool>>);
@@ -251,13 +256,13 @@
     }
 }
 
-/// What the list's actor tells the dispatcher.
+/// What the discovery watch tells the dispatcher.
 pub enum ListUpdate {
     List(Catalog),
     Unavailable,
 }
 
-/// Statements up to this size go out in one piece.
+/// Statements up to this size, in bytes, go out in one piece.
 const SMALL: usize = 8 * 1024;
 
 /// A statement as it goes to a member. A large one is held once, by its request.
