--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use aldermill_routing::{Handle, Micros, Need, Verdict};
+use aldermill_routing::{Handle, Micros, Need, ReadShift, Verdict};
 use aldermill_settings::Decoded;
 use aldermill_split_points::{Sketch, frame};
 use aldermill_wire::statement::quoted;
@@ -146,12 +146,15 @@
 
     /// What was decided for this process's zone, by group; a group that is not named has nothing to obey.
     pub(super) fn zone_directives(&mut self, leans: &[(u64, Lean)]) {
-        let mut shares = Vec::new();
-        for (group, lean) in leans {
-            let to = lean.to.iter().map(|&(zone, share)| (zone, fraction(share))).collect();
-            shares.push((*group, (fraction(lean.away), to)));
-        }
-        self.router.lean(shares.into_iter().collect());
+        let shifts = leans.iter().map(|(group, lean)| (*group, read_shift(lean))).collect();
+        self.router.shift_reads(&shifts);
+    }
+}
+
+fn read_shift(lean: &Lean) -> ReadShift {
+    ReadShift {
+        away: fraction(lean.away),
+        to_zones: lean.to.iter().map(|&(zone, share)| (zone, fraction(share))).collect(),
     }
 }
 
--- /dev/null
+++ b/crates/routing/src/policy/endpoint_list.rs
@@ -0,0 +1,143 @@
+//! The endpoint list: members that come, change, drain and go.
+
+use std::collections::HashSet;
+
+use rand::Rng;
+
+use super::MS;
+use super::blacklist::FAILURE_WINDOW;
+use super::concurrency_limit::{MOST, START};
+use super::health_checks::HEALTH_CHECK_NEEDED;
+use crate::state::{Member, Router};
+use crate::{Actions, Listed, ListedRoles, MemberId, Micros, Standing};
+
+/// A primary reported longer ago than that is overruled by a list whose roles follow changes late.
+const LISTED_ROLES_LAG: Micros = 1_000 * MS;
+/// The longest backoff between two subscriptions to the list.
+const LONGEST_ASK_WAIT: Micros = 8_000 * MS;
+
+impl Router {
+    /// Takes in an endpoint list, or with `full` unset an update of one: members that it does not name are
+    /// gone only where it is full.
+    pub fn list(&mut self, now: Micros, full: bool, lines: Vec<Listed>) -> Actions {
+        // The list held at the start is no answer to a call.
+        self.ask_at = if self.members.is_empty() { self.ask_at } else { Micros::MAX };
+        let listed: HashSet<&str> = lines.iter().map(|line| line.name.as_str()).collect();
+        for id in 0..self.members.len() {
+            if full && !listed.contains(self.members[id].name.as_str()) {
+                self.stand(now, id, Standing::Gone);
+            }
+        }
+        if self.members.is_empty() {
+            self.mean_size = lines.iter().map(|line| line.size).sum::<f64>() / lines.len().max(1) as f64;
+        }
+        let slots = lines.iter().map(|line| line.member + 1).max().unwrap_or(0);
+        self.members.resize_with(slots.max(self.members.len()), Member::default);
+        for line in lines {
+            self.list_line(now, line);
+        }
+        self.pump_all(now);
+        self.take_actions()
+    }
+
+    /// Takes in one line: a new member, or what changed of a known one.
+    fn list_line(&mut self, now: Micros, line: Listed) {
+        let group = self.group(line.group);
+        let slow_start_credit = self.first_credit() + f64::from(line.since.is_none());
+        let id = line.member;
+        let known = self.members[id].group == group && self.members[id].name == line.name;
+        if !known {
+            self.add_member(now, group, &line);
+        }
+        let member = &mut self.members[id];
+        if !known || member.since != line.since && line.standing == Standing::Ready {
+            member.blacklisted_until = member.blacklisted_until.min(now);
+            member.seen_primary = false;
+            member.since = line.since;
+            member.credit = slow_start_credit;
+            member.credited = now;
+        }
+        self.stand(now, id, line.standing);
+        if !known && !self.sparse() && !self.keeps_to_some() {
+            // A health check for each member and one in reserve.
+            self.allowance += 2.0;
+            self.health_check(now, id, HEALTH_CHECK_NEEDED);
+        }
+        if line.primary && line.standing == Standing::Ready {
+            self.learn_listed_primary(now, group, id);
+        }
+    }
+
+    fn add_member(&mut self, now: Micros, group: usize, line: &Listed) {
+        let drivers = self.terms.drivers as f64;
+        let size = line.size / self.mean_size;
+        let window = if self.sparse() { MOST / drivers * size } else { (START / drivers).max(1.0) };
+        self.members[line.member] = Member {
+            name: line.name.clone(),
+            group,
+            zone: line.zone,
+            size,
+            window,
+            position: Micros::MIN,
+            not_primary: Micros::MIN,
+            heard: now,
+            answered: now,
+            ..Member::default()
+        };
+        self.enter(group, line.member);
+    }
+
+    /// The list says that the member is its group's primary, which is believed as far as the list is.
+    fn learn_listed_primary(&mut self, now: Micros, group: usize, id: MemberId) {
+        let group = &mut self.groups[group];
+        if group.listed == Some(id) {
+            return;
+        }
+        let first = group.listed.replace(id).is_none();
+        let trusted = match self.terms.listed_roles {
+            ListedRoles::Late => first || now - group.primary_reported_at > LISTED_ROLES_LAG,
+            ListedRoles::AtStart => first && group.primary.is_none(),
+            ListedRoles::Never => false,
+        };
+        if trusted {
+            group.primary = Some(id);
+        }
+    }
+
+    /// Sets whether a member is ready, draining or gone; a primary that is not ready is no longer believed.
+    pub(super) fn stand(&mut self, now: Micros, id: MemberId, standing: Standing) {
+        self.members[id].standing = standing;
+        self.members[id].seen_primary &= standing == Standing::Ready;
+        let hold = self.hold();
+        let group = &mut self.groups[self.members[id].group];
+        if standing != Standing::Ready && group.primary == Some(id) {
+            // All routers are notified at once, but their searches are not to begin at once.
+            group.primary = None;
+            group.walk_after = now + self.rng.random_range(0..hold);
+            group.search.since = now;
+        }
+    }
+
+    /// Forgets a member that is gone, once nothing of it is in flight and it was not heard for long, and says
+    /// whether it did: its index may then be given out anew, and one that comes back is another member.
+    pub fn forget(&mut self, now: Micros, id: MemberId) -> bool {
+        let member = &self.members[id];
+        let quiet = member.out.is_empty() && !member.health_check_out && now - member.heard > FAILURE_WINDOW;
+        let forgotten = member.standing == Standing::Gone && quiet;
+        if forgotten {
+            let group = &mut self.groups[member.group];
+            group.members.retain(|&member| member != id);
+            group.preferred.retain(|&member| member != id);
+            group.listed = group.listed.filter(|&listed| listed != id);
+            self.members[id] = Member::default();
+        }
+        forgotten
+    }
+
+    /// Discovery did not answer: the list is asked for again after a backoff.
+    pub fn list_unavailable(&mut self, now: Micros) -> Actions {
+        self.ask_wait = (self.ask_wait * 2).min(LONGEST_ASK_WAIT);
+        self.ask_at = now + self.rng.random_range(self.ask_wait / 2..self.ask_wait);
+        self.take_actions()
+    }
+}
