--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -48,9 +48,9 @@
 }
 
 impl MemberEntry {
-    /// Its last start on the router's clock, by the list, where zero is long ago. It lies neither in the future nor before
-    /// its former incarnation was last heard, whatever the wall clock was when this process started. `offset` is what
-    /// the members' clock is ahead.
+    /// Its last start on the router's clock, by the list, where zero is long ago. It lies neither in the future nor
+    /// before its former incarnation was last heard, whatever the wall clock was when this process started. `offset`
+    /// is what the members' clock is ahead, in microseconds.
     pub(super) fn started(&self, offset: Micros) -> Option<Micros> {
         let told = (self.up_since_ms > 0.0).then_some((self.up_since_ms * 1000.0) as Micros)?;
         let StartBounds { former_heard, first_told } = self.started_within;
--- a/crates/proxy/src/dispatcher/gateway/site_actions.rs
+++ b/crates/proxy/src/dispatcher/gateway/site_actions.rs
@@ -17,7 +17,8 @@
 }
 
 impl Dispatcher {
-    /// Carries out the site router's actions, in their order. `received` is passed on where a request is served with it.
+    /// Carries out the site router's actions, in their order. `received` is passed on where a request is served
+    /// with it.
     pub(in crate::dispatcher) fn carry_out_sites(
         &mut self,
         actions: Actions,
--- a/crates/proxy/src/dispatcher/members_clock.rs
+++ b/crates/proxy/src/dispatcher/members_clock.rs
@@ -18,8 +18,8 @@
         class.is_some_and(|class| class.effect == Effect::Effectful && class.need == Need::Write)
     }
 
-    /// Takes in the position of an answer, which is the commit of a write that was sent at `written`, as a reading of the
-    /// members' clock. One that is still ahead of that clock proves nothing, as nothing is applied before it was
+    /// Takes in the position of an answer, which is the commit of a write that was sent at `written`, as a reading of
+    /// the members' clock. One that is still ahead of that clock proves nothing, as nothing is applied before it was
     /// committed: it is left out.
     pub(super) fn observe_clock(
         &mut self,
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -1,5 +1,6 @@
-//! What this process observes for those who decide in common, and what they decided of zones. Where nothing is decided in
-//! common there is no `Observations`, and nothing is counted.
+//! What this process observes for those who decide in common, and what they decided of zones.
+//!
+//! Where nothing is decided in common there is no `Observations`, and nothing is counted.
 
 use std::collections::{BTreeMap, HashMap};
 
--- a/crates/proxy/src/dispatcher/outcome_log.rs
+++ b/crates/proxy/src/dispatcher/outcome_log.rs
@@ -56,7 +56,8 @@
 }
 
 impl OutcomeLog {
-    /// What earlier starts kept is read from the folder, once that can be done; `told` hears of each write, in their order.
+    /// What earlier starts kept is read from the folder, once that can be done; `told` hears of each write, in
+    /// their order.
     pub fn open(folder: Rc<Folder>, start: u64, now: Micros, told: mpsc::Sender<bool>) -> OutcomeLog {
         let (keeping, promise) = (Keeping::start(LONGEST_WAIT, MAX_WAITING), Promise::default());
         let waiting = VecDeque::new();
