--- a/crates/proxy/src/coordination/lease_work.rs
+++ b/crates/proxy/src/coordination/lease_work.rs
@@ -11,7 +11,7 @@
 
 use super::records::Record;
 use super::{CallTime, Coordination, site_drain, split_points, zone_failover};
-use crate::messages::Seen;
+use crate::messages::ObservationSummary;
 
 /// What is decided on one subject under a lease.
 pub(super) struct Decision {
@@ -139,7 +139,7 @@
     }
 
     /// What this proxy's dispatcher observed, to be reported.
-    pub fn observed(&mut self, seen: Seen) {
+    pub fn observed(&mut self, seen: ObservationSummary) {
         if let Some((topic, body)) = self.site_drain.as_mut().map(|work| work.report(&seen)) {
             self.reporter.put(topic, body);
         }
--- a/crates/proxy/src/coordination/site_drain.rs
+++ b/crates/proxy/src/coordination/site_drain.rs
@@ -11,7 +11,7 @@
 use slog::{Logger, info};
 
 use super::lease_work::{Decision, DecisionInputs};
-use crate::messages::Seen;
+use crate::messages::ObservationSummary;
 
 /// The lease's name.
 pub const LEASE: &str = "retire";
@@ -158,7 +158,7 @@
     }
 
     /// What is to be reported of what was observed.
-    pub fn report(&mut self, seen: &Seen) -> (Topic, Vec<u8>) {
+    pub fn report(&mut self, seen: &ObservationSummary) -> (Topic, Vec<u8>) {
         let mut told = Told { words: self.orders.clone(), ..Told::default() };
         told.keeps = self.kept_plans(seen);
         if let Some(seen) = &seen.site {
@@ -168,7 +168,7 @@
             told.ended = seen.ended;
             told.in_time = seen.in_time;
             told.bound = seen.bound;
-            for (site, trip) in &seen.trips {
+            for (site, trip) in &seen.round_trips {
                 let millis = (trip / 1000).clamp(0, 60_000) as u32;
                 let shortest = told.trips.entry(site.clone()).or_insert(millis);
                 *shortest = millis.min(*shortest);
@@ -179,7 +179,7 @@
 
     /// The plans that this proxy obeys, by site. What the dispatcher does not act by yet is left out, and what a restart
     /// could forget.
-    fn kept_plans(&self, seen: &Seen) -> BTreeMap<String, Keeps> {
+    fn kept_plans(&self, seen: &ObservationSummary) -> BTreeMap<String, Keeps> {
         let mut kept = BTreeMap::new();
         let open = seen.site.as_ref().map(|site| &site.open);
         for plan in self.obeyed.plans() {
--- a/crates/proxy/src/coordination/split_points.rs
+++ b/crates/proxy/src/coordination/split_points.rs
@@ -9,7 +9,7 @@
 use slog::{Logger, info};
 
 use super::lease_work::{Decision, DecisionInputs, WhileHeld};
-use crate::messages::Seen;
+use crate::messages::ObservationSummary;
 
 /// The lease's name.
 pub const LEASE: &str = "splits";
@@ -136,7 +136,7 @@
     }
 
     /// What is to be reported of what was observed, by group.
-    pub fn report(&self, seen: &Seen) -> Vec<(Topic, Vec<u8>)> {
+    pub fn report(&self, seen: &ObservationSummary) -> Vec<(Topic, Vec<u8>)> {
         let topic = |group: &u64| Topic::new(LEASE, &group.to_string());
         seen.keys.iter().map(|(group, summary)| (topic(group), summary.clone())).collect()
     }
--- a/crates/proxy/src/coordination/zone_failover.rs
+++ b/crates/proxy/src/coordination/zone_failover.rs
@@ -9,7 +9,7 @@
 use slog::{Logger, info};
 
 use super::lease_work::{Decision, DecisionInputs, WhileHeld};
-use crate::messages::Seen;
+use crate::messages::ObservationSummary;
 
 /// The lease's name.
 pub const LEASE: &str = "zones";
@@ -71,7 +71,7 @@
     }
 
     /// What is to be reported of what was observed, in parts that fit into a datagram each.
-    pub fn report(&self, seen: Seen) -> Vec<(Topic, Vec<u8>)> {
+    pub fn report(&self, seen: ObservationSummary) -> Vec<(Topic, Vec<u8>)> {
         let part = |(at, rows): (usize, &[_])| {
             let told = Told { zone: self.own_zone, over: seen.over, rows: rows.to_vec() };
             (Topic::new(LEASE, &at.to_string()), frame::report(&told))
--- /dev/null
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -0,0 +1,191 @@
+//! Carries out what the router decided: answers, attempts, health checks, connections to close.
+
+use aldermill_routing::{Action, Actions, Effect, Handle, MemberId, MemberReport, Micros, Validity, Verdict};
+use slog::warn;
+use tokio::time::Instant;
+
+use super::Dispatcher;
+use super::endpoints::MemberEntry;
+use super::open_request::OpenRequest;
+use crate::clock::duration;
+use crate::messages::{
+    Answer, Attempt, AttemptFinished, AttemptResponse, DispatcherMessage, HealthCheckFinished, MemberCommand,
+    ReplicaReports,
+};
+
+/// Idle connections that are closed where one descriptor is wanted.
+const CLOSED_PER_DESCRIPTOR: usize = 3;
+
+/// An attempt as the router decided it.
+struct DecidedAttempt {
+    handle: Handle,
+    member: MemberId,
+    /// How long it may last.
+    timeout: Micros,
+    /// Whether it needs a new connection.
+    afresh: bool,
+    /// What must still hold when it leaves.
+    validity: Validity,
+}
+
+impl Dispatcher {
+    /// Carries out the router's actions, in their order.
+    pub(super) fn carry_out(&mut self, actions: Actions) {
+        for (handle, action) in actions.requests {
+            self.carry_out_for_request(handle, action);
+            self.release(handle);
+        }
+        for member in actions.health_checks {
+            self.send_health_check(member);
+        }
+        for member in actions.shut {
+            self.close_idle_connections(member);
+        }
+        if actions.subscribe {
+            self.ask_for_list();
+        }
+        if let Some(at) = actions.wake_at {
+            self.wake_at = at;
+        }
+    }
+
+    fn carry_out_for_request(&mut self, handle: Handle, action: Action) {
+        match action {
+            Action::Attempt { member, timeout, afresh, validity } => {
+                self.send_attempt(DecidedAttempt { handle, member, timeout, afresh, validity })
+            }
+            Action::Reject { cool_down } => self.answer(handle, Answer::Rejected { cool_down }),
+            Action::Fail => self.answer(handle, Answer::Failed),
+        }
+    }
+
+    /// Gives a request its one answer.
+    pub(super) fn answer(&mut self, handle: Handle, answer: Answer) {
+        let Some(open) = self.open_requests.get_mut(&handle) else { return };
+        let Some(client) = open.client.take() else { return };
+        if let Some(via) = open.via {
+            return self.answered_here(via, answer);
+        }
+        self.locations.remove(&client.id);
+        client.answer(answer);
+    }
+
+    /// Answers a request whose member answered while there is no room for that answer.
+    pub(super) fn answer_without_room(&mut self, handle: Handle) {
+        let Some(open) = self.open_requests.get(&handle) else { return };
+        let Ok(class) = self.decoded.class(&open.request.comment.class) else { return };
+        let answer = self.without_room(class);
+        self.answer(handle, answer);
+    }
+
+    /// What a client hears whose answer finds no room: an idempotent request may be rejected, any other did run.
+    pub(super) fn without_room(&self, class: usize) -> Answer {
+        let terms = &self.decoded.terms;
+        match terms.classes[class].effect {
+            Effect::Pure => {
+                Answer::Rejected { cool_down: self.context.gate.come_back().min(terms.max_cool_down) }
+            }
+            _ => Answer::Failed,
+        }
+    }
+
+    fn send_attempt(&mut self, decided: DecidedAttempt) {
+        let Some(open) = self.open_requests.get(&decided.handle) else { return };
+        let (handle, member) = (decided.handle, decided.member);
+        let entry = self.members[member].as_ref();
+        if let Some(observations) = &mut self.observations {
+            observations.attempted(handle, entry, &self.decoded, &open.request);
+        }
+        let attempt = self.attempt(decided, open, entry);
+        let sent = attempt.sent;
+        if entry.is_none_or(|entry| entry.commands.try_send(MemberCommand::Send(attempt)).is_err()) {
+            warn!(self.context.log, "member's mailbox full, attempt not sent"; "member" => member);
+            self.deferred.push_back(DispatcherMessage::AttemptFinished(attempt_not_sent(handle, sent)));
+        }
+    }
+
+    /// The attempt as its member's actor takes it. It never lasts past the request's deadline.
+    fn attempt(&self, decided: DecidedAttempt, open: &OpenRequest, entry: Option<&MemberEntry>) -> Attempt {
+        let sent = Instant::now();
+        let deadline = self.context.clock.instant(open.deadline);
+        Attempt {
+            handle: decided.handle,
+            request: open.request.clone(),
+            withdrawal: open.withdrawal.clone(),
+            holder: (open.request.holder, open.best),
+            sent,
+            until: (sent + duration(decided.timeout)).min(deadline),
+            afresh: decided.afresh,
+            validity: decided.validity,
+            replica_words: entry.map_or(0, |entry| entry.replica_words),
+        }
+    }
+
+    fn send_health_check(&mut self, member: MemberId) {
+        let sent = Instant::now();
+        let until = sent + self.context.limits.health_check;
+        let command = MemberCommand::HealthCheck { sent, until };
+        let entry = self.members[member].as_ref();
+        if entry.is_none_or(|entry| entry.commands.try_send(command).is_err()) {
+            let count = entry.map_or(0, |entry| entry.replica_words);
+            self.deferred.push_back(DispatcherMessage::HealthCheckFinished(HealthCheckFinished {
+                verdict: Verdict::NotSent,
+                elapsed: 0,
+                report: MemberReport::default(),
+                replica_reports: ReplicaReports { member, count },
+            }));
+        }
+    }
+
+    fn close_idle_connections(&self, member: MemberId) {
+        if let Some(entry) = &self.members[member] {
+            // A full mailbox means that its connections are wanted.
+            let _ = entry.commands.try_send(MemberCommand::CloseIdle);
+        }
+    }
+
+    /// The first request is there: the endpoint list is asked for now.
+    fn ask_for_list(&self) {
+        if let Some(list_wanted) = &self.list_wanted {
+            let _ = list_wanted.try_send(());
+        }
+    }
+
+    /// A member found no descriptor free: idle connections of others make room, those that rested longest. Protects
+    /// the rest, which are used again. One that is taken into use just then makes no room, so some are closed.
+    pub(super) fn free_descriptors(&mut self, member: MemberId) {
+        for id in self.members_by_idle_time(member).into_iter().take(CLOSED_PER_DESCRIPTOR) {
+            let Some(entry) = &self.members[id] else { continue };
+            entry.resting.set(None);
+            if entry.commands.try_send(MemberCommand::Shed).is_err() {
+                warn!(self.context.log, "member's mailbox full, it keeps its idle connections";
+                    "member" => id);
+            }
+        }
+    }
+
+    /// Members with idle connections but for `excluded`, the longest idle first.
+    fn members_by_idle_time(&self, excluded: MemberId) -> Vec<MemberId> {
+        let mut idle: Vec<(Instant, MemberId)> = Vec::new();
+        for (id, entry) in self.members.iter().enumerate().filter(|(id, _)| *id != excluded) {
+            if let Some(since) = entry.as_ref().and_then(|entry| entry.resting.get()) {
+                idle.push((since, id));
+            }
+        }
+        idle.sort_unstable();
+        idle.into_iter().map(|(_, id)| id).collect()
+    }
+}
+
+/// The end of an attempt that never left this process.
+fn attempt_not_sent(handle: Handle, sent: Instant) -> AttemptFinished {
+    AttemptFinished {
+        request: handle,
+        verdict: Verdict::NotSent,
+        decided_at: sent,
+        elapsed: 0,
+        report: MemberReport::default(),
+        response: AttemptResponse::None,
+        replica_reports: None,
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
@@ -0,0 +1,186 @@
+//! Requests on their way: with the router here, over a link, or waiting for either.
+
+use std::rc::Rc;
+
+use aldermill_routing::{Handle as RouterHandle, Micros, Need};
+use aldermill_site_drain::Plan;
+use aldermill_site_routing::{Action, Handle, HereEnded, Request, SiteId};
+use aldermill_wire::statement;
+
+use super::site_actions::ReceivedAnswer;
+use super::{ForwardedRequest, GatewayPart, Requester};
+use crate::dispatcher::Dispatcher;
+use crate::dispatcher::open_request::{RequestLocation, WaitingClient};
+use crate::dispatcher::requests::SiteMiss;
+use crate::messages::{Answer, ClientRequest};
+
+/// A request for the site router, and who waits for it.
+pub(super) struct RequestToForward {
+    pub(super) request: ClientRequest,
+    pub(super) class: usize,
+    /// How long the requester still waits, in microseconds.
+    pub(super) ttl: Micros,
+    pub(super) requester: Requester,
+    /// The sites that it has come through.
+    pub(super) visited: Vec<String>,
+}
+
+impl Dispatcher {
+    /// A client's request where there is a gateway: to the router here, or to another site.
+    pub(in crate::dispatcher) fn route_between_sites(&mut self, request: ClientRequest, class: usize) {
+        let waited = self.context.clock.now() - request.arrived;
+        let ttl = Micros::from(request.comment.wait) * 1000 - waited;
+        let requester = Requester::Client(WaitingClient::of(&request));
+        self.forward(RequestToForward { request, class, ttl, requester, visited: Vec::new() });
+    }
+
+    /// Asks the site router where a request is to be served, and carries that out.
+    pub(super) fn forward(&mut self, to_forward: RequestToForward) {
+        let now = self.context.clock.now();
+        let Some(gateway_part) = &mut self.gateway_part else { return };
+        let routed = gateway_part.routed_request(&to_forward);
+        let (handle, actions) = gateway_part.sites.take(now, routed);
+        if let Requester::Gateway(remote) = &to_forward.requester {
+            gateway_part.remote_requests.insert((remote.gate, remote.number), handle);
+        }
+        let RequestToForward { request, class, requester, visited, .. } = to_forward;
+        self.locations.insert(request.client, RequestLocation::Gateway(handle));
+        self.open_ids.insert(request.comment.id.clone());
+        let request = Rc::new(request);
+        let forwarded = ForwardedRequest { request, class, local: None, requester, visited };
+        gateway_part.forwarded.insert(handle, forwarded);
+        self.carry_out_sites(actions, None);
+    }
+
+    /// Nobody waits for a request any more.
+    pub(in crate::dispatcher) fn forwarded_request_left(&mut self, handle: Handle) {
+        let now = self.context.clock.now();
+        let Some(forwarded) = self.forget_forwarded(handle) else { return };
+        if let Some(local) = forwarded.local {
+            self.abandon(local);
+        }
+        let Some(gateway_part) = &mut self.gateway_part else { return };
+        let actions = handle.left(&mut gateway_part.sites, now);
+        self.carry_out_sites(actions, None);
+    }
+
+    /// The router here has answered a request for the gateway part.
+    pub(in crate::dispatcher) fn answered_here(&mut self, handle: Handle, answer: Answer) {
+        let now = self.context.clock.now();
+        let ended = match &answer {
+            Answer::Served(_) => HereEnded::Served,
+            Answer::Rejected { cool_down } => HereEnded::Rejected { cool_down: *cool_down },
+            Answer::Failed | Answer::Wrong(_) => HereEnded::Failed,
+        };
+        self.count_ended_here(handle, ended == HereEnded::Served, now);
+        let Some(gateway_part) = &mut self.gateway_part else { return };
+        let actions = handle.here_ended(&mut gateway_part.sites, now, ended);
+        self.carry_out_sites(actions, Some(ReceivedAnswer { handle, answer }));
+    }
+
+    fn count_ended_here(&mut self, handle: Handle, served: bool, now: Micros) {
+        let Some(gateway_part) = &mut self.gateway_part else { return };
+        let Some(forwarded) = gateway_part.forwarded.get_mut(&handle) else { return };
+        forwarded.local = None;
+        let class = &self.decoded.terms.classes[forwarded.class];
+        let in_time = served && now - forwarded.request.arrived <= class.objective;
+        let reads = matches!(class.need, Need::Loose | Need::Recent(_));
+        let from_client = matches!(forwarded.requester, Requester::Client(_));
+        gateway_part.ended.all += 1;
+        gateway_part.ended.in_time += u32::from(in_time);
+        gateway_part.ended.bound += u32::from(reads && from_client);
+    }
+
+    /// An attempt here that lasted so long may have run.
+    pub(in crate::dispatcher) fn may_have_run(&mut self, handle: Handle, elapsed: Micros) {
+        let began = self.context.clock.now() - elapsed;
+        if let Some(gateway_part) = &mut self.gateway_part {
+            handle.here_may_have_run(&mut gateway_part.sites, began);
+        }
+    }
+
+    /// An attempt here found its member not primary. What follows is carried out once the router has heard it, too.
+    pub(in crate::dispatcher) fn not_primary_here(&mut self, handle: Handle) -> SiteMiss {
+        let now = self.context.clock.now();
+        let Some(gateway_part) = &mut self.gateway_part else { return SiteMiss::default() };
+        let actions = handle.here_missed(&mut gateway_part.sites, now);
+        let taken_back = actions.requests.contains(&(handle, Action::TakeBack));
+        SiteMiss { actions: Some(actions), taken_back }
+    }
+
+    /// A member here answered as the primary of this group.
+    pub(in crate::dispatcher) fn primary_here(&mut self, group: u64) {
+        let now = self.context.clock.now();
+        let Some(gateway_part) = &mut self.gateway_part else { return };
+        let actions = gateway_part.sites.primary_here(now, group);
+        self.carry_out_sites(actions, None);
+    }
+
+    /// The endpoint list has so many ready members of each group.
+    pub(in crate::dispatcher) fn groups_listed(&mut self, groups: &[(u64, usize)]) {
+        let now = self.context.clock.now();
+        let Some(gateway_part) = &mut self.gateway_part else { return };
+        let actions = gateway_part.sites.listed(now, groups);
+        self.carry_out_sites(actions, None);
+    }
+
+    /// The site router wanted to be woken now.
+    pub(in crate::dispatcher) fn wake_sites(&mut self) {
+        let now = self.context.clock.now();
+        let Some(gateway_part) = &mut self.gateway_part else { return };
+        gateway_part.do_periodic_work(now);
+        let actions = gateway_part.sites.wake(now);
+        self.carry_out_sites(actions, None);
+    }
+
+    /// What was decided in common of sites that drain.
+    pub fn follow_site_drains(&mut self, plans: Vec<Plan>) {
+        let now = self.context.clock.now();
+        let Some(gateway_part) = &mut self.gateway_part else { return };
+        let actions = gateway_part.sites.bind(now, &gateway_part.names, plans);
+        self.carry_out_sites(actions, None);
+    }
+
+    /// The process stalled until now.
+    pub(in crate::dispatcher) fn report_stall_to_sites(&mut self) {
+        let now = self.context.clock.now();
+        if let Some(gateway_part) = &mut self.gateway_part {
+            gateway_part.sites.stood_still(now);
+        }
+    }
+
+    /// Drops what is kept of a forwarded request, which is returned.
+    pub(super) fn forget_forwarded(&mut self, handle: Handle) -> Option<ForwardedRequest> {
+        let gateway_part = self.gateway_part.as_mut()?;
+        let forwarded = gateway_part.forwarded.remove(&handle)?;
+        if let Requester::Gateway(remote) = &forwarded.requester {
+            gateway_part.remote_requests.remove(&(remote.gate, remote.number));
+        }
+        self.open_ids.remove(&forwarded.request.comment.id);
+        self.locations.remove(&forwarded.request.client);
+        Some(forwarded)
+    }
+}
+
+impl GatewayPart {
+    /// The request as the site router sees it.
+    fn routed_request(&self, to_forward: &RequestToForward) -> Request {
+        let request = &to_forward.request;
+        let field = self.session_field.as_ref();
+        let named = field.and_then(|field| statement::field(&request.statement, field));
+        let visited: Vec<SiteId> = to_forward.visited.iter().filter_map(|name| self.site(name)).collect();
+        Request {
+            class: to_forward.class,
+            group: request.comment.group,
+            ttl: to_forward.ttl,
+            visited,
+            // One that names no session has none to keep with.
+            session: Some(named.unwrap_or(&request.comment.id).to_owned()),
+        }
+    }
+
+    /// Takes a forwarded request back from the router here: the handle to abandon there.
+    pub(super) fn take_back(&mut self, handle: Handle) -> Option<RouterHandle> {
+        self.forwarded.get_mut(&handle)?.local.take()
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -0,0 +1,202 @@
+//! The dispatcher's part in the gateway: requests that cross to other sites, and remote requests that come from them.
+//!
+//! What `crates/site-routing` returns is carried out here; no choice is made.
+
+mod announcements;
+mod answers;
+mod forwarded_requests;
+mod link_events;
+mod links;
+mod remote_requests;
+mod site_actions;
+mod start;
+
+pub use start::Opening;
+
+use std::collections::{BTreeMap, HashMap};
+use std::rc::Rc;
+
+use aldermill_flow_control::Peer;
+use aldermill_routing::{Handle as RouterHandle, Micros};
+use aldermill_site_link::{Identity, Outcome as OutcomeFrame, Request as RequestFrame, Said};
+use aldermill_site_routing::{Fates, GateId, Handle, Origin, SiteId, Sites};
+use tokio::sync::mpsc;
+
+use super::open_request::WaitingClient;
+use super::outcome_log::{OutcomeLog, Token};
+use crate::gate::Room;
+use crate::messages::{ClientId, ClientRequest, LinkId};
+
+/// How long after its deadline somebody may still ask about a request.
+const ASKED_AFTER_DEADLINE: Micros = 5_000_000;
+/// No span that another gateway tells is taken for longer than this.
+const LONGEST_SPAN: Micros = 1_000_000_000;
+
+/// What a served remote request that is non-idempotent brought, kept as long as anybody may ask.
+#[derive(Clone)]
+pub struct KeptValue {
+    bytes: Rc<Vec<u8>>,
+    /// The buffer space that the value takes, held as long as the value.
+    _room: Option<Rc<Room>>,
+}
+
+/// A request of another gateway, and over which link its answer goes.
+struct RemoteRequest {
+    gate: GateId,
+    /// The other gateway's number for it.
+    number: u64,
+    link: LinkId,
+    origin: Origin,
+}
+
+/// Who waits for a forwarded request.
+enum Requester {
+    Client(WaitingClient),
+    Gateway(RemoteRequest),
+}
+
+/// A request on its way: with the router here, over a link, or waiting for either.
+struct ForwardedRequest {
+    request: Rc<ClientRequest>,
+    class: usize,
+    /// The router's handle, while the router here decides on it.
+    local: Option<RouterHandle>,
+    requester: Requester,
+    /// The sites that it has come through.
+    visited: Vec<String>,
+}
+
+/// A link that stands.
+struct LinkState {
+    /// The gateway on the other side, once it has greeted.
+    gate: Option<GateId>,
+    outbox: mpsc::Sender<Said>,
+    /// For whom buffer space for its values is asked.
+    holder: Peer,
+}
+
+/// Another gateway's process, as it greeted last.
+struct PeerGateway {
+    site: SiteId,
+    origin: Origin,
+    links: Vec<LinkId>,
+}
+
+/// A request that crossed: to which start of which gateway, and over which link.
+struct SentRequest {
+    gate: GateId,
+    start: u64,
+    link: LinkId,
+}
+
+/// Requests that ended with the router here since this was last asked.
+#[derive(Default)]
+struct EndedCounts {
+    since: Micros,
+    all: u32,
+    /// Those served within their latency objective.
+    in_time: u32,
+    /// Those that would go elsewhere with their sessions.
+    bound: u32,
+}
+
+/// A non-idempotent remote request that is taken once its record is written.
+struct ArrivingRequest {
+    link: LinkId,
+    gate: GateId,
+    origin: Origin,
+    number: u64,
+    /// On the router's clock.
+    received_at: Micros,
+    frame: RequestFrame,
+    statement: Vec<u8>,
+}
+
+/// An outcome that leaves once its record is written.
+struct DepartingOutcome {
+    gate: GateId,
+    link: LinkId,
+    frame: OutcomeFrame,
+    value: Vec<u8>,
+}
+
+/// What the dispatcher keeps as a gateway to other sites.
+pub struct GatewayPart {
+    own: Identity,
+    /// The sites' names, the own one first.
+    names: Vec<String>,
+    classes: Vec<String>,
+    sites: Sites,
+    fates: Fates<KeptValue>,
+    peer_gateways: Vec<PeerGateway>,
+    links: HashMap<LinkId, LinkState>,
+    forwarded: HashMap<Handle, ForwardedRequest>,
+    remote_requests: HashMap<(GateId, u64), Handle>,
+    /// By the number under which they crossed.
+    sent: HashMap<u64, SentRequest>,
+    /// Where outcomes are kept over a restart.
+    pub(super) outcome_log: Option<OutcomeLog>,
+    /// Confirms each record of that log, in their order.
+    pub(super) written: Option<mpsc::Receiver<bool>>,
+    arriving: HashMap<Token, ArrivingRequest>,
+    departing: HashMap<Token, DepartingOutcome>,
+    next_remote_id: ClientId,
+    /// The comment's field that names a session.
+    session_field: Option<String>,
+    ended: EndedCounts,
+    draining: bool,
+    /// When the site router wants to be woken.
+    pub(super) wake_at: Micros,
+    /// When others are next told of the available capacity here unasked.
+    announce_at: Micros,
+}
+
+impl GatewayPart {
+    /// Whether any site is known to have this group.
+    pub(super) fn knows_group(&self, group: u64) -> bool {
+        self.sites.knows_group(group)
+    }
+
+    /// Where groups have their primary, by the name of the site.
+    pub(super) fn homes(&self) -> BTreeMap<u64, String> {
+        let homes = self.sites.homes().into_iter();
+        homes.filter_map(|(group, home, _)| Some((group, self.names[home?].clone()))).collect()
+    }
+
+    /// Requests that the gateway part decides on, whoever sent them.
+    pub(super) fn open_requests(&self) -> usize {
+        self.forwarded.len()
+    }
+
+    /// Whether other gateways were told that this one drains.
+    pub(super) fn is_draining(&self) -> bool {
+        self.draining
+    }
+
+    /// Remote requests under way, those included that wait for a record.
+    pub(super) fn remote_requests(&self) -> usize {
+        self.remote_requests.len() + self.arriving.len() + self.departing.len()
+    }
+
+    fn site(&self, name: &str) -> Option<SiteId> {
+        self.names.iter().position(|known| known == name)
+    }
+
+    /// Sends a frame to a gateway, over the link named or any that stands. Returns the link, unless none could take it.
+    fn send(&self, gate: GateId, link: Option<LinkId>, frame: Said) -> Option<LinkId> {
+        let links = &self.peer_gateways.get(gate)?.links;
+        let named = link.filter(|link| links.contains(link));
+        let link = named.or_else(|| self.link_with_most_capacity(links))?;
+        self.links.get(&link)?.outbox.try_send(frame).is_ok().then_some(link)
+    }
+
+    fn link_with_most_capacity(&self, links: &[LinkId]) -> Option<LinkId> {
+        let capacity = |link: &LinkId| self.links.get(link).map_or(0, |state| state.outbox.capacity());
+        links.iter().copied().max_by_key(capacity)
+    }
+}
+
+/// A span as another gateway tells it, in microseconds.
+fn received_span(told: u64) -> Micros {
+    Micros::try_from(told).unwrap_or(LONGEST_SPAN).min(LONGEST_SPAN)
+}
--- /dev/null
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -0,0 +1,302 @@
+//! The actor that owns the router: every decision is asked for here, and carried out at once.
+//!
+//! This file holds the actor's loop. What it turns to stands beside it: requests, the router's actions, the endpoint
+//! list, the members' clock, observations, the warm state, and the gateway part.
+
+mod actions;
+mod endpoints;
+mod gateway;
+mod members_clock;
+mod observations;
+mod open_request;
+mod outcome_log;
+mod requests;
+mod warm_state;
+
+pub use gateway::{GatewayPart, Opening};
+pub use observations::Observations;
+pub use warm_state::WarmState;
+
+use std::collections::{HashMap, HashSet, VecDeque};
+use std::rc::Rc;
+
+use aldermill_routing::{Actions, Handle, MemberId, Micros, Router};
+use aldermill_settings::Decoded;
+use aldermill_statistics::ClockOffset;
+use slog::warn;
+use tokio::sync::{mpsc, oneshot, watch};
+use tokio::task::yield_now;
+use tokio::time::sleep_until;
+
+use crate::context::Context;
+use crate::dispatcher::endpoints::MemberEntry;
+use crate::dispatcher::open_request::{OpenRequest, RequestLocation};
+use crate::dispatcher::warm_state::ListedEntries;
+use crate::messages::{ClientId, DispatcherMessage, FleetSize, ListUpdate};
+use crate::trial::Trial;
+
+/// How often other actors have their turn after a stall, before the dispatcher goes on: to be woken by what came,
+/// to read it, and to hand it on.
+const TURNS_AFTER_STALL: usize = 3;
+
+/// What the dispatcher turns to.
+enum Event {
+    ListUpdate(ListUpdate),
+    RouterDue,
+    SitesDue,
+    Stopping,
+    /// A record of the outcome log was written, or was not.
+    RecordWritten(bool),
+    /// A record of the outcome log has waited too long.
+    RecordLate,
+    Message(DispatcherMessage),
+}
+
+/// Where the dispatcher's events come from, but for its own timers.
+struct Inputs {
+    list_updates: mpsc::Receiver<ListUpdate>,
+    messages: mpsc::Receiver<DispatcherMessage>,
+    stopping: watch::Receiver<Option<tokio::time::Instant>>,
+}
+
+/// What a dispatcher is made of at its start.
+pub struct DispatcherParts {
+    /// What every actor needs.
+    pub context: Rc<Context>,
+    /// The settings in force.
+    pub decoded: Decoded,
+    /// Seed of the router's random choices.
+    pub seed: u64,
+    /// Present where this process is a gateway to other sites.
+    pub gateway_part: Option<GatewayPart>,
+    /// Other settings, whose decisions are only counted.
+    pub trial: Option<Trial>,
+    /// What an earlier start believed, and who keeps what is believed now.
+    pub warm_state: WarmState,
+    /// Present where the processes decide on zones or splits together.
+    pub observations: Option<Observations>,
+    /// Set once there is an endpoint list to decide on.
+    pub ready: watch::Sender<bool>,
+    /// Where the first request asks for the endpoint list.
+    pub list_wanted: Option<mpsc::Sender<()>>,
+}
+
+/// The actor that owns the router and the requests under way.
+pub struct Dispatcher {
+    context: Rc<Context>,
+    decoded: Decoded,
+    router: Router,
+    trial: Option<Trial>,
+    gateway_part: Option<GatewayPart>,
+    /// By the router's index; an index whose member was let go stands empty until it is given out anew.
+    members: Vec<Option<MemberEntry>>,
+    member_ids: HashMap<String, MemberId>,
+    /// What the members' clock is ahead of the router's.
+    clock_offset: ClockOffset,
+    /// What the router was last told of that, in microseconds.
+    reported_offset: Micros,
+    /// Groups that were ever listed.
+    groups: HashSet<u64>,
+    open_requests: HashMap<Handle, OpenRequest>,
+    /// The ids, as clients give them, of the requests under way.
+    open_ids: HashSet<String>,
+    locations: HashMap<ClientId, RequestLocation>,
+    /// What ended while a decision was being carried out.
+    deferred: VecDeque<DispatcherMessage>,
+    warm_state: WarmState,
+    listed: ListedEntries,
+    observations: Option<Observations>,
+    /// When the router wants to be woken, on its clock.
+    wake_at: Micros,
+    /// The stalled time that router and sites were told of.
+    reported_stall: Micros,
+    ready: watch::Sender<bool>,
+    list_wanted: Option<mpsc::Sender<()>>,
+    /// Who waits until no remote request is under way.
+    remote_end_waiters: Vec<oneshot::Sender<()>>,
+}
+
+impl Dispatcher {
+    /// A dispatcher that knows no member yet.
+    pub fn new(parts: DispatcherParts) -> Dispatcher {
+        let now = parts.context.clock.now();
+        Dispatcher {
+            router: Router::start(parts.decoded.terms.clone(), parts.seed, now),
+            decoded: parts.decoded,
+            trial: parts.trial,
+            gateway_part: parts.gateway_part,
+            members: Vec::new(),
+            member_ids: HashMap::new(),
+            clock_offset: ClockOffset::default(),
+            reported_offset: 0,
+            groups: HashSet::new(),
+            open_requests: HashMap::new(),
+            open_ids: HashSet::new(),
+            locations: HashMap::new(),
+            deferred: VecDeque::new(),
+            warm_state: parts.warm_state,
+            listed: ListedEntries::default(),
+            observations: parts.observations,
+            wake_at: now,
+            reported_stall: 0,
+            ready: parts.ready,
+            list_wanted: parts.list_wanted,
+            remote_end_waiters: Vec::new(),
+            context: parts.context,
+        }
+    }
+
+    /// Serves until every other actor is gone. Nothing here ever waits for another actor, but for some turns of all
+    /// after a stall.
+    pub async fn run(
+        mut self,
+        list_updates: mpsc::Receiver<ListUpdate>,
+        messages: mpsc::Receiver<DispatcherMessage>,
+    ) {
+        let stopping = self.context.stopping.clone();
+        let mut inputs = Inputs { list_updates, messages, stopping };
+        while let Some(event) = self.next_event(&mut inputs).await {
+            self.catch_up_after_stall(&mut inputs.list_updates).await;
+            self.handle_event(event);
+            while let Some(message) = self.deferred.pop_front() {
+                self.handle_message(message);
+            }
+            self.notify_remote_end();
+        }
+    }
+
+    /// The next event; `None` once every other actor is gone. The list comes first: the rule on drains counts from
+    /// when it was written.
+    async fn next_event(&mut self, inputs: &mut Inputs) -> Option<Event> {
+        let clock = self.context.clock;
+        let gateway_part = self.gateway_part.as_mut();
+        let sites_due = gateway_part.as_ref().map(|gateway_part| gateway_part.wake_at);
+        let draining = gateway_part.as_ref().is_none_or(|gateway_part| gateway_part.is_draining());
+        let record_due =
+            gateway_part.as_ref().and_then(|gateway_part| gateway_part.outcome_log.as_ref()?.due());
+        let written = gateway_part.and_then(|gateway_part| gateway_part.written.as_mut());
+        tokio::select! {
+            biased;
+            Some(list_update) = inputs.list_updates.recv() => Some(Event::ListUpdate(list_update)),
+            () = sleep_until(clock.instant(self.wake_at)) => Some(Event::RouterDue),
+            () = sleep_until(clock.instant(sites_due.unwrap_or(0))), if sites_due.is_some() => Some(Event::SitesDue),
+            Ok(_) = inputs.stopping.wait_for(Option::is_some), if !draining => Some(Event::Stopping),
+            Some(well) = next_written(written) => Some(Event::RecordWritten(well)),
+            () = sleep_until(clock.instant(record_due.unwrap_or(0))), if record_due.is_some() => Some(Event::RecordLate),
+            message = inputs.messages.recv() => message.map(Event::Message),
+        }
+    }
+
+    /// After a stall, what the list said meanwhile comes before what it forbids: the list's actor reads it first.
+    async fn catch_up_after_stall(&mut self, list_updates: &mut mpsc::Receiver<ListUpdate>) {
+        let stalled = self.context.lived.stood() - self.reported_stall;
+        if stalled <= 0 {
+            return;
+        }
+        warn!(self.context.log, "stood still"; "ms" => stalled / 1000);
+        self.report_stall();
+        for _ in 0..TURNS_AFTER_STALL {
+            yield_now().await;
+        }
+        while let Ok(list_update) = list_updates.try_recv() {
+            self.list_update(list_update);
+        }
+    }
+
+    /// Whoever decides hears of a stall before anything that fell into it.
+    fn report_stall(&mut self) {
+        let total = self.context.lived.stood();
+        let unreported = total - std::mem::replace(&mut self.reported_stall, total);
+        if unreported > 0 {
+            self.router.stood_still(self.context.clock.now(), unreported);
+            self.report_stall_to_sites();
+        }
+    }
+
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::ListUpdate(list_update) => self.list_update(list_update),
+            Event::RouterDue => self.wake_router(),
+            Event::SitesDue => self.wake_sites(),
+            Event::Stopping => self.drain_sites(),
+            Event::RecordWritten(well) => self.record_written(well),
+            Event::RecordLate => self.stop_waiting_for_records(),
+            Event::Message(message) => self.handle_message(message),
+        }
+    }
+
+    fn handle_message(&mut self, message: DispatcherMessage) {
+        match message {
+            DispatcherMessage::ClientRequest(request) => self.client_request(request),
+            DispatcherMessage::ClientLeft(left) => self.client_left(left.client),
+            DispatcherMessage::AttemptFinished(finished) => self.attempt_finished(finished),
+            DispatcherMessage::HealthCheckFinished(finished) => self.health_check_finished(finished),
+            DispatcherMessage::TrialReplaced(trial) => self.replace_trial(trial.map(|trial| *trial)),
+            DispatcherMessage::Link(message) => self.link_message(message.link, message.event),
+            DispatcherMessage::AwaitRemoteEnd(reply) => self.await_remote_end(reply),
+            DispatcherMessage::FleetSize(size) => self.fleet_size(&size),
+            DispatcherMessage::TakeObservations(reply) => self.report_observations(reply),
+            DispatcherMessage::ZoneDirectives(leans) => self.zone_directives(&leans),
+            DispatcherMessage::SiteDrainPlans(plans) => self.follow_site_drains(plans),
+            DispatcherMessage::DescribeSites(reply) => {
+                let _ = reply.send(self.describe());
+            }
+            DispatcherMessage::DescriptorsExhausted(member) => self.free_descriptors(member),
+        }
+    }
+
+    /// Asks the router, and, for a sample, a copy of it under the settings on trial, whose answer is only counted.
+    fn decide<T>(&mut self, decision: impl Fn(&mut Router) -> (T, Actions)) -> (T, Actions) {
+        self.report_stall();
+        let Some(trial) = &mut self.trial else { return decision(&mut self.router) };
+        let decided = trial.ask(&mut self.router, decision);
+        trial.tell(&self.context.log, false);
+        decided
+    }
+
+    fn wake_router(&mut self) {
+        let now = self.context.clock.now();
+        let ((), actions) = self.decide(|router| ((), router.wake(now)));
+        self.carry_out(actions);
+        self.keep_warm_state();
+    }
+
+    fn fleet_size(&mut self, size: &FleetSize) {
+        let ((), actions) =
+            self.decide(|router| (router.fleet(size.living, size.at_cold), Actions::default()));
+        self.carry_out(actions);
+    }
+
+    fn replace_trial(&mut self, trial: Option<Trial>) {
+        if let Some(ended) = &mut self.trial {
+            ended.tell(&self.context.log, true);
+        }
+        self.trial = trial;
+    }
+
+    /// The program is about to end: the trial's last counts are said, and `reply` is sent once no remote request is
+    /// under way.
+    fn await_remote_end(&mut self, reply: oneshot::Sender<()>) {
+        if let Some(trial) = &mut self.trial {
+            trial.tell(&self.context.log, true);
+        }
+        self.remote_end_waiters.push(reply);
+    }
+
+    fn notify_remote_end(&mut self) {
+        if self.gateway_part.as_ref().is_some_and(|gateway_part| gateway_part.remote_requests() > 0) {
+            return;
+        }
+        for waiter in self.remote_end_waiters.drain(..) {
+            let _ = waiter.send(());
+        }
+    }
+}
+
+/// The next confirmation of a record of the outcome log, where there is one.
+async fn next_written(written: Option<&mut mpsc::Receiver<bool>>) -> Option<bool> {
+    match written {
+        Some(written) => written.recv().await,
+        None => None,
+    }
+}
--- a/crates/proxy/src/dispatcher/book.rs
+++ b/crates/proxy/src/dispatcher/outcome_log.rs
@@ -1,4 +1,4 @@
-//! The gateway's book on a disk: what guests' effectful requests became, so that a later start can tell.
+//! The gateway's outcome log on a disk: what became of non-idempotent remote requests, so that a later start can tell.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -12,9 +12,12 @@
 
 use crate::keep::Folder;
 
-/// How long a guest's request, and an outcome, wait for the disk before they go on without it.
-const PATIENCE: Micros = 250_000;
-const WAITING: usize = 512;
+/// How long a remote request, and an outcome, wait for the disk before they go on without it.
+const LONGEST_WAIT: Micros = 250_000;
+/// How long a promise is kept after it has run out.
+const PROMISE_KEPT: Micros = 3_600_000_000;
+/// Records that may wait for the disk.
+const MAX_WAITING: usize = 512;
 
 /// Something that waits until its record is on the disk.
 pub type Token = u64;
@@ -28,7 +31,7 @@
     Over,
 }
 
-/// What becomes of a taking.
+/// How a remote request goes on once it was taken.
 pub enum Taking {
     /// Goes on when its record is there.
     Waits(Token),
@@ -38,7 +41,8 @@
     Refused,
 }
 
-pub struct Book {
+/// Records of remote requests, and the promise that none goes on without its record.
+pub struct OutcomeLog {
     folder: Rc<Folder>,
     start: u64,
     keeping: Keeping,
@@ -51,14 +55,16 @@
     told: mpsc::Sender<bool>,
 }
 
-impl Book {
-    /// What earlier starts kept is read from the folder, once that can be done; `told` hears of each write, in their order.
-    pub fn open(folder: Rc<Folder>, start: u64, now: Micros, told: mpsc::Sender<bool>) -> Book {
-        let (keeping, promise) = (Keeping::start(PATIENCE, WAITING), Promise::default());
+impl OutcomeLog {
+    /// What earlier starts kept is read from the folder, once that can be done; `told` hears of each write, in
+    /// their order.
+    pub fn open(folder: Rc<Folder>, start: u64, now: Micros, told: mpsc::Sender<bool>) -> OutcomeLog {
+        let (keeping, promise) = (Keeping::start(LONGEST_WAIT, MAX_WAITING), Promise::default());
         let waiting = VecDeque::new();
-        let mut book = Book { folder, start, keeping, promise, earlier: None, next: 0, waiting, told };
-        book.read(now);
-        book
+        let mut outcome_log =
+            OutcomeLog { folder, start, keeping, promise, earlier: None, next: 0, waiting, told };
+        outcome_log.read(now);
+        outcome_log
     }
 
     /// Looks whether the folder can be read by now.
@@ -70,23 +76,14 @@
         let mut earlier = Earlier::default();
         for (space, key, value) in records {
             match *space {
-                space::BOOK => {
-                    if let Some((own, origin, number)) = read_key(key) {
-                        earlier.record(own, origin, number, read_value(value).map(Rc::new));
-                    }
-                }
-                space::PROMISES => {
-                    let word = |bytes: &[u8]| bytes.try_into().ok().map(i64::from_be_bytes);
-                    if let (Some(own), Some(until)) = (word(key), word(value)) {
-                        earlier.promised(now, own as u64, until);
-                    }
-                }
+                space::BOOK => read_record(&mut earlier, key, value),
+                space::PROMISES => read_promise(&mut earlier, now, key, value),
                 _ => {}
             }
         }
         self.earlier = Some(earlier);
         // What failed before the folder was there says nothing of it now.
-        self.keeping = Keeping::start(PATIENCE, WAITING);
+        self.keeping = Keeping::start(LONGEST_WAIT, MAX_WAITING);
     }
 
     /// What became of a request that an earlier start may have taken. Nothing is known of it while the folder
@@ -108,7 +105,7 @@
             && let Some(until) = self.promise.renew(now)
         {
             let mut batch = Batch::default();
-            let over = until.saturating_add(3_600_000_000);
+            let over = until.saturating_add(PROMISE_KEPT);
             batch.put(space::PROMISES, &self.start.to_be_bytes(), &until.to_be_bytes(), Some(over));
             if !self.hand_over(now, batch, Wait::Promise) {
                 self.promise.settled();
@@ -116,6 +113,7 @@
         }
     }
 
+    /// Records that a remote request was taken. `until` is when nobody asks about it any more.
     pub fn take(&mut self, now: Micros, origin: &Origin, number: u64, until: Micros) -> Taking {
         match self.settle(now, origin, number, until, &Fate::UnderWay) {
             Some(token) => Taking::Waits(token),
@@ -187,6 +185,7 @@
         tokens
     }
 
+    /// When waiting records have waited too long, on the router's clock.
     pub fn due(&self) -> Option<Micros> {
         self.keeping.due()
     }
@@ -196,3 +195,17 @@
         matches!(self.keeping.state(), State::Without { .. })
     }
 }
+
+fn read_record(earlier: &mut Earlier<Rc<Vec<u8>>>, key: &[u8], value: &[u8]) {
+    if let Some((start, origin, number)) = read_key(key) {
+        earlier.record(start, origin, number, read_value(value).map(Rc::new));
+    }
+}
+
+/// A promise: the start that gave it, and until when it holds.
+fn read_promise(earlier: &mut Earlier<Rc<Vec<u8>>>, now: Micros, key: &[u8], value: &[u8]) {
+    let number = |bytes: &[u8]| bytes.try_into().ok().map(i64::from_be_bytes);
+    if let (Some(start), Some(until)) = (number(key), number(value)) {
+        earlier.promised(now, start as u64, until);
+    }
+}
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -43,14 +43,14 @@
 use crate::catalog::Catalog;
 use crate::clock::{Clock, Lived, duration};
 use crate::context::Context;
-use crate::dispatcher::{Dispatcher, GatewayPart, Observations, Opening, Warmth};
+use crate::dispatcher::{Dispatcher, DispatcherParts, GatewayPart, Observations, Opening, WarmState};
 use crate::error::ProgramError;
 use crate::fellows::{Company, Sitting};
 use crate::gate::Gate;
 use crate::gateway::Yard;
 use crate::keep::Folder;
 use crate::limits::Limits;
-use crate::messages::{Call, ListUpdate};
+use crate::messages::{DispatcherMessage, ListUpdate};
 use crate::reload::Reload;
 use crate::start::{Files, Start};
 use crate::watch::Watch;
@@ -296,7 +296,7 @@
         }
         None => None,
     };
-    let warmth = Warmth { recalled: recalled.beliefs, keeping };
+    let warm_state = WarmState { recalled: recalled.beliefs, keeping };
     let observations = council.as_ref().map(|council| {
         let splits = council.duties.contains(&Duty::Splits);
         Observations::start(clock.now(), seed.rotate_left(24), splits)
@@ -310,19 +310,18 @@
         bound = company.bound();
         spawn_local(company.run());
     }
-    let request = on_request.then_some(request);
-    let mut dispatcher = Dispatcher::new(
-        context.clone(),
+    let mut dispatcher = Dispatcher::new(DispatcherParts {
+        context: context.clone(),
         decoded,
         seed,
         gateway_part,
         trial,
-        warmth,
+        warm_state,
         observations,
         ready,
-        request,
-    );
-    dispatcher.bind(bound);
+        list_wanted: on_request.then_some(request),
+    });
+    dispatcher.follow_site_drains(bound);
     let deciding = spawn_local(dispatcher.run(list_updates, calls));
     let requests = on_request.then_some(requests);
     let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(32));
@@ -342,7 +341,7 @@
     serving.await.map_err(|error| ProgramError::Ended(format!("the listener ({error})")))?;
     // What other sites sent has its answer, too, before the end.
     let (asked, done) = oneshot::channel();
-    if context.dispatcher.send(Call::Parted(asked)).await.is_ok() {
+    if context.dispatcher.send(DispatcherMessage::AwaitRemoteEnd(asked)).await.is_ok() {
         let _ = timeout(stop_guests, done).await;
     }
     info!(log, "stopped");
