--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -114,7 +114,7 @@
             fits.then_some(()).ok_or_else(|| Trouble::Range { field: field.to_owned(), value, least, most })
         };
         within("drivers", self.drivers as f64, 1.0, 40.0)?;
-        within("descriptors", self.descriptors.unwrap_or(64) as f64, 16.0, 1024.0)?;
+        within("descriptors", self.descriptors.unwrap_or(64) as f64, 24.0, 1024.0)?;
         within("deadline_ms", self.deadline_ms.unwrap_or(300) as f64, 50.0, 10_000.0)?;
         within("groups", self.groups as f64, 1.0, 12.0)?;
         within("members", self.members as f64, 1.0, 9.0)?;
--- a/crates/proxy/src/error.rs
+++ b/crates/proxy/src/error.rs
@@ -54,6 +54,10 @@
     Limits(serde_json::Error),
     #[error("limits.{field}: {value} is too little, {least} are needed")]
     Little { field: &'static str, value: usize, least: usize },
+    #[error(
+        "limits.sockets: the system allows this process {allowed} open files, {least} are needed; raise the limit (ulimit -n)"
+    )]
+    FewDescriptors { allowed: usize, least: usize },
     #[error("settings: {0}")]
     Settings(Trouble),
 }
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -2,6 +2,7 @@
 
 use aldermill_routing::Micros;
 use aldermill_settings::Decoded;
+use uapi::c;
 
 use crate::clock::duration;
 
@@ -24,9 +25,59 @@
     longest.unwrap_or_default().min(LONGEST_WAIT) + KILLED_BEHIND - HELD_UP
 }
 
+/// How many descriptors this process may have.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Descriptors {
+    /// As its configuration says (`limits.sockets`).
+    pub configured: usize,
+    /// As the system says (RLIMIT_NOFILE); `usize::MAX` where that is not known.
+    pub allowed: usize,
+}
+
+impl Descriptors {
+    /// With fewer the program's own, one client and one member's connection do not fit.
+    pub const LEAST: usize = 24;
+
+    pub fn of_this_process(configured: usize) -> Descriptors {
+        let limit = uapi::getrlimit(c::RLIMIT_NOFILE as c::c_int);
+        let allowed = limit.map_or(usize::MAX, |limit| usize::try_from(limit.rlim_cur).unwrap_or(usize::MAX));
+        Descriptors { configured, allowed }
+    }
+
+    /// What may be shared out. Protects clients from connections that are accepted late or never, as the system refuses
+    /// what the configuration promised; harms nobody, as the system's limit stands whatever is shared out.
+    pub fn usable(self) -> usize {
+        self.configured.min(self.allowed)
+    }
+}
+
+/// What is not shared out between clients and members.
+struct Reserved {
+    /// Standard streams, signals, event queues, listener, discovery and the operator's sockets.
+    own: usize,
+    /// Client connections that are about to be closed, as [`Limits::yielding`] and [`Limits::turned_away`].
+    yielding: usize,
+    turned_away: usize,
+}
+
+impl Reserved {
+    /// Where there are few, everything shrinks with them, down to what the program has open without a connection.
+    fn of(descriptors: usize) -> Reserved {
+        let own = (descriptors * 5 / 16).clamp(12, 20);
+        let yielding = (descriptors * 3 / 16).clamp(2, 12);
+        let turned_away = if descriptors < 64 { descriptors / 16 } else { (descriptors / 32).clamp(4, 64) };
+        Reserved { own, yielding, turned_away }
+    }
+
+    fn sum(&self) -> usize {
+        self.own + self.yielding + self.turned_away
+    }
+}
+
 /// All sizes, counts and times that bound the driver, filled once at its start.
 #[derive(Clone, Debug)]
 pub struct Limits {
+    pub descriptors: Descriptors,
     /// Client connections served at once.
     pub clients: usize,
     /// Those that had a request, beyond which the one idle longest is closed for each new one: clients, too,
@@ -125,27 +176,31 @@
 
 impl Limits {
     /// Shares out what the platform allows.
-    pub fn new(sockets: usize, memory_mb: usize, decoded: &Decoded, buffer_kib: Option<u32>) -> Limits {
+    pub fn new(
+        descriptors: Descriptors,
+        memory_mb: usize,
+        decoded: &Decoded,
+        buffer_kib: Option<u32>,
+    ) -> Limits {
         // Values are said to be of 64 KiB at most, and yet larger ones come.
         let memory = memory_mb * 1024 * 1024;
         let least = 2 * 64 * 1024 + 4 * 1024;
         let (statement, answer) = (least.max(memory / 128), least.max(memory / 32));
-        // Beside the shares: standard streams, signals, event queues, listener and discovery, and those
-        // client connections that are about to be closed.
-        let yielding = 12;
-        let turned_away = (sockets / 32).clamp(4, 64);
-        let shared = sockets.saturating_sub(turned_away + yielding + 20).max(8);
+        let sockets = descriptors.usable();
+        let reserved = Reserved::of(sockets);
+        let shared = sockets.saturating_sub(reserved.sum()).max(4);
         // Large messages reserve what they need of half of the memory, however many connections there are; small
         // ones fit into three tenths on all of them.
-        let clients = (shared * 3 / 5).min(memory * 2 / 10 / (4 * SMALL)).max(4);
-        let members = (shared - clients).min(memory / 10 / (2 * SMALL)).max(4);
+        let clients = (shared * 3 / 5).min(memory * 2 / 10 / (4 * SMALL)).max(2);
+        let members = (shared - clients).min(memory / 10 / (2 * SMALL)).max(2);
         Limits {
+            descriptors,
             clients,
             // Clients hold no more than a third of the descriptors for their requests.
             regulars: (sockets / 4).min(clients),
             between: Duration::from_millis(250),
-            yielding,
-            turned_away,
+            yielding: reserved.yielding,
+            turned_away: reserved.turned_away,
             members,
             requests: decoded.max_open.max(1),
             statement,
--- a/crates/proxy/src/listener.rs
+++ b/crates/proxy/src/listener.rs
@@ -16,6 +16,7 @@
 use crate::client::{Client, ConnectionState, turn_away};
 use crate::context::Context;
 use crate::gate::Presence;
+use crate::limits::Descriptors;
 use crate::messages::{ClientId, ClientMessage};
 use crate::system::Acceptor;
 
@@ -27,6 +28,7 @@
 /// Serves until the driver is to stop and the last client has its answer.
 pub async fn run(context: Rc<Context>, listener: TcpListener) {
     let mut stopping = context.stopping.clone();
+    tell_of_few_descriptors(&context);
     let mut acceptor = Acceptor::new(listener, context.log.clone());
     let mut registry = ConnectionRegistry::new(context);
     let mut closes_at: Option<Instant> = None;
@@ -63,6 +65,14 @@
     while registry.turned_away.join_next().await.is_some() {}
 }
 
+fn tell_of_few_descriptors(context: &Context) {
+    let Descriptors { configured, allowed } = context.limits.descriptors;
+    if allowed < configured {
+        warn!(context.log, "the system allows fewer descriptors than limits.sockets, those are shared out; raise ulimit -n";
+            "allowed" => allowed, "configured" => configured);
+    }
+}
+
 /// The clients that are there.
 struct ConnectionRegistry {
     context: Rc<Context>,
--- a/crates/proxy/src/start.rs
+++ b/crates/proxy/src/start.rs
@@ -9,7 +9,7 @@
 
 use crate::catalog::Catalog;
 use crate::error::{ProgramError, Unclear};
-use crate::limits::Limits;
+use crate::limits::{Descriptors, Limits};
 use crate::trial::Trial;
 
 #[derive(Deserialize)]
@@ -108,6 +108,11 @@
         if sockets < 64 {
             return Err(Unclear::Little { field: "sockets", value: sockets, least: 64 });
         }
+        let descriptors = Descriptors::of_this_process(sockets);
+        if descriptors.allowed < Descriptors::LEAST {
+            let Descriptors { allowed, .. } = descriptors;
+            return Err(Unclear::FewDescriptors { allowed, least: Descriptors::LEAST });
+        }
         if memory_mb < 16 {
             return Err(Unclear::Little { field: "memory_mb", value: memory_mb, least: 16 });
         }
@@ -131,7 +136,7 @@
             listen: address("listen", told("GW_LISTEN", form.listen))?,
             discovery: address("discovery", told("GW_DISCOVERY", form.discovery))?,
             seed: seed.map_err(|_| Unclear::Seed(form.seed))?,
-            limits: Limits::new(sockets, memory_mb, &decoded, operator.slow_peers.buffer_kib),
+            limits: Limits::new(descriptors, memory_mb, &decoded, operator.slow_peers.buffer_kib),
             bounds: Bounds::usual(memory_mb as u64 * 1024 * 1024),
             gateway: operator.gateway.clone(),
             trial: None,
--- /dev/null
+++ b/crates/proxy/tests/few_descriptors.rs
@@ -0,0 +1,31 @@
+//! Processes which the system allows fewer open files than their configuration says, over loopback.
+
+use aldermill_test_support::{Client, Discovery, Driver, config, list, look, served, sound, until};
+
+#[test]
+fn a_process_shares_out_only_the_descriptors_that_it_has() {
+    for descriptors in [24, 40] {
+        let member = sound("writer");
+        let discovery = Discovery::default();
+        let known = list(1, true, &[("a", &member, "in_service")]);
+        let driver = Driver::with_descriptors(descriptors, &config(discovery.start(), 1024, &known));
+        until("the line on that", || {
+            driver.logged("the system allows fewer descriptors than limits.sockets")
+        });
+        let mut clients: Vec<Client> = (0..60).map(|_| Client::connect(driver.address)).collect();
+        let newest = clients.last_mut().unwrap();
+        assert!(served(&newest.ask(&look(15000))), "{descriptors}");
+        assert!(!driver.logged("accepting failed"), "{descriptors}: no call met the system's limit");
+    }
+}
+
+#[test]
+fn too_few_descriptors_to_serve_with_are_said_at_the_start() {
+    let (mut command, path) =
+        Driver::limited(20, "serve", &config("127.0.0.1:8500".parse().unwrap(), 256, "null"));
+    let output = command.output().unwrap();
+    std::fs::remove_file(path).unwrap();
+    let said = String::from_utf8(output.stderr).unwrap();
+    assert!(!output.status.success() && said.trim_end().lines().count() == 1, "{said}");
+    assert!(said.contains("20 open files, 24 are needed"), "{said}");
+}
--- a/crates/test-support/src/program.rs
+++ b/crates/test-support/src/program.rs
@@ -106,6 +106,21 @@
         Driver::spawn(command, "127.0.0.1:0".parse().unwrap(), path, Some(operator))
     }
 
+    /// Which the system allows only so many open files.
+    pub fn with_descriptors(descriptors: u32, config: &str) -> Driver {
+        let (command, path) = Driver::limited(descriptors, "serve", config);
+        Driver::spawn(command, "127.0.0.1:0".parse().unwrap(), path, None)
+    }
+
+    /// The program under that limit, not yet run, and its configuration's file.
+    pub fn limited(descriptors: u32, verb: &str, config: &str) -> (Command, PathBuf) {
+        let path = file("config", config);
+        let mut command = Command::new("sh");
+        command.args(["-c", "ulimit -n $0; exec \"$@\"", &descriptors.to_string()]);
+        command.arg(program()).arg(verb).env_clear().env("GW_CONFIG", &path);
+        (command, path)
+    }
+
     fn spawn(mut command: Command, listen: SocketAddr, path: PathBuf, operator: Option<&str>) -> Driver {
         command.env("GW_LISTEN", listen.to_string()).stderr(Stdio::piped());
         let operator = operator.map(|text| file("operator", text));
