--- a/crates/driver/src/context.rs
+++ b/crates/driver/src/context.rs
@@ -1,7 +1,9 @@
+use std::cell::Cell;
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
+use std::time::Duration;
 
 use slog::Logger;
 use tokio::sync::{Semaphore, mpsc, watch};
@@ -31,4 +33,15 @@
     pub best_paid: HashSet<String>,
     /// The members' share of descriptors.
     pub member_room: Arc<Semaphore>,
+    /// Connections that wait for one of them.
+    pub waiting_for_room: Cell<usize>,
+}
+
+impl Context {
+    /// How long a request that comes now may still be under way: `None` unless the program is to stop.
+    pub fn left_to_answer(&self) -> Option<Duration> {
+        let window_closes = (*self.stopping.borrow())?;
+        let end = window_closes + (self.limits.stop_end - self.limits.stop_window);
+        Some(end.saturating_duration_since(Instant::now()))
+    }
 }
--- a/crates/driver/src/limits.rs
+++ b/crates/driver/src/limits.rs
@@ -10,6 +10,20 @@
 /// What the system may hold of a connection, twice that each way.
 const BUFFER: usize = 16 * 1024;
 
+/// The program is killed no earlier after a request to stop than the longest deadline, of which no more than so much
+/// counts, and this span behind it.
+const LONGEST_WAIT: Duration = Duration::from_secs(3);
+const KILLED_BEHIND: Duration = Duration::from_millis(700);
+/// For so long may the process be held up between reading its clock and writing.
+const HELD_UP: Duration = Duration::from_millis(150);
+
+/// Guards answers against a kill that finds them unwritten. Harms requests that come late in a shutdown: they have less
+/// time than they ask for.
+fn stop_end(decoded: &Decoded) -> Duration {
+    let longest = decoded.terms.offerings.iter().map(|offering| duration(offering.limit)).max();
+    longest.unwrap_or_default().min(LONGEST_WAIT) + KILLED_BEHIND - HELD_UP
+}
+
 /// All sizes, counts and times that bound the driver, filled once at its start.
 #[derive(Clone, Debug)]
 pub struct Limits {
@@ -54,6 +68,9 @@
     pub first: Duration,
     /// From the first byte of a client's message to its last, however steadily it comes.
     pub message: Duration,
+    /// Silence within a client's message after which its connection is closed: a client that stops there and stays is
+    /// owed an end within three seconds.
+    pub stalled: Duration,
     /// How long a client's connection may stand without a task.
     pub client_idle: Duration,
     /// Room is asked for a message beyond this size.
@@ -74,6 +91,8 @@
     pub parting: Duration,
     /// From the attempt to connect to a member until it is ready for a statement.
     pub connect: Duration,
+    /// A connection to a member that is not there after less than this says nothing of the member.
+    pub opening: Duration,
     pub probe: Duration,
     /// After so many spoilt answers in a row there is a line in the log.
     pub spoilt_told: usize,
@@ -98,6 +117,8 @@
     pub fates: usize,
     /// After a request to stop, how long new connections are still taken, and the rest of a message waited for.
     pub stop_window: Duration,
+    /// After a request to stop, by when every answer must be out: the program may be killed soon after.
+    pub stop_end: Duration,
     /// How long after the last client what other gateways sent is waited for.
     pub stop_guests: Duration,
 }
@@ -143,6 +164,7 @@
             startup: Duration::from_secs(2),
             first: Duration::from_millis(2500),
             message: Duration::from_secs(60),
+            stalled: Duration::from_millis(2500),
             client_idle: Duration::from_millis(2100),
             small: SMALL,
             room_wait: Duration::from_millis(100),
@@ -153,6 +175,7 @@
             accepting: Duration::from_secs(5),
             parting: Duration::from_millis(300),
             connect: duration(decoded.connect_timeout),
+            opening: duration(decoded.connect_timeout).min(Duration::from_millis(100)),
             probe: duration(decoded.connect_timeout),
             spoilt_told: 3,
             closing: Duration::from_millis(5),
@@ -171,6 +194,7 @@
             link_retry: (Duration::from_millis(50), Duration::from_secs(2)),
             fates: (memory / 16 / SMALL).clamp(256, 65_536),
             stop_window: Duration::from_millis(600),
+            stop_end: stop_end(decoded),
             stop_guests: Duration::from_secs(30),
         }
     }
--- a/crates/driver/src/main.rs
+++ b/crates/driver/src/main.rs
@@ -17,10 +17,12 @@
 mod reload;
 mod start;
 mod status;
+mod system;
 mod trial;
 mod watch;
 mod words;
 
+use std::cell::Cell;
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -223,11 +225,11 @@
     let (log, _guard) = logger(&limits);
     let [mut terminate, mut interrupt] = ends;
     let (address, discovery) = notice::channel(discovery);
-    let clock = Clock::start(suspension.then_some(clock::suspended));
+    let clock = Clock::start(clock::unix_now, suspension.then_some(clock::suspended));
     let lived = Lived::start(clock);
     let gate = Gate::new(lived.clone(), log.clone(), bounds);
     spawn_local(gate.clone().run());
-    let listener = listener::bind(listen, limits.backlog, limits.buffer).map_err(|why| Halt::Listen {
+    let listener = system::listen(listen, limits.backlog, limits.buffer).map_err(|why| Halt::Listen {
         field: "listen",
         address: listen,
         why,
@@ -269,12 +271,13 @@
         gate: gate.clone(),
         best_paid: decoded.best_paid().into_iter().collect(),
         member_room,
+        waiting_for_room: Cell::new(0),
     });
     let address = listener.local_addr().unwrap_or(listen);
     info!(log, "serving"; "name" => &name, "listen" => %address, "version" => env!("CARGO_PKG_VERSION"));
 
     let warmed = match &warm {
-        Some(warm) => keep::start(warm, &name, memory, clock, &log).await,
+        Some(warm) => Some(keep::start(warm, &name, memory, clock, &log).await),
         None => None,
     };
     let (kept_in, mut recalled, keeping) = match warmed {
@@ -357,7 +360,7 @@
     };
     let yard = Yard::new(own.clone(), &gateway, bounds);
     if let Some(listen) = gateway.listen {
-        let listener = listener::bind(listen, limits.backlog, limits.member_buffer)
+        let listener = system::listen(listen, limits.backlog, limits.member_buffer)
             .map_err(|why| Halt::Listen { field: "gateway.listen", address: listen, why })?;
         let address = listener.local_addr().unwrap_or(listen);
         info!(context.log, "gateway"; "site" => &own.site, "links" => %address);
--- a/crates/routing/src/policy/members.rs
+++ b/crates/routing/src/policy/members.rs
@@ -6,15 +6,17 @@
     pub fn list(&mut self, now: Micros, full: bool, lines: Vec<Listed>) -> Todo {
         // The list held at the start is no answer to a call.
         self.ask_at = if self.members.is_empty() { self.ask_at } else { Micros::MAX };
-        let listed = |member: &Member| lines.iter().any(|line| line.name == member.name);
+        let listed: HashSet<&str> = lines.iter().map(|line| line.name.as_str()).collect();
         for id in 0..self.members.len() {
-            if full && !listed(&self.members[id]) {
+            if full && !listed.contains(self.members[id].name.as_str()) {
                 self.stand(now, id, Standing::Gone);
             }
         }
         if self.members.is_empty() {
             self.mean_size = lines.iter().map(|line| line.size).sum::<f64>() / lines.len().max(1) as f64;
         }
+        let slots = lines.iter().map(|line| line.member + 1).max().unwrap_or(0);
+        self.members.resize_with(slots.max(self.members.len()), Member::default);
         for line in lines {
             self.list_line(now, line);
         }
@@ -24,20 +26,16 @@
 
     pub(super) fn list_line(&mut self, now: Micros, line: Listed) {
         let group = self.group(line.group);
-        if self.members.len() <= line.member {
-            self.members.resize_with(line.member + 1, Member::default);
-        }
         let credit = self.first_credit() + f64::from(line.since.is_none());
         let (id, drivers) = (line.member, self.terms.drivers as f64);
-        let known = self.groups[group].members.contains(&id);
+        let known = self.members[id].group == group && self.members[id].name == line.name;
         if !known {
             let size = line.size / self.mean_size;
             let window = if self.sparse() { MOST / drivers * size } else { (START / drivers).max(1.0) };
             let fresh = Member { position: Micros::MIN, heard: now, answered: now, ..Member::default() };
+            let fresh = Member { not_primary: Micros::MIN, ..fresh };
             self.members[id] = Member { name: line.name, group, zone: line.zone, size, window, ..fresh };
-            let members = &mut self.groups[group].members;
-            members.push(id);
-            members.sort_by_key(|&id| self.members[id].name.clone());
+            self.enter(group, id);
         }
         let member = &mut self.members[id];
         if !known || member.since != line.since && line.standing == Standing::Ready {
@@ -45,7 +43,7 @@
             (member.since, member.credit, member.credited) = (line.since, credit, now);
         }
         self.stand(now, id, line.standing);
-        if !known && !self.sparse() {
+        if !known && !self.sparse() && !self.keeps_to_some() {
             // A probe for each member and one in reserve.
             self.allowance += 2.0;
             self.probe(now, id, PROBE_NEEDED);
@@ -70,6 +68,18 @@
         if standing != Standing::Ready && group.primary == Some(id) {
             // The list tells all drivers, but they are not to walk all at once.
             (group.primary, group.walk_after) = (None, now + self.rng.random_range(0..hold));
+            group.search.since = now;
+        }
+    }
+
+    /// The members' clock is so much ahead of this one, and these are their starts on this one. Protects bounded reads
+    /// and slow start from a process whose wall clock is wrong. Harms them where the caller is.
+    pub fn members_clock(&mut self, offset: Micros, starts: &[(MemberId, Option<Micros>)]) {
+        self.clock_offset = offset;
+        for &(id, since) in starts {
+            if let Some(member) = self.members.get_mut(id) {
+                member.since = since;
+            }
         }
     }
 
@@ -82,6 +92,7 @@
         if forgotten {
             let group = &mut self.groups[member.group];
             group.members.retain(|&member| member != id);
+            group.preferred.retain(|&member| member != id);
             group.listed = group.listed.filter(|&listed| listed != id);
             self.members[id] = Member::default();
         }
@@ -148,6 +159,9 @@
     /// How many more launches this driver may have out at the member: its window, and for a cold one its
     /// part of what the member can bear. Where less than one launch is due, launches are saved up for.
     pub(super) fn room(&self, now: Micros, id: MemberId) -> f64 {
+        if !self.connectable(now, id) {
+            return 0.0;
+        }
         let member = &self.members[id];
         // Launches that were overtaken and stay out for long are taken for lost: they hold no place.
         let overdue = |(at, offering)| at < member.overtaken && now - at > self.patience(offering);
@@ -216,14 +230,15 @@
         }
         let (group, was_barred) = (member.group, member.probe_misses >= PROBE_MISSES);
         member.probe_out = false;
-        if matches!(verdict, Verdict::Moot | Verdict::Unseen) {
+        if matches!(verdict, Verdict::Moot | Verdict::Unseen | Verdict::LocalFailure) {
             // Nobody asked it, or nobody saw its answer.
         } else if matches!(verdict, Verdict::Honoured | Verdict::Full | Verdict::Spoilt | Verdict::Dropped) {
             // An answered probe lifts the detect bar.
             member.barred_until = if was_barred { now } else { member.barred_until };
             member.probe_misses = 0;
             member.hear(now, credit);
-            let at = told.position.unwrap_or(now - HOLD - told.age);
+            let at = told.position.map(|position| position.saturating_sub(self.clock_offset));
+            let at = at.unwrap_or(now - HOLD - told.age);
             self.note(now, id, told, at, at);
         } else {
             member.probe_misses += 1;
@@ -233,6 +248,7 @@
             member.barred_until = if barred { now + BAR } else { member.barred_until };
         }
         self.pump(now, group);
+        self.part_with(id);
         self.take_todo()
     }
 
--- a/crates/routing/tests/router/main.rs
+++ b/crates/routing/tests/router/main.rs
@@ -3,5 +3,8 @@
 mod fresh;
 mod givens;
 mod in_time;
+mod local;
 mod rules;
+mod wide_fleets;
+mod wide_groups;
 mod world;
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -4,6 +4,7 @@
 mod cable;
 mod client;
 mod discovery;
+mod faults;
 mod hold;
 mod kernel;
 mod member;
@@ -11,6 +12,7 @@
 mod site;
 mod slow;
 mod statement;
+mod wall_clock;
 
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -18,6 +20,7 @@
 pub use cable::{BACK, Cable, THERE};
 pub use client::{Client, Said, honoured, paced};
 pub use discovery::{Discovery, list};
+pub use faults::Faults;
 pub use hold::Hold;
 pub use kernel::{closed, delivered};
 pub use member::{Act, Member, honour, honour_with, refuse, sound, whole};
@@ -25,6 +28,7 @@
 pub use site::{Ledger, Site, free_port};
 pub use slow::drip;
 pub use statement::{look, named, new_id, order};
+pub use wall_clock::{SteppedClock, WALL_CLOCK_STEP};
 
 /// Long enough for any step on a busy machine.
 pub const LONG: Duration = Duration::from_secs(30);
