--- a/crates/proxy/src/coordination.rs
+++ b/crates/proxy/src/coordination.rs
@@ -186,7 +186,6 @@
         directives: Vec<Directive>,
         others: &[Rc<str>],
     ) {
-        self.tell_superseded(&directives);
         self.tell_superseded(&directives);
         let mut new = directives;
         new.retain(|directive| self.accept(now, age, directive));
