--- a/crates/site-routing/tests/failing.rs
+++ b/crates/site-routing/tests/failing.rs
@@ -288,13 +288,11 @@
         match self.dice.below(24) {
             0 => {
                 let one_in = 1 + self.dice.below(6);
-                let state = &mut *self.disk.state();
-                state.fails_one_in = state.fails_one_in.is_none().then_some(one_in);
+                self.disk.toggle_failing(one_in);
             }
             1 => {
                 let room = self.dice.below(300) as usize;
-                let state = &mut *self.disk.state();
-                state.room = state.room.is_none().then_some(room);
+                self.disk.toggle_room(room);
             }
             2 => self.disk.state().left = Some(self.dice.below(600) as usize),
             3..9 => self.request_comes(life),
--- a/crates/store/tests/failing.rs
+++ b/crates/store/tests/failing.rs
@@ -102,13 +102,11 @@
         let chance = self.dice.below(20);
         if chance == 0 {
             let one_in = 2 + self.dice.below(12);
-            let state = &mut *self.disk.state();
-            state.fails_one_in = state.fails_one_in.is_none().then_some(one_in);
+            self.disk.toggle_failing(one_in);
         }
         if chance == 1 {
             let room = self.dice.below(300) as usize;
-            let state = &mut *self.disk.state();
-            state.room = state.room.is_none().then_some(room);
+            self.disk.toggle_room(room);
         }
         if chance == 2 {
             // Killed within the next steps, or now if it lives on.
--- a/crates/store/tests/power/mod.rs
+++ b/crates/store/tests/power/mod.rs
@@ -84,6 +84,18 @@
         self.0.lock().unwrap()
     }
 
+    /// From now on one call in so many fails, or none any more where some did.
+    pub fn toggle_failing(&self, one_in: u64) {
+        let state = &mut *self.state();
+        state.fails_one_in = state.fails_one_in.is_none().then_some(one_in);
+    }
+
+    /// From now on there is room for so many bytes, or for any number where there was a limit.
+    pub fn toggle_room(&self, room: usize) {
+        let state = &mut *self.state();
+        state.room = state.room.is_none().then_some(room);
+    }
+
     pub fn names(&self) -> Vec<String> {
         self.state().names.keys().cloned().collect()
     }
