--- /dev/null
+++ b/crates/proxy/src/cli/mod.rs
@@ -0,0 +1,3 @@
+//! The command line: one file for each subcommand.
+
+pub mod status;
--- a/crates/proxy/src/status.rs
+++ b/crates/proxy/src/cli/status.rs
@@ -5,7 +5,7 @@
 use slog::{Logger, warn};
 use tokio::net::UnixListener;
 
-use crate::error::ProgramError;
+use crate::lifecycle::errors::ProgramError;
 use crate::system;
 
 /// The socket at that path; `None` where there can be none, which the log then says.
--- a/crates/proxy/src/listener.rs
+++ b/crates/proxy/src/client/listener.rs
@@ -13,10 +13,10 @@
 use tokio::task::{self, JoinError, JoinSet};
 use tokio::time::{Instant, sleep_until};
 
-use crate::client::{Client, ConnectionState, turn_away};
-use crate::context::Context;
-use crate::gate::Presence;
-use crate::limits::Descriptors;
+use super::{Client, ConnectionState, turn_away};
+use crate::flow_control::Presence;
+use crate::lifecycle::limits::Descriptors;
+use crate::lifecycle::process_context::Context;
 use crate::messages::{ClientId, ClientMessage};
 use crate::system::Acceptor;
 
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client/mod.rs
@@ -14,16 +14,18 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-use crate::context::Context;
-use crate::gate::{Presence, Room};
+use crate::flow_control::{Presence, Room};
+use crate::lifecycle::process_context::Context;
 use crate::messages::{Answer, ClientId, ClientLeft, ClientMessage, ClientRequest, DispatcherMessage};
 use crate::system::{self, Party};
 
-mod asking;
-mod ending;
+use close::{encode, gone, has_unread, part};
 
-pub use ending::turn_away;
-use ending::{encode, gone, has_unread, part};
+mod close;
+pub mod listener;
+mod statement;
+
+pub use close::turn_away;
 
 /// What the listener sees of a client: since when nothing is under way, and whether anything ever was.
 #[derive(Default)]
--- a/crates/proxy/src/coordination.rs
+++ b/crates/proxy/src/coordination/mod.rs
@@ -28,7 +28,7 @@
 use slog::{Logger, info};
 use tokio::sync::mpsc;
 
-use crate::keep::Folder;
+use crate::persistence::Folder;
 use records::{MOST_IN_FLIGHT, Record, Records};
 use site_drain::SiteDrainWork;
 use split_points::SplitPointWork;
--- a/crates/proxy/src/coordination/records.rs
+++ b/crates/proxy/src/coordination/records.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 
 use super::{CallTime, Coordination};
-use crate::keep::Folder;
+use crate::persistence::Folder;
 
 /// Writes that may wait for the disk at once: the confirmations that the channel holds.
 pub(super) const MOST_IN_FLIGHT: usize = 256;
--- a/crates/proxy/src/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -12,9 +12,9 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-use crate::catalog::Catalog;
-use crate::clock::duration;
-use crate::context::Context;
+use crate::discovery::endpoint_list::Catalog;
+use crate::lifecycle::clock::duration;
+use crate::lifecycle::process_context::Context;
 use crate::messages::ListUpdate;
 use crate::system::{self, Meaning, Party};
 
--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -7,7 +7,7 @@
 use super::Dispatcher;
 use super::endpoints::MemberEntry;
 use super::open_request::OpenRequest;
-use crate::clock::duration;
+use crate::lifecycle::clock::duration;
 use crate::messages::{
     Answer, Attempt, AttemptFinished, AttemptResponse, DispatcherMessage, HealthCheckFinished, MemberCommand,
     ReplicaReports,
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -12,8 +12,8 @@
 use tokio::time::Instant;
 
 use super::Dispatcher;
-use crate::catalog::{Catalog, Entry};
-use crate::clock::Clock;
+use crate::discovery::endpoint_list::{Catalog, Entry};
+use crate::lifecycle::clock::Clock;
 use crate::member::{LastHeard, Member};
 use crate::messages::{ListUpdate, MemberCommand, ReplicaReports};
 
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -24,7 +24,7 @@
 
 use super::open_request::WaitingClient;
 use super::outcome_log::{OutcomeLog, Token};
-use crate::gate::Room;
+use crate::flow_control::Room;
 use crate::messages::{ClientId, ClientRequest, LinkId};
 
 /// How long after its deadline somebody may still ask about a request.
--- a/crates/proxy/src/dispatcher/gateway/start.rs
+++ b/crates/proxy/src/dispatcher/gateway/start.rs
@@ -11,8 +11,8 @@
 
 use super::{ASKED_AFTER_DEADLINE, EndedCounts, GatewayPart};
 use crate::dispatcher::outcome_log::OutcomeLog;
-use crate::keep::Folder;
 use crate::messages::ClientId;
+use crate::persistence::Folder;
 
 /// Remote requests get client ids of their own, from here on.
 const FIRST_REMOTE_ID: ClientId = 1 << 63;
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -28,12 +28,12 @@
 use tokio::task::yield_now;
 use tokio::time::sleep_until;
 
-use crate::context::Context;
 use crate::dispatcher::endpoints::MemberEntry;
 use crate::dispatcher::open_request::{OpenRequest, RequestLocation};
 use crate::dispatcher::warm_state::ListedEntries;
+use crate::lifecycle::process_context::Context;
 use crate::messages::{ClientId, DispatcherMessage, FleetSize, ListUpdate};
-use crate::trial::Trial;
+use crate::shadow::Trial;
 
 /// How often other actors have their turn after a stall, before the dispatcher goes on: to be woken by what came,
 /// to read it, and to hand it on.
--- a/crates/proxy/src/dispatcher/outcome_log.rs
+++ b/crates/proxy/src/dispatcher/outcome_log.rs
@@ -10,7 +10,7 @@
 use aldermill_warm_start::space;
 use tokio::sync::mpsc;
 
-use crate::keep::Folder;
+use crate::persistence::Folder;
 
 /// How long a remote request, and an outcome, wait for the disk before they go on without it.
 const LONGEST_WAIT: Micros = 250_000;
--- a/crates/proxy/src/dispatcher/warm_state.rs
+++ b/crates/proxy/src/dispatcher/warm_state.rs
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 
 use super::{Dispatcher, GatewayPart};
-use crate::catalog::Catalog;
+use crate::discovery::endpoint_list::Catalog;
 
 /// How often what is believed is handed to the keeper.
 const KEEP_EVERY: Micros = 1_000_000;
--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/flow_control/mod.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-use crate::clock::{Lived, duration};
+use crate::lifecycle::clock::{Lived, duration};
 
 /// Those who were cut off are told in the log by so much time together.
 const TALLY: Duration = Duration::from_secs(1);
--- a/crates/proxy/src/gateway/meeting.rs
+++ b/crates/proxy/src/gateway/handshake.rs
@@ -13,7 +13,7 @@
 
 use super::Yard;
 use super::link::{Wire, stood};
-use crate::context::Context;
+use crate::lifecycle::process_context::Context;
 use crate::system::{self, Acceptor, Meaning};
 
 /// Takes links in from the networks of the peers, until the driver stops.
--- a/crates/proxy/src/gateway/link.rs
+++ b/crates/proxy/src/gateway/link.rs
@@ -12,8 +12,8 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 use super::{Unwelcome, Yard};
-use crate::context::Context;
-use crate::gate::Presence;
+use crate::flow_control::Presence;
+use crate::lifecycle::process_context::Context;
 use crate::messages::{DispatcherMessage, LinkEvent, LinkId, LinkMessage};
 
 /// What is read at once, and what is written at once.
--- a/crates/proxy/src/gateway/mod.rs
+++ b/crates/proxy/src/gateway/mod.rs
@@ -1,7 +1,7 @@
 //! Links to other sites' gateways: who may come, who is gone to, and the actor of each link.
 
+mod handshake;
 mod link;
-mod meeting;
 
 use std::cell::Cell;
 use std::net::IpAddr;
@@ -14,11 +14,11 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 
-pub use meeting::{accept, start};
+pub use handshake::{accept, start};
 
-use crate::context::Context;
+use crate::cli::status;
+use crate::lifecycle::process_context::Context;
 use crate::messages::{DispatcherMessage, LinkId};
-use crate::status;
 use crate::system::Acceptor;
 
 /// Why a gateway that greets may not be there.
--- a/crates/proxy/src/start.rs
+++ b/crates/proxy/src/lifecycle/configuration.rs
@@ -7,10 +7,10 @@
 use serde_json::Value;
 use serde_json::value::RawValue;
 
-use crate::catalog::Catalog;
-use crate::error::{ProgramError, Unclear};
-use crate::limits::{Descriptors, Limits};
-use crate::trial::Trial;
+use crate::discovery::endpoint_list::Catalog;
+use crate::lifecycle::errors::{ProgramError, Unclear};
+use crate::lifecycle::limits::{Descriptors, Limits};
+use crate::shadow::Trial;
 
 #[derive(Deserialize)]
 struct Allowed {
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/lifecycle/limits.rs
@@ -4,7 +4,7 @@
 use aldermill_settings::Decoded;
 use uapi::c;
 
-use crate::clock::duration;
+use crate::lifecycle::clock::duration;
 
 /// A message of this size is nothing to be careful about.
 const SMALL: usize = 8 * 1024;
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/lifecycle/process_context.rs
@@ -9,9 +9,9 @@
 use tokio::sync::{Semaphore, mpsc, watch};
 use tokio::time::Instant;
 
-use crate::clock::{Clock, Lived};
-use crate::gate::Gate;
-use crate::limits::Limits;
+use crate::flow_control::Gate;
+use crate::lifecycle::clock::{Clock, Lived};
+use crate::lifecycle::limits::Limits;
 use crate::messages::DispatcherMessage;
 
 /// What every actor of the driver needs.
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -8,9 +8,9 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, watch};
 
-use crate::gate::Gate;
+use crate::flow_control::Gate;
+use crate::lifecycle::configuration::{Files, Fixed, Start};
 use crate::messages::DispatcherMessage;
-use crate::start::{Files, Fixed, Start};
 
 pub struct Reload {
     pub files: Files,
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,26 +1,19 @@
 //! aldermill: a proxy before groups of databases, each a primary and its replicas.
 
-mod catalog;
+mod cli;
 mod client;
-mod clock;
-mod context;
 mod coordination;
+mod discovery;
 mod dispatcher;
-mod error;
-mod fellows;
-mod gate;
+mod flow_control;
 mod gateway;
-mod keep;
-mod limits;
-mod listener;
+mod lifecycle;
 mod member;
+mod membership;
 mod messages;
-mod reload;
-mod start;
-mod status;
+mod persistence;
+mod shadow;
 mod system;
-mod trial;
-mod watch;
 
 use std::cell::Cell;
 use std::process::ExitCode;
@@ -40,20 +33,20 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, timeout};
 
-use crate::catalog::Catalog;
-use crate::clock::{Clock, Lived, duration};
-use crate::context::Context;
+use crate::discovery::endpoint_list::Catalog;
+use crate::discovery::watch::Watch;
 use crate::dispatcher::{Dispatcher, DispatcherParts, GatewayPart, Observations, Opening, WarmState};
-use crate::error::ProgramError;
-use crate::fellows::{Company, Sitting};
-use crate::gate::Gate;
+use crate::flow_control::Gate;
 use crate::gateway::Yard;
-use crate::keep::Folder;
-use crate::limits::Limits;
+use crate::lifecycle::clock::{Clock, Lived, duration};
+use crate::lifecycle::configuration::{Files, Start};
+use crate::lifecycle::errors::ProgramError;
+use crate::lifecycle::limits::Limits;
+use crate::lifecycle::process_context::Context;
+use crate::lifecycle::reload::Reload;
+use crate::membership::{Company, Sitting};
 use crate::messages::{DispatcherMessage, ListUpdate};
-use crate::reload::Reload;
-use crate::start::{Files, Start};
-use crate::watch::Watch;
+use crate::persistence::Folder;
 
 /// A proxy before groups of databases, each a primary and its replicas
 #[derive(Clone, Debug, Bpaf)]
@@ -138,12 +131,12 @@
         Command::Check { config, operator } => {
             read(&Files { config, operator }).map(|start| describe(&start))
         }
-        Command::Sites { socket } => status::ask(&socket).map(|text| print!("{text}")),
-        Command::Fellows { json, socket } => fellows::ask(&socket, json).map(|text| print!("{text}")),
-        Command::Store { work: FolderWork::Check { folder } } => keep::tools::check(&folder)
+        Command::Sites { socket } => cli::status::ask(&socket).map(|text| print!("{text}")),
+        Command::Fellows { json, socket } => membership::ask(&socket, json).map(|text| print!("{text}")),
+        Command::Store { work: FolderWork::Check { folder } } => persistence::maintenance::check(&folder)
             .and_then(|sound| sound.then_some(()).ok_or_else(|| ProgramError::Damaged(folder.clone()))),
-        Command::Store { work: FolderWork::Dump { folder } } => keep::tools::dump(&folder),
-        Command::Store { work: FolderWork::Compact { folder } } => keep::tools::compact(&folder),
+        Command::Store { work: FolderWork::Dump { folder } } => persistence::maintenance::dump(&folder),
+        Command::Store { work: FolderWork::Compact { folder } } => persistence::maintenance::compact(&folder),
         Command::Schema => {
             print!("{}", Operator::schema());
             Ok(())
@@ -225,7 +218,7 @@
     let (log, _guard) = logger(&limits);
     let [mut terminate, mut interrupt] = ends;
     let (address, discovery) = notice::channel(discovery);
-    let clock = Clock::start(clock::unix_now, suspension.then_some(clock::suspended));
+    let clock = Clock::start(lifecycle::clock::unix_now, suspension.then_some(lifecycle::clock::suspended));
     let lived = Lived::start(clock);
     let gate = Gate::new(lived.clone(), log.clone(), bounds);
     spawn_local(gate.clone().run());
@@ -274,11 +267,11 @@
     info!(log, "serving"; "name" => &name, "listen" => %address, "version" => env!("CARGO_PKG_VERSION"));
 
     let warmed = match &warm {
-        Some(warm) => Some(keep::start(warm, &name, memory, clock, &log).await),
+        Some(warm) => Some(persistence::start(warm, &name, memory, clock, &log).await),
         None => None,
     };
     let (kept_in, mut recalled, keeping) = match warmed {
-        Some(keep::Warmed { folder, recalled, keeping }) => (Some(folder), recalled, Some(keeping)),
+        Some(persistence::Warmed { folder, recalled, keeping }) => (Some(folder), recalled, Some(keeping)),
         None => Default::default(),
     };
     // Of two lists the one of the later revision is the later one.
@@ -329,7 +322,7 @@
     spawn_local(
         Watch { context: context.clone(), dispatcher: list_update, requests, revision, first, rng }.run(),
     );
-    let serving = spawn_local(listener::run(context.clone(), listener));
+    let serving = spawn_local(client::listener::run(context.clone(), listener));
 
     tokio::select! {
         _ = terminate.recv() => {}
--- a/crates/proxy/src/member.rs
+++ b/crates/proxy/src/member/actor.rs
@@ -1,9 +1,5 @@
 //! The actor of one member: its pool of connections, and the attempts and health checks on them.
 
-mod connection;
-mod life;
-mod visit;
-
 use std::cell::Cell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,15 +14,15 @@
 use tokio::task::{self, JoinSet};
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-use crate::context::Context;
-use crate::gate::Room;
+use super::connection::{Connection, Unopened, connect, settled};
+use super::last_heard::LastHeard;
+use super::query::{Departure, Visit};
+use crate::flow_control::Room;
+use crate::lifecycle::process_context::Context;
 use crate::messages::{
     Attempt, AttemptFinished, AttemptResponse, DispatcherMessage, HealthCheckFinished, MemberCommand,
     ReplicaReports, Rows,
 };
-use connection::{Connection, Unopened, connect, settled};
-pub use life::LastHeard;
-use visit::{Departure, Visit};
 
 /// A member's word on its own role.
 const PRIMARY: &str = "writer";
--- a/crates/proxy/src/member/connection.rs
+++ b/crates/proxy/src/member/connection.rs
@@ -9,8 +9,8 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Instant, timeout_at};
 
-use crate::context::Context;
-use crate::limits::Limits;
+use crate::lifecycle::limits::Limits;
+use crate::lifecycle::process_context::Context;
 use crate::messages::DispatcherMessage;
 use crate::system::{self, BufferSizes, Meaning, Party, Peeked};
 
--- a/crates/proxy/src/member/visit.rs
+++ b/crates/proxy/src/member/query.rs
@@ -13,8 +13,8 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 use super::connection::{Connection, before_send};
-use crate::context::Context;
-use crate::gate::Room;
+use crate::flow_control::Room;
+use crate::lifecycle::process_context::Context;
 use crate::messages::{Attempt, Query};
 use crate::system::{self, Meaning, Party, Peeked};
 
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -16,12 +16,12 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until};
 
-use crate::context::Context;
+use crate::cli::status;
 use crate::coordination::{CallTime, Coordination, DECISION_INTERVAL, Datagram};
-use crate::error::ProgramError;
-use crate::keep::Folder;
+use crate::lifecycle::errors::ProgramError;
+use crate::lifecycle::process_context::Context;
 use crate::messages::{DispatcherMessage, FleetSize};
-use crate::status;
+use crate::persistence::Folder;
 use crate::system::{self, Acceptor, Datagrams, Received};
 
 /// Datagrams read before it is looked whether anything is due.
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages/mod.rs
@@ -15,9 +15,9 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use crate::catalog::Catalog;
-use crate::gate::Room;
-use crate::trial::Trial;
+use crate::discovery::endpoint_list::Catalog;
+use crate::flow_control::Room;
+use crate::shadow::Trial;
 
 /// Names a statement of a client, new for each.
 pub type ClientId = u64;
--- a/crates/proxy/src/keep/tools.rs
+++ b/crates/proxy/src/persistence/maintenance.rs
@@ -4,8 +4,8 @@
 
 use aldermill_store::{Bounds, Disk, Recovered, Snapshot, Store};
 
-use crate::clock::unix_now;
-use crate::error::ProgramError;
+use crate::lifecycle::clock::unix_now;
+use crate::lifecycle::errors::ProgramError;
 
 const ALL: Bounds = Bounds { segment: 4 << 20, batch: 1 << 30, live: 1 << 40, slack: 4 };
 
--- a/crates/proxy/src/keep.rs
+++ b/crates/proxy/src/persistence/mod.rs
@@ -1,9 +1,9 @@
 //! What is kept over a restart: the folder's opening, and the actor that hands what is believed to the disk.
 
-mod folder;
-mod keeper;
+mod data_directory;
+pub mod maintenance;
 mod opening;
-pub mod tools;
+mod writer;
 
 use std::path::Path;
 use std::rc::Rc;
@@ -16,10 +16,10 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-pub use folder::Folder;
+pub use data_directory::Folder;
 use opening::{Opener, Unopened};
 
-use crate::clock::Clock;
+use crate::lifecycle::clock::Clock;
 
 /// A folder that is not read by then is taken in later: nobody waits for a disk.
 const OPENING: Duration = Duration::from_millis(500);
--- a/crates/proxy/src/keep/opening.rs
+++ b/crates/proxy/src/persistence/opening.rs
@@ -11,9 +11,9 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::sleep;
 
-use super::folder::{Folder, Record};
-use super::keeper::Keeper;
-use crate::clock::Clock;
+use super::data_directory::{Folder, Record};
+use super::writer::Keeper;
+use crate::lifecycle::clock::Clock;
 
 /// The wait behind the first trial that failed, doubled with each that follows.
 const FIRST_WAIT: Duration = Duration::from_millis(250);
--- a/crates/proxy/src/keep/keeper.rs
+++ b/crates/proxy/src/persistence/writer.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep_until;
 
 use super::Folder;
-use crate::clock::Clock;
+use crate::lifecycle::clock::Clock;
 
 /// How long a write may wait for its confirmation before the disk counts as gone.
 const PATIENCE: Micros = 2_000_000;
--- a/crates/proxy/src/trial.rs
+++ b/crates/proxy/src/shadow/mod.rs
@@ -11,7 +11,7 @@
 use slog::{Logger, info};
 use tokio::time::Instant;
 
-use crate::error::OnTrial;
+use crate::lifecycle::errors::OnTrial;
 
 /// What becomes of a request by one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/proxy/tests/clock.rs
+++ b/crates/proxy/tests/clock.rs
@@ -1,6 +1,6 @@
 //! The clocks of the program, under a machine that was suspended and under a wall clock that is stepped.
 
-#[path = "../src/clock.rs"]
+#[path = "../src/lifecycle/clock.rs"]
 #[allow(dead_code, reason = "the program uses the rest")]
 mod clock;
 
--- a/crates/proxy/tests/trial.rs
+++ b/crates/proxy/tests/trial.rs
@@ -1,9 +1,11 @@
 //! Other settings that are watched beside those in force.
 
-#[path = "../src/error.rs"]
-#[allow(dead_code, reason = "the program uses the rest")]
-mod error;
-#[path = "../src/trial.rs"]
+#[path = "../src/lifecycle"]
+mod lifecycle {
+    #[allow(dead_code, reason = "the program uses the rest")]
+    pub mod errors;
+}
+#[path = "../src/shadow/mod.rs"]
 #[allow(dead_code, reason = "the program uses the rest")]
 mod trial;
 
