--- a/crates/proxy/src/client/close.rs
+++ b/crates/proxy/src/client/close.rs
@@ -42,7 +42,7 @@
 }
 
 /// The bytes of an answer, and the room that they hold.
-pub(super) fn encode(answer: Answer) -> (Vec<Vec<u8>>, Option<Room>) {
+pub(super) fn encode(answer: Answer) -> (Vec<Vec<u8>>, Option<BufferReservation>) {
     let mut out = Vec::new();
     match answer {
         Answer::Served(rows) => return (rows.pieces, rows.room),
@@ -60,7 +60,7 @@
 }
 
 /// Tells a client for which there is no room, and parts with it.
-pub async fn turn_away(context: Rc<Context>, mut stream: TcpStream) {
+pub async fn turn_away(context: Rc<ProcessContext>, mut stream: TcpStream) {
     let mut out = Vec::new();
     pg::error(&mut out, true, "53300", "too many connections", None);
     let _ = timeout(context.limits.accepting, system::write_all(Party::Client, &mut stream, &out)).await;
--- a/crates/proxy/src/client/listener.rs
+++ b/crates/proxy/src/client/listener.rs
@@ -14,9 +14,9 @@
 use tokio::time::{Instant, sleep_until};
 
 use super::{Client, ConnectionState, turn_away};
-use crate::flow_control::Presence;
+use crate::flow_control::ConnectionGuard;
 use crate::lifecycle::limits::Descriptors;
-use crate::lifecycle::process_context::Context;
+use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{ClientId, ClientMessage};
 use crate::system::Acceptor;
 
@@ -26,7 +26,7 @@
 }
 
 /// Serves until the driver is to stop and the last client has its answer.
-pub async fn run(context: Rc<Context>, listener: TcpListener) {
+pub async fn run(context: Rc<ProcessContext>, listener: TcpListener) {
     let mut stopping = context.stopping.clone();
     tell_of_few_descriptors(&context);
     let mut acceptor = Acceptor::new(listener, context.log.clone());
@@ -65,7 +65,7 @@
     while registry.turned_away.join_next().await.is_some() {}
 }
 
-fn tell_of_few_descriptors(context: &Context) {
+fn tell_of_few_descriptors(context: &ProcessContext) {
     let Descriptors { configured, allowed } = context.limits.descriptors;
     if allowed < configured {
         warn!(context.log, "the system allows fewer descriptors than limits.sockets, those are shared out; raise ulimit -n";
@@ -75,7 +75,7 @@
 
 /// The clients that are there.
 struct ConnectionRegistry {
-    context: Rc<Context>,
+    context: Rc<ProcessContext>,
     connections: HashMap<task::Id, Connection>,
     clients: JoinSet<()>,
     turned_away: JoinSet<()>,
@@ -85,7 +85,7 @@
 }
 
 impl ConnectionRegistry {
-    fn new(context: Rc<Context>) -> ConnectionRegistry {
+    fn new(context: Rc<ProcessContext>) -> ConnectionRegistry {
         let time = context.limits.keepalive;
         ConnectionRegistry {
             context,
@@ -109,8 +109,9 @@
             self.ask_to_yield(Duration::ZERO, served);
         }
         let place = self.connections.len() < self.context.limits.clients || self.makes_room();
-        if let Some(presence) = place.then(|| self.context.gate.meet(from).ok()).flatten() {
-            self.admit(stream, presence);
+        if let Some(connection_guard) = place.then(|| self.context.flow_control.register(from).ok()).flatten()
+        {
+            self.admit(stream, connection_guard);
         } else if self.turned_away.len() < self.context.limits.turned_away {
             self.turned_away.spawn_local(turn_away(self.context.clone(), stream));
         }
@@ -126,7 +127,8 @@
         if self.connections.len() >= limits.clients + limits.yielding {
             return false;
         }
-        self.context.gate.frees_a_place() || self.ask_to_yield(self.context.limits.between, |_| true)
+        self.context.flow_control.shed_one_connection()
+            || self.ask_to_yield(self.context.limits.between, |_| true)
     }
 
     /// Of these connections without a request, one that never had any is closed first, else the one idle
@@ -145,7 +147,7 @@
         connection.address.try_send(ClientMessage::Yield).is_ok()
     }
 
-    fn admit(&mut self, stream: TcpStream, presence: Presence) {
+    fn admit(&mut self, stream: TcpStream, connection_guard: ConnectionGuard) {
         let id = self.next_id;
         self.next_id += 1;
         // Room for the answers it may wait for and a request to yield.
@@ -156,7 +158,7 @@
             context: self.context.clone(),
             id,
             stream,
-            presence,
+            connection_guard,
             unread: 0,
             left: None,
             sending: false,
--- a/crates/proxy/src/client/mod.rs
+++ b/crates/proxy/src/client/mod.rs
@@ -14,8 +14,8 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-use crate::flow_control::{Presence, Room};
-use crate::lifecycle::process_context::Context;
+use crate::flow_control::{BufferReservation, ConnectionGuard};
+use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{Answer, ClientId, ClientLeft, ClientMessage, ClientRequest, DispatcherMessage};
 use crate::system::{self, Party};
 
@@ -63,10 +63,10 @@
 }
 
 pub struct Client {
-    pub context: Rc<Context>,
+    pub context: Rc<ProcessContext>,
     pub id: ClientId,
     pub stream: TcpStream,
-    pub presence: Presence,
+    pub connection_guard: ConnectionGuard,
     pub buffer: Buffer,
     pub state: Rc<ConnectionState>,
     pub mailbox: mpsc::Receiver<ClientMessage>,
@@ -79,7 +79,7 @@
     /// Bytes sent since the client last asked: they may be unread.
     pub unread: usize,
     /// The room of the last large answer, as far as the system may hold it still.
-    pub left: Option<Room>,
+    pub left: Option<BufferReservation>,
     /// The rest of a message is waited for.
     pub sending: bool,
     /// When it was last read.
@@ -95,8 +95,8 @@
     key: Option<String>,
     answer: Option<Vec<Vec<u8>>>,
     /// Room held for a large statement, and for a large answer.
-    statement: Option<Room>,
-    rows: Option<Room>,
+    statement: Option<BufferReservation>,
+    rows: Option<BufferReservation>,
 }
 
 impl Client {
@@ -138,10 +138,10 @@
         if unread < self.context.limits.unread {
             return true;
         }
-        let _ = SockRef::from(&self.stream).set_tcp_user_timeout(Some(self.presence.lingering()));
+        let _ = SockRef::from(&self.stream).set_tcp_user_timeout(Some(self.connection_guard.lingering()));
         match self.left.take() {
             Some(room) => room.linger(),
-            None => return self.presence.may_leave(unread),
+            None => return self.connection_guard.may_leave(unread),
         }
         true
     }
@@ -216,7 +216,7 @@
                                     self.left = None;
                                 }
                                 if std::mem::take(&mut self.sending) {
-                                    self.presence.rests();
+                                    self.connection_guard.stop_metering();
                                 }
                                 self.state.idle_since.set(None);
                                 begun = None;
@@ -313,7 +313,7 @@
         self.state.idle_since.set(Some(since));
         if !between {
             self.sending = true;
-            self.presence.owes(Way::Sending);
+            self.connection_guard.start_metering(Way::Sending);
         }
         let stopped = async {
             let window = stopping.wait_for(Option::is_some).await.map_or(None, |window| *window);
@@ -331,7 +331,7 @@
                     Some(ClientMessage::Yield) | None => {}
                     Some(_) => continue,
                 },
-                () = self.presence.cut(), if !between => return Err(End::Cut),
+                () = self.connection_guard.disconnected(), if !between => return Err(End::Cut),
                 () = &mut stopped => {}
                 () = sleep_until(until) => {}
             }
@@ -344,14 +344,14 @@
         let count = read?;
         self.date();
         if self.sending {
-            self.presence.moved(count);
+            self.connection_guard.record_progress(count);
         }
         if count > 0 { Ok(()) } else { Err(End::Quiet) }
     }
 
     /// Sends all of it, however slowly the client takes it, unless that is too slow. Its room is given back by then,
     /// but for what the system may still hold of it.
-    async fn send(&mut self, pieces: Vec<Vec<u8>>, room: Option<Room>) -> Result<(), End> {
+    async fn send(&mut self, pieces: Vec<Vec<u8>>, room: Option<BufferReservation>) -> Result<(), End> {
         let mut owing = false;
         for piece in &pieces {
             let mut left = &piece[..];
@@ -362,17 +362,17 @@
                         self.unread = self.unread.saturating_add(count);
                         if owing {
                             // So much of what was written before has been taken.
-                            self.presence.moved(count);
+                            self.connection_guard.record_progress(count);
                         }
                     }
                     Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {
                         if !std::mem::replace(&mut owing, true) {
                             self.state.stuck.set(true);
-                            self.presence.owes(Way::Reading);
+                            self.connection_guard.start_metering(Way::Reading);
                         }
                         tokio::select! {
                             biased;
-                            () = self.presence.cut() => return Err(End::Cut),
+                            () = self.connection_guard.disconnected() => return Err(End::Cut),
                             ready = self.stream.writable() => ready?,
                         }
                     }
@@ -382,7 +382,7 @@
         }
         if owing {
             self.state.stuck.set(false);
-            self.presence.rests();
+            self.connection_guard.stop_metering();
         }
         if let Some(room) = room {
             room.shrink(self.unread.min(2 * self.context.limits.buffer));
--- a/crates/proxy/src/client/statement.rs
+++ b/crates/proxy/src/client/statement.rs
@@ -37,7 +37,7 @@
         tag: u8,
         statement: Vec<u8>,
         passing_over: &mut bool,
-        large: &mut Option<Room>,
+        large: &mut Option<BufferReservation>,
     ) -> Result<(), End> {
         let mut out = Vec::new();
         match tag {
@@ -80,16 +80,16 @@
 
     /// Room for a large message, which the client is refused where others have taken it all and nobody who is
     /// too slow can give it up.
-    pub(super) async fn reserve(&mut self, size: usize) -> Result<Room, End> {
+    pub(super) async fn reserve(&mut self, size: usize) -> Result<BufferReservation, End> {
         let limits = &self.context.limits;
         let text = self.buffer.held().get(pg::BEFORE_BODY..).and_then(|text| Comment::parse(text).ok());
         let best = text.is_some_and(|comment| self.context.best_paid.contains(&comment.class));
         let until = Instant::now() + limits.room_wait;
-        if let Some(room) = self.presence.room(size, best, until).await {
+        if let Some(room) = self.connection_guard.reserve(size, best, until).await {
             self.buffer.expect(size + 1);
             return Ok(room);
         }
-        if self.presence.is_cut() {
+        if self.connection_guard.is_disconnected() {
             return Err(End::Cut);
         }
         let mut out = Vec::new();
@@ -103,7 +103,7 @@
         &mut self,
         statement: Vec<u8>,
         mut comment: Comment,
-        large: Option<Room>,
+        large: Option<BufferReservation>,
     ) -> Result<(), End> {
         if let Some(left) = self.context.left_to_answer() {
             // It has its answer before the program may be killed.
@@ -121,7 +121,7 @@
         let mailbox = self.address.clone();
         let request = ClientRequest {
             client,
-            holder: self.presence.peer,
+            holder: self.connection_guard.peer,
             mailbox,
             arrived,
             statement,
@@ -133,7 +133,7 @@
 
     /// Dates what was just read, where that may have waited for this process.
     pub(super) fn date(&mut self) {
-        let came = self.context.lived.came(&self.stream, self.read.replace(Instant::now()));
+        let came = self.context.unstalled_clock.came(&self.stream, self.read.replace(Instant::now()));
         // What is left of an earlier read is as old as that.
         let (first, began) = (came.map(|(first, _)| first), self.old.map(|(first, _)| first));
         self.old = came.map(|(_, last)| (first.into_iter().chain(began).min().unwrap_or(last), last));
--- a/crates/proxy/src/coordination/mod.rs
+++ b/crates/proxy/src/coordination/mod.rs
@@ -28,7 +28,7 @@
 use slog::{Logger, info};
 use tokio::sync::mpsc;
 
-use crate::persistence::Folder;
+use crate::persistence::DataDirectory;
 use records::{MOST_IN_FLIGHT, Record, Records};
 use site_drain::SiteDrainWork;
 use split_points::SplitPointWork;
@@ -89,7 +89,7 @@
     pub fn open(
         config: Config,
         own: Incarnation,
-        folder: Option<Rc<Folder>>,
+        folder: Option<Rc<DataDirectory>>,
         (zone, longest_timeout): (usize, Micros),
         at: CallTime,
         seed: u64,
--- a/crates/proxy/src/coordination/records.rs
+++ b/crates/proxy/src/coordination/records.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 
 use super::{CallTime, Coordination};
-use crate::persistence::Folder;
+use crate::persistence::DataDirectory;
 
 /// Writes that may wait for the disk at once: the confirmations that the channel holds.
 pub(super) const MOST_IN_FLIGHT: usize = 256;
@@ -33,7 +33,7 @@
 
 /// The records, and which of them the disk has.
 pub(super) struct Records {
-    folder: Rc<Folder>,
+    folder: Rc<DataDirectory>,
     confirmations: mpsc::Sender<bool>,
     /// What was handed over, the oldest first: that is the order of the confirmations.
     in_flight: VecDeque<Record>,
@@ -45,7 +45,7 @@
 
 impl Records {
     /// Records in this folder; each write to it is confirmed on the channel.
-    pub(super) fn start(folder: Rc<Folder>, confirmations: mpsc::Sender<bool>) -> Records {
+    pub(super) fn start(folder: Rc<DataDirectory>, confirmations: mpsc::Sender<bool>) -> Records {
         Records {
             folder,
             confirmations,
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -44,17 +44,17 @@
 
 /// The whole list, or what has changed in it.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Catalog {
+pub struct EndpointList {
     pub revision: u64,
     pub complete: bool,
     pub members: Vec<Entry>,
 }
 
-impl Catalog {
+impl EndpointList {
     /// The list that an earlier start kept, as far as it can be read.
-    pub fn kept(beliefs: &Beliefs) -> Option<Catalog> {
+    pub fn kept(beliefs: &Beliefs) -> Option<EndpointList> {
         let entries = beliefs.members.values().filter_map(|entry| serde_json::from_str(entry).ok());
         let revision = beliefs.revision?;
-        Some(Catalog { revision, complete: true, members: entries.collect() })
+        Some(EndpointList { revision, complete: true, members: entries.collect() })
     }
 }
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -12,9 +12,9 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-use crate::discovery::endpoint_list::Catalog;
+use crate::discovery::endpoint_list::EndpointList;
 use crate::lifecycle::clock::duration;
-use crate::lifecycle::process_context::Context;
+use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::ListUpdate;
 use crate::system::{self, Meaning, Party};
 
@@ -55,7 +55,7 @@
 }
 
 pub struct Watch {
-    pub context: Rc<Context>,
+    pub context: Rc<ProcessContext>,
     pub dispatcher: mpsc::Sender<ListUpdate>,
     /// Where the list comes only on request: the dispatcher's requests.
     pub requests: Option<mpsc::Receiver<()>>,
@@ -207,7 +207,7 @@
     }
 
     async fn tell(&mut self, line: &[u8]) -> Result<bool, Lost> {
-        let catalog: Catalog = serde_json::from_slice(line).map_err(|error| {
+        let catalog: EndpointList = serde_json::from_slice(line).map_err(|error| {
             // What the list holds behind this line is unknown: ask for all of it.
             self.revision = None;
             Lost::List(error)
--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -82,9 +82,9 @@
     pub(super) fn without_room(&self, class: usize) -> Answer {
         let terms = &self.decoded.terms;
         match terms.classes[class].effect {
-            Effect::Pure => {
-                Answer::Rejected { cool_down: self.context.gate.come_back().min(terms.max_cool_down) }
-            }
+            Effect::Pure => Answer::Rejected {
+                cool_down: self.context.flow_control.retry_after().min(terms.max_cool_down),
+            },
             _ => Answer::Failed,
         }
     }
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use super::Dispatcher;
-use crate::discovery::endpoint_list::{Catalog, Entry};
+use crate::discovery::endpoint_list::{EndpointList, Entry};
 use crate::lifecycle::clock::Clock;
 use crate::member::{LastHeard, Member};
 use crate::messages::{ListUpdate, MemberCommand, ReplicaReports};
@@ -91,7 +91,7 @@
         }
     }
 
-    fn list_received(&mut self, now: Micros, catalog: &Catalog) -> Actions {
+    fn list_received(&mut self, now: Micros, catalog: &EndpointList) -> Actions {
         info!(self.context.log, "list"; "revision" => catalog.revision,
             "complete" => catalog.complete, "entries" => catalog.members.len());
         let listed = self.listed_members(catalog);
@@ -126,7 +126,7 @@
     }
 
     /// The list as the router takes it. What it says of members holds from here on.
-    fn listed_members(&mut self, catalog: &Catalog) -> Vec<Listed> {
+    fn listed_members(&mut self, catalog: &EndpointList) -> Vec<Listed> {
         if catalog.complete {
             self.stop_using_unlisted(catalog);
         }
@@ -134,7 +134,7 @@
     }
 
     /// Members that a complete list does not name are gone.
-    fn stop_using_unlisted(&mut self, catalog: &Catalog) {
+    fn stop_using_unlisted(&mut self, catalog: &EndpointList) {
         let listed: HashSet<&str> = catalog.members.iter().map(|entry| entry.id.as_str()).collect();
         let accepts_requests = self.accepts_requests(Standing::Gone);
         for (_, &id) in self.member_ids.iter().filter(|(name, _)| !listed.contains(name.as_str())) {
--- a/crates/proxy/src/dispatcher/gateway/link_events.rs
+++ b/crates/proxy/src/dispatcher/gateway/link_events.rs
@@ -94,7 +94,7 @@
             return Some(ReceivedAnswer { handle, answer });
         }
         let best = self.context.best_paid.contains(&forwarded.request.comment.class);
-        let room = self.context.gate.room_now(forwarded.request.holder, value.len(), best);
+        let room = self.context.flow_control.try_reserve(forwarded.request.holder, value.len(), best);
         let answer = match room {
             Some(_) => Answer::Served(Rows { pieces: vec![value], room }),
             None => self.without_room(forwarded.class),
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -24,7 +24,7 @@
 
 use super::open_request::WaitingClient;
 use super::outcome_log::{OutcomeLog, Token};
-use crate::flow_control::Room;
+use crate::flow_control::BufferReservation;
 use crate::messages::{ClientId, ClientRequest, LinkId};
 
 /// How long after its deadline somebody may still ask about a request.
@@ -37,7 +37,7 @@
 pub struct KeptValue {
     bytes: Rc<Vec<u8>>,
     /// The buffer space that the value takes, held as long as the value.
-    _room: Option<Rc<Room>>,
+    _room: Option<Rc<BufferReservation>>,
 }
 
 /// A request of another gateway, and over which link its answer goes.
--- a/crates/proxy/src/dispatcher/gateway/start.rs
+++ b/crates/proxy/src/dispatcher/gateway/start.rs
@@ -12,7 +12,7 @@
 use super::{ASKED_AFTER_DEADLINE, EndedCounts, GatewayPart};
 use crate::dispatcher::outcome_log::OutcomeLog;
 use crate::messages::ClientId;
-use crate::persistence::Folder;
+use crate::persistence::DataDirectory;
 
 /// Remote requests get client ids of their own, from here on.
 const FIRST_REMOTE_ID: ClientId = 1 << 63;
@@ -36,7 +36,7 @@
     /// Outcomes kept for one sender.
     pub fates: usize,
     /// Where outcomes are kept over a restart.
-    pub folder: Option<Rc<Folder>>,
+    pub folder: Option<Rc<DataDirectory>>,
 }
 
 impl GatewayPart {
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -31,9 +31,9 @@
 use crate::dispatcher::endpoints::MemberEntry;
 use crate::dispatcher::open_request::{OpenRequest, RequestLocation};
 use crate::dispatcher::warm_state::ListedEntries;
-use crate::lifecycle::process_context::Context;
+use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{ClientId, DispatcherMessage, FleetSize, ListUpdate};
-use crate::shadow::Trial;
+use crate::shadow::ShadowRouter;
 
 /// How often other actors have their turn after a stall, before the dispatcher goes on: to be woken by what came,
 /// to read it, and to hand it on.
@@ -62,7 +62,7 @@
 /// What a dispatcher is made of at its start.
 pub struct DispatcherParts {
     /// What every actor needs.
-    pub context: Rc<Context>,
+    pub context: Rc<ProcessContext>,
     /// The settings in force.
     pub decoded: Decoded,
     /// Seed of the router's random choices.
@@ -70,7 +70,7 @@
     /// Present where this process is a gateway to other sites.
     pub gateway_part: Option<GatewayPart>,
     /// Other settings, whose decisions are only counted.
-    pub trial: Option<Trial>,
+    pub trial: Option<ShadowRouter>,
     /// What an earlier start believed, and who keeps what is believed now.
     pub warm_state: WarmState,
     /// Present where the processes decide on zones or splits together.
@@ -83,10 +83,10 @@
 
 /// The actor that owns the router and the requests under way.
 pub struct Dispatcher {
-    context: Rc<Context>,
+    context: Rc<ProcessContext>,
     decoded: Decoded,
     router: Router,
-    trial: Option<Trial>,
+    trial: Option<ShadowRouter>,
     gateway_part: Option<GatewayPart>,
     /// By the router's index; an index whose member was let go stands empty until it is given out anew.
     members: Vec<Option<MemberEntry>>,
@@ -189,7 +189,7 @@
 
     /// After a stall, what the list said meanwhile comes before what it forbids: the list's actor reads it first.
     async fn catch_up_after_stall(&mut self, list_updates: &mut mpsc::Receiver<ListUpdate>) {
-        let stalled = self.context.lived.stood() - self.reported_stall;
+        let stalled = self.context.unstalled_clock.stood() - self.reported_stall;
         if stalled <= 0 {
             return;
         }
@@ -205,7 +205,7 @@
 
     /// Whoever decides hears of a stall before anything that fell into it.
     fn report_stall(&mut self) {
-        let total = self.context.lived.stood();
+        let total = self.context.unstalled_clock.stood();
         let unreported = total - std::mem::replace(&mut self.reported_stall, total);
         if unreported > 0 {
             self.router.stood_still(self.context.clock.now(), unreported);
@@ -267,7 +267,7 @@
         self.carry_out(actions);
     }
 
-    fn replace_trial(&mut self, trial: Option<Trial>) {
+    fn replace_trial(&mut self, trial: Option<ShadowRouter>) {
         if let Some(ended) = &mut self.trial {
             ended.tell(&self.context.log, true);
         }
--- a/crates/proxy/src/dispatcher/outcome_log.rs
+++ b/crates/proxy/src/dispatcher/outcome_log.rs
@@ -10,7 +10,7 @@
 use aldermill_warm_start::space;
 use tokio::sync::mpsc;
 
-use crate::persistence::Folder;
+use crate::persistence::DataDirectory;
 
 /// How long a remote request, and an outcome, wait for the disk before they go on without it.
 const LONGEST_WAIT: Micros = 250_000;
@@ -43,7 +43,7 @@
 
 /// Records of remote requests, and the promise that none goes on without its record.
 pub struct OutcomeLog {
-    folder: Rc<Folder>,
+    folder: Rc<DataDirectory>,
     start: u64,
     keeping: Keeping,
     promise: Promise,
@@ -58,7 +58,7 @@
 impl OutcomeLog {
     /// What earlier starts kept is read from the folder, once that can be done; `told` hears of each write, in
     /// their order.
-    pub fn open(folder: Rc<Folder>, start: u64, now: Micros, told: mpsc::Sender<bool>) -> OutcomeLog {
+    pub fn open(folder: Rc<DataDirectory>, start: u64, now: Micros, told: mpsc::Sender<bool>) -> OutcomeLog {
         let (keeping, promise) = (Keeping::start(LONGEST_WAIT, MAX_WAITING), Promise::default());
         let waiting = VecDeque::new();
         let mut outcome_log =
--- a/crates/proxy/src/dispatcher/warm_state.rs
+++ b/crates/proxy/src/dispatcher/warm_state.rs
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 
 use super::{Dispatcher, GatewayPart};
-use crate::discovery::endpoint_list::Catalog;
+use crate::discovery::endpoint_list::EndpointList;
 
 /// How often what is believed is handed to the keeper.
 const KEEP_EVERY: Micros = 1_000_000;
@@ -32,7 +32,7 @@
 }
 
 impl ListedEntries {
-    fn update(&mut self, catalog: &Catalog) {
+    fn update(&mut self, catalog: &EndpointList) {
         if catalog.complete {
             self.entries.clear();
         }
@@ -52,7 +52,7 @@
 
 impl Dispatcher {
     /// A list came; the first one says who the members are of whom something is recalled.
-    pub(super) fn use_warm_state(&mut self, catalog: &Catalog) {
+    pub(super) fn use_warm_state(&mut self, catalog: &EndpointList) {
         if self.warm_state.keeping.is_some() {
             self.listed.update(catalog);
         }
--- a/crates/proxy/src/flow_control/mod.rs
+++ b/crates/proxy/src/flow_control/mod.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-use crate::lifecycle::clock::{Lived, duration};
+use crate::lifecycle::clock::{UnstalledClock, duration};
 
 /// Those who were cut off are told in the log by so much time together.
 const TALLY: Duration = Duration::from_secs(1);
@@ -35,15 +35,15 @@
     told_at: Option<Instant>,
 }
 
-pub struct Gate {
-    lived: Lived,
+pub struct FlowControl {
+    unstalled_clock: UnstalledClock,
     log: Logger,
     books: RefCell<Books>,
     changed: Notify,
 }
 
-impl Gate {
-    pub fn new(lived: Lived, log: Logger, bounds: Bounds) -> Rc<Gate> {
+impl FlowControl {
+    pub fn new(unstalled_clock: UnstalledClock, log: Logger, bounds: Bounds) -> Rc<FlowControl> {
         let books = Books {
             pace: Pace::start(bounds),
             waiting: HashMap::new(),
@@ -53,11 +53,11 @@
             last_cut: None,
             told_at: None,
         };
-        Rc::new(Gate { lived, log, books: RefCell::new(books), changed: Notify::new() })
+        Rc::new(FlowControl { unstalled_clock, log, books: RefCell::new(books), changed: Notify::new() })
     }
 
     /// Wakes the books when they ask for it, and tells the log whom they cut off.
-    pub async fn run(self: Rc<Gate>) {
+    pub async fn run(self: Rc<FlowControl>) {
         loop {
             let wake_at = self.books.borrow().wake_at;
             let tell_at = self.tell_at();
@@ -81,11 +81,11 @@
         *self.books.borrow().pace.bounds()
     }
 
-    pub fn come_back(&self) -> i64 {
+    pub fn retry_after(&self) -> i64 {
         self.books.borrow().pace.come_back()
     }
 
-    pub fn rebound(&self, bounds: Bounds) {
+    pub fn update_limits(&self, bounds: Bounds) {
         self.with(|pace, now| ((), pace.rebound(now, bounds)));
     }
 
@@ -94,31 +94,37 @@
     }
 
     /// Somebody's place is wanted; whether one was found who is to give it up.
-    pub fn frees_a_place(&self) -> bool {
+    pub fn shed_one_connection(&self) -> bool {
         self.with(|pace, now| {
             let actions = pace.slot_wanted(now);
             (actions.cut.iter().any(|(_, why)| *why == Why::Slot), actions)
         })
     }
 
-    pub fn meet(self: &Rc<Gate>, from: IpAddr) -> Result<Presence, TooMany> {
-        let now = self.lived.now();
+    pub fn register(self: &Rc<FlowControl>, from: IpAddr) -> Result<ConnectionGuard, TooMany> {
+        let now = self.unstalled_clock.now();
         let mut books = self.books.borrow_mut();
         let peer = books.pace.meet(now, from)?;
         let cut = Rc::<Cut>::default();
         books.peers.insert(peer, (cut.clone(), from));
-        Ok(Presence { gate: self.clone(), peer, cut })
+        Ok(ConnectionGuard { flow_control: self.clone(), peer, cut })
     }
 
     /// Room on behalf of a peer, once it is there; `None` where it is refused.
-    pub async fn room(self: &Rc<Gate>, peer: Peer, bytes: usize, best: bool, until: Instant) -> Option<Room> {
-        let until = self.lived.at(until);
+    pub async fn reserve(
+        self: &Rc<FlowControl>,
+        peer: Peer,
+        bytes: usize,
+        best: bool,
+        until: Instant,
+    ) -> Option<BufferReservation> {
+        let until = self.unstalled_clock.at(until);
         let (claim, granted, waits) = self.with(|pace, now| {
             let (claim, actions) = peer.asks(pace, now, Ask { bytes: bytes as u64, best, until });
             let (granted, refused) = (actions.granted.contains(&claim), actions.refused.contains(&claim));
             ((claim, granted, !granted && !refused), actions)
         });
-        let room = Room { gate: self.clone(), claim: Some(claim) };
+        let room = BufferReservation { flow_control: self.clone(), claim: Some(claim) };
         if waits {
             let (sender, answer) = oneshot::channel();
             self.books.borrow_mut().waiting.insert(claim, sender);
@@ -128,18 +134,23 @@
     }
 
     /// Room on behalf of a peer, if it is there now.
-    pub fn room_now(self: &Rc<Gate>, peer: Peer, bytes: usize, best: bool) -> Option<Room> {
+    pub fn try_reserve(
+        self: &Rc<FlowControl>,
+        peer: Peer,
+        bytes: usize,
+        best: bool,
+    ) -> Option<BufferReservation> {
         let claim = self.with(|pace, now| {
             let (claim, actions) = peer.asks(pace, now, Ask { bytes: bytes as u64, best, until: now });
             (actions.granted.contains(&claim).then_some(claim), actions)
         });
-        claim.map(|claim| Room { gate: self.clone(), claim: Some(claim) })
+        claim.map(|claim| BufferReservation { flow_control: self.clone(), claim: Some(claim) })
     }
 
     /// Asks the books and carries out what they return.
     fn with<T>(&self, ask: impl FnOnce(&mut Pace, i64) -> (T, Actions)) -> T {
         let mut books = self.books.borrow_mut();
-        let (told, actions) = ask(&mut books.pace, self.lived.now());
+        let (told, actions) = ask(&mut books.pace, self.unstalled_clock.now());
         let Actions { granted, refused, cut, pressure, wake_at } = actions;
         for claim in granted {
             if let Some(waiter) = books.waiting.remove(&claim) {
@@ -165,7 +176,7 @@
                 info!(self.log, "room for what waits again"; "used_kib" => kib);
             }
         }
-        let wake_at = wake_at.map(|at| self.lived.instant(at));
+        let wake_at = wake_at.map(|at| self.unstalled_clock.instant(at));
         if wake_at != std::mem::replace(&mut books.wake_at, wake_at) || !books.tally.is_empty() {
             self.changed.notify_one();
         }
@@ -191,43 +202,48 @@
 }
 
 /// A client's connection in the books; out of them when dropped.
-pub struct Presence {
-    gate: Rc<Gate>,
+pub struct ConnectionGuard {
+    flow_control: Rc<FlowControl>,
     pub peer: Peer,
     cut: Rc<Cut>,
 }
 
-impl Presence {
-    pub fn owes(&self, way: Way) {
-        self.gate.with(|pace, now| ((), self.peer.owes(pace, now, way)));
+impl ConnectionGuard {
+    pub fn start_metering(&self, way: Way) {
+        self.flow_control.with(|pace, now| ((), self.peer.owes(pace, now, way)));
     }
 
-    pub fn moved(&self, bytes: usize) {
-        self.peer.moved(&mut self.gate.books.borrow_mut().pace, self.gate.lived.now(), bytes as u64);
+    pub fn record_progress(&self, bytes: usize) {
+        self.peer.moved(
+            &mut self.flow_control.books.borrow_mut().pace,
+            self.flow_control.unstalled_clock.now(),
+            bytes as u64,
+        );
     }
 
-    pub fn rests(&self) {
-        self.peer.rests(&mut self.gate.books.borrow_mut().pace, self.gate.lived.now());
+    pub fn stop_metering(&self) {
+        self.peer
+            .rests(&mut self.flow_control.books.borrow_mut().pace, self.flow_control.unstalled_clock.now());
     }
 
     /// Resolves once the peer is to be cut off.
-    pub async fn cut(&self) {
+    pub async fn disconnected(&self) {
         while self.cut.why.get().is_none() {
             self.cut.told.notified().await;
         }
     }
 
-    pub fn is_cut(&self) -> bool {
+    pub fn is_disconnected(&self) -> bool {
         self.cut.why.get().is_some()
     }
 
-    pub async fn room(&self, bytes: usize, best: bool, until: Instant) -> Option<Room> {
-        self.gate.room(self.peer, bytes, best, until).await
+    pub async fn reserve(&self, bytes: usize, best: bool, until: Instant) -> Option<BufferReservation> {
+        self.flow_control.reserve(self.peer, bytes, best, until).await
     }
 
     /// Whether so much may be left with the system once the connection is closed; it then counts for a while.
     pub fn may_leave(&self, bytes: usize) -> bool {
-        self.gate.with(|pace, now| {
+        self.flow_control.with(|pace, now| {
             let ask = Ask { bytes: bytes as u64, best: false, until: now };
             let (claim, actions) = self.peer.asks(pace, now, ask);
             let granted = actions.granted.contains(&claim);
@@ -240,44 +256,44 @@
 
     /// How long the system may keep trying to hand over what is left.
     pub fn lingering(&self) -> Duration {
-        duration(self.gate.bounds().lingering)
+        duration(self.flow_control.bounds().lingering)
     }
 }
 
-impl Drop for Presence {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.gate.books.borrow_mut().peers.remove(&self.peer);
-        self.gate.with(|pace, now| ((), self.peer.left(pace, now)));
+        self.flow_control.books.borrow_mut().peers.remove(&self.peer);
+        self.flow_control.with(|pace, now| ((), self.peer.left(pace, now)));
     }
 }
 
 /// Room that is held; given back when dropped.
-pub struct Room {
-    gate: Rc<Gate>,
+pub struct BufferReservation {
+    flow_control: Rc<FlowControl>,
     claim: Option<Claim>,
 }
 
-impl Room {
+impl BufferReservation {
     /// No more than so much of it is needed from now on.
     pub fn shrink(&self, bytes: usize) {
         if let Some(claim) = self.claim {
-            self.gate.with(|pace, now| ((), claim.shrinks(pace, now, bytes as u64)));
+            self.flow_control.with(|pace, now| ((), claim.shrinks(pace, now, bytes as u64)));
         }
     }
 
     /// Its connection is being closed, and the system may keep that much for a while.
     pub fn linger(mut self) {
         if let Some(claim) = self.claim.take() {
-            self.gate.with(|pace, now| ((), claim.lingers(pace, now)));
+            self.flow_control.with(|pace, now| ((), claim.lingers(pace, now)));
         }
     }
 }
 
-impl Drop for Room {
+impl Drop for BufferReservation {
     fn drop(&mut self) {
         if let Some(claim) = self.claim.take() {
-            self.gate.books.borrow_mut().waiting.remove(&claim);
-            self.gate.with(|pace, now| ((), claim.given_back(pace, now)));
+            self.flow_control.books.borrow_mut().waiting.remove(&claim);
+            self.flow_control.with(|pace, now| ((), claim.given_back(pace, now)));
         }
     }
 }
--- a/crates/proxy/src/gateway/handshake.rs
+++ b/crates/proxy/src/gateway/handshake.rs
@@ -11,13 +11,13 @@
 use tokio::task::{JoinSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-use super::Yard;
+use super::LinkRegistry;
 use super::link::{Wire, stood};
-use crate::lifecycle::process_context::Context;
+use crate::lifecycle::process_context::ProcessContext;
 use crate::system::{self, Acceptor, Meaning};
 
 /// Takes links in from the networks of the peers, until the driver stops.
-pub async fn accept(context: Rc<Context>, yard: Rc<Yard>, listener: TcpListener) {
+pub async fn accept(context: Rc<ProcessContext>, yard: Rc<LinkRegistry>, listener: TcpListener) {
     let mut acceptor = Acceptor::new(listener, context.log.clone());
     let mut links = JoinSet::new();
     loop {
@@ -44,7 +44,13 @@
 
 /// Keeps a link to that address, for ever. After a break it waits for a time by chance, longer after each attempt
 /// that failed: many gateways do not come back at once.
-pub async fn keep(context: Rc<Context>, yard: Rc<Yard>, site: String, address: SocketAddr, seed: u64) {
+pub async fn keep(
+    context: Rc<ProcessContext>,
+    yard: Rc<LinkRegistry>,
+    site: String,
+    address: SocketAddr,
+    seed: u64,
+) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let (least, most) = context.limits.link_retry;
     let mut wait = least;
@@ -90,19 +96,24 @@
 }
 
 fn wire(
-    context: &Rc<Context>,
-    yard: &Rc<Yard>,
+    context: &Rc<ProcessContext>,
+    yard: &Rc<LinkRegistry>,
     stream: TcpStream,
     from: SocketAddr,
     gone_to: Option<String>,
 ) -> Option<Wire> {
     let _ = stream.set_nodelay(true);
-    let presence = context.gate.meet(from.ip()).ok()?;
-    Some(Wire { context: context.clone(), yard: yard.clone(), stream, from, gone_to, presence })
+    let connection_guard = context.flow_control.register(from.ip()).ok()?;
+    Some(Wire { context: context.clone(), yard: yard.clone(), stream, from, gone_to, connection_guard })
 }
 
 /// Starts all that keeps links.
-pub fn start(context: &Rc<Context>, yard: &Rc<Yard>, gone_to: Vec<(String, SocketAddr)>, seed: u64) {
+pub fn start(
+    context: &Rc<ProcessContext>,
+    yard: &Rc<LinkRegistry>,
+    gone_to: Vec<(String, SocketAddr)>,
+    seed: u64,
+) {
     for (number, (site, address)) in gone_to.into_iter().enumerate() {
         spawn_local(keep(context.clone(), yard.clone(), site, address, seed.wrapping_add(number as u64)));
     }
--- a/crates/proxy/src/gateway/link.rs
+++ b/crates/proxy/src/gateway/link.rs
@@ -11,9 +11,9 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until, timeout};
 
-use super::{Unwelcome, Yard};
-use crate::flow_control::Presence;
-use crate::lifecycle::process_context::Context;
+use super::{LinkRegistry, Unwelcome};
+use crate::flow_control::ConnectionGuard;
+use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{DispatcherMessage, LinkEvent, LinkId, LinkMessage};
 
 /// What is read at once, and what is written at once.
@@ -39,13 +39,13 @@
 }
 
 pub struct Wire {
-    pub context: Rc<Context>,
-    pub yard: Rc<Yard>,
+    pub context: Rc<ProcessContext>,
+    pub yard: Rc<LinkRegistry>,
     pub stream: TcpStream,
     pub from: SocketAddr,
     /// The site that was gone to, where this side opened the link.
     pub gone_to: Option<String>,
-    pub presence: Presence,
+    pub connection_guard: ConnectionGuard,
 }
 
 impl Wire {
@@ -74,7 +74,7 @@
 
     async fn talk(&mut self, id: LinkId, met: &mut Option<String>) -> Result<Over, Over> {
         let context = self.context.clone();
-        let clock = context.lived.clone();
+        let clock = context.unstalled_clock.clone();
         let mut link = Link::start(self.yard.bounds, &self.yard.own, clock.now());
         let (sender, mut said) = mpsc::channel(context.limits.calls);
         let mut sender = Some(sender);
@@ -86,7 +86,7 @@
             if at == waiting.len() {
                 (waiting, at) = (link.next_bytes(PIECE).unwrap_or_default(), 0);
                 if waiting.is_empty() && std::mem::take(&mut owing) {
-                    self.presence.rests();
+                    self.connection_guard.stop_metering();
                 }
             }
             // Written to the system as far as it takes it; what it does not take, the other side has not taken.
@@ -95,12 +95,12 @@
                     Ok(count) => {
                         at += count;
                         if owing {
-                            self.presence.moved(count);
+                            self.connection_guard.record_progress(count);
                         }
                     }
                     Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {
                         if !std::mem::replace(&mut owing, true) {
-                            self.presence.owes(Way::Reading);
+                            self.connection_guard.start_metering(Way::Reading);
                         }
                         break;
                     }
@@ -114,7 +114,7 @@
             let room = link.takes();
             tokio::select! {
                 biased;
-                () = self.presence.cut() => return Err(Over::TooSlow),
+                () = self.connection_guard.disconnected() => return Err(Over::TooSlow),
                 ready = self.stream.readable(), if room => {
                     ready?;
                     match self.stream.try_read_buf(&mut bytes) {
@@ -145,7 +145,7 @@
                                 "instance" => &peer.instance, "peer" => %self.from);
                             *met = Some(peer.site.clone());
                             if let Some(said) = sender.take() {
-                                let up = LinkEvent::Up { outbox: said, holder: self.presence.peer };
+                                let up = LinkEvent::Up { outbox: said, holder: self.connection_guard.peer };
                                 self.tell(id, up).await?;
                             }
                         }
--- a/crates/proxy/src/gateway/mod.rs
+++ b/crates/proxy/src/gateway/mod.rs
@@ -17,7 +17,7 @@
 pub use handshake::{accept, start};
 
 use crate::cli::status;
-use crate::lifecycle::process_context::Context;
+use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{DispatcherMessage, LinkId};
 use crate::system::Acceptor;
 
@@ -33,7 +33,7 @@
 }
 
 /// What the actors of links share.
-pub struct Yard {
+pub struct LinkRegistry {
     pub own: Identity,
     pub peers: Vec<Allowed>,
     pub bounds: Bounds,
@@ -46,11 +46,11 @@
     networks: Vec<IpNet>,
 }
 
-impl Yard {
-    pub fn new(own: Identity, gateway: &Gateway, bounds: Bounds) -> Rc<Yard> {
+impl LinkRegistry {
+    pub fn new(own: Identity, gateway: &Gateway, bounds: Bounds) -> Rc<LinkRegistry> {
         let peers = gateway.peers.iter();
         let peers = peers.map(|peer| Allowed { site: peer.site.clone(), networks: peer.networks.clone() });
-        Rc::new(Yard { own, peers: peers.collect(), bounds, next: Cell::new(0) })
+        Rc::new(LinkRegistry { own, peers: peers.collect(), bounds, next: Cell::new(0) })
     }
 
     fn next_id(&self) -> LinkId {
@@ -77,7 +77,7 @@
 }
 
 /// Says what is believed of sites and links to everybody who connects to the socket at that path.
-pub async fn serve(context: Rc<Context>, path: String) {
+pub async fn serve(context: Rc<ProcessContext>, path: String) {
     let Some(listener) = status::listen(&path, &context.log) else { return };
     let mut acceptor = Acceptor::new(listener, context.log.clone());
     loop {
--- a/crates/proxy/src/lifecycle/clock.rs
+++ b/crates/proxy/src/lifecycle/clock.rs
@@ -103,15 +103,15 @@
 /// The time that this process has lived: the router's clock, but for the standstills of the process. What is
 /// measured of others is measured in it.
 #[derive(Clone)]
-pub struct Lived {
+pub struct UnstalledClock {
     clock: Clock,
     vigil: Rc<RefCell<Vigil>>,
 }
 
-impl Lived {
-    pub fn start(clock: Clock) -> Lived {
+impl UnstalledClock {
+    pub fn start(clock: Clock) -> UnstalledClock {
         let vigil = Rc::new(RefCell::new(Vigil::start(clock.now())));
-        Lived { clock, vigil }
+        UnstalledClock { clock, vigil }
     }
 
     /// All time spent standing until now. To be asked at the beginning of whatever rests on time.
--- a/crates/proxy/src/lifecycle/configuration.rs
+++ b/crates/proxy/src/lifecycle/configuration.rs
@@ -7,10 +7,10 @@
 use serde_json::Value;
 use serde_json::value::RawValue;
 
-use crate::discovery::endpoint_list::Catalog;
-use crate::lifecycle::errors::{ProgramError, Unclear};
+use crate::discovery::endpoint_list::EndpointList;
+use crate::lifecycle::errors::{ConfigurationError, ProgramError};
 use crate::lifecycle::limits::{Descriptors, Limits};
-use crate::shadow::Trial;
+use crate::shadow::ShadowRouter;
 
 #[derive(Deserialize)]
 struct Allowed {
@@ -25,7 +25,7 @@
     discovery: String,
     seed: String,
     limits: Box<RawValue>,
-    known: Option<Catalog>,
+    known: Option<EndpointList>,
     settings: Box<RawValue>,
 }
 
@@ -47,19 +47,19 @@
     pub limits: Limits,
     pub bounds: Bounds,
     pub gateway: Option<Gateway>,
-    pub trial: Option<Trial>,
+    pub trial: Option<ShadowRouter>,
     pub warm: Option<Warm>,
     pub fellows: Option<Fellows>,
     pub council: Option<Council>,
     pub suspension: bool,
     pub memory: u64,
-    pub known: Option<Catalog>,
+    pub known: Option<EndpointList>,
     pub decoded: Decoded,
     pub fixed: Fixed,
 }
 
-fn address(field: &'static str, text: String) -> Result<SocketAddr, Unclear> {
-    text.parse().map_err(|_| Unclear::Address { field, text })
+fn address(field: &'static str, text: String) -> Result<SocketAddr, ConfigurationError> {
+    text.parse().map_err(|_| ConfigurationError::Address { field, text })
 }
 
 impl Start {
@@ -77,7 +77,7 @@
         let mut start = Start::parse(&text(&files.config)?, env, &operator).map_err(unclear)?;
         let path = || files.operator.as_ref().unwrap_or(&files.config).clone();
         if let Some(wanted) = &operator.trial {
-            let trial = Trial::read(wanted, &start.decoded);
+            let trial = ShadowRouter::read(wanted, &start.decoded);
             start.trial = Some(trial.map_err(|why| ProgramError::Trial { path: path(), why })?);
         }
         // What the operator wants must hold one statement and one answer of full size.
@@ -99,24 +99,24 @@
         text: &str,
         env: impl Fn(&str) -> Option<String>,
         operator: &Operator,
-    ) -> Result<Start, Unclear> {
-        let form: Form = serde_json::from_str(text).map_err(Unclear::Form)?;
+    ) -> Result<Start, ConfigurationError> {
+        let form: Form = serde_json::from_str(text).map_err(ConfigurationError::Form)?;
         let told = |variable: &str, field: String| env(variable).unwrap_or(field);
         let seed = u64::from_str_radix(&form.seed, 16);
         let Allowed { memory_mb, sockets } =
-            serde_json::from_str(form.limits.get()).map_err(Unclear::Limits)?;
+            serde_json::from_str(form.limits.get()).map_err(ConfigurationError::Limits)?;
         if sockets < 64 {
-            return Err(Unclear::Little { field: "sockets", value: sockets, least: 64 });
+            return Err(ConfigurationError::Little { field: "sockets", value: sockets, least: 64 });
         }
         let descriptors = Descriptors::of_this_process(sockets);
         if descriptors.allowed < Descriptors::LEAST {
             let Descriptors { allowed, .. } = descriptors;
-            return Err(Unclear::FewDescriptors { allowed, least: Descriptors::LEAST });
+            return Err(ConfigurationError::FewDescriptors { allowed, least: Descriptors::LEAST });
         }
         if memory_mb < 16 {
-            return Err(Unclear::Little { field: "memory_mb", value: memory_mb, least: 16 });
+            return Err(ConfigurationError::Little { field: "memory_mb", value: memory_mb, least: 16 });
         }
-        let decoded = Decoded::parse(form.settings.get()).map_err(Unclear::Settings)?;
+        let decoded = Decoded::parse(form.settings.get()).map_err(ConfigurationError::Settings)?;
         let value = |raw: &RawValue| serde_json::from_str(raw.get()).unwrap_or_default();
         let fixed = [
             ("name", form.name.clone().into()),
@@ -135,7 +135,7 @@
             name: told("GW_NAME", form.name),
             listen: address("listen", told("GW_LISTEN", form.listen))?,
             discovery: address("discovery", told("GW_DISCOVERY", form.discovery))?,
-            seed: seed.map_err(|_| Unclear::Seed(form.seed))?,
+            seed: seed.map_err(|_| ConfigurationError::Seed(form.seed))?,
             limits: Limits::new(descriptors, memory_mb, &decoded, operator.slow_peers.buffer_kib),
             bounds: Bounds::usual(memory_mb as u64 * 1024 * 1024),
             gateway: operator.gateway.clone(),
--- a/crates/proxy/src/lifecycle/errors.rs
+++ b/crates/proxy/src/lifecycle/errors.rs
@@ -14,9 +14,9 @@
     #[error("{path}: {why}")]
     Operator { path: String, why: Wrong },
     #[error("{path}: {why}")]
-    Config { path: String, why: Unclear },
+    Config { path: String, why: ConfigurationError },
     #[error("{path}: trial.settings: {why}")]
-    Trial { path: String, why: OnTrial },
+    Trial { path: String, why: ShadowError },
     #[error("{path}: slow_peers.{field}: too little, {least} are needed")]
     Little { path: String, field: &'static str, least: u64 },
     #[error("{field}: {address}: {why}; another process may have it, or it is no address of this machine")]
@@ -43,7 +43,7 @@
 
 /// What cannot be meant in a driver's configuration.
 #[derive(Debug, Error)]
-pub enum Unclear {
+pub enum ConfigurationError {
     #[error("{0}; the file is not in the form that the README shows")]
     Form(serde_json::Error),
     #[error("{field}: {text:?} is no address with a port")]
@@ -64,7 +64,7 @@
 
 /// What is wrong with settings on trial.
 #[derive(Debug, Error)]
-pub enum OnTrial {
+pub enum ShadowError {
     #[error("{path}: {why}")]
     File { path: String, why: io::Error },
     #[error("{path}: settings: {why}")]
--- a/crates/proxy/src/lifecycle/process_context.rs
+++ b/crates/proxy/src/lifecycle/process_context.rs
@@ -9,15 +9,15 @@
 use tokio::sync::{Semaphore, mpsc, watch};
 use tokio::time::Instant;
 
-use crate::flow_control::Gate;
-use crate::lifecycle::clock::{Clock, Lived};
+use crate::flow_control::FlowControl;
+use crate::lifecycle::clock::{Clock, UnstalledClock};
 use crate::lifecycle::limits::Limits;
 use crate::messages::DispatcherMessage;
 
 /// What every actor of the driver needs.
-pub struct Context {
+pub struct ProcessContext {
     pub clock: Clock,
-    pub lived: Lived,
+    pub unstalled_clock: UnstalledClock,
     pub limits: Limits,
     pub log: Logger,
     /// Where discovery is, as the configuration last said.
@@ -28,7 +28,7 @@
     /// Set once the driver is to stop: until when new connections are still taken.
     pub stopping: watch::Receiver<Option<Instant>>,
     /// Room for what waits, and who is too slow.
-    pub gate: Rc<Gate>,
+    pub flow_control: Rc<FlowControl>,
     /// The names of the best paid request classes.
     pub best_paid: HashSet<String>,
     /// The members' share of descriptors.
@@ -37,7 +37,7 @@
     pub waiting_for_room: Cell<usize>,
 }
 
-impl Context {
+impl ProcessContext {
     /// How long a request that comes now may still be under way: `None` unless the program is to stop.
     pub fn left_to_answer(&self) -> Option<Duration> {
         let window_closes = (*self.stopping.borrow())?;
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -8,7 +8,7 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, watch};
 
-use crate::flow_control::Gate;
+use crate::flow_control::FlowControl;
 use crate::lifecycle::configuration::{Files, Fixed, Start};
 use crate::messages::DispatcherMessage;
 
@@ -16,7 +16,7 @@
     pub files: Files,
     pub fixed: Fixed,
     pub discovery: watch::Sender<SocketAddr>,
-    pub gate: Rc<Gate>,
+    pub flow_control: Rc<FlowControl>,
     pub dispatcher: mpsc::Sender<DispatcherMessage>,
     /// What drivers decide in common, as the operator's file has it now.
     pub council: watch::Sender<Option<Council>>,
@@ -41,7 +41,7 @@
                 warn!(self.log, "configuration field cannot change while running"; "field" => field);
             }
             self.fixed = start.fixed;
-            self.gate.rebound(start.bounds);
+            self.flow_control.update_limits(start.bounds);
             // A dispatcher that is gone ends the program by itself.
             let _ = self.dispatcher.send(DispatcherMessage::TrialReplaced(start.trial.map(Box::new))).await;
             self.council.send_replace(start.council);
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -33,20 +33,20 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, timeout};
 
-use crate::discovery::endpoint_list::Catalog;
+use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::watch::Watch;
 use crate::dispatcher::{Dispatcher, DispatcherParts, GatewayPart, Observations, Opening, WarmState};
-use crate::flow_control::Gate;
-use crate::gateway::Yard;
-use crate::lifecycle::clock::{Clock, Lived, duration};
+use crate::flow_control::FlowControl;
+use crate::gateway::LinkRegistry;
+use crate::lifecycle::clock::{Clock, UnstalledClock, duration};
 use crate::lifecycle::configuration::{Files, Start};
 use crate::lifecycle::errors::ProgramError;
 use crate::lifecycle::limits::Limits;
-use crate::lifecycle::process_context::Context;
+use crate::lifecycle::process_context::ProcessContext;
 use crate::lifecycle::reload::Reload;
-use crate::membership::{Company, Sitting};
+use crate::membership::{CoordinationStart, MembershipActor};
 use crate::messages::{DispatcherMessage, ListUpdate};
-use crate::persistence::Folder;
+use crate::persistence::DataDirectory;
 
 /// A proxy before groups of databases, each a primary and its replicas
 #[derive(Clone, Debug, Bpaf)]
@@ -219,9 +219,9 @@
     let [mut terminate, mut interrupt] = ends;
     let (address, discovery) = notice::channel(discovery);
     let clock = Clock::start(lifecycle::clock::unix_now, suspension.then_some(lifecycle::clock::suspended));
-    let lived = Lived::start(clock);
-    let gate = Gate::new(lived.clone(), log.clone(), bounds);
-    spawn_local(gate.clone().run());
+    let unstalled_clock = UnstalledClock::start(clock);
+    let flow_control = FlowControl::new(unstalled_clock.clone(), log.clone(), bounds);
+    spawn_local(flow_control.clone().run());
     let listener = system::listen(listen, limits.backlog, limits.buffer)
         .map_err(|why| ProgramError::Listen { field: "listen", address: listen, why })?;
 
@@ -232,7 +232,7 @@
             files,
             fixed,
             discovery: address,
-            gate: gate.clone(),
+            flow_control: flow_control.clone(),
             dispatcher: dispatcher.clone(),
             council: wanted,
             log: log.clone(),
@@ -249,16 +249,16 @@
     let longest_timeout = decoded.terms.classes.iter().map(|class| class.timeout).max().unwrap_or(0);
     let grace = decoded.drain_grace;
     let (request, requests) = mpsc::channel(1);
-    let context = Rc::new(Context {
+    let context = Rc::new(ProcessContext {
         clock,
-        lived,
+        unstalled_clock,
         limits,
         log: log.clone(),
         discovery,
         dispatcher,
         ready: seen_ready,
         stopping,
-        gate: gate.clone(),
+        flow_control: flow_control.clone(),
         best_paid: decoded.best_paid().into_iter().collect(),
         member_room,
         waiting_for_room: Cell::new(0),
@@ -275,7 +275,7 @@
         None => Default::default(),
     };
     // Of two lists the one of the later revision is the later one.
-    let kept = Catalog::kept(&recalled.beliefs);
+    let kept = EndpointList::kept(&recalled.beliefs);
     let known = known.into_iter().chain(kept).max_by_key(|list| list.revision);
     let revision = known.as_ref().map(|known| known.revision);
     if let Some(mut known) = known {
@@ -297,9 +297,10 @@
     let mut bound = Vec::new();
     if let Some(terms) = fellows {
         let place = (zone, longest_timeout);
-        let wanted = council.map(|wanted| Sitting { wanted, folder: kept_in, place, reread });
+        let wanted = council.map(|wanted| CoordinationStart { wanted, folder: kept_in, place, reread });
         let own = (&*name, drivers, gateway_part.is_some());
-        let mut company = Company::open(context.clone(), terms, wanted, own, seed.rotate_left(16)).await?;
+        let mut company =
+            MembershipActor::open(context.clone(), terms, wanted, own, seed.rotate_left(16)).await?;
         bound = company.bound();
         spawn_local(company.run());
     }
@@ -330,7 +331,7 @@
         ended = deciding => return Err(ProgramError::Ended(format!("the router's actor ({ended:?})"))),
     }
     stop.send_replace(Some(Instant::now() + stop_window));
-    gate.stop();
+    flow_control.stop();
     serving.await.map_err(|error| ProgramError::Ended(format!("the listener ({error})")))?;
     // What other sites sent has its answer, too, before the end.
     let (asked, done) = oneshot::channel();
@@ -343,13 +344,13 @@
 
 /// Starts what keeps and accepts links, and the dispatcher's part in it.
 async fn open_gateway(
-    context: &Rc<Context>,
+    context: &Rc<ProcessContext>,
     decoded: &Decoded,
     gateway: Gateway,
     name: &str,
     seed: u64,
     room: usize,
-    folder: Option<Rc<Folder>>,
+    folder: Option<Rc<DataDirectory>>,
 ) -> Result<GatewayPart, ProgramError> {
     let limits = &context.limits;
     let now = context.clock.now();
@@ -359,7 +360,7 @@
         waiting: (room / 8).max(256 * 1024),
         ..LinkBounds::usual(limits.statement, limits.answer)
     };
-    let yard = Yard::new(own.clone(), &gateway, bounds);
+    let yard = LinkRegistry::new(own.clone(), &gateway, bounds);
     if let Some(listen) = gateway.listen {
         let listener = system::listen(listen, limits.backlog, limits.member_buffer)
             .map_err(|why| ProgramError::Listen { field: "gateway.listen", address: listen, why })?;
--- a/crates/proxy/src/member/actor.rs
+++ b/crates/proxy/src/member/actor.rs
@@ -16,9 +16,9 @@
 
 use super::connection::{Connection, Unopened, connect, settled};
 use super::last_heard::LastHeard;
-use super::query::{Departure, Visit};
-use crate::flow_control::Room;
-use crate::lifecycle::process_context::Context;
+use super::query::{Departure, QueryTask};
+use crate::flow_control::BufferReservation;
+use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{
     Attempt, AttemptFinished, AttemptResponse, DispatcherMessage, HealthCheckFinished, MemberCommand,
     ReplicaReports, Rows,
@@ -40,7 +40,7 @@
 struct Done {
     verdict: Verdict,
     exchange: Exchange,
-    room: Option<Room>,
+    room: Option<BufferReservation>,
     /// The member answered, and there is no room for that.
     crowded_out: bool,
     /// How long ago the answer came.
@@ -55,7 +55,7 @@
 }
 
 pub struct Member {
-    context: Rc<Context>,
+    context: Rc<ProcessContext>,
     id: MemberId,
     name: String,
     /// As the list has it now.
@@ -83,13 +83,13 @@
 
 /// Whether a connection that has not come up since `began` tells anything of its member. Protects a sound member from
 /// requests with so little time left that no handshake fits in. Harms by a wait of that time where a member vanished.
-fn shows_no_way(context: &Context, began: Instant) -> bool {
-    began.elapsed() >= context.limits.opening && !context.lived.stood_since(began)
+fn shows_no_way(context: &ProcessContext, began: Instant) -> bool {
+    began.elapsed() >= context.limits.opening && !context.unstalled_clock.stood_since(began)
 }
 
 impl Member {
     pub fn new(
-        context: Rc<Context>,
+        context: Rc<ProcessContext>,
         id: MemberId,
         name: String,
         address: SocketAddr,
@@ -225,10 +225,11 @@
                 Ok(connection) if !departure.may_leave(&context) => (Verdict::NotSent, Some(connection)),
                 Ok(mut connection) => {
                     let query = departure.query();
-                    let mut visit = Visit { context: &context, holder, until, exchange, room, crowded_out };
+                    let mut visit =
+                        QueryTask { context: &context, holder, until, exchange, room, crowded_out };
                     let verdict = visit.converse(&mut connection, &query).await;
                     (exchange, room, crowded_out) = (visit.exchange, visit.room, visit.crowded_out);
-                    let came = context.lived.came(&connection.stream, Some(began));
+                    let came = context.unstalled_clock.came(&connection.stream, Some(began));
                     age = came.map_or(0, |(_, last)| last.elapsed().as_micros() as Micros);
                     (verdict, exchange.is_ready().then_some(connection))
                 }
@@ -246,7 +247,7 @@
                 }
             };
             // Its deadline fell into a standstill: nobody was there to see an answer.
-            let unseen = verdict == Verdict::TimedOut && context.lived.stood_since(began);
+            let unseen = verdict == Verdict::TimedOut && context.unstalled_clock.stood_since(began);
             let verdict = if unseen { Verdict::Unobserved } else { verdict };
             Done { verdict, exchange, room, crowded_out, age, connection, began, era, unopened }
         });
@@ -311,7 +312,7 @@
         let message = match purpose {
             Purpose::Request { handle, sent, .. } => {
                 let report = self.report(&exchange, exchange.usage.as_deref(), age);
-                let took = self.context.lived.since(sent);
+                let took = self.context.unstalled_clock.since(sent);
                 let response = match verdict {
                     Verdict::Served if crowded_out => AttemptResponse::TooLarge,
                     Verdict::Served => AttemptResponse::Rows(Rows { pieces: exchange.rows, room }),
@@ -332,7 +333,7 @@
                     verdict = Verdict::Overloaded;
                 }
                 let report = self.report(&exchange, std::str::from_utf8(exchange.value()).ok(), age);
-                let took = self.context.lived.since(sent);
+                let took = self.context.unstalled_clock.since(sent);
                 DispatcherMessage::HealthCheckFinished(HealthCheckFinished {
                     verdict,
                     elapsed: took,
--- a/crates/proxy/src/member/connection.rs
+++ b/crates/proxy/src/member/connection.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::lifecycle::limits::Limits;
-use crate::lifecycle::process_context::Context;
+use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::DispatcherMessage;
 use crate::system::{self, BufferSizes, Meaning, Party, Peeked};
 
@@ -125,7 +125,7 @@
 
 /// A new connection that is ready for a statement. Only a refusal shows that no process is there.
 pub(super) async fn connect(
-    context: &Context,
+    context: &ProcessContext,
     id: MemberId,
     address: SocketAddr,
     until: Instant,
--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -13,8 +13,8 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 use super::connection::{Connection, before_send};
-use crate::flow_control::Room;
-use crate::lifecycle::process_context::Context;
+use crate::flow_control::BufferReservation;
+use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{Attempt, Query};
 use crate::system::{self, Meaning, Party, Peeked};
 
@@ -43,13 +43,13 @@
     /// A drain or a move that was told since the decision forbids it, and so does the deadline, which a
     /// standstill may have passed over; for an attempt its client's leaving, and the end of what made it
     /// valid.
-    pub(super) fn may_leave(&self, context: &Context) -> bool {
+    pub(super) fn may_leave(&self, context: &ProcessContext) -> bool {
         let in_time = Instant::now() < self.until;
         let allowed = *self.open.borrow() && self.to == self.listed.get();
         in_time && allowed && self.attempt.as_ref().is_none_or(|attempt| self.is_valid(attempt, context))
     }
 
-    fn is_valid(&self, attempt: &Attempt, context: &Context) -> bool {
+    fn is_valid(&self, attempt: &Attempt, context: &ProcessContext) -> bool {
         let Validity { until, while_primary } = attempt.validity;
         let still_primary = self.replica_words.get() == attempt.replica_words;
         !attempt.withdrawal.is_set() && context.clock.now() < until && (still_primary || !while_primary)
@@ -70,17 +70,17 @@
 }
 
 /// One query on one connection.
-pub(super) struct Visit<'a> {
-    pub(super) context: &'a Context,
+pub(super) struct QueryTask<'a> {
+    pub(super) context: &'a ProcessContext,
     /// For whom room is asked for a large answer; a health check has none.
     pub(super) holder: Option<(Peer, bool)>,
     pub(super) until: Instant,
     pub(super) exchange: Exchange,
-    pub(super) room: Option<Room>,
+    pub(super) room: Option<BufferReservation>,
     pub(super) crowded_out: bool,
 }
 
-impl Visit<'_> {
+impl QueryTask<'_> {
     /// Sends the query and takes in the answer, as far as it comes before the deadline.
     pub(super) async fn converse(&mut self, connection: &mut Connection, query: &Query) -> Verdict {
         if let Err(verdict) = self.send(connection, query).await {
@@ -98,13 +98,13 @@
 
     /// A member that does not have all of it cannot have begun.
     pub(super) async fn send(&mut self, connection: &mut Connection, query: &Query) -> Result<(), Verdict> {
-        let clock = &self.context.lived;
+        let clock = &self.context.unstalled_clock;
         let mut taking: Option<Meter> = None;
         for mut piece in query.pieces() {
             while !piece.is_empty() {
                 let now = clock.now();
-                let taking =
-                    taking.get_or_insert_with(|| Meter::start(self.context.gate.bounds().taking, now));
+                let taking = taking
+                    .get_or_insert_with(|| Meter::start(self.context.flow_control.bounds().taking, now));
                 taking.owes(now);
                 let due = taking.due().map_or(self.until, |due| clock.instant(due).min(self.until));
                 match timeout_at(due, system::write(Party::Member, &mut connection.stream, piece)).await {
@@ -125,8 +125,8 @@
     /// and at once where its last bytes are those of a whole answer. One that is whole but for its end waits
     /// no longer for that.
     pub(super) async fn take_in(&mut self, connection: &mut Connection) -> Verdict {
-        let Visit { context, holder, until, exchange, room, crowded_out } = self;
-        let (limits, clock, until) = (&context.limits, &context.lived, *until);
+        let QueryTask { context, holder, until, exchange, room, crowded_out } = self;
+        let (limits, clock, until) = (&context.limits, &context.unstalled_clock, *until);
         let mut answering: Option<Meter> = None;
         loop {
             if exchange.absorb(&mut connection.buffer, limits.answer).is_err() {
@@ -140,7 +140,7 @@
                 // While there is no room nothing is read: what the member sends stays with it, and holds its place.
                 let Some((peer, best)) = *holder else { return Verdict::Malformed };
                 answering.iter_mut().for_each(|meter| meter.rests(clock.now()));
-                *room = context.gate.room(peer, claimed, best, until).await;
+                *room = context.flow_control.reserve(peer, claimed, best, until).await;
                 if room.is_none() {
                     // It did its part, and its place is wanted for others: the rest is not taken in.
                     *crowded_out = true;
@@ -165,7 +165,7 @@
                 Err(_) => return Verdict::TimedOut,
                 Ok(Ok(count)) if count > 0 => {
                     let now = clock.now();
-                    let start = || Meter::start(context.gate.bounds().answering, now);
+                    let start = || Meter::start(context.flow_control.bounds().answering, now);
                     answering.get_or_insert_with(start).moved(now, count as u64);
                     if room.is_some() {
                         // Between the pieces of a large answer others have their turn.
--- a/crates/proxy/src/membership/actor.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -19,9 +19,9 @@
 use crate::cli::status;
 use crate::coordination::{CallTime, Coordination, DECISION_INTERVAL, Datagram};
 use crate::lifecycle::errors::ProgramError;
-use crate::lifecycle::process_context::Context;
+use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{DispatcherMessage, FleetSize};
-use crate::persistence::Folder;
+use crate::persistence::DataDirectory;
 use crate::system::{self, Acceptor, Datagrams, Received};
 
 /// Datagrams read before it is looked whether anything is due.
@@ -29,15 +29,15 @@
 
 /// What is decided in common: what the operator wants, where it is kept, the own zone and the longest time
 /// limit of a request, and what the operator wants from later on.
-pub struct Sitting {
+pub struct CoordinationStart {
     pub wanted: Wanted,
-    pub folder: Option<Rc<Folder>>,
+    pub folder: Option<Rc<DataDirectory>>,
     pub place: (usize, Micros),
     pub reread: watch::Receiver<Option<Wanted>>,
 }
 
-pub struct Company {
-    context: Rc<Context>,
+pub struct MembershipActor {
+    context: Rc<ProcessContext>,
     socket: Datagrams,
     status: Option<Acceptor<UnixListener>>,
     fellows: aldermill_membership::Fellows,
@@ -61,14 +61,14 @@
     unsent: u64,
 }
 
-impl Company {
+impl MembershipActor {
     pub async fn open(
-        context: Rc<Context>,
+        context: Rc<ProcessContext>,
         terms: Terms,
-        wanted: Option<Sitting>,
+        wanted: Option<CoordinationStart>,
         (name, drivers, spans): (&str, usize, bool),
         seed: u64,
-    ) -> Result<Company, ProgramError> {
+    ) -> Result<MembershipActor, ProgramError> {
         let listen = terms.listen;
         let bound = system::bind_datagrams(listen).await;
         let socket =
@@ -87,11 +87,11 @@
             .status
             .and_then(|path| status::listen(&path, &context.log))
             .map(|listener| Acceptor::new(listener, context.log.clone()));
-        let (tempo, now) = (Tempo::usual(drivers), context.lived.now());
+        let (tempo, now) = (Tempo::usual(drivers), context.unstalled_clock.now());
         let start = own.start;
         let mut reread = None;
         let council = match wanted {
-            Some(Sitting { wanted, folder, place, reread: again }) => {
+            Some(CoordinationStart { wanted, folder, place, reread: again }) => {
                 reread = Some(again);
                 let (own, log) = (Incarnation { name: name.to_owned(), start }, context.log.clone());
                 let opened = Coordination::open(
@@ -109,9 +109,9 @@
         };
         let (fellows, actions) =
             aldermill_membership::Fellows::start(now, own, peers, terms.networks, tempo, drivers, seed);
-        let stood = context.lived.stood();
+        let stood = context.unstalled_clock.stood();
         let (shared, told) = ((drivers, drivers), drivers);
-        let mut company = Company {
+        let mut company = MembershipActor {
             context,
             socket,
             status,
@@ -143,7 +143,8 @@
         let mut stopping = self.context.stopping.clone();
         let mut bytes = [0; 2048];
         loop {
-            let wake_at = self.wake_at.map_or_else(Instant::now, |at| self.context.lived.instant(at));
+            let wake_at =
+                self.wake_at.map_or_else(Instant::now, |at| self.context.unstalled_clock.instant(at));
             let council_at =
                 self.council.as_ref().map(|(council, _)| self.context.clock.instant(council.wake_at()));
             let asked = async {
@@ -172,7 +173,7 @@
                     self.listens_up();
                     self.read(&mut bytes).await;
                     // A flood of datagrams keeps nothing from what is due.
-                    if self.wake_at.is_some_and(|at| at <= self.context.lived.now()) {
+                    if self.wake_at.is_some_and(|at| at <= self.context.unstalled_clock.now()) {
                         self.wake().await;
                     }
                 }
@@ -189,11 +190,11 @@
 
     /// Before anything else that is done after a standstill.
     fn listens_up(&mut self) {
-        let stood = self.context.lived.stood();
+        let stood = self.context.unstalled_clock.stood();
         let long = stood - std::mem::replace(&mut self.stood, stood);
         if long > 0 {
             self.age += long;
-            self.fellows.stood_still(self.context.lived.now());
+            self.fellows.stood_still(self.context.unstalled_clock.now());
         }
     }
 
@@ -209,7 +210,7 @@
                 }
                 Received::Failed => return,
             };
-            let now = self.context.lived.now();
+            let now = self.context.unstalled_clock.now();
             let actions = self.fellows.heard(now, from.ip(), &bytes[..length]);
             self.carry_out(actions).await;
         }
@@ -258,7 +259,7 @@
     }
 
     async fn wake(&mut self) {
-        let actions = self.fellows.wake(self.context.lived.now());
+        let actions = self.fellows.wake(self.context.unstalled_clock.now());
         self.carry_out(actions).await;
     }
 
@@ -290,7 +291,7 @@
             }
         }
         self.wake_at = actions.wake_at;
-        let view = self.fellows.view(self.context.lived.now());
+        let view = self.fellows.view(self.context.unstalled_clock.now());
         let shared = (view.sharing(self.told), view.sharing_cold(self.told));
         if shared != self.shared && !self.spans {
             self.shared = shared;
@@ -305,7 +306,7 @@
 
     /// Says what is known here, as one JSON object.
     fn describe(&self, mut stream: UnixStream) {
-        let view = self.fellows.view(self.context.lived.now());
+        let view = self.fellows.view(self.context.unstalled_clock.now());
         let text = json!({"self": fellow(self.fellows.own()), "view": seen(view), "room_shared_by": self.shared.0,
             "council": self.council.as_ref().map(|(council, _)| council.describe(self.context.clock.now())),
             "at_ms": self.context.clock.wall() / 1000, "dropped": dropped(self.fellows.dropped()), "sent": {"datagrams": self.sent.0, "bytes": self.sent.1}, "not_sent": self.unsent,
@@ -318,7 +319,7 @@
 }
 
 /// The router's clock stands for the wall clock, which may be stepped: it never steps, and began with it.
-fn moment(context: &Context) -> CallTime {
+fn moment(context: &ProcessContext) -> CallTime {
     let now = context.clock.now();
     CallTime { now, wall: (now / 1000).max(1) as u64 }
 }
--- a/crates/proxy/src/messages/mod.rs
+++ b/crates/proxy/src/messages/mod.rs
@@ -15,9 +15,9 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use crate::discovery::endpoint_list::Catalog;
-use crate::flow_control::Room;
-use crate::shadow::Trial;
+use crate::discovery::endpoint_list::EndpointList;
+use crate::flow_control::BufferReservation;
+use crate::shadow::ShadowRouter;
 
 /// Names a statement of a client, new for each.
 pub type ClientId = u64;
@@ -32,7 +32,7 @@
     AttemptFinished(AttemptFinished),
     HealthCheckFinished(HealthCheckFinished),
     /// The settings that are on trial from now on, if any.
-    TrialReplaced(Option<Box<Trial>>),
+    TrialReplaced(Option<Box<ShadowRouter>>),
     Link(LinkMessage),
     /// To be answered once no remote request is under way.
     AwaitRemoteEnd(oneshot::Sender<()>),
@@ -184,7 +184,7 @@
 #[derive(Default)]
 pub struct Rows {
     pub pieces: Vec<Vec<u8>>,
-    pub room: Option<Room>,
+    pub room: Option<BufferReservation>,
 }
 
 /// What the dispatcher and the listener tell a client's actor.
@@ -258,7 +258,7 @@
 
 /// What the discovery watch tells the dispatcher.
 pub enum ListUpdate {
-    List(Catalog),
+    List(EndpointList),
     Unavailable,
 }
 
--- a/crates/proxy/src/persistence/data_directory.rs
+++ b/crates/proxy/src/persistence/data_directory.rs
@@ -11,13 +11,13 @@
 /// A folder that is opened in its own time: nothing may be claimed of what it held before that is read, and nothing is
 /// kept before it is open for writing.
 #[derive(Default)]
-pub struct Folder {
+pub struct DataDirectory {
     records: OnceCell<Vec<Record>>,
     /// Never waited for, not even at the end: a disk may stand still.
     committer: OnceCell<Committer>,
 }
 
-impl Folder {
+impl DataDirectory {
     /// What it held at the start of this process; `None` as long as that could not be read.
     pub fn records(&self) -> Option<&[Record]> {
         self.records.get().map(Vec::as_slice)
@@ -48,7 +48,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for DataDirectory {
     fn drop(&mut self) {
         if let Some(committer) = self.committer.take() {
             committer.leave();
--- a/crates/proxy/src/persistence/mod.rs
+++ b/crates/proxy/src/persistence/mod.rs
@@ -16,7 +16,7 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-pub use data_directory::Folder;
+pub use data_directory::DataDirectory;
 use opening::{Opener, Unopened};
 
 use crate::lifecycle::clock::Clock;
@@ -26,7 +26,7 @@
 
 /// The folder, what was recalled from it by now, and who keeps what is believed from now on.
 pub struct Warmed {
-    pub folder: Rc<Folder>,
+    pub folder: Rc<DataDirectory>,
     pub recalled: Recalled,
     pub keeping: watch::Sender<Option<Beliefs>>,
 }
--- a/crates/proxy/src/persistence/opening.rs
+++ b/crates/proxy/src/persistence/opening.rs
@@ -11,8 +11,8 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::sleep;
 
-use super::data_directory::{Folder, Record};
-use super::writer::Keeper;
+use super::data_directory::{DataDirectory, Record};
+use super::writer::WriterThread;
 use crate::lifecycle::clock::Clock;
 
 /// The wait behind the first trial that failed, doubled with each that follows.
@@ -111,7 +111,7 @@
 
 /// Tries until the folder is open, then keeps what is believed in it.
 pub(super) struct Opener {
-    pub folder: Rc<Folder>,
+    pub folder: Rc<DataDirectory>,
     pub beliefs: watch::Receiver<Option<Beliefs>>,
     place: Place,
     log: Logger,
@@ -191,6 +191,6 @@
         let keys = self.folder.records().into_iter().flatten().map(|(space, key, _)| (*space, key.clone()));
         let kept = Kept::start(&self.place.name, keys);
         let Opener { folder, beliefs, place, log, .. } = self;
-        Keeper { clock: place.clock, log, folder, kept, beliefs }.run().await;
+        WriterThread { clock: place.clock, log, folder, kept, beliefs }.run().await;
     }
 }
--- a/crates/proxy/src/persistence/writer.rs
+++ b/crates/proxy/src/persistence/writer.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep_until;
 
-use super::Folder;
+use super::DataDirectory;
 use crate::lifecycle::clock::Clock;
 
 /// How long a write may wait for its confirmation before the disk counts as gone.
@@ -17,16 +17,16 @@
 const WAITING: usize = 8;
 
 /// Hands over what is believed, once the folder is open.
-pub(super) struct Keeper {
+pub(super) struct WriterThread {
     pub clock: Clock,
     pub log: Logger,
-    pub folder: Rc<Folder>,
+    pub folder: Rc<DataDirectory>,
     pub kept: Kept,
     /// What is believed; the newest counts.
     pub beliefs: watch::Receiver<Option<Beliefs>>,
 }
 
-impl Keeper {
+impl WriterThread {
     /// Hands what has changed to the disk's thread, as long as the disk does well; says so when it does not.
     pub async fn run(mut self) {
         let (done, mut confirmed) = mpsc::channel(WAITING * 2);
--- a/crates/proxy/src/shadow/mod.rs
+++ b/crates/proxy/src/shadow/mod.rs
@@ -11,7 +11,7 @@
 use slog::{Logger, info};
 use tokio::time::Instant;
 
-use crate::lifecycle::errors::OnTrial;
+use crate::lifecycle::errors::ShadowError;
 
 /// What becomes of a request by one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -56,7 +56,7 @@
     }
 }
 
-pub struct Trial {
+pub struct ShadowRouter {
     terms: Terms,
     one_in: u32,
     every: Duration,
@@ -67,21 +67,21 @@
     told_at: Instant,
 }
 
-impl Trial {
+impl ShadowRouter {
     /// Reads the other settings, which must know the same request classes and zones as those in force.
-    pub fn read(wanted: &Wanted, in_force: &Decoded) -> Result<Trial, OnTrial> {
+    pub fn read(wanted: &Wanted, in_force: &Decoded) -> Result<ShadowRouter, ShadowError> {
         let path = || wanted.settings.clone();
         let text = std::fs::read_to_string(&wanted.settings);
-        let text = text.map_err(|why| OnTrial::File { path: path(), why })?;
-        let other = Decoded::parse(&text).map_err(|why| OnTrial::Settings { path: path(), why })?;
+        let text = text.map_err(|why| ShadowError::File { path: path(), why })?;
+        let other = Decoded::parse(&text).map_err(|why| ShadowError::Settings { path: path(), why })?;
         if other.names() != in_force.names() {
-            return Err(OnTrial::Other { path: path(), field: "categories" });
+            return Err(ShadowError::Other { path: path(), field: "categories" });
         }
         if other.zones() != in_force.zones() {
-            return Err(OnTrial::Other { path: path(), field: "azs" });
+            return Err(ShadowError::Other { path: path(), field: "azs" });
         }
         let one_in = wanted.one_in.unwrap_or(10).max(1);
-        Ok(Trial {
+        Ok(ShadowRouter {
             terms: other.terms,
             one_in,
             every: Duration::from_secs(wanted.every_s.unwrap_or(60).max(1).into()),
--- a/crates/proxy/tests/clock.rs
+++ b/crates/proxy/tests/clock.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code, reason = "the program uses the rest")]
 mod clock;
 
-use clock::{Clock, Lived, duration, suspended, unix_now};
+use clock::{Clock, UnstalledClock, duration, suspended, unix_now};
 
 use std::sync::atomic::{AtomicI64, Ordering};
 
@@ -13,7 +13,7 @@
 #[test]
 fn a_suspension_is_time_that_passed_and_a_standstill() {
     let clock = Clock::start(unix_now, Some(|| SUSPENDED.load(Ordering::SeqCst)));
-    let lived = Lived::start(clock);
+    let lived = UnstalledClock::start(clock);
     let (before, began) = (clock.now(), lived.now());
     let due = clock.instant(before + 60_000_000);
     SUSPENDED.fetch_add(40_000_000, Ordering::SeqCst);
@@ -37,7 +37,7 @@
 fn a_stepped_wall_clock_moves_neither_the_routers_clock_nor_unstalled_time() {
     const HOUR: i64 = 3_600_000_000;
     let clock = Clock::start(|| unix_now() + STEP.load(Ordering::SeqCst), None);
-    let unstalled = Lived::start(clock);
+    let unstalled = UnstalledClock::start(clock);
     for step in [-HOUR, 2_000_000, HOUR, -2_000_000] {
         let (router, wall, lived) = (clock.now(), clock.wall(), unstalled.now());
         STEP.fetch_add(step, Ordering::SeqCst);
--- a/crates/proxy/tests/trial.rs
+++ b/crates/proxy/tests/trial.rs
@@ -15,7 +15,7 @@
 };
 use aldermill_settings::Decoded;
 use aldermill_test_support::{TERMS, file};
-use trial::{Fate, Kind, Trial};
+use trial::{Fate, Kind, ShadowRouter};
 
 fn decoded(text: &str) -> Decoded {
     Decoded::parse(text).map_err(|trouble| trouble.to_string()).unwrap()
@@ -27,7 +27,7 @@
 }
 
 /// A day of a router in small, each decision compared; what it did, line by line.
-fn day(mut trial: Option<&mut Trial>) -> Vec<String> {
+fn day(mut trial: Option<&mut ShadowRouter>) -> Vec<String> {
     let mut router = Router::start(decoded(TERMS).terms, 7, 0);
     let mut done = Vec::new();
     let mut ask = |router: &mut Router, decide: &dyn Fn(&mut Router) -> Actions| {
@@ -70,7 +70,7 @@
 
 #[test]
 fn equal_settings_count_nothing_and_the_deciding_side_does_the_same() {
-    let mut trial = Trial::read(&wanted(TERMS), &decoded(TERMS)).unwrap();
+    let mut trial = ShadowRouter::read(&wanted(TERMS), &decoded(TERMS)).unwrap();
     let (with, without) = (day(Some(&mut trial)), day(None));
     assert_eq!(with, without);
     assert!(trial.compared > 800 && trial.kinds.is_empty(), "{:?}", trial.kinds);
@@ -79,11 +79,11 @@
 #[test]
 fn a_setting_that_differs_counts_in_its_kind() {
     let no_return = TERMS.replace(r#""retryAfter":true"#, r#""retryAfter":false"#);
-    let mut trial = Trial::read(&wanted(&no_return), &decoded(TERMS)).unwrap();
+    let mut trial = ShadowRouter::read(&wanted(&no_return), &decoded(TERMS)).unwrap();
     assert_eq!(day(Some(&mut trial)), day(None));
     assert_eq!(trial.kinds.keys().copied().collect::<Vec<_>>(), [Kind::CoolDown]);
     let many = TERMS.replace(r#""balancers":1"#, r#""balancers":400"#);
-    let mut trial = Trial::read(&wanted(&many), &decoded(TERMS)).unwrap();
+    let mut trial = ShadowRouter::read(&wanted(&many), &decoded(TERMS)).unwrap();
     assert_eq!(day(Some(&mut trial)), day(None));
     assert!(trial.kinds.contains_key(&Kind::Fate(Fate::Attempted, Fate::Held)), "{:?}", trial.kinds);
     assert!(trial.kinds.contains_key(&Kind::NotHealthChecked), "{:?}", trial.kinds);
@@ -91,14 +91,16 @@
 
 #[test]
 fn a_sample_is_one_in_so_many() {
-    let mut trial = Trial::read(&Wanted { one_in: Some(8), ..wanted(TERMS) }, &decoded(TERMS)).unwrap();
+    let mut trial =
+        ShadowRouter::read(&Wanted { one_in: Some(8), ..wanted(TERMS) }, &decoded(TERMS)).unwrap();
     let decisions = day(Some(&mut trial)).len() as u64;
     assert_eq!(trial.compared, decisions / 8);
 }
 
 #[test]
 fn settings_that_cannot_be_compared_are_refused_by_their_field() {
-    let said = |text: &str| Trial::read(&wanted(text), &decoded(TERMS)).map(|_| ()).unwrap_err().to_string();
+    let said =
+        |text: &str| ShadowRouter::read(&wanted(text), &decoded(TERMS)).map(|_| ()).unwrap_err().to_string();
     assert!(said(&TERMS.replace("\"look\"", "\"see\"")).contains("categories"));
     assert!(said(&TERMS.replace("\"here\"", "\"there\"")).contains("azs"));
     assert!(said(&TERMS.replace("\"automatic\"", "\"manual\"")).contains("registryMode"));
