--- /dev/null
+++ b/crates/site-routing/tests/pinned_records.rs
@@ -0,0 +1,29 @@
+//! The keys and values of the records of what became of requests, as the store holds them.
+
+use aldermill_site_routing::earlier::{key, read_key, read_value, value};
+use aldermill_site_routing::{Fate, Origin};
+
+#[test]
+fn key_of_a_record() {
+    let origin = Origin { site: "north".into(), instance: "n1".into(), start: 0x0102_0304_0506_0708 };
+    let bytes = b"\0\0\0\0\0\0\0\x07\0\0\0\0\0\0\x01,\x01\x02\x03\x04\x05\x06\x07\x08north\0n1";
+    assert_eq!(key(7, &origin, 300).escape_ascii().to_string(), bytes.escape_ascii().to_string());
+    assert_eq!(read_key(bytes), Some((7, origin, 300)));
+}
+
+#[test]
+fn value_of_each_fate() {
+    let cases: [(Fate<&[u8]>, &[u8]); 6] = [
+        (Fate::UnderWay, b"T"),
+        (Fate::NeverTaken, b"N"),
+        (Fate::Rejected { cool_down: 0x0102_0304 }, b"D\0\0\0\0\x01\x02\x03\x04"),
+        (Fate::Served(b"value"), b"Hvalue"),
+        (Fate::Served(b""), b"H"),
+        (Fate::Failed, b"B"),
+    ];
+    for (fate, bytes) in cases {
+        assert_eq!(value(&fate), bytes);
+        assert_eq!(read_value(bytes), fate.map(<[u8]>::to_vec));
+    }
+    assert_eq!(value(&Fate::Unknown), b"B", "nothing of it is known, so it counts as failed");
+}
