--- a/crates/proxy/src/client/close.rs
+++ b/crates/proxy/src/client/close.rs
@@ -63,6 +63,10 @@
 pub async fn turn_away(context: Rc<ProcessContext>, mut stream: TcpStream) {
     let mut out = Vec::new();
     pg::error(&mut out, true, "53300", "too many connections", None);
-    let _ = timeout(context.limits.accepting, system::write_all(Party::Client, &mut stream, &out)).await;
-    part(stream, context.limits.parting, context.limits.scrap).await;
+    let _ = timeout(
+        context.limits.client.error_write_timeout,
+        system::write_all(Party::Client, &mut stream, &out),
+    )
+    .await;
+    part(stream, context.limits.connections.linger, context.limits.client.discard_limit).await;
 }
--- a/crates/proxy/src/client/listener.rs
+++ b/crates/proxy/src/client/listener.rs
@@ -86,7 +86,7 @@
 
 impl ConnectionRegistry {
     fn new(context: Rc<ProcessContext>) -> ConnectionRegistry {
-        let time = context.limits.keepalive;
+        let time = context.limits.connections.keepalive;
         ConnectionRegistry {
             context,
             connections: HashMap::new(),
@@ -105,14 +105,15 @@
         let served = |connection: &&Connection| connection.state.served.get();
         // Those who are slow to read take no place of the others': they give way by themselves.
         let regular = |connection: &&Connection| served(connection) && !connection.state.stuck.get();
-        if self.connections.values().filter(regular).count() >= self.context.limits.regulars {
+        if self.connections.values().filter(regular).count() >= self.context.limits.connections.active_clients
+        {
             self.ask_to_yield(Duration::ZERO, served);
         }
-        let place = self.connections.len() < self.context.limits.clients || self.makes_room();
+        let place = self.connections.len() < self.context.limits.connections.clients || self.makes_room();
         if let Some(connection_guard) = place.then(|| self.context.flow_control.register(from).ok()).flatten()
         {
             self.admit(stream, connection_guard);
-        } else if self.turned_away.len() < self.context.limits.turned_away {
+        } else if self.turned_away.len() < self.context.limits.connections.rejecting {
             self.turned_away.spawn_local(turn_away(self.context.clone(), stream));
         }
     }
@@ -124,11 +125,11 @@
             warn!(self.context.log, "client share of descriptors used up, idle ones are closed, else new ones denied";
                 "clients" => self.connections.len());
         }
-        if self.connections.len() >= limits.clients + limits.yielding {
+        if self.connections.len() >= limits.connections.clients + limits.connections.evicting {
             return false;
         }
         self.context.flow_control.shed_one_connection()
-            || self.ask_to_yield(self.context.limits.between, |_| true)
+            || self.ask_to_yield(self.context.limits.connections.recently_active, |_| true)
     }
 
     /// Of these connections without a request, one that never had any is closed first, else the one idle
@@ -151,7 +152,7 @@
         let id = self.next_id;
         self.next_id += 1;
         // Room for the answers it may wait for and a request to yield.
-        let (address, mailbox) = mpsc::channel(self.context.limits.pipelined + 4);
+        let (address, mailbox) = mpsc::channel(self.context.limits.client.pipelined_statements + 4);
         let state = Rc::new(ConnectionState::default());
         let connection = Connection { state: state.clone(), address: address.clone() };
         let client = Client {
@@ -185,7 +186,9 @@
             |(id, ())| id,
         );
         self.connections.remove(&id);
-        if self.connections.len() < self.context.limits.clients / 2 && std::mem::take(&mut self.full) {
+        if self.connections.len() < self.context.limits.connections.clients / 2
+            && std::mem::take(&mut self.full)
+        {
             info!(self.context.log, "room for clients again"; "clients" => self.connections.len());
         }
     }
--- a/crates/proxy/src/client/mod.rs
+++ b/crates/proxy/src/client/mod.rs
@@ -128,14 +128,15 @@
             pg::error(&mut out, true, "08P01", bad.0, None);
             let _ = self.send(vec![out], None).await;
         }
-        part(self.stream, self.context.limits.parting, self.context.limits.scrap).await;
+        part(self.stream, self.context.limits.connections.linger, self.context.limits.client.discard_limit)
+            .await;
     }
 
     /// Closed is not gone: what the client may not have read stays with the system for a bounded time, and counts
     /// as room meanwhile. Says whether there is room for that.
     fn may_leave_unread(&mut self) -> bool {
-        let unread = self.unread.min(2 * self.context.limits.buffer);
-        if unread < self.context.limits.unread {
+        let unread = self.unread.min(2 * self.context.limits.buffers.client_socket);
+        if unread < self.context.limits.buffers.ignorable_unread {
             return true;
         }
         let _ = SockRef::from(&self.stream).set_tcp_user_timeout(Some(self.connection_guard.lingering()));
@@ -148,7 +149,7 @@
 
     /// The startup, and requests for encryption before it.
     async fn greet(&mut self) -> Result<(), End> {
-        let until = self.connected + self.context.limits.startup;
+        let until = self.connected + self.context.limits.client.startup_timeout;
         loop {
             match pg::opening(self.buffer.held())? {
                 None => {
@@ -194,8 +195,8 @@
                 self.send(answer.unwrap_or_default(), rows).await?;
             }
             let limits = &self.context.limits;
-            if ending.is_none() && self.owed.len() < limits.pipelined {
-                match pg::message(self.buffer.held(), limits.statement) {
+            if ending.is_none() && self.owed.len() < limits.client.pipelined_statements {
+                match pg::message(self.buffer.held(), limits.buffers.statement) {
                     Ok(Some(message)) => {
                         let (tag, length) = (message.tag, message.length);
                         let text = match tag {
@@ -241,7 +242,7 @@
                 return end;
             }
             let claimed = pg::claimed(self.buffer.held());
-            if claimed > self.context.limits.small && large.is_none() {
+            if claimed > self.context.limits.buffers.small_message && large.is_none() {
                 large = Some(self.reserve(claimed).await?);
             }
             self.more(&mut begun).await?;
@@ -250,8 +251,8 @@
 
     /// Waits for an answer, for more bytes, or for the client to leave.
     async fn hear(&mut self) -> Result<(), End> {
-        let room = self.buffer.held().len() < self.context.limits.ahead;
-        let look_again = self.context.limits.look_again;
+        let room = self.buffer.held().len() < self.context.limits.client.read_ahead;
+        let look_again = self.context.limits.client.disconnect_poll_interval;
         let (stream, buffer) = (&mut self.stream, &mut self.buffer);
         let reading = async {
             if room {
@@ -299,14 +300,15 @@
         let served = self.state.served.get();
         let between = self.buffer.is_empty();
         let now = Instant::now();
-        let (mut since, mut until) = (now, now + limits.client_idle);
+        let (mut since, mut until) = (now, now + limits.client.idle_timeout);
         if !between {
             since = *begun.get_or_insert(now);
             // A client that has stopped is not waited for, however long the statement before was under way.
-            until = (since + limits.message).min(self.read.unwrap_or(now) + limits.stalled);
+            until = (since + limits.client.message_timeout)
+                .min(self.read.unwrap_or(now) + limits.client.stall_timeout);
         }
         if !served {
-            let first = self.connected + limits.first;
+            let first = self.connected + limits.client.first_request_timeout;
             until = if between { first } else { until.min(first) };
             since = self.connected;
         }
@@ -385,7 +387,7 @@
             self.connection_guard.stop_metering();
         }
         if let Some(room) = room {
-            room.shrink(self.unread.min(2 * self.context.limits.buffer));
+            room.shrink(self.unread.min(2 * self.context.limits.buffers.client_socket));
             self.left = Some(room);
         }
         Ok(())
--- a/crates/proxy/src/client/statement.rs
+++ b/crates/proxy/src/client/statement.rs
@@ -9,7 +9,7 @@
             self.buffer.consume(length);
             return Vec::new();
         }
-        if length > self.context.limits.small {
+        if length > self.context.limits.buffers.small_message {
             // Held once: what was the buffer becomes the statement.
             let mut message = self.buffer.take(length);
             message.pop();
@@ -84,7 +84,7 @@
         let limits = &self.context.limits;
         let text = self.buffer.held().get(pg::BEFORE_BODY..).and_then(|text| Comment::parse(text).ok());
         let best = text.is_some_and(|comment| self.context.best_paid.contains(&comment.class));
-        let until = Instant::now() + limits.room_wait;
+        let until = Instant::now() + limits.client.reservation_wait;
         if let Some(room) = self.connection_guard.reserve(size, best, until).await {
             self.buffer.expect(size + 1);
             return Ok(room);
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -14,6 +14,7 @@
 
 use crate::discovery::endpoint_list::EndpointList;
 use crate::lifecycle::clock::duration;
+use crate::lifecycle::limits::RetryInterval;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::ListUpdate;
 use crate::system::{self, Meaning, Party};
@@ -68,11 +69,11 @@
 impl Watch {
     /// Follows the list for ever; whatever goes wrong, the last list stays in force.
     pub async fn run(mut self) {
-        let (least, most) = self.context.limits.list_retry;
+        let RetryInterval { initial: least, max: most } = self.context.limits.discovery.retry;
         let mut moves = self.context.discovery.clone();
         let mut wait = least;
         let mut silent = false;
-        let mut opening = self.context.limits.list_opening;
+        let mut opening = self.context.limits.discovery.first_byte_timeout;
         let mut wanted = self.requests.is_none();
         if wanted {
             sleep(self.first).await;
@@ -101,8 +102,8 @@
             }
             // Discovery that is slow to speak is given longer, up to what is silence in any case.
             opening = match why {
-                Lost::Mute => (opening * 2).min(self.context.limits.list_silence),
-                _ => self.context.limits.list_opening,
+                Lost::Mute => (opening * 2).min(self.context.limits.discovery.silence_timeout),
+                _ => self.context.limits.discovery.first_byte_timeout,
             };
             if !std::mem::replace(&mut silent, true) {
                 warn!(self.context.log, "list lost, the last one stays in force";
@@ -153,7 +154,9 @@
         loop {
             match timeout_at(due, system::read(Party::Discovery, &mut stream, buffer.tail())).await {
                 Err(_) if mute => return Err(Lost::Mute),
-                Err(_) if came >= COMES => (due, came) = (Instant::now() + limits.list_silence, 0),
+                Err(_) if came >= COMES => {
+                    (due, came) = (Instant::now() + limits.discovery.silence_timeout, 0)
+                }
                 Err(_) => return Err(Lost::Silence),
                 Ok(read) => match read? {
                     0 => return Err(Lost::Closed),
@@ -162,17 +165,19 @@
             }
             // By when a line must be whole, or enough of one have come: bytes that trickle tell nothing.
             if std::mem::take(&mut mute) {
-                due = Instant::now() + limits.list_silence;
+                due = Instant::now() + limits.discovery.silence_timeout;
             }
             if lines.is_none() {
-                let Some(head) = http::head(buffer.held(), limits.list_head).map_err(Lost::Answer)? else {
+                let Some(head) =
+                    http::head(buffer.held(), limits.discovery.response_head).map_err(Lost::Answer)?
+                else {
                     continue;
                 };
                 if head.status != 200 {
                     return Err(Lost::Status(head.status));
                 }
                 buffer.consume(head.length);
-                lines = Some(http::Lines::new(head.body, limits.list_line));
+                lines = Some(http::Lines::new(head.body, limits.discovery.list_line));
             }
             let Some(lines) = &mut lines else { continue };
             loop {
@@ -183,7 +188,7 @@
                     info!(context.log, "list back"; "peer" => %peer);
                 }
                 *told = true;
-                (due, came) = (Instant::now() + limits.list_silence, 0);
+                (due, came) = (Instant::now() + limits.discovery.silence_timeout, 0);
                 // An empty line stands between lists: one that it cuts in two has lost its end.
                 if line.trim_ascii().is_empty() {
                     if whole.is_open() {
@@ -193,7 +198,7 @@
                     continue;
                 }
                 // Lists may come indented, on many lines.
-                let list = whole.add(&line, limits.list_line).map_err(Lost::Answer)?;
+                let list = whole.add(&line, limits.discovery.list_line).map_err(Lost::Answer)?;
                 if let Some(list) = list
                     && !self.tell(&list).await?
                 {
--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -123,7 +123,7 @@
 
     fn send_health_check(&mut self, member: MemberId) {
         let sent = Instant::now();
-        let until = sent + self.context.limits.health_check;
+        let until = sent + self.context.limits.member.health_check_timeout;
         let command = MemberCommand::HealthCheck { sent, until };
         let entry = self.members[member].as_ref();
         if entry.is_none_or(|entry| entry.commands.try_send(command).is_err()) {
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -211,7 +211,7 @@
     /// Starts the actor of a member that was never listed before.
     fn start_member(&mut self, entry: &Entry, address: SocketAddr) -> MemberId {
         let id = self.members.iter().position(Option::is_none).unwrap_or(self.members.len());
-        let (commands, mailbox) = mpsc::channel(self.context.limits.commands);
+        let (commands, mailbox) = mpsc::channel(self.context.limits.queues.member);
         let (accepts_requests, accepting) = watch::channel(self.accepts_requests(entry.standing()));
         let resting = Rc::new(Cell::new(None));
         let last_heard = LastHeard::default();
--- a/crates/proxy/src/dispatcher/gateway/link_events.rs
+++ b/crates/proxy/src/dispatcher/gateway/link_events.rs
@@ -89,7 +89,7 @@
         let gateway_part = self.gateway_part.as_ref()?;
         let handle = gateway_part.sites.crossed(number)?;
         let forwarded = gateway_part.forwarded.get(&handle)?;
-        if value.len() <= self.context.limits.small {
+        if value.len() <= self.context.limits.buffers.small_message {
             let answer = Answer::Served(Rows { pieces: vec![value], room: None });
             return Some(ReceivedAnswer { handle, answer });
         }
--- a/crates/proxy/src/dispatcher/gateway/remote_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/remote_requests.rs
@@ -163,7 +163,7 @@
         }
         let waited = self.context.clock.now() - arriving.received_at;
         let ttl = received_span(frame.left_us) - waited - gateway_part.sites.one_way(arriving.gate);
-        let full = gateway_part.forwarded.len() >= self.context.limits.requests;
+        let full = gateway_part.forwarded.len() >= self.context.limits.open_requests;
         let under_way = self.open_ids.contains(&comment.id);
         if gateway_part.draining || full || under_way || ttl <= 0 {
             return Err(OutcomeKind::Rejected);
--- a/crates/proxy/src/dispatcher/members_clock.rs
+++ b/crates/proxy/src/dispatcher/members_clock.rs
@@ -39,7 +39,7 @@
             warn!(self.context.log, "the wall clock at the start differs from the members'"; "ms" => offset / 1000);
             self.report_offset(offset);
         }
-        let believable = now + self.reported_offset + self.context.limits.ahead_of_clock;
+        let believable = now + self.reported_offset + self.context.limits.member.max_clock_lead;
         report.position = Some(position).filter(|&position| position <= believable);
     }
 
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -69,7 +69,7 @@
     /// Whether as many requests are under way as the operator allows.
     fn is_full(&self) -> bool {
         let crossing = self.gateway_part.as_ref().map_or(0, GatewayPart::open_requests);
-        self.open_requests.len().max(crossing) >= self.context.limits.requests
+        self.open_requests.len().max(crossing) >= self.context.limits.open_requests
     }
 
     /// Hands a checked request to the router and carries out its first decision.
--- a/crates/proxy/src/gateway/handshake.rs
+++ b/crates/proxy/src/gateway/handshake.rs
@@ -13,6 +13,7 @@
 
 use super::LinkRegistry;
 use super::link::{Wire, stood};
+use crate::lifecycle::limits::RetryInterval;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::system::{self, Acceptor, Meaning};
 
@@ -28,7 +29,7 @@
                     warn!(context.log, "link refused"; "peer" => %from, "why" => "in none of the peers' networks");
                     continue;
                 }
-                if links.len() >= context.limits.links {
+                if links.len() >= context.limits.links.inbound {
                     warn!(context.log, "link refused"; "peer" => %from, "why" => "too many links");
                     continue;
                 }
@@ -52,12 +53,12 @@
     seed: u64,
 ) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let (least, most) = context.limits.link_retry;
+    let RetryInterval { initial: least, max: most } = context.limits.links.retry;
     let mut wait = least;
     let mut silent = false;
     loop {
         let since = Instant::now();
-        let opened = timeout(context.limits.connect, system::connect(address, None)).await;
+        let opened = timeout(context.limits.member.connect_timeout, system::connect(address, None)).await;
         match opened {
             Ok(Ok(stream)) => {
                 if std::mem::take(&mut silent) {
--- a/crates/proxy/src/gateway/link.rs
+++ b/crates/proxy/src/gateway/link.rs
@@ -76,7 +76,7 @@
         let context = self.context.clone();
         let clock = context.unstalled_clock.clone();
         let mut link = Link::start(self.yard.bounds, &self.yard.own, clock.now());
-        let (sender, mut said) = mpsc::channel(context.limits.calls);
+        let (sender, mut said) = mpsc::channel(context.limits.queues.dispatcher);
         let mut sender = Some(sender);
         let mut waiting: Vec<u8> = Vec::new();
         let mut at = 0;
@@ -181,7 +181,7 @@
         }
         out.extend_from_slice(&Link::close(why));
         let write = tokio::io::AsyncWriteExt::write_all(&mut self.stream, &out);
-        let _ = timeout(self.context.limits.parting, write).await;
+        let _ = timeout(self.context.limits.connections.linger, write).await;
     }
 
     async fn tell(&self, id: LinkId, call: LinkEvent) -> Result<(), Over> {
--- a/crates/proxy/src/lifecycle/configuration.rs
+++ b/crates/proxy/src/lifecycle/configuration.rs
@@ -81,7 +81,7 @@
             start.trial = Some(trial.map_err(|why| ProgramError::Trial { path: path(), why })?);
         }
         // What the operator wants must hold one statement and one answer of full size.
-        let sizes = (start.limits.statement as u64, start.limits.answer as u64);
+        let sizes = (start.limits.buffers.statement as u64, start.limits.buffers.response as u64);
         start.bounds = bounded(start.bounds, &operator.slow_peers);
         start.bounds.check(sizes.0, sizes.1).map_err(|(field, least)| {
             let (field, least) = match field {
--- /dev/null
+++ b/crates/proxy/src/lifecycle/limits/connections.rs
@@ -0,0 +1,90 @@
+//! How many connections are open at once, and which of them are closed for new ones.
+
+use std::time::Duration;
+
+use super::buffers::SMALL_MESSAGE;
+use super::descriptors::DescriptorReserve;
+
+/// Descriptors that clients and members have at the least, however many the program needs for itself.
+const LEAST_SHARED: usize = 4;
+/// Clients, and members, have at least so many connections: one in use while another is being closed.
+const LEAST_CONNECTIONS: usize = 2;
+/// The clients' share of the descriptors, as a fraction; members have the rest.
+const CLIENT_SHARE: Fraction = Fraction { of: 3, parts: 5 };
+/// The part of the memory that small messages of all client connections together may take. Large messages reserve what
+/// they need in half of the memory, however many connections there are.
+const CLIENT_MEMORY: Fraction = Fraction { of: 2, parts: 10 };
+/// Small messages that one client connection may hold at once.
+const MESSAGES_PER_CLIENT: usize = 4;
+/// The part of the memory that small messages of all connections to members together may take.
+const MEMBER_MEMORY: Fraction = Fraction { of: 1, parts: 10 };
+/// Small messages that one connection to a member may hold at once.
+const MESSAGES_PER_MEMBER: usize = 2;
+/// Active clients hold at most this part of all descriptors (one in four): clients have a limit on descriptors, too, and
+/// some open a connection for each request and never use it twice.
+const ACTIVE_CLIENT_PARTS: usize = 4;
+/// Whoever had a response so short a time ago is about to send the next request.
+const RECENTLY_ACTIVE: Duration = Duration::from_millis(250);
+/// Bounds the descriptors held by peers that never end their side; an error on its way arrives in less.
+const LINGER: Duration = Duration::from_millis(300);
+/// Finds client machines that vanished without closing; further probes follow at a third of it.
+const KEEPALIVE: Duration = Duration::from_secs(30);
+
+/// `of` parts out of `parts`, in whole numbers.
+struct Fraction {
+    of: usize,
+    parts: usize,
+}
+
+impl Fraction {
+    fn times(&self, whole: usize) -> usize {
+        whole * self.of / self.parts
+    }
+}
+
+/// How many connections are open at once, and which of them are closed for new ones.
+#[derive(Clone, Debug)]
+pub struct ConnectionLimits {
+    /// Client connections served at once. Set by descriptors and memory.
+    pub clients: usize,
+    /// Client connections that had a request. Beyond this number the one that was idle longest is closed for each new
+    /// connection. Set by descriptors.
+    pub active_clients: usize,
+    /// A client whose last response is younger than this is between two requests: its connection is not closed for a
+    /// new one. A constant.
+    pub recently_active: Duration,
+    /// Connections beyond `clients` that are accepted while idle ones are being closed for them. Set by descriptors.
+    pub evicting: usize,
+    /// Connections beyond `clients` that are being sent an error and closed; more than these are dropped without a
+    /// word. Set by descriptors.
+    pub rejecting: usize,
+    /// Connections to members, idle ones included. Set by descriptors and memory.
+    pub members: usize,
+    /// How long a connection that this side has closed waits for the other side's end, so that what was written last is
+    /// read. A constant.
+    pub linger: Duration,
+    /// Silence on a client connection after which the system asks whether the client's machine is still there (TCP
+    /// keepalive). A constant.
+    pub keepalive: Duration,
+}
+
+impl ConnectionLimits {
+    /// Divides `sockets` descriptors; fewer connections where their small messages would not fit into `memory` bytes.
+    pub(super) fn new(sockets: usize, reserve: &DescriptorReserve, memory: usize) -> ConnectionLimits {
+        let shared = sockets.saturating_sub(reserve.sum()).max(LEAST_SHARED);
+        let clients_in_memory = CLIENT_MEMORY.times(memory) / (MESSAGES_PER_CLIENT * SMALL_MESSAGE);
+        let clients = CLIENT_SHARE.times(shared).min(clients_in_memory).max(LEAST_CONNECTIONS);
+        let members_in_memory = MEMBER_MEMORY.times(memory) / (MESSAGES_PER_MEMBER * SMALL_MESSAGE);
+        let members = (shared - clients).min(members_in_memory).max(LEAST_CONNECTIONS);
+        ConnectionLimits {
+            clients,
+            active_clients: (sockets / ACTIVE_CLIENT_PARTS).min(clients),
+            recently_active: RECENTLY_ACTIVE,
+            evicting: reserve.evicting,
+            rejecting: reserve.rejecting,
+            members,
+            linger: LINGER,
+            keepalive: KEEPALIVE,
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/lifecycle/limits/descriptors.rs
@@ -0,0 +1,63 @@
+//! How many file descriptors the process may have, and which are kept from clients and members.
+
+use uapi::c;
+
+/// Below this many descriptors the number of rejected connections shrinks in proportion, without a floor.
+const FEW_DESCRIPTORS: usize = 64;
+
+/// How many descriptors this process may have.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Descriptors {
+    /// As its configuration says (`limits.sockets`).
+    pub configured: usize,
+    /// As the system says (RLIMIT_NOFILE); `usize::MAX` where that is not known.
+    pub allowed: usize,
+}
+
+impl Descriptors {
+    /// With fewer the program's own, one client and one member's connection do not fit.
+    pub const LEAST: usize = 24;
+
+    /// Asks the system for this process's limit on open files.
+    pub fn of_this_process(configured: usize) -> Descriptors {
+        let limit = uapi::getrlimit(c::RLIMIT_NOFILE as c::c_int);
+        let allowed = limit.map_or(usize::MAX, |limit| usize::try_from(limit.rlim_cur).unwrap_or(usize::MAX));
+        Descriptors { configured, allowed }
+    }
+
+    /// The number that is divided between clients and members. If it were more than the system allows, `accept` would
+    /// fail for clients that the configuration promised a connection. It costs nothing, as the system's limit holds
+    /// whatever is promised.
+    pub fn usable(self) -> usize {
+        self.configured.min(self.allowed)
+    }
+}
+
+/// Descriptors that are not divided between clients and members. All shrink where there are few, down to what the
+/// program has open without a connection.
+pub(super) struct DescriptorReserve {
+    /// Standard streams, signals, event queues, listener, discovery and the operator's sockets: 12 to 20.
+    pub(super) own: usize,
+    /// Client connections that are being closed for new ones: 2 to 12.
+    pub(super) evicting: usize,
+    /// Client connections that are being told that there is no room for them: 64 at most.
+    pub(super) rejecting: usize,
+}
+
+impl DescriptorReserve {
+    pub(super) fn of(descriptors: usize) -> DescriptorReserve {
+        let rejecting = match descriptors {
+            few if few < FEW_DESCRIPTORS => few / 16,
+            enough => (enough / 32).clamp(4, 64),
+        };
+        DescriptorReserve {
+            own: (descriptors * 5 / 16).clamp(12, 20),
+            evicting: (descriptors * 3 / 16).clamp(2, 12),
+            rejecting,
+        }
+    }
+
+    pub(super) fn sum(&self) -> usize {
+        self.own + self.evicting + self.rejecting
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/lifecycle/limits/queues.rs
@@ -0,0 +1,34 @@
+//! Lengths of the queues between actors, in messages. A sender waits, or drops what it has, where its queue is full.
+
+use super::ConnectionLimits;
+
+/// Each connection may have a message of its own and the end of an earlier one waiting.
+const MESSAGES_PER_CONNECTION: usize = 2;
+
+/// Lengths of the queues between actors, in messages.
+#[derive(Clone, Debug)]
+pub struct QueueLimits {
+    /// Messages that wait for the dispatcher. Set by the limits on connections.
+    pub dispatcher: usize,
+    /// Commands that wait at one member's actor. Set by the limits on connections.
+    pub member: usize,
+    /// Endpoint lists that wait for the dispatcher. A constant.
+    pub list_updates: usize,
+    /// Log lines that wait for standard error; more are dropped and counted. A constant.
+    pub log_lines: usize,
+    /// Connections that wait to be accepted, as given to `listen`. A constant.
+    pub listen_backlog: i32,
+}
+
+impl QueueLimits {
+    pub(super) fn new(connections: &ConnectionLimits) -> QueueLimits {
+        let all = connections.clients + connections.members;
+        QueueLimits {
+            dispatcher: MESSAGES_PER_CONNECTION * all,
+            member: all,
+            list_updates: 16,
+            log_lines: 1024,
+            listen_backlog: 1024,
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/lifecycle/limits/shutdown.rs
@@ -0,0 +1,43 @@
+//! How long each step of a shutdown may take, counted from the request to stop.
+
+use std::time::Duration;
+
+use aldermill_settings::Decoded;
+
+use crate::lifecycle::clock::duration;
+
+/// The process may be killed this long after the longest timeout of a request class has passed.
+const KILL_MARGIN: Duration = Duration::from_millis(700);
+/// Of the longest timeout no more than this counts towards that.
+const LONGEST_COUNTED_TIMEOUT: Duration = Duration::from_secs(3);
+/// The process may be held up for this long between reading its clock and writing a response.
+const SCHEDULING_DELAY: Duration = Duration::from_millis(150);
+/// Requests that were on their way when the stop was asked for arrive by then.
+const ACCEPT_WINDOW: Duration = Duration::from_millis(600);
+/// Requests of peer gateways that take longer are given up, so that the process ends.
+const REMOTE_REQUEST_WAIT: Duration = Duration::from_secs(30);
+
+/// How long each step of a shutdown may take, counted from the request to stop.
+#[derive(Clone, Debug)]
+pub struct ShutdownLimits {
+    /// How long new connections are still accepted, and the rest of a message is waited for. A constant.
+    pub accept_window: Duration,
+    /// By when every response must be written: soon after, the process may be killed. A response that were due later
+    /// might never be written. The cost: requests that come during a shutdown have less time than they ask for. Set by
+    /// the longest timeout in the settings.
+    pub deadline: Duration,
+    /// How long after the last client the requests of peer gateways are waited for. A constant.
+    pub remote_request_wait: Duration,
+}
+
+impl ShutdownLimits {
+    pub(super) fn new(decoded: &Decoded) -> ShutdownLimits {
+        let longest = decoded.terms.classes.iter().map(|class| duration(class.timeout)).max();
+        let counted = longest.unwrap_or_default().min(LONGEST_COUNTED_TIMEOUT);
+        ShutdownLimits {
+            accept_window: ACCEPT_WINDOW,
+            deadline: counted + KILL_MARGIN - SCHEDULING_DELAY,
+            remote_request_wait: REMOTE_REQUEST_WAIT,
+        }
+    }
+}
--- a/crates/proxy/src/lifecycle/process_context.rs
+++ b/crates/proxy/src/lifecycle/process_context.rs
@@ -41,7 +41,7 @@
     /// How long a request that comes now may still be under way: `None` unless the program is to stop.
     pub fn left_to_answer(&self) -> Option<Duration> {
         let window_closes = (*self.stopping.borrow())?;
-        let end = window_closes + (self.limits.stop_end - self.limits.stop_window);
+        let end = window_closes + (self.limits.shutdown.deadline - self.limits.shutdown.accept_window);
         Some(end.saturating_duration_since(Instant::now()))
     }
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -164,7 +164,10 @@
     println!("driver {} listens on {}, discovery at {}", start.name, start.listen, start.discovery);
     let known = start.known.as_ref().map_or(0, |known| known.members.len());
     println!("{known} members known, {} offerings", start.decoded.terms.classes.len());
-    println!("connections: {} from clients, {} to members", limits.clients, limits.members);
+    println!(
+        "connections: {} from clients, {} to members",
+        limits.connections.clients, limits.connections.members
+    );
     let (room, connection) = (start.bounds.room / 1024, start.bounds.connection / 1024);
     println!("room for what waits: {room} KiB, {connection} KiB for one connection");
 }
@@ -174,7 +177,7 @@
     let format = slog_term::FullFormat::new(decorator).use_utc_timestamp().build().fuse();
     // A reader that stands still costs lines, never time.
     let (drain, guard) = slog_async::Async::new(format)
-        .chan_size(limits.log_lines)
+        .chan_size(limits.queues.log_lines)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
         .build_with_guard();
     (Logger::root(drain.fuse(), o!()), guard)
@@ -214,7 +217,7 @@
         decoded,
         fixed,
     } = start;
-    let (stop_window, stop_guests) = (limits.stop_window, limits.stop_guests);
+    let (stop_window, stop_guests) = (limits.shutdown.accept_window, limits.shutdown.remote_request_wait);
     let (log, _guard) = logger(&limits);
     let [mut terminate, mut interrupt] = ends;
     let (address, discovery) = notice::channel(discovery);
@@ -222,11 +225,11 @@
     let unstalled_clock = UnstalledClock::start(clock);
     let flow_control = FlowControl::new(unstalled_clock.clone(), log.clone(), bounds);
     spawn_local(flow_control.clone().run());
-    let listener = system::listen(listen, limits.backlog, limits.buffer)
+    let listener = system::listen(listen, limits.queues.listen_backlog, limits.buffers.client_socket)
         .map_err(|why| ProgramError::Listen { field: "listen", address: listen, why })?;
 
     let (wanted, reread) = notice::channel(None);
-    let (dispatcher, calls) = mpsc::channel(limits.calls);
+    let (dispatcher, calls) = mpsc::channel(limits.queues.dispatcher);
     spawn_local(
         Reload {
             files,
@@ -239,10 +242,10 @@
         }
         .run(hangup),
     );
-    let (list_update, list_updates) = mpsc::channel(limits.lists);
+    let (list_update, list_updates) = mpsc::channel(limits.queues.list_updates);
     let (ready, seen_ready) = notice::channel(false);
     let (stop, stopping) = notice::channel(None);
-    let member_room = Arc::new(Semaphore::new(limits.members));
+    let member_room = Arc::new(Semaphore::new(limits.connections.members));
     let room = bounds.room as usize;
     let (on_request, drivers) = (decoded.terms.list_on_request, decoded.terms.drivers);
     let zone = decoded.terms.zone;
@@ -358,11 +361,11 @@
     let own = Identity { site: gateway.site.clone(), instance: name.to_owned(), start: now.max(1) as u64 };
     let bounds = LinkBounds {
         waiting: (room / 8).max(256 * 1024),
-        ..LinkBounds::usual(limits.statement, limits.answer)
+        ..LinkBounds::usual(limits.buffers.statement, limits.buffers.response)
     };
     let yard = LinkRegistry::new(own.clone(), &gateway, bounds);
     if let Some(listen) = gateway.listen {
-        let listener = system::listen(listen, limits.backlog, limits.member_buffer)
+        let listener = system::listen(listen, limits.queues.listen_backlog, limits.buffers.member_socket)
             .map_err(|why| ProgramError::Listen { field: "gateway.listen", address: listen, why })?;
         let address = listener.local_addr().unwrap_or(listen);
         info!(context.log, "gateway"; "site" => &own.site, "links" => %address);
@@ -383,7 +386,7 @@
         hops: gateway.hops.unwrap_or(1) as usize,
         credit: gateway.credit.unwrap_or(256),
         session: gateway.session.clone(),
-        fates: limits.fates,
+        fates: limits.links.outcomes_per_sender,
         folder,
     };
     Ok(GatewayPart::new(opening, decoded, seed, now))
--- a/crates/proxy/src/member/actor.rs
+++ b/crates/proxy/src/member/actor.rs
@@ -84,7 +84,7 @@
 /// Whether a connection that has not come up since `began` tells anything of its member. Protects a sound member from
 /// requests with so little time left that no handshake fits in. Harms by a wait of that time where a member vanished.
 fn shows_no_way(context: &ProcessContext, began: Instant) -> bool {
-    began.elapsed() >= context.limits.opening && !context.unstalled_clock.stood_since(began)
+    began.elapsed() >= context.limits.member.connect_evidence && !context.unstalled_clock.stood_since(began)
 }
 
 impl Member {
@@ -118,7 +118,7 @@
     }
 
     pub async fn run(mut self, mut commands: mpsc::Receiver<MemberCommand>) {
-        let mut sweep = interval(self.context.limits.sweep);
+        let mut sweep = interval(self.context.limits.member.sweep_interval);
         sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             self.resting.set(self.idle.first().map(|connection| connection.idle_since));
@@ -164,7 +164,7 @@
                     None => return,
                 },
                 _ = sweep.tick(), if !self.idle.is_empty() => {
-                    let (now, limit) = (Instant::now(), self.context.limits.idle);
+                    let (now, limit) = (Instant::now(), self.context.limits.member.idle_timeout);
                     let open = *self.open.borrow();
                     self.idle.retain(|connection| {
                         open && now - connection.idle_since < limit && connection.is_quiet()
@@ -188,10 +188,12 @@
     fn pooled(&mut self) -> Option<Connection> {
         let limits = &self.context.limits;
         while !self.idle.is_empty() {
-            let rested =
-                self.idle.iter().rposition(|connection| connection.idle_since.elapsed() >= limits.rest);
+            let rested = self
+                .idle
+                .iter()
+                .rposition(|connection| connection.idle_since.elapsed() >= limits.member.settle_time);
             let connection = self.idle.remove(rested.unwrap_or(0));
-            if connection.idle_since.elapsed() < limits.idle && connection.is_quiet() {
+            if connection.idle_since.elapsed() < limits.member.idle_timeout && connection.is_quiet() {
                 return Some(connection);
             }
         }
@@ -274,7 +276,7 @@
         }
         if matches!(verdict, Verdict::Malformed | Verdict::ConnectionLost) {
             self.malformed += 1;
-            if self.malformed == self.context.limits.malformed_told {
+            if self.malformed == self.context.limits.member.malformed_log_threshold {
                 warn!(self.context.log, "member answers nothing that can be used"; "member" => &self.name,
                     "peer" => %self.address.get(), "attempts" => self.malformed);
             }
--- a/crates/proxy/src/member/connection.rs
+++ b/crates/proxy/src/member/connection.rs
@@ -88,7 +88,7 @@
     limits: &Limits,
 ) -> Option<Connection> {
     let mut connection = pooled?;
-    if connection.idle_since.elapsed() >= limits.rest {
+    if connection.idle_since.elapsed() >= limits.member.settle_time {
         return Some(connection);
     }
     let Connection { stream, buffer, .. } = &mut connection;
@@ -98,7 +98,7 @@
         system::write_all(Party::Member, stream, &query).await.ok()?;
         let mut empty = false;
         loop {
-            let Some(message) = pg::message(buffer.held(), limits.answer).ok()? else {
+            let Some(message) = pg::message(buffer.held(), limits.buffers.response).ok()? else {
                 let count = system::read(Party::Member, stream, buffer.tail()).await.ok()?;
                 if count == 0 {
                     return None;
@@ -118,7 +118,7 @@
             buffer.consume(length);
         }
     };
-    let until = until.min(Instant::now() + limits.connect);
+    let until = until.min(Instant::now() + limits.member.connect_timeout);
     timeout_at(until, asked).await.ok()??;
     Some(connection)
 }
@@ -130,7 +130,7 @@
     address: SocketAddr,
     until: Instant,
 ) -> Result<Connection, Unopened> {
-    let until = until.min(Instant::now() + context.limits.connect);
+    let until = until.min(Instant::now() + context.limits.member.connect_timeout);
     let permit = match context.member_room.clone().try_acquire_owned() {
         Ok(permit) => permit,
         Err(_) => {
@@ -153,7 +153,10 @@
 /// Connects and greets, until the member is ready.
 async fn opened(limits: &Limits, address: SocketAddr) -> Result<(TcpStream, Buffer), Unopened> {
     // A statement of full size is more than the system takes at once: how quickly the member takes it is seen.
-    let sizes = BufferSizes { send: limits.buffer as u32, receive: limits.member_buffer as u32 };
+    let sizes = BufferSizes {
+        send: limits.buffers.client_socket as u32,
+        receive: limits.buffers.member_socket as u32,
+    };
     let mut stream = system::connect(address, Some(sizes)).await?;
     stream.set_nodelay(true)?;
     let mut hello = Vec::new();
@@ -161,7 +164,8 @@
     system::write_all(Party::Member, &mut stream, &hello).await?;
     let mut buffer = Buffer::default();
     loop {
-        let message = pg::message(buffer.held(), limits.answer).map_err(|_| Verdict::ConnectionLost)?;
+        let message =
+            pg::message(buffer.held(), limits.buffers.response).map_err(|_| Verdict::ConnectionLost)?;
         let Some(message) = message else {
             if system::read(Party::Member, &mut stream, buffer.tail()).await? == 0 {
                 return Err(Verdict::ConnectionLost.into());
--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -129,14 +129,14 @@
         let (limits, clock, until) = (&context.limits, &context.unstalled_clock, *until);
         let mut answering: Option<Meter> = None;
         loop {
-            if exchange.absorb(&mut connection.buffer, limits.answer).is_err() {
+            if exchange.absorb(&mut connection.buffer, limits.buffers.response).is_err() {
                 return Verdict::Malformed;
             }
             if exchange.is_over() {
                 return Verdict::Reset;
             }
             let claimed = pg::claimed(connection.buffer.held());
-            if claimed > limits.small && room.is_none() {
+            if claimed > limits.buffers.small_message && room.is_none() {
                 // While there is no room nothing is read: what the member sends stays with it, and holds its place.
                 let Some((peer, best)) = *holder else { return Verdict::Malformed };
                 answering.iter_mut().for_each(|meter| meter.rests(clock.now()));
@@ -153,12 +153,17 @@
             let due = answering.as_ref().and_then(Meter::due);
             let due = due.map_or(until, |due| clock.instant(due).min(until));
             let cut_short = exchange.is_served() || pg::ends_as_answer(connection.buffer.held());
-            let wait = if cut_short { due.min(Instant::now() + limits.closing) } else { due };
+            let wait =
+                if cut_short { due.min(Instant::now() + limits.member.completion_timeout) } else { due };
             let Connection { stream, buffer, .. } = &mut *connection;
             let mut read = timeout_at(wait, system::read(Party::Member, stream, buffer.tail())).await;
             if read.is_err() && matches!(system::peek(stream), Peeked::Unread | Peeked::Ended) {
                 // A signal or a standstill has let the clock be heard before the bytes, which came in time.
-                read = timeout(limits.closing, system::read(Party::Member, stream, buffer.tail())).await;
+                read = timeout(
+                    limits.member.completion_timeout,
+                    system::read(Party::Member, stream, buffer.tail()),
+                )
+                .await;
             }
             match read {
                 Err(_) if wait < until => return Verdict::Malformed,
