--- /dev/null
+++ b/crates/proxy/src/client/receipt.rs
@@ -0,0 +1,49 @@
+//! When the bytes in the read buffer arrived, also where the process was stalled before it read them.
+
+use tokio::net::TcpStream;
+use tokio::time::Instant;
+
+use crate::lifecycle::clock::UnstalledClock;
+
+/// The earliest and the latest time at which bytes arrived that a stalled process had not read.
+#[derive(Clone, Copy)]
+struct ReceiptBounds {
+    first: Instant,
+    last: Instant,
+}
+
+/// Times of receipt of one connection's read buffer.
+#[derive(Default)]
+pub(super) struct Receipt {
+    last_read_at: Option<Instant>,
+    /// `None` where the process was not stalled: the bytes were read as they arrived.
+    receipt_bounds: Option<ReceiptBounds>,
+}
+
+impl Receipt {
+    /// To be called after each read: notes when the bytes may have arrived, where they waited for this process.
+    pub(super) fn stamp_receipt(&mut self, clock: &UnstalledClock, stream: &TcpStream) {
+        let arrived = clock.came(stream, self.last_read_at.replace(Instant::now()));
+        let earlier = self.receipt_bounds.map(|bounds| bounds.first);
+        self.receipt_bounds = arrived.map(|(first, last)| ReceiptBounds {
+            // What is left in the buffer of an earlier read is as old as that read.
+            first: earlier.map_or(first, |earlier| earlier.min(first)),
+            last,
+        });
+    }
+
+    /// When a statement that was just taken from the buffer arrived. The system only says when the last bytes came;
+    /// a statement in front of others came at some time before.
+    pub(super) fn received_at(&self, is_last_in_buffer: bool) -> Instant {
+        match self.receipt_bounds {
+            Some(bounds) if is_last_in_buffer => bounds.last,
+            Some(bounds) => bounds.first,
+            None => Instant::now(),
+        }
+    }
+
+    /// When the connection was last read.
+    pub(super) fn last_read_at(&self) -> Option<Instant> {
+        self.last_read_at
+    }
+}
--- a/crates/proxy/src/messages/client.rs
+++ b/crates/proxy/src/messages/client.rs
@@ -9,9 +9,10 @@
 
 /// What the dispatcher and the listener tell a client's actor.
 pub enum ClientMessage {
+    /// The answer to this request.
     Answer(ClientId, Answer),
     /// Close the connection if nothing is under way on it.
-    Yield,
+    Evict,
 }
 
 /// The one answer of a request.
