--- a/crates/proxy/tests/stored_data.rs
+++ b/crates/proxy/tests/stored_data.rs
@@ -74,8 +74,11 @@
     (output.status.success(), String::from_utf8([output.stdout, output.stderr].concat()).unwrap())
 }
 
-/// The outcomes that the fixture holds, by the last byte of the request's number, with their stored form.
-fn outcomes() -> [(u8, Fate<Vec<u8>>, &'static [u8]); 5] {
+/// The last byte of a request's number, its outcome and the stored form of that.
+type StoredOutcome = (u8, Fate<Vec<u8>>, &'static [u8]);
+
+/// The outcomes that the fixture holds.
+fn outcomes() -> [StoredOutcome; 5] {
     [
         (9, Fate::Served(b"DDDD\0\x01".to_vec()), b"HDDDD\0\x01"),
         (10, Fate::Rejected { cool_down: 0x0203_0405 }, b"D\0\0\0\0\x02\x03\x04\x05"),
