--- a/crates/proxy/tests/status_json.rs
+++ b/crates/proxy/tests/status_json.rs
@@ -6,6 +6,7 @@
 use std::process::Command;
 use std::sync::atomic::Ordering;
 
+use aldermill_store::{Batch, Bounds, Disk, Store};
 use aldermill_test_support::*;
 use aldermill_zone_failover::{Finding, Level};
 use serde_json::{Value, json};
@@ -157,14 +158,18 @@
     )
 }
 
-/// Drivers n0, n1 and n2 of one council; n0 has the data directory of `fixtures/stored_data`.
-fn council(folder: &Folder, member: &Member) -> Vec<Driver> {
+/// The data directory of `fixtures/stored_data` for n0.
+fn store_fixture(folder: &Folder) {
     let stored = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/stored_data");
     let warm = folder.socket("warm", "n0");
     std::fs::create_dir(&warm).unwrap();
     for segment in ["0000000002.log", "0000000003.log", "0000000004.log"] {
         std::fs::copy(stored.join(segment), warm.join(segment)).unwrap();
     }
+}
+
+/// Drivers n0, n1 and n2 of one council.
+fn council(folder: &Folder, member: &Member) -> Vec<Driver> {
     let at: Vec<SocketAddr> = NAMES.iter().map(|_| free_port()).collect();
     let drivers = NAMES.iter().zip(&at);
     drivers.map(|(name, &own)| start(name, member, &council_operator(folder, name, own, &at))).collect()
@@ -180,6 +185,7 @@
 fn fellows_json_of_a_council_has_exactly_these_keys() {
     let folder = Folder::empty("council");
     let member = sound("writer");
+    store_fixture(&folder);
     let drivers = council(&folder, &member);
     let expected = literal(&[FELLOWS_KEYS, COUNCIL_KEYS].concat());
     let mut said = Vec::new();
@@ -224,6 +230,7 @@
 fn a_program_on_the_stored_data_shows_its_plans_and_outcomes() {
     let folder = Folder::empty("restored");
     let member = sound("writer");
+    store_fixture(&folder);
     let drivers = council(&folder, &member);
     let plan = |site: &str, order: &str, stage: &str| {
         json!({"site": site, "number": 3, "order": order, "by_ms": 1_700_000_600_000_u64, "stage": stage,
@@ -239,6 +246,32 @@
     assert!(drivers[0].logged("left_out: 2") && drivers[0].logged("revision: 7"));
 }
 
+#[test]
+fn a_lease_is_granted_above_the_stored_granted_term() {
+    // In 2096, while terms are taken from the clock.
+    const TERM: u64 = 4_000_000_000_000;
+    let bounds = Bounds { segment: 4 << 20, batch: 1 << 20, live: 1 << 24, slack: 4 };
+    let folder = Folder::empty("terms");
+    for name in NAMES {
+        let disk = Disk::open(&folder.socket("warm", name)).unwrap();
+        let (mut store, _) = Store::open(disk, bounds, 1).unwrap();
+        let mut batch = Batch::default();
+        batch.put(1, b"", format!(r#"{{"name":"{name}","format":1}}"#).as_bytes(), None);
+        batch.put(8, b"zones", &TERM.to_be_bytes(), None);
+        store.commit(1, vec![batch]).unwrap();
+    }
+    let member = sound("writer");
+    let _drivers = council(&folder, &member);
+    let mut duties = Value::Null;
+    until("all leases are held", || {
+        duties = fellows_of(&folder)[0]["council"]["duties"].clone();
+        duties.as_array().is_some_and(|all| all.iter().all(|duty| duty["term"].is_u64()))
+    });
+    let terms: Vec<bool> =
+        duties.as_array().unwrap().iter().map(|duty| duty["term"].as_u64() > Some(TERM)).collect();
+    assert_eq!(terms, [true, false, false], "zones alone: {duties}");
+}
+
 #[test]
 fn sites_json_has_exactly_these_keys_and_values() {
     let ledger = Ledger::default();
