--- a/crates/flow-control/src/turnover.rs
+++ b/crates/flow-control/src/drain_rate.rs
@@ -4,18 +4,18 @@
 
 /// How quickly room comes free, as bytes that did of late, the older counting less: by a second, to about a third.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Turnover {
+pub(crate) struct DrainRate {
     freed: f64,
     at: Micros,
 }
 
-impl Turnover {
+impl DrainRate {
     /// Taken to be so quick until it is seen under pressure.
-    pub(crate) fn start(bytes: u64, now: Micros) -> Turnover {
-        Turnover { freed: bytes as f64, at: now }
+    pub(crate) fn start(bytes: u64, now: Micros) -> DrainRate {
+        DrainRate { freed: bytes as f64, at: now }
     }
 
-    pub(crate) fn freed(&mut self, now: Micros, bytes: u64) {
+    pub(crate) fn record_freed(&mut self, now: Micros, bytes: u64) {
         self.freed = self.bytes_a_second(now) + bytes as f64;
         self.at = self.at.max(now);
     }
--- a/crates/flow-control/src/handles.rs
+++ b/crates/flow-control/src/ids.rs
@@ -2,8 +2,8 @@
 
 /// One connection in the books.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Peer(pub(crate) u64);
+pub struct PeerId(pub(crate) u64);
 
 /// A piece of room, asked for or granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Claim(pub(crate) u64);
+pub struct ReservationId(pub(crate) u64);
--- a/crates/flow-control/src/lib.rs
+++ b/crates/flow-control/src/lib.rs
@@ -1,85 +1,116 @@
 //! Room and pace: what may wait for peers that move slowly, and which of them is cut off first.
 //!
-//! [`Pace`] keeps the books over everything that waits for somebody: statements not yet whole, answers not yet
+//! [`FlowController`] keeps the books over everything that waits for somebody: statements not yet whole, answers not yet
 //! taken, what the system's buffers may still hold of either, and what is left of closed connections. A connection
-//! is a [`Peer`], a piece of room a [`Claim`]; what happens to either is a call on its handle. Every call brings
+//! is a [`PeerId`], a piece of room a [`ReservationId`]; what happens to either is a call on its handle. Every call brings
 //! `now` and returns a [`Actions`]. Nothing here does I/O or has a clock.
 //!
-//! [`Meter`] says whether one peer moves quickly enough. Members' connections use it alone.
+//! [`ProgressMeter`] says whether one peer moves quickly enough. Members' connections use it alone.
 
 mod addresses;
-mod bounds;
-mod handles;
+mod buffer_budget;
+mod controller;
+mod drain_rate;
+mod ids;
+mod limits;
 mod meter;
-mod pace;
-mod room;
-mod turnover;
 
-pub use bounds::{Bounds, Least, PerAddress};
-pub use handles::{Claim, Peer};
-pub use meter::Meter;
-pub use pace::Pace;
+pub use controller::FlowController;
+pub use ids::{PeerId, ReservationId};
+pub use limits::{AddressLimits, FlowLimits, FlowLimitsError, MinimumRate, PressureThresholds};
+pub use meter::ProgressMeter;
 
 /// Whole microseconds, on the caller's clock.
 pub type Micros = i64;
 
-/// What a claim is for.
+/// Whether a request may use the part of the budget that is reserved for the best paid class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub enum Priority {
+    /// Any other class.
+    Normal,
+    /// The best paid request class.
+    Highest,
+}
+
+impl Priority {
+    /// Whether it is the best paid class.
+    pub fn is_highest(self) -> bool {
+        self == Priority::Highest
+    }
+}
+
+/// For whom buffer space is reserved.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReservationOwner {
+    pub peer: PeerId,
+    pub priority: Priority,
+}
+
+/// What a reservation is for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReservationRequest {
+    pub owner: ReservationOwner,
     pub bytes: u64,
-    /// For a request of the best paid request class, which may use the part kept for those.
-    pub best: bool,
-    /// How long it may wait for room; `now` or earlier is not at all.
-    pub until: Micros,
+    /// Until when it may wait for room; `now` or earlier is not at all.
+    pub deadline: Micros,
 }
 
 /// What a peer has to do with what waits for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Transfer {
     /// It is to read an answer.
-    Reading,
+    ToPeer,
     /// It is to send the rest of a statement.
-    Sending,
+    FromPeer,
 }
 
-/// Why a peer is cut off.
+/// Why a peer is disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Why {
+pub enum DisconnectReason {
     /// Others want the room that it holds.
-    Room,
+    BufferSpace,
     /// Others want its place.
-    Slot,
+    ConnectionSlot,
     /// It was under the least rate for too long.
-    Overdue,
+    TooSlow,
     /// The program is to end.
-    Stopping,
+    Shutdown,
 }
 
-/// Why a connection is not taken.
+/// A peer whose connection is to be closed without another byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TooMany {
+pub struct Disconnect {
+    pub peer: PeerId,
+    pub reason: DisconnectReason,
+}
+
+/// Why a connection is not taken.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ConnectionLimitReached {
     /// Its address has all the connections that one may have.
-    AtAddress,
+    #[error("the address has all the connections that one may have")]
+    PerAddress,
     /// One of its address was cut off a moment ago, and room is short.
-    CutLately,
+    #[error("a connection of the address was disconnected a moment ago, and buffer space is short")]
+    RecentlyDisconnected,
 }
 
 /// Room has become short, or is no longer so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pressure {
-    pub short: bool,
+pub struct PressureChange {
+    pub under_pressure: bool,
     pub used: u64,
     pub waiting: usize,
 }
 
-/// What the caller is to do now, and when to wake the books again.
+/// What the caller is to do now, and when to wake the controller again.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Actions {
-    pub granted: Vec<Claim>,
-    pub refused: Vec<Claim>,
-    /// To be closed without another byte; `Peer::left` is due when that is done.
-    pub cut: Vec<(Peer, Why)>,
+    pub granted: Vec<ReservationId>,
+    pub rejected: Vec<ReservationId>,
+    /// To be closed without another byte; [`FlowController::unregister`] is due when that is done.
+    pub disconnect: Vec<Disconnect>,
     /// Told when it changes.
-    pub pressure: Option<Pressure>,
+    pub pressure: Option<PressureChange>,
     pub wake_at: Option<Micros>,
 }
--- a/crates/proxy/src/client/mod.rs
+++ b/crates/proxy/src/client/mod.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_flow_control::Way;
+use aldermill_flow_control::{Priority, Transfer};
 use aldermill_wire::statement::{Comment, is_empty, quoted};
 use aldermill_wire::{Buffer, Malformed, pg};
 use slog::debug;
@@ -313,7 +313,7 @@
         self.state.idle_since.set(Some(since));
         if !between {
             self.sending = true;
-            self.connection_guard.start_metering(Way::Sending);
+            self.connection_guard.start_metering(Transfer::FromPeer);
         }
         let stopped = async {
             let window = stopping.wait_for(Option::is_some).await.map_or(None, |window| *window);
@@ -368,7 +368,7 @@
                     Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {
                         if !std::mem::replace(&mut owing, true) {
                             self.state.stuck.set(true);
-                            self.connection_guard.start_metering(Way::Reading);
+                            self.connection_guard.start_metering(Transfer::ToPeer);
                         }
                         tokio::select! {
                             biased;
--- a/crates/proxy/src/client/statement.rs
+++ b/crates/proxy/src/client/statement.rs
@@ -83,9 +83,9 @@
     pub(super) async fn reserve(&mut self, size: usize) -> Result<BufferReservation, End> {
         let limits = &self.context.limits;
         let text = self.buffer.held().get(pg::BEFORE_BODY..).and_then(|text| Comment::parse(text).ok());
-        let best = text.is_some_and(|comment| self.context.best_paid.contains(&comment.class));
+        let priority = text.map_or(Priority::Normal, |comment| self.context.priority(&comment.class));
         let until = Instant::now() + limits.room_wait;
-        if let Some(room) = self.connection_guard.reserve(size, best, until).await {
+        if let Some(room) = self.connection_guard.reserve(size, priority, until).await {
             self.buffer.expect(size + 1);
             return Ok(room);
         }
@@ -121,7 +121,7 @@
         let mailbox = self.address.clone();
         let request = ClientRequest {
             client,
-            holder: self.connection_guard.peer,
+            peer: self.connection_guard.peer,
             mailbox,
             arrived,
             statement,
--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -1,5 +1,6 @@
 //! Carries out what the router decided: answers, attempts, health checks, connections to close.
 
+use aldermill_flow_control::ReservationOwner;
 use aldermill_routing::{Action, Actions, Effect, Handle, MemberId, MemberReport, Micros, Validity, Verdict};
 use slog::warn;
 use tokio::time::Instant;
@@ -112,7 +113,7 @@
             handle: decided.handle,
             request: open.request.clone(),
             withdrawal: open.withdrawal.clone(),
-            holder: (open.request.holder, open.best),
+            reservation_owner: ReservationOwner { peer: open.request.peer, priority: open.priority },
             sent,
             until: (sent + duration(decided.timeout)).min(deadline),
             afresh: decided.afresh,
--- a/crates/proxy/src/dispatcher/gateway/link_events.rs
+++ b/crates/proxy/src/dispatcher/gateway/link_events.rs
@@ -1,5 +1,6 @@
 //! What is heard over links: outcomes, questions about earlier requests, capacity, and remote requests.
 
+use aldermill_flow_control::ReservationOwner;
 use aldermill_routing::Micros;
 use aldermill_site_link::{
     Ask, Event, Fate as FateFrame, FateKind, Outcome as OutcomeFrame, OutcomeKind, Room as RoomFrame, Said,
@@ -93,8 +94,9 @@
             let answer = Answer::Served(Rows { pieces: vec![value], room: None });
             return Some(ReceivedAnswer { handle, answer });
         }
-        let best = self.context.best_paid.contains(&forwarded.request.comment.class);
-        let room = self.context.flow_control.try_reserve(forwarded.request.holder, value.len(), best);
+        let priority = self.context.priority(&forwarded.request.comment.class);
+        let owner = ReservationOwner { peer: forwarded.request.peer, priority };
+        let room = self.context.flow_control.try_reserve(owner, value.len());
         let answer = match room {
             Some(_) => Answer::Served(Rows { pieces: vec![value], room }),
             None => self.without_room(forwarded.class),
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-use aldermill_flow_control::Peer;
+use aldermill_flow_control::PeerId;
 use aldermill_routing::{Handle as RouterHandle, Micros};
 use aldermill_site_link::{Identity, Outcome as OutcomeFrame, Request as RequestFrame, Said};
 use aldermill_site_routing::{Fates, GateId, Handle, Origin, SiteId, Sites};
@@ -72,7 +72,7 @@
     gate: Option<GateId>,
     outbox: mpsc::Sender<Said>,
     /// For whom buffer space for its values is asked.
-    holder: Peer,
+    peer: PeerId,
 }
 
 /// Another gateway's process, as it greeted last.
--- a/crates/proxy/src/dispatcher/open_request.rs
+++ b/crates/proxy/src/dispatcher/open_request.rs
@@ -2,6 +2,7 @@
 
 use std::rc::Rc;
 
+use aldermill_flow_control::Priority;
 use aldermill_routing::{Handle, Micros};
 use aldermill_site_routing::Handle as SitesHandle;
 use tokio::sync::mpsc;
@@ -41,7 +42,7 @@
     /// Present where it came through the gateway part, which is told what the router says and answers the client.
     pub(super) via: Option<SitesHandle>,
     /// Whether its class is the best paid.
-    pub(super) best: bool,
+    pub(super) priority: Priority,
     /// When the client's time is over, on the router's clock. No attempt may last longer.
     pub(super) deadline: Micros,
     /// `None` once it was answered, or nobody waits for it.
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -92,7 +92,7 @@
         let (handle, actions) = self.decide(|router| router.take(now, routed.clone()));
         let open = OpenRequest {
             via,
-            best: self.context.best_paid.contains(&request.comment.class),
+            priority: self.context.priority(&request.comment.class),
             deadline,
             client: Some(WaitingClient::of(&request)),
             withdrawal: Withdrawal::default(),
--- a/crates/proxy/src/gateway/link.rs
+++ b/crates/proxy/src/gateway/link.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_flow_control::Way;
+use aldermill_flow_control::Transfer;
 use aldermill_site_link::{Broken, Event, Link};
 use slog::{info, warn};
 use thiserror::Error;
@@ -100,7 +100,7 @@
                     }
                     Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {
                         if !std::mem::replace(&mut owing, true) {
-                            self.connection_guard.start_metering(Way::Reading);
+                            self.connection_guard.start_metering(Transfer::ToPeer);
                         }
                         break;
                     }
@@ -145,7 +145,7 @@
                                 "instance" => &peer.instance, "peer" => %self.from);
                             *met = Some(peer.site.clone());
                             if let Some(said) = sender.take() {
-                                let up = LinkEvent::Up { outbox: said, holder: self.connection_guard.peer };
+                                let up = LinkEvent::Up { outbox: said, peer: self.connection_guard.peer };
                                 self.tell(id, up).await?;
                             }
                         }
--- a/crates/proxy/src/lifecycle/configuration.rs
+++ b/crates/proxy/src/lifecycle/configuration.rs
@@ -1,6 +1,6 @@
 use std::net::SocketAddr;
 
-use aldermill_flow_control::{Bounds, Least, PerAddress};
+use aldermill_flow_control::{AddressLimits, FlowLimits, FlowLimitsError, MinimumRate, PressureThresholds};
 use aldermill_operator_config::{Council, Fellows, Gateway, Operator, Rate, SlowPeers, Warm};
 use aldermill_settings::Decoded;
 use serde::Deserialize;
@@ -45,7 +45,7 @@
     pub discovery: SocketAddr,
     pub seed: u64,
     pub limits: Limits,
-    pub bounds: Bounds,
+    pub bounds: FlowLimits,
     pub gateway: Option<Gateway>,
     pub trial: Option<ShadowRouter>,
     pub warm: Option<Warm>,
@@ -83,12 +83,12 @@
         // What the operator wants must hold one statement and one answer of full size.
         let sizes = (start.limits.statement as u64, start.limits.answer as u64);
         start.bounds = bounded(start.bounds, &operator.slow_peers);
-        start.bounds.check(sizes.0, sizes.1).map_err(|(field, least)| {
-            let (field, least) = match field {
-                "per_address.connections" => ("per_address.connections", least),
-                "per_address.room" => ("per_address.room_kib", least.div_ceil(1024)),
-                "connection" => ("connection_kib", least.div_ceil(1024)),
-                _ => ("room_kib", least.div_ceil(1024)),
+        start.bounds.validate(sizes.0, sizes.1).map_err(|why| {
+            let (field, least) = match why {
+                FlowLimitsError::ConnectionsPerAddress { minimum } => ("per_address.connections", minimum),
+                FlowLimitsError::PerAddress { minimum } => ("per_address.room_kib", minimum.div_ceil(1024)),
+                FlowLimitsError::PerConnection { minimum } => ("connection_kib", minimum.div_ceil(1024)),
+                FlowLimitsError::Budget { minimum } => ("room_kib", minimum.div_ceil(1024)),
             };
             ProgramError::Little { path: path(), field, least }
         })?;
@@ -137,7 +137,7 @@
             discovery: address("discovery", told("GW_DISCOVERY", form.discovery))?,
             seed: seed.map_err(|_| ConfigurationError::Seed(form.seed))?,
             limits: Limits::new(descriptors, memory_mb, &decoded, operator.slow_peers.buffer_kib),
-            bounds: Bounds::usual(memory_mb as u64 * 1024 * 1024),
+            bounds: FlowLimits::for_memory(memory_mb as u64 * 1024 * 1024),
             gateway: operator.gateway.clone(),
             trial: None,
             warm: operator.warm.clone(),
@@ -157,36 +157,42 @@
 }
 
 /// The usual limits, but for what the operator's file says otherwise.
-fn bounded(usual: Bounds, wanted: &SlowPeers) -> Bounds {
+fn bounded(usual: FlowLimits, wanted: &SlowPeers) -> FlowLimits {
     const KIB: u64 = 1024;
     let micros = |millis: u32| i64::from(millis) * 1000;
-    let least = |usual: Least, wanted: Rate| Least {
+    let least = |usual: MinimumRate, wanted: Rate| MinimumRate {
         rate: wanted.bytes_a_second.map_or(usual.rate, |rate| rate.max(1)),
         start: wanted.start_ms.map_or(usual.start, micros),
         window: wanted.window_ms.map_or(usual.window, micros),
     };
-    let room = wanted.room_kib.map_or(usual.room, |kib| kib.saturating_mul(KIB));
+    let room = wanted.room_kib.map_or(usual.budget, |kib| kib.saturating_mul(KIB));
     // Parts that the file does not name keep their proportion.
-    let scaled = |part: u64| (part as f64 / usual.room as f64 * room as f64) as u64;
+    let scaled = |part: u64| (part as f64 / usual.budget as f64 * room as f64) as u64;
     let share = |share: f64| (share.clamp(0.0, 1.0) * room as f64) as u64;
-    Bounds {
-        room,
-        connection: wanted.connection_kib.map_or(scaled(usual.connection), |kib| kib.saturating_mul(KIB)),
-        address: wanted.per_address.map(|most| PerAddress {
+    FlowLimits {
+        budget: room,
+        per_connection: wanted
+            .connection_kib
+            .map_or(scaled(usual.per_connection), |kib| kib.saturating_mul(KIB)),
+        per_address: wanted.per_address.map(|most| AddressLimits {
             connections: most.connections as usize,
-            room: most.room_kib.saturating_mul(KIB),
+            budget: most.room_kib.saturating_mul(KIB),
         }),
-        reserve: wanted.best_paid_share.map_or(scaled(usual.reserve), share),
-        short: wanted.short.map_or((scaled(usual.short.0), scaled(usual.short.1)), |short| {
-            (share(short.enter), share(short.leave))
-        }),
-        reading: least(usual.reading, wanted.reading),
-        sending: least(usual.sending, wanted.sending),
-        answering: least(usual.answering, wanted.answering),
-        taking: least(usual.taking, wanted.taking),
-        patience: wanted.patience_ms.map_or(usual.patience, micros),
-        overdue: wanted.overdue_ms.map_or(usual.overdue, micros),
-        lingering: wanted.lingering_ms.map_or(usual.lingering, micros),
-        stopping: wanted.stopping_ms.map_or(usual.stopping, micros),
+        priority_reserve: wanted.best_paid_share.map_or(scaled(usual.priority_reserve), share),
+        pressure: match wanted.short {
+            Some(short) => PressureThresholds { enter: share(short.enter), leave: share(short.leave) },
+            None => PressureThresholds {
+                enter: scaled(usual.pressure.enter),
+                leave: scaled(usual.pressure.leave),
+            },
+        },
+        to_client: least(usual.to_client, wanted.reading),
+        from_client: least(usual.from_client, wanted.sending),
+        from_member: least(usual.from_member, wanted.answering),
+        to_member: least(usual.to_member, wanted.taking),
+        reservation_timeout: wanted.patience_ms.map_or(usual.reservation_timeout, micros),
+        max_time_behind: wanted.overdue_ms.map_or(usual.max_time_behind, micros),
+        linger: wanted.lingering_ms.map_or(usual.linger, micros),
+        shutdown_grace: wanted.stopping_ms.map_or(usual.shutdown_grace, micros),
     }
 }
--- a/crates/proxy/src/lifecycle/process_context.rs
+++ b/crates/proxy/src/lifecycle/process_context.rs
@@ -5,6 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use aldermill_flow_control::Priority;
 use slog::Logger;
 use tokio::sync::{Semaphore, mpsc, watch};
 use tokio::time::Instant;
@@ -38,6 +39,11 @@
 }
 
 impl ProcessContext {
+    /// Whether requests of this class may use the buffer space that is reserved for the best paid.
+    pub fn priority(&self, class: &str) -> Priority {
+        if self.best_paid.contains(class) { Priority::Highest } else { Priority::Normal }
+    }
+
     /// How long a request that comes now may still be under way: `None` unless the program is to stop.
     pub fn left_to_answer(&self) -> Option<Duration> {
         let window_closes = (*self.stopping.borrow())?;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -165,7 +165,7 @@
     let known = start.known.as_ref().map_or(0, |known| known.members.len());
     println!("{known} members known, {} offerings", start.decoded.terms.classes.len());
     println!("connections: {} from clients, {} to members", limits.clients, limits.members);
-    let (room, connection) = (start.bounds.room / 1024, start.bounds.connection / 1024);
+    let (room, connection) = (start.bounds.budget / 1024, start.bounds.per_connection / 1024);
     println!("room for what waits: {room} KiB, {connection} KiB for one connection");
 }
 
@@ -243,7 +243,7 @@
     let (ready, seen_ready) = notice::channel(false);
     let (stop, stopping) = notice::channel(None);
     let member_room = Arc::new(Semaphore::new(limits.members));
-    let room = bounds.room as usize;
+    let room = bounds.budget as usize;
     let (on_request, drivers) = (decoded.terms.list_on_request, decoded.terms.drivers);
     let zone = decoded.terms.zone;
     let longest_timeout = decoded.terms.classes.iter().map(|class| class.timeout).max().unwrap_or(0);
--- a/crates/proxy/src/member/actor.rs
+++ b/crates/proxy/src/member/actor.rs
@@ -202,7 +202,7 @@
     /// check.
     fn visit(&mut self, purpose: Purpose, attempt: Option<Attempt>, until: Instant) {
         let for_request = attempt.is_some();
-        let holder = attempt.as_ref().map(|attempt| attempt.holder);
+        let reservation_owner = attempt.as_ref().map(|attempt| attempt.reservation_owner);
         let (id, address, era) = (self.id, self.address.get(), self.era);
         let departure = Departure {
             attempt,
@@ -225,8 +225,14 @@
                 Ok(connection) if !departure.may_leave(&context) => (Verdict::NotSent, Some(connection)),
                 Ok(mut connection) => {
                     let query = departure.query();
-                    let mut visit =
-                        QueryTask { context: &context, holder, until, exchange, room, crowded_out };
+                    let mut visit = QueryTask {
+                        context: &context,
+                        reservation_owner,
+                        until,
+                        exchange,
+                        room,
+                        crowded_out,
+                    };
                     let verdict = visit.converse(&mut connection, &query).await;
                     (exchange, room, crowded_out) = (visit.exchange, visit.room, visit.crowded_out);
                     let came = context.unstalled_clock.came(&connection.stream, Some(began));
--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_flow_control::{Meter, Peer};
+use aldermill_flow_control::{ProgressMeter, ReservationOwner};
 use aldermill_routing::{Validity, Verdict};
 use aldermill_wire::{Exchange, pg};
 use tokio::sync::watch;
@@ -73,7 +73,7 @@
 pub(super) struct QueryTask<'a> {
     pub(super) context: &'a ProcessContext,
     /// For whom room is asked for a large answer; a health check has none.
-    pub(super) holder: Option<(Peer, bool)>,
+    pub(super) reservation_owner: Option<ReservationOwner>,
     pub(super) until: Instant,
     pub(super) exchange: Exchange,
     pub(super) room: Option<BufferReservation>,
@@ -99,17 +99,18 @@
     /// A member that does not have all of it cannot have begun.
     pub(super) async fn send(&mut self, connection: &mut Connection, query: &Query) -> Result<(), Verdict> {
         let clock = &self.context.unstalled_clock;
-        let mut taking: Option<Meter> = None;
+        let mut taking: Option<ProgressMeter> = None;
         for mut piece in query.pieces() {
             while !piece.is_empty() {
                 let now = clock.now();
-                let taking = taking
-                    .get_or_insert_with(|| Meter::start(self.context.flow_control.bounds().taking, now));
-                taking.owes(now);
-                let due = taking.due().map_or(self.until, |due| clock.instant(due).min(self.until));
+                let taking = taking.get_or_insert_with(|| {
+                    ProgressMeter::new(now, self.context.flow_control.limits().to_member)
+                });
+                taking.start(now);
+                let due = taking.deadline().map_or(self.until, |due| clock.instant(due).min(self.until));
                 match timeout_at(due, system::write(Party::Member, &mut connection.stream, piece)).await {
                     Ok(Ok(count)) if count > 0 => {
-                        taking.moved(clock.now(), count as u64);
+                        taking.record_progress(clock.now(), count as u64);
                         piece = &piece[count..];
                     }
                     Ok(Err(error)) => return Err(before_send(&error)),
@@ -125,9 +126,9 @@
     /// and at once where its last bytes are those of a whole answer. One that is whole but for its end waits
     /// no longer for that.
     pub(super) async fn take_in(&mut self, connection: &mut Connection) -> Verdict {
-        let QueryTask { context, holder, until, exchange, room, crowded_out } = self;
+        let QueryTask { context, reservation_owner, until, exchange, room, crowded_out } = self;
         let (limits, clock, until) = (&context.limits, &context.unstalled_clock, *until);
-        let mut answering: Option<Meter> = None;
+        let mut answering: Option<ProgressMeter> = None;
         loop {
             if exchange.absorb(&mut connection.buffer, limits.answer).is_err() {
                 return Verdict::Malformed;
@@ -138,9 +139,9 @@
             let claimed = pg::claimed(connection.buffer.held());
             if claimed > limits.small && room.is_none() {
                 // While there is no room nothing is read: what the member sends stays with it, and holds its place.
-                let Some((peer, best)) = *holder else { return Verdict::Malformed };
-                answering.iter_mut().for_each(|meter| meter.rests(clock.now()));
-                *room = context.flow_control.reserve(peer, claimed, best, until).await;
+                let Some(owner) = *reservation_owner else { return Verdict::Malformed };
+                answering.iter_mut().for_each(|meter| meter.stop(clock.now()));
+                *room = context.flow_control.reserve(owner, claimed, until).await;
                 if room.is_none() {
                     // It did its part, and its place is wanted for others: the rest is not taken in.
                     *crowded_out = true;
@@ -149,8 +150,8 @@
                 connection.buffer.expect(claimed + 1);
             }
             let now = clock.now();
-            answering.iter_mut().for_each(|meter| meter.owes(now));
-            let due = answering.as_ref().and_then(Meter::due);
+            answering.iter_mut().for_each(|meter| meter.start(now));
+            let due = answering.as_ref().and_then(ProgressMeter::deadline);
             let due = due.map_or(until, |due| clock.instant(due).min(until));
             let cut_short = exchange.is_served() || pg::ends_as_answer(connection.buffer.held());
             let wait = if cut_short { due.min(Instant::now() + limits.closing) } else { due };
@@ -165,8 +166,8 @@
                 Err(_) => return Verdict::TimedOut,
                 Ok(Ok(count)) if count > 0 => {
                     let now = clock.now();
-                    let start = || Meter::start(context.flow_control.bounds().answering, now);
-                    answering.get_or_insert_with(start).moved(now, count as u64);
+                    let start = || ProgressMeter::new(now, context.flow_control.limits().from_member);
+                    answering.get_or_insert_with(start).record_progress(now, count as u64);
                     if room.is_some() {
                         // Between the pieces of a large answer others have their turn.
                         task::yield_now().await;
--- a/crates/proxy/src/messages/dispatcher.rs
+++ b/crates/proxy/src/messages/dispatcher.rs
@@ -1,6 +1,6 @@
 //! What the dispatcher receives from all other actors.
 
-use aldermill_flow_control::Peer;
+use aldermill_flow_control::PeerId;
 use aldermill_routing::{Handle, MemberId, MemberReport, Micros, Verdict};
 use aldermill_site_drain::Plan;
 use aldermill_site_link::{Event, Said};
@@ -66,7 +66,7 @@
         /// What is sent here goes over the link.
         outbox: mpsc::Sender<Said>,
         /// For whom buffer space for its values is asked.
-        holder: Peer,
+        peer: PeerId,
     },
     Heard(Event),
     Lost,
@@ -76,7 +76,7 @@
 pub struct ClientRequest {
     pub client: ClientId,
     /// For whom buffer space for its answer is asked.
-    pub holder: Peer,
+    pub peer: PeerId,
     /// Where its answer goes.
     pub mailbox: mpsc::Sender<ClientMessage>,
     /// On the router's clock.
--- a/crates/proxy/src/messages/member.rs
+++ b/crates/proxy/src/messages/member.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_flow_control::Peer;
+use aldermill_flow_control::ReservationOwner;
 use aldermill_routing::{Handle, Validity};
 use aldermill_wire::pg;
 use tokio::time::Instant;
@@ -32,8 +32,8 @@
     /// Its statement is written when it leaves: it tells the member the time that the client has left then.
     pub request: Rc<ClientRequest>,
     pub withdrawal: Withdrawal,
-    /// For whom buffer space for the answer is asked, and whether the request's class is the best paid.
-    pub holder: (Peer, bool),
+    /// For whom buffer space for the answer is reserved.
+    pub reservation_owner: ReservationOwner,
     /// When it was decided.
     pub sent: Instant,
     /// When it times out.
