--- a/crates/proxy/src/client/close.rs
+++ b/crates/proxy/src/client/close.rs
@@ -45,16 +45,16 @@
 pub(super) fn encode(answer: Answer) -> (Vec<Vec<u8>>, Option<BufferReservation>) {
     let mut out = Vec::new();
     match answer {
-        Answer::Served(rows) => return (rows.pieces, rows.room),
-        Answer::Rejected { cool_down } => {
-            let millis = (cool_down + 999) / 1000;
+        Answer::Served(rows) => return (rows.pieces, rows.reservation),
+        Answer::Rejected { retry_after } => {
+            let millis = (retry_after + 999) / 1000;
             let detail = (millis > 0).then(|| millis.to_string());
             pg::error(&mut out, false, "53300", "denied, trying again is harmless", detail.as_deref());
         }
         Answer::Failed => {
             pg::error(&mut out, false, "40003", "broken off, it is not known whether it took effect", None);
         }
-        Answer::Wrong(why) => pg::error(&mut out, false, "08P01", why, None),
+        Answer::InvalidStatement(why) => pg::error(&mut out, false, "08P01", why, None),
     }
     (vec![out], None)
 }
--- a/crates/proxy/src/client/listener.rs
+++ b/crates/proxy/src/client/listener.rs
@@ -144,7 +144,7 @@
             |connection: &&Connection| (connection.state.served.get(), connection.state.idle_since.get());
         let Some(connection) = idle.min_by_key(rank) else { return false };
         connection.state.idle_since.set(None);
-        connection.address.try_send(ClientMessage::Yield).is_ok()
+        connection.address.try_send(ClientMessage::CloseIfIdle).is_ok()
     }
 
     fn admit(&mut self, stream: TcpStream, connection_guard: ConnectionGuard) {
--- a/crates/proxy/src/client/mod.rs
+++ b/crates/proxy/src/client/mod.rs
@@ -277,7 +277,7 @@
                     }
                     Ok(())
                 }
-                Some(ClientMessage::Yield) => Ok(()),
+                Some(ClientMessage::CloseIfIdle) => Ok(()),
                 None => Err(End::Quiet),
             },
             count = reading => match count {
@@ -328,7 +328,7 @@
                 biased;
                 read = system::read(Party::Client, &mut self.stream, self.buffer.tail()) => break read,
                 message = self.mailbox.recv() => match message {
-                    Some(ClientMessage::Yield) | None => {}
+                    Some(ClientMessage::CloseIfIdle) | None => {}
                     Some(_) => continue,
                 },
                 () = self.connection_guard.disconnected(), if !between => return Err(End::Cut),
--- a/crates/proxy/src/client/statement.rs
+++ b/crates/proxy/src/client/statement.rs
@@ -121,12 +121,12 @@
         let mailbox = self.address.clone();
         let request = ClientRequest {
             client,
-            holder: self.connection_guard.peer,
+            peer: self.connection_guard.peer,
             mailbox,
-            arrived,
+            received_at: arrived,
             statement,
             comment,
-            written_ago: None,
+            last_write_age: None,
         };
         self.context.dispatcher.send(DispatcherMessage::ClientRequest(request)).await.map_err(|_| End::Quiet)
     }
--- a/crates/proxy/src/coordination/site_drain.rs
+++ b/crates/proxy/src/coordination/site_drain.rs
@@ -164,10 +164,10 @@
         if let Some(seen) = &seen.site {
             self.own_site.clone_from(&seen.site);
             told.site.clone_from(&seen.site);
-            told.over_ms = (seen.over / 1000).clamp(1, 60_000) as u32;
+            told.over_ms = (seen.span / 1000).clamp(1, 60_000) as u32;
             told.ended = seen.ended;
-            told.in_time = seen.in_time;
-            told.bound = seen.bound;
+            told.in_time = seen.within_objective;
+            told.bound = seen.session_reads;
             for (site, trip) in &seen.round_trips {
                 let millis = (trip / 1000).clamp(0, 60_000) as u32;
                 let shortest = told.trips.entry(site.clone()).or_insert(millis);
--- a/crates/proxy/src/coordination/zone_failover.rs
+++ b/crates/proxy/src/coordination/zone_failover.rs
@@ -73,7 +73,7 @@
     /// What is to be reported of what was observed, in parts that fit into a datagram each.
     pub fn report(&self, seen: ObservationSummary) -> Vec<(Topic, Vec<u8>)> {
         let part = |(at, rows): (usize, &[_])| {
-            let told = Told { zone: self.own_zone, over: seen.over, rows: rows.to_vec() };
+            let told = Told { zone: self.own_zone, over: seen.span, rows: rows.to_vec() };
             (Topic::new(LEASE, &at.to_string()), frame::report(&told))
         };
         seen.rows.chunks(frame::ROWS).enumerate().map(part).collect()
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -218,7 +218,7 @@
         }
         // Counted as held once it is handed on: the watch may be broken off while it waits for that.
         let revision = catalog.revision;
-        let taken = self.dispatcher.send(ListUpdate::List(catalog)).await.is_ok();
+        let taken = self.dispatcher.send(ListUpdate::Received(catalog)).await.is_ok();
         self.revision = Some(revision);
         Ok(taken)
     }
--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -10,7 +10,7 @@
 use crate::lifecycle::clock::duration;
 use crate::messages::{
     Answer, Attempt, AttemptFinished, AttemptResponse, DispatcherMessage, HealthCheckFinished, MemberCommand,
-    ReplicaReports,
+    PoolUse, ReplicaReports,
 };
 
 /// Idle connections that are closed where one descriptor is wanted.
@@ -54,7 +54,7 @@
             Action::Attempt { member, timeout, afresh, validity } => {
                 self.send_attempt(DecidedAttempt { handle, member, timeout, afresh, validity })
             }
-            Action::Reject { cool_down } => self.answer(handle, Answer::Rejected { cool_down }),
+            Action::Reject { cool_down } => self.answer(handle, Answer::Rejected { retry_after: cool_down }),
             Action::Fail => self.answer(handle, Answer::Failed),
         }
     }
@@ -83,7 +83,7 @@
         let terms = &self.decoded.terms;
         match terms.classes[class].effect {
             Effect::Pure => Answer::Rejected {
-                cool_down: self.context.flow_control.retry_after().min(terms.max_cool_down),
+                retry_after: self.context.flow_control.retry_after().min(terms.max_cool_down),
             },
             _ => Answer::Failed,
         }
@@ -97,37 +97,37 @@
             observations.attempted(handle, entry, &self.decoded, &open.request);
         }
         let attempt = self.attempt(decided, open, entry);
-        let sent = attempt.sent;
+        let decided_at = attempt.decided_at;
         if entry.is_none_or(|entry| entry.commands.try_send(MemberCommand::Send(attempt)).is_err()) {
             warn!(self.context.log, "member's mailbox full, attempt not sent"; "member" => member);
-            self.deferred.push_back(DispatcherMessage::AttemptFinished(attempt_not_sent(handle, sent)));
+            self.deferred.push_back(DispatcherMessage::AttemptFinished(attempt_not_sent(handle, decided_at)));
         }
     }
 
     /// The attempt as its member's actor takes it. It never lasts past the request's deadline.
     fn attempt(&self, decided: DecidedAttempt, open: &OpenRequest, entry: Option<&MemberEntry>) -> Attempt {
-        let sent = Instant::now();
+        let decided_at = Instant::now();
         let deadline = self.context.clock.instant(open.deadline);
         Attempt {
             handle: decided.handle,
             request: open.request.clone(),
-            withdrawal: open.withdrawal.clone(),
-            holder: (open.request.holder, open.best),
-            sent,
-            until: (sent + duration(decided.timeout)).min(deadline),
-            afresh: decided.afresh,
+            cancellation: open.cancellation.clone(),
+            holder: (open.request.peer, open.best),
+            decided_at,
+            deadline: (decided_at + duration(decided.timeout)).min(deadline),
+            pool_use: if decided.afresh { PoolUse::ConnectAnew } else { PoolUse::Reuse },
             validity: decided.validity,
-            replica_words: entry.map_or(0, |entry| entry.replica_words),
+            replica_reports: entry.map_or(0, |entry| entry.replica_reports),
         }
     }
 
     fn send_health_check(&mut self, member: MemberId) {
-        let sent = Instant::now();
-        let until = sent + self.context.limits.health_check;
-        let command = MemberCommand::HealthCheck { sent, until };
+        let decided_at = Instant::now();
+        let deadline = decided_at + self.context.limits.health_check;
+        let command = MemberCommand::HealthCheck { decided_at, deadline };
         let entry = self.members[member].as_ref();
         if entry.is_none_or(|entry| entry.commands.try_send(command).is_err()) {
-            let count = entry.map_or(0, |entry| entry.replica_words);
+            let count = entry.map_or(0, |entry| entry.replica_reports);
             self.deferred.push_back(DispatcherMessage::HealthCheckFinished(HealthCheckFinished {
                 verdict: Verdict::NotSent,
                 elapsed: 0,
@@ -157,7 +157,7 @@
         for id in self.members_by_idle_time(member).into_iter().take(CLOSED_PER_DESCRIPTOR) {
             let Some(entry) = &self.members[id] else { continue };
             entry.resting.set(None);
-            if entry.commands.try_send(MemberCommand::Shed).is_err() {
+            if entry.commands.try_send(MemberCommand::CloseOldestIdle).is_err() {
                 warn!(self.context.log, "member's mailbox full, it keeps its idle connections";
                     "member" => id);
             }
@@ -178,11 +178,11 @@
 }
 
 /// The end of an attempt that never left this process.
-fn attempt_not_sent(handle: Handle, sent: Instant) -> AttemptFinished {
+fn attempt_not_sent(handle: Handle, decided_at: Instant) -> AttemptFinished {
     AttemptFinished {
         request: handle,
         verdict: Verdict::NotSent,
-        decided_at: sent,
+        decided_at,
         elapsed: 0,
         report: MemberReport::default(),
         response: AttemptResponse::None,
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -36,7 +36,7 @@
     pub(super) since: Option<Micros>,
     started_within: StartBounds,
     /// How often the router has heard it say that it is a replica.
-    pub(super) replica_words: u64,
+    pub(super) replica_reports: u64,
 }
 
 /// Between what a member's last start must lie, on the router's clock.
@@ -69,7 +69,7 @@
     /// Tells the member's actor to connect anew, unless its mailbox is full: the former address is kept then, so that a
     /// later list tries again.
     fn reconnect(&mut self, address: SocketAddr) {
-        if self.commands.try_send(MemberCommand::Renew(address)).is_ok() {
+        if self.commands.try_send(MemberCommand::Reconnect(address)).is_ok() {
             self.address = address;
         }
     }
@@ -81,7 +81,7 @@
         let now = self.context.clock.now();
         let actions = match list_update {
             ListUpdate::Unavailable => self.decide(|router| ((), router.list_unavailable(now))).1,
-            ListUpdate::List(catalog) => self.list_received(now, &catalog),
+            ListUpdate::Received(catalog) => self.list_received(now, &catalog),
         };
         self.carry_out(actions);
         self.forget_gone_members(now);
@@ -204,7 +204,7 @@
     /// The router is about to hear these reports, and decides with them from now on.
     pub(super) fn note_replica_reports(&mut self, reports: ReplicaReports) {
         if let Some(known) = self.members.get_mut(reports.member).and_then(Option::as_mut) {
-            known.replica_words = known.replica_words.max(reports.count);
+            known.replica_reports = known.replica_reports.max(reports.count);
         }
     }
 
@@ -238,7 +238,7 @@
             up_since_ms: entry.up_since_ms,
             since: None,
             started_within: StartBounds { former_heard: Micros::MIN, first_told },
-            replica_words: 0,
+            replica_reports: 0,
         };
         known.since = known.started(self.reported_offset);
         if id == self.members.len() {
--- a/crates/proxy/src/dispatcher/gateway/announcements.rs
+++ b/crates/proxy/src/dispatcher/gateway/announcements.rs
@@ -62,10 +62,10 @@
         let fates = (self.fates.len() + self.arriving.len() + self.departing.len()) as u64;
         SiteObservations {
             site: self.own.site.clone(),
-            over: now - ended.since,
+            span: now - ended.since,
             ended: ended.all,
-            in_time: ended.in_time,
-            bound: ended.bound,
+            within_objective: ended.in_time,
+            session_reads: ended.bound,
             round_trips: self.round_trips(now),
             open: self.sites.open_at_retiring(fates),
         }
--- a/crates/proxy/src/dispatcher/gateway/answers.rs
+++ b/crates/proxy/src/dispatcher/gateway/answers.rs
@@ -27,7 +27,7 @@
     fn for_client(self) -> Answer {
         match self {
             FinalAnswer::Ended(answer) => answer,
-            FinalAnswer::NotHere { .. } => Answer::Rejected { cool_down: 0 },
+            FinalAnswer::NotHere { .. } => Answer::Rejected { retry_after: 0 },
         }
     }
 }
@@ -46,12 +46,12 @@
     fn new(answer: FinalAnswer) -> RemoteOutcome {
         match answer {
             FinalAnswer::Ended(Answer::Served(rows)) => RemoteOutcome::served(rows),
-            FinalAnswer::Ended(Answer::Rejected { cool_down }) => {
-                let fate = Fate::Rejected { cool_down };
-                RemoteOutcome { retry_after: cool_down, ..RemoteOutcome::empty(OutcomeKind::Rejected, fate) }
+            FinalAnswer::Ended(Answer::Rejected { retry_after }) => {
+                let fate = Fate::Rejected { cool_down: retry_after };
+                RemoteOutcome { retry_after, ..RemoteOutcome::empty(OutcomeKind::Rejected, fate) }
             }
             FinalAnswer::Ended(Answer::Failed) => RemoteOutcome::empty(OutcomeKind::Failed, Fate::Failed),
-            FinalAnswer::Ended(Answer::Wrong(_)) => {
+            FinalAnswer::Ended(Answer::InvalidStatement(_)) => {
                 RemoteOutcome::empty(OutcomeKind::Wrong, Fate::Rejected { cool_down: 0 })
             }
             FinalAnswer::NotHere { hint } => {
@@ -63,7 +63,7 @@
 
     fn served(rows: Rows) -> RemoteOutcome {
         let value = Rc::new(rows.pieces.concat());
-        let kept = KeptValue { bytes: value.clone(), _room: rows.room.map(Rc::new) };
+        let kept = KeptValue { bytes: value.clone(), _room: rows.reservation.map(Rc::new) };
         RemoteOutcome { value, ..RemoteOutcome::empty(OutcomeKind::Served, Fate::Served(kept)) }
     }
 
@@ -94,7 +94,7 @@
             kind: kind.into(),
             cool_down_us: retry_after.max(0) as u64,
             hint: hint.map_or(String::new(), |site| gateway_part.names[site].clone()),
-            took_us: (now - forwarded.request.arrived).max(0) as u64,
+            took_us: (now - forwarded.request.received_at).max(0) as u64,
             ..OutcomeFrame::default()
         };
         let timeout = Micros::from(forwarded.request.comment.wait) * 1000;
--- a/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
@@ -28,7 +28,7 @@
 impl Dispatcher {
     /// A client's request where there is a gateway: to the router here, or to another site.
     pub(in crate::dispatcher) fn route_between_sites(&mut self, request: ClientRequest, class: usize) {
-        let waited = self.context.clock.now() - request.arrived;
+        let waited = self.context.clock.now() - request.received_at;
         let ttl = Micros::from(request.comment.wait) * 1000 - waited;
         let requester = Requester::Client(WaitingClient::of(&request));
         self.forward(RequestToForward { request, class, ttl, requester, visited: Vec::new() });
@@ -69,8 +69,8 @@
         let now = self.context.clock.now();
         let ended = match &answer {
             Answer::Served(_) => HereEnded::Served,
-            Answer::Rejected { cool_down } => HereEnded::Rejected { cool_down: *cool_down },
-            Answer::Failed | Answer::Wrong(_) => HereEnded::Failed,
+            Answer::Rejected { retry_after } => HereEnded::Rejected { cool_down: *retry_after },
+            Answer::Failed | Answer::InvalidStatement(_) => HereEnded::Failed,
         };
         self.count_ended_here(handle, ended == HereEnded::Served, now);
         let Some(gateway_part) = &mut self.gateway_part else { return };
@@ -83,7 +83,7 @@
         let Some(forwarded) = gateway_part.forwarded.get_mut(&handle) else { return };
         forwarded.local = None;
         let class = &self.decoded.terms.classes[forwarded.class];
-        let in_time = served && now - forwarded.request.arrived <= class.objective;
+        let in_time = served && now - forwarded.request.received_at <= class.objective;
         let reads = matches!(class.need, Need::Loose | Need::Recent(_));
         let from_client = matches!(forwarded.requester, Requester::Client(_));
         gateway_part.ended.all += 1;
--- a/crates/proxy/src/dispatcher/gateway/link_events.rs
+++ b/crates/proxy/src/dispatcher/gateway/link_events.rs
@@ -90,13 +90,13 @@
         let handle = gateway_part.sites.crossed(number)?;
         let forwarded = gateway_part.forwarded.get(&handle)?;
         if value.len() <= self.context.limits.small {
-            let answer = Answer::Served(Rows { pieces: vec![value], room: None });
+            let answer = Answer::Served(Rows { pieces: vec![value], reservation: None });
             return Some(ReceivedAnswer { handle, answer });
         }
         let best = self.context.best_paid.contains(&forwarded.request.comment.class);
-        let room = self.context.flow_control.try_reserve(forwarded.request.holder, value.len(), best);
+        let room = self.context.flow_control.try_reserve(forwarded.request.peer, value.len(), best);
         let answer = match room {
-            Some(_) => Answer::Served(Rows { pieces: vec![value], room }),
+            Some(_) => Answer::Served(Rows { pieces: vec![value], reservation: room }),
             None => self.without_room(forwarded.class),
         };
         Some(ReceivedAnswer { handle, answer })
--- a/crates/proxy/src/dispatcher/gateway/links.rs
+++ b/crates/proxy/src/dispatcher/gateway/links.rs
@@ -13,12 +13,12 @@
     pub(in crate::dispatcher) fn link_message(&mut self, link: LinkId, event: LinkEvent) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
         match event {
-            LinkEvent::Up { outbox, holder } => {
-                gateway_part.links.insert(link, LinkState { gate: None, outbox, holder });
+            LinkEvent::Up { outbox, peer } => {
+                gateway_part.links.insert(link, LinkState { gate: None, outbox, peer });
             }
             LinkEvent::Lost => self.link_lost(link),
-            LinkEvent::Heard(Event::Met(identity)) => self.greeted_on(link, identity),
-            LinkEvent::Heard(event) => {
+            LinkEvent::Received(Event::Met(identity)) => self.greeted_on(link, identity),
+            LinkEvent::Received(event) => {
                 let Some(gate) = gateway_part.links.get(&link).and_then(|state| state.gate) else { return };
                 self.link_event(link, gate, event);
             }
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -72,7 +72,7 @@
     gate: Option<GateId>,
     outbox: mpsc::Sender<Said>,
     /// For whom buffer space for its values is asked.
-    holder: Peer,
+    peer: Peer,
 }
 
 /// Another gateway's process, as it greeted last.
--- a/crates/proxy/src/dispatcher/gateway/remote_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/remote_requests.rs
@@ -125,19 +125,19 @@
         };
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let ArrivingRequest { link, gate, origin, number, frame, statement, .. } = arriving;
-        let Some(holder) = gateway_part.links.get(&link).map(|state| state.holder) else { return };
+        let Some(peer) = gateway_part.links.get(&link).map(|state| state.peer) else { return };
         gateway_part.sites.guest_came(gate, checked.class);
         gateway_part.next_remote_id += 1;
         // Its answer goes over the link; this mailbox is nobody's.
         let (mailbox, _) = mpsc::channel(1);
         let request = ClientRequest {
             client: gateway_part.next_remote_id,
-            holder,
+            peer,
             mailbox,
-            arrived: self.context.clock.now(),
+            received_at: self.context.clock.now(),
             statement,
             comment: checked.comment,
-            written_ago: (frame.written_ago_us > 0).then(|| received_span(frame.written_ago_us)),
+            last_write_age: (frame.written_ago_us > 0).then(|| received_span(frame.written_ago_us)),
         };
         self.forward(RequestToForward {
             request,
--- a/crates/proxy/src/dispatcher/gateway/site_actions.rs
+++ b/crates/proxy/src/dispatcher/gateway/site_actions.rs
@@ -57,7 +57,7 @@
                 self.answer_forwarded(handle, FinalAnswer::Ended(answer));
             }
             Action::Reject { cool_down } => {
-                self.answer_forwarded(handle, FinalAnswer::Ended(Answer::Rejected { cool_down }))
+                self.answer_forwarded(handle, FinalAnswer::Ended(Answer::Rejected { retry_after: cool_down }))
             }
             Action::Fail => self.answer_forwarded(handle, FinalAnswer::Ended(Answer::Failed)),
             Action::NotHere { hint } => self.answer_forwarded(handle, FinalAnswer::NotHere { hint }),
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -231,9 +231,9 @@
             DispatcherMessage::ClientLeft(left) => self.client_left(left.client),
             DispatcherMessage::AttemptFinished(finished) => self.attempt_finished(finished),
             DispatcherMessage::HealthCheckFinished(finished) => self.health_check_finished(finished),
-            DispatcherMessage::TrialReplaced(trial) => self.replace_trial(trial.map(|trial| *trial)),
+            DispatcherMessage::ShadowReplaced(trial) => self.replace_trial(trial.map(|trial| *trial)),
             DispatcherMessage::Link(message) => self.link_message(message.link, message.event),
-            DispatcherMessage::AwaitRemoteEnd(reply) => self.await_remote_end(reply),
+            DispatcherMessage::AwaitRemoteRequests(reply) => self.await_remote_end(reply),
             DispatcherMessage::FleetSize(size) => self.fleet_size(&size),
             DispatcherMessage::TakeObservations(reply) => self.report_observations(reply),
             DispatcherMessage::ZoneDirectives(leans) => self.zone_directives(&leans),
@@ -262,8 +262,8 @@
     }
 
     fn fleet_size(&mut self, size: &FleetSize) {
-        let ((), actions) =
-            self.decide(|router| (router.fleet(size.living, size.at_cold), Actions::default()));
+        let ((), actions) = self
+            .decide(|router| (router.fleet(size.sharing_warm, size.sharing_warming_up), Actions::default()));
         self.carry_out(actions);
     }
 
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -102,10 +102,10 @@
     }
 
     fn summary(&mut self, now: Micros, site: Option<SiteObservations>) -> ObservationSummary {
-        let (over, rows) = self.tally.take(now);
+        let (span, rows) = self.tally.take(now);
         let encoded = |(&group, sketch): (&u64, &mut Sketch)| (group, frame::encode(sketch, now));
         let keys = self.keys.iter_mut().flatten().map(encoded).collect();
-        ObservationSummary { over, rows, keys, site }
+        ObservationSummary { span, rows, keys, site }
     }
 }
 
--- a/crates/proxy/src/dispatcher/open_request.rs
+++ b/crates/proxy/src/dispatcher/open_request.rs
@@ -6,7 +6,7 @@
 use aldermill_site_routing::Handle as SitesHandle;
 use tokio::sync::mpsc;
 
-use crate::messages::{Answer, ClientId, ClientMessage, ClientRequest, Withdrawal};
+use crate::messages::{Answer, Cancellation, ClientId, ClientMessage, ClientRequest};
 
 /// Who decides on a client's request.
 #[derive(Clone, Copy)]
@@ -47,7 +47,7 @@
     /// `None` once it was answered, or nobody waits for it.
     pub(super) client: Option<WaitingClient>,
     /// Set when the client left, or the gateway part took the request back.
-    pub(super) withdrawal: Withdrawal,
+    pub(super) cancellation: Cancellation,
     pub(super) request: Rc<ClientRequest>,
 }
 
@@ -55,6 +55,6 @@
     /// Nobody waits for it here any more.
     pub(super) fn withdraw(&mut self) {
         self.client = None;
-        self.withdrawal.set();
+        self.cancellation.cancel();
     }
 }
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -10,7 +10,7 @@
 use super::gateway::GatewayPart;
 use super::open_request::{OpenRequest, RequestLocation, WaitingClient};
 use crate::messages::{
-    Answer, AttemptFinished, AttemptResponse, ClientId, ClientRequest, HealthCheckFinished, Withdrawal,
+    Answer, AttemptFinished, AttemptResponse, Cancellation, ClientId, ClientRequest, HealthCheckFinished,
 };
 
 /// A request for the router, and until when it must be answered.
@@ -46,17 +46,17 @@
     fn check(&self, request: &ClientRequest) -> Result<usize, Answer> {
         let comment = &request.comment;
         let Ok(class) = self.decoded.class(&comment.class) else {
-            return Err(Answer::Wrong("unknown offering"));
+            return Err(Answer::InvalidStatement("unknown offering"));
         };
         // The list may be older than its group: the request was not sent on, and may be sent again.
         if !self.knows_group(comment.group) {
-            return Err(Answer::Rejected { cool_down: 0 });
+            return Err(Answer::Rejected { retry_after: 0 });
         }
         if self.open_ids.contains(&comment.id) {
-            return Err(Answer::Wrong("a task with this id is under way"));
+            return Err(Answer::InvalidStatement("a task with this id is under way"));
         }
         if self.is_full() {
-            return Err(Answer::Rejected { cool_down: 0 });
+            return Err(Answer::Rejected { retry_after: 0 });
         }
         Ok(class)
     }
@@ -75,7 +75,7 @@
     /// Hands a checked request to the router and carries out its first decision.
     fn admit(&mut self, request: ClientRequest, class: usize) {
         // The timeout has run since the statement arrived.
-        let deadline = request.arrived + Micros::from(request.comment.wait) * 1000;
+        let deadline = request.received_at + Micros::from(request.comment.wait) * 1000;
         let (client, id) = (request.client, request.comment.id.clone());
         let handover = Handover { request: Rc::new(request), class, deadline, via: None };
         let (handle, actions) = self.hand_over(handover);
@@ -95,7 +95,7 @@
             best: self.context.best_paid.contains(&request.comment.class),
             deadline,
             client: Some(WaitingClient::of(&request)),
-            withdrawal: Withdrawal::default(),
+            cancellation: Cancellation::default(),
             request,
         };
         self.open_requests.insert(handle, open);
@@ -117,7 +117,7 @@
             class,
             group: comment.group,
             ttl: deadline - now,
-            waited: now - request.arrived,
+            waited: now - request.received_at,
             session,
             last_write: request.last_write(now),
             repeat: comment.repeat,
--- a/crates/proxy/src/gateway/link.rs
+++ b/crates/proxy/src/gateway/link.rs
@@ -145,11 +145,11 @@
                                 "instance" => &peer.instance, "peer" => %self.from);
                             *met = Some(peer.site.clone());
                             if let Some(said) = sender.take() {
-                                let up = LinkEvent::Up { outbox: said, holder: self.connection_guard.peer };
+                                let up = LinkEvent::Up { outbox: said, peer: self.connection_guard.peer };
                                 self.tell(id, up).await?;
                             }
                         }
-                        self.tell(id, LinkEvent::Heard(event)).await?;
+                        self.tell(id, LinkEvent::Received(event)).await?;
                     }
                 }
                 word = said.recv() => match word {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -280,7 +280,7 @@
     let revision = known.as_ref().map(|known| known.revision);
     if let Some(mut known) = known {
         known.complete = true;
-        let _ = list_update.send(ListUpdate::List(known)).await;
+        let _ = list_update.send(ListUpdate::Received(known)).await;
     }
     let gateway_part = match gateway {
         Some(mut gateway) => {
@@ -335,7 +335,7 @@
     serving.await.map_err(|error| ProgramError::Ended(format!("the listener ({error})")))?;
     // What other sites sent has its answer, too, before the end.
     let (asked, done) = oneshot::channel();
-    if context.dispatcher.send(DispatcherMessage::AwaitRemoteEnd(asked)).await.is_ok() {
+    if context.dispatcher.send(DispatcherMessage::AwaitRemoteRequests(asked)).await.is_ok() {
         let _ = timeout(stop_guests, done).await;
     }
     info!(log, "stopped");
--- a/crates/proxy/src/member/actor.rs
+++ b/crates/proxy/src/member/actor.rs
@@ -21,7 +21,7 @@
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{
     Attempt, AttemptFinished, AttemptResponse, DispatcherMessage, HealthCheckFinished, MemberCommand,
-    ReplicaReports, Rows,
+    PoolUse, ReplicaReports, Rows,
 };
 
 /// A member's word on its own role.
@@ -72,7 +72,7 @@
     heard: Instant,
     last_heard: LastHeard,
     /// How often it has said that it is a replica.
-    replica_words: Rc<Cell<u64>>,
+    replica_reports: Rc<Cell<u64>>,
     /// Answers in a row that were cut short or could not be read.
     malformed: usize,
     /// It could not be reached or broke connections, and that was logged.
@@ -110,7 +110,7 @@
             era: 0,
             heard: Instant::now(),
             last_heard,
-            replica_words: Rc::default(),
+            replica_reports: Rc::default(),
             malformed: 0,
             lost: false,
             local_failure_told: None,
@@ -142,20 +142,20 @@
                 }
                 command = commands.recv() => match command {
                     Some(MemberCommand::Send(attempt)) => {
-                        if attempt.afresh {
+                        if attempt.pool_use == PoolUse::ConnectAnew {
                             self.idle.clear();
                         }
-                        let Attempt { handle, sent, until, .. } = attempt;
+                        let Attempt { handle, decided_at: sent, deadline: until, .. } = attempt;
                         self.visit(Purpose::Request { handle, sent }, Some(attempt), until);
                     }
-                    Some(MemberCommand::HealthCheck { sent, until }) => {
+                    Some(MemberCommand::HealthCheck { decided_at: sent, deadline: until }) => {
                         self.visit(Purpose::Probe { sent }, None, until);
                     }
-                    Some(MemberCommand::Renew(address)) => {
+                    Some(MemberCommand::Reconnect(address)) => {
                         self.address.set(address);
                         self.renew();
                     }
-                    Some(MemberCommand::Shed) => {
+                    Some(MemberCommand::CloseOldestIdle) => {
                         if !self.idle.is_empty() {
                             self.idle.remove(0);
                         }
@@ -208,7 +208,7 @@
             attempt,
             until,
             open: self.open.clone(),
-            replica_words: self.replica_words.clone(),
+            replica_reports: self.replica_reports.clone(),
             to: address,
             listed: self.address.clone(),
         };
@@ -306,16 +306,18 @@
             self.idle.push(connection);
         }
         if exchange.role.as_deref() == Some(REPLICA) {
-            self.replica_words.set(self.replica_words.get() + 1);
+            self.replica_reports.set(self.replica_reports.get() + 1);
         }
-        let replica_reports = ReplicaReports { member: self.id, count: self.replica_words.get() };
+        let replica_reports = ReplicaReports { member: self.id, count: self.replica_reports.get() };
         let message = match purpose {
             Purpose::Request { handle, sent, .. } => {
                 let report = self.report(&exchange, exchange.usage.as_deref(), age);
                 let took = self.context.unstalled_clock.since(sent);
                 let response = match verdict {
                     Verdict::Served if crowded_out => AttemptResponse::TooLarge,
-                    Verdict::Served => AttemptResponse::Rows(Rows { pieces: exchange.rows, room }),
+                    Verdict::Served => {
+                        AttemptResponse::Rows(Rows { pieces: exchange.rows, reservation: room })
+                    }
                     _ => AttemptResponse::None,
                 };
                 DispatcherMessage::AttemptFinished(AttemptFinished {
--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -33,7 +33,7 @@
     /// Whether the list's last word lets anything new be sent to the member.
     pub(super) open: watch::Receiver<bool>,
     /// How often the member has said that it is a replica.
-    pub(super) replica_words: Rc<Cell<u64>>,
+    pub(super) replica_reports: Rc<Cell<u64>>,
     /// Where the connection leads, and where the list has the member now.
     pub(super) to: SocketAddr,
     pub(super) listed: Rc<Cell<SocketAddr>>,
@@ -51,8 +51,10 @@
 
     fn is_valid(&self, attempt: &Attempt, context: &ProcessContext) -> bool {
         let Validity { until, while_primary } = attempt.validity;
-        let still_primary = self.replica_words.get() == attempt.replica_words;
-        !attempt.withdrawal.is_set() && context.clock.now() < until && (still_primary || !while_primary)
+        let still_primary = self.replica_reports.get() == attempt.replica_reports;
+        !attempt.cancellation.is_cancelled()
+            && context.clock.now() < until
+            && (still_primary || !while_primary)
     }
 
     /// The query in its words of now: a member is told what is left of the client's time, less the reserve, in whole
--- a/crates/proxy/src/membership/actor.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -299,7 +299,10 @@
             let _ = self
                 .context
                 .dispatcher
-                .send(DispatcherMessage::FleetSize(FleetSize { living: shared.0, at_cold: shared.1 }))
+                .send(DispatcherMessage::FleetSize(FleetSize {
+                    sharing_warm: shared.0,
+                    sharing_warming_up: shared.1,
+                }))
                 .await;
         }
     }
--- a/crates/proxy/src/messages/client.rs
+++ b/crates/proxy/src/messages/client.rs
@@ -4,31 +4,37 @@
 
 use crate::flow_control::BufferReservation;
 
-/// Names a statement of a client, new for each.
+/// Identifies one statement of a client for as long as this process runs; never reused.
 pub type ClientId = u64;
 
-/// What the dispatcher and the listener tell a client's actor.
+/// What the dispatcher and the listener send to a client's actor.
 pub enum ClientMessage {
+    /// The answer to the statement of this id.
     Answer(ClientId, Answer),
-    /// Close the connection if nothing is under way on it.
-    Yield,
+    /// A new connection needs the descriptor: close this one if no request is in flight on it.
+    CloseIfIdle,
 }
 
 /// The one answer of a request.
 pub enum Answer {
+    /// The member's response, passed on as it came.
     Served(Rows),
+    /// The request never ran: the client may send it again.
     Rejected {
-        /// The retry-after, in microseconds.
-        cool_down: Micros,
+        /// How long the client is asked to wait before it does, in microseconds; zero names no time.
+        retry_after: Micros,
     },
+    /// It is not known whether the request ran.
     Failed,
-    /// Not taken: the statement names what is not there.
-    Wrong(&'static str),
+    /// The statement names something that does not exist; the text says what.
+    InvalidStatement(&'static str),
 }
 
-/// The messages that carry a value, and the buffer space reserved for them where they are large.
+/// A response that carries a value: row description, row and completion as the member sent them.
 #[derive(Default)]
 pub struct Rows {
+    /// The messages in their order; a large row stands in a piece of its own.
     pub pieces: Vec<Vec<u8>>,
-    pub room: Option<BufferReservation>,
+    /// The buffer space reserved for them, where they are larger than `limits.small`.
+    pub reservation: Option<BufferReservation>,
 }
--- a/crates/proxy/src/messages/dispatcher.rs
+++ b/crates/proxy/src/messages/dispatcher.rs
@@ -13,102 +13,122 @@
 use crate::discovery::endpoint_list::EndpointList;
 use crate::shadow::ShadowRouter;
 
-/// Names one connection to another gateway.
+/// Identifies one connection to another gateway for as long as this process runs.
 pub type LinkId = u64;
 
-/// What other actors tell the dispatcher.
+/// What other actors send to the dispatcher.
 pub enum DispatcherMessage {
+    /// A client sent a statement.
     ClientRequest(ClientRequest),
+    /// A client left before its answer.
     ClientLeft(ClientLeft),
+    /// An attempt ended.
     AttemptFinished(AttemptFinished),
+    /// A health check ended.
     HealthCheckFinished(HealthCheckFinished),
-    /// The settings that are on trial from now on, if any.
-    TrialReplaced(Option<Box<ShadowRouter>>),
+    /// The settings that are evaluated in shadow from now on, if any.
+    ShadowReplaced(Option<Box<ShadowRouter>>),
+    /// A link came up, carried something or was lost.
     Link(LinkMessage),
-    /// To be answered once no remote request is under way.
-    AwaitRemoteEnd(oneshot::Sender<()>),
-    /// To be answered with what is believed of sites and links, as JSON.
+    /// To be answered once no remote request is in flight.
+    AwaitRemoteRequests(oneshot::Sender<()>),
+    /// To be answered with the state of sites and links, as JSON.
     DescribeSites(oneshot::Sender<String>),
+    /// The number of proxies that share the members has changed.
     FleetSize(FleetSize),
     /// To be answered with what was observed since this was last asked.
     TakeObservations(oneshot::Sender<ObservationSummary>),
-    /// What was decided in common for this process's zone, by group.
+    /// The zone failover directives in force for this process's zone, by group.
     ZoneDirectives(Vec<(u64, Lean)>),
-    /// What was decided in common of sites that drain.
+    /// The site drain directives in force.
     SiteDrainPlans(Vec<Plan>),
-    /// This member found no descriptor free for a connection.
+    /// This member's actor found no descriptor free for a new connection.
     DescriptorsExhausted(MemberId),
 }
 
 /// A client no longer waits for its request.
 pub struct ClientLeft {
+    /// The statement that it no longer waits for.
     pub client: ClientId,
 }
 
 /// By how many processes the available capacity of members is shared.
 pub struct FleetSize {
     /// Processes that share members which are warm.
-    pub living: usize,
+    pub sharing_warm: usize,
     /// Processes that share members which are warming up.
-    pub at_cold: usize,
+    pub sharing_warming_up: usize,
 }
 
-/// What the actor of a link tells the dispatcher.
+/// What the actor of a link sends to the dispatcher.
 pub struct LinkMessage {
+    /// The link that it is about.
     pub link: LinkId,
+    /// What happened to it.
     pub event: LinkEvent,
 }
 
 /// What happened to a link.
 pub enum LinkEvent {
-    /// It stands, and the other side has greeted as one that it may be.
+    /// It is up: the other side sent a handshake that is allowed here.
     Up {
         /// What is sent here goes over the link.
         outbox: mpsc::Sender<Said>,
-        /// For whom buffer space for its values is asked.
-        holder: Peer,
+        /// The link's connection, for which buffer space for its values is reserved.
+        peer: Peer,
     },
-    Heard(Event),
+    /// The other side sent something.
+    Received(Event),
+    /// It is down.
     Lost,
 }
 
-/// A client's statement with its comment, once it was received whole.
+/// A client's statement with its comment, received whole.
 pub struct ClientRequest {
+    /// Names it to the client's actor.
     pub client: ClientId,
-    /// For whom buffer space for its answer is asked.
-    pub holder: Peer,
+    /// The client's connection, for which buffer space for the answer is reserved.
+    pub peer: Peer,
     /// Where its answer goes.
     pub mailbox: mpsc::Sender<ClientMessage>,
-    /// On the router's clock.
-    pub arrived: Micros,
+    /// When it was received, on the router's clock.
+    pub received_at: Micros,
+    /// Its text, in bytes as the client sent them.
     pub statement: Vec<u8>,
+    /// The comment that the statement begins with.
     pub comment: Comment,
     /// How long ago the session's last write was committed, in microseconds, where another gateway says so.
-    pub written_ago: Option<Micros>,
+    pub last_write_age: Option<Micros>,
 }
 
 impl ClientRequest {
-    /// How long before `now` the session's last write was committed; below zero where this process's clock is behind.
-    /// The client's own word comes first: as long as both stand on one clock it is compared with positions as told.
+    /// How long before `now` the session's last write was committed, in microseconds; below zero where this process's
+    /// clock is behind. What the client states comes first: it is a time on the members' clock, as their positions are, so
+    /// that both compare as they were stated.
     pub fn last_write(&self, now: Micros) -> Option<Micros> {
-        let told = self.comment.after.map(|after| now.saturating_sub(millis(after)));
-        told.or(self.written_ago)
+        let stated = self.comment.after.map(|after| now.saturating_sub(millis(after)));
+        stated.or(self.last_write_age)
     }
 }
 
+/// Milliseconds as microseconds, capped at `Micros::MAX`.
 fn millis(millis: u64) -> Micros {
     Micros::try_from(millis).map_or(Micros::MAX, |millis| millis.saturating_mul(1000))
 }
 
 /// How an attempt ended.
 pub struct AttemptFinished {
+    /// The attempt, by the router's name for it.
     pub request: Handle,
+    /// What its end means for the request.
     pub verdict: Verdict,
     /// When the attempt was decided.
     pub decided_at: Instant,
     /// Unstalled time since then, in microseconds.
     pub elapsed: Micros,
+    /// What the response says of its member.
     pub report: MemberReport,
+    /// What is passed on to the client.
     pub response: AttemptResponse,
     /// `None` where the attempt never reached its member's actor.
     pub replica_reports: Option<ReplicaReports>,
@@ -116,31 +136,41 @@
 
 /// How a health check ended.
 pub struct HealthCheckFinished {
+    /// What its end means.
     pub verdict: Verdict,
     /// Unstalled time since it was decided, in microseconds.
     pub elapsed: Micros,
+    /// What the response says of its member.
     pub report: MemberReport,
+    /// As counted when it ended.
     pub replica_reports: ReplicaReports,
 }
 
-/// How often a member has said that it is a replica, the answer at hand included.
+/// How many responses of a member have said that it is a replica, the one at hand included.
+///
+/// A write is sent only while this count is what it was at the decision: a change shows that the member was demoted.
 #[derive(Clone, Copy)]
 pub struct ReplicaReports {
+    /// The member that they came from.
     pub member: MemberId,
+    /// Their number since the member's actor was started.
     pub count: u64,
 }
 
-/// What an attempt brought.
+/// What an attempt brought for the client.
 pub enum AttemptResponse {
+    /// Nothing to pass on.
     None,
-    /// Where it was served: the messages that carry the value.
+    /// The messages that carry the value.
     Rows(Rows),
-    /// It began an answer that nobody has buffer space for, on the client's side: no fault of the member's.
+    /// The response began, and no buffer space was to be had for it on behalf of the client. The member is not to blame.
     TooLarge,
 }
 
-/// What the discovery watch tells the dispatcher.
+/// What the discovery watch sends to the dispatcher.
 pub enum ListUpdate {
-    List(EndpointList),
+    /// The whole endpoint list, or what has changed in it.
+    Received(EndpointList),
+    /// Discovery cannot be reached, where the list is fetched only on request.
     Unavailable,
 }
--- a/crates/proxy/src/messages/member.rs
+++ b/crates/proxy/src/messages/member.rs
@@ -13,83 +13,106 @@
 
 /// What the dispatcher asks of a member's actor.
 pub enum MemberCommand {
+    /// Send this attempt; an `AttemptFinished` reports its end.
     Send(Attempt),
+    /// Send a health check; a `HealthCheckFinished` reports its end.
     HealthCheck {
-        sent: Instant,
-        until: Instant,
+        /// When it was decided.
+        decided_at: Instant,
+        /// When it times out.
+        deadline: Instant,
     },
-    /// The member's process is another one, or reached elsewhere: old connections are of no use.
-    Renew(SocketAddr),
-    /// Others need descriptors: close an idle connection.
-    Shed,
+    /// The member's process is a new one, or has this new address: connections from before are of no use.
+    Reconnect(SocketAddr),
+    /// Other members need a descriptor: close the connection that has been idle longest.
+    CloseOldestIdle,
     /// The member has few connections to spare: close all idle ones.
     CloseIdle,
 }
 
+/// Whether an attempt may go over a connection from the pool.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PoolUse {
+    /// An idle connection is reused where there is one.
+    Reuse,
+    /// All idle connections are closed first, so that a new one is opened.
+    ConnectAnew,
+}
+
 /// An attempt for a member's actor to send.
 pub struct Attempt {
+    /// Names the attempt to the router.
     pub handle: Handle,
-    /// Its statement is written when it leaves: it tells the member the time that the client has left then.
+    /// Its statement is encoded when it is sent, as it tells the member how much time the client has left then.
     pub request: Rc<ClientRequest>,
-    pub withdrawal: Withdrawal,
-    /// For whom buffer space for the answer is asked, and whether the request's class is the best paid.
+    /// Shared by all attempts of the request.
+    pub cancellation: Cancellation,
+    /// For whom buffer space for the answer is reserved, and whether the request's class has the highest priority.
     pub holder: (Peer, bool),
     /// When it was decided.
-    pub sent: Instant,
-    /// When it times out.
-    pub until: Instant,
-    /// On a new connection, the idle ones being closed.
-    pub afresh: bool,
-    /// Whether it may still leave.
+    pub decided_at: Instant,
+    /// When it times out; never later than the request's own deadline.
+    pub deadline: Instant,
+    /// Whether it may go over a pooled connection.
+    pub pool_use: PoolUse,
+    /// What must still hold when it is sent.
     pub validity: Validity,
-    /// How often the member had been heard to say that it is a replica, when this was decided.
-    pub replica_words: u64,
+    /// How many replica reports of the member the router had received when it decided (see
+    /// [`ReplicaReports`](super::ReplicaReports)).
+    pub replica_reports: u64,
 }
 
-/// Set once nobody waits for a request any more: a first attempt or a retry that has not left by then is not to
-/// leave, whatever it waits for.
+/// Cancels a request: an attempt of it that was not sent by then must not be sent any more, whatever it waits for.
 #[derive(Clone, Default)]
-pub struct Withdrawal(Rc<Cell<bool>>);
+pub struct Cancellation(Rc<Cell<bool>>);
 
-impl Withdrawal {
-    pub fn set(&self) {
+impl Cancellation {
+    /// Nobody waits for the request any more. There is no way back.
+    pub fn cancel(&self) {
         self.0.set(true);
     }
 
-    pub fn is_set(&self) -> bool {
+    /// Whether the request was cancelled.
+    pub fn is_cancelled(&self) -> bool {
         self.0.get()
     }
 }
 
-/// Statements up to this size, in bytes, go out in one piece.
-const SMALL: usize = 8 * 1024;
+/// Statements of at most this size, in bytes, are copied into one piece.
+const SINGLE_PIECE_MAX: usize = 8 * 1024;
+/// Spare room for the query's header, its closing zero and a longer timeout, in bytes.
+const QUERY_OVERHEAD: usize = 16;
 
-/// A statement as it goes to a member. A large one is held once, by its request.
+/// A statement as it is written to a member.
 pub enum Query {
+    /// The whole message.
     Whole(Vec<u8>),
+    /// A large statement, which is not copied: its bytes stay with its request.
     Split {
-        /// All up to where the request's own bytes go on.
+        /// The message up to where the request's own bytes go on.
         front: Vec<u8>,
+        /// Holds the rest of the statement.
         request: Rc<ClientRequest>,
     },
 }
 
 impl Query {
-    /// The client's statement with another timeout, `wait`, in milliseconds.
-    pub fn of(request: &Rc<ClientRequest>, wait: &str) -> Query {
+    /// The client's statement with its timeout replaced by `timeout`, a decimal number of milliseconds.
+    pub fn of(request: &Rc<ClientRequest>, timeout: &str) -> Query {
         let ClientRequest { statement, comment, .. } = &**request;
-        let (before, after) = (&statement[..comment.wait_at.start], &statement[comment.wait_at.end..]);
-        if statement.len() <= SMALL {
-            let mut query = Vec::with_capacity(statement.len() + 16);
-            pg::query(&mut query, &[before, wait.as_bytes(), after]);
+        let before = &statement[..comment.wait_at.start];
+        let after = &statement[comment.wait_at.end..];
+        if statement.len() <= SINGLE_PIECE_MAX {
+            let mut query = Vec::with_capacity(statement.len() + QUERY_OVERHEAD);
+            pg::query(&mut query, &[before, timeout.as_bytes(), after]);
             return Query::Whole(query);
         }
-        let mut front = Vec::with_capacity(before.len() + 16);
-        pg::query_front(&mut front, &[before, wait.as_bytes()].concat(), after.len() + 1);
+        let mut front = Vec::with_capacity(before.len() + QUERY_OVERHEAD);
+        pg::query_front(&mut front, &[before, timeout.as_bytes()].concat(), after.len() + 1);
         Query::Split { front, request: request.clone() }
     }
 
-    /// Its bytes, in their order; the closing zero of a large one stands by itself.
+    /// Its bytes, in their order; the closing zero of a large one is a piece of its own.
     pub fn pieces(&self) -> [&[u8]; 3] {
         match self {
             Query::Whole(query) => [query, &[], &[]],
--- a/crates/proxy/src/messages/mod.rs
+++ b/crates/proxy/src/messages/mod.rs
@@ -10,5 +10,5 @@
     AttemptFinished, AttemptResponse, ClientLeft, ClientRequest, DispatcherMessage, FleetSize,
     HealthCheckFinished, LinkEvent, LinkId, LinkMessage, ListUpdate, ReplicaReports,
 };
-pub use member::{Attempt, MemberCommand, Query, Withdrawal};
+pub use member::{Attempt, Cancellation, MemberCommand, PoolUse, Query};
 pub use observations::{ObservationSummary, SiteObservations};
