--- a/crates/proxy/src/dispatcher/gateway/link_events.rs
+++ b/crates/proxy/src/dispatcher/gateway/link_events.rs
@@ -91,14 +91,14 @@
         let handle = gateway_part.sites.crossed(number)?;
         let forwarded = gateway_part.forwarded.get(&handle)?;
         if value.len() <= self.context.limits.buffers.small_message {
-            let answer = Answer::Served(Rows { pieces: vec![value], room: None });
+            let answer = Answer::Served(Rows { pieces: vec![value], reservation: None });
             return Some(ReceivedAnswer { handle, answer });
         }
         let priority = self.context.priority(&forwarded.request.comment.class);
         let owner = ReservationOwner { peer: forwarded.request.peer, priority };
         let room = self.context.flow_control.try_reserve(owner, value.len());
         let answer = match room {
-            Some(_) => Answer::Served(Rows { pieces: vec![value], room }),
+            Some(_) => Answer::Served(Rows { pieces: vec![value], reservation: room }),
             None => self.without_room(forwarded.class),
         };
         Some(ReceivedAnswer { handle, answer })
--- a/crates/proxy/src/dispatcher/gateway/remote_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/remote_requests.rs
@@ -134,10 +134,10 @@
             client: gateway_part.next_remote_id,
             peer,
             mailbox,
-            arrived: self.context.clock.now(),
+            received_at: self.context.clock.now(),
             statement,
             comment: checked.comment,
-            written_ago: (frame.written_ago_us > 0).then(|| received_span(frame.written_ago_us)),
+            last_write_age: (frame.written_ago_us > 0).then(|| received_span(frame.written_ago_us)),
         };
         self.forward(RequestToForward {
             request,
