--- a/crates/proxy/src/coordination/records.rs
+++ b/crates/proxy/src/coordination/records.rs
@@ -10,7 +10,7 @@
 use aldermill_leases::Term;
 use aldermill_site_drain::Plan;
 use aldermill_store::Batch;
-use aldermill_warm_start::space;
+use aldermill_warm_start::namespace;
 use slog::warn;
 use tokio::sync::mpsc;
 
@@ -60,12 +60,14 @@
         let mut batch = Batch::default();
         match record {
             Record::Granted { lease, term } => {
-                batch.put(space::GRANTED, lease.as_bytes(), &term.to_be_bytes(), None);
+                batch.put(namespace::GRANTED_TERMS, lease.as_bytes(), &term.to_be_bytes(), None);
             }
             Record::Accepted { lease, term } => {
-                batch.put(space::DECREED, lease.as_bytes(), &term.to_be_bytes(), None);
+                batch.put(namespace::ACCEPTED_TERMS, lease.as_bytes(), &term.to_be_bytes(), None);
+            }
+            Record::Drain(plan) => {
+                batch.put(namespace::SITE_DRAINS, plan.word.site.as_bytes(), &plan.encode(), None)
             }
-            Record::Drain(plan) => batch.put(space::BOUND, plan.word.site.as_bytes(), &plan.encode(), None),
         }
         // One more could not be confirmed, and each confirmation counts for the oldest.
         let has_room = self.in_flight.len() < MOST_IN_FLIGHT;
@@ -78,13 +80,13 @@
 
     fn terms(&self, wanted: u32) -> Vec<(String, Term)> {
         let records = self.folder.records().into_iter().flatten();
-        let wanted = records.filter(|(space, ..)| *space == wanted);
+        let wanted = records.filter(|(namespace, ..)| *namespace == wanted);
         wanted.filter_map(|(_, key, value)| decode_term(key, value)).collect()
     }
 
     fn plans(&self) -> Vec<Plan> {
         let records = self.folder.records().into_iter().flatten();
-        let plans = records.filter(|(space, ..)| *space == space::BOUND);
+        let plans = records.filter(|(namespace, ..)| *namespace == namespace::SITE_DRAINS);
         plans.filter_map(|(_, _, body)| Plan::decode(body).ok()).collect()
     }
 }
@@ -110,8 +112,8 @@
             return;
         }
         records.unread = false;
-        self.participant.restore(records.terms(space::GRANTED));
-        let accepted: BTreeMap<String, Term> = records.terms(space::DECREED).into_iter().collect();
+        self.participant.restore(records.terms(namespace::GRANTED_TERMS));
+        let accepted: BTreeMap<String, Term> = records.terms(namespace::ACCEPTED_TERMS).into_iter().collect();
         // What was accepted meanwhile must not replace a higher term.
         records.unconfirmed_terms.retain(|lease, term| accepted.get(lease).is_none_or(|kept| kept < term));
         let lowest =
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The member list in discovery's form.
 
 use aldermill_routing::Standing;
-use aldermill_warm_start::Beliefs;
+use aldermill_warm_start::StateSnapshot;
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -51,10 +51,10 @@
 }
 
 impl EndpointList {
-    /// The list that an earlier start kept, as far as it can be read.
-    pub fn kept(beliefs: &Beliefs) -> Option<EndpointList> {
-        let entries = beliefs.members.values().filter_map(|entry| serde_json::from_str(entry).ok());
-        let revision = beliefs.revision?;
+    /// The endpoint list that a former start saved, as far as it can be read.
+    pub fn from_snapshot(snapshot: &StateSnapshot) -> Option<EndpointList> {
+        let entries = snapshot.members.values().filter_map(|entry| serde_json::from_str(entry).ok());
+        let revision = snapshot.revision?;
         Some(EndpointList { revision, complete: true, members: entries.collect() })
     }
 }
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -96,7 +96,7 @@
             "complete" => catalog.complete, "entries" => catalog.members.len());
         let listed = self.listed_members(catalog);
         let ((), actions) = self.decide(|router| ((), router.list(now, catalog.complete, listed.clone())));
-        self.use_warm_state(catalog);
+        self.use_restored_state(catalog);
         actions
     }
 
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -258,7 +258,7 @@
         let now = self.context.clock.now();
         let ((), actions) = self.decide(|router| ((), router.wake(now)));
         self.carry_out(actions);
-        self.keep_warm_state();
+        self.publish_snapshot();
     }
 
     fn fleet_size(&mut self, size: &FleetSize) {
--- a/crates/proxy/src/dispatcher/outcome_log.rs
+++ b/crates/proxy/src/dispatcher/outcome_log.rs
@@ -7,7 +7,7 @@
 use aldermill_site_routing::earlier::{key, read_key, read_value, value};
 use aldermill_site_routing::{Earlier, Fate, Origin, Promise};
 use aldermill_store::{Batch, Keeping, State};
-use aldermill_warm_start::space;
+use aldermill_warm_start::namespace;
 use tokio::sync::mpsc;
 
 use crate::persistence::DataDirectory;
@@ -74,10 +74,10 @@
         }
         let Some(records) = self.folder.records() else { return };
         let mut earlier = Earlier::default();
-        for (space, key, value) in records {
-            match *space {
-                space::BOOK => read_record(&mut earlier, key, value),
-                space::PROMISES => read_promise(&mut earlier, now, key, value),
+        for (namespace, key, value) in records {
+            match *namespace {
+                namespace::OUTCOME_LOG => read_record(&mut earlier, key, value),
+                namespace::OUTCOME_LOG_PROMISES => read_promise(&mut earlier, now, key, value),
                 _ => {}
             }
         }
@@ -106,7 +106,12 @@
         {
             let mut batch = Batch::default();
             let over = until.saturating_add(PROMISE_KEPT);
-            batch.put(space::PROMISES, &self.start.to_be_bytes(), &until.to_be_bytes(), Some(over));
+            batch.put(
+                namespace::OUTCOME_LOG_PROMISES,
+                &self.start.to_be_bytes(),
+                &until.to_be_bytes(),
+                Some(over),
+            );
             if !self.hand_over(now, batch, Wait::Promise) {
                 self.promise.settled();
             }
@@ -135,7 +140,7 @@
         fate: &Fate<&[u8]>,
     ) -> Option<Token> {
         let mut batch = Batch::default();
-        batch.put(space::BOOK, &key(self.start, origin, number), &value(fate), Some(until));
+        batch.put(namespace::OUTCOME_LOG, &key(self.start, origin, number), &value(fate), Some(until));
         let token = self.next;
         self.next += 1;
         self.hand_over(now, batch, Wait::Record(token)).then_some(token)
--- a/crates/proxy/src/dispatcher/warm_state.rs
+++ b/crates/proxy/src/dispatcher/warm_state.rs
@@ -1,34 +1,33 @@
-//! The dispatcher's part in the state that is kept over a restart: what is believed now, and what an earlier start
-//! believed.
+//! The dispatcher's part in a warm start: it publishes snapshots to be saved, and uses what a former start saved.
 
 use std::collections::BTreeMap;
 
 use aldermill_routing::{Learnt, Micros, Standing};
-use aldermill_warm_start::{Beliefs, Pace, Primary};
+use aldermill_warm_start::{KnownPrimary, ServiceTime, StateSnapshot};
 use tokio::sync::watch;
 
 use super::{Dispatcher, GatewayPart};
 use crate::discovery::endpoint_list::EndpointList;
 
-/// How often what is believed is handed to the keeper.
-const KEEP_EVERY: Micros = 1_000_000;
+/// How often a snapshot is published.
+const SNAPSHOT_INTERVAL: Micros = 1_000_000;
 
-/// What is kept over a restart.
+/// What the dispatcher has of a warm start.
 pub struct WarmState {
-    /// What an earlier start believed, until the first list tells who is who.
-    pub recalled: Beliefs,
-    /// Who keeps what is believed now.
-    pub keeping: Option<watch::Sender<Option<Beliefs>>>,
+    /// What a former start saved; used, and then empty, once the first endpoint list maps its names to members.
+    pub restored: StateSnapshot,
+    /// Where snapshots are published; `None` without a data directory.
+    pub snapshots: Option<watch::Sender<Option<StateSnapshot>>>,
 }
 
-/// The endpoint list as it was told last, for the keeper.
+/// The endpoint list as discovery sent it last, for snapshots.
 #[derive(Default)]
 pub(super) struct ListedEntries {
     revision: Option<u64>,
     /// Each entry as JSON, by the member's name.
     entries: BTreeMap<String, String>,
-    /// When the beliefs are next handed to the keeper, on the router's clock.
-    keep_at: Micros,
+    /// When the next snapshot is due, on the router's clock.
+    snapshot_at: Micros,
 }
 
 impl ListedEntries {
@@ -51,57 +50,66 @@
 }
 
 impl Dispatcher {
-    /// A list came; the first one says who the members are of whom something is recalled.
-    pub(super) fn use_warm_state(&mut self, catalog: &EndpointList) {
-        if self.warm_state.keeping.is_some() {
+    /// Uses restored state with the first endpoint list, which says which members it is about.
+    pub(super) fn use_restored_state(&mut self, catalog: &EndpointList) {
+        if self.warm_state.snapshots.is_some() {
             self.listed.update(catalog);
         }
-        let recalled = std::mem::take(&mut self.warm_state.recalled);
-        if recalled != Beliefs::default() {
-            let learnt = self.learnt_before(&recalled);
+        let restored = std::mem::take(&mut self.warm_state.restored);
+        if restored != StateSnapshot::default() {
+            let learnt = self.learnt_by_former_start(&restored);
             self.router.recall(&learnt);
         }
     }
 
-    /// What an earlier start believed, of the members that are listed now.
-    fn learnt_before(&self, recalled: &Beliefs) -> Learnt {
+    /// What a former start learned of the members that are listed now.
+    fn learnt_by_former_start(&self, restored: &StateSnapshot) -> Learnt {
         let id = |name: &String| self.member_ids.get(name).copied();
-        let primary = |primary: &Primary| Some((id(&primary.member)?, primary.word));
-        let pace = |name: &String| recalled.paces.get(name).map_or((0, 0), |pace| (pace.usual, pace.slow));
-        let windows = recalled.windows.iter();
+        let primary = |primary: &KnownPrimary| Some((id(&primary.member)?, primary.confirmed_at));
+        let service_time =
+            |name: &String| restored.service_times.get(name).map_or((0, 0), |time| (time.median, time.p90));
+        let concurrency_limits = restored.concurrency_limits.iter();
         Learnt {
-            primaries: recalled.primaries.values().filter_map(primary).collect(),
-            took: self.decoded.names().iter().map(pace).collect(),
-            windows: windows.filter_map(|(name, &power)| Some((id(name)?, power))).collect(),
+            primaries: restored.primaries.values().filter_map(primary).collect(),
+            took: self.decoded.names().iter().map(service_time).collect(),
+            windows: concurrency_limits.filter_map(|(name, &power)| Some((id(name)?, power))).collect(),
         }
     }
 
-    /// Hands the keeper what is believed, once a second.
-    pub(super) fn keep_warm_state(&mut self) {
+    /// Publishes a snapshot, once a second.
+    pub(super) fn publish_snapshot(&mut self) {
         let now = self.context.clock.now();
-        let Some(keeping) = &self.warm_state.keeping else { return };
-        if now < self.listed.keep_at {
+        let Some(snapshots) = &self.warm_state.snapshots else { return };
+        if now < self.listed.snapshot_at {
             return;
         }
-        self.listed.keep_at = now + KEEP_EVERY;
-        keeping.send_replace(Some(self.beliefs()));
+        self.listed.snapshot_at = now + SNAPSHOT_INTERVAL;
+        snapshots.send_replace(Some(self.snapshot()));
     }
 
-    fn beliefs(&self) -> Beliefs {
+    fn snapshot(&self) -> StateSnapshot {
         let learnt = self.router.learnt();
         let names: BTreeMap<usize, &String> = self.member_ids.iter().map(|(name, &id)| (id, name)).collect();
         let name = |id: usize| names.get(&id).map(|&name| name.clone());
         let group = |id: usize| self.members.get(id).and_then(Option::as_ref).map(|entry| entry.group);
-        let primary = |&(id, word): &(usize, Micros)| Some((group(id)?, Primary { member: name(id)?, word }));
-        let paces = self.decoded.names().into_iter().zip(&learnt.took).filter(|(_, took)| took.0 > 0);
-        let homes = self.gateway_part.as_ref().map(GatewayPart::homes);
-        Beliefs {
+        let primary = |&(id, confirmed_at): &(usize, Micros)| {
+            Some((group(id)?, KnownPrimary { member: name(id)?, confirmed_at }))
+        };
+        let service_times = self.decoded.names().into_iter().zip(&learnt.took).filter(|(_, took)| took.0 > 0);
+        let home_sites = self.gateway_part.as_ref().map(GatewayPart::homes);
+        StateSnapshot {
             revision: self.listed.revision,
             members: self.listed.entries.clone(),
             primaries: learnt.primaries.iter().filter_map(primary).collect(),
-            homes: homes.unwrap_or_default(),
-            paces: paces.map(|(name, &(usual, slow))| (name, Pace { usual, slow })).collect(),
-            windows: learnt.windows.iter().filter_map(|&(id, power)| Some((name(id)?, power))).collect(),
+            home_sites: home_sites.unwrap_or_default(),
+            service_times: service_times
+                .map(|(name, &(median, p90))| (name, ServiceTime { median, p90 }))
+                .collect(),
+            concurrency_limits: learnt
+                .windows
+                .iter()
+                .filter_map(|&(id, power)| Some((name(id)?, power)))
+                .collect(),
         }
     }
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -46,7 +46,7 @@
 use crate::lifecycle::reload::Reload;
 use crate::membership::{CoordinationStart, MembershipActor};
 use crate::messages::{DispatcherMessage, ListUpdate};
-use crate::persistence::DataDirectory;
+use crate::persistence::{DataDirectory, Persistence};
 
 /// A proxy before groups of databases, each a primary and its replicas
 #[derive(Clone, Debug, Bpaf)]
@@ -266,17 +266,17 @@
     let address = listener.local_addr().unwrap_or(listen);
     info!(log, "serving"; "name" => &name, "listen" => %address, "version" => env!("CARGO_PKG_VERSION"));
 
-    let warmed = match &warm {
+    let persistence = match &warm {
         Some(warm) => Some(persistence::start(warm, &name, memory, clock, &log).await),
         None => None,
     };
-    let (kept_in, mut recalled, keeping) = match warmed {
-        Some(persistence::Warmed { folder, recalled, keeping }) => (Some(folder), recalled, Some(keeping)),
+    let (data_directory, mut restored, snapshots) = match persistence {
+        Some(Persistence { directory, restored, snapshots }) => (Some(directory), restored, Some(snapshots)),
         None => Default::default(),
     };
     // Of two lists the one of the later revision is the later one.
-    let kept = EndpointList::kept(&recalled.beliefs);
-    let known = known.into_iter().chain(kept).max_by_key(|list| list.revision);
+    let restored_list = EndpointList::from_snapshot(&restored.snapshot);
+    let known = known.into_iter().chain(restored_list).max_by_key(|list| list.revision);
     let revision = known.as_ref().map(|known| known.revision);
     if let Some(mut known) = known {
         known.complete = true;
@@ -284,12 +284,12 @@
     }
     let gateway_part = match gateway {
         Some(mut gateway) => {
-            gateway.homes.extend(std::mem::take(&mut recalled.beliefs.homes));
-            Some(open_gateway(&context, &decoded, gateway, &name, seed, room, kept_in.clone()).await?)
+            gateway.homes.extend(std::mem::take(&mut restored.snapshot.home_sites));
+            Some(open_gateway(&context, &decoded, gateway, &name, seed, room, data_directory.clone()).await?)
         }
         None => None,
     };
-    let warm_state = WarmState { recalled: recalled.beliefs, keeping };
+    let warm_state = WarmState { restored: restored.snapshot, snapshots };
     let observations = council.as_ref().map(|council| {
         let splits = council.duties.contains(&Duty::Splits);
         Observations::start(clock.now(), seed.rotate_left(24), splits)
@@ -297,7 +297,8 @@
     let mut bound = Vec::new();
     if let Some(terms) = fellows {
         let place = (zone, longest_timeout);
-        let wanted = council.map(|wanted| CoordinationStart { wanted, folder: kept_in, place, reread });
+        let wanted =
+            council.map(|wanted| CoordinationStart { wanted, folder: data_directory, place, reread });
         let own = (&*name, drivers, gateway_part.is_some());
         let mut company =
             MembershipActor::open(context.clone(), terms, wanted, own, seed.rotate_left(16)).await?;
--- a/crates/proxy/src/persistence/mod.rs
+++ b/crates/proxy/src/persistence/mod.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use aldermill_operator_config::Warm;
-use aldermill_warm_start::{Beliefs, Recalled};
+use aldermill_warm_start::{RestoredState, StateSnapshot};
 use slog::{Logger, warn};
 use tokio::sync::{oneshot, watch};
 use tokio::task::spawn_local;
@@ -25,18 +25,18 @@
 const OPENING: Duration = Duration::from_millis(500);
 
 /// The folder, what was recalled from it by now, and who keeps what is believed from now on.
-pub struct Warmed {
-    pub folder: Rc<DataDirectory>,
-    pub recalled: Recalled,
-    pub keeping: watch::Sender<Option<Beliefs>>,
+pub struct Persistence {
+    pub directory: Rc<DataDirectory>,
+    pub restored: RestoredState,
+    pub snapshots: watch::Sender<Option<StateSnapshot>>,
 }
 
 /// Opens the folder and starts its keeper. Where that fails, which the log then says, it is tried again for as long as
 /// the process lives, and the folder's users hold back what they could claim by it alone.
-pub async fn start(warm: &Warm, name: &str, memory: u64, clock: Clock, log: &Logger) -> Warmed {
-    let (keeping, beliefs) = watch::channel(None);
+pub async fn start(warm: &Warm, name: &str, memory: u64, clock: Clock, log: &Logger) -> Persistence {
+    let (snapshots, beliefs) = watch::channel(None);
     let opener = Opener::new(Path::new(&warm.folder), name, memory, clock, log, beliefs);
-    let folder = opener.folder.clone();
+    let directory = opener.folder.clone();
     let (sender, first) = oneshot::channel();
     spawn_local(opener.run(sender));
     let read = timeout(OPENING, first).await;
@@ -44,6 +44,6 @@
         warn!(log, "warm state refused, started without"; "folder" => &warm.folder,
             "why" => %Unopened::Late(OPENING.as_millis()));
     }
-    let recalled = read.ok().and_then(Result::ok).unwrap_or_default();
-    Warmed { folder, recalled, keeping }
+    let restored = read.ok().and_then(Result::ok).unwrap_or_default();
+    Persistence { directory, restored, snapshots }
 }
--- a/crates/proxy/src/persistence/opening.rs
+++ b/crates/proxy/src/persistence/opening.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use aldermill_store::{Bounds, Committer, Disk, Problem, Recovered, Snapshot, Store};
-use aldermill_warm_start::{Beliefs, Kept, Recalled, Refused, recall};
+use aldermill_warm_start::{RestoreError, RestoredState, SavedState, StateSnapshot, restore};
 use slog::{Logger, info, warn};
 use thiserror::Error;
 use tokio::sync::{oneshot, watch};
@@ -30,7 +30,7 @@
     #[error("{0}")]
     Store(#[from] Problem),
     #[error("{0}")]
-    Refused(#[from] Refused),
+    Refused(#[from] RestoreError),
     #[error("{0}; see that the folder may be written")]
     Disk(std::io::Error),
     #[error("{0} places are damaged, see aldermill store check")]
@@ -55,14 +55,18 @@
     /// Held until the folder is open for writing.
     lock: Disk,
     records: Vec<Record>,
-    recalled: Recalled,
+    recalled: RestoredState,
     committer: Result<Committer, Problem>,
 }
 
 /// What the store held, if it is this driver's and sound.
-fn sound(place: &Place, now: i64, seen: (Snapshot, Recovered)) -> Result<(Vec<Record>, Recalled), Unopened> {
+fn sound(
+    place: &Place,
+    now: i64,
+    seen: (Snapshot, Recovered),
+) -> Result<(Vec<Record>, RestoredState), Unopened> {
     let (snapshot, recovered) = seen;
-    let recalled = recall(&place.name, now, snapshot.everything())?;
+    let recalled = restore(&place.name, now, snapshot.everything())?;
     if !recovered.damage.is_empty() {
         return Err(Unopened::Damaged(recovered.damage.len()));
     }
@@ -112,7 +116,7 @@
 /// Tries until the folder is open, then keeps what is believed in it.
 pub(super) struct Opener {
     pub folder: Rc<DataDirectory>,
-    pub beliefs: watch::Receiver<Option<Beliefs>>,
+    pub beliefs: watch::Receiver<Option<StateSnapshot>>,
     place: Place,
     log: Logger,
     shown: PathBuf,
@@ -127,7 +131,7 @@
         memory: u64,
         clock: Clock,
         log: &Logger,
-        beliefs: watch::Receiver<Option<Beliefs>>,
+        beliefs: watch::Receiver<Option<StateSnapshot>>,
     ) -> Opener {
         let bounds = Bounds::usual(memory);
         let place = Place { path: path.to_owned(), name: name.to_owned(), bounds, clock };
@@ -136,7 +140,7 @@
     }
 
     /// `first` hears what was recalled if the first trial could read the folder, and is dropped if not.
-    pub async fn run(mut self, first: oneshot::Sender<Recalled>) {
+    pub async fn run(mut self, first: oneshot::Sender<RestoredState>) {
         let (mut first, mut lock, mut wait) = (Some(first), None, FIRST_WAIT);
         loop {
             match open_on_a_thread(self.place.clone(), lock.take()).await {
@@ -164,15 +168,20 @@
         self.keep().await;
     }
 
-    fn read(&self, records: Vec<Record>, recalled: Recalled, first: Option<oneshot::Sender<Recalled>>) {
+    fn read(
+        &self,
+        records: Vec<Record>,
+        recalled: RestoredState,
+        first: Option<oneshot::Sender<RestoredState>>,
+    ) {
         if self.folder.records().is_some() {
             return;
         }
-        info!(self.log, "warm state"; "revision" => recalled.beliefs.revision,
-            "primaries" => recalled.beliefs.primaries.len(), "left_out" => recalled.left_out,
-            "newest_word_ms_ago" => recalled.age.map(|age| age / 1000));
+        info!(self.log, "warm state"; "revision" => recalled.snapshot.revision,
+            "primaries" => recalled.snapshot.primaries.len(), "left_out" => recalled.unusable_records,
+            "newest_word_ms_ago" => recalled.newest_confirmation_age.map(|age| age / 1000));
         self.folder.was_read(records);
-        // Beliefs that come late are of no use: this process knows better by then.
+        // StateSnapshot that come late are of no use: this process knows better by then.
         if let Some(first) = first {
             let _ = first.send(recalled);
         }
@@ -189,7 +198,7 @@
 
     async fn keep(self) {
         let keys = self.folder.records().into_iter().flatten().map(|(space, key, _)| (*space, key.clone()));
-        let kept = Kept::start(&self.place.name, keys);
+        let kept = SavedState::new(&self.place.name, keys);
         let Opener { folder, beliefs, place, log, .. } = self;
         WriterThread { clock: place.clock, log, folder, kept, beliefs }.run().await;
     }
--- a/crates/proxy/src/persistence/writer.rs
+++ b/crates/proxy/src/persistence/writer.rs
@@ -4,7 +4,7 @@
 
 use aldermill_routing::Micros;
 use aldermill_store::{Batch, Keeping, State};
-use aldermill_warm_start::{Beliefs, Change, Kept};
+use aldermill_warm_start::{Change, SavedState, StateSnapshot};
 use slog::{Logger, info, warn};
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep_until;
@@ -21,9 +21,9 @@
     pub clock: Clock,
     pub log: Logger,
     pub folder: Rc<DataDirectory>,
-    pub kept: Kept,
+    pub kept: SavedState,
     /// What is believed; the newest counts.
-    pub beliefs: watch::Receiver<Option<Beliefs>>,
+    pub beliefs: watch::Receiver<Option<StateSnapshot>>,
 }
 
 impl WriterThread {
@@ -45,14 +45,14 @@
                     true => {
                         keeping.confirmed(self.clock.now());
                         if keeping.due().is_none() {
-                            self.kept.settled();
+                            self.kept.writes_confirmed();
                         }
                     }
                     false => self.failed(&mut keeping),
                 },
                 () = sleep_until(due.unwrap_or_else(tokio::time::Instant::now)), if due.is_some() => {
                     if keeping.gives_up(self.clock.now()) {
-                        self.kept.lost();
+                        self.kept.write_failed();
                     }
                 }
             }
@@ -72,7 +72,7 @@
 
     fn failed(&mut self, keeping: &mut Keeping) {
         keeping.failed(self.clock.now());
-        self.kept.lost();
+        self.kept.write_failed();
     }
 
     fn hand_over(&mut self, keeping: &mut Keeping, done: &mpsc::Sender<bool>) {
@@ -86,10 +86,10 @@
         }
         let changes = self.kept.changes(now, beliefs);
         let mut batch = Batch::default();
-        for Change { space, key, value } in changes {
+        for Change { namespace, key, value } in changes {
             match value {
-                Some(value) => batch.put(space, &key, &value, None),
-                None => batch.remove(space, &key),
+                Some(value) => batch.put(namespace, &key, &value, None),
+                None => batch.remove(namespace, &key),
             }
         }
         if batch.is_empty() {
--- a/crates/proxy/tests/warm.rs
+++ b/crates/proxy/tests/warm.rs
@@ -90,7 +90,7 @@
     let other = config(discovery.start(), 256, &known).replace("\"n0\"", "\"n1\"");
     let driver = Driver::with("127.0.0.1:0".parse().unwrap(), &other, Some(&operator(&folder)));
     until("the line", || {
-        driver.logged("warm state refused, started without, why: kept by another driver, n0")
+        driver.logged("warm state refused, started without, why: the data directory belongs to proxy n0")
     });
     assert!(served(&Client::connect(driver.address).ask(&order(5000))));
     drop(driver);
--- a/crates/warm-start/tests/pinned_records.rs
+++ b/crates/warm-start/tests/pinned_records.rs
@@ -1,10 +1,12 @@
 //! The records in the store, as programs of other versions wrote and read them.
 
-use aldermill_warm_start::{Beliefs, Change, FORMAT, Kept, Pace, Primary, recall, space};
+use aldermill_warm_start::{
+    Change, FORMAT, KnownPrimary, SavedState, ServiceTime, StateSnapshot, namespace, restore,
+};
 
 const NOW: i64 = 1_800_000_000_000_000;
 
-/// The space, the key and the value of each record.
+/// The namespace, the key and the value of each record.
 const RECORDS: [(u32, &str, &str); 8] = [
     (1, "", r#"{"name":"n1","format":1}"#),
     (2, "", "41"),
@@ -20,45 +22,60 @@
     ),
 ];
 
-fn beliefs() -> Beliefs {
+fn snapshot() -> StateSnapshot {
     let entry = |id: &str| (id.to_owned(), format!(r#"{{"id":"{id}"}}"#));
-    Beliefs {
+    StateSnapshot {
         revision: Some(41),
         members: [entry("s-1"), entry("s-2")].into(),
-        primaries: [(7, Primary { member: "s-2".to_owned(), word: NOW - 5_000_000 })].into(),
-        homes: [(8, "east".to_owned()), (u64::MAX, "west".to_owned())].into(),
-        paces: [("look".to_owned(), Pace { usual: 9_000, slow: 30_000 })].into(),
-        windows: [("s-1".to_owned(), -2), ("s-2".to_owned(), 3)].into(),
+        primaries: [(7, KnownPrimary { member: "s-2".to_owned(), confirmed_at: NOW - 5_000_000 })].into(),
+        home_sites: [(8, "east".to_owned()), (u64::MAX, "west".to_owned())].into(),
+        service_times: [("look".to_owned(), ServiceTime { median: 9_000, p90: 30_000 })].into(),
+        concurrency_limits: [("s-1".to_owned(), -2), ("s-2".to_owned(), 3)].into(),
     }
 }
 
 #[test]
-fn records_of_all_beliefs_as_they_are_written() {
-    let written: Vec<Change> = Kept::start("n1", []).changes(NOW, beliefs());
+fn every_record_is_written_in_the_pinned_form() {
+    let written: Vec<Change> = SavedState::new("n1", []).changes(NOW, snapshot());
     let written: Vec<(u32, String, String)> = written
         .into_iter()
-        .map(|Change { space, key, value }| {
-            (space, String::from_utf8(key).unwrap(), String::from_utf8(value.unwrap()).unwrap())
+        .map(|Change { namespace, key, value }| {
+            (namespace, String::from_utf8(key).unwrap(), String::from_utf8(value.unwrap()).unwrap())
         })
         .collect();
-    let pinned: Vec<(u32, String, String)> =
-        RECORDS.iter().map(|&(space, key, value)| (space, key.to_owned(), value.to_owned())).collect();
+    let pinned: Vec<(u32, String, String)> = RECORDS
+        .iter()
+        .map(|&(namespace, key, value)| (namespace, key.to_owned(), value.to_owned()))
+        .collect();
     assert_eq!(written, pinned);
 }
 
 #[test]
-fn records_of_all_beliefs_as_they_are_read() {
-    let records = RECORDS.iter().map(|&(space, key, value)| (space, key.as_bytes(), value.as_bytes()));
-    let recalled = recall("n1", NOW, records).unwrap();
-    assert_eq!(recalled.beliefs, beliefs());
-    assert_eq!((recalled.age, recalled.left_out), (Some(5_000_000), 0));
+fn records_in_the_pinned_form_restore_the_whole_snapshot() {
+    let records =
+        RECORDS.iter().map(|&(namespace, key, value)| (namespace, key.as_bytes(), value.as_bytes()));
+    let restored = restore("n1", NOW, records).unwrap();
+    assert_eq!(restored.snapshot, snapshot());
+    assert_eq!((restored.newest_confirmation_age, restored.unusable_records), (Some(5_000_000), 0));
 }
 
 #[test]
-fn numbers_of_the_spaces_and_of_the_format() {
-    let beliefs = [space::IDENTITY, space::LIST, space::PRIMARIES, space::HOMES, space::PACES];
-    assert_eq!(beliefs, [1, 2, 3, 4, 5]);
-    let others = [space::BOOK, space::PROMISES, space::GRANTED, space::DECREED, space::BOUND];
+fn namespaces_and_format_keep_their_numbers() {
+    let own = [
+        namespace::IDENTITY,
+        namespace::ENDPOINT_LIST,
+        namespace::PRIMARIES,
+        namespace::HOME_SITES,
+        namespace::SERVICE_TIMES,
+    ];
+    assert_eq!(own, [1, 2, 3, 4, 5]);
+    let others = [
+        namespace::OUTCOME_LOG,
+        namespace::OUTCOME_LOG_PROMISES,
+        namespace::GRANTED_TERMS,
+        namespace::ACCEPTED_TERMS,
+        namespace::SITE_DRAINS,
+    ];
     assert_eq!(others, [6, 7, 8, 9, 10]);
     assert_eq!(FORMAT, 1);
 }
