--- a/crates/operator-config/src/council.rs
+++ b/crates/operator-config/src/coordination.rs
@@ -3,26 +3,29 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use crate::Wrong;
+use crate::OperatorError;
 
 /// What a duty is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Duty {
+pub enum LeaseKind {
     /// Failover between zones.
-    Zones,
+    #[serde(rename = "zones")]
+    ZoneFailover,
     /// Where key ranges are cut.
-    Splits,
+    #[serde(rename = "splits")]
+    SplitPoints,
     /// Sites that hand their clients on.
-    Retire,
+    #[serde(rename = "retire")]
+    SiteDrain,
 }
 
-impl Duty {
+impl LeaseKind {
     pub fn name(self) -> &'static str {
         match self {
-            Duty::Zones => "zones",
-            Duty::Splits => "splits",
-            Duty::Retire => "retire",
+            LeaseKind::ZoneFailover => "zones",
+            LeaseKind::SplitPoints => "splits",
+            LeaseKind::SiteDrain => "retire",
         }
     }
 }
@@ -30,22 +33,26 @@
 /// What a site that retires is to do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Pace {
+pub enum DrainOrder {
     /// Its clients go to the others, as quickly as those were measured to bear and while service stands.
     #[default]
-    Goes,
+    #[serde(rename = "goes")]
+    Run,
     /// Nothing moves until another word.
-    Held,
+    #[serde(rename = "held")]
+    Pause,
     /// Its clients come back.
-    TakenBack,
+    #[serde(rename = "taken_back")]
+    Cancel,
     /// As `goes`, also while service falls.
-    Hurried,
+    #[serde(rename = "hurried")]
+    Expedite,
 }
 
 /// A site that retires. It is enough that one driver of the fleet is told, at its start or by SIGHUP.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Retiring {
+pub struct SiteDrainConfig {
     /// The site's name, as its gateways give it.
     #[schemars(length(min = 1, max = 64))]
     pub site: String,
@@ -53,20 +60,21 @@
     #[schemars(range(min = 1))]
     pub number: u64,
     #[serde(default)]
-    pub order: Pace,
+    pub order: DrainOrder,
     /// By when it is to be empty, in Unix seconds. It is told where that cannot be.
     pub by: u64,
 }
 
-/// What drivers decide in common. Off by default; needs `fellows`. Read at the start only, but for `cuts` and `retire`.
+/// What drivers decide in common. Off by default; needs `membership`. Read at the start only, but for `cuts` and `site_drain`.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Council {
+pub struct CoordinationConfig {
     /// The names of 3, 5 or 7 drivers, the same at all of them: a majority says who holds a duty.
     #[schemars(length(min = 3, max = 7))]
     pub voters: Vec<String>,
     /// The duties that this fleet has; the same at all drivers.
-    pub duties: Vec<Duty>,
+    #[serde(alias = "duties")]
+    pub leases: Vec<LeaseKind>,
     /// For how long a duty is granted at a time; the same at all drivers.
     #[serde(default = "three_seconds")]
     #[schemars(range(min = 500, max = 60000))]
@@ -78,44 +86,47 @@
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub cuts: BTreeMap<u64, Vec<String>>,
     /// Sites that retire; needs the duty `retire`, and a gateway at the drivers of each site.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub retire: Vec<Retiring>,
+    #[serde(default, skip_serializing_if = "Vec::is_empty", alias = "retire")]
+    pub site_drain: Vec<SiteDrainConfig>,
 }
 
 fn three_seconds() -> u32 {
     3000
 }
 
-impl Council {
+impl CoordinationConfig {
     /// What cannot be meant, with its field's path.
-    pub(crate) fn check(&self) -> Result<(), Wrong> {
+    pub(crate) fn check(&self) -> Result<(), OperatorError> {
         if !matches!(self.voters.len(), 3 | 5 | 7) {
-            return Err(Wrong::Voters(self.voters.len()));
+            return Err(OperatorError::VoterCount(self.voters.len()));
         }
         for (at, name) in self.voters.iter().enumerate() {
-            let path = format!("council.voters[{at}]");
-            Wrong::name(&path, name)?;
+            let path = format!("coordination.voters[{at}]");
+            OperatorError::check_name(&path, name)?;
             if self.voters[..at].contains(name) {
-                return Err(Wrong::Twice { path, name: name.clone() });
+                return Err(OperatorError::Duplicate { path, name: name.clone() });
             }
         }
-        if self.duties.is_empty() {
-            return Err(Wrong::needed("council.duties", "or leave `council` out"));
+        if self.leases.is_empty() {
+            return Err(OperatorError::missing("coordination.leases", "or leave `coordination` out"));
         }
-        if !self.retire.is_empty() && !self.duties.contains(&Duty::Retire) {
-            return Err(Wrong::needed(
-                "council.duties",
+        if !self.site_drain.is_empty() && !self.leases.contains(&LeaseKind::SiteDrain) {
+            return Err(OperatorError::missing(
+                "coordination.leases",
                 "with `retire` among them, as sites are named that retire",
             ));
         }
-        for (at, one) in self.retire.iter().enumerate() {
-            let path = format!("council.retire[{at}]");
-            Wrong::name(&format!("{path}.site"), &one.site)?;
-            Wrong::range(&format!("{path}.number"), one.number, 1, u64::MAX)?;
-            if self.retire[..at].iter().any(|other| other.site == one.site) {
-                return Err(Wrong::Twice { path: format!("{path}.site"), name: one.site.clone() });
+        for (at, one) in self.site_drain.iter().enumerate() {
+            let path = format!("coordination.site_drain[{at}]");
+            OperatorError::check_name(&format!("{path}.site"), &one.site)?;
+            OperatorError::check_range(&format!("{path}.number"), one.number, 1, u64::MAX)?;
+            if self.site_drain[..at].iter().any(|other| other.site == one.site) {
+                return Err(OperatorError::Duplicate {
+                    path: format!("{path}.site"),
+                    name: one.site.clone(),
+                });
             }
         }
-        Wrong::range("council.lease_ms", self.lease_ms.into(), 500, 60_000)
+        OperatorError::check_range("coordination.lease_ms", self.lease_ms.into(), 500, 60_000)
     }
 }
--- a/crates/operator-config/src/gateway.rs
+++ b/crates/operator-config/src/gateway.rs
@@ -5,7 +5,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use crate::Wrong;
+use crate::OperatorError;
 
 /// Another site.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
@@ -29,7 +29,7 @@
 /// Requests that cross between sites.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Gateway {
+pub struct GatewayConfig {
     /// The name of this site.
     #[schemars(length(min = 1, max = 64))]
     pub site: String,
@@ -54,34 +54,43 @@
     pub status: Option<String>,
 }
 
-impl Gateway {
+impl GatewayConfig {
     /// What cannot be meant, with its field's path.
-    pub(crate) fn check(&self) -> Result<(), Wrong> {
-        Wrong::name("gateway.site", &self.site)?;
+    pub(crate) fn check(&self) -> Result<(), OperatorError> {
+        OperatorError::check_name("gateway.site", &self.site)?;
         let mut seen = BTreeSet::from([self.site.as_str()]);
         for (at, peer) in self.peers.iter().enumerate() {
             let path = format!("gateway.peers[{at}]");
-            Wrong::name(&format!("{path}.site"), &peer.site)?;
+            OperatorError::check_name(&format!("{path}.site"), &peer.site)?;
             if !seen.insert(&peer.site) {
-                return Err(Wrong::Twice { path: format!("{path}.site"), name: peer.site.clone() });
+                return Err(OperatorError::Duplicate {
+                    path: format!("{path}.site"),
+                    name: peer.site.clone(),
+                });
             }
             if let Some(own) = self.listen
                 && let Some(place) = peer.addresses.iter().position(|&address| loops(own, address))
             {
-                return Err(Wrong::Itself(format!("{path}.addresses[{place}]")));
+                return Err(OperatorError::OwnAddress(format!("{path}.addresses[{place}]")));
             }
             if peer.addresses.is_empty() && peer.networks.is_empty() {
-                return Err(Wrong::needed(&path, "addresses to go to, or networks to be asked from"));
+                return Err(OperatorError::missing(
+                    &path,
+                    "addresses to go to, or networks to be asked from",
+                ));
             }
-            Wrong::range(&format!("{path}.links"), peer.links.unwrap_or(1).into(), 1, 16)?;
+            OperatorError::check_range(&format!("{path}.links"), peer.links.unwrap_or(1).into(), 1, 16)?;
         }
-        self.session.as_ref().map_or(Ok(()), |name| Wrong::name("gateway.session", name))?;
+        self.session.as_ref().map_or(Ok(()), |name| OperatorError::check_name("gateway.session", name))?;
         let homeless = self.homes.iter().find(|(_, site)| !seen.contains(site.as_str()));
         if let Some((group, site)) = homeless {
-            return Err(Wrong::NoSite { path: format!("gateway.homes.{group}"), site: site.clone() });
+            return Err(OperatorError::UnknownSite {
+                path: format!("gateway.homes.{group}"),
+                site: site.clone(),
+            });
         }
-        Wrong::range("gateway.credit", self.credit.unwrap_or(1).into(), 1, u32::MAX.into())?;
-        Wrong::range("gateway.hops", self.hops.unwrap_or(1).into(), 1, 8)
+        OperatorError::check_range("gateway.credit", self.credit.unwrap_or(1).into(), 1, u32::MAX.into())?;
+        OperatorError::check_range("gateway.hops", self.hops.unwrap_or(1).into(), 1, 8)
     }
 }
 
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -3,25 +3,25 @@
 //! Every field may be left out. Unknown fields and wrong values are named by their path. The schema is made from
 //! the types below.
 
-mod council;
-mod fellows;
+mod coordination;
+mod error;
 mod gateway;
+mod membership;
+mod shadow;
 mod slow_peers;
-mod trial;
-mod warm;
-mod wrong;
+mod warm_start;
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-pub use council::{Council, Duty, Pace, Retiring};
-pub use fellows::{FellowAt, Fellows};
-pub use gateway::{Gateway, PeerSite};
+pub use coordination::{CoordinationConfig, DrainOrder, LeaseKind, SiteDrainConfig};
+pub use error::OperatorError;
+pub use gateway::{GatewayConfig, PeerSite};
 pub use ipnet::IpNet;
-pub use slow_peers::{Connections, Level, Rate, SlowPeers};
-pub use trial::Trial;
-pub use warm::Warm;
-pub use wrong::Wrong;
+pub use membership::{MembershipConfig, SeedPeer};
+pub use shadow::ShadowConfig;
+pub use slow_peers::{AddressLimits, MinimumRate, ShortageLevel, SlowPeersConfig};
+pub use warm_start::WarmStartConfig;
 
 /// The operator's own file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize, JsonSchema)]
@@ -32,44 +32,49 @@
     pub schema: Option<String>,
     /// What may wait for clients and members that move slowly, and when they are cut off.
     #[serde(default)]
-    pub slow_peers: SlowPeers,
+    pub slow_peers: SlowPeersConfig,
     /// Requests that cross between sites. Off by default. Read at the start only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub gateway: Option<Gateway>,
+    pub gateway: Option<GatewayConfig>,
     /// Settings of another shape that are only watched. Off by default.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub trial: Option<Trial>,
+    #[serde(default, skip_serializing_if = "Option::is_none", alias = "trial")]
+    pub shadow: Option<ShadowConfig>,
     /// What is kept over a restart. Off by default. Read at the start only.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub warm: Option<Warm>,
+    #[serde(default, skip_serializing_if = "Option::is_none", alias = "warm")]
+    pub warm_start: Option<WarmStartConfig>,
     /// Whether time in which the machine is suspended counts as time. Off by default. Read at the start only.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub suspension: bool,
     /// Drivers that know of one another. Off by default. Read at the start only.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub fellows: Option<Fellows>,
-    /// What drivers decide in common. Off by default; needs `fellows`. Read at the start only, but for `cuts` and `retire`.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub council: Option<Council>,
+    #[serde(default, skip_serializing_if = "Option::is_none", alias = "fellows")]
+    pub membership: Option<MembershipConfig>,
+    /// What drivers decide in common. Off by default; needs `membership`. Read at the start only, but for `cuts` and `site_drain`.
+    #[serde(default, skip_serializing_if = "Option::is_none", alias = "council")]
+    pub coordination: Option<CoordinationConfig>,
 }
 
 impl Operator {
     /// Reads the text of such a file; what is wrong is said with the field's path.
-    pub fn parse(text: &str) -> Result<Operator, Wrong> {
+    pub fn parse(text: &str) -> Result<Operator, OperatorError> {
         let mut reader = serde_json::Deserializer::from_str(text);
         let read = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
             let path = error.path().to_string();
-            Wrong::Form { path, why: error.into_inner().to_string() }
+            OperatorError::Format { path, reason: error.into_inner().to_string() }
         })?;
-        reader.end().map_err(|error| Wrong::Form { path: "end".to_owned(), why: error.to_string() })?;
+        reader
+            .end()
+            .map_err(|error| OperatorError::Format { path: "end".to_owned(), reason: error.to_string() })?;
         let read: Operator = read;
-        read.gateway.as_ref().map_or(Ok(()), Gateway::check)?;
-        read.trial.as_ref().map_or(Ok(()), Trial::check)?;
-        read.warm.as_ref().map_or(Ok(()), Warm::check)?;
-        read.fellows.as_ref().map_or(Ok(()), Fellows::check)?;
-        read.council.as_ref().map_or(Ok(()), Council::check)?;
-        if read.council.is_some() && read.fellows.is_none() {
-            return Err(Wrong::needed("fellows", "as drivers of a council speak to each other over it"));
+        read.gateway.as_ref().map_or(Ok(()), GatewayConfig::check)?;
+        read.shadow.as_ref().map_or(Ok(()), ShadowConfig::check)?;
+        read.warm_start.as_ref().map_or(Ok(()), WarmStartConfig::check)?;
+        read.membership.as_ref().map_or(Ok(()), MembershipConfig::check)?;
+        read.coordination.as_ref().map_or(Ok(()), CoordinationConfig::check)?;
+        if read.coordination.is_some() && read.membership.is_none() {
+            return Err(OperatorError::missing(
+                "membership",
+                "as proxies that coordinate speak to each other over it",
+            ));
         }
         Ok(read)
     }
--- a/crates/operator-config/src/trial.rs
+++ b/crates/operator-config/src/shadow.rs
@@ -1,12 +1,12 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use crate::Wrong;
+use crate::OperatorError;
 
 /// Settings of another shape, under which a sample of the decisions is made a second time and only counted.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Trial {
+pub struct ShadowConfig {
     /// A file with such settings, in the form of the configuration's `settings`.
     pub settings: String,
     /// One in so many decisions is compared; ten by default.
@@ -17,11 +17,11 @@
     pub every_s: Option<u32>,
 }
 
-impl Trial {
+impl ShadowConfig {
     /// What cannot be meant, with its field's path.
-    pub(crate) fn check(&self) -> Result<(), Wrong> {
-        for (field, value) in [("trial.one_in", self.one_in), ("trial.every_s", self.every_s)] {
-            Wrong::range(field, value.unwrap_or(1).into(), 1, u32::MAX.into())?;
+    pub(crate) fn check(&self) -> Result<(), OperatorError> {
+        for (field, value) in [("shadow.one_in", self.one_in), ("shadow.every_s", self.every_s)] {
+            OperatorError::check_range(field, value.unwrap_or(1).into(), 1, u32::MAX.into())?;
         }
         Ok(())
     }
--- a/crates/operator-config/src/slow_peers.rs
+++ b/crates/operator-config/src/slow_peers.rs
@@ -4,7 +4,7 @@
 /// The least that a peer must move while something waits for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
-pub struct Rate {
+pub struct MinimumRate {
     /// Bytes a second.
     #[schemars(range(min = 1))]
     pub bytes_a_second: Option<u64>,
@@ -17,7 +17,7 @@
 /// When room counts as short.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Level {
+pub struct ShortageLevel {
     /// From this share of the room on.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub enter: f64,
@@ -29,8 +29,8 @@
 /// What one address may have. Leave it out where a front stands before the driver and all clients have its address.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Connections {
-    /// Connections at once.
+pub struct AddressLimits {
+    /// AddressLimits at once.
     #[schemars(range(min = 1))]
     pub connections: u32,
     /// What they may hold together, in KiB.
@@ -40,26 +40,26 @@
 /// What may wait for clients and members that move slowly, and when they are cut off.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
-pub struct SlowPeers {
+pub struct SlowPeersConfig {
     /// All that may wait, in the program and in the system's buffers, in KiB. Half of the memory by default.
     pub room_kib: Option<u64>,
     /// What one connection may hold of it, in KiB. A quarter of the room by default.
     pub connection_kib: Option<u64>,
     /// What one address may have. Off by default.
-    pub per_address: Option<Connections>,
+    pub per_address: Option<AddressLimits>,
     /// The share of the room that only requests of the best paid request class may use.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub best_paid_share: Option<f64>,
     /// When room counts as short.
-    pub short: Option<Level>,
+    pub short: Option<ShortageLevel>,
     /// Clients that are to read an answer.
-    pub reading: Rate,
+    pub reading: MinimumRate,
     /// Clients that are to send the rest of a statement.
-    pub sending: Rate,
+    pub sending: MinimumRate,
     /// Members that have begun an answer.
-    pub answering: Rate,
+    pub answering: MinimumRate,
     /// Members that are to take a statement.
-    pub taking: Rate,
+    pub taking: MinimumRate,
     /// How long an answer waits for room at most, in milliseconds: its attempt holds a place at a member
     /// meanwhile.
     pub patience_ms: Option<u32>,
--- a/crates/operator-config/tests/operator.rs
+++ b/crates/operator-config/tests/operator.rs
@@ -41,52 +41,58 @@
 #[test]
 fn fellows_that_cannot_be_meant_are_refused_with_their_path() {
     let said = |more: &str| {
-        let text = format!(r#"{{"fellows":{{"fleet":"f","networks":["127.0.0.0/8"],{more}}}}}"#);
+        let text = format!(r#"{{"membership":{{"fleet":"f","networks":["127.0.0.0/8"],{more}}}}}"#);
         Operator::parse(&text).map(|_| ())
     };
     assert!(said(r#""listen":"127.0.0.1:7000""#).is_ok());
-    assert!(said(r#""listen":"0.0.0.0:7000""#).unwrap_err().to_string().starts_with("fellows.address: "));
+    assert!(said(r#""listen":"0.0.0.0:7000""#).unwrap_err().to_string().starts_with("membership.address: "));
     assert!(said(r#""listen":"0.0.0.0:7000","address":"10.0.0.1:7000""#).is_ok());
     let nobody = r#""listen":"127.0.0.1:7000","peers":[{"name":"a","address":"127.0.0.1:0"}]"#;
-    assert!(said(nobody).unwrap_err().to_string().starts_with("fellows.peers[0].address: "));
+    assert!(said(nobody).unwrap_err().to_string().starts_with("membership.peers[0].address: "));
     assert!(
         said(r#""listen":"127.0.0.1:7000","status":7"#)
             .unwrap_err()
             .to_string()
-            .starts_with("fellows.status: ")
+            .starts_with("membership.status: ")
     );
 }
 
 #[test]
 fn a_council_that_cannot_be_meant_is_refused_with_its_path() {
-    let fellows = r#""fellows":{"fleet":"f","listen":"127.0.0.1:7000","networks":["127.0.0.0/8"]}"#;
+    let fellows = r#""membership":{"fleet":"f","listen":"127.0.0.1:7000","networks":["127.0.0.0/8"]}"#;
     let said = |council: &str| {
-        Operator::parse(&format!(r#"{{{fellows},"council":{{{council}}}}}"#))
+        Operator::parse(&format!(r#"{{{fellows},"coordination":{{{council}}}}}"#))
             .map(|_| ())
             .unwrap_err()
             .to_string()
     };
     let three = r#""voters":["a","b","c"]"#;
-    let whole = format!(r#""council":{{{three},"duties":["zones"]}}"#);
+    let whole = format!(r#""coordination":{{{three},"leases":["zones"]}}"#);
     assert!(Operator::parse(&format!(r#"{{{fellows},{whole}}}"#)).is_ok());
     assert!(
-        Operator::parse(&format!(r#"{{{whole}}}"#)).unwrap_err().to_string().starts_with("fellows: needed")
+        Operator::parse(&format!(r#"{{{whole}}}"#))
+            .unwrap_err()
+            .to_string()
+            .starts_with("membership: needed")
+    );
+    assert!(said(r#""voters":["a","b"],"leases":["zones"]"#).starts_with("coordination.voters: "));
+    assert!(said(r#""voters":["a","b","a"],"leases":["zones"]"#).starts_with("coordination.voters[2]: "));
+    assert!(said(&format!(r#"{three},"leases":[]"#)).starts_with("coordination.leases: "));
+    assert!(said(&format!(r#"{three},"leases":["work"]"#)).starts_with("coordination.leases[0]: "));
+    assert!(
+        said(&format!(r#"{three},"leases":["zones"],"lease_ms":20"#)).starts_with("coordination.lease_ms: ")
     );
-    assert!(said(r#""voters":["a","b"],"duties":["zones"]"#).starts_with("council.voters: "));
-    assert!(said(r#""voters":["a","b","a"],"duties":["zones"]"#).starts_with("council.voters[2]: "));
-    assert!(said(&format!(r#"{three},"duties":[]"#)).starts_with("council.duties: "));
-    assert!(said(&format!(r#"{three},"duties":["work"]"#)).starts_with("council.duties[0]: "));
-    assert!(said(&format!(r#"{three},"duties":["zones"],"lease_ms":20"#)).starts_with("council.lease_ms: "));
     let word = r#"{"site":"a","number":1,"by":1}"#;
     assert!(
-        said(&format!(r#"{three},"duties":["zones"],"retire":[{word}]"#)).starts_with("council.duties: ")
+        said(&format!(r#"{three},"leases":["zones"],"site_drain":[{word}]"#))
+            .starts_with("coordination.leases: ")
     );
-    let twice = format!(r#"{three},"duties":["retire"],"retire":[{word},{word}]"#);
-    assert!(said(&twice).starts_with("council.retire[1].site: "));
+    let twice = format!(r#"{three},"leases":["retire"],"site_drain":[{word},{word}]"#);
+    assert!(said(&twice).starts_with("coordination.site_drain[1].site: "));
     let nought = word.replace(":1,", ":0,");
     assert!(
-        said(&format!(r#"{three},"duties":["retire"],"retire":[{nought}]"#))
-            .starts_with("council.retire[0].number: ")
+        said(&format!(r#"{three},"leases":["retire"],"site_drain":[{nought}]"#))
+            .starts_with("coordination.site_drain[0].number: ")
     );
 }
 
--- a/crates/proxy/src/coordination/lease_work.rs
+++ b/crates/proxy/src/coordination/lease_work.rs
@@ -4,7 +4,7 @@
 
 use aldermill_directives::{DirectiveStore, LIFETIME, Micros, Reports, Topic};
 use aldermill_leases::Term;
-use aldermill_operator_config::Council as Config;
+use aldermill_operator_config::CoordinationConfig as Config;
 use aldermill_site_drain::Plan;
 use aldermill_zone_failover::{Group, Lean};
 use slog::warn;
@@ -169,7 +169,7 @@
     /// The operator's file was read again.
     pub fn reconfigure(&mut self, now: Micros, config: Config) {
         if let Some(work) = &mut self.site_drain {
-            work.reconfigure(&config.retire);
+            work.reconfigure(&config.site_drain);
         }
         if let Some(work) = &mut self.split_points {
             work.reconfigure(now, &config.cuts);
--- a/crates/proxy/src/coordination/mod.rs
+++ b/crates/proxy/src/coordination/mod.rs
@@ -20,7 +20,7 @@
 };
 use aldermill_leases::{Actions, ConfigError, Incarnation, LeaseChange, LeaseConfig, Outgoing, Participant};
 use aldermill_membership::Fellow;
-use aldermill_operator_config::Council as Config;
+use aldermill_operator_config::CoordinationConfig as Config;
 use rand::seq::IteratorRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -96,7 +96,7 @@
         log: Logger,
     ) -> Result<(Coordination, mpsc::Receiver<bool>), ConfigError> {
         let now = at.now;
-        let leases: Vec<String> = config.duties.iter().map(|duty| duty.name().to_owned()).collect();
+        let leases: Vec<String> = config.leases.iter().map(|duty| duty.name().to_owned()).collect();
         let lease_config = LeaseConfig {
             voters: config.voters,
             leases: leases.clone(),
@@ -113,7 +113,7 @@
         let split_points = has(split_points::LEASE).then(|| SplitPointWork::start(config.cuts, log.clone()));
         let durable = records.is_some();
         let site_drain = has(site_drain::LEASE)
-            .then(|| SiteDrainWork::start(now, &config.retire, longest_timeout, durable, log.clone()));
+            .then(|| SiteDrainWork::start(now, &config.site_drain, longest_timeout, durable, log.clone()));
         let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(7));
         let mut coordination = Coordination {
             own,
--- a/crates/proxy/src/coordination/site_drain.rs
+++ b/crates/proxy/src/coordination/site_drain.rs
@@ -5,7 +5,7 @@
 
 use aldermill_directives::{DirectiveStore, LIFETIME, Micros, ReceivedReport, Topic};
 use aldermill_leases::Term;
-use aldermill_operator_config::{Pace, Retiring};
+use aldermill_operator_config::{DrainOrder, SiteDrainConfig};
 use aldermill_site_drain::{Holder, Keeps, Obeyed, Order, Place, Plan, Told, Word};
 use serde_json::{Value, json};
 use slog::{Logger, info};
@@ -57,14 +57,14 @@
     log: Logger,
 }
 
-fn orders(configured: &[Retiring]) -> Vec<Word> {
+fn orders(configured: &[SiteDrainConfig]) -> Vec<Word> {
     let order = |pace| match pace {
-        Pace::Goes => Order::Goes,
-        Pace::Held => Order::Held,
-        Pace::TakenBack => Order::TakenBack,
-        Pace::Hurried => Order::Hurried,
+        DrainOrder::Run => Order::Goes,
+        DrainOrder::Pause => Order::Held,
+        DrainOrder::Cancel => Order::TakenBack,
+        DrainOrder::Expedite => Order::Hurried,
     };
-    let word = |one: &Retiring| Word {
+    let word = |one: &SiteDrainConfig| Word {
         site: one.site.clone(),
         number: one.number,
         order: order(one.order),
@@ -87,7 +87,7 @@
     /// there is a folder.
     pub fn start(
         now: Micros,
-        configured: &[Retiring],
+        configured: &[SiteDrainConfig],
         longest_timeout: Micros,
         durable: bool,
         log: Logger,
@@ -148,7 +148,7 @@
     }
 
     /// The operator's file was read again.
-    pub fn reconfigure(&mut self, configured: &[Retiring]) {
+    pub fn reconfigure(&mut self, configured: &[SiteDrainConfig]) {
         self.orders = orders(configured);
     }
 
--- a/crates/proxy/src/gateway/mod.rs
+++ b/crates/proxy/src/gateway/mod.rs
@@ -7,7 +7,7 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-use aldermill_operator_config::{Gateway, IpNet};
+use aldermill_operator_config::{GatewayConfig, IpNet};
 use aldermill_site_link::{Bounds, Identity};
 use thiserror::Error;
 use tokio::io::AsyncWriteExt;
@@ -47,7 +47,7 @@
 }
 
 impl LinkRegistry {
-    pub fn new(own: Identity, gateway: &Gateway, bounds: Bounds) -> Rc<LinkRegistry> {
+    pub fn new(own: Identity, gateway: &GatewayConfig, bounds: Bounds) -> Rc<LinkRegistry> {
         let peers = gateway.peers.iter();
         let peers = peers.map(|peer| Allowed { site: peer.site.clone(), networks: peer.networks.clone() });
         Rc::new(LinkRegistry { own, peers: peers.collect(), bounds, next: Cell::new(0) })
--- a/crates/proxy/src/lifecycle/configuration.rs
+++ b/crates/proxy/src/lifecycle/configuration.rs
@@ -1,7 +1,10 @@
 use std::net::SocketAddr;
 
 use aldermill_flow_control::{Bounds, Least, PerAddress};
-use aldermill_operator_config::{Council, Fellows, Gateway, Operator, Rate, SlowPeers, Warm};
+use aldermill_operator_config::{
+    CoordinationConfig, GatewayConfig, MembershipConfig, MinimumRate, Operator, SlowPeersConfig,
+    WarmStartConfig,
+};
 use aldermill_settings::Decoded;
 use serde::Deserialize;
 use serde_json::Value;
@@ -46,11 +49,11 @@
     pub seed: u64,
     pub limits: Limits,
     pub bounds: Bounds,
-    pub gateway: Option<Gateway>,
+    pub gateway: Option<GatewayConfig>,
     pub trial: Option<ShadowRouter>,
-    pub warm: Option<Warm>,
-    pub fellows: Option<Fellows>,
-    pub council: Option<Council>,
+    pub warm: Option<WarmStartConfig>,
+    pub fellows: Option<MembershipConfig>,
+    pub council: Option<CoordinationConfig>,
     pub suspension: bool,
     pub memory: u64,
     pub known: Option<EndpointList>,
@@ -76,7 +79,7 @@
         let unclear = |why| ProgramError::Config { path: files.config.clone(), why };
         let mut start = Start::parse(&text(&files.config)?, env, &operator).map_err(unclear)?;
         let path = || files.operator.as_ref().unwrap_or(&files.config).clone();
-        if let Some(wanted) = &operator.trial {
+        if let Some(wanted) = &operator.shadow {
             let trial = ShadowRouter::read(wanted, &start.decoded);
             start.trial = Some(trial.map_err(|why| ProgramError::Trial { path: path(), why })?);
         }
@@ -125,10 +128,13 @@
             ("settings", value(&form.settings)),
             ("gateway", serde_json::to_value(&operator.gateway).unwrap_or_default()),
             ("slow_peers.buffer_kib", operator.slow_peers.buffer_kib.into()),
-            ("warm", serde_json::to_value(&operator.warm).unwrap_or_default()),
+            ("warm", serde_json::to_value(&operator.warm_start).unwrap_or_default()),
             ("suspension", operator.suspension.into()),
-            ("fellows", serde_json::to_value(&operator.fellows).unwrap_or_default()),
-            ("council", serde_json::to_value(operator.council.as_ref().map(lasting)).unwrap_or_default()),
+            ("fellows", serde_json::to_value(&operator.membership).unwrap_or_default()),
+            (
+                "council",
+                serde_json::to_value(operator.coordination.as_ref().map(lasting)).unwrap_or_default(),
+            ),
         ];
         Ok(Start {
             fixed,
@@ -140,9 +146,9 @@
             bounds: Bounds::usual(memory_mb as u64 * 1024 * 1024),
             gateway: operator.gateway.clone(),
             trial: None,
-            warm: operator.warm.clone(),
-            fellows: operator.fellows.clone(),
-            council: operator.council.clone(),
+            warm: operator.warm_start.clone(),
+            fellows: operator.membership.clone(),
+            council: operator.coordination.clone(),
             suspension: operator.suspension,
             memory: memory_mb as u64 * 1024 * 1024,
             known: form.known,
@@ -152,15 +158,15 @@
 }
 
 /// A council without what may change while the program runs.
-fn lasting(council: &Council) -> Council {
-    Council { cuts: Default::default(), retire: Vec::new(), ..council.clone() }
+fn lasting(council: &CoordinationConfig) -> CoordinationConfig {
+    CoordinationConfig { cuts: Default::default(), site_drain: Vec::new(), ..council.clone() }
 }
 
 /// The usual limits, but for what the operator's file says otherwise.
-fn bounded(usual: Bounds, wanted: &SlowPeers) -> Bounds {
+fn bounded(usual: Bounds, wanted: &SlowPeersConfig) -> Bounds {
     const KIB: u64 = 1024;
     let micros = |millis: u32| i64::from(millis) * 1000;
-    let least = |usual: Least, wanted: Rate| Least {
+    let least = |usual: Least, wanted: MinimumRate| Least {
         rate: wanted.bytes_a_second.map_or(usual.rate, |rate| rate.max(1)),
         start: wanted.start_ms.map_or(usual.start, micros),
         window: wanted.window_ms.map_or(usual.window, micros),
--- a/crates/proxy/src/lifecycle/errors.rs
+++ b/crates/proxy/src/lifecycle/errors.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use aldermill_operator_config::Wrong;
+use aldermill_operator_config::OperatorError;
 use aldermill_settings::Trouble;
 use thiserror::Error;
 
@@ -12,7 +12,7 @@
     #[error("{path}: {why}; see that the file is there and may be read")]
     File { path: String, why: io::Error },
     #[error("{path}: {why}")]
-    Operator { path: String, why: Wrong },
+    Operator { path: String, why: OperatorError },
     #[error("{path}: {why}")]
     Config { path: String, why: ConfigurationError },
     #[error("{path}: trial.settings: {why}")]
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_operator_config::Council;
+use aldermill_operator_config::CoordinationConfig;
 use slog::{Logger, info, warn};
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, watch};
@@ -19,7 +19,7 @@
     pub flow_control: Rc<FlowControl>,
     pub dispatcher: mpsc::Sender<DispatcherMessage>,
     /// What drivers decide in common, as the operator's file has it now.
-    pub council: watch::Sender<Option<Council>>,
+    pub council: watch::Sender<Option<CoordinationConfig>>,
     pub log: Logger,
 }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -20,7 +20,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use aldermill_operator_config::{Duty, Gateway, Operator};
+use aldermill_operator_config::{GatewayConfig, LeaseKind, Operator};
 use aldermill_settings::Decoded;
 use aldermill_site_link::{Bounds as LinkBounds, Identity};
 use aldermill_stall_detection::apart;
@@ -291,7 +291,7 @@
     };
     let warm_state = WarmState { recalled: recalled.beliefs, keeping };
     let observations = council.as_ref().map(|council| {
-        let splits = council.duties.contains(&Duty::Splits);
+        let splits = council.leases.contains(&LeaseKind::SplitPoints);
         Observations::start(clock.now(), seed.rotate_left(24), splits)
     });
     let mut bound = Vec::new();
@@ -346,7 +346,7 @@
 async fn open_gateway(
     context: &Rc<ProcessContext>,
     decoded: &Decoded,
-    gateway: Gateway,
+    gateway: GatewayConfig,
     name: &str,
     seed: u64,
     room: usize,
--- a/crates/proxy/src/membership/actor.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -6,7 +6,7 @@
 
 use aldermill_leases::Incarnation;
 use aldermill_membership::{Actions, Change, Dropped, Fellow, Micros, Own, Peer, Tempo, View};
-use aldermill_operator_config::{Council as Wanted, Fellows as Terms};
+use aldermill_operator_config::{CoordinationConfig as Wanted, MembershipConfig as Terms};
 use aldermill_site_drain::Plan;
 use serde_json::{Value, json};
 use slog::{info, warn};
--- a/crates/proxy/src/persistence/mod.rs
+++ b/crates/proxy/src/persistence/mod.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_operator_config::Warm;
+use aldermill_operator_config::WarmStartConfig;
 use aldermill_warm_start::{Beliefs, Recalled};
 use slog::{Logger, warn};
 use tokio::sync::{oneshot, watch};
@@ -33,7 +33,7 @@
 
 /// Opens the folder and starts its keeper. Where that fails, which the log then says, it is tried again for as long as
 /// the process lives, and the folder's users hold back what they could claim by it alone.
-pub async fn start(warm: &Warm, name: &str, memory: u64, clock: Clock, log: &Logger) -> Warmed {
+pub async fn start(warm: &WarmStartConfig, name: &str, memory: u64, clock: Clock, log: &Logger) -> Warmed {
     let (keeping, beliefs) = watch::channel(None);
     let opener = Opener::new(Path::new(&warm.folder), name, memory, clock, log, beliefs);
     let folder = opener.folder.clone();
--- a/crates/proxy/src/shadow/mod.rs
+++ b/crates/proxy/src/shadow/mod.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use aldermill_operator_config::Trial as Wanted;
+use aldermill_operator_config::ShadowConfig as Wanted;
 use aldermill_routing::{Action, Actions, Handle, Router, Terms};
 use aldermill_settings::Decoded;
 use slog::{Logger, info};
--- a/crates/proxy/tests/trial.rs
+++ b/crates/proxy/tests/trial.rs
@@ -9,7 +9,7 @@
 #[allow(dead_code, reason = "the program uses the rest")]
 mod trial;
 
-use aldermill_operator_config::Trial as Wanted;
+use aldermill_operator_config::ShadowConfig as Wanted;
 use aldermill_routing::{
     Action, Actions, Listed, MemberReport, Outcome, Request, Role, Router, Standing, Verdict,
 };
