--- a/crates/membership/src/frame.rs
+++ b/crates/membership/src/frame.rs
@@ -28,7 +28,7 @@
 use fnv::FnvHasher;
 use foca::{Header, Member, Message, State};
 
-use crate::Fellow;
+use crate::Peer;
 
 pub const VERSION: u8 = 1;
 const MAGIC: u16 = 0xA1DF;
@@ -39,10 +39,10 @@
 
 /// A datagram that is none of ours, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Foreign {
-    NotOurs,
-    Version,
-    Fleet,
+pub enum RejectReason {
+    NotMembership,
+    UnsupportedVersion,
+    UnknownFleet,
 }
 
 /// The fleet's name as it stands in datagrams: FNV-1a. It tells fleets apart that were given each other's addresses by
@@ -55,12 +55,12 @@
 
 /// What a datagram holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Inner<'a> {
+pub enum Content<'a> {
     /// Of the protocol's own, with its sender.
-    Gossip(&'a [u8], Fellow),
+    Gossip(&'a [u8], Peer),
     /// What another package's other side said, with its sender.
-    Word(&'a [u8], Fellow),
-    LaterStart(Fellow),
+    Payload(&'a [u8], Peer),
+    LaterStart(Peer),
 }
 
 fn head(fleet: u64, kind: u8, length: usize) -> Vec<u8> {
@@ -78,39 +78,39 @@
     bytes
 }
 
-pub fn word(fleet: u64, own: &Fellow, words: &[u8]) -> Vec<u8> {
+pub fn word(fleet: u64, own: &Peer, words: &[u8]) -> Vec<u8> {
     let mut bytes = head(fleet, 2, 128 + words.len());
     // As below.
-    let _ = put_fellow(own, &mut bytes);
+    let _ = put_peer(own, &mut bytes);
     bytes.extend_from_slice(words);
     bytes
 }
 
-pub fn later_start(fleet: u64, of: &Fellow) -> Vec<u8> {
+pub fn later_start(fleet: u64, of: &Peer) -> Vec<u8> {
     let mut bytes = head(fleet, 1, 64);
     // A vector takes everything but a name that is too long, and such a one was never read.
-    let _ = put_fellow(of, &mut bytes);
+    let _ = put_peer(of, &mut bytes);
     bytes
 }
 
-pub fn open(fleet: u64, mut bytes: &[u8]) -> Result<Inner<'_>, Foreign> {
+pub fn open(fleet: u64, mut bytes: &[u8]) -> Result<Content<'_>, RejectReason> {
     if bytes.len() < HEAD || bytes.get_u16() != MAGIC {
-        return Err(Foreign::NotOurs);
+        return Err(RejectReason::NotMembership);
     }
     if bytes.get_u8() != VERSION {
-        return Err(Foreign::Version);
+        return Err(RejectReason::UnsupportedVersion);
     }
     if bytes.get_u64() != fleet {
-        return Err(Foreign::Fleet);
+        return Err(RejectReason::UnknownFleet);
     }
     let kind = bytes.get_u8();
     let mut rest = bytes;
-    let fellow = get_fellow(&mut rest).map_err(|_| Foreign::NotOurs)?;
+    let fellow = get_peer(&mut rest).map_err(|_| RejectReason::NotMembership)?;
     match kind {
-        0 => Ok(Inner::Gossip(bytes, fellow)),
-        2 => Ok(Inner::Word(rest, fellow)),
-        1 => Ok(Inner::LaterStart(fellow)),
-        _ => Err(Foreign::NotOurs),
+        0 => Ok(Content::Gossip(bytes, fellow)),
+        2 => Ok(Content::Payload(rest, fellow)),
+        1 => Ok(Content::LaterStart(fellow)),
+        _ => Err(RejectReason::NotMembership),
     }
 }
 
@@ -128,10 +128,10 @@
 
 /// Reads and writes what is inside. It knows who listens here, and notes another start of the own name.
 #[derive(Clone, Debug)]
-pub struct Form {
-    pub own: Rc<RefCell<Fellow>>,
+pub struct GossipCodec {
+    pub own: Rc<RefCell<Peer>>,
     /// The latest start of the own name that anybody told of, if it is later than this one.
-    pub later_self: Rc<RefCell<Option<Fellow>>>,
+    pub later_self: Rc<RefCell<Option<Peer>>>,
 }
 
 type Done<T> = Result<T, Malformed>;
@@ -144,7 +144,7 @@
     if buf.remaining_mut() < bytes { Err(Malformed) } else { Ok(()) }
 }
 
-fn put_fellow(fellow: &Fellow, buf: &mut impl BufMut) -> Done<()> {
+fn put_peer(fellow: &Peer, buf: &mut impl BufMut) -> Done<()> {
     let name = fellow.name.as_bytes();
     if name.len() > NAME {
         return Err(Malformed);
@@ -168,7 +168,7 @@
     Ok(())
 }
 
-fn get_fellow(buf: &mut impl Buf) -> Done<Fellow> {
+fn get_peer(buf: &mut impl Buf) -> Done<Peer> {
     need(buf, 1)?;
     let length = buf.get_u8() as usize;
     need(buf, length + 11)?;
@@ -184,11 +184,11 @@
         _ => return Err(Malformed),
     };
     let address = SocketAddr::new(ip, buf.get_u16());
-    Ok(Fellow { name: name.into(), start, turn, address })
+    Ok(Peer { name: name.into(), start, turn, address })
 }
 
-impl Form {
-    fn met(&self, fellow: &Fellow) {
+impl GossipCodec {
+    fn met(&self, fellow: &Peer) {
         let own = self.own.borrow();
         let mut later = self.later_self.borrow_mut();
         if fellow.name == own.name && fellow.start > later.as_ref().map_or(own.start, |later| later.start) {
@@ -197,14 +197,14 @@
     }
 }
 
-impl foca::Codec<Fellow> for Form {
+impl foca::Codec<Peer> for GossipCodec {
     type Error = Malformed;
 
-    fn encode_header(&mut self, header: &Header<Fellow>, mut buf: impl BufMut) -> Done<()> {
-        put_fellow(&header.src, &mut buf)?;
+    fn encode_header(&mut self, header: &Header<Peer>, mut buf: impl BufMut) -> Done<()> {
+        put_peer(&header.src, &mut buf)?;
         room(&buf, 2)?;
         buf.put_u16(header.src_incarnation);
-        put_fellow(&header.dst, &mut buf)?;
+        put_peer(&header.dst, &mut buf)?;
         room(&buf, 3)?;
         match &header.message {
             Message::Ping(number) => {
@@ -234,11 +234,11 @@
         Ok(())
     }
 
-    fn decode_header(&mut self, mut buf: impl Buf) -> Done<Header<Fellow>> {
-        let src = get_fellow(&mut buf)?;
+    fn decode_header(&mut self, mut buf: impl Buf) -> Done<Header<Peer>> {
+        let src = get_peer(&mut buf)?;
         need(&buf, 2)?;
         let src_incarnation = buf.get_u16();
-        let mut dst = get_fellow(&mut buf)?;
+        let mut dst = get_peer(&mut buf)?;
         need(&buf, 1)?;
         let kind = buf.get_u8();
         let message = match kind {
@@ -248,10 +248,10 @@
                 match kind {
                     1 => Message::Ping(probe_number),
                     2 => Message::Ack(probe_number),
-                    3 => Message::PingReq { target: get_fellow(&mut buf)?, probe_number },
-                    4 => Message::IndirectPing { origin: get_fellow(&mut buf)?, probe_number },
-                    5 => Message::IndirectAck { target: get_fellow(&mut buf)?, probe_number },
-                    _ => Message::ForwardedAck { origin: get_fellow(&mut buf)?, probe_number },
+                    3 => Message::PingReq { target: get_peer(&mut buf)?, probe_number },
+                    4 => Message::IndirectPing { origin: get_peer(&mut buf)?, probe_number },
+                    5 => Message::IndirectAck { target: get_peer(&mut buf)?, probe_number },
+                    _ => Message::ForwardedAck { origin: get_peer(&mut buf)?, probe_number },
                 }
             }
             7 => Message::Announce,
@@ -268,8 +268,8 @@
         Ok(Header { src, src_incarnation, dst, message })
     }
 
-    fn encode_member(&mut self, member: &Member<Fellow>, mut buf: impl BufMut) -> Done<()> {
-        put_fellow(member.id(), &mut buf)?;
+    fn encode_member(&mut self, member: &Member<Peer>, mut buf: impl BufMut) -> Done<()> {
+        put_peer(member.id(), &mut buf)?;
         room(&buf, 3)?;
         buf.put_u16(member.incarnation());
         buf.put_u8(match member.state() {
@@ -280,8 +280,8 @@
         Ok(())
     }
 
-    fn decode_member(&mut self, mut buf: impl Buf) -> Done<Member<Fellow>> {
-        let fellow = get_fellow(&mut buf)?;
+    fn decode_member(&mut self, mut buf: impl Buf) -> Done<Member<Peer>> {
+        let fellow = get_peer(&mut buf)?;
         need(&buf, 3)?;
         let incarnation = buf.get_u16();
         let state = match buf.get_u8() {
@@ -298,9 +298,9 @@
     }
 }
 
-fn about(kind: u8, number: u8, fellow: &Fellow, buf: &mut impl BufMut) -> Done<()> {
+fn about(kind: u8, number: u8, fellow: &Peer, buf: &mut impl BufMut) -> Done<()> {
     room(buf, 2)?;
     buf.put_u8(kind);
     buf.put_u8(number);
-    put_fellow(fellow, buf)
+    put_peer(fellow, buf)
 }
--- a/crates/membership/src/fellows.rs
+++ b/crates/membership/src/membership.rs
@@ -10,10 +10,10 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::frame::{self, Foreign, Form, Inner};
-use crate::interface::{Actions, Change, Dropped, Own, Peer, Tempo};
-use crate::view::{Counted, View};
-use crate::{Fellow, Health, Micros};
+use crate::frame::{self, Content, GossipCodec, RejectReason};
+use crate::interface::{Actions, Change, DroppedDatagrams, LocalPeer, ProtocolPeriods, SeedAddress};
+use crate::snapshot::{LiveCount, Snapshot};
+use crate::{Health, Micros, Peer};
 
 /// How often somebody who is not known to live is called: what was divided finds together, and who started alone.
 const CALLING: Micros = 2_000_000;
@@ -24,22 +24,22 @@
 const ASKING: Micros = 500_000;
 const NEW: Micros = 15_000_000;
 
-type Swim = Foca<Fellow, Form, Pcg64Mcg, NoCustomBroadcast>;
+type Swim = Foca<Peer, GossipCodec, Pcg64Mcg, NoCustomBroadcast>;
 
 /// The other drivers, as this one knows of them.
-pub struct Fellows {
+pub struct Membership {
     swim: Swim,
-    form: Form,
+    form: GossipCodec,
     fleet: u64,
     networks: Vec<IpNet>,
-    peers: Vec<Peer>,
+    peers: Vec<SeedAddress>,
     /// Where those are whom the operator names.
     routes: HashMap<String, SocketAddr>,
     health: Health,
-    counted: Counted,
-    dropped: Dropped,
+    counted: LiveCount,
+    dropped: DroppedDatagrams,
     /// By when, in their order.
-    timers: BTreeMap<(Micros, u64), Timer<Fellow>>,
+    timers: BTreeMap<(Micros, u64), Timer<Peer>>,
     next_timer: u64,
     call_at: Micros,
     /// When it was last new here, and when others are next asked whom they know.
@@ -55,20 +55,20 @@
     duration.as_micros() as Micros
 }
 
-impl Fellows {
+impl Membership {
     /// `drivers` is how many there may be; `networks` are those that others may come from.
     pub fn start(
         now: Micros,
-        own: Own,
-        peers: Vec<Peer>,
+        own: LocalPeer,
+        peers: Vec<SeedAddress>,
         networks: Vec<IpNet>,
-        tempo: Tempo,
+        tempo: ProtocolPeriods,
         drivers: usize,
         seed: u64,
-    ) -> (Fellows, Actions) {
-        let Own { fleet, name, address, start } = own;
-        let own = Fellow { name: name.as_str().into(), start, turn: 0, address };
-        let form = Form { own: Rc::new(RefCell::new(own.clone())), later_self: Rc::default() };
+    ) -> (Membership, Actions) {
+        let LocalPeer { fleet, name, address, start } = own;
+        let own = Peer { name: name.as_str().into(), start, turn: 0, address };
+        let form = GossipCodec { own: Rc::new(RefCell::new(own.clone())), later_self: Rc::default() };
         let time = |micros: Micros| Duration::from_micros(micros.max(1) as u64);
         let few = |count| NonZeroUsize::new(count).expect("not zero");
         // Each piece of news goes out as often as reaches all with near certainty.
@@ -95,7 +95,7 @@
         let swim = Foca::new(own, terms, Pcg64Mcg::seed_from_u64(seed), form.clone());
         let routes = peers.iter().filter_map(|peer| Some((peer.name.clone()?, peer.address))).collect();
         let peers = peers.into_iter().filter(|peer| peer.name.as_deref() != Some(&name)).collect();
-        let mut fellows = Fellows {
+        let mut fellows = Membership {
             swim,
             form,
             fleet: frame::tag(&fleet),
@@ -103,8 +103,8 @@
             peers,
             routes,
             health: Health::default(),
-            counted: Counted::start(now),
-            dropped: Dropped::default(),
+            counted: LiveCount::start(now),
+            dropped: DroppedDatagrams::default(),
             timers: BTreeMap::new(),
             next_timer: 0,
             call_at: now,
@@ -118,34 +118,34 @@
         (fellows, actions)
     }
 
-    pub fn view(&self, now: Micros) -> View {
+    pub fn view(&self, now: Micros) -> Snapshot {
         self.counted.view(now)
     }
 
-    pub fn dropped(&self) -> Dropped {
+    pub fn dropped(&self) -> DroppedDatagrams {
         self.dropped
     }
 
     /// This driver, under its present turn.
-    pub fn own(&self) -> &Fellow {
+    pub fn own(&self) -> &Peer {
         self.swim.identity()
     }
 
     /// Those that live as far as is known, without this one.
-    pub fn alive(&self) -> impl Iterator<Item = &Fellow> {
+    pub fn alive(&self) -> impl Iterator<Item = &Peer> {
         self.swim.iter_members().map(foca::Member::id)
     }
 
     /// What is to be sent so that the driver of that name hears these words, 1000 bytes at most; `None` where nobody knows
     /// where it is, or this one is silent. As any datagram it may be lost.
-    pub fn say(&self, to: &str, words: &[u8]) -> Option<(SocketAddr, Vec<u8>)> {
+    pub fn encode_payload(&self, to: &str, words: &[u8]) -> Option<(SocketAddr, Vec<u8>)> {
         let known = || self.alive().find(|fellow| *fellow.name == *to).map(|fellow| fellow.address);
         let address = self.routes.get(to).copied().or_else(known)?;
         (!self.silent).then(|| (address, frame::word(self.fleet, self.own(), words)))
     }
 
     /// A datagram came. Whatever it holds, it harms nothing beyond itself.
-    pub fn heard(&mut self, now: Micros, from: IpAddr, datagram: &[u8]) -> Actions {
+    pub fn receive(&mut self, now: Micros, from: IpAddr, datagram: &[u8]) -> Actions {
         if self.silent {
             return Actions::default();
         }
@@ -157,17 +157,17 @@
             Ok(inner) => inner,
             Err(why) => {
                 *match why {
-                    Foreign::NotOurs => &mut self.dropped.not_ours,
-                    Foreign::Version => &mut self.dropped.version,
-                    Foreign::Fleet => &mut self.dropped.fleet,
+                    RejectReason::NotMembership => &mut self.dropped.not_ours,
+                    RejectReason::UnsupportedVersion => &mut self.dropped.version,
+                    RejectReason::UnknownFleet => &mut self.dropped.fleet,
                 } += 1;
                 return self.settle(now);
             }
         };
         let (gossip, word, sender) = match inner {
-            Inner::Gossip(gossip, sender) => (Some(gossip), None, sender),
-            Inner::Word(word, sender) => (None, Some(word), sender),
-            Inner::LaterStart(later) => {
+            Content::Gossip(gossip, sender) => (Some(gossip), None, sender),
+            Content::Payload(word, sender) => (None, Some(word), sender),
+            Content::LaterStart(later) => {
                 let own = self.swim.identity();
                 if later.name == own.name && later.start > own.start {
                     self.displaced(later);
@@ -178,7 +178,7 @@
             }
         };
         // An earlier start that still runs would be told that it is dead, and come back without end.
-        let supersedes = |at: &&Fellow| at.name == sender.name && at.start > sender.start;
+        let supersedes = |at: &&Peer| at.name == sender.name && at.start > sender.start;
         let later = self.alive().find(supersedes).cloned();
         if let Some(later) = later {
             let word = frame::later_start(self.fleet, &later);
@@ -201,9 +201,9 @@
 
     /// Protects the fleet from two that call each other dead without end. Harms the wrong one of two where an operator
     /// gave one name twice: the older falls silent, and says why.
-    fn displaced(&mut self, later: Fellow) {
+    fn displaced(&mut self, later: Peer) {
         self.silent = true;
-        self.actions.changes.push(Change::Displaced(later));
+        self.actions.changes.push(Change::Superseded(later));
     }
 
     /// To be called at the time that was asked for, after all datagrams that are there.
@@ -215,7 +215,7 @@
         self.ask(now);
         // Late ones in the order that the protocol wants: answers are counted before silence is.
         let later = self.timers.split_off(&(now + 1, 0));
-        let mut due: Vec<Timer<Fellow>> = std::mem::replace(&mut self.timers, later).into_values().collect();
+        let mut due: Vec<Timer<Peer>> = std::mem::replace(&mut self.timers, later).into_values().collect();
         due.sort();
         for timer in due {
             let probes = matches!(timer, Timer::ProbeRandomMember(_));
@@ -236,7 +236,7 @@
     }
 
     /// This process stood still for a time that `now` does not count.
-    pub fn stood_still(&mut self, now: Micros) {
+    pub fn resume_after_stall(&mut self, now: Micros) {
         self.counted.away(now);
         self.health.absent();
         (self.call_at, self.new_at, self.ask_at) = (now, now, now);
@@ -263,7 +263,7 @@
         let hurry = self.swim.num_members() == 0 && now - self.new_at < NEW;
         let pause = if hurry { CALLING / 8 } else { CALLING };
         self.call_at = now + pause + self.rng.random_range(0..pause / 4);
-        let known = |peer: &Peer| match &peer.name {
+        let known = |peer: &SeedAddress| match &peer.name {
             Some(name) => self.swim.iter_members().any(|member| *member.id().name == **name),
             None => self.swim.iter_members().any(|member| member.id().address == peer.address),
         };
@@ -272,7 +272,7 @@
         let unknown: Vec<SocketAddr> = unknown.map(|peer| peer.address).collect();
         let count = if self.swim.num_members() == 0 { unknown.len().min(8) } else { CALLS };
         for at in rand::seq::index::sample(&mut self.rng, unknown.len(), count.min(unknown.len())) {
-            let nobody = Fellow { name: "".into(), start: 0, turn: 0, address: unknown[at] };
+            let nobody = Peer { name: "".into(), start: 0, turn: 0, address: unknown[at] };
             let mut out = AccumulatingRuntime::new();
             if self.swim.announce(nobody, &mut out).is_ok() {
                 self.carry_out(now, out);
@@ -295,7 +295,7 @@
         }
     }
 
-    fn carry_out(&mut self, now: Micros, mut out: AccumulatingRuntime<Fellow>) {
+    fn carry_out(&mut self, now: Micros, mut out: AccumulatingRuntime<Peer>) {
         while let Some((to, inner)) = out.to_send() {
             let address = self.routes.get(&*to.name).copied().unwrap_or(to.address);
             self.actions.send.push((address, frame::gossip(self.fleet, &inner)));
@@ -311,7 +311,7 @@
                     self.health.absent();
                     self.counted.away(now);
                     (self.new_at, self.ask_at) = (now, now);
-                    Change::Returned
+                    Change::Rejoined
                 }
                 _ => continue,
             };
@@ -323,7 +323,7 @@
     fn schedule(
         &mut self,
         now: Micros,
-        timers: impl IntoIterator<Item = (Duration, Timer<Fellow>)>,
+        timers: impl IntoIterator<Item = (Duration, Timer<Peer>)>,
         before: Health,
     ) {
         for (after, timer) in timers {
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/snapshot.rs
@@ -9,7 +9,7 @@
 
 /// What one driver may conclude on the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct View {
+pub struct Snapshot {
     /// Drivers that live as far as is known, this one among them.
     pub alive: usize,
     /// The most that were ever known to live at one time.
@@ -20,25 +20,25 @@
     pub may_be_smaller: bool,
 }
 
-impl View {
+impl Snapshot {
     /// By how many drivers room at members is to be divided: `told` is the settings' figure.
     ///
     /// Protects members from drivers that wrongly take others for dead: nobody who is in doubt takes their room. In a
     /// divided fleet both parts take that of the other; what members then answer narrows their windows, and cold
-    /// members are spared by [`View::sharing_cold`].
-    pub fn sharing(&self, told: usize) -> usize {
+    /// members are spared by [`Snapshot::warm_up_quota_divisor`].
+    pub fn quota_divisor(&self, told: usize) -> usize {
         if self.sure { self.alive } else { told.max(self.alive) }
     }
 
     /// The same at a cold member: whoever may be there counts.
-    pub fn sharing_cold(&self, told: usize) -> usize {
+    pub fn warm_up_quota_divisor(&self, told: usize) -> usize {
         told.max(self.seen)
     }
 }
 
 /// Counts the living over time.
 #[derive(Clone, Debug, Default)]
-pub struct Counted {
+pub struct LiveCount {
     alive: usize,
     seen: usize,
     /// The numbers that were higher than all later ones, and until when they were so: no more than the highest of them.
@@ -47,9 +47,9 @@
     doubt: Option<Micros>,
 }
 
-impl Counted {
-    pub fn start(now: Micros) -> Counted {
-        Counted { alive: 1, seen: 1, doubt: Some(now), ..Counted::default() }
+impl LiveCount {
+    pub fn start(now: Micros) -> LiveCount {
+        LiveCount { alive: 1, seen: 1, doubt: Some(now), ..LiveCount::default() }
     }
 
     pub fn alive(&mut self, now: Micros, alive: usize) {
@@ -74,10 +74,10 @@
         self.doubt = Some(now);
     }
 
-    pub fn view(&self, now: Micros) -> View {
+    pub fn view(&self, now: Micros) -> Snapshot {
         let recent = self.lately.iter().filter(|(at, _)| now - at <= MEMORY).map(|&(_, count)| count);
         let before = recent.max().unwrap_or(0).max(self.alive);
-        View {
+        Snapshot {
             alive: self.alive,
             seen: self.seen,
             sure: self.doubt.is_none() && self.alive > 1,
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::collections::BinaryHeap;
 use std::net::{IpAddr, SocketAddr};
 
-use aldermill_membership::{Actions, Change, Fellows, Micros, Own, Peer, Tempo};
+use aldermill_membership::{Actions, Change, LocalPeer, Membership, Micros, ProtocolPeriods, SeedAddress};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -17,7 +17,7 @@
 const HOME: IpAddr = IpAddr::V4(std::net::Ipv4Addr::LOCALHOST);
 
 pub struct Node {
-    pub fellows: Option<Fellows>,
+    pub fellows: Option<Membership>,
     pub starts: u64,
     /// Time spent standing, and since when it stands.
     away: Micros,
@@ -42,7 +42,7 @@
     pub loss: f64,
     /// Whether anything goes from one to another.
     pub lets: Box<dyn Fn(usize, usize) -> bool>,
-    pub tempo: Tempo,
+    pub tempo: ProtocolPeriods,
     fleet: Vec<String>,
     events: BinaryHeap<Reverse<(Micros, u64)>>,
     what: std::collections::HashMap<u64, Event>,
@@ -73,7 +73,7 @@
             nodes: (0..count).map(node).collect(),
             loss: 0.0,
             lets: Box::new(|_, _| true),
-            tempo: Tempo::usual(count),
+            tempo: ProtocolPeriods::for_fleet_of(count),
             fleet: vec!["f".to_owned(); count],
             events: BinaryHeap::new(),
             what: std::collections::HashMap::new(),
@@ -88,20 +88,25 @@
 
     /// Starts a driver, which knows where the first few are.
     pub fn start(&mut self, node: usize) {
-        let few = (0..self.nodes.len().min(5)).map(|at| Peer { name: None, address: address(at) }).collect();
+        let few =
+            (0..self.nodes.len().min(5)).map(|at| SeedAddress { name: None, address: address(at) }).collect();
         self.start_as(node, &format!("n{node}"), few);
     }
 
-    pub fn start_as(&mut self, node: usize, name: &str, peers: Vec<Peer>) {
+    pub fn start_as(&mut self, node: usize, name: &str, peers: Vec<SeedAddress>) {
         let start = 1 + self.now as u64 * 1000 + node as u64;
-        let own =
-            Own { fleet: self.fleet[node].clone(), name: name.to_owned(), address: address(node), start };
+        let own = LocalPeer {
+            fleet: self.fleet[node].clone(),
+            name: name.to_owned(),
+            address: address(node),
+            start,
+        };
         let networks = vec!["127.0.0.0/8".parse().unwrap()];
         let (seed, count) = (self.rng.random(), self.nodes.len());
         let state = &mut self.nodes[node];
         (state.away, state.stands, state.starts, state.wakes) = (0, None, state.starts + 1, None);
         state.inbox.clear();
-        let (fellows, actions) = Fellows::start(self.now, own, peers, networks, self.tempo, count, seed);
+        let (fellows, actions) = Membership::start(self.now, own, peers, networks, self.tempo, count, seed);
         state.fellows = Some(fellows);
         self.carry_out(node, actions);
     }
@@ -131,8 +136,8 @@
         state.away += self.now - since;
         let (lived, inbox) = (self.now - state.away, std::mem::take(&mut state.inbox));
         let Some(fellows) = state.fellows.as_mut() else { return };
-        fellows.stood_still(lived);
-        let mut todos: Vec<Actions> = inbox.iter().map(|bytes| fellows.heard(lived, HOME, bytes)).collect();
+        fellows.resume_after_stall(lived);
+        let mut todos: Vec<Actions> = inbox.iter().map(|bytes| fellows.receive(lived, HOME, bytes)).collect();
         todos.push(fellows.wake(lived));
         todos.into_iter().for_each(|actions| self.carry_out(node, actions));
     }
@@ -198,7 +203,7 @@
                         continue;
                     }
                     let Some(fellows) = state.fellows.as_mut() else { continue };
-                    (node, fellows.heard(now - state.away, HOME, &bytes))
+                    (node, fellows.receive(now - state.away, HOME, &bytes))
                 }
                 None => continue,
             };
@@ -212,7 +217,7 @@
         state.fellows.as_ref().map_or(0, |fellows| fellows.view(self.now - state.away).alive)
     }
 
-    pub fn view(&self, node: usize) -> aldermill_membership::View {
+    pub fn view(&self, node: usize) -> aldermill_membership::Snapshot {
         let state = &self.nodes[node];
         state.fellows.as_ref().expect("it runs").view(self.now - state.away)
     }
--- a/crates/membership/tests/gossip.rs
+++ b/crates/membership/tests/gossip.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use aldermill_membership::{Change, Peer, Tempo, View};
+use aldermill_membership::{Change, ProtocolPeriods, SeedAddress, Snapshot};
 use common::{MS, S, World, address};
 use proptest::collection::vec;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -31,8 +31,8 @@
     world.pass(120 * S);
     assert_eq!(world.wrongly(0, |_| true), 0);
     let view = world.view(3);
-    assert_eq!(view, View { alive: ALL, seen: ALL, sure: true, may_be_smaller: false });
-    assert_eq!((view.sharing(40), view.sharing_cold(40)), (20, 40));
+    assert_eq!(view, Snapshot { alive: ALL, seen: ALL, sure: true, may_be_smaller: false });
+    assert_eq!((view.quota_divisor(40), view.warm_up_quota_divisor(40)), (20, 40));
 }
 
 #[test]
@@ -77,7 +77,7 @@
         let woke = world.now;
         (0..14).for_each(|node| world.go_on(node));
         assert!(!world.view(0).sure, "in doubt until it was heard anew");
-        assert_eq!(world.view(0).sharing(40), 40);
+        assert_eq!(world.view(0).quota_divisor(40), 40);
         let took = world.until_all_see(&all(), ALL, 30 * S);
         assert!(took.is_some_and(|took| took < 15 * S), "{long}: {took:?}");
         world.pass(30 * S);
@@ -101,7 +101,7 @@
         let view = world.view(node);
         let left = if node < 8 { 8 } else { 12 };
         assert_eq!((view.alive, view.seen, view.may_be_smaller), (left, ALL, node < 8));
-        assert_eq!(view.sharing_cold(ALL), ALL);
+        assert_eq!(view.warm_up_quota_divisor(ALL), ALL);
     }
     world.lets = Box::new(|_, _| true);
     let took = world.until_all_see(&all(), ALL, 60 * S).expect("they find together");
@@ -125,7 +125,7 @@
     world.lets = Box::new(|from, to| from != 3 || to == 3);
     world.pass(60 * S);
     assert!((0..ALL).filter(|&node| node != 3).all(|node| world.alive(node) == ALL - 1));
-    assert!(world.nodes[3].heard.iter().any(|(_, change)| *change == Change::Returned));
+    assert!(world.nodes[3].heard.iter().any(|(_, change)| *change == Change::Rejoined));
     // It takes hardly anybody for dead meanwhile, as the others tell it that they live.
     world.lets = Box::new(|_, _| true);
     assert!(world.until_all_see(&all(), ALL, 60 * S).is_some());
@@ -142,9 +142,9 @@
     let fellows = world.nodes[0].fellows.as_mut().unwrap();
     let (home, away) = ("127.0.0.1".parse().unwrap(), "10.1.1.1".parse().unwrap());
     let before = fellows.dropped();
-    fellows.heard(0, away, b"whatever");
-    fellows.heard(0, home, b"whatever it may be");
-    fellows.heard(0, home, &[0xa1, 0xdf, 2, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
+    fellows.receive(0, away, b"whatever");
+    fellows.receive(0, home, b"whatever it may be");
+    fellows.receive(0, home, &[0xa1, 0xdf, 2, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
     let now = fellows.dropped();
     assert_eq!(now.stranger - before.stranger, 1);
     assert_eq!((now.not_ours - before.not_ours, now.version - before.version), (1, 1));
@@ -153,14 +153,16 @@
 #[test]
 fn of_two_with_one_name_the_later_counts_and_the_other_is_silent() {
     let mut world = World::new(6, 11);
-    let peers = || vec![Peer { name: None, address: address(0) }, Peer { name: None, address: address(1) }];
+    let peers = || {
+        vec![SeedAddress { name: None, address: address(0) }, SeedAddress { name: None, address: address(1) }]
+    };
     (0..5).for_each(|node| world.start(node));
     world.pass(10 * S);
     world.start_as(5, "n4", peers());
     world.pass(20 * S);
     let displaced = |node: usize| {
         let mut heard = world.nodes[node].heard.iter();
-        heard.any(|(_, change)| matches!(change, Change::Displaced(by) if by.address == address(5)))
+        heard.any(|(_, change)| matches!(change, Change::Superseded(by) if by.address == address(5)))
     };
     assert!(displaced(4) && !displaced(5));
     assert_eq!(world.alive(0), 5);
@@ -172,7 +174,7 @@
 fn what_goes_out_is_flat_in_the_number_of_drivers() {
     let sent = |count: usize| {
         let mut world = World::new(count, 12);
-        world.tempo = Tempo::usual(300);
+        world.tempo = ProtocolPeriods::for_fleet_of(300);
         world.start_all();
         world.pass(60 * S);
         let before: u64 = world.nodes.iter().map(|node| node.bytes).sum();
@@ -200,7 +202,7 @@
                 let whole = if at % 2 == 0 { inner } else { datagram };
                 let home = "127.0.0.1".parse().unwrap();
                 let now = world.now;
-                world.nodes[0].fellows.as_mut().unwrap().heard(now, home, &whole);
+                world.nodes[0].fellows.as_mut().unwrap().receive(now, home, &whole);
             }
             world.pass(20 * S);
             assert_eq!(world.alive(0), 3);
--- a/crates/membership/tests/pinned_datagrams.rs
+++ b/crates/membership/tests/pinned_datagrams.rs
@@ -4,32 +4,32 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_membership::Fellow;
-use aldermill_membership::frame::{self, Form, Inner};
+use aldermill_membership::Peer;
+use aldermill_membership::frame::{self, Content, GossipCodec};
 use foca::{Codec, Header, Member, Message, State};
 
 const FLEET: u64 = 0x0102_0304_0506_0708;
 
-fn peer(name: &str, start: u64, incarnation: u16, address: &str) -> Fellow {
+fn peer(name: &str, start: u64, incarnation: u16, address: &str) -> Peer {
     let address: SocketAddr = address.parse().unwrap();
-    Fellow { name: name.into(), start, turn: incarnation, address }
+    Peer { name: name.into(), start, turn: incarnation, address }
 }
 
-fn sender() -> Fellow {
+fn sender() -> Peer {
     peer("proxy-a", 0x0011_2233_4455_6677, 0x0a0b, "192.0.2.1:7946")
 }
 
-fn receiver() -> Fellow {
+fn receiver() -> Peer {
     peer("proxy-b", 0x1122_3344_5566_7788, 0x0c0d, "[2001:db8::2]:7947")
 }
 
-fn third() -> Fellow {
+fn third() -> Peer {
     peer("proxy-c", 0x2233_4455_6677_8899, 0x0e0f, "192.0.2.3:7948")
 }
 
 /// The receiver's codec.
-fn codec() -> Form {
-    Form { own: Rc::new(RefCell::new(receiver())), later_self: Rc::default() }
+fn codec() -> GossipCodec {
+    GossipCodec { own: Rc::new(RefCell::new(receiver())), later_self: Rc::default() }
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -46,21 +46,21 @@
 }
 
 /// A gossip datagram of this message and without members, both ways.
-fn assert_message_keeps_its_bytes(message: Message<Fellow>, pinned: &str) {
+fn assert_message_keeps_its_bytes(message: Message<Peer>, pinned: &str) {
     let header = Header { src: sender(), src_incarnation: 0x1a1b, dst: receiver(), message };
     let mut inner = Vec::new();
     codec().encode_header(&header, &mut inner).unwrap();
     assert_pinned(&frame::gossip(FLEET, &inner), pinned);
 
     let datagram = bytes(pinned);
-    let Ok(Inner::Gossip(mut inner, from)) = frame::open(FLEET, &datagram) else { panic!("no gossip") };
+    let Ok(Content::Gossip(mut inner, from)) = frame::open(FLEET, &datagram) else { panic!("no gossip") };
     assert_eq!(from, sender());
     assert_eq!(codec().decode_header(&mut inner).unwrap(), header);
     assert!(inner.is_empty());
 }
 
 /// A member as it follows a header, both ways.
-fn assert_member_keeps_its_bytes(member: Member<Fellow>, pinned: &str) {
+fn assert_member_keeps_its_bytes(member: Member<Peer>, pinned: &str) {
     let mut encoded = Vec::new();
     codec().encode_member(&member, &mut encoded).unwrap();
     assert_pinned(&encoded, pinned);
@@ -206,7 +206,7 @@
 fn a_later_start_datagram_keeps_its_bytes() {
     let pinned = "a1df 01 0102030405060708 01 0770726f78792d63 2233445566778899 0e0f 04c00002031f0c";
     assert_pinned(&frame::later_start(FLEET, &third()), pinned);
-    assert_eq!(frame::open(FLEET, &bytes(pinned)), Ok(Inner::LaterStart(third())));
+    assert_eq!(frame::open(FLEET, &bytes(pinned)), Ok(Content::LaterStart(third())));
 }
 
 #[test]
@@ -214,7 +214,7 @@
     let pinned = "a1df 01 0102030405060708 02 0770726f78792d61 0011223344556677 0a0b 04c00002011f0a \
         7061796c6f6164";
     assert_pinned(&frame::word(FLEET, &sender(), b"payload"), pinned);
-    assert_eq!(frame::open(FLEET, &bytes(pinned)), Ok(Inner::Word(b"payload", sender())));
+    assert_eq!(frame::open(FLEET, &bytes(pinned)), Ok(Content::Payload(b"payload", sender())));
 }
 
 #[test]
--- a/crates/membership/tests/pinned_exchange.rs
+++ b/crates/membership/tests/pinned_exchange.rs
@@ -2,7 +2,7 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use aldermill_membership::{Actions, Fellows, Micros, Own, Peer, Tempo};
+use aldermill_membership::{Actions, LocalPeer, Membership, Micros, ProtocolPeriods, SeedAddress};
 
 const HOME: IpAddr = IpAddr::V4(std::net::Ipv4Addr::LOCALHOST);
 const UNTIL: Micros = 1_500_000;
@@ -135,10 +135,11 @@
     SocketAddr::new(HOME, port)
 }
 
-fn start(name: &str, port: u16, seeds: Vec<Peer>, seed: u64) -> (Fellows, Actions) {
-    let own = Own { fleet: "alder".to_owned(), name: name.to_owned(), address: address(port), start: 1000 };
+fn start(name: &str, port: u16, seeds: Vec<SeedAddress>, seed: u64) -> (Membership, Actions) {
+    let own =
+        LocalPeer { fleet: "alder".to_owned(), name: name.to_owned(), address: address(port), start: 1000 };
     let networks = vec!["127.0.0.0/8".parse().unwrap()];
-    Fellows::start(0, own, seeds, networks, Tempo::usual(2), 2, seed)
+    Membership::start(0, own, seeds, networks, ProtocolPeriods::for_fleet_of(2), 2, seed)
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -147,7 +148,7 @@
 
 /// Carries each datagram at once, and wakes whoever wants it first; returns the sender's name and the datagram.
 fn exchange() -> Vec<(&'static str, String)> {
-    let seeds = vec![Peer { name: None, address: address(7002) }];
+    let seeds = vec![SeedAddress { name: None, address: address(7002) }];
     let (a, first) = start("a", 7001, seeds, 1);
     let (b, second) = start("b", 7002, Vec::new(), 2);
     let mut proxies = [a, b];
@@ -160,7 +161,7 @@
             let (from, bytes) = in_flight.remove(0);
             let to = 1 - from;
             sent.push((["a", "b"][from], hex(&bytes)));
-            let actions = proxies[to].heard(now, HOME, &bytes);
+            let actions = proxies[to].receive(now, HOME, &bytes);
             wake_at[to] = actions.wake_at;
             in_flight.extend(actions.send.into_iter().map(|(_, bytes)| (to, bytes)));
         }
@@ -173,9 +174,9 @@
         wake_at[next] = actions.wake_at;
         in_flight.extend(actions.send.into_iter().map(|(_, bytes)| (next, bytes)));
     }
-    let (_, bytes) = proxies[0].say("b", b"payload").expect("a knows b");
+    let (_, bytes) = proxies[0].encode_payload("b", b"payload").expect("a knows b");
     sent.push(("a", hex(&bytes)));
-    assert_eq!(proxies[1].heard(now, HOME, &bytes).words[0].1, b"payload");
+    assert_eq!(proxies[1].receive(now, HOME, &bytes).words[0].1, b"payload");
     let farewell = proxies[0].leave().send;
     sent.extend(farewell.into_iter().map(|(_, bytes)| ("a", hex(&bytes))));
     sent
--- a/crates/proxy/src/coordination/mod.rs
+++ b/crates/proxy/src/coordination/mod.rs
@@ -19,7 +19,7 @@
     RENEWAL_INTERVAL, Report, Reporter, Reports,
 };
 use aldermill_leases::{Actions, ConfigError, Incarnation, LeaseChange, LeaseConfig, Outgoing, Participant};
-use aldermill_membership::Fellow;
+use aldermill_membership::Peer;
 use aldermill_operator_config::CoordinationConfig as Config;
 use rand::seq::IteratorRandom;
 use rand::{Rng, SeedableRng};
@@ -152,7 +152,7 @@
 
     /// Takes another proxy's datagram; `age` is how long it may have waited here unread. One that cannot be decoded is
     /// ignored.
-    pub fn receive(&mut self, at: CallTime, age: Micros, from: &Fellow, payload: &[u8], others: &[Rc<str>]) {
+    pub fn receive(&mut self, at: CallTime, age: Micros, from: &Peer, payload: &[u8], others: &[Rc<str>]) {
         let Some((&kind, bytes)) = payload.split_first() else { return };
         self.read_records(at.now);
         match kind {
@@ -172,7 +172,7 @@
     }
 
     /// Its age does not matter: a message of before a stall says nothing of leases now, and is repeated by its sender.
-    fn receive_lease_message(&mut self, at: CallTime, from: &Fellow, bytes: &[u8], others: &[Rc<str>]) {
+    fn receive_lease_message(&mut self, at: CallTime, from: &Peer, bytes: &[u8], others: &[Rc<str>]) {
         let Ok(message) = aldermill_leases::frame::decode(bytes) else { return };
         let from = Incarnation { name: from.name.to_string(), start: from.start };
         let actions = self.participant.receive(at.now, at.wall, &from, &message);
@@ -195,7 +195,7 @@
     fn receive_digest(
         &mut self,
         at: CallTime,
-        from: &Fellow,
+        from: &Peer,
         entries: &[DigestEntry],
         is_answer: bool,
         others: &[Rc<str>],
@@ -211,7 +211,7 @@
         }
     }
 
-    fn receive_report(&mut self, now: Micros, age: Micros, from: &Fellow, report: Report) {
+    fn receive_report(&mut self, now: Micros, age: Micros, from: &Peer, report: Report) {
         if self.participant.may_act(now, &report.topic.lease).is_some() {
             self.reports.receive(now, age, &from.name, from.start, report);
         }
--- a/crates/proxy/src/membership/actor.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -5,7 +5,9 @@
 use std::rc::Rc;
 
 use aldermill_leases::Incarnation;
-use aldermill_membership::{Actions, Change, Dropped, Fellow, Micros, Own, Peer, Tempo, View};
+use aldermill_membership::{
+    Actions, Change, DroppedDatagrams, LocalPeer, Micros, Peer, ProtocolPeriods, SeedAddress, Snapshot,
+};
 use aldermill_operator_config::{CoordinationConfig as Wanted, MembershipConfig as Terms};
 use aldermill_site_drain::Plan;
 use serde_json::{Value, json};
@@ -40,7 +42,7 @@
     context: Rc<ProcessContext>,
     socket: Datagrams,
     status: Option<Acceptor<UnixListener>>,
-    fellows: aldermill_membership::Fellows,
+    fellows: aldermill_membership::Membership,
     /// The settings' figure.
     told: usize,
     /// The fleet may be that of several sites: how many of it are at this one is not known, so room is shared as told.
@@ -74,20 +76,23 @@
         let socket =
             bound.map_err(|why| ProgramError::Listen { field: "fellows.listen", address: listen, why })?;
         let socket = Datagrams::new(socket, context.log.clone());
-        let own = Own {
+        let own = LocalPeer {
             fleet: terms.fleet,
             name: name.to_owned(),
             address: terms.address.unwrap_or(listen),
             start: context.clock.wall().max(1) as u64,
         };
         info!(context.log, "fellows"; "fleet" => &own.fleet, "listen" => %listen, "address" => %own.address);
-        let peers =
-            terms.peers.into_iter().map(|peer| Peer { name: peer.name, address: peer.address }).collect();
+        let peers = terms
+            .peers
+            .into_iter()
+            .map(|peer| SeedAddress { name: peer.name, address: peer.address })
+            .collect();
         let status = terms
             .status
             .and_then(|path| status::listen(&path, &context.log))
             .map(|listener| Acceptor::new(listener, context.log.clone()));
-        let (tempo, now) = (Tempo::usual(drivers), context.unstalled_clock.now());
+        let (tempo, now) = (ProtocolPeriods::for_fleet_of(drivers), context.unstalled_clock.now());
         let start = own.start;
         let mut reread = None;
         let council = match wanted {
@@ -108,7 +113,7 @@
             None => None,
         };
         let (fellows, actions) =
-            aldermill_membership::Fellows::start(now, own, peers, terms.networks, tempo, drivers, seed);
+            aldermill_membership::Membership::start(now, own, peers, terms.networks, tempo, drivers, seed);
         let stood = context.unstalled_clock.stood();
         let (shared, told) = ((drivers, drivers), drivers);
         let mut company = MembershipActor {
@@ -194,7 +199,7 @@
         let long = stood - std::mem::replace(&mut self.stood, stood);
         if long > 0 {
             self.age += long;
-            self.fellows.stood_still(self.context.unstalled_clock.now());
+            self.fellows.resume_after_stall(self.context.unstalled_clock.now());
         }
     }
 
@@ -211,7 +216,7 @@
                 Received::Failed => return,
             };
             let now = self.context.unstalled_clock.now();
-            let actions = self.fellows.heard(now, from.ip(), &bytes[..length]);
+            let actions = self.fellows.receive(now, from.ip(), &bytes[..length]);
             self.carry_out(actions).await;
         }
     }
@@ -222,7 +227,7 @@
         let others: Vec<Rc<str>> = self.fellows.alive().map(|fellow| fellow.name.clone()).collect();
         ask(council, moment(&self.context), &others);
         for Datagram { to, payload } in council.take_outgoing() {
-            if let Some((address, datagram)) = self.fellows.say(&to, &payload) {
+            if let Some((address, datagram)) = self.fellows.encode_payload(&to, &payload) {
                 self.send(address, &datagram);
             }
         }
@@ -279,20 +284,20 @@
                 Change::Up(fellow) => ("fellow up", Some(fellow)),
                 Change::Down(fellow) => ("fellow down", Some(fellow)),
                 Change::Restarted(fellow) => ("fellow restarted", Some(fellow)),
-                Change::Returned => ("taken for dead by the others, and back", None),
-                Change::Displaced(fellow) => {
+                Change::Rejoined => ("taken for dead by the others, and back", None),
+                Change::Superseded(fellow) => {
                     ("a later start has this name, silent from now on", Some(fellow))
                 }
             };
             let of = of.map(|of| format!("{} started {} at {}", of.name, of.start, of.address));
             match change {
-                Change::Returned | Change::Displaced(_) => warn!(self.context.log, "{}", what; "by" => of),
+                Change::Rejoined | Change::Superseded(_) => warn!(self.context.log, "{}", what; "by" => of),
                 _ => info!(self.context.log, "{}", what; "fellow" => of),
             }
         }
         self.wake_at = actions.wake_at;
         let view = self.fellows.view(self.context.unstalled_clock.now());
-        let shared = (view.sharing(self.told), view.sharing_cold(self.told));
+        let shared = (view.quota_divisor(self.told), view.warm_up_quota_divisor(self.told));
         if shared != self.shared && !self.spans {
             self.shared = shared;
             // A dispatcher that is gone ends the program by itself.
@@ -342,17 +347,17 @@
     std::future::pending().await
 }
 
-fn fellow(of: &Fellow) -> Value {
+fn fellow(of: &Peer) -> Value {
     json!({"name": &*of.name, "start": of.start, "turn": of.turn, "address": of.address.to_string()})
 }
 
-fn seen(view: View) -> Value {
-    let View { alive, seen, sure, may_be_smaller } = view;
+fn seen(view: Snapshot) -> Value {
+    let Snapshot { alive, seen, sure, may_be_smaller } = view;
     json!({"alive": alive, "most_seen": seen, "sure": sure, "may_be_smaller": may_be_smaller})
 }
 
-fn dropped(of: Dropped) -> Value {
-    let Dropped { stranger, not_ours, version, fleet, unusable } = of;
+fn dropped(of: DroppedDatagrams) -> Value {
+    let DroppedDatagrams { stranger, not_ours, version, fleet, unusable } = of;
     json!({"stranger": stranger, "not_ours": not_ours, "version": version, "fleet": fleet, "unusable": unusable})
 }
 
