--- a/crates/operator-config/tests/every_key.rs
+++ b/crates/operator-config/tests/every_key.rs
@@ -3,14 +3,18 @@
 use std::collections::BTreeSet;
 
 use aldermill_operator_config::{
-    Connections, Council, Duty, FellowAt, Fellows, Gateway, Level, Operator, Pace, PeerSite, Rate, Retiring,
-    SlowPeers, Trial, Warm,
+    AddressLimits, CoordinationConfig, DrainOrder, GatewayConfig, LeaseKind, MembershipConfig, MinimumRate,
+    Operator, PeerSite, SeedPeer, ShadowConfig, ShortageLevel, SiteDrainConfig, SlowPeersConfig,
+    WarmStartConfig,
 };
 use serde_json::Value;
 
+/// Every key under its first name, as installations have it.
 const EVERY_KEY: &str = include_str!("fixtures/every_key.json");
+/// The same values, every key under the name that the schema shows.
+const EVERY_RENAMED_KEY: &str = include_str!("fixtures/every_key_renamed.json");
 
-/// All key paths of the file; `[]` stands for each item of an array, `{}` for a group's number.
+/// All key paths of the file, under their first names; `[]` stands for each item of an array, `{}` for a group's number.
 const KEY_PATHS: &str = "
 $schema council council.cuts council.cuts{} council.duties council.lease_ms council.least_term council.retire
 council.retire[].by council.retire[].number council.retire[].order council.retire[].site council.voters
@@ -32,6 +36,24 @@
 warm warm.folder
 ";
 
+/// The keys that have another name in the schema: the path under the first name, and under the new one.
+const RENAMED: [(&str, &str); 6] = [
+    ("council.duties", "council.leases"),
+    ("council.retire", "council.site_drain"),
+    ("council", "coordination"),
+    ("fellows", "membership"),
+    ("trial", "shadow"),
+    ("warm", "warm_start"),
+];
+
+/// The path that the schema shows for a path under first names.
+fn renamed(path: &str) -> String {
+    RENAMED.iter().fold(path.to_owned(), |path, (first, new)| match path.strip_prefix(first) {
+        Some(rest) if rest.is_empty() || rest.starts_with(['.', '[']) => format!("{new}{rest}"),
+        _ => path,
+    })
+}
+
 /// Adds the paths of all keys under `value`, which stands at `path`.
 fn collect_key_paths(value: &Value, path: &str, paths: &mut BTreeSet<String>) {
     match value {
@@ -71,25 +93,32 @@
     }
 }
 
+fn key_paths(text: &str) -> BTreeSet<String> {
+    let mut paths = BTreeSet::new();
+    collect_key_paths(&json(text), "", &mut paths);
+    paths
+}
+
 #[test]
 fn the_operator_file_has_exactly_these_keys() {
-    let mut paths = BTreeSet::new();
-    collect_key_paths(&json(EVERY_KEY), "", &mut paths);
     let expected: BTreeSet<String> = KEY_PATHS.split_whitespace().map(str::to_owned).collect();
-    assert_eq!(paths, expected);
+    assert_eq!(key_paths(EVERY_KEY), expected);
+    let expected: BTreeSet<String> = KEY_PATHS.split_whitespace().map(renamed).collect();
+    assert_eq!(key_paths(EVERY_RENAMED_KEY), expected);
     // Each name that the schema knows is one of them, and the other way round.
     let mut known = Vec::new();
     schema_properties(&json(&Operator::schema()), &mut known);
     let known: BTreeSet<&str> = known.iter().map(String::as_str).collect();
-    let last = |path: &'static str| path.rsplit('.').next().unwrap();
-    let pinned = KEY_PATHS.split_whitespace().filter(|path| !path.ends_with("{}")).map(last);
-    assert_eq!(known, pinned.collect());
+    let pinned = expected.iter().filter(|path| !path.ends_with("{}"));
+    assert_eq!(known, pinned.map(|path| path.rsplit('.').next().unwrap()).collect());
 }
 
 #[test]
-fn an_operator_file_with_every_key_is_written_back_unchanged() {
-    let operator = Operator::parse(EVERY_KEY).unwrap();
-    assert_eq!(serde_json::to_value(&operator).unwrap(), json(EVERY_KEY));
+fn an_operator_file_with_every_key_is_written_back_under_the_names_of_the_schema() {
+    for text in [EVERY_KEY, EVERY_RENAMED_KEY] {
+        let operator = Operator::parse(text).unwrap();
+        assert_eq!(serde_json::to_value(&operator).unwrap(), json(EVERY_RENAMED_KEY));
+    }
 }
 
 #[test]
@@ -105,33 +134,37 @@
 }
 
 #[test]
-fn keys_left_out_of_a_council_or_a_retiring_site_have_these_defaults() {
+fn keys_left_out_of_coordination_or_a_site_drain_have_these_defaults() {
     let text = r#"{"fellows":{"fleet":"f","listen":"127.0.0.1:1","networks":["::1/128"]},
         "council":{"voters":["a","b","c"],"duties":["retire"],"retire":[{"site":"s","number":1,"by":2}]}}"#;
     let operator = serde_json::to_value(Operator::parse(text).unwrap()).unwrap();
-    let council = json(
-        r#"{"voters":["a","b","c"],"duties":["retire"],"lease_ms":3000,"least_term":0,
-        "retire":[{"site":"s","number":1,"order":"goes","by":2}]}"#,
+    let coordination = json(
+        r#"{"voters":["a","b","c"],"leases":["retire"],"lease_ms":3000,"least_term":0,
+        "site_drain":[{"site":"s","number":1,"order":"goes","by":2}]}"#,
     );
-    assert_eq!(operator["council"], council);
-    let fellows = json(
+    assert_eq!(operator["coordination"], coordination);
+    let membership = json(
         r#"{"fleet":"f","listen":"127.0.0.1:1","address":null,"networks":["::1/128"],"peers":[],"status":null}"#,
     );
-    assert_eq!(operator["fellows"], fellows);
+    assert_eq!(operator["membership"], membership);
 }
 
-fn rate(first: u64) -> Rate {
-    Rate { bytes_a_second: Some(first), start_ms: Some(first as u32 + 1), window_ms: Some(first as u32 + 2) }
+fn rate(first: u64) -> MinimumRate {
+    MinimumRate {
+        bytes_a_second: Some(first),
+        start_ms: Some(first as u32 + 1),
+        window_ms: Some(first as u32 + 2),
+    }
 }
 
 #[test]
 fn each_value_under_slow_peers_arrives_in_its_field() {
-    let expected = SlowPeers {
+    let expected = SlowPeersConfig {
         room_kib: Some(1001),
         connection_kib: Some(1002),
-        per_address: Some(Connections { connections: 1003, room_kib: 1004 }),
+        per_address: Some(AddressLimits { connections: 1003, room_kib: 1004 }),
         best_paid_share: Some(0.125),
-        short: Some(Level { enter: 0.75, leave: 0.5 }),
+        short: Some(ShortageLevel { enter: 0.75, leave: 0.5 }),
         reading: rate(1011),
         sending: rate(1021),
         answering: rate(1031),
@@ -146,7 +179,7 @@
 }
 
 #[test]
-fn each_value_under_gateway_trial_warm_and_suspension_arrives_in_its_field() {
+fn each_value_under_gateway_shadow_warm_start_and_suspension_arrives_in_its_field() {
     let operator = Operator::parse(EVERY_KEY).unwrap();
     let peer = PeerSite {
         site: "site-b".to_owned(),
@@ -154,7 +187,7 @@
         networks: vec!["10.2.0.0/16".parse().unwrap(), "::1/128".parse().unwrap()],
         links: Some(3),
     };
-    let gateway = Gateway {
+    let gateway = GatewayConfig {
         site: "site-a".to_owned(),
         listen: Some("127.0.0.1:7001".parse().unwrap()),
         peers: vec![peer],
@@ -164,19 +197,20 @@
         session: Some("tenant".to_owned()),
         status: Some("/run/sites.sock".to_owned()),
     };
-    let trial = Trial { settings: "/etc/trial.json".to_owned(), one_in: Some(3001), every_s: Some(3002) };
+    let shadow =
+        ShadowConfig { settings: "/etc/trial.json".to_owned(), one_in: Some(3001), every_s: Some(3002) };
     assert_eq!(operator.gateway, Some(gateway));
-    assert_eq!(operator.trial, Some(trial));
-    assert_eq!(operator.warm, Some(Warm { folder: "/var/lib/warm".to_owned() }));
+    assert_eq!(operator.shadow, Some(shadow));
+    assert_eq!(operator.warm_start, Some(WarmStartConfig { folder: "/var/lib/warm".to_owned() }));
     assert!(operator.suspension);
     assert_eq!(operator.schema.as_deref(), Some("operator.schema.json"));
 }
 
 #[test]
-fn each_value_under_fellows_and_council_arrives_in_its_field() {
+fn each_value_under_membership_and_coordination_arrives_in_its_field() {
     let operator = Operator::parse(EVERY_KEY).unwrap();
-    let peer = FellowAt { name: Some("n1".to_owned()), address: "127.0.0.4:7103".parse().unwrap() };
-    let fellows = Fellows {
+    let peer = SeedPeer { name: Some("n1".to_owned()), address: "127.0.0.4:7103".parse().unwrap() };
+    let membership = MembershipConfig {
         fleet: "shop".to_owned(),
         listen: "0.0.0.0:7101".parse().unwrap(),
         address: Some("127.0.0.3:7102".parse().unwrap()),
@@ -184,22 +218,77 @@
         peers: vec![peer],
         status: Some("/run/fellows.sock".to_owned()),
     };
-    let retiring =
-        |site: &str, number, order| Retiring { site: site.to_owned(), number, order, by: number + 1 };
-    let council = Council {
+    let drain =
+        |site: &str, number, order| SiteDrainConfig { site: site.to_owned(), number, order, by: number + 1 };
+    let coordination = CoordinationConfig {
         voters: ["n0", "n1", "n2"].map(str::to_owned).to_vec(),
-        duties: vec![Duty::Zones, Duty::Splits, Duty::Retire],
+        leases: vec![LeaseKind::ZoneFailover, LeaseKind::SplitPoints, LeaseKind::SiteDrain],
         lease_ms: 4001,
         least_term: 4002,
         cuts: [(8, vec!["c".to_owned(), "m".to_owned()])].into(),
-        retire: vec![
-            retiring("site-a", 4011, Pace::Goes),
-            retiring("site-b", 4021, Pace::Held),
-            retiring("site-c", 4031, Pace::TakenBack),
-            retiring("site-d", 4041, Pace::Hurried),
+        site_drain: vec![
+            drain("site-a", 4011, DrainOrder::Run),
+            drain("site-b", 4021, DrainOrder::Pause),
+            drain("site-c", 4031, DrainOrder::Cancel),
+            drain("site-d", 4041, DrainOrder::Expedite),
         ],
     };
-    assert_eq!(operator.fellows, Some(fellows));
-    assert_eq!(operator.council, Some(council));
-    assert_eq!([Duty::Zones, Duty::Splits, Duty::Retire].map(Duty::name), ["zones", "splits", "retire"]);
+    assert_eq!(operator.membership, Some(membership));
+    assert_eq!(operator.coordination, Some(coordination));
+    assert_eq!(
+        [LeaseKind::ZoneFailover, LeaseKind::SplitPoints, LeaseKind::SiteDrain].map(LeaseKind::name),
+        ["zones", "splits", "retire"]
+    );
+}
+
+/// What each old key's section is in a file that is otherwise complete.
+const OLD_AND_NEW: [(&str, &str); 6] = [
+    (r#"{"fellows":MEMBERSHIP}"#, r#"{"membership":MEMBERSHIP}"#),
+    (
+        r#"{"membership":MEMBERSHIP,"council":{"voters":["a","b","c"],"leases":["zones"]}}"#,
+        r#"{"membership":MEMBERSHIP,"coordination":{"voters":["a","b","c"],"leases":["zones"]}}"#,
+    ),
+    (
+        r#"{"membership":MEMBERSHIP,"coordination":{"voters":["a","b","c"],"duties":["splits"]}}"#,
+        r#"{"membership":MEMBERSHIP,"coordination":{"voters":["a","b","c"],"leases":["splits"]}}"#,
+    ),
+    (
+        r#"{"membership":MEMBERSHIP,"coordination":{"voters":["a","b","c"],"leases":["retire"],"retire":DRAINS}}"#,
+        r#"{"membership":MEMBERSHIP,"coordination":{"voters":["a","b","c"],"leases":["retire"],"site_drain":DRAINS}}"#,
+    ),
+    (r#"{"trial":{"settings":"t.json"}}"#, r#"{"shadow":{"settings":"t.json"}}"#),
+    (r#"{"warm":{"folder":"w"}}"#, r#"{"warm_start":{"folder":"w"}}"#),
+];
+
+fn filled(text: &str) -> String {
+    text.replace("MEMBERSHIP", r#"{"fleet":"f","listen":"127.0.0.1:1","networks":["::1/128"]}"#)
+        .replace("DRAINS", r#"[{"site":"s","number":1,"by":2}]"#)
+}
+
+#[test]
+fn each_old_key_alone_is_read_as_the_new_one() {
+    for (old, new) in OLD_AND_NEW {
+        let read = Operator::parse(&filled(old));
+        assert!(read.is_ok(), "{old}: {read:?}");
+        assert_eq!(read, Operator::parse(&filled(new)), "{old}");
+        assert_ne!(read, Ok(Operator::default()), "{old}");
+    }
+}
+
+#[test]
+fn an_old_key_beside_its_new_form_is_refused_as_a_duplicate() {
+    let duplicates = [
+        (r#"{"fellows":MEMBERSHIP,"membership":MEMBERSHIP}"#, "membership"),
+        (r#"{"membership":MEMBERSHIP,"fellows":MEMBERSHIP}"#, "membership"),
+        (r#"{"coordination":COORDINATION,"council":COORDINATION}"#, "coordination"),
+        (r#"{"coordination":{"voters":[],"leases":["zones"],"duties":["zones"]}}"#, "leases"),
+        (r#"{"coordination":{"voters":[],"leases":[],"retire":DRAINS,"site_drain":DRAINS}}"#, "site_drain"),
+        (r#"{"trial":{"settings":"t.json"},"shadow":{"settings":"t.json"}}"#, "shadow"),
+        (r#"{"warm":{"folder":"w"},"warm_start":{"folder":"w"}}"#, "warm_start"),
+    ];
+    for (text, key) in duplicates {
+        let text = filled(&text.replace("COORDINATION", r#"{"voters":["a","b","c"],"leases":["zones"]}"#));
+        let refusal = Operator::parse(&text).unwrap_err().to_string();
+        assert!(refusal.contains(&format!("duplicate field `{key}`")), "{refusal}");
+    }
 }
