--- a/crates/proxy/tests/stored_data.rs
+++ b/crates/proxy/tests/stored_data.rs
@@ -12,7 +12,9 @@
 use aldermill_site_routing::{Fate, Origin};
 use aldermill_store::{Batch, Bounds, Disk, Snapshot, Store};
 use aldermill_test_support::program;
-use aldermill_warm_start::{Beliefs, Change, Kept, Pace, Primary, Recalled, recall, space};
+use aldermill_warm_start::{
+    Change, KnownPrimary, RestoredState, SavedState, ServiceTime, StateSnapshot, namespace, restore,
+};
 
 /// When the fixture was written, in Unix microseconds.
 const WRITTEN_AT: i64 = 1_700_000_000_000_000;
@@ -164,15 +166,15 @@
     (snapshot, folder)
 }
 
-fn beliefs() -> Beliefs {
+fn warm_state() -> StateSnapshot {
     let entries = [("s-a".to_owned(), ENTRY_A.to_owned()), ("s-b".to_owned(), ENTRY_B.to_owned())];
-    Beliefs {
+    StateSnapshot {
         revision: Some(7),
         members: entries.into(),
-        primaries: [(2, Primary { member: "s-b".to_owned(), word: WRITTEN_AT - SECOND })].into(),
-        homes: [(2, "site1".to_owned())].into(),
-        paces: [("read".to_owned(), Pace { usual: 1500, slow: 9000 })].into(),
-        windows: [("s-a".to_owned(), 3), ("s-b".to_owned(), -1)].into(),
+        primaries: [(2, KnownPrimary { member: "s-b".to_owned(), confirmed_at: WRITTEN_AT - SECOND })].into(),
+        home_sites: [(2, "site1".to_owned())].into(),
+        service_times: [("read".to_owned(), ServiceTime { median: 1500, p90: 9000 })].into(),
+        concurrency_limits: [("s-a".to_owned(), 3), ("s-b".to_owned(), -1)].into(),
     }
 }
 
@@ -214,25 +216,44 @@
 }
 
 #[test]
-fn each_space_number_stands_for_the_same_kind_of_record() {
-    let lists = [space::IDENTITY, space::LIST, space::PRIMARIES, space::HOMES, space::PACES];
+fn each_namespace_number_stands_for_the_same_kind_of_record() {
+    let lists = [
+        namespace::IDENTITY,
+        namespace::ENDPOINT_LIST,
+        namespace::PRIMARIES,
+        namespace::HOME_SITES,
+        namespace::SERVICE_TIMES,
+    ];
     assert_eq!(lists, [1, 2, 3, 4, 5]);
-    let others = [space::BOOK, space::PROMISES, space::GRANTED, space::DECREED, space::BOUND];
+    let others = [
+        namespace::OUTCOME_LOG,
+        namespace::OUTCOME_LOG_PROMISES,
+        namespace::GRANTED_TERMS,
+        namespace::ACCEPTED_TERMS,
+        namespace::SITE_DRAINS,
+    ];
     assert_eq!(others, [6, 7, 8, 9, 10]);
 }
 
 #[test]
-fn the_stored_warm_start_records_are_recalled_as_these_values() {
+fn the_stored_warm_start_records_are_restored_as_these_values() {
     let (snapshot, _folder) = stored("recall");
-    let recalled = recall("n0", WRITTEN_AT + 2 * SECOND, snapshot.everything()).unwrap();
-    assert_eq!(recalled, Recalled { beliefs: beliefs(), age: Some(3 * SECOND), left_out: 0 });
+    let restored = restore("n0", WRITTEN_AT + 2 * SECOND, snapshot.everything()).unwrap();
+    assert_eq!(
+        restored,
+        RestoredState {
+            snapshot: warm_state(),
+            newest_confirmation_age: Some(3 * SECOND),
+            unusable_records: 0
+        }
+    );
 }
 
 #[test]
 fn warm_start_writes_the_same_records() {
-    let changes = Kept::start("n0", []).changes(WRITTEN_AT, beliefs());
-    let record = |space, key: &str, value: &str| Change {
-        space,
+    let changes = SavedState::new("n0", []).changes(WRITTEN_AT, warm_state());
+    let record = |namespace, key: &str, value: &str| Change {
+        namespace,
         key: key.as_bytes().to_vec(),
         value: Some(value.as_bytes().to_vec()),
     };
