--- a/crates/proxy/src/dispatcher/gateway/announcements.rs
+++ b/crates/proxy/src/dispatcher/gateway/announcements.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use aldermill_routing::Micros;
-use aldermill_site_link::{Credit, Home, Room as RoomFrame, Said};
+use aldermill_site_link::{CapacityAnnouncement, Credit, HomeAnnouncement, Outbound};
 use aldermill_site_routing::GateId;
 use serde_json::{Value, json};
 
@@ -26,16 +26,16 @@
     pub(super) fn announce_room_to(&mut self, gate: GateId) {
         if self.peer_gateways.get(gate).is_some_and(|peer| !peer.links.is_empty()) {
             let room = self.room_frame(gate);
-            self.send(gate, None, Said::Room(room));
+            self.send(gate, None, Outbound::CapacityAnnouncement(room));
         }
     }
 
-    fn room_frame(&mut self, gate: GateId) -> RoomFrame {
+    fn room_frame(&mut self, gate: GateId) -> CapacityAnnouncement {
         let (credits, groups) = self.sites.offered(gate);
         let credits = self.classes.iter().zip(credits);
-        RoomFrame {
+        CapacityAnnouncement {
             credits: credits.map(|(name, requests)| Credit { class: name.clone(), requests }).collect(),
-            homes: groups.into_iter().map(|(group, primary)| Home { group, primary }).collect(),
+            homes: groups.into_iter().map(|(group, primary)| HomeAnnouncement { group, primary }).collect(),
             draining: self.draining,
         }
     }
@@ -83,7 +83,7 @@
         let gateways = self.peer_gateways.iter().enumerate();
         let gateways: Vec<Value> = gateways.map(|(id, peer)| self.describe_gateway(now, id, peer)).collect();
         let text = json!({
-            "site": self.own.site, "instance": self.own.instance, "start": self.own.start, "draining": self.draining,
+            "site": self.own.site, "instance": self.own.instance, "start": self.own.incarnation, "draining": self.draining,
             "gateways": gateways, "groups": self.describe_groups(), "tasks": self.forwarded.len(),
             "guests": self.remote_requests.len(), "fates_kept": self.fates.len(), "book": self.describe_outcome_log(),
         });
--- a/crates/proxy/src/dispatcher/gateway/answers.rs
+++ b/crates/proxy/src/dispatcher/gateway/answers.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use aldermill_routing::{Effect, Micros};
-use aldermill_site_link::{Outcome as OutcomeFrame, OutcomeKind, Said};
+use aldermill_site_link::{Outbound, Response as ResponseFrame, ResponseKind};
 use aldermill_site_routing::{Fate, Handle, SiteId};
 
 use super::{
@@ -34,7 +34,7 @@
 
 /// What a remote request came to.
 struct RemoteOutcome {
-    kind: OutcomeKind,
+    kind: ResponseKind,
     /// What whoever asks later is told.
     fate: Fate<KeptValue>,
     value: Rc<Vec<u8>>,
@@ -48,15 +48,15 @@
             FinalAnswer::Ended(Answer::Served(rows)) => RemoteOutcome::served(rows),
             FinalAnswer::Ended(Answer::Rejected { cool_down }) => {
                 let fate = Fate::Rejected { cool_down };
-                RemoteOutcome { retry_after: cool_down, ..RemoteOutcome::empty(OutcomeKind::Rejected, fate) }
+                RemoteOutcome { retry_after: cool_down, ..RemoteOutcome::empty(ResponseKind::Rejected, fate) }
             }
-            FinalAnswer::Ended(Answer::Failed) => RemoteOutcome::empty(OutcomeKind::Failed, Fate::Failed),
+            FinalAnswer::Ended(Answer::Failed) => RemoteOutcome::empty(ResponseKind::Failed, Fate::Failed),
             FinalAnswer::Ended(Answer::Wrong(_)) => {
-                RemoteOutcome::empty(OutcomeKind::Wrong, Fate::Rejected { cool_down: 0 })
+                RemoteOutcome::empty(ResponseKind::Invalid, Fate::Rejected { cool_down: 0 })
             }
             FinalAnswer::NotHere { hint } => {
                 let fate = Fate::Rejected { cool_down: 0 };
-                RemoteOutcome { hint, ..RemoteOutcome::empty(OutcomeKind::NotHere, fate) }
+                RemoteOutcome { hint, ..RemoteOutcome::empty(ResponseKind::NotPrimary, fate) }
             }
         }
     }
@@ -64,10 +64,10 @@
     fn served(rows: Rows) -> RemoteOutcome {
         let value = Rc::new(rows.pieces.concat());
         let kept = KeptValue { bytes: value.clone(), _room: rows.room.map(Rc::new) };
-        RemoteOutcome { value, ..RemoteOutcome::empty(OutcomeKind::Served, Fate::Served(kept)) }
+        RemoteOutcome { value, ..RemoteOutcome::empty(ResponseKind::Served, Fate::Served(kept)) }
     }
 
-    fn empty(kind: OutcomeKind, fate: Fate<KeptValue>) -> RemoteOutcome {
+    fn empty(kind: ResponseKind, fate: Fate<KeptValue>) -> RemoteOutcome {
         RemoteOutcome { kind, fate, value: Rc::default(), retry_after: 0, hint: None }
     }
 }
@@ -89,13 +89,13 @@
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let effect = self.decoded.terms.classes[forwarded.class].effect;
         let RemoteOutcome { kind, fate, value, retry_after, hint } = RemoteOutcome::new(answer);
-        let frame = OutcomeFrame {
+        let frame = ResponseFrame {
             number: remote.number,
             kind: kind.into(),
-            cool_down_us: retry_after.max(0) as u64,
+            retry_after_us: retry_after.max(0) as u64,
             hint: hint.map_or(String::new(), |site| gateway_part.names[site].clone()),
-            took_us: (now - forwarded.request.arrived).max(0) as u64,
-            ..OutcomeFrame::default()
+            duration_us: (now - forwarded.request.arrived).max(0) as u64,
+            ..ResponseFrame::default()
         };
         let timeout = Micros::from(forwarded.request.comment.wait) * 1000;
         let non_idempotent = matches!(effect, Effect::Effectful);
@@ -103,7 +103,7 @@
         let fate = if non_idempotent { fate } else { Fate::Failed };
         let kept_until = non_idempotent.then_some(now + timeout + ASKED_AFTER_DEADLINE);
         gateway_part.remember_and_send(now, remote, fate, kept_until, frame, value);
-        let rejected = kind == OutcomeKind::Rejected;
+        let rejected = kind == ResponseKind::Rejected;
         if gateway_part.sites.guest_over(now, remote.gate, forwarded.class, rejected) {
             gateway_part.announce_room_to(remote.gate);
         }
@@ -118,7 +118,7 @@
         remote: &RemoteRequest,
         fate: Fate<KeptValue>,
         kept_until: Option<Micros>,
-        frame: OutcomeFrame,
+        frame: ResponseFrame,
         value: Rc<Vec<u8>>,
     ) {
         let mut token = None;
@@ -135,7 +135,7 @@
         let value = Rc::try_unwrap(value).unwrap_or_else(|shared| shared.to_vec());
         match token {
             Some(token) => drop(self.departing.insert(token, DepartingOutcome { gate, link, frame, value })),
-            None => drop(self.send(gate, Some(link), Said::Outcome(frame, value))),
+            None => drop(self.send(gate, Some(link), Outbound::Response(frame, value))),
         }
     }
 }
--- a/crates/proxy/src/dispatcher/gateway/link_events.rs
+++ b/crates/proxy/src/dispatcher/gateway/link_events.rs
@@ -2,7 +2,8 @@
 
 use aldermill_routing::Micros;
 use aldermill_site_link::{
-    Ask, Event, Fate as FateFrame, FateKind, Outcome as OutcomeFrame, OutcomeKind, Room as RoomFrame, Said,
+    CapacityAnnouncement, Inbound, Outbound, OutcomeQuery, OutcomeReply, OutcomeReplyKind,
+    Response as ResponseFrame, ResponseKind,
 };
 use aldermill_site_routing::{Answer as SiteAnswer, Fate, GateId};
 
@@ -13,21 +14,21 @@
 
 impl Dispatcher {
     /// Something was heard over a link whose other side has greeted.
-    pub(super) fn link_event(&mut self, link: LinkId, gate: GateId, event: Event) {
+    pub(super) fn link_event(&mut self, link: LinkId, gate: GateId, event: Inbound) {
         match event {
-            Event::Met(_) => {}
-            Event::Request(frame, statement) => self.remote_request_arrived(link, gate, frame, statement),
-            Event::Outcome(outcome, value) => self.outcome_received(&outcome, value),
-            Event::Fate(fate, value) => self.fate_received(link, &fate, value),
-            Event::Cancel(number) => self.remote_request_cancelled(gate, number),
-            Event::Ask(ask) => self.answer_question(link, gate, &ask),
-            Event::Confirm(confirm) => {
+            Inbound::Greeted(_) => {}
+            Inbound::Request(frame, statement) => self.remote_request_arrived(link, gate, frame, statement),
+            Inbound::Response(outcome, value) => self.outcome_received(&outcome, value),
+            Inbound::OutcomeReply(fate, value) => self.fate_received(link, &fate, value),
+            Inbound::Cancel(number) => self.remote_request_cancelled(gate, number),
+            Inbound::OutcomeQuery(ask) => self.answer_question(link, gate, &ask),
+            Inbound::Confirm(confirm) => {
                 let Some(gateway_part) = &mut self.gateway_part else { return };
                 let origin = &gateway_part.peer_gateways[gate].origin;
-                gateway_part.fates.confirm(origin, confirm.upto);
+                gateway_part.fates.confirm(origin, confirm.up_to);
             }
-            Event::Room(room) => self.room_received(gate, &room),
-            Event::Trip(round_trip) => {
+            Inbound::CapacityAnnouncement(room) => self.room_received(gate, &room),
+            Inbound::RoundTrip(round_trip) => {
                 if let Some(gateway_part) = &mut self.gateway_part {
                     gateway_part.sites.trip(gate, round_trip);
                 }
@@ -36,7 +37,7 @@
     }
 
     /// Another gateway tells how a request ended that was sent there.
-    fn outcome_received(&mut self, outcome: &OutcomeFrame, value: Vec<u8>) {
+    fn outcome_received(&mut self, outcome: &ResponseFrame, value: Vec<u8>) {
         let now = self.context.clock.now();
         let received = self.received_answer(outcome.number, value);
         let Some(gateway_part) = &mut self.gateway_part else { return };
@@ -47,12 +48,12 @@
     }
 
     /// Another gateway tells, as it was asked, what became of a request that was sent there.
-    fn fate_received(&mut self, link: LinkId, frame: &FateFrame, value: Vec<u8>) {
+    fn fate_received(&mut self, link: LinkId, frame: &OutcomeReply, value: Vec<u8>) {
         let now = self.context.clock.now();
         let fate = fate_of(frame);
         let received = self.received_answer(frame.number, value);
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        if frame.kind() == FateKind::UnderWay
+        if frame.kind() == OutcomeReplyKind::InFlight
             && let Some(sent) = gateway_part.sent.get_mut(&frame.number)
         {
             // Its answer comes over the link that was asked on.
@@ -63,17 +64,17 @@
     }
 
     /// Another gateway asks what became of a request that it sent.
-    fn answer_question(&mut self, link: LinkId, gate: GateId, ask: &Ask) {
+    fn answer_question(&mut self, link: LinkId, gate: GateId, ask: &OutcomeQuery) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let fate = gateway_part.fate_for(now, gate, ask);
         gateway_part.move_to_link(gate, ask.number, link);
         let (frame, value) = fate_frame(ask.number, fate);
-        gateway_part.send(gate, Some(link), Said::Fate(frame, value));
+        gateway_part.send(gate, Some(link), Outbound::OutcomeReply(frame, value));
     }
 
     /// Another gateway tells what it takes, and where groups are.
-    fn room_received(&mut self, gate: GateId, room: &RoomFrame) {
+    fn room_received(&mut self, gate: GateId, room: &CapacityAnnouncement) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let credit = |name: &String| room.credits.iter().find(|credit| credit.class == *name);
@@ -104,26 +105,28 @@
 }
 
 impl GatewayPart {
-    fn site_answer(&self, outcome: &OutcomeFrame) -> SiteAnswer {
+    fn site_answer(&self, outcome: &ResponseFrame) -> SiteAnswer {
         match outcome.kind() {
-            OutcomeKind::Served => SiteAnswer::Served,
-            OutcomeKind::Rejected => SiteAnswer::Rejected { cool_down: received_span(outcome.cool_down_us) },
-            OutcomeKind::NotHere => SiteAnswer::NotHere { hint: self.site(&outcome.hint) },
-            OutcomeKind::Wrong => SiteAnswer::NeverTaken,
-            OutcomeKind::Failed | OutcomeKind::Unset => SiteAnswer::Failed,
+            ResponseKind::Served => SiteAnswer::Served,
+            ResponseKind::Rejected => {
+                SiteAnswer::Rejected { cool_down: received_span(outcome.retry_after_us) }
+            }
+            ResponseKind::NotPrimary => SiteAnswer::NotHere { hint: self.site(&outcome.hint) },
+            ResponseKind::Invalid => SiteAnswer::NeverTaken,
+            ResponseKind::Failed | ResponseKind::Unset => SiteAnswer::Failed,
         }
     }
 
     /// What became of a request that this gateway was sent. What an earlier start took is in the outcome log.
-    fn fate_for(&mut self, now: Micros, gate: GateId, ask: &Ask) -> Fate<KeptValue> {
+    fn fate_for(&mut self, now: Micros, gate: GateId, ask: &OutcomeQuery) -> Fate<KeptValue> {
         let origin = &self.peer_gateways[gate].origin;
-        let own = self.own.start;
+        let own = self.own.incarnation;
         match &mut self.outcome_log {
-            Some(outcome_log) if ask.receiver_start != own => {
-                let fate = outcome_log.ask(now, origin, ask.number, ask.receiver_start);
+            Some(outcome_log) if ask.receiver_incarnation != own => {
+                let fate = outcome_log.ask(now, origin, ask.number, ask.receiver_incarnation);
                 fate.map(|bytes| KeptValue { bytes, _room: None })
             }
-            _ => self.fates.ask(now, origin, ask.number, ask.receiver_start, own),
+            _ => self.fates.ask(now, origin, ask.number, ask.receiver_incarnation, own),
         }
     }
 
@@ -143,34 +146,34 @@
     }
 }
 
-fn fate_of(frame: &FateFrame) -> Fate<()> {
+fn fate_of(frame: &OutcomeReply) -> Fate<()> {
     match frame.kind() {
-        FateKind::NeverTaken => Fate::NeverTaken,
-        FateKind::Rejected => Fate::Rejected { cool_down: received_span(frame.cool_down_us) },
-        FateKind::Served => Fate::Served(()),
-        FateKind::UnderWay => Fate::UnderWay,
-        FateKind::Failed => Fate::Failed,
-        FateKind::Unknown | FateKind::Unset => Fate::Unknown,
+        OutcomeReplyKind::NeverAccepted => Fate::NeverTaken,
+        OutcomeReplyKind::Rejected => Fate::Rejected { cool_down: received_span(frame.retry_after_us) },
+        OutcomeReplyKind::Served => Fate::Served(()),
+        OutcomeReplyKind::InFlight => Fate::UnderWay,
+        OutcomeReplyKind::Failed => Fate::Failed,
+        OutcomeReplyKind::Unknown | OutcomeReplyKind::Unset => Fate::Unknown,
     }
 }
 
 /// A fate as another gateway is told it, and the value that goes with it.
-fn fate_frame(number: u64, fate: Fate<KeptValue>) -> (FateFrame, Vec<u8>) {
-    let mut frame = FateFrame { number, ..FateFrame::default() };
+fn fate_frame(number: u64, fate: Fate<KeptValue>) -> (OutcomeReply, Vec<u8>) {
+    let mut frame = OutcomeReply { number, ..OutcomeReply::default() };
     let mut value = Vec::new();
     let kind = match fate {
-        Fate::NeverTaken => FateKind::NeverTaken,
-        Fate::UnderWay => FateKind::UnderWay,
+        Fate::NeverTaken => OutcomeReplyKind::NeverAccepted,
+        Fate::UnderWay => OutcomeReplyKind::InFlight,
         Fate::Rejected { cool_down } => {
-            frame.cool_down_us = cool_down.max(0) as u64;
-            FateKind::Rejected
+            frame.retry_after_us = cool_down.max(0) as u64;
+            OutcomeReplyKind::Rejected
         }
         Fate::Served(kept) => {
             value = kept.bytes.to_vec();
-            FateKind::Served
+            OutcomeReplyKind::Served
         }
-        Fate::Failed => FateKind::Failed,
-        Fate::Unknown => FateKind::Unknown,
+        Fate::Failed => OutcomeReplyKind::Failed,
+        Fate::Unknown => OutcomeReplyKind::Unknown,
     };
     frame.kind = kind.into();
     (frame, value)
--- a/crates/proxy/src/dispatcher/gateway/links.rs
+++ b/crates/proxy/src/dispatcher/gateway/links.rs
@@ -1,6 +1,6 @@
 //! Links to other gateways that come up and are lost.
 
-use aldermill_site_link::{Event, Identity};
+use aldermill_site_link::{Identity, Inbound};
 use aldermill_site_routing::{GateId, OWN, Origin, SiteId};
 use slog::{info, warn};
 
@@ -17,7 +17,7 @@
                 gateway_part.links.insert(link, LinkState { gate: None, outbox, holder });
             }
             LinkEvent::Lost => self.link_lost(link),
-            LinkEvent::Heard(Event::Met(identity)) => self.greeted_on(link, identity),
+            LinkEvent::Heard(Inbound::Greeted(identity)) => self.greeted_on(link, identity),
             LinkEvent::Heard(event) => {
                 let Some(gate) = gateway_part.links.get(&link).and_then(|state| state.gate) else { return };
                 self.link_event(link, gate, event);
@@ -33,8 +33,8 @@
             gateway_part.links.remove(&link);
             return;
         };
-        let Identity { site: name, instance, start } = identity;
-        let origin = Origin { site: name, instance, start };
+        let Identity { site: name, instance, incarnation } = identity;
+        let origin = Origin { site: name, instance, start: incarnation };
         let id = gateway_part.gateway_id(site, &origin);
         let current_up = !gateway_part.peer_gateways[id].links.is_empty();
         if !gateway_part.fates.greeted(&origin, current_up) {
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -18,7 +18,7 @@
 
 use aldermill_flow_control::Peer;
 use aldermill_routing::{Handle as RouterHandle, Micros};
-use aldermill_site_link::{Identity, Outcome as OutcomeFrame, Request as RequestFrame, Said};
+use aldermill_site_link::{Identity, Outbound, Request as RequestFrame, Response as ResponseFrame};
 use aldermill_site_routing::{Fates, GateId, Handle, Origin, SiteId, Sites};
 use tokio::sync::mpsc;
 
@@ -70,7 +70,7 @@
 struct LinkState {
     /// The gateway on the other side, once it has greeted.
     gate: Option<GateId>,
-    outbox: mpsc::Sender<Said>,
+    outbox: mpsc::Sender<Outbound>,
     /// For whom buffer space for its values is asked.
     holder: Peer,
 }
@@ -116,7 +116,7 @@
 struct DepartingOutcome {
     gate: GateId,
     link: LinkId,
-    frame: OutcomeFrame,
+    frame: ResponseFrame,
     value: Vec<u8>,
 }
 
@@ -183,7 +183,7 @@
     }
 
     /// Sends a frame to a gateway, over the link named or any that stands. Returns the link, unless none could take it.
-    fn send(&self, gate: GateId, link: Option<LinkId>, frame: Said) -> Option<LinkId> {
+    fn send(&self, gate: GateId, link: Option<LinkId>, frame: Outbound) -> Option<LinkId> {
         let links = &self.peer_gateways.get(gate)?.links;
         let named = link.filter(|link| links.contains(link));
         let link = named.or_else(|| self.link_with_most_capacity(links))?;
--- a/crates/proxy/src/dispatcher/gateway/remote_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/remote_requests.rs
@@ -1,7 +1,7 @@
 //! Remote requests: what other gateways sent here, from their arrival until the site router has them.
 
 use aldermill_routing::{Effect, Micros};
-use aldermill_site_link::{Outcome as OutcomeFrame, OutcomeKind, Request as RequestFrame, Said};
+use aldermill_site_link::{Outbound, Request as RequestFrame, Response as ResponseFrame, ResponseKind};
 use aldermill_site_routing::{Fate, GateId, TurnedAway};
 use aldermill_wire::statement::Comment;
 use slog::warn;
@@ -36,15 +36,15 @@
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         // Meant for an earlier start of this gateway: what that one did with it is not known, so nothing is said.
-        if frame.receiver_start != gateway_part.own.start {
+        if frame.receiver_incarnation != gateway_part.own.incarnation {
             return;
         }
         let origin = gateway_part.peer_gateways[gate].origin.clone();
         let number = frame.number;
-        match gateway_part.fates.take(now, &origin, number, received_span(frame.left_us)) {
+        match gateway_part.fates.take(now, &origin, number, received_span(frame.timeout_us)) {
             Ok(()) => {}
             Err(TurnedAway::Full) => {
-                gateway_part.send_rejection(gate, link, number, OutcomeKind::Rejected);
+                gateway_part.send_rejection(gate, link, number, ResponseKind::Rejected);
                 return;
             }
             // Another copy, or one that was asked about before it came: no news to the sender.
@@ -62,17 +62,17 @@
         let Some(outcome_log) = outcome_log.filter(|_| effect == Some(Effect::Effectful)) else {
             return self.take_remote_request(arriving);
         };
-        let (now, left) = (arriving.received_at, received_span(arriving.frame.left_us));
+        let (now, left) = (arriving.received_at, received_span(arriving.frame.timeout_us));
         let until = now + left + ASKED_AFTER_DEADLINE;
         match outcome_log.take(now, &arriving.origin, arriving.number, until) {
             Taking::Waits(token) => drop(gateway_part.arriving.insert(token, arriving)),
             Taking::Without => self.take_remote_request(arriving),
-            Taking::Refused => self.reject_remote_request(&arriving, OutcomeKind::Rejected),
+            Taking::Refused => self.reject_remote_request(&arriving, ResponseKind::Rejected),
         }
     }
 
     /// Settles a remote request that never began, and tells its sender.
-    fn reject_remote_request(&mut self, arriving: &ArrivingRequest, kind: OutcomeKind) {
+    fn reject_remote_request(&mut self, arriving: &ArrivingRequest, kind: ResponseKind) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
         gateway_part.fates.settle(&arriving.origin, arriving.number, Fate::Rejected { cool_down: 0 });
         gateway_part.send_rejection(arriving.gate, arriving.link, arriving.number, kind);
@@ -112,7 +112,7 @@
         match gateway_part.arriving.remove(&token) {
             Some(arriving) if well => self.take_remote_request(arriving),
             // Nothing of it has begun: that may be said whatever the disk holds.
-            Some(arriving) => self.reject_remote_request(&arriving, OutcomeKind::Rejected),
+            Some(arriving) => self.reject_remote_request(&arriving, ResponseKind::Rejected),
             None => {}
         }
     }
@@ -149,24 +149,24 @@
     }
 
     /// The request's class, comment and time, or the kind of rejection that its sender is told.
-    fn check_remote_request(&self, arriving: &ArrivingRequest) -> Result<Checked, OutcomeKind> {
+    fn check_remote_request(&self, arriving: &ArrivingRequest) -> Result<Checked, ResponseKind> {
         let frame = &arriving.frame;
-        let gateway_part = self.gateway_part.as_ref().ok_or(OutcomeKind::Rejected)?;
+        let gateway_part = self.gateway_part.as_ref().ok_or(ResponseKind::Rejected)?;
         let class = gateway_part.classes.iter().position(|name| *name == frame.class);
-        let class = class.ok_or(OutcomeKind::Wrong)?;
-        let comment = Comment::parse(&arriving.statement).map_err(|_| OutcomeKind::Wrong)?;
+        let class = class.ok_or(ResponseKind::Invalid)?;
+        let comment = Comment::parse(&arriving.statement).map_err(|_| ResponseKind::Invalid)?;
         if comment.group != frame.group {
-            return Err(OutcomeKind::Wrong);
+            return Err(ResponseKind::Invalid);
         }
         if frame.visited.contains(&gateway_part.own.site) {
-            return Err(OutcomeKind::NotHere);
+            return Err(ResponseKind::NotPrimary);
         }
         let waited = self.context.clock.now() - arriving.received_at;
-        let ttl = received_span(frame.left_us) - waited - gateway_part.sites.one_way(arriving.gate);
+        let ttl = received_span(frame.timeout_us) - waited - gateway_part.sites.one_way(arriving.gate);
         let full = gateway_part.forwarded.len() >= self.context.limits.requests;
         let under_way = self.open_ids.contains(&comment.id);
         if gateway_part.draining || full || under_way || ttl <= 0 {
-            return Err(OutcomeKind::Rejected);
+            return Err(ResponseKind::Rejected);
         }
         Ok(Checked { class, comment, ttl })
     }
@@ -198,16 +198,16 @@
         }
     }
 
-    fn send_rejection(&self, gate: GateId, link: LinkId, number: u64, kind: OutcomeKind) {
-        let frame = OutcomeFrame { number, kind: kind.into(), ..OutcomeFrame::default() };
-        self.send(gate, Some(link), Said::Outcome(frame, Vec::new()));
+    fn send_rejection(&self, gate: GateId, link: LinkId, number: u64, kind: ResponseKind) {
+        let frame = ResponseFrame { number, kind: kind.into(), ..ResponseFrame::default() };
+        self.send(gate, Some(link), Outbound::Response(frame, Vec::new()));
     }
 
     /// Sends an outcome over its link; where that was lost, the other gateway asks about it.
     fn send_outcome(&self, departing: DepartingOutcome) {
         let DepartingOutcome { gate, link, frame, value } = departing;
         if self.peer_gateways[gate].links.contains(&link) {
-            self.send(gate, Some(link), Said::Outcome(frame, value));
+            self.send(gate, Some(link), Outbound::Response(frame, value));
         }
     }
 }
--- a/crates/proxy/src/dispatcher/gateway/site_actions.rs
+++ b/crates/proxy/src/dispatcher/gateway/site_actions.rs
@@ -1,7 +1,7 @@
 //! Carries out what the site router decided: hand a request to the router here, send it to a site, answer it.
 
 use aldermill_routing::Micros;
-use aldermill_site_link::{Ask, Confirm, Request as RequestFrame, Said};
+use aldermill_site_link::{Confirm, Outbound, OutcomeQuery, Request as RequestFrame};
 use aldermill_site_routing::{Action, Actions, Answer as SiteAnswer, GateId, Handle};
 
 use super::answers::FinalAnswer;
@@ -28,8 +28,8 @@
             self.carry_out_site_action(handle, action, &mut received);
         }
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        for (gate, upto) in actions.confirms {
-            gateway_part.send(gate, None, Said::Confirm(Confirm { upto }));
+        for (gate, up_to) in actions.confirms {
+            gateway_part.send(gate, None, Outbound::Confirm(Confirm { up_to }));
         }
         if actions.offers {
             gateway_part.announce_room();
@@ -95,9 +95,9 @@
         let start = peer.origin.start;
         let mut frame = gateway_part.request_frame(forwarded, now);
         frame.number = number;
-        frame.receiver_start = start;
-        frame.left_us = left.max(0) as u64;
-        let said = Said::Request(frame, forwarded.request.statement.clone());
+        frame.receiver_incarnation = start;
+        frame.timeout_us = left.max(0) as u64;
+        let said = Outbound::Request(frame, forwarded.request.statement.clone());
         if let Some(link) = gateway_part.send(gate, None, said) {
             gateway_part.sent.insert(number, SentRequest { gate, start, link });
             return;
@@ -110,14 +110,14 @@
     fn ask_about(&mut self, gate: GateId, number: u64) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let Some(sent) = gateway_part.sent.get(&number) else { return };
-        let ask = Ask { number, receiver_start: sent.start };
-        gateway_part.send(gate, None, Said::Ask(ask));
+        let ask = OutcomeQuery { number, receiver_incarnation: sent.start };
+        gateway_part.send(gate, None, Outbound::OutcomeQuery(ask));
     }
 
     fn cancel_at_site(&mut self, gate: GateId, number: u64) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let link = gateway_part.sent.remove(&number).map(|sent| sent.link);
-        gateway_part.send(gate, link, Said::Cancel(number));
+        gateway_part.send(gate, link, Outbound::Cancel(number));
     }
 }
 
@@ -133,7 +133,7 @@
             class: request.comment.class.clone(),
             group: request.comment.group,
             written_ago_us: written_ago as u64,
-            repeat: request.comment.repeat,
+            client_retry: request.comment.repeat,
             visited,
             ..RequestFrame::default()
         }
--- a/crates/proxy/src/dispatcher/gateway/start.rs
+++ b/crates/proxy/src/dispatcher/gateway/start.rs
@@ -45,7 +45,7 @@
         let terms = site_terms(&opening, decoded);
         let Opening { own, peers, homes, session, fates, folder, .. } = opening;
         let (confirmations, written) = mpsc::channel(CONFIRMATIONS);
-        let outcome_log = folder.map(|folder| OutcomeLog::open(folder, own.start, now, confirmations));
+        let outcome_log = folder.map(|folder| OutcomeLog::open(folder, own.incarnation, now, confirmations));
         let names: Vec<String> = std::iter::once(own.site.clone()).chain(peers).collect();
         let mut sites = Sites::start(terms, seed, now);
         for (group, site) in homes {
--- a/crates/proxy/src/gateway/link.rs
+++ b/crates/proxy/src/gateway/link.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use aldermill_flow_control::Way;
-use aldermill_site_link::{Broken, Event, Link};
+use aldermill_site_link::{Inbound, Link, LinkError};
 use slog::{info, warn};
 use thiserror::Error;
 use tokio::net::TcpStream;
@@ -33,7 +33,7 @@
     #[error("{0}")]
     Connection(#[from] std::io::Error),
     #[error("{0}")]
-    Broken(Broken),
+    Broken(LinkError),
     #[error("{0}")]
     Unwelcome(#[from] Unwelcome),
 }
@@ -75,7 +75,7 @@
     async fn talk(&mut self, id: LinkId, met: &mut Option<String>) -> Result<Over, Over> {
         let context = self.context.clone();
         let clock = context.unstalled_clock.clone();
-        let mut link = Link::start(self.yard.bounds, &self.yard.own, clock.now());
+        let mut link = Link::new(self.yard.bounds, &self.yard.own, clock.now());
         let (sender, mut said) = mpsc::channel(context.limits.calls);
         let mut sender = Some(sender);
         let mut waiting: Vec<u8> = Vec::new();
@@ -111,7 +111,7 @@
             if at == waiting.len() && !waiting.is_empty() {
                 continue;
             }
-            let room = link.takes();
+            let room = link.accepts_input();
             tokio::select! {
                 biased;
                 () = self.connection_guard.disconnected() => return Err(Over::TooSlow),
@@ -134,7 +134,7 @@
                         }
                     };
                     for event in events {
-                        if let Event::Met(peer) = &event {
+                        if let Inbound::Greeted(peer) = &event {
                             let welcome =
                                 self.yard.is_welcome(peer, self.from.ip(), self.gone_to.as_deref());
                             if let Err(why) = welcome {
@@ -153,7 +153,7 @@
                     }
                 }
                 word = said.recv() => match word {
-                    Some(word) => link.say(word),
+                    Some(word) => link.send(word),
                     None => {
                         // The dispatcher wants it no more: another link of this peer is from a newer start.
                         self.finish(&mut link, &waiting[at..], "not wanted").await;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -22,7 +22,7 @@
 
 use aldermill_operator_config::{Duty, Gateway, Operator};
 use aldermill_settings::Decoded;
-use aldermill_site_link::{Bounds as LinkBounds, Identity};
+use aldermill_site_link::{Identity, LinkLimits};
 use aldermill_stall_detection::apart;
 use bpaf::Bpaf;
 use rand::SeedableRng;
@@ -355,10 +355,11 @@
     let limits = &context.limits;
     let now = context.clock.now();
     // New with every start: the time of it, which a restart does not share.
-    let own = Identity { site: gateway.site.clone(), instance: name.to_owned(), start: now.max(1) as u64 };
-    let bounds = LinkBounds {
+    let own =
+        Identity { site: gateway.site.clone(), instance: name.to_owned(), incarnation: now.max(1) as u64 };
+    let bounds = LinkLimits {
         waiting: (room / 8).max(256 * 1024),
-        ..LinkBounds::usual(limits.statement, limits.answer)
+        ..LinkLimits::standard(limits.statement, limits.answer)
     };
     let yard = LinkRegistry::new(own.clone(), &gateway, bounds);
     if let Some(listen) = gateway.listen {
--- a/crates/proxy/src/messages/dispatcher.rs
+++ b/crates/proxy/src/messages/dispatcher.rs
@@ -3,7 +3,7 @@
 use aldermill_flow_control::Peer;
 use aldermill_routing::{Handle, MemberId, MemberReport, Micros, Verdict};
 use aldermill_site_drain::Plan;
-use aldermill_site_link::{Event, Said};
+use aldermill_site_link::{Inbound, Outbound};
 use aldermill_wire::statement::Comment;
 use aldermill_zone_failover::Lean;
 use tokio::sync::{mpsc, oneshot};
@@ -64,11 +64,11 @@
     /// It stands, and the other side has greeted as one that it may be.
     Up {
         /// What is sent here goes over the link.
-        outbox: mpsc::Sender<Said>,
+        outbox: mpsc::Sender<Outbound>,
         /// For whom buffer space for its values is asked.
         holder: Peer,
     },
-    Heard(Event),
+    Heard(Inbound),
     Lost,
 }
 
--- a/crates/site-link/src/frame.rs
+++ b/crates/site-link/src/frame.rs
@@ -1,17 +1,17 @@
 //! The frames, as Protocol Buffers.
 
 /// The version of the protocol that is spoken here; the greeting names it.
-pub const VERSION: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 
 /// One frame. Fields that a reader does not know are passed over; a kind that it does not know ends the link.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Frame {
-    #[prost(oneof = "Kind", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13")]
-    pub kind: Option<Kind>,
+    #[prost(oneof = "FrameKind", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13")]
+    pub kind: Option<FrameKind>,
 }
 
 #[derive(Clone, PartialEq, prost::Oneof)]
-pub enum Kind {
+pub enum FrameKind {
     #[prost(message, tag = "1")]
     Hello(Hello),
     #[prost(message, tag = "2")]
@@ -21,14 +21,14 @@
     #[prost(message, tag = "4")]
     Window(Window),
     #[prost(message, tag = "5")]
-    Outcome(Outcome),
+    Response(Response),
     /// The client of the request with this number has left.
     #[prost(uint64, tag = "6")]
     Cancel(u64),
     #[prost(message, tag = "7")]
-    Ask(Ask),
+    OutcomeQuery(OutcomeQuery),
     #[prost(message, tag = "8")]
-    Fate(Fate),
+    OutcomeReply(OutcomeReply),
     #[prost(message, tag = "9")]
     Confirm(Confirm),
     #[prost(message, tag = "10")]
@@ -36,7 +36,7 @@
     #[prost(message, tag = "11")]
     Pong(Pong),
     #[prost(message, tag = "12")]
-    Room(Room),
+    CapacityAnnouncement(CapacityAnnouncement),
     #[prost(message, tag = "13")]
     Close(Close),
 }
@@ -51,9 +51,9 @@
     pub site: String,
     #[prost(string, tag = "3")]
     pub instance: String,
-    /// New with every start of the instance, never used again.
+    /// Differs between any two starts of the instance.
     #[prost(uint64, tag = "4")]
-    pub start: u64,
+    pub incarnation: u64,
     /// How often it sends a ping at least, in microseconds.
     #[prost(uint64, tag = "5")]
     pub heartbeat_us: u64,
@@ -65,24 +65,24 @@
 /// A request crosses; its statement follows as data of the stream with its number.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Request {
-    /// With the sender's site, instance and start, the request's key.
+    /// With the sender's site, instance and incarnation, the request's key.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The start of the receiver that it is meant for.
+    /// The incarnation of the receiver that it is meant for.
     #[prost(uint64, tag = "2")]
-    pub receiver_start: u64,
+    pub receiver_incarnation: u64,
     #[prost(string, tag = "3")]
     pub class: String,
     #[prost(uint64, tag = "4")]
     pub group: u64,
     /// The time that is left for it, the way there taken off.
     #[prost(uint64, tag = "5")]
-    pub left_us: u64,
+    pub timeout_us: u64,
     /// How long ago the session's last write was committed, if the client said so; 0 is not said.
     #[prost(uint64, tag = "6")]
     pub written_ago_us: u64,
     #[prost(bool, tag = "7")]
-    pub repeat: bool,
+    pub client_retry: bool,
     /// The sites that it came by, the first one first.
     #[prost(string, repeated, tag = "8")]
     pub visited: Vec<String>,
@@ -116,7 +116,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum OutcomeKind {
+pub enum ResponseKind {
     Unset = 0,
     /// Its value follows as data.
     Served = 1,
@@ -124,21 +124,21 @@
     Rejected = 2,
     Failed = 3,
     /// It never ran: the group's primary is not there.
-    NotHere = 4,
+    NotPrimary = 4,
     /// It never ran: it is no request there.
-    Wrong = 5,
+    Invalid = 5,
 }
 
 /// The one answer to a request.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Outcome {
+pub struct Response {
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    #[prost(enumeration = "OutcomeKind", tag = "2")]
+    #[prost(enumeration = "ResponseKind", tag = "2")]
     pub kind: i32,
     /// After how long it may come again, where it was rejected.
     #[prost(uint64, tag = "3")]
-    pub cool_down_us: u64,
+    pub retry_after_us: u64,
     /// The site that has the primary, where it is not here and that is known.
     #[prost(string, tag = "4")]
     pub hint: String,
@@ -147,24 +147,24 @@
     pub length: u32,
     /// How long the receiver took.
     #[prost(uint64, tag = "6")]
-    pub took_us: u64,
+    pub duration_us: u64,
 }
 
-/// What became of the request with this number, which was sent to that start of the receiver?
+/// What became of the request with this number, which was sent to that incarnation of the receiver?
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Ask {
+pub struct OutcomeQuery {
     #[prost(uint64, tag = "1")]
     pub number: u64,
     #[prost(uint64, tag = "2")]
-    pub receiver_start: u64,
+    pub receiver_incarnation: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum FateKind {
+pub enum OutcomeReplyKind {
     Unset = 0,
     /// It was never taken, and from now on never will be.
-    NeverTaken = 1,
+    NeverAccepted = 1,
     /// It never ran.
     Rejected = 2,
     /// Its value follows as data.
@@ -173,18 +173,18 @@
     /// The receiver cannot know.
     Unknown = 5,
     /// It is under way; its outcome comes on this link.
-    UnderWay = 6,
+    InFlight = 6,
 }
 
 /// The answer to an ask.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Fate {
+pub struct OutcomeReply {
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    #[prost(enumeration = "FateKind", tag = "2")]
+    #[prost(enumeration = "OutcomeReplyKind", tag = "2")]
     pub kind: i32,
     #[prost(uint64, tag = "3")]
-    pub cool_down_us: u64,
+    pub retry_after_us: u64,
     #[prost(uint32, tag = "4")]
     pub length: u32,
 }
@@ -193,7 +193,7 @@
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Confirm {
     #[prost(uint64, tag = "1")]
-    pub upto: u64,
+    pub up_to: u64,
 }
 
 #[derive(Clone, PartialEq, Eq, prost::Message)]
@@ -219,7 +219,7 @@
 
 /// What is known here of a group.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Home {
+pub struct HomeAnnouncement {
     #[prost(uint64, tag = "1")]
     pub group: u64,
     /// A member here said that it is the primary, and none has said otherwise since.
@@ -229,12 +229,12 @@
 
 /// What room there is at this site, whenever that changes.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Room {
+pub struct CapacityAnnouncement {
     #[prost(message, repeated, tag = "1")]
     pub credits: Vec<Credit>,
     /// The groups that have members here.
     #[prost(message, repeated, tag = "2")]
-    pub homes: Vec<Home>,
+    pub homes: Vec<HomeAnnouncement>,
     /// Nothing new is to be sent.
     #[prost(bool, tag = "3")]
     pub draining: bool,
--- a/crates/site-link/src/lib.rs
+++ b/crates/site-link/src/lib.rs
@@ -9,17 +9,17 @@
 mod outbox;
 
 pub use frame::{
-    Ask, Close, Confirm, Credit, Fate, FateKind, Frame, Hello, Home, Kind, Outcome, OutcomeKind, Ping, Pong,
-    Request, Room, VERSION,
+    CapacityAnnouncement, Close, Confirm, Credit, Frame, FrameKind, Hello, HomeAnnouncement, OutcomeQuery,
+    OutcomeReply, OutcomeReplyKind, PROTOCOL_VERSION, Ping, Pong, Request, Response, ResponseKind,
 };
-pub use link::{Bounds, Event, Identity, Link, Said};
+pub use link::{Identity, Inbound, Link, LinkLimits, Outbound};
 
 /// Whole microseconds, on the caller's clock.
 pub type Micros = i64;
 
 /// Why a link ends; other links of the same peer go on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum LinkError {
     /// The bytes are no frame: too long, or not to be read.
     Malformed(&'static str),
     /// A frame of a kind that this version does not know.
@@ -34,17 +34,19 @@
     Closed(String),
 }
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for LinkError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Broken::Malformed(why) => write!(f, "malformed: {why}"),
-            Broken::UnknownKind => f.write_str("frame of an unknown kind"),
-            Broken::Version(version) => write!(f, "version {version} of the protocol, not {VERSION}"),
-            Broken::OutOfPlace(why) => write!(f, "out of place: {why}"),
-            Broken::Silent => f.write_str("silent"),
-            Broken::Closed(why) => write!(f, "closed by the other side: {why}"),
+            LinkError::Malformed(why) => write!(f, "malformed: {why}"),
+            LinkError::UnknownKind => f.write_str("frame of an unknown kind"),
+            LinkError::Version(version) => {
+                write!(f, "version {version} of the protocol, not {PROTOCOL_VERSION}")
+            }
+            LinkError::OutOfPlace(why) => write!(f, "out of place: {why}"),
+            LinkError::Silent => f.write_str("silent"),
+            LinkError::Closed(why) => write!(f, "closed by the other side: {why}"),
         }
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for LinkError {}
--- a/crates/site-link/src/link.rs
+++ b/crates/site-link/src/link.rs
@@ -3,15 +3,15 @@
 use prost::Message;
 
 use crate::frame::{
-    Ask, Close, Confirm, Fate, FateKind, Frame, Hello, Kind, Outcome, OutcomeKind, Ping, Pong, Request, Room,
-    VERSION, Window,
+    CapacityAnnouncement, Close, Confirm, Frame, FrameKind, Hello, OutcomeQuery, OutcomeReply,
+    OutcomeReplyKind, PROTOCOL_VERSION, Ping, Pong, Request, Response, ResponseKind, Window,
 };
 use crate::outbox::{Outbox, Stream};
-use crate::{Broken, Micros};
+use crate::{LinkError, Micros};
 
 /// The limits of one link, all stated at its start.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct LinkLimits {
     /// One frame, its length aside.
     pub frame: usize,
     /// One statement, and one value.
@@ -28,9 +28,9 @@
     pub silence: Micros,
 }
 
-impl Bounds {
-    pub fn usual(statement: usize, value: usize) -> Bounds {
-        Bounds {
+impl LinkLimits {
+    pub fn standard(statement: usize, value: usize) -> LinkLimits {
+        LinkLimits {
             frame: 16 * 1024,
             statement,
             value,
@@ -48,44 +48,44 @@
 pub struct Identity {
     pub site: String,
     pub instance: String,
-    pub start: u64,
+    pub incarnation: u64,
 }
 
 /// What came whole.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Event {
+pub enum Inbound {
     /// The other side's greeting; nothing else comes before it.
-    Met(Identity),
+    Greeted(Identity),
     Request(Request, Vec<u8>),
     /// The answer to a request of this side, with its value.
-    Outcome(Outcome, Vec<u8>),
+    Response(Response, Vec<u8>),
     Cancel(u64),
-    Ask(Ask),
-    Fate(Fate, Vec<u8>),
+    OutcomeQuery(OutcomeQuery),
+    OutcomeReply(OutcomeReply, Vec<u8>),
     Confirm(Confirm),
-    Room(Room),
+    CapacityAnnouncement(CapacityAnnouncement),
     /// A ping came back after so long.
-    Trip(Micros),
+    RoundTrip(Micros),
 }
 
 /// What is said to the other side.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum Outbound {
     Request(Request, Vec<u8>),
-    Outcome(Outcome, Vec<u8>),
+    Response(Response, Vec<u8>),
     Cancel(u64),
-    Ask(Ask),
-    Fate(Fate, Vec<u8>),
+    OutcomeQuery(OutcomeQuery),
+    OutcomeReply(OutcomeReply, Vec<u8>),
     Confirm(Confirm),
-    Room(Room),
+    CapacityAnnouncement(CapacityAnnouncement),
 }
 
 /// What is announced by a frame whose data follows.
 #[derive(Debug)]
 enum Announced {
     Request(Request),
-    Outcome(Outcome),
-    Fate(Fate),
+    Response(Response),
+    OutcomeReply(OutcomeReply),
 }
 
 #[derive(Debug)]
@@ -100,7 +100,7 @@
 /// One connection to another gateway.
 #[derive(Debug)]
 pub struct Link {
-    bounds: Bounds,
+    bounds: LinkLimits,
     met: Option<Identity>,
     buffer: Vec<u8>,
     incoming: HashMap<Stream, Incoming>,
@@ -112,13 +112,13 @@
 }
 
 impl Link {
-    pub fn start(bounds: Bounds, own: &Identity, now: Micros) -> Link {
+    pub fn new(bounds: LinkLimits, own: &Identity, now: Micros) -> Link {
         let mut outbox = Outbox::default();
-        outbox.urgent(Kind::Hello(Hello {
-            version: VERSION,
+        outbox.urgent(FrameKind::Hello(Hello {
+            version: PROTOCOL_VERSION,
             site: own.site.clone(),
             instance: own.instance.clone(),
-            start: own.start,
+            incarnation: own.incarnation,
             heartbeat_us: bounds.heartbeat.max(0) as u64,
             window: bounds.window,
         }));
@@ -135,97 +135,101 @@
         }
     }
 
-    pub fn met(&self) -> Option<&Identity> {
+    pub fn peer_identity(&self) -> Option<&Identity> {
         self.met.as_ref()
     }
 
     /// Takes in bytes; what came whole with them is told in its order.
-    pub fn receive(&mut self, now: Micros, bytes: &[u8]) -> Result<Vec<Event>, Broken> {
+    pub fn receive(&mut self, now: Micros, bytes: &[u8]) -> Result<Vec<Inbound>, LinkError> {
         self.heard = now;
         self.buffer.extend_from_slice(bytes);
         let (mut events, mut at) = (Vec::new(), 0);
         while let Some(head) = self.buffer[at..].first_chunk::<4>() {
             let length = u32::from_be_bytes(*head) as usize;
             if length > self.bounds.frame {
-                return Err(Broken::Malformed("frame too long"));
+                return Err(LinkError::Malformed("frame too long"));
             }
             let Some(body) = self.buffer.get(at + 4..at + 4 + length) else { break };
-            let frame = Frame::decode(body).map_err(|_| Broken::Malformed("no frame"))?;
+            let frame = Frame::decode(body).map_err(|_| LinkError::Malformed("no frame"))?;
             at += 4 + length;
-            self.take(now, frame.kind.ok_or(Broken::UnknownKind)?, &mut events)?;
+            self.take(now, frame.kind.ok_or(LinkError::UnknownKind)?, &mut events)?;
         }
         self.buffer.drain(..at);
         Ok(events)
     }
 
-    fn take(&mut self, now: Micros, kind: Kind, events: &mut Vec<Event>) -> Result<(), Broken> {
-        if self.met.is_none() && !matches!(kind, Kind::Hello(_) | Kind::Close(_)) {
-            return Err(Broken::OutOfPlace("something before the greeting"));
+    fn take(&mut self, now: Micros, kind: FrameKind, events: &mut Vec<Inbound>) -> Result<(), LinkError> {
+        if self.met.is_none() && !matches!(kind, FrameKind::Hello(_) | FrameKind::Close(_)) {
+            return Err(LinkError::OutOfPlace("something before the greeting"));
         }
         match kind {
-            Kind::Hello(_) if self.met.is_some() => return Err(Broken::OutOfPlace("a second greeting")),
-            Kind::Hello(hello) if hello.version != VERSION => return Err(Broken::Version(hello.version)),
-            Kind::Hello(hello) => {
-                let Hello { site, instance, start, window, .. } = hello;
+            FrameKind::Hello(_) if self.met.is_some() => {
+                return Err(LinkError::OutOfPlace("a second greeting"));
+            }
+            FrameKind::Hello(hello) if hello.version != PROTOCOL_VERSION => {
+                return Err(LinkError::Version(hello.version));
+            }
+            FrameKind::Hello(hello) => {
+                let Hello { site, instance, incarnation, window, .. } = hello;
                 let named = |name: &str| !name.is_empty() && name.len() <= 64;
                 if !named(&site) || !named(&instance) || window == 0 {
-                    return Err(Broken::Malformed("greeting without a name or a window"));
+                    return Err(LinkError::Malformed("greeting without a name or a window"));
                 }
                 self.outbox.open(window as usize);
-                let identity = Identity { site, instance, start };
+                let identity = Identity { site, instance, incarnation };
                 self.met = Some(identity.clone());
-                events.push(Event::Met(identity));
+                events.push(Inbound::Greeted(identity));
             }
-            Kind::Request(request) => {
+            FrameKind::Request(request) => {
                 let (number, length) = (request.number, request.length as usize);
                 if length > self.bounds.statement || length == 0 {
-                    return Err(Broken::Malformed("statement of impossible length"));
+                    return Err(LinkError::Malformed("statement of impossible length"));
                 }
                 if request.class.len() > 256 || request.visited.len() > 16 {
-                    return Err(Broken::Malformed("task with too much to it"));
+                    return Err(LinkError::Malformed("task with too much to it"));
                 }
                 self.announce((number, false), Announced::Request(request), length, events)?;
             }
-            Kind::Outcome(outcome) => {
+            FrameKind::Response(outcome) => {
                 let (number, length) = (outcome.number, outcome.length as usize);
-                if outcome.kind() == OutcomeKind::Unset || length > self.bounds.value {
-                    return Err(Broken::Malformed("outcome that is none"));
+                if outcome.kind() == ResponseKind::Unset || length > self.bounds.value {
+                    return Err(LinkError::Malformed("outcome that is none"));
                 }
-                self.announce((number, true), Announced::Outcome(outcome), length, events)?;
+                self.announce((number, true), Announced::Response(outcome), length, events)?;
             }
-            Kind::Fate(fate) => {
+            FrameKind::OutcomeReply(fate) => {
                 let (number, length) = (fate.number, fate.length as usize);
-                if fate.kind() == FateKind::Unset || length > self.bounds.value {
-                    return Err(Broken::Malformed("fate that is none"));
+                if fate.kind() == OutcomeReplyKind::Unset || length > self.bounds.value {
+                    return Err(LinkError::Malformed("fate that is none"));
                 }
-                self.announce((number, true), Announced::Fate(fate), length, events)?;
+                self.announce((number, true), Announced::OutcomeReply(fate), length, events)?;
             }
-            Kind::Data(data) => self.data((data.number, data.value), data.bytes, events)?,
-            Kind::Window(window) => {
+            FrameKind::Data(data) => self.data((data.number, data.value), data.bytes, events)?,
+            FrameKind::Window(window) => {
                 self.outbox.widen((window.number, window.value), window.bytes as usize);
             }
-            Kind::Cancel(number) => {
+            FrameKind::Cancel(number) => {
                 // What was still to come of it does not come any more, and no answer is wanted.
                 self.incoming.remove(&(number, false));
-                events.push(Event::Cancel(number));
+                events.push(Inbound::Cancel(number));
             }
-            Kind::Ask(ask) => events.push(Event::Ask(ask)),
-            Kind::Confirm(confirm) => events.push(Event::Confirm(confirm)),
-            Kind::Room(room) => {
+            FrameKind::OutcomeQuery(ask) => events.push(Inbound::OutcomeQuery(ask)),
+            FrameKind::Confirm(confirm) => events.push(Inbound::Confirm(confirm)),
+            FrameKind::CapacityAnnouncement(room) => {
                 if room.credits.len() > 4096 {
-                    return Err(Broken::Malformed("room with too much to it"));
+                    return Err(LinkError::Malformed("room with too much to it"));
                 }
-                events.push(Event::Room(room));
+                events.push(Inbound::CapacityAnnouncement(room));
             }
-            Kind::Ping(Ping { number }) => self.outbox.urgent(Kind::Pong(Pong { number })),
-            Kind::Pong(Pong { number }) => {
+            FrameKind::Ping(Ping { number }) => self.outbox.urgent(FrameKind::Pong(Pong { number })),
+            FrameKind::Pong(Pong { number }) => {
                 if let Some(sent) = self.pings.remove(&number) {
                     self.pings.retain(|&older, _| older > number);
-                    events.push(Event::Trip(now - sent));
+                    events.push(Inbound::RoundTrip(now - sent));
                 }
             }
-            Kind::Close(Close { why }) => {
-                return Err(Broken::Closed(why.chars().take(200).filter(|c| !c.is_control()).collect()));
+            FrameKind::Close(Close { why }) => {
+                return Err(LinkError::Closed(why.chars().take(200).filter(|c| !c.is_control()).collect()));
             }
         }
         Ok(())
@@ -237,13 +241,13 @@
         stream: Stream,
         announced: Announced,
         length: usize,
-        events: &mut Vec<Event>,
-    ) -> Result<(), Broken> {
+        events: &mut Vec<Inbound>,
+    ) -> Result<(), LinkError> {
         if self.incoming.contains_key(&stream) {
-            return Err(Broken::OutOfPlace("a message while another's data is on its way"));
+            return Err(LinkError::OutOfPlace("a message while another's data is on its way"));
         }
         if self.incoming.len() >= self.bounds.streams {
-            return Err(Broken::OutOfPlace("too many streams"));
+            return Err(LinkError::OutOfPlace("too many streams"));
         }
         let incoming = Incoming { announced, length, bytes: Vec::new(), untold: 0 };
         if length == 0 {
@@ -254,62 +258,62 @@
         Ok(())
     }
 
-    fn data(&mut self, stream: Stream, bytes: Vec<u8>, events: &mut Vec<Event>) -> Result<(), Broken> {
+    fn data(&mut self, stream: Stream, bytes: Vec<u8>, events: &mut Vec<Inbound>) -> Result<(), LinkError> {
         let Some(incoming) = self.incoming.get_mut(&stream) else {
             // Of a request that was cancelled meanwhile, or of an answer that nobody waits for.
             return Ok(());
         };
         if incoming.bytes.len() + bytes.len() > incoming.length {
-            return Err(Broken::OutOfPlace("more data than was announced"));
+            return Err(LinkError::OutOfPlace("more data than was announced"));
         }
         incoming.untold += bytes.len();
         if incoming.untold > self.bounds.window as usize {
-            return Err(Broken::OutOfPlace("data beyond its window"));
+            return Err(LinkError::OutOfPlace("data beyond its window"));
         }
         incoming.bytes.extend_from_slice(&bytes);
         if incoming.bytes.len() == incoming.length {
             events.extend(self.incoming.remove(&stream).map(Incoming::whole));
         } else if incoming.untold >= self.bounds.window as usize / 2 {
             let more = std::mem::take(&mut incoming.untold) as u32;
-            self.outbox.urgent(Kind::Window(Window { number: stream.0, value: stream.1, bytes: more }));
+            self.outbox.urgent(FrameKind::Window(Window { number: stream.0, value: stream.1, bytes: more }));
         }
         Ok(())
     }
 
     /// Says something. Nothing goes out before the greeting did.
-    pub fn say(&mut self, said: Said) {
+    pub fn send(&mut self, said: Outbound) {
         match said {
-            Said::Request(mut request, statement) => {
+            Outbound::Request(mut request, statement) => {
                 request.length = statement.len() as u32;
                 let stream = (request.number, false);
-                self.outbox.short(Kind::Request(request));
+                self.outbox.short(FrameKind::Request(request));
                 self.outbox.data(stream, statement);
             }
-            Said::Outcome(mut outcome, value) => {
+            Outbound::Response(mut outcome, value) => {
                 outcome.length = value.len() as u32;
                 let stream = (outcome.number, true);
-                self.outbox.short(Kind::Outcome(outcome));
+                self.outbox.short(FrameKind::Response(outcome));
                 self.outbox.data(stream, value);
             }
-            Said::Fate(mut fate, value) => {
+            Outbound::OutcomeReply(mut fate, value) => {
                 fate.length = value.len() as u32;
                 let stream = (fate.number, true);
-                self.outbox.short(Kind::Fate(fate));
+                self.outbox.short(FrameKind::OutcomeReply(fate));
                 self.outbox.data(stream, value);
             }
-            Said::Cancel(number) => {
+            Outbound::Cancel(number) => {
                 self.outbox.drop_data((number, false));
-                self.outbox.short(Kind::Cancel(number));
+                self.outbox.short(FrameKind::Cancel(number));
             }
-            Said::Ask(ask) => self.outbox.short(Kind::Ask(ask)),
-            Said::Confirm(confirm) => self.outbox.short(Kind::Confirm(confirm)),
-            Said::Room(room) => self.outbox.urgent(Kind::Room(room)),
+            Outbound::OutcomeQuery(ask) => self.outbox.short(FrameKind::OutcomeQuery(ask)),
+            Outbound::Confirm(confirm) => self.outbox.short(FrameKind::Confirm(confirm)),
+            Outbound::CapacityAnnouncement(room) => self.outbox.urgent(FrameKind::CapacityAnnouncement(room)),
         }
     }
 
     /// The last frame of a link that ends.
     pub fn close(why: &str) -> Vec<u8> {
-        crate::outbox::encode(Kind::Close(Close { why: why.to_owned() }))
+        crate::outbox::encode(FrameKind::Close(Close { why: why.to_owned() }))
     }
 
     /// The next bytes to go out: whole frames, at least one if there is any, and no more than so many.
@@ -324,19 +328,19 @@
     }
 
     /// Whether bytes may be taken in: not while too many wait to go out.
-    pub fn takes(&self) -> bool {
+    pub fn accepts_input(&self) -> bool {
         self.outbox.waiting() < self.bounds.waiting
     }
 
-    pub fn wake(&mut self, now: Micros) -> Result<(), Broken> {
+    pub fn wake(&mut self, now: Micros) -> Result<(), LinkError> {
         if now - self.heard >= self.bounds.silence {
-            return Err(Broken::Silent);
+            return Err(LinkError::Silent);
         }
         if now >= self.next_ping {
             self.next_ping = now + self.bounds.heartbeat;
             self.ping += 1;
             self.pings.insert(self.ping, now);
-            self.outbox.urgent(Kind::Ping(Ping { number: self.ping }));
+            self.outbox.urgent(FrameKind::Ping(Ping { number: self.ping }));
         }
         Ok(())
     }
@@ -347,11 +351,11 @@
 }
 
 impl Incoming {
-    fn whole(self) -> Event {
+    fn whole(self) -> Inbound {
         match self.announced {
-            Announced::Request(request) => Event::Request(request, self.bytes),
-            Announced::Outcome(outcome) => Event::Outcome(outcome, self.bytes),
-            Announced::Fate(fate) => Event::Fate(fate, self.bytes),
+            Announced::Request(request) => Inbound::Request(request, self.bytes),
+            Announced::Response(outcome) => Inbound::Response(outcome, self.bytes),
+            Announced::OutcomeReply(fate) => Inbound::OutcomeReply(fate, self.bytes),
         }
     }
 }
--- a/crates/site-link/src/outbox.rs
+++ b/crates/site-link/src/outbox.rs
@@ -5,7 +5,7 @@
 
 use prost::Message;
 
-use crate::frame::{Data, Frame, Kind};
+use crate::frame::{Data, Frame, FrameKind};
 
 /// No frame carries more of a statement or a value: nothing short waits longer than for one such part.
 const PART: usize = 8 * 1024;
@@ -32,7 +32,7 @@
     waiting: usize,
 }
 
-pub(crate) fn encode(kind: Kind) -> Vec<u8> {
+pub(crate) fn encode(kind: FrameKind) -> Vec<u8> {
     let frame = Frame { kind: Some(kind) };
     let length = frame.encoded_len();
     let mut out = Vec::with_capacity(4 + length);
@@ -50,13 +50,13 @@
         streams.into_iter().for_each(|stream| self.take_turn(stream));
     }
 
-    pub(crate) fn urgent(&mut self, kind: Kind) {
+    pub(crate) fn urgent(&mut self, kind: FrameKind) {
         let bytes = encode(kind);
         self.waiting += bytes.len();
         self.urgent.push_back(bytes);
     }
 
-    pub(crate) fn short(&mut self, kind: Kind) {
+    pub(crate) fn short(&mut self, kind: FrameKind) {
         let bytes = encode(kind);
         self.waiting += bytes.len();
         self.short.push_back(bytes);
@@ -117,7 +117,7 @@
         } else if may {
             self.turns.push_back(stream);
         }
-        Some(encode(Kind::Data(Data { number: stream.0, value: stream.1, bytes })))
+        Some(encode(FrameKind::Data(Data { number: stream.0, value: stream.1, bytes })))
     }
 
     fn take_turn(&mut self, stream: Stream) {
--- a/crates/site-link/tests/pinned_frames.rs
+++ b/crates/site-link/tests/pinned_frames.rs
@@ -1,8 +1,9 @@
 //! The bytes of each kind of frame, as gateways of other versions send and read them.
 
 use aldermill_site_link::{
-    Ask, Bounds, Broken, Close, Confirm, Credit, Event, Fate, FateKind, Frame, Hello, Home, Identity, Kind,
-    Link, Outcome, OutcomeKind, Ping, Pong, Request, Room, Said,
+    CapacityAnnouncement, Close, Confirm, Credit, Frame, FrameKind, Hello, HomeAnnouncement, Identity,
+    Inbound, Link, LinkError, LinkLimits, Outbound, OutcomeQuery, OutcomeReply, OutcomeReplyKind, Ping, Pong,
+    Request, Response, ResponseKind,
 };
 use prost::Message;
 
@@ -12,7 +13,7 @@
 
 /// Encodes to these bytes, and is decoded from them.
 #[track_caller]
-fn pinned(kind: Kind, bytes: &[u8]) {
+fn pinned(kind: FrameKind, bytes: &[u8]) {
     let frame = Frame { kind: Some(kind) };
     assert_eq!(text(&frame.encode_to_vec()), text(bytes));
     assert_eq!(Frame::decode(bytes), Ok(frame));
@@ -24,12 +25,12 @@
         version: 1,
         site: "north".into(),
         instance: "n0".into(),
-        start: 0x0102_0304_0506,
+        incarnation: 0x0102_0304_0506,
         heartbeat_us: 250_000,
         window: 65_536,
     };
     pinned(
-        Kind::Hello(hello),
+        FrameKind::Hello(hello),
         b"\
         \n\x1c\x08\x01\x12\x05north\x1a\x02n0 \x86\x8a\x90\x98\xa0 (\x90\xa1\x0f0\x80\x80\x04",
     );
@@ -38,12 +39,12 @@
 fn request() -> Request {
     Request {
         number: 300,
-        receiver_start: 9,
+        receiver_incarnation: 9,
         class: "look".into(),
         group: 7,
-        left_us: 1_500_000,
+        timeout_us: 1_500_000,
         written_ago_us: 40,
-        repeat: true,
+        client_retry: true,
         visited: vec!["a".into(), "b".into()],
         length: 5,
     }
@@ -52,7 +53,7 @@
 #[test]
 fn request_with_every_field() {
     pinned(
-        Kind::Request(request()),
+        FrameKind::Request(request()),
         b"\
         \x12\x1d\x08\xac\x02\x10\t\x1a\x04look \x07(\xe0\xc6[0(8\x01B\x01aB\x01bH\x05",
     );
@@ -70,8 +71,8 @@
         \x1a\r\x08\xac\x02\x10\x01\x1a\x06\0part\xff",
         ),
     ] {
-        let mut kind = Kind::Data(Default::default());
-        if let Kind::Data(data) = &mut kind {
+        let mut kind = FrameKind::Data(Default::default());
+        if let FrameKind::Data(data) = &mut kind {
             data.number = 300;
             data.value = value;
             data.bytes = b"\0part\xff".to_vec();
@@ -90,8 +91,8 @@
         \"\t\x08\xac\x02\x10\x01\x18\x80\x80\x02",
         ),
     ] {
-        let mut kind = Kind::Window(Default::default());
-        if let Kind::Window(window) = &mut kind {
+        let mut kind = FrameKind::Window(Default::default());
+        if let FrameKind::Window(window) = &mut kind {
             window.number = 300;
             window.value = value;
             window.bytes = 32_768;
@@ -102,72 +103,78 @@
 
 #[test]
 fn outcome_of_each_kind() {
-    let cases: [(OutcomeKind, &[u8]); 6] = [
-        (OutcomeKind::Unset, b"*\x10\x08\xac\x02\x18\xe8\x07\"\x04east(\x050M"),
-        (OutcomeKind::Served, b"*\x12\x08\xac\x02\x10\x01\x18\xe8\x07\"\x04east(\x050M"),
-        (OutcomeKind::Rejected, b"*\x12\x08\xac\x02\x10\x02\x18\xe8\x07\"\x04east(\x050M"),
-        (OutcomeKind::Failed, b"*\x12\x08\xac\x02\x10\x03\x18\xe8\x07\"\x04east(\x050M"),
-        (OutcomeKind::NotHere, b"*\x12\x08\xac\x02\x10\x04\x18\xe8\x07\"\x04east(\x050M"),
-        (OutcomeKind::Wrong, b"*\x12\x08\xac\x02\x10\x05\x18\xe8\x07\"\x04east(\x050M"),
+    let cases: [(ResponseKind, &[u8]); 6] = [
+        (ResponseKind::Unset, b"*\x10\x08\xac\x02\x18\xe8\x07\"\x04east(\x050M"),
+        (ResponseKind::Served, b"*\x12\x08\xac\x02\x10\x01\x18\xe8\x07\"\x04east(\x050M"),
+        (ResponseKind::Rejected, b"*\x12\x08\xac\x02\x10\x02\x18\xe8\x07\"\x04east(\x050M"),
+        (ResponseKind::Failed, b"*\x12\x08\xac\x02\x10\x03\x18\xe8\x07\"\x04east(\x050M"),
+        (ResponseKind::NotPrimary, b"*\x12\x08\xac\x02\x10\x04\x18\xe8\x07\"\x04east(\x050M"),
+        (ResponseKind::Invalid, b"*\x12\x08\xac\x02\x10\x05\x18\xe8\x07\"\x04east(\x050M"),
     ];
     for (kind, bytes) in cases {
-        let outcome = Outcome {
+        let outcome = Response {
             number: 300,
             kind: kind.into(),
-            cool_down_us: 1_000,
+            retry_after_us: 1_000,
             hint: "east".into(),
             length: 5,
-            took_us: 77,
+            duration_us: 77,
         };
-        pinned(Kind::Outcome(outcome), bytes);
+        pinned(FrameKind::Response(outcome), bytes);
     }
 }
 
 #[test]
 fn cancel() {
-    pinned(Kind::Cancel(300), b"0\xac\x02");
+    pinned(FrameKind::Cancel(300), b"0\xac\x02");
 }
 
 #[test]
 fn ask() {
-    pinned(Kind::Ask(Ask { number: 300, receiver_start: 9 }), b":\x05\x08\xac\x02\x10\t");
+    pinned(
+        FrameKind::OutcomeQuery(OutcomeQuery { number: 300, receiver_incarnation: 9 }),
+        b":\x05\x08\xac\x02\x10\t",
+    );
 }
 
 #[test]
 fn fate_of_each_kind() {
-    let cases: [(FateKind, &[u8]); 7] = [
-        (FateKind::Unset, b"B\x08\x08\xac\x02\x18\xe8\x07 \x05"),
-        (FateKind::NeverTaken, b"B\n\x08\xac\x02\x10\x01\x18\xe8\x07 \x05"),
-        (FateKind::Rejected, b"B\n\x08\xac\x02\x10\x02\x18\xe8\x07 \x05"),
-        (FateKind::Served, b"B\n\x08\xac\x02\x10\x03\x18\xe8\x07 \x05"),
-        (FateKind::Failed, b"B\n\x08\xac\x02\x10\x04\x18\xe8\x07 \x05"),
-        (FateKind::Unknown, b"B\n\x08\xac\x02\x10\x05\x18\xe8\x07 \x05"),
-        (FateKind::UnderWay, b"B\n\x08\xac\x02\x10\x06\x18\xe8\x07 \x05"),
+    let cases: [(OutcomeReplyKind, &[u8]); 7] = [
+        (OutcomeReplyKind::Unset, b"B\x08\x08\xac\x02\x18\xe8\x07 \x05"),
+        (OutcomeReplyKind::NeverAccepted, b"B\n\x08\xac\x02\x10\x01\x18\xe8\x07 \x05"),
+        (OutcomeReplyKind::Rejected, b"B\n\x08\xac\x02\x10\x02\x18\xe8\x07 \x05"),
+        (OutcomeReplyKind::Served, b"B\n\x08\xac\x02\x10\x03\x18\xe8\x07 \x05"),
+        (OutcomeReplyKind::Failed, b"B\n\x08\xac\x02\x10\x04\x18\xe8\x07 \x05"),
+        (OutcomeReplyKind::Unknown, b"B\n\x08\xac\x02\x10\x05\x18\xe8\x07 \x05"),
+        (OutcomeReplyKind::InFlight, b"B\n\x08\xac\x02\x10\x06\x18\xe8\x07 \x05"),
     ];
     for (kind, bytes) in cases {
-        let fate = Fate { number: 300, kind: kind.into(), cool_down_us: 1_000, length: 5 };
-        pinned(Kind::Fate(fate), bytes);
+        let fate = OutcomeReply { number: 300, kind: kind.into(), retry_after_us: 1_000, length: 5 };
+        pinned(FrameKind::OutcomeReply(fate), bytes);
     }
 }
 
 #[test]
 fn confirm() {
-    pinned(Kind::Confirm(Confirm { upto: 300 }), b"J\x03\x08\xac\x02");
+    pinned(FrameKind::Confirm(Confirm { up_to: 300 }), b"J\x03\x08\xac\x02");
 }
 
 #[test]
 fn ping_and_pong() {
-    pinned(Kind::Ping(Ping { number: 300 }), b"R\x03\x08\xac\x02");
-    pinned(Kind::Pong(Pong { number: 300 }), b"Z\x03\x08\xac\x02");
+    pinned(FrameKind::Ping(Ping { number: 300 }), b"R\x03\x08\xac\x02");
+    pinned(FrameKind::Pong(Pong { number: 300 }), b"Z\x03\x08\xac\x02");
 }
 
-fn room() -> Room {
-    Room {
+fn room() -> CapacityAnnouncement {
+    CapacityAnnouncement {
         credits: vec![
             Credit { class: "look".into(), requests: 300 },
             Credit { class: "renew".into(), requests: 0 },
         ],
-        homes: vec![Home { group: 7, primary: true }, Home { group: 8, primary: false }],
+        homes: vec![
+            HomeAnnouncement { group: 7, primary: true },
+            HomeAnnouncement { group: 8, primary: false },
+        ],
         draining: true,
     }
 }
@@ -175,7 +182,7 @@
 #[test]
 fn room_with_credits_and_homes() {
     pinned(
-        Kind::Room(room()),
+        FrameKind::CapacityAnnouncement(room()),
         b"\
         b \n\t\n\x04look\x10\xac\x02\n\x07\n\x05renew\x12\x04\x08\x07\x10\x01\x12\x02\x08\x08\x18\
         \x01",
@@ -184,7 +191,7 @@
 
 #[test]
 fn close() {
-    pinned(Kind::Close(Close { why: "enough".into() }), b"j\x08\n\x06enough");
+    pinned(FrameKind::Close(Close { why: "enough".into() }), b"j\x08\n\x06enough");
 }
 
 // ---- What a link itself sends and reads: each frame behind four bytes of its length.
@@ -192,79 +199,89 @@
 const HELLO_A: &[u8] = b"\0\0\0\x15\n\x13\x08\x01\x12\x01a\x1a\x02n0 \x07(\x90\xa1\x0f0\x80\x80\x04";
 
 fn identity(site: &str) -> Identity {
-    Identity { site: site.into(), instance: "n0".into(), start: 7 }
+    Identity { site: site.into(), instance: "n0".into(), incarnation: 7 }
 }
 
 /// A link of site `b` that read the greeting of site `a`, and whose own has gone out.
 fn link() -> Link {
-    let mut link = Link::start(Bounds::usual(200_000, 400_000), &identity("b"), 0);
-    assert_eq!(link.receive(0, HELLO_A), Ok(vec![Event::Met(identity("a"))]));
+    let mut link = Link::new(LinkLimits::standard(200_000, 400_000), &identity("b"), 0);
+    assert_eq!(link.receive(0, HELLO_A), Ok(vec![Inbound::Greeted(identity("a"))]));
     link.next_bytes(1).unwrap();
     link
 }
 
 /// What is said goes out as these bytes, and they are heard as this.
 #[track_caller]
-fn crosses(said: Said, bytes: &[u8], heard: Event) {
+fn crosses(said: Outbound, bytes: &[u8], heard: Inbound) {
     let mut sender = link();
-    sender.say(said);
+    sender.send(said);
     assert_eq!(text(&sender.next_bytes(1 << 20).unwrap()), text(bytes));
     assert_eq!(link().receive(0, bytes), Ok(vec![heard]));
 }
 
 #[test]
 fn the_greeting_that_a_link_sends() {
-    let mut link = Link::start(Bounds::usual(200_000, 400_000), &identity("a"), 0);
+    let mut link = Link::new(LinkLimits::standard(200_000, 400_000), &identity("a"), 0);
     assert_eq!(text(&link.next_bytes(1).unwrap()), text(HELLO_A));
 }
 
 #[test]
 fn messages_that_a_link_sends_and_reads() {
-    let heard = Event::Request(request(), b"read!".to_vec());
+    let heard = Inbound::Request(request(), b"read!".to_vec());
     crosses(
-        Said::Request(Request { length: 0, ..request() }, b"read!".to_vec()),
+        Outbound::Request(Request { length: 0, ..request() }, b"read!".to_vec()),
         b"\
         \0\0\0\x1f\x12\x1d\x08\xac\x02\x10\t\x1a\x04look \x07(\xe0\xc6[0(8\x01B\x01aB\x01bH\x05\0\0\
         \0\x0c\x1a\n\x08\xac\x02\x1a\x05read!",
         heard,
     );
-    let outcome = Outcome { number: 300, kind: OutcomeKind::Served.into(), length: 5, ..Outcome::default() };
-    let said = Said::Outcome(Outcome { length: 0, ..outcome.clone() }, b"value".to_vec());
+    let outcome =
+        Response { number: 300, kind: ResponseKind::Served.into(), length: 5, ..Response::default() };
+    let said = Outbound::Response(Response { length: 0, ..outcome.clone() }, b"value".to_vec());
     crosses(
         said,
         b"\
         \0\0\0\t*\x07\x08\xac\x02\x10\x01(\x05\0\0\0\x0e\x1a\x0c\x08\xac\x02\x10\x01\x1a\x05value",
-        Event::Outcome(
+        Inbound::Response(
             outcome,
             b"\
         value"
                 .to_vec(),
         ),
     );
-    let fate = Fate { number: 300, kind: FateKind::Served.into(), length: 5, ..Fate::default() };
-    let said = Said::Fate(Fate { length: 0, ..fate.clone() }, b"value".to_vec());
+    let fate = OutcomeReply {
+        number: 300,
+        kind: OutcomeReplyKind::Served.into(),
+        length: 5,
+        ..OutcomeReply::default()
+    };
+    let said = Outbound::OutcomeReply(OutcomeReply { length: 0, ..fate.clone() }, b"value".to_vec());
     crosses(
         said,
         b"\
         \0\0\0\tB\x07\x08\xac\x02\x10\x03 \x05\0\0\0\x0e\x1a\x0c\x08\xac\x02\x10\x01\x1a\x05value",
-        Event::Fate(
+        Inbound::OutcomeReply(
             fate,
             b"\
         value"
                 .to_vec(),
         ),
     );
-    crosses(Said::Cancel(300), b"\0\0\0\x030\xac\x02", Event::Cancel(300));
-    let ask = Ask { number: 300, receiver_start: 9 };
-    crosses(Said::Ask(ask.clone()), b"\0\0\0\x07:\x05\x08\xac\x02\x10\t", Event::Ask(ask));
-    let confirm = Confirm { upto: 300 };
-    crosses(Said::Confirm(confirm.clone()), b"\0\0\0\x05J\x03\x08\xac\x02", Event::Confirm(confirm));
+    crosses(Outbound::Cancel(300), b"\0\0\0\x030\xac\x02", Inbound::Cancel(300));
+    let ask = OutcomeQuery { number: 300, receiver_incarnation: 9 };
+    crosses(
+        Outbound::OutcomeQuery(ask.clone()),
+        b"\0\0\0\x07:\x05\x08\xac\x02\x10\t",
+        Inbound::OutcomeQuery(ask),
+    );
+    let confirm = Confirm { up_to: 300 };
+    crosses(Outbound::Confirm(confirm.clone()), b"\0\0\0\x05J\x03\x08\xac\x02", Inbound::Confirm(confirm));
     crosses(
-        Said::Room(room()),
+        Outbound::CapacityAnnouncement(room()),
         b"\
         \0\0\0\"b \n\t\n\x04look\x10\xac\x02\n\x07\n\x05renew\x12\x04\x08\x07\x10\x01\x12\x02\x08\
         \x08\x18\x01",
-        Event::Room(room()),
+        Inbound::CapacityAnnouncement(room()),
     );
 }
 
@@ -282,9 +299,9 @@
     let mut answering = link();
     assert_eq!(answering.receive(0, ping), Ok(vec![]));
     assert_eq!(text(&answering.next_bytes(1).unwrap()), text(pong));
-    assert_eq!(asking.receive(300, pong), Ok(vec![Event::Trip(300)]));
+    assert_eq!(asking.receive(300, pong), Ok(vec![Inbound::RoundTrip(300)]));
     assert_eq!(text(&Link::close("enough")), text(close));
-    assert_eq!(link().receive(0, close), Err(Broken::Closed("enough".into())));
+    assert_eq!(link().receive(0, close), Err(LinkError::Closed("enough".into())));
 }
 
 #[test]
@@ -292,7 +309,7 @@
     let window = b"\0\0\0\x08\"\x06\x08\x01\x18\x80\x80\x02";
     let long = Request { number: 1, class: "look".into(), ..Request::default() };
     let mut sender = link();
-    sender.say(Said::Request(long, vec![1; 100_000]));
+    sender.send(Outbound::Request(long, vec![1; 100_000]));
     let mut receiver = link();
     while let Some(bytes) = sender.next_bytes(1) {
         receiver.receive(0, &bytes).unwrap();
