--- a/crates/proxy/src/dispatcher/gateway/announcements.rs
+++ b/crates/proxy/src/dispatcher/gateway/announcements.rs
@@ -4,7 +4,7 @@
 
 use aldermill_routing::Micros;
 use aldermill_site_link::{CapacityAnnouncement, Credit, HomeAnnouncement, Outbound};
-use aldermill_site_routing::GateId;
+use aldermill_site_routing::PeerGatewayId;
 use serde_json::{Value, json};
 
 use super::{EndedCounts, GatewayPart, PeerGateway};
@@ -17,21 +17,21 @@
 impl GatewayPart {
     /// Tells all gateways the available capacity here.
     pub(super) fn announce_room(&mut self) {
-        for gate in 0..self.peer_gateways.len() {
-            self.announce_room_to(gate);
+        for gateway in 0..self.peer_gateways.len() {
+            self.announce_room_to(gateway);
         }
     }
 
     /// Tells one gateway, where a link to it stands, the available capacity here.
-    pub(super) fn announce_room_to(&mut self, gate: GateId) {
-        if self.peer_gateways.get(gate).is_some_and(|peer| !peer.links.is_empty()) {
-            let room = self.room_frame(gate);
-            self.send(gate, None, Outbound::CapacityAnnouncement(room));
+    pub(super) fn announce_room_to(&mut self, gateway: PeerGatewayId) {
+        if self.peer_gateways.get(gateway).is_some_and(|peer| !peer.links.is_empty()) {
+            let room = self.room_frame(gateway);
+            self.send(gateway, None, Outbound::CapacityAnnouncement(room));
         }
     }
 
-    fn room_frame(&mut self, gate: GateId) -> CapacityAnnouncement {
-        let (credits, groups) = self.sites.offered(gate);
+    fn room_frame(&mut self, gateway: PeerGatewayId) -> CapacityAnnouncement {
+        let (credits, groups) = self.sites.offered_capacity(gateway);
         let credits = self.classes.iter().zip(credits);
         CapacityAnnouncement {
             credits: credits.map(|(name, requests)| Credit { class: name.clone(), requests }).collect(),
@@ -52,7 +52,7 @@
             outcome_log.renew(now);
         }
         let sites = &self.sites;
-        self.sent.retain(|&number, _| sites.crossed(number).is_some());
+        self.sent.retain(|&number, _| sites.forwarded_as(number).is_some());
     }
 
     /// What this gateway saw of its site since it was last asked, and what it has of those that drain.
@@ -67,7 +67,7 @@
             in_time: ended.in_time,
             bound: ended.bound,
             round_trips: self.round_trips(now),
-            open: self.sites.open_at_retiring(fates),
+            open: self.sites.open_work(fates),
         }
     }
 
@@ -75,7 +75,9 @@
     fn round_trips(&self, now: Micros) -> Vec<(String, Micros)> {
         let gateways = self.peer_gateways.iter().enumerate();
         let linked = gateways.filter(|(_, peer)| !peer.links.is_empty());
-        linked.map(|(id, peer)| (self.names[peer.site].clone(), self.sites.view(now, id).trip)).collect()
+        linked
+            .map(|(id, peer)| (self.names[peer.site].clone(), self.sites.gateway_view(now, id).round_trip))
+            .collect()
     }
 
     /// What is believed here, for people, as JSON.
@@ -90,19 +92,19 @@
         format!("{text:#}\n")
     }
 
-    fn describe_gateway(&self, now: Micros, id: GateId, peer: &PeerGateway) -> Value {
-        let view = self.sites.view(now, id);
+    fn describe_gateway(&self, now: Micros, id: PeerGatewayId, peer: &PeerGateway) -> Value {
+        let view = self.sites.gateway_view(now, id);
         let credits: HashMap<_, _> = self.classes.iter().cloned().zip(view.credits).collect();
         json!({
             "site": self.names[peer.site], "instance": peer.origin.instance, "links": peer.links.len(),
-            "round_trip_us": view.trip, "draining": view.draining, "barred": view.blacklisted,
-            "credits": credits, "under_way": view.out,
+            "round_trip_us": view.round_trip, "draining": view.draining, "barred": view.blacklisted,
+            "credits": credits, "under_way": view.in_flight,
         })
     }
 
     fn describe_groups(&self) -> Vec<Value> {
         let mut groups = Vec::new();
-        for (group, home, here) in self.sites.homes() {
+        for (group, home, here) in self.sites.home_sites() {
             let home = home.map(|site| &self.names[site]);
             groups.push(json!({"group": group, "home": home, "members_here": here}));
         }
--- a/crates/proxy/src/dispatcher/gateway/answers.rs
+++ b/crates/proxy/src/dispatcher/gateway/answers.rs
@@ -4,7 +4,7 @@
 
 use aldermill_routing::{Effect, Micros};
 use aldermill_site_link::{Outbound, Response as ResponseFrame, ResponseKind};
-use aldermill_site_routing::{Fate, Handle, SiteId};
+use aldermill_site_routing::{Outcome, RequestHandle, SiteId};
 
 use super::{
     ASKED_AFTER_DEADLINE, DepartingOutcome, ForwardedRequest, GatewayPart, KeptValue, RemoteRequest,
@@ -17,7 +17,7 @@
 pub(super) enum FinalAnswer {
     Ended(Answer),
     /// Its group's primary is not here, and perhaps at the site named.
-    NotHere {
+    NotPrimary {
         hint: Option<SiteId>,
     },
 }
@@ -27,7 +27,7 @@
     fn for_client(self) -> Answer {
         match self {
             FinalAnswer::Ended(answer) => answer,
-            FinalAnswer::NotHere { .. } => Answer::Rejected { cool_down: 0 },
+            FinalAnswer::NotPrimary { .. } => Answer::Rejected { cool_down: 0 },
         }
     }
 }
@@ -36,7 +36,7 @@
 struct RemoteOutcome {
     kind: ResponseKind,
     /// What whoever asks later is told.
-    fate: Fate<KeptValue>,
+    fate: Outcome<KeptValue>,
     value: Rc<Vec<u8>>,
     retry_after: Micros,
     hint: Option<SiteId>,
@@ -46,16 +46,19 @@
     fn new(answer: FinalAnswer) -> RemoteOutcome {
         match answer {
             FinalAnswer::Ended(Answer::Served(rows)) => RemoteOutcome::served(rows),
-            FinalAnswer::Ended(Answer::Rejected { cool_down }) => {
-                let fate = Fate::Rejected { cool_down };
-                RemoteOutcome { retry_after: cool_down, ..RemoteOutcome::empty(ResponseKind::Rejected, fate) }
+            FinalAnswer::Ended(Answer::Rejected { cool_down: retry_after }) => {
+                let fate = Outcome::Rejected { retry_after };
+                RemoteOutcome {
+                    retry_after: retry_after,
+                    ..RemoteOutcome::empty(ResponseKind::Rejected, fate)
+                }
             }
-            FinalAnswer::Ended(Answer::Failed) => RemoteOutcome::empty(ResponseKind::Failed, Fate::Failed),
+            FinalAnswer::Ended(Answer::Failed) => RemoteOutcome::empty(ResponseKind::Failed, Outcome::Failed),
             FinalAnswer::Ended(Answer::Wrong(_)) => {
-                RemoteOutcome::empty(ResponseKind::Invalid, Fate::Rejected { cool_down: 0 })
+                RemoteOutcome::empty(ResponseKind::Invalid, Outcome::Rejected { retry_after: 0 })
             }
-            FinalAnswer::NotHere { hint } => {
-                let fate = Fate::Rejected { cool_down: 0 };
+            FinalAnswer::NotPrimary { hint } => {
+                let fate = Outcome::Rejected { retry_after: 0 };
                 RemoteOutcome { hint, ..RemoteOutcome::empty(ResponseKind::NotPrimary, fate) }
             }
         }
@@ -64,17 +67,17 @@
     fn served(rows: Rows) -> RemoteOutcome {
         let value = Rc::new(rows.pieces.concat());
         let kept = KeptValue { bytes: value.clone(), _room: rows.room.map(Rc::new) };
-        RemoteOutcome { value, ..RemoteOutcome::empty(ResponseKind::Served, Fate::Served(kept)) }
+        RemoteOutcome { value, ..RemoteOutcome::empty(ResponseKind::Served, Outcome::Served(kept)) }
     }
 
-    fn empty(kind: ResponseKind, fate: Fate<KeptValue>) -> RemoteOutcome {
+    fn empty(kind: ResponseKind, fate: Outcome<KeptValue>) -> RemoteOutcome {
         RemoteOutcome { kind, fate, value: Rc::default(), retry_after: 0, hint: None }
     }
 }
 
 impl Dispatcher {
     /// Gives a forwarded request its one answer.
-    pub(super) fn answer_forwarded(&mut self, handle: Handle, answer: FinalAnswer) {
+    pub(super) fn answer_forwarded(&mut self, handle: RequestHandle, answer: FinalAnswer) {
         let Some(forwarded) = self.forget_forwarded(handle) else { return };
         match &forwarded.requester {
             Requester::Client(client) => client.answer(answer.for_client()),
@@ -100,12 +103,12 @@
         let timeout = Micros::from(forwarded.request.comment.wait) * 1000;
         let non_idempotent = matches!(effect, Effect::Effectful);
         // Nobody asks about what may simply be sent again.
-        let fate = if non_idempotent { fate } else { Fate::Failed };
+        let fate = if non_idempotent { fate } else { Outcome::Failed };
         let kept_until = non_idempotent.then_some(now + timeout + ASKED_AFTER_DEADLINE);
         gateway_part.remember_and_send(now, remote, fate, kept_until, frame, value);
         let rejected = kind == ResponseKind::Rejected;
-        if gateway_part.sites.guest_over(now, remote.gate, forwarded.class, rejected) {
-            gateway_part.announce_room_to(remote.gate);
+        if gateway_part.sites.remote_request_ended(now, remote.gateway, forwarded.class, rejected) {
+            gateway_part.announce_room_to(remote.gateway);
         }
     }
 }
@@ -116,7 +119,7 @@
         &mut self,
         now: Micros,
         remote: &RemoteRequest,
-        fate: Fate<KeptValue>,
+        fate: Outcome<KeptValue>,
         kept_until: Option<Micros>,
         frame: ResponseFrame,
         value: Rc<Vec<u8>>,
@@ -128,14 +131,16 @@
         }
         self.fates.settle(&remote.origin, remote.number, fate);
         // Over the link that it came by, or was last asked about on; where that broke, it will be asked about.
-        let (gate, link) = (remote.gate, remote.link);
-        if !self.peer_gateways[gate].links.contains(&link) {
+        let (gateway, link) = (remote.gateway, remote.link);
+        if !self.peer_gateways[gateway].links.contains(&link) {
             return;
         }
         let value = Rc::try_unwrap(value).unwrap_or_else(|shared| shared.to_vec());
         match token {
-            Some(token) => drop(self.departing.insert(token, DepartingOutcome { gate, link, frame, value })),
-            None => drop(self.send(gate, Some(link), Outbound::Response(frame, value))),
+            Some(token) => {
+                drop(self.departing.insert(token, DepartingOutcome { gateway, link, frame, value }))
+            }
+            None => drop(self.send(gateway, Some(link), Outbound::Response(frame, value))),
         }
     }
 }
--- a/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
@@ -4,7 +4,7 @@
 
 use aldermill_routing::{Handle as RouterHandle, Micros, Need};
 use aldermill_site_drain::Plan;
-use aldermill_site_routing::{Action, Handle, HereEnded, Request, SiteId};
+use aldermill_site_routing::{Action, LocalResult, Request, RequestHandle, SiteId};
 use aldermill_wire::statement;
 
 use super::site_actions::ReceivedAnswer;
@@ -39,9 +39,9 @@
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let routed = gateway_part.routed_request(&to_forward);
-        let (handle, actions) = gateway_part.sites.take(now, routed);
+        let (handle, actions) = gateway_part.sites.accept(now, routed);
         if let Requester::Gateway(remote) = &to_forward.requester {
-            gateway_part.remote_requests.insert((remote.gate, remote.number), handle);
+            gateway_part.remote_requests.insert((remote.gateway, remote.number), handle);
         }
         let RequestToForward { request, class, requester, visited, .. } = to_forward;
         self.locations.insert(request.client, RequestLocation::Gateway(handle));
@@ -53,32 +53,34 @@
     }
 
     /// Nobody waits for a request any more.
-    pub(in crate::dispatcher) fn forwarded_request_left(&mut self, handle: Handle) {
+    pub(in crate::dispatcher) fn forwarded_request_left(&mut self, handle: RequestHandle) {
         let now = self.context.clock.now();
         let Some(forwarded) = self.forget_forwarded(handle) else { return };
         if let Some(local) = forwarded.local {
             self.abandon(local);
         }
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let actions = handle.left(&mut gateway_part.sites, now);
+        let actions = gateway_part.sites.abandon(now, handle);
         self.carry_out_sites(actions, None);
     }
 
     /// The router here has answered a request for the gateway part.
-    pub(in crate::dispatcher) fn answered_here(&mut self, handle: Handle, answer: Answer) {
+    pub(in crate::dispatcher) fn answered_here(&mut self, handle: RequestHandle, answer: Answer) {
         let now = self.context.clock.now();
         let ended = match &answer {
-            Answer::Served(_) => HereEnded::Served,
-            Answer::Rejected { cool_down } => HereEnded::Rejected { cool_down: *cool_down },
-            Answer::Failed | Answer::Wrong(_) => HereEnded::Failed,
+            Answer::Served(_) => LocalResult::Served,
+            Answer::Rejected { cool_down: retry_after } => {
+                LocalResult::Rejected { retry_after: *retry_after }
+            }
+            Answer::Failed | Answer::Wrong(_) => LocalResult::Failed,
         };
-        self.count_ended_here(handle, ended == HereEnded::Served, now);
+        self.count_ended_here(handle, ended == LocalResult::Served, now);
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let actions = handle.here_ended(&mut gateway_part.sites, now, ended);
+        let actions = gateway_part.sites.local_finished(now, handle, ended);
         self.carry_out_sites(actions, Some(ReceivedAnswer { handle, answer }));
     }
 
-    fn count_ended_here(&mut self, handle: Handle, served: bool, now: Micros) {
+    fn count_ended_here(&mut self, handle: RequestHandle, served: bool, now: Micros) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let Some(forwarded) = gateway_part.forwarded.get_mut(&handle) else { return };
         forwarded.local = None;
@@ -92,19 +94,19 @@
     }
 
     /// An attempt here that lasted so long may have run.
-    pub(in crate::dispatcher) fn may_have_run(&mut self, handle: Handle, elapsed: Micros) {
+    pub(in crate::dispatcher) fn may_have_run(&mut self, handle: RequestHandle, elapsed: Micros) {
         let began = self.context.clock.now() - elapsed;
         if let Some(gateway_part) = &mut self.gateway_part {
-            handle.here_may_have_run(&mut gateway_part.sites, began);
+            gateway_part.sites.local_may_have_run(handle, began);
         }
     }
 
     /// An attempt here found its member not primary. What follows is carried out once the router has heard it, too.
-    pub(in crate::dispatcher) fn not_primary_here(&mut self, handle: Handle) -> SiteMiss {
+    pub(in crate::dispatcher) fn not_primary_here(&mut self, handle: RequestHandle) -> SiteMiss {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return SiteMiss::default() };
-        let actions = handle.here_missed(&mut gateway_part.sites, now);
-        let taken_back = actions.requests.contains(&(handle, Action::TakeBack));
+        let actions = gateway_part.sites.local_not_primary(now, handle);
+        let taken_back = actions.requests.contains(&(handle, Action::Withdraw));
         SiteMiss { actions: Some(actions), taken_back }
     }
 
@@ -112,7 +114,7 @@
     pub(in crate::dispatcher) fn primary_here(&mut self, group: u64) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let actions = gateway_part.sites.primary_here(now, group);
+        let actions = gateway_part.sites.primary_found_here(now, group);
         self.carry_out_sites(actions, None);
     }
 
@@ -120,7 +122,7 @@
     pub(in crate::dispatcher) fn groups_listed(&mut self, groups: &[(u64, usize)]) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let actions = gateway_part.sites.listed(now, groups);
+        let actions = gateway_part.sites.groups_listed(now, groups);
         self.carry_out_sites(actions, None);
     }
 
@@ -137,7 +139,7 @@
     pub fn follow_site_drains(&mut self, plans: Vec<Plan>) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let actions = gateway_part.sites.bind(now, &gateway_part.names, plans);
+        let actions = gateway_part.sites.assign_sessions(now, &gateway_part.names, plans);
         self.carry_out_sites(actions, None);
     }
 
@@ -145,16 +147,16 @@
     pub(in crate::dispatcher) fn report_stall_to_sites(&mut self) {
         let now = self.context.clock.now();
         if let Some(gateway_part) = &mut self.gateway_part {
-            gateway_part.sites.stood_still(now);
+            gateway_part.sites.stalled_until(now);
         }
     }
 
     /// Drops what is kept of a forwarded request, which is returned.
-    pub(super) fn forget_forwarded(&mut self, handle: Handle) -> Option<ForwardedRequest> {
+    pub(super) fn forget_forwarded(&mut self, handle: RequestHandle) -> Option<ForwardedRequest> {
         let gateway_part = self.gateway_part.as_mut()?;
         let forwarded = gateway_part.forwarded.remove(&handle)?;
         if let Requester::Gateway(remote) = &forwarded.requester {
-            gateway_part.remote_requests.remove(&(remote.gate, remote.number));
+            gateway_part.remote_requests.remove(&(remote.gateway, remote.number));
         }
         self.open_ids.remove(&forwarded.request.comment.id);
         self.locations.remove(&forwarded.request.client);
@@ -172,7 +174,7 @@
         Request {
             class: to_forward.class,
             group: request.comment.group,
-            ttl: to_forward.ttl,
+            timeout: to_forward.ttl,
             visited,
             // One that names no session has none to keep with.
             session: Some(named.unwrap_or(&request.comment.id).to_owned()),
@@ -180,7 +182,7 @@
     }
 
     /// Takes a forwarded request back from the router here: the handle to abandon there.
-    pub(super) fn take_back(&mut self, handle: Handle) -> Option<RouterHandle> {
+    pub(super) fn take_back(&mut self, handle: RequestHandle) -> Option<RouterHandle> {
         self.forwarded.get_mut(&handle)?.local.take()
     }
 }
--- a/crates/proxy/src/dispatcher/gateway/link_events.rs
+++ b/crates/proxy/src/dispatcher/gateway/link_events.rs
@@ -5,7 +5,7 @@
     CapacityAnnouncement, Inbound, Outbound, OutcomeQuery, OutcomeReply, OutcomeReplyKind,
     Response as ResponseFrame, ResponseKind,
 };
-use aldermill_site_routing::{Answer as SiteAnswer, Fate, GateId};
+use aldermill_site_routing::{Outcome, PeerAnswer, PeerGatewayId};
 
 use super::site_actions::ReceivedAnswer;
 use super::{GatewayPart, KeptValue, Requester, received_span};
@@ -14,23 +14,25 @@
 
 impl Dispatcher {
     /// Something was heard over a link whose other side has greeted.
-    pub(super) fn link_event(&mut self, link: LinkId, gate: GateId, event: Inbound) {
+    pub(super) fn link_event(&mut self, link: LinkId, gateway: PeerGatewayId, event: Inbound) {
         match event {
             Inbound::Greeted(_) => {}
-            Inbound::Request(frame, statement) => self.remote_request_arrived(link, gate, frame, statement),
+            Inbound::Request(frame, statement) => {
+                self.remote_request_arrived(link, gateway, frame, statement)
+            }
             Inbound::Response(outcome, value) => self.outcome_received(&outcome, value),
             Inbound::OutcomeReply(fate, value) => self.fate_received(link, &fate, value),
-            Inbound::Cancel(number) => self.remote_request_cancelled(gate, number),
-            Inbound::OutcomeQuery(ask) => self.answer_question(link, gate, &ask),
+            Inbound::Cancel(number) => self.remote_request_cancelled(gateway, number),
+            Inbound::OutcomeQuery(ask) => self.answer_question(link, gateway, &ask),
             Inbound::Confirm(confirm) => {
                 let Some(gateway_part) = &mut self.gateway_part else { return };
-                let origin = &gateway_part.peer_gateways[gate].origin;
+                let origin = &gateway_part.peer_gateways[gateway].origin;
                 gateway_part.fates.confirm(origin, confirm.up_to);
             }
-            Inbound::CapacityAnnouncement(room) => self.room_received(gate, &room),
+            Inbound::CapacityAnnouncement(room) => self.room_received(gateway, &room),
             Inbound::RoundTrip(round_trip) => {
                 if let Some(gateway_part) = &mut self.gateway_part {
-                    gateway_part.sites.trip(gate, round_trip);
+                    gateway_part.sites.round_trip_measured(gateway, round_trip);
                 }
             }
         }
@@ -59,36 +61,36 @@
             // Its answer comes over the link that was asked on.
             sent.link = link;
         }
-        let actions = gateway_part.sites.fate(now, frame.number, &fate);
+        let actions = gateway_part.sites.outcome_received(now, frame.number, &fate);
         self.carry_out_sites(actions, received);
     }
 
     /// Another gateway asks what became of a request that it sent.
-    fn answer_question(&mut self, link: LinkId, gate: GateId, ask: &OutcomeQuery) {
+    fn answer_question(&mut self, link: LinkId, gateway: PeerGatewayId, ask: &OutcomeQuery) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let fate = gateway_part.fate_for(now, gate, ask);
-        gateway_part.move_to_link(gate, ask.number, link);
+        let fate = gateway_part.fate_for(now, gateway, ask);
+        gateway_part.move_to_link(gateway, ask.number, link);
         let (frame, value) = fate_frame(ask.number, fate);
-        gateway_part.send(gate, Some(link), Outbound::OutcomeReply(frame, value));
+        gateway_part.send(gateway, Some(link), Outbound::OutcomeReply(frame, value));
     }
 
     /// Another gateway tells what it takes, and where groups are.
-    fn room_received(&mut self, gate: GateId, room: &CapacityAnnouncement) {
+    fn room_received(&mut self, gateway: PeerGatewayId, room: &CapacityAnnouncement) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let credit = |name: &String| room.credits.iter().find(|credit| credit.class == *name);
         let requests = |name| credit(name).map_or(0, |credit| credit.requests);
         let credits: Vec<u32> = gateway_part.classes.iter().map(requests).collect();
         let homes: Vec<(u64, bool)> = room.homes.iter().map(|home| (home.group, home.primary)).collect();
-        let actions = gateway_part.sites.room(now, gate, credits, &homes, room.draining);
+        let actions = gateway_part.sites.capacity_announced(now, gateway, credits, &homes, room.draining);
         self.carry_out_sites(actions, None);
     }
 
     /// What another gateway sent for a request, with buffer space for it where it is large.
     fn received_answer(&self, number: u64, value: Vec<u8>) -> Option<ReceivedAnswer> {
         let gateway_part = self.gateway_part.as_ref()?;
-        let handle = gateway_part.sites.crossed(number)?;
+        let handle = gateway_part.sites.forwarded_as(number)?;
         let forwarded = gateway_part.forwarded.get(&handle)?;
         if value.len() <= self.context.limits.small {
             let answer = Answer::Served(Rows { pieces: vec![value], room: None });
@@ -105,21 +107,21 @@
 }
 
 impl GatewayPart {
-    fn site_answer(&self, outcome: &ResponseFrame) -> SiteAnswer {
+    fn site_answer(&self, outcome: &ResponseFrame) -> PeerAnswer {
         match outcome.kind() {
-            ResponseKind::Served => SiteAnswer::Served,
+            ResponseKind::Served => PeerAnswer::Served,
             ResponseKind::Rejected => {
-                SiteAnswer::Rejected { cool_down: received_span(outcome.retry_after_us) }
+                PeerAnswer::Rejected { retry_after: received_span(outcome.retry_after_us) }
             }
-            ResponseKind::NotPrimary => SiteAnswer::NotHere { hint: self.site(&outcome.hint) },
-            ResponseKind::Invalid => SiteAnswer::NeverTaken,
-            ResponseKind::Failed | ResponseKind::Unset => SiteAnswer::Failed,
+            ResponseKind::NotPrimary => PeerAnswer::NotPrimary { hint: self.site(&outcome.hint) },
+            ResponseKind::Invalid => PeerAnswer::NeverAccepted,
+            ResponseKind::Failed | ResponseKind::Unset => PeerAnswer::Failed,
         }
     }
 
     /// What became of a request that this gateway was sent. What an earlier start took is in the outcome log.
-    fn fate_for(&mut self, now: Micros, gate: GateId, ask: &OutcomeQuery) -> Fate<KeptValue> {
-        let origin = &self.peer_gateways[gate].origin;
+    fn fate_for(&mut self, now: Micros, gateway: PeerGatewayId, ask: &OutcomeQuery) -> Outcome<KeptValue> {
+        let origin = &self.peer_gateways[gateway].origin;
         let own = self.own.incarnation;
         match &mut self.outcome_log {
             Some(outcome_log) if ask.receiver_incarnation != own => {
@@ -131,13 +133,13 @@
     }
 
     /// The answer of a remote request goes over the link on which it was last asked about.
-    fn move_to_link(&mut self, gate: GateId, number: u64, link: LinkId) {
+    fn move_to_link(&mut self, gateway: PeerGatewayId, number: u64, link: LinkId) {
         for arriving in self.arriving.values_mut() {
-            if (arriving.gate, arriving.number) == (gate, number) {
+            if (arriving.gateway, arriving.number) == (gateway, number) {
                 arriving.link = link;
             }
         }
-        let handle = self.remote_requests.get(&(gate, number));
+        let handle = self.remote_requests.get(&(gateway, number));
         if let Some(forwarded) = handle.and_then(|handle| self.forwarded.get_mut(handle))
             && let Requester::Gateway(remote) = &mut forwarded.requester
         {
@@ -146,34 +148,34 @@
     }
 }
 
-fn fate_of(frame: &OutcomeReply) -> Fate<()> {
+fn fate_of(frame: &OutcomeReply) -> Outcome<()> {
     match frame.kind() {
-        OutcomeReplyKind::NeverAccepted => Fate::NeverTaken,
-        OutcomeReplyKind::Rejected => Fate::Rejected { cool_down: received_span(frame.retry_after_us) },
-        OutcomeReplyKind::Served => Fate::Served(()),
-        OutcomeReplyKind::InFlight => Fate::UnderWay,
-        OutcomeReplyKind::Failed => Fate::Failed,
-        OutcomeReplyKind::Unknown | OutcomeReplyKind::Unset => Fate::Unknown,
+        OutcomeReplyKind::NeverAccepted => Outcome::NeverAccepted,
+        OutcomeReplyKind::Rejected => Outcome::Rejected { retry_after: received_span(frame.retry_after_us) },
+        OutcomeReplyKind::Served => Outcome::Served(()),
+        OutcomeReplyKind::InFlight => Outcome::InFlight,
+        OutcomeReplyKind::Failed => Outcome::Failed,
+        OutcomeReplyKind::Unknown | OutcomeReplyKind::Unset => Outcome::Unknown,
     }
 }
 
 /// A fate as another gateway is told it, and the value that goes with it.
-fn fate_frame(number: u64, fate: Fate<KeptValue>) -> (OutcomeReply, Vec<u8>) {
+fn fate_frame(number: u64, fate: Outcome<KeptValue>) -> (OutcomeReply, Vec<u8>) {
     let mut frame = OutcomeReply { number, ..OutcomeReply::default() };
     let mut value = Vec::new();
     let kind = match fate {
-        Fate::NeverTaken => OutcomeReplyKind::NeverAccepted,
-        Fate::UnderWay => OutcomeReplyKind::InFlight,
-        Fate::Rejected { cool_down } => {
-            frame.retry_after_us = cool_down.max(0) as u64;
+        Outcome::NeverAccepted => OutcomeReplyKind::NeverAccepted,
+        Outcome::InFlight => OutcomeReplyKind::InFlight,
+        Outcome::Rejected { retry_after } => {
+            frame.retry_after_us = retry_after.max(0) as u64;
             OutcomeReplyKind::Rejected
         }
-        Fate::Served(kept) => {
+        Outcome::Served(kept) => {
             value = kept.bytes.to_vec();
             OutcomeReplyKind::Served
         }
-        Fate::Failed => OutcomeReplyKind::Failed,
-        Fate::Unknown => OutcomeReplyKind::Unknown,
+        Outcome::Failed => OutcomeReplyKind::Failed,
+        Outcome::Unknown => OutcomeReplyKind::Unknown,
     };
     frame.kind = kind.into();
     (frame, value)
--- a/crates/proxy/src/dispatcher/gateway/links.rs
+++ b/crates/proxy/src/dispatcher/gateway/links.rs
@@ -1,7 +1,7 @@
 //! Links to other gateways that come up and are lost.
 
 use aldermill_site_link::{Identity, Inbound};
-use aldermill_site_routing::{GateId, OWN, Origin, SiteId};
+use aldermill_site_routing::{LOCAL_SITE, Origin, PeerGatewayId, SiteId};
 use slog::{info, warn};
 
 use super::{GatewayPart, LinkState, PeerGateway};
@@ -14,13 +14,15 @@
         let Some(gateway_part) = &mut self.gateway_part else { return };
         match event {
             LinkEvent::Up { outbox, holder } => {
-                gateway_part.links.insert(link, LinkState { gate: None, outbox, holder });
+                gateway_part.links.insert(link, LinkState { gateway: None, outbox, holder });
             }
             LinkEvent::Lost => self.link_lost(link),
             LinkEvent::Heard(Inbound::Greeted(identity)) => self.greeted_on(link, identity),
             LinkEvent::Heard(event) => {
-                let Some(gate) = gateway_part.links.get(&link).and_then(|state| state.gate) else { return };
-                self.link_event(link, gate, event);
+                let Some(gateway) = gateway_part.links.get(&link).and_then(|state| state.gateway) else {
+                    return;
+                };
+                self.link_event(link, gateway, event);
             }
         }
     }
@@ -29,7 +31,7 @@
     fn greeted_on(&mut self, link: LinkId, identity: Identity) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let Some(site) = gateway_part.site(&identity.site).filter(|&site| site != OWN) else {
+        let Some(site) = gateway_part.site(&identity.site).filter(|&site| site != LOCAL_SITE) else {
             gateway_part.links.remove(&link);
             return;
         };
@@ -50,7 +52,7 @@
             gateway_part.replace_start(id, origin);
         }
         let links = gateway_part.add_link(id, link);
-        let actions = gateway_part.sites.links(now, id, site, links, same_start);
+        let actions = gateway_part.sites.links_changed(now, id, site, links, same_start);
         gateway_part.announce_room_to(id);
         self.carry_out_sites(actions, None);
     }
@@ -58,7 +60,7 @@
     fn link_lost(&mut self, link: LinkId) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let Some(id) = gateway_part.links.remove(&link).and_then(|state| state.gate) else { return };
+        let Some(id) = gateway_part.links.remove(&link).and_then(|state| state.gateway) else { return };
         let numbers = gateway_part.numbers_sent_over(id, link);
         let peer = &mut gateway_part.peer_gateways[id];
         peer.links.retain(|&other| other != link);
@@ -67,8 +69,8 @@
             warn!(self.context.log, "no link to that gateway any more"; "site" => &gateway_part.names[site],
                 "instance" => &peer.origin.instance, "unsettled" => numbers.len());
         }
-        let after_count = gateway_part.sites.links(now, id, site, links, true);
-        let after_loss = gateway_part.sites.lost(now, id, &numbers);
+        let after_count = gateway_part.sites.links_changed(now, id, site, links, true);
+        let after_loss = gateway_part.sites.link_lost(now, id, &numbers);
         self.carry_out_sites(after_count, None);
         self.carry_out_sites(after_loss, None);
     }
@@ -76,7 +78,7 @@
 
 impl GatewayPart {
     /// The index of the gateway that greets so, which is new if it never greeted.
-    fn gateway_id(&mut self, site: SiteId, origin: &Origin) -> GateId {
+    fn gateway_id(&mut self, site: SiteId, origin: &Origin) -> PeerGatewayId {
         let same =
             |peer: &PeerGateway| peer.origin.site == origin.site && peer.origin.instance == origin.instance;
         if let Some(id) = self.peer_gateways.iter().position(same) {
@@ -87,7 +89,7 @@
     }
 
     /// A gateway started anew: links of the start before lead nowhere.
-    fn replace_start(&mut self, id: GateId, origin: Origin) {
+    fn replace_start(&mut self, id: PeerGatewayId, origin: Origin) {
         for old in std::mem::take(&mut self.peer_gateways[id].links) {
             self.links.remove(&old);
         }
@@ -95,17 +97,17 @@
     }
 
     /// Adds a link to a gateway, and returns how many lead there.
-    fn add_link(&mut self, id: GateId, link: LinkId) -> usize {
+    fn add_link(&mut self, id: PeerGatewayId, link: LinkId) -> usize {
         self.peer_gateways[id].links.push(link);
         if let Some(state) = self.links.get_mut(&link) {
-            state.gate = Some(id);
+            state.gateway = Some(id);
         }
         self.peer_gateways[id].links.len()
     }
 
     /// The numbers of requests that crossed over this link, in their order.
-    fn numbers_sent_over(&self, id: GateId, link: LinkId) -> Vec<u64> {
-        let sent = self.sent.iter().filter(|(_, sent)| sent.link == link && sent.gate == id);
+    fn numbers_sent_over(&self, id: PeerGatewayId, link: LinkId) -> Vec<u64> {
+        let sent = self.sent.iter().filter(|(_, sent)| sent.link == link && sent.gateway == id);
         let mut numbers: Vec<u64> = sent.map(|(&number, _)| number).collect();
         numbers.sort_unstable();
         numbers
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -19,7 +19,7 @@
 use aldermill_flow_control::Peer;
 use aldermill_routing::{Handle as RouterHandle, Micros};
 use aldermill_site_link::{Identity, Outbound, Request as RequestFrame, Response as ResponseFrame};
-use aldermill_site_routing::{Fates, GateId, Handle, Origin, SiteId, Sites};
+use aldermill_site_routing::{Origin, OutcomeTable, PeerGatewayId, RequestHandle, SiteId, SiteRouter};
 use tokio::sync::mpsc;
 
 use super::open_request::WaitingClient;
@@ -42,7 +42,7 @@
 
 /// A request of another gateway, and over which link its answer goes.
 struct RemoteRequest {
-    gate: GateId,
+    gateway: PeerGatewayId,
     /// The other gateway's number for it.
     number: u64,
     link: LinkId,
@@ -69,7 +69,7 @@
 /// A link that stands.
 struct LinkState {
     /// The gateway on the other side, once it has greeted.
-    gate: Option<GateId>,
+    gateway: Option<PeerGatewayId>,
     outbox: mpsc::Sender<Outbound>,
     /// For whom buffer space for its values is asked.
     holder: Peer,
@@ -84,7 +84,7 @@
 
 /// A request that crossed: to which start of which gateway, and over which link.
 struct SentRequest {
-    gate: GateId,
+    gateway: PeerGatewayId,
     start: u64,
     link: LinkId,
 }
@@ -103,7 +103,7 @@
 /// A non-idempotent remote request that is taken once its record is written.
 struct ArrivingRequest {
     link: LinkId,
-    gate: GateId,
+    gateway: PeerGatewayId,
     origin: Origin,
     number: u64,
     /// On the router's clock.
@@ -114,7 +114,7 @@
 
 /// An outcome that leaves once its record is written.
 struct DepartingOutcome {
-    gate: GateId,
+    gateway: PeerGatewayId,
     link: LinkId,
     frame: ResponseFrame,
     value: Vec<u8>,
@@ -126,12 +126,12 @@
     /// The sites' names, the own one first.
     names: Vec<String>,
     classes: Vec<String>,
-    sites: Sites,
-    fates: Fates<KeptValue>,
+    sites: SiteRouter,
+    fates: OutcomeTable<KeptValue>,
     peer_gateways: Vec<PeerGateway>,
     links: HashMap<LinkId, LinkState>,
-    forwarded: HashMap<Handle, ForwardedRequest>,
-    remote_requests: HashMap<(GateId, u64), Handle>,
+    forwarded: HashMap<RequestHandle, ForwardedRequest>,
+    remote_requests: HashMap<(PeerGatewayId, u64), RequestHandle>,
     /// By the number under which they crossed.
     sent: HashMap<u64, SentRequest>,
     /// Where outcomes are kept over a restart.
@@ -159,7 +159,7 @@
 
     /// Where groups have their primary, by the name of the site.
     pub(super) fn homes(&self) -> BTreeMap<u64, String> {
-        let homes = self.sites.homes().into_iter();
+        let homes = self.sites.home_sites().into_iter();
         homes.filter_map(|(group, home, _)| Some((group, self.names[home?].clone()))).collect()
     }
 
@@ -183,8 +183,8 @@
     }
 
     /// Sends a frame to a gateway, over the link named or any that stands. Returns the link, unless none could take it.
-    fn send(&self, gate: GateId, link: Option<LinkId>, frame: Outbound) -> Option<LinkId> {
-        let links = &self.peer_gateways.get(gate)?.links;
+    fn send(&self, gateway: PeerGatewayId, link: Option<LinkId>, frame: Outbound) -> Option<LinkId> {
+        let links = &self.peer_gateways.get(gateway)?.links;
         let named = link.filter(|link| links.contains(link));
         let link = named.or_else(|| self.link_with_most_capacity(links))?;
         self.links.get(&link)?.outbox.try_send(frame).is_ok().then_some(link)
--- a/crates/proxy/src/dispatcher/gateway/remote_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/remote_requests.rs
@@ -2,7 +2,7 @@
 
 use aldermill_routing::{Effect, Micros};
 use aldermill_site_link::{Outbound, Request as RequestFrame, Response as ResponseFrame, ResponseKind};
-use aldermill_site_routing::{Fate, GateId, TurnedAway};
+use aldermill_site_routing::{NotAccepted, Outcome, PeerGatewayId};
 use aldermill_wire::statement::Comment;
 use slog::warn;
 use tokio::sync::mpsc;
@@ -29,7 +29,7 @@
     pub(super) fn remote_request_arrived(
         &mut self,
         link: LinkId,
-        gate: GateId,
+        gateway: PeerGatewayId,
         frame: RequestFrame,
         statement: Vec<u8>,
     ) {
@@ -39,18 +39,18 @@
         if frame.receiver_incarnation != gateway_part.own.incarnation {
             return;
         }
-        let origin = gateway_part.peer_gateways[gate].origin.clone();
+        let origin = gateway_part.peer_gateways[gateway].origin.clone();
         let number = frame.number;
         match gateway_part.fates.take(now, &origin, number, received_span(frame.timeout_us)) {
             Ok(()) => {}
-            Err(TurnedAway::Full) => {
-                gateway_part.send_rejection(gate, link, number, ResponseKind::Rejected);
+            Err(NotAccepted::Full) => {
+                gateway_part.send_rejection(gateway, link, number, ResponseKind::Rejected);
                 return;
             }
             // Another copy, or one that was asked about before it came: no news to the sender.
             Err(_) => return,
         }
-        self.record(ArrivingRequest { link, gate, origin, number, received_at: now, frame, statement });
+        self.record(ArrivingRequest { link, gateway, origin, number, received_at: now, frame, statement });
     }
 
     /// Writes the record of a non-idempotent request, which waits for that; any other goes on.
@@ -74,8 +74,8 @@
     /// Settles a remote request that never began, and tells its sender.
     fn reject_remote_request(&mut self, arriving: &ArrivingRequest, kind: ResponseKind) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        gateway_part.fates.settle(&arriving.origin, arriving.number, Fate::Rejected { cool_down: 0 });
-        gateway_part.send_rejection(arriving.gate, arriving.link, arriving.number, kind);
+        gateway_part.fates.settle(&arriving.origin, arriving.number, Outcome::Rejected { retry_after: 0 });
+        gateway_part.send_rejection(arriving.gateway, arriving.link, arriving.number, kind);
     }
 
     /// A record was written, or was not: what waited for it goes on.
@@ -124,9 +124,9 @@
             Err(kind) => return self.reject_remote_request(&arriving, kind),
         };
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let ArrivingRequest { link, gate, origin, number, frame, statement, .. } = arriving;
+        let ArrivingRequest { link, gateway, origin, number, frame, statement, .. } = arriving;
         let Some(holder) = gateway_part.links.get(&link).map(|state| state.holder) else { return };
-        gateway_part.sites.guest_came(gate, checked.class);
+        gateway_part.sites.remote_request_started(gateway, checked.class);
         gateway_part.next_remote_id += 1;
         // Its answer goes over the link; this mailbox is nobody's.
         let (mailbox, _) = mpsc::channel(1);
@@ -143,7 +143,7 @@
             request,
             class: checked.class,
             ttl: checked.ttl.min(LONGEST_SPAN),
-            requester: Requester::Gateway(RemoteRequest { gate, number, link, origin }),
+            requester: Requester::Gateway(RemoteRequest { gateway, number, link, origin }),
             visited: frame.visited,
         });
     }
@@ -162,7 +162,8 @@
             return Err(ResponseKind::NotPrimary);
         }
         let waited = self.context.clock.now() - arriving.received_at;
-        let ttl = received_span(frame.timeout_us) - waited - gateway_part.sites.one_way(arriving.gate);
+        let ttl =
+            received_span(frame.timeout_us) - waited - gateway_part.sites.one_way_delay(arriving.gateway);
         let full = gateway_part.forwarded.len() >= self.context.limits.requests;
         let under_way = self.open_ids.contains(&comment.id);
         if gateway_part.draining || full || under_way || ttl <= 0 {
@@ -172,42 +173,42 @@
     }
 
     /// The gateway that sent a request no longer waits for it.
-    pub(super) fn remote_request_cancelled(&mut self, gate: GateId, number: u64) {
+    pub(super) fn remote_request_cancelled(&mut self, gateway: PeerGatewayId, number: u64) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let Some(&handle) = gateway_part.remote_requests.get(&(gate, number)) else {
-            return gateway_part.cancel_arriving(gate, number);
+        let Some(&handle) = gateway_part.remote_requests.get(&(gateway, number)) else {
+            return gateway_part.cancel_arriving(gateway, number);
         };
         // What the router has begun may run yet.
-        let origin = &gateway_part.peer_gateways[gate].origin;
-        gateway_part.fates.settle(origin, number, Fate::Failed);
+        let origin = &gateway_part.peer_gateways[gateway].origin;
+        gateway_part.fates.settle(origin, number, Outcome::Failed);
         let class = gateway_part.forwarded.get(&handle).map_or(0, |forwarded| forwarded.class);
-        gateway_part.sites.guest_over(now, gate, class, false);
+        gateway_part.sites.remote_request_ended(now, gateway, class, false);
         self.forwarded_request_left(handle);
     }
 }
 
 impl GatewayPart {
     /// A request that waits for its record never begins.
-    fn cancel_arriving(&mut self, gate: GateId, number: u64) {
+    fn cancel_arriving(&mut self, gateway: PeerGatewayId, number: u64) {
         let before = self.arriving.len();
-        self.arriving.retain(|_, arriving| (arriving.gate, arriving.number) != (gate, number));
+        self.arriving.retain(|_, arriving| (arriving.gateway, arriving.number) != (gateway, number));
         if self.arriving.len() < before {
-            let origin = &self.peer_gateways[gate].origin;
-            self.fates.settle(origin, number, Fate::Rejected { cool_down: 0 });
+            let origin = &self.peer_gateways[gateway].origin;
+            self.fates.settle(origin, number, Outcome::Rejected { retry_after: 0 });
         }
     }
 
-    fn send_rejection(&self, gate: GateId, link: LinkId, number: u64, kind: ResponseKind) {
+    fn send_rejection(&self, gateway: PeerGatewayId, link: LinkId, number: u64, kind: ResponseKind) {
         let frame = ResponseFrame { number, kind: kind.into(), ..ResponseFrame::default() };
-        self.send(gate, Some(link), Outbound::Response(frame, Vec::new()));
+        self.send(gateway, Some(link), Outbound::Response(frame, Vec::new()));
     }
 
     /// Sends an outcome over its link; where that was lost, the other gateway asks about it.
     fn send_outcome(&self, departing: DepartingOutcome) {
-        let DepartingOutcome { gate, link, frame, value } = departing;
-        if self.peer_gateways[gate].links.contains(&link) {
-            self.send(gate, Some(link), Outbound::Response(frame, value));
+        let DepartingOutcome { gateway, link, frame, value } = departing;
+        if self.peer_gateways[gateway].links.contains(&link) {
+            self.send(gateway, Some(link), Outbound::Response(frame, value));
         }
     }
 }
--- a/crates/proxy/src/dispatcher/gateway/site_actions.rs
+++ b/crates/proxy/src/dispatcher/gateway/site_actions.rs
@@ -2,7 +2,7 @@
 
 use aldermill_routing::Micros;
 use aldermill_site_link::{Confirm, Outbound, OutcomeQuery, Request as RequestFrame};
-use aldermill_site_routing::{Action, Actions, Answer as SiteAnswer, GateId, Handle};
+use aldermill_site_routing::{Action, Actions, PeerAnswer, PeerGatewayId, RequestHandle};
 
 use super::answers::FinalAnswer;
 use super::{ForwardedRequest, GatewayPart, SentRequest};
@@ -12,7 +12,7 @@
 
 /// What a request has just been answered with, here or at another site.
 pub(in crate::dispatcher) struct ReceivedAnswer {
-    pub(super) handle: Handle,
+    pub(super) handle: RequestHandle,
     pub(super) answer: Answer,
 }
 
@@ -28,10 +28,10 @@
             self.carry_out_site_action(handle, action, &mut received);
         }
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        for (gate, up_to) in actions.confirms {
-            gateway_part.send(gate, None, Outbound::Confirm(Confirm { up_to }));
+        for (gateway, up_to) in actions.confirmations {
+            gateway_part.send(gateway, None, Outbound::Confirm(Confirm { up_to }));
         }
-        if actions.offers {
+        if actions.announce_capacity {
             gateway_part.announce_room();
         }
         if let Some(at) = actions.wake_at {
@@ -41,30 +41,34 @@
 
     fn carry_out_site_action(
         &mut self,
-        handle: Handle,
+        handle: RequestHandle,
         action: Action,
         received: &mut Option<ReceivedAnswer>,
     ) {
         match action {
-            Action::Here { ttl } => self.hand_to_router(handle, ttl),
-            Action::TakeBack => self.take_back_from_router(handle),
-            Action::Cross { gate, number, left } => self.send_to_site(handle, gate, number, left),
-            Action::Ask { gate, number } => self.ask_about(gate, number),
-            Action::Cancel { gate, number } => self.cancel_at_site(gate, number),
-            Action::Serve => {
+            Action::ServeLocally { timeout } => self.hand_to_router(handle, timeout),
+            Action::Withdraw => self.take_back_from_router(handle),
+            Action::Forward { gateway, number, timeout } => {
+                self.send_to_site(handle, gateway, number, timeout)
+            }
+            Action::QueryOutcome { gateway, number } => self.ask_about(gateway, number),
+            Action::Cancel { gateway, number } => self.cancel_at_site(gateway, number),
+            Action::RelayResponse => {
                 let received = received.take_if(|received| received.handle == handle);
                 let answer = received.map_or(Answer::Failed, |received| received.answer);
                 self.answer_forwarded(handle, FinalAnswer::Ended(answer));
             }
-            Action::Reject { cool_down } => {
-                self.answer_forwarded(handle, FinalAnswer::Ended(Answer::Rejected { cool_down }))
+            Action::Reject { retry_after } => {
+                self.answer_forwarded(handle, FinalAnswer::Ended(Answer::Rejected { cool_down: retry_after }))
             }
             Action::Fail => self.answer_forwarded(handle, FinalAnswer::Ended(Answer::Failed)),
-            Action::NotHere { hint } => self.answer_forwarded(handle, FinalAnswer::NotHere { hint }),
+            Action::ReportNotPrimary { hint } => {
+                self.answer_forwarded(handle, FinalAnswer::NotPrimary { hint })
+            }
         }
     }
 
-    fn hand_to_router(&mut self, handle: Handle, ttl: Micros) {
+    fn hand_to_router(&mut self, handle: RequestHandle, ttl: Micros) {
         let Some(forwarded) = self.forwarded_mut(handle) else { return };
         let (request, class) = (forwarded.request.clone(), forwarded.class);
         let deadline = self.context.clock.now() + ttl;
@@ -75,11 +79,11 @@
         self.carry_out(actions);
     }
 
-    fn forwarded_mut(&mut self, handle: Handle) -> Option<&mut ForwardedRequest> {
+    fn forwarded_mut(&mut self, handle: RequestHandle) -> Option<&mut ForwardedRequest> {
         self.gateway_part.as_mut()?.forwarded.get_mut(&handle)
     }
 
-    fn take_back_from_router(&mut self, handle: Handle) {
+    fn take_back_from_router(&mut self, handle: RequestHandle) {
         let local = self.gateway_part.as_mut().and_then(|gateway_part| gateway_part.take_back(handle));
         if let Some(local) = local {
             self.abandon(local);
@@ -87,37 +91,37 @@
     }
 
     /// Sends a request to another site's gateway. Where no link takes it, it never left this process.
-    fn send_to_site(&mut self, handle: Handle, gate: GateId, number: u64, left: Micros) {
+    fn send_to_site(&mut self, handle: RequestHandle, gateway: PeerGatewayId, number: u64, left: Micros) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let Some(forwarded) = gateway_part.forwarded.get(&handle) else { return };
-        let Some(peer) = gateway_part.peer_gateways.get(gate) else { return };
+        let Some(peer) = gateway_part.peer_gateways.get(gateway) else { return };
         let start = peer.origin.start;
         let mut frame = gateway_part.request_frame(forwarded, now);
         frame.number = number;
         frame.receiver_incarnation = start;
         frame.timeout_us = left.max(0) as u64;
         let said = Outbound::Request(frame, forwarded.request.statement.clone());
-        if let Some(link) = gateway_part.send(gate, None, said) {
-            gateway_part.sent.insert(number, SentRequest { gate, start, link });
+        if let Some(link) = gateway_part.send(gateway, None, said) {
+            gateway_part.sent.insert(number, SentRequest { gateway, start, link });
             return;
         }
-        let actions = gateway_part.sites.answered(now, number, SiteAnswer::NeverTaken);
+        let actions = gateway_part.sites.answered(now, number, PeerAnswer::NeverAccepted);
         self.carry_out_sites(actions, None);
     }
 
     /// Asks another gateway what became of a request that was sent there.
-    fn ask_about(&mut self, gate: GateId, number: u64) {
+    fn ask_about(&mut self, gateway: PeerGatewayId, number: u64) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let Some(sent) = gateway_part.sent.get(&number) else { return };
         let ask = OutcomeQuery { number, receiver_incarnation: sent.start };
-        gateway_part.send(gate, None, Outbound::OutcomeQuery(ask));
+        gateway_part.send(gateway, None, Outbound::OutcomeQuery(ask));
     }
 
-    fn cancel_at_site(&mut self, gate: GateId, number: u64) {
+    fn cancel_at_site(&mut self, gateway: PeerGatewayId, number: u64) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let link = gateway_part.sent.remove(&number).map(|sent| sent.link);
-        gateway_part.send(gate, link, Outbound::Cancel(number));
+        gateway_part.send(gateway, link, Outbound::Cancel(number));
     }
 }
 
--- a/crates/proxy/src/dispatcher/gateway/start.rs
+++ b/crates/proxy/src/dispatcher/gateway/start.rs
@@ -6,7 +6,7 @@
 use aldermill_routing::{Effect as RouterEffect, Micros, Need as RouterNeed, Scope};
 use aldermill_settings::Decoded;
 use aldermill_site_link::Identity;
-use aldermill_site_routing::{Effect, Fates, Need, RequestClass, Sites, Terms};
+use aldermill_site_routing::{Effect, Need, OutcomeTable, RequestClass, SiteRouter, SiteRouterConfig};
 use tokio::sync::mpsc;
 
 use super::{ASKED_AFTER_DEADLINE, EndedCounts, GatewayPart};
@@ -27,7 +27,7 @@
     pub peers: Vec<String>,
     /// Groups and the site that is taken for their primary's.
     pub homes: Vec<(u64, String)>,
-    /// Sites that a request may come through.
+    /// SiteRouter that a request may come through.
     pub hops: usize,
     /// Requests that another gateway may have under way here, at most.
     pub credit: u32,
@@ -47,10 +47,10 @@
         let (confirmations, written) = mpsc::channel(CONFIRMATIONS);
         let outcome_log = folder.map(|folder| OutcomeLog::open(folder, own.incarnation, now, confirmations));
         let names: Vec<String> = std::iter::once(own.site.clone()).chain(peers).collect();
-        let mut sites = Sites::start(terms, seed, now);
+        let mut sites = SiteRouter::start(terms, seed, now);
         for (group, site) in homes {
             if let Some(site) = names.iter().position(|name| *name == site) {
-                sites.guess(group, site);
+                sites.assume_home(group, site);
             }
         }
         GatewayPart {
@@ -58,7 +58,7 @@
             names,
             classes: decoded.names(),
             sites,
-            fates: Fates::start(fates, ASKED_AFTER_DEADLINE),
+            fates: OutcomeTable::start(fates, ASKED_AFTER_DEADLINE),
             peer_gateways: Vec::new(),
             links: HashMap::new(),
             forwarded: HashMap::new(),
@@ -79,13 +79,13 @@
 }
 
 /// The settings as the site router takes them.
-fn site_terms(opening: &Opening, decoded: &Decoded) -> Terms {
-    Terms {
+fn site_terms(opening: &Opening, decoded: &Decoded) -> SiteRouterConfig {
+    SiteRouterConfig {
         classes: decoded.terms.classes.iter().map(site_class).collect(),
         sites: 1 + opening.peers.len(),
         max_hops: opening.hops,
         max_credit: opening.credit,
-        max_cool_down: decoded.terms.max_cool_down,
+        max_retry_after: decoded.terms.max_cool_down,
     }
 }
 
@@ -101,11 +101,11 @@
 
 fn site_effect(effect: RouterEffect) -> Effect {
     match effect {
-        RouterEffect::Pure => Effect::Pure,
+        RouterEffect::Pure => Effect::Idempotent,
         RouterEffect::Receipted { scope, window } => {
-            Effect::Receipted { window, within_site: scope == Scope::Zone }
+            Effect::Deduplicated { window, within_site: scope == Scope::Zone }
         }
-        RouterEffect::Effectful => Effect::Effectful,
+        RouterEffect::Effectful => Effect::NonIdempotent,
     }
 }
 
--- a/crates/proxy/src/dispatcher/open_request.rs
+++ b/crates/proxy/src/dispatcher/open_request.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use aldermill_routing::{Handle, Micros};
-use aldermill_site_routing::Handle as SitesHandle;
+use aldermill_site_routing::RequestHandle as SiteRequestHandle;
 use tokio::sync::mpsc;
 
 use crate::messages::{Answer, ClientId, ClientMessage, ClientRequest, Withdrawal};
@@ -14,7 +14,7 @@
     /// The router alone.
     Router(Handle),
     /// The gateway part, which may have handed it to the router.
-    Gateway(SitesHandle),
+    Gateway(SiteRequestHandle),
 }
 
 /// The client that waits for a request.
@@ -39,7 +39,7 @@
 /// A request that the router decides on, and the client that waits for it.
 pub(super) struct OpenRequest {
     /// Present where it came through the gateway part, which is told what the router says and answers the client.
-    pub(super) via: Option<SitesHandle>,
+    pub(super) via: Option<SiteRequestHandle>,
     /// Whether its class is the best paid.
     pub(super) best: bool,
     /// When the client's time is over, on the router's clock. No attempt may last longer.
--- a/crates/proxy/src/dispatcher/outcome_log.rs
+++ b/crates/proxy/src/dispatcher/outcome_log.rs
@@ -5,7 +5,7 @@
 
 use aldermill_routing::Micros;
 use aldermill_site_routing::earlier::{key, read_key, read_value, value};
-use aldermill_site_routing::{Earlier, Fate, Origin, Promise};
+use aldermill_site_routing::{Origin, Outcome, PreviousIncarnations, RecordingPromise};
 use aldermill_store::{Batch, Keeping, State};
 use aldermill_warm_start::space;
 use tokio::sync::mpsc;
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Wait {
     Record(Token),
-    Promise,
+    RecordingPromise,
     /// Nobody waits for it any more.
     Over,
 }
@@ -46,9 +46,9 @@
     folder: Rc<DataDirectory>,
     start: u64,
     keeping: Keeping,
-    promise: Promise,
+    promise: RecordingPromise,
     /// What earlier starts took; `None` while the folder could not be read.
-    earlier: Option<Earlier<Rc<Vec<u8>>>>,
+    earlier: Option<PreviousIncarnations<Rc<Vec<u8>>>>,
     next: Token,
     /// Handed over and not confirmed, the oldest first.
     waiting: VecDeque<Wait>,
@@ -59,7 +59,7 @@
     /// What earlier starts kept is read from the folder, once that can be done; `told` hears of each write, in
     /// their order.
     pub fn open(folder: Rc<DataDirectory>, start: u64, now: Micros, told: mpsc::Sender<bool>) -> OutcomeLog {
-        let (keeping, promise) = (Keeping::start(LONGEST_WAIT, MAX_WAITING), Promise::default());
+        let (keeping, promise) = (Keeping::start(LONGEST_WAIT, MAX_WAITING), RecordingPromise::default());
         let waiting = VecDeque::new();
         let mut outcome_log =
             OutcomeLog { folder, start, keeping, promise, earlier: None, next: 0, waiting, told };
@@ -73,7 +73,7 @@
             return;
         }
         let Some(records) = self.folder.records() else { return };
-        let mut earlier = Earlier::default();
+        let mut earlier = PreviousIncarnations::default();
         for (space, key, value) in records {
             match *space {
                 space::BOOK => read_record(&mut earlier, key, value),
@@ -88,14 +88,14 @@
 
     /// What became of a request that an earlier start may have taken. Nothing is known of it while the folder
     /// cannot be read.
-    pub fn ask(&mut self, now: Micros, origin: &Origin, number: u64, start: u64) -> Fate<Rc<Vec<u8>>> {
+    pub fn ask(&mut self, now: Micros, origin: &Origin, number: u64, start: u64) -> Outcome<Rc<Vec<u8>>> {
         self.read(now);
-        self.earlier.as_ref().map_or(Fate::Unknown, |earlier| earlier.ask(origin, number, start))
+        self.earlier.as_ref().map_or(Outcome::Unknown, |earlier| earlier.ask(origin, number, start))
     }
 
     /// Records and starts that were read back.
     pub fn earlier(&self) -> (usize, usize) {
-        self.earlier.as_ref().map_or((0, 0), Earlier::len)
+        self.earlier.as_ref().map_or((0, 0), PreviousIncarnations::len)
     }
 
     /// Another promise, where the last one runs out.
@@ -107,7 +107,7 @@
             let mut batch = Batch::default();
             let over = until.saturating_add(PROMISE_KEPT);
             batch.put(space::PROMISES, &self.start.to_be_bytes(), &until.to_be_bytes(), Some(over));
-            if !self.hand_over(now, batch, Wait::Promise) {
+            if !self.hand_over(now, batch, Wait::RecordingPromise) {
                 self.promise.settled();
             }
         }
@@ -115,7 +115,7 @@
 
     /// Records that a remote request was taken. `until` is when nobody asks about it any more.
     pub fn take(&mut self, now: Micros, origin: &Origin, number: u64, until: Micros) -> Taking {
-        match self.settle(now, origin, number, until, &Fate::UnderWay) {
+        match self.settle(now, origin, number, until, &Outcome::InFlight) {
             Some(token) => Taking::Waits(token),
             None if self.promise.lets_go_without(now) => {
                 self.promise.took_without(until);
@@ -132,7 +132,7 @@
         origin: &Origin,
         number: u64,
         until: Micros,
-        fate: &Fate<&[u8]>,
+        fate: &Outcome<&[u8]>,
     ) -> Option<Token> {
         let mut batch = Batch::default();
         batch.put(space::BOOK, &key(self.start, origin, number), &value(fate), Some(until));
@@ -163,7 +163,7 @@
         }
         match wait {
             Wait::Record(token) => return Some((token, well)),
-            Wait::Promise => self.promise.settled(),
+            Wait::RecordingPromise => self.promise.settled(),
             Wait::Over => {}
         }
         None
@@ -178,7 +178,7 @@
         for wait in &mut self.waiting {
             match std::mem::replace(wait, Wait::Over) {
                 Wait::Record(token) => tokens.push(token),
-                Wait::Promise => self.promise.settled(),
+                Wait::RecordingPromise => self.promise.settled(),
                 Wait::Over => {}
             }
         }
@@ -196,14 +196,14 @@
     }
 }
 
-fn read_record(earlier: &mut Earlier<Rc<Vec<u8>>>, key: &[u8], value: &[u8]) {
+fn read_record(earlier: &mut PreviousIncarnations<Rc<Vec<u8>>>, key: &[u8], value: &[u8]) {
     if let Some((start, origin, number)) = read_key(key) {
         earlier.record(start, origin, number, read_value(value).map(Rc::new));
     }
 }
 
 /// A promise: the start that gave it, and until when it holds.
-fn read_promise(earlier: &mut Earlier<Rc<Vec<u8>>>, now: Micros, key: &[u8], value: &[u8]) {
+fn read_promise(earlier: &mut PreviousIncarnations<Rc<Vec<u8>>>, now: Micros, key: &[u8], value: &[u8]) {
     let number = |bytes: &[u8]| bytes.try_into().ok().map(i64::from_be_bytes);
     if let (Some(start), Some(until)) = (number(key), number(value)) {
         earlier.promised(now, start as u64, until);
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use aldermill_routing::{Handle, Micros, Need, Outcome, Request, Role, Verdict};
-use aldermill_site_routing::{Actions as SiteActions, Handle as SitesHandle};
+use aldermill_site_routing::{Actions as SiteActions, RequestHandle as SiteRequestHandle};
 use aldermill_wire::statement::quoted;
 
 use super::Dispatcher;
@@ -20,7 +20,7 @@
     /// On the router's clock: an instant, which a process that is held up on the way does not put off.
     pub(super) deadline: Micros,
     /// Present where the gateway part hands it over.
-    pub(super) via: Option<SitesHandle>,
+    pub(super) via: Option<SiteRequestHandle>,
 }
 
 /// What the gateway part makes of an answer that its member is not primary.
@@ -179,7 +179,7 @@
     /// Tells the gateway part, where the request came through it, that an attempt missed or may have run.
     fn gateway_part_hears(
         &mut self,
-        via: Option<SitesHandle>,
+        via: Option<SiteRequestHandle>,
         verdict: Verdict,
         elapsed: Micros,
     ) -> SiteMiss {
--- a/crates/proxy/src/messages/observations.rs
+++ b/crates/proxy/src/messages/observations.rs
@@ -1,7 +1,7 @@
 //! What a process observed, for the lease holders that decide for the whole fleet.
 
 use aldermill_routing::Micros;
-use aldermill_site_routing::Opens;
+use aldermill_site_routing::OpenWork;
 use aldermill_zone_failover::Row;
 
 /// What a process observed of late, for those who decide in common.
@@ -33,5 +33,5 @@
     /// By the other site's name, in microseconds.
     pub round_trips: Vec<(String, Micros)>,
     /// What is still open of sites that drain.
-    pub open: Opens,
+    pub open: OpenWork,
 }
--- a/crates/site-routing/src/bound.rs
+++ b/crates/site-routing/src/bound.rs
@@ -8,17 +8,17 @@
 
 /// What the fleet decided of sites that retire, by site; nothing of the others.
 #[derive(Debug, Default)]
-pub(crate) struct Bound {
+pub(crate) struct SessionAssignments {
     names: Vec<String>,
     plans: BTreeMap<SiteId, Binding>,
 }
 
-impl Bound {
+impl SessionAssignments {
     /// `names` are the sites', by their index. Plans on sites that are none of them are nothing to this gateway.
-    pub(crate) fn of(names: &[String], plans: Vec<Plan>) -> Bound {
+    pub(crate) fn of(names: &[String], plans: Vec<Plan>) -> SessionAssignments {
         let site = |name: &String| names.iter().position(|known| known == name);
         let plans = plans.into_iter().filter_map(|plan| Some((site(&plan.word.site)?, Binding::of(plan))));
-        Bound { names: names.to_vec(), plans: plans.collect() }
+        SessionAssignments { names: names.to_vec(), plans: plans.collect() }
     }
 
     pub(crate) fn plan(&self, site: SiteId) -> Option<&Binding> {
@@ -53,4 +53,4 @@
 }
 
 /// What this gateway has of each site that retires, by its name.
-pub type Opens = BTreeMap<String, Open>;
+pub type OpenWork = BTreeMap<String, Open>;
--- a/crates/site-routing/src/credit.rs
+++ b/crates/site-routing/src/credit.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::{GateId, Micros, RequestClass};
+use crate::{Micros, PeerGatewayId, RequestClass};
 
 /// At first, and at least: with nothing nobody would notice that there is room again.
 const START: f64 = 16.0;
@@ -23,35 +23,35 @@
 /// shrinks least.
 /// Harms a sudden shift of load to this site: windows grow by one a window's worth of requests.
 #[derive(Debug)]
-pub struct Offers {
-    windows: HashMap<GateId, Vec<Window>>,
+pub struct LinkCredit {
+    windows: HashMap<PeerGatewayId, Vec<Window>>,
     /// What a rejection leaves of each request class's window.
     keeps: Vec<f64>,
     most: f64,
 }
 
-impl Offers {
-    pub fn start(classes: &[RequestClass], most: u32) -> Offers {
+impl LinkCredit {
+    pub fn start(classes: &[RequestClass], most: u32) -> LinkCredit {
         let best = classes.iter().map(|class| class.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
         // Half for what pays nothing, nine tenths for the best paid.
         let keeps = classes.iter().map(|class| 0.5 + 0.4 * (class.priority_weight / best).clamp(0.0, 1.0));
-        Offers { windows: HashMap::new(), keeps: keeps.collect(), most: f64::from(most.max(1)) }
+        LinkCredit { windows: HashMap::new(), keeps: keeps.collect(), most: f64::from(most.max(1)) }
     }
 
-    pub fn credits(&mut self, gate: GateId) -> Vec<u32> {
-        self.of(gate).iter().map(|window| window.requests.floor().max(LEAST) as u32).collect()
+    pub fn credits(&mut self, gateway: PeerGatewayId) -> Vec<u32> {
+        self.of(gateway).iter().map(|window| window.requests.floor().max(LEAST) as u32).collect()
     }
 
-    pub(crate) fn came(&mut self, gate: GateId, class: usize) {
-        if let Some(window) = self.of(gate).get_mut(class) {
+    pub(crate) fn came(&mut self, gateway: PeerGatewayId, class: usize) {
+        if let Some(window) = self.of(gateway).get_mut(class) {
             window.under_way += 1;
         }
     }
 
     /// A request of another site is over here; says whether what is offered has changed.
-    pub(crate) fn over(&mut self, now: Micros, gate: GateId, class: usize, rejected: bool) -> bool {
+    pub(crate) fn over(&mut self, now: Micros, gateway: PeerGatewayId, class: usize, rejected: bool) -> bool {
         let (keep, most) = (self.keeps.get(class).copied().unwrap_or(0.5), self.most);
-        let Some(window) = self.of(gate).get_mut(class) else { return false };
+        let Some(window) = self.of(gateway).get_mut(class) else { return false };
         let before = window.requests.floor();
         let full = f64::from(window.under_way) >= window.requests - 1.0;
         window.under_way = window.under_way.saturating_sub(1);
@@ -63,12 +63,12 @@
         window.requests.floor() != before
     }
 
-    pub(crate) fn forget(&mut self, gate: GateId) {
-        self.windows.remove(&gate);
+    pub(crate) fn forget(&mut self, gateway: PeerGatewayId) {
+        self.windows.remove(&gateway);
     }
 
-    fn of(&mut self, gate: GateId) -> &mut Vec<Window> {
+    fn of(&mut self, gateway: PeerGatewayId) -> &mut Vec<Window> {
         let start = Window { requests: START.min(self.most), under_way: 0, shrunk: Micros::MIN / 2 };
-        self.windows.entry(gate).or_insert_with(|| vec![start; self.keeps.len()])
+        self.windows.entry(gateway).or_insert_with(|| vec![start; self.keeps.len()])
     }
 }
--- a/crates/site-routing/src/crossing.rs
+++ b/crates/site-routing/src/crossing.rs
@@ -2,22 +2,22 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use crate::{Answer, Fate, GateId, Micros};
+use crate::{Micros, Outcome, PeerAnswer, PeerGatewayId};
 
 /// What the sender knows of one request that crossed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Crossing {
-    /// Sent over a link that stands: its outcome is on the way.
-    Out,
+pub enum ForwardState {
+    /// ForwardedRequest over a link that stands: its outcome is on the way.
+    InFlight,
     /// Its link broke, or its outcome was lost: the gateway is to be asked.
-    Unsettled,
+    Unresolved,
     /// Asked, and no answer yet.
-    Asked,
+    Queried,
 }
 
 /// What an answer, a fate or a loss makes of a crossing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Settled {
+pub enum Conclusion {
     /// Nothing is known yet.
     Open,
     /// It never ran: it may go elsewhere, or be rejected.
@@ -27,54 +27,54 @@
     MayHaveRun,
 }
 
-impl Crossing {
+impl ForwardState {
     /// Its link broke. Where repeats do no harm nothing needs to be known of it.
-    pub fn lost(&mut self, harmless: bool) -> Settled {
-        *self = Crossing::Unsettled;
-        if harmless { Settled::MayHaveRun } else { Settled::Open }
+    pub fn lost(&mut self, harmless: bool) -> Conclusion {
+        *self = ForwardState::Unresolved;
+        if harmless { Conclusion::MayHaveRun } else { Conclusion::Open }
     }
 
-    pub fn answered(&mut self, answer: Answer) -> Settled {
+    pub fn answered(&mut self, answer: PeerAnswer) -> Conclusion {
         match answer {
-            Answer::Served => Settled::Served,
-            Answer::Failed => Settled::MayHaveRun,
-            _ if answer.never_ran() => Settled::NeverRan,
-            _ => Settled::Open,
+            PeerAnswer::Served => Conclusion::Served,
+            PeerAnswer::Failed => Conclusion::MayHaveRun,
+            _ if answer.never_ran() => Conclusion::NeverRan,
+            _ => Conclusion::Open,
         }
     }
 
     /// The gateway said what became of it.
-    pub fn told<V>(&mut self, fate: &Fate<V>) -> Settled {
+    pub fn told<V>(&mut self, fate: &Outcome<V>) -> Conclusion {
         match fate {
-            Fate::NeverTaken | Fate::Rejected { .. } => Settled::NeverRan,
-            Fate::Served(_) => Settled::Served,
-            Fate::Failed | Fate::Unknown => Settled::MayHaveRun,
-            Fate::UnderWay => {
-                *self = Crossing::Out;
-                Settled::Open
+            Outcome::NeverAccepted | Outcome::Rejected { .. } => Conclusion::NeverRan,
+            Outcome::Served(_) => Conclusion::Served,
+            Outcome::Failed | Outcome::Unknown => Conclusion::MayHaveRun,
+            Outcome::InFlight => {
+                *self = ForwardState::InFlight;
+                Conclusion::Open
             }
         }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sent<H> {
+pub(crate) struct ForwardedRequest<H> {
     pub handle: H,
-    pub gate: GateId,
+    pub gateway: PeerGatewayId,
     pub class: usize,
     /// When it was sent, or last asked about; and when it was sent.
     pub at: Micros,
     pub since: Micros,
-    pub crossing: Crossing,
+    pub crossing: ForwardState,
 }
 
 /// All that crossed from here and is not closed, by number.
 #[derive(Debug)]
-pub struct Crossings<H> {
-    sent: BTreeMap<u64, Sent<H>>,
+pub struct ForwardedRequests<H> {
+    sent: BTreeMap<u64, ForwardedRequest<H>>,
     next: u64,
     /// Numbers open at each gateway, the highest sent to it, and the highest confirmed.
-    gates: HashMap<GateId, Numbers>,
+    gateways: HashMap<PeerGatewayId, Numbers>,
 }
 
 #[derive(Debug, Default)]
@@ -84,53 +84,63 @@
     confirmed: u64,
 }
 
-impl<H: Copy> Default for Crossings<H> {
+impl<H: Copy> Default for ForwardedRequests<H> {
     fn default() -> Self {
-        Crossings { sent: BTreeMap::new(), next: 1, gates: HashMap::new() }
+        ForwardedRequests { sent: BTreeMap::new(), next: 1, gateways: HashMap::new() }
     }
 }
 
-impl<H: Copy> Crossings<H> {
-    pub(crate) fn send(&mut self, now: Micros, handle: H, gate: GateId, class: usize) -> u64 {
+impl<H: Copy> ForwardedRequests<H> {
+    pub(crate) fn send(&mut self, now: Micros, handle: H, gateway: PeerGatewayId, class: usize) -> u64 {
         let number = self.next;
         self.next += 1;
-        self.sent.insert(number, Sent { handle, gate, class, at: now, since: now, crossing: Crossing::Out });
-        let numbers = self.gates.entry(gate).or_default();
+        self.sent.insert(
+            number,
+            ForwardedRequest {
+                handle,
+                gateway,
+                class,
+                at: now,
+                since: now,
+                crossing: ForwardState::InFlight,
+            },
+        );
+        let numbers = self.gateways.entry(gateway).or_default();
         numbers.open.insert(number);
         numbers.highest = number;
         number
     }
 
-    pub(crate) fn get(&self, number: u64) -> Option<&Sent<H>> {
+    pub(crate) fn get(&self, number: u64) -> Option<&ForwardedRequest<H>> {
         self.sent.get(&number)
     }
 
-    pub(crate) fn get_mut(&mut self, number: u64) -> Option<&mut Sent<H>> {
+    pub(crate) fn get_mut(&mut self, number: u64) -> Option<&mut ForwardedRequest<H>> {
         self.sent.get_mut(&number)
     }
 
     /// Nothing more will be asked about it.
-    pub(crate) fn close(&mut self, number: u64) -> Option<Sent<H>> {
+    pub(crate) fn close(&mut self, number: u64) -> Option<ForwardedRequest<H>> {
         let sent = self.sent.remove(&number)?;
-        if let Some(numbers) = self.gates.get_mut(&sent.gate) {
+        if let Some(numbers) = self.gateways.get_mut(&sent.gateway) {
             numbers.open.remove(&number);
         }
         Some(sent)
     }
 
     /// Numbers open at a gateway, the oldest first.
-    pub(crate) fn open_at(&self, gate: GateId) -> Vec<u64> {
-        self.gates.get(&gate).map_or(Vec::new(), |numbers| numbers.open.iter().copied().collect())
+    pub(crate) fn open_at(&self, gateway: PeerGatewayId) -> Vec<u64> {
+        self.gateways.get(&gateway).map_or(Vec::new(), |numbers| numbers.open.iter().copied().collect())
     }
 
-    pub(crate) fn count_at(&self, gate: GateId, class: usize) -> usize {
-        let open = self.gates.get(&gate).into_iter().flat_map(|numbers| &numbers.open);
+    pub(crate) fn count_at(&self, gateway: PeerGatewayId, class: usize) -> usize {
+        let open = self.gateways.get(&gateway).into_iter().flat_map(|numbers| &numbers.open);
         open.filter(|number| self.sent.get(number).is_some_and(|sent| sent.class == class)).count()
     }
 
     /// Up to where everything sent to a gateway is closed, if that has risen since it was last said.
-    pub(crate) fn confirm(&mut self, gate: GateId) -> Option<u64> {
-        let numbers = self.gates.get_mut(&gate)?;
+    pub(crate) fn confirm(&mut self, gateway: PeerGatewayId) -> Option<u64> {
+        let numbers = self.gateways.get_mut(&gateway)?;
         let upto = numbers.open.first().map_or(numbers.highest, |first| first - 1);
         (upto > numbers.confirmed).then(|| {
             numbers.confirmed = upto;
--- a/crates/site-routing/src/earlier.rs
+++ b/crates/site-routing/src/earlier.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Fate, Micros, Origin};
+use crate::{Micros, Origin, Outcome};
 
 /// How long a promise holds, and from what remainder on it is renewed.
 const LONG: Micros = 5_000_000;
@@ -17,7 +17,7 @@
 /// disk is away and the promise holds: they are rejected, for five seconds at most. What was taken without a
 /// record puts the next promise off until nobody can ask about it any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Default)]
-pub struct Promise {
+pub struct RecordingPromise {
     /// Confirmed, and handed over since.
     until: Micros,
     asked: Option<Micros>,
@@ -25,7 +25,7 @@
     unrecorded: Micros,
 }
 
-impl Promise {
+impl RecordingPromise {
     /// A promise to be written now, if one is due and may be given.
     pub fn renew(&mut self, now: Micros) -> Option<Micros> {
         if self.asked.is_some() || self.until - now > RENEW || now < self.unrecorded {
@@ -53,27 +53,27 @@
 
 /// One earlier start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Start<V> {
-    records: BTreeMap<(Origin, u64), Fate<V>>,
+struct PreviousIncarnation<V> {
+    records: BTreeMap<(Origin, u64), Outcome<V>>,
     /// Nothing can have been taken without a record.
     whole: bool,
 }
 
 /// The books of earlier starts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Earlier<V> {
-    starts: BTreeMap<u64, Start<V>>,
+pub struct PreviousIncarnations<V> {
+    starts: BTreeMap<u64, PreviousIncarnation<V>>,
 }
 
-impl<V> Default for Earlier<V> {
+impl<V> Default for PreviousIncarnations<V> {
     fn default() -> Self {
-        Earlier { starts: BTreeMap::new() }
+        PreviousIncarnations { starts: BTreeMap::new() }
     }
 }
 
-impl<V: Clone> Earlier<V> {
+impl<V: Clone> PreviousIncarnations<V> {
     /// A record that was read back.
-    pub fn record(&mut self, start: u64, origin: Origin, number: u64, fate: Fate<V>) {
+    pub fn record(&mut self, start: u64, origin: Origin, number: u64, fate: Outcome<V>) {
         self.start(start).records.insert((origin, number), fate);
     }
 
@@ -83,19 +83,21 @@
         self.start(start).whole = (now..=now.saturating_add(LONG)).contains(&until);
     }
 
-    fn start(&mut self, start: u64) -> &mut Start<V> {
-        self.starts.entry(start).or_insert_with(|| Start { records: BTreeMap::new(), whole: false })
+    fn start(&mut self, start: u64) -> &mut PreviousIncarnation<V> {
+        self.starts
+            .entry(start)
+            .or_insert_with(|| PreviousIncarnation { records: BTreeMap::new(), whole: false })
     }
 
     /// What became of a key at that start. It is over: what it did not take it never will.
-    pub fn ask(&self, origin: &Origin, number: u64, start: u64) -> Fate<V> {
-        let Some(start) = self.starts.get(&start) else { return Fate::Unknown };
+    pub fn ask(&self, origin: &Origin, number: u64, start: u64) -> Outcome<V> {
+        let Some(start) = self.starts.get(&start) else { return Outcome::Unknown };
         match start.records.get(&(origin.clone(), number)) {
             // It was taken, and the end of that start came before its outcome.
-            Some(Fate::UnderWay) => Fate::Failed,
+            Some(Outcome::InFlight) => Outcome::Failed,
             Some(fate) => fate.clone(),
-            None if start.whole => Fate::NeverTaken,
-            None => Fate::Unknown,
+            None if start.whole => Outcome::NeverAccepted,
+            None => Outcome::Unknown,
         }
     }
 
@@ -134,26 +136,26 @@
 }
 
 /// What became of it; of what may be sent again nothing is kept but that.
-pub fn value(fate: &Fate<&[u8]>) -> Vec<u8> {
+pub fn value(fate: &Outcome<&[u8]>) -> Vec<u8> {
     match fate {
-        Fate::UnderWay => vec![b'T'],
-        Fate::NeverTaken => vec![b'N'],
-        Fate::Rejected { cool_down } => [&[b'D'][..], &cool_down.to_be_bytes()].concat(),
-        Fate::Served(bytes) => [&[b'H'][..], bytes].concat(),
-        Fate::Failed | Fate::Unknown => vec![b'B'],
+        Outcome::InFlight => vec![b'T'],
+        Outcome::NeverAccepted => vec![b'N'],
+        Outcome::Rejected { retry_after } => [&[b'D'][..], &retry_after.to_be_bytes()].concat(),
+        Outcome::Served(bytes) => [&[b'H'][..], bytes].concat(),
+        Outcome::Failed | Outcome::Unknown => vec![b'B'],
     }
 }
 
 /// A value that cannot be read may have been any of them.
-pub fn read_value(value: &[u8]) -> Fate<Vec<u8>> {
+pub fn read_value(value: &[u8]) -> Outcome<Vec<u8>> {
     match value.split_first() {
-        Some((b'T', [])) => Fate::UnderWay,
-        Some((b'N', [])) => Fate::NeverTaken,
+        Some((b'T', [])) => Outcome::InFlight,
+        Some((b'N', [])) => Outcome::NeverAccepted,
         Some((b'D', rest)) => match rest.try_into().map(Micros::from_be_bytes) {
-            Ok(cool_down) => Fate::Rejected { cool_down: cool_down.max(0) },
-            Err(_) => Fate::Failed,
+            Ok(retry_after) => Outcome::Rejected { retry_after: retry_after.max(0) },
+            Err(_) => Outcome::Failed,
         },
-        Some((b'H', rest)) => Fate::Served(rest.to_vec()),
-        _ => Fate::Failed,
+        Some((b'H', rest)) => Outcome::Served(rest.to_vec()),
+        _ => Outcome::Failed,
     }
 }
--- a/crates/site-routing/src/fates.rs
+++ b/crates/site-routing/src/fates.rs
@@ -22,14 +22,14 @@
 
 /// What became of a key. `V` is what a served request brought.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Fate<V> {
+pub enum Outcome<V> {
     /// It was never taken, and never will be.
-    NeverTaken,
+    NeverAccepted,
     /// It was taken, and no outcome is known yet.
-    UnderWay,
+    InFlight,
     /// It never ran.
     Rejected {
-        cool_down: Micros,
+        retry_after: Micros,
     },
     Served(V),
     Failed,
@@ -37,26 +37,26 @@
     Unknown,
 }
 
-impl<V> Fate<V> {
-    pub fn as_ref(&self) -> Fate<&V> {
+impl<V> Outcome<V> {
+    pub fn as_ref(&self) -> Outcome<&V> {
         match self {
-            Fate::NeverTaken => Fate::NeverTaken,
-            Fate::UnderWay => Fate::UnderWay,
-            Fate::Rejected { cool_down } => Fate::Rejected { cool_down: *cool_down },
-            Fate::Served(value) => Fate::Served(value),
-            Fate::Failed => Fate::Failed,
-            Fate::Unknown => Fate::Unknown,
+            Outcome::NeverAccepted => Outcome::NeverAccepted,
+            Outcome::InFlight => Outcome::InFlight,
+            Outcome::Rejected { retry_after } => Outcome::Rejected { retry_after: *retry_after },
+            Outcome::Served(value) => Outcome::Served(value),
+            Outcome::Failed => Outcome::Failed,
+            Outcome::Unknown => Outcome::Unknown,
         }
     }
 
-    pub fn map<W>(self, of: impl FnOnce(V) -> W) -> Fate<W> {
+    pub fn map<W>(self, of: impl FnOnce(V) -> W) -> Outcome<W> {
         match self {
-            Fate::NeverTaken => Fate::NeverTaken,
-            Fate::UnderWay => Fate::UnderWay,
-            Fate::Rejected { cool_down } => Fate::Rejected { cool_down },
-            Fate::Served(value) => Fate::Served(of(value)),
-            Fate::Failed => Fate::Failed,
-            Fate::Unknown => Fate::Unknown,
+            Outcome::NeverAccepted => Outcome::NeverAccepted,
+            Outcome::InFlight => Outcome::InFlight,
+            Outcome::Rejected { retry_after } => Outcome::Rejected { retry_after },
+            Outcome::Served(value) => Outcome::Served(of(value)),
+            Outcome::Failed => Outcome::Failed,
+            Outcome::Unknown => Outcome::Unknown,
         }
     }
 }
@@ -64,25 +64,25 @@
 /// Why a request is not taken. Only where the book is full does the sender hear so: a copy of what may have
 /// run before is no news to it, and must never be called one that did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TurnedAway {
+pub enum NotAccepted {
     /// Its key was fenced, or is below what was forgotten.
     Fenced,
     /// It is here already: this is another copy.
-    Doubled,
+    Duplicate,
     /// It is from a start of its sender that is over.
-    Over,
+    StaleIncarnation,
     /// More keys are under way than the book holds.
     Full,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Record<V> {
-    fate: Fate<V>,
+    fate: Outcome<V>,
     until: Micros,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Book<V> {
+struct SenderOutcomes<V> {
     start: u64,
     /// Up to here everything is fenced that has no record.
     floor: u64,
@@ -92,24 +92,24 @@
 
 /// The books on all senders.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Fates<V> {
-    books: BTreeMap<(String, String), Book<V>>,
+pub struct OutcomeTable<V> {
+    books: BTreeMap<(String, String), SenderOutcomes<V>>,
     /// Records that one sender may have.
     most: usize,
     /// How long after its deadline somebody may still ask about a key.
     slack: Micros,
 }
 
-impl<V: Clone> Fates<V> {
-    pub fn start(most: usize, slack: Micros) -> Fates<V> {
-        Fates { books: BTreeMap::new(), most, slack }
+impl<V: Clone> OutcomeTable<V> {
+    pub fn start(most: usize, slack: Micros) -> OutcomeTable<V> {
+        OutcomeTable { books: BTreeMap::new(), most, slack }
     }
 
     /// A sender greets. A start that another one replaced is over for good: what comes of it late is turned away.
     /// `current_up` says whether a link of the start known so far still stands.
     pub fn greeted(&mut self, origin: &Origin, current_up: bool) -> bool {
         let name = (origin.site.clone(), origin.instance.clone());
-        let fresh = |over| Book { start: origin.start, floor: 0, records: BTreeMap::new(), over };
+        let fresh = |over| SenderOutcomes { start: origin.start, floor: 0, records: BTreeMap::new(), over };
         let Some(book) = self.books.get_mut(&name) else {
             self.books.insert(name, fresh(VecDeque::new()));
             return true;
@@ -130,28 +130,34 @@
     }
 
     /// A request came: it is taken, now and never again.
-    pub fn take(&mut self, now: Micros, origin: &Origin, number: u64, ttl: Micros) -> Result<(), TurnedAway> {
+    pub fn take(
+        &mut self,
+        now: Micros,
+        origin: &Origin,
+        number: u64,
+        ttl: Micros,
+    ) -> Result<(), NotAccepted> {
         let (most, until) = (self.most, now.saturating_add(ttl.max(0)).saturating_add(self.slack));
-        let book = self.book(origin).ok_or(TurnedAway::Over)?;
+        let book = self.book(origin).ok_or(NotAccepted::StaleIncarnation)?;
         match book.records.get(&number) {
-            Some(Record { fate: Fate::NeverTaken, .. }) => return Err(TurnedAway::Fenced),
-            Some(_) => return Err(TurnedAway::Doubled),
-            None if number <= book.floor => return Err(TurnedAway::Fenced),
+            Some(Record { fate: Outcome::NeverAccepted, .. }) => return Err(NotAccepted::Fenced),
+            Some(_) => return Err(NotAccepted::Duplicate),
+            None if number <= book.floor => return Err(NotAccepted::Fenced),
             None if book.records.len() >= most => {
                 // Fenced by the floor, as there is no room for a record: another copy must not be taken later.
                 book.floor = book.floor.max(number);
-                return Err(TurnedAway::Full);
+                return Err(NotAccepted::Full);
             }
             None => {}
         }
-        book.records.insert(number, Record { fate: Fate::UnderWay, until });
+        book.records.insert(number, Record { fate: Outcome::InFlight, until });
         Ok(())
     }
 
     /// What became of a key that was taken. Only the first word counts.
-    pub fn settle(&mut self, origin: &Origin, number: u64, fate: Fate<V>) {
+    pub fn settle(&mut self, origin: &Origin, number: u64, fate: Outcome<V>) {
         if let Some(record) = self.book(origin).and_then(|book| book.records.get_mut(&number))
-            && matches!(record.fate, Fate::UnderWay)
+            && matches!(record.fate, Outcome::InFlight)
         {
             record.fate = fate;
         }
@@ -166,22 +172,22 @@
         number: u64,
         receiver_start: u64,
         own_start: u64,
-    ) -> Fate<V> {
+    ) -> Outcome<V> {
         // What an earlier start of this gateway took is in no book.
         if receiver_start != own_start {
-            return Fate::Unknown;
+            return Outcome::Unknown;
         }
         let until = now.saturating_add(self.slack);
-        let Some(book) = self.book(origin) else { return Fate::Unknown };
+        let Some(book) = self.book(origin) else { return Outcome::Unknown };
         if let Some(record) = book.records.get_mut(&number) {
             record.until = record.until.max(until);
             return record.fate.clone();
         }
         if number <= book.floor {
-            return Fate::Unknown;
+            return Outcome::Unknown;
         }
-        book.records.insert(number, Record { fate: Fate::NeverTaken, until });
-        Fate::NeverTaken
+        book.records.insert(number, Record { fate: Outcome::NeverAccepted, until });
+        Outcome::NeverAccepted
     }
 
     /// The sender will not ask about anything up to this number.
@@ -189,7 +195,7 @@
         if let Some(book) = self.book(origin) {
             book.floor = book.floor.max(upto);
             // What is under way yet keeps its record: another copy is to be known for what it is.
-            book.records.retain(|&number, record| number > upto || matches!(record.fate, Fate::UnderWay));
+            book.records.retain(|&number, record| number > upto || matches!(record.fate, Outcome::InFlight));
         }
     }
 
@@ -216,7 +222,7 @@
         self.len() == 0
     }
 
-    fn book(&mut self, origin: &Origin) -> Option<&mut Book<V>> {
+    fn book(&mut self, origin: &Origin) -> Option<&mut SenderOutcomes<V>> {
         let name = (origin.site.clone(), origin.instance.clone());
         self.books.get_mut(&name).filter(|book| book.start == origin.start)
     }
--- a/crates/site-routing/src/homes.rs
+++ b/crates/site-routing/src/homes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::{Micros, OWN, SiteId};
+use crate::{LOCAL_SITE, Micros, SiteId};
 
 /// A site's own account of its groups is a guess, believed where no answer was heard for so long.
 const STALE: Micros = 1_000_000;
@@ -21,11 +21,11 @@
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Homes {
+pub(crate) struct HomeSites {
     groups: BTreeMap<u64, Group>,
 }
 
-impl Homes {
+impl HomeSites {
     fn group(&mut self, name: u64) -> &mut Group {
         self.groups.entry(name).or_insert_with(|| Group {
             home: None,
@@ -50,7 +50,7 @@
 
     pub(crate) fn is_at(&self, name: u64, site: SiteId) -> bool {
         self.groups.get(&name).is_some_and(|group| match site {
-            OWN => group.here > 0,
+            LOCAL_SITE => group.here > 0,
             site => group.members_at.contains(&site),
         })
     }
@@ -75,7 +75,7 @@
     pub(crate) fn guess(&mut self, name: u64, site: SiteId) {
         let group = self.group(name);
         group.home = Some(site);
-        if site != OWN {
+        if site != LOCAL_SITE {
             group.members_at.insert(site);
         }
     }
--- a/crates/site-routing/src/lib.rs
+++ b/crates/site-routing/src/lib.rs
@@ -1,8 +1,8 @@
 //! Which site a request goes to, and the books on the fate of what crossed.
 //!
-//! [`Sites`] decides for one gateway: whether a request is handed to the module of its own site or crosses to
-//! another gateway, when it waits, when it is asked again, when it is given up. `take` gives a [`Handle`] for
-//! a request; what happens to the request later is a call on that handle. [`Fates`] is the receiver's book on
+//! [`SiteRouter`] decides for one gateway: whether a request is handed to the module of its own site or crosses to
+//! another gateway, when it waits, when it is asked again, when it is given up. `take` gives a [`RequestHandle`] for
+//! a request; what happens to the request later is a call on that handle. [`OutcomeTable`] is the receiver's book on
 //! what came to it. Every call brings `now` and returns a [`Actions`]; nothing here does I/O or has a clock.
 //!
 //! It carries the design of the router one level up: a believed home site for each group, corrected by answers; a
@@ -16,12 +16,12 @@
 mod homes;
 mod sites;
 
-pub use bound::Opens;
-pub use credit::Offers;
-pub use crossing::{Crossing, Crossings, Settled};
-pub use earlier::{Earlier, Promise};
-pub use fates::{Fate, Fates, Origin, TurnedAway};
-pub use sites::{GateView, Handle, Sites};
+pub use bound::OpenWork;
+pub use credit::LinkCredit;
+pub use crossing::{Conclusion, ForwardState, ForwardedRequests};
+pub use earlier::{PreviousIncarnations, RecordingPromise};
+pub use fates::{NotAccepted, Origin, Outcome, OutcomeTable};
+pub use sites::{PeerGatewayView, RequestHandle, SiteRouter};
 
 /// Whole microseconds, on the caller's clock.
 pub type Micros = i64;
@@ -30,21 +30,21 @@
 pub type SiteId = usize;
 
 /// The site of the gateway itself.
-pub const OWN: SiteId = 0;
+pub const LOCAL_SITE: SiteId = 0;
 
 /// One instance of a gateway at another site, as a small index that the caller gives out.
-pub type GateId = usize;
+pub type PeerGatewayId = usize;
 
 /// Whether a request may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    Pure,
+    Idempotent,
     /// Its repeats are dropped for so long: by any member of its group, or only within the site that had it first.
-    Receipted {
+    Deduplicated {
         window: Micros,
         within_site: bool,
     },
-    Effectful,
+    NonIdempotent,
 }
 
 /// Where a request can be answered.
@@ -70,7 +70,7 @@
 
 /// What a gateway is told once.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct SiteRouterConfig {
     pub classes: Vec<RequestClass>,
     /// How many sites there are, the own one among them.
     pub sites: usize,
@@ -79,7 +79,7 @@
     /// Requests of one request class that another gateway may have under way here at most.
     pub max_credit: u32,
     /// How long a rejected client is told to stay away at most.
-    pub max_cool_down: Micros,
+    pub max_retry_after: Micros,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -87,8 +87,8 @@
     pub class: usize,
     pub group: u64,
     /// How long it may take from now on.
-    pub ttl: Micros,
-    /// Sites that it came by, its origin first; empty for a client's own.
+    pub timeout: Micros,
+    /// SiteRouter that it came by, its origin first; empty for a client's own.
     pub visited: Vec<SiteId>,
     /// Which session it is of, where that is known; it belongs to one site while another retires.
     pub session: Option<String>,
@@ -96,32 +96,35 @@
 
 /// How another gateway answered a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum PeerAnswer {
     Served,
     Rejected {
-        cool_down: Micros,
+        retry_after: Micros,
     },
     Failed,
     /// The group's primary is not there, but perhaps at this site.
-    NotHere {
+    NotPrimary {
         hint: Option<SiteId>,
     },
     /// It is no request there, or its key was fenced.
-    NeverTaken,
+    NeverAccepted,
 }
 
-impl Answer {
+impl PeerAnswer {
     /// It is certain that nothing ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Answer::Rejected { .. } | Answer::NotHere { .. } | Answer::NeverTaken)
+        matches!(
+            self,
+            PeerAnswer::Rejected { .. } | PeerAnswer::NotPrimary { .. } | PeerAnswer::NeverAccepted
+        )
     }
 }
 
 /// How the own site's module ended a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HereEnded {
+pub enum LocalResult {
     Served,
-    Rejected { cool_down: Micros },
+    Rejected { retry_after: Micros },
     Failed,
 }
 
@@ -129,35 +132,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Hand it to the own site's module, with so much time.
-    Here {
-        ttl: Micros,
+    ServeLocally {
+        timeout: Micros,
     },
     /// Take it back from there: it never ran.
-    TakeBack,
+    Withdraw,
     /// Send it over a link to that gateway, with so much time left when it arrives.
-    Cross {
-        gate: GateId,
+    Forward {
+        gateway: PeerGatewayId,
         number: u64,
-        left: Micros,
+        timeout: Micros,
     },
     /// Ask that gateway what became of it.
-    Ask {
-        gate: GateId,
+    QueryOutcome {
+        gateway: PeerGatewayId,
         number: u64,
     },
     /// Tell that gateway that nobody waits for it.
     Cancel {
-        gate: GateId,
+        gateway: PeerGatewayId,
         number: u64,
     },
     /// Give the client what the other gateway sent.
-    Serve,
+    RelayResponse,
     Reject {
-        cool_down: Micros,
+        retry_after: Micros,
     },
     Fail,
     /// Tell the gateway that sent it that the primary is not here.
-    NotHere {
+    ReportNotPrimary {
         hint: Option<SiteId>,
     },
 }
@@ -165,10 +168,10 @@
 /// What the caller is to do now, in this order, and when to wake the books again.
 #[derive(Debug, Default)]
 pub struct Actions {
-    pub requests: Vec<(Handle, Action)>,
+    pub requests: Vec<(RequestHandle, Action)>,
     /// Nothing up to this number will be asked of that gateway again.
-    pub confirms: Vec<(GateId, u64)>,
+    pub confirmations: Vec<(PeerGatewayId, u64)>,
     /// What is offered to other gateways has changed.
-    pub offers: bool,
+    pub announce_capacity: bool,
     pub wake_at: Option<Micros>,
 }
--- a/crates/site-routing/src/sites.rs
+++ b/crates/site-routing/src/sites.rs
@@ -7,13 +7,13 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::bound::{Bound, Opens};
-use crate::credit::Offers;
-use crate::crossing::{Crossing, Crossings, Settled};
-use crate::homes::Homes;
+use crate::bound::{OpenWork, SessionAssignments};
+use crate::credit::LinkCredit;
+use crate::crossing::{Conclusion, ForwardState, ForwardedRequests};
+use crate::homes::HomeSites;
 use crate::{
-    Action, Actions, Answer, Effect, Fate, GateId, HereEnded, Micros, Need, OWN, Request, RequestClass,
-    SiteId, Terms,
+    Action, Actions, Effect, LOCAL_SITE, LocalResult, Micros, Need, Outcome, PeerAnswer, PeerGatewayId,
+    Request, RequestClass, SiteId, SiteRouterConfig,
 };
 
 mod hear;
@@ -36,41 +36,7 @@
 const ENOUGH: u32 = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Handle(u64);
-
-impl Handle {
-    /// An attempt of it here was answered 'miss': that member is not the primary.
-    pub fn here_missed(self, sites: &mut Sites, now: Micros) -> Actions {
-        sites.here_missed(now, self);
-        sites.take_actions()
-    }
-
-    /// An attempt of it here, that began at that time, may have run.
-    pub fn here_may_have_run(self, sites: &mut Sites, began: Micros) {
-        if let Some(pending) = sites.pending_requests.get_mut(&self).filter(|pending| pending.here) {
-            pending.may_have_run.get_or_insert((began, OWN));
-        }
-    }
-
-    /// The own site's module is done with it.
-    pub fn here_ended(self, sites: &mut Sites, now: Micros, ended: HereEnded) -> Actions {
-        sites.here_ended(now, self, ended);
-        sites.take_actions()
-    }
-
-    /// Nobody waits for it any more.
-    pub fn left(self, sites: &mut Sites, now: Micros) -> Actions {
-        if let Some(pending) = sites.pending_requests.get(&self)
-            && let Some(number) = pending.out
-            && let Some(sent) = sites.crossings.get(number)
-        {
-            sites.actions.requests.push((self, Action::Cancel { gate: sent.gate, number }));
-        }
-        sites.close(self);
-        sites.pump_all(now);
-        sites.take_actions()
-    }
-}
+pub struct RequestHandle(u64);
 
 #[derive(Debug)]
 struct PendingRequest {
@@ -83,7 +49,7 @@
     misses: usize,
     /// Crossed under this number, and not settled.
     out: Option<u64>,
-    /// Sites that answered 'not here' in this round.
+    /// SiteRouter that answered 'not here' in this round.
     tried: Vec<SiteId>,
     /// When it may first have run, and at which site.
     may_have_run: Option<(Micros, SiteId)>,
@@ -92,7 +58,7 @@
 
 /// Another gateway.
 #[derive(Debug)]
-struct Gate {
+struct PeerGateway {
     site: SiteId,
     links: usize,
     /// When its last link went.
@@ -107,7 +73,7 @@
     served: u32,
 }
 
-impl Gate {
+impl PeerGateway {
     /// How many requests may be out so that those under way there are as many as it offers: on a long line
     /// most of them are on the way at any time. Protects throughput over long lines from windows meant for
     /// work. Harms the other side with a burst when what was on the way comes at once; what it cannot take it
@@ -126,46 +92,46 @@
 
 /// What is believed of a gateway, for people.
 #[derive(Clone, Debug, Default)]
-pub struct GateView {
-    pub trip: Micros,
+pub struct PeerGatewayView {
+    pub round_trip: Micros,
     pub credits: Vec<u32>,
     pub draining: bool,
     pub blacklisted: bool,
     /// Requests under way there.
-    pub out: usize,
+    pub in_flight: usize,
 }
 
 /// The decisions of one gateway on which site a request goes to.
 #[derive(Debug)]
-pub struct Sites {
-    terms: Terms,
+pub struct SiteRouter {
+    terms: SiteRouterConfig,
     rng: Pcg64Mcg,
-    gates: BTreeMap<GateId, Gate>,
-    homes: Homes,
-    bound: Bound,
-    pending_requests: HashMap<Handle, PendingRequest>,
+    gateways: BTreeMap<PeerGatewayId, PeerGateway>,
+    homes: HomeSites,
+    bound: SessionAssignments,
+    pending_requests: HashMap<RequestHandle, PendingRequest>,
     next: u64,
-    crossings: Crossings<Handle>,
-    offers: Offers,
+    crossings: ForwardedRequests<RequestHandle>,
+    link_credit: LinkCredit,
     /// Requests that wait, in the order in which they came.
-    held: Vec<Handle>,
+    held: Vec<RequestHandle>,
     next_beat: Micros,
     /// When the last standstill of this process ended.
     woke: Micros,
     actions: Actions,
 }
 
-impl Sites {
-    pub fn start(terms: Terms, seed: u64, now: Micros) -> Sites {
-        Sites {
+impl SiteRouter {
+    pub fn start(terms: SiteRouterConfig, seed: u64, now: Micros) -> SiteRouter {
+        SiteRouter {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            gates: BTreeMap::new(),
-            homes: Homes::default(),
-            bound: Bound::default(),
+            gateways: BTreeMap::new(),
+            homes: HomeSites::default(),
+            bound: SessionAssignments::default(),
             pending_requests: HashMap::new(),
             next: 0,
-            crossings: Crossings::default(),
-            offers: Offers::start(&terms.classes, terms.max_credit),
+            crossings: ForwardedRequests::default(),
+            link_credit: LinkCredit::start(&terms.classes, terms.max_credit),
             held: Vec::new(),
             next_beat: now,
             woke: Micros::MIN / 2,
@@ -175,10 +141,10 @@
     }
 
     /// A request of a client, or one that came over a link.
-    pub fn take(&mut self, now: Micros, request: Request) -> (Handle, Actions) {
-        let handle = Handle(self.next);
+    pub fn accept(&mut self, now: Micros, request: Request) -> (RequestHandle, Actions) {
+        let handle = RequestHandle(self.next);
         self.next += 1;
-        let (deadline, objective_at) = (now + request.ttl, now + self.class(&request).objective);
+        let (deadline, objective_at) = (now + request.timeout, now + self.class(&request).objective);
         let pending = PendingRequest {
             request,
             deadline,
@@ -195,35 +161,68 @@
         (handle, self.take_actions())
     }
 
+    /// An attempt of it here was answered 'miss': that member is not the primary.
+    pub fn local_not_primary(&mut self, now: Micros, handle: RequestHandle) -> Actions {
+        self.here_missed(now, handle);
+        self.take_actions()
+    }
+
+    /// An attempt of it here, that began at that time, may have run.
+    pub fn local_may_have_run(&mut self, handle: RequestHandle, began: Micros) {
+        if let Some(pending) = self.pending_requests.get_mut(&handle).filter(|pending| pending.here) {
+            pending.may_have_run.get_or_insert((began, LOCAL_SITE));
+        }
+    }
+
+    /// The own site's module is done with it.
+    pub fn local_finished(&mut self, now: Micros, handle: RequestHandle, result: LocalResult) -> Actions {
+        self.here_ended(now, handle, result);
+        self.take_actions()
+    }
+
+    /// Nobody waits for it any more.
+    pub fn abandon(&mut self, now: Micros, handle: RequestHandle) -> Actions {
+        if let Some(pending) = self.pending_requests.get(&handle)
+            && let Some(number) = pending.out
+            && let Some(sent) = self.crossings.get(number)
+        {
+            self.actions.requests.push((handle, Action::Cancel { gateway: sent.gateway, number }));
+        }
+        self.close(handle);
+        self.pump_all(now);
+        self.take_actions()
+    }
+
     /// What the fleet decided of sites that retire; `names` are all sites', by their index.
-    pub fn bind(&mut self, now: Micros, names: &[String], plans: Vec<Plan>) -> Actions {
-        self.bound = Bound::of(names, plans);
+    pub fn assign_sessions(&mut self, now: Micros, names: &[String], plans: Vec<Plan>) -> Actions {
+        self.bound = SessionAssignments::of(names, plans);
         self.pump_all(now);
         self.take_actions()
     }
 
     /// What is under way at each site that retires, as far as this gateway has part in it: what its own module has of it and
     /// which groups have their primary there, or what crossed to there. `fates` are those open in the receiver's book.
-    pub fn open_at_retiring(&self, fates: u64) -> Opens {
+    pub fn open_work(&self, fates: u64) -> OpenWork {
         let here = self.pending_requests.values().filter(|pending| pending.here).count() as u64;
-        let groups = self.homes.known().filter(|&group| self.homes.home(group) == Some(OWN)).count() as u64;
+        let groups =
+            self.homes.known().filter(|&group| self.homes.home(group) == Some(LOCAL_SITE)).count() as u64;
         let open = |site: SiteId, weight: u32| {
-            if site == OWN {
+            if site == LOCAL_SITE {
                 return Open { sessions: weight.into(), requests: here, fates, groups };
             }
-            let gates = self.gates.iter().filter(|(_, gate)| gate.site == site);
-            let out: usize = gates.map(|(&id, _)| self.crossings.open_at(id).len()).sum();
+            let gateways = self.gateways.iter().filter(|(_, gateway)| gateway.site == site);
+            let out: usize = gateways.map(|(&id, _)| self.crossings.open_at(id).len()).sum();
             Open { requests: out as u64, ..Open::default() }
         };
         self.bound.retiring().map(|(site, name, weight)| (name.to_owned(), open(site, weight))).collect()
     }
 
-    pub fn knows(&self, handle: Handle) -> bool {
+    pub fn is_open(&self, handle: RequestHandle) -> bool {
         self.pending_requests.contains_key(&handle)
     }
 
     /// The request that crossed under this number, if it is not closed.
-    pub fn crossed(&self, number: u64) -> Option<Handle> {
+    pub fn forwarded_as(&self, number: u64) -> Option<RequestHandle> {
         self.crossings.get(number).map(|sent| sent.handle)
     }
 
@@ -232,18 +231,18 @@
     }
 
     /// One way to a gateway, with a margin.
-    pub fn one_way(&self, id: GateId) -> Micros {
-        self.gates.get(&id).map_or(TRIP, |gate| gate.trip.one_way())
+    pub fn one_way_delay(&self, id: PeerGatewayId) -> Micros {
+        self.gateways.get(&id).map_or(TRIP, |gateway| gateway.trip.one_way())
     }
 
-    pub fn view(&self, now: Micros, id: GateId) -> GateView {
-        let Some(gate) = self.gates.get(&id) else { return GateView::default() };
-        GateView {
-            trip: gate.trip.mean(),
-            credits: gate.credits.clone(),
-            draining: gate.draining,
-            blacklisted: now < gate.blacklisted_until,
-            out: self.crossings.open_at(id).len(),
+    pub fn gateway_view(&self, now: Micros, id: PeerGatewayId) -> PeerGatewayView {
+        let Some(gateway) = self.gateways.get(&id) else { return PeerGatewayView::default() };
+        PeerGatewayView {
+            round_trip: gateway.trip.mean(),
+            credits: gateway.credits.clone(),
+            draining: gateway.draining,
+            blacklisted: now < gateway.blacklisted_until,
+            in_flight: self.crossings.open_at(id).len(),
         }
     }
 
@@ -252,12 +251,12 @@
     ///
     /// Protects gateways from a blacklist for what fell into a standstill here. Harms requests by a gateway
     /// that loses them at that moment: it is found out by those sent after it.
-    pub fn stood_still(&mut self, now: Micros) {
+    pub fn stalled_until(&mut self, now: Micros) {
         self.woke = now;
     }
 
     /// Each group, where its primary is believed to be, and how many members it has here.
-    pub fn homes(&self) -> Vec<(u64, Option<SiteId>, usize)> {
+    pub fn home_sites(&self) -> Vec<(u64, Option<SiteId>, usize)> {
         let homes = &self.homes;
         homes.known().map(|group| (group, homes.home(group), homes.here(group))).collect()
     }
--- a/crates/site-routing/tests/crossing.rs
+++ b/crates/site-routing/tests/crossing.rs
@@ -3,7 +3,10 @@
 
 use std::collections::BTreeSet;
 
-use aldermill_site_routing::{Answer, Crossing, Earlier, Fate, Fates, Origin, Promise, Settled};
+use aldermill_site_routing::{
+    Conclusion, ForwardState, Origin, Outcome, OutcomeTable, PeerAnswer, PreviousIncarnations,
+    RecordingPromise,
+};
 use stateright::{Checker, Model, Property};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -17,8 +20,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum What {
-    NeverTaken,
-    UnderWay,
+    NeverAccepted,
+    InFlight,
     Rejected,
     Served,
     Failed,
@@ -29,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     New,
-    Crossed(Crossing),
+    Crossed(ForwardState),
     /// It never ran there: it runs here, or was rejected.
     RunHere,
     Rejected,
@@ -44,14 +47,14 @@
     phases: Vec<Phase>,
     /// The receiver's start that each request was sent to.
     sent_to: Vec<u64>,
-    fates: Fates<()>,
+    fates: OutcomeTable<()>,
     start: u64,
     /// Taken by the receiver's present start and not run yet.
     taken: BTreeSet<u64>,
     /// What the receiver has on its disk, where it has one: its books, and its promise. `away` is a disk that takes
     /// nothing, `now` moves when a promise runs out.
-    kept: Earlier<()>,
-    promise: Promise,
+    kept: PreviousIncarnations<()>,
+    promise: RecordingPromise,
     away: bool,
     now: i64,
     /// Effects, at either side.
@@ -95,37 +98,37 @@
     Origin { site: "a".into(), instance: "n0".into(), start: 1 }
 }
 
-fn what(fate: &Fate<()>) -> What {
+fn what(fate: &Outcome<()>) -> What {
     match fate {
-        Fate::NeverTaken => What::NeverTaken,
-        Fate::UnderWay => What::UnderWay,
-        Fate::Rejected { .. } => What::Rejected,
-        Fate::Served(()) => What::Served,
-        Fate::Failed => What::Failed,
-        Fate::Unknown => What::Unknown,
+        Outcome::NeverAccepted => What::NeverAccepted,
+        Outcome::InFlight => What::InFlight,
+        Outcome::Rejected { .. } => What::Rejected,
+        Outcome::Served(()) => What::Served,
+        Outcome::Failed => What::Failed,
+        Outcome::Unknown => What::Unknown,
     }
 }
 
-fn fate(what: What) -> Fate<()> {
+fn fate(what: What) -> Outcome<()> {
     match what {
-        What::NeverTaken => Fate::NeverTaken,
-        What::UnderWay => Fate::UnderWay,
-        What::Rejected => Fate::Rejected { cool_down: 0 },
-        What::Served => Fate::Served(()),
-        What::Failed => Fate::Failed,
-        What::Unknown => Fate::Unknown,
+        What::NeverAccepted => Outcome::NeverAccepted,
+        What::InFlight => Outcome::InFlight,
+        What::Rejected => Outcome::Rejected { retry_after: 0 },
+        What::Served => Outcome::Served(()),
+        What::Failed => Outcome::Failed,
+        What::Unknown => Outcome::Unknown,
     }
 }
 
-fn new_book() -> Fates<()> {
-    let mut fates = Fates::start(100, 10);
+fn new_book() -> OutcomeTable<()> {
+    let mut fates = OutcomeTable::start(100, 10);
     fates.greeted(&origin(), false);
     fates
 }
 
 impl Protocol {
-    fn promise(&self, now: i64) -> Promise {
-        let mut promise = Promise::default();
+    fn promise(&self, now: i64) -> RecordingPromise {
+        let mut promise = RecordingPromise::default();
         if self.disk {
             promise.renew(now);
             promise.settled();
@@ -133,18 +136,18 @@
         promise
     }
 
-    fn settle(&self, state: &mut State, key: u64, settled: Settled) {
+    fn settle(&self, state: &mut State, key: u64, settled: Conclusion) {
         let at = key as usize - 1;
         state.phases[at] = match settled {
-            Settled::Open => return,
+            Conclusion::Open => return,
             // Either may follow; a rejection promises more, and running it here shows a double.
-            Settled::NeverRan if key % 2 == 1 => {
+            Conclusion::NeverRan if key % 2 == 1 => {
                 state.runs[at] += 1;
                 Phase::RunHere
             }
-            Settled::NeverRan => Phase::Rejected,
-            Settled::Served => Phase::Served,
-            Settled::MayHaveRun => Phase::Failed,
+            Conclusion::NeverRan => Phase::Rejected,
+            Conclusion::Served => Phase::Served,
+            Conclusion::MayHaveRun => Phase::Failed,
         };
     }
 
@@ -154,10 +157,10 @@
                 if state.fates.take(0, &origin(), key, 10).is_ok() {
                     // The record first; without one it is rejected while the promise holds.
                     if self.disk && !state.away {
-                        state.kept.record(start, origin(), key, Fate::UnderWay);
+                        state.kept.record(start, origin(), key, Outcome::InFlight);
                     }
                     if self.disk && state.away && self.minds && !state.promise.lets_go_without(state.now) {
-                        return self.end(state, key, Fate::Rejected { cool_down: 0 });
+                        return self.end(state, key, Outcome::Rejected { retry_after: 0 });
                     }
                     state.taken.insert(key);
                 }
@@ -180,9 +183,9 @@
             Message::Outcome { key, what } => {
                 if let Phase::Crossed(mut crossing) = state.phases[key as usize - 1] {
                     let settled = crossing.answered(match what {
-                        What::Served => Answer::Served,
-                        What::Rejected => Answer::Rejected { cool_down: 0 },
-                        _ => Answer::Failed,
+                        What::Served => PeerAnswer::Served,
+                        What::Rejected => PeerAnswer::Rejected { retry_after: 0 },
+                        _ => PeerAnswer::Failed,
                     });
                     state.phases[key as usize - 1] = Phase::Crossed(crossing);
                     self.settle(state, key, settled);
@@ -198,7 +201,7 @@
         }
     }
 
-    fn end(&self, state: &mut State, key: u64, fate: Fate<()>) {
+    fn end(&self, state: &mut State, key: u64, fate: Outcome<()>) {
         state.taken.remove(&key);
         if self.disk && !state.away {
             state.kept.record(state.start, origin(), key, fate.clone());
@@ -221,7 +224,7 @@
             fates: new_book(),
             start: 1,
             taken: BTreeSet::new(),
-            kept: Earlier::default(),
+            kept: PreviousIncarnations::default(),
             promise: self.promise(0),
             away: false,
             now: 0,
@@ -239,12 +242,12 @@
                 Phase::New if key == 1 || state.phases[key as usize - 2] != Phase::New => {
                     acts.push(Act::Send(key))
                 }
-                Phase::Crossed(Crossing::Unsettled) => acts.extend([Act::Ask(key), Act::GiveUp(key)]),
+                Phase::Crossed(ForwardState::Unresolved) => acts.extend([Act::Ask(key), Act::GiveUp(key)]),
                 Phase::Crossed(_) => acts.push(Act::GiveUp(key)),
                 _ => {}
             }
         }
-        if state.cuts < self.cuts && state.phases.contains(&Phase::Crossed(Crossing::Out)) {
+        if state.cuts < self.cuts && state.phases.contains(&Phase::Crossed(ForwardState::InFlight)) {
             acts.push(Act::Cut);
         }
         acts.extend(state.network.iter().cloned().map(Act::Deliver));
@@ -259,7 +262,7 @@
             acts.push(Act::PromiseEnds);
         }
         let old = |(phase, &start): (&Phase, &u64)| {
-            matches!(phase, Phase::Crossed(Crossing::Out)) && start < state.start
+            matches!(phase, Phase::Crossed(ForwardState::InFlight)) && start < state.start
         };
         if state.phases.iter().zip(&state.sent_to).any(old) {
             acts.push(Act::SeeRestart);
@@ -275,7 +278,7 @@
         let mut state = last.clone();
         match act {
             Act::Send(key) => {
-                state.phases[key as usize - 1] = Phase::Crossed(Crossing::Out);
+                state.phases[key as usize - 1] = Phase::Crossed(ForwardState::InFlight);
                 state.sent_to[key as usize - 1] = state.start;
                 state.network.insert(Message::Request { key, start: state.start });
             }
@@ -289,7 +292,7 @@
             }
             Act::Ask(key) => {
                 let start = state.sent_to[key as usize - 1];
-                state.phases[key as usize - 1] = Phase::Crossed(Crossing::Asked);
+                state.phases[key as usize - 1] = Phase::Crossed(ForwardState::Queried);
                 state.network.insert(Message::Ask { key, start });
             }
             Act::GiveUp(key) => state.phases[key as usize - 1] = Phase::Failed,
@@ -302,13 +305,13 @@
             Act::Deliver(message) => self.deliver(&mut state, message),
             Act::Run(key) => {
                 state.runs[key as usize - 1] += 1;
-                self.end(&mut state, key, Fate::Served(()));
+                self.end(&mut state, key, Outcome::Served(()));
             }
-            Act::Reject(key) => self.end(&mut state, key, Fate::Rejected { cool_down: 0 }),
+            Act::Reject(key) => self.end(&mut state, key, Outcome::Rejected { retry_after: 0 }),
             Act::Fail(key) => {
                 // It ran, and the answer was lost.
                 state.runs[key as usize - 1] += 1;
-                self.end(&mut state, key, Fate::Failed);
+                self.end(&mut state, key, Outcome::Failed);
             }
             Act::DiskGoes => state.away = true,
             Act::PromiseEnds => state.now += 10_000_000,
--- a/crates/site-routing/tests/failing.rs
+++ b/crates/site-routing/tests/failing.rs
@@ -7,11 +7,11 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use aldermill_site_routing::earlier::{key, read_key, read_value, value};
-use aldermill_site_routing::{Earlier, Fate, Micros, Origin, Promise};
+use aldermill_site_routing::{Micros, Origin, Outcome, PreviousIncarnations, RecordingPromise};
 use aldermill_store::{Batch, Bounds, Keeping, State, Store};
 use power::{Dice, FailingDisk};
 
-type Outcome = Fate<Vec<u8>>;
+type KnownOutcome = Outcome<Vec<u8>>;
 
 const HISTORIES: u64 = 500;
 const STEPS: u32 = 200;
@@ -41,7 +41,7 @@
 enum Write {
     Taking(u64),
     Outcome(u64),
-    Promise,
+    RecordingPromise,
     /// Nobody waits for it any more.
     GivenUp,
 }
@@ -52,18 +52,18 @@
     /// Until when its sender may ask, in real time.
     deadline: Micros,
     ran: bool,
-    outcome: Option<Outcome>,
+    outcome: Option<KnownOutcome>,
     /// What was confirmed last; a start under another clock may have found it expired.
-    owed: Option<Outcome>,
+    owed: Option<KnownOutcome>,
 }
 
 /// One life of the gateway's process.
 struct Life {
     start: u64,
     store: Option<Store<FailingDisk>>,
-    earlier: Option<Earlier<Vec<u8>>>,
+    earlier: Option<PreviousIncarnations<Vec<u8>>>,
     keeping: Keeping,
-    promise: Promise,
+    promise: RecordingPromise,
     waiting: VecDeque<(Batch, Write)>,
 }
 
@@ -96,7 +96,7 @@
     }
 
     fn start(&mut self, start: u64) -> Life {
-        let (keeping, promise) = (Keeping::start(PATIENCE, WAITING), Promise::default());
+        let (keeping, promise) = (Keeping::start(PATIENCE, WAITING), RecordingPromise::default());
         let (store, earlier, waiting) = (None, None, VecDeque::new());
         let mut life = Life { start, store, earlier, keeping, promise, waiting };
         self.open(&mut life);
@@ -116,7 +116,7 @@
             Err(_) => Store::look(self.disk.clone(), BOUNDS, self.clock()).ok().map(|(snapshot, _)| snapshot),
         };
         let (None, Some(snapshot)) = (&life.earlier, snapshot) else { return };
-        let mut earlier = Earlier::default();
+        let mut earlier = PreviousIncarnations::default();
         for (name, fate) in snapshot.all(BOOK) {
             let (start, origin, number) = read_key(name).expect("a key");
             earlier.record(start, origin, number, read_value(fate));
@@ -146,13 +146,13 @@
         if !rests && let Some(until) = life.promise.renew(self.clock()) {
             let (mut batch, over) = (Batch::default(), until + 3_600_000_000);
             batch.put(PROMISES, &life.start.to_be_bytes(), &until.to_be_bytes(), Some(over));
-            if !self.hand_over(life, batch, Write::Promise) {
+            if !self.hand_over(life, batch, Write::RecordingPromise) {
                 life.promise.settled();
             }
         }
     }
 
-    fn record(&self, life: &mut Life, number: u64, fate: &Outcome, write: Write) -> bool {
+    fn record(&self, life: &mut Life, number: u64, fate: &KnownOutcome, write: Write) -> bool {
         let until = self.requests[&number].deadline + self.ahead + SLACK;
         let mut batch = Batch::default();
         let fate = value(&fate.as_ref().map(|bytes| &bytes[..]));
@@ -165,7 +165,7 @@
         let deadline = self.now + 100_000 + self.dice.below(6_000_000) as Micros;
         let request = Request { start: life.start, deadline, ran: false, outcome: None, owed: None };
         self.requests.insert(number, request);
-        if self.record(life, number, &Fate::UnderWay, Write::Taking(number)) {
+        if self.record(life, number, &Outcome::InFlight, Write::Taking(number)) {
             self.now_runs(number, self.flaw == Flaw::WaitsForNothing);
         } else if life.promise.lets_go_without(self.clock()) {
             life.promise.took_without(deadline + self.ahead + SLACK);
@@ -188,9 +188,9 @@
             return;
         };
         let outcome = match self.dice.below(3) {
-            0 => Fate::Rejected { cool_down: self.dice.below(9) as Micros },
-            1 => Fate::Failed,
-            _ => Fate::Served(number.to_be_bytes().to_vec()),
+            0 => Outcome::Rejected { retry_after: self.dice.below(9) as Micros },
+            1 => Outcome::Failed,
+            _ => Outcome::Served(number.to_be_bytes().to_vec()),
         };
         self.requests.entry(number).and_modify(|request| request.outcome = Some(outcome.clone()));
         let handed_over = self.record(life, number, &outcome, Write::Outcome(number));
@@ -199,7 +199,7 @@
         }
     }
 
-    fn is_owed(&mut self, number: u64, owed: Option<Outcome>) {
+    fn is_owed(&mut self, number: u64, owed: Option<KnownOutcome>) {
         self.requests.entry(number).and_modify(|request| request.owed = owed);
     }
 
@@ -222,11 +222,11 @@
             false => life.keeping.failed(self.now + self.ahead),
         }
         match write {
-            Write::Promise => life.promise.settled(),
+            Write::RecordingPromise => life.promise.settled(),
             // One that was not kept is rejected: it never runs.
             Write::Taking(number) if well => {
                 self.now_runs(number, true);
-                self.is_owed(number, Some(Fate::UnderWay));
+                self.is_owed(number, Some(Outcome::InFlight));
             }
             Write::Outcome(number) if well => {
                 let outcome = self.requests[&number].outcome.clone();
@@ -239,7 +239,7 @@
     fn patience_ends(&mut self, life: &mut Life) {
         if life.keeping.gives_up(self.clock()) {
             for (_, write) in &mut life.waiting {
-                if matches!(std::mem::replace(write, Write::GivenUp), Write::Promise) {
+                if matches!(std::mem::replace(write, Write::GivenUp), Write::RecordingPromise) {
                     life.promise.settled();
                 }
             }
@@ -258,13 +258,15 @@
             }
             let answer = match &life.earlier {
                 Some(earlier) => earlier.ask(&origin(), number, request.start),
-                None => Fate::Unknown,
+                None => Outcome::Unknown,
             };
             let true_to_it = match &answer {
-                Fate::NeverTaken => !request.ran,
-                Fate::UnderWay => false,
-                Fate::Failed => !matches!(request.owed, Some(Fate::Served(_) | Fate::Rejected { .. })),
-                Fate::Unknown => life.earlier.is_none() || request.owed.is_none(),
+                Outcome::NeverAccepted => !request.ran,
+                Outcome::InFlight => false,
+                Outcome::Failed => {
+                    !matches!(request.owed, Some(Outcome::Served(_) | Outcome::Rejected { .. }))
+                }
+                Outcome::Unknown => life.earlier.is_none() || request.owed.is_none(),
                 said => request.outcome.as_ref() == Some(said),
             };
             if !true_to_it {
@@ -273,8 +275,8 @@
                 return Err(format!("start {} says {answer:?} of {number} at {start}: {truth}", life.start));
             }
             self.answers[match answer {
-                Fate::NeverTaken => 0,
-                Fate::Unknown => 2,
+                Outcome::NeverAccepted => 0,
+                Outcome::Unknown => 2,
                 _ => 1,
             }] += 1;
         }
--- a/crates/site-routing/tests/pinned_records.rs
+++ b/crates/site-routing/tests/pinned_records.rs
@@ -1,7 +1,7 @@
 //! The keys and values of the records of what became of requests, as the store holds them.
 
 use aldermill_site_routing::earlier::{key, read_key, read_value, value};
-use aldermill_site_routing::{Fate, Origin};
+use aldermill_site_routing::{Origin, Outcome};
 
 #[test]
 fn key_of_a_record() {
@@ -13,17 +13,17 @@
 
 #[test]
 fn value_of_each_fate() {
-    let cases: [(Fate<&[u8]>, &[u8]); 6] = [
-        (Fate::UnderWay, b"T"),
-        (Fate::NeverTaken, b"N"),
-        (Fate::Rejected { cool_down: 0x0102_0304 }, b"D\0\0\0\0\x01\x02\x03\x04"),
-        (Fate::Served(b"value"), b"Hvalue"),
-        (Fate::Served(b""), b"H"),
-        (Fate::Failed, b"B"),
+    let cases: [(Outcome<&[u8]>, &[u8]); 6] = [
+        (Outcome::InFlight, b"T"),
+        (Outcome::NeverAccepted, b"N"),
+        (Outcome::Rejected { retry_after: 0x0102_0304 }, b"D\0\0\0\0\x01\x02\x03\x04"),
+        (Outcome::Served(b"value"), b"Hvalue"),
+        (Outcome::Served(b""), b"H"),
+        (Outcome::Failed, b"B"),
     ];
     for (fate, bytes) in cases {
         assert_eq!(value(&fate), bytes);
         assert_eq!(read_value(bytes), fate.map(<[u8]>::to_vec));
     }
-    assert_eq!(value(&Fate::Unknown), b"B", "nothing of it is known, so it counts as failed");
+    assert_eq!(value(&Outcome::Unknown), b"B", "nothing of it is known, so it counts as failed");
 }
--- a/crates/site-routing/tests/two_sites/world.rs
+++ b/crates/site-routing/tests/two_sites/world.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, HashMap};
 
 use aldermill_site_routing::{
-    Action, Actions, Answer, Effect, Fate, Fates, Handle, HereEnded, Micros, Need, Origin, Request,
-    RequestClass, Sites, Terms,
+    Action, Actions, Effect, LocalResult, Micros, Need, Origin, Outcome, OutcomeTable, PeerAnswer, Request,
+    RequestClass, RequestHandle, SiteRouter, SiteRouterConfig,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -13,10 +13,10 @@
 pub const LIMIT: Micros = 2_000 * MS;
 pub const GROUP: u64 = 2;
 /// The other gateway, at either end.
-pub const GATE: usize = 0;
+pub const GATEWAY: usize = 0;
 pub const FAR: usize = 1;
 
-pub fn terms() -> Terms {
+pub fn terms() -> SiteRouterConfig {
     let class = |effect, need, priority_weight| RequestClass {
         effect,
         need,
@@ -24,26 +24,26 @@
         priority_weight,
         late_priority_weight: 0.5,
     };
-    Terms {
+    SiteRouterConfig {
         classes: vec![
-            class(Effect::Pure, Need::Any, 1.0),
-            class(Effect::Effectful, Need::Primary, 6.0),
-            class(Effect::Pure, Need::Primary, 2.0),
-            class(Effect::Pure, Need::Recent(10 * MS), 1.0),
+            class(Effect::Idempotent, Need::Any, 1.0),
+            class(Effect::NonIdempotent, Need::Primary, 6.0),
+            class(Effect::Idempotent, Need::Primary, 2.0),
+            class(Effect::Idempotent, Need::Recent(10 * MS), 1.0),
         ],
         sites: 2,
         max_hops: 1,
         max_credit: 64,
-        max_cool_down: 1_000 * MS,
+        max_retry_after: 1_000 * MS,
     }
 }
 
 #[derive(Clone, Debug)]
 pub enum Word {
     Request { number: u64, class: usize, left: Micros, start: u64 },
-    Answer { number: u64, answer: Answer },
+    Answer { number: u64, answer: PeerAnswer },
     Ask { number: u64, start: u64 },
-    Told { number: u64, fate: Fate<()> },
+    Told { number: u64, fate: Outcome<()> },
     Cancel(u64),
     Confirm(u64),
 }
@@ -59,14 +59,14 @@
 }
 
 pub struct Side {
-    pub sites: Sites,
-    pub fates: Fates<()>,
+    pub sites: SiteRouter,
+    pub fates: OutcomeTable<()>,
     pub start: u64,
     /// Which client's request each handle is, or which number of the other side's.
-    pub own: HashMap<Handle, usize>,
-    pub guests: HashMap<Handle, (u64, usize)>,
+    pub own: HashMap<RequestHandle, usize>,
+    pub guests: HashMap<RequestHandle, (u64, usize)>,
     /// With the module here: when it is done, and by when it must be.
-    pub here: BTreeMap<Handle, (Micros, Micros)>,
+    pub here: BTreeMap<RequestHandle, (Micros, Micros)>,
     pub sent: Vec<u64>,
     /// The start of the other side that a number was sent to.
     pub sent_to: HashMap<u64, u64>,
@@ -90,11 +90,11 @@
 }
 
 pub fn side(seed: u64, now: Micros, start: u64) -> Side {
-    let mut sites = Sites::start(terms(), seed, now);
-    sites.listed(now, &[(GROUP, 2)]);
+    let mut sites = SiteRouter::start(terms(), seed, now);
+    sites.groups_listed(now, &[(GROUP, 2)]);
     Side {
         sites,
-        fates: Fates::start(1000, 1_000 * MS),
+        fates: OutcomeTable::start(1000, 1_000 * MS),
         start,
         own: HashMap::new(),
         guests: HashMap::new(),
@@ -126,10 +126,10 @@
         for at in 0..2 {
             let start = self.sides[1 - at].start;
             self.sides[at].fates.greeted(&origin(1 - at, start), false);
-            let (credits, groups) = self.sides[1 - at].sites.offered(GATE);
-            let actions = self.sides[at].sites.links(self.now, GATE, FAR, 1, true);
+            let (credits, groups) = self.sides[1 - at].sites.offered_capacity(GATEWAY);
+            let actions = self.sides[at].sites.links_changed(self.now, GATEWAY, FAR, 1, true);
             self.carry_out(at, actions);
-            let actions = self.sides[at].sites.room(self.now, GATE, credits, &groups, false);
+            let actions = self.sides[at].sites.capacity_announced(self.now, GATEWAY, credits, &groups, false);
             self.carry_out(at, actions);
         }
     }
@@ -138,10 +138,10 @@
     pub fn cut(&mut self) {
         self.up = false;
         for at in 0..2 {
-            let actions = self.sides[at].sites.links(self.now, GATE, FAR, 0, true);
+            let actions = self.sides[at].sites.links_changed(self.now, GATEWAY, FAR, 0, true);
             self.carry_out(at, actions);
             let sent = std::mem::take(&mut self.sides[at].sent);
-            let actions = self.sides[at].sites.lost(self.now, GATE, &sent);
+            let actions = self.sides[at].sites.link_lost(self.now, GATEWAY, &sent);
             self.carry_out(at, actions);
         }
         let (rng, now) = (&mut self.rng, self.now);
@@ -160,7 +160,7 @@
             self.requests[request].left = true;
         }
         self.sides[at] = side(start * 77 + at as u64, self.now, start);
-        let actions = self.sides[1 - at].sites.links(self.now, GATE, FAR, 0, false);
+        let actions = self.sides[1 - at].sites.links_changed(self.now, GATEWAY, FAR, 0, false);
         self.carry_out(1 - at, actions);
         self.sides[1 - at].fates.greeted(&origin(at, start), false);
         self.sides[at].fates.greeted(&origin(1 - at, self.sides[1 - at].start), false);
@@ -179,9 +179,10 @@
     pub fn take(&mut self, at: usize, class: usize) {
         let request = self.requests.len();
         self.requests.push(Asked { class, deadline: self.now + LIMIT, answered: None, left: false, runs: 0 });
-        let (handle, actions) = self.sides[at]
-            .sites
-            .take(self.now, Request { class, group: GROUP, ttl: LIMIT, visited: Vec::new(), session: None });
+        let (handle, actions) = self.sides[at].sites.accept(
+            self.now,
+            Request { class, group: GROUP, timeout: LIMIT, visited: Vec::new(), session: None },
+        );
         self.sides[at].own.insert(handle, request);
         self.carry_out(at, actions);
     }
@@ -189,14 +190,14 @@
     pub fn carry_out(&mut self, at: usize, actions: Actions) {
         for (handle, step) in actions.requests {
             match step {
-                Action::Here { ttl } => {
+                Action::ServeLocally { timeout: ttl } => {
                     let takes = (self.rng.random_range(1..150) * MS).min((ttl - 20 * MS).max(0));
                     self.sides[at].here.insert(handle, (self.now + takes, self.now + ttl));
                 }
-                Action::TakeBack => {
+                Action::Withdraw => {
                     self.sides[at].here.remove(&handle).expect("taken back from where it is");
                 }
-                Action::Cross { number, left, .. } => {
+                Action::Forward { number, timeout: left, .. } => {
                     assert!(left > 0, "sent with no time left");
                     let (request, start) = (self.sides[at].own[&handle], self.sides[1 - at].start);
                     self.effects.insert(number as usize * 2 + at, request as u32);
@@ -205,24 +206,26 @@
                     let class = self.requests[request].class;
                     self.say(at, Word::Request { number, class, left, start });
                 }
-                Action::Ask { number, .. } => {
+                Action::QueryOutcome { number, .. } => {
                     let start = self.sides[at].sent_to[&number];
                     self.say(at, Word::Ask { number, start });
                 }
                 Action::Cancel { number, .. } => self.say(at, Word::Cancel(number)),
-                Action::Serve => self.answer(at, handle, Answer::Served),
-                Action::Reject { cool_down } => self.answer(at, handle, Answer::Rejected { cool_down }),
-                Action::Fail => self.answer(at, handle, Answer::Failed),
-                Action::NotHere { hint } => self.answer(at, handle, Answer::NotHere { hint }),
+                Action::RelayResponse => self.answer(at, handle, PeerAnswer::Served),
+                Action::Reject { retry_after } => {
+                    self.answer(at, handle, PeerAnswer::Rejected { retry_after })
+                }
+                Action::Fail => self.answer(at, handle, PeerAnswer::Failed),
+                Action::ReportNotPrimary { hint } => self.answer(at, handle, PeerAnswer::NotPrimary { hint }),
             }
         }
-        for (_, upto) in actions.confirms {
+        for (_, upto) in actions.confirmations {
             self.say(at, Word::Confirm(upto));
         }
     }
 
     /// The one answer to a client, or to the other side.
-    pub fn answer(&mut self, at: usize, handle: Handle, answer: Answer) {
+    pub fn answer(&mut self, at: usize, handle: RequestHandle, answer: PeerAnswer) {
         if let Some(request) = self.sides[at].own.remove(&handle) {
             let now = self.now;
             let request = &mut self.requests[request];
@@ -230,9 +233,9 @@
                 return;
             }
             let said = match answer {
-                Answer::Served => "served",
-                Answer::Rejected { .. } => "rejected",
-                Answer::Failed => "failed",
+                PeerAnswer::Served => "served",
+                PeerAnswer::Rejected { .. } => "rejected",
+                PeerAnswer::Failed => "failed",
                 _ => panic!("no answer for a client: {answer:?}"),
             };
             assert_eq!(request.answered.replace(said), None, "answered twice");
@@ -244,20 +247,20 @@
             let other = origin(1 - at, self.sides[1 - at].start);
             if class == 1 {
                 let fate = match answer {
-                    Answer::Served => Fate::Served(()),
-                    Answer::Failed => Fate::Failed,
-                    _ => Fate::Rejected { cool_down: 0 },
+                    PeerAnswer::Served => Outcome::Served(()),
+                    PeerAnswer::Failed => Outcome::Failed,
+                    _ => Outcome::Rejected { retry_after: 0 },
                 };
                 self.sides[at].fates.settle(&other, number, fate);
             }
-            let rejected = matches!(answer, Answer::Rejected { .. });
-            self.sides[at].sites.guest_over(self.now, GATE, class, rejected);
+            let rejected = matches!(answer, PeerAnswer::Rejected { .. });
+            self.sides[at].sites.remote_request_ended(self.now, GATEWAY, class, rejected);
             self.say(at, Word::Answer { number, answer });
         }
     }
 
     /// The module at a side is done with a request.
-    pub fn here_done(&mut self, at: usize, handle: Handle, deadline: Micros) {
+    pub fn here_done(&mut self, at: usize, handle: RequestHandle, deadline: Micros) {
         let side = &mut self.sides[at];
         let request = match (side.own.get(&handle), side.guests.get(&handle)) {
             (Some(&request), _) => request,
@@ -267,10 +270,10 @@
         let primary = self.primary == at;
         let needs_primary = matches!(self.requests[request].class, 1 | 2);
         let actions = if needs_primary && !primary && self.now > deadline - 60 * MS {
-            handle.here_ended(&mut side.sites, self.now, HereEnded::Rejected { cool_down: 0 })
+            side.sites.local_finished(self.now, handle, LocalResult::Rejected { retry_after: 0 })
         } else if needs_primary && !primary {
-            let actions = handle.here_missed(&mut side.sites, self.now);
-            if !actions.requests.contains(&(handle, Action::TakeBack)) {
+            let actions = side.sites.local_not_primary(self.now, handle);
+            if !actions.requests.contains(&(handle, Action::Withdraw)) {
                 side.here.insert(handle, (self.now + 30 * MS, deadline));
             } else {
                 side.here.insert(handle, (0, 0));
@@ -278,17 +281,17 @@
             actions
         } else {
             let ended = match self.rng.random_range(0..20) {
-                0 => HereEnded::Rejected { cool_down: 0 },
-                1 => HereEnded::Failed,
-                _ => HereEnded::Served,
+                0 => LocalResult::Rejected { retry_after: 0 },
+                1 => LocalResult::Failed,
+                _ => LocalResult::Served,
             };
-            if !matches!(ended, HereEnded::Rejected { .. }) {
+            if !matches!(ended, LocalResult::Rejected { .. }) {
                 self.requests[request].runs += 1;
                 let asked = &self.requests[request];
                 assert!(asked.class != 1 || asked.runs == 1, "an effectful request ran twice");
                 assert!(asked.class != 1 || asked.answered != Some("rejected"), "it ran after a denial");
             }
-            handle.here_ended(&mut side.sites, self.now, ended)
+            side.sites.local_finished(self.now, handle, ended)
         };
         self.carry_out(at, actions);
     }
@@ -303,15 +306,15 @@
                 if self.sides[at].fates.take(now, &other, number, left).is_err() {
                     return;
                 }
-                self.sides[at].sites.guest_came(GATE, class);
+                self.sides[at].sites.remote_request_started(GATEWAY, class);
                 let request = Request {
                     class,
                     group: GROUP,
-                    ttl: left - self.delay,
+                    timeout: left - self.delay,
                     visited: vec![FAR],
                     session: None,
                 };
-                let (handle, actions) = self.sides[at].sites.take(now, request);
+                let (handle, actions) = self.sides[at].sites.accept(now, request);
                 self.sides[at].guests.insert(handle, (number, class));
                 self.carry_out(at, actions);
             }
@@ -324,7 +327,7 @@
                 self.say(at, Word::Told { number, fate });
             }
             Word::Told { number, fate } => {
-                let actions = self.sides[at].sites.fate(now, number, &fate);
+                let actions = self.sides[at].sites.outcome_received(now, number, &fate);
                 self.carry_out(at, actions);
             }
             Word::Cancel(number) => {
@@ -332,7 +335,7 @@
                 if let Some((&handle, _)) = guest {
                     // What the module has begun goes on there.
                     if !self.sides[at].here.contains_key(&handle) {
-                        let actions = handle.left(&mut self.sides[at].sites, now);
+                        let actions = self.sides[at].sites.abandon(now, handle);
                         self.carry_out(at, actions);
                     }
                 }
@@ -391,7 +394,7 @@
                     if let Some(handle) = held.filter(|handle| !self.sides[at].here.contains_key(handle)) {
                         self.requests[request].left = true;
                         self.sides[at].own.remove(&handle);
-                        let actions = handle.left(&mut self.sides[at].sites, self.now);
+                        let actions = self.sides[at].sites.abandon(self.now, handle);
                         self.carry_out(at, actions);
                     }
                 }
