--- a/crates/proxy/src/dispatcher/outcome_log.rs
+++ b/crates/proxy/src/dispatcher/outcome_log.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use aldermill_routing::Micros;
-use aldermill_site_routing::earlier::{key, read_key, read_value, value};
+use aldermill_site_routing::previous_incarnations::{key, read_key, read_value, value};
 use aldermill_site_routing::{Origin, Outcome, PreviousIncarnations, RecordingPromise};
 use aldermill_store::{Batch, Keeping, State};
 use aldermill_warm_start::space;
--- a/crates/site-routing/src/lib.rs
+++ b/crates/site-routing/src/lib.rs
@@ -8,20 +8,20 @@
 //! It carries the design of the router one level up: a believed home site for each group, corrected by answers; a
 //! walk over sites for writes; a hold after a round of 'not here'; blacklists on a gateway that expire.
 
-mod bound;
-mod credit;
-mod crossing;
-pub mod earlier;
-mod fates;
-mod homes;
-mod sites;
-
-pub use bound::OpenWork;
-pub use credit::LinkCredit;
-pub use crossing::{Conclusion, ForwardState, ForwardedRequests};
-pub use earlier::{PreviousIncarnations, RecordingPromise};
-pub use fates::{NotAccepted, Origin, Outcome, OutcomeTable};
-pub use sites::{PeerGatewayView, RequestHandle, SiteRouter};
+mod forwarded_requests;
+mod home_sites;
+mod link_credit;
+mod outcome_table;
+pub mod previous_incarnations;
+mod router;
+mod session_assignment;
+
+pub use forwarded_requests::{Conclusion, ForwardState, ForwardedRequests};
+pub use link_credit::LinkCredit;
+pub use outcome_table::{NotAccepted, Origin, Outcome, OutcomeTable};
+pub use previous_incarnations::{PreviousIncarnations, RecordingPromise};
+pub use router::{PeerGatewayView, RequestHandle, SiteRouter};
+pub use session_assignment::OpenWork;
 
 /// Whole microseconds, on the caller's clock.
 pub type Micros = i64;
--- a/crates/site-routing/src/sites.rs
+++ b/crates/site-routing/src/router.rs
@@ -7,18 +7,18 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::bound::{OpenWork, SessionAssignments};
-use crate::credit::LinkCredit;
-use crate::crossing::{Conclusion, ForwardState, ForwardedRequests};
-use crate::homes::HomeSites;
+use crate::forwarded_requests::{Conclusion, ForwardState, ForwardedRequests};
+use crate::home_sites::HomeSites;
+use crate::link_credit::LinkCredit;
+use crate::session_assignment::{OpenWork, SessionAssignments};
 use crate::{
     Action, Actions, Effect, LOCAL_SITE, LocalResult, Micros, Need, Outcome, PeerAnswer, PeerGatewayId,
     Request, RequestClass, SiteId, SiteRouterConfig,
 };
 
-mod hear;
-mod place;
-mod settle;
+mod completion;
+mod link_events;
+mod placement;
 
 const MS: Micros = 1_000;
 const BEAT: Micros = 20 * MS;
--- a/crates/site-routing/src/sites/settle.rs
+++ b/crates/site-routing/src/router/completion.rs
@@ -31,7 +31,7 @@
     pub(super) fn uncross(
         &mut self,
         number: u64,
-    ) -> Option<crate::crossing::ForwardedRequest<RequestHandle>> {
+    ) -> Option<crate::forwarded_requests::ForwardedRequest<RequestHandle>> {
         let sent = self.crossings.close(number)?;
         if let Some(pending) = self.pending_requests.get_mut(&sent.handle) {
             pending.out = None;
--- a/crates/site-routing/tests/failing.rs
+++ b/crates/site-routing/tests/failing_disk.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use aldermill_site_routing::earlier::{key, read_key, read_value, value};
+use aldermill_site_routing::previous_incarnations::{key, read_key, read_value, value};
 use aldermill_site_routing::{Micros, Origin, Outcome, PreviousIncarnations, RecordingPromise};
 use aldermill_store::{Batch, Bounds, Keeping, State, Store};
 use power::{Dice, FailingDisk};
--- a/crates/site-routing/tests/pinned_records.rs
+++ b/crates/site-routing/tests/pinned_records.rs
@@ -1,6 +1,6 @@
 //! The keys and values of the records of what became of requests, as the store holds them.
 
-use aldermill_site_routing::earlier::{key, read_key, read_value, value};
+use aldermill_site_routing::previous_incarnations::{key, read_key, read_value, value};
 use aldermill_site_routing::{Origin, Outcome};
 
 #[test]
--- a/crates/site-routing/tests/earlier.rs
+++ b/crates/site-routing/tests/previous_incarnations.rs
@@ -1,6 +1,6 @@
 //! What an earlier start promised and kept.
 
-use aldermill_site_routing::earlier::{key, read_key, read_value, value};
+use aldermill_site_routing::previous_incarnations::{key, read_key, read_value, value};
 use aldermill_site_routing::{Origin, Outcome, PreviousIncarnations, RecordingPromise};
 
 fn origin() -> Origin {
