--- a/crates/proxy/src/messages/dispatcher.rs
+++ b/crates/proxy/src/messages/dispatcher.rs
@@ -3,7 +3,7 @@
 use aldermill_flow_control::PeerId;
 use aldermill_routing::{Handle, MemberId, MemberReport, Micros, Verdict};
 use aldermill_site_drain::Plan;
-use aldermill_site_link::{Event, Said};
+use aldermill_site_link::{Inbound, Outbound};
 use aldermill_wire::statement::Comment;
 use aldermill_zone_failover::Lean;
 use tokio::sync::{mpsc, oneshot};
@@ -73,12 +73,12 @@
     /// It is up: the other side sent a handshake that is allowed here.
     Up {
         /// What is sent here goes over the link.
-        outbox: mpsc::Sender<Said>,
+        outbox: mpsc::Sender<Outbound>,
         /// The link's connection, for which buffer space for its values is reserved.
         peer: PeerId,
     },
     /// The other side sent something.
-    Received(Event),
+    Received(Inbound),
     /// It is down.
     Lost,
 }
