--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -175,7 +175,7 @@
             ClientEvent::Response(request, answer) => self.complete(request, answer),
             ClientEvent::BytesRead => self.stamp_receipt(),
             // It is not idle: a request is under way.
-            ClientEvent::Evict => {}
+            ClientEvent::CloseIfIdle => {}
             ClientEvent::Closed => return Err(CloseReason::Normal),
         }
         Ok(())
--- a/crates/proxy/src/client/events.rs
+++ b/crates/proxy/src/client/events.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::time::Duration;
 
-use aldermill_flow_control::Way;
+use aldermill_flow_control::Transfer;
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
@@ -21,7 +21,7 @@
     /// The client sent bytes, which are in the read buffer.
     BytesRead,
     /// The connection is to be closed unless a request is under way.
-    Evict,
+    CloseIfIdle,
     /// The client has closed its side, or nobody holds the connection's mailbox any more.
     Closed,
 }
@@ -64,7 +64,7 @@
             biased;
             message = mailbox.recv() => match message {
                 Some(ClientMessage::Answer(request, answer)) => ClientEvent::Response(request, answer),
-                Some(ClientMessage::Evict) => ClientEvent::Evict,
+                Some(ClientMessage::CloseIfIdle) => ClientEvent::CloseIfIdle,
                 None => ClientEvent::Closed,
             },
             count = reading => match count {
@@ -104,7 +104,7 @@
         let idle_since = if served { begun_at.unwrap_or(now) } else { self.connected_at };
         self.state.idle_since.set(Some(idle_since));
         if mid_message {
-            self.connection_guard.start_metering(Way::Sending);
+            self.connection_guard.start_metering(Transfer::FromPeer);
         }
         IdleWait {
             mid_message,
@@ -136,7 +136,7 @@
                     return IdleEvent::Read(read);
                 }
                 message = self.mailbox.recv() => match message {
-                    Some(ClientMessage::Evict) | None => return IdleEvent::WaitOver,
+                    Some(ClientMessage::CloseIfIdle) | None => return IdleEvent::WaitOver,
                     Some(ClientMessage::Answer(..)) => {}
                 },
                 () = self.connection_guard.disconnected(), if wait.mid_message => {
--- a/crates/proxy/src/client/intake.rs
+++ b/crates/proxy/src/client/intake.rs
@@ -1,5 +1,6 @@
 //! Message intake: what the client's next message is, the buffer space for it, and what follows from it.
 
+use aldermill_flow_control::Priority;
 use aldermill_wire::statement::Comment;
 use aldermill_wire::{Malformed, pg};
 use tokio::time::Instant;
@@ -172,9 +173,9 @@
     /// Buffer space for a message of this size. The client is refused where others have taken all, and nobody who is
     /// too slow can give it up.
     async fn reserve(&mut self, size: usize) -> Result<BufferReservation, CloseReason> {
-        let best_paid = self.begins_best_paid_statement();
+        let priority = self.next_message_priority();
         let until = Instant::now() + self.context.limits.client.reservation_wait;
-        if let Some(reservation) = self.connection_guard.reserve(size, best_paid, until).await {
+        if let Some(reservation) = self.connection_guard.reserve(size, priority, until).await {
             self.buffer.expect(size + 1);
             return Ok(reservation);
         }
@@ -186,11 +187,11 @@
         Err(CloseReason::Normal)
     }
 
-    /// Whether the comment of the message at the front of the buffer is there, and names a best paid request class.
-    fn begins_best_paid_statement(&self) -> bool {
+    /// The priority of the message at the front of the buffer, as far as its comment is there to tell.
+    fn next_message_priority(&self) -> Priority {
         let text = self.buffer.held().get(pg::BEFORE_BODY..);
         let comment = text.and_then(|text| Comment::parse(text).ok());
-        comment.is_some_and(|comment| self.context.best_paid.contains(&comment.class))
+        comment.map_or(Priority::Normal, |comment| self.context.priority(&comment.class))
     }
 }
 
--- a/crates/proxy/src/client/registry.rs
+++ b/crates/proxy/src/client/registry.rs
@@ -138,7 +138,7 @@
             evictable.min_by_key(|connection| (connection.is_served(), connection.state.idle_since.get()));
         let Some(connection) = first else { return false };
         connection.state.idle_since.set(None);
-        connection.address.try_send(ClientMessage::Evict).is_ok()
+        connection.address.try_send(ClientMessage::CloseIfIdle).is_ok()
     }
 
     fn admit(&mut self, stream: TcpStream, connection_guard: ConnectionGuard) {
--- a/crates/proxy/src/client/response.rs
+++ b/crates/proxy/src/client/response.rs
@@ -2,7 +2,7 @@
 
 use std::io::ErrorKind;
 
-use aldermill_flow_control::Way;
+use aldermill_flow_control::Transfer;
 use aldermill_wire::pg;
 
 use super::close::CloseReason;
@@ -45,10 +45,10 @@
     fn without_end(answer: Answer) -> EncodedResponse {
         let mut bytes = Vec::new();
         match answer {
-            Answer::Served(Rows { pieces, room: reservation }) => {
+            Answer::Served(Rows { pieces, reservation }) => {
                 return EncodedResponse { pieces, reservation };
             }
-            Answer::Rejected { cool_down: retry_after } => {
+            Answer::Rejected { retry_after } => {
                 let millis = (retry_after + 999) / 1000;
                 let detail = (millis > 0).then(|| millis.to_string());
                 let text = "denied, trying again is harmless";
@@ -58,7 +58,7 @@
                 let text = "broken off, it is not known whether it took effect";
                 pg::error(&mut bytes, false, "40003", text, None);
             }
-            Answer::Wrong(why) => pg::error(&mut bytes, false, "08P01", why, None),
+            Answer::InvalidStatement(why) => pg::error(&mut bytes, false, "08P01", why, None),
         }
         EncodedResponse::small(bytes)
     }
@@ -146,7 +146,7 @@
     /// The system's buffer is full: from now on it is measured how fast the client reads.
     async fn wait_until_writable(&mut self) -> Result<(), CloseReason> {
         if !self.state.slow_reader.replace(true) {
-            self.connection_guard.start_metering(Way::Reading);
+            self.connection_guard.start_metering(Transfer::ToPeer);
         }
         tokio::select! {
             biased;
--- a/crates/proxy/src/client/statement.rs
+++ b/crates/proxy/src/client/statement.rs
@@ -63,12 +63,12 @@
         let received_at = self.receipt.received_at(self.buffer.is_empty());
         let request = ClientRequest {
             client,
-            holder: self.connection_guard.peer,
+            peer: self.connection_guard.peer,
             mailbox: self.address.clone(),
-            arrived: self.context.clock.at(received_at),
+            received_at: self.context.clock.at(received_at),
             statement,
             comment,
-            written_ago: None,
+            last_write_age: None,
         };
         let request = DispatcherMessage::ClientRequest(request);
         self.context.dispatcher.send(request).await.map_err(|_| CloseReason::Normal)
