--- a/crates/proxy/src/client/registry.rs
+++ b/crates/proxy/src/client/registry.rs
@@ -85,9 +85,9 @@
     /// Admits a connection that was accepted, or rejects it.
     pub(super) fn receive(&mut self, stream: TcpStream, from: IpAddr) {
         self.set_options(&stream);
-        self.keep_active_clients_within_limit();
+        self.evict_surplus_active_client();
         let limits = &self.context.limits.connections;
-        let has_place = self.connections.len() < limits.clients || self.make_room();
+        let has_place = self.connections.len() < limits.clients || self.free_descriptor();
         let registered = has_place.then(|| self.context.flow_control.register(from).ok()).flatten();
         match registered {
             Some(connection_guard) => self.admit(stream, connection_guard),
@@ -102,7 +102,7 @@
     }
 
     /// Closes an idle connection for the new one where as many clients are active as may be.
-    fn keep_active_clients_within_limit(&self) {
+    fn evict_surplus_active_client(&self) {
         let active = self.connections.values().filter(|connection| connection.is_active()).count();
         if active >= self.context.limits.connections.active_clients {
             self.evict(Duration::ZERO, RegisteredConnection::is_served);
@@ -111,7 +111,7 @@
 
     /// With the clients' share used up, a connection that is too slow is closed for a new one, else an idle one. Returns
     /// whether one was found.
-    fn make_room(&mut self) -> bool {
+    fn free_descriptor(&mut self) -> bool {
         if !std::mem::replace(&mut self.share_used_up, true) {
             warn!(self.context.log,
                 "client share of descriptors used up, idle connections are closed for new ones, else new ones rejected";
--- a/crates/proxy/src/lifecycle/limits/connections.rs
+++ b/crates/proxy/src/lifecycle/limits/connections.rs
@@ -7,7 +7,7 @@
 
 /// Descriptors that clients and members have at the least, however many the program needs for itself.
 const LEAST_SHARED: usize = 4;
-/// Clients, and members, have at least so many connections: one in use while another is being closed.
+/// The least number of connections of clients, and of members: one in use while another is being closed.
 const LEAST_CONNECTIONS: usize = 2;
 /// The clients' share of the descriptors, as a fraction; members have the rest.
 const CLIENT_SHARE: Fraction = Fraction { of: 3, parts: 5 };
--- a/crates/proxy/src/lifecycle/limits/queues.rs
+++ b/crates/proxy/src/lifecycle/limits/queues.rs
@@ -4,6 +4,12 @@
 
 /// Each connection may have a message of its own and the end of an earlier one waiting.
 const MESSAGES_PER_CONNECTION: usize = 2;
+/// The dispatcher takes lists faster than discovery sends them; where it does not, the watch waits.
+const LIST_UPDATES: usize = 16;
+/// A burst of lines from every connection; a reader of standard error that stands still costs lines, never time.
+const LOG_LINES: usize = 1024;
+/// A burst of new clients; the system caps it at its own `somaxconn`.
+const LISTEN_BACKLOG: i32 = 1024;
 
 /// Lengths of the queues between actors, in messages.
 #[derive(Clone, Debug)]
@@ -26,9 +32,9 @@
         QueueLimits {
             dispatcher: MESSAGES_PER_CONNECTION * all,
             member: all,
-            list_updates: 16,
-            log_lines: 1024,
-            listen_backlog: 1024,
+            list_updates: LIST_UPDATES,
+            log_lines: LOG_LINES,
+            listen_backlog: LISTEN_BACKLOG,
         }
     }
 }
