--- a/crates/proxy/src/client/close.rs
+++ b/crates/proxy/src/client/close.rs
@@ -50,9 +50,9 @@
 impl ClientConnection {
     /// Tells the dispatcher that nobody waits for the requests that have no response yet.
     pub(super) async fn abandon_pending_requests(&mut self) {
-        while let Some(client) = self.pending_responses.abandon_next() {
-            let left = DispatcherMessage::ClientLeft(ClientLeft { client });
-            let _ = self.context.dispatcher.send(left).await;
+        while let Some(abandoned) = self.pending_responses.abandon_next() {
+            let left = ClientLeft { client: abandoned.request };
+            let _ = self.context.dispatcher.send(DispatcherMessage::ClientLeft(left)).await;
         }
     }
 
--- a/crates/proxy/src/client/registry.rs
+++ b/crates/proxy/src/client/registry.rs
@@ -109,8 +109,8 @@
         }
     }
 
-    /// With the clients' share used up, a connection that is too slow is closed for a new one, else an idle one. Returns
-    /// whether one was found.
+    /// With the clients' share used up, a connection that is too slow is closed for a new one, else an idle one.
+    /// Returns whether one was found.
     fn free_descriptor(&mut self) -> bool {
         if !std::mem::replace(&mut self.share_used_up, true) {
             warn!(self.context.log,
--- a/crates/proxy/src/lifecycle/limits/buffers.rs
+++ b/crates/proxy/src/lifecycle/limits/buffers.rs
@@ -6,7 +6,7 @@
 pub(super) const SMALL_MESSAGE: usize = 8 * KIB;
 /// The size that values are said to have at most; larger ones come all the same.
 const USUAL_VALUE: usize = 64 * KIB;
-/// A statement with a value of the usual full size in hexadecimal, and the text around it. No limit on messages is less.
+/// A statement with a value of the usual full size in hexadecimal, and the text around it: the least limit on messages.
 const FULL_STATEMENT: usize = 2 * USUAL_VALUE + 4 * KIB;
 /// A statement may take this part of the memory (one in 128).
 const STATEMENT_MEMORY_PARTS: usize = 128;
--- a/crates/proxy/src/lifecycle/limits/connections.rs
+++ b/crates/proxy/src/lifecycle/limits/connections.rs
@@ -20,8 +20,8 @@
 const MEMBER_MEMORY: Fraction = Fraction { of: 1, parts: 10 };
 /// Small messages that one connection to a member may hold at once.
 const MESSAGES_PER_MEMBER: usize = 2;
-/// Active clients hold at most this part of all descriptors (one in four): clients have a limit on descriptors, too, and
-/// some open a connection for each request and never use it twice.
+/// Active clients hold at most this part of all descriptors (one in four): clients have a limit on descriptors, too,
+/// and some open a connection for each request and never use it twice.
 const ACTIVE_CLIENT_PARTS: usize = 4;
 /// Whoever had a response so short a time ago is about to send the next request.
 const RECENTLY_ACTIVE: Duration = Duration::from_millis(250);
--- a/crates/proxy/src/lifecycle/limits/descriptors.rs
+++ b/crates/proxy/src/lifecycle/limits/descriptors.rs
@@ -45,9 +45,9 @@
 }
 
 impl DescriptorReserve {
-    /// Five sixteenths of few descriptors are the program's own, and three sixteenths are for connections that are being
-    /// closed; with more descriptors both stay at what they need at the most. Rejections have one in 32, and with few
-    /// descriptors one in 16.
+    /// Five sixteenths of few descriptors are the program's own, and three sixteenths are for connections that are
+    /// being closed; with more descriptors both stay at what they need at the most. Rejections have one in 32, and
+    /// with few descriptors one in 16.
     pub(super) fn of(descriptors: usize) -> DescriptorReserve {
         let rejecting = match descriptors {
             few if few < FEW_DESCRIPTORS => few / 16,
--- a/crates/proxy/tests/few_descriptors.rs
+++ b/crates/proxy/tests/few_descriptors.rs
@@ -1,9 +1,9 @@
-//! Processes which the system allows fewer open files than their configuration says, over loopback.
+//! A process that the system allows fewer open files than its configuration says, over loopback.
 
 use aldermill_test_support::{Client, Discovery, Driver, config, list, look, served, sound, until};
 
 #[test]
-fn a_process_shares_out_only_the_descriptors_that_it_has() {
+fn a_process_uses_only_the_descriptors_that_the_system_allows() {
     for descriptors in [24, 40] {
         let member = sound("writer");
         let discovery = Discovery::default();
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn too_few_descriptors_to_serve_with_are_said_at_the_start() {
+fn too_few_descriptors_are_an_error_at_startup() {
     let (mut command, path) =
         Driver::limited(20, "serve", &config("127.0.0.1:8500".parse().unwrap(), 256, "null"));
     let output = command.output().unwrap();
--- a/crates/proxy/tests/resting_clients.rs
+++ b/crates/proxy/tests/idle_clients.rs
@@ -1,5 +1,5 @@
-//! Requests that cross the end of a resting client connection, whoever ends it, over loopback. The program is stopped by
-//! the system while both come, and finds both when it goes on.
+//! Requests that cross the end of an idle client connection, whoever ends it, over loopback. The program is suspended
+//! (SIGSTOP) while both happen, and finds both when it continues.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -8,50 +8,50 @@
     Client, Discovery, Driver, Member, closed, delivered, list, look, named, order, served, sound,
 };
 
-/// How long the program lets a connection rest.
-const REST: Duration = Duration::from_millis(2100);
+/// The program's idle timeout of a client connection.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
 
-fn asked(member: &Member, id: &str) -> bool {
+fn was_forwarded(member: &Member, id: &str) -> bool {
     member.requests().iter().any(|request| request.contains(&format!("id={id},")))
 }
 
 #[test]
-fn a_request_that_comes_as_its_connection_has_rested_too_long_is_answered() {
+fn a_request_that_crosses_the_idle_timeout_of_its_connection_is_answered() {
     let member = sound("writer");
     let driver = Driver::before(&[("a", &member)]);
     let mut clients: Vec<Client> = (0..10).map(|_| Client::connect(driver.address)).collect();
     clients.iter_mut().for_each(|client| assert!(served(&client.ask(&look(15000)))));
-    let rests = Instant::now();
-    thread::sleep(REST / 2);
+    let idle_since = Instant::now();
+    thread::sleep(IDLE_TIMEOUT / 2);
     driver.signal("-STOP");
-    let in_time = rests.elapsed() < REST;
+    let in_time = idle_since.elapsed() < IDLE_TIMEOUT;
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&named(&look(15000), &format!("idle{number}")));
         delivered(&client.stream);
     }
-    // The end of its rest comes while the request lies there.
-    thread::sleep((REST + REST / 10).saturating_sub(rests.elapsed()));
+    // The idle timeout passes while the request waits in the socket.
+    thread::sleep((IDLE_TIMEOUT + IDLE_TIMEOUT / 10).saturating_sub(idle_since.elapsed()));
     driver.signal("-CONT");
     for (number, client) in clients.iter_mut().enumerate() {
         let answered = client.answer().is_some_and(|said| served(&said));
         assert!(answered || !in_time, "{number}");
         assert_eq!(
             answered,
-            asked(&member, &format!("idle{number}")),
+            was_forwarded(&member, &format!("idle{number}")),
             "{number}: forwarded and not answered"
         );
     }
 }
 
 #[test]
-fn a_request_that_comes_as_its_connection_gives_way_to_a_newcomer_is_answered() {
+fn a_request_that_crosses_the_eviction_of_its_connection_is_answered() {
     let member = sound("writer");
     let driver = Driver::start(&Discovery::default(), 64, &list(1, true, &[("a", &member, "in_service")]));
-    // A quarter of the descriptors; whoever comes then takes the place of the one that has rested longest.
+    // A quarter of the descriptors: each new connection now closes the one that is idle longest.
     let mut clients: Vec<Client> = (0..16).map(|_| Client::connect(driver.address)).collect();
     clients.iter_mut().for_each(|client| assert!(served(&client.ask(&look(15000)))));
     driver.signal("-STOP");
-    let newcomers: Vec<Client> = (0..8).map(|_| Client::bare(driver.address)).collect();
+    let new_clients: Vec<Client> = (0..8).map(|_| Client::bare(driver.address)).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&named(&look(15000), &format!("yields{number}")));
         delivered(&client.stream);
@@ -60,9 +60,9 @@
     for (number, client) in clients.iter_mut().enumerate() {
         let answered = client.answer().is_some_and(|said| served(&said));
         assert!(answered, "{number}: it was there before its connection was closed");
-        assert!(asked(&member, &format!("yields{number}")));
+        assert!(was_forwarded(&member, &format!("yields{number}")));
     }
-    drop(newcomers);
+    drop(new_clients);
 }
 
 #[test]
--- a/crates/proxy/tests/same_instant.rs
+++ b/crates/proxy/tests/simultaneous_events.rs
@@ -1,5 +1,5 @@
-//! Two events in one turn of the program, over loopback: it is stopped by the system while both come, and finds both when
-//! it goes on, in the order in which they came.
+//! Two events in one turn of the event loop, over loopback: the program is suspended (SIGSTOP) while both happen, and
+//! finds both when it continues, in the order in which they came.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,8 +11,8 @@
     until,
 };
 
-/// A member that waits at `hold` with its answer, and says which role it has when it gives it. `given` is set once the
-/// program's system has the whole answer.
+/// A member that waits at `hold` before it responds, and reports the role that it has by then. `given` is set once the
+/// proxy's kernel has the whole response.
 fn holding(hold: &Hold, replica: &Arc<AtomicBool>, given: &Arc<AtomicBool>) -> Member {
     let (hold, replica, given) = (hold.clone(), replica.clone(), given.clone());
     Member::start(move |text, stream| {
@@ -23,7 +23,7 @@
     })
 }
 
-/// A proxy before this member, which hears of its role by answers alone; reads must see all that was committed before.
+/// A proxy before this member that learns of its role by responses alone; reads must see everything committed before.
 fn before(member: &Member) -> Driver {
     let known = list(1, true, &[("a", member, "in_service")]);
     let discovery = Discovery::default();
@@ -35,14 +35,14 @@
 }
 
 #[test]
-fn a_read_that_comes_with_its_primarys_word_that_it_is_a_replica_is_not_sent_there() {
+fn a_read_that_arrives_with_the_demotion_of_its_primary_is_not_sent_there() {
     let (hold, replica, given) = (Hold::default(), Arc::default(), Arc::default());
     let member = holding(&hold, &replica, &given);
     let driver = before(&member);
     let (mut first, mut second) = (Client::connect(driver.address), Client::connect(driver.address));
     for round in 0..5 {
         replica.store(false, Ordering::SeqCst);
-        until("the primary's word", || served(&first.ask(&order(2000))));
+        until("the primary's report", || served(&first.ask(&order(2000))));
         assert!(served(&first.ask(&look(2000))) && served(&second.ask(&look(2000))));
         hold.close();
         first.send(&named(&look(2000), &format!("word{round}")));
@@ -51,8 +51,8 @@
         given.store(false, Ordering::SeqCst);
         replica.store(true, Ordering::SeqCst);
         hold.open();
-        until("the word", || given.load(Ordering::SeqCst));
-        // The router hears of this read before it hears of the word, which the member's actor has by then.
+        until("the demotion", || given.load(Ordering::SeqCst));
+        // The router is asked about this read before it hears of the demotion, which the member's actor has by then.
         second.send(&named(&look(1000), &format!("read{round}")));
         delivered(&second.stream);
         driver.signal("-CONT");
@@ -65,13 +65,13 @@
 }
 
 #[test]
-fn an_answer_that_comes_in_the_instant_of_its_time_limit_counts() {
+fn a_response_that_arrives_at_its_deadline_counts() {
     let (hold, replica, given) = (Hold::default(), Arc::default(), Arc::default());
     let member = holding(&hold, &replica, &given);
     let driver = before(&member);
     let mut client = Client::connect(driver.address);
-    until("the primary's word", || served(&client.ask(&order(2000))));
-    // By then it is known how quick the member is: a request with so little time is worth an attempt.
+    until("the primary's report", || served(&client.ask(&order(2000))));
+    // After these the member is known to be fast: a request with little time left is worth an attempt.
     for _ in 0..60 {
         assert!(served(&client.ask(&look(2000))) && served(&client.ask(&order(2000))));
     }
@@ -86,7 +86,7 @@
         given.store(false, Ordering::SeqCst);
         hold.open();
         until("the answer", || given.load(Ordering::SeqCst));
-        // Both are there when it goes on: the answer, and the end of the deadline.
+        // Both are there when it continues: the response, and the deadline.
         thread::sleep((sent + wait).saturating_duration_since(Instant::now()));
         driver.signal("-CONT");
         let said = client.answer().expect("its one answer");
--- a/crates/proxy/tests/slow_peers.rs
+++ b/crates/proxy/tests/slow_peers.rs
@@ -1,4 +1,5 @@
-//! Slow clients and members beside usual ones, with the built program over loopback.
+//! Slow clients and members beside fast ones, over loopback: the slow ones are disconnected in time, the others notice
+//! nothing.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -42,22 +43,22 @@
     look(15000).replace("'k'", &format!("'v{length}'"))
 }
 
-/// Usual clients, one request after another; each comes again where its connection was closed between two.
-struct Usual {
+/// Fast clients that send one request after another, each connecting again where its connection was closed between two.
+struct FastClients {
     stop: Arc<AtomicBool>,
     asked: Arc<AtomicUsize>,
     served: Arc<AtomicUsize>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Usual {
-    fn start(address: SocketAddr, clients: usize) -> Usual {
+impl FastClients {
+    fn start(address: SocketAddr, clients: usize) -> FastClients {
         let (stop, asked, good) = (Arc::default(), Arc::default(), Arc::default());
-        let mut usual = Usual { stop, asked, served: good, threads: Vec::new() };
+        let mut fast = FastClients { stop, asked, served: good, threads: Vec::new() };
         for _ in 0..clients {
-            let (stop, asked) = (usual.stop.clone(), usual.asked.clone());
-            let good = usual.served.clone();
-            usual.threads.push(thread::spawn(move || {
+            let (stop, asked) = (fast.stop.clone(), fast.asked.clone());
+            let good = fast.served.clone();
+            fast.threads.push(thread::spawn(move || {
                 let mut client = Some(Client::connect(address));
                 while !stop.load(Ordering::SeqCst) {
                     let said = client
@@ -72,8 +73,8 @@
                 }
             }));
         }
-        until("the usual load", || usual.asked.load(Ordering::SeqCst) > 3 * clients);
-        usual
+        until("the fast clients' load", || fast.asked.load(Ordering::SeqCst) > 3 * clients);
+        fast
     }
 
     fn end(self) -> (usize, usize) {
@@ -84,16 +85,16 @@
 }
 
 #[test]
-fn hundreds_of_slow_readers_cost_usual_clients_nothing() {
+fn hundreds_of_slow_readers_do_not_affect_other_clients() {
     let member = with_values();
     let (driver, _) = driver(&[("a", &member)], 48, 256, QUICK);
-    let usual = Usual::start(driver.address, 60);
+    let fast = FastClients::start(driver.address, 60);
     let stop = Arc::<AtomicBool>::default();
     let readers: Vec<_> = (0..240)
         .map(|number| {
             let (address, stop) = (driver.address, stop.clone());
             thread::spawn(move || {
-                // The same come again as soon as they are cut.
+                // They connect again as soon as they are disconnected.
                 while !stop.load(Ordering::SeqCst) {
                     if let Some(mut client) = Client::narrow(address) {
                         client.send(&value([20, 60_000, 1_000_000][number % 3]));
@@ -106,7 +107,7 @@
         .collect();
     thread::sleep(MS(4000));
     stop.store(true, Ordering::SeqCst);
-    let (asked, good) = usual.end();
+    let (asked, good) = fast.end();
     assert!(asked > 500 && good * 100 >= asked * 99, "{good} of {asked}");
     assert!(driver.logged("slow clients cut off"));
     let peak = driver.memory("VmHWM");
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn a_quick_reader_may_pause_and_the_least_rate_is_enough() {
+fn a_fast_reader_may_pause_and_a_reader_above_the_least_rate_is_kept() {
     let member = with_values();
     let (driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let mut client = Client::narrow(driver.address).unwrap();
@@ -130,7 +131,7 @@
         assert!(more > 0 && !ended, "{came} and {rest}");
         rest += more;
     }
-    // About twice the least rate, in sips, for far longer than who is behind may stay.
+    // About twice the least rate, for far longer than a client below it would be kept.
     let mut client = Client::narrow(driver.address).unwrap();
     client.send(&value(400_000));
     let mut came = 0;
@@ -143,26 +144,26 @@
 }
 
 #[test]
-fn who_takes_the_head_and_never_the_rest_is_cut_and_the_books_are_closed() {
+fn a_client_that_never_reads_its_response_is_disconnected_and_its_buffer_space_freed() {
     let member = with_values();
     let (driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let mut slow: Vec<Client> = (0..20).map(|_| Client::narrow(driver.address).unwrap()).collect();
     for client in &mut slow {
-        // An effectful one: it is served once, whether or not anybody reads of it.
+        // A non-idempotent request: it is served once, whether or not its response is read.
         client.send(&order(15000).replace("'k'", "'v900000'"));
     }
     until("each is cut", || driver.logged("overdue: ") || driver.logged("room_wanted: "));
     slow.iter_mut().for_each(|client| while !client.sip(4096, MS(0), MS(50)).1 {});
     let orders = member.requests();
     assert!(orders.len() <= 20, "{}", orders.len());
-    // What they held is free again: as many quick ones as ever fit.
+    // The buffer space that they held is free again: as many fast clients as ever fit.
     let mut quick: Vec<Client> = (0..20).map(|_| Client::connect(driver.address)).collect();
     quick.iter_mut().for_each(|client| client.send(&value(900_000)));
     assert!(quick.iter_mut().all(|client| client.answer().unwrap().value.is_some()));
 }
 
 #[test]
-fn a_member_that_trickles_costs_a_attempt_and_one_that_is_slow_but_sound_none() {
+fn a_trickling_member_delays_reads_little_and_its_writes_are_not_repeated() {
     for (piece, pause) in [(1, 1000), (1, 250), (20, 250)] {
         let trickles = Member::start(move |text, stream| {
             drip(&whole(&[7; 4000], text, "reader"), piece, MS(pause), stream);
@@ -174,7 +175,7 @@
         assert!((0..8).all(|_| served(&client.ask(&look(15000)))));
         assert!(start.elapsed() < MS(8000), "{:?} for {piece} bytes a time", start.elapsed());
     }
-    // An effectful request ends as one that may have run, long before its time is up, and is sent once.
+    // A non-idempotent request fails as one that may have run, long before its deadline, and is sent once.
     let trickles = Member::start(|text, stream| {
         let out = whole(b"x", text, "writer");
         if text.starts_with("/*") { drip(&out, 1, MS(250), stream) } else { drip(&out, 4096, MS(0), stream) }
@@ -187,7 +188,7 @@
 }
 
 #[test]
-fn sixty_kilobytes_at_twice_the_least_rate_are_sound() {
+fn a_member_that_sends_at_twice_the_least_rate_is_not_cut_off() {
     let steady = Member::start(|text, stream| {
         let value = vec![7; if text.starts_with("/*") { 60_000 } else { 0 }];
         drip(&whole(&value, text, "writer"), 6_500, MS(100), stream);
@@ -200,7 +201,7 @@
 }
 
 #[test]
-fn a_member_that_takes_a_statement_byte_by_byte_never_ran_it() {
+fn a_member_that_reads_a_statement_byte_by_byte_never_ran_it() {
     let listener = {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(2048).unwrap();
@@ -216,18 +217,16 @@
         }
         true
     };
-    // One primary for each group: with two, each said to be it, the request's way would hang on whose word
-    // came last.
+    // One primary in the group: with two, each said to be it, routing would depend on whose report came last.
     let taker = Member::at(listener, bears, |text, stream| serve(text, "writer", stream));
     let replica = sound("reader");
     let (driver, _) = driver(&[("a", &taker), ("b", &replica)], 192, 128, "{}");
     let mut client = Client::connect(driver.address);
     let start = Instant::now();
-    // What is rejected never ran, and may come again: it is attempted at the primary as often as the limits
-    // allow.
+    // A rejected request never ran: it was attempted at the primary as often as the limits on retries allow.
     let said = client.ask(&order(15000).replace("9f", &"9f".repeat(60_000)));
     assert_eq!(said.code, "53300", "{said:?}, after {:?}", start.elapsed());
-    // Those that may be asked of the other are served there.
+    // Reads, which the replica may serve, are served there.
     for _ in 0..4 {
         let said = client.ask(&look(15000).replace("'k'", &format!("'{}'", "k".repeat(120_000))));
         assert!(served(&said), "{said:?}, after {:?}", start.elapsed());
@@ -242,7 +241,7 @@
 }
 
 #[test]
-fn a_group_whose_members_all_trickle_for_a_while_is_not_stripped() {
+fn a_group_whose_members_all_trickled_serves_again_once_they_recover() {
     let ill = Arc::new(AtomicBool::new(true));
     let either = |role: &'static str| {
         let ill = ill.clone();
@@ -264,17 +263,17 @@
 }
 
 #[test]
-fn half_statements_at_a_byte_a_second_keep_nobody_out() {
+fn partial_statements_at_a_byte_a_second_do_not_affect_other_clients() {
     let member = sound("writer");
     let (driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
-    let usual = Usual::start(driver.address, 20);
+    let fast = FastClients::start(driver.address, 20);
     let mut statement = Vec::new();
     pg::query(&mut statement, &[look(15000).replace("'k'", &format!("'{}'", "k".repeat(40_000))).as_bytes()]);
     let senders: Vec<_> = (0..200)
         .map(|number| {
             let (address, statement) = (driver.address, statement.clone());
             thread::spawn(move || {
-                // Half of them have had an answer before.
+                // Half of them had a response before.
                 let Some(mut client) = Client::narrow(address) else { return };
                 if number % 2 == 0 && client.offer(&look(5000)) {
                     client.answer();
@@ -287,14 +286,14 @@
         })
         .collect();
     thread::sleep(MS(2500));
-    let (asked, good) = usual.end();
+    let (asked, good) = fast.end();
     assert!(asked > 300 && good * 100 >= asked * 99, "{good} of {asked}");
     drop(driver);
     senders.into_iter().for_each(|sender| sender.join().unwrap());
 }
 
 #[test]
-fn told_to_stop_it_does_not_wait_for_slow_readers() {
+fn shutdown_does_not_wait_for_slow_readers() {
     let member = with_values();
     let (mut driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let mut slow: Vec<Client> = (0..10).map(|_| Client::narrow(driver.address).unwrap()).collect();
@@ -307,7 +306,7 @@
 }
 
 #[test]
-fn lowered_limits_hold_from_sighup_on_and_a_wrong_file_changes_nothing() {
+fn a_reload_applies_lowered_limits_and_a_wrong_file_changes_nothing() {
     let member = with_values();
     let patient = QUICK.replace("\"overdue_ms\":500", "\"overdue_ms\":60000");
     let (driver, _) = driver(&[("a", &member)], 48, 128, &patient);
@@ -329,7 +328,7 @@
 }
 
 #[test]
-fn an_address_may_have_so_many_connections_where_the_operator_says_so() {
+fn connections_of_one_address_are_limited_where_the_operator_says_so() {
     let member = sound("writer");
     let few = r#"{"slow_peers":{"per_address":{"connections":3,"room_kib":4000}}}"#;
     let (driver, _) = driver(&[("a", &member)], 48, 128, few);
@@ -345,7 +344,7 @@
 }
 
 #[test]
-fn what_is_wrong_with_the_operators_file_is_said_with_its_path() {
+fn an_error_in_the_operators_file_names_its_field() {
     let good = config("127.0.0.1:8500".parse().unwrap(), 256, "null");
     let check = |operator: &str| {
         let (mut command, path) = aldermill(&["check"], &good);
--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! Starts the program and speaks to it over loopback, with stand-ins for members and discovery.
+//! Requests through the whole program over loopback, with stand-ins for members and discovery: what is served, retried,
+//! rejected and failed.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -14,29 +15,29 @@
 use aldermill_wire::pg;
 
 #[test]
-fn reads_and_writes_are_served_and_passed_on_unchanged_but_for_the_wait() {
+fn reads_and_writes_reach_members_unchanged_but_for_the_timeout() {
     let (primary, replica) = (sound("writer"), sound("reader"));
     let driver = Driver::before(&[("a", &replica), ("b", &primary)]);
     let mut client = Client::connect(driver.address);
     assert!(client.ask("").empty);
     let asked: Vec<String> = (0..20).flat_map(|_| [look(15000), order(15000)]).collect();
     assert!(asked.iter().all(|text| served(&client.ask(text))));
-    // The replica turned one write away at the most, before the primary was known.
-    let passed_on = [primary.requests(), replica.requests()].concat();
-    assert!(passed_on.len() <= 41, "{}", passed_on.len());
+    // The replica answered at most one write, as not primary, before the primary was known.
+    let forwarded = [primary.requests(), replica.requests()].concat();
+    assert!(forwarded.len() <= 41, "{}", forwarded.len());
     let masked = |text: &str| {
         let (before, rest) = text.split_once(",d=").unwrap();
         let (wait, after) = rest.split_once(',').unwrap();
         assert!((1..=15000).contains(&wait.parse::<u32>().unwrap()), "{text}");
         format!("{before},d=15000,{after}")
     };
-    assert!(passed_on.iter().all(|text| asked.contains(&masked(text))));
+    assert!(forwarded.iter().all(|text| asked.contains(&masked(text))));
     // One request at a time needs one connection a member, and one more for a health check on the way.
     assert!(primary.connections.load(Ordering::SeqCst) <= 3);
 }
 
 #[test]
-fn a_startup_and_queries_in_one_segment_or_byte_by_byte_are_answered_in_order() {
+fn startup_and_queries_in_one_segment_or_byte_by_byte_are_answered_in_order() {
     let member = sound("writer");
     let driver = Driver::before(&[("a", &member)]);
     let mut bytes = Vec::new();
@@ -48,11 +49,11 @@
     for size in [bytes.len(), 1] {
         let mut client = Client::bare(driver.address);
         client.stream.set_nodelay(true).unwrap();
-        // Encryption is declined first.
+        // A request for encryption is refused first.
         client.raw(&[0, 0, 0, 8, 4, 210, 22, 47]);
-        let mut declined = [0];
-        client.stream.read_exact(&mut declined).unwrap();
-        assert_eq!(declined, *b"N");
+        let mut refused = [0];
+        client.stream.read_exact(&mut refused).unwrap();
+        assert_eq!(refused, *b"N");
         bytes.chunks(size).for_each(|piece| client.raw(piece));
         assert_eq!(client.answer(), Some(Said::default()));
         assert!(served(&client.answer().unwrap()));
@@ -63,9 +64,10 @@
 }
 
 #[test]
-fn statements_sent_ahead_are_under_way_together_and_answered_in_order() {
-    let (busy, most) = (AtomicUsize::new(0), Arc::<AtomicUsize>::default());
-    let seen = most.clone();
+fn pipelined_statements_run_together_and_are_answered_in_order() {
+    let busy = AtomicUsize::new(0);
+    let most_busy = Arc::<AtomicUsize>::default();
+    let seen = most_busy.clone();
     let member = Member::start(move |text, stream| {
         let mut out = Vec::new();
         seen.fetch_max(busy.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
@@ -90,11 +92,11 @@
         assert_eq!(client.answer().unwrap().value.unwrap(), key.as_bytes());
     }
     assert_eq!(client.answer().unwrap().code, "08P01");
-    assert!(most.load(Ordering::SeqCst) >= 3, "one after another");
+    assert!(most_busy.load(Ordering::SeqCst) >= 3, "one after another");
 }
 
 #[test]
-fn bad_input_gets_its_error_and_reaches_no_member() {
+fn malformed_input_is_answered_with_an_error_and_reaches_no_member() {
     let member = sound("writer");
     let driver = Driver::before(&[("a", &member)]);
     let mut client = Client::connect(driver.address);
@@ -106,7 +108,7 @@
     for text in ["SELECT 1", &unknown, &look(0), "/* id=1", "SET x TO 1"] {
         assert_eq!(client.ask(text).code, "08P01", "{text}");
     }
-    // The extended protocol is passed over up to its Sync.
+    // Messages of the extended protocol are skipped up to the next Sync.
     client.raw(b"P\0\0\0\x08\0\0\0\0B\0\0\0\x04S\0\0\0\x04");
     assert_eq!(client.answer().unwrap().code, "0A000");
     assert!(served(&client.ask(&look(15000))));
@@ -127,7 +129,7 @@
 }
 
 #[test]
-fn a_write_walks_past_misses_to_the_primary() {
+fn a_write_is_retried_past_replicas_until_it_finds_the_primary() {
     let (first, second, primary) = (sound("reader"), sound("reader"), sound("writer"));
     let driver = Driver::before(&[("a", &first), ("b", &second), ("c", &primary)]);
     let mut client = Client::connect(driver.address);
@@ -136,7 +138,7 @@
 }
 
 #[test]
-fn a_listed_primary_is_tried_first_where_the_list_tells_roles() {
+fn a_write_goes_first_to_the_primary_that_the_endpoint_list_names() {
     let (replica, primary) = (sound("reader"), sound("writer"));
     let known = list(1, true, &[("a", &replica, "in_service"), ("b", &primary, "in_service")]);
     let known = known.replacen("\"cell\"", "\"access\":\"reader\",\"cell\"", 1);
@@ -154,7 +156,7 @@
 }
 
 #[test]
-fn what_finds_no_room_in_time_is_rejected_with_a_cool_down() {
+fn requests_to_an_overloaded_member_are_rejected_with_a_retry_after() {
     let member = Member::start(|text, stream| match text {
         "SHOW usage" => serve(text, "writer", stream),
         _ => refuse("53300", "writer", stream),
@@ -169,7 +171,7 @@
 }
 
 #[test]
-fn an_effectful_request_of_unknown_fate_is_failed_after_one_copy() {
+fn a_non_idempotent_request_of_unknown_outcome_fails_and_is_not_repeated() {
     // Silence after the whole statement, a reset, an error, nonsense, and half a value.
     let ways: [(&str, Box<Act>); 5] = [
         ("silent", Box::new(|_, _| {})),
@@ -203,8 +205,8 @@
 }
 
 #[test]
-fn a_attempt_cut_before_its_last_byte_never_ran_and_goes_again() {
-    // A narrow way: with small segments the statement cannot be handed to the system whole.
+fn an_attempt_cut_before_its_last_byte_never_ran_and_is_retried() {
+    // With a small receive buffer and small segments the proxy's kernel cannot accept the whole statement at once.
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
     socket.set_tcp_mss(536).unwrap();
@@ -226,10 +228,10 @@
 }
 
 #[test]
-fn a_drain_told_while_a_connection_opens_keeps_the_attempt_back() {
+fn a_drain_announced_while_a_connection_opens_withdraws_the_attempt() {
     let (asked, hold) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(true)));
     let (seen_asked, seen_hold) = (asked.clone(), hold.clone());
-    // The first member admits nobody until the list has told of its drain.
+    // The first member accepts no startup until the endpoint list has announced its drain.
     let bears = move |_: &[u8], welcomed: bool| {
         seen_asked.store(true, Ordering::SeqCst);
         until("the drain", || welcomed || !seen_hold.load(Ordering::SeqCst));
@@ -251,7 +253,7 @@
 }
 
 #[test]
-fn values_of_full_size_on_every_connection_fit_into_the_memory() {
+fn full_size_values_on_every_connection_stay_within_the_memory_limit() {
     let member = Member::start(|text, stream| {
         let mut out = Vec::new();
         pg::single_row(
@@ -283,7 +285,7 @@
 }
 
 #[test]
-fn values_larger_than_they_are_said_to_be_are_passed_on_within_the_memory() {
+fn values_above_the_stated_size_are_served_on_every_connection() {
     let member = Member::start(|text, stream| {
         let mut out = Vec::new();
         pg::single_row(
--- a/crates/proxy/tests/whole_answers.rs
+++ b/crates/proxy/tests/truncated_responses.rs
@@ -1,5 +1,5 @@
-//! Answers whose end never comes, over loopback. The protocol here gives each message its length, so that an answer is
-//! whole with its CommandComplete; what is missing behind that is only ReadyForQuery.
+//! Responses whose end never comes, over loopback. Each message states its length, so that a response is complete
+//! with its CommandComplete, whatever is missing behind that.
 
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
@@ -8,6 +8,7 @@
 use aldermill_test_support::{Client, Driver, Member, look, order, serve, served, whole};
 use socket2::SockRef;
 
+/// How the connection of a truncated response ends.
 #[derive(Clone, Copy, Debug)]
 enum Ending {
     Closed,
@@ -15,8 +16,8 @@
     Silent,
 }
 
-/// A primary whose answers to requests lack so many bytes at the end, and whose connections then end so.
-fn short_of(missing: usize, ending: Ending) -> Member {
+/// A primary whose responses to requests lack `missing` bytes at the end, and whose connections then end in this way.
+fn truncating(missing: usize, ending: Ending) -> Member {
     Member::start(move |text: &str, stream: &mut TcpStream| {
         if !text.starts_with("/*") {
             return serve(text, "writer", stream);
@@ -26,7 +27,7 @@
         match ending {
             Ending::Closed => drop(stream.shutdown(Shutdown::Both)),
             Ending::Reset => {
-                // Reset once its last holder lets go of it, which is when nothing more can be read.
+                // Sent as a reset once the socket's last owner drops it, which is when nothing more can be read.
                 let _ = SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
                 let _ = stream.shutdown(Shutdown::Read);
             }
@@ -35,8 +36,8 @@
     })
 }
 
-/// What stands behind CommandComplete in such an answer: two settings told, and ReadyForQuery.
-fn behind_completion() -> usize {
+/// The bytes behind CommandComplete in such a response: two ParameterStatus messages and ReadyForQuery.
+fn bytes_behind_completion() -> usize {
     let bytes = whole(b"the value", "/* */", "writer");
     let completion = b"SELECT 1\0";
     let at = bytes.windows(completion.len()).position(|part| part == completion).expect("a completion");
@@ -44,10 +45,10 @@
 }
 
 #[test]
-fn an_answer_that_lacks_nothing_but_its_end_is_forwarded() {
+fn a_response_that_lacks_only_what_follows_its_completion_is_forwarded() {
     for ending in [Ending::Closed, Ending::Reset, Ending::Silent] {
-        for missing in [1, 6, behind_completion()] {
-            let member = short_of(missing, ending);
+        for missing in [1, 6, bytes_behind_completion()] {
+            let member = truncating(missing, ending);
             let driver = Driver::before(&[("a", &member)]);
             let mut client = Client::connect(driver.address);
             let served_count = (0..20).filter(|_| served(&client.ask(&look(2000)))).count();
@@ -63,9 +64,9 @@
 }
 
 #[test]
-fn an_answer_cut_before_its_completion_is_never_forwarded() {
+fn a_response_cut_before_its_completion_is_never_forwarded() {
     for ending in [Ending::Closed, Ending::Reset, Ending::Silent] {
-        let member = short_of(behind_completion() + 1, ending);
+        let member = truncating(bytes_behind_completion() + 1, ending);
         let driver = Driver::before(&[("a", &member)]);
         let mut client = Client::connect(driver.address);
         for _ in 0..3 {
