--- a/crates/proxy/src/gateway/handshake.rs
+++ b/crates/proxy/src/gateway/handshake.rs
@@ -15,7 +15,7 @@
 use super::link::{Wire, stood};
 use crate::lifecycle::limits::RetryInterval;
 use crate::lifecycle::process_context::ProcessContext;
-use crate::system::{self, Acceptor, Meaning};
+use crate::system::{self, Acceptor, SocketErrorKind};
 
 /// Takes links in from the networks of the peers, until the driver stops.
 pub async fn accept(context: Rc<ProcessContext>, yard: Rc<LinkRegistry>, listener: TcpListener) {
@@ -74,7 +74,7 @@
                 }
             }
             failed => {
-                if matches!(&failed, Ok(Err(error)) if Meaning::of(error) == Meaning::Local) {
+                if matches!(&failed, Ok(Err(error)) if SocketErrorKind::of(error) == SocketErrorKind::Local) {
                     // Nothing left this machine, and nothing is known of the other site.
                     wait = least;
                 }
--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -16,7 +16,7 @@
 use crate::flow_control::BufferReservation;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{Attempt, Query};
-use crate::system::{self, Meaning, Party, Peeked};
+use crate::system::{self, Party, Peeked, SocketErrorKind};
 
 /// The health check, as members know it.
 const HEALTH_CHECK: &[u8] = b"SHOW usage";
@@ -189,10 +189,10 @@
 
 /// What an error says while an answer is waited for: the query may have run.
 fn after_send(error: &std::io::Error) -> Verdict {
-    match Meaning::of(error) {
-        Meaning::Reset | Meaning::Refused => Verdict::Reset,
+    match SocketErrorKind::of(error) {
+        SocketErrorKind::Reset | SocketErrorKind::Refused => Verdict::Reset,
         // No answer came through in time, by the system's measure.
-        Meaning::Path => Verdict::TimedOut,
-        Meaning::Local => Verdict::Unobserved,
+        SocketErrorKind::Unreachable => Verdict::TimedOut,
+        SocketErrorKind::Local => Verdict::Unobserved,
     }
 }
--- a/crates/proxy/src/system/mod.rs
+++ b/crates/proxy/src/system/mod.rs
@@ -1,5 +1,5 @@
 //! The edge to the system: every socket of the proxy is opened, connected, accepted and looked at here, and what an
-//! error of such a call says is decided here alone ([`Meaning`], [`AcceptError`]).
+//! error of such a call says is decided here alone ([`SocketErrorKind`], [`AcceptError`]).
 //!
 //! In builds with debug assertions a test may make these calls fail by seed, see `system/faults.rs`; release builds do
 //! not contain that code.
@@ -20,7 +20,7 @@
 
 pub use acceptor::Acceptor;
 pub use datagrams::{Datagrams, Received};
-pub use errors::{AcceptError, Meaning};
+pub use errors::{AcceptError, SocketErrorKind};
 
 /// The calls that tests may let fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -86,7 +86,7 @@
 /// A new connection to that address, with the system's usual buffers where no sizes are given.
 ///
 /// An error of `socket()` or of setting an option is always this machine's; one of `connect()` means what
-/// [`Meaning::of`] says.
+/// [`SocketErrorKind::of`] says.
 pub async fn connect(address: SocketAddr, sizes: Option<BufferSizes>) -> io::Result<TcpStream> {
     let socket = open_socket(address, sizes).map_err(errors::local)?;
     injected(SystemCall::Connect)?;
@@ -127,7 +127,7 @@
     Unread,
     /// The other side has ended its sending.
     Ended,
-    Broken(Meaning),
+    Broken(SocketErrorKind),
 }
 
 /// Looks at the connection. The system itself is asked: what the runtime knows of readiness may be a turn old. A call
@@ -141,7 +141,7 @@
             Ok(_) => return Peeked::Unread,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Peeked::Quiet,
-            Err(error) => return Peeked::Broken(Meaning::of(&error)),
+            Err(error) => return Peeked::Broken(SocketErrorKind::of(&error)),
         }
     }
 }
