--- a/crates/proxy/src/system/faults.rs
+++ b/crates/proxy/src/system/faults.rs
@@ -1,9 +1,9 @@
-//! Failing system calls for tests; only in builds with debug assertions, never in released ones.
+//! Makes system calls fail in tests. Only builds with debug assertions contain it, release builds never do.
 //!
-//! `ALDERMILL_TEST_FAULTS` names a file that is looked at before each call. Each of its lines is a rule of four words:
-//! the call, the error, the chance in percent and the most failures, as in `socket EMFILE 100 7`; the last may be `-`
-//! for no limit. A line `seed 3` fixes the chance. While there is no such file, nothing fails. The file is written
-//! anew by renaming; its rules start afresh when its text changes.
+//! `ALDERMILL_TEST_FAULTS` names a file that is read before each call. Each of its lines is a rule of four words: the
+//! call, the error, the chance in percent and the number of failures, as in `socket EMFILE 100 7`; the last may be
+//! `-` for no limit. A line `seed 3` seeds the random draws. Without the file nothing fails. Tests replace the file by
+//! renaming; its rules start anew when its text changes.
 
 use std::cell::RefCell;
 use std::io;
@@ -14,17 +14,24 @@
 
 use super::{Party, SystemCall};
 
-const FILE: &str = "ALDERMILL_TEST_FAULTS";
+/// The environment variable that names the file of rules.
+const FILE_VARIABLE: &str = "ALDERMILL_TEST_FAULTS";
 
+/// A kind of call that is to fail.
 struct Rule {
     call: SystemCall,
-    error: i32,
+    /// The error's number, as the system counts.
+    errno: i32,
+    /// The chance of each call to fail, in percent.
     percent: u32,
-    left: Option<u32>,
+    /// Failures that are still to come; `None` for no limit.
+    failures_left: Option<u32>,
 }
 
+/// The rules in force.
 #[derive(Default)]
 struct Faults {
+    /// The file's text that they were read from.
     text: String,
     rules: Vec<Rule>,
     rng: Option<Pcg64Mcg>,
@@ -32,7 +39,7 @@
 
 thread_local! {
     static FAULTS: RefCell<Option<Faults>> =
-        RefCell::new(std::env::var_os(FILE).map(|_| Faults::default()));
+        RefCell::new(std::env::var_os(FILE_VARIABLE).map(|_| Faults::default()));
 }
 
 /// The error that this call is to fail with.
@@ -42,32 +49,34 @@
 
 impl Faults {
     fn draw(&mut self, call: SystemCall) -> Option<io::Error> {
-        let text = std::env::var_os(FILE).and_then(|path| std::fs::read_to_string(path).ok());
-        self.read(text.unwrap_or_default());
+        let text = std::env::var_os(FILE_VARIABLE).and_then(|path| std::fs::read_to_string(path).ok());
+        self.read_rules(text.unwrap_or_default());
         let rng = self.rng.get_or_insert_with(|| Pcg64Mcg::seed_from_u64(0));
-        for rule in self.rules.iter_mut().filter(|rule| rule.call == call && rule.left != Some(0)) {
+        for rule in self.rules.iter_mut().filter(|rule| rule.call == call && rule.failures_left != Some(0)) {
             if rng.random_range(0..100) < rule.percent {
-                rule.left = rule.left.map(|left| left - 1);
-                return Some(io::Error::from_raw_os_error(rule.error));
+                rule.failures_left = rule.failures_left.map(|failures| failures - 1);
+                return Some(io::Error::from_raw_os_error(rule.errno));
             }
         }
         None
     }
 
-    fn read(&mut self, text: String) {
+    fn read_rules(&mut self, text: String) {
         if text == self.text {
             return;
         }
         let seed = text.lines().find_map(|line| line.strip_prefix("seed ")?.trim().parse().ok());
         self.rng = Some(Pcg64Mcg::seed_from_u64(seed.unwrap_or(0)));
-        self.rules = text.lines().filter(|line| !line.starts_with("seed ")).map(rule).collect();
+        self.rules = text.lines().filter(|line| !line.starts_with("seed ")).map(parse_rule).collect();
         self.text = text;
     }
 }
 
-fn rule(line: &str) -> Rule {
+fn parse_rule(line: &str) -> Rule {
     let words: Vec<&str> = line.split_whitespace().collect();
-    let &[call, error, percent, most] = words.as_slice() else { panic!("{FILE}: not a rule: {line}") };
+    let &[call, error, percent, failures] = words.as_slice() else {
+        panic!("{FILE_VARIABLE}: not a rule: {line}")
+    };
     let call = match call {
         "socket" => SystemCall::Socket,
         "connect" => SystemCall::Connect,
@@ -81,13 +90,13 @@
         "write:client" => SystemCall::Write(Party::Client),
         "write:member" => SystemCall::Write(Party::Member),
         "write:discovery" => SystemCall::Write(Party::Discovery),
-        _ => panic!("{FILE}: no such call: {line}"),
+        _ => panic!("{FILE_VARIABLE}: no such call: {line}"),
     };
-    let percent = percent.parse().unwrap_or_else(|_| panic!("{FILE}: no chance: {line}"));
-    Rule { call, error: number(error), percent, left: most.parse().ok() }
+    let percent = percent.parse().unwrap_or_else(|_| panic!("{FILE_VARIABLE}: no chance: {line}"));
+    Rule { call, errno: parse_errno(error), percent, failures_left: failures.parse().ok() }
 }
 
-fn number(name: &str) -> i32 {
+fn parse_errno(name: &str) -> i32 {
     match name {
         "ECONNABORTED" => c::ECONNABORTED,
         "ECONNRESET" => c::ECONNRESET,
@@ -100,6 +109,6 @@
         "EPIPE" => c::EPIPE,
         "EINTR" => c::EINTR,
         "ETIMEDOUT" => c::ETIMEDOUT,
-        _ => panic!("{FILE}: no such error: {name}"),
+        _ => panic!("{FILE_VARIABLE}: no such error: {name}"),
     }
 }
--- a/crates/proxy/src/system/mod.rs
+++ b/crates/proxy/src/system/mod.rs
@@ -1,5 +1,5 @@
-//! The edge to the system: every socket of the proxy is opened, connected, accepted and looked at here, and what an
-//! error of such a call says is decided here alone ([`SocketErrorKind`], [`AcceptError`]).
+//! System calls on sockets: every socket of the proxy is opened, connected, accepted, read and written here, and what
+//! an error of such a call says is decided here alone ([`SocketErrorKind`], [`AcceptError`]).
 //!
 //! In builds with debug assertions a test may make these calls fail by seed, see `system/faults.rs`; release builds do
 //! not contain that code.
@@ -22,28 +22,39 @@
 pub use datagrams::{Datagrams, Received};
 pub use errors::{AcceptError, SocketErrorKind};
 
-/// The calls that tests may let fail.
+/// The calls that tests can make fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemCall {
+    /// `socket` and the options of a new one.
     Socket,
+    /// `connect`.
     Connect,
+    /// `accept` on a TCP socket.
     Accept,
+    /// `accept` on a local socket.
     AcceptLocal,
+    /// Receiving a datagram.
     Receive,
+    /// A look at a connection that takes nothing from it.
     Peek,
+    /// Reading from a connection to such a peer.
     Read(Party),
+    /// Writing to a connection to such a peer.
     Write(Party),
 }
 
-/// Whom a connection leads to.
+/// The peer of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Party {
+    /// A client.
     Client,
+    /// A member.
     Member,
+    /// The service that sends the endpoint list.
     Discovery,
 }
 
-/// The error that a test wants of this call, if any; never one in release builds.
+/// The error that a test injects into this call, if any; never one in release builds.
 fn injected(call: SystemCall) -> io::Result<()> {
     #[cfg(debug_assertions)]
     if let Some(error) = faults::draw(call) {
@@ -53,8 +64,8 @@
     Ok(())
 }
 
-/// A listening socket; a port that an earlier run left in TIME_WAIT is no obstacle. Its connections have buffers of
-/// a stated size, so that what was written and not taken is known to within a buffer.
+/// A listening socket, also on a port that an earlier run left in TIME_WAIT. Its connections have send and receive
+/// buffers of `buffer` bytes, so that what was written and not yet read by the peer is known to within a buffer.
 pub fn listen(address: SocketAddr, backlog: i32, buffer: usize) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -76,16 +87,18 @@
     UnixListener::bind(path)
 }
 
-/// Sizes of the system's buffers of a connection, in bytes.
+/// Sizes of the system's buffers of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct BufferSizes {
+    /// The send buffer, in bytes.
     pub send: u32,
+    /// The receive buffer, in bytes.
     pub receive: u32,
 }
 
-/// A new connection to that address, with the system's usual buffers where no sizes are given.
+/// Opens a connection to that address, with the system's usual buffers where no sizes are given.
 ///
-/// An error of `socket()` or of setting an option is always this machine's; one of `connect()` means what
+/// An error of `socket()` or of setting an option always lies with this machine; one of `connect()` says what
 /// [`SocketErrorKind::of`] says.
 pub async fn connect(address: SocketAddr, sizes: Option<BufferSizes>) -> io::Result<TcpStream> {
     let socket = open_socket(address, sizes).map_err(errors::local)?;
@@ -103,11 +116,11 @@
     Ok(socket)
 }
 
-/// Takes the next connection in; what its errors say is [`AcceptError`]'s.
+/// Accepts the next connection.
 async fn accept(listener: &TcpListener) -> Result<(TcpStream, SocketAddr), AcceptError> {
     let Err(fault) = injected(SystemCall::Accept) else { return Ok(listener.accept().await?) };
     if fault.kind() == io::ErrorKind::ConnectionAborted {
-        // The connection that is gone was one of the backlog.
+        // The aborted connection was one of the backlog.
         listener.accept().await?;
     }
     Err(fault.into())
@@ -118,20 +131,21 @@
     Ok(listener.accept().await?.0)
 }
 
-/// What a look at a connection finds, without waiting and without taking anything.
+/// What [`peek`] finds on a connection.
 #[derive(Debug)]
 pub enum Peeked {
     /// Nothing to read.
     Quiet,
     /// Bytes that nobody has read.
     Unread,
-    /// The other side has ended its sending.
+    /// The peer has closed its side.
     Ended,
+    /// The connection failed.
     Broken(SocketErrorKind),
 }
 
-/// Looks at the connection. The system itself is asked: what the runtime knows of readiness may be a turn old. A call
-/// that a signal interrupted is made again.
+/// Looks at a connection without waiting and without taking anything from it. The system itself is asked: what the
+/// runtime knows of readiness may be a turn of its loop old. A call that a signal interrupted is made again.
 pub fn peek(stream: &TcpStream) -> Peeked {
     loop {
         let looked = injected(SystemCall::Peek)
@@ -146,7 +160,8 @@
     }
 }
 
-/// Appends what comes next; 0 is the other side's end. Nothing is lost where the wait is given up.
+/// Reads what comes next and appends it to `into`. Returns the number of bytes, 0 where the peer has closed its side.
+/// Nothing is lost where the wait is given up.
 pub async fn read(party: Party, stream: &mut TcpStream, into: &mut Vec<u8>) -> io::Result<usize> {
     loop {
         let read = match injected(SystemCall::Read(party)) {
@@ -160,7 +175,7 @@
     }
 }
 
-/// Writes as much as the system takes, and says how much. Nothing is lost where the wait is given up.
+/// Writes as much as the system accepts and returns how much. Nothing is lost where the wait is given up.
 pub async fn write(party: Party, stream: &mut TcpStream, bytes: &[u8]) -> io::Result<usize> {
     loop {
         let written = match injected(SystemCall::Write(party)) {
@@ -174,6 +189,7 @@
     }
 }
 
+/// Writes all bytes, however long that takes. How much was written is not known where the wait is given up.
 pub async fn write_all(party: Party, stream: &mut TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match write(party, stream, bytes).await? {
@@ -184,7 +200,7 @@
     Ok(())
 }
 
-/// Writes what the system takes at once.
+/// Writes what the system accepts without waiting and returns how much; `WouldBlock` where that is nothing.
 pub fn try_write(party: Party, stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
     loop {
         match injected(SystemCall::Write(party)).and_then(|()| stream.try_write(bytes)) {
