--- a/crates/proxy/src/dispatcher/gateway/announcements.rs
+++ b/crates/proxy/src/dispatcher/gateway/announcements.rs
@@ -31,35 +31,39 @@
     }
 
     fn room_frame(&mut self, gateway: PeerGatewayId) -> CapacityAnnouncement {
-        let (credits, groups) = self.sites.offered_capacity(gateway);
-        let credits = self.classes.iter().zip(credits);
+        let offer = self.site_router.offered_capacity(gateway);
+        let credits = self.classes.iter().zip(offer.credits);
         CapacityAnnouncement {
             credits: credits.map(|(name, requests)| Credit { class: name.clone(), requests }).collect(),
-            homes: groups.into_iter().map(|(group, primary)| HomeAnnouncement { group, primary }).collect(),
+            homes: offer
+                .groups
+                .into_iter()
+                .map(|(group, primary)| HomeAnnouncement { group, primary })
+                .collect(),
             draining: self.draining,
         }
     }
 
     /// Announces what is due, and forgets what nobody asks about any more.
     pub(super) fn do_periodic_work(&mut self, now: Micros) {
-        self.fates.expire(now);
+        self.outcomes.expire(now);
         if now < self.announce_at {
             return;
         }
         self.announce_at = now + ANNOUNCE_EVERY;
         self.announce_room();
         if let Some(outcome_log) = &mut self.outcome_log {
-            outcome_log.renew(now);
+            outcome_log.renew_promise(now);
         }
-        let sites = &self.sites;
-        self.sent.retain(|&number, _| sites.forwarded_as(number).is_some());
+        let site_router = &self.site_router;
+        self.sent.retain(|&number, _| site_router.forwarded_as(number).is_some());
     }
 
     /// What this gateway saw of its site since it was last asked, and what it has of those that drain.
     pub(in crate::dispatcher) fn take_observations(&mut self, now: Micros) -> SiteObservations {
         let fresh = EndedCounts { since: now, ..EndedCounts::default() };
         let ended = std::mem::replace(&mut self.ended, fresh);
-        let fates = (self.fates.len() + self.arriving.len() + self.departing.len()) as u64;
+        let outcomes = (self.outcomes.len() + self.arriving.len() + self.departing.len()) as u64;
         SiteObservations {
             site: self.own.site.clone(),
             over: now - ended.since,
@@ -67,7 +71,7 @@
             in_time: ended.in_time,
             bound: ended.bound,
             round_trips: self.round_trips(now),
-            open: self.sites.open_work(fates),
+            open: self.site_router.open_work(outcomes),
         }
     }
 
@@ -76,7 +80,9 @@
         let gateways = self.peer_gateways.iter().enumerate();
         let linked = gateways.filter(|(_, peer)| !peer.links.is_empty());
         linked
-            .map(|(id, peer)| (self.names[peer.site].clone(), self.sites.gateway_view(now, id).round_trip))
+            .map(|(id, peer)| {
+                (self.names[peer.site].clone(), self.site_router.gateway_view(now, id).round_trip)
+            })
             .collect()
     }
 
@@ -87,13 +93,13 @@
         let text = json!({
             "site": self.own.site, "instance": self.own.instance, "start": self.own.incarnation, "draining": self.draining,
             "gateways": gateways, "groups": self.describe_groups(), "tasks": self.forwarded.len(),
-            "guests": self.remote_requests.len(), "fates_kept": self.fates.len(), "book": self.describe_outcome_log(),
+            "guests": self.remote_requests.len(), "fates_kept": self.outcomes.len(), "book": self.describe_outcome_log(),
         });
         format!("{text:#}\n")
     }
 
     fn describe_gateway(&self, now: Micros, id: PeerGatewayId, peer: &PeerGateway) -> Value {
-        let view = self.sites.gateway_view(now, id);
+        let view = self.site_router.gateway_view(now, id);
         let credits: HashMap<_, _> = self.classes.iter().cloned().zip(view.credits).collect();
         json!({
             "site": self.names[peer.site], "instance": peer.origin.instance, "links": peer.links.len(),
@@ -104,17 +110,21 @@
 
     fn describe_groups(&self) -> Vec<Value> {
         let mut groups = Vec::new();
-        for (group, home, here) in self.sites.home_sites() {
-            let home = home.map(|site| &self.names[site]);
-            groups.push(json!({"group": group, "home": home, "members_here": here}));
+        for view in self.site_router.home_sites() {
+            let home = view.home.map(|site| &self.names[site]);
+            groups.push(json!({"group": view.group, "home": home, "members_here": view.local_members}));
         }
         groups
     }
 
     fn describe_outcome_log(&self) -> Option<Value> {
         let outcome_log = self.outcome_log.as_ref()?;
-        let (records, starts) = outcome_log.earlier();
-        Some(json!({"disk": !outcome_log.is_without(), "earlier_records": records, "earlier_starts": starts}))
+        let restored = outcome_log.restored();
+        Some(json!({
+            "disk": outcome_log.is_disk_available(),
+            "earlier_records": restored.records,
+            "earlier_starts": restored.incarnations,
+        }))
     }
 }
 
--- a/crates/proxy/src/dispatcher/gateway/answers.rs
+++ b/crates/proxy/src/dispatcher/gateway/answers.rs
@@ -36,7 +36,7 @@
 struct RemoteOutcome {
     kind: ResponseKind,
     /// What whoever asks later is told.
-    fate: Outcome<KeptValue>,
+    outcome: Outcome<KeptValue>,
     value: Rc<Vec<u8>>,
     retry_after: Micros,
     hint: Option<SiteId>,
@@ -47,10 +47,10 @@
         match answer {
             FinalAnswer::Ended(Answer::Served(rows)) => RemoteOutcome::served(rows),
             FinalAnswer::Ended(Answer::Rejected { cool_down: retry_after }) => {
-                let fate = Outcome::Rejected { retry_after };
+                let outcome = Outcome::Rejected { retry_after };
                 RemoteOutcome {
                     retry_after: retry_after,
-                    ..RemoteOutcome::empty(ResponseKind::Rejected, fate)
+                    ..RemoteOutcome::empty(ResponseKind::Rejected, outcome)
                 }
             }
             FinalAnswer::Ended(Answer::Failed) => RemoteOutcome::empty(ResponseKind::Failed, Outcome::Failed),
@@ -58,8 +58,8 @@
                 RemoteOutcome::empty(ResponseKind::Invalid, Outcome::Rejected { retry_after: 0 })
             }
             FinalAnswer::NotPrimary { hint } => {
-                let fate = Outcome::Rejected { retry_after: 0 };
-                RemoteOutcome { hint, ..RemoteOutcome::empty(ResponseKind::NotPrimary, fate) }
+                let outcome = Outcome::Rejected { retry_after: 0 };
+                RemoteOutcome { hint, ..RemoteOutcome::empty(ResponseKind::NotPrimary, outcome) }
             }
         }
     }
@@ -70,8 +70,8 @@
         RemoteOutcome { value, ..RemoteOutcome::empty(ResponseKind::Served, Outcome::Served(kept)) }
     }
 
-    fn empty(kind: ResponseKind, fate: Outcome<KeptValue>) -> RemoteOutcome {
-        RemoteOutcome { kind, fate, value: Rc::default(), retry_after: 0, hint: None }
+    fn empty(kind: ResponseKind, outcome: Outcome<KeptValue>) -> RemoteOutcome {
+        RemoteOutcome { kind, outcome, value: Rc::default(), retry_after: 0, hint: None }
     }
 }
 
@@ -91,7 +91,7 @@
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let effect = self.decoded.terms.classes[forwarded.class].effect;
-        let RemoteOutcome { kind, fate, value, retry_after, hint } = RemoteOutcome::new(answer);
+        let RemoteOutcome { kind, outcome, value, retry_after, hint } = RemoteOutcome::new(answer);
         let frame = ResponseFrame {
             number: remote.number,
             kind: kind.into(),
@@ -103,11 +103,11 @@
         let timeout = Micros::from(forwarded.request.comment.wait) * 1000;
         let non_idempotent = matches!(effect, Effect::Effectful);
         // Nobody asks about what may simply be sent again.
-        let fate = if non_idempotent { fate } else { Outcome::Failed };
+        let outcome = if non_idempotent { outcome } else { Outcome::Failed };
         let kept_until = non_idempotent.then_some(now + timeout + ASKED_AFTER_DEADLINE);
-        gateway_part.remember_and_send(now, remote, fate, kept_until, frame, value);
+        gateway_part.remember_and_send(now, remote, outcome, kept_until, frame, value);
         let rejected = kind == ResponseKind::Rejected;
-        if gateway_part.sites.remote_request_ended(now, remote.gateway, forwarded.class, rejected) {
+        if gateway_part.site_router.remote_request_ended(now, remote.gateway, forwarded.class, rejected) {
             gateway_part.announce_room_to(remote.gateway);
         }
     }
@@ -119,24 +119,24 @@
         &mut self,
         now: Micros,
         remote: &RemoteRequest,
-        fate: Outcome<KeptValue>,
+        outcome: Outcome<KeptValue>,
         kept_until: Option<Micros>,
         frame: ResponseFrame,
         value: Rc<Vec<u8>>,
     ) {
-        let mut token = None;
+        let mut ticket = None;
         if let (Some(outcome_log), Some(until)) = (&mut self.outcome_log, kept_until) {
-            let bytes = fate.as_ref().map(|kept| &kept.bytes[..]);
-            token = outcome_log.settle(now, &remote.origin, remote.number, until, &bytes);
+            let bytes = outcome.as_ref().map(|kept| &kept.bytes[..]);
+            ticket = outcome_log.record_outcome(now, &remote.origin, remote.number, until, &bytes);
         }
-        self.fates.settle(&remote.origin, remote.number, fate);
+        self.outcomes.record(&remote.origin, remote.number, outcome);
         // Over the link that it came by, or was last asked about on; where that broke, it will be asked about.
         let (gateway, link) = (remote.gateway, remote.link);
         if !self.peer_gateways[gateway].links.contains(&link) {
             return;
         }
         let value = Rc::try_unwrap(value).unwrap_or_else(|shared| shared.to_vec());
-        match token {
+        match ticket {
             Some(token) => {
                 drop(self.departing.insert(token, DepartingOutcome { gateway, link, frame, value }))
             }
--- a/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
@@ -39,7 +39,7 @@
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let routed = gateway_part.routed_request(&to_forward);
-        let (handle, actions) = gateway_part.sites.accept(now, routed);
+        let (handle, actions) = gateway_part.site_router.accept(now, routed);
         if let Requester::Gateway(remote) = &to_forward.requester {
             gateway_part.remote_requests.insert((remote.gateway, remote.number), handle);
         }
@@ -60,7 +60,7 @@
             self.abandon(local);
         }
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let actions = gateway_part.sites.abandon(now, handle);
+        let actions = gateway_part.site_router.abandon(now, handle);
         self.carry_out_sites(actions, None);
     }
 
@@ -76,7 +76,7 @@
         };
         self.count_ended_here(handle, ended == LocalResult::Served, now);
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let actions = gateway_part.sites.local_finished(now, handle, ended);
+        let actions = gateway_part.site_router.local_finished(now, handle, ended);
         self.carry_out_sites(actions, Some(ReceivedAnswer { handle, answer }));
     }
 
@@ -97,7 +97,7 @@
     pub(in crate::dispatcher) fn may_have_run(&mut self, handle: RequestHandle, elapsed: Micros) {
         let began = self.context.clock.now() - elapsed;
         if let Some(gateway_part) = &mut self.gateway_part {
-            gateway_part.sites.local_may_have_run(handle, began);
+            gateway_part.site_router.local_may_have_run(handle, began);
         }
     }
 
@@ -105,7 +105,7 @@
     pub(in crate::dispatcher) fn not_primary_here(&mut self, handle: RequestHandle) -> SiteMiss {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return SiteMiss::default() };
-        let actions = gateway_part.sites.local_not_primary(now, handle);
+        let actions = gateway_part.site_router.local_not_primary(now, handle);
         let taken_back = actions.requests.contains(&(handle, Action::Withdraw));
         SiteMiss { actions: Some(actions), taken_back }
     }
@@ -114,7 +114,7 @@
     pub(in crate::dispatcher) fn primary_here(&mut self, group: u64) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let actions = gateway_part.sites.primary_found_here(now, group);
+        let actions = gateway_part.site_router.primary_found_here(now, group);
         self.carry_out_sites(actions, None);
     }
 
@@ -122,7 +122,7 @@
     pub(in crate::dispatcher) fn groups_listed(&mut self, groups: &[(u64, usize)]) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let actions = gateway_part.sites.groups_listed(now, groups);
+        let actions = gateway_part.site_router.groups_listed(now, groups);
         self.carry_out_sites(actions, None);
     }
 
@@ -131,7 +131,7 @@
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         gateway_part.do_periodic_work(now);
-        let actions = gateway_part.sites.wake(now);
+        let actions = gateway_part.site_router.wake(now);
         self.carry_out_sites(actions, None);
     }
 
@@ -139,7 +139,7 @@
     pub fn follow_site_drains(&mut self, plans: Vec<Plan>) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let actions = gateway_part.sites.assign_sessions(now, &gateway_part.names, plans);
+        let actions = gateway_part.site_router.assign_sessions(now, &gateway_part.names, plans);
         self.carry_out_sites(actions, None);
     }
 
@@ -147,7 +147,7 @@
     pub(in crate::dispatcher) fn report_stall_to_sites(&mut self) {
         let now = self.context.clock.now();
         if let Some(gateway_part) = &mut self.gateway_part {
-            gateway_part.sites.stalled_until(now);
+            gateway_part.site_router.stall_ended(now);
         }
     }
 
--- a/crates/proxy/src/dispatcher/gateway/link_events.rs
+++ b/crates/proxy/src/dispatcher/gateway/link_events.rs
@@ -20,39 +20,39 @@
             Inbound::Request(frame, statement) => {
                 self.remote_request_arrived(link, gateway, frame, statement)
             }
-            Inbound::Response(outcome, value) => self.outcome_received(&outcome, value),
-            Inbound::OutcomeReply(fate, value) => self.fate_received(link, &fate, value),
+            Inbound::Response(response, value) => self.response_received(&response, value),
+            Inbound::OutcomeReply(reply, value) => self.outcome_reply_received(link, &reply, value),
             Inbound::Cancel(number) => self.remote_request_cancelled(gateway, number),
-            Inbound::OutcomeQuery(ask) => self.answer_question(link, gateway, &ask),
+            Inbound::OutcomeQuery(query) => self.answer_outcome_query(link, gateway, &query),
             Inbound::Confirm(confirm) => {
                 let Some(gateway_part) = &mut self.gateway_part else { return };
                 let origin = &gateway_part.peer_gateways[gateway].origin;
-                gateway_part.fates.confirm(origin, confirm.up_to);
+                gateway_part.outcomes.confirm(origin, confirm.up_to);
             }
-            Inbound::CapacityAnnouncement(room) => self.room_received(gateway, &room),
+            Inbound::CapacityAnnouncement(announcement) => self.capacity_received(gateway, &announcement),
             Inbound::RoundTrip(round_trip) => {
                 if let Some(gateway_part) = &mut self.gateway_part {
-                    gateway_part.sites.round_trip_measured(gateway, round_trip);
+                    gateway_part.site_router.round_trip_measured(gateway, round_trip);
                 }
             }
         }
     }
 
     /// Another gateway tells how a request ended that was sent there.
-    fn outcome_received(&mut self, outcome: &ResponseFrame, value: Vec<u8>) {
+    fn response_received(&mut self, response: &ResponseFrame, value: Vec<u8>) {
         let now = self.context.clock.now();
-        let received = self.received_answer(outcome.number, value);
+        let received = self.received_answer(response.number, value);
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let answer = gateway_part.site_answer(outcome);
-        let actions = gateway_part.sites.answered(now, outcome.number, answer);
-        gateway_part.sent.remove(&outcome.number);
+        let answer = gateway_part.peer_answer(response);
+        let actions = gateway_part.site_router.answered(now, response.number, answer);
+        gateway_part.sent.remove(&response.number);
         self.carry_out_sites(actions, received);
     }
 
     /// Another gateway tells, as it was asked, what became of a request that was sent there.
-    fn fate_received(&mut self, link: LinkId, frame: &OutcomeReply, value: Vec<u8>) {
+    fn outcome_reply_received(&mut self, link: LinkId, frame: &OutcomeReply, value: Vec<u8>) {
         let now = self.context.clock.now();
-        let fate = fate_of(frame);
+        let outcome = outcome_of(frame);
         let received = self.received_answer(frame.number, value);
         let Some(gateway_part) = &mut self.gateway_part else { return };
         if frame.kind() == OutcomeReplyKind::InFlight
@@ -61,36 +61,38 @@
             // Its answer comes over the link that was asked on.
             sent.link = link;
         }
-        let actions = gateway_part.sites.outcome_received(now, frame.number, &fate);
+        let actions = gateway_part.site_router.outcome_received(now, frame.number, &outcome);
         self.carry_out_sites(actions, received);
     }
 
     /// Another gateway asks what became of a request that it sent.
-    fn answer_question(&mut self, link: LinkId, gateway: PeerGatewayId, ask: &OutcomeQuery) {
+    fn answer_outcome_query(&mut self, link: LinkId, gateway: PeerGatewayId, query: &OutcomeQuery) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let fate = gateway_part.fate_for(now, gateway, ask);
-        gateway_part.move_to_link(gateway, ask.number, link);
-        let (frame, value) = fate_frame(ask.number, fate);
+        let outcome = gateway_part.outcome_for(now, gateway, query);
+        gateway_part.move_to_link(gateway, query.number, link);
+        let (frame, value) = outcome_reply(query.number, outcome);
         gateway_part.send(gateway, Some(link), Outbound::OutcomeReply(frame, value));
     }
 
     /// Another gateway tells what it takes, and where groups are.
-    fn room_received(&mut self, gateway: PeerGatewayId, room: &CapacityAnnouncement) {
+    fn capacity_received(&mut self, gateway: PeerGatewayId, announcement: &CapacityAnnouncement) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let credit = |name: &String| room.credits.iter().find(|credit| credit.class == *name);
+        let credit = |name: &String| announcement.credits.iter().find(|credit| credit.class == *name);
         let requests = |name| credit(name).map_or(0, |credit| credit.requests);
         let credits: Vec<u32> = gateway_part.classes.iter().map(requests).collect();
-        let homes: Vec<(u64, bool)> = room.homes.iter().map(|home| (home.group, home.primary)).collect();
-        let actions = gateway_part.sites.capacity_announced(now, gateway, credits, &homes, room.draining);
+        let homes: Vec<(u64, bool)> =
+            announcement.homes.iter().map(|home| (home.group, home.primary)).collect();
+        let actions =
+            gateway_part.site_router.capacity_announced(now, gateway, credits, &homes, announcement.draining);
         self.carry_out_sites(actions, None);
     }
 
     /// What another gateway sent for a request, with buffer space for it where it is large.
     fn received_answer(&self, number: u64, value: Vec<u8>) -> Option<ReceivedAnswer> {
         let gateway_part = self.gateway_part.as_ref()?;
-        let handle = gateway_part.sites.forwarded_as(number)?;
+        let handle = gateway_part.site_router.forwarded_as(number)?;
         let forwarded = gateway_part.forwarded.get(&handle)?;
         if value.len() <= self.context.limits.small {
             let answer = Answer::Served(Rows { pieces: vec![value], room: None });
@@ -107,28 +109,33 @@
 }
 
 impl GatewayPart {
-    fn site_answer(&self, outcome: &ResponseFrame) -> PeerAnswer {
-        match outcome.kind() {
+    fn peer_answer(&self, response: &ResponseFrame) -> PeerAnswer {
+        match response.kind() {
             ResponseKind::Served => PeerAnswer::Served,
             ResponseKind::Rejected => {
-                PeerAnswer::Rejected { retry_after: received_span(outcome.retry_after_us) }
+                PeerAnswer::Rejected { retry_after: received_span(response.retry_after_us) }
             }
-            ResponseKind::NotPrimary => PeerAnswer::NotPrimary { hint: self.site(&outcome.hint) },
+            ResponseKind::NotPrimary => PeerAnswer::NotPrimary { hint: self.site(&response.hint) },
             ResponseKind::Invalid => PeerAnswer::NeverAccepted,
             ResponseKind::Failed | ResponseKind::Unset => PeerAnswer::Failed,
         }
     }
 
     /// What became of a request that this gateway was sent. What an earlier start took is in the outcome log.
-    fn fate_for(&mut self, now: Micros, gateway: PeerGatewayId, ask: &OutcomeQuery) -> Outcome<KeptValue> {
+    fn outcome_for(
+        &mut self,
+        now: Micros,
+        gateway: PeerGatewayId,
+        query: &OutcomeQuery,
+    ) -> Outcome<KeptValue> {
         let origin = &self.peer_gateways[gateway].origin;
         let own = self.own.incarnation;
         match &mut self.outcome_log {
-            Some(outcome_log) if ask.receiver_incarnation != own => {
-                let fate = outcome_log.ask(now, origin, ask.number, ask.receiver_incarnation);
-                fate.map(|bytes| KeptValue { bytes, _room: None })
+            Some(outcome_log) if query.receiver_incarnation != own => {
+                let outcome = outcome_log.query(now, origin, query.number, query.receiver_incarnation);
+                outcome.map(|bytes| KeptValue { bytes, _room: None })
             }
-            _ => self.fates.ask(now, origin, ask.number, ask.receiver_incarnation, own),
+            _ => self.outcomes.query(now, origin, query.number, query.receiver_incarnation, own),
         }
     }
 
@@ -148,7 +155,7 @@
     }
 }
 
-fn fate_of(frame: &OutcomeReply) -> Outcome<()> {
+fn outcome_of(frame: &OutcomeReply) -> Outcome<()> {
     match frame.kind() {
         OutcomeReplyKind::NeverAccepted => Outcome::NeverAccepted,
         OutcomeReplyKind::Rejected => Outcome::Rejected { retry_after: received_span(frame.retry_after_us) },
@@ -159,11 +166,11 @@
     }
 }
 
-/// A fate as another gateway is told it, and the value that goes with it.
-fn fate_frame(number: u64, fate: Outcome<KeptValue>) -> (OutcomeReply, Vec<u8>) {
+/// An outcome as another gateway is told it, and the value that goes with it.
+fn outcome_reply(number: u64, outcome: Outcome<KeptValue>) -> (OutcomeReply, Vec<u8>) {
     let mut frame = OutcomeReply { number, ..OutcomeReply::default() };
     let mut value = Vec::new();
-    let kind = match fate {
+    let kind = match outcome {
         Outcome::NeverAccepted => OutcomeReplyKind::NeverAccepted,
         Outcome::InFlight => OutcomeReplyKind::InFlight,
         Outcome::Rejected { retry_after } => {
--- a/crates/proxy/src/dispatcher/gateway/links.rs
+++ b/crates/proxy/src/dispatcher/gateway/links.rs
@@ -36,23 +36,23 @@
             return;
         };
         let Identity { site: name, instance, incarnation } = identity;
-        let origin = Origin { site: name, instance, start: incarnation };
+        let origin = Origin { site: name, instance, incarnation };
         let id = gateway_part.gateway_id(site, &origin);
         let current_up = !gateway_part.peer_gateways[id].links.is_empty();
-        if !gateway_part.fates.greeted(&origin, current_up) {
+        if !gateway_part.outcomes.greeted(&origin, current_up) {
             warn!(self.context.log, "link of an earlier start of that gateway, closed"; "link" => link,
                 "site" => &origin.site, "instance" => &origin.instance);
             gateway_part.links.remove(&link);
             return;
         }
-        let same_start = gateway_part.peer_gateways[id].origin.start == origin.start;
-        if !same_start {
+        let same_incarnation = gateway_part.peer_gateways[id].origin.incarnation == origin.incarnation;
+        if !same_incarnation {
             info!(self.context.log, "gateway started anew, what it had taken it knows as far as it was kept";
                 "site" => &origin.site, "instance" => &origin.instance);
-            gateway_part.replace_start(id, origin);
+            gateway_part.replace_incarnation(id, origin);
         }
         let links = gateway_part.add_link(id, link);
-        let actions = gateway_part.sites.links_changed(now, id, site, links, same_start);
+        let actions = gateway_part.site_router.links_changed(now, id, site, links, same_incarnation);
         gateway_part.announce_room_to(id);
         self.carry_out_sites(actions, None);
     }
@@ -69,8 +69,8 @@
             warn!(self.context.log, "no link to that gateway any more"; "site" => &gateway_part.names[site],
                 "instance" => &peer.origin.instance, "unsettled" => numbers.len());
         }
-        let after_count = gateway_part.sites.links_changed(now, id, site, links, true);
-        let after_loss = gateway_part.sites.link_lost(now, id, &numbers);
+        let after_count = gateway_part.site_router.links_changed(now, id, site, links, true);
+        let after_loss = gateway_part.site_router.link_lost(now, id, &numbers);
         self.carry_out_sites(after_count, None);
         self.carry_out_sites(after_loss, None);
     }
@@ -88,8 +88,8 @@
         self.peer_gateways.len() - 1
     }
 
-    /// A gateway started anew: links of the start before lead nowhere.
-    fn replace_start(&mut self, id: PeerGatewayId, origin: Origin) {
+    /// A gateway restarted: links of the incarnation before lead nowhere.
+    fn replace_incarnation(&mut self, id: PeerGatewayId, origin: Origin) {
         for old in std::mem::take(&mut self.peer_gateways[id].links) {
             self.links.remove(&old);
         }
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -23,7 +23,7 @@
 use tokio::sync::mpsc;
 
 use super::open_request::WaitingClient;
-use super::outcome_log::{OutcomeLog, Token};
+use super::outcome_log::{OutcomeLog, RecordTicket};
 use crate::flow_control::BufferReservation;
 use crate::messages::{ClientId, ClientRequest, LinkId};
 
@@ -32,7 +32,7 @@
 /// No span that another gateway tells is taken for longer than this.
 const LONGEST_SPAN: Micros = 1_000_000_000;
 
-/// What a served remote request that is non-idempotent brought, kept as long as anybody may ask.
+/// The response to a served non-idempotent remote request, kept as long as anybody may ask.
 #[derive(Clone)]
 pub struct KeptValue {
     bytes: Rc<Vec<u8>>,
@@ -82,10 +82,10 @@
     links: Vec<LinkId>,
 }
 
-/// A request that crossed: to which start of which gateway, and over which link.
+/// A request that crossed: to which incarnation of which gateway, and over which link.
 struct SentRequest {
     gateway: PeerGatewayId,
-    start: u64,
+    incarnation: u64,
     link: LinkId,
 }
 
@@ -126,8 +126,8 @@
     /// The sites' names, the own one first.
     names: Vec<String>,
     classes: Vec<String>,
-    sites: SiteRouter,
-    fates: OutcomeTable<KeptValue>,
+    site_router: SiteRouter,
+    outcomes: OutcomeTable<KeptValue>,
     peer_gateways: Vec<PeerGateway>,
     links: HashMap<LinkId, LinkState>,
     forwarded: HashMap<RequestHandle, ForwardedRequest>,
@@ -138,8 +138,8 @@
     pub(super) outcome_log: Option<OutcomeLog>,
     /// Confirms each record of that log, in their order.
     pub(super) written: Option<mpsc::Receiver<bool>>,
-    arriving: HashMap<Token, ArrivingRequest>,
-    departing: HashMap<Token, DepartingOutcome>,
+    arriving: HashMap<RecordTicket, ArrivingRequest>,
+    departing: HashMap<RecordTicket, DepartingOutcome>,
     next_remote_id: ClientId,
     /// The comment's field that names a session.
     session_field: Option<String>,
@@ -154,13 +154,13 @@
 impl GatewayPart {
     /// Whether any site is known to have this group.
     pub(super) fn knows_group(&self, group: u64) -> bool {
-        self.sites.knows_group(group)
+        self.site_router.knows_group(group)
     }
 
     /// Where groups have their primary, by the name of the site.
     pub(super) fn homes(&self) -> BTreeMap<u64, String> {
-        let homes = self.sites.home_sites().into_iter();
-        homes.filter_map(|(group, home, _)| Some((group, self.names[home?].clone()))).collect()
+        let homes = self.site_router.home_sites().into_iter();
+        homes.filter_map(|view| Some((view.group, self.names[view.home?].clone()))).collect()
     }
 
     /// Requests that the gateway part decides on, whoever sent them.
--- a/crates/proxy/src/dispatcher/gateway/remote_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/remote_requests.rs
@@ -13,7 +13,7 @@
     Requester, received_span,
 };
 use crate::dispatcher::Dispatcher;
-use crate::dispatcher::outcome_log::{OutcomeLog, Taking, Token};
+use crate::dispatcher::outcome_log::{OutcomeLog, RecordTicket, RecordedAcceptance};
 use crate::messages::{ClientRequest, LinkId};
 
 /// What an arriving request was found to be.
@@ -41,7 +41,7 @@
         }
         let origin = gateway_part.peer_gateways[gateway].origin.clone();
         let number = frame.number;
-        match gateway_part.fates.take(now, &origin, number, received_span(frame.timeout_us)) {
+        match gateway_part.outcomes.accept(now, &origin, number, received_span(frame.timeout_us)) {
             Ok(()) => {}
             Err(NotAccepted::Full) => {
                 gateway_part.send_rejection(gateway, link, number, ResponseKind::Rejected);
@@ -64,26 +64,26 @@
         };
         let (now, left) = (arriving.received_at, received_span(arriving.frame.timeout_us));
         let until = now + left + ASKED_AFTER_DEADLINE;
-        match outcome_log.take(now, &arriving.origin, arriving.number, until) {
-            Taking::Waits(token) => drop(gateway_part.arriving.insert(token, arriving)),
-            Taking::Without => self.take_remote_request(arriving),
-            Taking::Refused => self.reject_remote_request(&arriving, ResponseKind::Rejected),
+        match outcome_log.record_acceptance(now, &arriving.origin, arriving.number, until) {
+            RecordedAcceptance::Waits(ticket) => drop(gateway_part.arriving.insert(ticket, arriving)),
+            RecordedAcceptance::Unrecorded => self.take_remote_request(arriving),
+            RecordedAcceptance::Rejected => self.reject_remote_request(&arriving, ResponseKind::Rejected),
         }
     }
 
     /// Settles a remote request that never began, and tells its sender.
     fn reject_remote_request(&mut self, arriving: &ArrivingRequest, kind: ResponseKind) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        gateway_part.fates.settle(&arriving.origin, arriving.number, Outcome::Rejected { retry_after: 0 });
+        gateway_part.outcomes.record(&arriving.origin, arriving.number, Outcome::Rejected { retry_after: 0 });
         gateway_part.send_rejection(arriving.gateway, arriving.link, arriving.number, kind);
     }
 
     /// A record was written, or was not: what waited for it goes on.
-    pub(in crate::dispatcher) fn record_written(&mut self, well: bool) {
+    pub(in crate::dispatcher) fn record_written(&mut self, is_written: bool) {
         let now = self.context.clock.now();
         let Some(outcome_log) = self.outcome_log() else { return };
-        if let Some((token, well)) = outcome_log.told(now, well) {
-            self.resume_after_record(token, well);
+        if let Some(record) = outcome_log.write_finished(now, is_written) {
+            self.resume_after_record(record.ticket, record.is_written);
         }
     }
 
@@ -91,12 +91,12 @@
     pub(in crate::dispatcher) fn stop_waiting_for_records(&mut self) {
         let now = self.context.clock.now();
         let Some(outcome_log) = self.outcome_log() else { return };
-        let tokens = outcome_log.given_up(now);
-        if !tokens.is_empty() {
-            warn!(self.context.log, "the gateway's book waits for the disk no longer"; "records" => tokens.len());
+        let tickets = outcome_log.abandon_slow_writes(now);
+        if !tickets.is_empty() {
+            warn!(self.context.log, "the gateway's book waits for the disk no longer"; "records" => tickets.len());
         }
-        for token in tokens {
-            self.resume_after_record(token, false);
+        for ticket in tickets {
+            self.resume_after_record(ticket, false);
         }
     }
 
@@ -104,13 +104,13 @@
         self.gateway_part.as_mut()?.outcome_log.as_mut()
     }
 
-    fn resume_after_record(&mut self, token: Token, well: bool) {
+    fn resume_after_record(&mut self, ticket: RecordTicket, is_written: bool) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        if let Some(departing) = gateway_part.departing.remove(&token) {
+        if let Some(departing) = gateway_part.departing.remove(&ticket) {
             return gateway_part.send_outcome(departing);
         }
-        match gateway_part.arriving.remove(&token) {
-            Some(arriving) if well => self.take_remote_request(arriving),
+        match gateway_part.arriving.remove(&ticket) {
+            Some(arriving) if is_written => self.take_remote_request(arriving),
             // Nothing of it has begun: that may be said whatever the disk holds.
             Some(arriving) => self.reject_remote_request(&arriving, ResponseKind::Rejected),
             None => {}
@@ -126,7 +126,7 @@
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let ArrivingRequest { link, gateway, origin, number, frame, statement, .. } = arriving;
         let Some(holder) = gateway_part.links.get(&link).map(|state| state.holder) else { return };
-        gateway_part.sites.remote_request_started(gateway, checked.class);
+        gateway_part.site_router.remote_request_started(gateway, checked.class);
         gateway_part.next_remote_id += 1;
         // Its answer goes over the link; this mailbox is nobody's.
         let (mailbox, _) = mpsc::channel(1);
@@ -162,8 +162,9 @@
             return Err(ResponseKind::NotPrimary);
         }
         let waited = self.context.clock.now() - arriving.received_at;
-        let ttl =
-            received_span(frame.timeout_us) - waited - gateway_part.sites.one_way_delay(arriving.gateway);
+        let ttl = received_span(frame.timeout_us)
+            - waited
+            - gateway_part.site_router.one_way_delay(arriving.gateway);
         let full = gateway_part.forwarded.len() >= self.context.limits.requests;
         let under_way = self.open_ids.contains(&comment.id);
         if gateway_part.draining || full || under_way || ttl <= 0 {
@@ -181,9 +182,9 @@
         };
         // What the router has begun may run yet.
         let origin = &gateway_part.peer_gateways[gateway].origin;
-        gateway_part.fates.settle(origin, number, Outcome::Failed);
+        gateway_part.outcomes.record(origin, number, Outcome::Failed);
         let class = gateway_part.forwarded.get(&handle).map_or(0, |forwarded| forwarded.class);
-        gateway_part.sites.remote_request_ended(now, gateway, class, false);
+        gateway_part.site_router.remote_request_ended(now, gateway, class, false);
         self.forwarded_request_left(handle);
     }
 }
@@ -195,7 +196,7 @@
         self.arriving.retain(|_, arriving| (arriving.gateway, arriving.number) != (gateway, number));
         if self.arriving.len() < before {
             let origin = &self.peer_gateways[gateway].origin;
-            self.fates.settle(origin, number, Outcome::Rejected { retry_after: 0 });
+            self.outcomes.record(origin, number, Outcome::Rejected { retry_after: 0 });
         }
     }
 
--- a/crates/proxy/src/dispatcher/gateway/site_actions.rs
+++ b/crates/proxy/src/dispatcher/gateway/site_actions.rs
@@ -51,7 +51,7 @@
             Action::Forward { gateway, number, timeout } => {
                 self.send_to_site(handle, gateway, number, timeout)
             }
-            Action::QueryOutcome { gateway, number } => self.ask_about(gateway, number),
+            Action::QueryOutcome { gateway, number } => self.query_outcome(gateway, number),
             Action::Cancel { gateway, number } => self.cancel_at_site(gateway, number),
             Action::RelayResponse => {
                 let received = received.take_if(|received| received.handle == handle);
@@ -96,26 +96,26 @@
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let Some(forwarded) = gateway_part.forwarded.get(&handle) else { return };
         let Some(peer) = gateway_part.peer_gateways.get(gateway) else { return };
-        let start = peer.origin.start;
+        let incarnation = peer.origin.incarnation;
         let mut frame = gateway_part.request_frame(forwarded, now);
         frame.number = number;
-        frame.receiver_incarnation = start;
+        frame.receiver_incarnation = incarnation;
         frame.timeout_us = left.max(0) as u64;
-        let said = Outbound::Request(frame, forwarded.request.statement.clone());
-        if let Some(link) = gateway_part.send(gateway, None, said) {
-            gateway_part.sent.insert(number, SentRequest { gateway, start, link });
+        let frame = Outbound::Request(frame, forwarded.request.statement.clone());
+        if let Some(link) = gateway_part.send(gateway, None, frame) {
+            gateway_part.sent.insert(number, SentRequest { gateway, incarnation, link });
             return;
         }
-        let actions = gateway_part.sites.answered(now, number, PeerAnswer::NeverAccepted);
+        let actions = gateway_part.site_router.answered(now, number, PeerAnswer::NeverAccepted);
         self.carry_out_sites(actions, None);
     }
 
     /// Asks another gateway what became of a request that was sent there.
-    fn ask_about(&mut self, gateway: PeerGatewayId, number: u64) {
+    fn query_outcome(&mut self, gateway: PeerGatewayId, number: u64) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let Some(sent) = gateway_part.sent.get(&number) else { return };
-        let ask = OutcomeQuery { number, receiver_incarnation: sent.start };
-        gateway_part.send(gateway, None, Outbound::OutcomeQuery(ask));
+        let query = OutcomeQuery { number, receiver_incarnation: sent.incarnation };
+        gateway_part.send(gateway, None, Outbound::OutcomeQuery(query));
     }
 
     fn cancel_at_site(&mut self, gateway: PeerGatewayId, number: u64) {
--- a/crates/proxy/src/dispatcher/gateway/start.rs
+++ b/crates/proxy/src/dispatcher/gateway/start.rs
@@ -47,18 +47,18 @@
         let (confirmations, written) = mpsc::channel(CONFIRMATIONS);
         let outcome_log = folder.map(|folder| OutcomeLog::open(folder, own.incarnation, now, confirmations));
         let names: Vec<String> = std::iter::once(own.site.clone()).chain(peers).collect();
-        let mut sites = SiteRouter::start(terms, seed, now);
+        let mut site_router = SiteRouter::new(terms, seed, now);
         for (group, site) in homes {
             if let Some(site) = names.iter().position(|name| *name == site) {
-                sites.assume_home(group, site);
+                site_router.assume_home(group, site);
             }
         }
         GatewayPart {
             own,
             names,
             classes: decoded.names(),
-            sites,
-            fates: OutcomeTable::start(fates, ASKED_AFTER_DEADLINE),
+            site_router,
+            outcomes: OutcomeTable::new(fates, ASKED_AFTER_DEADLINE),
             peer_gateways: Vec::new(),
             links: HashMap::new(),
             forwarded: HashMap::new(),
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -172,8 +172,9 @@
         let gateway_part = self.gateway_part.as_mut();
         let sites_due = gateway_part.as_ref().map(|gateway_part| gateway_part.wake_at);
         let draining = gateway_part.as_ref().is_none_or(|gateway_part| gateway_part.is_draining());
-        let record_due =
-            gateway_part.as_ref().and_then(|gateway_part| gateway_part.outcome_log.as_ref()?.due());
+        let record_due = gateway_part
+            .as_ref()
+            .and_then(|gateway_part| gateway_part.outcome_log.as_ref()?.write_deadline());
         let written = gateway_part.and_then(|gateway_part| gateway_part.written.as_mut());
         tokio::select! {
             biased;
--- a/crates/proxy/src/dispatcher/outcome_log.rs
+++ b/crates/proxy/src/dispatcher/outcome_log.rs
@@ -1,211 +1,260 @@
-//! The gateway's outcome log on a disk: what became of non-idempotent remote requests, so that a later start can tell.
+//! The gateway's outcome log on disk: what became of non-idempotent remote requests, for a later incarnation to tell.
+//!
+//! Two logs hold outcomes, and each has one owner. This one, [`OutcomeLog`], owns the records on disk: it writes one when a
+//! non-idempotent remote request is accepted and another when the request has ended, decides whether the request may go on
+//! before its record is confirmed, and reads what earlier incarnations left, to answer queries that name one of them. It
+//! never answers for the running process. That is for `OutcomeTable` of `crates/site-routing`, which the gateway part owns:
+//! it holds, in memory alone, all remote requests that this incarnation accepted, whatever their effect, and decides whether
+//! another copy is accepted.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
 
 use aldermill_routing::Micros;
-use aldermill_site_routing::previous_incarnations::{key, read_key, read_value, value};
-use aldermill_site_routing::{Origin, Outcome, PreviousIncarnations, RecordingPromise};
+use aldermill_site_routing::records::{decode_key, decode_outcome, encode_key, encode_outcome};
+use aldermill_site_routing::{Origin, Outcome, PreviousIncarnations, RecordingPromise, RestoredCounts};
 use aldermill_store::{Batch, Keeping, State};
 use aldermill_warm_start::space;
 use tokio::sync::mpsc;
 
 use crate::persistence::DataDirectory;
 
-/// How long a remote request, and an outcome, wait for the disk before they go on without it.
-const LONGEST_WAIT: Micros = 250_000;
-/// How long a promise is kept after it has run out.
-const PROMISE_KEPT: Micros = 3_600_000_000;
-/// Records that may wait for the disk.
-const MAX_WAITING: usize = 512;
+/// How long a remote request, and an outcome, wait for the disk before they go on without it, in microseconds.
+const MAX_WRITE_WAIT: Micros = 250_000;
+/// How long a promise is kept after its end, in microseconds: longer than anybody asks about a request under it.
+const PROMISE_RETENTION: Micros = 3_600_000_000;
+/// How many writes may wait for the disk.
+const MAX_UNCONFIRMED_WRITES: usize = 512;
 
-/// Something that waits until its record is on the disk.
-pub type Token = u64;
+/// Names a record that something waits for.
+pub type RecordTicket = u64;
 
-/// What a write is for.
+/// What a write to the disk is for.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Wait {
-    Record(Token),
-    RecordingPromise,
+enum WritePurpose {
+    /// Something waits for this record.
+    Record(RecordTicket),
+    /// A promise that nothing is accepted without a record.
+    Promise,
     /// Nobody waits for it any more.
-    Over,
+    Abandoned,
 }
 
-/// How a remote request goes on once it was taken.
-pub enum Taking {
-    /// Goes on when its record is there.
-    Waits(Token),
-    /// Nothing is promised any more: it goes on, and will be unknown to a later start.
-    Without,
-    /// The disk takes nothing, and it was promised that nothing goes on without it.
-    Refused,
+/// How a remote request goes on after it was accepted.
+pub enum RecordedAcceptance {
+    /// It waits until its record is written.
+    Waits(RecordTicket),
+    /// It goes on at once, without a record; no promise holds. A later incarnation will not know of it.
+    Unrecorded,
+    /// It is rejected: the disk takes nothing, and a promise holds that nothing goes on without a record.
+    Rejected,
 }
 
-/// Records of remote requests, and the promise that none goes on without its record.
+/// A record that something waited for.
+pub struct FinishedRecord {
+    /// Which it is.
+    pub ticket: RecordTicket,
+    /// Whether it is on the disk.
+    pub is_written: bool,
+}
+
+/// Records of remote requests on disk, and the promise that none is accepted without one.
 pub struct OutcomeLog {
-    folder: Rc<DataDirectory>,
-    start: u64,
-    keeping: Keeping,
+    directory: Rc<DataDirectory>,
+    /// This process's own.
+    incarnation: u64,
+    /// Whether the disk is trusted with writes for now.
+    writing: Keeping,
     promise: RecordingPromise,
-    /// What earlier starts took; `None` while the folder could not be read.
-    earlier: Option<PreviousIncarnations<Rc<Vec<u8>>>>,
-    next: Token,
-    /// Handed over and not confirmed, the oldest first.
-    waiting: VecDeque<Wait>,
-    told: mpsc::Sender<bool>,
+    /// What earlier incarnations left; `None` while the directory could not be read.
+    previous: Option<PreviousIncarnations<Rc<Vec<u8>>>>,
+    next_ticket: RecordTicket,
+    /// Writes that were handed over and not confirmed, the oldest first.
+    unconfirmed: VecDeque<WritePurpose>,
+    /// The directory confirms each write here, in their order.
+    confirmations: mpsc::Sender<bool>,
 }
 
 impl OutcomeLog {
-    /// What earlier starts kept is read from the folder, once that can be done; `told` hears of each write, in
-    /// their order.
-    pub fn open(folder: Rc<DataDirectory>, start: u64, now: Micros, told: mpsc::Sender<bool>) -> OutcomeLog {
-        let (keeping, promise) = (Keeping::start(LONGEST_WAIT, MAX_WAITING), RecordingPromise::default());
-        let waiting = VecDeque::new();
-        let mut outcome_log =
-            OutcomeLog { folder, start, keeping, promise, earlier: None, next: 0, waiting, told };
-        outcome_log.read(now);
+    /// Opens the log of `incarnation`, and reads what earlier ones left, if the directory can be read yet. `confirmations` is
+    /// sent, for each write in their order, whether it succeeded.
+    pub fn open(
+        directory: Rc<DataDirectory>,
+        incarnation: u64,
+        now: Micros,
+        confirmations: mpsc::Sender<bool>,
+    ) -> OutcomeLog {
+        let mut outcome_log = OutcomeLog {
+            directory,
+            incarnation,
+            writing: Keeping::start(MAX_WRITE_WAIT, MAX_UNCONFIRMED_WRITES),
+            promise: RecordingPromise::default(),
+            previous: None,
+            next_ticket: 0,
+            unconfirmed: VecDeque::new(),
+            confirmations,
+        };
+        outcome_log.read_if_possible(now);
         outcome_log
     }
 
-    /// Looks whether the folder can be read by now.
-    fn read(&mut self, now: Micros) {
-        if self.earlier.is_some() {
+    /// Reads what earlier incarnations left, once the directory can be read.
+    fn read_if_possible(&mut self, now: Micros) {
+        if self.previous.is_some() {
             return;
         }
-        let Some(records) = self.folder.records() else { return };
-        let mut earlier = PreviousIncarnations::default();
+        let Some(records) = self.directory.records() else { return };
+        let mut previous = PreviousIncarnations::default();
         for (space, key, value) in records {
             match *space {
-                space::BOOK => read_record(&mut earlier, key, value),
-                space::PROMISES => read_promise(&mut earlier, now, key, value),
+                space::BOOK => read_record(&mut previous, key, value),
+                space::PROMISES => read_promise(&mut previous, now, key, value),
                 _ => {}
             }
         }
-        self.earlier = Some(earlier);
-        // What failed before the folder was there says nothing of it now.
-        self.keeping = Keeping::start(LONGEST_WAIT, MAX_WAITING);
+        self.previous = Some(previous);
+        // Writes that failed before the directory was there say nothing about it now.
+        self.writing = Keeping::start(MAX_WRITE_WAIT, MAX_UNCONFIRMED_WRITES);
     }
 
-    /// What became of a request that an earlier start may have taken. Nothing is known of it while the folder
-    /// cannot be read.
-    pub fn ask(&mut self, now: Micros, origin: &Origin, number: u64, start: u64) -> Outcome<Rc<Vec<u8>>> {
-        self.read(now);
-        self.earlier.as_ref().map_or(Outcome::Unknown, |earlier| earlier.ask(origin, number, start))
+    /// What became of a request that was sent to an earlier incarnation. Nothing is known while the directory cannot be
+    /// read.
+    pub fn query(
+        &mut self,
+        now: Micros,
+        origin: &Origin,
+        number: u64,
+        incarnation: u64,
+    ) -> Outcome<Rc<Vec<u8>>> {
+        self.read_if_possible(now);
+        let previous = self.previous.as_ref();
+        previous.map_or(Outcome::Unknown, |previous| previous.query(origin, number, incarnation))
     }
 
-    /// Records and starts that were read back.
-    pub fn earlier(&self) -> (usize, usize) {
-        self.earlier.as_ref().map_or((0, 0), PreviousIncarnations::len)
+    /// How much earlier incarnations left.
+    pub fn restored(&self) -> RestoredCounts {
+        self.previous.as_ref().map_or_else(RestoredCounts::default, PreviousIncarnations::counts)
     }
 
-    /// Another promise, where the last one runs out.
-    pub fn renew(&mut self, now: Micros) {
-        self.read(now);
-        if !matches!(self.keeping.state(), State::Without { until } if now < until)
-            && let Some(until) = self.promise.renew(now)
-        {
-            let mut batch = Batch::default();
-            let over = until.saturating_add(PROMISE_KEPT);
-            batch.put(space::PROMISES, &self.start.to_be_bytes(), &until.to_be_bytes(), Some(over));
-            if !self.hand_over(now, batch, Wait::RecordingPromise) {
-                self.promise.settled();
-            }
+    /// Gives another promise where the last one is about to end.
+    pub fn renew_promise(&mut self, now: Micros) {
+        self.read_if_possible(now);
+        if matches!(self.writing.state(), State::Without { until } if now < until) {
+            return;
+        }
+        let Some(until) = self.promise.renew(now) else { return };
+        let mut batch = Batch::default();
+        let expires_at = until.saturating_add(PROMISE_RETENTION);
+        batch.put(space::PROMISES, &self.incarnation.to_be_bytes(), &until.to_be_bytes(), Some(expires_at));
+        if !self.hand_over(now, batch, WritePurpose::Promise) {
+            self.promise.settle();
         }
     }
 
-    /// Records that a remote request was taken. `until` is when nobody asks about it any more.
-    pub fn take(&mut self, now: Micros, origin: &Origin, number: u64, until: Micros) -> Taking {
-        match self.settle(now, origin, number, until, &Outcome::InFlight) {
-            Some(token) => Taking::Waits(token),
-            None if self.promise.lets_go_without(now) => {
-                self.promise.took_without(until);
-                Taking::Without
+    /// Records that a remote request was accepted. After `until` nobody asks about it any more.
+    pub fn record_acceptance(
+        &mut self,
+        now: Micros,
+        origin: &Origin,
+        number: u64,
+        until: Micros,
+    ) -> RecordedAcceptance {
+        match self.record_outcome(now, origin, number, until, &Outcome::InFlight) {
+            Some(ticket) => RecordedAcceptance::Waits(ticket),
+            None if self.promise.permits_unrecorded(now) => {
+                self.promise.accepted_unrecorded(until);
+                RecordedAcceptance::Unrecorded
             }
-            None => Taking::Refused,
+            None => RecordedAcceptance::Rejected,
         }
     }
 
-    /// An outcome, which leaves when its record is there; `None` is at once.
-    pub fn settle(
+    /// Records an outcome, which is sent once the record is written. Returns the record's ticket; `None` if the disk takes
+    /// nothing, so that the outcome is sent at once.
+    pub fn record_outcome(
         &mut self,
         now: Micros,
         origin: &Origin,
         number: u64,
         until: Micros,
-        fate: &Outcome<&[u8]>,
-    ) -> Option<Token> {
+        outcome: &Outcome<&[u8]>,
+    ) -> Option<RecordTicket> {
         let mut batch = Batch::default();
-        batch.put(space::BOOK, &key(self.start, origin, number), &value(fate), Some(until));
-        let token = self.next;
-        self.next += 1;
-        self.hand_over(now, batch, Wait::Record(token)).then_some(token)
+        let key = encode_key(self.incarnation, origin, number);
+        batch.put(space::BOOK, &key, &encode_outcome(outcome), Some(until));
+        let ticket = self.next_ticket;
+        self.next_ticket += 1;
+        self.hand_over(now, batch, WritePurpose::Record(ticket)).then_some(ticket)
     }
 
-    fn hand_over(&mut self, now: Micros, batch: Batch, wait: Wait) -> bool {
-        if !self.keeping.hands_over(now, true) {
+    /// Hands a batch to the disk. Returns whether it was taken.
+    fn hand_over(&mut self, now: Micros, batch: Batch, purpose: WritePurpose) -> bool {
+        if !self.writing.hands_over(now, true) {
             return false;
         }
-        if !self.folder.write(batch, &self.told) {
-            self.keeping.failed(now);
+        if !self.directory.write(batch, &self.confirmations) {
+            self.writing.failed(now);
             return false;
         }
-        self.waiting.push_back(wait);
+        self.unconfirmed.push_back(purpose);
         true
     }
 
-    /// The oldest write was confirmed, or was not: what waited for it goes on, or does not.
-    pub fn told(&mut self, now: Micros, well: bool) -> Option<(Token, bool)> {
-        let wait = self.waiting.pop_front()?;
-        if well {
-            self.keeping.confirmed(now);
+    /// The oldest unconfirmed write has ended. Returns the record that it was, if something waits for it.
+    pub fn write_finished(&mut self, now: Micros, is_written: bool) -> Option<FinishedRecord> {
+        let purpose = self.unconfirmed.pop_front()?;
+        if is_written {
+            self.writing.confirmed(now);
         } else {
-            self.keeping.failed(now);
+            self.writing.failed(now);
         }
-        match wait {
-            Wait::Record(token) => return Some((token, well)),
-            Wait::RecordingPromise => self.promise.settled(),
-            Wait::Over => {}
+        match purpose {
+            WritePurpose::Record(ticket) => return Some(FinishedRecord { ticket, is_written }),
+            WritePurpose::Promise => self.promise.settle(),
+            WritePurpose::Abandoned => {}
         }
         None
     }
 
-    /// What has waited too long goes on as not kept, though it may be on the disk yet.
-    pub fn given_up(&mut self, now: Micros) -> Vec<Token> {
-        if !self.keeping.gives_up(now) {
+    /// Stops waiting for writes that take too long. Returns the records that something waited for: they count as not
+    /// written, though they may still get to the disk.
+    pub fn abandon_slow_writes(&mut self, now: Micros) -> Vec<RecordTicket> {
+        if !self.writing.gives_up(now) {
             return Vec::new();
         }
-        let mut tokens = Vec::new();
-        for wait in &mut self.waiting {
-            match std::mem::replace(wait, Wait::Over) {
-                Wait::Record(token) => tokens.push(token),
-                Wait::RecordingPromise => self.promise.settled(),
-                Wait::Over => {}
+        let mut tickets = Vec::new();
+        for purpose in &mut self.unconfirmed {
+            match std::mem::replace(purpose, WritePurpose::Abandoned) {
+                WritePurpose::Record(ticket) => tickets.push(ticket),
+                WritePurpose::Promise => self.promise.settle(),
+                WritePurpose::Abandoned => {}
             }
         }
-        tokens
+        tickets
     }
 
-    /// When waiting records have waited too long, on the router's clock.
-    pub fn due(&self) -> Option<Micros> {
-        self.keeping.due()
+    /// When to call [`OutcomeLog::abandon_slow_writes`], on the router's clock.
+    pub fn write_deadline(&self) -> Option<Micros> {
+        self.writing.due()
     }
 
-    /// Whether the disk takes nothing for now.
-    pub fn is_without(&self) -> bool {
-        matches!(self.keeping.state(), State::Without { .. })
+    /// Whether the disk takes writes, as far as is known.
+    pub fn is_disk_available(&self) -> bool {
+        !matches!(self.writing.state(), State::Without { .. })
     }
 }
 
-fn read_record(earlier: &mut PreviousIncarnations<Rc<Vec<u8>>>, key: &[u8], value: &[u8]) {
-    if let Some((start, origin, number)) = read_key(key) {
-        earlier.record(start, origin, number, read_value(value).map(Rc::new));
+fn read_record(previous: &mut PreviousIncarnations<Rc<Vec<u8>>>, key: &[u8], value: &[u8]) {
+    if let Some(key) = decode_key(key) {
+        let outcome = decode_outcome(value).map(Rc::new);
+        previous.add_record(key.incarnation, key.origin, key.number, outcome);
     }
 }
 
-/// A promise: the start that gave it, and until when it holds.
-fn read_promise(earlier: &mut PreviousIncarnations<Rc<Vec<u8>>>, now: Micros, key: &[u8], value: &[u8]) {
+/// Reads a promise: the incarnation that gave it, and until when it holds.
+fn read_promise(previous: &mut PreviousIncarnations<Rc<Vec<u8>>>, now: Micros, key: &[u8], value: &[u8]) {
     let number = |bytes: &[u8]| bytes.try_into().ok().map(i64::from_be_bytes);
-    if let (Some(start), Some(until)) = (number(key), number(value)) {
-        earlier.promised(now, start as u64, until);
+    if let (Some(incarnation), Some(until)) = (number(key), number(value)) {
+        previous.add_promise(now, incarnation as u64, until);
     }
 }
--- a/crates/site-routing/src/forwarded_requests.rs
+++ b/crates/site-routing/src/forwarded_requests.rs
@@ -1,39 +1,45 @@
-//! The sender's book: what crossed to other gateways and is not settled.
+//! The sender's account of forwarded requests: each one that went to another gateway and whose outcome is not known yet.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeMap, BTreeSet};
 
-use crate::{Micros, Outcome, PeerAnswer, PeerGatewayId};
+use crate::{ForwardNumber, Micros, Outcome, PeerAnswer, PeerGatewayId, RequestHandle};
 
-/// What the sender knows of one request that crossed.
+/// After how long without a reply a query about an outcome is repeated, in microseconds: well over a round trip between
+/// sites, and short against the timeouts of requests.
+const QUERY_RETRY_INTERVAL: Micros = 500_000;
+
+/// What the sender knows of one forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ForwardState {
-    /// ForwardedRequest over a link that stands: its outcome is on the way.
+    /// Sent over a link that stands: its answer is on the way.
     InFlight,
-    /// Its link broke, or its outcome was lost: the gateway is to be asked.
+    /// Its link was lost, and perhaps its answer with it: the receiver is to be asked.
     Unresolved,
-    /// Asked, and no answer yet.
+    /// The receiver was asked, and has not replied yet.
     Queried,
 }
 
-/// What an answer, a fate or a loss makes of a crossing.
+/// What an answer, an outcome or a lost link says about a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Conclusion {
-    /// Nothing is known yet.
+    /// Nothing yet: it stays open.
     Open,
     /// It never ran: it may go elsewhere, or be rejected.
     NeverRan,
+    /// It was served.
     Served,
     /// It may have run, and more will not be known.
     MayHaveRun,
 }
 
 impl ForwardState {
-    /// Its link broke. Where repeats do no harm nothing needs to be known of it.
-    pub fn lost(&mut self, harmless: bool) -> Conclusion {
+    /// The link of the request was lost. Where a second execution is harmless, the outcome need not be found out.
+    pub fn link_lost(&mut self, harmless_to_repeat: bool) -> Conclusion {
         *self = ForwardState::Unresolved;
-        if harmless { Conclusion::MayHaveRun } else { Conclusion::Open }
+        if harmless_to_repeat { Conclusion::MayHaveRun } else { Conclusion::Open }
     }
 
+    /// The receiver answered the request.
     pub fn answered(&mut self, answer: PeerAnswer) -> Conclusion {
         match answer {
             PeerAnswer::Served => Conclusion::Served,
@@ -43,9 +49,9 @@
         }
     }
 
-    /// The gateway said what became of it.
-    pub fn told<V>(&mut self, fate: &Outcome<V>) -> Conclusion {
-        match fate {
+    /// The receiver replied to a query about the request.
+    pub fn outcome_received<V>(&mut self, outcome: &Outcome<V>) -> Conclusion {
+        match outcome {
             Outcome::NeverAccepted | Outcome::Rejected { .. } => Conclusion::NeverRan,
             Outcome::Served(_) => Conclusion::Served,
             Outcome::Failed | Outcome::Unknown => Conclusion::MayHaveRun,
@@ -57,94 +63,124 @@
     }
 }
 
+/// A request that was forwarded and is not closed.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ForwardedRequest<H> {
-    pub handle: H,
-    pub gateway: PeerGatewayId,
-    pub class: usize,
-    /// When it was sent, or last asked about; and when it was sent.
-    pub at: Micros,
-    pub since: Micros,
-    pub crossing: ForwardState,
+pub(crate) struct ForwardedRequest {
+    pub(crate) handle: RequestHandle,
+    pub(crate) gateway: PeerGatewayId,
+    pub(crate) class: usize,
+    pub(crate) sent_at: Micros,
+    /// When it was sent, or its receiver last asked about it.
+    pub(crate) last_contact_at: Micros,
+    pub(crate) state: ForwardState,
 }
 
-/// All that crossed from here and is not closed, by number.
-#[derive(Debug)]
-pub struct ForwardedRequests<H> {
-    sent: BTreeMap<u64, ForwardedRequest<H>>,
-    next: u64,
-    /// Numbers open at each gateway, the highest sent to it, and the highest confirmed.
-    gateways: HashMap<PeerGatewayId, Numbers>,
+/// The numbers that one gateway was sent.
+#[derive(Debug, Default)]
+struct SentNumbers {
+    open: BTreeSet<ForwardNumber>,
+    highest: ForwardNumber,
+    /// Up to here the gateway was told that nothing will be asked any more.
+    confirmed: ForwardNumber,
 }
 
-#[derive(Debug, Default)]
-struct Numbers {
-    open: BTreeSet<u64>,
-    highest: u64,
-    confirmed: u64,
+/// All requests that this gateway forwarded and has not closed, by number.
+#[derive(Debug)]
+pub(crate) struct ForwardedRequests {
+    open: BTreeMap<ForwardNumber, ForwardedRequest>,
+    next: ForwardNumber,
+    sent_to: BTreeMap<PeerGatewayId, SentNumbers>,
 }
 
-impl<H: Copy> Default for ForwardedRequests<H> {
+impl Default for ForwardedRequests {
     fn default() -> Self {
-        ForwardedRequests { sent: BTreeMap::new(), next: 1, gateways: HashMap::new() }
+        ForwardedRequests { open: BTreeMap::new(), next: 1, sent_to: BTreeMap::new() }
     }
 }
 
-impl<H: Copy> ForwardedRequests<H> {
-    pub(crate) fn send(&mut self, now: Micros, handle: H, gateway: PeerGatewayId, class: usize) -> u64 {
+impl ForwardedRequests {
+    /// Opens the account of a request that is sent now. Returns the number to send it under.
+    pub(crate) fn open(
+        &mut self,
+        now: Micros,
+        handle: RequestHandle,
+        gateway: PeerGatewayId,
+        class: usize,
+    ) -> ForwardNumber {
         let number = self.next;
         self.next += 1;
-        self.sent.insert(
-            number,
-            ForwardedRequest {
-                handle,
-                gateway,
-                class,
-                at: now,
-                since: now,
-                crossing: ForwardState::InFlight,
-            },
-        );
-        let numbers = self.gateways.entry(gateway).or_default();
+        let state = ForwardState::InFlight;
+        let request = ForwardedRequest { handle, gateway, class, sent_at: now, last_contact_at: now, state };
+        self.open.insert(number, request);
+        let numbers = self.sent_to.entry(gateway).or_default();
         numbers.open.insert(number);
         numbers.highest = number;
         number
     }
 
-    pub(crate) fn get(&self, number: u64) -> Option<&ForwardedRequest<H>> {
-        self.sent.get(&number)
+    pub(crate) fn get(&self, number: ForwardNumber) -> Option<&ForwardedRequest> {
+        self.open.get(&number)
     }
 
-    pub(crate) fn get_mut(&mut self, number: u64) -> Option<&mut ForwardedRequest<H>> {
-        self.sent.get_mut(&number)
+    pub(crate) fn get_mut(&mut self, number: ForwardNumber) -> Option<&mut ForwardedRequest> {
+        self.open.get_mut(&number)
     }
 
-    /// Nothing more will be asked about it.
-    pub(crate) fn close(&mut self, number: u64) -> Option<ForwardedRequest<H>> {
-        let sent = self.sent.remove(&number)?;
-        if let Some(numbers) = self.gateways.get_mut(&sent.gateway) {
+    /// Closes the account: nothing more will be asked about the request.
+    pub(crate) fn close(&mut self, number: ForwardNumber) -> Option<ForwardedRequest> {
+        let request = self.open.remove(&number)?;
+        if let Some(numbers) = self.sent_to.get_mut(&request.gateway) {
             numbers.open.remove(&number);
         }
-        Some(sent)
+        Some(request)
     }
 
-    /// Numbers open at a gateway, the oldest first.
-    pub(crate) fn open_at(&self, gateway: PeerGatewayId) -> Vec<u64> {
-        self.gateways.get(&gateway).map_or(Vec::new(), |numbers| numbers.open.iter().copied().collect())
+    /// The receiver is to be asked about a request whose outcome is unresolved. Returns the request if so.
+    pub(crate) fn start_query(&mut self, now: Micros, number: ForwardNumber) -> Option<ForwardedRequest> {
+        let request = self.open.get_mut(&number)?;
+        if request.state != ForwardState::Unresolved {
+            return None;
+        }
+        request.state = ForwardState::Queried;
+        request.last_contact_at = now;
+        Some(*request)
     }
 
+    /// Makes requests unresolved again whose query was not replied to in time. Returns their numbers, by gateway.
+    pub(crate) fn expire_queries(&mut self, now: Micros) -> Vec<ForwardNumber> {
+        let numbers = self.sent_to.values().flat_map(|numbers| &numbers.open);
+        let overdue = |request: &ForwardedRequest| {
+            request.state == ForwardState::Queried && now - request.last_contact_at >= QUERY_RETRY_INTERVAL
+        };
+        let expired: Vec<ForwardNumber> =
+            numbers.copied().filter(|number| self.open.get(number).is_some_and(overdue)).collect();
+        for number in &expired {
+            if let Some(request) = self.open.get_mut(number) {
+                request.state = ForwardState::Unresolved;
+            }
+        }
+        expired
+    }
+
+    /// The numbers open at a gateway, the oldest first.
+    pub(crate) fn open_at(&self, gateway: PeerGatewayId) -> Vec<ForwardNumber> {
+        self.sent_to.get(&gateway).map_or(Vec::new(), |numbers| numbers.open.iter().copied().collect())
+    }
+
+    /// How many requests of a class are open at a gateway.
     pub(crate) fn count_at(&self, gateway: PeerGatewayId, class: usize) -> usize {
-        let open = self.gateways.get(&gateway).into_iter().flat_map(|numbers| &numbers.open);
-        open.filter(|number| self.sent.get(number).is_some_and(|sent| sent.class == class)).count()
+        let open = self.sent_to.get(&gateway).into_iter().flat_map(|numbers| &numbers.open);
+        open.filter(|number| self.open.get(number).is_some_and(|request| request.class == class)).count()
     }
 
-    /// Up to where everything sent to a gateway is closed, if that has risen since it was last said.
-    pub(crate) fn confirm(&mut self, gateway: PeerGatewayId) -> Option<u64> {
-        let numbers = self.gateways.get_mut(&gateway)?;
-        let upto = numbers.open.first().map_or(numbers.highest, |first| first - 1);
-        (upto > numbers.confirmed).then(|| {
-            numbers.confirmed = upto;
-            upto
-        })
+    /// The number up to which all that was sent to a gateway is closed, if that has risen since it was last returned.
+    pub(crate) fn confirm(&mut self, gateway: PeerGatewayId) -> Option<ForwardNumber> {
+        let numbers = self.sent_to.get_mut(&gateway)?;
+        let closed_up_to = numbers.open.first().map_or(numbers.highest, |first| first - 1);
+        if closed_up_to <= numbers.confirmed {
+            return None;
+        }
+        numbers.confirmed = closed_up_to;
+        Some(closed_up_to)
     }
 }
--- a/crates/site-routing/src/home_sites.rs
+++ b/crates/site-routing/src/home_sites.rs
@@ -1,120 +1,127 @@
-//! Where each group's primary is believed to be.
+//! The home cache: at which site each group's primary is believed to be, and which sites have members of it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::{LOCAL_SITE, Micros, SiteId};
+use crate::{LOCAL_SITE, Micros, NEVER, SiteId};
 
-/// A site's own account of its groups is a guess, believed where no answer was heard for so long.
-const STALE: Micros = 1_000_000;
+/// A site's own announcement is believed against an older belief once that is this old, in microseconds. Answers of members
+/// are first-hand and newer; an announcement may have been made before the primary moved.
+const ANSWER_TRUSTED_FOR: Micros = 1_000_000;
 
 #[derive(Debug)]
 struct Group {
     home: Option<SiteId>,
-    /// When the newest word on it was heard.
-    word: Micros,
-    /// Members here, as listed.
-    here: usize,
-    /// Other sites that have members.
-    members_at: BTreeSet<SiteId>,
-    /// Writes are not walked before then.
-    walk_after: Micros,
+    /// When an answer last confirmed the home or ruled it out.
+    learned_at: Micros,
+    /// How many ready members the local endpoint list has.
+    local_members: usize,
+    /// Other sites that announced members.
+    remote_sites: BTreeSet<SiteId>,
 }
 
+impl Default for Group {
+    fn default() -> Group {
+        Group { home: None, learned_at: NEVER, local_members: 0, remote_sites: BTreeSet::new() }
+    }
+}
+
+/// The home site of each group, as last learned.
+///
+/// Sources, the strongest first: answers to requests, announcements of other sites, the operator's configuration.
 #[derive(Debug, Default)]
 pub(crate) struct HomeSites {
     groups: BTreeMap<u64, Group>,
 }
 
 impl HomeSites {
-    fn group(&mut self, name: u64) -> &mut Group {
-        self.groups.entry(name).or_insert_with(|| Group {
-            home: None,
-            word: Micros::MIN / 2,
-            here: 0,
-            members_at: BTreeSet::new(),
-            walk_after: Micros::MIN / 2,
-        })
-    }
-
-    pub(crate) fn known(&self) -> impl Iterator<Item = u64> {
+    /// All groups known here, in ascending order.
+    pub(crate) fn groups(&self) -> impl Iterator<Item = u64> {
         self.groups.keys().copied()
     }
 
-    pub(crate) fn home(&self, name: u64) -> Option<SiteId> {
-        self.groups.get(&name)?.home
+    /// Whether any site is known to have the group.
+    pub(crate) fn knows(&self, group: u64) -> bool {
+        self.groups.contains_key(&group)
     }
 
-    pub(crate) fn here(&self, name: u64) -> usize {
-        self.groups.get(&name).map_or(0, |group| group.here)
+    /// The site where the group's primary is believed to be.
+    pub(crate) fn home(&self, group: u64) -> Option<SiteId> {
+        self.groups.get(&group)?.home
     }
 
-    pub(crate) fn is_at(&self, name: u64, site: SiteId) -> bool {
-        self.groups.get(&name).is_some_and(|group| match site {
-            LOCAL_SITE => group.here > 0,
-            site => group.members_at.contains(&site),
-        })
+    /// How many ready members of the group this site has.
+    pub(crate) fn local_members(&self, group: u64) -> usize {
+        self.groups.get(&group).map_or(0, |group| group.local_members)
     }
 
-    pub(crate) fn walk_after(&self, name: u64) -> Micros {
-        self.groups.get(&name).map_or(Micros::MIN / 2, |group| group.walk_after)
-    }
-
-    pub(crate) fn hold_walks(&mut self, name: u64, until: Micros) {
-        self.group(name).walk_after = until;
+    /// Whether the site has members of the group.
+    pub(crate) fn has_members(&self, group: u64, site: SiteId) -> bool {
+        self.groups.get(&group).is_some_and(|group| match site {
+            LOCAL_SITE => group.local_members > 0,
+            site => group.remote_sites.contains(&site),
+        })
     }
 
-    /// The groups that have members here, and how many.
-    pub(crate) fn listed(&mut self, groups: &[(u64, usize)]) {
-        self.groups.values_mut().for_each(|group| group.here = 0);
-        for &(name, members) in groups {
-            self.group(name).here = members;
+    /// Takes over the local endpoint list: each group with its number of ready members. Groups left out have none.
+    pub(crate) fn set_local_members(&mut self, listed: &[(u64, usize)]) {
+        for group in self.groups.values_mut() {
+            group.local_members = 0;
+        }
+        for &(group, members) in listed {
+            self.entry(group).local_members = members;
         }
     }
 
-    /// A first guess, that any answer and any site's own account corrects.
-    pub(crate) fn guess(&mut self, name: u64, site: SiteId) {
-        let group = self.group(name);
+    /// Assumes a home, as configured, until an answer or an announcement says otherwise.
+    pub(crate) fn assume(&mut self, group: u64, site: SiteId) {
+        let group = self.entry(group);
         group.home = Some(site);
         if site != LOCAL_SITE {
-            group.members_at.insert(site);
+            group.remote_sites.insert(site);
         }
     }
 
-    /// An answer showed the primary at that site. Says whether that is news.
-    pub(crate) fn answered(&mut self, now: Micros, name: u64, site: SiteId) -> bool {
-        let group = self.group(name);
-        group.word = now;
-        let news = group.home.replace(site) != Some(site);
-        if news {
-            group.walk_after = now;
-        }
-        news
+    /// An answer showed the primary at that site. Returns whether the home has changed.
+    pub(crate) fn confirm(&mut self, now: Micros, group: u64, site: SiteId) -> bool {
+        let group = self.entry(group);
+        group.learned_at = now;
+        group.home.replace(site) != Some(site)
     }
 
-    /// An answer showed that it is not at that site; where it is instead is only a hint.
-    pub(crate) fn missed(&mut self, now: Micros, name: u64, site: SiteId, hint: Option<SiteId>) {
-        let group = self.group(name);
+    /// An answer showed that the primary is not at that site; `hint` says where it may be instead.
+    pub(crate) fn rule_out(&mut self, now: Micros, group: u64, site: SiteId, hint: Option<SiteId>) {
+        let group = self.entry(group);
         if group.home == Some(site) || group.home.is_none() {
             group.home = hint.filter(|&hint| hint != site);
-            group.word = now;
+            group.learned_at = now;
         }
     }
 
-    /// Another site's own account: which groups have members there, and which of them the primary. Says whether any
-    /// belief changed.
-    pub(crate) fn told(&mut self, now: Micros, site: SiteId, groups: &[(u64, bool)]) -> bool {
+    /// Another site announced all groups that it has members of, each with whether it has the primary. Returns the groups
+    /// whose home has changed.
+    pub(crate) fn learn_announcement(
+        &mut self,
+        now: Micros,
+        site: SiteId,
+        announced: &[(u64, bool)],
+    ) -> Vec<u64> {
         for group in self.groups.values_mut() {
-            group.members_at.remove(&site);
+            group.remote_sites.remove(&site);
         }
-        let mut news = false;
-        for &(name, primary) in groups {
-            let group = self.group(name);
-            group.members_at.insert(site);
-            let guess = group.home.is_none() || now - group.word > STALE;
-            if primary && guess && group.home != Some(site) {
-                (group.home, group.walk_after, news) = (Some(site), now, true);
+        let mut moved = Vec::new();
+        for &(name, has_primary) in announced {
+            let group = self.entry(name);
+            group.remote_sites.insert(site);
+            let replaceable = group.home.is_none() || now - group.learned_at > ANSWER_TRUSTED_FOR;
+            if has_primary && replaceable && group.home != Some(site) {
+                group.home = Some(site);
+                moved.push(name);
             }
         }
-        news
+        moved
+    }
+
+    fn entry(&mut self, group: u64) -> &mut Group {
+        self.groups.entry(group).or_default()
     }
 }
--- a/crates/site-routing/src/lib.rs
+++ b/crates/site-routing/src/lib.rs
@@ -1,177 +1,107 @@
-//! Which site a request goes to, and the books on the fate of what crossed.
+//! Decides which site serves a request, and keeps account of requests that were forwarded between sites.
 //!
-//! [`SiteRouter`] decides for one gateway: whether a request is handed to the module of its own site or crosses to
-//! another gateway, when it waits, when it is asked again, when it is given up. `take` gives a [`RequestHandle`] for
-//! a request; what happens to the request later is a call on that handle. [`OutcomeTable`] is the receiver's book on
-//! what came to it. Every call brings `now` and returns a [`Actions`]; nothing here does I/O or has a clock.
+//! A site is a set of members behind its own gateways. Every gateway runs one [`SiteRouter`], one level above the router
+//! that chooses members within the site: it has a believed home site for each group, corrected by answers, searches the
+//! other sites for a primary that has moved, and avoids gateways that fail for a while.
 //!
-//! It carries the design of the router one level up: a believed home site for each group, corrected by answers; a
-//! walk over sites for writes; a hold after a round of 'not here'; blacklists on a gateway that expire.
+//! # What goes in and what comes out
+//!
+//! The caller hands in requests ([`SiteRouter::accept`]), what happened to them at the local router and at other
+//! gateways, and what other gateways announce. Each call brings `now` in microseconds and returns [`Actions`]: what to do
+//! with which request, in that order, and when to call [`SiteRouter::wake`].
+//!
+//! Three accounts are kept of a forwarded request, so that no non-idempotent one runs twice:
+//!
+//! - the sender's, within [`SiteRouter`]: every request that it forwarded and whose outcome it does not know yet;
+//! - the receiver's, in memory: [`OutcomeTable`], every request that this process accepted from other gateways;
+//! - the receiver's, on disk: the caller writes [`records`] under a [`RecordingPromise`] and, after a restart, reads them
+//!   into [`PreviousIncarnations`], which answers for processes that ran before this one.
+//!
+//! # Caller and assumptions
+//!
+//! The gateway part of the proxy's dispatcher is the only caller. It owns links, sockets, clock and disk; nothing here does
+//! I/O, has a clock or keeps global state. The caller is assumed to carry out the actions in their order, to give each
+//! gateway an index ([`PeerGatewayId`]) that never changes its meaning, and to bring a `now` that does not run backwards.
+//!
+//! # Example
+//!
+//! ```
+//! use aldermill_site_routing::{
+//!     Action, Effect, LocalResult, Need, Request, RequestClass, SiteRouter, SiteRouterConfig,
+//! };
+//!
+//! let reads = RequestClass {
+//!     effect: Effect::Idempotent,
+//!     need: Need::Any,
+//!     objective: 400_000,
+//!     priority_weight: 1.0,
+//!     late_priority_weight: 0.5,
+//! };
+//! let config = SiteRouterConfig {
+//!     classes: vec![reads],
+//!     sites: 2,
+//!     max_hops: 1,
+//!     max_credit: 64,
+//!     max_retry_after: 500_000,
+//! };
+//! let mut router = SiteRouter::new(config, 1, 0);
+//! // Group 7 has three members at this site, so a read of it stays here.
+//! router.groups_listed(0, &[(7, 3)]);
+//! let request = Request { class: 0, group: 7, timeout: 1_000_000, ..Request::default() };
+//! let (handle, actions) = router.accept(0, request);
+//! assert_eq!(actions.requests, [(handle, Action::ServeLocally { timeout: 1_000_000 })]);
+//!
+//! let actions = router.local_finished(20_000, handle, LocalResult::Served);
+//! assert_eq!(actions.requests, [(handle, Action::RelayResponse)]);
+//! ```
 
+#![warn(missing_docs)]
+
+mod actions;
+mod config;
 mod forwarded_requests;
 mod home_sites;
 mod link_credit;
 mod outcome_table;
-pub mod previous_incarnations;
+mod peer_gateway;
+mod peer_gateways;
+mod pending_requests;
+mod previous_incarnations;
+mod primary_search;
+mod recording_promise;
+pub mod records;
+mod request;
 mod router;
 mod session_assignment;
+mod site_selection;
 
-pub use forwarded_requests::{Conclusion, ForwardState, ForwardedRequests};
-pub use link_credit::LinkCredit;
+pub use actions::{Action, Actions};
+pub use config::{Effect, Need, RequestClass, SiteRouterConfig};
+pub use forwarded_requests::{Conclusion, ForwardState};
 pub use outcome_table::{NotAccepted, Origin, Outcome, OutcomeTable};
-pub use previous_incarnations::{PreviousIncarnations, RecordingPromise};
-pub use router::{PeerGatewayView, RequestHandle, SiteRouter};
+pub use peer_gateway::PeerGatewayView;
+pub use pending_requests::RequestHandle;
+pub use previous_incarnations::{PreviousIncarnations, RestoredCounts};
+pub use recording_promise::RecordingPromise;
+pub use request::{LocalResult, PeerAnswer, Request};
+pub use router::{CapacityOffer, HomeView, SiteRouter};
 pub use session_assignment::OpenWork;
 
-/// Whole microseconds, on the caller's clock.
+/// Whole microseconds: an instant on the caller's clock, or a span.
 pub type Micros = i64;
 
-/// A site, as a small index; the own one is 0.
+/// A site, as an index that the caller gives out; [`LOCAL_SITE`] is this gateway's own.
 pub type SiteId = usize;
 
-/// The site of the gateway itself.
+/// The site of this gateway.
 pub const LOCAL_SITE: SiteId = 0;
 
-/// One instance of a gateway at another site, as a small index that the caller gives out.
+/// A gateway process at another site, as an index that the caller gives out. It stays when the process restarts.
 pub type PeerGatewayId = usize;
 
-/// Whether a request may run again.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    Idempotent,
-    /// Its repeats are dropped for so long: by any member of its group, or only within the site that had it first.
-    Deduplicated {
-        window: Micros,
-        within_site: bool,
-    },
-    NonIdempotent,
-}
-
-/// Where a request can be answered.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
-    /// Where the group's primary is.
-    Primary,
-    /// Wherever the group has members, from data of at most this age.
-    Recent(Micros),
-    /// Wherever the group has members.
-    Any,
-}
-
-#[derive(Clone, Copy, Debug)]
-pub struct RequestClass {
-    pub effect: Effect,
-    pub need: Need,
-    pub objective: Micros,
-    pub priority_weight: f64,
-    /// The part of the priority weight that an answer after the latency objective still earns.
-    pub late_priority_weight: f64,
-}
-
-/// What a gateway is told once.
-#[derive(Clone, Debug)]
-pub struct SiteRouterConfig {
-    pub classes: Vec<RequestClass>,
-    /// How many sites there are, the own one among them.
-    pub sites: usize,
-    /// How many links a request may cross.
-    pub max_hops: usize,
-    /// Requests of one request class that another gateway may have under way here at most.
-    pub max_credit: u32,
-    /// How long a rejected client is told to stay away at most.
-    pub max_retry_after: Micros,
-}
-
-#[derive(Clone, Debug, Default)]
-pub struct Request {
-    pub class: usize,
-    pub group: u64,
-    /// How long it may take from now on.
-    pub timeout: Micros,
-    /// SiteRouter that it came by, its origin first; empty for a client's own.
-    pub visited: Vec<SiteId>,
-    /// Which session it is of, where that is known; it belongs to one site while another retires.
-    pub session: Option<String>,
-}
-
-/// How another gateway answered a request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PeerAnswer {
-    Served,
-    Rejected {
-        retry_after: Micros,
-    },
-    Failed,
-    /// The group's primary is not there, but perhaps at this site.
-    NotPrimary {
-        hint: Option<SiteId>,
-    },
-    /// It is no request there, or its key was fenced.
-    NeverAccepted,
-}
-
-impl PeerAnswer {
-    /// It is certain that nothing ran.
-    pub fn never_ran(self) -> bool {
-        matches!(
-            self,
-            PeerAnswer::Rejected { .. } | PeerAnswer::NotPrimary { .. } | PeerAnswer::NeverAccepted
-        )
-    }
-}
-
-/// How the own site's module ended a request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LocalResult {
-    Served,
-    Rejected { retry_after: Micros },
-    Failed,
-}
-
-/// What is to be done for one request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Action {
-    /// Hand it to the own site's module, with so much time.
-    ServeLocally {
-        timeout: Micros,
-    },
-    /// Take it back from there: it never ran.
-    Withdraw,
-    /// Send it over a link to that gateway, with so much time left when it arrives.
-    Forward {
-        gateway: PeerGatewayId,
-        number: u64,
-        timeout: Micros,
-    },
-    /// Ask that gateway what became of it.
-    QueryOutcome {
-        gateway: PeerGatewayId,
-        number: u64,
-    },
-    /// Tell that gateway that nobody waits for it.
-    Cancel {
-        gateway: PeerGatewayId,
-        number: u64,
-    },
-    /// Give the client what the other gateway sent.
-    RelayResponse,
-    Reject {
-        retry_after: Micros,
-    },
-    Fail,
-    /// Tell the gateway that sent it that the primary is not here.
-    ReportNotPrimary {
-        hint: Option<SiteId>,
-    },
-}
+/// Numbers the requests that this gateway forwards, rising from 1 over all other gateways. With the sender's [`Origin`] it
+/// is the key by which a receiver tells a request from another copy of it.
+pub type ForwardNumber = u64;
 
-/// What the caller is to do now, in this order, and when to wake the books again.
-#[derive(Debug, Default)]
-pub struct Actions {
-    pub requests: Vec<(RequestHandle, Action)>,
-    /// Nothing up to this number will be asked of that gateway again.
-    pub confirmations: Vec<(PeerGatewayId, u64)>,
-    /// What is offered to other gateways has changed.
-    pub announce_capacity: bool,
-    pub wake_at: Option<Micros>,
-}
+/// An instant before all others, for what has never happened. Half of the range, so that a difference does not overflow.
+pub(crate) const NEVER: Micros = Micros::MIN / 2;
--- a/crates/site-routing/src/link_credit.rs
+++ b/crates/site-routing/src/link_credit.rs
@@ -1,74 +1,117 @@
-//! How many requests others may have under way here, by request class.
+//! How many requests other gateways may have in flight here, by request class.
 
 use std::collections::HashMap;
 
-use crate::{Micros, PeerGatewayId, RequestClass};
+use crate::{Micros, NEVER, PeerGatewayId, RequestClass};
 
-/// At first, and at least: with nothing nobody would notice that there is room again.
-const START: f64 = 16.0;
-const LEAST: f64 = 1.0;
-/// After a rejection shrank a window, it is not shrunk again for so long: the rejections of one crowd are one
-/// sign.
-const REST: Micros = 100_000;
+/// The window of a gateway that has just come, in requests.
+const INITIAL_WINDOW: f64 = 16.0;
+/// The smallest window, in requests: with none at all nobody would find out that there is capacity again.
+const MIN_WINDOW: f64 = 1.0;
+/// How long a window that was shrunk is not shrunk again, in microseconds: rejections that come together are one sign of
+/// overload.
+const SHRINK_INTERVAL: Micros = 100_000;
+/// What a rejection leaves of the window of a class that is worth nothing.
+const LEAST_SHRINK_FACTOR: f64 = 0.5;
+/// By how much more it leaves of the window of the class that is worth most; others lie between by their weight.
+const SHRINK_FACTOR_RANGE: f64 = 0.4;
 
+/// How many requests of one class one gateway may have in flight here.
 #[derive(Clone, Copy, Debug)]
 struct Window {
-    requests: f64,
-    under_way: u32,
-    shrunk: Micros,
+    /// Whole requests are offered; the fraction grows.
+    size: f64,
+    in_flight: u32,
+    shrunk_at: Micros,
 }
 
-/// The windows that this gateway offers to others. Protects the own site's clients from what other sites cannot
-/// serve themselves. Should also cover floods of one request class: each has its own window, the best paid
-/// shrinks least.
-/// Harms a sudden shift of load to this site: windows grow by one a window's worth of requests.
+impl Window {
+    /// Whether the gateway has used what it was offered: only then is more worth offering.
+    fn is_full(&self) -> bool {
+        f64::from(self.in_flight) >= self.size - 1.0
+    }
+
+    fn shrink(&mut self, now: Micros, factor: f64) {
+        self.size = (self.size * factor).max(MIN_WINDOW);
+        self.shrunk_at = now;
+    }
+
+    /// By one request for each window's worth of requests.
+    fn grow(&mut self, max: f64) {
+        self.size = (self.size + 1.0 / self.size).min(max);
+    }
+}
+
+/// The credit that this gateway offers to others: a window for each gateway and request class, which a rejection shrinks and
+/// success grows.
+///
+/// Without it a site that is overloaded passes its overload on, and this site's own clients suffer. A flood of one class
+/// leaves the windows of others alone, and the class of the highest priority weight shrinks least. The cost: a sudden shift
+/// of load to this site is taken on slowly, by one request more for each window's worth of requests.
 #[derive(Debug)]
-pub struct LinkCredit {
+pub(crate) struct LinkCredit {
     windows: HashMap<PeerGatewayId, Vec<Window>>,
-    /// What a rejection leaves of each request class's window.
-    keeps: Vec<f64>,
-    most: f64,
+    /// What a rejection leaves of a window, by class.
+    shrink_factors: Vec<f64>,
+    max: f64,
 }
 
 impl LinkCredit {
-    pub fn start(classes: &[RequestClass], most: u32) -> LinkCredit {
-        let best = classes.iter().map(|class| class.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
-        // Half for what pays nothing, nine tenths for the best paid.
-        let keeps = classes.iter().map(|class| 0.5 + 0.4 * (class.priority_weight / best).clamp(0.0, 1.0));
-        LinkCredit { windows: HashMap::new(), keeps: keeps.collect(), most: f64::from(most.max(1)) }
+    /// `max` is the largest window, in requests.
+    pub(crate) fn new(classes: &[RequestClass], max: u32) -> LinkCredit {
+        let weights = classes.iter().map(|class| class.priority_weight);
+        let best = weights.clone().fold(f64::MIN_POSITIVE, f64::max);
+        let factor =
+            |weight: f64| LEAST_SHRINK_FACTOR + SHRINK_FACTOR_RANGE * (weight / best).clamp(0.0, 1.0);
+        LinkCredit {
+            windows: HashMap::new(),
+            shrink_factors: weights.map(factor).collect(),
+            max: f64::from(max.max(1)),
+        }
     }
 
-    pub fn credits(&mut self, gateway: PeerGatewayId) -> Vec<u32> {
-        self.of(gateway).iter().map(|window| window.requests.floor().max(LEAST) as u32).collect()
+    /// What is offered to a gateway, in requests by class.
+    pub(crate) fn offered_to(&mut self, gateway: PeerGatewayId) -> Vec<u32> {
+        let windows = self.windows_of(gateway).iter();
+        windows.map(|window| window.size.floor().max(MIN_WINDOW) as u32).collect()
     }
 
-    pub(crate) fn came(&mut self, gateway: PeerGatewayId, class: usize) {
-        if let Some(window) = self.of(gateway).get_mut(class) {
-            window.under_way += 1;
+    /// A request of a gateway was accepted.
+    pub(crate) fn request_started(&mut self, gateway: PeerGatewayId, class: usize) {
+        if let Some(window) = self.windows_of(gateway).get_mut(class) {
+            window.in_flight += 1;
         }
     }
 
-    /// A request of another site is over here; says whether what is offered has changed.
-    pub(crate) fn over(&mut self, now: Micros, gateway: PeerGatewayId, class: usize, rejected: bool) -> bool {
-        let (keep, most) = (self.keeps.get(class).copied().unwrap_or(0.5), self.most);
-        let Some(window) = self.of(gateway).get_mut(class) else { return false };
-        let before = window.requests.floor();
-        let full = f64::from(window.under_way) >= window.requests - 1.0;
-        window.under_way = window.under_way.saturating_sub(1);
-        if rejected && now - window.shrunk >= REST {
-            (window.requests, window.shrunk) = ((window.requests * keep).max(LEAST), now);
-        } else if !rejected && full {
-            window.requests = (window.requests + 1.0 / window.requests).min(most);
+    /// A request of a gateway has ended. Returns whether the offer to that gateway has changed.
+    pub(crate) fn request_ended(
+        &mut self,
+        now: Micros,
+        gateway: PeerGatewayId,
+        class: usize,
+        rejected: bool,
+    ) -> bool {
+        let factor = self.shrink_factors.get(class).copied().unwrap_or(LEAST_SHRINK_FACTOR);
+        let max = self.max;
+        let Some(window) = self.windows_of(gateway).get_mut(class) else { return false };
+        let offered_before = window.size.floor();
+        let was_full = window.is_full();
+        window.in_flight = window.in_flight.saturating_sub(1);
+        if rejected && now - window.shrunk_at >= SHRINK_INTERVAL {
+            window.shrink(now, factor);
+        } else if !rejected && was_full {
+            window.grow(max);
         }
-        window.requests.floor() != before
+        window.size.floor() != offered_before
     }
 
+    /// The gateway has restarted: it has nothing in flight here, and begins with the initial window.
     pub(crate) fn forget(&mut self, gateway: PeerGatewayId) {
         self.windows.remove(&gateway);
     }
 
-    fn of(&mut self, gateway: PeerGatewayId) -> &mut Vec<Window> {
-        let start = Window { requests: START.min(self.most), under_way: 0, shrunk: Micros::MIN / 2 };
-        self.windows.entry(gateway).or_insert_with(|| vec![start; self.keeps.len()])
+    fn windows_of(&mut self, gateway: PeerGatewayId) -> &mut Vec<Window> {
+        let initial = Window { size: INITIAL_WINDOW.min(self.max), in_flight: 0, shrunk_at: NEVER };
+        self.windows.entry(gateway).or_insert_with(|| vec![initial; self.shrink_factors.len()])
     }
 }
--- a/crates/site-routing/src/outcome_table.rs
+++ b/crates/site-routing/src/outcome_table.rs
@@ -1,229 +1,271 @@
-//! The receiver's book: what came to this gateway, and what became of it.
+//! The receiver's account in memory: what became of each request that this process accepted from other gateways.
 //!
-//! A key is taken once. Who asks about a key that was never taken fences it: from then on it never will be. What may
-//! be forgotten is what nobody can ask about any more, by its deadline or by the sender's word; a number that
-//! was forgotten stays fenced by a floor under all later ones.
+//! Two logs hold outcomes, and each has one owner. The [`OutcomeTable`] here belongs to the running process: it holds every
+//! remote request that this incarnation accepted, decides whether another copy is accepted, and answers queries that name
+//! this incarnation. It is lost with the process. The proxy's `dispatcher/outcome_log.rs` owns the log on disk: it holds the
+//! non-idempotent requests alone, is only written while the process runs, and is only read by a later incarnation, as
+//! [`PreviousIncarnations`](crate::PreviousIncarnations), to answer queries that name this one.
+//!
+//! A number is accepted once. A query about a number that was never accepted fences it: from then on it never will be, so
+//! that the sender may send the request elsewhere. A record is forgotten once nobody can ask about it, by its deadline or
+//! by the sender's confirmation; numbers that were forgotten stay fenced by a floor below all later ones.
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::Micros;
+use crate::{ForwardNumber, Micros};
 
-/// Starts of one instance that are over, and never taken from again; older ones are forgotten.
-const OVER: usize = 64;
+/// How many replaced incarnations of one sender are remembered. A frame of an older one would have to be on its way for as
+/// long as that many restarts take.
+const MAX_REPLACED_INCARNATIONS: usize = 64;
 
-/// Who sent a key's request: the key is this and a number.
+/// The process that sent a request. With the request's number it is the request's key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Origin {
+    /// The name of its site.
     pub site: String,
+    /// The name of its instance within the site.
     pub instance: String,
-    /// New with every start of that instance.
-    pub start: u64,
+    /// Differs between any two starts of that instance.
+    pub incarnation: u64,
 }
 
-/// What became of a key. `V` is what a served request brought.
+/// What became of a request that was sent to this gateway. `V` is the response to a served one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome<V> {
-    /// It was never taken, and never will be.
+    /// It was never accepted, and never will be.
     NeverAccepted,
-    /// It was taken, and no outcome is known yet.
+    /// It was accepted, and has not ended yet.
     InFlight,
-    /// It never ran.
+    /// It was rejected and never ran.
     Rejected {
+        /// After how long the client may try again, in microseconds.
         retry_after: Micros,
     },
+    /// It was served with this response.
     Served(V),
+    /// It failed, and may have run.
     Failed,
-    /// It may have been taken; nothing of it is known.
+    /// It may have been accepted; nothing is known of it.
     Unknown,
 }
 
 impl<V> Outcome<V> {
+    /// The same with a reference to the response.
     pub fn as_ref(&self) -> Outcome<&V> {
         match self {
             Outcome::NeverAccepted => Outcome::NeverAccepted,
             Outcome::InFlight => Outcome::InFlight,
             Outcome::Rejected { retry_after } => Outcome::Rejected { retry_after: *retry_after },
-            Outcome::Served(value) => Outcome::Served(value),
+            Outcome::Served(response) => Outcome::Served(response),
             Outcome::Failed => Outcome::Failed,
             Outcome::Unknown => Outcome::Unknown,
         }
     }
 
-    pub fn map<W>(self, of: impl FnOnce(V) -> W) -> Outcome<W> {
+    /// The same with the response converted.
+    pub fn map<W>(self, convert: impl FnOnce(V) -> W) -> Outcome<W> {
         match self {
             Outcome::NeverAccepted => Outcome::NeverAccepted,
             Outcome::InFlight => Outcome::InFlight,
             Outcome::Rejected { retry_after } => Outcome::Rejected { retry_after },
-            Outcome::Served(value) => Outcome::Served(of(value)),
+            Outcome::Served(response) => Outcome::Served(convert(response)),
             Outcome::Failed => Outcome::Failed,
             Outcome::Unknown => Outcome::Unknown,
         }
     }
 }
 
-/// Why a request is not taken. Only where the book is full does the sender hear so: a copy of what may have
-/// run before is no news to it, and must never be called one that did not run.
+/// Why a request is not accepted.
+///
+/// The sender is told of [`NotAccepted::Full`] alone. Another copy may have run before: it must never be called a request
+/// that did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotAccepted {
-    /// Its key was fenced, or is below what was forgotten.
+    /// Its number was fenced by a query, or is at or below the floor.
     Fenced,
-    /// It is here already: this is another copy.
+    /// It is another copy of a request that was accepted.
     Duplicate,
-    /// It is from a start of its sender that is over.
+    /// It is from an incarnation of its sender that another has replaced.
     StaleIncarnation,
-    /// More keys are under way than the book holds.
+    /// The sender has as many requests here as are remembered of one sender.
     Full,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Record<V> {
-    fate: Outcome<V>,
-    until: Micros,
+    outcome: Outcome<V>,
+    /// When nobody can ask about it any more.
+    expires_at: Micros,
 }
 
+/// The requests of one sender's present incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct SenderOutcomes<V> {
-    start: u64,
-    /// Up to here everything is fenced that has no record.
-    floor: u64,
-    records: BTreeMap<u64, Record<V>>,
-    over: VecDeque<u64>,
+    incarnation: u64,
+    /// Numbers at or below it are fenced, except those that have a record.
+    floor: ForwardNumber,
+    records: BTreeMap<ForwardNumber, Record<V>>,
+    /// Incarnations that a later one has replaced, the oldest first.
+    replaced: VecDeque<u64>,
+}
+
+impl<V> SenderOutcomes<V> {
+    fn new(incarnation: u64, replaced: VecDeque<u64>) -> SenderOutcomes<V> {
+        SenderOutcomes { incarnation, floor: 0, records: BTreeMap::new(), replaced }
+    }
+
+    /// Forgets records that have expired, and fences their numbers.
+    fn expire(&mut self, now: Micros) {
+        let expired = |record: &Record<V>| now >= record.expires_at;
+        let highest =
+            self.records.iter().rev().find(|(_, record)| expired(record)).map(|(&number, _)| number);
+        if let Some(highest) = highest {
+            self.floor = self.floor.max(highest);
+            self.records.retain(|_, record| !expired(record));
+        }
+    }
 }
 
-/// The books on all senders.
+/// What became of all requests that this process accepted, by sender.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OutcomeTable<V> {
-    books: BTreeMap<(String, String), SenderOutcomes<V>>,
-    /// Records that one sender may have.
-    most: usize,
-    /// How long after its deadline somebody may still ask about a key.
-    slack: Micros,
+    /// By the names of site and instance.
+    senders: BTreeMap<(String, String), SenderOutcomes<V>>,
+    max_records_per_sender: usize,
+    query_grace: Micros,
 }
 
 impl<V: Clone> OutcomeTable<V> {
-    pub fn start(most: usize, slack: Micros) -> OutcomeTable<V> {
-        OutcomeTable { books: BTreeMap::new(), most, slack }
+    /// `query_grace` is how long after a request's deadline its sender may still ask about it, in microseconds.
+    pub fn new(max_records_per_sender: usize, query_grace: Micros) -> OutcomeTable<V> {
+        OutcomeTable { senders: BTreeMap::new(), max_records_per_sender, query_grace }
     }
 
-    /// A sender greets. A start that another one replaced is over for good: what comes of it late is turned away.
-    /// `current_up` says whether a link of the start known so far still stands.
-    pub fn greeted(&mut self, origin: &Origin, current_up: bool) -> bool {
+    /// A sender has greeted. Returns whether it is welcome: an incarnation that another has replaced is not, and its late
+    /// frames are not accepted any more.
+    ///
+    /// `current_is_linked` says whether a link of the incarnation known so far stands; while it does, one of a lower number
+    /// is taken for an older one that comes late.
+    pub fn greeted(&mut self, origin: &Origin, current_is_linked: bool) -> bool {
         let name = (origin.site.clone(), origin.instance.clone());
-        let fresh = |over| SenderOutcomes { start: origin.start, floor: 0, records: BTreeMap::new(), over };
-        let Some(book) = self.books.get_mut(&name) else {
-            self.books.insert(name, fresh(VecDeque::new()));
+        let Some(sender) = self.senders.get_mut(&name) else {
+            self.senders.insert(name, SenderOutcomes::new(origin.incarnation, VecDeque::new()));
             return true;
         };
-        if book.start == origin.start {
+        if sender.incarnation == origin.incarnation {
             return true;
         }
-        if book.over.contains(&origin.start) || current_up && origin.start < book.start {
+        let older = current_is_linked && origin.incarnation < sender.incarnation;
+        if older || sender.replaced.contains(&origin.incarnation) {
             return false;
         }
-        let mut over = std::mem::take(&mut book.over);
-        over.push_back(book.start);
-        if over.len() > OVER {
-            over.pop_front();
+        let mut replaced = std::mem::take(&mut sender.replaced);
+        replaced.push_back(sender.incarnation);
+        if replaced.len() > MAX_REPLACED_INCARNATIONS {
+            replaced.pop_front();
         }
-        *book = fresh(over);
+        *sender = SenderOutcomes::new(origin.incarnation, replaced);
         true
     }
 
-    /// A request came: it is taken, now and never again.
-    pub fn take(
+    /// Accepts a request, once. `timeout` is how long its sender still waits for it, in microseconds.
+    ///
+    /// # Errors
+    ///
+    /// Why it is not accepted; see there what the sender is told.
+    pub fn accept(
         &mut self,
         now: Micros,
         origin: &Origin,
-        number: u64,
-        ttl: Micros,
+        number: ForwardNumber,
+        timeout: Micros,
     ) -> Result<(), NotAccepted> {
-        let (most, until) = (self.most, now.saturating_add(ttl.max(0)).saturating_add(self.slack));
-        let book = self.book(origin).ok_or(NotAccepted::StaleIncarnation)?;
-        match book.records.get(&number) {
-            Some(Record { fate: Outcome::NeverAccepted, .. }) => return Err(NotAccepted::Fenced),
+        let max_records = self.max_records_per_sender;
+        let expires_at = now.saturating_add(timeout.max(0)).saturating_add(self.query_grace);
+        let sender = self.sender(origin).ok_or(NotAccepted::StaleIncarnation)?;
+        match sender.records.get(&number) {
+            Some(Record { outcome: Outcome::NeverAccepted, .. }) => return Err(NotAccepted::Fenced),
             Some(_) => return Err(NotAccepted::Duplicate),
-            None if number <= book.floor => return Err(NotAccepted::Fenced),
-            None if book.records.len() >= most => {
-                // Fenced by the floor, as there is no room for a record: another copy must not be taken later.
-                book.floor = book.floor.max(number);
+            None if number <= sender.floor => return Err(NotAccepted::Fenced),
+            None if sender.records.len() >= max_records => {
+                // Fenced by the floor, as there is no place for a record: another copy must not be accepted later.
+                sender.floor = sender.floor.max(number);
                 return Err(NotAccepted::Full);
             }
             None => {}
         }
-        book.records.insert(number, Record { fate: Outcome::InFlight, until });
+        sender.records.insert(number, Record { outcome: Outcome::InFlight, expires_at });
         Ok(())
     }
 
-    /// What became of a key that was taken. Only the first word counts.
-    pub fn settle(&mut self, origin: &Origin, number: u64, fate: Outcome<V>) {
-        if let Some(record) = self.book(origin).and_then(|book| book.records.get_mut(&number))
-            && matches!(record.fate, Outcome::InFlight)
+    /// Records what became of a request that was accepted. Only the first outcome counts.
+    pub fn record(&mut self, origin: &Origin, number: ForwardNumber, outcome: Outcome<V>) {
+        let record = self.sender(origin).and_then(|sender| sender.records.get_mut(&number));
+        if let Some(record) = record
+            && matches!(record.outcome, Outcome::InFlight)
         {
-            record.fate = fate;
+            record.outcome = outcome;
         }
     }
 
-    /// The sender asks. `receiver_start` is the start of this gateway that the request was sent to,
-    /// `own_start` the one that it has now.
-    pub fn ask(
+    /// Answers a sender's query. `receiver_incarnation` is the incarnation of this gateway that the request was sent to,
+    /// `own_incarnation` the present one. What an earlier one accepted is not known here.
+    pub fn query(
         &mut self,
         now: Micros,
         origin: &Origin,
-        number: u64,
-        receiver_start: u64,
-        own_start: u64,
+        number: ForwardNumber,
+        receiver_incarnation: u64,
+        own_incarnation: u64,
     ) -> Outcome<V> {
-        // What an earlier start of this gateway took is in no book.
-        if receiver_start != own_start {
+        if receiver_incarnation != own_incarnation {
             return Outcome::Unknown;
         }
-        let until = now.saturating_add(self.slack);
-        let Some(book) = self.book(origin) else { return Outcome::Unknown };
-        if let Some(record) = book.records.get_mut(&number) {
-            record.until = record.until.max(until);
-            return record.fate.clone();
+        let expires_at = now.saturating_add(self.query_grace);
+        let Some(sender) = self.sender(origin) else { return Outcome::Unknown };
+        if let Some(record) = sender.records.get_mut(&number) {
+            record.expires_at = record.expires_at.max(expires_at);
+            return record.outcome.clone();
         }
-        if number <= book.floor {
+        if number <= sender.floor {
             return Outcome::Unknown;
         }
-        book.records.insert(number, Record { fate: Outcome::NeverAccepted, until });
+        sender.records.insert(number, Record { outcome: Outcome::NeverAccepted, expires_at });
         Outcome::NeverAccepted
     }
 
-    /// The sender will not ask about anything up to this number.
-    pub fn confirm(&mut self, origin: &Origin, upto: u64) {
-        if let Some(book) = self.book(origin) {
-            book.floor = book.floor.max(upto);
-            // What is under way yet keeps its record: another copy is to be known for what it is.
-            book.records.retain(|&number, record| number > upto || matches!(record.fate, Outcome::InFlight));
+    /// The sender will not ask about any number up to this one.
+    pub fn confirm(&mut self, origin: &Origin, up_to: ForwardNumber) {
+        if let Some(sender) = self.sender(origin) {
+            sender.floor = sender.floor.max(up_to);
+            // What is still in flight keeps its record, so that another copy of it is recognized.
+            sender
+                .records
+                .retain(|&number, record| number > up_to || matches!(record.outcome, Outcome::InFlight));
         }
     }
 
-    /// Forgets what nobody can ask about any more. The floor rises over it: a copy that comes later still is turned
-    /// away, and so is, harmlessly, what was sent before it and never came.
+    /// Forgets what nobody can ask about any more. The floor rises over it, so that a copy that comes later still is not
+    /// accepted; neither is, harmlessly, a request that was sent before and has not come yet.
     pub fn expire(&mut self, now: Micros) {
-        for book in self.books.values_mut() {
-            let over = |record: &Record<V>| now >= record.until;
-            let highest =
-                book.records.iter().rev().find(|(_, record)| over(record)).map(|(&number, _)| number);
-            if let Some(highest) = highest {
-                book.floor = book.floor.max(highest);
-                book.records.retain(|_, record| !over(record));
-            }
+        for sender in self.senders.values_mut() {
+            sender.expire(now);
         }
     }
 
-    /// Records held, of all senders.
+    /// How many records are held, of all senders.
     pub fn len(&self) -> usize {
-        self.books.values().map(|book| book.records.len()).sum()
+        self.senders.values().map(|sender| sender.records.len()).sum()
     }
 
+    /// Whether no record is held.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn book(&mut self, origin: &Origin) -> Option<&mut SenderOutcomes<V>> {
+    /// The sender, if this is its present incarnation.
+    fn sender(&mut self, origin: &Origin) -> Option<&mut SenderOutcomes<V>> {
         let name = (origin.site.clone(), origin.instance.clone());
-        self.books.get_mut(&name).filter(|book| book.start == origin.start)
+        self.senders.get_mut(&name).filter(|sender| sender.incarnation == origin.incarnation)
     }
 }
--- /dev/null
+++ b/crates/site-routing/src/pending_requests.rs
@@ -0,0 +1,178 @@
+//! Requests that were accepted and have not been answered, and those of them that wait.
+
+use std::collections::HashMap;
+
+use crate::{Effect, ForwardNumber, Micros, PeerGatewayId, Request, RequestClass, SiteId};
+
+/// Names a request from its acceptance to its answer. Handles rise in the order of acceptance.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct RequestHandle(u64);
+
+/// Where a request is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum RequestLocation {
+    /// It waits here, or is about to be placed.
+    Queued,
+    /// With the local router.
+    Local {
+        /// How many attempts found their member not to be the primary since it was handed over.
+        not_primary_answers: usize,
+    },
+    /// At another gateway, with its outcome unknown.
+    Forwarded {
+        /// The number it was sent under.
+        number: ForwardNumber,
+        /// The gateway it was sent to.
+        to: PeerGatewayId,
+    },
+}
+
+/// An attempt that may have taken effect.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PossibleExecution {
+    /// When it began, or its site was last asked about it.
+    pub(crate) at: Micros,
+    pub(crate) site: SiteId,
+}
+
+/// A request that has not been answered.
+#[derive(Debug)]
+pub(crate) struct PendingRequest {
+    pub(crate) request: Request,
+    pub(crate) deadline: Micros,
+    /// When its latency objective is missed.
+    pub(crate) objective_at: Micros,
+    pub(crate) location: RequestLocation,
+    /// Sites that said in this search that they do not have the primary.
+    pub(crate) ruled_out: Vec<SiteId>,
+    /// The first attempt that may have run.
+    pub(crate) may_have_run: Option<PossibleExecution>,
+    pub(crate) times_forwarded: u32,
+}
+
+impl PendingRequest {
+    pub(crate) fn new(now: Micros, request: Request, class: &RequestClass) -> PendingRequest {
+        PendingRequest {
+            deadline: now + request.timeout,
+            objective_at: now + class.objective,
+            request,
+            location: RequestLocation::Queued,
+            ruled_out: Vec::new(),
+            may_have_run: None,
+            times_forwarded: 0,
+        }
+    }
+
+    /// Whether the local router has it.
+    pub(crate) fn is_local(&self) -> bool {
+        matches!(self.location, RequestLocation::Local { .. })
+    }
+
+    /// The number it was forwarded under, where its outcome is not known.
+    pub(crate) fn forward_number(&self) -> Option<ForwardNumber> {
+        match self.location {
+            RequestLocation::Forwarded { number, .. } => Some(number),
+            _ => None,
+        }
+    }
+
+    /// Whether it has been to the site, in this search or on its way here.
+    pub(crate) fn has_been_at(&self, site: SiteId) -> bool {
+        self.request.visited.contains(&site) || self.ruled_out.contains(&site)
+    }
+
+    /// Notes an attempt that may have run, unless an earlier one did.
+    pub(crate) fn note_possible_execution(&mut self, at: Micros, site: SiteId) {
+        self.may_have_run.get_or_insert(PossibleExecution { at, site });
+    }
+
+    /// Whether another attempt could make it take effect twice.
+    pub(crate) fn must_not_run_again(&self, now: Micros, effect: Effect) -> bool {
+        let Some(execution) = self.may_have_run else { return false };
+        match effect {
+            Effect::Idempotent => false,
+            Effect::Deduplicated { window, .. } => now >= execution.at + window,
+            Effect::NonIdempotent => true,
+        }
+    }
+
+    /// Until when an answer is worth anything: its deadline, or its latency objective if a late answer earns nothing.
+    pub(crate) fn useful_until(&self, class: &RequestClass) -> Micros {
+        if class.late_priority_weight > 0.0 { self.deadline } else { self.deadline.min(self.objective_at) }
+    }
+}
+
+/// All requests that have not been answered.
+#[derive(Debug, Default)]
+pub(crate) struct PendingRequests {
+    requests: HashMap<RequestHandle, PendingRequest>,
+    next: u64,
+}
+
+impl PendingRequests {
+    pub(crate) fn insert(&mut self, request: PendingRequest) -> RequestHandle {
+        let handle = RequestHandle(self.next);
+        self.next += 1;
+        self.requests.insert(handle, request);
+        handle
+    }
+
+    pub(crate) fn get(&self, handle: RequestHandle) -> Option<&PendingRequest> {
+        self.requests.get(&handle)
+    }
+
+    pub(crate) fn get_mut(&mut self, handle: RequestHandle) -> Option<&mut PendingRequest> {
+        self.requests.get_mut(&handle)
+    }
+
+    pub(crate) fn remove(&mut self, handle: RequestHandle) -> Option<PendingRequest> {
+        self.requests.remove(&handle)
+    }
+
+    /// How many requests the local router has.
+    pub(crate) fn count_local(&self) -> usize {
+        self.requests.values().filter(|pending| pending.is_local()).count()
+    }
+
+    /// Forwarded requests whose deadline is no later than `deadline`, in the order of their acceptance.
+    pub(crate) fn forwarded_due_by(&self, deadline: Micros) -> Vec<RequestHandle> {
+        let due =
+            |pending: &PendingRequest| pending.forward_number().is_some() && deadline >= pending.deadline;
+        let mut handles: Vec<RequestHandle> =
+            self.requests.iter().filter(|(_, pending)| due(pending)).map(|(&handle, _)| handle).collect();
+        handles.sort();
+        handles
+    }
+}
+
+/// Requests that wait until they can be placed.
+#[derive(Debug, Default)]
+pub(crate) struct WaitQueue {
+    handles: Vec<RequestHandle>,
+}
+
+impl WaitQueue {
+    pub(crate) fn push(&mut self, handle: RequestHandle) {
+        self.handles.push(handle);
+    }
+
+    pub(crate) fn remove(&mut self, handle: RequestHandle) {
+        self.handles.retain(|&queued| queued != handle);
+    }
+
+    /// Empties the queue: the highest priority weight first, then the earliest accepted.
+    pub(crate) fn take_in_order(
+        &mut self,
+        requests: &PendingRequests,
+        classes: &[RequestClass],
+    ) -> Vec<RequestHandle> {
+        let handles = std::mem::take(&mut self.handles).into_iter();
+        let weight = |handle| {
+            let class = requests.get(handle)?.request.class;
+            Some((handle, classes[class].priority_weight))
+        };
+        let mut weighted: Vec<(RequestHandle, f64)> = handles.filter_map(weight).collect();
+        weighted.sort_by(|(a, a_weight), (b, b_weight)| b_weight.total_cmp(a_weight).then(a.cmp(b)));
+        weighted.into_iter().map(|(handle, _)| handle).collect()
+    }
+}
--- /dev/null
+++ b/crates/site-routing/src/records.rs
@@ -0,0 +1,74 @@
+//! The form of records on disk, as `docs/store.md` has it. Records outlast versions of the program: the form never changes.
+
+use crate::{ForwardNumber, Micros, Origin, Outcome};
+
+/// The bytes of a key's three numbers: the receiver's incarnation, the request's number, the sender's incarnation.
+const NUMBERS_LENGTH: usize = 24;
+
+const IN_FLIGHT: u8 = b'T';
+const NEVER_ACCEPTED: u8 = b'N';
+const REJECTED: u8 = b'D';
+const SERVED: u8 = b'H';
+const FAILED: u8 = b'B';
+
+/// Which request a record is about.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RecordKey {
+    /// The incarnation of this gateway that accepted the request.
+    pub incarnation: u64,
+    /// Who sent the request.
+    pub origin: Origin,
+    /// The sender's number for it.
+    pub number: ForwardNumber,
+}
+
+/// A record's key in the store.
+pub fn encode_key(incarnation: u64, origin: &Origin, number: ForwardNumber) -> Vec<u8> {
+    let mut key = Vec::with_capacity(NUMBERS_LENGTH + 1 + origin.site.len() + origin.instance.len());
+    key.extend_from_slice(&incarnation.to_be_bytes());
+    key.extend_from_slice(&number.to_be_bytes());
+    key.extend_from_slice(&origin.incarnation.to_be_bytes());
+    key.extend_from_slice(origin.site.as_bytes());
+    key.push(0);
+    key.extend_from_slice(origin.instance.as_bytes());
+    key
+}
+
+/// Reads a record's key; `None` where it is not one.
+pub fn decode_key(key: &[u8]) -> Option<RecordKey> {
+    let (numbers, names) = key.split_at_checked(NUMBERS_LENGTH)?;
+    let mut numbers = numbers.chunks_exact(8).map(|bytes| bytes.try_into().map(u64::from_be_bytes));
+    let mut next_number = || numbers.next()?.ok();
+    let incarnation = next_number()?;
+    let number = next_number()?;
+    let sender_incarnation = next_number()?;
+    let (site, instance) = std::str::from_utf8(names).ok()?.split_once('\0')?;
+    let origin =
+        Origin { site: site.to_owned(), instance: instance.to_owned(), incarnation: sender_incarnation };
+    Some(RecordKey { incarnation, origin, number })
+}
+
+/// A record's value in the store. An outcome that is unknown is recorded as failed.
+pub fn encode_outcome(outcome: &Outcome<&[u8]>) -> Vec<u8> {
+    match outcome {
+        Outcome::InFlight => vec![IN_FLIGHT],
+        Outcome::NeverAccepted => vec![NEVER_ACCEPTED],
+        Outcome::Rejected { retry_after } => [&[REJECTED][..], &retry_after.to_be_bytes()].concat(),
+        Outcome::Served(response) => [&[SERVED][..], response].concat(),
+        Outcome::Failed | Outcome::Unknown => vec![FAILED],
+    }
+}
+
+/// Reads a record's value. One that cannot be read may have been any outcome, and counts as failed.
+pub fn decode_outcome(value: &[u8]) -> Outcome<Vec<u8>> {
+    match value.split_first() {
+        Some((&IN_FLIGHT, [])) => Outcome::InFlight,
+        Some((&NEVER_ACCEPTED, [])) => Outcome::NeverAccepted,
+        Some((&REJECTED, rest)) => match rest.try_into().map(Micros::from_be_bytes) {
+            Ok(retry_after) => Outcome::Rejected { retry_after: retry_after.max(0) },
+            Err(_) => Outcome::Failed,
+        },
+        Some((&SERVED, rest)) => Outcome::Served(rest.to_vec()),
+        _ => Outcome::Failed,
+    }
+}
--- a/crates/site-routing/src/router/link_events.rs
+++ b/crates/site-routing/src/router/link_events.rs
@@ -1,205 +1,203 @@
-//! What is heard: lists, links, other gateways' answers.
+//! What is heard over links and of the local endpoint list.
 
-use super::*;
+use super::SiteRouter;
+use crate::{
+    Actions, CapacityOffer, Effect, ForwardNumber, LOCAL_SITE, Micros, Need, Outcome, PeerAnswer,
+    PeerGatewayId, SiteId,
+};
 
 impl SiteRouter {
-    /// The operator's word on a group's home, until an answer tells.
+    /// Assumes a group's home, as configured, until an answer or an announcement says otherwise.
     pub fn assume_home(&mut self, group: u64, site: SiteId) {
-        self.homes.guess(group, site);
+        self.homes.assume(group, site);
     }
 
-    /// The groups that have members here, and how many.
+    /// The local endpoint list has these groups, each with so many ready members.
     pub fn groups_listed(&mut self, now: Micros, groups: &[(u64, usize)]) -> Actions {
-        self.homes.listed(groups);
+        self.homes.set_local_members(groups);
         self.actions.announce_capacity = true;
-        self.pump_all(now);
+        self.place_queued(now);
         self.take_actions()
     }
 
-    /// A member here said that it is its group's primary.
+    /// A member of this site answered as the primary of its group.
     pub fn primary_found_here(&mut self, now: Micros, group: u64) -> Actions {
-        if self.homes.answered(now, group, LOCAL_SITE) {
+        if self.confirm_home(now, group, LOCAL_SITE) {
             self.actions.announce_capacity = true;
-            self.pump_all(now);
+            self.place_queued(now);
         }
         self.take_actions()
     }
 
-    /// Another gateway was greeted, or one of its links came or went: so many stand now. `same` is false where its
-    /// process is another one than before: what that one took it knows as far as it was kept.
+    /// A gateway has greeted, or one of its links came or went; `links` stand now. `same_incarnation` is false where its
+    /// process is another than before.
     pub fn links_changed(
         &mut self,
         now: Micros,
-        id: PeerGatewayId,
+        gateway: PeerGatewayId,
         site: SiteId,
         links: usize,
-        same: bool,
+        same_incarnation: bool,
     ) -> Actions {
-        let classes = &self.terms.classes;
-        let gateway = self.gateways.entry(id).or_insert_with(|| PeerGateway {
-            site,
-            links: 0,
-            lost: Micros::MIN / 2,
-            trip: Trip::guessed(TRIP),
-            credits: vec![0; classes.len()],
-            draining: false,
-            blacklisted_until: Micros::MIN / 2,
-            failures: VecDeque::new(),
-            served: 0,
-            took: classes.iter().map(|class| Histogram::of(class.objective / 8, 4)).collect(),
-        });
-        if gateway.links > 0 && links == 0 {
-            gateway.lost = now;
-        }
-        gateway.links = links;
-        if !same {
-            gateway.draining = false;
-            self.link_credit.forget(id);
-            // The book of its earlier start may have been kept: it is asked, and knows or does not.
-            for number in self.crossings.open_at(id) {
-                let Some(sent) = self.crossings.get_mut(number) else { continue };
-                let harmless = self.terms.classes[sent.class].effect != Effect::NonIdempotent;
-                let settled = sent.crossing.lost(harmless);
-                self.settle(now, number, settled);
-            }
+        self.gateways.get_or_add(gateway, site, &self.config.classes).set_links(now, links);
+        if !same_incarnation {
+            self.gateway_restarted(now, gateway);
         }
         if links > 0 {
-            self.ask_all(now, id);
-        } else if let Some(gateway) = self.gateways.get_mut(&id) {
-            // What it said of its room is no longer true.
-            gateway.credits.iter_mut().for_each(|credit| *credit = 0);
+            self.query_unresolved_at(now, gateway);
+        } else if let Some(gateway) = self.gateways.get_mut(gateway) {
+            gateway.withdraw_credits();
         }
-        self.pump_all(now);
+        self.place_queued(now);
         self.take_actions()
     }
 
-    /// The link that these numbers went out on broke.
-    pub fn link_lost(&mut self, now: Micros, id: PeerGatewayId, numbers: &[u64]) -> Actions {
+    /// The new process may have read back what the old one accepted: it is asked, and knows or does not.
+    fn gateway_restarted(&mut self, now: Micros, gateway: PeerGatewayId) {
+        if let Some(gateway) = self.gateways.get_mut(gateway) {
+            gateway.restarted();
+        }
+        self.link_credit.forget(gateway);
+        for number in self.forwarded.open_at(gateway) {
+            self.forward_lost(now, number);
+        }
+    }
+
+    /// A link to the gateway was lost, over which these numbers had been sent.
+    pub fn link_lost(&mut self, now: Micros, gateway: PeerGatewayId, numbers: &[ForwardNumber]) -> Actions {
         for &number in numbers {
-            let Some(sent) = self.crossings.get(number).filter(|sent| sent.gateway == id) else { continue };
-            let harmless = self.terms.classes[sent.class].effect != Effect::NonIdempotent;
-            if let Some(sent) = self.crossings.get_mut(number) {
-                let settled = sent.crossing.lost(harmless);
-                self.settle(now, number, settled);
+            if self.forwarded.get(number).is_some_and(|request| request.gateway == gateway) {
+                self.forward_lost(now, number);
             }
         }
-        self.ask_all(now, id);
-        self.pump_all(now);
+        self.query_unresolved_at(now, gateway);
+        self.place_queued(now);
         self.take_actions()
     }
 
-    /// What another gateway says of itself: its credits by request class, its groups and which of them have
-    /// their primary there, whether it drains.
+    /// The answer of a forwarded request may be lost.
+    fn forward_lost(&mut self, now: Micros, number: ForwardNumber) {
+        let Some(request) = self.forwarded.get_mut(number) else { return };
+        let harmless_to_repeat = self.config.classes[request.class].effect != Effect::NonIdempotent;
+        let conclusion = request.state.link_lost(harmless_to_repeat);
+        self.conclude(now, number, conclusion);
+    }
+
+    /// A gateway announced what it offers: credits by class, the groups with members at its site, each with whether it has
+    /// the primary, and whether it drains.
     pub fn capacity_announced(
         &mut self,
         now: Micros,
-        id: PeerGatewayId,
+        gateway: PeerGatewayId,
         credits: Vec<u32>,
-        homes: &[(u64, bool)],
+        groups: &[(u64, bool)],
         draining: bool,
     ) -> Actions {
-        if let Some(gateway) = self.gateways.get_mut(&id) {
-            (gateway.credits, gateway.draining) = (credits, draining);
-            let site = gateway.site;
-            self.homes.told(now, site, homes);
+        if let Some(gateway) = self.gateways.get_mut(gateway) {
+            gateway.announced(credits, draining);
+            for group in self.homes.learn_announcement(now, gateway.site, groups) {
+                self.search.resume(now, group);
+            }
         }
-        self.pump_all(now);
+        self.place_queued(now);
         self.take_actions()
     }
 
-    pub fn round_trip_measured(&mut self, id: PeerGatewayId, took: Micros) {
-        if let Some(gateway) = self.gateways.get_mut(&id) {
-            gateway.trip.measured(took);
+    /// A round trip to a gateway was measured, in microseconds.
+    pub fn round_trip_measured(&mut self, gateway: PeerGatewayId, round_trip: Micros) {
+        if let Some(gateway) = self.gateways.get_mut(gateway) {
+            gateway.record_round_trip(round_trip);
         }
     }
 
-    /// Another gateway answered a request.
-    pub fn answered(&mut self, now: Micros, number: u64, answer: PeerAnswer) -> Actions {
-        if let Some(sent) = self.crossings.get_mut(number) {
-            let (id, handle, class, at) = (sent.gateway, sent.handle, sent.class, sent.since);
-            let settled = sent.crossing.answered(answer);
-            let group = self.pending_requests.get(&handle).map(|pending| pending.request.group);
-            if let Some(gateway) = self.gateways.get_mut(&id) {
-                let site = gateway.site;
-                match answer {
-                    PeerAnswer::Served => {
-                        if at >= self.woke {
-                            gateway.took[class].add(now - at, KEEP);
-                        }
-                        gateway.served = gateway.served.saturating_add(1);
-                        gateway.failures.clear();
-                        if let (Some(group), Need::Primary) = (group, self.terms.classes[class].need) {
-                            self.homes.answered(now, group, site);
-                        }
-                    }
-                    PeerAnswer::NotPrimary { hint } => {
-                        group.into_iter().for_each(|group| self.homes.missed(now, group, site, hint));
-                        if let Some(pending) = self.pending_requests.get_mut(&handle) {
-                            pending.tried.push(site);
-                        }
-                    }
-                    PeerAnswer::Rejected { .. } | PeerAnswer::Failed | PeerAnswer::NeverAccepted => {}
-                }
-            }
+    /// A gateway answered the request that was forwarded under this number.
+    pub fn answered(&mut self, now: Micros, number: ForwardNumber, answer: PeerAnswer) -> Actions {
+        if let Some(request) = self.forwarded.get_mut(number) {
+            let handle = request.handle;
+            let conclusion = request.state.answered(answer);
+            self.learn_from_answer(now, number, answer);
             match answer {
-                // The far site's word on when to come again goes to the client as it is.
+                // The other site's retry-after goes to the client as it is.
                 PeerAnswer::Rejected { retry_after } => {
-                    self.uncross(number);
+                    self.close_forward(number);
                     self.reject(handle, retry_after);
                 }
-                _ => self.settle(now, number, settled),
+                _ => self.conclude(now, number, conclusion),
             }
         }
-        self.pump_all(now);
+        self.place_queued(now);
         self.take_actions()
     }
 
-    /// Another gateway said what became of a request that was asked about.
-    pub fn outcome_received<V>(&mut self, now: Micros, number: u64, fate: &Outcome<V>) -> Actions {
-        if let Some(sent) = self.crossings.get_mut(number) {
-            let handle = sent.handle;
-            let settled = sent.crossing.told(fate);
-            match fate {
+    /// What an answer says about its gateway and about the home of the request's group.
+    fn learn_from_answer(&mut self, now: Micros, number: ForwardNumber, answer: PeerAnswer) {
+        let Some(&request) = self.forwarded.get(number) else { return };
+        let group = self.pending.get(request.handle).map(|pending| pending.request.group);
+        let Some(gateway) = self.gateways.get_mut(request.gateway) else { return };
+        let site = gateway.site;
+        match answer {
+            PeerAnswer::Served => {
+                let measured = request.sent_at >= self.last_stall_ended_at;
+                gateway.record_served(request.class, measured.then_some(now - request.sent_at));
+                if let (Some(group), Need::Primary) = (group, self.config.classes[request.class].need) {
+                    self.confirm_home(now, group, site);
+                }
+            }
+            PeerAnswer::NotPrimary { hint } => {
+                if let Some(group) = group {
+                    self.homes.rule_out(now, group, site, hint);
+                }
+                if let Some(pending) = self.pending.get_mut(request.handle) {
+                    pending.ruled_out.push(site);
+                }
+            }
+            PeerAnswer::Rejected { .. } | PeerAnswer::Failed | PeerAnswer::NeverAccepted => {}
+        }
+    }
+
+    /// A gateway replied to a query about the request that was forwarded under this number.
+    pub fn outcome_received<V>(
+        &mut self,
+        now: Micros,
+        number: ForwardNumber,
+        outcome: &Outcome<V>,
+    ) -> Actions {
+        if let Some(request) = self.forwarded.get_mut(number) {
+            let handle = request.handle;
+            let conclusion = request.state.outcome_received(outcome);
+            match outcome {
                 Outcome::Rejected { retry_after } => {
-                    self.uncross(number);
+                    self.close_forward(number);
                     self.reject(handle, *retry_after);
                 }
-                _ => self.settle(now, number, settled),
+                _ => self.conclude(now, number, conclusion),
             }
         }
-        self.pump_all(now);
+        self.place_queued(now);
         self.take_actions()
     }
 
-    /// What is offered to another gateway now: credits by request class, and the groups here with their
-    /// primary or not.
-    pub fn offered_capacity(&mut self, id: PeerGatewayId) -> (Vec<u32>, Vec<(u64, bool)>) {
+    /// What is offered to a gateway now.
+    pub fn offered_capacity(&mut self, gateway: PeerGatewayId) -> CapacityOffer {
         let homes = &self.homes;
-        let here = homes.known().filter(|&group| homes.here(group) > 0);
-        let groups = here.map(|group| (group, homes.home(group) == Some(LOCAL_SITE))).collect();
-        (self.link_credit.credits(id), groups)
+        let local = homes.groups().filter(|&group| homes.local_members(group) > 0);
+        let groups = local.map(|group| (group, homes.home(group) == Some(LOCAL_SITE))).collect();
+        CapacityOffer { credits: self.link_credit.offered_to(gateway), groups }
     }
 
-    /// A request of another gateway came, or is over here.
-    pub fn remote_request_started(&mut self, id: PeerGatewayId, class: usize) {
-        self.link_credit.came(id, class);
+    /// A request of another gateway was accepted here.
+    pub fn remote_request_started(&mut self, gateway: PeerGatewayId, class: usize) {
+        self.link_credit.request_started(gateway, class);
     }
 
+    /// A request of another gateway has ended here. Returns whether the offer to that gateway has changed.
     pub fn remote_request_ended(
         &mut self,
         now: Micros,
-        id: PeerGatewayId,
+        gateway: PeerGatewayId,
         class: usize,
         rejected: bool,
     ) -> bool {
-        self.link_credit.over(now, id, class, rejected)
-    }
-
-    pub fn wake(&mut self, now: Micros) -> Actions {
-        if now >= self.next_beat {
-            self.next_beat = now + BEAT;
-            self.beat(now);
-        }
-        self.take_actions()
+        self.link_credit.request_ended(now, gateway, class, rejected)
     }
 }
--- a/crates/site-routing/src/session_assignment.rs
+++ b/crates/site-routing/src/session_assignment.rs
@@ -1,4 +1,4 @@
-//! Where sessions belong while a site retires.
+//! Which site serves a session while sites drain.
 
 use std::collections::BTreeMap;
 
@@ -6,51 +6,55 @@
 
 use crate::SiteId;
 
-/// What the fleet decided of sites that retire, by site; nothing of the others.
+/// What this gateway still has in progress at each draining site, by the site's name.
+pub type OpenWork = BTreeMap<String, Open>;
+
+/// The fleet's plans for draining sites. A site without one serves its sessions as ever.
 #[derive(Debug, Default)]
 pub(crate) struct SessionAssignments {
+    /// The sites' names, by their index.
     names: Vec<String>,
     plans: BTreeMap<SiteId, Binding>,
 }
 
 impl SessionAssignments {
-    /// `names` are the sites', by their index. Plans on sites that are none of them are nothing to this gateway.
-    pub(crate) fn of(names: &[String], plans: Vec<Plan>) -> SessionAssignments {
-        let site = |name: &String| names.iter().position(|known| known == name);
-        let plans = plans.into_iter().filter_map(|plan| Some((site(&plan.word.site)?, Binding::of(plan))));
+    /// `names` are the sites', by their index. Plans for sites that are not among them do not concern this gateway.
+    pub(crate) fn new(names: &[String], plans: Vec<Plan>) -> SessionAssignments {
+        let index = |name: &String| names.iter().position(|known| known == name);
+        let plans = plans.into_iter().filter_map(|plan| Some((index(&plan.word.site)?, Binding::of(plan))));
         SessionAssignments { names: names.to_vec(), plans: plans.collect() }
     }
 
+    /// The plan for a site that drains.
     pub(crate) fn plan(&self, site: SiteId) -> Option<&Binding> {
         self.plans.get(&site)
     }
 
-    /// The site that a session of `from` was handed on to, of those that are reached.
-    pub(crate) fn home(
+    /// The site that took over a session from a draining site, among those that can be reached.
+    pub(crate) fn successor(
         &self,
-        from: &Binding,
+        plan: &Binding,
         session: &str,
-        reached: impl Fn(SiteId) -> bool,
+        reachable: impl Fn(SiteId) -> bool,
     ) -> Option<SiteId> {
-        let site = |name: &str| self.names.iter().position(|known| known == name);
-        let home = from.home(session, |name| site(name).is_some_and(&reached));
-        home.and_then(site)
+        let index = |name: &str| self.names.iter().position(|known| known == name);
+        let successor = plan.home(session, |name| index(name).is_some_and(&reachable));
+        successor.and_then(index)
     }
 
-    /// No session is bound there: nothing that another site can answer goes there.
+    /// Whether no session is assigned to the site any more: reads that another site can serve do not go there.
     pub(crate) fn is_emptied(&self, site: SiteId) -> bool {
-        self.plans.get(&site).is_some_and(|of| of.plan.weight == 0)
+        self.plans.get(&site).is_some_and(|binding| binding.plan.weight == 0)
     }
 
-    /// Nothing new goes there.
-    pub(crate) fn is_retired(&self, site: SiteId) -> bool {
-        self.plans.get(&site).is_some_and(|of| of.plan.stage == Stage::Retired)
+    /// Whether the site's drain is completed: nothing new goes there.
+    pub(crate) fn is_drained(&self, site: SiteId) -> bool {
+        self.plans.get(&site).is_some_and(|binding| binding.plan.stage == Stage::Retired)
     }
 
-    pub(crate) fn retiring(&self) -> impl Iterator<Item = (SiteId, &str, u32)> {
-        self.plans.iter().map(|(&site, of)| (site, of.plan.word.site.as_str(), of.plan.weight))
+    /// Each draining site with its name and the part of its sessions that it still has, in thousandths.
+    pub(crate) fn draining_sites(&self) -> impl Iterator<Item = (SiteId, &str, u32)> {
+        let plans = self.plans.iter();
+        plans.map(|(&site, binding)| (site, binding.plan.word.site.as_str(), binding.plan.weight))
     }
 }
-
-/// What this gateway has of each site that retires, by its name.
-pub type OpenWork = BTreeMap<String, Open>;
--- a/crates/site-routing/tests/draining_site.rs
+++ b/crates/site-routing/tests/draining_site.rs
@@ -30,7 +30,7 @@
     let classes = vec![class(Effect::Idempotent, Need::Any), class(Effect::NonIdempotent, Need::Primary)];
     let terms =
         SiteRouterConfig { classes, sites: 3, max_hops: 1, max_credit: 10_000, max_retry_after: 500 * MS };
-    let mut sites = SiteRouter::start(terms, 1, 0);
+    let mut sites = SiteRouter::new(terms, 1, 0);
     sites.groups_listed(0, &[(GROUP, 2)]);
     for gateway in 0..2 {
         sites.links_changed(0, gateway, gateway + 1, 1, true);
--- a/crates/site-routing/tests/failing_disk.rs
+++ b/crates/site-routing/tests/failing_disk.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use aldermill_site_routing::previous_incarnations::{key, read_key, read_value, value};
+use aldermill_site_routing::records::{decode_key, decode_outcome, encode_key, encode_outcome};
 use aldermill_site_routing::{Micros, Origin, Outcome, PreviousIncarnations, RecordingPromise};
 use aldermill_store::{Batch, Bounds, Keeping, State, Store};
 use power::{Dice, FailingDisk};
@@ -81,7 +81,7 @@
 }
 
 fn origin() -> Origin {
-    Origin { site: "north".to_owned(), instance: "n1".to_owned(), start: 9 }
+    Origin { site: "north".to_owned(), instance: "n1".to_owned(), incarnation: 9 }
 }
 
 impl History {
@@ -118,12 +118,12 @@
         let (None, Some(snapshot)) = (&life.earlier, snapshot) else { return };
         let mut earlier = PreviousIncarnations::default();
         for (name, fate) in snapshot.all(BOOK) {
-            let (start, origin, number) = read_key(name).expect("a key");
-            earlier.record(start, origin, number, read_value(fate));
+            let key = decode_key(name).expect("a key");
+            earlier.add_record(key.incarnation, key.origin, key.number, decode_outcome(fate));
         }
         for (start, until) in snapshot.all(PROMISES) {
             let word = |bytes: &[u8]| i64::from_be_bytes(bytes.try_into().expect("a word"));
-            earlier.promised(self.clock(), word(start) as u64, word(until));
+            earlier.add_promise(self.clock(), word(start) as u64, word(until));
         }
         life.earlier = Some(earlier);
         life.keeping = Keeping::start(PATIENCE, WAITING);
@@ -147,7 +147,7 @@
             let (mut batch, over) = (Batch::default(), until + 3_600_000_000);
             batch.put(PROMISES, &life.start.to_be_bytes(), &until.to_be_bytes(), Some(over));
             if !self.hand_over(life, batch, Write::RecordingPromise) {
-                life.promise.settled();
+                life.promise.settle();
             }
         }
     }
@@ -155,8 +155,8 @@
     fn record(&self, life: &mut Life, number: u64, fate: &KnownOutcome, write: Write) -> bool {
         let until = self.requests[&number].deadline + self.ahead + SLACK;
         let mut batch = Batch::default();
-        let fate = value(&fate.as_ref().map(|bytes| &bytes[..]));
-        batch.put(BOOK, &key(life.start, &origin(), number), &fate, Some(until));
+        let fate = encode_outcome(&fate.as_ref().map(|bytes| &bytes[..]));
+        batch.put(BOOK, &encode_key(life.start, &origin(), number), &fate, Some(until));
         self.hand_over(life, batch, write)
     }
 
@@ -167,8 +167,8 @@
         self.requests.insert(number, request);
         if self.record(life, number, &Outcome::InFlight, Write::Taking(number)) {
             self.now_runs(number, self.flaw == Flaw::WaitsForNothing);
-        } else if life.promise.lets_go_without(self.clock()) {
-            life.promise.took_without(deadline + self.ahead + SLACK);
+        } else if life.promise.permits_unrecorded(self.clock()) {
+            life.promise.accepted_unrecorded(deadline + self.ahead + SLACK);
             self.now_runs(number, true);
         } else {
             self.now_runs(number, self.flaw == Flaw::BreaksPromises);
@@ -222,7 +222,7 @@
             false => life.keeping.failed(self.now + self.ahead),
         }
         match write {
-            Write::RecordingPromise => life.promise.settled(),
+            Write::RecordingPromise => life.promise.settle(),
             // One that was not kept is rejected: it never runs.
             Write::Taking(number) if well => {
                 self.now_runs(number, true);
@@ -240,7 +240,7 @@
         if life.keeping.gives_up(self.clock()) {
             for (_, write) in &mut life.waiting {
                 if matches!(std::mem::replace(write, Write::GivenUp), Write::RecordingPromise) {
-                    life.promise.settled();
+                    life.promise.settle();
                 }
             }
         }
@@ -257,7 +257,7 @@
                 continue;
             }
             let answer = match &life.earlier {
-                Some(earlier) => earlier.ask(&origin(), number, request.start),
+                Some(earlier) => earlier.query(&origin(), number, request.start),
                 None => Outcome::Unknown,
             };
             let true_to_it = match &answer {
--- a/crates/site-routing/tests/forwarding_model.rs
+++ b/crates/site-routing/tests/forwarding_model.rs
@@ -95,7 +95,7 @@
 const PLAIN: Protocol = Protocol { keys: 1, cuts: 1, restarts: 1, fenced: true, disk: false, minds: true };
 
 fn origin() -> Origin {
-    Origin { site: "a".into(), instance: "n0".into(), start: 1 }
+    Origin { site: "a".into(), instance: "n0".into(), incarnation: 1 }
 }
 
 fn what(fate: &Outcome<()>) -> What {
@@ -121,7 +121,7 @@
 }
 
 fn new_book() -> OutcomeTable<()> {
-    let mut fates = OutcomeTable::start(100, 10);
+    let mut fates = OutcomeTable::new(100, 10);
     fates.greeted(&origin(), false);
     fates
 }
@@ -131,7 +131,7 @@
         let mut promise = RecordingPromise::default();
         if self.disk {
             promise.renew(now);
-            promise.settled();
+            promise.settle();
         }
         promise
     }
@@ -154,12 +154,12 @@
     fn deliver(&self, state: &mut State, message: Message) {
         match message {
             Message::Request { key, start } if start == state.start => {
-                if state.fates.take(0, &origin(), key, 10).is_ok() {
+                if state.fates.accept(0, &origin(), key, 10).is_ok() {
                     // The record first; without one it is rejected while the promise holds.
                     if self.disk && !state.away {
-                        state.kept.record(start, origin(), key, Outcome::InFlight);
+                        state.kept.add_record(start, origin(), key, Outcome::InFlight);
                     }
-                    if self.disk && state.away && self.minds && !state.promise.lets_go_without(state.now) {
+                    if self.disk && state.away && self.minds && !state.promise.permits_unrecorded(state.now) {
                         return self.end(state, key, Outcome::Rejected { retry_after: 0 });
                     }
                     state.taken.insert(key);
@@ -170,8 +170,8 @@
             Message::Ask { key, start } => {
                 let mut book = state.fates.clone();
                 let fate = match start < state.start && self.disk {
-                    true => state.kept.ask(&origin(), key, start),
-                    false => book.ask(0, &origin(), key, start, state.start),
+                    true => state.kept.query(&origin(), key, start),
+                    false => book.query(0, &origin(), key, start, state.start),
                 };
                 if self.fenced {
                     state.fates = book;
@@ -193,7 +193,7 @@
             }
             Message::Told { key, what } => {
                 if let Phase::Crossed(mut crossing) = state.phases[key as usize - 1] {
-                    let settled = crossing.told(&fate(what));
+                    let settled = crossing.outcome_received(&fate(what));
                     state.phases[key as usize - 1] = Phase::Crossed(crossing);
                     self.settle(state, key, settled);
                 }
@@ -204,10 +204,10 @@
     fn end(&self, state: &mut State, key: u64, fate: Outcome<()>) {
         state.taken.remove(&key);
         if self.disk && !state.away {
-            state.kept.record(state.start, origin(), key, fate.clone());
+            state.kept.add_record(state.start, origin(), key, fate.clone());
         }
         state.network.insert(Message::Outcome { key, what: what(&fate) });
-        state.fates.settle(&origin(), key, fate);
+        state.fates.record(&origin(), key, fate);
     }
 }
 
@@ -258,7 +258,7 @@
         if self.disk && !state.away {
             acts.push(Act::DiskGoes);
         }
-        if self.disk && !state.promise.lets_go_without(state.now) {
+        if self.disk && !state.promise.permits_unrecorded(state.now) {
             acts.push(Act::PromiseEnds);
         }
         let old = |(phase, &start): (&Phase, &u64)| {
@@ -286,7 +286,7 @@
                 state.cuts += 1;
                 for phase in &mut state.phases {
                     if let Phase::Crossed(crossing) = phase {
-                        crossing.lost(false);
+                        crossing.link_lost(false);
                     }
                 }
             }
@@ -316,8 +316,9 @@
             Act::DiskGoes => state.away = true,
             Act::PromiseEnds => state.now += 10_000_000,
             Act::Restart => {
-                let until = if state.promise.lets_go_without(state.now) { state.now - 1 } else { state.now };
-                state.kept.promised(state.now, state.start, until);
+                let until =
+                    if state.promise.permits_unrecorded(state.now) { state.now - 1 } else { state.now };
+                state.kept.add_promise(state.now, state.start, until);
                 (state.away, state.promise) = (false, self.promise(state.now));
                 state.start += 1;
                 state.fates = new_book();
@@ -328,7 +329,7 @@
                     if let Phase::Crossed(crossing) = phase
                         && start < state.start
                     {
-                        crossing.lost(false);
+                        crossing.link_lost(false);
                     }
                 }
             }
--- a/crates/site-routing/tests/two_sites/one_site.rs
+++ b/crates/site-routing/tests/two_sites/one_site.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn what_cannot_be_back_in_time_is_rejected_before_it_is_sent() {
-    let mut sites = SiteRouter::start(terms(), 1, 0);
+    let mut sites = SiteRouter::new(terms(), 1, 0);
     sites.links_changed(0, GATEWAY, FAR, 1, true);
     (0..30).for_each(|_| sites.round_trip_measured(GATEWAY, 300 * MS));
     sites.capacity_announced(0, GATEWAY, vec![9; 4], &[(GROUP, true)], false);
@@ -56,7 +56,7 @@
 #[test]
 fn what_fell_into_a_standstill_here_blacklists_no_gateway() {
     let blacklisted = |told: bool| {
-        let mut sites = SiteRouter::start(terms(), 1, 0);
+        let mut sites = SiteRouter::new(terms(), 1, 0);
         sites.links_changed(0, GATEWAY, FAR, 1, true);
         sites.capacity_announced(0, GATEWAY, vec![50; 4], &[(GROUP, true)], false);
         for _ in 0..9 {
@@ -68,7 +68,7 @@
         // Their answers came meanwhile, and nobody read them before their time was over.
         let now = 3_000 * MS;
         if told {
-            sites.stalled_until(now);
+            sites.stall_ended(now);
         }
         let actions = sites.wake(now);
         let ended = actions.requests.iter().filter(|(_, step)| matches!(step, Action::Fail)).count();
@@ -81,7 +81,7 @@
 
 #[test]
 fn a_request_is_never_sent_back_where_it_came_from() {
-    let mut sites = SiteRouter::start(terms(), 1, 0);
+    let mut sites = SiteRouter::new(terms(), 1, 0);
     sites.groups_listed(0, &[(GROUP, 2)]);
     sites.links_changed(0, GATEWAY, FAR, 1, true);
     sites.capacity_announced(0, GATEWAY, vec![9; 4], &[(GROUP, true)], false);
@@ -108,7 +108,7 @@
         vec![RequestClass { effect: receipted, ..terms().classes[1] }]
     };
     let start = || {
-        let mut sites = SiteRouter::start(SiteRouterConfig { classes: classes(), ..terms() }, 1, 0);
+        let mut sites = SiteRouter::new(SiteRouterConfig { classes: classes(), ..terms() }, 1, 0);
         sites.groups_listed(0, &[(GROUP, 2)]);
         sites.links_changed(0, GATEWAY, FAR, 1, true);
         sites.capacity_announced(0, GATEWAY, vec![9], &[(GROUP, false)], false);
--- a/crates/site-routing/tests/two_sites/world.rs
+++ b/crates/site-routing/tests/two_sites/world.rs
@@ -86,15 +86,15 @@
 }
 
 pub fn origin(side: usize, start: u64) -> Origin {
-    Origin { site: ["a", "b"][side].into(), instance: "n0".into(), start }
+    Origin { site: ["a", "b"][side].into(), instance: "n0".into(), incarnation: start }
 }
 
 pub fn side(seed: u64, now: Micros, start: u64) -> Side {
-    let mut sites = SiteRouter::start(terms(), seed, now);
+    let mut sites = SiteRouter::new(terms(), seed, now);
     sites.groups_listed(now, &[(GROUP, 2)]);
     Side {
         sites,
-        fates: OutcomeTable::start(1000, 1_000 * MS),
+        fates: OutcomeTable::new(1000, 1_000 * MS),
         start,
         own: HashMap::new(),
         guests: HashMap::new(),
@@ -126,10 +126,16 @@
         for at in 0..2 {
             let start = self.sides[1 - at].start;
             self.sides[at].fates.greeted(&origin(1 - at, start), false);
-            let (credits, groups) = self.sides[1 - at].sites.offered_capacity(GATEWAY);
+            let offer = self.sides[1 - at].sites.offered_capacity(GATEWAY);
             let actions = self.sides[at].sites.links_changed(self.now, GATEWAY, FAR, 1, true);
             self.carry_out(at, actions);
-            let actions = self.sides[at].sites.capacity_announced(self.now, GATEWAY, credits, &groups, false);
+            let actions = self.sides[at].sites.capacity_announced(
+                self.now,
+                GATEWAY,
+                offer.credits,
+                &offer.groups,
+                false,
+            );
             self.carry_out(at, actions);
         }
     }
@@ -251,7 +257,7 @@
                     PeerAnswer::Failed => Outcome::Failed,
                     _ => Outcome::Rejected { retry_after: 0 },
                 };
-                self.sides[at].fates.settle(&other, number, fate);
+                self.sides[at].fates.record(&other, number, fate);
             }
             let rejected = matches!(answer, PeerAnswer::Rejected { .. });
             self.sides[at].sites.remote_request_ended(self.now, GATEWAY, class, rejected);
@@ -303,7 +309,7 @@
             Word::Request { start, .. } if start != own => {}
             Word::Request { number, class, left, .. } => {
                 // Whatever its effect, a number is taken once: a doubled frame is no second request.
-                if self.sides[at].fates.take(now, &other, number, left).is_err() {
+                if self.sides[at].fates.accept(now, &other, number, left).is_err() {
                     return;
                 }
                 self.sides[at].sites.remote_request_started(GATEWAY, class);
@@ -323,7 +329,7 @@
                 self.carry_out(at, actions);
             }
             Word::Ask { number, start } => {
-                let fate = self.sides[at].fates.ask(now, &other, number, start, own);
+                let fate = self.sides[at].fates.query(now, &other, number, start, own);
                 self.say(at, Word::Told { number, fate });
             }
             Word::Told { number, fate } => {
