--- a/crates/proxy/src/dispatcher/gateway/answers.rs
+++ b/crates/proxy/src/dispatcher/gateway/answers.rs
@@ -27,7 +27,7 @@
     fn for_client(self) -> Answer {
         match self {
             FinalAnswer::Ended(answer) => answer,
-            FinalAnswer::NotPrimary { .. } => Answer::Rejected { cool_down: 0 },
+            FinalAnswer::NotPrimary { .. } => Answer::Rejected { retry_after: 0 },
         }
     }
 }
@@ -46,7 +46,7 @@
     fn new(answer: FinalAnswer) -> RemoteOutcome {
         match answer {
             FinalAnswer::Ended(Answer::Served(rows)) => RemoteOutcome::served(rows),
-            FinalAnswer::Ended(Answer::Rejected { cool_down: retry_after }) => {
+            FinalAnswer::Ended(Answer::Rejected { retry_after }) => {
                 let outcome = Outcome::Rejected { retry_after };
                 RemoteOutcome {
                     retry_after: retry_after,
@@ -54,7 +54,7 @@
                 }
             }
             FinalAnswer::Ended(Answer::Failed) => RemoteOutcome::empty(ResponseKind::Failed, Outcome::Failed),
-            FinalAnswer::Ended(Answer::Wrong(_)) => {
+            FinalAnswer::Ended(Answer::InvalidStatement(_)) => {
                 RemoteOutcome::empty(ResponseKind::Invalid, Outcome::Rejected { retry_after: 0 })
             }
             FinalAnswer::NotPrimary { hint } => {
@@ -66,7 +66,7 @@
 
     fn served(rows: Rows) -> RemoteOutcome {
         let value = Rc::new(rows.pieces.concat());
-        let kept = KeptValue { bytes: value.clone(), _room: rows.room.map(Rc::new) };
+        let kept = KeptValue { bytes: value.clone(), _room: rows.reservation.map(Rc::new) };
         RemoteOutcome { value, ..RemoteOutcome::empty(ResponseKind::Served, Outcome::Served(kept)) }
     }
 
@@ -97,7 +97,7 @@
             kind: kind.into(),
             retry_after_us: retry_after.max(0) as u64,
             hint: hint.map_or(String::new(), |site| gateway_part.names[site].clone()),
-            duration_us: (now - forwarded.request.arrived).max(0) as u64,
+            duration_us: (now - forwarded.request.received_at).max(0) as u64,
             ..ResponseFrame::default()
         };
         let timeout = Micros::from(forwarded.request.comment.wait) * 1000;
--- a/crates/proxy/src/dispatcher/gateway/link_events.rs
+++ b/crates/proxy/src/dispatcher/gateway/link_events.rs
@@ -1,5 +1,6 @@
 //! What is heard over links: outcomes, questions about earlier requests, capacity, and remote requests.
 
+use aldermill_flow_control::ReservationOwner;
 use aldermill_routing::Micros;
 use aldermill_site_link::{
     CapacityAnnouncement, Inbound, Outbound, OutcomeQuery, OutcomeReply, OutcomeReplyKind,
@@ -94,14 +95,15 @@
         let gateway_part = self.gateway_part.as_ref()?;
         let handle = gateway_part.site_router.forwarded_as(number)?;
         let forwarded = gateway_part.forwarded.get(&handle)?;
-        if value.len() <= self.context.limits.small {
-            let answer = Answer::Served(Rows { pieces: vec![value], room: None });
+        if value.len() <= self.context.limits.buffers.small_message {
+            let answer = Answer::Served(Rows { pieces: vec![value], reservation: None });
             return Some(ReceivedAnswer { handle, answer });
         }
-        let best = self.context.best_paid.contains(&forwarded.request.comment.class);
-        let room = self.context.flow_control.try_reserve(forwarded.request.holder, value.len(), best);
+        let priority = self.context.priority(&forwarded.request.comment.class);
+        let owner = ReservationOwner { peer: forwarded.request.peer, priority };
+        let room = self.context.flow_control.try_reserve(owner, value.len());
         let answer = match room {
-            Some(_) => Answer::Served(Rows { pieces: vec![value], room }),
+            Some(_) => Answer::Served(Rows { pieces: vec![value], reservation: room }),
             None => self.without_room(forwarded.class),
         };
         Some(ReceivedAnswer { handle, answer })
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-use aldermill_flow_control::Peer;
+use aldermill_flow_control::PeerId;
 use aldermill_routing::{Handle as RouterHandle, Micros};
 use aldermill_site_link::{Identity, Outbound, Request as RequestFrame, Response as ResponseFrame};
 use aldermill_site_routing::{Origin, OutcomeTable, PeerGatewayId, RequestHandle, SiteId, SiteRouter};
@@ -72,7 +72,7 @@
     gateway: Option<PeerGatewayId>,
     outbox: mpsc::Sender<Outbound>,
     /// For whom buffer space for its values is asked.
-    holder: Peer,
+    peer: PeerId,
 }
 
 /// Another gateway's process, as it greeted last.
--- a/crates/proxy/src/dispatcher/gateway/site_actions.rs
+++ b/crates/proxy/src/dispatcher/gateway/site_actions.rs
@@ -59,7 +59,7 @@
                 self.answer_forwarded(handle, FinalAnswer::Ended(answer));
             }
             Action::Reject { retry_after } => {
-                self.answer_forwarded(handle, FinalAnswer::Ended(Answer::Rejected { cool_down: retry_after }))
+                self.answer_forwarded(handle, FinalAnswer::Ended(Answer::Rejected { retry_after }))
             }
             Action::Fail => self.answer_forwarded(handle, FinalAnswer::Ended(Answer::Failed)),
             Action::ReportNotPrimary { hint } => {
--- a/crates/proxy/src/dispatcher/outcome_log.rs
+++ b/crates/proxy/src/dispatcher/outcome_log.rs
@@ -14,7 +14,7 @@
 use aldermill_site_routing::records::{decode_key, decode_outcome, encode_key, encode_outcome};
 use aldermill_site_routing::{Origin, Outcome, PreviousIncarnations, RecordingPromise, RestoredCounts};
 use aldermill_store::{Batch, Keeping, State};
-use aldermill_warm_start::space;
+use aldermill_warm_start::namespace;
 use tokio::sync::mpsc;
 
 use crate::persistence::DataDirectory;
@@ -105,10 +105,10 @@
         }
         let Some(records) = self.directory.records() else { return };
         let mut previous = PreviousIncarnations::default();
-        for (space, key, value) in records {
-            match *space {
-                space::BOOK => read_record(&mut previous, key, value),
-                space::PROMISES => read_promise(&mut previous, now, key, value),
+        for (namespace, key, value) in records {
+            match *namespace {
+                namespace::OUTCOME_LOG => read_record(&mut previous, key, value),
+                namespace::OUTCOME_LOG_PROMISES => read_promise(&mut previous, now, key, value),
                 _ => {}
             }
         }
@@ -145,7 +145,12 @@
         let Some(until) = self.promise.renew(now) else { return };
         let mut batch = Batch::default();
         let expires_at = until.saturating_add(PROMISE_RETENTION);
-        batch.put(space::PROMISES, &self.incarnation.to_be_bytes(), &until.to_be_bytes(), Some(expires_at));
+        batch.put(
+            namespace::OUTCOME_LOG_PROMISES,
+            &self.incarnation.to_be_bytes(),
+            &until.to_be_bytes(),
+            Some(expires_at),
+        );
         if !self.hand_over(now, batch, WritePurpose::Promise) {
             self.promise.settle();
         }
@@ -181,7 +186,7 @@
     ) -> Option<RecordTicket> {
         let mut batch = Batch::default();
         let key = encode_key(self.incarnation, origin, number);
-        batch.put(space::BOOK, &key, &encode_outcome(outcome), Some(until));
+        batch.put(namespace::OUTCOME_LOG, &key, &encode_outcome(outcome), Some(until));
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         self.hand_over(now, batch, WritePurpose::Record(ticket)).then_some(ticket)
--- a/crates/proxy/src/gateway/link.rs
+++ b/crates/proxy/src/gateway/link.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_flow_control::Way;
+use aldermill_flow_control::Transfer;
 use aldermill_site_link::{Inbound, Link, LinkError};
 use slog::{info, warn};
 use thiserror::Error;
@@ -76,7 +76,7 @@
         let context = self.context.clone();
         let clock = context.unstalled_clock.clone();
         let mut link = Link::new(self.yard.bounds, &self.yard.own, clock.now());
-        let (sender, mut said) = mpsc::channel(context.limits.calls);
+        let (sender, mut said) = mpsc::channel(context.limits.queues.dispatcher);
         let mut sender = Some(sender);
         let mut waiting: Vec<u8> = Vec::new();
         let mut at = 0;
@@ -100,7 +100,7 @@
                     }
                     Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {
                         if !std::mem::replace(&mut owing, true) {
-                            self.connection_guard.start_metering(Way::Reading);
+                            self.connection_guard.start_metering(Transfer::ToPeer);
                         }
                         break;
                     }
@@ -145,11 +145,11 @@
                                 "instance" => &peer.instance, "peer" => %self.from);
                             *met = Some(peer.site.clone());
                             if let Some(said) = sender.take() {
-                                let up = LinkEvent::Up { outbox: said, holder: self.connection_guard.peer };
+                                let up = LinkEvent::Up { outbox: said, peer: self.connection_guard.peer };
                                 self.tell(id, up).await?;
                             }
                         }
-                        self.tell(id, LinkEvent::Heard(event)).await?;
+                        self.tell(id, LinkEvent::Received(event)).await?;
                     }
                 }
                 word = said.recv() => match word {
@@ -181,7 +181,7 @@
         }
         out.extend_from_slice(&Link::close(why));
         let write = tokio::io::AsyncWriteExt::write_all(&mut self.stream, &out);
-        let _ = timeout(self.context.limits.parting, write).await;
+        let _ = timeout(self.context.limits.connections.linger, write).await;
     }
 
     async fn tell(&self, id: LinkId, call: LinkEvent) -> Result<(), Over> {
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_operator_config::Council;
+use aldermill_operator_config::CoordinationConfig;
 use slog::{Logger, info, warn};
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, watch};
@@ -19,7 +19,7 @@
     pub flow_control: Rc<FlowControl>,
     pub dispatcher: mpsc::Sender<DispatcherMessage>,
     /// What drivers decide in common, as the operator's file has it now.
-    pub council: watch::Sender<Option<Council>>,
+    pub council: watch::Sender<Option<CoordinationConfig>>,
     pub log: Logger,
 }
 
@@ -43,7 +43,7 @@
             self.fixed = start.fixed;
             self.flow_control.update_limits(start.bounds);
             // A dispatcher that is gone ends the program by itself.
-            let _ = self.dispatcher.send(DispatcherMessage::TrialReplaced(start.trial.map(Box::new))).await;
+            let _ = self.dispatcher.send(DispatcherMessage::ShadowReplaced(start.trial.map(Box::new))).await;
             self.council.send_replace(start.council);
             let moved = self
                 .discovery
