--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -69,9 +69,9 @@
     pub seed: u64,
     /// Present where this process is a gateway to other sites.
     pub gateway_part: Option<GatewayPart>,
-    /// Other settings, whose decisions are only counted.
-    pub trial: Option<ShadowRouter>,
-    /// What an earlier start believed, and who keeps what is believed now.
+    /// Other settings, whose decisions are only compared.
+    pub shadow: Option<ShadowRouter>,
+    /// What a former start saved, and where snapshots for the next one are published.
     pub warm_state: WarmState,
     /// Present where the processes decide on zones or splits together.
     pub observations: Option<Observations>,
@@ -86,7 +86,7 @@
     context: Rc<ProcessContext>,
     decoded: Decoded,
     router: Router,
-    trial: Option<ShadowRouter>,
+    shadow: Option<ShadowRouter>,
     gateway_part: Option<GatewayPart>,
     /// By the router's index; an index whose member was let go stands empty until it is given out anew.
     members: Vec<Option<MemberEntry>>,
@@ -123,7 +123,7 @@
         Dispatcher {
             router: Router::start(parts.decoded.terms.clone(), parts.seed, now),
             decoded: parts.decoded,
-            trial: parts.trial,
+            shadow: parts.shadow,
             gateway_part: parts.gateway_part,
             members: Vec::new(),
             member_ids: HashMap::new(),
@@ -231,7 +231,7 @@
             DispatcherMessage::ClientLeft(left) => self.client_left(left.client),
             DispatcherMessage::AttemptFinished(finished) => self.attempt_finished(finished),
             DispatcherMessage::HealthCheckFinished(finished) => self.health_check_finished(finished),
-            DispatcherMessage::TrialReplaced(trial) => self.replace_trial(trial.map(|trial| *trial)),
+            DispatcherMessage::ShadowReplaced(shadow) => self.replace_shadow(shadow.map(|shadow| *shadow)),
             DispatcherMessage::Link(message) => self.link_message(message.link, message.event),
             DispatcherMessage::AwaitRemoteEnd(reply) => self.await_remote_end(reply),
             DispatcherMessage::FleetSize(size) => self.fleet_size(&size),
@@ -245,12 +245,12 @@
         }
     }
 
-    /// Asks the router, and, for a sample, a copy of it under the settings on trial, whose answer is only counted.
+    /// Asks the router, and, for a sample, a copy of it under other settings, whose actions are only compared.
     fn decide<T>(&mut self, decision: impl Fn(&mut Router) -> (T, Actions)) -> (T, Actions) {
         self.report_stall();
-        let Some(trial) = &mut self.trial else { return decision(&mut self.router) };
-        let decided = trial.ask(&mut self.router, decision);
-        trial.tell(&self.context.log, false);
+        let Some(shadow) = &mut self.shadow else { return decision(&mut self.router) };
+        let decided = shadow.decide(&mut self.router, decision);
+        shadow.log_if_due(&self.context.log);
         decided
     }
 
@@ -267,18 +267,18 @@
         self.carry_out(actions);
     }
 
-    fn replace_trial(&mut self, trial: Option<ShadowRouter>) {
-        if let Some(ended) = &mut self.trial {
-            ended.tell(&self.context.log, true);
+    fn replace_shadow(&mut self, shadow: Option<ShadowRouter>) {
+        if let Some(ended) = &mut self.shadow {
+            ended.log_counts(&self.context.log);
         }
-        self.trial = trial;
+        self.shadow = shadow;
     }
 
-    /// The program is about to end: the trial's last counts are said, and `reply` is sent once no remote request is
-    /// under way.
+    /// The program is about to end: the last counts of a shadow evaluation are logged, and `reply` is sent once no
+    /// remote request is under way.
     fn await_remote_end(&mut self, reply: oneshot::Sender<()>) {
-        if let Some(trial) = &mut self.trial {
-            trial.tell(&self.context.log, true);
+        if let Some(shadow) = &mut self.shadow {
+            shadow.log_counts(&self.context.log);
         }
         self.remote_end_waiters.push(reply);
     }
--- a/crates/proxy/src/lifecycle/configuration.rs
+++ b/crates/proxy/src/lifecycle/configuration.rs
@@ -77,7 +77,7 @@
         let mut start = Start::parse(&text(&files.config)?, env, &operator).map_err(unclear)?;
         let path = || files.operator.as_ref().unwrap_or(&files.config).clone();
         if let Some(wanted) = &operator.trial {
-            let trial = ShadowRouter::read(wanted, &start.decoded);
+            let trial = ShadowRouter::load(wanted, &start.decoded);
             start.trial = Some(trial.map_err(|why| ProgramError::Trial { path: path(), why })?);
         }
         // What the operator wants must hold one statement and one answer of full size.
--- a/crates/proxy/src/lifecycle/errors.rs
+++ b/crates/proxy/src/lifecycle/errors.rs
@@ -7,6 +7,8 @@
 use aldermill_settings::Trouble;
 use thiserror::Error;
 
+use crate::shadow::ShadowError;
+
 #[derive(Debug, Error)]
 pub enum ProgramError {
     #[error("{path}: {why}; see that the file is there and may be read")]
@@ -61,16 +63,3 @@
     #[error("settings: {0}")]
     Settings(Trouble),
 }
-
-/// What is wrong with settings on trial.
-#[derive(Debug, Error)]
-pub enum ShadowError {
-    #[error("{path}: {why}")]
-    File { path: String, why: io::Error },
-    #[error("{path}: settings: {why}")]
-    Settings { path: String, why: Trouble },
-    #[error(
-        "{path}: {field}: other names than those in force; only settings of the same deployment can be tried"
-    )]
-    Other { path: String, field: &'static str },
-}
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -43,7 +43,7 @@
             self.fixed = start.fixed;
             self.flow_control.update_limits(start.bounds);
             // A dispatcher that is gone ends the program by itself.
-            let _ = self.dispatcher.send(DispatcherMessage::TrialReplaced(start.trial.map(Box::new))).await;
+            let _ = self.dispatcher.send(DispatcherMessage::ShadowReplaced(start.trial.map(Box::new))).await;
             self.council.send_replace(start.council);
             let moved = self
                 .discovery
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -310,7 +310,7 @@
         decoded,
         seed,
         gateway_part,
-        trial,
+        shadow: trial,
         warm_state,
         observations,
         ready,
--- a/crates/proxy/src/messages/dispatcher.rs
+++ b/crates/proxy/src/messages/dispatcher.rs
@@ -22,8 +22,8 @@
     ClientLeft(ClientLeft),
     AttemptFinished(AttemptFinished),
     HealthCheckFinished(HealthCheckFinished),
-    /// The settings that are on trial from now on, if any.
-    TrialReplaced(Option<Box<ShadowRouter>>),
+    /// The shadow evaluation from now on, if any.
+    ShadowReplaced(Option<Box<ShadowRouter>>),
     Link(LinkMessage),
     /// To be answered once no remote request is under way.
     AwaitRemoteEnd(oneshot::Sender<()>),
--- /dev/null
+++ b/crates/proxy/src/shadow/difference.rs
@@ -0,0 +1,143 @@
+//! In what two sets of actions differ.
+
+use std::collections::BTreeMap;
+use std::fmt;
+
+use aldermill_routing::{Action, Actions, Handle, MemberId};
+
+/// What one decision does with a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Disposition {
+    /// It stays in the queue, or its attempt goes on.
+    Queued,
+    /// It is sent to a member.
+    Attempted,
+    /// It is rejected, with a retry-after.
+    Rejected,
+    /// It is failed.
+    Failed,
+}
+
+impl Disposition {
+    fn of(action: Option<Action>) -> Disposition {
+        match action {
+            None => Disposition::Queued,
+            Some(Action::Attempt { .. }) => Disposition::Attempted,
+            Some(Action::Reject { .. }) => Disposition::Rejected,
+            Some(Action::Fail) => Disposition::Failed,
+        }
+    }
+}
+
+impl fmt::Display for Disposition {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Disposition::Queued => "queued",
+            Disposition::Attempted => "attempted",
+            Disposition::Rejected => "rejected",
+            Disposition::Failed => "failed",
+        })
+    }
+}
+
+/// In what a decision under the other settings differs from the one made.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Difference {
+    /// Something else is done with a request.
+    Disposition {
+        /// What was done.
+        made: Disposition,
+        /// What the other settings would have done.
+        shadow: Disposition,
+    },
+    /// An attempt goes to another member.
+    Member,
+    /// An attempt goes to the same member with another timeout.
+    Timeout,
+    /// A request is rejected with another retry-after.
+    RetryAfter,
+    /// A member gets a health check that was not sent.
+    HealthChecked,
+    /// A member does not get a health check that was sent.
+    NotHealthChecked,
+    /// Idle connections of other members are closed.
+    ConnectionsClosed,
+    /// The endpoint list is subscribed to where it was not, or the other way about.
+    Subscription,
+}
+
+impl fmt::Display for Difference {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Difference::Disposition { made, shadow } => write!(f, "{shadow}_not_{made}"),
+            Difference::Member => f.write_str("another_member"),
+            Difference::Timeout => f.write_str("another_timeout"),
+            Difference::RetryAfter => f.write_str("another_retry_after"),
+            Difference::HealthChecked => f.write_str("health_checked"),
+            Difference::NotHealthChecked => f.write_str("not_health_checked"),
+            Difference::ConnectionsClosed => f.write_str("other_connections_closed"),
+            Difference::Subscription => f.write_str("other_list_subscription"),
+        }
+    }
+}
+
+/// All differences between the actions that were carried out and those under the other settings.
+pub(super) fn differences(made: &Actions, shadow: &Actions) -> Vec<Difference> {
+    let mut found = request_differences(made, shadow);
+    for _ in missing_from(&made.health_checks, &shadow.health_checks) {
+        found.push(Difference::HealthChecked);
+    }
+    for _ in missing_from(&shadow.health_checks, &made.health_checks) {
+        found.push(Difference::NotHealthChecked);
+    }
+    if made.shut != shadow.shut {
+        found.push(Difference::ConnectionsClosed);
+    }
+    if made.subscribe != shadow.subscribe {
+        found.push(Difference::Subscription);
+    }
+    found
+}
+
+/// The members of `members` that are not in `known`.
+fn missing_from<'a>(known: &'a [MemberId], members: &'a [MemberId]) -> impl Iterator<Item = &'a MemberId> {
+    members.iter().filter(|member| !known.contains(member))
+}
+
+fn request_differences(made: &Actions, shadow: &Actions) -> Vec<Difference> {
+    let made = last_actions(made);
+    let shadow = last_actions(shadow);
+    let only_shadow = shadow.keys().filter(|handle| !made.contains_key(handle));
+    let requests = made.keys().chain(only_shadow);
+    requests
+        .filter_map(|handle| request_difference(made.get(handle).copied(), shadow.get(handle).copied()))
+        .collect()
+}
+
+/// The last action for each request.
+fn last_actions(actions: &Actions) -> BTreeMap<Handle, Action> {
+    actions.requests.iter().copied().collect()
+}
+
+fn request_difference(made: Option<Action>, shadow: Option<Action>) -> Option<Difference> {
+    match (made, shadow) {
+        (
+            Some(Action::Attempt { member, timeout, .. }),
+            Some(Action::Attempt { member: shadow_member, timeout: shadow_timeout, .. }),
+        ) => {
+            if member != shadow_member {
+                Some(Difference::Member)
+            } else {
+                (timeout != shadow_timeout).then_some(Difference::Timeout)
+            }
+        }
+        (Some(Action::Reject { cool_down }), Some(Action::Reject { cool_down: shadow_cool_down })) => {
+            (cool_down != shadow_cool_down).then_some(Difference::RetryAfter)
+        }
+        (made, shadow) => {
+            let made = Disposition::of(made);
+            let shadow = Disposition::of(shadow);
+            (made != shadow).then_some(Difference::Disposition { made, shadow })
+        }
+    }
+}
--- a/crates/proxy/src/shadow/mod.rs
+++ b/crates/proxy/src/shadow/mod.rs
@@ -1,182 +1,121 @@
-//! Watching another shape of settings: a sample of the decisions is made a second time, from the same state, by a
-//! copy of the router under those settings. The copy is dropped; how it would have decided otherwise is counted.
+//! Shadow evaluation of other settings: a sample of the decisions is made a second time, from the same state, by a copy
+//! of the router under those settings. The copy is then dropped; only the differences between the two are counted, and
+//! logged now and then. `docs/migration.md` says what an operator does with the counts.
+
+pub mod difference;
+mod error;
 
 use std::collections::BTreeMap;
-use std::fmt;
 use std::time::Duration;
 
-use aldermill_operator_config::Trial as Wanted;
-use aldermill_routing::{Action, Actions, Handle, Router, Terms};
+use aldermill_operator_config::Trial as ShadowConfig;
+use aldermill_routing::{Actions, Router, Terms};
 use aldermill_settings::Decoded;
 use slog::{Logger, info};
 use tokio::time::Instant;
 
-use crate::lifecycle::errors::ShadowError;
-
-/// What becomes of a request by one call.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fate {
-    Held,
-    Attempted,
-    Rejected,
-    Failed,
-}
+use difference::Difference;
+pub use error::ShadowError;
 
-/// In what the other settings would have decided otherwise.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
-    Fate(Fate, Fate),
-    Member,
-    Limit,
-    CoolDown,
-    HealthChecked,
-    NotHealthChecked,
-    Closing,
-    AskingForList,
-}
-
-impl fmt::Display for Kind {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let word = |fate: &Fate| match fate {
-            Fate::Held => "held",
-            Fate::Attempted => "launched",
-            Fate::Rejected => "denied",
-            Fate::Failed => "broken_off",
-        };
-        match self {
-            Kind::Fate(was, would) => write!(f, "{}_not_{}", word(would), word(was)),
-            Kind::Member => f.write_str("another_member"),
-            Kind::Limit => f.write_str("another_limit"),
-            Kind::CoolDown => f.write_str("another_cool_down"),
-            Kind::HealthChecked => f.write_str("probed"),
-            Kind::NotHealthChecked => f.write_str("not_probed"),
-            Kind::Closing => f.write_str("other_connections_closed"),
-            Kind::AskingForList => f.write_str("list_asked_for_otherwise"),
-        }
-    }
-}
+/// Of how many decisions one is compared, where the operator names no figure.
+const DEFAULT_SAMPLE_INTERVAL: u32 = 10;
+/// How often the counts are logged, in seconds, where the operator names no figure.
+const DEFAULT_LOG_INTERVAL_S: u32 = 60;
 
+/// Compares the router's decisions with those under other settings.
 pub struct ShadowRouter {
-    terms: Terms,
-    one_in: u32,
-    every: Duration,
-    /// Decisions until the next one that is compared.
-    left: u32,
+    /// The other settings.
+    settings: Terms,
+    /// Of so many decisions one is compared.
+    sample_interval: u32,
+    log_interval: Duration,
+    /// Decisions until the next one that is compared, that one included.
+    until_next_sample: u32,
+    /// Decisions that were compared so far.
     pub compared: u64,
-    pub kinds: BTreeMap<Kind, u64>,
-    told_at: Instant,
+    /// How often each difference was found so far.
+    pub differences: BTreeMap<Difference, u64>,
+    logged_at: Instant,
 }
 
 impl ShadowRouter {
-    /// Reads the other settings, which must know the same request classes and zones as those in force.
-    pub fn read(wanted: &Wanted, in_force: &Decoded) -> Result<ShadowRouter, ShadowError> {
-        let path = || wanted.settings.clone();
-        let text = std::fs::read_to_string(&wanted.settings);
-        let text = text.map_err(|why| ShadowError::File { path: path(), why })?;
-        let other = Decoded::parse(&text).map_err(|why| ShadowError::Settings { path: path(), why })?;
+    /// Reads the other settings.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be read or is not in the form of settings, or its request classes or zones are not those of the
+    /// settings in force.
+    pub fn load(config: &ShadowConfig, in_force: &Decoded) -> Result<ShadowRouter, ShadowError> {
+        let path = || config.settings.clone();
+        let text = std::fs::read_to_string(&config.settings)
+            .map_err(|error| ShadowError::File { path: path(), error })?;
+        let other = Decoded::parse(&text).map_err(|error| ShadowError::Settings { path: path(), error })?;
         if other.names() != in_force.names() {
-            return Err(ShadowError::Other { path: path(), field: "categories" });
+            return Err(ShadowError::OtherDeployment { path: path(), field: "categories" });
         }
         if other.zones() != in_force.zones() {
-            return Err(ShadowError::Other { path: path(), field: "azs" });
+            return Err(ShadowError::OtherDeployment { path: path(), field: "azs" });
         }
-        let one_in = wanted.one_in.unwrap_or(10).max(1);
+        let sample_interval = config.one_in.unwrap_or(DEFAULT_SAMPLE_INTERVAL).max(1);
+        let log_interval_s = config.every_s.unwrap_or(DEFAULT_LOG_INTERVAL_S).max(1);
         Ok(ShadowRouter {
-            terms: other.terms,
-            one_in,
-            every: Duration::from_secs(wanted.every_s.unwrap_or(60).max(1).into()),
-            left: one_in,
+            settings: other.terms,
+            sample_interval,
+            log_interval: Duration::from_secs(log_interval_s.into()),
+            until_next_sample: sample_interval,
             compared: 0,
-            kinds: BTreeMap::new(),
-            told_at: Instant::now(),
+            differences: BTreeMap::new(),
+            logged_at: Instant::now(),
         })
     }
 
-    /// Lets the router decide, and for the sample a copy of it under the other settings, whose answer is counted.
-    pub fn ask<T>(
+    /// Lets the router decide, and for the sample a copy of it under the other settings, whose actions are only
+    /// compared.
+    pub fn decide<T>(
         &mut self,
         router: &mut Router,
-        decide: impl Fn(&mut Router) -> (T, Actions),
+        decision: impl Fn(&mut Router) -> (T, Actions),
     ) -> (T, Actions) {
-        let copy = self.sampled(router);
-        let (made, actions) = decide(router);
+        // Copied first: the copy is to decide from the same state.
+        let copy = self.is_sampled().then(|| router.under(&self.settings));
+        let (made, actions) = decision(router);
         if let Some(mut copy) = copy {
-            self.compare(&actions, &decide(&mut copy).1);
+            let (_, shadow_actions) = decision(&mut copy);
+            self.compare(&actions, &shadow_actions);
         }
         (made, actions)
     }
 
-    /// A copy that is to decide under the other settings, if this decision is in the sample.
-    fn sampled(&mut self, router: &Router) -> Option<Router> {
-        self.left -= 1;
-        if self.left > 0 {
-            return None;
+    /// Whether the next decision is in the sample.
+    fn is_sampled(&mut self) -> bool {
+        self.until_next_sample -= 1;
+        let is_sampled = self.until_next_sample == 0;
+        if is_sampled {
+            self.until_next_sample = self.sample_interval;
         }
-        self.left = self.one_in;
-        Some(router.under(&self.terms))
+        is_sampled
     }
 
-    /// Counts where the copy would have done otherwise.
-    fn compare(&mut self, done: &Actions, other: &Actions) {
+    fn compare(&mut self, made: &Actions, shadow: &Actions) {
         self.compared += 1;
-        let (was, would) = (fates(done), fates(other));
-        let handles = was.keys().chain(would.keys().filter(|handle| !was.contains_key(handle)));
-        for handle in handles {
-            let steps = (was.get(handle).copied(), would.get(handle).copied());
-            let kind = match steps {
-                (
-                    Some(Action::Attempt { member, timeout, .. }),
-                    Some(Action::Attempt { member: other, timeout: within, .. }),
-                ) => {
-                    let kind = if member != other { Kind::Member } else { Kind::Limit };
-                    (member != other || timeout != within).then_some(kind)
-                }
-                (Some(Action::Reject { cool_down }), Some(Action::Reject { cool_down: other })) => {
-                    (cool_down != other).then_some(Kind::CoolDown)
-                }
-                (was, would) => {
-                    let (was, would) = (fate(was), fate(would));
-                    (was != would).then_some(Kind::Fate(was, would))
-                }
-            };
-            self.count(kind, 1);
-        }
-        let lacking =
-            |these: &[usize], those: &[usize]| these.iter().filter(|id| !those.contains(id)).count() as u64;
-        self.count(Some(Kind::HealthChecked), lacking(&other.health_checks, &done.health_checks));
-        self.count(Some(Kind::NotHealthChecked), lacking(&done.health_checks, &other.health_checks));
-        self.count(Some(Kind::Closing), u64::from(done.shut != other.shut));
-        self.count(Some(Kind::AskingForList), u64::from(done.subscribe != other.subscribe));
-    }
-
-    fn count(&mut self, kind: Option<Kind>, times: u64) {
-        if let Some(kind) = kind.filter(|_| times > 0) {
-            *self.kinds.entry(kind).or_default() += times;
+        for difference in difference::differences(made, shadow) {
+            *self.differences.entry(difference).or_default() += 1;
         }
     }
 
-    /// One line in the log each time that it is due, or at once.
-    pub fn tell(&mut self, log: &Logger, at_once: bool) {
-        if at_once || self.told_at.elapsed() >= self.every {
-            self.told_at = Instant::now();
-            let kinds: Vec<String> =
-                self.kinds.iter().map(|(kind, count)| format!("{kind}={count}")).collect();
-            info!(log, "settings on trial"; "otherwise" => kinds.join(" "), "compared" => self.compared,
-                "one_in" => self.one_in);
+    /// Logs the counts if that is due.
+    pub fn log_if_due(&mut self, log: &Logger) {
+        if self.logged_at.elapsed() >= self.log_interval {
+            self.log_counts(log);
         }
     }
-}
-
-/// The last step for each request.
-fn fates(actions: &Actions) -> BTreeMap<Handle, Action> {
-    actions.requests.iter().copied().collect()
-}
 
-fn fate(step: Option<Action>) -> Fate {
-    match step {
-        None => Fate::Held,
-        Some(Action::Attempt { .. }) => Fate::Attempted,
-        Some(Action::Reject { .. }) => Fate::Rejected,
-        Some(Action::Fail) => Fate::Failed,
+    /// Logs the counts at once.
+    pub fn log_counts(&mut self, log: &Logger) {
+        self.logged_at = Instant::now();
+        let counts: Vec<String> =
+            self.differences.iter().map(|(difference, count)| format!("{difference}={count}")).collect();
+        info!(log, "shadow evaluation"; "differences" => counts.join(" "), "compared" => self.compared,
+            "one_in" => self.sample_interval);
     }
 }
--- a/crates/proxy/tests/staying.rs
+++ b/crates/proxy/tests/staying.rs
@@ -347,7 +347,7 @@
     let mut client = Client::connect(driver.address);
     let ask = |client: &mut Client| (0..20).all(|_| served(&client.ask(&look(15000))));
     assert!(ask(&mut client));
-    until("counts", || driver.logged("settings on trial") && driver.logged("not_probed="));
+    until("counts", || driver.logged("shadow evaluation") && driver.logged("not_health_checked="));
     let operator = driver.operator.clone().unwrap();
     // Settings that cannot be read: the counts go on, and so does service.
     std::fs::write(&operator, trial("{")).unwrap();
