--- a/crates/proxy/src/coordination/records.rs
+++ b/crates/proxy/src/coordination/records.rs
@@ -80,14 +80,14 @@
 
     fn terms(&self, wanted: u32) -> Vec<(String, Term)> {
         let records = self.folder.records().into_iter().flatten();
-        let wanted = records.filter(|(namespace, ..)| *namespace == wanted);
-        wanted.filter_map(|(_, key, value)| decode_term(key, value)).collect()
+        let wanted = records.filter(|record| record.namespace == wanted);
+        wanted.filter_map(|record| decode_term(&record.key, &record.value)).collect()
     }
 
     fn plans(&self) -> Vec<Plan> {
         let records = self.folder.records().into_iter().flatten();
-        let plans = records.filter(|(namespace, ..)| *namespace == namespace::SITE_DRAINS);
-        plans.filter_map(|(_, _, body)| Plan::decode(body).ok()).collect()
+        let plans = records.filter(|record| record.namespace == namespace::SITE_DRAINS);
+        plans.filter_map(|record| Plan::decode(&record.value).ok()).collect()
     }
 }
 
--- a/crates/proxy/src/dispatcher/outcome_log.rs
+++ b/crates/proxy/src/dispatcher/outcome_log.rs
@@ -10,7 +10,7 @@
 use aldermill_warm_start::namespace;
 use tokio::sync::mpsc;
 
-use crate::persistence::DataDirectory;
+use crate::persistence::{DataDirectory, StoredRecord};
 
 /// How long a remote request, and an outcome, wait for the disk before they go on without it.
 const LONGEST_WAIT: Micros = 250_000;
@@ -74,7 +74,7 @@
         }
         let Some(records) = self.folder.records() else { return };
         let mut earlier = Earlier::default();
-        for (namespace, key, value) in records {
+        for StoredRecord { namespace, key, value } in records {
             match *namespace {
                 namespace::OUTCOME_LOG => read_record(&mut earlier, key, value),
                 namespace::OUTCOME_LOG_PROMISES => read_promise(&mut earlier, now, key, value),
--- a/crates/proxy/src/persistence/data_directory.rs
+++ b/crates/proxy/src/persistence/data_directory.rs
@@ -1,48 +1,59 @@
-//! The folder as its users see it: what it held, once that is read, and a way to write, once it is open.
+//! The data directory as its users see it: what it held at the start, once that is read, and a way to write to it, once
+//! it is open.
 
 use std::cell::OnceCell;
 
 use aldermill_store::{Batch, Committer};
 use tokio::sync::mpsc;
 
-/// Space, key and value.
-pub type Record = (u32, Vec<u8>, Vec<u8>);
+/// A record of the store.
+#[derive(Clone, Debug)]
+pub struct StoredRecord {
+    /// One of the numbers in [`aldermill_warm_start::namespace`].
+    pub namespace: u32,
+    /// The record's key in its namespace.
+    pub key: Vec<u8>,
+    /// The record's value, in a form of its namespace's own.
+    pub value: Vec<u8>,
+}
 
-/// A folder that is opened in its own time: nothing may be claimed of what it held before that is read, and nothing is
-/// kept before it is open for writing.
+/// A directory that is opened in the background. Before it is read nothing may be claimed of what it held, and before it
+/// is open for writing nothing is saved.
 #[derive(Default)]
 pub struct DataDirectory {
-    records: OnceCell<Vec<Record>>,
-    /// Never waited for, not even at the end: a disk may stand still.
+    /// Set once the directory is read.
+    records: OnceCell<Vec<StoredRecord>>,
+    /// Set once the directory is open for writing. Its thread is never joined, not even at the end: a disk may hang.
     committer: OnceCell<Committer>,
 }
 
 impl DataDirectory {
     /// What it held at the start of this process; `None` as long as that could not be read.
-    pub fn records(&self) -> Option<&[Record]> {
+    pub fn records(&self) -> Option<&[StoredRecord]> {
         self.records.get().map(Vec::as_slice)
     }
 
-    /// What it held is known, and does not change behind this process any more. Only the first word counts.
-    pub fn was_read(&self, records: Vec<Record>) {
+    /// Says what it held, which no other process changes any more. Only the first call counts.
+    pub(super) fn set_records(&self, records: Vec<StoredRecord>) {
         let _ = self.records.set(records);
     }
 
-    /// It may be written to from now on. Only the first word counts.
-    pub fn was_opened(&self, committer: Committer) {
+    /// Opens it for writing. Only the first call counts.
+    pub(super) fn set_committer(&self, committer: Committer) {
         if let Err(second) = self.committer.set(committer) {
             second.leave();
         }
     }
 
-    /// Hands a batch to the disk's thread, unless that takes nothing more, or the folder is not open. `told` then hears
-    /// whether it was kept; it must have room for as many words as there are batches under way.
-    pub fn write(&self, batch: Batch, told: &mpsc::Sender<bool>) -> bool {
+    /// Hands a batch to the store's thread; `false` if that thread's queue is full or the directory is not open for
+    /// writing. Whether the batch was written is then sent to `confirmations`, which must have capacity for as many
+    /// messages as there are batches in flight: one that does not fit is lost.
+    pub fn write(&self, batch: Batch, confirmations: &mpsc::Sender<bool>) -> bool {
         let Some(committer) = self.committer.get() else { return false };
-        let told = told.clone();
-        let done = move |well| {
-            // One that is gone needs no word.
-            let _ = told.try_send(well);
+        let confirmations = confirmations.clone();
+        let done = move |is_written| {
+            // A receiver that is gone needs no confirmation.
+            let _ = confirmations.try_send(is_written);
         };
         committer.write(batch, Box::new(done)).is_ok()
     }
--- a/crates/proxy/src/persistence/maintenance.rs
+++ b/crates/proxy/src/persistence/maintenance.rs
@@ -1,51 +1,58 @@
-//! `aldermill store`: what can be done about a folder.
+//! `aldermill store`: what can be done about a data directory while no proxy runs on it, or beside one.
 
 use std::path::Path;
 
-use aldermill_store::{Bounds, Disk, Recovered, Snapshot, Store};
+use aldermill_store::{Bounds, Disk, Problem, Recovered, Snapshot, Store};
 
 use crate::lifecycle::clock::unix_now;
 use crate::lifecycle::errors::ProgramError;
 
-const ALL: Bounds = Bounds { segment: 4 << 20, batch: 1 << 30, live: 1 << 40, slack: 4 };
+/// Reads whatever a proxy may have written, however much memory that proxy had. Sizes are in bytes.
+const UNLIMITED: Bounds = Bounds { segment: 4 << 20, batch: 1 << 30, live: 1 << 40, slack: 4 };
 
-/// What a recovery would find; whether all of it is sound.
+/// Prints what a recovery would find; whether nothing is damaged.
 pub fn check(folder: &str) -> Result<bool, ProgramError> {
-    let (_, found) = look(folder)?;
-    println!("{} segments, {} records, {} bytes of a torn end", found.segments, found.records, found.torn);
-    for damage in &found.damage {
+    let (_, recovered) = read(folder)?;
+    println!(
+        "{} segments, {} records, {} bytes of a torn end",
+        recovered.segments, recovered.records, recovered.torn
+    );
+    for damage in &recovered.damage {
         println!("damaged: segment {} from byte {} to {}", damage.segment, damage.from, damage.to);
     }
-    Ok(found.damage.is_empty())
+    Ok(recovered.damage.is_empty())
 }
 
-/// Every record as a line of JSON.
+/// Prints every record as a line of JSON. A value that is not JSON is printed as a string.
 pub fn dump(folder: &str) -> Result<(), ProgramError> {
-    for (space, key, value) in look(folder)?.0.everything() {
+    let (snapshot, _) = read(folder)?;
+    for (namespace, key, value) in snapshot.everything() {
         let value = serde_json::from_slice(value)
             .unwrap_or_else(|_| serde_json::Value::String(String::from_utf8_lossy(value).into_owned()));
         let key = String::from_utf8_lossy(key);
-        println!("{}", serde_json::json!({"space": space, "key": key, "value": value}));
+        println!("{}", serde_json::json!({"space": namespace, "key": key, "value": value}));
     }
     Ok(())
 }
 
-/// Writes what is live to one segment; no driver may have the folder open.
+/// Writes the live records to one segment. Fails while a proxy has the directory open.
 pub fn compact(folder: &str) -> Result<(), ProgramError> {
-    look(folder)?;
-    let refused = |why| ProgramError::Store { folder: folder.to_owned(), why };
-    let disk = Disk::open(Path::new(folder)).map_err(|why| refused(why.into()))?;
-    let (mut store, _) = Store::open(disk, ALL, unix_now()).map_err(refused)?;
-    let before = store.size().1;
-    store.compact().map_err(refused)?;
-    println!("{before} bytes before, {} now", store.size().1);
+    // Nothing is opened for writing that could not be read.
+    read(folder)?;
+    let failed = |problem: Problem| ProgramError::Store { folder: folder.to_owned(), why: problem };
+    let disk = Disk::open(Path::new(folder)).map_err(|error| failed(error.into()))?;
+    let (mut store, _) = Store::open(disk, UNLIMITED, unix_now()).map_err(failed)?;
+    let (_, bytes_before) = store.size();
+    store.compact().map_err(failed)?;
+    let (_, bytes_now) = store.size();
+    println!("{bytes_before} bytes before, {bytes_now} now");
     Ok(())
 }
 
-fn look(folder: &str) -> Result<(Snapshot, Recovered), ProgramError> {
+fn read(folder: &str) -> Result<(Snapshot, Recovered), ProgramError> {
     if !Path::new(folder).is_dir() {
         return Err(ProgramError::NoFolder(folder.to_owned()));
     }
-    Store::look(Disk::look(Path::new(folder)), ALL, unix_now())
-        .map_err(|why| ProgramError::Store { folder: folder.to_owned(), why })
+    Store::look(Disk::look(Path::new(folder)), UNLIMITED, unix_now())
+        .map_err(|problem| ProgramError::Store { folder: folder.to_owned(), why: problem })
 }
--- a/crates/proxy/src/persistence/mod.rs
+++ b/crates/proxy/src/persistence/mod.rs
@@ -1,7 +1,13 @@
-//! What is kept over a restart: the folder's opening, and the actor that hands what is believed to the disk.
+//! What survives a restart: the data directory and its opening, and the actor that saves snapshots of what the proxy
+//! knows. `docs/coming-back.md` says what an operator sees of it.
+//!
+//! Nobody waits for a disk: file calls are made on threads of their own, and a start that finds the directory slow goes
+//! on without what it holds.
 
 mod data_directory;
+mod errors;
 pub mod maintenance;
+mod open_attempt;
 mod opening;
 mod writer;
 
@@ -16,34 +22,41 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-pub use data_directory::DataDirectory;
-use opening::{Opener, Unopened};
+pub use data_directory::{DataDirectory, StoredRecord};
+use errors::OpenError;
+use opening::Opener;
 
 use crate::lifecycle::clock::Clock;
 
-/// A folder that is not read by then is taken in later: nobody waits for a disk.
-const OPENING: Duration = Duration::from_millis(500);
+/// How long the start waits for the directory to be read.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The folder, what was recalled from it by now, and who keeps what is believed from now on.
+/// What the start gets of the data directory.
 pub struct Persistence {
+    /// Open for writing, or opened later.
     pub directory: Rc<DataDirectory>,
+    /// What a former start saved; empty where that could not be read in time.
     pub restored: RestoredState,
+    /// Where what is to be saved is published; the newest counts.
     pub snapshots: watch::Sender<Option<StateSnapshot>>,
 }
 
-/// Opens the folder and starts its keeper. Where that fails, which the log then says, it is tried again for as long as
-/// the process lives, and the folder's users hold back what they could claim by it alone.
+/// Opens the data directory of the proxy called `name`, and starts the actor that saves snapshots; `memory` is what the
+/// process may use, in bytes. A failure is logged and never ends the process: opening is tried again for as long as it
+/// lives, and the directory's users hold back what they could only claim by what it holds.
 pub async fn start(warm: &Warm, name: &str, memory: u64, clock: Clock, log: &Logger) -> Persistence {
-    let (snapshots, beliefs) = watch::channel(None);
-    let opener = Opener::new(Path::new(&warm.folder), name, memory, clock, log, beliefs);
-    let directory = opener.folder.clone();
-    let (sender, first) = oneshot::channel();
-    spawn_local(opener.run(sender));
-    let read = timeout(OPENING, first).await;
-    if read.is_err() {
-        warn!(log, "warm state refused, started without"; "folder" => &warm.folder,
-            "why" => %Unopened::Late(OPENING.as_millis()));
-    }
-    let restored = read.ok().and_then(Result::ok).unwrap_or_default();
+    let (snapshots, published) = watch::channel(None);
+    let opener = Opener::new(Path::new(&warm.folder), name, memory, clock, log, published);
+    let directory = opener.directory.clone();
+    let (first_restored, restored) = oneshot::channel();
+    spawn_local(opener.run(first_restored));
+    let restored = match timeout(OPEN_TIMEOUT, restored).await {
+        Ok(restored) => restored.unwrap_or_default(),
+        Err(_) => {
+            warn!(log, "data directory unavailable, state is neither restored nor saved";
+                "folder" => &warm.folder, "error" => %OpenError::TimedOut(OPEN_TIMEOUT));
+            RestoredState::default()
+        }
+    };
     Persistence { directory, restored, snapshots }
 }
--- a/crates/proxy/src/persistence/opening.rs
+++ b/crates/proxy/src/persistence/opening.rs
@@ -1,205 +1,131 @@
-//! Opening the folder, again and again while that fails: whoever needs it is told nothing of it before it is read.
+//! Opening the data directory, again and again while that fails.
 
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_store::{Bounds, Committer, Disk, Problem, Recovered, Snapshot, Store};
-use aldermill_warm_start::{RestoreError, RestoredState, SavedState, StateSnapshot, restore};
+use aldermill_store::{Bounds, Disk};
+use aldermill_warm_start::{RestoredState, SavedState, StateSnapshot};
 use slog::{Logger, info, warn};
-use thiserror::Error;
 use tokio::sync::{oneshot, watch};
 use tokio::time::sleep;
 
-use super::data_directory::{DataDirectory, Record};
-use super::writer::WriterThread;
+use super::data_directory::DataDirectory;
+use super::errors::OpenFailure;
+use super::open_attempt::{DirectoryContents, OpenAttempt};
+use super::writer::SnapshotWriter;
 use crate::lifecycle::clock::Clock;
 
-/// The wait behind the first trial that failed, doubled with each that follows.
-const FIRST_WAIT: Duration = Duration::from_millis(250);
-/// A folder that works again is taken in within this time.
-const LONGEST_WAIT: Duration = Duration::from_secs(10);
-/// Batches of all kinds that may wait for the disk's thread.
-const QUEUE: usize = 1024;
+/// The wait after the first attempt that failed; doubled after each that follows.
+const MIN_RETRY_WAIT: Duration = Duration::from_millis(250);
+/// The longest wait, and so the longest time in which a directory that can be opened again is not noticed.
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(10);
 
-/// Why the folder is not read, or not written to.
-#[derive(Debug, Error)]
-pub(super) enum Unopened {
-    #[error("not open within {0} ms; see the disk")]
-    Late(u128),
-    #[error("{0}")]
-    Store(#[from] Problem),
-    #[error("{0}")]
-    Refused(#[from] RestoreError),
-    #[error("{0}; see that the folder may be written")]
-    Disk(std::io::Error),
-    #[error("{0} places are damaged, see aldermill store check")]
-    Damaged(usize),
-    #[error("{0}; see the limits on threads and memory")]
-    Thread(std::io::Error),
-    #[error("the thread that opens it ended; see the lines before this one")]
-    Ended,
-}
-
-/// Whose folder it is, and where.
-#[derive(Clone)]
-struct Place {
-    path: PathBuf,
-    name: String,
-    bounds: Bounds,
-    clock: Clock,
-}
-
-/// A folder that this process has to itself, and what it held.
-struct Found {
-    /// Held until the folder is open for writing.
-    lock: Disk,
-    records: Vec<Record>,
-    recalled: RestoredState,
-    committer: Result<Committer, Problem>,
-}
-
-/// What the store held, if it is this driver's and sound.
-fn sound(
-    place: &Place,
-    now: i64,
-    seen: (Snapshot, Recovered),
-) -> Result<(Vec<Record>, RestoredState), Unopened> {
-    let (snapshot, recovered) = seen;
-    let recalled = restore(&place.name, now, snapshot.everything())?;
-    if !recovered.damage.is_empty() {
-        return Err(Unopened::Damaged(recovered.damage.len()));
-    }
-    let copied = snapshot.everything().map(|(space, key, value)| (space, key.to_vec(), value.to_vec()));
-    Ok((copied.collect(), recalled))
-}
-
-/// One trial, on a thread of its own; `lock` is that of an earlier one. A folder that is refused is left as it is.
-fn open(place: &Place, lock: Option<Disk>) -> Result<Found, Unopened> {
-    let (bounds, clock) = (place.bounds, place.clock);
-    let now = clock.now();
-    let lock = match lock {
-        Some(lock) => lock,
-        None => {
-            // First without changing anything: whose it is decides whether it is opened at all.
-            if place.path.exists() {
-                sound(place, now, Store::look(Disk::look(&place.path), bounds, now)?)?;
-            }
-            Disk::open(&place.path).map_err(Unopened::Disk)?
-        }
-    };
-    // Read under the lock: what another process wrote up to its end is in it.
-    match Store::open(lock.again(), bounds, now) {
-        Ok((store, recovered)) => {
-            let (records, recalled) = sound(place, now, (store.snapshot(), recovered))?;
-            // The store's time is a span that this process measures, whatever steps the wall clock makes.
-            let committer = Committer::start(store, QUEUE, move || clock.now());
-            Ok(Found { lock, records, recalled, committer: Ok(committer) })
-        }
-        // It may be full, or writing fails in another way: reading may do all the same.
-        Err(why) => {
-            let (records, recalled) = sound(place, now, Store::look(lock.again(), bounds, now)?)?;
-            Ok(Found { lock, records, recalled, committer: Err(why) })
-        }
-    }
-}
-
-async fn open_on_a_thread(place: Place, lock: Option<Disk>) -> Result<Found, Unopened> {
-    let (sender, ended) = oneshot::channel();
-    let work = move || {
-        let _ = sender.send(open(&place, lock));
-    };
-    std::thread::Builder::new().spawn(work).map_err(Unopened::Thread)?;
-    ended.await.map_err(|_| Unopened::Ended)?
-}
-
-/// Tries until the folder is open, then keeps what is believed in it.
+/// Opens the data directory, then saves snapshots in it.
 pub(super) struct Opener {
-    pub folder: Rc<DataDirectory>,
-    pub beliefs: watch::Receiver<Option<StateSnapshot>>,
-    place: Place,
+    pub directory: Rc<DataDirectory>,
+    attempt: OpenAttempt,
+    /// What is to be saved; the newest counts.
+    snapshots: watch::Receiver<Option<StateSnapshot>>,
     log: Logger,
-    shown: PathBuf,
-    /// What was last said of why it is not open.
-    told: String,
+    /// The failure that was logged last, which is not logged again while it goes on.
+    logged_failure: Option<String>,
 }
 
 impl Opener {
+    /// For the directory at `path` of the proxy called `name`; `memory` is what the process may use, in bytes.
     pub fn new(
         path: &Path,
         name: &str,
         memory: u64,
         clock: Clock,
         log: &Logger,
-        beliefs: watch::Receiver<Option<StateSnapshot>>,
+        snapshots: watch::Receiver<Option<StateSnapshot>>,
     ) -> Opener {
-        let bounds = Bounds::usual(memory);
-        let place = Place { path: path.to_owned(), name: name.to_owned(), bounds, clock };
-        let (folder, told) = (Rc::default(), String::new());
-        Opener { folder, beliefs, place, log: log.clone(), shown: path.to_owned(), told }
+        let attempt = OpenAttempt {
+            path: path.to_owned(),
+            name: name.to_owned(),
+            bounds: Bounds::usual(memory),
+            clock,
+        };
+        Opener { directory: Rc::default(), attempt, snapshots, log: log.clone(), logged_failure: None }
+    }
+
+    /// Runs until nobody publishes snapshots any more. `first_restored` is sent what was restored if the first attempt
+    /// could read the directory, and dropped if not.
+    pub async fn run(mut self, first_restored: oneshot::Sender<RestoredState>) {
+        self.open(first_restored).await;
+        if self.logged_failure.is_some() {
+            info!(self.log, "data directory available, state is saved from now on"; "folder" => self.shown_path());
+        }
+        self.into_writer().run().await;
     }
 
-    /// `first` hears what was recalled if the first trial could read the folder, and is dropped if not.
-    pub async fn run(mut self, first: oneshot::Sender<RestoredState>) {
-        let (mut first, mut lock, mut wait) = (Some(first), None, FIRST_WAIT);
+    /// Makes attempts until the directory is open for writing.
+    async fn open(&mut self, first_restored: oneshot::Sender<RestoredState>) {
+        let mut first_restored = Some(first_restored);
+        let mut lock: Option<Disk> = None;
+        let mut wait = MIN_RETRY_WAIT;
         loop {
-            match open_on_a_thread(self.place.clone(), lock.take()).await {
-                Ok(found) => {
-                    self.read(found.records, found.recalled, first.take());
-                    match found.committer {
-                        Ok(committer) => {
-                            self.folder.was_opened(committer);
-                            break;
-                        }
-                        Err(why) => self
-                            .fails("warm state is not kept yet, what was kept before is read", &why.into()),
+            match self.attempt.clone().run_on_thread(lock.take()).await {
+                Ok(opened) => {
+                    self.publish(opened.contents, first_restored.take());
+                    match opened.committer {
+                        Ok(committer) => return self.directory.set_committer(committer),
+                        Err(problem) => self.log_failure(&OpenFailure::NotWritable(problem.into())),
                     }
-                    lock = Some(found.lock);
+                    lock = Some(opened.lock);
                 }
-                Err(why) => self.fails("warm state refused, started without", &why),
+                Err(error) => self.log_failure(&OpenFailure::Unavailable(error)),
             }
-            first = None;
+            // The start goes on without restored state, which is of no use later: this process then knows better.
+            first_restored = None;
             sleep(wait).await;
-            wait = (wait * 2).min(LONGEST_WAIT);
+            wait = (wait * 2).min(MAX_RETRY_WAIT);
         }
-        if !self.told.is_empty() {
-            info!(self.log, "warm state is kept from now on"; "folder" => %self.shown.display());
-        }
-        self.keep().await;
     }
 
-    fn read(
-        &self,
-        records: Vec<Record>,
-        recalled: RestoredState,
-        first: Option<oneshot::Sender<RestoredState>>,
-    ) {
-        if self.folder.records().is_some() {
+    /// Makes what the directory held known, the first time that it is read.
+    fn publish(&self, contents: DirectoryContents, first_restored: Option<oneshot::Sender<RestoredState>>) {
+        if self.directory.records().is_some() {
             return;
         }
-        info!(self.log, "warm state"; "revision" => recalled.snapshot.revision,
-            "primaries" => recalled.snapshot.primaries.len(), "left_out" => recalled.unusable_records,
-            "newest_word_ms_ago" => recalled.newest_confirmation_age.map(|age| age / 1000));
-        self.folder.was_read(records);
-        // StateSnapshot that come late are of no use: this process knows better by then.
-        if let Some(first) = first {
-            let _ = first.send(recalled);
+        let DirectoryContents { records, restored } = contents;
+        info!(self.log, "state restored from data directory"; "revision" => restored.snapshot.revision,
+            "primaries" => restored.snapshot.primaries.len(), "unusable_records" => restored.unusable_records,
+            "newest_confirmation_age_ms" => restored.newest_confirmation_age.map(|age| age / 1000));
+        self.directory.set_records(records);
+        if let Some(first_restored) = first_restored {
+            let _ = first_restored.send(restored);
         }
     }
 
-    /// Says why, once.
-    fn fails(&mut self, what: &'static str, why: &Unopened) {
-        let told = format!("{what}: {why}");
-        if told != self.told {
-            warn!(self.log, "{}", what; "folder" => %self.shown.display(), "why" => %why);
-            self.told = told;
+    fn log_failure(&mut self, failure: &OpenFailure) {
+        let text = failure.to_string();
+        if self.logged_failure.as_ref() == Some(&text) {
+            return;
         }
+        self.logged_failure = Some(text);
+        match failure {
+            OpenFailure::Unavailable(error) => {
+                warn!(self.log, "data directory unavailable, state is neither restored nor saved";
+                    "folder" => self.shown_path(), "error" => %error);
+            }
+            OpenFailure::NotWritable(error) => {
+                warn!(self.log, "data directory not writable, state is restored but not saved";
+                    "folder" => self.shown_path(), "error" => %error);
+            }
+        }
+    }
+
+    fn shown_path(&self) -> String {
+        self.attempt.path.display().to_string()
     }
 
-    async fn keep(self) {
-        let keys = self.folder.records().into_iter().flatten().map(|(space, key, _)| (*space, key.clone()));
-        let kept = SavedState::new(&self.place.name, keys);
-        let Opener { folder, beliefs, place, log, .. } = self;
-        WriterThread { clock: place.clock, log, folder, kept, beliefs }.run().await;
+    fn into_writer(self) -> SnapshotWriter {
+        let records = self.directory.records().into_iter().flatten();
+        let stored = records.map(|record| (record.namespace, record.key.clone()));
+        let saved = SavedState::new(&self.attempt.name, stored);
+        SnapshotWriter::new(self.directory, saved, self.snapshots, self.attempt.clock, self.log)
     }
 }
--- a/crates/proxy/src/persistence/writer.rs
+++ b/crates/proxy/src/persistence/writer.rs
@@ -1,5 +1,6 @@
-//! The actor that hands what is believed to the disk.
+//! The actor that saves snapshots: it hands what has changed to the store's thread, as long as the disk keeps up.
 
+use std::mem::discriminant;
 use std::rc::Rc;
 
 use aldermill_routing::Micros;
@@ -7,96 +8,119 @@
 use aldermill_warm_start::{Change, SavedState, StateSnapshot};
 use slog::{Logger, info, warn};
 use tokio::sync::{mpsc, watch};
-use tokio::time::sleep_until;
+use tokio::time::{Instant, sleep_until};
 
 use super::DataDirectory;
 use crate::lifecycle::clock::Clock;
 
-/// How long a write may wait for its confirmation before the disk counts as gone.
-const PATIENCE: Micros = 2_000_000;
-const WAITING: usize = 8;
+/// A write that is not confirmed within this time counts as failed.
+const CONFIRMATION_TIMEOUT: Micros = 2_000_000;
+/// Writes that may wait for their confirmation.
+const MAX_IN_FLIGHT: usize = 8;
 
-/// Hands over what is believed, once the folder is open.
-pub(super) struct WriterThread {
-    pub clock: Clock,
-    pub log: Logger,
-    pub folder: Rc<DataDirectory>,
-    pub kept: SavedState,
-    /// What is believed; the newest counts.
-    pub beliefs: watch::Receiver<Option<StateSnapshot>>,
+/// Saves snapshots in a directory that is open for writing.
+pub(super) struct SnapshotWriter {
+    directory: Rc<DataDirectory>,
+    /// What the directory holds, as far as that is known.
+    saved: SavedState,
+    /// What is to be saved; the newest counts.
+    snapshots: watch::Receiver<Option<StateSnapshot>>,
+    /// Whether the disk keeps up, and so what it may be handed.
+    disk: Keeping,
+    /// The state of the disk that was logged last.
+    logged_state: State,
+    clock: Clock,
+    log: Logger,
 }
 
-impl WriterThread {
-    /// Hands what has changed to the disk's thread, as long as the disk does well; says so when it does not.
+impl SnapshotWriter {
+    pub fn new(
+        directory: Rc<DataDirectory>,
+        saved: SavedState,
+        snapshots: watch::Receiver<Option<StateSnapshot>>,
+        clock: Clock,
+        log: Logger,
+    ) -> SnapshotWriter {
+        let disk = Keeping::start(CONFIRMATION_TIMEOUT, MAX_IN_FLIGHT);
+        SnapshotWriter { directory, saved, snapshots, disk, logged_state: State::Well, clock, log }
+    }
+
+    /// Runs until nobody publishes snapshots any more.
     pub async fn run(mut self) {
-        let (done, mut confirmed) = mpsc::channel(WAITING * 2);
-        let mut keeping = Keeping::start(PATIENCE, WAITING);
-        let mut told = State::Well;
+        // Those of writes that timed out may still come.
+        let (confirmations, mut confirmed) = mpsc::channel(MAX_IN_FLIGHT * 2);
         loop {
-            let due = keeping.due().map(|at| self.clock.instant(at));
+            let timeout_at = self.disk.due().map(|at| self.clock.instant(at));
             tokio::select! {
-                changed = self.beliefs.changed() => {
+                changed = self.snapshots.changed() => {
                     if changed.is_err() {
                         return;
                     }
-                    self.hand_over(&mut keeping, &done);
-                }
-                Some(well) = confirmed.recv() => match well {
-                    true => {
-                        keeping.confirmed(self.clock.now());
-                        if keeping.due().is_none() {
-                            self.kept.writes_confirmed();
-                        }
-                    }
-                    false => self.failed(&mut keeping),
-                },
-                () = sleep_until(due.unwrap_or_else(tokio::time::Instant::now)), if due.is_some() => {
-                    if keeping.gives_up(self.clock.now()) {
-                        self.kept.write_failed();
-                    }
+                    self.save_newest(&confirmations);
                 }
-            }
-            let state = keeping.state();
-            if std::mem::discriminant(&state) != std::mem::discriminant(&told) {
-                match state {
-                    State::Well => info!(self.log, "warm state is kept again"),
-                    State::Slow => warn!(self.log, "the disk of the warm state is slow"),
-                    State::Without { .. } => {
-                        warn!(self.log, "warm state is not kept, the disk does not take it or is slow")
+                Some(is_written) = confirmed.recv() => self.write_finished(is_written),
+                () = sleep_until(timeout_at.unwrap_or_else(Instant::now)), if timeout_at.is_some() => {
+                    if self.disk.gives_up(self.clock.now()) {
+                        self.saved.write_failed();
                     }
                 }
-                told = state;
             }
+            self.log_state_change();
         }
     }
 
-    fn failed(&mut self, keeping: &mut Keeping) {
-        keeping.failed(self.clock.now());
-        self.kept.write_failed();
-    }
-
-    fn hand_over(&mut self, keeping: &mut Keeping, done: &mpsc::Sender<bool>) {
-        let Some(beliefs) = self.beliefs.borrow_and_update().clone() else { return };
+    /// Hands the newest snapshot to the disk. A disk that lags is not given this one; the next one holds it, too.
+    fn save_newest(&mut self, confirmations: &mpsc::Sender<bool>) {
+        let Some(snapshot) = self.snapshots.borrow_and_update().clone() else { return };
         let now = self.clock.now();
-        // What a slow disk is not given now, it is given with the next.
-        if !matches!(keeping.state(), State::Well) && keeping.due().is_some()
-            || !keeping.hands_over(now, true)
-        {
+        let is_lagging = !matches!(self.disk.state(), State::Well) && self.disk.due().is_some();
+        if is_lagging || !self.disk.hands_over(now, true) {
             return;
         }
-        let changes = self.kept.changes(now, beliefs);
-        let mut batch = Batch::default();
-        for Change { namespace, key, value } in changes {
-            match value {
-                Some(value) => batch.put(namespace, &key, &value, None),
-                None => batch.remove(namespace, &key),
-            }
-        }
+        let batch = batch(self.saved.changes(now, snapshot));
         if batch.is_empty() {
-            return keeping.confirmed(now);
+            self.disk.confirmed(now);
+        } else if !self.directory.write(batch, confirmations) {
+            self.write_failed();
+        }
+    }
+
+    fn write_finished(&mut self, is_written: bool) {
+        if !is_written {
+            return self.write_failed();
+        }
+        self.disk.confirmed(self.clock.now());
+        if self.disk.due().is_none() {
+            self.saved.writes_confirmed();
+        }
+    }
+
+    fn write_failed(&mut self) {
+        self.disk.failed(self.clock.now());
+        self.saved.write_failed();
+    }
+
+    fn log_state_change(&mut self) {
+        let state = self.disk.state();
+        if discriminant(&state) == discriminant(&self.logged_state) {
+            return;
+        }
+        match state {
+            State::Well => info!(self.log, "state is saved again"),
+            State::Slow => warn!(self.log, "disk is slow, saving state lags"),
+            State::Without { .. } => warn!(self.log, "state is not saved, disk writes fail or time out"),
         }
-        if !self.folder.write(batch, done) {
-            self.failed(keeping);
+        self.logged_state = state;
+    }
+}
+
+fn batch(changes: Vec<Change>) -> Batch {
+    let mut batch = Batch::default();
+    for Change { namespace, key, value } in changes {
+        match value {
+            Some(value) => batch.put(namespace, &key, &value, None),
+            None => batch.remove(namespace, &key),
         }
     }
+    batch
 }
