--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -233,7 +233,7 @@
             DispatcherMessage::HealthCheckFinished(finished) => self.health_check_finished(finished),
             DispatcherMessage::ShadowReplaced(shadow) => self.replace_shadow(shadow.map(|shadow| *shadow)),
             DispatcherMessage::Link(message) => self.link_message(message.link, message.event),
-            DispatcherMessage::AwaitRemoteEnd(reply) => self.await_remote_end(reply),
+            DispatcherMessage::AwaitRemoteRequests(reply) => self.await_remote_end(reply),
             DispatcherMessage::FleetSize(size) => self.fleet_size(&size),
             DispatcherMessage::TakeObservations(reply) => self.report_observations(reply),
             DispatcherMessage::ZoneDirectives(leans) => self.zone_directives(&leans),
@@ -262,8 +262,8 @@
     }
 
     fn fleet_size(&mut self, size: &FleetSize) {
-        let ((), actions) =
-            self.decide(|router| (router.fleet(size.living, size.at_cold), Actions::default()));
+        let ((), actions) = self
+            .decide(|router| (router.fleet(size.sharing_warm, size.sharing_warming_up), Actions::default()));
         self.carry_out(actions);
     }
 
--- a/crates/proxy/src/persistence/mod.rs
+++ b/crates/proxy/src/persistence/mod.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_operator_config::Warm;
+use aldermill_operator_config::WarmStartConfig;
 use aldermill_warm_start::{RestoredState, StateSnapshot};
 use slog::{Logger, warn};
 use tokio::sync::{oneshot, watch};
@@ -44,7 +44,13 @@
 /// Opens the data directory of the proxy called `name`, and starts the actor that saves snapshots; `memory` is what the
 /// process may use, in bytes. A failure is logged and never ends the process: opening is tried again for as long as it
 /// lives, and the directory's users hold back what they could only claim by what it holds.
-pub async fn start(warm: &Warm, name: &str, memory: u64, clock: Clock, log: &Logger) -> Persistence {
+pub async fn start(
+    warm: &WarmStartConfig,
+    name: &str,
+    memory: u64,
+    clock: Clock,
+    log: &Logger,
+) -> Persistence {
     let (snapshots, published) = watch::channel(None);
     let opener = Opener::new(Path::new(&warm.folder), name, memory, clock, log, published);
     let directory = opener.directory.clone();
--- a/crates/proxy/src/shadow/mod.rs
+++ b/crates/proxy/src/shadow/mod.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use aldermill_operator_config::Trial as ShadowConfig;
+use aldermill_operator_config::ShadowConfig;
 use aldermill_routing::{Actions, Router, Terms};
 use aldermill_settings::Decoded;
 use slog::{Logger, info};
--- a/crates/proxy/tests/shadow.rs
+++ b/crates/proxy/tests/shadow.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code, reason = "the program uses the rest")]
 mod shadow;
 
-use aldermill_operator_config::Trial as ShadowConfig;
+use aldermill_operator_config::ShadowConfig;
 use aldermill_routing::{
     Action, Actions, Listed, MemberReport, Outcome, Request, Role, Router, Standing, Verdict,
 };
