--- a/crates/proxy/src/gateway/link.rs
+++ b/crates/proxy/src/gateway/link.rs
@@ -1,200 +1,274 @@
-//! The actor of one link: a socket, the protocol's state, and the words between it and the dispatcher.
+//! The actor of one link: it moves frames between the socket, the protocol's state and the dispatcher.
 
+use std::convert::Infallible;
+use std::fmt::Display;
+use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use aldermill_flow_control::Transfer;
-use aldermill_site_link::{Inbound, Link, LinkError};
+use aldermill_site_link::{Identity, Inbound, Link, Outbound};
 use slog::{info, warn};
-use thiserror::Error;
+use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
-use tokio::time::{Instant, sleep_until, timeout};
+use tokio::time::{sleep_until, timeout};
 
-use super::{LinkRegistry, Unwelcome};
+use super::LinkRegistry;
+use super::errors::LinkEnd;
 use crate::flow_control::ConnectionGuard;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{DispatcherMessage, LinkEvent, LinkId, LinkMessage};
 
-/// What is read at once, and what is written at once.
-const PIECE: usize = 32 * 1024;
-
-/// Why a link is over.
-#[derive(Debug, Error)]
-enum Over {
-    #[error("closed")]
-    Closed,
-    #[error("not wanted")]
-    NotWanted,
-    #[error("stopped")]
-    Stopped,
-    #[error("too slow")]
-    TooSlow,
-    #[error("{0}")]
-    Connection(#[from] std::io::Error),
-    #[error("{0}")]
-    Broken(LinkError),
-    #[error("{0}")]
-    Unwelcome(#[from] Unwelcome),
-}
+/// The most bytes that are read or written at once, a frame that is longer aside.
+const CHUNK_BYTES: usize = 32 * 1024;
+
+/// What the other side is told when its link is dropped.
+const UNWANTED: &str = "not wanted";
 
-pub struct Wire {
-    pub context: Rc<ProcessContext>,
-    pub yard: Rc<LinkRegistry>,
-    pub stream: TcpStream,
-    pub from: SocketAddr,
-    /// The site that was gone to, where this side opened the link.
-    pub gone_to: Option<String>,
-    pub connection_guard: ConnectionGuard,
+/// A connection that is to become a link.
+pub(super) struct LinkConnection {
+    context: Rc<ProcessContext>,
+    registry: Rc<LinkRegistry>,
+    stream: TcpStream,
+    /// The other end of the connection.
+    address: SocketAddr,
+    /// The site that is expected there; `None` where the other side opened the connection.
+    dialed_site: Option<String>,
+    guard: ConnectionGuard,
 }
 
-impl Wire {
-    /// Until the link ends. Says whether the other side was ever met.
+impl LinkConnection {
+    /// Enters the connection in flow control; `None` if there is no place for it.
+    pub fn register(
+        context: &Rc<ProcessContext>,
+        registry: &Rc<LinkRegistry>,
+        stream: TcpStream,
+        address: SocketAddr,
+        dialed_site: Option<String>,
+    ) -> Option<LinkConnection> {
+        let _ = stream.set_nodelay(true);
+        let guard = context.flow_control.register(address.ip()).ok()?;
+        Some(LinkConnection {
+            context: context.clone(),
+            registry: registry.clone(),
+            stream,
+            address,
+            dialed_site,
+            guard,
+        })
+    }
+
+    /// Runs the link until it ends; whether it was ever up.
     pub async fn run(self) -> bool {
-        let id = self.yard.next_id();
-        let (context, from) = (self.context.clone(), self.from);
-        let mut met = None;
-        let why = self.converse(id, &mut met).await;
-        match &met {
-            Some(peer) => {
-                let _ = context
-                    .dispatcher
-                    .send(DispatcherMessage::Link(LinkMessage { link: id, event: LinkEvent::Lost }))
-                    .await;
-                warn!(context.log, "link down"; "link" => id, "site" => peer, "peer" => %from, "why" => %why);
-            }
-            None => warn!(context.log, "link refused"; "peer" => %from, "why" => %why),
-        }
-        met.is_some()
+        LinkActor::new(self).run().await
     }
+}
 
-    async fn converse(mut self, id: LinkId, met: &mut Option<String>) -> Over {
-        self.talk(id, met).await.unwrap_or_else(|over| over)
+/// How far a link has come.
+enum LinkState {
+    /// The other side has not introduced itself yet. The sender is the dispatcher's once it has.
+    Handshaking { outbox: mpsc::Sender<Outbound> },
+    /// The dispatcher uses it.
+    Up {
+        /// The other side's.
+        site: String,
+    },
+}
+
+/// Bytes of which the system has taken a part.
+#[derive(Default)]
+struct PendingBytes {
+    bytes: Vec<u8>,
+    written: usize,
+}
+
+impl PendingBytes {
+    fn unwritten(&self) -> &[u8] {
+        &self.bytes[self.written..]
     }
 
-    async fn talk(&mut self, id: LinkId, met: &mut Option<String>) -> Result<Over, Over> {
-        let context = self.context.clone();
-        let clock = context.unstalled_clock.clone();
-        let mut link = Link::new(self.yard.bounds, &self.yard.own, clock.now());
-        let (sender, mut said) = mpsc::channel(context.limits.queues.dispatcher);
-        let mut sender = Some(sender);
-        let mut waiting: Vec<u8> = Vec::new();
-        let mut at = 0;
-        let mut owing = false;
-        let mut bytes = Vec::with_capacity(PIECE);
-        loop {
-            if at == waiting.len() {
-                (waiting, at) = (link.next_bytes(PIECE).unwrap_or_default(), 0);
-                if waiting.is_empty() && std::mem::take(&mut owing) {
-                    self.connection_guard.stop_metering();
-                }
-            }
-            // Written to the system as far as it takes it; what it does not take, the other side has not taken.
-            while at < waiting.len() {
-                match self.stream.try_write(&waiting[at..]) {
-                    Ok(count) => {
-                        at += count;
-                        if owing {
-                            self.connection_guard.record_progress(count);
-                        }
-                    }
-                    Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {
-                        if !std::mem::replace(&mut owing, true) {
-                            self.connection_guard.start_metering(Transfer::ToPeer);
-                        }
-                        break;
-                    }
-                    Err(error) if error.kind() == std::io::ErrorKind::Interrupted => {}
-                    Err(error) => return Err(error.into()),
-                }
+    fn is_empty(&self) -> bool {
+        self.unwritten().is_empty()
+    }
+}
+
+struct LinkActor {
+    id: LinkId,
+    connection: LinkConnection,
+    /// The protocol's state.
+    link: Link,
+    state: LinkState,
+    /// What the dispatcher sends over the link.
+    outbound: mpsc::Receiver<Outbound>,
+    /// Taken from the protocol's state, and not yet from here by the system.
+    pending: PendingBytes,
+    /// Whether flow control measures how fast the other side reads.
+    is_metered: bool,
+    /// What was read and not yet passed to the protocol's state; empty between two reads.
+    input: Vec<u8>,
+}
+
+impl LinkActor {
+    fn new(connection: LinkConnection) -> LinkActor {
+        let LinkConnection { context, registry, .. } = &connection;
+        let (outbox, outbound) = mpsc::channel(context.limits.queues.dispatcher);
+        LinkActor {
+            id: registry.next_id(),
+            link: Link::new(registry.limits, &registry.own, context.unstalled_clock.now()),
+            state: LinkState::Handshaking { outbox },
+            outbound,
+            pending: PendingBytes::default(),
+            is_metered: false,
+            input: Vec::with_capacity(CHUNK_BYTES),
+            connection,
+        }
+    }
+
+    /// Runs until the link ends; whether it was ever up.
+    async fn run(mut self) -> bool {
+        let Err(end) = self.exchange_frames().await;
+        let address = self.connection.address;
+        let log = &self.connection.context.log;
+        match &self.state {
+            LinkState::Up { site } => {
+                let _ = self.notify(LinkEvent::Lost).await;
+                warn!(log, "link down"; "link" => self.id, "site" => site, "peer" => %address, "reason" => %end);
+                true
             }
-            if at == waiting.len() && !waiting.is_empty() {
-                continue;
+            LinkState::Handshaking { .. } => {
+                warn!(log, "link rejected"; "peer" => %address, "reason" => %end);
+                false
             }
-            let room = link.accepts_input();
+        }
+    }
+
+    /// Moves frames in both directions until the link ends.
+    async fn exchange_frames(&mut self) -> Result<Infallible, LinkEnd> {
+        let clock = self.connection.context.unstalled_clock.clone();
+        loop {
+            self.write_pending()?;
+            let LinkConnection { stream, guard, .. } = &self.connection;
             tokio::select! {
                 biased;
-                () = self.connection_guard.disconnected() => return Err(Over::TooSlow),
-                ready = self.stream.readable(), if room => {
+                () = guard.disconnected() => return Err(LinkEnd::TooSlow),
+                ready = stream.readable(), if self.link.accepts_input() => {
                     ready?;
-                    match self.stream.try_read_buf(&mut bytes) {
-                        Ok(0) => return Ok(Over::Closed),
-                        Ok(_) => {}
-                        Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => continue,
-                        Err(error) if error.kind() == std::io::ErrorKind::Interrupted => continue,
-                        Err(error) => return Err(error.into()),
-                    }
-                    let events = link.receive(clock.now(), &bytes);
-                    bytes.clear();
-                    let events = match events {
-                        Ok(events) => events,
-                        Err(why) => {
-                            let _ = self.stream.try_write(&Link::close(&why.to_string()));
-                            return Err(Over::Broken(why));
-                        }
-                    };
-                    for event in events {
-                        if let Inbound::Greeted(peer) = &event {
-                            let welcome =
-                                self.yard.is_welcome(peer, self.from.ip(), self.gone_to.as_deref());
-                            if let Err(why) = welcome {
-                                let _ = self.stream.try_write(&Link::close(&why.to_string()));
-                                return Err(why.into());
-                            }
-                            info!(context.log, "link up"; "link" => id, "site" => &peer.site,
-                                "instance" => &peer.instance, "peer" => %self.from);
-                            *met = Some(peer.site.clone());
-                            if let Some(said) = sender.take() {
-                                let up = LinkEvent::Up { outbox: said, peer: self.connection_guard.peer };
-                                self.tell(id, up).await?;
-                            }
-                        }
-                        self.tell(id, LinkEvent::Received(event)).await?;
-                    }
+                    self.read().await?;
                 }
-                word = said.recv() => match word {
-                    Some(word) => link.send(word),
-                    None => {
-                        // The dispatcher wants it no more: another link of this peer is from a newer start.
-                        self.finish(&mut link, &waiting[at..], "not wanted").await;
-                        return Ok(Over::NotWanted);
-                    }
+                message = self.outbound.recv() => match message {
+                    Some(message) => self.link.send(message),
+                    // Another link of this gateway is from a newer incarnation of it.
+                    None => return Err(self.close_unwanted().await),
                 },
-                ready = self.stream.writable(), if at < waiting.len() => {
-                    ready?;
+                ready = stream.writable(), if !self.pending.is_empty() => ready?,
+                () = sleep_until(clock.instant(self.link.wake_at())) => {
+                    if let Err(error) = self.link.wake(clock.now()) {
+                        return Err(self.close(error));
+                    }
                 }
-                () = sleep_until(clock.instant(link.wake_at())) => {
-                    if let Err(why) = link.wake(clock.now()) {
-                        let _ = self.stream.try_write(&Link::close(&why.to_string()));
-                        return Err(Over::Broken(why));
+            }
+        }
+    }
+
+    /// Writes as much as the system takes at once. What it does not take, the other side has not read.
+    fn write_pending(&mut self) -> Result<(), LinkEnd> {
+        loop {
+            if self.pending.is_empty() {
+                let bytes = self.link.next_bytes(CHUNK_BYTES).unwrap_or_default();
+                self.pending = PendingBytes { bytes, written: 0 };
+            }
+            if self.pending.is_empty() {
+                self.stop_metering();
+                return Ok(());
+            }
+            match self.connection.stream.try_write(self.pending.unwritten()) {
+                Ok(count) => {
+                    self.pending.written += count;
+                    if self.is_metered {
+                        self.connection.guard.record_progress(count);
                     }
                 }
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                    self.start_metering();
+                    return Ok(());
+                }
+                Err(error) => return Err(error.into()),
             }
         }
     }
 
-    /// Says what is left to say, for a short time.
-    async fn finish(&mut self, link: &mut Link, waiting: &[u8], why: &str) {
-        let mut out = waiting.to_vec();
-        while let Some(more) = link.next_bytes(PIECE) {
-            out.extend_from_slice(&more);
+    fn start_metering(&mut self) {
+        if !std::mem::replace(&mut self.is_metered, true) {
+            self.connection.guard.start_metering(Transfer::ToPeer);
         }
-        out.extend_from_slice(&Link::close(why));
-        let write = tokio::io::AsyncWriteExt::write_all(&mut self.stream, &out);
-        let _ = timeout(self.context.limits.connections.linger, write).await;
     }
 
-    async fn tell(&self, id: LinkId, call: LinkEvent) -> Result<(), Over> {
-        self.context
-            .dispatcher
-            .send(DispatcherMessage::Link(LinkMessage { link: id, event: call }))
-            .await
-            .map_err(|_| Over::Stopped)
+    fn stop_metering(&mut self) {
+        if std::mem::take(&mut self.is_metered) {
+            self.connection.guard.stop_metering();
+        }
     }
-}
 
-/// Whether a link that was met stood long enough for its address to count as one that can be reached: on a line that
-/// breaks often the next attempt is as good as the last.
-pub fn stood(since: Instant) -> bool {
-    since.elapsed().as_millis() >= 100
+    /// Reads once, and passes on what came whole.
+    async fn read(&mut self) -> Result<(), LinkEnd> {
+        match self.connection.stream.try_read_buf(&mut self.input) {
+            Ok(0) => return Err(LinkEnd::Closed),
+            Ok(_) => {}
+            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+                return Ok(());
+            }
+            Err(error) => return Err(error.into()),
+        }
+        let now = self.connection.context.unstalled_clock.now();
+        let received = self.link.receive(now, &self.input);
+        self.input.clear();
+        for message in received.map_err(|error| self.close(error))? {
+            if let Inbound::Greeted(identity) = &message {
+                self.complete_handshake(identity).await?;
+            }
+            self.notify(LinkEvent::Received(message)).await?;
+        }
+        Ok(())
+    }
+
+    /// The other side has introduced itself: where it is allowed here, the link is up.
+    async fn complete_handshake(&mut self, identity: &Identity) -> Result<(), LinkEnd> {
+        let LinkConnection { context, registry, address, dialed_site, guard, .. } = &self.connection;
+        registry
+            .check_peer(identity, address.ip(), dialed_site.as_deref())
+            .map_err(|rejection| self.close(rejection))?;
+        info!(context.log, "link up"; "link" => self.id, "site" => &identity.site,
+            "instance" => &identity.instance, "peer" => %address);
+        let peer = guard.peer;
+        let up = LinkState::Up { site: identity.site.clone() };
+        if let LinkState::Handshaking { outbox } = std::mem::replace(&mut self.state, up) {
+            self.notify(LinkEvent::Up { outbox, peer }).await?;
+        }
+        Ok(())
+    }
+
+    /// Tells the other side why the link ends, as far as the system takes that at once.
+    fn close<E: Display + Into<LinkEnd>>(&self, reason: E) -> LinkEnd {
+        let _ = self.connection.stream.try_write(&Link::close(&reason.to_string()));
+        reason.into()
+    }
+
+    /// Sends what is left to send, and that the link is dropped; gives up after the time for closing a connection.
+    async fn close_unwanted(&mut self) -> LinkEnd {
+        let mut bytes = self.pending.unwritten().to_vec();
+        while let Some(more) = self.link.next_bytes(CHUNK_BYTES) {
+            bytes.extend_from_slice(&more);
+        }
+        bytes.extend_from_slice(&Link::close(UNWANTED));
+        let linger = self.connection.context.limits.connections.linger;
+        let _ = timeout(linger, self.connection.stream.write_all(&bytes)).await;
+        LinkEnd::Unwanted
+    }
+
+    async fn notify(&self, event: LinkEvent) -> Result<(), LinkEnd> {
+        let message = DispatcherMessage::Link(LinkMessage { link: self.id, event });
+        self.connection.context.dispatcher.send(message).await.map_err(|_| LinkEnd::Stopped)
+    }
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -371,15 +371,11 @@
             .map_err(|why| ProgramError::Listen { field: "gateway.listen", address: listen, why })?;
         let address = listener.local_addr().unwrap_or(listen);
         info!(context.log, "gateway"; "site" => &own.site, "links" => %address);
-        spawn_local(gateway::accept(context.clone(), yard.clone(), listener));
+        spawn_local(gateway::accept_links(context.clone(), yard.clone(), listener));
     }
-    let gone_to = gateway.peers.iter().flat_map(|peer| {
-        let links = peer.links.unwrap_or(2) as usize;
-        peer.addresses.iter().flat_map(move |&address| vec![(peer.site.clone(), address); links])
-    });
-    gateway::start(context, &yard, gone_to.collect(), seed);
+    gateway::maintain_links(context, &yard, &gateway.peers, seed);
     if let Some(path) = &gateway.status {
-        spawn_local(gateway::serve(context.clone(), path.clone()));
+        spawn_local(gateway::serve_status(context.clone(), path.clone()));
     }
     let opening = Opening {
         own,
--- a/crates/proxy/tests/gateway.rs
+++ b/crates/proxy/tests/gateway.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn writes_cross_to_the_primarys_site_and_reads_stay_at_home() {
+fn writes_are_forwarded_to_the_primarys_site_and_reads_stay_local() {
     let (near, far, cable, ledger) = pair(1);
     let mut client = near.client();
     let before = (near.members[0].requests().len(), far.members[0].requests().len());
@@ -71,14 +71,14 @@
 }
 
 #[test]
-fn a_site_without_members_of_a_group_sends_everything_across() {
+fn a_site_without_members_of_a_group_forwards_every_request() {
     let (near, _far, _cable, _) = pair(0);
     let mut client = near.client();
     assert!((0..10).all(|_| served(&client.ask(&order(3000))) && served(&client.ask(&look(3000)))));
 }
 
 #[test]
-fn the_link_may_be_cut_at_any_byte_and_nothing_runs_twice() {
+fn a_link_cut_at_any_byte_duplicates_no_effect() {
     let (near, _far, cable, ledger) = pair(1);
     let mut client = near.client();
     let mut counted = std::collections::BTreeMap::<String, usize>::new();
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn the_home_moves_with_requests_under_way_on_both_sides() {
+fn moving_the_primary_between_sites_with_requests_in_flight_duplicates_no_effect() {
     let (near, far, cable, ledger) = pair(2);
     cable.delay(MS(10));
     ledger.work.store(5, Ordering::SeqCst);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn one_dead_direction_is_noticed_and_what_comes_late_runs_nothing_twice() {
+fn a_half_dead_link_is_detected_and_late_frames_duplicate_no_effect() {
     let (near, _far, cable, ledger) = pair(1);
     for way in [THERE, BACK] {
         let mut client = near.client();
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_receiver_that_starts_anew_knows_nothing_and_nothing_runs_twice() {
+fn a_restarted_receiver_without_saved_outcomes_fails_requests_and_duplicates_no_effect() {
     let (near, mut far, _cable, ledger) = pair(1);
     ledger.work.store(400, Ordering::SeqCst);
     let mut clients: Vec<Client> = (0..4).map(|_| near.client()).collect();
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_far_rejection_comes_through_at_once_with_its_wait() {
+fn a_remote_rejection_is_passed_on_at_once_with_its_retry_after() {
     let (near, _far, _cable, ledger) = pair(1);
     ledger.full.store(1, Ordering::SeqCst);
     let mut client = near.client();
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn who_leaves_costs_nothing_but_its_own_request_and_what_cannot_be_back_is_not_sent() {
+fn a_lost_client_costs_only_its_request_and_none_too_late_for_an_answer_is_forwarded() {
     let (near, _far, cable, ledger) = pair(1);
     ledger.work.store(200, Ordering::SeqCst);
     for _ in 0..5 {
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn told_to_stop_a_gateway_answers_what_it_took_and_gets_nothing_new() {
+fn a_gateway_that_shuts_down_answers_accepted_requests_and_receives_no_more() {
     let (near, mut far, _cable, ledger) = pair(1);
     ledger.work.store(300, Ordering::SeqCst);
     let mut clients: Vec<Client> = (0..6).map(|_| near.client()).collect();
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn who_is_no_peer_ends_its_own_link_only() {
+fn noise_and_unknown_peers_end_only_their_own_link() {
     let (near, far, _cable, ledger) = pair(1);
     // Bytes that make no sense, and a gateway that claims another site's name.
     for noise in [&b"\x00\x00\x00\x03abc"[..], b"\xff\xff\xff\xff", b"GET / HTTP/1.1\r\n\r\n"] {
@@ -238,7 +238,7 @@
         let mut rest = Vec::new();
         let _ = std::io::Read::read_to_end(&mut stream, &mut rest);
     }
-    until("noise is refused", || far.driver().logged("link refused"));
+    until("noise is refused", || far.driver().logged("link rejected"));
     let liar = format!(
         r#"{{"gateway":{{"site":"site9","peers":[{{"site":"site1","addresses":["{}"],"links":1}}]}}}}"#,
         far.links
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn a_gateway_that_starts_again_answers_for_its_earlier_start_where_its_book_was_kept() {
+fn a_restarted_gateway_answers_for_its_previous_incarnation_from_the_saved_outcome_log() {
     assert!(served(&outcome_over_a_restart(true)));
     assert_eq!(outcome_over_a_restart(false).code, "40003", "without it nobody knows");
 }
