--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -14,18 +14,21 @@
     PoolUse, ReplicaReports,
 };
 
-/// Idle connections that are closed where one descriptor is wanted.
+/// Idle connections that are closed where one descriptor is needed. One of them may be taken into use just then and
+/// frees none; closing few keeps the others for the next requests.
 const CLOSED_PER_DESCRIPTOR: usize = 3;
 
 /// An attempt as the router decided it.
 struct DecidedAttempt {
+    /// The router's name of the request.
     handle: Handle,
+    /// The member that it goes to.
     member: MemberId,
-    /// How long it may last.
+    /// How long it may last, in microseconds.
     timeout: Micros,
     /// Whether it needs a new connection.
-    afresh: bool,
-    /// What must still hold when it leaves.
+    new_connection: bool,
+    /// What must still hold when it is sent.
     validity: Validity,
 }
 
@@ -53,7 +56,8 @@
     fn carry_out_for_request(&mut self, handle: Handle, action: Action) {
         match action {
             Action::Attempt { member, timeout, afresh, validity } => {
-                self.send_attempt(DecidedAttempt { handle, member, timeout, afresh, validity })
+                let new_connection = afresh;
+                self.send_attempt(DecidedAttempt { handle, member, timeout, new_connection, validity })
             }
             Action::Reject { cool_down } => self.answer(handle, Answer::Rejected { retry_after: cool_down }),
             Action::Fail => self.answer(handle, Answer::Failed),
@@ -71,16 +75,17 @@
         client.answer(answer);
     }
 
-    /// Answers a request whose member answered while there is no room for that answer.
-    pub(super) fn answer_without_room(&mut self, handle: Handle) {
+    /// Answers a request whose member responded while there is no buffer space for the response.
+    pub(super) fn answer_buffer_exhausted(&mut self, handle: Handle) {
         let Some(open) = self.open_requests.get(&handle) else { return };
         let Ok(class) = self.decoded.class(&open.request.comment.class) else { return };
-        let answer = self.without_room(class);
+        let answer = self.buffer_exhausted(class);
         self.answer(handle, answer);
     }
 
-    /// What a client hears whose answer finds no room: an idempotent request may be rejected, any other did run.
-    pub(super) fn without_room(&self, class: usize) -> Answer {
+    /// The answer where there is no buffer space for a response: an idempotent request is rejected, so that it is sent
+    /// again; any other did run, and fails.
+    pub(super) fn buffer_exhausted(&self, class: usize) -> Answer {
         let terms = &self.decoded.terms;
         match terms.classes[class].effect {
             Effect::Pure => Answer::Rejected {
@@ -92,7 +97,8 @@
 
     fn send_attempt(&mut self, decided: DecidedAttempt) {
         let Some(open) = self.open_requests.get(&decided.handle) else { return };
-        let (handle, member) = (decided.handle, decided.member);
+        let handle = decided.handle;
+        let member = decided.member;
         let entry = self.members[member].as_ref();
         if let Some(observations) = &mut self.observations {
             observations.attempted(handle, entry, &self.decoded, &open.request);
@@ -116,7 +122,7 @@
             reservation_owner: ReservationOwner { peer: open.request.peer, priority: open.priority },
             decided_at,
             deadline: (decided_at + duration(decided.timeout)).min(deadline),
-            pool_use: if decided.afresh { PoolUse::ConnectAnew } else { PoolUse::Reuse },
+            pool_use: if decided.new_connection { PoolUse::ConnectAnew } else { PoolUse::Reuse },
             validity: decided.validity,
             replica_reports: entry.map_or(0, |entry| entry.replica_reports),
         }
@@ -140,20 +146,20 @@
 
     fn close_idle_connections(&self, member: MemberId) {
         if let Some(entry) = &self.members[member] {
-            // A full mailbox means that its connections are wanted.
+            // A full mailbox means that its connections are in use.
             let _ = entry.commands.try_send(MemberCommand::CloseIdle);
         }
     }
 
-    /// The first request is there: the endpoint list is asked for now.
+    /// The first request has arrived: the endpoint list is asked for now.
     fn ask_for_list(&self) {
         if let Some(list_wanted) = &self.list_wanted {
             let _ = list_wanted.try_send(());
         }
     }
 
-    /// A member found no descriptor free: idle connections of others make room, those that rested longest. Protects
-    /// the rest, which are used again. One that is taken into use just then makes no room, so some are closed.
+    /// A member needs a descriptor and none is free: idle connections of other members are closed, those that were idle
+    /// longest.
     pub(super) fn free_descriptors(&mut self, member: MemberId) {
         for id in self.members_by_idle_time(member).into_iter().take(CLOSED_PER_DESCRIPTOR) {
             let Some(entry) = &self.members[id] else { continue };
--- a/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
@@ -11,7 +11,7 @@
 use super::{ForwardedRequest, GatewayPart, Requester};
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::open_request::{RequestLocation, WaitingClient};
-use crate::dispatcher::requests::SiteMiss;
+use crate::dispatcher::requests::NotPrimaryDecision;
 use crate::messages::{Answer, ClientRequest};
 
 /// A request for the site router, and who waits for it.
@@ -100,12 +100,12 @@
     }
 
     /// An attempt here found its member not primary. What follows is carried out once the router has heard it, too.
-    pub(in crate::dispatcher) fn not_primary_here(&mut self, handle: RequestHandle) -> SiteMiss {
+    pub(in crate::dispatcher) fn not_primary_here(&mut self, handle: RequestHandle) -> NotPrimaryDecision {
         let now = self.context.clock.now();
-        let Some(gateway_part) = &mut self.gateway_part else { return SiteMiss::default() };
+        let Some(gateway_part) = &mut self.gateway_part else { return NotPrimaryDecision::default() };
         let actions = gateway_part.site_router.local_not_primary(now, handle);
         let taken_back = actions.requests.contains(&(handle, Action::Withdraw));
-        SiteMiss { actions: Some(actions), taken_back }
+        NotPrimaryDecision { actions: Some(actions), taken_back }
     }
 
     /// A member here answered as the primary of this group.
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -1,6 +1,6 @@
-//! The actor that owns the router: every decision is asked for here, and carried out at once.
+//! The actor that owns the router: every decision is made here and carried out at once.
 //!
-//! This file holds the actor's loop. What it turns to stands beside it: requests, the router's actions, the endpoint
+//! This file holds the actor's loop. What it handles stands beside it: requests, the router's actions, the endpoint
 //! list, the members' clock, observations, the warm state, and the gateway part.
 
 mod actions;
@@ -35,27 +35,35 @@
 use crate::messages::{ClientId, DispatcherMessage, FleetSize, ListUpdate};
 use crate::shadow::ShadowRouter;
 
-/// How often other actors have their turn after a stall, before the dispatcher goes on: to be woken by what came,
-/// to read it, and to hand it on.
+/// How often the other actors are run after a stall before the dispatcher continues: once to be woken by what has
+/// arrived, once to read it, and once to hand it on.
 const TURNS_AFTER_STALL: usize = 3;
 
-/// What the dispatcher turns to.
+/// What the dispatcher handles.
 enum Event {
+    /// The discovery watch has a new endpoint list, or has lost discovery.
     ListUpdate(ListUpdate),
+    /// The router wanted to be woken now.
     RouterDue,
+    /// The site router wanted to be woken now.
     SitesDue,
+    /// The process is to stop.
     Stopping,
-    /// A record of the outcome log was written, or was not.
+    /// Whether a record of the outcome log was written.
     RecordWritten(bool),
-    /// A record of the outcome log has waited too long.
+    /// A record of the outcome log has waited too long to be written.
     RecordLate,
+    /// Another actor has sent a message.
     Message(DispatcherMessage),
 }
 
 /// Where the dispatcher's events come from, but for its own timers.
 struct Inputs {
+    /// From the discovery watch.
     list_updates: mpsc::Receiver<ListUpdate>,
+    /// From all other actors.
     messages: mpsc::Receiver<DispatcherMessage>,
+    /// Set once the process is to stop.
     stopping: watch::Receiver<Option<tokio::time::Instant>>,
 }
 
@@ -84,22 +92,29 @@
 /// The actor that owns the router and the requests under way.
 pub struct Dispatcher {
     context: Rc<ProcessContext>,
+    /// The settings in force.
     decoded: Decoded,
+    /// Decides on requests and members.
     router: Router,
+    /// The router under other settings, whose actions are only compared.
     shadow: Option<ShadowRouter>,
+    /// Present where this process is a gateway to other sites.
     gateway_part: Option<GatewayPart>,
-    /// By the router's index; an index whose member was let go stands empty until it is given out anew.
+    /// By the router's index; the place of a member that was removed is empty until its index is used again.
     members: Vec<Option<MemberEntry>>,
+    /// The router's index of each member, by the id that the endpoint list gives it.
     member_ids: HashMap<String, MemberId>,
-    /// What the members' clock is ahead of the router's.
+    /// How far the members' clock is ahead of the router's.
     clock_offset: ClockOffset,
     /// What the router was last told of that, in microseconds.
     reported_offset: Micros,
     /// Groups that were ever listed.
     groups: HashSet<u64>,
+    /// Requests that the router decides on.
     open_requests: HashMap<Handle, OpenRequest>,
     /// The ids, as clients give them, of the requests under way.
     open_ids: HashSet<String>,
+    /// Who decides on each client's request.
     locations: HashMap<ClientId, RequestLocation>,
     /// What ended while a decision was being carried out.
     deferred: VecDeque<DispatcherMessage>,
@@ -146,8 +161,8 @@
         }
     }
 
-    /// Serves until every other actor is gone. Nothing here ever waits for another actor, but for some turns of all
-    /// after a stall.
+    /// Serves until every other actor has ended. Nothing here ever waits for another actor, but that all are run some
+    /// times after a stall.
     pub async fn run(
         mut self,
         list_updates: mpsc::Receiver<ListUpdate>,
@@ -165,8 +180,8 @@
         }
     }
 
-    /// The next event; `None` once every other actor is gone. The list comes first: the rule on drains counts from
-    /// when it was written.
+    /// The next event; `None` once every other actor has ended. The endpoint list comes first: nothing may go to a
+    /// draining member from the time at which discovery announced the drain.
     async fn next_event(&mut self, inputs: &mut Inputs) -> Option<Event> {
         let clock = self.context.clock;
         let gateway_part = self.gateway_part.as_mut();
@@ -188,13 +203,14 @@
         }
     }
 
-    /// After a stall, what the list said meanwhile comes before what it forbids: the list's actor reads it first.
+    /// After a stall the endpoint list is read before anything else that arrived meanwhile: it may announce a drain, and
+    /// what goes to the draining member would have to be refused.
     async fn catch_up_after_stall(&mut self, list_updates: &mut mpsc::Receiver<ListUpdate>) {
         let stalled = self.context.unstalled_clock.stood() - self.reported_stall;
         if stalled <= 0 {
             return;
         }
-        warn!(self.context.log, "stood still"; "ms" => stalled / 1000);
+        warn!(self.context.log, "process stalled"; "stalled_ms" => stalled / 1000);
         self.report_stall();
         for _ in 0..TURNS_AFTER_STALL {
             yield_now().await;
@@ -204,7 +220,7 @@
         }
     }
 
-    /// Whoever decides hears of a stall before anything that fell into it.
+    /// Router and site router are told of a stall before anything that happened during it.
     fn report_stall(&mut self) {
         let total = self.context.unstalled_clock.stood();
         let unreported = total - std::mem::replace(&mut self.reported_stall, total);
--- a/crates/proxy/src/dispatcher/open_request.rs
+++ b/crates/proxy/src/dispatcher/open_request.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher keeps of a request under way.
+//! What the dispatcher keeps for each request under way.
 
 use std::rc::Rc;
 
@@ -18,21 +18,23 @@
     Gateway(SiteRequestHandle),
 }
 
-/// The client that waits for a request.
+/// The client that waits for the answer to a request.
 pub(super) struct WaitingClient {
+    /// The client's name of its request.
     pub(super) id: ClientId,
+    /// Where the answer goes.
     pub(super) mailbox: mpsc::Sender<ClientMessage>,
 }
 
 impl WaitingClient {
-    /// Whoever sent this request.
+    /// The client that sent this request.
     pub(super) fn of(request: &ClientRequest) -> WaitingClient {
         WaitingClient { id: request.client, mailbox: request.mailbox.clone() }
     }
 
     /// Gives the client its one answer.
     pub(super) fn answer(&self, answer: Answer) {
-        // Its mailbox always has room for the answers it waits for; it may be gone.
+        // Its mailbox always has a place for each answer that it waits for; the client may have left.
         let _ = self.mailbox.try_send(ClientMessage::Answer(self.id, answer));
     }
 }
@@ -41,20 +43,21 @@
 pub(super) struct OpenRequest {
     /// Present where it came through the gateway part, which is told what the router says and answers the client.
     pub(super) via: Option<SiteRequestHandle>,
-    /// Whether its class is the best paid.
+    /// The priority of its request class for buffer space.
     pub(super) priority: Priority,
-    /// When the client's time is over, on the router's clock. No attempt may last longer.
+    /// The client's deadline, on the router's clock. No attempt may last longer.
     pub(super) deadline: Micros,
     /// `None` once it was answered, or nobody waits for it.
     pub(super) client: Option<WaitingClient>,
     /// Set when the client left, or the gateway part took the request back.
     pub(super) cancellation: Cancellation,
+    /// The statement and its comment.
     pub(super) request: Rc<ClientRequest>,
 }
 
 impl OpenRequest {
-    /// Nobody waits for it here any more.
-    pub(super) fn withdraw(&mut self) {
+    /// Nobody waits for it here any more: what was not sent of it is cancelled.
+    pub(super) fn cancel(&mut self) {
         self.client = None;
         self.cancellation.cancel();
     }
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -15,25 +15,27 @@
 
 /// A request for the router, and until when it must be answered.
 pub(super) struct Handover {
+    /// The client's request.
     pub(super) request: Rc<ClientRequest>,
+    /// Its request class, by its place in the settings.
     pub(super) class: usize,
-    /// On the router's clock: an instant, which a process that is held up on the way does not put off.
+    /// An instant on the router's clock: a span would start anew after a stall of the process.
     pub(super) deadline: Micros,
-    /// Present where the gateway part hands it over.
+    /// Present where the gateway part hands it to the router.
     pub(super) via: Option<SiteRequestHandle>,
 }
 
-/// What the gateway part makes of an answer that its member is not primary.
+/// What the gateway part decides when an attempt found that its member is not primary.
 #[derive(Default)]
-pub(super) struct SiteMiss {
-    /// To be carried out once the router has heard the answer, too.
+pub(super) struct NotPrimaryDecision {
+    /// To be carried out once the router was told of the attempt, too.
     pub(super) actions: Option<SiteActions>,
     /// Whether the gateway part takes the request back from the router.
     pub(super) taken_back: bool,
 }
 
 impl Dispatcher {
-    /// A client's request: rejected at once, or on its way.
+    /// Rejects a client's request at once, or hands it on.
     pub(super) fn client_request(&mut self, request: ClientRequest) {
         match self.check(&request) {
             Err(answer) => WaitingClient::of(&request).answer(answer),
@@ -42,13 +44,13 @@
         }
     }
 
-    /// The request's class, or why it is not taken.
+    /// The request's class, or the answer where it is not accepted.
     fn check(&self, request: &ClientRequest) -> Result<usize, Answer> {
         let comment = &request.comment;
         let Ok(class) = self.decoded.class(&comment.class) else {
             return Err(Answer::InvalidStatement("unknown offering"));
         };
-        // The list may be older than its group: the request was not sent on, and may be sent again.
+        // The endpoint list may be older than the group: the request was not forwarded, and may be sent again.
         if !self.knows_group(comment.group) {
             return Err(Answer::Rejected { retry_after: 0 });
         }
@@ -62,21 +64,22 @@
     }
 
     fn knows_group(&self, group: u64) -> bool {
-        let elsewhere = |gateway_part: &GatewayPart| gateway_part.knows_group(group);
-        self.groups.contains(&group) || self.gateway_part.as_ref().is_some_and(elsewhere)
+        let at_other_site = |gateway_part: &GatewayPart| gateway_part.knows_group(group);
+        self.groups.contains(&group) || self.gateway_part.as_ref().is_some_and(at_other_site)
     }
 
     /// Whether as many requests are under way as the operator allows.
     fn is_full(&self) -> bool {
-        let crossing = self.gateway_part.as_ref().map_or(0, GatewayPart::open_requests);
-        self.open_requests.len().max(crossing) >= self.context.limits.open_requests
+        let between_sites = self.gateway_part.as_ref().map_or(0, GatewayPart::open_requests);
+        self.open_requests.len().max(between_sites) >= self.context.limits.open_requests
     }
 
     /// Hands a checked request to the router and carries out its first decision.
     fn admit(&mut self, request: ClientRequest, class: usize) {
         // The timeout has run since the statement arrived.
         let deadline = request.received_at + Micros::from(request.comment.wait) * 1000;
-        let (client, id) = (request.client, request.comment.id.clone());
+        let client = request.client;
+        let id = request.comment.id.clone();
         let handover = Handover { request: Rc::new(request), class, deadline, via: None };
         let (handle, actions) = self.hand_over(handover);
         self.locations.insert(client, RequestLocation::Router(handle));
@@ -136,21 +139,22 @@
         self.observe_end(handle, verdict, elapsed);
         match finished.response {
             AttemptResponse::Rows(rows) => self.answer(handle, Answer::Served(rows)),
-            AttemptResponse::TooLarge => self.answer_without_room(handle),
+            AttemptResponse::TooLarge => self.answer_buffer_exhausted(handle),
             AttemptResponse::None => {}
         }
         let open = self.open_requests.get(&handle);
-        let (via, group) = open.map_or((None, 0), |open| (open.via, open.request.comment.group));
-        // The gateway part hears of a miss first: it may take the request back before the router tries again.
-        let miss = self.gateway_part_hears(via, verdict, elapsed);
+        let via = open.and_then(|open| open.via);
+        let group = open.map_or(0, |open| open.request.comment.group);
+        // The gateway part is told first: it may take the request back before the router retries it.
+        let not_primary = self.report_to_gateway_part(via, verdict, elapsed);
         let no_longer_awaited = self.open_requests.get(&handle).is_none_or(|open| open.client.is_none());
-        let closed = miss.taken_back || no_longer_awaited;
+        let closed = not_primary.taken_back || no_longer_awaited;
         let outcome = Outcome { verdict, took: elapsed, report, closed };
         let now = self.context.clock.now();
         let ((), actions) = self.decide(|router| ((), handle.ended(router, now, outcome)));
         self.carry_out(actions);
         self.release(handle);
-        if let Some(actions) = miss.actions {
+        if let Some(actions) = not_primary.actions {
             self.carry_out_sites(actions, None);
         }
         if via.is_some() && report.role == Some(Role::Primary) {
@@ -176,13 +180,14 @@
         }
     }
 
-    /// Tells the gateway part, where the request came through it, that an attempt missed or may have run.
-    fn gateway_part_hears(
+    /// Tells the gateway part, where the request came through it, that an attempt found a member that is not primary, or
+    /// may have run.
+    fn report_to_gateway_part(
         &mut self,
         via: Option<SiteRequestHandle>,
         verdict: Verdict,
         elapsed: Micros,
-    ) -> SiteMiss {
+    ) -> NotPrimaryDecision {
         match via {
             Some(via) if verdict == Verdict::NotPrimary => return self.not_primary_here(via),
             Some(via) if verdict != Verdict::Served && !verdict.never_ran() => {
@@ -190,7 +195,7 @@
             }
             _ => {}
         }
-        SiteMiss::default()
+        NotPrimaryDecision::default()
     }
 
     /// A client no longer waits for its request, whoever decides on it.
@@ -202,10 +207,10 @@
         }
     }
 
-    /// The router is to forget a request that nobody waits for here any more; what was sent of it goes on.
+    /// The router forgets a request that nobody waits for here any more; attempts that were sent go on.
     pub(super) fn abandon(&mut self, handle: Handle) {
         if let Some(open) = self.open_requests.get_mut(&handle) {
-            open.withdraw();
+            open.cancel();
         }
         let now = self.context.clock.now();
         let ((), actions) = self.decide(|router| ((), handle.left(router, now)));
@@ -213,13 +218,13 @@
         self.release(handle);
     }
 
-    /// Drops what is kept for a request of which nothing more can be heard.
+    /// Drops what is kept for a request that the router has finished with.
     pub(super) fn release(&mut self, handle: Handle) {
         if self.router.knows(handle) {
             return;
         }
         let Some(open) = self.open_requests.remove(&handle) else { return };
-        // The gateway part keeps these of its own requests.
+        // For its own requests the gateway part keeps these.
         if open.via.is_none() {
             self.open_ids.remove(&open.request.comment.id);
             if let Some(client) = open.client {
