--- a/crates/proxy/src/client/statement.rs
+++ b/crates/proxy/src/client/statement.rs
@@ -133,7 +133,9 @@
 
     /// Dates what was just read, where that may have waited for this process.
     pub(super) fn date(&mut self) {
-        let came = self.context.unstalled_clock.came(&self.stream, self.read.replace(Instant::now()));
+        let came =
+            self.context.unstalled_clock.receipt_bounds(&self.stream, self.read.replace(Instant::now()));
+        let came = came.map(|received| (received.earliest, received.latest));
         // What is left of an earlier read is as old as that.
         let (first, began) = (came.map(|(first, _)| first), self.old.map(|(first, _)| first));
         self.old = came.map(|(_, last)| (first.into_iter().chain(began).min().unwrap_or(last), last));
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_stall_detection::apart;
+use aldermill_stall_detection::start_jitter;
 use aldermill_wire::{Buffer, Malformed, http, json};
 use rand_pcg::Pcg64Mcg;
 use slog::{info, warn};
@@ -119,7 +119,7 @@
                 // Discovery goes on telling, and nothing of the call came to it.
                 sleep(least).await;
             } else {
-                let pause = apart::again(wait.as_micros() as i64, &mut self.rng);
+                let pause = start_jitter::retry_delay(wait.as_micros() as i64, &mut self.rng);
                 let moved = timeout(duration(pause), moves.changed()).await.is_ok();
                 wait = if moved { least } else { (wait * 2).min(most) };
             }
--- a/crates/proxy/src/dispatcher/members_clock.rs
+++ b/crates/proxy/src/dispatcher/members_clock.rs
@@ -30,11 +30,11 @@
         let Some(position) = report.position else { return };
         let clock = self.context.clock;
         let now = clock.now();
-        self.clock_offset.told(member, position, now);
+        self.clock_offset.record_report(member, position, now);
         if let Some(sent) = written {
-            self.clock_offset.committed(member, position, clock.at(sent));
+            self.clock_offset.record_commit(member, position, clock.at(sent));
         }
-        let offset = self.clock_offset.ahead();
+        let offset = self.clock_offset.offset();
         if (offset - self.reported_offset).abs() > MIN_CHANGE {
             warn!(self.context.log, "the wall clock at the start differs from the members'"; "ms" => offset / 1000);
             self.report_offset(offset);
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -189,7 +189,7 @@
 
     /// After a stall, what the list said meanwhile comes before what it forbids: the list's actor reads it first.
     async fn catch_up_after_stall(&mut self, list_updates: &mut mpsc::Receiver<ListUpdate>) {
-        let stalled = self.context.unstalled_clock.stood() - self.reported_stall;
+        let stalled = self.context.unstalled_clock.stalled_for() - self.reported_stall;
         if stalled <= 0 {
             return;
         }
@@ -205,7 +205,7 @@
 
     /// Whoever decides hears of a stall before anything that fell into it.
     fn report_stall(&mut self) {
-        let total = self.context.unstalled_clock.stood();
+        let total = self.context.unstalled_clock.stalled_for();
         let unreported = total - std::mem::replace(&mut self.reported_stall, total);
         if unreported > 0 {
             self.router.stood_still(self.context.clock.now(), unreported);
--- a/crates/proxy/src/lifecycle/clock.rs
+++ b/crates/proxy/src/lifecycle/clock.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use aldermill_routing::Micros;
-use aldermill_stall_detection::Vigil;
+use aldermill_stall_detection::StallDetector;
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
@@ -100,62 +100,74 @@
     counting - read(uapi::c::CLOCK_MONOTONIC)
 }
 
+/// When bytes that were read only now were received.
+#[derive(Clone, Copy, Debug)]
+pub struct ReceiptBounds {
+    /// No byte was received before.
+    pub earliest: Instant,
+    /// The last byte was received then.
+    pub latest: Instant,
+}
+
 /// The time that this process has lived: the router's clock, but for the standstills of the process. What is
 /// measured of others is measured in it.
 #[derive(Clone)]
 pub struct UnstalledClock {
     clock: Clock,
-    vigil: Rc<RefCell<Vigil>>,
+    detector: Rc<RefCell<StallDetector>>,
 }
 
 impl UnstalledClock {
     pub fn start(clock: Clock) -> UnstalledClock {
-        let vigil = Rc::new(RefCell::new(Vigil::start(clock.now())));
-        UnstalledClock { clock, vigil }
+        let detector = Rc::new(RefCell::new(StallDetector::new(clock.now())));
+        UnstalledClock { clock, detector }
     }
 
     /// All time spent standing until now. To be asked at the beginning of whatever rests on time.
-    pub fn stood(&self) -> Micros {
-        let mut vigil = self.vigil.borrow_mut();
-        vigil.look(self.clock.now());
-        vigil.stood()
+    pub fn stalled_for(&self) -> Micros {
+        let mut detector = self.detector.borrow_mut();
+        detector.observe(self.clock.now());
+        detector.stalled_for()
     }
 
     pub fn now(&self) -> Micros {
-        let stood = self.stood();
-        self.clock.now() - stood
+        let stalled = self.stalled_for();
+        self.clock.now() - stalled
     }
 
     /// A moment to come, as far as nothing comes between.
     pub fn at(&self, instant: Instant) -> Micros {
-        self.clock.at(instant) - self.stood()
+        self.clock.at(instant) - self.stalled_for()
     }
 
     pub fn instant(&self, at: Micros) -> Instant {
-        self.clock.instant(at + self.stood())
+        self.clock.instant(at + self.stalled_for())
     }
 
     /// How much of the time since then was lived.
-    pub fn since(&self, then: Instant) -> Micros {
-        self.stood();
-        self.vigil.borrow().lived(self.clock.at(then), self.clock.now())
+    pub fn unstalled_since(&self, then: Instant) -> Micros {
+        self.stalled_for();
+        self.detector.borrow().unstalled_time(self.clock.at(then), self.clock.now())
     }
 
-    pub fn stood_since(&self, then: Instant) -> bool {
-        self.stood();
-        self.vigil.borrow().stood_since(self.clock.at(then))
+    pub fn stalled_since(&self, then: Instant) -> bool {
+        self.stalled_for();
+        self.detector.borrow().stalled_since(self.clock.at(then))
     }
 
     /// Between when and when what was just read of this connection came, where it may have waited for this process.
     /// The connection was last read at `last`; `None` is the first time.
-    pub fn came(&self, stream: &TcpStream, last: Option<Instant>) -> Option<(Instant, Instant)> {
-        self.stood();
-        let (vigil, last) = (self.vigil.borrow(), self.clock.at(last.unwrap_or(self.clock.start)));
-        if !vigil.stood_since(last) {
+    pub fn receipt_bounds(&self, stream: &TcpStream, last: Option<Instant>) -> Option<ReceiptBounds> {
+        self.stalled_for();
+        let (detector, last) = (self.detector.borrow(), self.clock.at(last.unwrap_or(self.clock.start)));
+        if !detector.stalled_since(last) {
             return None;
         }
-        let came = vigil.came(self.clock.now(), last, last_data(stream));
-        came.map(|(first, last)| (self.clock.instant(first), self.clock.instant(last)))
+        let bounds = detector.receipt_bounds(self.clock.now(), last, last_data(stream))?;
+        Some(ReceiptBounds {
+            earliest: self.clock.instant(bounds.earliest),
+            latest: self.clock.instant(bounds.latest),
+        })
     }
 }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -23,7 +23,7 @@
 use aldermill_operator_config::{Duty, Gateway, Operator};
 use aldermill_settings::Decoded;
 use aldermill_site_link::{Bounds as LinkBounds, Identity};
-use aldermill_stall_detection::apart;
+use aldermill_stall_detection::start_jitter;
 use bpaf::Bpaf;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -319,7 +319,7 @@
     let deciding = spawn_local(dispatcher.run(list_updates, calls));
     let requests = on_request.then_some(requests);
     let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(32));
-    let first = duration(apart::wait(&name, drivers, grace, &mut rng));
+    let first = duration(start_jitter::start_delay(&name, drivers, grace, &mut rng));
     spawn_local(
         Watch { context: context.clone(), dispatcher: list_update, requests, revision, first, rng }.run(),
     );
--- a/crates/proxy/src/member/actor.rs
+++ b/crates/proxy/src/member/actor.rs
@@ -84,7 +84,7 @@
 /// Whether a connection that has not come up since `began` tells anything of its member. Protects a sound member from
 /// requests with so little time left that no handshake fits in. Harms by a wait of that time where a member vanished.
 fn shows_no_way(context: &ProcessContext, began: Instant) -> bool {
-    began.elapsed() >= context.limits.opening && !context.unstalled_clock.stood_since(began)
+    began.elapsed() >= context.limits.opening && !context.unstalled_clock.stalled_since(began)
 }
 
 impl Member {
@@ -235,8 +235,8 @@
                     };
                     let verdict = visit.converse(&mut connection, &query).await;
                     (exchange, room, crowded_out) = (visit.exchange, visit.room, visit.crowded_out);
-                    let came = context.unstalled_clock.came(&connection.stream, Some(began));
-                    age = came.map_or(0, |(_, last)| last.elapsed().as_micros() as Micros);
+                    let received = context.unstalled_clock.receipt_bounds(&connection.stream, Some(began));
+                    age = received.map_or(0, |received| received.latest.elapsed().as_micros() as Micros);
                     (verdict, exchange.is_ready().then_some(connection))
                 }
                 // For a request that connection never came up; a health check was not answered, and no more
@@ -253,7 +253,7 @@
                 }
             };
             // Its deadline fell into a standstill: nobody was there to see an answer.
-            let unseen = verdict == Verdict::TimedOut && context.unstalled_clock.stood_since(began);
+            let unseen = verdict == Verdict::TimedOut && context.unstalled_clock.stalled_since(began);
             let verdict = if unseen { Verdict::Unobserved } else { verdict };
             Done { verdict, exchange, room, crowded_out, age, connection, began, era, unopened }
         });
@@ -318,7 +318,7 @@
         let message = match purpose {
             Purpose::Request { handle, sent, .. } => {
                 let report = self.report(&exchange, exchange.usage.as_deref(), age);
-                let took = self.context.unstalled_clock.since(sent);
+                let took = self.context.unstalled_clock.unstalled_since(sent);
                 let response = match verdict {
                     Verdict::Served if crowded_out => AttemptResponse::TooLarge,
                     Verdict::Served => AttemptResponse::Rows(Rows { pieces: exchange.rows, room }),
@@ -339,7 +339,7 @@
                     verdict = Verdict::Overloaded;
                 }
                 let report = self.report(&exchange, std::str::from_utf8(exchange.value()).ok(), age);
-                let took = self.context.unstalled_clock.since(sent);
+                let took = self.context.unstalled_clock.unstalled_since(sent);
                 DispatcherMessage::HealthCheckFinished(HealthCheckFinished {
                     verdict,
                     elapsed: took,
--- a/crates/proxy/src/membership/actor.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -109,7 +109,7 @@
         };
         let (fellows, actions) =
             aldermill_membership::Fellows::start(now, own, peers, terms.networks, tempo, drivers, seed);
-        let stood = context.unstalled_clock.stood();
+        let stood = context.unstalled_clock.stalled_for();
         let (shared, told) = ((drivers, drivers), drivers);
         let mut company = MembershipActor {
             context,
@@ -190,7 +190,7 @@
 
     /// Before anything else that is done after a standstill.
     fn listens_up(&mut self) {
-        let stood = self.context.unstalled_clock.stood();
+        let stood = self.context.unstalled_clock.stalled_for();
         let long = stood - std::mem::replace(&mut self.stood, stood);
         if long > 0 {
             self.age += long;
--- a/crates/proxy/tests/clock.rs
+++ b/crates/proxy/tests/clock.rs
@@ -13,13 +13,15 @@
 #[test]
 fn a_suspension_is_time_that_passed_and_a_standstill() {
     let clock = Clock::start(unix_now, Some(|| SUSPENDED.load(Ordering::SeqCst)));
-    let lived = UnstalledClock::start(clock);
-    let (before, began) = (clock.now(), lived.now());
+    let unstalled = UnstalledClock::start(clock);
+    let (before, began) = (clock.now(), unstalled.now());
     let due = clock.instant(before + 60_000_000);
     SUSPENDED.fetch_add(40_000_000, Ordering::SeqCst);
     assert!((40_000_000..50_000_000).contains(&(clock.now() - before)));
     assert!(due.saturating_duration_since(clock.instant(before + 60_000_000)) >= duration(39_000_000));
-    assert!((40_000_000..50_000_000).contains(&lived.stood()) && lived.now() - began < 10_000_000);
+    assert!(
+        (40_000_000..50_000_000).contains(&unstalled.stalled_for()) && unstalled.now() - began < 10_000_000
+    );
     // Both ways are each other's.
     let at = clock.now() + 5_000_000;
     assert!((clock.at(clock.instant(at)) - at).abs() < 10);
--- a/crates/site-routing/src/sites.rs
+++ b/crates/site-routing/src/sites.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use aldermill_site_drain::{Open, Plan};
-use aldermill_statistics::{Histogram, Trip};
+use aldermill_statistics::{Histogram, RoundTripEstimate};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -97,7 +97,7 @@
     links: usize,
     /// When its last link went.
     lost: Micros,
-    trip: Trip,
+    round_trip: RoundTripEstimate,
     credits: Vec<u32>,
     draining: bool,
     blacklisted_until: Micros,
@@ -118,7 +118,7 @@
         if self.served < ENOUGH || credit == 0 {
             return credit as usize;
         }
-        let there = (total - self.trip.mean()).max(MS);
+        let there = (total - self.round_trip.mean()).max(MS);
         let stretch = (total.max(there) as f64 / there as f64).max(1.0);
         ((f64::from(credit) * stretch) as usize).min(most as usize).max(credit as usize)
     }
@@ -233,13 +233,13 @@
 
     /// One way to a gateway, with a margin.
     pub fn one_way(&self, id: GateId) -> Micros {
-        self.gates.get(&id).map_or(TRIP, |gate| gate.trip.one_way())
+        self.gates.get(&id).map_or(TRIP, |gate| gate.round_trip.one_way())
     }
 
     pub fn view(&self, now: Micros, id: GateId) -> GateView {
         let Some(gate) = self.gates.get(&id) else { return GateView::default() };
         GateView {
-            trip: gate.trip.mean(),
+            trip: gate.round_trip.mean(),
             credits: gate.credits.clone(),
             draining: gate.draining,
             blacklisted: now < gate.blacklisted_until,
--- a/crates/site-routing/src/sites/hear.rs
+++ b/crates/site-routing/src/sites/hear.rs
@@ -33,7 +33,7 @@
             site,
             links: 0,
             lost: Micros::MIN / 2,
-            trip: Trip::guessed(TRIP),
+            round_trip: RoundTripEstimate::assumed(TRIP),
             credits: vec![0; classes.len()],
             draining: false,
             blacklisted_until: Micros::MIN / 2,
@@ -102,7 +102,7 @@
 
     pub fn trip(&mut self, id: GateId, took: Micros) {
         if let Some(gate) = self.gates.get_mut(&id) {
-            gate.trip.measured(took);
+            gate.round_trip.record(took);
         }
     }
 
--- a/crates/site-routing/src/sites/place.rs
+++ b/crates/site-routing/src/sites/place.rs
@@ -26,8 +26,8 @@
         // Where it has no room, what is held goes when it has.
         let Some(id) = self.gate_to(now, site, pending.request.class) else { return self.hold(now, handle) };
         let gate = &self.gates[&id];
-        let (way, pending) = (gate.trip.one_way(), &self.pending_requests[&handle]);
-        let usual = gate.took[pending.request.class].quantile(0.5).unwrap_or(0).max(gate.trip.mean());
+        let (way, pending) = (gate.round_trip.one_way(), &self.pending_requests[&handle]);
+        let usual = gate.took[pending.request.class].quantile(0.5).unwrap_or(0).max(gate.round_trip.mean());
         let useful = if class.late_priority_weight > 0.0 {
             pending.deadline
         } else {
@@ -93,7 +93,7 @@
             }
             Need::Any => self.read_site(now, pending, |_| true),
             // It is measured from when it was sent: what is left of the bound beyond must be more than the way.
-            Need::Recent(bound) => self.read_site(now, pending, |gate| gate.trip.one_way() < bound),
+            Need::Recent(bound) => self.read_site(now, pending, |gate| gate.round_trip.one_way() < bound),
         }
     }
 
@@ -144,7 +144,7 @@
         fits: impl Fn(&Gate) -> bool,
     ) -> Option<SiteId> {
         let may = |gate: &&Gate| self.may_read(now, pending, gate) && fits(gate);
-        self.gates.values().filter(may).min_by_key(|gate| gate.trip.mean()).map(|gate| gate.site)
+        self.gates.values().filter(may).min_by_key(|gate| gate.round_trip.mean()).map(|gate| gate.site)
     }
 
     /// A gateway of that site with credit left for the request class, by chance in proportion to it. One that
--- a/crates/stall-detection/src/apart.rs
+++ b/crates/stall-detection/src/start_jitter.rs
@@ -7,7 +7,7 @@
 /// The part of the window that is each driver's.
 const SLOT: Micros = 30_000;
 /// Of the grace after a drain, the part that may pass before the list is asked for.
-const OF_GRACE: f64 = 0.7;
+const SHARE_OF_GRACE: f64 = 0.7;
 
 /// How long a driver waits before what all drivers do once at their start, such as asking for the list. The window
 /// grows with their number, and a lone one does not wait.
@@ -18,8 +18,8 @@
 /// Protects what all of them ask from being asked by all at once. Names that end in a number are spread evenly, each
 /// within a slot of its own by chance, since places by chance alone leave some tenth of a second with a crowd. Harms
 /// a driver whose list is old by the wait.
-pub fn wait(name: &str, drivers: usize, grace: Micros, rng: &mut impl Rng) -> Micros {
-    let window = (SLOT * (drivers as Micros - 1)).min((grace as f64 * OF_GRACE) as Micros);
+pub fn start_delay(name: &str, drivers: usize, grace: Micros, rng: &mut impl Rng) -> Micros {
+    let window = (SLOT * (drivers as Micros - 1)).min((grace as f64 * SHARE_OF_GRACE) as Micros);
     if window <= 0 {
         return 0;
     }
@@ -35,6 +35,6 @@
 
 /// The wait before something that failed is tried again: half of it is by chance, so that those that failed together
 /// do not come together.
-pub fn again(wait: Micros, rng: &mut impl Rng) -> Micros {
+pub fn retry_delay(wait: Micros, rng: &mut impl Rng) -> Micros {
     wait / 2 + (rng.random::<f64>() * wait as f64 / 2.0) as Micros
 }
--- a/crates/statistics/src/offset.rs
+++ b/crates/statistics/src/clock_offset.rs
@@ -18,7 +18,7 @@
 /// several machines tell times ahead of all others': data then looks old, and members look warm.
 #[derive(Clone, Debug, Default)]
 pub struct ClockOffset {
-    machines: HashMap<usize, Words>,
+    machines: HashMap<usize, OffsetSamples>,
     /// The machines that were furthest ahead.
     furthest: Vec<(usize, Micros)>,
     at_most: Option<Micros>,
@@ -26,15 +26,15 @@
 
 /// The last words of one machine: told times less when they were received, and commits less when they were sent.
 #[derive(Clone, Debug, Default)]
-struct Words {
-    told: Last,
-    committed: Last,
+struct OffsetSamples {
+    reports: RecentSamples,
+    commits: RecentSamples,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Last([Option<Micros>; AGREE]);
+struct RecentSamples([Option<Micros>; AGREE]);
 
-impl Last {
+impl RecentSamples {
     fn add(&mut self, offset: Micros) {
         self.0.rotate_left(1);
         self.0[AGREE - 1] = Some(offset);
@@ -48,10 +48,10 @@
 
 impl ClockOffset {
     /// A machine's word, by its own clock, that was here at `received` by this process's.
-    pub fn told(&mut self, machine: usize, time: Micros, received: Micros) {
-        let words = &mut self.machines.entry(machine).or_default().told;
-        words.add(time.saturating_sub(received));
-        let Some(least) = words.all().and_then(|all| all.into_iter().min()) else { return };
+    pub fn record_report(&mut self, machine: usize, time: Micros, received: Micros) {
+        let samples = &mut self.machines.entry(machine).or_default().reports;
+        samples.add(time.saturating_sub(received));
+        let Some(least) = samples.all().and_then(|all| all.into_iter().min()) else { return };
         match self.furthest.iter_mut().find(|(of, _)| *of == machine) {
             Some((_, most)) => *most = least.max(*most),
             None => self.furthest.push((machine, least)),
@@ -61,10 +61,10 @@
     }
 
     /// A machine's word on when it committed what it was sent at `sent`, and what it did not have before.
-    pub fn committed(&mut self, machine: usize, time: Micros, sent: Micros) {
-        let words = &mut self.machines.entry(machine).or_default().committed;
-        words.add(time.saturating_sub(sent));
-        let most = words.all().and_then(|all| all.into_iter().max());
+    pub fn record_commit(&mut self, machine: usize, time: Micros, sent: Micros) {
+        let samples = &mut self.machines.entry(machine).or_default().commits;
+        samples.add(time.saturating_sub(sent));
+        let most = samples.all().and_then(|all| all.into_iter().max());
         self.at_most = [self.at_most, most].into_iter().flatten().min();
     }
 
@@ -75,7 +75,7 @@
 
     /// What is to be added to this process's clock to be no less than the others', as far as is known; zero as long as
     /// nothing shows that they differ.
-    pub fn ahead(&self) -> Micros {
+    pub fn offset(&self) -> Micros {
         let enough = self.furthest.len() == MACHINES;
         let at_least = self.furthest.last().filter(|_| enough).map_or(Micros::MIN, |&(_, most)| most);
         let offset = at_least.max(self.at_most.unwrap_or(0));
--- a/crates/statistics/src/lib.rs
+++ b/crates/statistics/src/lib.rs
@@ -1,12 +1,12 @@
 //! What decisions measure: durations in small histograms, round trips, and the offset of other machines' clock.
 
+mod clock_offset;
 mod histogram;
-mod offset;
-mod trip;
+mod round_trip;
 
+pub use clock_offset::ClockOffset;
 pub use histogram::Histogram;
-pub use offset::ClockOffset;
-pub use trip::Trip;
+pub use round_trip::RoundTripEstimate;
 
 /// Whole microseconds, on the caller's clock.
 pub type Micros = i64;
--- a/crates/statistics/src/trip.rs
+++ b/crates/statistics/src/round_trip.rs
@@ -2,26 +2,26 @@
 
 /// A round trip and its spread, each a moving mean as in RFC 6298.
 #[derive(Clone, Copy, Debug)]
-pub struct Trip {
+pub struct RoundTripEstimate {
     mean: Micros,
     spread: Micros,
     known: bool,
 }
 
-impl Trip {
+impl RoundTripEstimate {
     /// Taken to be so long until it is measured.
-    pub fn guessed(mean: Micros) -> Trip {
-        Trip { mean, spread: mean / 2, known: false }
+    pub fn assumed(mean: Micros) -> RoundTripEstimate {
+        RoundTripEstimate { mean, spread: mean / 2, known: false }
     }
 
-    pub fn measured(&mut self, took: Micros) {
-        let took = took.max(0);
+    pub fn record(&mut self, sample: Micros) {
+        let sample = sample.max(0);
         if !std::mem::replace(&mut self.known, true) {
-            (self.mean, self.spread) = (took, took / 2);
+            (self.mean, self.spread) = (sample, sample / 2);
             return;
         }
-        self.spread += ((self.mean - took).abs() - self.spread) / 4;
-        self.mean += (took - self.mean) / 8;
+        self.spread += ((self.mean - sample).abs() - self.spread) / 4;
+        self.mean += (sample - self.mean) / 8;
     }
 
     pub fn mean(&self) -> Micros {
