--- a/crates/flow-control/src/addresses.rs
+++ b/crates/flow-control/src/addresses.rs
@@ -1,85 +1,100 @@
+//! What the clients of each address have together, where addresses tell clients apart.
+
 use std::collections::HashMap;
 use std::net::IpAddr;
 
 use crate::Micros;
 
-/// Addresses that were cut off lately and have no connection now are remembered up to so many.
-const REMEMBERED: usize = 1024;
+/// At most this many addresses without a connection are remembered, at some 60 bytes each: memory stays flat under a flood
+/// from ever new addresses.
+const MAX_IDLE_ADDRESSES: usize = 1024;
+
+/// Up to this many addresses nothing is pruned, as a pass over all of them is not worth while.
+const PRUNE_ABOVE: usize = MAX_IDLE_ADDRESSES / 8;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Standing {
+struct AddressUsage {
     connections: usize,
+    /// Bytes reserved by all its connections.
     reserved: u64,
-    /// Until when it counts as one of which a peer was cut off.
+    /// Until when it counts as one whose client was just disconnected.
     disconnected_until: Option<Micros>,
 }
 
-/// What each address has. Kept only where addresses tell clients apart.
+impl AddressUsage {
+    fn is_idle(&self) -> bool {
+        self.connections == 0 && self.reserved == 0
+    }
+
+    fn was_disconnected(&self, now: Micros) -> bool {
+        self.disconnected_until.is_some_and(|until| now < until)
+    }
+}
+
+/// Connections, reservations and disconnects by address. Empty unless
+/// [`FlowLimits::per_address`](crate::FlowLimits::per_address) is set.
 #[derive(Debug, Default)]
 pub(crate) struct AddressTable {
-    known: HashMap<IpAddr, Standing>,
+    usage: HashMap<IpAddr, AddressUsage>,
 }
 
 impl AddressTable {
     pub(crate) fn connections(&self, address: IpAddr) -> usize {
-        self.known.get(&address).map_or(0, |standing| standing.connections)
+        self.usage.get(&address).map_or(0, |usage| usage.connections)
     }
 
+    /// Bytes reserved by all connections of the address.
     pub(crate) fn reserved(&self, address: IpAddr) -> u64 {
-        self.known.get(&address).map_or(0, |standing| standing.reserved)
+        self.usage.get(&address).map_or(0, |usage| usage.reserved)
     }
 
     pub(crate) fn register(&mut self, address: IpAddr) {
-        self.known.entry(address).or_default().connections += 1;
+        self.usage.entry(address).or_default().connections += 1;
     }
 
     pub(crate) fn unregister(&mut self, now: Micros, address: IpAddr) {
-        if let Some(standing) = self.known.get_mut(&address) {
-            standing.connections = standing.connections.saturating_sub(1);
+        if let Some(usage) = self.usage.get_mut(&address) {
+            usage.connections = usage.connections.saturating_sub(1);
         }
-        self.tidy(now);
+        self.prune(now);
     }
 
     pub(crate) fn reserve(&mut self, address: IpAddr, bytes: u64) {
-        self.known.entry(address).or_default().reserved += bytes;
+        self.usage.entry(address).or_default().reserved += bytes;
     }
 
     pub(crate) fn release(&mut self, now: Micros, address: IpAddr, bytes: u64) {
-        if let Some(standing) = self.known.get_mut(&address) {
-            standing.reserved = standing.reserved.saturating_sub(bytes);
+        if let Some(usage) = self.usage.get_mut(&address) {
+            usage.reserved = usage.reserved.saturating_sub(bytes);
         }
-        self.tidy(now);
+        self.prune(now);
     }
 
+    /// One of its clients was disconnected; that counts until then.
     pub(crate) fn record_disconnect(&mut self, address: IpAddr, until: Micros) {
-        self.known.entry(address).or_default().disconnected_until = Some(until);
+        self.usage.entry(address).or_default().disconnected_until = Some(until);
     }
 
     pub(crate) fn recently_disconnected(&self, now: Micros, address: IpAddr) -> bool {
-        self.known
-            .get(&address)
-            .and_then(|standing| standing.disconnected_until)
-            .is_some_and(|until| now < until)
+        self.usage.get(&address).is_some_and(|usage| usage.was_disconnected(now))
     }
 
-    /// Lets go of addresses that have nothing and are not remembered for anything. Memory stays flat while
-    /// addresses are always new: of those remembered without a connection, only so many.
-    fn tidy(&mut self, now: Micros) {
-        if self.known.len() <= REMEMBERED / 8 {
+    /// Forgets idle addresses of which no disconnect counts, and of the others the oldest beyond
+    /// [`MAX_IDLE_ADDRESSES`].
+    fn prune(&mut self, now: Micros) {
+        if self.usage.len() <= PRUNE_ABOVE {
             return;
         }
-        let idle = |standing: &Standing| standing.connections == 0 && standing.reserved == 0;
-        self.known.retain(|_, standing| {
-            !idle(standing) || standing.disconnected_until.is_some_and(|until| now < until)
-        });
-        while self.known.len() > REMEMBERED {
-            let oldest = self.known.iter().filter(|(_, standing)| idle(standing));
-            let Some((&address, _)) =
-                oldest.min_by_key(|(address, standing)| (standing.disconnected_until, **address))
-            else {
-                return;
-            };
-            self.known.remove(&address);
+        self.usage.retain(|_, usage| !usage.is_idle() || usage.was_disconnected(now));
+        while self.usage.len() > MAX_IDLE_ADDRESSES {
+            let Some(oldest) = self.oldest_idle() else { return };
+            self.usage.remove(&oldest);
         }
     }
+
+    /// The idle address whose disconnect ceases to count first.
+    fn oldest_idle(&self) -> Option<IpAddr> {
+        let idle = self.usage.iter().filter(|(_, usage)| usage.is_idle());
+        idle.min_by_key(|(address, usage)| (usage.disconnected_until, **address)).map(|(&address, _)| address)
+    }
 }
--- a/crates/flow-control/src/buffer_budget.rs
+++ b/crates/flow-control/src/buffer_budget.rs
@@ -1,138 +1,173 @@
-//! The books on room: what is granted, what waits, and what closed connections left behind.
+//! The buffer budget: which reservations are granted, which wait, and what closed connections left behind.
 
+use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
 use std::net::IpAddr;
 
-use crate::{Micros, ReservationId, ReservationRequest};
+use crate::meter::time_at_rate;
+use crate::{Micros, PeerId, Priority, ReservationId, ReservationRequest};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum ReservationState {
     Waiting,
     Granted,
-    /// Its connection is closed; the system lets go of it by then.
-    Lingering(Micros),
+    /// Its connection is closed; the system discards what it left by then.
+    Lingering {
+        until: Micros,
+    },
 }
 
+/// One reservation.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Entry {
-    pub address: Option<IpAddr>,
-    pub request: ReservationRequest,
-    state: State,
+pub(crate) struct Reservation {
+    /// Of its owner, where addresses tell clients apart.
+    pub(crate) address: Option<IpAddr>,
+    /// What was asked for, with the size that it has now.
+    pub(crate) request: ReservationRequest,
+    state: ReservationState,
     position: QueuePosition,
 }
 
-/// The order in which reservations are looked at: best paid first, then by when they came, the larger later by the time
-/// that their size takes at the least rate. No small reservation waits behind a large one that came just before.
-type QueuePosition = (bool, Micros, u64);
+impl Reservation {
+    pub(crate) fn is_granted(&self) -> bool {
+        self.state == ReservationState::Granted
+    }
+
+    pub(crate) fn peer(&self) -> PeerId {
+        self.request.owner.peer
+    }
+
+    pub(crate) fn priority(&self) -> Priority {
+        self.request.owner.priority
+    }
+
+    pub(crate) fn bytes(&self) -> u64 {
+        self.request.bytes
+    }
+}
+
+/// The order in which waiting reservations are considered: by priority, then by arrival, a larger one later by the time that
+/// its size takes at the clients' minimum rate. So no small one waits behind a large one that came just before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueuePosition {
+    priority: Reverse<Priority>,
+    considered_from: Micros,
+    id: ReservationId,
+}
 
+/// All reservations, and how much of the budget they use.
 #[derive(Debug, Default)]
 pub(crate) struct BufferBudget {
-    reservations: HashMap<ReservationId, Entry>,
-    waiting: BTreeSet<(QueuePosition, ReservationId)>,
+    reservations: HashMap<ReservationId, Reservation>,
+    waiting: BTreeSet<QueuePosition>,
+    /// By when the system discards them.
     lingering: BTreeSet<(Micros, ReservationId)>,
+    /// Bytes granted and lingering.
     used: u64,
-    next: u64,
+    next_id: u64,
 }
 
 impl BufferBudget {
+    /// Bytes granted, and bytes that closed connections left with the system.
     pub(crate) fn used(&self) -> u64 {
         self.used
     }
 
-    pub(crate) fn entry(&self, reservation: ReservationId) -> Option<&Entry> {
-        self.reservations.get(&reservation)
+    pub(crate) fn get(&self, id: ReservationId) -> Option<&Reservation> {
+        self.reservations.get(&id)
     }
 
-    /// Waiting reservations in their order.
-    pub(crate) fn waiting(&self) -> impl Iterator<Item = (ReservationId, &Entry)> {
-        self.waiting
-            .iter()
-            .filter_map(|&(_, reservation)| Some((reservation, self.reservations.get(&reservation)?)))
+    /// Waiting reservations, in the order of the queue.
+    pub(crate) fn waiting(&self) -> impl Iterator<Item = (ReservationId, &Reservation)> {
+        self.waiting.iter().filter_map(|position| Some((position.id, self.reservations.get(&position.id)?)))
     }
 
     pub(crate) fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    pub(crate) fn wait(
+    /// Puts a request into the queue. `bytes_per_second` is the rate by which larger ones are considered later.
+    pub(crate) fn enqueue(
         &mut self,
         now: Micros,
         address: Option<IpAddr>,
         request: ReservationRequest,
-        rate: u64,
+        bytes_per_second: u64,
     ) -> ReservationId {
-        let reservation = ReservationId(self.next);
-        self.next += 1;
-        let delay =
-            Micros::try_from(request.bytes.saturating_mul(1_000_000) / rate.max(1)).unwrap_or(Micros::MAX);
-        let position = (!request.owner.priority.is_highest(), now.saturating_add(delay), reservation.0);
-        self.reservations.insert(reservation, Entry { address, request, state: State::Waiting, position });
-        self.waiting.insert((position, reservation));
-        reservation
+        let id = ReservationId(self.next_id);
+        self.next_id += 1;
+        let position = QueuePosition {
+            priority: Reverse(request.owner.priority),
+            considered_from: now.saturating_add(time_at_rate(request.bytes, bytes_per_second)),
+            id,
+        };
+        let reservation = Reservation { address, request, state: ReservationState::Waiting, position };
+        self.reservations.insert(id, reservation);
+        self.waiting.insert(position);
+        id
     }
 
-    pub(crate) fn grant(&mut self, reservation: ReservationId) {
-        let Some(entry) =
-            self.reservations.get_mut(&reservation).filter(|entry| entry.state == State::Waiting)
-        else {
-            return;
-        };
-        entry.state = State::Granted;
-        self.used += entry.request.bytes;
-        self.waiting.remove(&(entry.position, reservation));
+    /// Grants a waiting reservation; any other stays as it is.
+    pub(crate) fn grant(&mut self, id: ReservationId) {
+        let Some(reservation) = self.reservations.get_mut(&id) else { return };
+        if reservation.state == ReservationState::Waiting {
+            reservation.state = ReservationState::Granted;
+            self.used += reservation.request.bytes;
+            self.waiting.remove(&reservation.position);
+        }
     }
 
-    /// Makes a granted reservation smaller and says by how much.
-    pub(crate) fn shrink(&mut self, reservation: ReservationId, bytes: u64) -> u64 {
-        let Some(entry) =
-            self.reservations.get_mut(&reservation).filter(|entry| entry.state == State::Granted)
+    /// Makes a granted reservation no larger than `bytes`; returns how much that frees.
+    pub(crate) fn shrink(&mut self, id: ReservationId, bytes: u64) -> u64 {
+        let Some(reservation) = self.reservations.get_mut(&id).filter(|reservation| reservation.is_granted())
         else {
             return 0;
         };
-        let less = entry.request.bytes.saturating_sub(bytes);
-        entry.request.bytes -= less;
-        self.used -= less;
-        less
+        let freed = reservation.request.bytes.saturating_sub(bytes);
+        reservation.request.bytes -= freed;
+        self.used -= freed;
+        freed
     }
 
-    pub(crate) fn linger(&mut self, reservation: ReservationId, until: Micros) -> Option<Entry> {
-        let entry = self.reservations.get_mut(&reservation).filter(|entry| entry.state == State::Granted)?;
-        entry.state = State::Lingering(until);
-        self.lingering.insert((until, reservation));
-        Some(*entry)
+    /// Takes a granted reservation from its peer, and keeps it in use until then.
+    pub(crate) fn linger(&mut self, id: ReservationId, until: Micros) -> Option<Reservation> {
+        let reservation = self.reservations.get_mut(&id).filter(|reservation| reservation.is_granted())?;
+        reservation.state = ReservationState::Lingering { until };
+        self.lingering.insert((until, id));
+        Some(*reservation)
     }
 
-    /// Takes a reservation out of the books: what was granted is free again, what waited waits no more. Says whether
-    /// its peer held it.
-    pub(crate) fn remove(&mut self, reservation: ReservationId) -> Option<(Entry, bool)> {
-        let entry = self.reservations.remove(&reservation)?;
-        match entry.state {
-            State::Waiting => {
-                self.waiting.remove(&(entry.position, reservation));
+    /// Removes a reservation and frees what it used; returns it in the state that it had.
+    pub(crate) fn remove(&mut self, id: ReservationId) -> Option<Reservation> {
+        let reservation = self.reservations.remove(&id)?;
+        match reservation.state {
+            ReservationState::Waiting => {
+                self.waiting.remove(&reservation.position);
             }
-            State::Granted => self.used -= entry.request.bytes,
-            State::Lingering(until) => {
-                self.used -= entry.request.bytes;
-                self.lingering.remove(&(until, reservation));
+            ReservationState::Granted => self.used -= reservation.request.bytes,
+            ReservationState::Lingering { until } => {
+                self.used -= reservation.request.bytes;
+                self.lingering.remove(&(until, id));
             }
         }
-        Some((entry, entry.state == State::Granted))
+        Some(reservation)
     }
 
-    /// Lets go of what the system no longer keeps of closed connections.
-    pub(crate) fn expire(&mut self, now: Micros) {
-        while let Some(&(until, reservation)) = self.lingering.first().filter(|(until, _)| *until <= now) {
-            self.lingering.remove(&(until, reservation));
-            if let Some(entry) = self.reservations.remove(&reservation) {
-                self.used -= entry.request.bytes;
+    /// Frees what the system has discarded of closed connections.
+    pub(crate) fn expire_lingering(&mut self, now: Micros) {
+        while let Some(&(until, id)) = self.lingering.first() {
+            if until > now {
+                return;
             }
+            self.lingering.pop_first();
+            self.remove(id);
         }
     }
 
-    /// When something changes here by itself.
-    pub(crate) fn due(&self) -> Option<Micros> {
-        let given_up = self.waiting().map(|(_, entry)| entry.request.deadline).min();
-        let let_go = self.lingering.first().map(|(until, _)| *until);
-        given_up.into_iter().chain(let_go).min()
+    /// The next deadline of a waiting reservation, or end of a lingering one.
+    pub(crate) fn next_deadline(&self) -> Option<Micros> {
+        let gives_up = self.waiting().map(|(_, reservation)| reservation.request.deadline).min();
+        let discarded = self.lingering.first().map(|&(until, _)| until);
+        gives_up.into_iter().chain(discarded).min()
     }
 }
--- a/crates/flow-control/src/controller.rs
+++ b/crates/flow-control/src/controller.rs
@@ -1,403 +1,353 @@
-//! Every decision on room and pace.
+//! The controller: accounts for peers and reservations, and decides after each event who is served and who gives way.
 
-use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-use crate::addresses::AddressTable;
-use crate::buffer_budget::{BufferBudget, Entry};
-use crate::drain_rate::DrainRate;
+use crate::admission::Admission;
+use crate::buffer_budget::{BufferBudget, Reservation};
+use crate::peers::{PeerAccount, PeerTable};
+use crate::pressure::Pressure;
 use crate::{
-    Actions, ConnectionLimitReached, Disconnect, DisconnectReason, FlowLimits, Micros, PeerId,
-    PressureChange, PressureThresholds, ProgressMeter, ReservationId, ReservationRequest, Transfer,
+    Actions, ConnectionLimitReached, Disconnect, DisconnectReason, FlowLimits, Micros, PeerId, Priority,
+    ReservationId, ReservationRequest, Transfer,
 };
 
-#[derive(Debug)]
-struct Account {
-    address: Option<IpAddr>,
-    /// What its claims hold.
-    held: u64,
-    meter: ProgressMeter,
-    transfer: Option<Transfer>,
-    disconnected: Option<DisconnectReason>,
-}
-
-/// The books on room and pace.
+/// Shares the buffer budget among peers, and disconnects slow ones when others need it.
+///
+/// Every method that changes something may grant, reject or disconnect, and returns that as [`Actions`]. An id of a peer or
+/// reservation that is gone is ignored: a late call does no harm.
 #[derive(Debug)]
 pub struct FlowController {
     limits: FlowLimits,
     budget: BufferBudget,
-    /// In the order in which they came, so that the same events have the same outcome.
-    peers: BTreeMap<PeerId, Account>,
-    addresses: AddressTable,
-    next: u64,
-    under_pressure: bool,
-    drain_rate: DrainRate,
-    /// Once the program is to end: until when answers may still be read.
-    stopping: Option<Micros>,
+    peers: PeerTable,
+    pressure: Pressure,
+    /// Set once the proxy shuts down: until when responses may still be read.
+    shutdown_at: Option<Micros>,
+}
+
+/// Bytes that wait for nothing but that others free space.
+#[derive(Clone, Copy, Debug, Default)]
+struct Demand {
+    /// Of all priorities.
+    total: u64,
+    /// Of those that may not use the priority reserve.
+    normal: u64,
 }
 
 impl FlowController {
+    /// A controller without peers.
+    #[must_use]
     pub fn new(limits: FlowLimits) -> FlowController {
         FlowController {
             limits,
             budget: BufferBudget::default(),
-            peers: BTreeMap::new(),
-            addresses: AddressTable::default(),
-            next: 0,
-            under_pressure: false,
-            drain_rate: DrainRate::start(limits.budget, 0),
-            stopping: None,
+            peers: PeerTable::default(),
+            pressure: Pressure::new(limits.budget),
+            shutdown_at: None,
         }
     }
 
-    /// All that is granted, and what closed connections left behind.
+    /// Bytes of the budget in use: what is granted, and what closed connections left with the system.
+    #[must_use]
     pub fn used(&self) -> u64 {
         self.budget.used()
     }
 
+    /// The limits in force.
+    #[must_use]
     pub fn limits(&self) -> &FlowLimits {
         &self.limits
     }
 
-    /// A connection is there. `from` is its address, where addresses tell clients apart.
-    pub fn register(&mut self, now: Micros, from: IpAddr) -> Result<PeerId, ConnectionLimitReached> {
-        let address = self.limits.per_address.map(|_| from);
-        if let (Some(most), Some(address)) = (self.limits.per_address, address) {
-            if self.addresses.connections(address) >= most.connections {
-                return Err(ConnectionLimitReached::PerAddress);
-            }
-            // Protects the others from a peer that comes again as soon as it is cut. Harms a quick peer that has
-            // its address in common with a slow one, while room is short.
-            if self.under_pressure && self.addresses.recently_disconnected(now, address) {
-                return Err(ConnectionLimitReached::RecentlyDisconnected);
-            }
-            self.addresses.register(address);
+    /// How long a client is to wait before it retries what was rejected for lack of buffer space: those who hold it have
+    /// freed it by then, or are behind and can be disconnected.
+    #[must_use]
+    pub fn retry_after(&self) -> Micros {
+        self.limits.to_client.start_allowance
+    }
+
+    /// Accepts a connection from this address.
+    ///
+    /// # Errors
+    ///
+    /// Where [`FlowLimits::per_address`] is set: the address has all its connections, or one of its clients was just
+    /// disconnected and space is short. The second keeps a client from returning at once after it was disconnected; the cost
+    /// is borne by a quick client that shares the address of a slow one.
+    pub fn register(&mut self, now: Micros, address: IpAddr) -> Result<PeerId, ConnectionLimitReached> {
+        let Some(per_address) = self.limits.per_address else {
+            return Ok(self.peers.register(now, None, self.limits.from_client));
+        };
+        if self.peers.addresses.connections(address) >= per_address.connections {
+            return Err(ConnectionLimitReached::PerAddress);
         }
-        let peer = PeerId(self.next);
-        self.next += 1;
-        let meter = ProgressMeter::new(now, self.limits.from_client);
-        self.peers.insert(peer, Account { address, held: 0, meter, transfer: None, disconnected: None });
-        Ok(peer)
+        if self.is_penalized(now, address) {
+            return Err(ConnectionLimitReached::RecentlyDisconnected);
+        }
+        Ok(self.peers.register(now, Some(address), self.limits.from_client))
     }
 
-    /// Asks for buffer space; the answer comes in this or a later `Actions`, by the deadline of the request.
+    /// The connection is closed. Its reservations are released on their own, by [`FlowController::release`] or
+    /// [`FlowController::linger`].
+    pub fn unregister(&mut self, now: Micros, peer: PeerId) -> Actions {
+        self.peers.unregister(now, peer);
+        self.settle(now)
+    }
+
+    /// Asks for buffer space. The reservation is among the granted or rejected ones of these or later actions, at the latest
+    /// after [`FlowLimits::reservation_timeout`].
     pub fn reserve(&mut self, now: Micros, request: ReservationRequest) -> (ReservationId, Actions) {
-        let address = self.peers.get(&request.owner.peer).and_then(|account| account.address);
         let deadline = request.deadline.min(now + self.limits.reservation_timeout);
         let request = ReservationRequest { deadline, ..request };
-        let reservation = self.budget.wait(now, address, request, self.limits.to_client.rate);
+        let address = self.peers.address(request.owner.peer);
+        let rate = self.limits.to_client.bytes_per_second;
+        let reservation = self.budget.enqueue(now, address, request, rate);
         (reservation, self.settle(now))
     }
 
-    /// From now on something waits for the peer to move.
-    pub fn start_metering(&mut self, now: Micros, peer: PeerId, transfer: Transfer) -> Actions {
-        let minimum = self.limits.minimum_rate(transfer);
-        if let Some(account) = self.peers.get_mut(&peer) {
-            if account.transfer != Some(transfer) {
-                account.meter.set_minimum_rate(now, minimum);
-                account.transfer = Some(transfer);
-            }
-            account.meter.start(now);
+    /// No more than `bytes` of a granted reservation are needed from now on.
+    pub fn shrink(&mut self, now: Micros, reservation: ReservationId, bytes: u64) -> Actions {
+        let before = self.budget.get(reservation).copied();
+        let freed = self.budget.shrink(reservation, bytes);
+        self.pressure.record_freed(now, freed);
+        if let Some(before) = before {
+            self.peers.refund(now, &before, freed);
         }
         self.settle(now)
     }
 
-    /// The peer took or gave so many bytes. Never a reason to do anything.
-    pub fn record_progress(&mut self, now: Micros, peer: PeerId, bytes: u64) {
-        if let Some(account) = self.peers.get_mut(&peer) {
-            account.meter.record_progress(now, bytes);
-        }
-    }
-
-    /// Nothing waits for it any more.
-    pub fn stop_metering(&mut self, now: Micros, peer: PeerId) {
-        if let Some(account) = self.peers.get_mut(&peer) {
-            account.meter.stop(now);
+    /// A reservation is needed no longer, granted or waiting.
+    pub fn release(&mut self, now: Micros, reservation: ReservationId) -> Actions {
+        let removed = self.budget.remove(reservation);
+        if let Some(removed) = removed.filter(Reservation::is_granted) {
+            self.pressure.record_freed(now, removed.bytes());
+            self.peers.refund(now, &removed, removed.bytes());
         }
+        self.settle(now)
     }
 
-    /// The connection is closed. What it held is given back by its reservations.
-    pub fn unregister(&mut self, now: Micros, peer: PeerId) -> Actions {
-        if let Some(Account { address: Some(address), .. }) = self.peers.remove(&peer) {
-            self.addresses.unregister(now, address);
+    /// The connection of a granted reservation is closed, and the system may hold its bytes unread for
+    /// [`FlowLimits::linger`]: they stay in use for that long, though no peer is charged for them.
+    pub fn linger(&mut self, now: Micros, reservation: ReservationId) -> Actions {
+        let until = now + self.limits.linger;
+        if let Some(left) = self.budget.linger(reservation, until) {
+            self.peers.refund(now, &left, left.bytes());
         }
         self.settle(now)
     }
 
-    /// No more than so much of it is needed from now on.
-    pub fn shrink(&mut self, now: Micros, reservation: ReservationId, bytes: u64) -> Actions {
-        let entry = self.budget.entry(reservation).copied();
-        let less = self.budget.shrink(reservation, bytes);
-        self.drain_rate.record_freed(now, less);
-        if let Some(entry) = entry {
-            self.return_to(now, &entry, less);
+    /// The peer is waited for from now on, and measured against the minimum rate of this transfer.
+    pub fn start_metering(&mut self, now: Micros, peer: PeerId, transfer: Transfer) -> Actions {
+        let minimum = self.limits.minimum_rate(transfer);
+        if let Some(account) = self.peers.get_mut(peer) {
+            if account.transfer != Some(transfer) {
+                account.meter.set_minimum_rate(now, minimum);
+                account.transfer = Some(transfer);
+            }
+            account.meter.start(now);
         }
         self.settle(now)
     }
 
-    /// Nothing of it is needed any more, granted or not.
-    pub fn release(&mut self, now: Micros, reservation: ReservationId) -> Actions {
-        if let Some((entry, true)) = self.budget.remove(reservation) {
-            self.drain_rate.record_freed(now, entry.request.bytes);
-            self.return_to(now, &entry, entry.request.bytes);
+    /// The peer read or sent this many bytes. Never a reason to act: whoever waits is woken when the peer would have fallen
+    /// behind without them.
+    pub fn record_progress(&mut self, now: Micros, peer: PeerId, bytes: u64) {
+        if let Some(account) = self.peers.get_mut(peer) {
+            account.meter.record_progress(now, bytes);
         }
-        self.settle(now)
     }
 
-    /// Its connection is closed and the system may still hold that much unread: closed is not gone.
-    pub fn linger(&mut self, now: Micros, reservation: ReservationId) -> Actions {
-        let until = now + self.limits.linger;
-        if let Some(entry) = self.budget.linger(reservation, until) {
-            self.return_to(now, &entry, entry.request.bytes);
+    /// The peer is waited for no longer.
+    pub fn stop_metering(&mut self, now: Micros, peer: PeerId) {
+        if let Some(account) = self.peers.get_mut(peer) {
+            account.meter.stop(now);
         }
-        self.settle(now)
     }
 
-    /// A new connection wants a place and there is none: who is to give up theirs, if anybody.
+    /// A new client found no connection slot: disconnects the peer behind its rate that has most reserved, if there is one.
     pub fn shed_one_connection(&mut self, now: Micros) -> Actions {
         let mut actions = self.settle(now);
-        if let Some(peer) = self.behind(now).first().map(|&(_, peer)| peer) {
-            self.disconnect(now, peer, DisconnectReason::ConnectionSlot, &mut actions);
+        if let Some(behind) = self.peers.behind(now).first() {
+            self.disconnect(now, behind.peer, DisconnectReason::ConnectionSlot, &mut actions);
         }
         actions
     }
 
+    /// Does what is due; to be called at [`Actions::wake_at`].
     pub fn wake(&mut self, now: Micros) -> Actions {
         self.settle(now)
     }
 
-    /// The operator's limits have changed. What is granted beyond them stays until it is given back; those who
-    /// are behind give way for it.
+    /// Puts other limits in force. What was granted beyond them stays until it is released; peers behind their rate are
+    /// disconnected for it.
     pub fn update_limits(&mut self, now: Micros, limits: FlowLimits) -> Actions {
         self.limits = limits;
-        for account in self.peers.values_mut() {
-            account
-                .meter
-                .set_minimum_rate(now, limits.minimum_rate(account.transfer.unwrap_or(Transfer::FromPeer)));
+        for account in self.peers.all_mut() {
+            let transfer = account.transfer.unwrap_or(Transfer::FromPeer);
+            account.meter.set_minimum_rate(now, limits.minimum_rate(transfer));
         }
         self.settle(now)
     }
 
-    /// The program is to end: nobody is waited for any longer than for the usual readers.
+    /// The proxy shuts down: peers behind their rate are disconnected at once, and all that are waited for after
+    /// [`FlowLimits::shutdown_grace`].
     pub fn shut_down(&mut self, now: Micros) -> Actions {
-        self.stopping.get_or_insert(now + self.limits.shutdown_grace);
+        self.shutdown_at.get_or_insert(now + self.limits.shutdown_grace);
         self.settle(now)
     }
 
-    fn return_to(&mut self, now: Micros, entry: &Entry, bytes: u64) {
-        if let Some(account) = self.peers.get_mut(&entry.request.owner.peer) {
-            account.held -= bytes;
-        }
-        if let Some(address) = entry.address {
-            self.addresses.release(now, address, bytes);
-        }
-    }
-
-    /// Grants what fits, refuses what has waited for long enough, and cuts off those who must give way.
+    /// Decides all that follows from the state at `now`. The order matters: what expired is freed before anything is granted,
+    /// and peers are disconnected only for space that is still lacking then.
     fn settle(&mut self, now: Micros) -> Actions {
         let mut actions = Actions::default();
-        self.budget.expire(now);
-        let waiting: Vec<(ReservationId, Entry)> =
-            self.budget.waiting().map(|(reservation, entry)| (reservation, *entry)).collect();
-        // What waits for nothing but that others give way: by anybody's room, and by what the best paid keep.
-        let (mut wanted, mut wanted_plain) = (0, 0);
-        for (reservation, entry) in waiting {
-            if self.fits(&entry) {
-                self.budget.grant(reservation);
-                self.account_for(&entry);
-                actions.granted.push(reservation);
-                continue;
-            }
-            let parted = self
-                .peers
-                .get(&entry.request.owner.peer)
-                .is_none_or(|account| account.disconnected.is_some());
-            let blacklisted = self.under_pressure
-                && entry.address.is_some_and(|from| self.addresses.recently_disconnected(now, from));
-            if parted || blacklisted || !self.could_fit(&entry) || now >= entry.request.deadline {
-                self.budget.remove(reservation);
-                actions.rejected.push(reservation);
-            } else if self.fits_its_peer(&entry) && self.is_fair(&entry) {
-                wanted += entry.request.bytes;
-                wanted_plain +=
-                    if entry.request.owner.priority.is_highest() { 0 } else { entry.request.bytes };
+        self.budget.expire_lingering(now);
+        let demand = self.process_queue(now, &mut actions);
+        let lacking = self.lacking(demand);
+        let lacking = self.disconnect_for_space(now, lacking, &mut actions);
+        self.reject_hopeless(now, lacking, &mut actions);
+        self.disconnect_overdue(now, &mut actions);
+        actions.pressure = self.pressure.update(now, &self.limits, &self.budget);
+        actions.wake_at = self.next_wake(now);
+        actions
+    }
+
+    /// Grants what fits and rejects what cannot be waited for; returns what the rest lacks.
+    fn process_queue(&mut self, now: Micros, actions: &mut Actions) -> Demand {
+        let mut demand = Demand::default();
+        let waiting: Vec<(ReservationId, Reservation)> =
+            self.budget.waiting().map(|(id, reservation)| (id, *reservation)).collect();
+        for (id, reservation) in waiting {
+            if self.admission().fits(&reservation) {
+                self.budget.grant(id);
+                self.peers.charge(&reservation);
+                actions.granted.push(id);
+            } else if self.must_reject(now, &reservation) {
+                self.budget.remove(id);
+                actions.rejected.push(id);
+            } else if self.admission().is_held_up_by_others(&reservation) {
+                demand.add(&reservation);
             }
         }
+        demand
+    }
+
+    fn must_reject(&self, now: Micros, reservation: &Reservation) -> bool {
+        !self.peers.is_connected(reservation.peer())
+            || reservation.address.is_some_and(|address| self.is_penalized(now, address))
+            || !self.admission().could_ever_fit(reservation)
+            || now >= reservation.request.deadline
+    }
+
+    /// Whether a client of this address was just disconnected, which counts only while space is short.
+    fn is_penalized(&self, now: Micros, address: IpAddr) -> bool {
+        self.pressure.is_active() && self.peers.addresses.recently_disconnected(now, address)
+    }
+
+    /// Bytes that must be freed to grant what is demanded; also what exceeds limits that were lowered.
+    fn lacking(&self, demand: Demand) -> u64 {
         let used = self.budget.used();
-        let lacking_plain = if wanted_plain > 0 { used + wanted_plain } else { 0 };
-        let lacking = (used + wanted).saturating_sub(self.limits.budget);
-        let lacking = lacking.max(lacking_plain.saturating_sub(self.open_to(false)));
-        let lacking = self.free_budget(now, lacking, &mut actions);
-        self.reject_hopeless(now, lacking, &mut actions);
-        self.disconnect_too_slow(now, &mut actions);
-        self.update_pressure(now, &mut actions);
-        actions.wake_at = self.due(now);
-        actions
+        let in_all = (used + demand.total).saturating_sub(self.limits.budget);
+        if demand.normal == 0 {
+            return in_all;
+        }
+        let available = self.limits.available_to(Priority::Normal);
+        in_all.max((used + demand.normal).saturating_sub(available))
     }
 
-    /// Those who are behind give way for what is lacking, also where changed limits are exceeded: who holds most
-    /// first. Says how much is lacking even so.
-    fn free_budget(&mut self, now: Micros, lacking: u64, actions: &mut Actions) -> u64 {
-        // What those who were cut hold is on its way back.
-        let returning: u64 = self
-            .peers
-            .values()
-            .filter(|account| account.disconnected.is_some())
-            .map(|account| account.held)
-            .sum();
-        let mut lacking = lacking.saturating_sub(returning);
+    /// Disconnects peers behind their rate until enough is freed, those with most reserved first; returns how much is
+    /// lacking even so. What peers hold that are being disconnected already is about to come back, and is counted first.
+    fn disconnect_for_space(&mut self, now: Micros, lacking: u64, actions: &mut Actions) -> u64 {
+        let mut lacking = lacking.saturating_sub(self.peers.returning());
         if lacking == 0 {
             return 0;
         }
-        for (held, peer) in self.behind(now) {
-            if lacking == 0 || held == 0 {
+        for behind in self.peers.behind(now) {
+            if lacking == 0 || behind.reserved == 0 {
                 break;
             }
-            self.disconnect(now, peer, DisconnectReason::BufferSpace, actions);
-            lacking = lacking.saturating_sub(held);
+            self.disconnect(now, behind.peer, DisconnectReason::BufferSpace, actions);
+            lacking = lacking.saturating_sub(behind.reserved);
         }
         lacking
     }
 
-    /// Protects members from attempts that wait for room which nobody gives back: each holds a place that
-    /// others' requests need. Last come are told at once, as far as room does not come free quickly enough.
-    /// Should also cover floods of large answers. Harms a large answer just before a pause of many readers
-    /// ends.
+    /// Rejects at once what will not be granted in time at the rate at which space is freed, last in the queue first.
+    ///
+    /// An attempt that waits for space holds a slot at its member, which other requests need: without this a flood of large
+    /// responses takes all of them. The cost: a large response is rejected just before many readers go on.
     fn reject_hopeless(&mut self, now: Micros, lacking: u64, actions: &mut Actions) {
         let mut lacking = lacking;
-        while lacking > 0 && self.drain_rate.time_for(now, lacking) > self.limits.reservation_timeout {
-            let last = self.budget.waiting().filter(|(_, entry)| self.fits_its_peer(entry)).last();
-            let Some((reservation, entry)) = last.map(|(reservation, entry)| (reservation, *entry)) else {
-                return;
-            };
-            self.budget.remove(reservation);
-            actions.rejected.push(reservation);
-            lacking = lacking.saturating_sub(entry.request.bytes);
+        while lacking > 0 && self.pressure.time_to_free(now, lacking) > self.limits.reservation_timeout {
+            let Some((id, reservation)) = self.last_waiting() else { return };
+            self.budget.remove(id);
+            actions.rejected.push(id);
+            lacking = lacking.saturating_sub(reservation.bytes());
         }
     }
 
-    /// When it is worth while to come again for room that was refused: those who hold it are behind by then, or done.
-    pub fn retry_after(&self) -> Micros {
-        self.limits.to_client.start
-    }
-
-    /// What may be granted in all: the best paid have a part to themselves.
-    fn open_to(&self, best: bool) -> u64 {
-        self.limits.budget.saturating_sub(if best { 0 } else { self.limits.priority_reserve })
+    /// The last reservation of the queue that its peer's limits would allow.
+    fn last_waiting(&self) -> Option<(ReservationId, Reservation)> {
+        let admission = self.admission();
+        let waiting =
+            self.budget.waiting().filter(|(_, reservation)| admission.is_within_peer_limits(reservation));
+        waiting.last().map(|(id, reservation)| (id, *reservation))
     }
 
-    /// Peers under the least rate, those who hold most first, among equals those who have been so for longest.
-    fn behind(&self, now: Micros) -> Vec<(u64, PeerId)> {
-        let mut behind: Vec<(u64, Micros, PeerId)> = self
+    /// Disconnects peers that have been behind for too long though nobody needs what they hold: machines that vanished would
+    /// stay for ever otherwise. A peer that caught up in between is spared.
+    fn disconnect_overdue(&mut self, now: Micros, actions: &mut Actions) {
+        let overdue: Vec<Disconnect> = self
             .peers
-            .iter()
-            .filter(|(_, account)| account.disconnected.is_none())
-            .filter_map(|(&peer, account)| Some((account.held, account.meter.behind_since(now)?, peer)))
+            .connected()
+            .filter_map(|(peer, account)| Some(Disconnect { peer, reason: self.overdue(now, account)? }))
             .collect();
-        behind.sort_by_key(|&(held, since, peer)| (std::cmp::Reverse(held), since, peer));
-        behind.into_iter().map(|(held, _, peer)| (held, peer)).collect()
+        for Disconnect { peer, reason } in overdue {
+            self.disconnect(now, peer, reason, actions);
+        }
     }
 
-    /// Protects the room and the books from peers that stay under the least rate though nobody asks for what
-    /// they hold. Should also cover machines that vanished. Harms nobody who was quick in between.
-    fn disconnect_too_slow(&mut self, now: Micros, actions: &mut Actions) {
-        let ends = self.stopping.is_some_and(|until| now >= until);
-        let late = |account: &Account| -> Option<DisconnectReason> {
-            let behind = account.meter.behind_since(now);
-            if self.stopping.is_some() && behind.is_some() || ends && account.meter.is_running() {
+    /// Why a peer is to be disconnected even if nobody needs what it holds; `None` where it is not.
+    fn overdue(&self, now: Micros, account: &PeerAccount) -> Option<DisconnectReason> {
+        let behind_since = account.meter.behind_since(now);
+        if let Some(shutdown_at) = self.shutdown_at {
+            let out_of_grace = now >= shutdown_at && account.meter.is_running();
+            if behind_since.is_some() || out_of_grace {
                 return Some(DisconnectReason::Shutdown);
             }
-            behind
-                .filter(|&since| now - since >= self.limits.max_time_behind)
-                .map(|_| DisconnectReason::TooSlow)
-        };
-        let uncut = self.peers.iter().filter(|(_, account)| account.disconnected.is_none());
-        let late: Vec<(PeerId, DisconnectReason)> =
-            uncut.filter_map(|(&peer, account)| Some((peer, late(account)?))).collect();
-        late.into_iter().for_each(|(peer, reason)| self.disconnect(now, peer, reason, actions));
+        }
+        let too_slow = now - behind_since? >= self.limits.max_time_behind;
+        too_slow.then_some(DisconnectReason::TooSlow)
     }
 
     fn disconnect(&mut self, now: Micros, peer: PeerId, reason: DisconnectReason, actions: &mut Actions) {
-        let Some(account) = self.peers.get_mut(&peer) else { return };
-        account.disconnected = Some(reason);
-        if let Some(address) = account.address {
-            self.addresses.record_disconnect(address, now + self.limits.max_time_behind);
-        }
+        self.peers.disconnect(peer, now + self.limits.max_time_behind);
         actions.disconnect.push(Disconnect { peer, reason });
     }
 
-    fn fits(&self, entry: &Entry) -> bool {
-        let after = self.budget.used() + entry.request.bytes;
-        after <= self.open_to(entry.request.owner.priority.is_highest())
-            && self.fits_its_peer(entry)
-            && self.is_fair(entry)
-    }
-
-    fn fits_its_peer(&self, entry: &Entry) -> bool {
-        let Some(account) = self.peers.get(&entry.request.owner.peer) else { return false };
-        let of_address = |from| self.addresses.reserved(from) + entry.request.bytes;
-        account.disconnected.is_none()
-            && account.held + entry.request.bytes <= self.limits.per_connection
-            && match (entry.address, self.limits.per_address) {
-                (Some(from), Some(most)) => of_address(from) <= most.budget,
-                _ => true,
-            }
-    }
-
-    /// Whether it could ever be granted.
-    fn could_fit(&self, entry: &Entry) -> bool {
-        entry.request.bytes
-            <= self.open_to(entry.request.owner.priority.is_highest()).min(self.limits.per_connection)
+    fn next_wake(&self, now: Micros) -> Option<Micros> {
+        let overdue = self.peers.connected().filter_map(|(_, account)| self.next_check(now, account));
+        let shutdown = self.shutdown_at.filter(|&at| at > now);
+        overdue.chain(self.budget.next_deadline()).chain(shutdown).min()
     }
 
-    /// Protects those who hold little where room is short: who holds something already gets no more than an equal
-    /// part of it all. Should also cover one connection with many statements under way. Harms a single peer with
-    /// many large answers at a time when most others want little.
-    fn is_fair(&self, entry: &Entry) -> bool {
-        let held = self.peers.get(&entry.request.owner.peer).map_or(0, |account| account.held);
-        let after = self.budget.used() + entry.request.bytes;
-        if held == 0 || entry.request.owner.priority.is_highest() || after <= self.limits.pressure.enter {
-            return true;
-        }
-        let holders = self.peers.values().filter(|account| account.held > 0).count() as u64;
-        held + entry.request.bytes <= self.limits.budget / holders.max(1)
+    /// When to look at a peer again: one that falls behind may be disconnected at once where others wait for what it holds,
+    /// or at shutdown. Of one that was spared though it is behind, the next to happen is that it is overdue.
+    fn next_check(&self, now: Micros, account: &PeerAccount) -> Option<Micros> {
+        let falls_behind = account.meter.deadline()?;
+        let is_wanted = self.budget.has_waiting() && account.reserved > 0;
+        let at_once = (is_wanted || self.shutdown_at.is_some()) && falls_behind >= now;
+        Some(if at_once { falls_behind + 1 } else { falls_behind + self.limits.max_time_behind })
     }
 
-    fn account_for(&mut self, entry: &Entry) {
-        if let Some(account) = self.peers.get_mut(&entry.request.owner.peer) {
-            account.held += entry.request.bytes;
-        }
-        if let Some(address) = entry.address {
-            self.addresses.reserve(address, entry.request.bytes);
-        }
+    fn admission(&self) -> Admission<'_> {
+        Admission { limits: &self.limits, budget: &self.budget, peers: &self.peers }
     }
+}
 
-    /// Room is short from a level to enter to a lower one to leave, or while anybody waits for it.
-    fn update_pressure(&mut self, now: Micros, actions: &mut Actions) {
-        let PressureThresholds { enter, leave } = self.limits.pressure;
-        let used = self.budget.used();
-        let under_pressure = match self.under_pressure {
-            true => used >= leave || self.budget.has_waiting(),
-            false => used > enter,
-        };
-        if !under_pressure {
-            self.drain_rate = DrainRate::start(self.limits.budget, now);
-        }
-        if std::mem::replace(&mut self.under_pressure, under_pressure) != under_pressure {
-            actions.pressure =
-                Some(PressureChange { under_pressure, used, waiting: self.budget.waiting().count() });
+impl Demand {
+    fn add(&mut self, reservation: &Reservation) {
+        self.total += reservation.bytes();
+        if reservation.priority() == Priority::Normal {
+            self.normal += reservation.bytes();
         }
     }
-
-    fn due(&self, now: Micros) -> Option<Micros> {
-        let meters =
-            self.peers.values().filter(|account| account.disconnected.is_none()).filter_map(|account| {
-                let falls = account.meter.deadline()?;
-                let at_once = self.budget.has_waiting() && account.held > 0 || self.stopping.is_some();
-                // One that is behind already was passed over: the next to happen to it is that it is overdue.
-                Some(if at_once && falls >= now { falls + 1 } else { falls + self.limits.max_time_behind })
-            });
-        let stops = self.stopping.filter(|&until| until > now);
-        meters.chain(self.budget.due()).chain(stops).min()
-    }
 }
--- a/crates/flow-control/src/drain_rate.rs
+++ b/crates/flow-control/src/drain_rate.rs
@@ -1,32 +1,42 @@
-use crate::Micros;
+//! How quickly buffer space is freed, as an exponentially decaying sum.
 
-const SECOND: f64 = 1_000_000.0;
+use crate::{Micros, SECOND};
 
-/// How quickly room comes free, as bytes that did of late, the older counting less: by a second, to about a third.
+/// Below this many bytes a second space counts as not being freed at all.
+const MIN_BYTES_PER_SECOND: f64 = 1.0;
+
+/// Bytes freed of late. What was freed a second ago counts for 1/e, so that the sum is the rate in bytes a second while it
+/// is steady.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DrainRate {
+    /// The decayed sum, in bytes, as of `updated_at`.
     freed: f64,
-    at: Micros,
+    updated_at: Micros,
 }
 
 impl DrainRate {
-    /// Taken to be so quick until it is seen under pressure.
-    pub(crate) fn start(bytes: u64, now: Micros) -> DrainRate {
-        DrainRate { freed: bytes as f64, at: now }
+    /// Assumes this rate until measurements replace it.
+    pub(crate) fn assumed(bytes_per_second: u64, now: Micros) -> DrainRate {
+        DrainRate { freed: bytes_per_second as f64, updated_at: now }
     }
 
+    /// Counts bytes that were freed now.
     pub(crate) fn record_freed(&mut self, now: Micros, bytes: u64) {
-        self.freed = self.bytes_a_second(now) + bytes as f64;
-        self.at = self.at.max(now);
+        self.freed = self.bytes_per_second(now) + bytes as f64;
+        self.updated_at = self.updated_at.max(now);
     }
 
-    pub(crate) fn bytes_a_second(&self, now: Micros) -> f64 {
-        self.freed * (-((now - self.at).max(0) as f64) / SECOND).exp()
+    fn bytes_per_second(&self, now: Micros) -> f64 {
+        let age = (now - self.updated_at).max(0) as f64 / SECOND as f64;
+        self.freed * (-age).exp()
     }
 
-    /// How long so much takes at that pace.
-    pub(crate) fn time_for(&self, now: Micros, bytes: u64) -> Micros {
-        let pace = self.bytes_a_second(now);
-        if pace < 1.0 { Micros::MAX } else { (bytes as f64 / pace * SECOND) as Micros }
+    /// How long it takes to free this many bytes at the present rate.
+    pub(crate) fn time_to_free(&self, now: Micros, bytes: u64) -> Micros {
+        let rate = self.bytes_per_second(now);
+        if rate < MIN_BYTES_PER_SECOND {
+            return Micros::MAX;
+        }
+        (bytes as f64 / rate * SECOND as f64) as Micros
     }
 }
--- a/crates/flow-control/src/lib.rs
+++ b/crates/flow-control/src/lib.rs
@@ -1,116 +1,69 @@
-//! Room and pace: what may wait for peers that move slowly, and which of them is cut off first.
+//! Flow control: how much buffer space slow peers may hold, and which of them are disconnected when it runs out.
 //!
-//! [`FlowController`] keeps the books over everything that waits for somebody: statements not yet whole, answers not yet
-//! taken, what the system's buffers may still hold of either, and what is left of closed connections. A connection
-//! is a [`PeerId`], a piece of room a [`ReservationId`]; what happens to either is a call on its handle. Every call brings
-//! `now` and returns a [`Actions`]. Nothing here does I/O or has a clock.
+//! A client that reads its response slowly, or sends its statement slowly, holds memory and a connection that others need.
+//! [`FlowController`] accounts for all that is buffered for a peer: statements not yet complete, responses not yet read,
+//! what the system's socket buffers may still hold of either, and what closed connections left there.
 //!
-//! [`ProgressMeter`] says whether one peer moves quickly enough. Members' connections use it alone.
+//! - **Inputs**: connections that come and go, requests for buffer space ([`ReservationRequest`]), the bytes that each peer
+//!   moved, the operator's limits ([`FlowLimits`]). Every call brings `now`.
+//! - **Outputs**: [`Actions`]: reservations granted or rejected, peers to disconnect, and when to call
+//!   [`FlowController::wake`].
+//! - **Caller**: the proxy's `flow_control` module, which shares one controller among all its actors. Connections to members
+//!   use a [`ProgressMeter`] by themselves: one that is too slow fails its attempt.
+//!
+//! Two rules hold throughout. A peer that keeps up with its [`MinimumRate`] is never disconnected, but for the end of the
+//! proxy. One that falls behind is disconnected once somebody needs what it holds, or when it has been behind for
+//! [`FlowLimits::max_time_behind`].
+//!
+//! Nothing here does I/O or has a clock. `now` never goes back, and leaves out time in which the process was stalled: peers
+//! are not blamed for a pause of the proxy. The same calls in the same order have the same outcome.
+//!
+//! ```
+//! use std::net::{IpAddr, Ipv4Addr};
+//!
+//! use aldermill_flow_control::{
+//!     DisconnectReason, FlowController, FlowLimits, Priority, ReservationOwner, ReservationRequest, Transfer,
+//! };
+//!
+//! let limits = FlowLimits::for_memory(64 << 20);
+//! let mut controller = FlowController::new(limits);
+//! let client = controller.register(0, IpAddr::V4(Ipv4Addr::LOCALHOST)).unwrap();
+//!
+//! // Space for a response of 1 MiB, now or not at all.
+//! let owner = ReservationOwner { peer: client, priority: Priority::Normal };
+//! let request = ReservationRequest { owner, bytes: 1 << 20, deadline: 0 };
+//! let (reservation, actions) = controller.reserve(0, request);
+//! assert_eq!(actions.granted, [reservation]);
+//!
+//! // The response is written, and the client reads nothing of it.
+//! let actions = controller.start_metering(0, client, Transfer::ToPeer);
+//! let actions = controller.wake(actions.wake_at.unwrap());
+//! assert_eq!(actions.disconnect[0].peer, client);
+//! assert_eq!(actions.disconnect[0].reason, DisconnectReason::TooSlow);
+//! ```
 
+#![warn(missing_docs)]
+
+mod actions;
 mod addresses;
+mod admission;
 mod buffer_budget;
 mod controller;
 mod drain_rate;
-mod ids;
 mod limits;
 mod meter;
+mod peers;
+mod pressure;
+mod reservation;
 
+pub use actions::{Actions, ConnectionLimitReached, Disconnect, DisconnectReason, PressureChange};
 pub use controller::FlowController;
-pub use ids::{PeerId, ReservationId};
 pub use limits::{AddressLimits, FlowLimits, FlowLimitsError, MinimumRate, PressureThresholds};
-pub use meter::ProgressMeter;
+pub use meter::{ProgressMeter, Transfer};
+pub use reservation::{PeerId, Priority, ReservationId, ReservationOwner, ReservationRequest};
 
-/// Whole microseconds, on the caller's clock.
+/// Whole microseconds: an instant on the caller's clock, or a span.
 pub type Micros = i64;
 
-/// Whether a request may use the part of the budget that is reserved for the best paid class.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Priority {
-    /// Any other class.
-    Normal,
-    /// The best paid request class.
-    Highest,
-}
-
-impl Priority {
-    /// Whether it is the best paid class.
-    pub fn is_highest(self) -> bool {
-        self == Priority::Highest
-    }
-}
-
-/// For whom buffer space is reserved.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReservationOwner {
-    pub peer: PeerId,
-    pub priority: Priority,
-}
-
-/// What a reservation is for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReservationRequest {
-    pub owner: ReservationOwner,
-    pub bytes: u64,
-    /// Until when it may wait for room; `now` or earlier is not at all.
-    pub deadline: Micros,
-}
-
-/// What a peer has to do with what waits for it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Transfer {
-    /// It is to read an answer.
-    ToPeer,
-    /// It is to send the rest of a statement.
-    FromPeer,
-}
-
-/// Why a peer is disconnected.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum DisconnectReason {
-    /// Others want the room that it holds.
-    BufferSpace,
-    /// Others want its place.
-    ConnectionSlot,
-    /// It was under the least rate for too long.
-    TooSlow,
-    /// The program is to end.
-    Shutdown,
-}
-
-/// A peer whose connection is to be closed without another byte.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Disconnect {
-    pub peer: PeerId,
-    pub reason: DisconnectReason,
-}
-
-/// Why a connection is not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ConnectionLimitReached {
-    /// Its address has all the connections that one may have.
-    #[error("the address has all the connections that one may have")]
-    PerAddress,
-    /// One of its address was cut off a moment ago, and room is short.
-    #[error("a connection of the address was disconnected a moment ago, and buffer space is short")]
-    RecentlyDisconnected,
-}
-
-/// Room has become short, or is no longer so.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PressureChange {
-    pub under_pressure: bool,
-    pub used: u64,
-    pub waiting: usize,
-}
-
-/// What the caller is to do now, and when to wake the controller again.
-#[derive(Debug, Default, PartialEq, Eq)]
-pub struct Actions {
-    pub granted: Vec<ReservationId>,
-    pub rejected: Vec<ReservationId>,
-    /// To be closed without another byte; [`FlowController::unregister`] is due when that is done.
-    pub disconnect: Vec<Disconnect>,
-    /// Told when it changes.
-    pub pressure: Option<PressureChange>,
-    pub wake_at: Option<Micros>,
-}
+/// One second, in microseconds.
+pub(crate) const SECOND: Micros = 1_000_000;
--- a/crates/flow-control/src/meter.rs
+++ b/crates/flow-control/src/meter.rs
@@ -1,88 +1,117 @@
-use crate::{Micros, MinimumRate};
+//! Whether one peer moves its bytes quickly enough.
 
-/// How one peer stands against the least rate, as time in hand: bytes earn it, time in which something waits for
-/// the peer uses it up. With none left the peer is behind.
+use crate::{Micros, MinimumRate, SECOND};
+
+/// Which way the bytes go that a peer is waited for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Transfer {
+    /// The peer is to read: its response is written.
+    ToPeer,
+    /// The peer is to send: the rest of its statement is expected.
+    FromPeer,
+}
+
+/// Measures one peer against its minimum rate, as a credit of time: bytes earn credit, time in which the peer is waited for
+/// spends it. A peer whose credit is used up is behind.
 ///
-/// Protects what a peer holds from one that moves too slowly, and from one that moves a byte at a time so as to
-/// look alive. A peer ahead keeps so much in hand that it may pause for the window; a pause at the start is
-/// allowed for. Should also cover machines that vanish and processes that stand still. Harms a peer whose bytes
-/// come in pieces larger than the least rate brings in a window: buffers on the way must be smaller than that.
+/// One figure serves transfers of all sizes: a quick peer may pause for what it has earned, and one that moves single bytes
+/// so as to look alive earns next to nothing. The cost: a peer whose bytes come in pieces larger than the minimum rate
+/// brings in [`MinimumRate::pause_allowance`] falls behind between them, so buffers on the way must be smaller than that.
 #[derive(Clone, Copy, Debug)]
 pub struct ProgressMeter {
     minimum: MinimumRate,
-    /// Time in hand at `at`; never more than the window, never further behind than it.
-    in_hand: Micros,
-    at: Micros,
-    /// Something waits for the peer.
+    /// Credit as of `updated_at`: never more than a pause allowance or the start allowance, never less than a pause
+    /// allowance below zero, so that a peer that was idle for long can catch up.
+    credit: Micros,
+    updated_at: Micros,
+    /// Whether the peer is waited for.
     running: bool,
     behind_since: Option<Micros>,
 }
 
 impl ProgressMeter {
-    /// At rest, with the allowance for a start.
+    /// A stopped meter, with the credit for a start.
+    #[must_use]
     pub fn new(now: Micros, minimum: MinimumRate) -> ProgressMeter {
-        ProgressMeter { minimum, in_hand: minimum.start, at: now, running: false, behind_since: None }
+        ProgressMeter {
+            minimum,
+            credit: minimum.start_allowance,
+            updated_at: now,
+            running: false,
+            behind_since: None,
+        }
     }
 
-    /// The same peer under another least rate; it starts anew where that asks for more.
+    /// Measures the same peer against another rate from now on. Its credit is kept, as far as the new rate allows for.
     pub fn set_minimum_rate(&mut self, now: Micros, minimum: MinimumRate) {
-        self.account(now);
+        self.update(now);
         if self.minimum != minimum {
-            self.in_hand = self.in_hand.clamp(-minimum.window, minimum.window.max(minimum.start));
+            let most = minimum.pause_allowance.max(minimum.start_allowance);
+            self.credit = self.credit.clamp(-minimum.pause_allowance, most);
             self.minimum = minimum;
         }
     }
 
-    /// From now on something waits for the peer.
+    /// The peer is waited for from now on.
     pub fn start(&mut self, now: Micros) {
-        self.account(now);
+        self.update(now);
         self.running = true;
     }
 
-    /// The peer took or gave so many bytes.
+    /// The peer read or sent this many bytes.
     pub fn record_progress(&mut self, now: Micros, bytes: u64) {
-        self.account(now);
-        let earned = bytes.saturating_mul(1_000_000) / self.minimum.rate.max(1);
-        let earned = Micros::try_from(earned).unwrap_or(Micros::MAX);
-        let most = self.minimum.window.max(self.in_hand);
-        self.in_hand = self.in_hand.saturating_add(earned).min(most);
-        if self.in_hand >= 0 {
+        self.update(now);
+        let earned = time_at_rate(bytes, self.minimum.bytes_per_second);
+        let most = self.minimum.pause_allowance.max(self.credit);
+        self.credit = self.credit.saturating_add(earned).min(most);
+        if self.credit >= 0 {
             self.behind_since = None;
         }
     }
 
-    /// Nothing waits for it any more.
+    /// The peer is waited for no longer.
     pub fn stop(&mut self, now: Micros) {
-        self.account(now);
+        self.update(now);
         self.running = false;
     }
 
+    /// Whether the peer is waited for.
+    #[must_use]
     pub fn is_running(&self) -> bool {
         self.running
     }
 
-    /// Since when it has been under the least rate.
+    /// Since when the peer has been behind its minimum rate; `None` while it keeps up.
+    #[must_use]
     pub fn behind_since(&self, now: Micros) -> Option<Micros> {
-        let falls = self.deadline().filter(|&due| due < now);
-        self.behind_since.or(falls)
+        let falls_behind = self.deadline().filter(|&deadline| deadline < now);
+        self.behind_since.or(falls_behind)
     }
 
-    /// When it falls behind if nothing moves until then; `None` at rest.
+    /// When the peer falls behind if it moves nothing until then, or when it fell behind; `None` while the meter is stopped.
+    #[must_use]
     pub fn deadline(&self) -> Option<Micros> {
-        self.running.then(|| self.behind_since.unwrap_or(self.at.saturating_add(self.in_hand)))
+        let credit_ends = self.updated_at.saturating_add(self.credit);
+        self.running.then_some(self.behind_since.unwrap_or(credit_ends))
     }
 
-    fn account(&mut self, now: Micros) {
-        let passed = (now - self.at).max(0);
+    /// Brings the credit up to date. A running meter spends it; a stopped one earns the start allowance back.
+    fn update(&mut self, now: Micros) {
+        let elapsed = (now - self.updated_at).max(0);
         if self.running {
             self.behind_since = self.behind_since(now);
-            self.in_hand = (self.in_hand - passed).max(-self.minimum.window);
+            self.credit = (self.credit - elapsed).max(-self.minimum.pause_allowance);
         } else {
-            // At rest the allowance for a start comes back.
-            let back = self.in_hand.saturating_add(passed).min(self.minimum.start);
-            self.in_hand = self.in_hand.max(back);
+            let recovered = self.credit.saturating_add(elapsed).min(self.minimum.start_allowance);
+            self.credit = self.credit.max(recovered);
             self.behind_since = None;
         }
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 }
+
+/// How long this many bytes take at a rate in bytes a second; a rate of zero counts as one.
+pub(crate) fn time_at_rate(bytes: u64, bytes_per_second: u64) -> Micros {
+    let micros = bytes.saturating_mul(SECOND as u64) / bytes_per_second.max(1);
+    Micros::try_from(micros).unwrap_or(Micros::MAX)
+}
--- a/crates/proxy/src/flow_control/mod.rs
+++ b/crates/proxy/src/flow_control/mod.rs
@@ -259,7 +259,8 @@
             let (reservation, actions) = controller.reserve(now, request);
             let granted = actions.granted.contains(&reservation);
             if granted {
-                controller.linger(now, reservation);
+                // Its actions are not carried out, only those of the reservation above.
+                let _ = controller.linger(now, reservation);
             }
             (granted, actions)
         })
--- a/crates/proxy/src/lifecycle/configuration.rs
+++ b/crates/proxy/src/lifecycle/configuration.rs
@@ -161,9 +161,9 @@
     const KIB: u64 = 1024;
     let micros = |millis: u32| i64::from(millis) * 1000;
     let least = |usual: MinimumRate, wanted: Rate| MinimumRate {
-        rate: wanted.bytes_a_second.map_or(usual.rate, |rate| rate.max(1)),
-        start: wanted.start_ms.map_or(usual.start, micros),
-        window: wanted.window_ms.map_or(usual.window, micros),
+        bytes_per_second: wanted.bytes_a_second.map_or(usual.bytes_per_second, |rate| rate.max(1)),
+        start_allowance: wanted.start_ms.map_or(usual.start_allowance, micros),
+        pause_allowance: wanted.window_ms.map_or(usual.pause_allowance, micros),
     };
     let room = wanted.room_kib.map_or(usual.budget, |kib| kib.saturating_mul(KIB));
     // Parts that the file does not name keep their proportion.
