--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -20,9 +20,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use aldermill_operator_config::{Duty, Gateway, Operator};
+use aldermill_operator_config::{GatewayConfig, LeaseKind, Operator};
 use aldermill_settings::Decoded;
-use aldermill_site_link::{Bounds as LinkBounds, Identity};
+use aldermill_site_link::{Identity, LinkLimits};
 use aldermill_stall_detection::start_jitter;
 use bpaf::Bpaf;
 use rand::SeedableRng;
@@ -46,7 +46,7 @@
 use crate::lifecycle::reload::Reload;
 use crate::membership::{CoordinationStart, MembershipActor};
 use crate::messages::{DispatcherMessage, ListUpdate};
-use crate::persistence::DataDirectory;
+use crate::persistence::{DataDirectory, Persistence};
 
 /// A proxy before groups of databases, each a primary and its replicas
 #[derive(Clone, Debug, Bpaf)]
@@ -164,7 +164,10 @@
     println!("driver {} listens on {}, discovery at {}", start.name, start.listen, start.discovery);
     let known = start.known.as_ref().map_or(0, |known| known.members.len());
     println!("{known} members known, {} offerings", start.decoded.terms.classes.len());
-    println!("connections: {} from clients, {} to members", limits.clients, limits.members);
+    println!(
+        "connections: {} from clients, {} to members",
+        limits.connections.clients, limits.connections.members
+    );
     let (room, connection) = (start.bounds.budget / 1024, start.bounds.per_connection / 1024);
     println!("room for what waits: {room} KiB, {connection} KiB for one connection");
 }
@@ -174,7 +177,7 @@
     let format = slog_term::FullFormat::new(decorator).use_utc_timestamp().build().fuse();
     // A reader that stands still costs lines, never time.
     let (drain, guard) = slog_async::Async::new(format)
-        .chan_size(limits.log_lines)
+        .chan_size(limits.queues.log_lines)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
         .build_with_guard();
     (Logger::root(drain.fuse(), o!()), guard)
@@ -214,7 +217,7 @@
         decoded,
         fixed,
     } = start;
-    let (stop_window, stop_guests) = (limits.stop_window, limits.stop_guests);
+    let (stop_window, stop_guests) = (limits.shutdown.accept_window, limits.shutdown.remote_request_wait);
     let (log, _guard) = logger(&limits);
     let [mut terminate, mut interrupt] = ends;
     let (address, discovery) = notice::channel(discovery);
@@ -222,11 +225,11 @@
     let unstalled_clock = UnstalledClock::start(clock);
     let flow_control = FlowControl::new(unstalled_clock.clone(), log.clone(), bounds);
     spawn_local(flow_control.clone().run());
-    let listener = system::listen(listen, limits.backlog, limits.buffer)
+    let listener = system::listen(listen, limits.queues.listen_backlog, limits.buffers.client_socket)
         .map_err(|why| ProgramError::Listen { field: "listen", address: listen, why })?;
 
     let (wanted, reread) = notice::channel(None);
-    let (dispatcher, calls) = mpsc::channel(limits.calls);
+    let (dispatcher, calls) = mpsc::channel(limits.queues.dispatcher);
     spawn_local(
         Reload {
             files,
@@ -239,10 +242,10 @@
         }
         .run(hangup),
     );
-    let (list_update, list_updates) = mpsc::channel(limits.lists);
+    let (list_update, list_updates) = mpsc::channel(limits.queues.list_updates);
     let (ready, seen_ready) = notice::channel(false);
     let (stop, stopping) = notice::channel(None);
-    let member_room = Arc::new(Semaphore::new(limits.members));
+    let member_room = Arc::new(Semaphore::new(limits.connections.members));
     let room = bounds.budget as usize;
     let (on_request, drivers) = (decoded.terms.list_on_request, decoded.terms.drivers);
     let zone = decoded.terms.zone;
@@ -266,38 +269,39 @@
     let address = listener.local_addr().unwrap_or(listen);
     info!(log, "serving"; "name" => &name, "listen" => %address, "version" => env!("CARGO_PKG_VERSION"));
 
-    let warmed = match &warm {
+    let persistence = match &warm {
         Some(warm) => Some(persistence::start(warm, &name, memory, clock, &log).await),
         None => None,
     };
-    let (kept_in, mut recalled, keeping) = match warmed {
-        Some(persistence::Warmed { folder, recalled, keeping }) => (Some(folder), recalled, Some(keeping)),
+    let (data_directory, mut restored, snapshots) = match persistence {
+        Some(Persistence { directory, restored, snapshots }) => (Some(directory), restored, Some(snapshots)),
         None => Default::default(),
     };
     // Of two lists the one of the later revision is the later one.
-    let kept = EndpointList::kept(&recalled.beliefs);
-    let known = known.into_iter().chain(kept).max_by_key(|list| list.revision);
+    let restored_list = EndpointList::from_snapshot(&restored.snapshot);
+    let known = known.into_iter().chain(restored_list).max_by_key(|list| list.revision);
     let revision = known.as_ref().map(|known| known.revision);
     if let Some(mut known) = known {
         known.complete = true;
-        let _ = list_update.send(ListUpdate::List(known)).await;
+        let _ = list_update.send(ListUpdate::Received(known)).await;
     }
     let gateway_part = match gateway {
         Some(mut gateway) => {
-            gateway.homes.extend(std::mem::take(&mut recalled.beliefs.homes));
-            Some(open_gateway(&context, &decoded, gateway, &name, seed, room, kept_in.clone()).await?)
+            gateway.homes.extend(std::mem::take(&mut restored.snapshot.home_sites));
+            Some(open_gateway(&context, &decoded, gateway, &name, seed, room, data_directory.clone()).await?)
         }
         None => None,
     };
-    let warm_state = WarmState { recalled: recalled.beliefs, keeping };
+    let warm_state = WarmState { restored: restored.snapshot, snapshots };
     let observations = council.as_ref().map(|council| {
-        let splits = council.duties.contains(&Duty::Splits);
+        let splits = council.leases.contains(&LeaseKind::SplitPoints);
         Observations::start(clock.now(), seed.rotate_left(24), splits)
     });
     let mut bound = Vec::new();
     if let Some(terms) = fellows {
         let place = (zone, longest_timeout);
-        let wanted = council.map(|wanted| CoordinationStart { wanted, folder: kept_in, place, reread });
+        let wanted =
+            council.map(|wanted| CoordinationStart { wanted, folder: data_directory, place, reread });
         let own = (&*name, drivers, gateway_part.is_some());
         let mut company =
             MembershipActor::open(context.clone(), terms, wanted, own, seed.rotate_left(16)).await?;
@@ -335,7 +339,7 @@
     serving.await.map_err(|error| ProgramError::Ended(format!("the listener ({error})")))?;
     // What other sites sent has its answer, too, before the end.
     let (asked, done) = oneshot::channel();
-    if context.dispatcher.send(DispatcherMessage::AwaitRemoteEnd(asked)).await.is_ok() {
+    if context.dispatcher.send(DispatcherMessage::AwaitRemoteRequests(asked)).await.is_ok() {
         let _ = timeout(stop_guests, done).await;
     }
     info!(log, "stopped");
@@ -346,7 +350,7 @@
 async fn open_gateway(
     context: &Rc<ProcessContext>,
     decoded: &Decoded,
-    gateway: Gateway,
+    gateway: GatewayConfig,
     name: &str,
     seed: u64,
     room: usize,
@@ -355,14 +359,15 @@
     let limits = &context.limits;
     let now = context.clock.now();
     // New with every start: the time of it, which a restart does not share.
-    let own = Identity { site: gateway.site.clone(), instance: name.to_owned(), start: now.max(1) as u64 };
-    let bounds = LinkBounds {
+    let own =
+        Identity { site: gateway.site.clone(), instance: name.to_owned(), incarnation: now.max(1) as u64 };
+    let bounds = LinkLimits {
         waiting: (room / 8).max(256 * 1024),
-        ..LinkBounds::usual(limits.statement, limits.answer)
+        ..LinkLimits::standard(limits.buffers.statement, limits.buffers.response)
     };
     let yard = LinkRegistry::new(own.clone(), &gateway, bounds);
     if let Some(listen) = gateway.listen {
-        let listener = system::listen(listen, limits.backlog, limits.member_buffer)
+        let listener = system::listen(listen, limits.queues.listen_backlog, limits.buffers.member_socket)
             .map_err(|why| ProgramError::Listen { field: "gateway.listen", address: listen, why })?;
         let address = listener.local_addr().unwrap_or(listen);
         info!(context.log, "gateway"; "site" => &own.site, "links" => %address);
@@ -383,7 +388,7 @@
         hops: gateway.hops.unwrap_or(1) as usize,
         credit: gateway.credit.unwrap_or(256),
         session: gateway.session.clone(),
-        fates: limits.fates,
+        fates: limits.links.outcomes_per_sender,
         folder,
     };
     Ok(GatewayPart::new(opening, decoded, seed, now))
--- a/crates/proxy/src/member/actor.rs
+++ b/crates/proxy/src/member/actor.rs
@@ -21,7 +21,7 @@
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{
     Attempt, AttemptFinished, AttemptResponse, DispatcherMessage, HealthCheckFinished, MemberCommand,
-    ReplicaReports, Rows,
+    PoolUse, ReplicaReports, Rows,
 };
 
 /// A member's word on its own role.
@@ -72,7 +72,7 @@
     heard: Instant,
     last_heard: LastHeard,
     /// How often it has said that it is a replica.
-    replica_words: Rc<Cell<u64>>,
+    replica_reports: Rc<Cell<u64>>,
     /// Answers in a row that were cut short or could not be read.
     malformed: usize,
     /// It could not be reached or broke connections, and that was logged.
@@ -84,7 +84,7 @@
 /// Whether a connection that has not come up since `began` tells anything of its member. Protects a sound member from
 /// requests with so little time left that no handshake fits in. Harms by a wait of that time where a member vanished.
 fn shows_no_way(context: &ProcessContext, began: Instant) -> bool {
-    began.elapsed() >= context.limits.opening && !context.unstalled_clock.stalled_since(began)
+    began.elapsed() >= context.limits.member.connect_evidence && !context.unstalled_clock.stalled_since(began)
 }
 
 impl Member {
@@ -110,7 +110,7 @@
             era: 0,
             heard: Instant::now(),
             last_heard,
-            replica_words: Rc::default(),
+            replica_reports: Rc::default(),
             malformed: 0,
             lost: false,
             local_failure_told: None,
@@ -118,7 +118,7 @@
     }
 
     pub async fn run(mut self, mut commands: mpsc::Receiver<MemberCommand>) {
-        let mut sweep = interval(self.context.limits.sweep);
+        let mut sweep = interval(self.context.limits.member.sweep_interval);
         sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             self.resting.set(self.idle.first().map(|connection| connection.idle_since));
@@ -142,20 +142,20 @@
                 }
                 command = commands.recv() => match command {
                     Some(MemberCommand::Send(attempt)) => {
-                        if attempt.afresh {
+                        if attempt.pool_use == PoolUse::ConnectAnew {
                             self.idle.clear();
                         }
-                        let Attempt { handle, sent, until, .. } = attempt;
+                        let Attempt { handle, decided_at: sent, deadline: until, .. } = attempt;
                         self.visit(Purpose::Request { handle, sent }, Some(attempt), until);
                     }
-                    Some(MemberCommand::HealthCheck { sent, until }) => {
+                    Some(MemberCommand::HealthCheck { decided_at: sent, deadline: until }) => {
                         self.visit(Purpose::Probe { sent }, None, until);
                     }
-                    Some(MemberCommand::Renew(address)) => {
+                    Some(MemberCommand::Reconnect(address)) => {
                         self.address.set(address);
                         self.renew();
                     }
-                    Some(MemberCommand::Shed) => {
+                    Some(MemberCommand::CloseOldestIdle) => {
                         if !self.idle.is_empty() {
                             self.idle.remove(0);
                         }
@@ -164,7 +164,7 @@
                     None => return,
                 },
                 _ = sweep.tick(), if !self.idle.is_empty() => {
-                    let (now, limit) = (Instant::now(), self.context.limits.idle);
+                    let (now, limit) = (Instant::now(), self.context.limits.member.idle_timeout);
                     let open = *self.open.borrow();
                     self.idle.retain(|connection| {
                         open && now - connection.idle_since < limit && connection.is_quiet()
@@ -188,10 +188,12 @@
     fn pooled(&mut self) -> Option<Connection> {
         let limits = &self.context.limits;
         while !self.idle.is_empty() {
-            let rested =
-                self.idle.iter().rposition(|connection| connection.idle_since.elapsed() >= limits.rest);
+            let rested = self
+                .idle
+                .iter()
+                .rposition(|connection| connection.idle_since.elapsed() >= limits.member.settle_time);
             let connection = self.idle.remove(rested.unwrap_or(0));
-            if connection.idle_since.elapsed() < limits.idle && connection.is_quiet() {
+            if connection.idle_since.elapsed() < limits.member.idle_timeout && connection.is_quiet() {
                 return Some(connection);
             }
         }
@@ -208,7 +210,7 @@
             attempt,
             until,
             open: self.open.clone(),
-            replica_words: self.replica_words.clone(),
+            replica_reports: self.replica_reports.clone(),
             to: address,
             listed: self.address.clone(),
         };
@@ -280,7 +282,7 @@
         }
         if matches!(verdict, Verdict::Malformed | Verdict::ConnectionLost) {
             self.malformed += 1;
-            if self.malformed == self.context.limits.malformed_told {
+            if self.malformed == self.context.limits.member.malformed_log_threshold {
                 warn!(self.context.log, "member answers nothing that can be used"; "member" => &self.name,
                     "peer" => %self.address.get(), "attempts" => self.malformed);
             }
@@ -312,16 +314,18 @@
             self.idle.push(connection);
         }
         if exchange.role.as_deref() == Some(REPLICA) {
-            self.replica_words.set(self.replica_words.get() + 1);
+            self.replica_reports.set(self.replica_reports.get() + 1);
         }
-        let replica_reports = ReplicaReports { member: self.id, count: self.replica_words.get() };
+        let replica_reports = ReplicaReports { member: self.id, count: self.replica_reports.get() };
         let message = match purpose {
             Purpose::Request { handle, sent, .. } => {
                 let report = self.report(&exchange, exchange.usage.as_deref(), age);
                 let took = self.context.unstalled_clock.unstalled_since(sent);
                 let response = match verdict {
                     Verdict::Served if crowded_out => AttemptResponse::TooLarge,
-                    Verdict::Served => AttemptResponse::Rows(Rows { pieces: exchange.rows, room }),
+                    Verdict::Served => {
+                        AttemptResponse::Rows(Rows { pieces: exchange.rows, reservation: room })
+                    }
                     _ => AttemptResponse::None,
                 };
                 DispatcherMessage::AttemptFinished(AttemptFinished {
--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -33,7 +33,7 @@
     /// Whether the list's last word lets anything new be sent to the member.
     pub(super) open: watch::Receiver<bool>,
     /// How often the member has said that it is a replica.
-    pub(super) replica_words: Rc<Cell<u64>>,
+    pub(super) replica_reports: Rc<Cell<u64>>,
     /// Where the connection leads, and where the list has the member now.
     pub(super) to: SocketAddr,
     pub(super) listed: Rc<Cell<SocketAddr>>,
@@ -51,8 +51,10 @@
 
     fn is_valid(&self, attempt: &Attempt, context: &ProcessContext) -> bool {
         let Validity { until, while_primary } = attempt.validity;
-        let still_primary = self.replica_words.get() == attempt.replica_words;
-        !attempt.withdrawal.is_set() && context.clock.now() < until && (still_primary || !while_primary)
+        let still_primary = self.replica_reports.get() == attempt.replica_reports;
+        !attempt.cancellation.is_cancelled()
+            && context.clock.now() < until
+            && (still_primary || !while_primary)
     }
 
     /// The query in its words of now: a member is told what is left of the client's time, less the reserve, in whole
@@ -130,14 +132,14 @@
         let (limits, clock, until) = (&context.limits, &context.unstalled_clock, *until);
         let mut answering: Option<ProgressMeter> = None;
         loop {
-            if exchange.absorb(&mut connection.buffer, limits.answer).is_err() {
+            if exchange.absorb(&mut connection.buffer, limits.buffers.response).is_err() {
                 return Verdict::Malformed;
             }
             if exchange.is_over() {
                 return Verdict::Reset;
             }
             let claimed = pg::claimed(connection.buffer.held());
-            if claimed > limits.small && room.is_none() {
+            if claimed > limits.buffers.small_message && room.is_none() {
                 // While there is no room nothing is read: what the member sends stays with it, and holds its place.
                 let Some(owner) = *reservation_owner else { return Verdict::Malformed };
                 answering.iter_mut().for_each(|meter| meter.stop(clock.now()));
@@ -154,12 +156,17 @@
             let due = answering.as_ref().and_then(ProgressMeter::deadline);
             let due = due.map_or(until, |due| clock.instant(due).min(until));
             let cut_short = exchange.is_served() || pg::ends_as_answer(connection.buffer.held());
-            let wait = if cut_short { due.min(Instant::now() + limits.closing) } else { due };
+            let wait =
+                if cut_short { due.min(Instant::now() + limits.member.completion_timeout) } else { due };
             let Connection { stream, buffer, .. } = &mut *connection;
             let mut read = timeout_at(wait, system::read(Party::Member, stream, buffer.tail())).await;
             if read.is_err() && matches!(system::peek(stream), Peeked::Unread | Peeked::Ended) {
                 // A signal or a standstill has let the clock be heard before the bytes, which came in time.
-                read = timeout(limits.closing, system::read(Party::Member, stream, buffer.tail())).await;
+                read = timeout(
+                    limits.member.completion_timeout,
+                    system::read(Party::Member, stream, buffer.tail()),
+                )
+                .await;
             }
             match read {
                 Err(_) if wait < until => return Verdict::Malformed,
