--- a/crates/proxy/src/client/statement.rs
+++ b/crates/proxy/src/client/statement.rs
@@ -123,10 +123,10 @@
             client,
             peer: self.connection_guard.peer,
             mailbox,
-            arrived,
+            received_at: arrived,
             statement,
             comment,
-            written_ago: None,
+            last_write_age: None,
         };
         self.context.dispatcher.send(DispatcherMessage::ClientRequest(request)).await.map_err(|_| End::Quiet)
     }
--- a/crates/proxy/src/dispatcher/gateway/links.rs
+++ b/crates/proxy/src/dispatcher/gateway/links.rs
@@ -17,8 +17,8 @@
                 gateway_part.links.insert(link, LinkState { gate: None, outbox, peer });
             }
             LinkEvent::Lost => self.link_lost(link),
-            LinkEvent::Heard(Event::Met(identity)) => self.greeted_on(link, identity),
-            LinkEvent::Heard(event) => {
+            LinkEvent::Received(Event::Met(identity)) => self.greeted_on(link, identity),
+            LinkEvent::Received(event) => {
                 let Some(gate) = gateway_part.links.get(&link).and_then(|state| state.gate) else { return };
                 self.link_event(link, gate, event);
             }
--- a/crates/proxy/src/gateway/link.rs
+++ b/crates/proxy/src/gateway/link.rs
@@ -149,7 +149,7 @@
                                 self.tell(id, up).await?;
                             }
                         }
-                        self.tell(id, LinkEvent::Heard(event)).await?;
+                        self.tell(id, LinkEvent::Received(event)).await?;
                     }
                 }
                 word = said.recv() => match word {
