--- a/crates/proxy/tests/stored_data.rs
+++ b/crates/proxy/tests/stored_data.rs
@@ -8,8 +8,8 @@
 use std::process::Command;
 
 use aldermill_site_drain::{Order, Plan, Stage, Word};
-use aldermill_site_routing::earlier::{key, read_key, read_value, value};
-use aldermill_site_routing::{Fate, Origin};
+use aldermill_site_routing::previous_incarnations::{key, read_key, read_value, value};
+use aldermill_site_routing::{Origin, Outcome};
 use aldermill_store::{Batch, Bounds, Disk, Snapshot, Store};
 use aldermill_test_support::program;
 use aldermill_warm_start::{
@@ -77,16 +77,16 @@
 }
 
 /// The last byte of a request's number, its outcome and the stored form of that.
-type StoredOutcome = (u8, Fate<Vec<u8>>, &'static [u8]);
+type StoredOutcome = (u8, Outcome<Vec<u8>>, &'static [u8]);
 
 /// The outcomes that the fixture holds.
 fn outcomes() -> [StoredOutcome; 5] {
     [
-        (9, Fate::Served(b"DDDD\0\x01".to_vec()), b"HDDDD\0\x01"),
-        (10, Fate::Rejected { cool_down: 0x0203_0405 }, b"D\0\0\0\0\x02\x03\x04\x05"),
-        (11, Fate::UnderWay, b"T"),
-        (12, Fate::NeverTaken, b"N"),
-        (13, Fate::Failed, b"B"),
+        (9, Outcome::Served(b"DDDD\0\x01".to_vec()), b"HDDDD\0\x01"),
+        (10, Outcome::Rejected { retry_after: 0x0203_0405 }, b"D\0\0\0\0\x02\x03\x04\x05"),
+        (11, Outcome::InFlight, b"T"),
+        (12, Outcome::NeverAccepted, b"N"),
+        (13, Outcome::Failed, b"B"),
     ]
 }
 
@@ -280,11 +280,11 @@
         assert_eq!(read_value(&stored_value), fate);
         assert_eq!(key(0x0102_0304_0506_0708, &origin, number.into()), stored_key);
         let borrowed = match &fate {
-            Fate::Served(bytes) => Fate::Served(bytes.as_slice()),
-            Fate::Rejected { cool_down } => Fate::Rejected { cool_down: *cool_down },
-            Fate::NeverTaken => Fate::NeverTaken,
-            Fate::UnderWay => Fate::UnderWay,
-            Fate::Failed | Fate::Unknown => Fate::Failed,
+            Outcome::Served(bytes) => Outcome::Served(bytes.as_slice()),
+            Outcome::Rejected { retry_after } => Outcome::Rejected { retry_after: *retry_after },
+            Outcome::NeverAccepted => Outcome::NeverAccepted,
+            Outcome::InFlight => Outcome::InFlight,
+            Outcome::Failed | Outcome::Unknown => Outcome::Failed,
         };
         assert_eq!(value(&borrowed), form);
     }
