--- a/crates/membership/examples/gossip.rs
+++ b/crates/membership/examples/gossip.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use aldermill_membership::Change;
-use common::{MS, S, World};
+use common::{MILLISECOND, SECOND, Simulation};
 
 fn main() {
     let word = |at: usize| std::env::args().nth(at).and_then(|word| word.parse::<i64>().ok());
@@ -13,28 +13,28 @@
     let losses =
         std::env::args().nth(3).map_or(vec![0.0, 0.01, 0.05, 0.2], |word| vec![word.parse().unwrap()]);
     for loss in losses {
-        let mut world = World::new(count, 7);
-        world.loss = loss;
-        world.start_all();
+        let mut simulation = Simulation::new(count, 7);
+        simulation.loss = loss;
+        simulation.start_all();
         let all: Vec<usize> = (0..count).collect();
-        let found = world.until_all_see(&all, count, 60 * S);
-        world.pass(20 * S);
-        let totals = |world: &World| {
-            let nodes = world.nodes.iter();
-            nodes.fold((0, 0), |(sent, bytes), node| (sent + node.sent, bytes + node.bytes))
+        let found = simulation.run_until_all_see(&all, count, 60 * SECOND);
+        simulation.run_for(20 * SECOND);
+        let totals = |simulation: &Simulation| {
+            let nodes = simulation.nodes.iter();
+            nodes.fold((0, 0), |(sent, bytes), node| (sent + node.datagrams_sent, bytes + node.bytes_sent))
         };
-        let (before, began) = (totals(&world), world.now);
-        world.pass(seconds * S);
-        let after = totals(&world);
+        let (before, began) = (totals(&simulation), simulation.now);
+        simulation.run_for(seconds * SECOND);
+        let after = totals(&simulation);
         let each = (count as i64 * seconds) as f64;
-        let wrong = world.wrongly(began, |_| true);
+        let wrong = simulation.false_deaths(began, |_| true);
         let accusers = {
             let mut names: Vec<String> = Vec::new();
-            for (at, change) in world.nodes.iter().flat_map(|node| &node.heard) {
-                if let Change::Down(fellow) = change
-                    && *at >= began
+            for learnt in simulation.nodes.iter().flat_map(|node| &node.changes) {
+                if let Change::Down(peer) = &learnt.change
+                    && learnt.at >= began
                 {
-                    names.push(format!("{} {}", fellow.name, fellow.turn));
+                    names.push(format!("{} {}", peer.name, peer.rejoins));
                 }
             }
             names.sort();
@@ -44,21 +44,23 @@
         // Deaths, one after the other.
         let (mut halves, mut alls) = (Vec::new(), Vec::new());
         for dead in 0..10.min(count / 4) {
-            let (since, name) = (world.now, format!("n{}", dead * 3 + 1));
-            world.kill(dead * 3 + 1);
+            let (since, name) = (simulation.now, format!("n{}", dead * 3 + 1));
+            simulation.kill(dead * 3 + 1);
             let mut half = None;
             for _ in 0..1200 {
-                world.pass(50 * MS);
+                simulation.run_for(50 * MILLISECOND);
                 let knows = |node: &&common::Node| {
-                    node.fellows.as_ref().is_some_and(|fellows| fellows.alive().all(|at| *at.name != name))
+                    node.membership
+                        .as_ref()
+                        .is_some_and(|membership| membership.alive().all(|at| *at.name != name))
                 };
-                let living = world.nodes.iter().filter(|node| node.fellows.is_some()).count();
-                let knowing = world.nodes.iter().filter(knows).count();
+                let living = simulation.nodes.iter().filter(|node| node.membership.is_some()).count();
+                let knowing = simulation.nodes.iter().filter(knows).count();
                 if half.is_none() && 2 * knowing >= living {
-                    half = Some((world.now - since) / MS);
+                    half = Some((simulation.now - since) / MILLISECOND);
                 }
                 if knowing == living {
-                    alls.push((world.now - since) / MS);
+                    alls.push((simulation.now - since) / MILLISECOND);
                     break;
                 }
             }
@@ -74,7 +76,7 @@
             "{count} drivers, loss {loss}: all found after {:?} ms; a second a driver {:.1} datagrams, {:.0} bytes; \
              falsely dead {accusers} in {seconds} s ({wrong} words of it), {:.1} a day for one driver; a death known to half after {} ms, \
              to all after {} ms (worst in brackets)",
-            found.map(|took| took / MS),
+            found.map(|took| took / MILLISECOND),
             (after.0 - before.0) as f64 / each,
             (after.1 - before.1) as f64 / each,
             accusers as f64 / each * 86_400.0,
--- /dev/null
+++ b/crates/membership/src/codec.rs
@@ -0,0 +1,256 @@
+//! How SWIM's messages are read and written; [`crate::frame`] describes the form.
+
+use std::cell::RefCell;
+use std::fmt;
+use std::net::{IpAddr, SocketAddr};
+use std::rc::Rc;
+
+use bytes::{Buf, BufMut};
+use foca::{Header, Member, Message, State};
+
+use crate::Peer;
+
+const MAX_NAME_BYTES: usize = 64;
+const IPV4_BYTES: u8 = 4;
+const IPV6_BYTES: u8 = 16;
+
+/// Kinds of messages.
+mod kind {
+    pub(super) const PING: u8 = 1;
+    pub(super) const ACK: u8 = 2;
+    pub(super) const PING_REQUEST: u8 = 3;
+    pub(super) const INDIRECT_PING: u8 = 4;
+    pub(super) const INDIRECT_ACK: u8 = 5;
+    pub(super) const FORWARDED_ACK: u8 = 6;
+    pub(super) const ANNOUNCE: u8 = 7;
+    pub(super) const FEED: u8 = 8;
+    pub(super) const GOSSIP: u8 = 9;
+    pub(super) const BROADCAST: u8 = 10;
+    pub(super) const TURN_UNDEAD: u8 = 11;
+}
+
+/// States of members.
+mod state {
+    pub(super) const ALIVE: u8 = 1;
+    pub(super) const SUSPECT: u8 = 2;
+    pub(super) const DOWN: u8 = 3;
+}
+
+/// A message could not be read, or does not fit where it is written to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Malformed;
+
+impl fmt::Display for Malformed {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("malformed datagram")
+    }
+}
+
+impl std::error::Error for Malformed {}
+
+/// Reads and writes SWIM's messages. Clones share what they know: who listens here, and whether this name was seen with a
+/// later start.
+#[derive(Clone, Debug)]
+pub struct GossipCodec {
+    /// This proxy, to whom messages without a receiver's name are addressed.
+    local: Rc<RefCell<Peer>>,
+    /// The latest start of this proxy's name that a message named, if it is later than this one.
+    later_start: Rc<RefCell<Option<Peer>>>,
+}
+
+impl GossipCodec {
+    /// The codec of this proxy.
+    #[must_use]
+    pub fn new(local: Peer) -> GossipCodec {
+        GossipCodec { local: Rc::new(RefCell::new(local)), later_start: Rc::default() }
+    }
+
+    pub(crate) fn set_local(&self, local: Peer) {
+        *self.local.borrow_mut() = local;
+    }
+
+    /// Removes and returns the latest start of this proxy's name that a message named, if it is later than this one.
+    pub(crate) fn take_later_start(&self) -> Option<Peer> {
+        self.later_start.borrow_mut().take()
+    }
+
+    fn note_later_start(&self, peer: &Peer) {
+        let local = self.local.borrow();
+        let mut latest = self.later_start.borrow_mut();
+        let known_start = latest.as_ref().map_or(local.start, |latest| latest.start);
+        if peer.name == local.name && peer.start > known_start {
+            *latest = Some(peer.clone());
+        }
+    }
+}
+
+impl foca::Codec<Peer> for GossipCodec {
+    type Error = Malformed;
+
+    fn encode_header(&mut self, header: &Header<Peer>, mut buf: impl BufMut) -> Result<(), Malformed> {
+        put_peer(&header.src, &mut buf)?;
+        require_space(&buf, 2)?;
+        buf.put_u16(header.src_incarnation);
+        put_peer(&header.dst, &mut buf)?;
+        require_space(&buf, 3)?;
+        put_message(&header.message, &mut buf)
+    }
+
+    fn decode_header(&mut self, mut buf: impl Buf) -> Result<Header<Peer>, Malformed> {
+        let src = get_peer(&mut buf)?;
+        require_bytes(&buf, 2)?;
+        let src_incarnation = buf.get_u16();
+        let mut dst = get_peer(&mut buf)?;
+        let message = get_message(&mut buf)?;
+        if dst.name.is_empty() {
+            dst = self.local.borrow().clone();
+        }
+        self.note_later_start(&src);
+        Ok(Header { src, src_incarnation, dst, message })
+    }
+
+    fn encode_member(&mut self, member: &Member<Peer>, mut buf: impl BufMut) -> Result<(), Malformed> {
+        put_peer(member.id(), &mut buf)?;
+        require_space(&buf, 3)?;
+        buf.put_u16(member.incarnation());
+        buf.put_u8(match member.state() {
+            State::Alive => state::ALIVE,
+            State::Suspect => state::SUSPECT,
+            State::Down => state::DOWN,
+        });
+        Ok(())
+    }
+
+    fn decode_member(&mut self, mut buf: impl Buf) -> Result<Member<Peer>, Malformed> {
+        let peer = get_peer(&mut buf)?;
+        require_bytes(&buf, 3)?;
+        let incarnation = buf.get_u16();
+        let state = match buf.get_u8() {
+            state::ALIVE => State::Alive,
+            state::SUSPECT => State::Suspect,
+            state::DOWN => State::Down,
+            _ => return Err(Malformed),
+        };
+        if peer.name.is_empty() {
+            return Err(Malformed);
+        }
+        self.note_later_start(&peer);
+        Ok(Member::new(peer, incarnation, state))
+    }
+}
+
+fn require_bytes(buf: &impl Buf, bytes: usize) -> Result<(), Malformed> {
+    if buf.remaining() < bytes { Err(Malformed) } else { Ok(()) }
+}
+
+fn require_space(buf: &impl BufMut, bytes: usize) -> Result<(), Malformed> {
+    if buf.remaining_mut() < bytes { Err(Malformed) } else { Ok(()) }
+}
+
+pub(crate) fn put_peer(peer: &Peer, buf: &mut impl BufMut) -> Result<(), Malformed> {
+    let name = peer.name.as_bytes();
+    if name.len() > MAX_NAME_BYTES {
+        return Err(Malformed);
+    }
+    // The lengths of the name, its length, the start, the rejoins, the address's length, the longest address and the port.
+    require_space(buf, 1 + name.len() + 8 + 2 + 1 + 16 + 2)?;
+    buf.put_u8(name.len() as u8);
+    buf.put_slice(name);
+    buf.put_u64(peer.start);
+    buf.put_u16(peer.rejoins);
+    match peer.address.ip() {
+        IpAddr::V4(ip) => {
+            buf.put_u8(IPV4_BYTES);
+            buf.put_slice(&ip.octets());
+        }
+        IpAddr::V6(ip) => {
+            buf.put_u8(IPV6_BYTES);
+            buf.put_slice(&ip.octets());
+        }
+    }
+    buf.put_u16(peer.address.port());
+    Ok(())
+}
+
+pub(crate) fn get_peer(buf: &mut impl Buf) -> Result<Peer, Malformed> {
+    require_bytes(buf, 1)?;
+    let name_length = usize::from(buf.get_u8());
+    // The start, the rejoins and the address's length.
+    require_bytes(buf, name_length + 8 + 2 + 1)?;
+    let mut name = [0; MAX_NAME_BYTES];
+    let name = name.get_mut(..name_length).ok_or(Malformed)?;
+    buf.copy_to_slice(name);
+    let name = std::str::from_utf8(name).map_err(|_| Malformed)?;
+    let start = buf.get_u64();
+    let rejoins = buf.get_u16();
+    let address_length = buf.get_u8();
+    require_bytes(buf, usize::from(address_length) + 2)?;
+    let ip: IpAddr = match address_length {
+        IPV4_BYTES => buf.get_u32().to_be_bytes().into(),
+        IPV6_BYTES => buf.get_u128().to_be_bytes().into(),
+        _ => return Err(Malformed),
+    };
+    let address = SocketAddr::new(ip, buf.get_u16());
+    Ok(Peer { name: name.into(), start, rejoins, address })
+}
+
+fn put_message(message: &Message<Peer>, buf: &mut impl BufMut) -> Result<(), Malformed> {
+    match message {
+        Message::Ping(probe_number) => put_numbered(kind::PING, *probe_number, buf),
+        Message::Ack(probe_number) => put_numbered(kind::ACK, *probe_number, buf),
+        Message::PingReq { target, probe_number } => {
+            put_relayed(kind::PING_REQUEST, *probe_number, target, buf)?;
+        }
+        Message::IndirectPing { origin, probe_number } => {
+            put_relayed(kind::INDIRECT_PING, *probe_number, origin, buf)?;
+        }
+        Message::IndirectAck { target, probe_number } => {
+            put_relayed(kind::INDIRECT_ACK, *probe_number, target, buf)?;
+        }
+        Message::ForwardedAck { origin, probe_number } => {
+            put_relayed(kind::FORWARDED_ACK, *probe_number, origin, buf)?;
+        }
+        Message::Announce => buf.put_u8(kind::ANNOUNCE),
+        Message::Feed => buf.put_u8(kind::FEED),
+        Message::Gossip => buf.put_u8(kind::GOSSIP),
+        Message::Broadcast => buf.put_u8(kind::BROADCAST),
+        Message::TurnUndead => buf.put_u8(kind::TURN_UNDEAD),
+    }
+    Ok(())
+}
+
+fn put_numbered(kind: u8, probe_number: u8, buf: &mut impl BufMut) {
+    buf.put_u8(kind);
+    buf.put_u8(probe_number);
+}
+
+/// A probe that another proxy relays: `peer` is whom it is for, or whom it comes from.
+fn put_relayed(kind: u8, probe_number: u8, peer: &Peer, buf: &mut impl BufMut) -> Result<(), Malformed> {
+    require_space(buf, 2)?;
+    put_numbered(kind, probe_number, buf);
+    put_peer(peer, buf)
+}
+
+fn get_message(buf: &mut impl Buf) -> Result<Message<Peer>, Malformed> {
+    require_bytes(buf, 1)?;
+    let kind = buf.get_u8();
+    match kind {
+        kind::ANNOUNCE => return Ok(Message::Announce),
+        kind::FEED => return Ok(Message::Feed),
+        kind::GOSSIP => return Ok(Message::Gossip),
+        kind::BROADCAST => return Ok(Message::Broadcast),
+        kind::TURN_UNDEAD => return Ok(Message::TurnUndead),
+        kind::PING..=kind::FORWARDED_ACK => {}
+        _ => return Err(Malformed),
+    }
+    require_bytes(buf, 1)?;
+    let probe_number = buf.get_u8();
+    Ok(match kind {
+        kind::PING => Message::Ping(probe_number),
+        kind::ACK => Message::Ack(probe_number),
+        kind::PING_REQUEST => Message::PingReq { target: get_peer(buf)?, probe_number },
+        kind::INDIRECT_PING => Message::IndirectPing { origin: get_peer(buf)?, probe_number },
+        kind::INDIRECT_ACK => Message::IndirectAck { target: get_peer(buf)?, probe_number },
+        _ => Message::ForwardedAck { origin: get_peer(buf)?, probe_number },
+    })
+}
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,8 +1,8 @@
-use std::cell::RefCell;
-use std::collections::{BTreeMap, HashMap};
+//! The fleet as one proxy knows it: takes datagrams, fires timers, and keeps the count of live proxies.
+
+use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 use std::num::{NonZeroU8, NonZeroUsize};
-use std::rc::Rc;
 use std::time::Duration;
 
 use foca::{AccumulatingRuntime, Foca, NoCustomBroadcast, OwnedNotification, PeriodicParams, Timer};
@@ -10,307 +10,289 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::frame::{self, Content, GossipCodec, RejectReason};
-use crate::interface::{Actions, Change, DroppedDatagrams, LocalPeer, ProtocolPeriods, SeedAddress};
-use crate::snapshot::{LiveCount, Snapshot};
-use crate::{Health, Micros, Peer};
+use crate::actions::{Actions, Change, DroppedDatagrams, OutgoingDatagram, ReceivedPayload};
+use crate::catch_up::CatchUp;
+use crate::codec::GossipCodec;
+use crate::config::{Config, LocalPeer, ProtocolPeriods, SeedAddress};
+use crate::frame::{self, Content};
+use crate::live_count::LiveCount;
+use crate::local_health::LocalHealth;
+use crate::seeds::Seeds;
+use crate::timer_queue::TimerQueue;
+use crate::{Micros, Peer, Snapshot};
 
-/// How often somebody who is not known to live is called: what was divided finds together, and who started alone.
-const CALLING: Micros = 2_000_000;
-/// Called each time.
-const CALLS: usize = 2;
-/// After a start, or an absence, others are asked whom they know, so often and for so long: what was news while nobody
-/// listened here is told no more.
-const ASKING: Micros = 500_000;
-const NEW: Micros = 15_000_000;
+/// Other proxies that probe in this one's place when a probe has no answer.
+const INDIRECT_PROBES: usize = 3;
+/// Proxies that a change is gossiped to at a time.
+const GOSSIP_FANOUT: usize = 3;
+/// How often a change is passed on by each proxy, for each decade of the fleet's size: with this it reaches all with near
+/// certainty.
+const TRANSMISSIONS_PER_DECADE: f64 = 4.0;
+const MIN_TRANSMISSIONS: f64 = 2.0;
+const MAX_TRANSMISSIONS: f64 = 40.0;
+/// How often a random live proxy is asked whom it knows, which heals what gossip has missed.
+const MEMBER_REQUEST_INTERVAL: Duration = Duration::from_secs(20);
+/// How long a proxy that was declared dead is remembered, so that old gossip does not revive it.
+const DOWN_MEMORY: Duration = Duration::from_secs(3600);
 
 type Swim = Foca<Peer, GossipCodec, Pcg64Mcg, NoCustomBroadcast>;
 
-/// The other drivers, as this one knows of them.
+/// The fleet as one proxy knows it.
 pub struct Membership {
     swim: Swim,
-    form: GossipCodec,
-    fleet: u64,
+    codec: GossipCodec,
+    fleet_tag: u64,
     networks: Vec<IpNet>,
-    peers: Vec<SeedAddress>,
-    /// Where those are whom the operator names.
-    routes: HashMap<String, SocketAddr>,
-    health: Health,
-    counted: LiveCount,
+    seeds: Seeds,
+    /// Where proxies listen that the operator names.
+    named_addresses: HashMap<String, SocketAddr>,
+    local_health: LocalHealth,
+    live_count: LiveCount,
     dropped: DroppedDatagrams,
-    /// By when, in their order.
-    timers: BTreeMap<(Micros, u64), Timer<Peer>>,
-    next_timer: u64,
-    call_at: Micros,
-    /// When it was last new here, and when others are next asked whom they know.
-    new_at: Micros,
-    ask_at: Micros,
+    timers: TimerQueue,
+    catch_up: CatchUp,
     rng: Pcg64Mcg,
-    /// It left, or a later start has its name.
-    silent: bool,
+    /// It has left, or a later start has its name: it neither sends nor takes anything.
+    is_silent: bool,
+    /// What the running call returns in the end.
     actions: Actions,
 }
 
-fn micros(duration: Duration) -> Micros {
-    duration.as_micros() as Micros
-}
-
 impl Membership {
-    /// `drivers` is how many there may be; `networks` are those that others may come from.
-    pub fn start(
-        now: Micros,
-        own: LocalPeer,
-        peers: Vec<SeedAddress>,
-        networks: Vec<IpNet>,
-        tempo: ProtocolPeriods,
-        drivers: usize,
-        seed: u64,
-    ) -> (Membership, Actions) {
-        let LocalPeer { fleet, name, address, start } = own;
-        let own = Peer { name: name.as_str().into(), start, turn: 0, address };
-        let form = GossipCodec { own: Rc::new(RefCell::new(own.clone())), later_self: Rc::default() };
-        let time = |micros: Micros| Duration::from_micros(micros.max(1) as u64);
-        let few = |count| NonZeroUsize::new(count).expect("not zero");
-        // Each piece of news goes out as often as reaches all with near certainty.
-        let often = (4.0 * (drivers as f64 + 1.0).log10()).ceil().clamp(2.0, 40.0);
-        let terms = foca::Config {
-            probe_period: time(tempo.period),
-            probe_rtt: time(tempo.trip),
-            num_indirect_probes: few(3),
-            max_transmissions: NonZeroU8::new(often as u8).expect("not zero"),
-            suspect_to_down_after: time(tempo.suspicion),
-            remove_down_after: Duration::from_secs(3600),
-            max_packet_size: few(frame::MOST - frame::HEAD),
-            notify_down_members: true,
-            periodic_announce: Some(PeriodicParams {
-                frequency: Duration::from_secs(20),
-                num_members: few(1),
-            }),
-            periodic_announce_to_down_members: Some(PeriodicParams {
-                frequency: time(tempo.suspicion),
-                num_members: few(1),
-            }),
-            periodic_gossip: Some(PeriodicParams { frequency: time(tempo.gossip), num_members: few(3) }),
-        };
-        let swim = Foca::new(own, terms, Pcg64Mcg::seed_from_u64(seed), form.clone());
-        let routes = peers.iter().filter_map(|peer| Some((peer.name.clone()?, peer.address))).collect();
-        let peers = peers.into_iter().filter(|peer| peer.name.as_deref() != Some(&name)).collect();
-        let mut fellows = Membership {
+    /// Joins the fleet: the first actions announce this proxy to some of the seeds. Equal seeds of the random numbers give
+    /// equal runs.
+    pub fn start(now: Micros, config: Config, seed: u64) -> (Membership, Actions) {
+        let Config { local, seeds, networks, periods, fleet_size } = config;
+        let LocalPeer { fleet, name, address, start } = local;
+        let peer = Peer { name: name.as_str().into(), start, rejoins: 0, address };
+        let codec = GossipCodec::new(peer.clone());
+        let swim_config = swim_config(periods, fleet_size);
+        let swim = Foca::new(peer, swim_config, Pcg64Mcg::seed_from_u64(seed), codec.clone());
+        let named = |seed: &SeedAddress| Some((seed.name.clone()?, seed.address));
+        let named_addresses = seeds.iter().filter_map(named).collect();
+        let others = seeds.into_iter().filter(|seed| seed.name.as_deref() != Some(&name)).collect();
+        let mut membership = Membership {
             swim,
-            form,
-            fleet: frame::tag(&fleet),
+            codec,
+            fleet_tag: frame::fleet_tag(&fleet),
             networks,
-            peers,
-            routes,
-            health: Health::default(),
-            counted: LiveCount::start(now),
+            seeds: Seeds::start(now, others),
+            named_addresses,
+            local_health: LocalHealth::default(),
+            live_count: LiveCount::start(now),
             dropped: DroppedDatagrams::default(),
-            timers: BTreeMap::new(),
-            next_timer: 0,
-            call_at: now,
-            new_at: now,
-            ask_at: now,
+            timers: TimerQueue::default(),
+            catch_up: CatchUp::start(now),
             rng: Pcg64Mcg::seed_from_u64(seed.rotate_left(17)),
-            silent: false,
+            is_silent: false,
             actions: Actions::default(),
         };
-        let actions = fellows.wake(now);
-        (fellows, actions)
+        let actions = membership.wake(now);
+        (membership, actions)
     }
 
-    pub fn view(&self, now: Micros) -> Snapshot {
-        self.counted.view(now)
+    /// What this proxy may conclude on the fleet now.
+    #[must_use]
+    pub fn snapshot(&self, now: Micros) -> Snapshot {
+        self.live_count.snapshot(now)
     }
 
+    /// How many datagrams were dropped since the start, by reason.
+    #[must_use]
     pub fn dropped(&self) -> DroppedDatagrams {
         self.dropped
     }
 
-    /// This driver, under its present turn.
-    pub fn own(&self) -> &Peer {
+    /// This proxy, as the others know it now.
+    #[must_use]
+    pub fn local(&self) -> &Peer {
         self.swim.identity()
     }
 
-    /// Those that live as far as is known, without this one.
+    /// The other proxies that are known to be alive.
     pub fn alive(&self) -> impl Iterator<Item = &Peer> {
         self.swim.iter_members().map(foca::Member::id)
     }
 
-    /// What is to be sent so that the driver of that name hears these words, 1000 bytes at most; `None` where nobody knows
-    /// where it is, or this one is silent. As any datagram it may be lost.
-    pub fn encode_payload(&self, to: &str, words: &[u8]) -> Option<(SocketAddr, Vec<u8>)> {
-        let known = || self.alive().find(|fellow| *fellow.name == *to).map(|fellow| fellow.address);
-        let address = self.routes.get(to).copied().or_else(known)?;
-        (!self.silent).then(|| (address, frame::word(self.fleet, self.own(), words)))
+    /// The datagram that brings a payload of another package, of 1000 bytes at most, to the proxy of that name. `None` if
+    /// its address is not known, or this proxy is silent. As any datagram it may be lost.
+    #[must_use]
+    pub fn encode_payload(&self, to: &str, payload: &[u8]) -> Option<OutgoingDatagram> {
+        if self.is_silent {
+            return None;
+        }
+        let announced = || self.alive().find(|peer| *peer.name == *to).map(|peer| peer.address);
+        let to = self.named_addresses.get(to).copied().or_else(announced)?;
+        Some(OutgoingDatagram { to, bytes: frame::encode_payload(self.fleet_tag, self.local(), payload) })
     }
 
-    /// A datagram came. Whatever it holds, it harms nothing beyond itself.
+    /// Takes a datagram that came from this address. One that is malformed or not for this proxy is counted and dropped.
     pub fn receive(&mut self, now: Micros, from: IpAddr, datagram: &[u8]) -> Actions {
-        if self.silent {
+        if self.is_silent {
             return Actions::default();
         }
         if !self.networks.iter().any(|network| network.contains(&from)) {
-            self.dropped.stranger += 1;
-            return self.settle(now);
+            self.dropped.unknown_network += 1;
+            return self.take_actions(now);
         }
-        let inner = match frame::open(self.fleet, datagram) {
-            Ok(inner) => inner,
-            Err(why) => {
-                *match why {
-                    RejectReason::NotMembership => &mut self.dropped.not_ours,
-                    RejectReason::UnsupportedVersion => &mut self.dropped.version,
-                    RejectReason::UnknownFleet => &mut self.dropped.fleet,
-                } += 1;
-                return self.settle(now);
+        match frame::decode(self.fleet_tag, datagram) {
+            Err(reason) => self.dropped.count(reason),
+            Ok(Content::LaterStart(peer)) => self.receive_later_start(peer),
+            Ok(Content::Payload { sender, payload }) => {
+                if !self.reject_earlier_start(&sender) {
+                    self.actions.payloads.push(ReceivedPayload { sender, payload: payload.to_vec() });
+                }
             }
-        };
-        let (gossip, word, sender) = match inner {
-            Content::Gossip(gossip, sender) => (Some(gossip), None, sender),
-            Content::Payload(word, sender) => (None, Some(word), sender),
-            Content::LaterStart(later) => {
-                let own = self.swim.identity();
-                if later.name == own.name && later.start > own.start {
-                    self.displaced(later);
-                } else {
-                    self.dropped.unusable += 1;
+            Ok(Content::Gossip { sender, message }) => {
+                if !self.reject_earlier_start(&sender) {
+                    self.receive_gossip(now, message);
                 }
-                return self.settle(now);
             }
-        };
-        // An earlier start that still runs would be told that it is dead, and come back without end.
-        let supersedes = |at: &&Peer| at.name == sender.name && at.start > sender.start;
-        let later = self.alive().find(supersedes).cloned();
-        if let Some(later) = later {
-            let word = frame::later_start(self.fleet, &later);
-            self.actions.send.push((sender.address, word));
-            return self.settle(now);
         }
-        // An earlier start's words count no more.
-        self.actions.words.extend(word.map(|word| (sender, word.to_vec())));
-        let Some(gossip) = gossip else { return self.settle(now) };
-        let mut out = AccumulatingRuntime::new();
-        match self.swim.handle_data(gossip, &mut out) {
-            Ok(()) => self.counted.heard(now),
+        self.take_actions(now)
+    }
+
+    /// Another proxy says that this name has a later start.
+    fn receive_later_start(&mut self, later: Peer) {
+        let local = self.swim.identity();
+        if later.name == local.name && later.start > local.start {
+            self.fall_silent(later);
+        } else {
+            self.dropped.unusable += 1;
+        }
+    }
+
+    /// Tells a sender whose name has a later start so, instead of taking what it sent. If SWIM took it, the sender would be
+    /// told that it is dead, rejoin, and so on without end.
+    fn reject_earlier_start(&mut self, sender: &Peer) -> bool {
+        let is_later = |peer: &&Peer| peer.name == sender.name && peer.start > sender.start;
+        let Some(later) = self.alive().find(is_later) else { return false };
+        let bytes = frame::encode_later_start(self.fleet_tag, later);
+        self.actions.send.push(OutgoingDatagram { to: sender.address, bytes });
+        true
+    }
+
+    fn receive_gossip(&mut self, now: Micros, message: &[u8]) {
+        let mut effects = AccumulatingRuntime::new();
+        match self.swim.handle_data(message, &mut effects) {
+            Ok(()) => self.live_count.record_contact(now),
             Err(_) => self.dropped.unusable += 1,
         }
-        self.carry_out(now, out);
-        let later = self.form.later_self.borrow_mut().take();
-        later.into_iter().for_each(|later| self.displaced(later));
-        self.settle(now)
+        self.apply(now, effects);
+        if let Some(later) = self.codec.take_later_start() {
+            self.fall_silent(later);
+        }
     }
 
-    /// Protects the fleet from two that call each other dead without end. Harms the wrong one of two where an operator
-    /// gave one name twice: the older falls silent, and says why.
-    fn displaced(&mut self, later: Peer) {
-        self.silent = true;
+    /// Two processes of one name would declare each other dead without end, so the earlier start falls silent. The cost: if
+    /// an operator gave one name twice, the older process is out of the fleet, and says so.
+    fn fall_silent(&mut self, later: Peer) {
+        self.is_silent = true;
         self.actions.changes.push(Change::Superseded(later));
     }
 
-    /// To be called at the time that was asked for, after all datagrams that are there.
+    /// To be called at [`Actions::wake_at`], after all datagrams that are there.
     pub fn wake(&mut self, now: Micros) -> Actions {
-        if self.silent {
+        if self.is_silent {
             return Actions::default();
         }
-        self.call(now);
-        self.ask(now);
-        // Late ones in the order that the protocol wants: answers are counted before silence is.
-        let later = self.timers.split_off(&(now + 1, 0));
-        let mut due: Vec<Timer<Peer>> = std::mem::replace(&mut self.timers, later).into_values().collect();
-        due.sort();
-        for timer in due {
-            let probes = matches!(timer, Timer::ProbeRandomMember(_));
-            let mut out = AccumulatingRuntime::new();
-            // What cannot be done any more concerns a fellow that is gone.
-            let done = self.swim.handle_timer(timer, &mut out);
-            let timers: Vec<_> = std::iter::from_fn(|| out.to_schedule()).collect();
-            let before = self.health;
-            if probes && done.is_ok() {
-                // A round is over. Where the one probed is accused, this driver doubts itself as well.
-                let accuses = |(_, timer): &_| matches!(timer, Timer::ChangeSuspectToDown { .. });
-                if timers.iter().any(accuses) { self.health.unheard() } else { self.health.heard() }
+        self.announce_to_seeds(now);
+        self.request_members(now);
+        for timer in self.timers.take_due(now) {
+            self.fire(now, timer);
+        }
+        self.take_actions(now)
+    }
+
+    fn fire(&mut self, now: Micros, timer: Timer<Peer>) {
+        let ends_probe_round = matches!(timer, Timer::ProbeRandomMember(_));
+        let mut effects = AccumulatingRuntime::new();
+        // A timer that fails concerns a peer that is gone.
+        let fired = self.swim.handle_timer(timer, &mut effects);
+        let timers: Vec<(Duration, Timer<Peer>)> = std::iter::from_fn(|| effects.to_schedule()).collect();
+        let health_before = self.local_health;
+        if ends_probe_round && fired.is_ok() {
+            let is_suspicion = |(_, timer): &_| matches!(timer, Timer::ChangeSuspectToDown { .. });
+            if timers.iter().any(is_suspicion) {
+                self.local_health.probe_unanswered();
+            } else {
+                self.local_health.probe_answered();
             }
-            self.schedule(now, timers, before);
-            self.carry_out(now, out);
         }
-        self.settle(now)
+        self.schedule(now, timers, health_before);
+        self.apply(now, effects);
     }
 
-    /// This process stood still for a time that `now` does not count.
+    /// This process was stalled for a time that `now` does not count.
     pub fn resume_after_stall(&mut self, now: Micros) {
-        self.counted.away(now);
-        self.health.absent();
-        (self.call_at, self.new_at, self.ask_at) = (now, now, now);
+        self.live_count.mark_uncertain(now);
+        self.local_health.was_absent();
+        self.seeds.hurry(now);
+        self.catch_up = CatchUp::start(now);
     }
 
-    /// The others are told that it goes; nothing is sent after that.
+    /// Tells the others that this proxy leaves; it is silent afterwards.
     pub fn leave(&mut self) -> Actions {
-        let mut out = AccumulatingRuntime::new();
-        if !self.silent && self.swim.leave_cluster(&mut out).is_ok() {
-            self.carry_out(0, out);
+        let mut effects = AccumulatingRuntime::new();
+        if !self.is_silent && self.swim.leave_cluster(&mut effects).is_ok() {
+            // No timer fires any more, so the time does not matter.
+            self.apply(0, effects);
         }
-        self.silent = true;
+        self.is_silent = true;
         let mut actions = std::mem::take(&mut self.actions);
         actions.changes.clear();
         actions
     }
 
-    /// Calls some of those whom the operator names and who are not known to live.
-    fn call(&mut self, now: Micros) {
-        if now < self.call_at {
+    /// Announces this proxy to some of the seeds that are not known to be alive, if that is due.
+    fn announce_to_seeds(&mut self, now: Micros) {
+        if !self.seeds.is_due(now) {
             return;
         }
-        // One that is alone is in a hurry, while it is new.
-        let hurry = self.swim.num_members() == 0 && now - self.new_at < NEW;
-        let pause = if hurry { CALLING / 8 } else { CALLING };
-        self.call_at = now + pause + self.rng.random_range(0..pause / 4);
-        let known = |peer: &SeedAddress| match &peer.name {
-            Some(name) => self.swim.iter_members().any(|member| *member.id().name == **name),
-            None => self.swim.iter_members().any(|member| member.id().address == peer.address),
-        };
-        let own = self.swim.identity().address;
-        let unknown = self.peers.iter().filter(|peer| peer.address != own && !known(peer));
-        let unknown: Vec<SocketAddr> = unknown.map(|peer| peer.address).collect();
-        let count = if self.swim.num_members() == 0 { unknown.len().min(8) } else { CALLS };
-        for at in rand::seq::index::sample(&mut self.rng, unknown.len(), count.min(unknown.len())) {
-            let nobody = Peer { name: "".into(), start: 0, turn: 0, address: unknown[at] };
-            let mut out = AccumulatingRuntime::new();
-            if self.swim.announce(nobody, &mut out).is_ok() {
-                self.carry_out(now, out);
-            }
+        let members: Vec<&foca::Member<Peer>> = self.swim.iter_members().collect();
+        let is_new = self.catch_up.is_new(now);
+        let local = self.swim.identity().address;
+        for address in self.seeds.pick(now, is_new, local, &members, &mut self.rng) {
+            let unnamed = Peer { name: "".into(), start: 0, rejoins: 0, address };
+            self.announce(now, unnamed);
         }
     }
 
-    /// One that is new here asks whom others know.
-    fn ask(&mut self, now: Micros) {
-        if now < self.ask_at || now - self.new_at > NEW {
+    /// Asks a random live proxy whom it knows, if this one is new here and that is due.
+    fn request_members(&mut self, now: Micros) {
+        if !self.catch_up.take_due(now) {
             return;
         }
-        self.ask_at = now + ASKING;
-        let known = self.swim.num_members();
-        let some = self.rng.random_range(0..known.max(1));
-        let asked = self.alive().nth(some).cloned();
-        let mut out = AccumulatingRuntime::new();
-        if asked.is_some_and(|asked| self.swim.announce(asked, &mut out).is_ok()) {
-            self.carry_out(now, out);
+        let picked = self.rng.random_range(0..self.swim.num_members().max(1));
+        let peer = self.alive().nth(picked).cloned();
+        if let Some(peer) = peer {
+            self.announce(now, peer);
         }
     }
 
-    fn carry_out(&mut self, now: Micros, mut out: AccumulatingRuntime<Peer>) {
-        while let Some((to, inner)) = out.to_send() {
-            let address = self.routes.get(&*to.name).copied().unwrap_or(to.address);
-            self.actions.send.push((address, frame::gossip(self.fleet, &inner)));
+    /// Announces this proxy to another, which answers with some of those that it knows.
+    fn announce(&mut self, now: Micros, to: Peer) {
+        let mut effects = AccumulatingRuntime::new();
+        if self.swim.announce(to, &mut effects).is_ok() {
+            self.apply(now, effects);
         }
-        self.schedule(now, std::iter::from_fn(|| out.to_schedule()), self.health);
-        while let Some(note) = out.to_notify() {
-            let change = match note {
-                OwnedNotification::MemberUp(fellow) => Change::Up(fellow),
-                OwnedNotification::MemberDown(fellow) => Change::Down(fellow),
+    }
+
+    /// Turns what SWIM wants into actions and timers.
+    fn apply(&mut self, now: Micros, mut effects: AccumulatingRuntime<Peer>) {
+        while let Some((to, message)) = effects.to_send() {
+            let to = self.named_addresses.get(&*to.name).copied().unwrap_or(to.address);
+            let bytes = frame::encode_gossip(self.fleet_tag, &message);
+            self.actions.send.push(OutgoingDatagram { to, bytes });
+        }
+        self.schedule(now, std::iter::from_fn(|| effects.to_schedule()), self.local_health);
+        while let Some(notification) = effects.to_notify() {
+            let change = match notification {
+                OwnedNotification::MemberUp(peer) => Change::Up(peer),
+                OwnedNotification::MemberDown(peer) => Change::Down(peer),
                 OwnedNotification::Rename(_, after) => Change::Restarted(after),
-                OwnedNotification::Rejoin(own) => {
-                    *self.form.own.borrow_mut() = own;
-                    self.health.absent();
-                    self.counted.away(now);
-                    (self.new_at, self.ask_at) = (now, now);
+                OwnedNotification::Rejoin(local) => {
+                    self.rejoin(now, local);
                     Change::Rejoined
                 }
                 _ => continue,
@@ -319,35 +301,66 @@
         }
     }
 
-    /// `before` is the doubt before what has just been found out: nobody waits longer with an accusation for its own sake.
+    /// The others had declared this proxy dead, and it goes on as another identity.
+    fn rejoin(&mut self, now: Micros, local: Peer) {
+        self.codec.set_local(local);
+        self.local_health.was_absent();
+        self.live_count.mark_uncertain(now);
+        self.catch_up = CatchUp::start(now);
+    }
+
+    /// Doubt about this proxy's own health makes probes rarer and their timeouts longer, as a probe must fit in its round,
+    /// and suspicions last longer. `suspicion_health` is the health before the probe that raised a suspicion: its outcome
+    /// does not lengthen its own suspicion.
     fn schedule(
         &mut self,
         now: Micros,
         timers: impl IntoIterator<Item = (Duration, Timer<Peer>)>,
-        before: Health,
+        suspicion_health: LocalHealth,
     ) {
         for (after, timer) in timers {
-            // The patience with a probe and with one that is suspected is stretched by doubt; so is the pace, as what a
-            // probe needs must fit in its round.
-            let stretch = match timer {
-                Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. } => self.health.stretch(),
-                Timer::ChangeSuspectToDown { .. } => before.stretch(),
+            let factor = match timer {
+                Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. } => {
+                    self.local_health.timeout_factor()
+                }
+                Timer::ChangeSuspectToDown { .. } => suspicion_health.timeout_factor(),
                 _ => 1,
             };
-            let after = micros(after) * Micros::from(stretch);
-            self.timers.insert((now + after, self.next_timer), timer);
-            self.next_timer += 1;
+            let after = after.as_micros() as Micros * Micros::from(factor);
+            self.timers.insert(now + after, timer);
         }
     }
 
-    fn settle(&mut self, now: Micros) -> Actions {
-        self.counted.alive(now, self.swim.num_members() + 1);
-        let first = self.timers.first_key_value().map(|(&(at, _), _)| at);
-        let asks = (now - self.new_at <= NEW).then_some(self.ask_at);
-        self.actions.wake_at = [first, Some(self.call_at), asks].into_iter().flatten().min();
-        if self.silent {
-            self.actions.wake_at = None;
+    /// Ends a call: what the caller is to do, and when to call again.
+    fn take_actions(&mut self, now: Micros) -> Actions {
+        self.live_count.set_alive(now, self.swim.num_members() + 1);
+        if !self.is_silent {
+            let announce_at = Some(self.seeds.announce_at());
+            let due = [self.timers.next_due_at(), announce_at, self.catch_up.next_due_at(now)];
+            self.actions.wake_at = due.into_iter().flatten().min();
         }
         std::mem::take(&mut self.actions)
     }
 }
+
+fn swim_config(periods: ProtocolPeriods, fleet_size: usize) -> foca::Config {
+    let span = |micros: Micros| Duration::from_micros(micros.max(1) as u64);
+    let count = |count| NonZeroUsize::new(count).expect("not zero");
+    let periodic = |frequency, members| Some(PeriodicParams { frequency, num_members: count(members) });
+    let transmissions = (TRANSMISSIONS_PER_DECADE * (fleet_size as f64 + 1.0).log10()).ceil();
+    let transmissions = transmissions.clamp(MIN_TRANSMISSIONS, MAX_TRANSMISSIONS) as u8;
+    foca::Config {
+        probe_period: span(periods.probe_interval),
+        probe_rtt: span(periods.probe_timeout),
+        num_indirect_probes: count(INDIRECT_PROBES),
+        max_transmissions: NonZeroU8::new(transmissions).expect("not zero"),
+        suspect_to_down_after: span(periods.suspicion_timeout),
+        remove_down_after: DOWN_MEMORY,
+        max_packet_size: count(frame::MAX_DATAGRAM_BYTES - frame::HEADER_BYTES),
+        notify_down_members: true,
+        periodic_announce: periodic(MEMBER_REQUEST_INTERVAL, 1),
+        // Proxies that were declared dead by mistake, or were cut off, find back by this.
+        periodic_announce_to_down_members: periodic(span(periods.suspicion_timeout), 1),
+        periodic_gossip: periodic(span(periods.gossip_interval), GOSSIP_FANOUT),
+    }
+}
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -1,14 +1,18 @@
+//! Who a proxy is.
+
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Who a driver is: its name, and which start of it. A restarted driver is another one, and its old self is gone.
+/// A proxy of the fleet: its name, and which start of it. A restarted proxy is another peer, and its earlier start is gone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Peer {
+    /// The name in its configuration, unique in the fleet. Empty for whoever listens at an address that a seed gave.
     pub name: Rc<str>,
-    /// When it started, in microseconds of Unix time; of two starts of one name the later counts.
+    /// When it started, in microseconds of Unix time. Of two starts of one name the later one counts.
     pub start: u64,
-    /// Raised when the others took it for dead and it was not.
-    pub turn: u16,
+    /// How often it has rejoined, in this start, after the others had declared it dead. This is not SWIM's incarnation
+    /// number, which refutes a suspicion before anybody is declared dead, and stands beside the peer in a datagram.
+    pub rejoins: u16,
     /// Where it says that it listens.
     pub address: SocketAddr,
 }
@@ -17,7 +21,7 @@
     type Addr = Rc<str>;
 
     fn renew(&self) -> Option<Peer> {
-        Some(Peer { turn: self.turn.checked_add(1)?, ..self.clone() })
+        Some(Peer { rejoins: self.rejoins.checked_add(1)?, ..self.clone() })
     }
 
     fn addr(&self) -> Rc<str> {
@@ -25,6 +29,6 @@
     }
 
     fn win_addr_conflict(&self, other: &Peer) -> bool {
-        (self.start, self.turn) > (other.start, other.turn)
+        (self.start, self.rejoins) > (other.start, other.rejoins)
     }
 }
--- a/crates/membership/src/snapshot.rs
+++ b/crates/membership/src/snapshot.rs
@@ -1,87 +1,32 @@
-use std::collections::VecDeque;
+//! What one proxy may conclude on the fleet.
 
-use crate::Micros;
-
-/// How long a number of living drivers is remembered when it is asked which half of the fleet this is.
-const MEMORY: Micros = 600_000_000;
-/// How long after a standstill, or the start, nothing is concluded from silence.
-const SETTLING: Micros = 2_000_000;
-
-/// What one driver may conclude on the fleet.
+/// What one proxy may conclude on the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Drivers that live as far as is known, this one among them.
+    /// Proxies known to be alive, this one among them.
     pub alive: usize,
-    /// The most that were ever known to live at one time.
-    pub seen: usize,
-    /// Somebody was heard lately, and this process was not away just before.
-    pub sure: bool,
-    /// As many or more are gone as are left: this may be the smaller part of a divided fleet.
-    pub may_be_smaller: bool,
+    /// The most that were ever known to be alive at one time.
+    pub most_alive: usize,
+    /// Another proxy was heard lately, and this process was not stalled just before.
+    pub is_certain: bool,
+    /// As many proxies are gone as are left, or more: this may be the smaller part of a divided fleet.
+    pub may_be_minority: bool,
 }
 
 impl Snapshot {
-    /// By how many drivers room at members is to be divided: `told` is the settings' figure.
+    /// By how many proxies a member's capacity is divided; `configured` is the fleet size in the settings.
     ///
-    /// Protects members from drivers that wrongly take others for dead: nobody who is in doubt takes their room. In a
-    /// divided fleet both parts take that of the other; what members then answer narrows their windows, and cold
-    /// members are spared by [`Snapshot::warm_up_quota_divisor`].
-    pub fn quota_divisor(&self, told: usize) -> usize {
-        if self.sure { self.alive } else { told.max(self.alive) }
-    }
-
-    /// The same at a cold member: whoever may be there counts.
-    pub fn warm_up_quota_divisor(&self, told: usize) -> usize {
-        told.max(self.seen)
-    }
-}
-
-/// Counts the living over time.
-#[derive(Clone, Debug, Default)]
-pub struct LiveCount {
-    alive: usize,
-    seen: usize,
-    /// The numbers that were higher than all later ones, and until when they were so: no more than the highest of them.
-    lately: VecDeque<(Micros, usize)>,
-    /// Since when nothing was heard that can be trusted; `None` while all is well.
-    doubt: Option<Micros>,
-}
-
-impl LiveCount {
-    pub fn start(now: Micros) -> LiveCount {
-        LiveCount { alive: 1, seen: 1, doubt: Some(now), ..LiveCount::default() }
-    }
-
-    pub fn alive(&mut self, now: Micros, alive: usize) {
-        if alive < self.alive {
-            while self.lately.back().is_some_and(|&(_, count)| count <= self.alive) {
-                self.lately.pop_back();
-            }
-            self.lately.push_back((now, self.alive));
-        }
-        self.alive = alive;
-        self.seen = self.seen.max(alive);
-    }
-
-    pub fn heard(&mut self, now: Micros) {
-        // What is heard first may have waited since before; what comes a while later is of now.
-        if self.doubt.is_some_and(|since| now - since >= SETTLING) {
-            self.doubt = None;
-        }
-    }
-
-    pub fn away(&mut self, now: Micros) {
-        self.doubt = Some(now);
+    /// While in doubt a proxy takes over no quota of others, as those may be alive. In a divided fleet both parts take over
+    /// the other's quota; members then answer more slowly, which lowers the concurrency limits, and members that warm up
+    /// are spared by [`Snapshot::warm_up_quota_divisor`].
+    #[must_use]
+    pub fn quota_divisor(&self, configured: usize) -> usize {
+        if self.is_certain { self.alive } else { configured.max(self.alive) }
     }
 
-    pub fn view(&self, now: Micros) -> Snapshot {
-        let recent = self.lately.iter().filter(|(at, _)| now - at <= MEMORY).map(|&(_, count)| count);
-        let before = recent.max().unwrap_or(0).max(self.alive);
-        Snapshot {
-            alive: self.alive,
-            seen: self.seen,
-            sure: self.doubt.is_none() && self.alive > 1,
-            may_be_smaller: 2 * self.alive <= before,
-        }
+    /// The same at a member that warms up: every proxy counts that may be there.
+    #[must_use]
+    pub fn warm_up_quota_divisor(&self, configured: usize) -> usize {
+        configured.max(self.most_alive)
     }
 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,113 +1,140 @@
-//! Many drivers in virtual time, and a network between them that delays, loses and cuts.
+//! Many proxies in virtual time, and a network between them that delays, loses and partitions.
 
 #![allow(dead_code, reason = "tests and the measurement use different parts")]
 
 use std::cmp::Reverse;
-use std::collections::BinaryHeap;
-use std::net::{IpAddr, SocketAddr};
+use std::collections::{BinaryHeap, HashMap};
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-use aldermill_membership::{Actions, Change, LocalPeer, Membership, Micros, ProtocolPeriods, SeedAddress};
+use aldermill_membership::{
+    Actions, Change, Config, LocalPeer, Membership, Micros, ProtocolPeriods, SeedAddress, Snapshot,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-pub const MS: Micros = 1_000;
-pub const S: Micros = 1_000_000;
-/// What waits for a process that stands still; more is lost, as by a socket's buffer.
-const WAITING: usize = 500;
-const HOME: IpAddr = IpAddr::V4(std::net::Ipv4Addr::LOCALHOST);
+pub const MILLISECOND: Micros = 1_000;
+pub const SECOND: Micros = 1_000_000;
+/// Datagrams that wait for a stalled process; more are lost, as by a socket's buffer.
+const SOCKET_BUFFER: usize = 500;
+/// Proxies that each proxy's configuration names as seeds.
+const SEEDS: usize = 5;
+const LOCALHOST: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
+const FIRST_PORT: u16 = 10_000;
+
+/// A change that a proxy learnt of.
+pub struct LearntChange {
+    pub at: Micros,
+    pub change: Change,
+}
 
 pub struct Node {
-    pub fellows: Option<Membership>,
+    /// `None` while the process does not run.
+    pub membership: Option<Membership>,
     pub starts: u64,
-    /// Time spent standing, and since when it stands.
-    away: Micros,
-    stands: Option<Micros>,
+    /// How long this start was stalled so far.
+    stalled_for: Micros,
+    /// Since when it is stalled now.
+    stalled_since: Option<Micros>,
     inbox: Vec<Vec<u8>>,
     /// The only wake that counts.
-    wakes: Option<Micros>,
-    pub sent: u64,
-    pub bytes: u64,
-    /// When it learnt of what became of whom.
-    pub heard: Vec<(Micros, Change)>,
+    wake_at: Option<Micros>,
+    pub datagrams_sent: u64,
+    pub bytes_sent: u64,
+    pub changes: Vec<LearntChange>,
+}
+
+impl Node {
+    fn new() -> Node {
+        Node {
+            membership: None,
+            starts: 0,
+            stalled_for: 0,
+            stalled_since: None,
+            inbox: Vec::new(),
+            wake_at: None,
+            datagrams_sent: 0,
+            bytes_sent: 0,
+            changes: Vec::new(),
+        }
+    }
 }
 
 enum Event {
-    Wake(usize, u64),
-    Comes { to: SocketAddr, from: usize, bytes: Vec<u8> },
+    Wake { node: usize, start: u64 },
+    Arrival { to: SocketAddr, from: usize, bytes: Vec<u8> },
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Micros,
     pub nodes: Vec<Node>,
+    /// The share of datagrams that are lost.
     pub loss: f64,
-    /// Whether anything goes from one to another.
-    pub lets: Box<dyn Fn(usize, usize) -> bool>,
-    pub tempo: ProtocolPeriods,
-    fleet: Vec<String>,
-    events: BinaryHeap<Reverse<(Micros, u64)>>,
-    what: std::collections::HashMap<u64, Event>,
-    next: u64,
+    /// Whether the network carries anything from one node to another.
+    pub connects: Box<dyn Fn(usize, usize) -> bool>,
+    pub periods: ProtocolPeriods,
+    fleets: Vec<String>,
+    /// By time and number.
+    queue: BinaryHeap<Reverse<(Micros, u64)>>,
+    events: HashMap<u64, Event>,
+    next_event: u64,
     pub rng: Pcg64Mcg,
 }
 
 pub fn address(node: usize) -> SocketAddr {
-    SocketAddr::new(HOME, 10_000 + node as u16)
+    SocketAddr::new(LOCALHOST, FIRST_PORT + node as u16)
 }
 
-impl World {
-    /// So many drivers, none of them started.
-    pub fn new(count: usize, seed: u64) -> World {
-        let node = |_| Node {
-            fellows: None,
-            starts: 0,
-            away: 0,
-            stands: None,
-            inbox: Vec::new(),
-            wakes: None,
-            sent: 0,
-            bytes: 0,
-            heard: Vec::new(),
-        };
-        World {
+fn node_at(address: SocketAddr) -> usize {
+    usize::from(address.port()).wrapping_sub(usize::from(FIRST_PORT))
+}
+
+impl Simulation {
+    /// So many proxies, none of them started.
+    pub fn new(count: usize, seed: u64) -> Simulation {
+        Simulation {
             now: 0,
-            nodes: (0..count).map(node).collect(),
+            nodes: (0..count).map(|_| Node::new()).collect(),
             loss: 0.0,
-            lets: Box::new(|_, _| true),
-            tempo: ProtocolPeriods::for_fleet_of(count),
-            fleet: vec!["f".to_owned(); count],
-            events: BinaryHeap::new(),
-            what: std::collections::HashMap::new(),
-            next: 0,
+            connects: Box::new(|_, _| true),
+            periods: ProtocolPeriods::for_fleet_of(count),
+            fleets: vec!["f".to_owned(); count],
+            queue: BinaryHeap::new(),
+            events: HashMap::new(),
+            next_event: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
-    pub fn of_fleet(&mut self, node: usize, fleet: &str) {
-        self.fleet[node] = fleet.to_owned();
+    pub fn set_fleet(&mut self, node: usize, fleet: &str) {
+        self.fleets[node] = fleet.to_owned();
     }
 
-    /// Starts a driver, which knows where the first few are.
+    /// Starts a proxy whose seeds are the first few.
     pub fn start(&mut self, node: usize) {
-        let few =
-            (0..self.nodes.len().min(5)).map(|at| SeedAddress { name: None, address: address(at) }).collect();
-        self.start_as(node, &format!("n{node}"), few);
+        let seed = |node| SeedAddress { name: None, address: address(node) };
+        let seeds = (0..self.nodes.len().min(SEEDS)).map(seed).collect();
+        self.start_as(node, &format!("n{node}"), seeds);
     }
 
-    pub fn start_as(&mut self, node: usize, name: &str, peers: Vec<SeedAddress>) {
-        let start = 1 + self.now as u64 * 1000 + node as u64;
-        let own = LocalPeer {
-            fleet: self.fleet[node].clone(),
+    pub fn start_as(&mut self, node: usize, name: &str, seeds: Vec<SeedAddress>) {
+        let fleet_size = self.nodes.len();
+        let local = LocalPeer {
+            fleet: self.fleets[node].clone(),
             name: name.to_owned(),
             address: address(node),
-            start,
+            start: 1 + self.now as u64 * 1000 + node as u64,
         };
         let networks = vec!["127.0.0.0/8".parse().unwrap()];
-        let (seed, count) = (self.rng.random(), self.nodes.len());
+        let config = Config { local, seeds, networks, periods: self.periods, fleet_size };
+        let seed = self.rng.random();
         let state = &mut self.nodes[node];
-        (state.away, state.stands, state.starts, state.wakes) = (0, None, state.starts + 1, None);
+        state.stalled_for = 0;
+        state.stalled_since = None;
+        state.starts += 1;
+        state.wake_at = None;
         state.inbox.clear();
-        let (fellows, actions) = Membership::start(self.now, own, peers, networks, self.tempo, count, seed);
-        state.fellows = Some(fellows);
+        let (membership, actions) = Membership::start(self.now, config, seed);
+        state.membership = Some(membership);
         self.carry_out(node, actions);
     }
 
@@ -116,129 +143,135 @@
     }
 
     pub fn kill(&mut self, node: usize) {
-        self.nodes[node].fellows = None;
+        self.nodes[node].membership = None;
     }
 
     pub fn leave(&mut self, node: usize) {
-        if let Some(mut fellows) = self.nodes[node].fellows.take() {
-            let actions = fellows.leave();
+        if let Some(mut membership) = self.nodes[node].membership.take() {
+            let actions = membership.leave();
             self.carry_out(node, actions);
         }
     }
 
-    pub fn stop(&mut self, node: usize) {
-        self.nodes[node].stands.get_or_insert(self.now);
+    pub fn stall(&mut self, node: usize) {
+        self.nodes[node].stalled_since.get_or_insert(self.now);
     }
 
-    pub fn go_on(&mut self, node: usize) {
+    /// A stalled process goes on: it reads what waits, and wakes.
+    pub fn resume(&mut self, node: usize) {
         let state = &mut self.nodes[node];
-        let Some(since) = state.stands.take() else { return };
-        state.away += self.now - since;
-        let (lived, inbox) = (self.now - state.away, std::mem::take(&mut state.inbox));
-        let Some(fellows) = state.fellows.as_mut() else { return };
-        fellows.resume_after_stall(lived);
-        let mut todos: Vec<Actions> = inbox.iter().map(|bytes| fellows.receive(lived, HOME, bytes)).collect();
-        todos.push(fellows.wake(lived));
-        todos.into_iter().for_each(|actions| self.carry_out(node, actions));
+        let Some(since) = state.stalled_since.take() else { return };
+        state.stalled_for += self.now - since;
+        let unstalled = self.now - state.stalled_for;
+        let inbox = std::mem::take(&mut state.inbox);
+        let Some(membership) = state.membership.as_mut() else { return };
+        membership.resume_after_stall(unstalled);
+        let mut all: Vec<Actions> =
+            inbox.iter().map(|bytes| membership.receive(unstalled, LOCALHOST, bytes)).collect();
+        all.push(membership.wake(unstalled));
+        all.into_iter().for_each(|actions| self.carry_out(node, actions));
     }
 
-    fn at(&mut self, at: Micros, event: Event) {
-        self.events.push(Reverse((at, self.next)));
-        self.what.insert(self.next, event);
-        self.next += 1;
+    fn schedule(&mut self, at: Micros, event: Event) {
+        self.queue.push(Reverse((at, self.next_event)));
+        self.events.insert(self.next_event, event);
+        self.next_event += 1;
     }
 
     fn carry_out(&mut self, node: usize, actions: Actions) {
-        for (to, bytes) in actions.send {
-            (self.nodes[node].sent, self.nodes[node].bytes) =
-                (self.nodes[node].sent + 1, self.nodes[node].bytes + bytes.len() as u64);
-            let target = usize::from(to.port()).wrapping_sub(10_000);
-            let lost = self.rng.random::<f64>() < self.loss || !(self.lets)(node, target);
-            if !lost && target < self.nodes.len() {
+        for datagram in actions.send {
+            self.nodes[node].datagrams_sent += 1;
+            self.nodes[node].bytes_sent += datagram.bytes.len() as u64;
+            let target = node_at(datagram.to);
+            let is_lost = self.rng.random::<f64>() < self.loss || !(self.connects)(node, target);
+            if !is_lost && target < self.nodes.len() {
                 let at = self.now + self.rng.random_range(200..3_000);
-                self.at(at, Event::Comes { to, from: node, bytes });
+                self.schedule(at, Event::Arrival { to: datagram.to, from: node, bytes: datagram.bytes });
             }
         }
         let now = self.now;
-        self.nodes[node].heard.extend(actions.changes.into_iter().map(|change| (now, change)));
+        let learnt = actions.changes.into_iter().map(|change| LearntChange { at: now, change });
+        self.nodes[node].changes.extend(learnt);
         if let Some(at) = actions.wake_at {
-            let at = (at + self.nodes[node].away).max(now);
-            if self.nodes[node].wakes != Some(at) {
-                self.nodes[node].wakes = Some(at);
-                let starts = self.nodes[node].starts;
-                self.at(at, Event::Wake(node, starts));
+            let at = (at + self.nodes[node].stalled_for).max(now);
+            if self.nodes[node].wake_at != Some(at) {
+                self.nodes[node].wake_at = Some(at);
+                let start = self.nodes[node].starts;
+                self.schedule(at, Event::Wake { node, start });
             }
         }
     }
 
-    pub fn pass(&mut self, time: Micros) {
-        let end = self.now + time;
-        while let Some(&Reverse((at, id))) = self.events.peek() {
+    pub fn run_for(&mut self, span: Micros) {
+        let end = self.now + span;
+        while let Some(&Reverse((at, number))) = self.queue.peek() {
             if at > end {
                 break;
             }
-            self.events.pop();
+            self.queue.pop();
             self.now = self.now.max(at);
-            let now = self.now;
-            let (node, actions) = match self.what.remove(&id) {
-                Some(Event::Wake(node, starts)) => {
-                    let state = &mut self.nodes[node];
-                    if state.starts != starts || state.stands.is_some() || state.wakes != Some(at) {
-                        continue;
-                    }
-                    state.wakes = None;
-                    let Some(fellows) = state.fellows.as_mut() else { continue };
-                    (node, fellows.wake(now - state.away))
-                }
-                Some(Event::Comes { to, from, bytes }) => {
-                    let node = usize::from(to.port()) - 10_000;
-                    if !(self.lets)(from, node) {
-                        continue;
-                    }
-                    let state = &mut self.nodes[node];
-                    if state.stands.is_some() {
-                        if state.inbox.len() < WAITING {
-                            state.inbox.push(bytes);
-                        }
-                        continue;
-                    }
-                    let Some(fellows) = state.fellows.as_mut() else { continue };
-                    (node, fellows.receive(now - state.away, HOME, &bytes))
-                }
-                None => continue,
-            };
-            self.carry_out(node, actions);
+            match self.events.remove(&number) {
+                Some(Event::Wake { node, start }) => self.wake(at, node, start),
+                Some(Event::Arrival { to, from, bytes }) => self.deliver(node_at(to), from, bytes),
+                None => {}
+            }
         }
         self.now = end;
     }
 
+    fn wake(&mut self, at: Micros, node: usize, start: u64) {
+        let state = &mut self.nodes[node];
+        if state.starts != start || state.stalled_since.is_some() || state.wake_at != Some(at) {
+            return;
+        }
+        state.wake_at = None;
+        let Some(membership) = state.membership.as_mut() else { return };
+        let actions = membership.wake(self.now - state.stalled_for);
+        self.carry_out(node, actions);
+    }
+
+    fn deliver(&mut self, node: usize, from: usize, bytes: Vec<u8>) {
+        if !(self.connects)(from, node) {
+            return;
+        }
+        let state = &mut self.nodes[node];
+        if state.stalled_since.is_some() {
+            if state.inbox.len() < SOCKET_BUFFER {
+                state.inbox.push(bytes);
+            }
+            return;
+        }
+        let Some(membership) = state.membership.as_mut() else { return };
+        let actions = membership.receive(self.now - state.stalled_for, LOCALHOST, &bytes);
+        self.carry_out(node, actions);
+    }
+
     pub fn alive(&self, node: usize) -> usize {
-        let state = &self.nodes[node];
-        state.fellows.as_ref().map_or(0, |fellows| fellows.view(self.now - state.away).alive)
+        let is_running = self.nodes[node].membership.is_some();
+        if is_running { self.snapshot(node).alive } else { 0 }
     }
 
-    pub fn view(&self, node: usize) -> aldermill_membership::Snapshot {
+    /// What a running proxy concludes.
+    pub fn snapshot(&self, node: usize) -> Snapshot {
         let state = &self.nodes[node];
-        state.fellows.as_ref().expect("it runs").view(self.now - state.away)
+        state.membership.as_ref().expect("it runs").snapshot(self.now - state.stalled_for)
     }
 
-    /// Until all of them see so many, or the time is over; how long it took.
-    pub fn until_all_see(&mut self, nodes: &[usize], count: usize, most: Micros) -> Option<Micros> {
+    /// Runs until all of these see so many alive; how long it took, or `None` after `timeout`.
+    pub fn run_until_all_see(&mut self, nodes: &[usize], count: usize, timeout: Micros) -> Option<Micros> {
         let begin = self.now;
-        while self.now - begin < most {
+        while self.now - begin < timeout {
             if nodes.iter().all(|&node| self.alive(node) == count) {
                 return Some(self.now - begin);
             }
-            self.pass(50 * MS);
+            self.run_for(50 * MILLISECOND);
         }
         None
     }
 
-    /// How often a driver was told dead since then, by anybody, that was not.
-    pub fn wrongly(&self, since: Micros, lives: impl Fn(&str) -> bool) -> usize {
-        let heard = self.nodes.iter().flat_map(|node| &node.heard);
-        heard
-            .filter(|(at, change)| matches!(change, Change::Down(of) if *at >= since && lives(&of.name)))
-            .count()
+    /// How often any proxy learnt since then of a death that `is_alive` contradicts.
+    pub fn false_deaths(&self, since: Micros, is_alive: impl Fn(&str) -> bool) -> usize {
+        let learnt = self.nodes.iter().flat_map(|node| &node.changes).filter(|learnt| learnt.at >= since);
+        learnt.filter(|learnt| matches!(&learnt.change, Change::Down(peer) if is_alive(&peer.name))).count()
     }
 }
--- a/crates/membership/tests/gossip.rs
+++ b/crates/membership/tests/gossip.rs
@@ -1,248 +1,269 @@
-//! Drivers that know of one another, in virtual time: started, killed, stopped, cut off, mistaken.
+//! A fleet in virtual time: proxies are started, killed, stalled, partitioned and given wrong names.
 
 mod common;
 
-use aldermill_membership::{Change, ProtocolPeriods, SeedAddress, Snapshot};
-use common::{MS, S, World, address};
+use aldermill_membership::{Change, ProtocolPeriods, SeedAddress, Snapshot, frame};
+use common::{MILLISECOND, SECOND, Simulation, address};
 use proptest::collection::vec;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-const ALL: usize = 20;
+const FLEET_SIZE: usize = 20;
 
 fn all() -> Vec<usize> {
-    (0..ALL).collect()
+    (0..FLEET_SIZE).collect()
 }
 
-/// Twenty that know of one another.
-fn settled(seed: u64) -> World {
-    let mut world = World::new(ALL, seed);
-    world.start_all();
-    assert!(world.until_all_see(&all(), ALL, 20 * S).is_some(), "they find each other");
-    world.pass(10 * S);
-    world
+/// Twenty proxies that know of one another.
+fn settled(seed: u64) -> Simulation {
+    let mut simulation = Simulation::new(FLEET_SIZE, seed);
+    simulation.start_all();
+    assert!(simulation.run_until_all_see(&all(), FLEET_SIZE, 20 * SECOND).is_some(), "they find each other");
+    simulation.run_for(10 * SECOND);
+    simulation
 }
 
 #[test]
-fn those_that_start_at_once_find_each_other_and_nobody_is_accused() {
-    let mut world = World::new(ALL, 1);
-    world.start_all();
-    let took = world.until_all_see(&all(), ALL, 20 * S).expect("they find each other");
-    assert!(took < 5 * S, "{took}");
-    world.pass(120 * S);
-    assert_eq!(world.wrongly(0, |_| true), 0);
-    let view = world.view(3);
-    assert_eq!(view, Snapshot { alive: ALL, seen: ALL, sure: true, may_be_smaller: false });
-    assert_eq!((view.quota_divisor(40), view.warm_up_quota_divisor(40)), (20, 40));
+fn proxies_started_together_find_each_other_without_false_deaths() {
+    let mut simulation = Simulation::new(FLEET_SIZE, 1);
+    simulation.start_all();
+    let took = simulation.run_until_all_see(&all(), FLEET_SIZE, 20 * SECOND).expect("they find each other");
+    assert!(took < 5 * SECOND, "{took}");
+    simulation.run_for(120 * SECOND);
+    assert_eq!(simulation.false_deaths(0, |_| true), 0);
+    let snapshot = simulation.snapshot(3);
+    assert_eq!(
+        snapshot,
+        Snapshot { alive: FLEET_SIZE, most_alive: FLEET_SIZE, is_certain: true, may_be_minority: false }
+    );
+    assert_eq!((snapshot.quota_divisor(40), snapshot.warm_up_quota_divisor(40)), (20, 40));
 }
 
 #[test]
-fn a_death_is_known_to_all_and_a_new_start_takes_the_place_at_once() {
-    let mut world = settled(2);
-    world.kill(7);
+fn a_death_reaches_all_and_a_restart_replaces_the_earlier_start() {
+    let mut simulation = settled(2);
+    simulation.kill(7);
     let rest: Vec<usize> = all().into_iter().filter(|&node| node != 7).collect();
-    let took = world.until_all_see(&rest, ALL - 1, 30 * S).expect("all know");
-    assert!(took < 12 * S, "{took}");
-    assert_eq!(world.wrongly(0, |name| name != "n7"), 0);
-    world.start(7);
-    assert!(world.until_all_see(&all(), ALL, 10 * S).is_some());
-    // One that is back before anybody noticed is another one all the same.
-    let since = world.now;
-    world.kill(8);
-    world.start(8);
-    world.pass(5 * S);
+    let took = simulation.run_until_all_see(&rest, FLEET_SIZE - 1, 30 * SECOND).expect("all know");
+    assert!(took < 12 * SECOND, "{took}");
+    assert_eq!(simulation.false_deaths(0, |name| name != "n7"), 0);
+    simulation.start(7);
+    assert!(simulation.run_until_all_see(&all(), FLEET_SIZE, 10 * SECOND).is_some());
+    // A proxy that restarts before anybody noticed its death is another peer all the same.
+    let since = simulation.now;
+    simulation.kill(8);
+    simulation.start(8);
+    simulation.run_for(5 * SECOND);
     let heard_of = |node: usize| {
-        let restarted = |change: &Change| matches!(change, Change::Restarted(fellow) | Change::Up(fellow) if &*fellow.name == "n8");
-        world.nodes[node].heard.iter().any(|(at, change)| *at >= since && restarted(change))
+        let is_restart = |change: &Change| matches!(change, Change::Restarted(peer) | Change::Up(peer) if &*peer.name == "n8");
+        simulation.nodes[node].changes.iter().any(|learnt| learnt.at >= since && is_restart(&learnt.change))
     };
     assert!(all().into_iter().filter(|&node| node != 8).all(heard_of));
-    assert_eq!(world.alive(0), ALL);
+    assert_eq!(simulation.alive(0), FLEET_SIZE);
 }
 
 #[test]
-fn one_that_goes_is_gone_at_once() {
-    let mut world = settled(3);
-    world.leave(4);
+fn a_leaving_proxy_is_gone_within_two_seconds() {
+    let mut simulation = settled(3);
+    simulation.leave(4);
     let rest: Vec<usize> = all().into_iter().filter(|&node| node != 4).collect();
-    let took = world.until_all_see(&rest, ALL - 1, 10 * S).expect("all know");
-    assert!(took <= 2 * S, "{took}");
+    let took = simulation.run_until_all_see(&rest, FLEET_SIZE - 1, 10 * SECOND).expect("all know");
+    assert!(took <= 2 * SECOND, "{took}");
 }
 
 #[test]
-fn those_that_stood_still_accuse_nobody_and_come_back() {
-    for (seed, long) in [(4, 500 * MS), (5, 3 * S), (6, 30 * S)] {
-        let mut world = settled(seed);
-        let since = world.now;
-        (0..14).for_each(|node| world.stop(node));
-        world.pass(long);
-        let woke = world.now;
-        (0..14).for_each(|node| world.go_on(node));
-        assert!(!world.view(0).sure, "in doubt until it was heard anew");
-        assert_eq!(world.view(0).quota_divisor(40), 40);
-        let took = world.until_all_see(&all(), ALL, 30 * S);
-        assert!(took.is_some_and(|took| took < 15 * S), "{long}: {took:?}");
-        world.pass(30 * S);
-        // What those say who went on is right while the others stood. Of those that go on nobody may be accused.
-        let going = |name: &str| name[1..].parse::<usize>().unwrap() >= 14;
-        assert_eq!(world.wrongly(since, going), 0, "{long}");
-        let by_woken = world.nodes[..14].iter().flat_map(|node| &node.heard);
-        let accused = by_woken.filter(|(at, change)| *at >= woke && matches!(change, Change::Down(_)));
-        // Those that stood as well and were told dead by the others, until they are heard of again.
+fn stalled_proxies_accuse_no_running_one_and_come_back() {
+    for (seed, span) in [(4, 500 * MILLISECOND), (5, 3 * SECOND), (6, 30 * SECOND)] {
+        let mut simulation = settled(seed);
+        let since = simulation.now;
+        (0..14).for_each(|node| simulation.stall(node));
+        simulation.run_for(span);
+        let resumed_at = simulation.now;
+        (0..14).for_each(|node| simulation.resume(node));
+        assert!(!simulation.snapshot(0).is_certain, "uncertain until others are heard again");
+        assert_eq!(simulation.snapshot(0).quota_divisor(40), 40);
+        let took = simulation.run_until_all_see(&all(), FLEET_SIZE, 30 * SECOND);
+        assert!(took.is_some_and(|took| took < 15 * SECOND), "{span}: {took:?}");
+        simulation.run_for(30 * SECOND);
+        // Proxies that ran are right to declare the stalled ones dead. No running one may be declared dead.
+        let was_running = |name: &str| name[1..].parse::<usize>().unwrap() >= 14;
+        assert_eq!(simulation.false_deaths(since, was_running), 0, "{span}");
+        let learnt_by_resumed = simulation.nodes[..14].iter().flat_map(|node| &node.changes);
+        let accused = learnt_by_resumed
+            .filter(|learnt| learnt.at >= resumed_at && matches!(learnt.change, Change::Down(_)));
+        // Other stalled ones, which the running ones had declared dead, until they are heard again.
         assert!(accused.count() <= 14 * 14);
-        assert!(all().into_iter().all(|node| world.view(node).sure && world.alive(node) == ALL));
+        assert!(
+            all()
+                .into_iter()
+                .all(|node| simulation.snapshot(node).is_certain && simulation.alive(node) == FLEET_SIZE)
+        );
     }
 }
 
 #[test]
-fn each_half_of_a_divided_fleet_knows_that_it_may_be_the_smaller_one() {
-    let mut world = settled(7);
-    world.lets = Box::new(|from, to| (from < 8) == (to < 8));
-    world.pass(60 * S);
+fn a_partitioned_minority_knows_that_it_may_be_one_and_the_fleet_heals() {
+    let mut simulation = settled(7);
+    simulation.connects = Box::new(|from, to| (from < 8) == (to < 8));
+    simulation.run_for(60 * SECOND);
     for node in all() {
-        let view = world.view(node);
+        let snapshot = simulation.snapshot(node);
         let left = if node < 8 { 8 } else { 12 };
-        assert_eq!((view.alive, view.seen, view.may_be_smaller), (left, ALL, node < 8));
-        assert_eq!(view.warm_up_quota_divisor(ALL), ALL);
+        assert_eq!(
+            (snapshot.alive, snapshot.most_alive, snapshot.may_be_minority),
+            (left, FLEET_SIZE, node < 8)
+        );
+        assert_eq!(snapshot.warm_up_quota_divisor(FLEET_SIZE), FLEET_SIZE);
     }
-    world.lets = Box::new(|_, _| true);
-    let took = world.until_all_see(&all(), ALL, 60 * S).expect("they find together");
-    assert!(took < 30 * S, "{took}");
+    simulation.connects = Box::new(|_, _| true);
+    let took = simulation.run_until_all_see(&all(), FLEET_SIZE, 60 * SECOND).expect("they find together");
+    assert!(took < 30 * SECOND, "{took}");
 }
 
 #[test]
-fn a_way_that_is_lost_between_two_is_no_death() {
+fn a_lost_path_between_two_proxies_is_no_death() {
     for one_way in [true, false] {
-        let mut world = settled(8);
-        let since = world.now;
-        world.lets = Box::new(move |from, to| !(from == 1 && to == 2 || !one_way && from == 2 && to == 1));
-        world.pass(300 * S);
-        assert_eq!(world.wrongly(since, |_| true), 0);
+        let mut simulation = settled(8);
+        let since = simulation.now;
+        simulation.connects =
+            Box::new(move |from, to| !(from == 1 && to == 2 || !one_way && from == 2 && to == 1));
+        simulation.run_for(300 * SECOND);
+        assert_eq!(simulation.false_deaths(since, |_| true), 0);
     }
 }
 
 #[test]
-fn one_whom_nobody_hears_is_taken_for_dead_and_doubts_itself() {
-    let mut world = settled(9);
-    world.lets = Box::new(|from, to| from != 3 || to == 3);
-    world.pass(60 * S);
-    assert!((0..ALL).filter(|&node| node != 3).all(|node| world.alive(node) == ALL - 1));
-    assert!(world.nodes[3].heard.iter().any(|(_, change)| *change == Change::Rejoined));
-    // It takes hardly anybody for dead meanwhile, as the others tell it that they live.
-    world.lets = Box::new(|_, _| true);
-    assert!(world.until_all_see(&all(), ALL, 60 * S).is_some());
+fn a_proxy_that_nobody_hears_is_declared_dead_and_rejoins() {
+    let mut simulation = settled(9);
+    simulation.connects = Box::new(|from, to| from != 3 || to == 3);
+    simulation.run_for(60 * SECOND);
+    assert!((0..FLEET_SIZE).filter(|&node| node != 3).all(|node| simulation.alive(node) == FLEET_SIZE - 1));
+    assert!(simulation.nodes[3].changes.iter().any(|learnt| learnt.change == Change::Rejoined));
+    // Meanwhile it hears the others, so it declares hardly anybody dead.
+    simulation.connects = Box::new(|_, _| true);
+    assert!(simulation.run_until_all_see(&all(), FLEET_SIZE, 60 * SECOND).is_some());
 }
 
 #[test]
-fn another_fleet_other_versions_and_strangers_are_not_heard() {
-    let mut world = World::new(6, 10);
-    (3..6).for_each(|node| world.of_fleet(node, "another"));
-    world.start_all();
-    world.pass(30 * S);
-    assert!((0..6).all(|node| world.alive(node) == 3), "each fleet by itself");
-    assert!(world.nodes[0].fellows.as_ref().unwrap().dropped().fleet > 0);
-    let fellows = world.nodes[0].fellows.as_mut().unwrap();
-    let (home, away) = ("127.0.0.1".parse().unwrap(), "10.1.1.1".parse().unwrap());
-    let before = fellows.dropped();
-    fellows.receive(0, away, b"whatever");
-    fellows.receive(0, home, b"whatever it may be");
-    fellows.receive(0, home, &[0xa1, 0xdf, 2, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
-    let now = fellows.dropped();
-    assert_eq!(now.stranger - before.stranger, 1);
-    assert_eq!((now.not_ours - before.not_ours, now.version - before.version), (1, 1));
+fn datagrams_of_other_fleets_versions_and_networks_are_dropped_and_counted() {
+    let mut simulation = Simulation::new(6, 10);
+    (3..6).for_each(|node| simulation.set_fleet(node, "another"));
+    simulation.start_all();
+    simulation.run_for(30 * SECOND);
+    assert!((0..6).all(|node| simulation.alive(node) == 3), "each fleet by itself");
+    assert!(simulation.nodes[0].membership.as_ref().unwrap().dropped().unknown_fleet > 0);
+    let membership = simulation.nodes[0].membership.as_mut().unwrap();
+    let home = "127.0.0.1".parse().unwrap();
+    let away = "10.1.1.1".parse().unwrap();
+    let before = membership.dropped();
+    let _ = membership.receive(0, away, b"whatever");
+    let _ = membership.receive(0, home, b"whatever it may be");
+    let _ = membership.receive(0, home, &[0xa1, 0xdf, 2, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
+    let now = membership.dropped();
+    assert_eq!(now.unknown_network - before.unknown_network, 1);
+    assert_eq!(
+        (now.not_membership - before.not_membership, now.unsupported_version - before.unsupported_version),
+        (1, 1)
+    );
 }
 
 #[test]
-fn of_two_with_one_name_the_later_counts_and_the_other_is_silent() {
-    let mut world = World::new(6, 11);
+fn of_two_proxies_with_one_name_the_earlier_falls_silent() {
+    let mut simulation = Simulation::new(6, 11);
     let peers = || {
         vec![SeedAddress { name: None, address: address(0) }, SeedAddress { name: None, address: address(1) }]
     };
-    (0..5).for_each(|node| world.start(node));
-    world.pass(10 * S);
-    world.start_as(5, "n4", peers());
-    world.pass(20 * S);
+    (0..5).for_each(|node| simulation.start(node));
+    simulation.run_for(10 * SECOND);
+    simulation.start_as(5, "n4", peers());
+    simulation.run_for(20 * SECOND);
     let displaced = |node: usize| {
-        let mut heard = world.nodes[node].heard.iter();
-        heard.any(|(_, change)| matches!(change, Change::Superseded(by) if by.address == address(5)))
+        let mut heard = simulation.nodes[node].changes.iter();
+        heard.any(|learnt| matches!(&learnt.change, Change::Superseded(by) if by.address == address(5)))
     };
     assert!(displaced(4) && !displaced(5));
-    assert_eq!(world.alive(0), 5);
-    let known = world.nodes[0].fellows.as_ref().unwrap();
-    assert!(known.alive().any(|fellow| &*fellow.name == "n4" && fellow.address == address(5)));
+    assert_eq!(simulation.alive(0), 5);
+    let known = simulation.nodes[0].membership.as_ref().unwrap();
+    assert!(known.alive().any(|peer| &*peer.name == "n4" && peer.address == address(5)));
 }
 
 #[test]
-fn what_goes_out_is_flat_in_the_number_of_drivers() {
+fn traffic_per_proxy_does_not_grow_with_the_fleet() {
     let sent = |count: usize| {
-        let mut world = World::new(count, 12);
-        world.tempo = ProtocolPeriods::for_fleet_of(300);
-        world.start_all();
-        world.pass(60 * S);
-        let before: u64 = world.nodes.iter().map(|node| node.bytes).sum();
-        world.pass(60 * S);
-        let after: u64 = world.nodes.iter().map(|node| node.bytes).sum();
+        let mut simulation = Simulation::new(count, 12);
+        simulation.periods = ProtocolPeriods::for_fleet_of(300);
+        simulation.start_all();
+        simulation.run_for(60 * SECOND);
+        let before: u64 = simulation.nodes.iter().map(|node| node.bytes_sent).sum();
+        simulation.run_for(60 * SECOND);
+        let after: u64 = simulation.nodes.iter().map(|node| node.bytes_sent).sum();
         (after - before) as f64 / count as f64 / 60.0
     };
     let (few, many) = (sent(10), sent(100));
-    assert!(many < 1.5 * few && many < 2_000.0, "{few} {many} bytes a second a driver");
+    assert!(many < 1.5 * few && many < 2_000.0, "{few} {many} bytes a second a proxy");
 }
 
 #[test]
-fn whatever_comes_in_harms_nothing_beyond_itself() {
+fn random_datagrams_do_not_disturb_the_membership() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
     let limits = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let bytes = vec(vec(0u8.., 0..200), 1..20);
     TestRunner::new_with_rng(limits, rng)
         .run(&(bytes, 0u64..1 << 30), |(datagrams, seed)| {
-            let mut world = World::new(3, seed);
-            world.start_all();
-            world.pass(5 * S);
+            let mut simulation = Simulation::new(3, seed);
+            simulation.start_all();
+            simulation.run_for(5 * SECOND);
             for (at, datagram) in datagrams.into_iter().enumerate() {
-                let inner =
-                    aldermill_membership::frame::gossip(aldermill_membership::frame::tag("f"), &datagram);
+                let inner = frame::encode_gossip(frame::fleet_tag("f"), &datagram);
                 let whole = if at % 2 == 0 { inner } else { datagram };
                 let home = "127.0.0.1".parse().unwrap();
-                let now = world.now;
-                world.nodes[0].fellows.as_mut().unwrap().receive(now, home, &whole);
+                let now = simulation.now;
+                let _ = simulation.nodes[0].membership.as_mut().unwrap().receive(now, home, &whole);
             }
-            world.pass(20 * S);
-            assert_eq!(world.alive(0), 3);
+            simulation.run_for(20 * SECOND);
+            assert_eq!(simulation.alive(0), 3);
             Ok(())
         })
         .unwrap();
 }
 
 #[test]
-fn after_any_trouble_the_living_agree_on_who_lives() {
+fn live_proxies_agree_after_any_sequence_of_faults() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[6; 32]);
     let limits = Config { cases: 40, failure_persistence: None, ..Config::default() };
     let steps = vec((0u8..8, 0usize..8, 0i64..8_000), 5..40);
     TestRunner::new_with_rng(limits, rng)
         .run(&(steps, 0u64..1 << 30), |(steps, seed)| {
-            let mut world = World::new(8, seed);
-            world.start_all();
+            let mut simulation = Simulation::new(8, seed);
+            simulation.start_all();
             for (kind, node, time) in steps {
                 match kind {
-                    0 => world.kill(node),
-                    1 if world.nodes[node].fellows.is_none() => world.start(node),
-                    2 => world.stop(node),
-                    3 => world.go_on(node),
+                    0 => simulation.kill(node),
+                    1 if simulation.nodes[node].membership.is_none() => simulation.start(node),
+                    2 => simulation.stall(node),
+                    3 => simulation.resume(node),
                     4 => {
                         let cut = node;
-                        world.lets = Box::new(move |from, to| (from < cut) == (to < cut));
+                        simulation.connects = Box::new(move |from, to| (from < cut) == (to < cut));
                     }
-                    5 => world.lets = Box::new(|_, _| true),
-                    6 => world.loss = node as f64 / 20.0,
-                    _ => world.pass(time * MS),
+                    5 => simulation.connects = Box::new(|_, _| true),
+                    6 => simulation.loss = node as f64 / 20.0,
+                    _ => simulation.run_for(time * MILLISECOND),
                 }
-                let seen = (0..8).filter(|&node| world.nodes[node].fellows.is_some());
-                assert!(seen.into_iter().all(|node| world.alive(node) <= 8));
+                let running = (0..8).filter(|&node| simulation.nodes[node].membership.is_some());
+                assert!(running.into_iter().all(|node| simulation.alive(node) <= 8));
             }
-            (0..8).for_each(|node| world.go_on(node));
-            (world.lets, world.loss) = (Box::new(|_, _| true), 0.0);
-            let living: Vec<usize> = (0..8).filter(|&node| world.nodes[node].fellows.is_some()).collect();
-            world.pass(60 * S);
-            let took = world.until_all_see(&living, living.len(), 120 * S);
-            assert!(took.is_some(), "{:?}", living.iter().map(|&node| world.alive(node)).collect::<Vec<_>>());
+            (0..8).for_each(|node| simulation.resume(node));
+            simulation.connects = Box::new(|_, _| true);
+            simulation.loss = 0.0;
+            let living: Vec<usize> =
+                (0..8).filter(|&node| simulation.nodes[node].membership.is_some()).collect();
+            simulation.run_for(60 * SECOND);
+            let took = simulation.run_until_all_see(&living, living.len(), 120 * SECOND);
+            assert!(
+                took.is_some(),
+                "{:?}",
+                living.iter().map(|&node| simulation.alive(node)).collect::<Vec<_>>()
+            );
             Ok(())
         })
         .unwrap();
--- a/crates/membership/tests/pinned_datagrams.rs
+++ b/crates/membership/tests/pinned_datagrams.rs
@@ -1,18 +1,16 @@
 //! The bytes of each kind of datagram, as literals: proxies of other versions read and write the same ones.
 
-use std::cell::RefCell;
 use std::net::SocketAddr;
-use std::rc::Rc;
 
-use aldermill_membership::Peer;
-use aldermill_membership::frame::{self, Content, GossipCodec};
+use aldermill_membership::frame::{self, Content};
+use aldermill_membership::{GossipCodec, Peer};
 use foca::{Codec, Header, Member, Message, State};
 
 const FLEET: u64 = 0x0102_0304_0506_0708;
 
-fn peer(name: &str, start: u64, incarnation: u16, address: &str) -> Peer {
+fn peer(name: &str, start: u64, rejoins: u16, address: &str) -> Peer {
     let address: SocketAddr = address.parse().unwrap();
-    Peer { name: name.into(), start, turn: incarnation, address }
+    Peer { name: name.into(), start, rejoins, address }
 }
 
 fn sender() -> Peer {
@@ -29,7 +27,7 @@
 
 /// The receiver's codec.
 fn codec() -> GossipCodec {
-    GossipCodec { own: Rc::new(RefCell::new(receiver())), later_self: Rc::default() }
+    GossipCodec::new(receiver())
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -50,13 +48,15 @@
     let header = Header { src: sender(), src_incarnation: 0x1a1b, dst: receiver(), message };
     let mut inner = Vec::new();
     codec().encode_header(&header, &mut inner).unwrap();
-    assert_pinned(&frame::gossip(FLEET, &inner), pinned);
+    assert_pinned(&frame::encode_gossip(FLEET, &inner), pinned);
 
     let datagram = bytes(pinned);
-    let Ok(Content::Gossip(mut inner, from)) = frame::open(FLEET, &datagram) else { panic!("no gossip") };
+    let Ok(Content::Gossip { sender: from, mut message }) = frame::decode(FLEET, &datagram) else {
+        panic!("no gossip")
+    };
     assert_eq!(from, sender());
-    assert_eq!(codec().decode_header(&mut inner).unwrap(), header);
-    assert!(inner.is_empty());
+    assert_eq!(codec().decode_header(&mut message).unwrap(), header);
+    assert!(message.is_empty());
 }
 
 /// A member as it follows a header, both ways.
@@ -205,19 +205,22 @@
 #[test]
 fn a_later_start_datagram_keeps_its_bytes() {
     let pinned = "a1df 01 0102030405060708 01 0770726f78792d63 2233445566778899 0e0f 04c00002031f0c";
-    assert_pinned(&frame::later_start(FLEET, &third()), pinned);
-    assert_eq!(frame::open(FLEET, &bytes(pinned)), Ok(Content::LaterStart(third())));
+    assert_pinned(&frame::encode_later_start(FLEET, &third()), pinned);
+    assert_eq!(frame::decode(FLEET, &bytes(pinned)), Ok(Content::LaterStart(third())));
 }
 
 #[test]
 fn a_datagram_of_another_package_keeps_its_bytes() {
     let pinned = "a1df 01 0102030405060708 02 0770726f78792d61 0011223344556677 0a0b 04c00002011f0a \
         7061796c6f6164";
-    assert_pinned(&frame::word(FLEET, &sender(), b"payload"), pinned);
-    assert_eq!(frame::open(FLEET, &bytes(pinned)), Ok(Content::Payload(b"payload", sender())));
+    assert_pinned(&frame::encode_payload(FLEET, &sender(), b"payload"), pinned);
+    assert_eq!(
+        frame::decode(FLEET, &bytes(pinned)),
+        Ok(Content::Payload { sender: sender(), payload: b"payload" })
+    );
 }
 
 #[test]
 fn a_fleet_tag_keeps_its_value() {
-    assert_eq!(frame::tag("alder"), 0x253b_4cbb_4d17_757b);
+    assert_eq!(frame::fleet_tag("alder"), 0x253b_4cbb_4d17_757b);
 }
--- a/crates/membership/tests/pinned_exchange.rs
+++ b/crates/membership/tests/pinned_exchange.rs
@@ -2,7 +2,7 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use aldermill_membership::{Actions, LocalPeer, Membership, Micros, ProtocolPeriods, SeedAddress};
+use aldermill_membership::{Actions, Config, LocalPeer, Membership, Micros, ProtocolPeriods, SeedAddress};
 
 const HOME: IpAddr = IpAddr::V4(std::net::Ipv4Addr::LOCALHOST);
 const UNTIL: Micros = 1_500_000;
@@ -136,16 +136,21 @@
 }
 
 fn start(name: &str, port: u16, seeds: Vec<SeedAddress>, seed: u64) -> (Membership, Actions) {
-    let own =
+    let local =
         LocalPeer { fleet: "alder".to_owned(), name: name.to_owned(), address: address(port), start: 1000 };
     let networks = vec!["127.0.0.0/8".parse().unwrap()];
-    Membership::start(0, own, seeds, networks, ProtocolPeriods::for_fleet_of(2), 2, seed)
+    let config = Config { local, seeds, networks, periods: ProtocolPeriods::for_fleet_of(2), fleet_size: 2 };
+    Membership::start(0, config, seed)
 }
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
+fn sent_by(proxy: usize, actions: Actions) -> impl Iterator<Item = (usize, Vec<u8>)> {
+    actions.send.into_iter().map(move |datagram| (proxy, datagram.bytes))
+}
+
 /// Carries each datagram at once, and wakes whoever wants it first; returns the sender's name and the datagram.
 fn exchange() -> Vec<(&'static str, String)> {
     let seeds = vec![SeedAddress { name: None, address: address(7002) }];
@@ -154,7 +159,7 @@
     let mut proxies = [a, b];
     let mut wake_at = [first.wake_at, second.wake_at];
     let mut sent = Vec::new();
-    let mut in_flight: Vec<(usize, Vec<u8>)> = first.send.into_iter().map(|(_, bytes)| (0, bytes)).collect();
+    let mut in_flight: Vec<(usize, Vec<u8>)> = sent_by(0, first).collect();
     let mut now = 0;
     loop {
         while !in_flight.is_empty() {
@@ -163,7 +168,7 @@
             sent.push((["a", "b"][from], hex(&bytes)));
             let actions = proxies[to].receive(now, HOME, &bytes);
             wake_at[to] = actions.wake_at;
-            in_flight.extend(actions.send.into_iter().map(|(_, bytes)| (to, bytes)));
+            in_flight.extend(sent_by(to, actions));
         }
         let next = if wake_at[0] <= wake_at[1] { 0 } else { 1 };
         now = wake_at[next].expect("both live");
@@ -172,13 +177,13 @@
         }
         let actions = proxies[next].wake(now);
         wake_at[next] = actions.wake_at;
-        in_flight.extend(actions.send.into_iter().map(|(_, bytes)| (next, bytes)));
+        in_flight.extend(sent_by(next, actions));
     }
-    let (_, bytes) = proxies[0].encode_payload("b", b"payload").expect("a knows b");
+    let bytes = proxies[0].encode_payload("b", b"payload").expect("a knows b").bytes;
     sent.push(("a", hex(&bytes)));
-    assert_eq!(proxies[1].receive(now, HOME, &bytes).words[0].1, b"payload");
-    let farewell = proxies[0].leave().send;
-    sent.extend(farewell.into_iter().map(|(_, bytes)| ("a", hex(&bytes))));
+    assert_eq!(proxies[1].receive(now, HOME, &bytes).payloads[0].payload, b"payload");
+    let farewell = proxies[0].leave();
+    sent.extend(sent_by(0, farewell).map(|(_, bytes)| ("a", hex(&bytes))));
     sent
 }
 
--- a/crates/proxy/src/membership/actor.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -6,7 +6,8 @@
 
 use aldermill_leases::Incarnation;
 use aldermill_membership::{
-    Actions, Change, DroppedDatagrams, LocalPeer, Micros, Peer, ProtocolPeriods, SeedAddress, Snapshot,
+    Actions, Change, Config, DroppedDatagrams, LocalPeer, Micros, Peer, ProtocolPeriods, ReceivedPayload,
+    SeedAddress, Snapshot,
 };
 use aldermill_operator_config::{CoordinationConfig as Wanted, MembershipConfig as Terms};
 use aldermill_site_drain::Plan;
@@ -112,8 +113,14 @@
             }
             None => None,
         };
-        let (fellows, actions) =
-            aldermill_membership::Membership::start(now, own, peers, terms.networks, tempo, drivers, seed);
+        let config = Config {
+            local: own,
+            seeds: peers,
+            networks: terms.networks,
+            periods: tempo,
+            fleet_size: drivers,
+        };
+        let (fellows, actions) = aldermill_membership::Membership::start(now, config, seed);
         let stood = context.unstalled_clock.stood();
         let (shared, told) = ((drivers, drivers), drivers);
         let mut company = MembershipActor {
@@ -227,8 +234,8 @@
         let others: Vec<Rc<str>> = self.fellows.alive().map(|fellow| fellow.name.clone()).collect();
         ask(council, moment(&self.context), &others);
         for Datagram { to, payload } in council.take_outgoing() {
-            if let Some((address, datagram)) = self.fellows.encode_payload(&to, &payload) {
-                self.send(address, &datagram);
+            if let Some(datagram) = self.fellows.encode_payload(&to, &payload) {
+                self.send(datagram.to, &datagram.bytes);
             }
         }
     }
@@ -269,10 +276,10 @@
     }
 
     async fn carry_out(&mut self, actions: Actions) {
-        actions.send.into_iter().for_each(|(to, datagram)| self.send(to, &datagram));
+        actions.send.into_iter().for_each(|datagram| self.send(datagram.to, &datagram.bytes));
         let age = self.age;
-        for (from, words) in actions.words {
-            self.counsel(|council, at, others| council.receive(at, age, &from, &words, others));
+        for ReceivedPayload { sender, payload } in actions.payloads {
+            self.counsel(|council, at, others| council.receive(at, age, &sender, &payload, others));
         }
         for change in actions.changes {
             if let (Change::Down(gone) | Change::Restarted(gone), Some((council, _))) =
@@ -296,7 +303,7 @@
             }
         }
         self.wake_at = actions.wake_at;
-        let view = self.fellows.view(self.context.unstalled_clock.now());
+        let view = self.fellows.snapshot(self.context.unstalled_clock.now());
         let shared = (view.quota_divisor(self.told), view.warm_up_quota_divisor(self.told));
         if shared != self.shared && !self.spans {
             self.shared = shared;
@@ -311,8 +318,8 @@
 
     /// Says what is known here, as one JSON object.
     fn describe(&self, mut stream: UnixStream) {
-        let view = self.fellows.view(self.context.unstalled_clock.now());
-        let text = json!({"self": fellow(self.fellows.own()), "view": seen(view), "room_shared_by": self.shared.0,
+        let view = self.fellows.snapshot(self.context.unstalled_clock.now());
+        let text = json!({"self": fellow(self.fellows.local()), "view": seen(view), "room_shared_by": self.shared.0,
             "council": self.council.as_ref().map(|(council, _)| council.describe(self.context.clock.now())),
             "at_ms": self.context.clock.wall() / 1000, "dropped": dropped(self.fellows.dropped()), "sent": {"datagrams": self.sent.0, "bytes": self.sent.1}, "not_sent": self.unsent,
             "fellows": self.fellows.alive().map(fellow).collect::<Vec<_>>()});
@@ -348,17 +355,18 @@
 }
 
 fn fellow(of: &Peer) -> Value {
-    json!({"name": &*of.name, "start": of.start, "turn": of.turn, "address": of.address.to_string()})
+    json!({"name": &*of.name, "start": of.start, "turn": of.rejoins, "address": of.address.to_string()})
 }
 
 fn seen(view: Snapshot) -> Value {
-    let Snapshot { alive, seen, sure, may_be_smaller } = view;
-    json!({"alive": alive, "most_seen": seen, "sure": sure, "may_be_smaller": may_be_smaller})
+    let Snapshot { alive, most_alive, is_certain, may_be_minority } = view;
+    json!({"alive": alive, "most_seen": most_alive, "sure": is_certain, "may_be_smaller": may_be_minority})
 }
 
 fn dropped(of: DroppedDatagrams) -> Value {
-    let DroppedDatagrams { stranger, not_ours, version, fleet, unusable } = of;
-    json!({"stranger": stranger, "not_ours": not_ours, "version": version, "fleet": fleet, "unusable": unusable})
+    let DroppedDatagrams { unknown_network, not_membership, unsupported_version, unknown_fleet, unusable } =
+        of;
+    json!({"stranger": unknown_network, "not_ours": not_membership, "version": unsupported_version, "fleet": unknown_fleet, "unusable": unusable})
 }
 
 /// What the driver behind that socket knows of the others: a table, or its JSON as it comes.
