--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -3,14 +3,14 @@
 use std::rc::Rc;
 
 use aldermill_routing::{Handle, Micros, Need, Outcome, Request, Role, Verdict};
-use aldermill_site_routing::{Actions as SiteActions, Handle as SitesHandle};
+use aldermill_site_routing::{Actions as SiteActions, RequestHandle as SiteRequestHandle};
 use aldermill_wire::statement::quoted;
 
 use super::Dispatcher;
 use super::gateway::GatewayPart;
 use super::open_request::{OpenRequest, RequestLocation, WaitingClient};
 use crate::messages::{
-    Answer, AttemptFinished, AttemptResponse, ClientId, ClientRequest, HealthCheckFinished, Withdrawal,
+    Answer, AttemptFinished, AttemptResponse, Cancellation, ClientId, ClientRequest, HealthCheckFinished,
 };
 
 /// A request for the router, and until when it must be answered.
@@ -20,7 +20,7 @@
     /// On the router's clock: an instant, which a process that is held up on the way does not put off.
     pub(super) deadline: Micros,
     /// Present where the gateway part hands it over.
-    pub(super) via: Option<SitesHandle>,
+    pub(super) via: Option<SiteRequestHandle>,
 }
 
 /// What the gateway part makes of an answer that its member is not primary.
@@ -46,17 +46,17 @@
     fn check(&self, request: &ClientRequest) -> Result<usize, Answer> {
         let comment = &request.comment;
         let Ok(class) = self.decoded.class(&comment.class) else {
-            return Err(Answer::Wrong("unknown offering"));
+            return Err(Answer::InvalidStatement("unknown offering"));
         };
         // The list may be older than its group: the request was not sent on, and may be sent again.
         if !self.knows_group(comment.group) {
-            return Err(Answer::Rejected { cool_down: 0 });
+            return Err(Answer::Rejected { retry_after: 0 });
         }
         if self.open_ids.contains(&comment.id) {
-            return Err(Answer::Wrong("a task with this id is under way"));
+            return Err(Answer::InvalidStatement("a task with this id is under way"));
         }
         if self.is_full() {
-            return Err(Answer::Rejected { cool_down: 0 });
+            return Err(Answer::Rejected { retry_after: 0 });
         }
         Ok(class)
     }
@@ -69,13 +69,13 @@
     /// Whether as many requests are under way as the operator allows.
     fn is_full(&self) -> bool {
         let crossing = self.gateway_part.as_ref().map_or(0, GatewayPart::open_requests);
-        self.open_requests.len().max(crossing) >= self.context.limits.requests
+        self.open_requests.len().max(crossing) >= self.context.limits.open_requests
     }
 
     /// Hands a checked request to the router and carries out its first decision.
     fn admit(&mut self, request: ClientRequest, class: usize) {
         // The timeout has run since the statement arrived.
-        let deadline = request.arrived + Micros::from(request.comment.wait) * 1000;
+        let deadline = request.received_at + Micros::from(request.comment.wait) * 1000;
         let (client, id) = (request.client, request.comment.id.clone());
         let handover = Handover { request: Rc::new(request), class, deadline, via: None };
         let (handle, actions) = self.hand_over(handover);
@@ -92,10 +92,10 @@
         let (handle, actions) = self.decide(|router| router.take(now, routed.clone()));
         let open = OpenRequest {
             via,
-            best: self.context.best_paid.contains(&request.comment.class),
+            priority: self.context.priority(&request.comment.class),
             deadline,
             client: Some(WaitingClient::of(&request)),
-            withdrawal: Withdrawal::default(),
+            cancellation: Cancellation::default(),
             request,
         };
         self.open_requests.insert(handle, open);
@@ -117,7 +117,7 @@
             class,
             group: comment.group,
             ttl: deadline - now,
-            waited: now - request.arrived,
+            waited: now - request.received_at,
             session,
             last_write: request.last_write(now),
             repeat: comment.repeat,
@@ -179,7 +179,7 @@
     /// Tells the gateway part, where the request came through it, that an attempt missed or may have run.
     fn gateway_part_hears(
         &mut self,
-        via: Option<SitesHandle>,
+        via: Option<SiteRequestHandle>,
         verdict: Verdict,
         elapsed: Micros,
     ) -> SiteMiss {
