--- a/crates/operator-config/src/coordination.rs
+++ b/crates/operator-config/src/coordination.rs
@@ -1,3 +1,5 @@
+//! The section `coordination`: what the fleet's proxies decide in common.
+
 use std::collections::BTreeMap;
 
 use schemars::JsonSchema;
@@ -5,22 +7,26 @@
 
 use crate::OperatorError;
 
-/// What a duty is for.
+const MIN_LEASE_MS: u64 = 500;
+const MAX_LEASE_MS: u64 = 60_000;
+
+/// What the holder of a lease decides for the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize, JsonSchema)]
-#[serde(rename_all = "snake_case")]
 pub enum LeaseKind {
     /// Failover between zones.
     #[serde(rename = "zones")]
     ZoneFailover,
-    /// Where key ranges are cut.
+    /// Recommendations where to split key ranges.
     #[serde(rename = "splits")]
     SplitPoints,
-    /// Sites that hand their clients on.
+    /// Draining sites: their clients are handed on to other sites.
     #[serde(rename = "retire")]
     SiteDrain,
 }
 
 impl LeaseKind {
+    /// The lease's name in the operator's file, in datagrams and in stored records.
+    #[must_use]
     pub fn name(self) -> &'static str {
         match self {
             LeaseKind::ZoneFailover => "zones",
@@ -30,103 +36,110 @@
     }
 }
 
-/// What a site that retires is to do.
+/// What is to become of a site's drain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
-#[serde(rename_all = "snake_case")]
 pub enum DrainOrder {
-    /// Its clients go to the others, as quickly as those were measured to bear and while service stands.
+    /// Its clients move to the other sites, as quickly as those were measured to bear and while service holds up.
     #[default]
     #[serde(rename = "goes")]
     Run,
-    /// Nothing moves until another word.
+    /// Nothing moves until the order changes.
     #[serde(rename = "held")]
     Pause,
     /// Its clients come back.
     #[serde(rename = "taken_back")]
     Cancel,
-    /// As `goes`, also while service falls.
+    /// As `goes`, also while service suffers.
     #[serde(rename = "hurried")]
     Expedite,
 }
 
-/// A site that retires. It is enough that one driver of the fleet is told, at its start or by SIGHUP.
+/// A site that is drained. It is enough to configure this at one proxy of the fleet, at its start or by SIGHUP.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct SiteDrainConfig {
     /// The site's name, as its gateways give it.
     #[schemars(length(min = 1, max = 64))]
     pub site: String,
-    /// Of all words on a site that of the highest number stands: raise it with every change.
+    /// Of all orders for a site the one with the highest number counts: raise it with every change.
     #[schemars(range(min = 1))]
     pub number: u64,
+    /// What is to become of the drain.
     #[serde(default)]
     pub order: DrainOrder,
-    /// By when it is to be empty, in Unix seconds. It is told where that cannot be.
+    /// By when the site is to be empty, in Unix seconds. The log says where that is not possible.
     pub by: u64,
 }
 
-/// What drivers decide in common. Off by default; needs `membership`. Read at the start only, but for `cuts` and `site_drain`.
+/// Decides in common with the fleet's other proxies. Off by default; needs `membership`. Read at the start only, but for
+/// `cuts` and `site_drain`.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct CoordinationConfig {
-    /// The names of 3, 5 or 7 drivers, the same at all of them: a majority says who holds a duty.
+    /// The names of 3, 5 or 7 proxies, the same at all of them: a majority of these grants leases.
     #[schemars(length(min = 3, max = 7))]
     pub voters: Vec<String>,
-    /// The duties that this fleet has; the same at all drivers.
+    /// The leases that this fleet has; the same at all proxies.
     #[serde(alias = "duties")]
     pub leases: Vec<LeaseKind>,
-    /// For how long a duty is granted at a time; the same at all drivers.
-    #[serde(default = "three_seconds")]
+    /// How long a lease is granted for, in milliseconds; the same at all proxies.
+    #[serde(default = "default_lease_ms")]
     #[schemars(range(min = 500, max = 60000))]
     pub lease_ms: u32,
     /// No term is lower. Only needed where all voters lost their state and the machines' clocks went back.
     #[serde(default)]
     pub least_term: u64,
-    /// Where groups were cut, by the operators themselves: by the group's number, the first key of each range but the first.
+    /// Where the operators have split groups: by the group's number, the first key of each range but the first.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub cuts: BTreeMap<u64, Vec<String>>,
-    /// Sites that retire; needs the duty `retire`, and a gateway at the drivers of each site.
+    /// Sites that are drained; needs the lease `retire`, and a gateway at the proxies of each site.
     #[serde(default, skip_serializing_if = "Vec::is_empty", alias = "retire")]
     pub site_drain: Vec<SiteDrainConfig>,
 }
 
-fn three_seconds() -> u32 {
+fn default_lease_ms() -> u32 {
     3000
 }
 
 impl CoordinationConfig {
-    /// What cannot be meant, with its field's path.
     pub(crate) fn check(&self) -> Result<(), OperatorError> {
+        self.check_voters()?;
+        if self.leases.is_empty() {
+            return Err(OperatorError::missing("coordination.leases", "or leave `coordination` out"));
+        }
+        self.check_site_drain()?;
+        let lease_ms = self.lease_ms.into();
+        OperatorError::check_range("coordination.lease_ms", lease_ms, MIN_LEASE_MS, MAX_LEASE_MS)
+    }
+
+    fn check_voters(&self) -> Result<(), OperatorError> {
         if !matches!(self.voters.len(), 3 | 5 | 7) {
             return Err(OperatorError::VoterCount(self.voters.len()));
         }
-        for (at, name) in self.voters.iter().enumerate() {
-            let path = format!("coordination.voters[{at}]");
+        for (index, name) in self.voters.iter().enumerate() {
+            let path = format!("coordination.voters[{index}]");
             OperatorError::check_name(&path, name)?;
-            if self.voters[..at].contains(name) {
+            if self.voters[..index].contains(name) {
                 return Err(OperatorError::Duplicate { path, name: name.clone() });
             }
         }
-        if self.leases.is_empty() {
-            return Err(OperatorError::missing("coordination.leases", "or leave `coordination` out"));
-        }
+        Ok(())
+    }
+
+    fn check_site_drain(&self) -> Result<(), OperatorError> {
         if !self.site_drain.is_empty() && !self.leases.contains(&LeaseKind::SiteDrain) {
-            return Err(OperatorError::missing(
-                "coordination.leases",
-                "with `retire` among them, as sites are named that retire",
-            ));
+            let reason = "with `retire` among them, as `site_drain` names sites";
+            return Err(OperatorError::missing("coordination.leases", reason));
         }
-        for (at, one) in self.site_drain.iter().enumerate() {
-            let path = format!("coordination.site_drain[{at}]");
-            OperatorError::check_name(&format!("{path}.site"), &one.site)?;
-            OperatorError::check_range(&format!("{path}.number"), one.number, 1, u64::MAX)?;
-            if self.site_drain[..at].iter().any(|other| other.site == one.site) {
-                return Err(OperatorError::Duplicate {
-                    path: format!("{path}.site"),
-                    name: one.site.clone(),
-                });
+        for (index, drain) in self.site_drain.iter().enumerate() {
+            let path = format!("coordination.site_drain[{index}]");
+            OperatorError::check_name(&format!("{path}.site"), &drain.site)?;
+            OperatorError::check_range(&format!("{path}.number"), drain.number, 1, u64::MAX)?;
+            if self.site_drain[..index].iter().any(|other| other.site == drain.site) {
+                let path = format!("{path}.site");
+                return Err(OperatorError::Duplicate { path, name: drain.site.clone() });
             }
         }
-        OperatorError::check_range("coordination.lease_ms", self.lease_ms.into(), 500, 60_000)
+        Ok(())
     }
 }
--- a/crates/operator-config/src/shadow.rs
+++ b/crates/operator-config/src/shadow.rs
@@ -1,15 +1,18 @@
+//! The section `shadow`: other settings that are evaluated beside those in force.
+
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
 use crate::OperatorError;
 
-/// Settings of another shape, under which a sample of the decisions is made a second time and only counted.
+/// Evaluates other settings beside those in force: a sample of the decisions is made a second time under them, and the
+/// differences are only counted.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ShadowConfig {
-    /// A file with such settings, in the form of the configuration's `settings`.
+    /// The path of a file with those settings, in the form of the configuration's `settings`.
     pub settings: String,
-    /// One in so many decisions is compared; ten by default.
+    /// Of so many decisions one is compared; ten by default.
     #[schemars(range(min = 1))]
     pub one_in: Option<u32>,
     /// Seconds between two lines in the log; sixty by default.
@@ -18,10 +21,9 @@
 }
 
 impl ShadowConfig {
-    /// What cannot be meant, with its field's path.
     pub(crate) fn check(&self) -> Result<(), OperatorError> {
-        for (field, value) in [("shadow.one_in", self.one_in), ("shadow.every_s", self.every_s)] {
-            OperatorError::check_range(field, value.unwrap_or(1).into(), 1, u32::MAX.into())?;
+        for (path, value) in [("shadow.one_in", self.one_in), ("shadow.every_s", self.every_s)] {
+            OperatorError::check_range(path, value.unwrap_or(1).into(), 1, u32::MAX.into())?;
         }
         Ok(())
     }
