--- a/crates/fault-injection/tests/fellows.rs
+++ b/crates/fault-injection/tests/fellows.rs
@@ -27,7 +27,7 @@
 
 /// Whom a log tells of in lines that say so.
 fn told<'a>(log: &'a str, what: &str) -> Vec<&'a str> {
-    let of = |line: &'a str| line.split_once(what)?.1.strip_prefix(", fellow: ")?.split(' ').next();
+    let of = |line: &'a str| line.split_once(what)?.1.strip_prefix(", peer: ")?.split(',').next();
     log.lines().filter_map(of).collect()
 }
 
@@ -36,9 +36,9 @@
     let last = log.rfind(" serving,").unwrap_or(0);
     let mut known = BTreeSet::new();
     for line in log[last..].lines() {
-        known.extend(told(line, "fellow up"));
-        known.extend(told(line, "fellow restarted"));
-        told(line, "fellow down").into_iter().for_each(|name| {
+        known.extend(told(line, "peer up"));
+        known.extend(told(line, "peer restarted"));
+        told(line, "peer down").into_iter().for_each(|name| {
             known.remove(name);
         });
     }
@@ -59,7 +59,7 @@
     let dead: BTreeSet<String> = dead.into_iter().map(|log| name(log)).collect();
     assert_eq!(dead.len(), 3);
     for log in &alive {
-        let down = told(log, "fellow down");
+        let down = told(log, "peer down");
         assert!(
             !down.is_empty() && down.iter().all(|name| dead.contains(*name)),
             "{down:?} of {dead:?}: {log}"
@@ -77,7 +77,7 @@
     assert_eq!(slept.len(), 3);
     let awake: BTreeSet<String> = awake.into_iter().map(|log| name(log)).collect();
     for log in &slept {
-        let down = told(log, "fellow down");
+        let down = told(log, "peer down");
         assert!(down.iter().all(|name| !awake.contains(*name)), "{down:?} {log}");
     }
     assert!(logs.iter().all(|log| known(log).len() == 9), "{logs:?}");
@@ -88,9 +88,6 @@
     let cut = r#"{"cut":{"between":"drivers_drivers","share":0.4,"way":"both","for_ms":7000}}"#;
     let (run, logs) = play("divided", 15.0, &format!(r#"{{"at_ms":2000,"do":{cut}}}"#));
     assert!(run.verdict.figures.within_objective > 0.97, "{}", report::table(&run));
-    assert!(
-        logs.iter().all(|log| !told(log, "fellow down").is_empty()),
-        "each side loses sight of the other"
-    );
+    assert!(logs.iter().all(|log| !told(log, "peer down").is_empty()), "each side loses sight of the other");
     assert!(logs.iter().all(|log| known(log).len() == 9), "{logs:?}");
 }
--- a/crates/proxy/src/coordination/lease_work.rs
+++ b/crates/proxy/src/coordination/lease_work.rs
@@ -151,7 +151,7 @@
     }
 
     /// How much of this proxy's own zone's reads is to go elsewhere, by group, if that has changed.
-    pub fn zone_leans(&mut self, now: Micros) -> Option<Vec<(Group, Lean)>> {
+    pub fn zone_directives(&mut self, now: Micros) -> Option<Vec<(Group, Lean)>> {
         let directives = &self.directives;
         self.zone_failover.as_mut().and_then(|work| work.obey(now, directives))
     }
--- a/crates/proxy/src/coordination/mod.rs
+++ b/crates/proxy/src/coordination/mod.rs
@@ -57,6 +57,20 @@
     pub payload: Vec<u8>,
 }
 
+/// What [`Coordination::open`] needs.
+pub struct CoordinationParts {
+    /// The operator's section `coordination`.
+    pub config: Config,
+    /// This start of this proxy.
+    pub own: Incarnation,
+    /// Where terms and drain plans are stored, if anything is.
+    pub directory: Option<Rc<DataDirectory>>,
+    /// This proxy's zone.
+    pub zone: usize,
+    /// The longest timeout of all request classes, in microseconds.
+    pub longest_timeout: Micros,
+}
+
 /// This proxy's part in what the fleet decides in common.
 pub struct Coordination {
     own: Incarnation,
@@ -80,21 +94,19 @@
 }
 
 impl Coordination {
-    /// Starts this proxy's part. The receiver is told of each write to the folder, in their order; its news are for
-    /// [`Coordination::write_confirmed`]. `zone` is the own one, `longest_timeout` that of all requests.
+    /// Starts this proxy's part. The receiver gets the outcome of each write to the data directory, in their order, for
+    /// [`Coordination::write_confirmed`].
     ///
     /// # Errors
     ///
     /// The operator's configuration of leases cannot work.
     pub fn open(
-        config: Config,
-        own: Incarnation,
-        folder: Option<Rc<DataDirectory>>,
-        (zone, longest_timeout): (usize, Micros),
+        parts: CoordinationParts,
         at: CallTime,
         seed: u64,
         log: Logger,
     ) -> Result<(Coordination, mpsc::Receiver<bool>), ConfigError> {
+        let CoordinationParts { config, own, directory, zone, longest_timeout } = parts;
         let now = at.now;
         let leases: Vec<String> = config.leases.iter().map(|duty| duty.name().to_owned()).collect();
         let lease_config = LeaseConfig {
@@ -105,7 +117,7 @@
         };
         let participant = Participant::start(now, own.clone(), &lease_config, None, seed)?;
         let (confirmations, confirmed) = mpsc::channel(MOST_IN_FLIGHT);
-        let records = folder.map(|folder| Records::start(folder, confirmations));
+        let records = directory.map(|directory| Records::start(directory, confirmations));
         info!(log, "coordination started"; "votes" => participant.is_voter(), "leases" => leases.join(" "),
             "kept" => records.is_some());
         let has = |lease: &str| leases.iter().any(|name| name == lease);
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -44,7 +44,7 @@
 use crate::lifecycle::limits::Limits;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::lifecycle::reload::Reload;
-use crate::membership::{CoordinationStart, MembershipActor};
+use crate::membership::{CoordinationStart, MembershipActor, MembershipStart};
 use crate::messages::{DispatcherMessage, ListUpdate};
 use crate::persistence::{DataDirectory, Persistence};
 
@@ -132,7 +132,9 @@
             read(&Files { config, operator }).map(|start| describe(&start))
         }
         Command::Sites { socket } => cli::status::ask(&socket).map(|text| print!("{text}")),
-        Command::Fellows { json, socket } => membership::ask(&socket, json).map(|text| print!("{text}")),
+        Command::Fellows { json, socket } => {
+            membership::status::query(&socket, json).map(|text| print!("{text}"))
+        }
         Command::Store { work: FolderWork::Check { folder } } => persistence::maintenance::check(&folder)
             .and_then(|sound| sound.then_some(()).ok_or_else(|| ProgramError::Damaged(folder.clone()))),
         Command::Store { work: FolderWork::Dump { folder } } => persistence::maintenance::dump(&folder),
@@ -298,15 +300,25 @@
         Observations::start(clock.now(), seed.rotate_left(24), splits)
     });
     let mut bound = Vec::new();
-    if let Some(terms) = fellows {
-        let place = (zone, longest_timeout);
-        let wanted =
-            council.map(|wanted| CoordinationStart { wanted, folder: data_directory, place, reread });
-        let own = (&*name, drivers, gateway_part.is_some());
-        let mut company =
-            MembershipActor::open(context.clone(), terms, wanted, own, seed.rotate_left(16)).await?;
-        bound = company.bound();
-        spawn_local(company.run());
+    if let Some(config) = fellows {
+        let coordination = council.map(|config| CoordinationStart {
+            config,
+            directory: data_directory,
+            zone,
+            longest_timeout,
+            reloads: reread,
+        });
+        let start = MembershipStart {
+            config,
+            name: name.clone(),
+            configured_fleet_size: drivers,
+            spans_sites: gateway_part.is_some(),
+            coordination,
+            seed: seed.rotate_left(16),
+        };
+        let mut membership_actor = MembershipActor::open(context.clone(), start).await?;
+        bound = membership_actor.restored_drain_plans();
+        spawn_local(membership_actor.run());
     }
     let mut dispatcher = Dispatcher::new(DispatcherParts {
         context: context.clone(),
--- a/crates/proxy/src/membership/actor.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -1,403 +1,301 @@
-//! The actor that carries datagrams between this driver and the others of its fleet. What is said and believed is
-//! `crates/membership`'; the dispatcher is told how many live.
+//! The actor that carries datagrams between this proxy and the others of its fleet.
+//!
+//! The package `membership` decides what is sent and who is alive; this actor owns the socket and the clock, tells the
+//! dispatcher by how many proxies the capacity of members is divided, and carries coordination's messages in the same
+//! datagrams.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_leases::Incarnation;
-use aldermill_membership::{
-    Actions, Change, Config, DroppedDatagrams, LocalPeer, Micros, Peer, ProtocolPeriods, ReceivedPayload,
-    SeedAddress, Snapshot,
-};
-use aldermill_operator_config::{CoordinationConfig as Wanted, MembershipConfig as Terms};
+use aldermill_membership::{Actions, Change, Membership, Micros, Peer, ReceivedPayload};
 use aldermill_site_drain::Plan;
-use serde_json::{Value, json};
 use slog::{info, warn};
-use tokio::io::AsyncWriteExt;
-use tokio::net::{UnixListener, UnixStream};
-use tokio::sync::{mpsc, oneshot, watch};
-use tokio::task::spawn_local;
+use tokio::net::UnixStream;
+use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep_until};
 
-use crate::cli::status;
-use crate::coordination::{CallTime, Coordination, DECISION_INTERVAL, Datagram};
-use crate::lifecycle::errors::ProgramError;
+use super::announced_sizes::AnnouncedSizes;
+use super::coordination_link::{self, CoordinationEvent, CoordinationLink, call_time};
+use super::status::StatusReport;
+use super::status_socket::{self, StatusSocket};
+use crate::coordination::{CallTime, Coordination, Datagram};
 use crate::lifecycle::process_context::ProcessContext;
-use crate::messages::{DispatcherMessage, FleetSize};
-use crate::persistence::DataDirectory;
-use crate::system::{self, Acceptor, Datagrams, Received};
+use crate::messages::DispatcherMessage;
+use crate::system::{Datagrams, Received};
 
-/// Datagrams read before it is looked whether anything is due.
-const TURN: usize = 64;
+/// Datagrams read before timers are looked at again, so that a flood of them delays nothing for long.
+const READ_BATCH: usize = 64;
+/// Longer than any datagram of the protocol.
+const READ_BUFFER_BYTES: usize = 2048;
 
-/// What is decided in common: what the operator wants, where it is kept, the own zone and the longest time
-/// limit of a request, and what the operator wants from later on.
-pub struct CoordinationStart {
-    pub wanted: Wanted,
-    pub folder: Option<Rc<DataDirectory>>,
-    pub place: (usize, Micros),
-    pub reread: watch::Receiver<Option<Wanted>>,
+/// What the actor is made of.
+pub(super) struct ActorParts {
+    pub(super) context: Rc<ProcessContext>,
+    pub(super) socket: Datagrams,
+    /// `None` without a path in the operator's file, or where the socket could not be opened.
+    pub(super) status_socket: Option<StatusSocket>,
+    pub(super) membership: Membership,
+    /// How many proxies the settings say that there are.
+    pub(super) configured_fleet_size: usize,
+    /// The fleet may be that of several sites, so that its size says nothing of this one.
+    pub(super) spans_sites: bool,
+    /// `None` where the operator's file has no such section.
+    pub(super) coordination: Option<CoordinationLink>,
 }
 
+/// What was sent since the start.
+#[derive(Clone, Copy, Default)]
+pub(super) struct SendCounters {
+    pub(super) datagrams: u64,
+    pub(super) bytes: u64,
+    /// Datagrams that the system did not take.
+    pub(super) failed: u64,
+}
+
+/// Carries datagrams between this proxy and the others of its fleet.
 pub struct MembershipActor {
     context: Rc<ProcessContext>,
     socket: Datagrams,
-    status: Option<Acceptor<UnixListener>>,
-    fellows: aldermill_membership::Membership,
-    /// The settings' figure.
-    told: usize,
-    /// The fleet may be that of several sites: how many of it are at this one is not known, so room is shared as told.
-    spans: bool,
-    /// What the dispatcher was last told: by how many room is shared, and at cold members.
-    shared: (usize, usize),
+    status_socket: Option<StatusSocket>,
+    membership: Membership,
+    configured_fleet_size: usize,
+    spans_sites: bool,
+    /// What the dispatcher was last told.
+    announced_sizes: AnnouncedSizes,
+    coordination: Option<CoordinationLink>,
+    /// When the membership wants to be woken, on the clock of unstalled time.
     wake_at: Option<Micros>,
-    stood: Micros,
-    /// How long what is read now may have waited unread.
-    age: Micros,
-    sees_at: Micros,
-    /// What is decided in common, where that is wanted, and word of each of its writes to the disk.
-    council: Option<(Coordination, mpsc::Receiver<bool>)>,
-    /// The operator's wishes for it, once they are read anew.
-    reread: Option<watch::Receiver<Option<Wanted>>>,
-    /// Datagrams and bytes sent, and datagrams that could not be.
-    sent: (u64, u64),
-    unsent: u64,
+    /// All stalls that the membership was told of, in microseconds.
+    known_stalls: Micros,
+    /// How long a datagram that is read now may have waited unread, in microseconds.
+    unread_for: Micros,
+    sent: SendCounters,
 }
 
 impl MembershipActor {
-    pub async fn open(
-        context: Rc<ProcessContext>,
-        terms: Terms,
-        wanted: Option<CoordinationStart>,
-        (name, drivers, spans): (&str, usize, bool),
-        seed: u64,
-    ) -> Result<MembershipActor, ProgramError> {
-        let listen = terms.listen;
-        let bound = system::bind_datagrams(listen).await;
-        let socket =
-            bound.map_err(|why| ProgramError::Listen { field: "fellows.listen", address: listen, why })?;
-        let socket = Datagrams::new(socket, context.log.clone());
-        let own = LocalPeer {
-            fleet: terms.fleet,
-            name: name.to_owned(),
-            address: terms.address.unwrap_or(listen),
-            start: context.clock.wall().max(1) as u64,
-        };
-        info!(context.log, "fellows"; "fleet" => &own.fleet, "listen" => %listen, "address" => %own.address);
-        let peers = terms
-            .peers
-            .into_iter()
-            .map(|peer| SeedAddress { name: peer.name, address: peer.address })
-            .collect();
-        let status = terms
-            .status
-            .and_then(|path| status::listen(&path, &context.log))
-            .map(|listener| Acceptor::new(listener, context.log.clone()));
-        let (tempo, now) = (ProtocolPeriods::for_fleet_of(drivers), context.unstalled_clock.now());
-        let start = own.start;
-        let mut reread = None;
-        let council = match wanted {
-            Some(CoordinationStart { wanted, folder, place, reread: again }) => {
-                reread = Some(again);
-                let (own, log) = (Incarnation { name: name.to_owned(), start }, context.log.clone());
-                let opened = Coordination::open(
-                    wanted,
-                    own,
-                    folder,
-                    place,
-                    moment(&context),
-                    seed.rotate_left(3),
-                    log,
-                );
-                Some(opened?)
-            }
-            None => None,
-        };
-        let config = Config {
-            local: own,
-            seeds: peers,
-            networks: terms.networks,
-            periods: tempo,
-            fleet_size: drivers,
-        };
-        let (fellows, actions) = aldermill_membership::Membership::start(now, config, seed);
-        let stood = context.unstalled_clock.stood();
-        let (shared, told) = ((drivers, drivers), drivers);
-        let mut company = MembershipActor {
-            context,
-            socket,
-            status,
-            fellows,
-            told,
-            spans,
-            shared,
+    pub(super) fn new(parts: ActorParts) -> MembershipActor {
+        MembershipActor {
+            known_stalls: parts.context.unstalled_clock.stood(),
+            announced_sizes: AnnouncedSizes::configured(parts.configured_fleet_size),
+            context: parts.context,
+            socket: parts.socket,
+            status_socket: parts.status_socket,
+            membership: parts.membership,
+            configured_fleet_size: parts.configured_fleet_size,
+            spans_sites: parts.spans_sites,
+            coordination: parts.coordination,
             wake_at: None,
-            stood,
-            age: 0,
-            sees_at: now,
-            council,
-            reread,
-            sent: (0, 0),
-            unsent: 0,
-        };
-        company.carry_out(actions).await;
-        Ok(company)
+            unread_for: 0,
+            sent: SendCounters::default(),
+        }
     }
 
-    /// What an earlier start knew of sites that retire, before the dispatcher takes its first request.
-    pub fn bound(&mut self) -> Vec<Plan> {
+    /// The plans of draining sites that an earlier start of this proxy stored, for the dispatcher to know before its first
+    /// request.
+    pub fn restored_drain_plans(&mut self) -> Vec<Plan> {
         let now = self.context.clock.now();
-        self.council.as_mut().and_then(|(council, _)| council.drain_plans(now)).unwrap_or_default()
+        let link = self.coordination.as_mut();
+        link.and_then(|link| link.coordination.drain_plans(now)).unwrap_or_default()
     }
 
-    /// Until the driver is to stop; then the others are told.
+    /// Runs until the program shuts down; then releases the leases and tells the others that this proxy leaves.
     pub async fn run(mut self) {
         let mut stopping = self.context.stopping.clone();
-        let mut bytes = [0; 2048];
+        let context = self.context.clone();
+        let mut buffer = [0; READ_BUFFER_BYTES];
         loop {
-            let wake_at =
-                self.wake_at.map_or_else(Instant::now, |at| self.context.unstalled_clock.instant(at));
-            let council_at =
-                self.council.as_ref().map(|(council, _)| self.context.clock.instant(council.wake_at()));
-            let asked = async {
-                match &mut self.status {
-                    Some(acceptor) => acceptor.next().await,
-                    None => std::future::pending().await,
-                }
-            };
+            let wake_at = self.wake_at.map_or_else(Instant::now, |at| context.unstalled_clock.instant(at));
             tokio::select! {
                 biased;
-                // Seldom, and before what may never end.
+                // What happens rarely comes before what may never pause.
                 _ = stopping.wait_for(Option::is_some) => break,
-                stream = asked => self.describe(stream),
-                Some(wanted) = anew(&mut self.reread) => self.counsel(|council, at, _| council.reconfigure(at.now, wanted)),
-                Some(well) = confirmed(&mut self.council) => {
-                    self.counsel(|council, at, others| council.write_confirmed(at, well, others));
-                }
-                () = sleep_until(council_at.unwrap_or_else(Instant::now)), if council_at.is_some() => {
-                    self.listens_up();
-                    // What came before is heard before it is acted on.
-                    self.read(&mut bytes).await;
-                    self.counsel(|council, at, others| council.wake(at, others));
-                    self.sees().await;
-                }
-                () = self.socket.readable() => {
-                    self.listens_up();
-                    self.read(&mut bytes).await;
-                    // A flood of datagrams keeps nothing from what is due.
-                    if self.wake_at.is_some_and(|at| at <= self.context.unstalled_clock.now()) {
-                        self.wake().await;
-                    }
+                stream = status_socket::next_request(&mut self.status_socket) => self.answer_status(stream),
+                event = coordination_link::next_event(&mut self.coordination, &context.clock) => {
+                    self.handle_coordination_event(event, &mut buffer).await;
                 }
+                () = self.socket.readable() => self.handle_readable(&mut buffer).await,
                 () = sleep_until(wake_at), if self.wake_at.is_some() => {
-                    self.listens_up();
+                    self.note_stall();
                     self.wake().await;
                 }
             }
         }
-        self.counsel(|council, at, _| council.release_leases(at));
-        let actions = self.fellows.leave();
+        self.coordinate(|coordination, at, _| coordination.release_leases(at));
+        let actions = self.membership.leave();
         self.carry_out(actions).await;
     }
 
-    /// Before anything else that is done after a standstill.
-    fn listens_up(&mut self) {
-        let stood = self.context.unstalled_clock.stood();
-        let long = stood - std::mem::replace(&mut self.stood, stood);
-        if long > 0 {
-            self.age += long;
-            self.fellows.resume_after_stall(self.context.unstalled_clock.now());
+    async fn handle_readable(&mut self, buffer: &mut [u8]) {
+        self.note_stall();
+        self.read_datagrams(buffer).await;
+        if self.wake_at.is_some_and(|at| at <= self.context.unstalled_clock.now()) {
+            self.wake().await;
         }
     }
 
-    /// What has come, up to a turn's worth of it.
-    async fn read(&mut self, bytes: &mut [u8]) {
-        for _ in 0..TURN {
-            let (length, from) = match self.socket.receive(bytes) {
+    async fn handle_coordination_event(&mut self, event: CoordinationEvent, buffer: &mut [u8]) {
+        match event {
+            CoordinationEvent::Reconfigured(config) => {
+                self.coordinate(|coordination, at, _| coordination.reconfigure(at.now, config));
+            }
+            CoordinationEvent::WriteFinished { succeeded } => {
+                self.coordinate(|coordination, at, others| {
+                    coordination.write_confirmed(at, succeeded, others);
+                });
+            }
+            CoordinationEvent::Due => {
+                self.note_stall();
+                // What arrived before is taken in before decisions are made.
+                self.read_datagrams(buffer).await;
+                self.coordinate(|coordination, at, others| coordination.wake(at, others));
+                self.exchange_with_dispatcher().await;
+            }
+        }
+    }
+
+    /// Tells the membership of a stall, if there was one. To be called before anything that follows a wait.
+    fn note_stall(&mut self) {
+        let stalls = self.context.unstalled_clock.stood();
+        let stalled_for = stalls - std::mem::replace(&mut self.known_stalls, stalls);
+        if stalled_for > 0 {
+            self.unread_for += stalled_for;
+            self.membership.resume_after_stall(self.context.unstalled_clock.now());
+        }
+    }
+
+    /// Reads what has arrived, up to a batch.
+    async fn read_datagrams(&mut self, buffer: &mut [u8]) {
+        for _ in 0..READ_BATCH {
+            let (length, from) = match self.socket.receive(buffer) {
                 Received::Datagram { length, from } => (length, from),
                 Received::Nothing => {
-                    // All that waited has been read.
-                    self.age = 0;
+                    self.unread_for = 0;
                     return;
                 }
                 Received::Failed => return,
             };
             let now = self.context.unstalled_clock.now();
-            let actions = self.fellows.receive(now, from.ip(), &bytes[..length]);
+            let actions = self.membership.receive(now, from.ip(), &buffer[..length]);
             self.carry_out(actions).await;
         }
     }
 
-    /// Asks the council, where there is one, and sends what it says.
-    fn counsel(&mut self, ask: impl FnOnce(&mut Coordination, CallTime, &[Rc<str>])) {
-        let Some((council, _)) = &mut self.council else { return };
-        let others: Vec<Rc<str>> = self.fellows.alive().map(|fellow| fellow.name.clone()).collect();
-        ask(council, moment(&self.context), &others);
-        for Datagram { to, payload } in council.take_outgoing() {
-            if let Some(datagram) = self.fellows.encode_payload(&to, &payload) {
+    async fn wake(&mut self) {
+        let actions = self.membership.wake(self.context.unstalled_clock.now());
+        self.carry_out(actions).await;
+    }
+
+    /// Calls coordination, if this proxy takes part in it, and sends what it wants sent. The call gets the names of the
+    /// other live proxies.
+    fn coordinate(&mut self, call: impl FnOnce(&mut Coordination, CallTime, &[Rc<str>])) {
+        let Some(link) = &mut self.coordination else { return };
+        let others: Vec<Rc<str>> = self.membership.alive().map(|peer| peer.name.clone()).collect();
+        call(&mut link.coordination, call_time(&self.context), &others);
+        for Datagram { to, payload } in link.coordination.take_outgoing() {
+            if let Some(datagram) = self.membership.encode_payload(&to, &payload) {
                 self.send(datagram.to, &datagram.bytes);
             }
         }
     }
 
-    /// Once a second: the dispatcher says what it saw, and hears what is decreed.
-    async fn sees(&mut self) {
+    /// Once each decision interval: passes the directives in force to the dispatcher, and its observations to coordination.
+    async fn exchange_with_dispatcher(&mut self) {
         let now = self.context.clock.now();
-        let Some((council, _)) = &mut self.council else { return };
-        if now < self.sees_at {
+        let Some(link) = &mut self.coordination else { return };
+        if !link.take_exchange_due(now) {
             return;
         }
-        self.sees_at = now + DECISION_INTERVAL;
-        let (leans, plans) = (council.zone_leans(now), council.drain_plans(now));
-        let (asked, told) = oneshot::channel();
-        let _ = self.context.dispatcher.send(DispatcherMessage::TakeObservations(asked)).await;
-        if let Some(leans) = leans {
-            let _ = self.context.dispatcher.send(DispatcherMessage::ZoneDirectives(leans)).await;
+        let zone_directives = link.coordination.zone_directives(now);
+        let drain_plans = link.coordination.drain_plans(now);
+        let (reply, observations) = oneshot::channel();
+        // A dispatcher that is gone ends the program by itself.
+        let dispatcher = &self.context.dispatcher;
+        let _ = dispatcher.send(DispatcherMessage::TakeObservations(reply)).await;
+        if let Some(directives) = zone_directives {
+            let _ = dispatcher.send(DispatcherMessage::ZoneDirectives(directives)).await;
         }
-        if let Some(plans) = plans {
-            let _ = self.context.dispatcher.send(DispatcherMessage::SiteDrainPlans(plans)).await;
+        if let Some(plans) = drain_plans {
+            let _ = dispatcher.send(DispatcherMessage::SiteDrainPlans(plans)).await;
         }
-        if let (Ok(seen), Some((council, _))) = (told.await, &mut self.council) {
-            council.observed(seen);
+        if let Ok(observations) = observations.await {
+            link.coordination.observed(observations);
         }
     }
 
     fn send(&mut self, to: SocketAddr, datagram: &[u8]) {
-        // What cannot be sent now is lost, as any datagram may be.
+        // What can't be sent now is lost, as any datagram may be.
         match self.socket.send(datagram, to) {
-            Ok(bytes) => self.sent = (self.sent.0 + 1, self.sent.1 + bytes as u64),
-            Err(_) => self.unsent += 1,
+            Ok(bytes) => {
+                self.sent.datagrams += 1;
+                self.sent.bytes += bytes as u64;
+            }
+            Err(_) => self.sent.failed += 1,
         }
     }
 
-    async fn wake(&mut self) {
-        let actions = self.fellows.wake(self.context.unstalled_clock.now());
-        self.carry_out(actions).await;
-    }
-
-    async fn carry_out(&mut self, actions: Actions) {
+    pub(super) async fn carry_out(&mut self, actions: Actions) {
         actions.send.into_iter().for_each(|datagram| self.send(datagram.to, &datagram.bytes));
-        let age = self.age;
+        let age = self.unread_for;
         for ReceivedPayload { sender, payload } in actions.payloads {
-            self.counsel(|council, at, others| council.receive(at, age, &sender, &payload, others));
+            self.coordinate(|coordination, at, others| {
+                coordination.receive(at, age, &sender, &payload, others);
+            });
         }
         for change in actions.changes {
-            if let (Change::Down(gone) | Change::Restarted(gone), Some((council, _))) =
-                (&change, &mut self.council)
+            if let (Change::Down(gone) | Change::Restarted(gone), Some(link)) =
+                (&change, &mut self.coordination)
             {
-                council.peer_gone(self.context.clock.now(), &gone.name);
-            }
-            let (what, of) = match &change {
-                Change::Up(fellow) => ("fellow up", Some(fellow)),
-                Change::Down(fellow) => ("fellow down", Some(fellow)),
-                Change::Restarted(fellow) => ("fellow restarted", Some(fellow)),
-                Change::Rejoined => ("taken for dead by the others, and back", None),
-                Change::Superseded(fellow) => {
-                    ("a later start has this name, silent from now on", Some(fellow))
-                }
-            };
-            let of = of.map(|of| format!("{} started {} at {}", of.name, of.start, of.address));
-            match change {
-                Change::Rejoined | Change::Superseded(_) => warn!(self.context.log, "{}", what; "by" => of),
-                _ => info!(self.context.log, "{}", what; "fellow" => of),
+                link.coordination.peer_gone(self.context.clock.now(), &gone.name);
             }
+            self.log_change(&change);
         }
         self.wake_at = actions.wake_at;
-        let view = self.fellows.snapshot(self.context.unstalled_clock.now());
-        let shared = (view.quota_divisor(self.told), view.warm_up_quota_divisor(self.told));
-        if shared != self.shared && !self.spans {
-            self.shared = shared;
-            // A dispatcher that is gone ends the program by itself.
-            let _ = self
-                .context
-                .dispatcher
-                .send(DispatcherMessage::FleetSize(FleetSize {
-                    sharing_warm: shared.0,
-                    sharing_warming_up: shared.1,
-                }))
-                .await;
-        }
-    }
-
-    /// Says what is known here, as one JSON object.
-    fn describe(&self, mut stream: UnixStream) {
-        let view = self.fellows.snapshot(self.context.unstalled_clock.now());
-        let text = json!({"self": fellow(self.fellows.local()), "view": seen(view), "room_shared_by": self.shared.0,
-            "council": self.council.as_ref().map(|(council, _)| council.describe(self.context.clock.now())),
-            "at_ms": self.context.clock.wall() / 1000, "dropped": dropped(self.fellows.dropped()), "sent": {"datagrams": self.sent.0, "bytes": self.sent.1}, "not_sent": self.unsent,
-            "fellows": self.fellows.alive().map(fellow).collect::<Vec<_>>()});
-        // Whoever asked and does not read keeps nobody waiting.
-        spawn_local(async move {
-            let _ = stream.write_all(format!("{text}\n").as_bytes()).await;
-        });
+        self.announce_sizes().await;
     }
-}
-
-/// The router's clock stands for the wall clock, which may be stepped: it never steps, and began with it.
-fn moment(context: &ProcessContext) -> CallTime {
-    let now = context.clock.now();
-    CallTime { now, wall: (now / 1000).max(1) as u64 }
-}
 
-/// The next word on a write of the council's, where there is one.
-async fn confirmed(council: &mut Option<(Coordination, mpsc::Receiver<bool>)>) -> Option<bool> {
-    match council {
-        Some((_, confirmed)) => confirmed.recv().await,
-        None => None,
+    fn log_change(&self, change: &Change) {
+        let log = &self.context.log;
+        match change {
+            Change::Up(Peer { name, start, address, .. }) => {
+                info!(log, "peer up"; "address" => %address, "start" => start, "peer" => &**name);
+            }
+            Change::Down(Peer { name, start, address, .. }) => {
+                info!(log, "peer down"; "address" => %address, "start" => start, "peer" => &**name);
+            }
+            Change::Restarted(Peer { name, start, address, .. }) => {
+                info!(log, "peer restarted"; "address" => %address, "start" => start, "peer" => &**name);
+            }
+            Change::Rejoined => warn!(log, "declared dead by other proxies, rejoined"),
+            Change::Superseded(Peer { name, start, address, .. }) => {
+                warn!(log, "superseded by a later start of this name, silent from now on";
+                    "address" => %address, "start" => start, "peer" => &**name);
+            }
+        }
     }
-}
 
-/// The operator's wishes, when they are read anew.
-async fn anew(reread: &mut Option<watch::Receiver<Option<Wanted>>>) -> Option<Wanted> {
-    if let Some(reread) = reread
-        && reread.changed().await.is_ok()
-    {
-        return reread.borrow_and_update().clone();
+    /// Tells the dispatcher by how many proxies capacity is divided, if that has changed.
+    async fn announce_sizes(&mut self) {
+        let snapshot = self.membership.snapshot(self.context.unstalled_clock.now());
+        let sizes = AnnouncedSizes::of(&snapshot, self.configured_fleet_size);
+        if sizes != self.announced_sizes && !self.spans_sites {
+            self.announced_sizes = sizes;
+            // A dispatcher that is gone ends the program by itself.
+            let _ = self.context.dispatcher.send(DispatcherMessage::FleetSize(sizes.message())).await;
+        }
     }
-    std::future::pending().await
-}
-
-fn fellow(of: &Peer) -> Value {
-    json!({"name": &*of.name, "start": of.start, "turn": of.rejoins, "address": of.address.to_string()})
-}
-
-fn seen(view: Snapshot) -> Value {
-    let Snapshot { alive, most_alive, is_certain, may_be_minority } = view;
-    json!({"alive": alive, "most_seen": most_alive, "sure": is_certain, "may_be_smaller": may_be_minority})
-}
 
-fn dropped(of: DroppedDatagrams) -> Value {
-    let DroppedDatagrams { unknown_network, not_membership, unsupported_version, unknown_fleet, unusable } =
-        of;
-    json!({"stranger": unknown_network, "not_ours": not_membership, "version": unsupported_version, "fleet": unknown_fleet, "unusable": unusable})
-}
-
-/// What the driver behind that socket knows of the others: a table, or its JSON as it comes.
-pub fn ask(path: &str, as_json: bool) -> Result<String, ProgramError> {
-    let text = status::ask(path)?;
-    if as_json {
-        return Ok(text);
-    }
-    let known: Value =
-        serde_json::from_str(&text).map_err(|why| ProgramError::Said { path: path.to_owned(), why })?;
-    let (view, own) = (&known["view"], &known["self"]);
-    let mut out = format!(
-        "{} knows of {} drivers, itself among them; {} at most{}{}\n",
-        own["name"].as_str().unwrap_or_default(),
-        view["alive"],
-        view["most_seen"],
-        if view["sure"] == true { "" } else { "; in doubt" },
-        if view["may_be_smaller"] == true { "; may be the smaller part" } else { "" },
-    );
-    for of in known["fellows"].as_array().into_iter().flatten() {
-        let word = |field: &str| of[field].as_str().unwrap_or_default().to_owned();
-        out += &format!(
-            "{:<24} {:<24} started {} turn {}\n",
-            word("name"),
-            word("address"),
-            of["start"],
-            of["turn"]
-        );
+    fn answer_status(&self, stream: UnixStream) {
+        let link = self.coordination.as_ref();
+        let report = StatusReport {
+            local: self.membership.local(),
+            snapshot: self.membership.snapshot(self.context.unstalled_clock.now()),
+            quota_divisor: self.announced_sizes.quota_divisor,
+            coordination: link.map(|link| link.coordination.describe(self.context.clock.now())),
+            at_ms: self.context.clock.wall() / 1000,
+            dropped: self.membership.dropped(),
+            sent: self.sent,
+            alive: self.membership.alive().collect(),
+        };
+        status_socket::answer(stream, report.to_json().to_string());
     }
-    Ok(out)
 }
--- a/crates/proxy/src/membership/mod.rs
+++ b/crates/proxy/src/membership/mod.rs
@@ -1,5 +1,12 @@
-//! The actor side of the package `membership`: the datagram socket between the proxies of a fleet.
+//! The actor side of the package `membership`: the datagram socket between the proxies of a fleet, the status socket, and
+//! the way from coordination to the dispatcher.
 
 mod actor;
+mod announced_sizes;
+mod coordination_link;
+mod start;
+pub mod status;
+mod status_socket;
 
-pub use actor::*;
+pub use actor::MembershipActor;
+pub use start::{CoordinationStart, MembershipStart};
--- /dev/null
+++ b/crates/proxy/tests/membership.rs
@@ -0,0 +1,110 @@
+//! Proxies of a fleet, from outside: fleets mixed up, a name used twice, random datagrams, and a shutdown.
+
+use std::net::{SocketAddr, UdpSocket};
+use std::path::PathBuf;
+
+use aldermill_test_support::*;
+
+/// A proxy that takes part in a fleet, and its status socket.
+struct Peer {
+    process: Driver,
+    status_socket: PathBuf,
+}
+
+impl Peer {
+    fn start(name: &str, fleet: &str, listen: SocketAddr, seeds: &[SocketAddr]) -> Peer {
+        let socket_name = format!("aldermill-peer-{}-{}", std::process::id(), listen);
+        let status_socket = std::env::temp_dir().join(socket_name);
+        let seeds: Vec<String> = seeds.iter().map(|seed| format!(r#"{{"address":"{seed}"}}"#)).collect();
+        let seeds = seeds.join(",");
+        let operator = format!(
+            r#"{{"membership":{{"fleet":"{fleet}","listen":"{listen}","networks":["127.0.0.0/8"],"peers":[{seeds}],"status":{status_socket:?}}}}}"#
+        );
+        let member = sound("writer");
+        let known = list(1, true, &[("s-a", &member, "in_service")]);
+        let config =
+            config(Discovery::default().start(), 256, &known).replace("\"n0\"", &format!("\"{name}\""));
+        let process = Driver::with("127.0.0.1:0".parse().unwrap(), &config, Some(&operator));
+        Peer { process, status_socket }
+    }
+
+    /// What the subcommand prints about this proxy.
+    fn status(&self, as_json: bool) -> String {
+        let mut command = std::process::Command::new(program());
+        command.arg("fellows");
+        if as_json {
+            command.arg("--json");
+        }
+        let output = command.arg(&self.status_socket).output().unwrap();
+        String::from_utf8([output.stdout, output.stderr].concat()).unwrap()
+    }
+
+    fn sees(&self, alive: usize) -> bool {
+        self.status(true).contains(&format!(r#""alive":{alive},"#))
+    }
+}
+
+impl Drop for Peer {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_file(&self.status_socket);
+    }
+}
+
+fn free_addresses(count: usize) -> Vec<SocketAddr> {
+    (0..count).map(|_| free_port()).collect()
+}
+
+#[test]
+fn two_fleets_with_each_others_addresses_stay_apart() {
+    let addresses = free_addresses(4);
+    let names = ["n0", "n1", "n2", "n3"];
+    let fleet = |index: usize| if index < 2 { "shop" } else { "bank" };
+    let start = |index: usize| Peer::start(names[index], fleet(index), addresses[index], &addresses);
+    let peers: Vec<Peer> = (0..4).map(start).collect();
+    until("each finds its own fleet", || peers.iter().all(|peer| peer.sees(2)));
+    until("datagrams of the other fleet are counted", || {
+        peers.iter().all(|peer| !peer.status(true).contains(r#""fleet":0"#))
+    });
+    assert!(peers.iter().all(|peer| peer.sees(2)), "and no more than those");
+    let table = peers[0].status(false);
+    assert!(table.starts_with("n0 knows of 2 drivers") && table.contains("n1 "), "{table}");
+}
+
+#[test]
+fn of_two_proxies_with_one_name_the_earlier_falls_silent_and_logs_it() {
+    let addresses = free_addresses(3);
+    let other = Peer::start("n1", "shop", addresses[0], &addresses);
+    let earlier = Peer::start("n0", "shop", addresses[1], &addresses);
+    until("they find each other", || other.sees(2) && earlier.sees(2));
+    let later = Peer::start("n0", "shop", addresses[2], &addresses);
+    until("the earlier one logs it", || {
+        earlier.process.logged("superseded by a later start of this name, silent from now on")
+    });
+    until("the later one counts", || {
+        other.sees(2) && later.sees(2) && other.status(true).contains(&addresses[2].to_string())
+    });
+    // The earlier one serves its clients all the same.
+    assert!(Client::connect(earlier.process.address).ask("").empty);
+}
+
+#[test]
+fn random_datagrams_do_no_harm_and_a_shutdown_is_known_at_once() {
+    let addresses = free_addresses(3);
+    let peers: Vec<Peer> = ["n0", "n1", "n2"]
+        .iter()
+        .zip(&addresses)
+        .map(|(name, &listen)| Peer::start(name, "shop", listen, &addresses))
+        .collect();
+    until("they find each other", || peers.iter().all(|peer| peer.sees(3)));
+    let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
+    for size in 0..1500 {
+        let datagram: Vec<u8> = (0..size).map(|index| (index * 31 + size) as u8).collect();
+        stranger.send_to(&datagram, addresses[0]).unwrap();
+    }
+    until("they are counted", || !peers[0].status(true).contains(r#""not_ours":0"#));
+    assert!(peers[0].sees(3));
+    peers[2].process.signal("-TERM");
+    until("the shutdown is known", || peers[0].sees(2) && peers[1].sees(2));
+    assert!(peers[0].process.logged("peer down, peer: n2"));
+    assert!(Client::connect(peers[0].process.address).ask("").empty);
+}
