--- a/crates/proxy/tests/status_json.rs
+++ b/crates/proxy/tests/status_json.rs
@@ -243,7 +243,7 @@
     let sites = asked(&["sites"], &folder.socket("sites", "n0"));
     assert_eq!(sites["book"], json!({"disk": true, "earlier_records": 5, "earlier_starts": 1}));
     // The primary and the paces are too old by now; the list is read.
-    assert!(drivers[0].logged("left_out: 2") && drivers[0].logged("revision: 7"));
+    assert!(drivers[0].logged("unusable_records: 2") && drivers[0].logged("revision: 7"));
 }
 
 #[test]
