--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -156,7 +156,7 @@
     pub(super) fn free_descriptors(&mut self, member: MemberId) {
         for id in self.members_by_idle_time(member).into_iter().take(CLOSED_PER_DESCRIPTOR) {
             let Some(entry) = &self.members[id] else { continue };
-            entry.resting.set(None);
+            entry.oldest_idle_since.set(None);
             if entry.commands.try_send(MemberCommand::CloseOldestIdle).is_err() {
                 warn!(self.context.log, "member's mailbox full, it keeps its idle connections";
                     "member" => id);
@@ -168,7 +168,7 @@
     fn members_by_idle_time(&self, excluded: MemberId) -> Vec<MemberId> {
         let mut idle: Vec<(Instant, MemberId)> = Vec::new();
         for (id, entry) in self.members.iter().enumerate().filter(|(id, _)| *id != excluded) {
-            if let Some(since) = entry.as_ref().and_then(|entry| entry.resting.get()) {
+            if let Some(since) = entry.as_ref().and_then(|entry| entry.oldest_idle_since.get()) {
                 idle.push((since, id));
             }
         }
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -14,7 +14,7 @@
 use super::Dispatcher;
 use crate::discovery::endpoint_list::{EndpointList, Entry};
 use crate::lifecycle::clock::Clock;
-use crate::member::{LastHeard, Member};
+use crate::member::{LastHeard, Member, MemberLinks};
 use crate::messages::{ListUpdate, MemberCommand, ReplicaReports};
 
 /// A member's actor, as the dispatcher sees it.
@@ -25,7 +25,7 @@
     ready: bool,
     pub(super) commands: mpsc::Sender<MemberCommand>,
     /// Since when its oldest idle connection has been idle.
-    pub(super) resting: Rc<Cell<Option<Instant>>>,
+    pub(super) oldest_idle_since: Rc<Cell<Option<Instant>>>,
     /// Whether the last list lets anything new be sent there.
     accepts_requests: watch::Sender<bool>,
     last_heard: LastHeard,
@@ -60,7 +60,7 @@
     /// The list tells of another start: a new incarnation. `accepted` says whether the former one was in use until now.
     fn restarted(&mut self, up_since_ms: f64, accepted: bool, clock: Clock, offset: Micros) {
         self.up_since_ms = up_since_ms;
-        let former = self.last_heard.former_life(accepted).map(|heard| clock.at(heard));
+        let former = self.last_heard.former_incarnation(accepted).map(|heard| clock.at(heard));
         let former_heard = former.unwrap_or(Micros::MIN);
         self.started_within = StartBounds { former_heard, first_told: clock.now() };
         self.since = self.started(offset);
@@ -213,17 +213,14 @@
         let id = self.members.iter().position(Option::is_none).unwrap_or(self.members.len());
         let (commands, mailbox) = mpsc::channel(self.context.limits.commands);
         let (accepts_requests, accepting) = watch::channel(self.accepts_requests(entry.standing()));
-        let resting = Rc::new(Cell::new(None));
+        let oldest_idle_since = Rc::new(Cell::new(None));
         let last_heard = LastHeard::default();
-        let member = Member::new(
-            self.context.clone(),
-            id,
-            entry.id.clone(),
-            address,
-            accepting,
-            resting.clone(),
-            last_heard.clone(),
-        );
+        let links = MemberLinks {
+            accepts_requests: accepting,
+            oldest_idle_since: oldest_idle_since.clone(),
+            last_heard: last_heard.clone(),
+        };
+        let member = Member::new(self.context.clone(), id, entry.id.clone(), address, links);
         spawn_local(member.run(mailbox));
         let first_told = self.context.clock.now();
         let mut known = MemberEntry {
@@ -231,7 +228,7 @@
             zone: self.decoded.zone(&entry.locality),
             ready: false,
             commands,
-            resting,
+            oldest_idle_since,
             accepts_requests,
             last_heard,
             address,
--- a/crates/proxy/src/member/actor.rs
+++ b/crates/proxy/src/member/actor.rs
@@ -1,386 +1,282 @@
-//! The actor of one member: its pool of connections, and the attempts and health checks on them.
+//! The actor of one member: it starts attempts and health checks on the member's connections, and reports their ends.
 
 use std::cell::Cell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
 
-use aldermill_routing::{Handle, MemberId, MemberReport, Micros, Role, Verdict};
-use aldermill_settings::Decoded;
-use aldermill_wire::Exchange;
-use slog::{error, info, warn};
+use aldermill_routing::{Handle, MemberId, MemberReport, Verdict};
 use tokio::sync::{mpsc, watch};
-use tokio::task::{self, JoinSet};
+use tokio::task::{self, JoinError, JoinSet};
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-use super::connection::{Connection, Unopened, connect, settled};
 use super::last_heard::LastHeard;
-use super::query::{Departure, QueryTask};
-use crate::flow_control::BufferReservation;
+use super::outcome::{QueryKind, Symptom, symptom, verdict};
+use super::pool::ConnectionPool;
+use super::query::{QueryEnd, QueryTask, SendConditions};
+use super::report::{is_replica_report, member_report};
+use super::response::Response;
+use super::symptom_log::SymptomLog;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{
     Attempt, AttemptFinished, AttemptResponse, DispatcherMessage, HealthCheckFinished, MemberCommand,
     PoolUse, ReplicaReports, Rows,
 };
 
-/// A member's word on its own role.
-const PRIMARY: &str = "writer";
-const REPLICA: &str = "reader";
+/// The dispatcher is gone, and with it whoever the member's actor works for.
+struct DispatcherGone;
 
-/// Between two lines in the log on connections to one member that cannot be opened here.
-const LOCAL_FAILURE_TOLD_EVERY: Duration = Duration::from_secs(10);
+/// What a query that is running is for.
+enum QueryPurpose {
+    Attempt { handle: Handle, decided_at: Instant },
+    HealthCheck { decided_at: Instant },
+}
 
-/// What an attempt or a health check is for.
-enum Purpose {
-    Request { handle: Handle, sent: Instant },
-    Probe { sent: Instant },
+impl QueryPurpose {
+    fn kind(&self) -> QueryKind {
+        match self {
+            QueryPurpose::Attempt { .. } => QueryKind::Attempt,
+            QueryPurpose::HealthCheck { .. } => QueryKind::HealthCheck,
+        }
+    }
 }
 
-struct Done {
-    verdict: Verdict,
-    exchange: Exchange,
-    room: Option<BufferReservation>,
-    /// The member answered, and there is no room for that.
-    crowded_out: bool,
-    /// How long ago the answer came.
-    age: Micros,
-    /// Set where it may carry another query.
-    connection: Option<Connection>,
-    began: Instant,
-    /// Renewals before it: a connection from before the last one is not kept.
-    era: u64,
-    /// What the system said where it opened no connection.
-    unopened: Option<std::io::Error>,
+/// What a member's actor shares with the dispatcher.
+pub struct MemberLinks {
+    /// Whether the endpoint list lets the member receive anything new.
+    pub accepts_requests: watch::Receiver<bool>,
+    /// Since when its oldest idle connection has been idle.
+    pub oldest_idle_since: Rc<Cell<Option<Instant>>>,
+    /// When the member was last heard.
+    pub last_heard: LastHeard,
 }
 
+/// The actor of one member.
 pub struct Member {
     context: Rc<ProcessContext>,
     id: MemberId,
-    name: String,
-    /// As the list has it now.
+    /// The address that the endpoint list has for it now.
     address: Rc<Cell<SocketAddr>>,
-    /// Whether the list's last word lets anything new be sent there.
-    open: watch::Receiver<bool>,
-    idle: Vec<Connection>,
-    /// Since when its oldest idle connection has rested, for whoever looks for one to close.
-    resting: Rc<Cell<Option<Instant>>>,
-    under_way: JoinSet<Done>,
-    purposes: HashMap<task::Id, Purpose>,
-    era: u64,
-    /// When it last answered anything.
-    heard: Instant,
+    accepts_requests: watch::Receiver<bool>,
+    pool: ConnectionPool,
+    /// The queries that are running, and what each is for.
+    queries: JoinSet<QueryEnd>,
+    purposes: HashMap<task::Id, QueryPurpose>,
+    /// When it last responded; when its actor was started, where it never did.
+    last_response: Instant,
     last_heard: LastHeard,
-    /// How often it has said that it is a replica.
+    /// How many of its responses have said that it is a replica.
     replica_reports: Rc<Cell<u64>>,
-    /// Answers in a row that were cut short or could not be read.
-    malformed: usize,
-    /// It could not be reached or broke connections, and that was logged.
-    lost: bool,
-    /// When it was last logged that this machine can open no connection to it.
-    local_failure_told: Option<Instant>,
-}
-
-/// Whether a connection that has not come up since `began` tells anything of its member. Protects a sound member from
-/// requests with so little time left that no handshake fits in. Harms by a wait of that time where a member vanished.
-fn shows_no_way(context: &ProcessContext, began: Instant) -> bool {
-    began.elapsed() >= context.limits.opening && !context.unstalled_clock.stood_since(began)
+    symptom_log: SymptomLog,
 }
 
 impl Member {
+    /// The actor of the member that is listed under this name and at this address.
     pub fn new(
         context: Rc<ProcessContext>,
         id: MemberId,
         name: String,
         address: SocketAddr,
-        open: watch::Receiver<bool>,
-        resting: Rc<Cell<Option<Instant>>>,
-        last_heard: LastHeard,
+        links: MemberLinks,
     ) -> Member {
+        let symptom_log = SymptomLog::new(context.log.clone(), name, context.limits.malformed_told);
         Member {
             context,
             id,
-            name,
             address: Rc::new(Cell::new(address)),
-            open,
-            idle: Vec::new(),
-            resting,
-            under_way: JoinSet::new(),
+            accepts_requests: links.accepts_requests,
+            pool: ConnectionPool::new(links.oldest_idle_since),
+            queries: JoinSet::new(),
             purposes: HashMap::new(),
-            era: 0,
-            heard: Instant::now(),
-            last_heard,
+            last_response: Instant::now(),
+            last_heard: links.last_heard,
             replica_reports: Rc::default(),
-            malformed: 0,
-            lost: false,
-            local_failure_told: None,
+            symptom_log,
         }
     }
 
+    /// Executes commands and reports ends of queries, until the dispatcher is gone.
     pub async fn run(mut self, mut commands: mpsc::Receiver<MemberCommand>) {
         let mut sweep = interval(self.context.limits.sweep);
         sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            self.resting.set(self.idle.first().map(|connection| connection.idle_since));
+            self.pool.publish_oldest();
             tokio::select! {
                 biased;
-                Some(done) = self.under_way.join_next_with_id() => {
-                    let (visit, done) = match done {
-                        Ok(done) => done,
-                        // What became of it is not known, so it may have run.
-                        Err(error) => {
-                            error!(self.context.log, "a visit failed"; "member" => &self.name, "why" => %error);
-                            let (verdict, exchange) = (Verdict::Reset, Exchange::default());
-                            let (began, era) = (Instant::now(), self.era);
-                            (error.id(), Done { verdict, exchange, room: None, crowded_out: false, age: 0, connection: None, began, era, unopened: None })
-                        }
-                    };
-                    let Some(purpose) = self.purposes.remove(&visit) else { continue };
-                    if self.ended(purpose, done).await.is_err() {
+                Some(joined) = self.queries.join_next_with_id() => {
+                    if self.query_joined(joined).await.is_err() {
                         return;
                     }
                 }
                 command = commands.recv() => match command {
-                    Some(MemberCommand::Send(attempt)) => {
-                        if attempt.pool_use == PoolUse::ConnectAnew {
-                            self.idle.clear();
-                        }
-                        let Attempt { handle, decided_at: sent, deadline: until, .. } = attempt;
-                        self.visit(Purpose::Request { handle, sent }, Some(attempt), until);
-                    }
-                    Some(MemberCommand::HealthCheck { decided_at: sent, deadline: until }) => {
-                        self.visit(Purpose::Probe { sent }, None, until);
-                    }
-                    Some(MemberCommand::Reconnect(address)) => {
-                        self.address.set(address);
-                        self.renew();
-                    }
-                    Some(MemberCommand::CloseOldestIdle) => {
-                        if !self.idle.is_empty() {
-                            self.idle.remove(0);
-                        }
-                    }
-                    Some(MemberCommand::CloseIdle) => self.idle.clear(),
+                    Some(command) => self.execute(command),
                     None => return,
                 },
-                _ = sweep.tick(), if !self.idle.is_empty() => {
-                    let (now, limit) = (Instant::now(), self.context.limits.idle);
-                    let open = *self.open.borrow();
-                    self.idle.retain(|connection| {
-                        open && now - connection.idle_since < limit && connection.is_quiet()
-                    });
-                }
+                _ = sweep.tick(), if !self.pool.is_empty() => self.sweep(),
             }
         }
     }
 
-    /// A process that dies resets all of its connections. One that closes them, idle or after an answer, lives.
-    fn all_reset(&self) -> bool {
-        !self.idle.is_empty() && self.idle.iter().all(Connection::is_reset)
-    }
-
-    fn renew(&mut self) {
-        self.era += 1;
-        self.idle.clear();
+    fn execute(&mut self, command: MemberCommand) {
+        match command {
+            MemberCommand::Send(attempt) => {
+                if attempt.pool_use == PoolUse::ConnectAnew {
+                    self.pool.close_all();
+                }
+                let Attempt { handle, decided_at, deadline, .. } = attempt;
+                self.start_query(QueryPurpose::Attempt { handle, decided_at }, Some(attempt), deadline);
+            }
+            MemberCommand::HealthCheck { decided_at, deadline } => {
+                self.start_query(QueryPurpose::HealthCheck { decided_at }, None, deadline);
+            }
+            MemberCommand::Reconnect(address) => {
+                self.address.set(address);
+                self.pool.renew();
+            }
+            MemberCommand::CloseOldestIdle => self.pool.close_oldest(),
+            MemberCommand::CloseIdle => self.pool.close_all(),
+        }
     }
 
-    /// The newest idle connection that still stands and has rested, else the one that stood longest.
-    fn pooled(&mut self) -> Option<Connection> {
-        let limits = &self.context.limits;
-        while !self.idle.is_empty() {
-            let rested =
-                self.idle.iter().rposition(|connection| connection.idle_since.elapsed() >= limits.rest);
-            let connection = self.idle.remove(rested.unwrap_or(0));
-            if connection.idle_since.elapsed() < limits.idle && connection.is_quiet() {
-                return Some(connection);
-            }
+    fn sweep(&mut self) {
+        if *self.accepts_requests.borrow() {
+            self.pool.sweep(&self.context.limits);
+        } else {
+            self.pool.close_all();
         }
-        None
     }
 
-    /// Starts one query on a connection of its own, to its end or its deadline: an attempt, or else a health
-    /// check.
-    fn visit(&mut self, purpose: Purpose, attempt: Option<Attempt>, until: Instant) {
-        let for_request = attempt.is_some();
-        let holder = attempt.as_ref().map(|attempt| attempt.holder);
-        let (id, address, era) = (self.id, self.address.get(), self.era);
-        let departure = Departure {
+    /// Starts a query in a task of its own.
+    fn start_query(&mut self, purpose: QueryPurpose, attempt: Option<Attempt>, deadline: Instant) {
+        let query = QueryTask {
+            context: self.context.clone(),
+            member: self.id,
+            address: self.address.get(),
             attempt,
-            until,
-            open: self.open.clone(),
-            replica_reports: self.replica_reports.clone(),
-            to: address,
-            listed: self.address.clone(),
+            deadline,
+            conditions: SendConditions {
+                accepts_requests: self.accepts_requests.clone(),
+                listed_address: self.address.clone(),
+                replica_reports: self.replica_reports.clone(),
+            },
+            pool_generation: self.pool.generation(),
         };
-        let (began, pooled) = (Instant::now(), self.pooled());
-        let context = self.context.clone();
-        let visit = self.under_way.spawn_local(async move {
-            let (mut exchange, mut room, mut crowded_out, mut age) = (Exchange::default(), None, false, 0);
-            let mut unopened = None;
-            let opened = match settled(pooled, until, &context.limits).await {
-                Some(connection) => Ok(connection),
-                None => connect(&context, id, address, until).await,
-            };
-            let (verdict, connection) = match opened {
-                Ok(connection) if !departure.may_leave(&context) => (Verdict::NotSent, Some(connection)),
-                Ok(mut connection) => {
-                    let query = departure.query();
-                    let mut visit =
-                        QueryTask { context: &context, holder, until, exchange, room, crowded_out };
-                    let verdict = visit.converse(&mut connection, &query).await;
-                    (exchange, room, crowded_out) = (visit.exchange, visit.room, visit.crowded_out);
-                    let came = context.unstalled_clock.came(&connection.stream, Some(began));
-                    age = came.map_or(0, |(_, last)| last.elapsed().as_micros() as Micros);
-                    (verdict, exchange.is_ready().then_some(connection))
-                }
-                // For a request that connection never came up; a health check was not answered, and no more
-                // is known.
-                Err(Unopened { verdict: Verdict::TimedOut, .. }) if for_request => {
-                    // Nothing was sent. After a standstill nobody saw whether the connection came up in time, and with
-                    // little time left it may not have had enough.
-                    let lost = shows_no_way(&context, began);
-                    (if lost { Verdict::Unconnected } else { Verdict::NotSent }, None)
-                }
-                Err(Unopened { verdict, why }) => {
-                    unopened = why;
-                    (verdict, None)
-                }
-            };
-            // Its deadline fell into a standstill: nobody was there to see an answer.
-            let unseen = verdict == Verdict::TimedOut && context.unstalled_clock.stood_since(began);
-            let verdict = if unseen { Verdict::Unobserved } else { verdict };
-            Done { verdict, exchange, room, crowded_out, age, connection, began, era, unopened }
-        });
-        self.purposes.insert(visit.id(), purpose);
+        let began = Instant::now();
+        let pooled = self.pool.take(&self.context.limits);
+        let task = self.queries.spawn_local(query.run(pooled, began));
+        self.purposes.insert(task.id(), purpose);
     }
 
-    async fn ended(
+    async fn query_joined(
         &mut self,
-        purpose: Purpose,
-        done: Done,
-    ) -> Result<(), mpsc::error::SendError<DispatcherMessage>> {
-        let Done { mut verdict, exchange, room, crowded_out, age, connection, began, era, unopened } = done;
-        if exchange.is_over() || crowded_out {
-            self.heard = Instant::now();
-            self.last_heard.hears();
-        } else if verdict == Verdict::TimedOut && self.heard < began {
-            // Not a word since it began: connections from before may lead nowhere, and stay silent for ever
-            // where a machine vanished or a link was cut. New ones tell at once.
-            self.idle.retain(|connection| connection.idle_since >= began);
+        joined: Result<(task::Id, QueryEnd), JoinError>,
+    ) -> Result<(), DispatcherGone> {
+        let (id, end) = match joined {
+            Ok(joined) => joined,
+            Err(error) => {
+                self.symptom_log.task_failed(&error);
+                (error.id(), QueryEnd::unknown(self.pool.generation()))
+            }
+        };
+        match self.purposes.remove(&id) {
+            Some(purpose) => self.finish(purpose, end).await,
+            None => Ok(()),
         }
-        if verdict == Verdict::Reset && !self.all_reset() {
-            // Only this connection broke, as far as can be seen. Where the process did die, the next one is refused.
-            verdict = Verdict::Malformed;
+    }
+
+    /// Draws the conclusions from a query's end, and reports it to the dispatcher.
+    async fn finish(&mut self, purpose: QueryPurpose, mut end: QueryEnd) -> Result<(), DispatcherGone> {
+        let verdict = verdict(&end.evidence(purpose.kind()), || self.pool.all_reset());
+        self.note_response(&end, verdict);
+        self.note_symptom(&end, verdict);
+        self.put_back_connection(&mut end);
+        if is_replica_report(&end.response.exchange) {
+            self.replica_reports.set(self.replica_reports.get() + 1);
         }
-        if matches!(verdict, Verdict::Malformed | Verdict::ConnectionLost) {
-            self.malformed += 1;
-            if self.malformed == self.context.limits.malformed_told {
-                warn!(self.context.log, "member answers nothing that can be used"; "member" => &self.name,
-                    "peer" => %self.address.get(), "attempts" => self.malformed);
-            }
-        } else if exchange.is_ready() {
-            self.malformed = 0;
+        let message = self.finished_message(purpose, verdict, end);
+        self.context.dispatcher.send(message).await.map_err(|_| DispatcherGone)
+    }
+
+    /// Notes when the member was heard. Where it has not responded to anything since a query began that met silence,
+    /// connections from before may lead nowhere, and stay silent for ever if a machine vanished or a link was cut: they
+    /// are closed, as new ones show at once what is true.
+    fn note_response(&mut self, end: &QueryEnd, verdict: Verdict) {
+        if end.response.exchange.is_over() || end.response.out_of_buffer_space {
+            self.last_response = Instant::now();
+            self.last_heard.record_response();
+        } else if symptom(verdict) == Symptom::Silent && self.last_response < end.began {
+            self.pool.close_idle_before(end.began);
         }
-        if verdict == Verdict::LocalFailure {
-            self.tell_local_failure(unopened);
+    }
+
+    fn note_symptom(&mut self, end: &QueryEnd, verdict: Verdict) {
+        let symptom = symptom(verdict);
+        if matches!(symptom, Symptom::Unreachable | Symptom::ProcessGone) {
+            self.last_heard.record_loss();
         }
-        if matches!(verdict, Verdict::Unconnected | Verdict::Unreachable | Verdict::Reset) {
-            self.last_heard.loses();
-            if verdict == Verdict::Reset && era == self.era {
-                // What the other connections lead to is most likely gone, too.
-                self.renew();
-            }
-            if !std::mem::replace(&mut self.lost, true) {
-                warn!(self.context.log, "member lost"; "member" => &self.name, "peer" => %self.address.get(),
-                    "symptom" => ?verdict);
-            }
-        } else if exchange.is_ready() && std::mem::take(&mut self.lost) {
-            info!(self.context.log, "member back"; "member" => &self.name, "peer" => %self.address.get());
+        // The other connections most likely lead to the process that is gone, too.
+        if symptom == Symptom::ProcessGone && end.pool_generation == self.pool.generation() {
+            self.pool.renew();
         }
-        // Where others wait for a descriptor and no idle connection was there to be closed, this one makes room.
-        if let Some(mut connection) = connection
-            && era == self.era
+        let is_ready = end.response.exchange.is_ready();
+        self.symptom_log.record(self.address.get(), verdict, is_ready, end.error.as_ref());
+    }
+
+    /// Keeps the query's connection, unless others wait for a descriptor: there was no idle connection to close for them,
+    /// so this one makes room.
+    fn put_back_connection(&mut self, end: &mut QueryEnd) {
+        if let Some(connection) = end.connection.take()
             && self.context.waiting_for_room.get() == 0
         {
-            connection.idle_since = Instant::now();
-            self.idle.push(connection);
-        }
-        if exchange.role.as_deref() == Some(REPLICA) {
-            self.replica_reports.set(self.replica_reports.get() + 1);
+            self.pool.put(connection, end.pool_generation);
         }
+    }
+
+    fn finished_message(&self, purpose: QueryPurpose, verdict: Verdict, end: QueryEnd) -> DispatcherMessage {
         let replica_reports = ReplicaReports { member: self.id, count: self.replica_reports.get() };
-        let message = match purpose {
-            Purpose::Request { handle, sent, .. } => {
-                let report = self.report(&exchange, exchange.usage.as_deref(), age);
-                let took = self.context.unstalled_clock.since(sent);
-                let response = match verdict {
-                    Verdict::Served if crowded_out => AttemptResponse::TooLarge,
-                    Verdict::Served => {
-                        AttemptResponse::Rows(Rows { pieces: exchange.rows, reservation: room })
-                    }
-                    _ => AttemptResponse::None,
-                };
+        let report = report_of(purpose.kind(), &end);
+        match purpose {
+            QueryPurpose::Attempt { handle, decided_at } => {
                 DispatcherMessage::AttemptFinished(AttemptFinished {
                     request: handle,
                     verdict,
-                    decided_at: sent,
-                    elapsed: took,
+                    decided_at,
+                    elapsed: self.context.unstalled_clock.since(decided_at),
                     report,
-                    response,
+                    response: attempt_response(verdict, end.response),
                     replica_reports: Some(replica_reports),
                 })
             }
-            Purpose::Probe { sent } => {
-                if exchange.error.as_deref() == Some("57P03") {
-                    verdict = Verdict::Overloaded;
-                }
-                let report = self.report(&exchange, std::str::from_utf8(exchange.value()).ok(), age);
-                let took = self.context.unstalled_clock.since(sent);
+            QueryPurpose::HealthCheck { decided_at } => {
                 DispatcherMessage::HealthCheckFinished(HealthCheckFinished {
                     verdict,
-                    elapsed: took,
+                    elapsed: self.context.unstalled_clock.since(decided_at),
                     report,
                     replica_reports,
                 })
             }
-        };
-        self.context.dispatcher.send(message).await
-    }
-
-    fn tell_local_failure(&mut self, why: Option<std::io::Error>) {
-        let now = Instant::now();
-        if self.local_failure_told.is_some_and(|at| now - at < LOCAL_FAILURE_TOLD_EVERY) {
-            return;
         }
-        self.local_failure_told = Some(now);
-        let why = why.map_or_else(|| "no descriptor to spare in time".to_owned(), |why| why.to_string());
-        warn!(self.context.log, "no connection can be opened on this machine, tried again";
-            "member" => &self.name, "why" => why);
     }
+}
 
-    /// What an answer says of the member; what cannot be read says nothing. Of one that was cut short no more is
-    /// believed than that the member is a replica: where that is wrong it costs an answer, where it is missed reads
-    /// are stale.
-    fn report(&self, exchange: &Exchange, usage: Option<&str>, age: Micros) -> MemberReport {
-        let says_replica = exchange.role.as_deref() == Some(REPLICA);
-        if !exchange.is_over() {
-            return MemberReport {
-                role: says_replica.then_some(Role::Replica),
-                age,
-                ..MemberReport::default()
-            };
-        }
-        let pairs = usage.into_iter().flat_map(|usage| usage.split(','));
-        let pairs = pairs.filter_map(|pair| pair.trim().split_once('='));
-        let mut report = Decoded::report(pairs, 0).unwrap_or_default();
-        report.age = age;
-        match exchange.role.as_deref() {
-            Some(PRIMARY) => report.role = Some(Role::Primary),
-            Some(REPLICA) => report.role = Some(Role::Replica),
-            _ => {}
+/// What the response says of the member. Its load report comes beside the value of an attempt, and is the value of a
+/// health check.
+fn report_of(kind: QueryKind, end: &QueryEnd) -> MemberReport {
+    let exchange = &end.response.exchange;
+    let usage = match kind {
+        QueryKind::Attempt => exchange.usage.as_deref(),
+        QueryKind::HealthCheck => std::str::from_utf8(exchange.value()).ok(),
+    };
+    member_report(exchange, usage, end.response_age)
+}
+
+/// What is passed on to the client.
+fn attempt_response(verdict: Verdict, response: Response) -> AttemptResponse {
+    match verdict {
+        Verdict::Served if response.out_of_buffer_space => AttemptResponse::TooLarge,
+        Verdict::Served => {
+            AttemptResponse::Rows(Rows { pieces: response.exchange.rows, reservation: response.reservation })
         }
-        let position = exchange.position.as_ref().and_then(|position| position.parse::<Micros>().ok());
-        report.position = report.position.max(position.map(|millis| millis.saturating_mul(1000)));
-        report
+        _ => AttemptResponse::None,
     }
 }
--- a/crates/proxy/src/member/connection.rs
+++ b/crates/proxy/src/member/connection.rs
@@ -1,170 +1,159 @@
-//! A connection to a member: opened, settled before its next use, and looked at without waiting.
+//! A connection to a member: opened, checked before its reuse, and looked at without waiting.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
 
-use aldermill_routing::{MemberId, Verdict};
+use aldermill_routing::MemberId;
 use aldermill_wire::{Buffer, pg};
 use tokio::net::TcpStream;
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Instant, timeout_at};
 
+use super::outcome::{QueryError, sql_state};
 use crate::lifecycle::limits::Limits;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::DispatcherMessage;
 use crate::system::{self, BufferSizes, Meaning, Party, Peeked};
 
+/// The user that the proxy connects as; members ask for no password.
+const USER: &str = "client";
+/// The database that the proxy connects to.
+const DATABASE: &str = "core";
+/// The body of an authentication message that asks for nothing.
+const AUTHENTICATION_OK: [u8; 4] = [0; 4];
+
+/// A connection that is ready for a query.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
+    /// What was read and not used yet.
     pub(super) buffer: Buffer,
+    /// When it was opened, or last put back into the pool.
     pub(super) idle_since: Instant,
+    /// The connection's part of the members' descriptors.
     pub(super) _permit: OwnedSemaphorePermit,
 }
 
 impl Connection {
-    /// Reset by the other side, and nobody has seen that yet.
+    /// Whether the other side has reset it, where no read has seen that yet.
     pub(super) fn is_reset(&self) -> bool {
         matches!(system::peek(&self.stream), Peeked::Broken(Meaning::Reset))
     }
 
-    /// Neither closed by the peer nor spoken on out of turn.
+    /// Whether it still stands, and nothing has come on it that was not asked for.
     pub(super) fn is_quiet(&self) -> bool {
         self.buffer.is_empty() && matches!(system::peek(&self.stream), Peeked::Quiet)
     }
 }
 
-/// Why there is no connection: nothing of the attempt ever ran.
-pub(super) struct Unopened {
-    pub(super) verdict: Verdict,
-    /// What the system said, where that was it.
-    pub(super) why: Option<std::io::Error>,
-}
-
-impl From<Verdict> for Unopened {
-    fn from(verdict: Verdict) -> Unopened {
-        Unopened { verdict, why: None }
-    }
-}
+/// Counts one more connection that waits for a descriptor, for as long as this value lives.
+struct DescriptorWait<'a>(&'a Cell<usize>);
 
-impl From<std::io::Error> for Unopened {
-    fn from(error: std::io::Error) -> Unopened {
-        Unopened { verdict: before_send(&error), why: Some(error) }
-    }
-}
-
-/// What an error says before the last byte of a query has left.
-pub(super) fn before_send(error: &std::io::Error) -> Verdict {
-    match Meaning::of(error) {
-        Meaning::Local => Verdict::LocalFailure,
-        Meaning::Refused => Verdict::Unconnected,
-        Meaning::Path => Verdict::Unreachable,
-        // One that took the connection and then broke it stands.
-        Meaning::Reset => Verdict::ConnectionLost,
-    }
-}
-
-/// One more that waits, for as long as this stands.
-struct Waits<'a>(&'a Cell<usize>);
-
-impl Waits<'_> {
-    fn start(waiting: &Cell<usize>) -> Waits<'_> {
+impl DescriptorWait<'_> {
+    fn start(waiting: &Cell<usize>) -> DescriptorWait<'_> {
         waiting.set(waiting.get() + 1);
-        Waits(waiting)
+        DescriptorWait(waiting)
     }
 }
 
-impl Drop for Waits<'_> {
+impl Drop for DescriptorWait<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// The connection, once nothing more can come of its last answer: a second copy or noise behind an answer must
-/// never be read as the next one. Of one that has not rested an empty query is asked, whose answer must be the
-/// very next that comes; `None` where it is not.
-pub(super) async fn settled(
+/// The pooled connection, once nothing more can come of its last answer; `None` where that cannot be shown.
+///
+/// Bytes behind an answer must never be read as the next answer. A connection that has rested for `limits.rest` had time
+/// for them to come and be seen. On any other one an empty query is sent, whose response must be the very next that comes.
+pub(super) async fn resynchronized(
     pooled: Option<Connection>,
-    until: Instant,
+    deadline: Instant,
     limits: &Limits,
 ) -> Option<Connection> {
     let mut connection = pooled?;
     if connection.idle_since.elapsed() >= limits.rest {
         return Some(connection);
     }
-    let Connection { stream, buffer, .. } = &mut connection;
-    let asked = async {
-        let mut query = Vec::new();
-        pg::query(&mut query, &[]);
-        system::write_all(Party::Member, stream, &query).await.ok()?;
-        let mut empty = false;
-        loop {
-            let Some(message) = pg::message(buffer.held(), limits.answer).ok()? else {
-                let count = system::read(Party::Member, stream, buffer.tail()).await.ok()?;
-                if count == 0 {
-                    return None;
-                }
-                continue;
-            };
-            match message.tag {
-                b'I' if !empty => empty = true,
-                b'S' | b'N' if empty => {}
-                b'Z' if empty => {
-                    buffer.consume(message.length);
-                    return buffer.is_empty().then_some(());
-                }
-                _ => return None,
+    let deadline = deadline.min(Instant::now() + limits.connect);
+    timeout_at(deadline, exchange_empty_query(&mut connection, limits)).await.ok()??;
+    Some(connection)
+}
+
+/// Sends an empty query and reads its response; `None` where anything else comes, or the connection breaks.
+async fn exchange_empty_query(connection: &mut Connection, limits: &Limits) -> Option<()> {
+    let Connection { stream, buffer, .. } = connection;
+    let mut query = Vec::new();
+    pg::query(&mut query, &[]);
+    system::write_all(Party::Member, stream, &query).await.ok()?;
+    let mut was_acknowledged = false;
+    loop {
+        let Some(message) = pg::message(buffer.held(), limits.answer).ok()? else {
+            let count = system::read(Party::Member, stream, buffer.tail()).await.ok()?;
+            if count == 0 {
+                return None;
             }
-            let length = message.length;
-            buffer.consume(length);
+            continue;
+        };
+        let length = message.length;
+        match message.tag {
+            b'I' if !was_acknowledged => was_acknowledged = true,
+            b'S' | b'N' if was_acknowledged => {}
+            b'Z' if was_acknowledged => {
+                buffer.consume(length);
+                return buffer.is_empty().then_some(());
+            }
+            _ => return None,
         }
-    };
-    let until = until.min(Instant::now() + limits.connect);
-    timeout_at(until, asked).await.ok()??;
-    Some(connection)
+        buffer.consume(length);
+    }
 }
 
-/// A new connection that is ready for a statement. Only a refusal shows that no process is there.
+/// A new connection that is ready for a query, by `deadline` and within `limits.connect`.
+///
+/// Errors: as [`QueryError`] says of a query that was not sent.
 pub(super) async fn connect(
     context: &ProcessContext,
     id: MemberId,
     address: SocketAddr,
-    until: Instant,
-) -> Result<Connection, Unopened> {
-    let until = until.min(Instant::now() + context.limits.connect);
-    let permit = match context.member_room.clone().try_acquire_owned() {
-        Ok(permit) => permit,
-        Err(_) => {
-            let _ = context.dispatcher.send(DispatcherMessage::DescriptorsExhausted(id)).await;
-            let _waits = Waits::start(&context.waiting_for_room);
-            let room = timeout_at(until, context.member_room.clone().acquire_owned()).await;
-            // That this process has no descriptor to spare is no word on the member.
-            room.ok().and_then(Result::ok).ok_or(Verdict::LocalFailure)?
-        }
-    };
-    match timeout_at(until, opened(&context.limits, address)).await {
-        Ok(opened) => {
-            let (stream, buffer) = opened?;
-            Ok(Connection { stream, buffer, idle_since: Instant::now(), _permit: permit })
-        }
-        Err(_) => Err(Verdict::TimedOut.into()),
+    deadline: Instant,
+) -> Result<Connection, QueryError> {
+    let deadline = deadline.min(Instant::now() + context.limits.connect);
+    let permit = descriptor_permit(context, id, deadline).await?;
+    let opened = timeout_at(deadline, open(&context.limits, address)).await;
+    let (stream, buffer) = opened.map_err(|_| QueryError::DeadlinePassed)??;
+    Ok(Connection { stream, buffer, idle_since: Instant::now(), _permit: permit })
+}
+
+/// A descriptor of the members' part. Where none is free the dispatcher is told, which has idle connections closed.
+async fn descriptor_permit(
+    context: &ProcessContext,
+    id: MemberId,
+    deadline: Instant,
+) -> Result<OwnedSemaphorePermit, QueryError> {
+    if let Ok(permit) = context.member_room.clone().try_acquire_owned() {
+        return Ok(permit);
     }
+    let _ = context.dispatcher.send(DispatcherMessage::DescriptorsExhausted(id)).await;
+    let _waiting = DescriptorWait::start(&context.waiting_for_room);
+    let permit = timeout_at(deadline, context.member_room.clone().acquire_owned()).await;
+    permit.ok().and_then(Result::ok).ok_or(QueryError::NoDescriptor)
 }
 
-/// Connects and greets, until the member is ready.
-async fn opened(limits: &Limits, address: SocketAddr) -> Result<(TcpStream, Buffer), Unopened> {
-    // A statement of full size is more than the system takes at once: how quickly the member takes it is seen.
+/// Connects and sends the startup message, until the member is ready for a query.
+async fn open(limits: &Limits, address: SocketAddr) -> Result<(TcpStream, Buffer), QueryError> {
+    // The send buffer is smaller than a statement of full size, so that it is seen how quickly the member reads it.
     let sizes = BufferSizes { send: limits.buffer as u32, receive: limits.member_buffer as u32 };
     let mut stream = system::connect(address, Some(sizes)).await?;
     stream.set_nodelay(true)?;
-    let mut hello = Vec::new();
-    pg::startup(&mut hello, "client", "core");
-    system::write_all(Party::Member, &mut stream, &hello).await?;
+    let mut startup = Vec::new();
+    pg::startup(&mut startup, USER, DATABASE);
+    system::write_all(Party::Member, &mut stream, &startup).await?;
     let mut buffer = Buffer::default();
     loop {
-        let message = pg::message(buffer.held(), limits.answer).map_err(|_| Verdict::ConnectionLost)?;
+        let message = pg::message(buffer.held(), limits.answer).map_err(|_| QueryError::Malformed)?;
         let Some(message) = message else {
             if system::read(Party::Member, &mut stream, buffer.tail()).await? == 0 {
-                return Err(Verdict::ConnectionLost.into());
+                return Err(QueryError::Closed);
             }
             continue;
         };
@@ -174,12 +163,15 @@
                 buffer.consume(length);
                 return Ok((stream, buffer));
             }
-            b'E' => {
-                let full = pg::refusal(message.body).is_ok_and(|refusal| refusal.code == "53300");
-                return Err(if full { Verdict::Overloaded } else { Verdict::ConnectionLost }.into());
-            }
-            b'R' if message.body != [0; 4] => return Err(Verdict::ConnectionLost.into()),
+            b'E' => return Err(connection_refused(message.body)),
+            b'R' if message.body != AUTHENTICATION_OK => return Err(QueryError::ConnectionRejected),
             _ => buffer.consume(length),
         }
     }
 }
+
+/// What an error in place of a welcome means.
+fn connection_refused(body: &[u8]) -> QueryError {
+    let is_full = pg::refusal(body).is_ok_and(|refusal| refusal.code == sql_state::TOO_MANY_CONNECTIONS);
+    if is_full { QueryError::TooManyConnections } else { QueryError::ConnectionRejected }
+}
--- a/crates/proxy/src/member/last_heard.rs
+++ b/crates/proxy/src/member/last_heard.rs
@@ -5,31 +5,35 @@
 
 use tokio::time::Instant;
 
-/// What this process saw itself of a member's lives, on its monotonic clock; shared by actor and dispatcher.
+/// When this process last heard a member, on its monotonic clock; shared by the member's actor and the dispatcher.
 #[derive(Clone, Default)]
 pub struct LastHeard {
     heard: Rc<Cell<Option<Instant>>>,
+    /// When it was last heard before it was lost.
     before_loss: Rc<Cell<Option<Instant>>>,
 }
 
 impl LastHeard {
-    pub(super) fn hears(&self) {
+    /// The member responded.
+    pub(super) fn record_response(&self) {
         self.heard.set(Some(Instant::now()));
     }
 
-    /// Its process seems to be gone.
-    pub(super) fn loses(&self) {
+    /// The member's process seems to be gone.
+    pub(super) fn record_loss(&self) {
         self.before_loss.set(self.heard.get());
     }
 
-    /// The list has just told another start: when the life before it was last heard, as far as that is sure. `open` says
-    /// that the member might be sent requests until now, so that the new life may have been heard already: then only a
-    /// loss in between tells the two apart.
+    /// When the member's former incarnation was last heard, as far as that is sure. To be asked when the endpoint list
+    /// first names another start of the member; the answer is given once for each loss. `was_accepting` says that the
+    /// member could be sent requests until now, so that the new incarnation may have been heard already: then only a loss
+    /// in between tells the two apart.
     ///
-    /// Protects a member in slow start from a wall clock that is ahead, which makes its start look old. Harms one that
-    /// started long before the list told it and whose connections were lost again since: it counts as younger than it is.
-    pub fn former_life(&self, open: bool) -> Option<Instant> {
+    /// Without it, a wall clock that is ahead makes the new start look long past, and the member gets full load while it
+    /// warms up. The cost: a member that started long before the list named it, and was lost again since, counts as
+    /// younger than it is.
+    pub fn former_incarnation(&self, was_accepting: bool) -> Option<Instant> {
         let before_loss = self.before_loss.take();
-        if open { before_loss } else { self.heard.get() }
+        if was_accepting { before_loss } else { self.heard.get() }
     }
 }
--- a/crates/proxy/src/member/mod.rs
+++ b/crates/proxy/src/member/mod.rs
@@ -1,9 +1,14 @@
-//! The members' side: one actor a member, its connections and the queries on them.
+//! The members' side: one actor a member, its pool of connections and the queries on them.
 
 mod actor;
 mod connection;
 mod last_heard;
+mod outcome;
+mod pool;
 mod query;
+mod report;
+mod response;
+mod symptom_log;
 
-pub use actor::Member;
+pub use actor::{Member, MemberLinks};
 pub use last_heard::LastHeard;
--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -1,192 +1,245 @@
-//! One statement on a connection, from its first byte to the end of its answer.
+//! One query: a connection for it, the conditions under which it may still be sent, its bytes, and its end.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_flow_control::{Meter, Peer};
-use aldermill_routing::{Validity, Verdict};
-use aldermill_wire::{Exchange, pg};
+use aldermill_flow_control::Meter;
+use aldermill_routing::{MemberId, Micros, Validity};
+use aldermill_wire::pg;
 use tokio::sync::watch;
-use tokio::task;
-use tokio::time::{Instant, timeout, timeout_at};
+use tokio::time::{Instant, timeout_at};
 
-use super::connection::{Connection, before_send};
-use crate::flow_control::BufferReservation;
+use super::connection::{Connection, connect, resynchronized};
+use super::outcome::{Answer, Evidence, QueryError, QueryKind, Sent};
+use super::pool::PoolGeneration;
+use super::response::{Response, ResponseReader};
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{Attempt, Query};
-use crate::system::{self, Meaning, Party, Peeked};
+use crate::system::{self, Meaning, Party};
 
-/// The health check, as members know it.
+/// The statement of a health check; members answer it with their load report.
 const HEALTH_CHECK: &[u8] = b"SHOW usage";
 
-/// What a member is told less than is left: it may be told 0.15 s too much, which is as long as the process may be held up
-/// before the statement is written. This covers what comes on top, as the way from the client. Of little time, an eighth.
-const RESERVE: Duration = Duration::from_millis(10);
+/// A member is told this much less time than the client has left. It may be told up to 0.15 s too much, which is as long
+/// as this process may be held up before the statement is written; the margin covers what comes on top of that, such as
+/// the way from the client.
+const TIMEOUT_MARGIN: Duration = Duration::from_millis(10);
+/// Of little time, the margin takes no more than this part.
+const MARGIN_DIVISOR: u32 = 8;
 
-/// What is asked for again when the connection is there, however long that took: whether the query may leave.
-pub(super) struct Departure {
-    /// None for a health check.
-    pub(super) attempt: Option<Attempt>,
-    pub(super) until: Instant,
-    /// Whether the list's last word lets anything new be sent to the member.
-    pub(super) open: watch::Receiver<bool>,
-    /// How often the member has said that it is a replica.
+/// Under which conditions a query may be sent. They are checked once its connection is there, however long that took.
+pub(super) struct SendConditions {
+    /// Whether the endpoint list lets the member receive anything new.
+    pub(super) accepts_requests: watch::Receiver<bool>,
+    /// The address that the endpoint list has for the member now.
+    pub(super) listed_address: Rc<Cell<SocketAddr>>,
+    /// How many of the member's responses have said that it is a replica.
     pub(super) replica_reports: Rc<Cell<u64>>,
-    /// Where the connection leads, and where the list has the member now.
-    pub(super) to: SocketAddr,
-    pub(super) listed: Rc<Cell<SocketAddr>>,
 }
 
-impl Departure {
-    /// A drain or a move that was told since the decision forbids it, and so does the deadline, which a
-    /// standstill may have passed over; for an attempt its client's leaving, and the end of what made it
-    /// valid.
-    pub(super) fn may_leave(&self, context: &ProcessContext) -> bool {
-        let in_time = Instant::now() < self.until;
-        let allowed = *self.open.borrow() && self.to == self.listed.get();
-        in_time && allowed && self.attempt.as_ref().is_none_or(|attempt| self.is_valid(attempt, context))
+/// One query of a member, from its connection to the end of its response.
+pub(super) struct QueryTask {
+    pub(super) context: Rc<ProcessContext>,
+    pub(super) member: MemberId,
+    /// Where its connection leads.
+    pub(super) address: SocketAddr,
+    /// `None` for a health check.
+    pub(super) attempt: Option<Attempt>,
+    /// When it times out.
+    pub(super) deadline: Instant,
+    pub(super) conditions: SendConditions,
+    /// The generation of the pool that its connection is put back into.
+    pub(super) pool_generation: PoolGeneration,
+}
+
+/// How a query ended.
+pub(super) struct QueryEnd {
+    /// When it began.
+    pub(super) began: Instant,
+    /// How much of it was written.
+    pub(super) sent: Sent,
+    /// What the member sent in response.
+    pub(super) response: Response,
+    /// What ended the query before its response was whole.
+    pub(super) error: Option<QueryError>,
+    /// How long ago the response came, in microseconds; above zero only after a stall of this process.
+    pub(super) response_age: Micros,
+    /// Present where it may carry another query.
+    pub(super) connection: Option<Connection>,
+    /// The generation of the pool when the query began.
+    pub(super) pool_generation: PoolGeneration,
+    /// Whether the process stalled since the query began; only determined where silence ended it.
+    pub(super) stalled: bool,
+    /// Whether a connection was given at least `limits.opening` to come up.
+    pub(super) had_time_to_connect: bool,
+}
+
+impl QueryEnd {
+    /// A query of which nothing is known any more; it may have run.
+    pub(super) fn unknown(pool_generation: PoolGeneration) -> QueryEnd {
+        QueryEnd {
+            sent: Sent::Whole,
+            error: Some(QueryError::Closed),
+            ..QueryEnd::begin(Instant::now(), pool_generation)
+        }
+    }
+
+    fn begin(began: Instant, pool_generation: PoolGeneration) -> QueryEnd {
+        QueryEnd {
+            began,
+            sent: Sent::Nothing,
+            response: Response::default(),
+            error: None,
+            response_age: 0,
+            connection: None,
+            pool_generation,
+            stalled: false,
+            had_time_to_connect: false,
+        }
+    }
+
+    /// What was observed of the query, to be judged.
+    pub(super) fn evidence(&self, kind: QueryKind) -> Evidence<'_> {
+        Evidence {
+            kind,
+            sent: self.sent,
+            result: self.result(),
+            stalled: self.stalled,
+            had_time_to_connect: self.had_time_to_connect,
+        }
+    }
+
+    fn result(&self) -> Result<Answer<'_>, &QueryError> {
+        let exchange = &self.response.exchange;
+        match &exchange.error {
+            _ if exchange.is_served() => Ok(Answer::Value),
+            Some(code) => Ok(Answer::Error(code)),
+            None if self.response.out_of_buffer_space => Ok(Answer::TooLarge),
+            None => Err(self.error.as_ref().unwrap_or(&QueryError::Closed)),
+        }
+    }
+}
+
+impl QueryTask {
+    /// Runs the query on this connection, or else on a new one, to its end or its deadline. `began` is when the
+    /// connection was taken from the pool.
+    pub(super) async fn run(self, pooled: Option<Connection>, began: Instant) -> QueryEnd {
+        let mut end = QueryEnd::begin(began, self.pool_generation);
+        match self.connection(pooled).await {
+            Ok(connection) => self.run_on(connection, &mut end).await,
+            Err(error) => end.error = Some(error),
+        }
+        if matches!(
+            end.error,
+            Some(QueryError::DeadlinePassed | QueryError::Socket { meaning: Meaning::Path, .. })
+        ) {
+            end.stalled = self.context.unstalled_clock.stood_since(began);
+            end.had_time_to_connect = began.elapsed() >= self.context.limits.opening;
+        }
+        end
+    }
+
+    async fn connection(&self, pooled: Option<Connection>) -> Result<Connection, QueryError> {
+        match resynchronized(pooled, self.deadline, &self.context.limits).await {
+            Some(connection) => Ok(connection),
+            None => connect(&self.context, self.member, self.address, self.deadline).await,
+        }
+    }
+
+    async fn run_on(&self, mut connection: Connection, end: &mut QueryEnd) {
+        if !self.may_send() {
+            end.error = Some(QueryError::Withheld);
+            end.connection = Some(connection);
+            return;
+        }
+        end.error = self.exchange(&mut connection, end).await.err();
+        let received = self.context.unstalled_clock.came(&connection.stream, Some(end.began));
+        end.response_age = received.map_or(0, |(_, last)| last.elapsed().as_micros() as Micros);
+        if end.response.exchange.is_ready() {
+            end.connection = Some(connection);
+        }
+    }
+
+    /// Writes the query and reads its response.
+    async fn exchange(&self, connection: &mut Connection, end: &mut QueryEnd) -> Result<(), QueryError> {
+        let query = self.encode();
+        end.sent = Sent::Partly;
+        self.write(connection, &query).await?;
+        end.sent = Sent::Whole;
+        let owner = self.attempt.as_ref().map(|attempt| attempt.holder);
+        let mut reader = ResponseReader::new(&self.context, owner, self.deadline, &mut end.response);
+        reader.read(connection).await
     }
 
-    fn is_valid(&self, attempt: &Attempt, context: &ProcessContext) -> bool {
+    /// Whether the query may still be sent. A drain or a move of the member that was listed since the decision forbids it,
+    /// and so does the deadline, which a stall may have passed; an attempt also the cancellation of its request, and the
+    /// end of its validity.
+    fn may_send(&self) -> bool {
+        let in_time = Instant::now() < self.deadline;
+        let conditions = &self.conditions;
+        let is_allowed =
+            *conditions.accepts_requests.borrow() && self.address == conditions.listed_address.get();
+        in_time && is_allowed && self.attempt.as_ref().is_none_or(|attempt| self.is_valid(attempt))
+    }
+
+    fn is_valid(&self, attempt: &Attempt) -> bool {
         let Validity { until, while_primary } = attempt.validity;
-        let still_primary = self.replica_reports.get() == attempt.replica_reports;
+        let is_still_primary = self.conditions.replica_reports.get() == attempt.replica_reports;
         !attempt.cancellation.is_cancelled()
-            && context.clock.now() < until
-            && (still_primary || !while_primary)
+            && self.context.clock.now() < until
+            && (is_still_primary || !while_primary)
     }
 
-    /// The query in its words of now: a member is told what is left of the client's time, less the reserve, in whole
+    /// The query's bytes. An attempt tells the member how much time the client has left now, less the margin, in whole
     /// milliseconds.
-    pub(super) fn query(&self) -> Query {
+    fn encode(&self) -> Query {
         let Some(attempt) = &self.attempt else {
             let mut health_check = Vec::new();
             pg::query(&mut health_check, &[HEALTH_CHECK]);
             return Query::Whole(health_check);
         };
-        let left = self.until.saturating_duration_since(Instant::now());
-        let wait = left.saturating_sub((left / 8).min(RESERVE)).as_millis().max(1);
-        Query::of(&attempt.request, &wait.to_string())
-    }
-}
-
-/// One query on one connection.
-pub(super) struct QueryTask<'a> {
-    pub(super) context: &'a ProcessContext,
-    /// For whom room is asked for a large answer; a health check has none.
-    pub(super) holder: Option<(Peer, bool)>,
-    pub(super) until: Instant,
-    pub(super) exchange: Exchange,
-    pub(super) room: Option<BufferReservation>,
-    pub(super) crowded_out: bool,
-}
-
-impl QueryTask<'_> {
-    /// Sends the query and takes in the answer, as far as it comes before the deadline.
-    pub(super) async fn converse(&mut self, connection: &mut Connection, query: &Query) -> Verdict {
-        if let Err(verdict) = self.send(connection, query).await {
-            return verdict;
-        }
-        let ended_by = self.take_in(connection).await;
-        match self.exchange.error.as_deref() {
-            _ if self.exchange.is_served() => Verdict::Served,
-            Some("25006" | "72000") => Verdict::NotPrimary,
-            Some("53300") => Verdict::Overloaded,
-            Some(_) => Verdict::Error,
-            None => ended_by,
-        }
+        let left = self.deadline.saturating_duration_since(Instant::now());
+        let margin = (left / MARGIN_DIVISOR).min(TIMEOUT_MARGIN);
+        let timeout = left.saturating_sub(margin).as_millis().max(1);
+        Query::of(&attempt.request, &timeout.to_string())
     }
 
-    /// A member that does not have all of it cannot have begun.
-    pub(super) async fn send(&mut self, connection: &mut Connection, query: &Query) -> Result<(), Verdict> {
-        let clock = &self.context.unstalled_clock;
-        let mut taking: Option<Meter> = None;
+    /// Writes the query, at the least rate or faster.
+    async fn write(&self, connection: &mut Connection, query: &Query) -> Result<(), QueryError> {
+        let mut meter: Option<Meter> = None;
         for mut piece in query.pieces() {
             while !piece.is_empty() {
-                let now = clock.now();
-                let taking = taking
-                    .get_or_insert_with(|| Meter::start(self.context.flow_control.bounds().taking, now));
-                taking.owes(now);
-                let due = taking.due().map_or(self.until, |due| clock.instant(due).min(self.until));
-                match timeout_at(due, system::write(Party::Member, &mut connection.stream, piece)).await {
-                    Ok(Ok(count)) if count > 0 => {
-                        taking.moved(clock.now(), count as u64);
-                        piece = &piece[count..];
-                    }
-                    Ok(Err(error)) => return Err(before_send(&error)),
-                    Err(_) if due >= self.until => return Err(Verdict::Unconnected),
-                    _ => return Err(Verdict::ConnectionLost),
-                }
+                let count = self.write_some(connection, piece, &mut meter).await?;
+                piece = &piece[count..];
             }
         }
         Ok(())
     }
 
-    /// An answer comes in one piece, or nearly: what has begun and goes on under the least rate is malformed,
-    /// and at once where its last bytes are those of a whole answer. One that is whole but for its end waits
-    /// no longer for that.
-    pub(super) async fn take_in(&mut self, connection: &mut Connection) -> Verdict {
-        let QueryTask { context, holder, until, exchange, room, crowded_out } = self;
-        let (limits, clock, until) = (&context.limits, &context.unstalled_clock, *until);
-        let mut answering: Option<Meter> = None;
-        loop {
-            if exchange.absorb(&mut connection.buffer, limits.answer).is_err() {
-                return Verdict::Malformed;
-            }
-            if exchange.is_over() {
-                return Verdict::Reset;
-            }
-            let claimed = pg::claimed(connection.buffer.held());
-            if claimed > limits.small && room.is_none() {
-                // While there is no room nothing is read: what the member sends stays with it, and holds its place.
-                let Some((peer, best)) = *holder else { return Verdict::Malformed };
-                answering.iter_mut().for_each(|meter| meter.rests(clock.now()));
-                *room = context.flow_control.reserve(peer, claimed, best, until).await;
-                if room.is_none() {
-                    // It did its part, and its place is wanted for others: the rest is not taken in.
-                    *crowded_out = true;
-                    return Verdict::Served;
-                }
-                connection.buffer.expect(claimed + 1);
-            }
-            let now = clock.now();
-            answering.iter_mut().for_each(|meter| meter.owes(now));
-            let due = answering.as_ref().and_then(Meter::due);
-            let due = due.map_or(until, |due| clock.instant(due).min(until));
-            let cut_short = exchange.is_served() || pg::ends_as_answer(connection.buffer.held());
-            let wait = if cut_short { due.min(Instant::now() + limits.closing) } else { due };
-            let Connection { stream, buffer, .. } = &mut *connection;
-            let mut read = timeout_at(wait, system::read(Party::Member, stream, buffer.tail())).await;
-            if read.is_err() && matches!(system::peek(stream), Peeked::Unread | Peeked::Ended) {
-                // A signal or a standstill has let the clock be heard before the bytes, which came in time.
-                read = timeout(limits.closing, system::read(Party::Member, stream, buffer.tail())).await;
-            }
-            match read {
-                Err(_) if wait < until => return Verdict::Malformed,
-                Err(_) => return Verdict::TimedOut,
-                Ok(Ok(count)) if count > 0 => {
-                    let now = clock.now();
-                    let start = || Meter::start(context.flow_control.bounds().answering, now);
-                    answering.get_or_insert_with(start).moved(now, count as u64);
-                    if room.is_some() {
-                        // Between the pieces of a large answer others have their turn.
-                        task::yield_now().await;
-                    }
-                }
-                Ok(Ok(_)) => return Verdict::Reset,
-                Ok(Err(error)) => return after_send(&error),
+    /// Writes the beginning of `piece`; returns how many bytes the system accepted, which is above zero.
+    async fn write_some(
+        &self,
+        connection: &mut Connection,
+        piece: &[u8],
+        meter: &mut Option<Meter>,
+    ) -> Result<usize, QueryError> {
+        let clock = &self.context.unstalled_clock;
+        let now = clock.now();
+        let meter = meter.get_or_insert_with(|| Meter::start(self.context.flow_control.bounds().taking, now));
+        meter.owes(now);
+        let wait_until = meter.due().map_or(self.deadline, |due| clock.instant(due).min(self.deadline));
+        let written = timeout_at(wait_until, system::write(Party::Member, &mut connection.stream, piece));
+        match written.await {
+            Err(_) if wait_until >= self.deadline => Err(QueryError::DeadlinePassed),
+            Err(_) => Err(QueryError::TooSlow),
+            Ok(Err(error)) => Err(error.into()),
+            Ok(Ok(0)) => Err(QueryError::Closed),
+            Ok(Ok(count)) => {
+                meter.moved(clock.now(), count as u64);
+                Ok(count)
             }
         }
     }
 }
-
-/// What an error says while an answer is waited for: the query may have run.
-fn after_send(error: &std::io::Error) -> Verdict {
-    match Meaning::of(error) {
-        Meaning::Reset | Meaning::Refused => Verdict::Reset,
-        // No answer came through in time, by the system's measure.
-        Meaning::Path => Verdict::TimedOut,
-        Meaning::Local => Verdict::Unobserved,
-    }
-}
--- a/crates/proxy/tests/local_failures.rs
+++ b/crates/proxy/tests/local_failures.rs
@@ -92,7 +92,7 @@
     let before = within(from - Duration::from_secs(1), 1000).div_ceil(10);
     let bins: Vec<usize> = (0..20).map(|bin| within(from + Duration::from_millis(100 * bin), 100)).collect();
     eprintln!("{rule}: {lost:?} of {asked:?}, before {before}, by 100 ms {bins:?}");
-    assert!(!driver.logged("member lost") && !driver.logged("answers nothing that can be used"));
+    assert!(!driver.logged("member lost") && !driver.logged("responses are unusable"));
     let after = bins[10..].iter().copied().max().unwrap_or(0);
     (lost.into_inner() as f64 / asked.into_inner() as f64, after)
 }
--- a/crates/proxy/tests/members.rs
+++ b/crates/proxy/tests/members.rs
@@ -19,14 +19,9 @@
     for _ in 0..10 {
         assert!(served(&client.ask(&look(15000))));
     }
-    until("the line on that member", || driver.logged("answers nothing that can be used"));
-    let lines = driver
-        .log
-        .lock()
-        .unwrap()
-        .iter()
-        .filter(|line| line.contains("answers nothing that can be used"))
-        .count();
+    until("the line on that member", || driver.logged("responses are unusable"));
+    let lines =
+        driver.log.lock().unwrap().iter().filter(|line| line.contains("responses are unusable")).count();
     assert_eq!(lines, 1, "once, not once a task");
 }
 
--- /dev/null
+++ b/crates/proxy/tests/query_outcomes.rs
@@ -0,0 +1,199 @@
+//! What the end of a query means, by how much of it was sent and what came of it: the whole table, row by row.
+
+#[path = "../src/member/outcome.rs"]
+mod outcome;
+#[path = "../src/system"]
+mod system {
+    #[allow(dead_code, reason = "the program uses the rest")]
+    mod errors;
+    pub use errors::Meaning;
+}
+
+use std::io;
+
+use aldermill_routing::Verdict;
+use outcome::{Answer, Evidence, QueryError, QueryKind, Sent, Symptom, symptom, verdict};
+use system::Meaning;
+use uapi::c;
+
+const KINDS: [QueryKind; 2] = [QueryKind::Attempt, QueryKind::HealthCheck];
+
+/// An error of the system for each meaning.
+fn socket(meaning: Meaning) -> QueryError {
+    let number = match meaning {
+        Meaning::Local => c::ENETUNREACH,
+        Meaning::Refused => c::ECONNREFUSED,
+        Meaning::Reset => c::ECONNRESET,
+        Meaning::Path => c::EHOSTUNREACH,
+    };
+    QueryError::from(io::Error::from_raw_os_error(number))
+}
+
+/// An end without answer, outside of a stall, after time enough to connect.
+fn ended(kind: QueryKind, sent: Sent, error: &QueryError) -> Evidence<'_> {
+    Evidence { kind, sent, result: Err(error), stalled: false, had_time_to_connect: true }
+}
+
+/// The verdict where the member's process is known to be alive.
+fn judged(evidence: Evidence<'_>) -> Verdict {
+    verdict(&evidence, || false)
+}
+
+#[test]
+fn each_error_has_its_verdict_by_how_much_was_sent() {
+    use QueryError::{
+        Closed, ConnectionRejected, DeadlinePassed, Malformed, NoDescriptor, TooManyConnections, TooSlow,
+        Withheld,
+    };
+    use Verdict as V;
+    let table = [
+        (Withheld, V::NotSent, V::NotSent, None),
+        (NoDescriptor, V::LocalFailure, V::LocalFailure, None),
+        (TooManyConnections, V::Overloaded, V::Overloaded, None),
+        (ConnectionRejected, V::ConnectionLost, V::ConnectionLost, None),
+        (socket(Meaning::Local), V::LocalFailure, V::LocalFailure, Some(V::Unobserved)),
+        (socket(Meaning::Refused), V::Unconnected, V::Unconnected, Some(V::Malformed)),
+        (socket(Meaning::Reset), V::ConnectionLost, V::ConnectionLost, Some(V::Malformed)),
+        (socket(Meaning::Path), V::Unreachable, V::Unreachable, Some(V::TimedOut)),
+        (Closed, V::ConnectionLost, V::ConnectionLost, Some(V::Malformed)),
+        (Malformed, V::ConnectionLost, V::ConnectionLost, Some(V::Malformed)),
+        (TooSlow, V::ConnectionLost, V::ConnectionLost, Some(V::Malformed)),
+        (DeadlinePassed, V::Unconnected, V::Unconnected, Some(V::TimedOut)),
+    ];
+    for (error, nothing, partly, whole) in &table {
+        let attempt = |sent| judged(ended(QueryKind::Attempt, sent, error));
+        assert_eq!(attempt(Sent::Nothing), *nothing, "{error:?}");
+        assert_eq!(attempt(Sent::Partly), *partly, "{error:?}");
+        let Some(whole) = whole else { continue };
+        assert_eq!(attempt(Sent::Whole), *whole, "{error:?}");
+        // A health check differs only where no connection came up in time.
+        let health_check = |sent| judged(ended(QueryKind::HealthCheck, sent, error));
+        assert_eq!(health_check(Sent::Partly), *partly, "{error:?}");
+        assert_eq!(health_check(Sent::Whole), *whole, "{error:?}");
+    }
+    let health_check = ended(QueryKind::HealthCheck, Sent::Nothing, &DeadlinePassed);
+    assert_eq!(judged(health_check), Verdict::TimedOut);
+}
+
+#[test]
+fn an_attempt_counts_as_never_run_exactly_where_it_was_not_sent_whole() {
+    let errors = [
+        socket(Meaning::Local),
+        socket(Meaning::Refused),
+        socket(Meaning::Reset),
+        socket(Meaning::Path),
+        QueryError::Closed,
+        QueryError::Malformed,
+        QueryError::TooSlow,
+        QueryError::DeadlinePassed,
+    ];
+    for error in &errors {
+        for stalled in [false, true] {
+            for had_time_to_connect in [false, true] {
+                for process_gone in [false, true] {
+                    for sent in [Sent::Nothing, Sent::Partly, Sent::Whole] {
+                        let evidence = Evidence {
+                            stalled,
+                            had_time_to_connect,
+                            ..ended(QueryKind::Attempt, sent, error)
+                        };
+                        let verdict = verdict(&evidence, || process_gone);
+                        assert_eq!(verdict.never_ran(), sent != Sent::Whole, "{evidence:?}: {verdict:?}");
+                    }
+                }
+            }
+        }
+    }
+}
+
+#[test]
+fn a_connection_without_enough_time_to_come_up_proves_nothing_of_its_member() {
+    let error = QueryError::DeadlinePassed;
+    for (stalled, had_time_to_connect) in [(false, false), (true, false), (true, true)] {
+        let evidence =
+            Evidence { stalled, had_time_to_connect, ..ended(QueryKind::Attempt, Sent::Nothing, &error) };
+        assert_eq!(judged(evidence), Verdict::NotSent, "{evidence:?}");
+        assert_eq!(symptom(judged(evidence)), Symptom::None);
+    }
+}
+
+#[test]
+fn silence_during_a_stall_of_the_process_is_unobserved() {
+    for error in [QueryError::DeadlinePassed, socket(Meaning::Path)] {
+        for kind in KINDS {
+            let evidence = Evidence { stalled: true, ..ended(kind, Sent::Whole, &error) };
+            assert_eq!(judged(evidence), Verdict::Unobserved, "{evidence:?}");
+        }
+    }
+    let error = QueryError::DeadlinePassed;
+    let evidence = Evidence { stalled: true, ..ended(QueryKind::HealthCheck, Sent::Nothing, &error) };
+    assert_eq!(judged(evidence), Verdict::Unobserved);
+}
+
+#[test]
+fn a_broken_connection_shows_a_dead_process_only_where_the_others_were_reset() {
+    for error in [QueryError::Closed, socket(Meaning::Reset), socket(Meaning::Refused)] {
+        for kind in KINDS {
+            let evidence = ended(kind, Sent::Whole, &error);
+            assert_eq!(verdict(&evidence, || true), Verdict::Reset, "{evidence:?}");
+            assert_eq!(verdict(&evidence, || false), Verdict::Malformed, "{evidence:?}");
+        }
+    }
+}
+
+#[test]
+fn other_connections_are_looked_at_only_where_one_broke_under_a_whole_query() {
+    let errors = [QueryError::Malformed, QueryError::TooSlow, QueryError::DeadlinePassed, QueryError::Closed];
+    for error in &errors {
+        let asked = || -> bool { panic!("looked at other connections after {error:?}") };
+        verdict(&ended(QueryKind::Attempt, Sent::Partly, error), asked);
+        if !matches!(error, QueryError::Closed) {
+            verdict(&ended(QueryKind::Attempt, Sent::Whole, error), asked);
+        }
+    }
+}
+
+#[test]
+fn an_answer_has_its_verdict_by_its_code() {
+    let table = [
+        (Answer::Value, Verdict::Served, Verdict::Served),
+        (Answer::TooLarge, Verdict::Served, Verdict::Served),
+        (Answer::Error("25006"), Verdict::NotPrimary, Verdict::NotPrimary),
+        (Answer::Error("72000"), Verdict::NotPrimary, Verdict::NotPrimary),
+        (Answer::Error("53300"), Verdict::Overloaded, Verdict::Overloaded),
+        (Answer::Error("57P03"), Verdict::Error, Verdict::Overloaded),
+        (Answer::Error("XX000"), Verdict::Error, Verdict::Error),
+    ];
+    for (answer, attempt, health_check) in table {
+        for (kind, expected) in [(QueryKind::Attempt, attempt), (QueryKind::HealthCheck, health_check)] {
+            let evidence = Evidence {
+                kind,
+                sent: Sent::Whole,
+                result: Ok(answer),
+                stalled: true,
+                had_time_to_connect: false,
+            };
+            assert_eq!(judged(evidence), expected, "{evidence:?}");
+            assert_eq!(symptom(expected), Symptom::None, "an answer is nothing against its member");
+        }
+    }
+}
+
+#[test]
+fn a_verdict_shows_a_symptom_only_where_something_was_seen_of_the_member() {
+    let table = [
+        (Verdict::TimedOut, Symptom::Silent),
+        (Verdict::Malformed, Symptom::UnusableResponse),
+        (Verdict::ConnectionLost, Symptom::UnusableResponse),
+        (Verdict::Unconnected, Symptom::Unreachable),
+        (Verdict::Unreachable, Symptom::Unreachable),
+        (Verdict::Reset, Symptom::ProcessGone),
+        (Verdict::LocalFailure, Symptom::LocalFailure),
+        (Verdict::Unobserved, Symptom::None),
+        (Verdict::NotSent, Symptom::None),
+        (Verdict::Cancelled, Symptom::None),
+    ];
+    for (verdict, expected) in table {
+        assert_eq!(symptom(verdict), expected, "{verdict:?}");
+    }
+}
