--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -1,5 +1,6 @@
 //! Carries out what the router decided: answers, attempts, health checks, connections to close.
 
+use aldermill_flow_control::ReservationOwner;
 use aldermill_routing::{Action, Actions, Effect, Handle, MemberId, MemberReport, Micros, Validity, Verdict};
 use slog::warn;
 use tokio::time::Instant;
@@ -112,7 +113,7 @@
             handle: decided.handle,
             request: open.request.clone(),
             cancellation: open.cancellation.clone(),
-            holder: (open.request.peer, open.best),
+            reservation_owner: ReservationOwner { peer: open.request.peer, priority: open.priority },
             decided_at,
             deadline: (decided_at + duration(decided.timeout)).min(deadline),
             pool_use: if decided.afresh { PoolUse::ConnectAnew } else { PoolUse::Reuse },
@@ -123,7 +124,7 @@
 
     fn send_health_check(&mut self, member: MemberId) {
         let decided_at = Instant::now();
-        let deadline = decided_at + self.context.limits.health_check;
+        let deadline = decided_at + self.context.limits.member.health_check_timeout;
         let command = MemberCommand::HealthCheck { decided_at, deadline };
         let entry = self.members[member].as_ref();
         if entry.is_none_or(|entry| entry.commands.try_send(command).is_err()) {
--- a/crates/proxy/src/dispatcher/open_request.rs
+++ b/crates/proxy/src/dispatcher/open_request.rs
@@ -2,8 +2,9 @@
 
 use std::rc::Rc;
 
+use aldermill_flow_control::Priority;
 use aldermill_routing::{Handle, Micros};
-use aldermill_site_routing::Handle as SitesHandle;
+use aldermill_site_routing::RequestHandle as SiteRequestHandle;
 use tokio::sync::mpsc;
 
 use crate::messages::{Answer, Cancellation, ClientId, ClientMessage, ClientRequest};
@@ -14,7 +15,7 @@
     /// The router alone.
     Router(Handle),
     /// The gateway part, which may have handed it to the router.
-    Gateway(SitesHandle),
+    Gateway(SiteRequestHandle),
 }
 
 /// The client that waits for a request.
@@ -39,9 +40,9 @@
 /// A request that the router decides on, and the client that waits for it.
 pub(super) struct OpenRequest {
     /// Present where it came through the gateway part, which is told what the router says and answers the client.
-    pub(super) via: Option<SitesHandle>,
+    pub(super) via: Option<SiteRequestHandle>,
     /// Whether its class is the best paid.
-    pub(super) best: bool,
+    pub(super) priority: Priority,
     /// When the client's time is over, on the router's clock. No attempt may last longer.
     pub(super) deadline: Micros,
     /// `None` once it was answered, or nobody waits for it.
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use aldermill_routing::{Handle, Micros, Need, Outcome, Request, Role, Verdict};
-use aldermill_site_routing::{Actions as SiteActions, Handle as SitesHandle};
+use aldermill_site_routing::{Actions as SiteActions, RequestHandle as SiteRequestHandle};
 use aldermill_wire::statement::quoted;
 
 use super::Dispatcher;
@@ -20,7 +20,7 @@
     /// On the router's clock: an instant, which a process that is held up on the way does not put off.
     pub(super) deadline: Micros,
     /// Present where the gateway part hands it over.
-    pub(super) via: Option<SitesHandle>,
+    pub(super) via: Option<SiteRequestHandle>,
 }
 
 /// What the gateway part makes of an answer that its member is not primary.
@@ -69,7 +69,7 @@
     /// Whether as many requests are under way as the operator allows.
     fn is_full(&self) -> bool {
         let crossing = self.gateway_part.as_ref().map_or(0, GatewayPart::open_requests);
-        self.open_requests.len().max(crossing) >= self.context.limits.requests
+        self.open_requests.len().max(crossing) >= self.context.limits.open_requests
     }
 
     /// Hands a checked request to the router and carries out its first decision.
@@ -92,7 +92,7 @@
         let (handle, actions) = self.decide(|router| router.take(now, routed.clone()));
         let open = OpenRequest {
             via,
-            best: self.context.best_paid.contains(&request.comment.class),
+            priority: self.context.priority(&request.comment.class),
             deadline,
             client: Some(WaitingClient::of(&request)),
             cancellation: Cancellation::default(),
@@ -179,7 +179,7 @@
     /// Tells the gateway part, where the request came through it, that an attempt missed or may have run.
     fn gateway_part_hears(
         &mut self,
-        via: Option<SitesHandle>,
+        via: Option<SiteRequestHandle>,
         verdict: Verdict,
         elapsed: Micros,
     ) -> SiteMiss {
--- a/crates/proxy/src/member/actor.rs
+++ b/crates/proxy/src/member/actor.rs
@@ -79,7 +79,8 @@
         address: SocketAddr,
         links: MemberLinks,
     ) -> Member {
-        let symptom_log = SymptomLog::new(context.log.clone(), name, context.limits.malformed_told);
+        let symptom_log =
+            SymptomLog::new(context.log.clone(), name, context.limits.member.malformed_log_threshold);
         Member {
             context,
             id,
@@ -97,7 +98,7 @@
 
     /// Executes commands and reports ends of queries, until the dispatcher is gone.
     pub async fn run(mut self, mut commands: mpsc::Receiver<MemberCommand>) {
-        let mut sweep = interval(self.context.limits.sweep);
+        let mut sweep = interval(self.context.limits.member.sweep_interval);
         sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             self.pool.publish_oldest();
--- a/crates/proxy/src/member/connection.rs
+++ b/crates/proxy/src/member/connection.rs
@@ -63,7 +63,7 @@
 
 /// The pooled connection, once nothing more can come of its last answer; `None` where that cannot be shown.
 ///
-/// Bytes behind an answer must never be read as the next answer. A connection that has rested for `limits.rest` had time
+/// Bytes behind an answer must never be read as the next answer. A connection that has rested for `limits.member.settle_time` had time
 /// for them to come and be seen. On any other one an empty query is sent, whose response must be the very next that comes.
 pub(super) async fn resynchronized(
     pooled: Option<Connection>,
@@ -71,10 +71,10 @@
     limits: &Limits,
 ) -> Option<Connection> {
     let mut connection = pooled?;
-    if connection.idle_since.elapsed() >= limits.rest {
+    if connection.idle_since.elapsed() >= limits.member.settle_time {
         return Some(connection);
     }
-    let deadline = deadline.min(Instant::now() + limits.connect);
+    let deadline = deadline.min(Instant::now() + limits.member.connect_timeout);
     timeout_at(deadline, exchange_empty_query(&mut connection, limits)).await.ok()??;
     Some(connection)
 }
@@ -87,7 +87,7 @@
     system::write_all(Party::Member, stream, &query).await.ok()?;
     let mut was_acknowledged = false;
     loop {
-        let Some(message) = pg::message(buffer.held(), limits.answer).ok()? else {
+        let Some(message) = pg::message(buffer.held(), limits.buffers.response).ok()? else {
             let count = system::read(Party::Member, stream, buffer.tail()).await.ok()?;
             if count == 0 {
                 return None;
@@ -108,7 +108,7 @@
     }
 }
 
-/// A new connection that is ready for a query, by `deadline` and within `limits.connect`.
+/// A new connection that is ready for a query, by `deadline` and within `limits.member.connect_timeout`.
 ///
 /// Errors: as [`QueryError`] says of a query that was not sent.
 pub(super) async fn connect(
@@ -117,7 +117,7 @@
     address: SocketAddr,
     deadline: Instant,
 ) -> Result<Connection, QueryError> {
-    let deadline = deadline.min(Instant::now() + context.limits.connect);
+    let deadline = deadline.min(Instant::now() + context.limits.member.connect_timeout);
     let permit = descriptor_permit(context, id, deadline).await?;
     let opened = timeout_at(deadline, open(&context.limits, address)).await;
     let (stream, buffer) = opened.map_err(|_| QueryError::DeadlinePassed)??;
@@ -142,7 +142,10 @@
 /// Connects and sends the startup message, until the member is ready for a query.
 async fn open(limits: &Limits, address: SocketAddr) -> Result<(TcpStream, Buffer), QueryError> {
     // The send buffer is smaller than a statement of full size, so that it is seen how quickly the member reads it.
-    let sizes = BufferSizes { send: limits.buffer as u32, receive: limits.member_buffer as u32 };
+    let sizes = BufferSizes {
+        send: limits.buffers.client_socket as u32,
+        receive: limits.buffers.member_socket as u32,
+    };
     let mut stream = system::connect(address, Some(sizes)).await?;
     stream.set_nodelay(true)?;
     let mut startup = Vec::new();
@@ -150,7 +153,8 @@
     system::write_all(Party::Member, &mut stream, &startup).await?;
     let mut buffer = Buffer::default();
     loop {
-        let message = pg::message(buffer.held(), limits.answer).map_err(|_| QueryError::Malformed)?;
+        let message =
+            pg::message(buffer.held(), limits.buffers.response).map_err(|_| QueryError::Malformed)?;
         let Some(message) = message else {
             if system::read(Party::Member, &mut stream, buffer.tail()).await? == 0 {
                 return Err(QueryError::Closed);
--- a/crates/proxy/src/member/pool.rs
+++ b/crates/proxy/src/member/pool.rs
@@ -41,14 +41,16 @@
         self.idle.is_empty()
     }
 
-    /// A connection for a query: of those that still stand the newest that has rested for `limits.rest`, else the one
+    /// A connection for a query: of those that still stand the newest that has rested for `limits.member.settle_time`, else the one
     /// that has been idle longest.
     pub(super) fn take(&mut self, limits: &Limits) -> Option<Connection> {
         while !self.idle.is_empty() {
-            let rested =
-                self.idle.iter().rposition(|connection| connection.idle_since.elapsed() >= limits.rest);
+            let rested = self
+                .idle
+                .iter()
+                .rposition(|connection| connection.idle_since.elapsed() >= limits.member.settle_time);
             let connection = self.idle.remove(rested.unwrap_or(0));
-            if connection.idle_since.elapsed() < limits.idle && connection.is_quiet() {
+            if connection.idle_since.elapsed() < limits.member.idle_timeout && connection.is_quiet() {
                 return Some(connection);
             }
         }
@@ -86,10 +88,12 @@
         self.idle.retain(|connection| connection.idle_since >= instant);
     }
 
-    /// Closes connections that have been idle for `limits.idle`, and those that the member closed or wrote to.
+    /// Closes connections that have been idle for `limits.member.idle_timeout`, and those that the member closed or wrote to.
     pub(super) fn sweep(&mut self, limits: &Limits) {
         let now = Instant::now();
-        self.idle.retain(|connection| now - connection.idle_since < limits.idle && connection.is_quiet());
+        self.idle.retain(|connection| {
+            now - connection.idle_since < limits.member.idle_timeout && connection.is_quiet()
+        });
     }
 
     /// Whether the member's process seems to be gone: all idle connections, of which there are some, were reset. A process
--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_flow_control::Meter;
+use aldermill_flow_control::ProgressMeter;
 use aldermill_routing::{MemberId, Micros, Validity};
 use aldermill_wire::pg;
 use tokio::sync::watch;
@@ -72,7 +72,7 @@
     pub(super) pool_generation: PoolGeneration,
     /// Whether the process stalled since the query began; only determined where silence ended it.
     pub(super) stalled: bool,
-    /// Whether a connection was given at least `limits.opening` to come up.
+    /// Whether a connection was given at least `limits.member.connect_evidence` to come up.
     pub(super) had_time_to_connect: bool,
 }
 
@@ -136,7 +136,7 @@
             Some(QueryError::DeadlinePassed | QueryError::Socket { meaning: Meaning::Path, .. })
         ) {
             end.stalled = self.context.unstalled_clock.stood_since(began);
-            end.had_time_to_connect = began.elapsed() >= self.context.limits.opening;
+            end.had_time_to_connect = began.elapsed() >= self.context.limits.member.connect_evidence;
         }
         end
     }
@@ -168,7 +168,7 @@
         end.sent = Sent::Partly;
         self.write(connection, &query).await?;
         end.sent = Sent::Whole;
-        let owner = self.attempt.as_ref().map(|attempt| attempt.holder);
+        let owner = self.attempt.as_ref().map(|attempt| attempt.reservation_owner);
         let mut reader = ResponseReader::new(&self.context, owner, self.deadline, &mut end.response);
         reader.read(connection).await
     }
@@ -208,7 +208,7 @@
 
     /// Writes the query, at the least rate or faster.
     async fn write(&self, connection: &mut Connection, query: &Query) -> Result<(), QueryError> {
-        let mut meter: Option<Meter> = None;
+        let mut meter: Option<ProgressMeter> = None;
         for mut piece in query.pieces() {
             while !piece.is_empty() {
                 let count = self.write_some(connection, piece, &mut meter).await?;
@@ -223,13 +223,14 @@
         &self,
         connection: &mut Connection,
         piece: &[u8],
-        meter: &mut Option<Meter>,
+        meter: &mut Option<ProgressMeter>,
     ) -> Result<usize, QueryError> {
         let clock = &self.context.unstalled_clock;
         let now = clock.now();
-        let meter = meter.get_or_insert_with(|| Meter::start(self.context.flow_control.bounds().taking, now));
-        meter.owes(now);
-        let wait_until = meter.due().map_or(self.deadline, |due| clock.instant(due).min(self.deadline));
+        let meter = meter
+            .get_or_insert_with(|| ProgressMeter::new(now, self.context.flow_control.limits().to_member));
+        meter.start(now);
+        let wait_until = meter.deadline().map_or(self.deadline, |due| clock.instant(due).min(self.deadline));
         let written = timeout_at(wait_until, system::write(Party::Member, &mut connection.stream, piece));
         match written.await {
             Err(_) if wait_until >= self.deadline => Err(QueryError::DeadlinePassed),
@@ -237,7 +238,7 @@
             Ok(Err(error)) => Err(error.into()),
             Ok(Ok(0)) => Err(QueryError::Closed),
             Ok(Ok(count)) => {
-                meter.moved(clock.now(), count as u64);
+                meter.record_progress(clock.now(), count as u64);
                 Ok(count)
             }
         }
--- a/crates/proxy/src/member/response.rs
+++ b/crates/proxy/src/member/response.rs
@@ -1,6 +1,6 @@
 //! Reads the response to a query, as far as it comes in time.
 
-use aldermill_flow_control::{Meter, Peer};
+use aldermill_flow_control::{ProgressMeter, ReservationOwner};
 use aldermill_wire::{Buffer, Exchange, pg};
 use tokio::task;
 use tokio::time::error::Elapsed;
@@ -26,17 +26,17 @@
 pub(super) struct ResponseReader<'a> {
     context: &'a ProcessContext,
     /// For whom buffer space for a large response is reserved; `None` for a health check, which gets none.
-    owner: Option<(Peer, bool)>,
+    owner: Option<ReservationOwner>,
     deadline: Instant,
     /// Measures the member's rate from the first bytes of the response on.
-    meter: Option<Meter>,
+    meter: Option<ProgressMeter>,
     response: &'a mut Response,
 }
 
 impl<'a> ResponseReader<'a> {
     pub(super) fn new(
         context: &'a ProcessContext,
-        owner: Option<(Peer, bool)>,
+        owner: Option<ReservationOwner>,
         deadline: Instant,
         response: &'a mut Response,
     ) -> ResponseReader<'a> {
@@ -48,7 +48,8 @@
     /// Errors: as [`QueryError`] says of a query that was sent.
     pub(super) async fn read(&mut self, connection: &mut Connection) -> Result<(), QueryError> {
         loop {
-            let absorbed = self.response.exchange.absorb(&mut connection.buffer, self.context.limits.answer);
+            let absorbed =
+                self.response.exchange.absorb(&mut connection.buffer, self.context.limits.buffers.response);
             absorbed.map_err(|_| QueryError::Malformed)?;
             if self.response.exchange.is_over() {
                 return Ok(());
@@ -65,15 +66,15 @@
     /// member sends stays with it, and occupies its capacity.
     async fn reserve_buffer_space(&mut self, buffer: &mut Buffer) -> Result<(), QueryError> {
         let announced = pg::claimed(buffer.held());
-        if announced <= self.context.limits.small || self.response.reservation.is_some() {
+        if announced <= self.context.limits.buffers.small_message || self.response.reservation.is_some() {
             return Ok(());
         }
-        let Some((peer, is_best_paid)) = self.owner else { return Err(QueryError::Malformed) };
+        let Some(owner) = self.owner else { return Err(QueryError::Malformed) };
         if let Some(meter) = &mut self.meter {
-            meter.rests(self.context.unstalled_clock.now());
+            meter.stop(self.context.unstalled_clock.now());
         }
         let flow_control = &self.context.flow_control;
-        self.response.reservation = flow_control.reserve(peer, announced, is_best_paid, self.deadline).await;
+        self.response.reservation = flow_control.reserve(owner, announced, self.deadline).await;
         if self.response.reservation.is_some() {
             buffer.expect(announced + 1);
         } else {
@@ -87,7 +88,7 @@
     async fn read_more(&mut self, connection: &mut Connection) -> Result<(), QueryError> {
         let now = self.context.unstalled_clock.now();
         if let Some(meter) = &mut self.meter {
-            meter.owes(now);
+            meter.start(now);
         }
         let wait_until = self.wait_until(&connection.buffer);
         match self.read_by(connection, wait_until).await {
@@ -109,11 +110,15 @@
     /// By when more has to come: by the deadline, by the least rate, and soon where only the end of the response is
     /// missing, or its last bytes are those of a whole one.
     fn wait_until(&self, buffer: &Buffer) -> Instant {
-        let due = self.meter.as_ref().and_then(Meter::due);
+        let due = self.meter.as_ref().and_then(ProgressMeter::deadline);
         let due =
             due.map_or(self.deadline, |due| self.context.unstalled_clock.instant(due).min(self.deadline));
         let lacks_only_its_end = self.response.exchange.is_served() || pg::ends_as_answer(buffer.held());
-        if lacks_only_its_end { due.min(Instant::now() + self.context.limits.closing) } else { due }
+        if lacks_only_its_end {
+            due.min(Instant::now() + self.context.limits.member.completion_timeout)
+        } else {
+            due
+        }
     }
 
     /// One read. A signal or a stall may wake the timer before the bytes, which came in time: they are read all the same.
@@ -125,7 +130,7 @@
         let Connection { stream, buffer, .. } = connection;
         let read = timeout_at(wait_until, system::read(Party::Member, stream, buffer.tail())).await;
         if read.is_err() && matches!(system::peek(stream), Peeked::Unread | Peeked::Ended) {
-            let limit = self.context.limits.closing;
+            let limit = self.context.limits.member.completion_timeout;
             return timeout(limit, system::read(Party::Member, stream, buffer.tail())).await;
         }
         read
@@ -134,7 +139,8 @@
     fn count_bytes(&mut self, count: usize) {
         let now = self.context.unstalled_clock.now();
         let flow_control = &self.context.flow_control;
-        let meter = self.meter.get_or_insert_with(|| Meter::start(flow_control.bounds().answering, now));
-        meter.moved(now, count as u64);
+        let meter =
+            self.meter.get_or_insert_with(|| ProgressMeter::new(now, flow_control.limits().from_member));
+        meter.record_progress(now, count as u64);
     }
 }
--- a/crates/proxy/src/messages/dispatcher.rs
+++ b/crates/proxy/src/messages/dispatcher.rs
@@ -1,9 +1,9 @@
 //! What the dispatcher receives from all other actors.
 
-use aldermill_flow_control::Peer;
+use aldermill_flow_control::PeerId;
 use aldermill_routing::{Handle, MemberId, MemberReport, Micros, Verdict};
 use aldermill_site_drain::Plan;
-use aldermill_site_link::{Event, Said};
+use aldermill_site_link::{Inbound, Outbound};
 use aldermill_wire::statement::Comment;
 use aldermill_zone_failover::Lean;
 use tokio::sync::{mpsc, oneshot};
@@ -73,12 +73,12 @@
     /// It is up: the other side sent a handshake that is allowed here.
     Up {
         /// What is sent here goes over the link.
-        outbox: mpsc::Sender<Said>,
+        outbox: mpsc::Sender<Outbound>,
         /// The link's connection, for which buffer space for its values is reserved.
-        peer: Peer,
+        peer: PeerId,
     },
     /// The other side sent something.
-    Received(Event),
+    Received(Inbound),
     /// It is down.
     Lost,
 }
@@ -88,7 +88,7 @@
     /// Names it to the client's actor.
     pub client: ClientId,
     /// The client's connection, for which buffer space for the answer is reserved.
-    pub peer: Peer,
+    pub peer: PeerId,
     /// Where its answer goes.
     pub mailbox: mpsc::Sender<ClientMessage>,
     /// When it was received, on the router's clock.
--- a/crates/proxy/src/messages/member.rs
+++ b/crates/proxy/src/messages/member.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_flow_control::Peer;
+use aldermill_flow_control::ReservationOwner;
 use aldermill_routing::{Handle, Validity};
 use aldermill_wire::pg;
 use tokio::time::Instant;
@@ -47,8 +47,8 @@
     pub request: Rc<ClientRequest>,
     /// Shared by all attempts of the request.
     pub cancellation: Cancellation,
-    /// For whom buffer space for the answer is reserved, and whether the request's class has the highest priority.
-    pub holder: (Peer, bool),
+    /// For whom buffer space for the answer is reserved.
+    pub reservation_owner: ReservationOwner,
     /// When it was decided.
     pub decided_at: Instant,
     /// When it times out; never later than the request's own deadline.
