--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,4 +1,6 @@
-//! The endpoint list: the watch on discovery, and the list's form.
+//! The endpoint list: how it is watched at discovery, and its form.
 
 pub mod endpoint_list;
+mod error;
+mod stream;
 pub mod watch;
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -1,230 +1,243 @@
-//! The actor that follows the list at discovery.
+//! The actor that watches the endpoint list at discovery.
 
+use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 use aldermill_stall_detection::apart;
-use aldermill_wire::{Buffer, Malformed, http, json};
 use rand_pcg::Pcg64Mcg;
 use slog::{info, warn};
-use thiserror::Error;
-use tokio::sync::mpsc;
-use tokio::time::{Instant, sleep, timeout, timeout_at};
+use tokio::sync::{mpsc, watch};
+use tokio::time::{sleep, timeout};
 
-use crate::discovery::endpoint_list::EndpointList;
+use super::endpoint_list::EndpointList;
+use super::error::WatchError;
+use super::stream::ListStream;
 use crate::lifecycle::clock::duration;
-use crate::lifecycle::limits::RetryInterval;
+use crate::lifecycle::limits::DiscoveryLimits;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::ListUpdate;
-use crate::system::{self, Meaning, Party};
-
-/// So much within the time of silence is no silence, though no line has come to its end: a long list on a slow line.
-const COMES: usize = 8 * 1024;
-
-/// Why a watch is over. What of it an operator can do stands in docs/on-call.md at `list lost`.
-#[derive(Debug, Error)]
-enum Lost {
-    #[error("silence")]
-    Silence,
-    /// Not a byte came since it was asked.
-    #[error("no connection, or no answer on it")]
-    Mute,
-    #[error("{0}")]
-    Connection(#[from] std::io::Error),
-    #[error("closed")]
-    Closed,
-    #[error("ended")]
-    Ended,
-    #[error("status {0}")]
-    Status(u16),
-    #[error("{0}")]
-    Answer(Malformed),
-    #[error("a list without its end")]
-    Half,
-    #[error("{0}")]
-    List(serde_json::Error),
-    #[error("changes to another list than the one held")]
-    Other,
-}
 
-impl Lost {
-    /// This machine could open no connection: nothing is known of discovery.
-    fn is_local(&self) -> bool {
-        matches!(self, Lost::Connection(error) if Meaning::of(error) == Meaning::Local)
-    }
+/// The dispatcher is gone, and nobody wants the endpoint list any more.
+struct DispatcherGone;
+
+/// What the actor does next.
+enum State {
+    /// Waits until the dispatcher wants the list; that is always where discovery streams it.
+    Idle,
+    /// Watches at the address that is configured now.
+    Watching,
+    /// A watch failed: the loss is reported, and there is a wait before the next one.
+    Failed {
+        /// Where discovery was asked.
+        peer: SocketAddr,
+        error: WatchError,
+    },
 }
 
-pub struct Watch {
-    pub context: Rc<ProcessContext>,
-    pub dispatcher: mpsc::Sender<ListUpdate>,
-    /// Where the list comes only on request: the dispatcher's requests.
+/// How the endpoint list is watched.
+pub struct WatchConfig {
+    /// The dispatcher's requests, where the list is fetched only on request; `None` where discovery streams it.
     pub requests: Option<mpsc::Receiver<()>>,
+    /// The revision of the list that a former start saved, if there is one.
     pub revision: Option<u64>,
-    /// How long it waits before it first asks, so that drivers that start together do not ask together.
-    pub first: Duration,
+    /// The wait before the first watch, so that processes that start together do not ask together.
+    pub start_delay: Duration,
+    /// Draws the random part of the waits between watches.
     pub rng: Pcg64Mcg,
 }
 
+/// Watches the endpoint list at discovery. Whatever goes wrong, the last list stays in force.
+pub struct Watch {
+    context: Rc<ProcessContext>,
+    dispatcher: mpsc::Sender<ListUpdate>,
+    /// As in [`WatchConfig::requests`].
+    requests: Option<mpsc::Receiver<()>>,
+    /// The revision of the list that the dispatcher has; `None` where the whole list has to be fetched.
+    revision: Option<u64>,
+    start_delay: Duration,
+    rng: Pcg64Mcg,
+    /// The wait after the next failure.
+    backoff: Duration,
+    /// How long the next watch waits for the first bytes, the time to connect included.
+    first_byte_timeout: Duration,
+    /// Whether a line was received on the current watch.
+    has_received_line: bool,
+    /// A watch failed since the last line, and that was logged.
+    is_lost: bool,
+}
+
 impl Watch {
-    /// Follows the list for ever; whatever goes wrong, the last list stays in force.
+    /// A watch that sends its updates to `dispatcher`.
+    pub fn new(
+        context: Rc<ProcessContext>,
+        dispatcher: mpsc::Sender<ListUpdate>,
+        config: WatchConfig,
+    ) -> Watch {
+        let limits = &context.limits.discovery;
+        Watch {
+            backoff: limits.retry.initial,
+            first_byte_timeout: limits.first_byte_timeout,
+            context,
+            dispatcher,
+            requests: config.requests,
+            revision: config.revision,
+            start_delay: config.start_delay,
+            rng: config.rng,
+            has_received_line: false,
+            is_lost: false,
+        }
+    }
+
+    /// Watches until the dispatcher is gone.
     pub async fn run(mut self) {
-        let RetryInterval { initial: least, max: most } = self.context.limits.discovery.retry;
-        let mut moves = self.context.discovery.clone();
-        let mut wait = least;
-        let mut silent = false;
-        let mut opening = self.context.limits.discovery.first_byte_timeout;
-        let mut wanted = self.requests.is_none();
-        if wanted {
-            sleep(self.first).await;
+        let Err(DispatcherGone) = self.run_states().await;
+    }
+
+    async fn run_states(&mut self) -> Result<Infallible, DispatcherGone> {
+        let mut address = self.context.discovery.clone();
+        if self.requests.is_none() {
+            sleep(self.start_delay).await;
         }
+        let mut state = State::Idle;
         loop {
-            if let Some(requests) = &mut self.requests
-                && !std::mem::take(&mut wanted)
-                && requests.recv().await.is_none()
-            {
-                return;
-            }
-            let peer = *moves.borrow_and_update();
-            let mut told = false;
-            let followed = tokio::select! {
-                followed = self.follow(peer, opening, &mut told, &mut silent) => followed,
-                Ok(()) = moves.changed() => {
-                    info!(self.context.log, "discovery moved, asked there for what has changed";
-                        "from" => %peer, "revision" => self.revision);
-                    (wait, wanted) = (least, true);
-                    continue;
+            state = match state {
+                State::Idle => {
+                    self.wait_until_wanted().await?;
+                    State::Watching
                 }
-            };
-            let Err(why) = followed else { return };
-            if told {
-                wait = least;
-            }
-            // Discovery that is slow to speak is given longer, up to what is silence in any case.
-            opening = match why {
-                Lost::Mute => (opening * 2).min(self.context.limits.discovery.silence_timeout),
-                _ => self.context.limits.discovery.first_byte_timeout,
-            };
-            if !std::mem::replace(&mut silent, true) {
-                warn!(self.context.log, "list lost, the last one stays in force";
-                    "peer" => %peer, "why" => %why, "revision" => self.revision);
-            }
-            if self.requests.is_some() {
-                if self.dispatcher.send(ListUpdate::Unavailable).await.is_err() {
-                    return;
+                State::Watching => self.watch(&mut address).await?,
+                State::Failed { peer, error } => {
+                    self.recover(peer, &error, &mut address).await?;
+                    State::Idle
                 }
-            } else if matches!(why, Lost::Silence | Lost::Mute) {
-                // It was silent for long enough: what it has to tell counts at once when it speaks again.
-                wait = least;
-            } else if why.is_local() {
-                // Discovery goes on telling, and nothing of the call came to it.
-                sleep(least).await;
-            } else {
-                let pause = apart::again(wait.as_micros() as i64, &mut self.rng);
-                let moved = timeout(duration(pause), moves.changed()).await.is_ok();
-                wait = if moved { least } else { (wait * 2).min(most) };
+            };
+        }
+    }
+
+    async fn wait_until_wanted(&mut self) -> Result<(), DispatcherGone> {
+        match &mut self.requests {
+            Some(requests) => requests.recv().await.ok_or(DispatcherGone),
+            None => Ok(()),
+        }
+    }
+
+    /// One watch, until it fails or discovery gets another address.
+    async fn watch(&mut self, address: &mut watch::Receiver<SocketAddr>) -> Result<State, DispatcherGone> {
+        let peer = *address.borrow_and_update();
+        self.has_received_line = false;
+        let followed = tokio::select! {
+            followed = self.follow(peer) => followed,
+            Ok(()) = address.changed() => {
+                info!(self.context.log, "discovery address changed, watching the new one";
+                    "from" => %peer, "revision" => self.revision);
+                self.backoff = self.limits().retry.initial;
+                return Ok(State::Watching);
             }
+        };
+        match followed {
+            Ok(gone) => Err(gone),
+            Err(error) => Ok(State::Failed { peer, error }),
         }
     }
 
-    /// One watch, until it breaks; `Ok` when nobody wants the list any more.
-    async fn follow(
-        &mut self,
-        peer: SocketAddr,
-        opening: Duration,
-        told: &mut bool,
-        silent: &mut bool,
-    ) -> Result<(), Lost> {
-        let context = self.context.clone();
-        let limits = &context.limits;
-        // By when the first bytes must be here, the time to connect included.
-        let mut due = Instant::now() + opening;
-        let mut stream = timeout_at(due, system::connect(peer, None)).await.map_err(|_| Lost::Mute)??;
-        let index = self.revision.map_or(String::new(), |revision| format!("&index={revision}"));
-        let mut request = Vec::new();
-        let path = format!("/catalog/members?stream=1{index}");
-        http::get(&mut request, &peer.to_string(), &path);
-        system::write_all(Party::Discovery, &mut stream, &request).await?;
-
-        let mut buffer = Buffer::default();
-        let mut lines: Option<http::Lines> = None;
-        let mut whole = json::Whole::default();
-        let mut mute = true;
-        let mut came = 0;
+    /// Passes on what discovery sends, until that ends.
+    async fn follow(&mut self, peer: SocketAddr) -> Result<DispatcherGone, WatchError> {
+        let limits = &self.context.limits.discovery;
+        let mut stream = ListStream::open(peer, self.revision, self.first_byte_timeout, limits).await?;
         loop {
-            match timeout_at(due, system::read(Party::Discovery, &mut stream, buffer.tail())).await {
-                Err(_) if mute => return Err(Lost::Mute),
-                Err(_) if came >= COMES => {
-                    (due, came) = (Instant::now() + limits.discovery.silence_timeout, 0)
-                }
-                Err(_) => return Err(Lost::Silence),
-                Ok(read) => match read? {
-                    0 => return Err(Lost::Closed),
-                    count => came += count,
-                },
-            }
-            // By when a line must be whole, or enough of one have come: bytes that trickle tell nothing.
-            if std::mem::take(&mut mute) {
-                due = Instant::now() + limits.discovery.silence_timeout;
-            }
-            if lines.is_none() {
-                let Some(head) =
-                    http::head(buffer.held(), limits.discovery.response_head).map_err(Lost::Answer)?
-                else {
-                    continue;
-                };
-                if head.status != 200 {
-                    return Err(Lost::Status(head.status));
+            stream.read().await?;
+            while let Some(line) = stream.next_line()? {
+                self.line_received(peer);
+                let Some(text) = stream.add_line(&line)? else { continue };
+                let update = self.parse(&text)?;
+                if let Err(gone) = self.pass_on(update).await {
+                    return Ok(gone);
                 }
-                buffer.consume(head.length);
-                lines = Some(http::Lines::new(head.body, limits.discovery.list_line));
-            }
-            let Some(lines) = &mut lines else { continue };
-            loop {
-                let (used, line) = lines.next(buffer.held()).map_err(Lost::Answer)?;
-                buffer.consume(used);
-                let Some(line) = line else { break };
-                if std::mem::take(silent) {
-                    info!(context.log, "list back"; "peer" => %peer);
-                }
-                *told = true;
-                (due, came) = (Instant::now() + limits.discovery.silence_timeout, 0);
-                // An empty line stands between lists: one that it cuts in two has lost its end.
-                if line.trim_ascii().is_empty() {
-                    if whole.is_open() {
-                        self.revision = None;
-                        return Err(Lost::Half);
-                    }
-                    continue;
-                }
-                // Lists may come indented, on many lines.
-                let list = whole.add(&line, limits.discovery.list_line).map_err(Lost::Answer)?;
-                if let Some(list) = list
-                    && !self.tell(&list).await?
-                {
-                    return Ok(());
-                }
-            }
-            if lines.is_over() {
-                return Err(Lost::Ended);
             }
         }
     }
 
-    async fn tell(&mut self, line: &[u8]) -> Result<bool, Lost> {
-        let catalog: EndpointList = serde_json::from_slice(line).map_err(|error| {
-            // What the list holds behind this line is unknown: ask for all of it.
-            self.revision = None;
-            Lost::List(error)
-        })?;
-        if !catalog.complete && self.revision.is_none_or(|revision| catalog.revision < revision) {
-            self.revision = None;
-            return Err(Lost::Other);
+    fn line_received(&mut self, peer: SocketAddr) {
+        self.has_received_line = true;
+        if std::mem::take(&mut self.is_lost) {
+            info!(self.context.log, "discovery watch restored"; "peer" => %peer);
         }
-        // Counted as held once it is handed on: the watch may be broken off while it waits for that.
-        let revision = catalog.revision;
-        let taken = self.dispatcher.send(ListUpdate::Received(catalog)).await.is_ok();
+    }
+
+    /// The update in this text. Changes have to follow on the list that the dispatcher has.
+    fn parse(&self, text: &[u8]) -> Result<EndpointList, WatchError> {
+        let update: EndpointList = serde_json::from_slice(text).map_err(WatchError::InvalidList)?;
+        let received = update.revision;
+        if !update.complete && self.revision.is_none_or(|revision| received < revision) {
+            return Err(WatchError::RevisionGap { received });
+        }
+        Ok(update)
+    }
+
+    async fn pass_on(&mut self, update: EndpointList) -> Result<(), DispatcherGone> {
+        let revision = update.revision;
+        let sent = self.dispatcher.send(ListUpdate::Received(update)).await;
+        // Only now: a change of the address may cancel the watch while it waits for the dispatcher.
         self.revision = Some(revision);
-        Ok(taken)
+        sent.map_err(|_| DispatcherGone)
+    }
+
+    /// Reports a loss, and waits until the next watch is due.
+    async fn recover(
+        &mut self,
+        peer: SocketAddr,
+        error: &WatchError,
+        address: &mut watch::Receiver<SocketAddr>,
+    ) -> Result<(), DispatcherGone> {
+        if error.invalidates_revision() {
+            self.revision = None;
+        }
+        if self.has_received_line {
+            self.backoff = self.limits().retry.initial;
+        }
+        self.adapt_first_byte_timeout(error);
+        self.log_loss(peer, error);
+        if self.requests.is_some() {
+            return self.dispatcher.send(ListUpdate::Unavailable).await.map_err(|_| DispatcherGone);
+        }
+        self.wait_for_next_watch(error, address).await;
+        Ok(())
+    }
+
+    /// Discovery that is slow to respond is given longer, up to what is silence in any case.
+    fn adapt_first_byte_timeout(&mut self, error: &WatchError) {
+        let limits = self.limits();
+        self.first_byte_timeout = match error {
+            WatchError::NoResponse(_) => (self.first_byte_timeout * 2).min(limits.silence_timeout),
+            _ => limits.first_byte_timeout,
+        };
+    }
+
+    fn log_loss(&mut self, peer: SocketAddr, error: &WatchError) {
+        if !std::mem::replace(&mut self.is_lost, true) {
+            warn!(self.context.log, "discovery watch lost, last endpoint list stays in force";
+                "peer" => %peer, "why" => %error, "revision" => self.revision);
+        }
+    }
+
+    async fn wait_for_next_watch(&mut self, error: &WatchError, address: &mut watch::Receiver<SocketAddr>) {
+        let retry = self.limits().retry;
+        if error.is_silence() {
+            // Discovery was waited for already: what it sends when it responds again is received at once.
+            self.backoff = retry.initial;
+        } else if error.is_local() {
+            // Discovery may be well, and was not burdened by this attempt.
+            sleep(retry.initial).await;
+        } else {
+            let wait = apart::again(self.backoff.as_micros() as i64, &mut self.rng);
+            let has_moved = timeout(duration(wait), address.changed()).await.is_ok();
+            self.backoff = if has_moved { retry.initial } else { (self.backoff * 2).min(retry.max) };
+        }
+    }
+
+    fn limits(&self) -> &DiscoveryLimits {
+        &self.context.limits.discovery
     }
 }
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: members that are added, move, drain and go, and an actor for each.
+//! The dispatcher's part in the endpoint list: members that appear, move, drain and go, and an actor for each.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, HashSet};
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use super::Dispatcher;
-use crate::discovery::endpoint_list::{EndpointList, Entry};
+use crate::discovery::endpoint_list::{Endpoint, EndpointList};
 use crate::lifecycle::clock::Clock;
 use crate::member::{LastHeard, Member, MemberLinks};
 use crate::messages::{ListUpdate, MemberCommand, ReplicaReports};
@@ -21,53 +21,54 @@
 pub(super) struct MemberEntry {
     pub(super) group: u64,
     pub(super) zone: usize,
-    /// Whether the list says that it serves.
+    /// Whether the endpoint list has it in service.
     ready: bool,
     pub(super) commands: mpsc::Sender<MemberCommand>,
     /// Since when its oldest idle connection has been idle.
     pub(super) oldest_idle_since: Rc<Cell<Option<Instant>>>,
-    /// Whether the last list lets anything new be sent there.
+    /// Whether the endpoint list lets it receive anything new; its actor watches this.
     accepts_requests: watch::Sender<bool>,
     last_heard: LastHeard,
     address: SocketAddr,
-    /// Its last start as the list tells it: Unix time in milliseconds.
+    /// When it was last started, as the endpoint list says: Unix time in milliseconds, zero for long ago.
     up_since_ms: f64,
-    /// Its last start as it is believed, on the router's clock.
-    pub(super) since: Option<Micros>,
+    /// When it was last started, on the router's clock, within the bounds; `None` for long ago.
+    pub(super) started_at: Option<Micros>,
     started_within: StartBounds,
-    /// How often the router has heard it say that it is a replica.
+    /// How many of its responses have told the router that it is a replica.
     pub(super) replica_reports: u64,
 }
 
-/// Between what a member's last start must lie, on the router's clock.
+/// Bounds on when a member was last started, in microseconds on the router's clock.
 struct StartBounds {
-    /// When its former incarnation was last heard.
-    former_heard: Micros,
-    /// When the list first told of the start.
-    first_told: Micros,
+    /// When its former incarnation was last heard; `Micros::MIN` where that is not known.
+    former_last_heard: Micros,
+    /// When the endpoint list first named this start.
+    first_listed: Micros,
 }
 
 impl MemberEntry {
-    /// Its last start on the router's clock, by the list, where zero is long ago. It lies neither in the future nor
-    /// before its former incarnation was last heard, whatever the wall clock was when this process started. `offset`
-    /// is what the members' clock is ahead, in microseconds.
+    /// When it was last started, on the router's clock; `None` for long ago. The endpoint list's time counts only within
+    /// the bounds, as the wall clock may have been wrong when this process started. `offset` is how far the members' clock
+    /// is ahead of the router's, in microseconds.
     pub(super) fn started(&self, offset: Micros) -> Option<Micros> {
-        let told = (self.up_since_ms > 0.0).then_some((self.up_since_ms * 1000.0) as Micros)?;
-        let StartBounds { former_heard, first_told } = self.started_within;
-        Some(told.saturating_sub(offset).max(former_heard).min(first_told))
+        let listed = (self.up_since_ms > 0.0).then_some((self.up_since_ms * 1000.0) as Micros)?;
+        let StartBounds { former_last_heard, first_listed } = self.started_within;
+        Some(listed.saturating_sub(offset).max(former_last_heard).min(first_listed))
     }
 
-    /// The list tells of another start: a new incarnation. `accepted` says whether the former one was in use until now.
-    fn restarted(&mut self, up_since_ms: f64, accepted: bool, clock: Clock, offset: Micros) {
+    /// The endpoint list names another start, that is a new incarnation. `was_accepting` says whether the former one could
+    /// be sent requests until now.
+    fn record_restart(&mut self, up_since_ms: f64, was_accepting: bool, clock: Clock, offset: Micros) {
         self.up_since_ms = up_since_ms;
-        let former = self.last_heard.former_incarnation(accepted).map(|heard| clock.at(heard));
-        let former_heard = former.unwrap_or(Micros::MIN);
-        self.started_within = StartBounds { former_heard, first_told: clock.now() };
-        self.since = self.started(offset);
+        let former = self.last_heard.former_incarnation(was_accepting).map(|heard| clock.at(heard));
+        let former_last_heard = former.unwrap_or(Micros::MIN);
+        self.started_within = StartBounds { former_last_heard, first_listed: clock.now() };
+        self.started_at = self.started(offset);
     }
 
-    /// Tells the member's actor to connect anew, unless its mailbox is full: the former address is kept then, so that a
-    /// later list tries again.
+    /// Has the member's actor connect anew. Where its mailbox is full the former address is kept, so that a later list tries
+    /// again.
     fn reconnect(&mut self, address: SocketAddr) {
         if self.commands.try_send(MemberCommand::Reconnect(address)).is_ok() {
             self.address = address;
@@ -76,12 +77,12 @@
 }
 
 impl Dispatcher {
-    /// Discovery told the whole list or changes, or that it is unavailable.
+    /// Takes in the whole endpoint list, changes to it, or that it is unavailable, and carries out what follows.
     pub(super) fn list_update(&mut self, list_update: ListUpdate) {
         let now = self.context.clock.now();
         let actions = match list_update {
             ListUpdate::Unavailable => self.decide(|router| ((), router.list_unavailable(now))).1,
-            ListUpdate::Received(catalog) => self.list_received(now, &catalog),
+            ListUpdate::Received(list) => self.list_received(now, &list),
         };
         self.carry_out(actions);
         self.forget_gone_members(now);
@@ -91,16 +92,17 @@
         }
     }
 
-    fn list_received(&mut self, now: Micros, catalog: &EndpointList) -> Actions {
-        info!(self.context.log, "list"; "revision" => catalog.revision,
-            "complete" => catalog.complete, "entries" => catalog.members.len());
-        let listed = self.listed_members(catalog);
-        let ((), actions) = self.decide(|router| ((), router.list(now, catalog.complete, listed.clone())));
-        self.use_restored_state(catalog);
+    /// Starts and updates members' actors, and has the router decide with the list.
+    fn list_received(&mut self, now: Micros, list: &EndpointList) -> Actions {
+        info!(self.context.log, "endpoint list received"; "revision" => list.revision,
+            "complete" => list.complete, "endpoints" => list.endpoints.len());
+        let listed = self.listed_members(list);
+        let ((), actions) = self.decide(|router| ((), router.list(now, list.complete, listed.clone())));
+        self.use_restored_state(list);
         actions
     }
 
-    /// Tells the gateway part how many ready members each group has here.
+    /// Reports to the gateway part how many ready members each group has at this site.
     fn report_groups_to_sites(&mut self) {
         if self.gateway_part.is_none() {
             return;
@@ -112,30 +114,30 @@
         self.groups_listed(&ready_members.into_iter().collect::<Vec<_>>());
     }
 
-    /// Lets go of members that are gone and will not be heard of again: actor, connections and index.
+    /// Drops the actor, the connections and the index of members that are gone and of which no more reports can come.
     fn forget_gone_members(&mut self, now: Micros) {
         let Dispatcher { router, members, member_ids, clock_offset, .. } = self;
         member_ids.retain(|_, &mut id| {
-            let forgotten = router.forget(now, id);
-            if forgotten {
+            let is_forgotten = router.forget(now, id);
+            if is_forgotten {
                 members[id] = None;
                 clock_offset.forget(id);
             }
-            !forgotten
+            !is_forgotten
         });
     }
 
-    /// The list as the router takes it. What it says of members holds from here on.
-    fn listed_members(&mut self, catalog: &EndpointList) -> Vec<Listed> {
-        if catalog.complete {
-            self.stop_using_unlisted(catalog);
+    /// The endpoints in the router's form. Their actors act by the list from here on.
+    fn listed_members(&mut self, list: &EndpointList) -> Vec<Listed> {
+        if list.complete {
+            self.stop_using_unlisted(list);
         }
-        catalog.members.iter().filter_map(|entry| self.listed_member(entry)).collect()
+        list.endpoints.iter().filter_map(|endpoint| self.listed_member(endpoint)).collect()
     }
 
     /// Members that a complete list does not name are gone.
-    fn stop_using_unlisted(&mut self, catalog: &EndpointList) {
-        let listed: HashSet<&str> = catalog.members.iter().map(|entry| entry.id.as_str()).collect();
+    fn stop_using_unlisted(&mut self, list: &EndpointList) {
+        let listed: HashSet<&str> = list.endpoints.iter().map(|endpoint| endpoint.id.as_str()).collect();
         let accepts_requests = self.accepts_requests(Standing::Gone);
         for (_, &id) in self.member_ids.iter().filter(|(name, _)| !listed.contains(name.as_str())) {
             if let Some(known) = &mut self.members[id] {
@@ -145,7 +147,7 @@
         }
     }
 
-    /// The rule on drains: where only draining members are bound by it, others may be asked still.
+    /// Whether a member may be sent anything new. One that is gone may, where the settings bind only draining members.
     fn accepts_requests(&self, standing: Standing) -> bool {
         match standing {
             Standing::Ready => true,
@@ -154,54 +156,55 @@
         }
     }
 
-    /// One entry of the list; `None` where it is of no use.
-    fn listed_member(&mut self, entry: &Entry) -> Option<Listed> {
-        let Ok(address) = entry.host_port.parse::<SocketAddr>() else {
-            warn!(self.context.log, "list entry without a usable address, left out";
-                "member" => &entry.id, "host_port" => &entry.host_port);
+    /// One endpoint in the router's form; `None` where it has no usable address, or is gone and was never known.
+    fn listed_member(&mut self, endpoint: &Endpoint) -> Option<Listed> {
+        let Ok(address) = endpoint.host_port.parse::<SocketAddr>() else {
+            warn!(self.context.log, "list endpoint without a usable address, left out";
+                "member" => &endpoint.id, "host_port" => &endpoint.host_port);
             return None;
         };
-        let standing = entry.standing();
-        let member = match self.member_ids.get(&entry.id) {
+        let standing = endpoint.standing();
+        let member = match self.member_ids.get(&endpoint.id) {
             Some(&member) => member,
             None if standing == Standing::Gone => return None,
-            None => self.start_member(entry, address),
+            None => self.start_member(endpoint, address),
         };
-        self.update_member(member, entry, address);
-        let since = self.members[member].as_ref()?.since;
-        self.groups.insert(entry.cell);
+        self.update_member(member, endpoint, address);
+        let since = self.members[member].as_ref()?.started_at;
+        self.groups.insert(endpoint.group);
         Some(Listed {
             member,
-            name: entry.id.clone(),
-            group: entry.cell,
-            zone: self.decoded.zone(&entry.locality),
+            name: endpoint.id.clone(),
+            group: endpoint.group,
+            zone: self.decoded.zone(&endpoint.zone),
             standing,
             since,
-            size: self.decoded.size(entry.size),
-            primary: entry.is_primary(),
+            size: self.decoded.size(endpoint.size),
+            primary: endpoint.is_primary(),
         })
     }
 
-    /// Takes in what the list says of a known member.
-    fn update_member(&mut self, member: MemberId, entry: &Entry, address: SocketAddr) {
-        let (clock, offset) = (self.context.clock, self.reported_offset);
-        let standing = entry.standing();
+    /// Applies what the endpoint list says to a known member.
+    fn update_member(&mut self, member: MemberId, endpoint: &Endpoint, address: SocketAddr) {
+        let clock = self.context.clock;
+        let offset = self.reported_offset;
+        let standing = endpoint.standing();
         let accepts_requests = self.accepts_requests(standing);
         let Some(known) = &mut self.members[member] else { return };
-        let accepted = known.accepts_requests.send_replace(accepts_requests);
-        known.group = entry.cell;
-        known.zone = self.decoded.zone(&entry.locality);
+        let was_accepting = known.accepts_requests.send_replace(accepts_requests);
+        known.group = endpoint.group;
+        known.zone = self.decoded.zone(&endpoint.zone);
         known.ready = standing == Standing::Ready;
-        let restarted = known.ready && known.up_since_ms != entry.up_since_ms;
+        let restarted = known.ready && known.up_since_ms != endpoint.up_since_ms;
         if restarted {
-            known.restarted(entry.up_since_ms, accepted, clock, offset);
+            known.record_restart(endpoint.up_since_ms, was_accepting, clock, offset);
         }
         if restarted || known.address != address {
             known.reconnect(address);
         }
     }
 
-    /// The router is about to hear these reports, and decides with them from now on.
+    /// The router is about to receive these reports, and decides with them from now on.
     pub(super) fn note_replica_reports(&mut self, reports: ReplicaReports) {
         if let Some(known) = self.members.get_mut(reports.member).and_then(Option::as_mut) {
             known.replica_reports = known.replica_reports.max(reports.count);
@@ -209,10 +212,10 @@
     }
 
     /// Starts the actor of a member that was never listed before.
-    fn start_member(&mut self, entry: &Entry, address: SocketAddr) -> MemberId {
+    fn start_member(&mut self, endpoint: &Endpoint, address: SocketAddr) -> MemberId {
         let id = self.members.iter().position(Option::is_none).unwrap_or(self.members.len());
         let (commands, mailbox) = mpsc::channel(self.context.limits.queues.member);
-        let (accepts_requests, accepting) = watch::channel(self.accepts_requests(entry.standing()));
+        let (accepts_requests, accepting) = watch::channel(self.accepts_requests(endpoint.standing()));
         let oldest_idle_since = Rc::new(Cell::new(None));
         let last_heard = LastHeard::default();
         let links = MemberLinks {
@@ -220,29 +223,29 @@
             oldest_idle_since: oldest_idle_since.clone(),
             last_heard: last_heard.clone(),
         };
-        let member = Member::new(self.context.clone(), id, entry.id.clone(), address, links);
+        let member = Member::new(self.context.clone(), id, endpoint.id.clone(), address, links);
         spawn_local(member.run(mailbox));
-        let first_told = self.context.clock.now();
+        let first_listed = self.context.clock.now();
         let mut known = MemberEntry {
-            group: entry.cell,
-            zone: self.decoded.zone(&entry.locality),
+            group: endpoint.group,
+            zone: self.decoded.zone(&endpoint.zone),
             ready: false,
             commands,
             oldest_idle_since,
             accepts_requests,
             last_heard,
             address,
-            up_since_ms: entry.up_since_ms,
-            since: None,
-            started_within: StartBounds { former_heard: Micros::MIN, first_told },
+            up_since_ms: endpoint.up_since_ms,
+            started_at: None,
+            started_within: StartBounds { former_last_heard: Micros::MIN, first_listed },
             replica_reports: 0,
         };
-        known.since = known.started(self.reported_offset);
+        known.started_at = known.started(self.reported_offset);
         if id == self.members.len() {
             self.members.push(None);
         }
         self.members[id] = Some(known);
-        self.member_ids.insert(entry.id.clone(), id);
+        self.member_ids.insert(endpoint.id.clone(), id);
         id
     }
 }
--- a/crates/proxy/src/dispatcher/members_clock.rs
+++ b/crates/proxy/src/dispatcher/members_clock.rs
@@ -49,8 +49,8 @@
         let mut starts = Vec::new();
         for (id, entry) in self.members.iter_mut().enumerate() {
             if let Some(entry) = entry {
-                entry.since = entry.started(offset);
-                starts.push((id, entry.since));
+                entry.started_at = entry.started(offset);
+                starts.push((id, entry.started_at));
             }
         }
         let _ = self.decide(|router| (router.members_clock(offset, &starts), Default::default()));
--- a/crates/proxy/src/dispatcher/warm_state.rs
+++ b/crates/proxy/src/dispatcher/warm_state.rs
@@ -31,11 +31,11 @@
 }
 
 impl ListedEntries {
-    fn update(&mut self, catalog: &EndpointList) {
-        if catalog.complete {
+    fn update(&mut self, list: &EndpointList) {
+        if list.complete {
             self.entries.clear();
         }
-        for entry in &catalog.members {
+        for entry in &list.endpoints {
             match serde_json::to_string(entry) {
                 Ok(text) if entry.standing() != Standing::Gone => {
                     self.entries.insert(entry.id.clone(), text);
@@ -45,15 +45,15 @@
                 }
             }
         }
-        self.revision = Some(catalog.revision);
+        self.revision = Some(list.revision);
     }
 }
 
 impl Dispatcher {
     /// Uses restored state with the first endpoint list, which says which members it is about.
-    pub(super) fn use_restored_state(&mut self, catalog: &EndpointList) {
+    pub(super) fn use_restored_state(&mut self, list: &EndpointList) {
         if self.warm_state.snapshots.is_some() {
-            self.listed.update(catalog);
+            self.listed.update(list);
         }
         let restored = std::mem::take(&mut self.warm_state.restored);
         if restored != StateSnapshot::default() {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -34,7 +34,7 @@
 use tokio::time::{Instant, timeout};
 
 use crate::discovery::endpoint_list::EndpointList;
-use crate::discovery::watch::Watch;
+use crate::discovery::watch::{Watch, WatchConfig};
 use crate::dispatcher::{Dispatcher, DispatcherParts, GatewayPart, Observations, Opening, WarmState};
 use crate::flow_control::FlowControl;
 use crate::gateway::LinkRegistry;
@@ -162,7 +162,7 @@
 fn describe(start: &Start) {
     let limits = &start.limits;
     println!("driver {} listens on {}, discovery at {}", start.name, start.listen, start.discovery);
-    let known = start.known.as_ref().map_or(0, |known| known.members.len());
+    let known = start.known.as_ref().map_or(0, |known| known.endpoints.len());
     println!("{known} members known, {} offerings", start.decoded.terms.classes.len());
     println!(
         "connections: {} from clients, {} to members",
@@ -325,7 +325,8 @@
     let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(32));
     let first = duration(apart::wait(&name, drivers, grace, &mut rng));
     spawn_local(
-        Watch { context: context.clone(), dispatcher: list_update, requests, revision, first, rng }.run(),
+        Watch::new(context.clone(), list_update, WatchConfig { requests, revision, start_delay: first, rng })
+            .run(),
     );
     let serving = spawn_local(client::listener::run(context.clone(), listener));
 
--- a/crates/proxy/tests/list.rs
+++ b/crates/proxy/tests/list.rs
@@ -38,7 +38,7 @@
     let watches = discovery.requests.lock().unwrap().len();
     discovery.say("{\"revision\":3,\"members\":[{".to_owned());
     until("a new watch", || discovery.requests.lock().unwrap().len() > watches);
-    assert!(driver.logged("list lost"));
+    assert!(driver.logged("discovery watch lost"));
     // The member moves: same id, other address.
     discovery.lines.lock().unwrap().clear();
     discovery.say(list(4, true, &[("b", &newer, "in_service")]));
@@ -63,7 +63,7 @@
     assert!(told.lines().count() > 10);
     discovery.say(told);
     until("the list", || driver.logged("revision: 2"));
-    assert!(!driver.logged("list lost"));
+    assert!(!driver.logged("discovery watch lost"));
     let mut client = Client::connect(driver.address);
     assert!(served(&client.ask(&look(15000))));
     // Half of one, and what comes between lists: the other half is not waited for.
@@ -82,7 +82,7 @@
     // It breaks the watch off, and refuses connections for three seconds.
     drop(listener.accept().unwrap());
     drop(listener);
-    until("the loss", || driver.logged("list lost"));
+    until("the loss", || driver.logged("discovery watch lost"));
     thread::sleep(Duration::from_secs(3));
     let back = Instant::now();
     let listener = TcpListener::bind(address).unwrap();
@@ -117,7 +117,7 @@
     let (mut stream, _) = listener.accept().unwrap();
     let waited = silent.elapsed();
     assert!((4500..6000).contains(&waited.as_millis()), "{waited:?}");
-    until("the loss", || driver.logged("list lost"));
+    until("the loss", || driver.logged("discovery watch lost"));
     // A long list on a slow line is none: it takes longer than any silence, and is taken.
     let _ = stream.read(&mut [0; 512]);
     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -151,7 +151,7 @@
     assert!(silent.elapsed() < Duration::from_secs(6), "{:?}", silent.elapsed());
     let _ = watch.read(&mut [0; 512]);
     let _ = watch.write_all(head);
-    until("the list", || driver.logged("list back"));
+    until("the list", || driver.logged("discovery watch restored"));
 }
 
 #[test]
@@ -164,7 +164,7 @@
     // Discovery goes away, and clients take all that they can get.
     drop(listener.accept().unwrap());
     drop(listener);
-    until("the loss", || driver.logged("list lost"));
+    until("the loss", || driver.logged("discovery watch lost"));
     let _idle: Vec<Client> = (0..200).map(|_| Client::bare(driver.address)).collect();
     until("the line on the clients' share", || driver.logged("client share of descriptors used up"));
     let listener = TcpListener::bind(address).unwrap();
