--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -95,7 +95,7 @@
         let (handle, member) = (decided.handle, decided.member);
         let entry = self.members[member].as_ref();
         if let Some(observations) = &mut self.observations {
-            observations.attempted(handle, entry, &self.decoded, &open.request);
+            observations.record_attempt(handle, entry, &self.decoded, &open.request);
         }
         let attempt = self.attempt(decided, open, entry);
         let decided_at = attempt.decided_at;
--- a/crates/proxy/src/dispatcher/gateway/announcements.rs
+++ b/crates/proxy/src/dispatcher/gateway/announcements.rs
@@ -9,6 +9,7 @@
 
 use super::{EndedCounts, GatewayPart, PeerGateway};
 use crate::dispatcher::Dispatcher;
+use crate::dispatcher::outcome_log::ReadBack;
 use crate::messages::SiteObservations;
 
 /// How often others are told of the capacity here though nothing has changed.
@@ -49,7 +50,7 @@
         self.announce_at = now + ANNOUNCE_EVERY;
         self.announce_room();
         if let Some(outcome_log) = &mut self.outcome_log {
-            outcome_log.renew(now);
+            outcome_log.renew_promise(now);
         }
         let sites = &self.sites;
         self.sent.retain(|&number, _| sites.forwarded_as(number).is_some());
@@ -113,8 +114,10 @@
 
     fn describe_outcome_log(&self) -> Option<Value> {
         let outcome_log = self.outcome_log.as_ref()?;
-        let (records, starts) = outcome_log.earlier();
-        Some(json!({"disk": !outcome_log.is_without(), "earlier_records": records, "earlier_starts": starts}))
+        let ReadBack { records, starts } = outcome_log.read_back();
+        Some(
+            json!({"disk": !outcome_log.is_disk_unavailable(), "earlier_records": records, "earlier_starts": starts}),
+        )
     }
 }
 
--- a/crates/proxy/src/dispatcher/gateway/answers.rs
+++ b/crates/proxy/src/dispatcher/gateway/answers.rs
@@ -124,7 +124,7 @@
         let mut token = None;
         if let (Some(outcome_log), Some(until)) = (&mut self.outcome_log, kept_until) {
             let bytes = fate.as_ref().map(|kept| &kept.bytes[..]);
-            token = outcome_log.settle(now, &remote.origin, remote.number, until, &bytes);
+            token = outcome_log.record_outcome(now, &remote.origin, remote.number, until, &bytes);
         }
         self.fates.settle(&remote.origin, remote.number, fate);
         // Over the link that it came by, or was last asked about on; where that broke, it will be asked about.
--- a/crates/proxy/src/dispatcher/gateway/link_events.rs
+++ b/crates/proxy/src/dispatcher/gateway/link_events.rs
@@ -127,7 +127,7 @@
         let own = self.own.incarnation;
         match &mut self.outcome_log {
             Some(outcome_log) if ask.receiver_incarnation != own => {
-                let fate = outcome_log.ask(now, origin, ask.number, ask.receiver_incarnation);
+                let fate = outcome_log.outcome(now, origin, ask.number, ask.receiver_incarnation);
                 fate.map(|bytes| KeptValue { bytes, _room: None })
             }
             _ => self.fates.ask(now, origin, ask.number, ask.receiver_incarnation, own),
--- a/crates/proxy/src/dispatcher/gateway/remote_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/remote_requests.rs
@@ -13,7 +13,7 @@
     Requester, received_span,
 };
 use crate::dispatcher::Dispatcher;
-use crate::dispatcher::outcome_log::{OutcomeLog, Taking, Token};
+use crate::dispatcher::outcome_log::{Admission, OutcomeLog, Token};
 use crate::messages::{ClientRequest, LinkId};
 
 /// What an arriving request was found to be.
@@ -64,10 +64,10 @@
         };
         let (now, left) = (arriving.received_at, received_span(arriving.frame.timeout_us));
         let until = now + left + ASKED_AFTER_DEADLINE;
-        match outcome_log.take(now, &arriving.origin, arriving.number, until) {
-            Taking::Waits(token) => drop(gateway_part.arriving.insert(token, arriving)),
-            Taking::Without => self.take_remote_request(arriving),
-            Taking::Refused => self.reject_remote_request(&arriving, ResponseKind::Rejected),
+        match outcome_log.admit(now, &arriving.origin, arriving.number, until) {
+            Admission::AfterRecord(token) => drop(gateway_part.arriving.insert(token, arriving)),
+            Admission::WithoutRecord => self.take_remote_request(arriving),
+            Admission::Rejected => self.reject_remote_request(&arriving, ResponseKind::Rejected),
         }
     }
 
@@ -82,8 +82,8 @@
     pub(in crate::dispatcher) fn record_written(&mut self, well: bool) {
         let now = self.context.clock.now();
         let Some(outcome_log) = self.outcome_log() else { return };
-        if let Some((token, well)) = outcome_log.told(now, well) {
-            self.resume_after_record(token, well);
+        if let Some(record) = outcome_log.write_ended(now, well) {
+            self.resume_after_record(record.token, record.is_on_disk);
         }
     }
 
@@ -91,7 +91,7 @@
     pub(in crate::dispatcher) fn stop_waiting_for_records(&mut self) {
         let now = self.context.clock.now();
         let Some(outcome_log) = self.outcome_log() else { return };
-        let tokens = outcome_log.given_up(now);
+        let tokens = outcome_log.give_up_overdue(now);
         if !tokens.is_empty() {
             warn!(self.context.log, "the gateway's book waits for the disk no longer"; "records" => tokens.len());
         }
--- a/crates/proxy/src/dispatcher/members_clock.rs
+++ b/crates/proxy/src/dispatcher/members_clock.rs
@@ -1,4 +1,4 @@
-//! The members' clock against the router's: a process may have been started under a wrong wall clock.
+//! How far the members' clock is ahead of the router's: this process may have been started under a wrong wall clock.
 
 use aldermill_routing::{Effect, Handle, MemberId, MemberReport, Micros, Need};
 use slog::warn;
@@ -6,11 +6,11 @@
 
 use super::Dispatcher;
 
-/// A smaller change is not worth telling the router.
-const MIN_CHANGE: Micros = 20_000;
+/// A smaller change of the offset is not passed on to the router, in microseconds.
+const MIN_OFFSET_CHANGE: Micros = 20_000;
 
 impl Dispatcher {
-    /// Whether the request is a write that takes effect anew each time: its commit is never one from before.
+    /// Whether the request is a non-idempotent write, whose commit is never one from before it was sent.
     pub(super) fn is_non_idempotent_write(&self, handle: Handle) -> bool {
         let comment = self.open_requests.get(&handle).map(|open| &open.request.comment);
         let class = comment.and_then(|comment| self.decoded.class(&comment.class).ok());
@@ -18,32 +18,33 @@
         class.is_some_and(|class| class.effect == Effect::Effectful && class.need == Need::Write)
     }
 
-    /// Takes in the position of an answer, which is the commit of a write that was sent at `written`, as a reading of
-    /// the members' clock. One that is still ahead of that clock proves nothing, as nothing is applied before it was
-    /// committed: it is left out.
+    /// Uses the position in a response as a reading of the members' clock; where the response is to a write that was sent
+    /// at `write_sent_at`, it is that write's commit. A position that is still ahead of that clock is removed from the
+    /// report: nothing is applied before it was committed, so that it proves nothing.
     pub(super) fn observe_clock(
         &mut self,
         member: MemberId,
         report: &mut MemberReport,
-        written: Option<Instant>,
+        write_sent_at: Option<Instant>,
     ) {
         let Some(position) = report.position else { return };
         let clock = self.context.clock;
         let now = clock.now();
         self.clock_offset.told(member, position, now);
-        if let Some(sent) = written {
+        if let Some(sent) = write_sent_at {
             self.clock_offset.committed(member, position, clock.at(sent));
         }
         let offset = self.clock_offset.ahead();
-        if (offset - self.reported_offset).abs() > MIN_CHANGE {
-            warn!(self.context.log, "the wall clock at the start differs from the members'"; "ms" => offset / 1000);
+        if (offset - self.reported_offset).abs() > MIN_OFFSET_CHANGE {
+            warn!(self.context.log, "wall clock at start differs from the members' clock";
+                "offset_ms" => offset / 1000);
             self.report_offset(offset);
         }
-        let believable = now + self.reported_offset + self.context.limits.member.max_clock_lead;
-        report.position = Some(position).filter(|&position| position <= believable);
+        let latest_believable = now + self.reported_offset + self.context.limits.member.max_clock_lead;
+        report.position = Some(position).filter(|&position| position <= latest_believable);
     }
 
-    /// Tells the router, and dates the members' starts anew.
+    /// Passes the offset on to the router, in microseconds, and the members' starts as they follow from it.
     fn report_offset(&mut self, offset: Micros) {
         self.reported_offset = offset;
         let mut starts = Vec::new();
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -30,7 +30,7 @@
 
 use crate::dispatcher::endpoints::MemberEntry;
 use crate::dispatcher::open_request::{OpenRequest, RequestLocation};
-use crate::dispatcher::warm_state::ListedEntries;
+use crate::dispatcher::warm_state::LastEndpointList;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{ClientId, DispatcherMessage, FleetSize, ListUpdate};
 use crate::shadow::ShadowRouter;
@@ -104,7 +104,7 @@
     /// What ended while a decision was being carried out.
     deferred: VecDeque<DispatcherMessage>,
     warm_state: WarmState,
-    listed: ListedEntries,
+    last_endpoint_list: LastEndpointList,
     observations: Option<Observations>,
     /// When the router wants to be woken, on its clock.
     wake_at: Micros,
@@ -135,7 +135,7 @@
             locations: HashMap::new(),
             deferred: VecDeque::new(),
             warm_state: parts.warm_state,
-            listed: ListedEntries::default(),
+            last_endpoint_list: LastEndpointList::default(),
             observations: parts.observations,
             wake_at: now,
             reported_stall: 0,
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -1,6 +1,6 @@
-//! What this process observes for those who decide in common, and what they decided of zones.
+//! What this process observes for the lease holders, which decide for the whole fleet, and their directives on zones.
 //!
-//! Where nothing is decided in common there is no `Observations`, and nothing is counted.
+//! Without coordination there is no `Observations`, and nothing is counted.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,7 +15,7 @@
 use super::endpoints::MemberEntry;
 use crate::messages::{ClientRequest, ObservationSummary, SiteObservations};
 
-/// Groups of whose keys a summary is kept, at most.
+/// The most groups of whose keys a summary is kept.
 const MAX_GROUPS: usize = 64;
 
 /// An attempt in flight.
@@ -25,7 +25,7 @@
     /// Its request class's latency objective, in microseconds.
     objective: Micros,
     write: bool,
-    /// Empty where no keys are observed.
+    /// The key that the statement names; empty where no keys are observed.
     key: Vec<u8>,
 }
 
@@ -33,20 +33,21 @@
 pub struct Observations {
     tally: Tally,
     in_flight: HashMap<Handle, AttemptInFlight>,
-    /// By group; `None` where nobody asks for that.
+    /// By group; `None` where no split points are decided.
     keys: Option<BTreeMap<u64, Sketch>>,
     seed: u64,
 }
 
 impl Observations {
-    /// `splits` says whether split points are decided in common.
+    /// Observes from `now` on. `seed` seeds the key summaries; `splits` says whether split points are decided, which needs
+    /// them.
     pub fn start(now: Micros, seed: u64, splits: bool) -> Observations {
         let keys = splits.then(BTreeMap::new);
         Observations { tally: Tally::start(now), in_flight: HashMap::new(), keys, seed }
     }
 
     /// An attempt is about to be sent to this member.
-    pub(super) fn attempted(
+    pub(super) fn record_attempt(
         &mut self,
         handle: Handle,
         member: Option<&MemberEntry>,
@@ -73,7 +74,7 @@
         quoted(&request.statement[request.comment.end..]).unwrap_or_default().into_bytes()
     }
 
-    fn ended(&mut self, now: Micros, handle: Handle, verdict: Verdict, elapsed: Micros) {
+    fn record_end(&mut self, now: Micros, handle: Handle, verdict: Verdict, elapsed: Micros) {
         let Some(attempt) = self.in_flight.remove(&handle) else { return };
         if verdict == Verdict::Served {
             self.count_key(now, &attempt, elapsed);
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Counts a served access to a key. It costs the time that the member took.
+    /// Counts a served access to a key; its cost is the time that the member took.
     fn count_key(&mut self, now: Micros, attempt: &AttemptInFlight, elapsed: Micros) {
         let Some(keys) = &mut self.keys else { return };
         let group = attempt.group;
@@ -132,7 +133,7 @@
     /// An attempt ended, for the observations if there are any.
     pub(super) fn observe_end(&mut self, handle: Handle, verdict: Verdict, elapsed: Micros) {
         if let Some(observations) = &mut self.observations {
-            observations.ended(self.context.clock.now(), handle, verdict, elapsed);
+            observations.record_end(self.context.clock.now(), handle, verdict, elapsed);
         }
     }
 
@@ -145,7 +146,7 @@
         let _ = reply.send(observations.summary(now, site));
     }
 
-    /// What was decided for this process's zone, by group; a group that is not named has nothing to obey.
+    /// Applies the directives for this process's zone, by group; a group that is not named has none.
     pub(super) fn zone_directives(&mut self, leans: &[(u64, Lean)]) {
         let shifts = leans.iter().map(|(group, lean)| (*group, read_shift(lean))).collect();
         self.router.shift_reads(&shifts);
--- a/crates/proxy/src/dispatcher/warm_state.rs
+++ b/crates/proxy/src/dispatcher/warm_state.rs
@@ -9,7 +9,7 @@
 use super::{Dispatcher, GatewayPart};
 use crate::discovery::endpoint_list::EndpointList;
 
-/// How often a snapshot is published.
+/// How often a snapshot is published, in microseconds.
 const SNAPSHOT_INTERVAL: Micros = 1_000_000;
 
 /// What the dispatcher has of a warm start.
@@ -22,26 +22,26 @@
 
 /// The endpoint list as discovery sent it last, for snapshots.
 #[derive(Default)]
-pub(super) struct ListedEntries {
+pub(super) struct LastEndpointList {
     revision: Option<u64>,
-    /// Each entry as JSON, by the member's name.
-    entries: BTreeMap<String, String>,
+    /// Each endpoint as JSON, by the member's name.
+    endpoints: BTreeMap<String, String>,
     /// When the next snapshot is due, on the router's clock.
     snapshot_at: Micros,
 }
 
-impl ListedEntries {
+impl LastEndpointList {
     fn update(&mut self, list: &EndpointList) {
         if list.complete {
-            self.entries.clear();
+            self.endpoints.clear();
         }
-        for entry in &list.endpoints {
-            match serde_json::to_string(entry) {
-                Ok(text) if entry.standing() != Standing::Gone => {
-                    self.entries.insert(entry.id.clone(), text);
+        for endpoint in &list.endpoints {
+            match serde_json::to_string(endpoint) {
+                Ok(text) if endpoint.standing() != Standing::Gone => {
+                    self.endpoints.insert(endpoint.id.clone(), text);
                 }
                 _ => {
-                    self.entries.remove(&entry.id);
+                    self.endpoints.remove(&endpoint.id);
                 }
             }
         }
@@ -53,7 +53,7 @@
     /// Uses restored state with the first endpoint list, which says which members it is about.
     pub(super) fn use_restored_state(&mut self, list: &EndpointList) {
         if self.warm_state.snapshots.is_some() {
-            self.listed.update(list);
+            self.last_endpoint_list.update(list);
         }
         let restored = std::mem::take(&mut self.warm_state.restored);
         if restored != StateSnapshot::default() {
@@ -80,10 +80,10 @@
     pub(super) fn publish_snapshot(&mut self) {
         let now = self.context.clock.now();
         let Some(snapshots) = &self.warm_state.snapshots else { return };
-        if now < self.listed.snapshot_at {
+        if now < self.last_endpoint_list.snapshot_at {
             return;
         }
-        self.listed.snapshot_at = now + SNAPSHOT_INTERVAL;
+        self.last_endpoint_list.snapshot_at = now + SNAPSHOT_INTERVAL;
         snapshots.send_replace(Some(self.snapshot()));
     }
 
@@ -98,8 +98,8 @@
         let service_times = self.decoded.names().into_iter().zip(&learnt.took).filter(|(_, took)| took.0 > 0);
         let home_sites = self.gateway_part.as_ref().map(GatewayPart::homes);
         StateSnapshot {
-            revision: self.listed.revision,
-            members: self.listed.entries.clone(),
+            revision: self.last_endpoint_list.revision,
+            members: self.last_endpoint_list.endpoints.clone(),
             primaries: learnt.primaries.iter().filter_map(primary).collect(),
             home_sites: home_sites.unwrap_or_default(),
             service_times: service_times
--- a/crates/proxy/src/member/symptom_log.rs
+++ b/crates/proxy/src/member/symptom_log.rs
@@ -17,7 +17,7 @@
 pub(super) struct SymptomLog {
     log: Logger,
     member: String,
-    /// After so many unusable responses in a row there is a line in the log.
+    /// This many unusable responses in a row are logged once.
     unusable_logged_at_count: usize,
     /// Unusable responses in a row.
     unusable_responses: usize,
