--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_stall_detection::apart;
+use aldermill_stall_detection::start_jitter;
 use rand_pcg::Pcg64Mcg;
 use slog::{info, warn};
 use tokio::sync::{mpsc, watch};
@@ -231,7 +231,7 @@
             // Discovery may be well, and was not burdened by this attempt.
             sleep(retry.initial).await;
         } else {
-            let wait = apart::again(self.backoff.as_micros() as i64, &mut self.rng);
+            let wait = start_jitter::retry_delay(self.backoff.as_micros() as i64, &mut self.rng);
             let has_moved = timeout(duration(wait), address.changed()).await.is_ok();
             self.backoff = if has_moved { retry.initial } else { (self.backoff * 2).min(retry.max) };
         }
--- a/crates/proxy/src/dispatcher/members_clock.rs
+++ b/crates/proxy/src/dispatcher/members_clock.rs
@@ -30,11 +30,11 @@
         let Some(position) = report.position else { return };
         let clock = self.context.clock;
         let now = clock.now();
-        self.clock_offset.told(member, position, now);
+        self.clock_offset.record_report(member, position, now);
         if let Some(sent) = write_sent_at {
-            self.clock_offset.committed(member, position, clock.at(sent));
+            self.clock_offset.record_commit(member, position, clock.at(sent));
         }
-        let offset = self.clock_offset.ahead();
+        let offset = self.clock_offset.offset();
         if (offset - self.reported_offset).abs() > MIN_OFFSET_CHANGE {
             warn!(self.context.log, "wall clock at start differs from the members' clock";
                 "offset_ms" => offset / 1000);
--- a/crates/proxy/src/dispatcher/outcome_log.rs
+++ b/crates/proxy/src/dispatcher/outcome_log.rs
@@ -1,85 +1,83 @@
-//! The gateway's outcome log on the disk: what became of non-idempotent remote requests, so that a later start can answer
-//! peers that ask about them.
+//! The gateway's outcome log on disk: what became of non-idempotent remote requests, for a later incarnation to tell.
+//!
+//! Two logs hold outcomes, and each has one owner. This one, [`OutcomeLog`], owns the records on disk: it writes one when a
+//! non-idempotent remote request is accepted and another when the request has ended, decides whether the request may go on
+//! before its record is confirmed, and reads what earlier incarnations left, to answer queries that name one of them. It
+//! never answers for the running process. That is for `OutcomeTable` of `crates/site-routing`, which the gateway part owns:
+//! it holds, in memory alone, all remote requests that this incarnation accepted, whatever their effect, and decides whether
+//! another copy is accepted.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
 
 use aldermill_routing::Micros;
-use aldermill_site_routing::previous_incarnations::{key, read_key, read_value, value};
-use aldermill_site_routing::{Origin, Outcome, PreviousIncarnations, RecordingPromise};
+use aldermill_site_routing::records::{decode_key, decode_outcome, encode_key, encode_outcome};
+use aldermill_site_routing::{Origin, Outcome, PreviousIncarnations, RecordingPromise, RestoredCounts};
 use aldermill_store::{Batch, Keeping, State};
 use aldermill_warm_start::namespace;
 use tokio::sync::mpsc;
 
-use crate::persistence::DataDirectory;
+use crate::persistence::{DataDirectory, StoredRecord};
 
 /// How long a remote request, and an outcome, wait for the disk before they go on without it, in microseconds.
-const MAX_WAIT: Micros = 250_000;
-/// How long a promise stays on the disk after it has run out, in microseconds.
+const MAX_WRITE_WAIT: Micros = 250_000;
+/// How long a promise is kept after its end, in microseconds: longer than anybody asks about a request under it.
 const PROMISE_RETENTION: Micros = 3_600_000_000;
-/// How many records may wait for the disk at once.
-const MAX_WAITING: usize = 512;
+/// How many writes may wait for the disk.
+const MAX_UNCONFIRMED_WRITES: usize = 512;
 
-/// Names something that waits until its record is on the disk.
-pub type Token = u64;
+/// Names a record that something waits for.
+pub type RecordTicket = u64;
 
 /// What a write to the disk is for.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum PendingWrite {
-    /// A record that something waits for.
-    Record(Token),
-    /// A promise that nothing runs without a record.
-    RecordingPromise,
+enum WritePurpose {
+    /// Something waits for this record.
+    Record(RecordTicket),
+    /// A promise that nothing is accepted without a record.
+    Promise,
     /// Nobody waits for it any more.
     Abandoned,
 }
 
-/// Whether a non-idempotent remote request may run.
-pub enum Admission {
-    /// Once its record is on the disk.
-    AfterRecord(Token),
-    /// At once and without a record, as no promise is in force: a later start will know nothing of it.
-    WithoutRecord,
-    /// Not at all: the disk takes nothing, and it was promised that nothing runs without a record.
+/// How a remote request goes on after it was accepted.
+pub enum RecordedAcceptance {
+    /// It waits until its record is written.
+    Waits(RecordTicket),
+    /// It goes on at once, without a record; no promise holds. A later incarnation will not know of it.
+    Unrecorded,
+    /// It is rejected: the disk takes nothing, and a promise holds that nothing goes on without a record.
     Rejected,
 }
 
-/// A record whose write has ended.
-pub struct RecordWritten {
-    /// What waited for it.
-    pub token: Token,
+/// A record that something waited for.
+pub struct FinishedRecord {
+    /// Which it is.
+    pub ticket: RecordTicket,
     /// Whether it is on the disk.
-    pub is_on_disk: bool,
+    pub is_written: bool,
 }
 
-/// How much of former starts was read back from the disk.
-#[derive(Clone, Copy, Default)]
-pub struct ReadBack {
-    /// Records of remote requests.
-    pub records: usize,
-    /// Former starts that they are of.
-    pub starts: usize,
-}
-
-/// Records of remote requests, and the promise that none runs without its record.
+/// Records of remote requests on disk, and the promise that none is accepted without one.
 pub struct OutcomeLog {
     directory: Rc<DataDirectory>,
-    /// This start of the process.
+    /// This process's own.
     incarnation: u64,
-    /// Whether the disk takes writes, and how long they may take.
-    disk: Keeping,
+    /// Whether the disk is trusted with writes for now.
+    writing: Keeping,
     promise: RecordingPromise,
-    /// What former starts recorded; `None` until the directory can be read.
-    former: Option<PreviousIncarnations<Rc<Vec<u8>>>>,
-    next_token: Token,
-    /// Handed over to the disk and not confirmed, the oldest first.
-    pending: VecDeque<PendingWrite>,
+    /// What earlier incarnations left; `None` while the directory could not be read.
+    previous: Option<PreviousIncarnations<Rc<Vec<u8>>>>,
+    next_ticket: RecordTicket,
+    /// Writes that were handed over and not confirmed, the oldest first.
+    unconfirmed: VecDeque<WritePurpose>,
+    /// The directory confirms each write here, in their order.
     confirmations: mpsc::Sender<bool>,
 }
 
 impl OutcomeLog {
-    /// The log of this incarnation. What former ones recorded is read from the directory, once that can be done.
-    /// `confirmations` gets the result of each write, in their order, to be passed to [`OutcomeLog::write_ended`].
+    /// Opens the log of `incarnation`, and reads what earlier ones left, if the directory can be read yet. `confirmations` is
+    /// sent, for each write in their order, whether it succeeded.
     pub fn open(
         directory: Rc<DataDirectory>,
         incarnation: u64,
@@ -89,85 +87,95 @@
         let mut outcome_log = OutcomeLog {
             directory,
             incarnation,
-            disk: Keeping::start(MAX_WAIT, MAX_WAITING),
+            writing: Keeping::start(MAX_WRITE_WAIT, MAX_UNCONFIRMED_WRITES),
             promise: RecordingPromise::default(),
-            former: None,
-            next_token: 0,
-            pending: VecDeque::new(),
+            previous: None,
+            next_ticket: 0,
+            unconfirmed: VecDeque::new(),
             confirmations,
         };
-        outcome_log.read_former_records(now);
+        outcome_log.read_if_possible(now);
         outcome_log
     }
 
-    /// Reads what former incarnations recorded, if that was not done yet and the directory can be read by now.
-    fn read_former_records(&mut self, now: Micros) {
-        if self.former.is_some() {
+    /// Reads what earlier incarnations left, once the directory can be read.
+    fn read_if_possible(&mut self, now: Micros) {
+        if self.previous.is_some() {
             return;
         }
         let Some(records) = self.directory.records() else { return };
-        let mut former = PreviousIncarnations::default();
-        for (namespace, key, value) in records {
+        let mut previous = PreviousIncarnations::default();
+        for StoredRecord { namespace, key, value } in records {
             match *namespace {
-                namespace::OUTCOME_LOG => read_record(&mut former, key, value),
-                namespace::OUTCOME_LOG_PROMISES => read_promise(&mut former, now, key, value),
+                namespace::OUTCOME_LOG => read_record(&mut previous, key, value),
+                namespace::OUTCOME_LOG_PROMISES => read_promise(&mut previous, now, key, value),
                 _ => {}
             }
         }
-        self.former = Some(former);
-        // Writes that failed before the directory was open say nothing of the disk as it is now.
-        self.disk = Keeping::start(MAX_WAIT, MAX_WAITING);
+        self.previous = Some(previous);
+        // Writes that failed before the directory was there say nothing about it now.
+        self.writing = Keeping::start(MAX_WRITE_WAIT, MAX_UNCONFIRMED_WRITES);
     }
 
-    /// What became of a request that a former incarnation may have admitted; unknown while the directory cannot be read.
-    pub fn outcome(
+    /// What became of a request that was sent to an earlier incarnation. Nothing is known while the directory cannot be
+    /// read.
+    pub fn query(
         &mut self,
         now: Micros,
         origin: &Origin,
         number: u64,
         incarnation: u64,
     ) -> Outcome<Rc<Vec<u8>>> {
-        self.read_former_records(now);
-        self.former.as_ref().map_or(Outcome::Unknown, |former| former.ask(origin, number, incarnation))
+        self.read_if_possible(now);
+        let previous = self.previous.as_ref();
+        previous.map_or(Outcome::Unknown, |previous| previous.query(origin, number, incarnation))
     }
 
-    /// How much of former incarnations was read back.
-    pub fn read_back(&self) -> ReadBack {
-        let (records, starts) = self.former.as_ref().map_or((0, 0), PreviousIncarnations::len);
-        ReadBack { records, starts }
+    /// How much earlier incarnations left.
+    pub fn restored(&self) -> RestoredCounts {
+        self.previous.as_ref().map_or_else(RestoredCounts::default, PreviousIncarnations::counts)
     }
 
-    /// Writes another promise where the last one runs out soon and the disk takes writes.
+    /// Gives another promise where the last one is about to end.
     pub fn renew_promise(&mut self, now: Micros) {
-        self.read_former_records(now);
-        if matches!(self.disk.state(), State::Without { until } if now < until) {
+        self.read_if_possible(now);
+        if matches!(self.writing.state(), State::Without { until } if now < until) {
             return;
         }
         let Some(until) = self.promise.renew(now) else { return };
         let mut batch = Batch::default();
-        let key = self.incarnation.to_be_bytes();
         let expires_at = until.saturating_add(PROMISE_RETENTION);
-        batch.put(namespace::OUTCOME_LOG_PROMISES, &key, &until.to_be_bytes(), Some(expires_at));
-        if !self.hand_over(now, batch, PendingWrite::RecordingPromise) {
-            self.promise.settled();
+        batch.put(
+            namespace::OUTCOME_LOG_PROMISES,
+            &self.incarnation.to_be_bytes(),
+            &until.to_be_bytes(),
+            Some(expires_at),
+        );
+        if !self.hand_over(now, batch, WritePurpose::Promise) {
+            self.promise.settle();
         }
     }
 
-    /// Records that a remote request is about to run, and says whether it may. `until` is when nobody asks about it any
-    /// more, on the router's clock.
-    pub fn admit(&mut self, now: Micros, origin: &Origin, number: u64, until: Micros) -> Admission {
+    /// Records that a remote request was accepted. After `until` nobody asks about it any more.
+    pub fn record_acceptance(
+        &mut self,
+        now: Micros,
+        origin: &Origin,
+        number: u64,
+        until: Micros,
+    ) -> RecordedAcceptance {
         match self.record_outcome(now, origin, number, until, &Outcome::InFlight) {
-            Some(token) => Admission::AfterRecord(token),
-            None if self.promise.lets_go_without(now) => {
-                self.promise.took_without(until);
-                Admission::WithoutRecord
+            Some(ticket) => RecordedAcceptance::Waits(ticket),
+            None if self.promise.permits_unrecorded(now) => {
+                self.promise.accepted_unrecorded(until);
+                RecordedAcceptance::Unrecorded
             }
-            None => Admission::Rejected,
+            None => RecordedAcceptance::Rejected,
         }
     }
 
-    /// Records an outcome, which is sent once its record is on the disk; `None` where the disk takes nothing, and it is
-    /// sent at once.
+    /// Records an outcome, which is sent once the record is written. Returns the record's ticket; `None` if the disk takes
+    /// nothing, so that the outcome is sent at once.
     pub fn record_outcome(
         &mut self,
         now: Micros,
@@ -175,82 +183,83 @@
         number: u64,
         until: Micros,
         outcome: &Outcome<&[u8]>,
-    ) -> Option<Token> {
+    ) -> Option<RecordTicket> {
         let mut batch = Batch::default();
-        let key = key(self.incarnation, origin, number);
-        batch.put(namespace::OUTCOME_LOG, &key, &value(outcome), Some(until));
-        let token = self.next_token;
-        self.next_token += 1;
-        self.hand_over(now, batch, PendingWrite::Record(token)).then_some(token)
+        let key = encode_key(self.incarnation, origin, number);
+        batch.put(namespace::OUTCOME_LOG, &key, &encode_outcome(outcome), Some(until));
+        let ticket = self.next_ticket;
+        self.next_ticket += 1;
+        self.hand_over(now, batch, WritePurpose::Record(ticket)).then_some(ticket)
     }
 
-    /// Hands a write to the disk; `false` where that takes nothing.
-    fn hand_over(&mut self, now: Micros, batch: Batch, write: PendingWrite) -> bool {
-        if !self.disk.hands_over(now, true) {
+    /// Hands a batch to the disk. Returns whether it was taken.
+    fn hand_over(&mut self, now: Micros, batch: Batch, purpose: WritePurpose) -> bool {
+        if !self.writing.hands_over(now, true) {
             return false;
         }
         if !self.directory.write(batch, &self.confirmations) {
-            self.disk.failed(now);
+            self.writing.failed(now);
             return false;
         }
-        self.pending.push_back(write);
+        self.unconfirmed.push_back(purpose);
         true
     }
 
-    /// The oldest pending write has ended, and is on the disk or not. Returns the record that something waited for.
-    pub fn write_ended(&mut self, now: Micros, is_on_disk: bool) -> Option<RecordWritten> {
-        let write = self.pending.pop_front()?;
-        if is_on_disk {
-            self.disk.confirmed(now);
+    /// The oldest unconfirmed write has ended. Returns the record that it was, if something waits for it.
+    pub fn write_finished(&mut self, now: Micros, is_written: bool) -> Option<FinishedRecord> {
+        let purpose = self.unconfirmed.pop_front()?;
+        if is_written {
+            self.writing.confirmed(now);
         } else {
-            self.disk.failed(now);
+            self.writing.failed(now);
         }
-        match write {
-            PendingWrite::Record(token) => return Some(RecordWritten { token, is_on_disk }),
-            PendingWrite::RecordingPromise => self.promise.settled(),
-            PendingWrite::Abandoned => {}
+        match purpose {
+            WritePurpose::Record(ticket) => return Some(FinishedRecord { ticket, is_written }),
+            WritePurpose::Promise => self.promise.settle(),
+            WritePurpose::Abandoned => {}
         }
         None
     }
 
-    /// Where the disk is too slow, gives up waiting for all that is pending. What waits for these records goes on as if
-    /// they were not on the disk, though they may get there yet.
-    pub fn give_up_overdue(&mut self, now: Micros) -> Vec<Token> {
-        if !self.disk.gives_up(now) {
+    /// Stops waiting for writes that take too long. Returns the records that something waited for: they count as not
+    /// written, though they may still get to the disk.
+    pub fn abandon_slow_writes(&mut self, now: Micros) -> Vec<RecordTicket> {
+        if !self.writing.gives_up(now) {
             return Vec::new();
         }
-        let mut tokens = Vec::new();
-        for write in &mut self.pending {
-            match std::mem::replace(write, PendingWrite::Abandoned) {
-                PendingWrite::Record(token) => tokens.push(token),
-                PendingWrite::RecordingPromise => self.promise.settled(),
-                PendingWrite::Abandoned => {}
+        let mut tickets = Vec::new();
+        for purpose in &mut self.unconfirmed {
+            match std::mem::replace(purpose, WritePurpose::Abandoned) {
+                WritePurpose::Record(ticket) => tickets.push(ticket),
+                WritePurpose::Promise => self.promise.settle(),
+                WritePurpose::Abandoned => {}
             }
         }
-        tokens
+        tickets
     }
 
-    /// When [`OutcomeLog::give_up_overdue`] is to be called, on the router's clock.
-    pub fn due(&self) -> Option<Micros> {
-        self.disk.due()
+    /// When to call [`OutcomeLog::abandon_slow_writes`], on the router's clock.
+    pub fn write_deadline(&self) -> Option<Micros> {
+        self.writing.due()
     }
 
-    /// Whether the disk takes nothing for now.
-    pub fn is_disk_unavailable(&self) -> bool {
-        matches!(self.disk.state(), State::Without { .. })
+    /// Whether the disk takes writes, as far as is known.
+    pub fn is_disk_available(&self) -> bool {
+        !matches!(self.writing.state(), State::Without { .. })
     }
 }
 
-fn read_record(former: &mut PreviousIncarnations<Rc<Vec<u8>>>, key: &[u8], value: &[u8]) {
-    if let Some((incarnation, origin, number)) = read_key(key) {
-        former.record(incarnation, origin, number, read_value(value).map(Rc::new));
+fn read_record(previous: &mut PreviousIncarnations<Rc<Vec<u8>>>, key: &[u8], value: &[u8]) {
+    if let Some(key) = decode_key(key) {
+        let outcome = decode_outcome(value).map(Rc::new);
+        previous.add_record(key.incarnation, key.origin, key.number, outcome);
     }
 }
 
-/// A promise: the incarnation that gave it, and until when it holds.
-fn read_promise(former: &mut PreviousIncarnations<Rc<Vec<u8>>>, now: Micros, key: &[u8], value: &[u8]) {
+/// Reads a promise: the incarnation that gave it, and until when it holds.
+fn read_promise(previous: &mut PreviousIncarnations<Rc<Vec<u8>>>, now: Micros, key: &[u8], value: &[u8]) {
     let number = |bytes: &[u8]| bytes.try_into().ok().map(i64::from_be_bytes);
     if let (Some(incarnation), Some(until)) = (number(key), number(value)) {
-        former.promised(now, incarnation as u64, until);
+        previous.add_promise(now, incarnation as u64, until);
     }
 }
--- a/crates/proxy/src/lifecycle/configuration.rs
+++ b/crates/proxy/src/lifecycle/configuration.rs
@@ -80,7 +80,7 @@
         let mut start = Start::parse(&text(&files.config)?, env, &operator).map_err(unclear)?;
         let path = || files.operator.as_ref().unwrap_or(&files.config).clone();
         if let Some(wanted) = &operator.shadow {
-            let trial = ShadowRouter::read(wanted, &start.decoded);
+            let trial = ShadowRouter::load(wanted, &start.decoded);
             start.trial = Some(trial.map_err(|why| ProgramError::Trial { path: path(), why })?);
         }
         // What the operator wants must hold one statement and one answer of full size.
@@ -167,9 +167,9 @@
     const KIB: u64 = 1024;
     let micros = |millis: u32| i64::from(millis) * 1000;
     let least = |usual: MinimumRate, wanted: MinimumRateConfig| MinimumRate {
-        rate: wanted.bytes_a_second.map_or(usual.rate, |rate| rate.max(1)),
-        start: wanted.start_ms.map_or(usual.start, micros),
-        window: wanted.window_ms.map_or(usual.window, micros),
+        bytes_per_second: wanted.bytes_a_second.map_or(usual.bytes_per_second, |rate| rate.max(1)),
+        start_allowance: wanted.start_ms.map_or(usual.start_allowance, micros),
+        pause_allowance: wanted.window_ms.map_or(usual.pause_allowance, micros),
     };
     let room = wanted.room_kib.map_or(usual.budget, |kib| kib.saturating_mul(KIB));
     // Parts that the file does not name keep their proportion.
--- a/crates/proxy/src/member/actor.rs
+++ b/crates/proxy/src/member/actor.rs
@@ -242,7 +242,7 @@
                     request: handle,
                     verdict,
                     decided_at,
-                    elapsed: self.context.unstalled_clock.since(decided_at),
+                    elapsed: self.context.unstalled_clock.unstalled_since(decided_at),
                     report,
                     response: attempt_response(verdict, end.response),
                     replica_reports: Some(replica_reports),
@@ -251,7 +251,7 @@
             QueryPurpose::HealthCheck { decided_at } => {
                 DispatcherMessage::HealthCheckFinished(HealthCheckFinished {
                     verdict,
-                    elapsed: self.context.unstalled_clock.since(decided_at),
+                    elapsed: self.context.unstalled_clock.unstalled_since(decided_at),
                     report,
                     replica_reports,
                 })
--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -135,7 +135,7 @@
             end.error,
             Some(QueryError::DeadlinePassed | QueryError::Socket { meaning: Meaning::Path, .. })
         ) {
-            end.stalled = self.context.unstalled_clock.stood_since(began);
+            end.stalled = self.context.unstalled_clock.stalled_since(began);
             end.had_time_to_connect = began.elapsed() >= self.context.limits.member.connect_evidence;
         }
         end
@@ -155,8 +155,8 @@
             return;
         }
         end.error = self.exchange(&mut connection, end).await.err();
-        let received = self.context.unstalled_clock.came(&connection.stream, Some(end.began));
-        end.response_age = received.map_or(0, |(_, last)| last.elapsed().as_micros() as Micros);
+        let received = self.context.unstalled_clock.receipt_bounds(&connection.stream, Some(end.began));
+        end.response_age = received.map_or(0, |received| received.latest.elapsed().as_micros() as Micros);
         if end.response.exchange.is_ready() {
             end.connection = Some(connection);
         }
