--- a/crates/proxy/src/client/close.rs
+++ b/crates/proxy/src/client/close.rs
@@ -82,10 +82,11 @@
         if unread < self.context.limits.buffers.ignorable_unread {
             return true;
         }
-        let _ = SockRef::from(&self.stream).set_tcp_user_timeout(Some(self.connection_guard.lingering()));
+        let _ =
+            SockRef::from(&self.stream).set_tcp_user_timeout(Some(self.connection_guard.linger_timeout()));
         match self.unread.take_reservation() {
             Some(reservation) => reservation.linger(),
-            None => return self.connection_guard.may_leave(unread),
+            None => return self.connection_guard.may_leave_unread(unread),
         }
         true
     }
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -30,7 +30,7 @@
 
 use crate::dispatcher::endpoints::MemberEntry;
 use crate::dispatcher::open_request::{OpenRequest, RequestLocation};
-use crate::dispatcher::warm_state::ListedEntries;
+use crate::dispatcher::warm_state::LastEndpointList;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{ClientId, DispatcherMessage, FleetSize, ListUpdate};
 use crate::shadow::ShadowRouter;
@@ -119,7 +119,7 @@
     /// What ended while a decision was being carried out.
     deferred: VecDeque<DispatcherMessage>,
     warm_state: WarmState,
-    listed: ListedEntries,
+    last_endpoint_list: LastEndpointList,
     observations: Option<Observations>,
     /// When the router wants to be woken, on its clock.
     wake_at: Micros,
@@ -150,7 +150,7 @@
             locations: HashMap::new(),
             deferred: VecDeque::new(),
             warm_state: parts.warm_state,
-            listed: ListedEntries::default(),
+            last_endpoint_list: LastEndpointList::default(),
             observations: parts.observations,
             wake_at: now,
             reported_stall: 0,
@@ -206,7 +206,7 @@
     /// After a stall the endpoint list is read before anything else that arrived meanwhile: it may announce a drain, and
     /// what goes to the draining member would have to be refused.
     async fn catch_up_after_stall(&mut self, list_updates: &mut mpsc::Receiver<ListUpdate>) {
-        let stalled = self.context.unstalled_clock.stood() - self.reported_stall;
+        let stalled = self.context.unstalled_clock.stalled_for() - self.reported_stall;
         if stalled <= 0 {
             return;
         }
@@ -222,7 +222,7 @@
 
     /// Router and site router are told of a stall before anything that happened during it.
     fn report_stall(&mut self) {
-        let total = self.context.unstalled_clock.stood();
+        let total = self.context.unstalled_clock.stalled_for();
         let unreported = total - std::mem::replace(&mut self.reported_stall, total);
         if unreported > 0 {
             self.router.stood_still(self.context.clock.now(), unreported);
--- a/crates/proxy/tests/slow_peers.rs
+++ b/crates/proxy/tests/slow_peers.rs
@@ -109,7 +109,7 @@
     stop.store(true, Ordering::SeqCst);
     let (asked, good) = fast.end();
     assert!(asked > 500 && good * 100 >= asked * 99, "{good} of {asked}");
-    assert!(driver.logged("slow clients cut off"));
+    assert!(driver.logged("slow clients disconnected"));
     let peak = driver.memory("VmHWM");
     assert!(peak < 40 * 1024, "{peak} KiB");
     drop(driver);
@@ -140,7 +140,7 @@
         came += more;
         assert!(!ended || came >= 400_000, "{came}");
     }
-    assert!(!driver.logged("slow clients cut off"));
+    assert!(!driver.logged("slow clients disconnected"));
 }
 
 #[test]
@@ -152,7 +152,7 @@
         // A non-idempotent request: it is served once, whether or not its response is read.
         client.send(&order(15000).replace("'k'", "'v900000'"));
     }
-    until("each is cut", || driver.logged("overdue: ") || driver.logged("room_wanted: "));
+    until("each is cut", || driver.logged("too_slow: ") || driver.logged("buffer_space: "));
     slow.iter_mut().for_each(|client| while !client.sip(4096, MS(0), MS(50)).1 {});
     let orders = member.requests();
     assert!(orders.len() <= 20, "{}", orders.len());
@@ -314,16 +314,16 @@
     slow.iter_mut().for_each(|client| client.send(&value(900_000)));
     until("all have been asked", || member.requests().len() == 6);
     thread::sleep(MS(800));
-    assert!(!driver.logged("slow clients cut off"));
+    assert!(!driver.logged("slow clients disconnected"));
     let operator = driver.operator.clone().unwrap();
     std::fs::write(&operator, patient.replace("{\"reading", "{\"room_kib\":100,\"reading")).unwrap();
     driver.signal("-HUP");
     until("the file is refused", || driver.logged("slow_peers.room_kib: too little"));
-    assert!(!driver.logged("slow clients cut off"));
+    assert!(!driver.logged("slow clients disconnected"));
     let lowered = patient.replace("{\"reading", "{\"room_kib\":3000,\"connection_kib\":2600,\"reading");
     std::fs::write(&operator, lowered).unwrap();
     driver.signal("-HUP");
-    until("those who are behind give way", || driver.logged("room_wanted: "));
+    until("those who are behind give way", || driver.logged("buffer_space: "));
     assert!(Client::connect(driver.address).ask(&value(900_000)).value.is_some());
 }
 
