--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -17,7 +17,7 @@
 use super::response::{Response, ResponseReader};
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{Attempt, Query};
-use crate::system::{self, Meaning, Party};
+use crate::system::{self, Party, SocketErrorKind};
 
 /// The statement of a health check; members answer it with their load report.
 const HEALTH_CHECK: &[u8] = b"SHOW usage";
@@ -133,7 +133,7 @@
         }
         if matches!(
             end.error,
-            Some(QueryError::DeadlinePassed | QueryError::Socket { meaning: Meaning::Path, .. })
+            Some(QueryError::DeadlinePassed | QueryError::Socket { kind: SocketErrorKind::Unreachable, .. })
         ) {
             end.stalled = self.context.unstalled_clock.stalled_since(began);
             end.had_time_to_connect = began.elapsed() >= self.context.limits.member.connect_evidence;
--- a/crates/proxy/tests/query_outcomes.rs
+++ b/crates/proxy/tests/query_outcomes.rs
@@ -6,25 +6,25 @@
 mod system {
     #[allow(dead_code, reason = "the program uses the rest")]
     mod errors;
-    pub use errors::Meaning;
+    pub use errors::SocketErrorKind;
 }
 
 use std::io;
 
 use aldermill_routing::Verdict;
 use outcome::{Answer, Evidence, QueryError, QueryKind, Sent, Symptom, symptom, verdict};
-use system::Meaning;
+use system::SocketErrorKind;
 use uapi::c;
 
 const KINDS: [QueryKind; 2] = [QueryKind::Attempt, QueryKind::HealthCheck];
 
-/// An error of the system for each meaning.
-fn socket(meaning: Meaning) -> QueryError {
-    let number = match meaning {
-        Meaning::Local => c::ENETUNREACH,
-        Meaning::Refused => c::ECONNREFUSED,
-        Meaning::Reset => c::ECONNRESET,
-        Meaning::Path => c::EHOSTUNREACH,
+/// An error of the system for each kind.
+fn socket(kind: SocketErrorKind) -> QueryError {
+    let number = match kind {
+        SocketErrorKind::Local => c::ENETUNREACH,
+        SocketErrorKind::Refused => c::ECONNREFUSED,
+        SocketErrorKind::Reset => c::ECONNRESET,
+        SocketErrorKind::Unreachable => c::EHOSTUNREACH,
     };
     QueryError::from(io::Error::from_raw_os_error(number))
 }
@@ -51,10 +51,10 @@
         (NoDescriptor, V::LocalFailure, V::LocalFailure, None),
         (TooManyConnections, V::Overloaded, V::Overloaded, None),
         (ConnectionRejected, V::ConnectionLost, V::ConnectionLost, None),
-        (socket(Meaning::Local), V::LocalFailure, V::LocalFailure, Some(V::Unobserved)),
-        (socket(Meaning::Refused), V::Unconnected, V::Unconnected, Some(V::Malformed)),
-        (socket(Meaning::Reset), V::ConnectionLost, V::ConnectionLost, Some(V::Malformed)),
-        (socket(Meaning::Path), V::Unreachable, V::Unreachable, Some(V::TimedOut)),
+        (socket(SocketErrorKind::Local), V::LocalFailure, V::LocalFailure, Some(V::Unobserved)),
+        (socket(SocketErrorKind::Refused), V::Unconnected, V::Unconnected, Some(V::Malformed)),
+        (socket(SocketErrorKind::Reset), V::ConnectionLost, V::ConnectionLost, Some(V::Malformed)),
+        (socket(SocketErrorKind::Unreachable), V::Unreachable, V::Unreachable, Some(V::TimedOut)),
         (Closed, V::ConnectionLost, V::ConnectionLost, Some(V::Malformed)),
         (Malformed, V::ConnectionLost, V::ConnectionLost, Some(V::Malformed)),
         (TooSlow, V::ConnectionLost, V::ConnectionLost, Some(V::Malformed)),
@@ -78,10 +78,10 @@
 #[test]
 fn an_attempt_counts_as_never_run_exactly_where_it_was_not_sent_whole() {
     let errors = [
-        socket(Meaning::Local),
-        socket(Meaning::Refused),
-        socket(Meaning::Reset),
-        socket(Meaning::Path),
+        socket(SocketErrorKind::Local),
+        socket(SocketErrorKind::Refused),
+        socket(SocketErrorKind::Reset),
+        socket(SocketErrorKind::Unreachable),
         QueryError::Closed,
         QueryError::Malformed,
         QueryError::TooSlow,
@@ -119,7 +119,7 @@
 
 #[test]
 fn silence_during_a_stall_of_the_process_is_unobserved() {
-    for error in [QueryError::DeadlinePassed, socket(Meaning::Path)] {
+    for error in [QueryError::DeadlinePassed, socket(SocketErrorKind::Unreachable)] {
         for kind in KINDS {
             let evidence = Evidence { stalled: true, ..ended(kind, Sent::Whole, &error) };
             assert_eq!(judged(evidence), Verdict::Unobserved, "{evidence:?}");
@@ -132,7 +132,7 @@
 
 #[test]
 fn a_broken_connection_shows_a_dead_process_only_where_the_others_were_reset() {
-    for error in [QueryError::Closed, socket(Meaning::Reset), socket(Meaning::Refused)] {
+    for error in [QueryError::Closed, socket(SocketErrorKind::Reset), socket(SocketErrorKind::Refused)] {
         for kind in KINDS {
             let evidence = ended(kind, Sent::Whole, &error);
             assert_eq!(verdict(&evidence, || true), Verdict::Reset, "{evidence:?}");
