--- a/crates/proxy/src/client/receipt.rs
+++ b/crates/proxy/src/client/receipt.rs
@@ -16,19 +16,19 @@
 impl Receipt {
     /// To be called after each read: notes when the bytes may have arrived, where they waited for this process.
     pub(super) fn stamp_receipt(&mut self, clock: &UnstalledClock, stream: &TcpStream) {
-        let before = self.receipt_bounds.take();
         let arrived = clock.receipt_bounds(stream, self.last_read_at.replace(Instant::now()));
-        self.receipt_bounds = arrived.map(|arrived| ReceiptBounds {
+        let before = self.receipt_bounds.map(|bounds| bounds.earliest);
+        self.receipt_bounds = arrived.map(|ReceiptBounds { earliest, latest }| ReceiptBounds {
             // What is left in the buffer of an earlier read is as old as that read.
-            earliest: before.map_or(arrived.earliest, |before| before.earliest.min(arrived.earliest)),
-            latest: arrived.latest,
+            earliest: before.map_or(earliest, |before| before.min(earliest)),
+            latest,
         });
     }
 
     /// When a statement that was just taken from the buffer arrived. The system only says when the last bytes came;
     /// a statement in front of others came at some time before.
     pub(super) fn received_at(&self, is_last_in_buffer: bool) -> Instant {
-        match &self.receipt_bounds {
+        match self.receipt_bounds {
             Some(bounds) if is_last_in_buffer => bounds.latest,
             Some(bounds) => bounds.earliest,
             None => Instant::now(),
