--- a/crates/proxy/src/client/close.rs
+++ b/crates/proxy/src/client/close.rs
@@ -41,7 +41,7 @@
 }
 
 impl From<std::io::Error> for CloseReason {
-    /// A connection that broke needs no more than to be dropped.
+    /// A connection that broke ends as one that the client has closed.
     fn from(_: std::io::Error) -> CloseReason {
         CloseReason::Normal
     }
--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -125,6 +125,7 @@
         }
     }
 
+    /// Does one thing: writes what can be written, then what [`NextStep`] says.
     async fn step(&mut self) -> Result<(), CloseReason> {
         self.write_ready_responses().await?;
         match self.next_step() {
@@ -160,6 +161,7 @@
         }
     }
 
+    /// Whether another statement may be accepted beside those under way.
     fn may_accept(&self) -> bool {
         let pipelined = self.context.limits.client.pipelined_statements;
         matches!(self.phase, Phase::Accepting) && self.pending_responses.len() < pipelined
@@ -170,6 +172,7 @@
         self.phase = Phase::Draining(reason);
     }
 
+    /// Deals with what came while requests are under way.
     fn handle_event(&mut self, event: ClientEvent) -> Result<(), CloseReason> {
         match event {
             ClientEvent::Response(request, answer) => self.complete(request, answer),
@@ -181,6 +184,7 @@
         Ok(())
     }
 
+    /// The dispatcher has answered a request.
     fn complete(&mut self, request: ClientId, answer: Answer) {
         self.state.served.set(true);
         self.pending_responses.complete(request, answer);
--- a/crates/proxy/src/client/events.rs
+++ b/crates/proxy/src/client/events.rs
@@ -126,6 +126,7 @@
         first_request.into_iter().chain(message).min().unwrap_or(now + limits.idle_timeout)
     }
 
+    /// Waits for bytes, or for what ends the wait. Bytes come first: what has arrived is served whatever else happens.
     async fn next_idle_event(&mut self, wait: &IdleWait) -> IdleEvent {
         let shutdown = shutdown(self.context.stopping.clone(), wait.ends_at_shutdown);
         tokio::pin!(shutdown);
--- a/crates/proxy/src/client/intake.rs
+++ b/crates/proxy/src/client/intake.rs
@@ -43,6 +43,7 @@
 
 /// A whole message at the front of the read buffer.
 pub(super) struct ReceivedMessage {
+    /// What it is.
     kind: MessageKind,
     /// Its length in bytes, with its type and its length word.
     length: usize,
@@ -66,6 +67,7 @@
 }
 
 impl MessageKind {
+    /// The kind that this type byte stands for.
     fn of(type_byte: u8) -> MessageKind {
         match type_byte {
             b'Q' => MessageKind::Query,
@@ -133,6 +135,7 @@
         statement
     }
 
+    /// A Sync ends a series of extended messages.
     fn end_extended_messages(&mut self) {
         self.intake.skips_until_sync = false;
         let mut response = Vec::new();
@@ -149,6 +152,7 @@
         }
     }
 
+    /// Function calls are refused one by one.
     fn refuse_function_call(&mut self) {
         let mut response = not_served();
         pg::ready(&mut response);
@@ -195,6 +199,7 @@
     }
 }
 
+/// The error for what is no simple query.
 fn not_served() -> Vec<u8> {
     let mut error = Vec::new();
     pg::error(&mut error, false, "0A000", "only simple queries are served", None);
--- a/crates/proxy/src/client/listener.rs
+++ b/crates/proxy/src/client/listener.rs
@@ -23,6 +23,7 @@
     registry.drain().await;
 }
 
+/// Warns where the configuration promises more descriptors than the system allows.
 fn warn_of_few_descriptors(context: &ProcessContext) {
     let Descriptors { configured, allowed } = context.limits.descriptors;
     if allowed < configured {
--- a/crates/proxy/src/client/pending_responses.rs
+++ b/crates/proxy/src/client/pending_responses.rs
@@ -18,6 +18,7 @@
 
 /// The response to one statement.
 struct PendingResponse {
+    /// Whether it can be written.
     state: ResponseState,
     /// Buffer space of a large statement, held until its response is the next to be written.
     statement_reservation: Option<BufferReservation>,
@@ -26,12 +27,18 @@
 /// Whether a response can be written.
 enum ResponseState {
     /// The dispatcher has the request.
-    Awaited { request: ClientId, write_key: Option<String> },
+    Awaited {
+        /// The request's name.
+        request: ClientId,
+        /// The key that it may write.
+        write_key: Option<String>,
+    },
     /// It is written once all responses before it are.
     Ready(EncodedResponse),
 }
 
 impl PendingResponse {
+    /// Whether it is written once all responses before it are.
     fn is_ready(&self) -> bool {
         matches!(self.state, ResponseState::Ready(_))
     }
@@ -53,6 +60,7 @@
 /// The responses that are owed, in order.
 #[derive(Default)]
 pub(super) struct PendingResponses {
+    /// One for each statement, the oldest first.
     queue: VecDeque<PendingResponse>,
 }
 
--- a/crates/proxy/src/client/receipt.rs
+++ b/crates/proxy/src/client/receipt.rs
@@ -8,6 +8,7 @@
 /// Times of receipt of one connection's read buffer.
 #[derive(Default)]
 pub(super) struct Receipt {
+    /// When the connection was last read; `None` before the first read.
     last_read_at: Option<Instant>,
     /// `None` where the process was not stalled: the bytes were read as they arrived.
     receipt_bounds: Option<ReceiptBounds>,
--- a/crates/proxy/src/client/registry.rs
+++ b/crates/proxy/src/client/registry.rs
@@ -31,11 +31,12 @@
 }
 
 impl RegisteredConnection {
+    /// Whether a request of it was ever answered.
     fn is_served(&self) -> bool {
         self.state.served.get()
     }
 
-    /// Slow readers do not count: flow control disconnects them in time.
+    /// Whether it counts as an active client. Slow readers do not: flow control disconnects them in time.
     fn is_active(&self) -> bool {
         self.is_served() && !self.state.slow_reader.get()
     }
@@ -50,13 +51,19 @@
 
 /// The connections that are open, and the tasks that serve or reject them.
 pub(super) struct ConnectionRegistry {
+    /// What all actors share.
     context: Rc<ProcessContext>,
+    /// The open connections, by the task of their actor.
     connections: HashMap<task::Id, RegisteredConnection>,
+    /// The actors of the open connections.
     clients: JoinSet<()>,
+    /// Connections that are being rejected.
     rejections: JoinSet<()>,
+    /// The number of the next connection.
     next_id: ClientId,
     /// Whether the clients' share was used up, and it was logged, since less than half of it was in use.
     share_used_up: bool,
+    /// Set on each connection.
     keepalive: TcpKeepalive,
 }
 
@@ -95,6 +102,7 @@
         }
     }
 
+    /// Sends small responses at once, and finds clients that vanished.
     fn set_options(&self, stream: &TcpStream) {
         let _ = stream.set_nodelay(true);
         // Ends connections whose client vanished without closing them.
@@ -141,6 +149,7 @@
         connection.address.try_send(ClientMessage::CloseIfIdle).is_ok()
     }
 
+    /// Starts the actor of a connection.
     fn admit(&mut self, stream: TcpStream, connection_guard: ConnectionGuard) {
         let client = ClientConnection::new(self.context.clone(), self.next_id, stream, connection_guard);
         let registered =
@@ -184,6 +193,7 @@
         while self.rejections.join_next().await.is_some() {}
     }
 
+    /// Forgets a connection whose actor has ended.
     fn forget(&mut self, end: Result<(task::Id, ()), JoinError>) {
         let id = match end {
             Ok((id, ())) => id,
--- a/crates/proxy/src/client/response.rs
+++ b/crates/proxy/src/client/response.rs
@@ -42,6 +42,7 @@
         response
     }
 
+    /// The response to a request but for its ReadyForQuery.
     fn without_end(answer: Answer) -> EncodedResponse {
         let mut bytes = Vec::new();
         match answer {
@@ -90,6 +91,7 @@
         self.unread_reservation.take()
     }
 
+    /// The kernel accepted so many bytes.
     fn written(&mut self, count: usize) {
         self.bytes = self.bytes.saturating_add(count);
     }
@@ -124,6 +126,7 @@
         Ok(())
     }
 
+    /// Writes a piece of a response. Once the client was slow, what the kernel accepts is recorded as its progress.
     async fn write_piece(&mut self, piece: &[u8]) -> Result<(), CloseReason> {
         let mut rest = piece;
         while !rest.is_empty() {
--- a/crates/proxy/src/client/statement.rs
+++ b/crates/proxy/src/client/statement.rs
@@ -74,6 +74,7 @@
         self.context.dispatcher.send(request).await.map_err(|_| CloseReason::Normal)
     }
 
+    /// A name for the connection's next request.
     fn next_request_id(&mut self) -> ClientId {
         self.requests_sent += 1;
         (self.id << REQUEST_NUMBER_BITS) + (self.requests_sent & REQUEST_NUMBER_MASK)
--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -53,6 +53,7 @@
         }
     }
 
+    /// Carries out what the router decided for one request.
     fn carry_out_for_request(&mut self, handle: Handle, action: Action) {
         match action {
             Action::Attempt { member, timeout, afresh, validity } => {
@@ -95,6 +96,7 @@
         }
     }
 
+    /// Hands an attempt to its member's actor. One whose mailbox is full ends as not sent.
     fn send_attempt(&mut self, decided: DecidedAttempt) {
         let Some(open) = self.open_requests.get(&decided.handle) else { return };
         let handle = decided.handle;
@@ -128,6 +130,7 @@
         }
     }
 
+    /// Hands a health check to its member's actor. One whose mailbox is full ends as not sent.
     fn send_health_check(&mut self, member: MemberId) {
         let decided_at = Instant::now();
         let deadline = decided_at + self.context.limits.member.health_check_timeout;
@@ -144,6 +147,7 @@
         }
     }
 
+    /// Closes the idle connections to a member.
     fn close_idle_connections(&self, member: MemberId) {
         if let Some(entry) = &self.members[member] {
             // A full mailbox means that its connections are in use.
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -91,6 +91,7 @@
 
 /// The actor that owns the router and the requests under way.
 pub struct Dispatcher {
+    /// What every actor needs.
     context: Rc<ProcessContext>,
     /// The settings in force.
     decoded: Decoded,
@@ -118,14 +119,19 @@
     locations: HashMap<ClientId, RequestLocation>,
     /// What ended while a decision was being carried out.
     deferred: VecDeque<DispatcherMessage>,
+    /// What a former start saved, and where snapshots for the next one are published.
     warm_state: WarmState,
+    /// The endpoint list in force, for snapshots.
     last_endpoint_list: LastEndpointList,
+    /// Present where the processes decide on zones or splits together.
     observations: Option<Observations>,
     /// When the router wants to be woken, on its clock.
     wake_at: Micros,
     /// The stalled time that router and sites were told of.
     reported_stall: Micros,
+    /// Set once there is an endpoint list to decide on.
     ready: watch::Sender<bool>,
+    /// Where the first request asks for the endpoint list.
     list_wanted: Option<mpsc::Sender<()>>,
     /// Who waits until no remote request is under way.
     remote_end_waiters: Vec<oneshot::Sender<()>>,
@@ -230,6 +236,7 @@
         }
     }
 
+    /// Handles one event.
     fn handle_event(&mut self, event: Event) {
         match event {
             Event::ListUpdate(list_update) => self.list_update(list_update),
@@ -242,6 +249,7 @@
         }
     }
 
+    /// Handles one message of another actor.
     fn handle_message(&mut self, message: DispatcherMessage) {
         match message {
             DispatcherMessage::ClientRequest(request) => self.client_request(request),
@@ -271,6 +279,7 @@
         decided
     }
 
+    /// Lets the router act on the time that has passed, and publishes a snapshot where one is due.
     fn wake_router(&mut self) {
         let now = self.context.clock.now();
         let ((), actions) = self.decide(|router| ((), router.wake(now)));
@@ -278,12 +287,14 @@
         self.publish_snapshot();
     }
 
+    /// Tells the router how many processes share the members.
     fn fleet_size(&mut self, size: &FleetSize) {
         let ((), actions) = self
             .decide(|router| (router.fleet(size.sharing_warm, size.sharing_warming_up), Actions::default()));
         self.carry_out(actions);
     }
 
+    /// Replaces the shadow evaluation, after the last counts of the former are logged.
     fn replace_shadow(&mut self, shadow: Option<ShadowRouter>) {
         if let Some(ended) = &mut self.shadow {
             ended.log_counts(&self.context.log);
@@ -300,6 +311,7 @@
         self.remote_end_waiters.push(reply);
     }
 
+    /// Answers those who wait until no remote request is under way.
     fn notify_remote_end(&mut self) {
         if self.gateway_part.as_ref().is_some_and(|gateway_part| gateway_part.remote_requests() > 0) {
             return;
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -63,6 +63,7 @@
         Ok(class)
     }
 
+    /// Whether the group was ever listed, here or at another site.
     fn knows_group(&self, group: u64) -> bool {
         let at_other_site = |gateway_part: &GatewayPart| gateway_part.knows_group(group);
         self.groups.contains(&group) || self.gateway_part.as_ref().is_some_and(at_other_site)
--- a/crates/proxy/src/lifecycle/limits/buffers.rs
+++ b/crates/proxy/src/lifecycle/limits/buffers.rs
@@ -1,5 +1,6 @@
 //! Sizes of messages and of socket buffers, in bytes.
 
+/// Bytes of a KiB.
 const KIB: usize = 1024;
 
 /// A message up to this size is buffered without a reservation: the connections' limits leave memory for them.
--- a/crates/proxy/src/lifecycle/limits/client.rs
+++ b/crates/proxy/src/lifecycle/limits/client.rs
@@ -53,6 +53,7 @@
 }
 
 impl ClientLimits {
+    /// The limits, which nothing sets.
     pub(super) fn new() -> ClientLimits {
         ClientLimits {
             pipelined_statements: PIPELINED_STATEMENTS,
--- a/crates/proxy/src/lifecycle/limits/connections.rs
+++ b/crates/proxy/src/lifecycle/limits/connections.rs
@@ -32,11 +32,14 @@
 
 /// `of` parts out of `parts`, in whole numbers.
 struct Fraction {
+    /// How many of the parts.
     of: usize,
+    /// Into how many equal parts the whole is divided.
     parts: usize,
 }
 
 impl Fraction {
+    /// This part of a whole, rounded down.
     fn times(&self, whole: usize) -> usize {
         whole * self.of / self.parts
     }
--- a/crates/proxy/src/lifecycle/limits/descriptors.rs
+++ b/crates/proxy/src/lifecycle/limits/descriptors.rs
@@ -60,6 +60,7 @@
         }
     }
 
+    /// All of the reserve.
     pub(super) fn sum(&self) -> usize {
         self.own + self.evicting + self.rejecting
     }
--- a/crates/proxy/src/lifecycle/limits/discovery.rs
+++ b/crates/proxy/src/lifecycle/limits/discovery.rs
@@ -36,6 +36,7 @@
 }
 
 impl DiscoveryLimits {
+    /// The limits under these settings.
     pub(super) fn new(decoded: &Decoded) -> DiscoveryLimits {
         // What discovery has counts as told as soon as it can be reached, and the grace after a drain runs from then:
         // half of it is left to learn of the drain.
--- a/crates/proxy/src/lifecycle/limits/links.rs
+++ b/crates/proxy/src/lifecycle/limits/links.rs
@@ -26,6 +26,7 @@
 }
 
 impl LinkLimits {
+    /// The limits with this many descriptors and bytes of memory.
     pub(super) fn new(sockets: usize, memory: usize) -> LinkLimits {
         LinkLimits {
             inbound: (sockets / INBOUND_PARTS).clamp(4, 64),
--- a/crates/proxy/src/lifecycle/limits/member.rs
+++ b/crates/proxy/src/lifecycle/limits/member.rs
@@ -49,6 +49,7 @@
 }
 
 impl MemberLimits {
+    /// The limits under these settings.
     pub(super) fn new(decoded: &Decoded) -> MemberLimits {
         let connect_timeout = duration(decoded.connect_timeout);
         MemberLimits {
--- a/crates/proxy/src/lifecycle/limits/mod.rs
+++ b/crates/proxy/src/lifecycle/limits/mod.rs
@@ -29,6 +29,7 @@
 
 use descriptors::DescriptorReserve;
 
+/// Bytes of a MiB.
 const MIB: usize = 1024 * 1024;
 
 /// All limits of the process.
--- a/crates/proxy/src/lifecycle/limits/queues.rs
+++ b/crates/proxy/src/lifecycle/limits/queues.rs
@@ -27,6 +27,7 @@
 }
 
 impl QueueLimits {
+    /// The limits beside these on connections.
     pub(super) fn new(connections: &ConnectionLimits) -> QueueLimits {
         let all = connections.clients + connections.members;
         QueueLimits {
--- a/crates/proxy/src/lifecycle/limits/shutdown.rs
+++ b/crates/proxy/src/lifecycle/limits/shutdown.rs
@@ -31,6 +31,7 @@
 }
 
 impl ShutdownLimits {
+    /// The limits under these settings.
     pub(super) fn new(decoded: &Decoded) -> ShutdownLimits {
         let longest = decoded.terms.classes.iter().map(|class| duration(class.timeout)).max();
         let counted = longest.unwrap_or_default().min(LONGEST_COUNTED_TIMEOUT);
--- a/crates/proxy/src/system/acceptor.rs
+++ b/crates/proxy/src/system/acceptor.rs
@@ -44,7 +44,9 @@
 /// waits here may do other things: without that, a call that fails at once would be made in a loop that starves the
 /// rest of the process. The cost: new connections wait up to [`MAX_BACKOFF`] longer.
 pub struct Acceptor<L> {
+    /// The listening socket.
     listener: L,
+    /// Where a failure and its end are logged.
     log: Logger,
     /// The wait after the next failure.
     backoff: Duration,
@@ -100,6 +102,7 @@
         uapi::poll(&mut polled, 0).map_or(true, |ready| ready > 0)
     }
 
+    /// Waits until accepting may be tried again after a failure.
     async fn wait_for_retry(&mut self) {
         if let Some(retry_at) = self.retry_at {
             sleep_until(retry_at).await;
@@ -122,6 +125,7 @@
         }
     }
 
+    /// A connection was accepted: the next failure is logged, and backs off briefly.
     fn note_success(&mut self) {
         self.backoff = INITIAL_BACKOFF;
         if std::mem::take(&mut self.failure_logged) {
@@ -129,6 +133,7 @@
         }
     }
 
+    /// Accepting failed: it is tried again after a wait.
     fn back_off(&mut self, error: &AcceptError) {
         self.retry_at = Some(Instant::now() + self.backoff);
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
--- a/crates/proxy/src/system/datagrams.rs
+++ b/crates/proxy/src/system/datagrams.rs
@@ -35,7 +35,9 @@
 /// that fails at once would be made in a loop that starves the rest of the process. The cost: datagrams are read up to
 /// [`BACKOFF`] later.
 pub struct Datagrams {
+    /// The socket.
     socket: UdpSocket,
+    /// Where a failure and its end are logged.
     log: Logger,
     /// When reading is tried again after a failure.
     retry_at: Option<Instant>,
@@ -89,12 +91,14 @@
         }
     }
 
+    /// A datagram was read: the next failure is logged.
     fn note_success(&mut self) {
         if std::mem::take(&mut self.failure_logged) {
             info!(self.log, "datagrams are read again");
         }
     }
 
+    /// Reading failed: it is tried again after a wait.
     fn back_off(&mut self, error: &io::Error) {
         self.retry_at = Some(Instant::now() + BACKOFF);
         if !std::mem::replace(&mut self.failure_logged, true) {
--- a/crates/proxy/src/system/faults.rs
+++ b/crates/proxy/src/system/faults.rs
@@ -19,6 +19,7 @@
 
 /// A kind of call that is to fail.
 struct Rule {
+    /// The call.
     call: SystemCall,
     /// The error's number, as the system counts.
     errno: i32,
@@ -33,7 +34,9 @@
 struct Faults {
     /// The file's text that they were read from.
     text: String,
+    /// One for each line, in their order.
     rules: Vec<Rule>,
+    /// Draws whether a call fails; seeded anew with each text.
     rng: Option<Pcg64Mcg>,
 }
 
@@ -48,6 +51,7 @@
 }
 
 impl Faults {
+    /// The error that this call is to fail with, by the first rule that applies.
     fn draw(&mut self, call: SystemCall) -> Option<io::Error> {
         let text = std::env::var_os(FILE_VARIABLE).and_then(|path| std::fs::read_to_string(path).ok());
         self.read_rules(text.unwrap_or_default());
@@ -61,6 +65,7 @@
         None
     }
 
+    /// Replaces the rules where the file's text has changed.
     fn read_rules(&mut self, text: String) {
         if text == self.text {
             return;
@@ -72,6 +77,7 @@
     }
 }
 
+/// A rule from its line. Panics where it is none: the test is wrong.
 fn parse_rule(line: &str) -> Rule {
     let words: Vec<&str> = line.split_whitespace().collect();
     let &[call, error, percent, failures] = words.as_slice() else {
@@ -96,6 +102,7 @@
     Rule { call, errno: parse_errno(error), percent, failures_left: failures.parse().ok() }
 }
 
+/// The number of an error that tests may name.
 fn parse_errno(name: &str) -> i32 {
     match name {
         "ECONNABORTED" => c::ECONNABORTED,
--- a/crates/proxy/src/system/mod.rs
+++ b/crates/proxy/src/system/mod.rs
@@ -106,6 +106,7 @@
     socket.connect(address).await
 }
 
+/// A socket with buffers of these sizes.
 fn open_socket(address: SocketAddr, sizes: Option<BufferSizes>) -> io::Result<TcpSocket> {
     injected(SystemCall::Socket)?;
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
@@ -126,6 +127,7 @@
     Err(fault.into())
 }
 
+/// Accepts the next connection on a local socket.
 async fn accept_local(listener: &UnixListener) -> Result<UnixStream, AcceptError> {
     injected(SystemCall::AcceptLocal)?;
     Ok(listener.accept().await?.0)
