--- /dev/null
+++ b/crates/proxy/src/cli/peers.rs
@@ -0,0 +1,49 @@
+//! `aldermill peers`: the peers that a running proxy knows, as a table or as JSON.
+
+use serde_json::Value;
+
+use crate::cli::status;
+use crate::lifecycle::errors::ProgramError;
+
+/// Prints what the proxy behind the status socket knows of its peers.
+///
+/// # Errors
+///
+/// No proxy listens at that socket, or its answer is not in the expected form.
+pub fn run(socket: &str, as_json: bool) -> Result<(), ProgramError> {
+    let text = status::ask(socket)?;
+    if as_json {
+        print!("{text}");
+        return Ok(());
+    }
+    let status: Value =
+        serde_json::from_str(&text).map_err(|why| ProgramError::Said { path: socket.to_owned(), why })?;
+    print!("{}{}", summary(&status), peer_table(&status));
+    Ok(())
+}
+
+/// One line on the proxy's own view of the fleet.
+fn summary(status: &Value) -> String {
+    let view = &status["view"];
+    format!(
+        "{} knows of {} drivers, itself among them; {} at most{}{}\n",
+        status["self"]["name"].as_str().unwrap_or_default(),
+        view["alive"],
+        view["most_seen"],
+        if view["sure"] == true { "" } else { "; in doubt" },
+        if view["may_be_smaller"] == true { "; may be the smaller part" } else { "" },
+    )
+}
+
+/// One line for each peer.
+fn peer_table(status: &Value) -> String {
+    let peers = status["fellows"].as_array().into_iter().flatten();
+    peers.map(peer_line).collect()
+}
+
+fn peer_line(peer: &Value) -> String {
+    let text = |field: &str| peer[field].as_str().unwrap_or_default();
+    let name = text("name");
+    let address = text("address");
+    format!("{name:<24} {address:<24} started {} turn {}\n", peer["start"], peer["turn"])
+}
--- /dev/null
+++ b/crates/proxy/src/cli/serve.rs
@@ -0,0 +1,28 @@
+//! `aldermill serve`: the proxy itself, on one thread.
+
+use tokio::runtime;
+use tokio::signal::unix::{SignalKind, signal};
+use tokio::task::LocalSet;
+
+use crate::lifecycle::configuration::{self, Files, Start};
+use crate::lifecycle::errors::ProgramError;
+
+/// Serves clients until the process is told to stop.
+///
+/// # Errors
+///
+/// The proxy could not start, or one of its actors stopped unexpectedly.
+pub fn run(files: Files) -> Result<(), ProgramError> {
+    let runtime = runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(|why| ProgramError::System { what: "runtime", why })?;
+    runtime.block_on(LocalSet::new().run_until(async {
+        // Before anything else: from here on none of these signals ends the process by itself.
+        let heard = |kind| signal(kind).map_err(|why| ProgramError::System { what: "signals", why });
+        let ends = [heard(SignalKind::terminate())?, heard(SignalKind::interrupt())?];
+        let hangup = heard(SignalKind::hangup())?;
+        let start = Start::read(&files, configuration::environment)?;
+        crate::run(start, files, ends, hangup).await
+    }))
+}
--- /dev/null
+++ b/crates/proxy/src/cli/store.rs
@@ -0,0 +1,22 @@
+//! `aldermill store`: checks, dumps or compacts a data directory.
+
+use crate::cli::StoreCommand;
+use crate::lifecycle::errors::ProgramError;
+use crate::persistence::maintenance;
+
+/// Runs the subcommand on its data directory.
+///
+/// # Errors
+///
+/// The directory cannot be read, or `check` found damaged records.
+pub fn run(command: &StoreCommand) -> Result<(), ProgramError> {
+    match command {
+        StoreCommand::Check { folder } => check(folder),
+        StoreCommand::Dump { folder } => maintenance::dump(folder),
+        StoreCommand::Compact { folder } => maintenance::compact(folder),
+    }
+}
+
+fn check(folder: &str) -> Result<(), ProgramError> {
+    if maintenance::check(folder)? { Ok(()) } else { Err(ProgramError::Damaged(folder.to_owned())) }
+}
--- a/crates/proxy/src/gateway/mod.rs
+++ b/crates/proxy/src/gateway/mod.rs
@@ -16,8 +16,8 @@
 
 pub use handshake::{accept, start};
 
-use crate::cli::status;
 use crate::lifecycle::process_context::ProcessContext;
+use crate::lifecycle::status_socket;
 use crate::messages::{DispatcherMessage, LinkId};
 use crate::system::Acceptor;
 
@@ -78,7 +78,7 @@
 
 /// Says what is believed of sites and links to everybody who connects to the socket at that path.
 pub async fn serve(context: Rc<ProcessContext>, path: String) {
-    let Some(listener) = status::listen(&path, &context.log) else { return };
+    let Some(listener) = status_socket::listen(&path, &context.log) else { return };
     let mut acceptor = Acceptor::new(listener, context.log.clone());
     loop {
         let mut stream = acceptor.next().await;
--- a/crates/proxy/src/lifecycle/configuration.rs
+++ b/crates/proxy/src/lifecycle/configuration.rs
@@ -58,6 +58,11 @@
     pub fixed: Fixed,
 }
 
+/// A variable of the process's environment; an empty one counts as not set.
+pub fn environment(name: &str) -> Option<String> {
+    std::env::var(name).ok().filter(|value| !value.is_empty())
+}
+
 fn address(field: &'static str, text: String) -> Result<SocketAddr, ConfigurationError> {
     text.parse().map_err(|_| ConfigurationError::Address { field, text })
 }
--- a/crates/proxy/src/lifecycle/mod.rs
+++ b/crates/proxy/src/lifecycle/mod.rs
@@ -6,3 +6,4 @@
 pub mod limits;
 pub mod process_context;
 pub mod reload;
+pub mod status_socket;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -20,17 +20,16 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use aldermill_operator_config::{Duty, Gateway, Operator};
+use aldermill_operator_config::{Duty, Gateway};
 use aldermill_settings::Decoded;
 use aldermill_site_link::{Bounds as LinkBounds, Identity};
 use aldermill_stall_detection::apart;
-use bpaf::Bpaf;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use slog::{Drain, Logger, info, o};
-use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::signal::unix::Signal;
 use tokio::sync::{Semaphore, mpsc, oneshot, watch as notice};
-use tokio::task::{LocalSet, spawn_local};
+use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
 
 use crate::discovery::endpoint_list::EndpointList;
@@ -48,127 +47,16 @@
 use crate::messages::{DispatcherMessage, ListUpdate};
 use crate::persistence::DataDirectory;
 
-/// A proxy before groups of databases, each a primary and its replicas
-#[derive(Clone, Debug, Bpaf)]
-#[bpaf(options, version)]
-enum Command {
-    /// Serve clients until told to stop by SIGTERM or SIGINT
-    #[bpaf(command)]
-    Serve {
-        /// The configuration
-        #[bpaf(long, argument("FILE"), env("GW_CONFIG"))]
-        config: String,
-        /// The operator's own file
-        #[bpaf(long, argument("FILE"), env("ALDERMILL_OPERATOR"))]
-        operator: Option<String>,
-    },
-    /// Read a configuration and say what was understood, or what is wrong
-    #[bpaf(command)]
-    Check {
-        /// The configuration
-        #[bpaf(long, argument("FILE"), env("GW_CONFIG"))]
-        config: String,
-        /// The operator's own file
-        #[bpaf(long, argument("FILE"), env("ALDERMILL_OPERATOR"))]
-        operator: Option<String>,
-    },
-    /// Say what a running gateway believes of sites and links, as JSON
-    #[bpaf(command)]
-    Sites {
-        /// The status socket that the operator's own file names
-        #[bpaf(positional("SOCKET"))]
-        socket: String,
-    },
-    /// Say which other drivers a running one knows of
-    #[bpaf(command)]
-    Fellows {
-        /// As the JSON object that the driver gives
-        #[bpaf(long)]
-        json: bool,
-        /// The status socket that the operator's own file names
-        #[bpaf(positional("SOCKET"))]
-        socket: String,
-    },
-    /// Look at what a driver keeps over a restart, or compact it
-    #[bpaf(command)]
-    Store {
-        #[bpaf(external(folder_work))]
-        work: FolderWork,
-    },
-    /// Print the JSON schema of the operator's own file
-    #[bpaf(command)]
-    Schema,
-    /// Print the version
-    #[bpaf(command)]
-    Version,
-}
-
-#[derive(Clone, Debug, Bpaf)]
-enum FolderWork {
-    /// Say whether all of it can be read; exit code 1 where something is damaged
-    #[bpaf(command)]
-    Check {
-        #[bpaf(positional("FOLDER"))]
-        folder: String,
-    },
-    /// Print every record as a line of JSON
-    #[bpaf(command)]
-    Dump {
-        #[bpaf(positional("FOLDER"))]
-        folder: String,
-    },
-    /// Write what is live to one segment; no driver may have the folder open
-    #[bpaf(command)]
-    Compact {
-        #[bpaf(positional("FOLDER"))]
-        folder: String,
-    },
-}
-
 fn main() -> ExitCode {
-    let done = match command().run() {
-        Command::Serve { config, operator } => serve(Files { config, operator }),
-        Command::Check { config, operator } => {
-            read(&Files { config, operator }).map(|start| describe(&start))
-        }
-        Command::Sites { socket } => cli::status::ask(&socket).map(|text| print!("{text}")),
-        Command::Fellows { json, socket } => membership::ask(&socket, json).map(|text| print!("{text}")),
-        Command::Store { work: FolderWork::Check { folder } } => persistence::maintenance::check(&folder)
-            .and_then(|sound| sound.then_some(()).ok_or_else(|| ProgramError::Damaged(folder.clone()))),
-        Command::Store { work: FolderWork::Dump { folder } } => persistence::maintenance::dump(&folder),
-        Command::Store { work: FolderWork::Compact { folder } } => persistence::maintenance::compact(&folder),
-        Command::Schema => {
-            print!("{}", Operator::schema());
-            Ok(())
-        }
-        Command::Version => {
-            println!("aldermill {}", env!("CARGO_PKG_VERSION"));
-            Ok(())
-        }
-    };
-    match done {
+    match cli::command().run().execute() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("aldermill: {why}");
+        Err(error) => {
+            eprintln!("aldermill: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn read(files: &Files) -> Result<Start, ProgramError> {
-    Start::read(files, |name| std::env::var(name).ok().filter(|value| !value.is_empty()))
-}
-
-fn describe(start: &Start) {
-    let limits = &start.limits;
-    println!("driver {} listens on {}, discovery at {}", start.name, start.listen, start.discovery);
-    let known = start.known.as_ref().map_or(0, |known| known.members.len());
-    println!("{known} members known, {} offerings", start.decoded.terms.classes.len());
-    println!("connections: {} from clients, {} to members", limits.clients, limits.members);
-    let (room, connection) = (start.bounds.room / 1024, start.bounds.connection / 1024);
-    println!("room for what waits: {room} KiB, {connection} KiB for one connection");
-}
-
 fn logger(limits: &Limits) -> (Logger, slog_async::AsyncGuard) {
     let decorator = slog_term::PlainDecorator::new(std::io::stderr());
     let format = slog_term::FullFormat::new(decorator).use_utc_timestamp().build().fuse();
@@ -180,20 +68,6 @@
     (Logger::root(drain.fuse(), o!()), guard)
 }
 
-fn serve(files: Files) -> Result<(), ProgramError> {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .map_err(|why| ProgramError::System { what: "runtime", why })?;
-    runtime.block_on(LocalSet::new().run_until(async {
-        // Before anything else: from here on none of them ends the program by itself.
-        let heard = |kind| signal(kind).map_err(|why| ProgramError::System { what: "signals", why });
-        let ends = [heard(SignalKind::terminate())?, heard(SignalKind::interrupt())?];
-        let hangup = heard(SignalKind::hangup())?;
-        run(read(&files)?, files, ends, hangup).await
-    }))
-}
-
 /// Starts the actors and stays until the listener has served its last client.
 async fn run(start: Start, files: Files, ends: [Signal; 2], hangup: Signal) -> Result<(), ProgramError> {
     let Start {
--- a/crates/proxy/src/membership/actor.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -16,10 +16,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until};
 
-use crate::cli::status;
 use crate::coordination::{CallTime, Coordination, DECISION_INTERVAL, Datagram};
 use crate::lifecycle::errors::ProgramError;
 use crate::lifecycle::process_context::ProcessContext;
+use crate::lifecycle::status_socket;
 use crate::messages::{DispatcherMessage, FleetSize};
 use crate::persistence::DataDirectory;
 use crate::system::{self, Acceptor, Datagrams, Received};
@@ -85,7 +85,7 @@
             terms.peers.into_iter().map(|peer| Peer { name: peer.name, address: peer.address }).collect();
         let status = terms
             .status
-            .and_then(|path| status::listen(&path, &context.log))
+            .and_then(|path| status_socket::listen(&path, &context.log))
             .map(|listener| Acceptor::new(listener, context.log.clone()));
         let (tempo, now) = (Tempo::usual(drivers), context.unstalled_clock.now());
         let start = own.start;
@@ -355,33 +355,3 @@
     let Dropped { stranger, not_ours, version, fleet, unusable } = of;
     json!({"stranger": stranger, "not_ours": not_ours, "version": version, "fleet": fleet, "unusable": unusable})
 }
-
-/// What the driver behind that socket knows of the others: a table, or its JSON as it comes.
-pub fn ask(path: &str, as_json: bool) -> Result<String, ProgramError> {
-    let text = status::ask(path)?;
-    if as_json {
-        return Ok(text);
-    }
-    let known: Value =
-        serde_json::from_str(&text).map_err(|why| ProgramError::Said { path: path.to_owned(), why })?;
-    let (view, own) = (&known["view"], &known["self"]);
-    let mut out = format!(
-        "{} knows of {} drivers, itself among them; {} at most{}{}\n",
-        own["name"].as_str().unwrap_or_default(),
-        view["alive"],
-        view["most_seen"],
-        if view["sure"] == true { "" } else { "; in doubt" },
-        if view["may_be_smaller"] == true { "; may be the smaller part" } else { "" },
-    );
-    for of in known["fellows"].as_array().into_iter().flatten() {
-        let word = |field: &str| of[field].as_str().unwrap_or_default().to_owned();
-        out += &format!(
-            "{:<24} {:<24} started {} turn {}\n",
-            word("name"),
-            word("address"),
-            of["start"],
-            of["turn"]
-        );
-    }
-    Ok(out)
-}
