--- a/crates/proxy/src/cli/peers.rs
+++ b/crates/proxy/src/cli/peers.rs
@@ -16,8 +16,8 @@
         print!("{text}");
         return Ok(());
     }
-    let status: Value =
-        serde_json::from_str(&text).map_err(|why| ProgramError::Said { path: socket.to_owned(), why })?;
+    let status: Value = serde_json::from_str(&text)
+        .map_err(|source| ProgramError::StatusFormat { path: socket.to_owned(), source })?;
     print!("{}{}", summary(&status), peer_table(&status));
     Ok(())
 }
--- a/crates/proxy/src/cli/serve.rs
+++ b/crates/proxy/src/cli/serve.rs
@@ -13,13 +13,11 @@
 ///
 /// The proxy could not start, or one of its actors stopped unexpectedly.
 pub fn run(files: Files) -> Result<(), ProgramError> {
-    let runtime = runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .map_err(|why| ProgramError::System { what: "runtime", why })?;
+    let runtime =
+        runtime::Builder::new_current_thread().enable_all().build().map_err(ProgramError::Runtime)?;
     runtime.block_on(LocalSet::new().run_until(async {
         // Before anything else: from here on none of these signals ends the process by itself.
-        let heard = |kind| signal(kind).map_err(|why| ProgramError::System { what: "signals", why });
+        let heard = |kind| signal(kind).map_err(ProgramError::SignalHandlers);
         let ends = [heard(SignalKind::terminate())?, heard(SignalKind::interrupt())?];
         let hangup = heard(SignalKind::hangup())?;
         let start = Start::read(&files, configuration::environment)?;
--- a/crates/proxy/src/cli/status.rs
+++ b/crates/proxy/src/cli/status.rs
@@ -11,7 +11,7 @@
 ///
 /// No proxy listens there, or the connection broke.
 pub fn ask(path: &str) -> Result<String, ProgramError> {
-    let failed = |why| ProgramError::Status { path: path.to_owned(), why };
+    let failed = |source| ProgramError::StatusSocket { path: path.to_owned(), source };
     let mut stream = UnixStream::connect(path).map_err(failed)?;
     let mut text = String::new();
     stream.read_to_string(&mut text).map_err(failed)?;
--- a/crates/proxy/src/cli/store.rs
+++ b/crates/proxy/src/cli/store.rs
@@ -18,5 +18,9 @@
 }
 
 fn check(folder: &str) -> Result<(), ProgramError> {
-    if maintenance::check(folder)? { Ok(()) } else { Err(ProgramError::Damaged(folder.to_owned())) }
+    if maintenance::check(folder)? {
+        Ok(())
+    } else {
+        Err(ProgramError::DamagedDataDirectory(folder.to_owned()))
+    }
 }
--- a/crates/proxy/src/lifecycle/configuration.rs
+++ b/crates/proxy/src/lifecycle/configuration.rs
@@ -71,19 +71,21 @@
     /// Reads the configuration; GW_NAME, GW_LISTEN and GW_DISCOVERY come before what it says.
     pub fn read(files: &Files, env: impl Fn(&str) -> Option<String>) -> Result<Start, ProgramError> {
         let text = |path: &String| {
-            std::fs::read_to_string(path).map_err(|why| ProgramError::File { path: path.clone(), why })
+            std::fs::read_to_string(path)
+                .map_err(|source| ProgramError::UnreadableFile { path: path.clone(), source })
         };
         let operator = match &files.operator {
             Some(path) => Operator::parse(&text(path)?)
-                .map_err(|why| ProgramError::Operator { path: path.clone(), why })?,
+                .map_err(|source| ProgramError::OperatorFile { path: path.clone(), source })?,
             None => Operator::default(),
         };
-        let unclear = |why| ProgramError::Config { path: files.config.clone(), why };
+        let unclear = |source| ProgramError::Configuration { path: files.config.clone(), source };
         let mut start = Start::parse(&text(&files.config)?, env, &operator).map_err(unclear)?;
         let path = || files.operator.as_ref().unwrap_or(&files.config).clone();
         if let Some(wanted) = &operator.trial {
             let trial = ShadowRouter::read(wanted, &start.decoded);
-            start.trial = Some(trial.map_err(|why| ProgramError::Trial { path: path(), why })?);
+            start.trial =
+                Some(trial.map_err(|source| ProgramError::ShadowSettings { path: path(), source })?);
         }
         // What the operator wants must hold one statement and one answer of full size.
         let sizes = (start.limits.statement as u64, start.limits.answer as u64);
@@ -95,7 +97,7 @@
                 "connection" => ("connection_kib", least.div_ceil(1024)),
                 _ => ("room_kib", least.div_ceil(1024)),
             };
-            ProgramError::Little { path: path(), field, least }
+            ProgramError::FlowLimitTooLow { path: path(), field, minimum: least }
         })?;
         Ok(start)
     }
@@ -109,17 +111,21 @@
         let told = |variable: &str, field: String| env(variable).unwrap_or(field);
         let seed = u64::from_str_radix(&form.seed, 16);
         let Allowed { memory_mb, sockets } =
-            serde_json::from_str(form.limits.get()).map_err(ConfigurationError::Limits)?;
+            serde_json::from_str(form.limits.get()).map_err(ConfigurationError::LimitsForm)?;
         if sockets < 64 {
-            return Err(ConfigurationError::Little { field: "sockets", value: sockets, least: 64 });
+            return Err(ConfigurationError::LimitTooLow { field: "sockets", value: sockets, minimum: 64 });
         }
         let descriptors = Descriptors::of_this_process(sockets);
         if descriptors.allowed < Descriptors::LEAST {
             let Descriptors { allowed, .. } = descriptors;
-            return Err(ConfigurationError::FewDescriptors { allowed, least: Descriptors::LEAST });
+            return Err(ConfigurationError::TooFewDescriptors { allowed, minimum: Descriptors::LEAST });
         }
         if memory_mb < 16 {
-            return Err(ConfigurationError::Little { field: "memory_mb", value: memory_mb, least: 16 });
+            return Err(ConfigurationError::LimitTooLow {
+                field: "memory_mb",
+                value: memory_mb,
+                minimum: 16,
+            });
         }
         let decoded = Decoded::parse(form.settings.get()).map_err(ConfigurationError::Settings)?;
         let value = |raw: &RawValue| serde_json::from_str(raw.get()).unwrap_or_default();
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -39,7 +39,7 @@
 use crate::gateway::LinkRegistry;
 use crate::lifecycle::clock::{Clock, UnstalledClock, duration};
 use crate::lifecycle::configuration::{Files, Start};
-use crate::lifecycle::errors::ProgramError;
+use crate::lifecycle::errors::{Actor, ProgramError};
 use crate::lifecycle::limits::Limits;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::lifecycle::reload::Reload;
@@ -97,7 +97,7 @@
     let flow_control = FlowControl::new(unstalled_clock.clone(), log.clone(), bounds);
     spawn_local(flow_control.clone().run());
     let listener = system::listen(listen, limits.backlog, limits.buffer)
-        .map_err(|why| ProgramError::Listen { field: "listen", address: listen, why })?;
+        .map_err(|source| ProgramError::Listen { field: "listen", address: listen, source })?;
 
     let (wanted, reread) = notice::channel(None);
     let (dispatcher, calls) = mpsc::channel(limits.calls);
@@ -202,11 +202,14 @@
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
-        ended = deciding => return Err(ProgramError::Ended(format!("the router's actor ({ended:?})"))),
+        ended = deciding => return Err(match ended {
+            Ok(()) => ProgramError::ActorStopped { actor: Actor::Dispatcher },
+            Err(source) => ProgramError::ActorFailed { actor: Actor::Dispatcher, source },
+        }),
     }
     stop.send_replace(Some(Instant::now() + stop_window));
     flow_control.stop();
-    serving.await.map_err(|error| ProgramError::Ended(format!("the listener ({error})")))?;
+    serving.await.map_err(|source| ProgramError::ActorFailed { actor: Actor::Listener, source })?;
     // What other sites sent has its answer, too, before the end.
     let (asked, done) = oneshot::channel();
     if context.dispatcher.send(DispatcherMessage::AwaitRemoteEnd(asked)).await.is_ok() {
@@ -237,7 +240,7 @@
     let yard = LinkRegistry::new(own.clone(), &gateway, bounds);
     if let Some(listen) = gateway.listen {
         let listener = system::listen(listen, limits.backlog, limits.member_buffer)
-            .map_err(|why| ProgramError::Listen { field: "gateway.listen", address: listen, why })?;
+            .map_err(|source| ProgramError::Listen { field: "gateway.listen", address: listen, source })?;
         let address = listener.local_addr().unwrap_or(listen);
         info!(context.log, "gateway"; "site" => &own.site, "links" => %address);
         spawn_local(gateway::accept(context.clone(), yard.clone(), listener));
--- a/crates/proxy/src/membership/actor.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -71,8 +71,11 @@
     ) -> Result<MembershipActor, ProgramError> {
         let listen = terms.listen;
         let bound = system::bind_datagrams(listen).await;
-        let socket =
-            bound.map_err(|why| ProgramError::Listen { field: "fellows.listen", address: listen, why })?;
+        let socket = bound.map_err(|source| ProgramError::Listen {
+            field: "fellows.listen",
+            address: listen,
+            source,
+        })?;
         let socket = Datagrams::new(socket, context.log.clone());
         let own = Own {
             fleet: terms.fleet,
--- a/crates/proxy/src/persistence/maintenance.rs
+++ b/crates/proxy/src/persistence/maintenance.rs
@@ -33,7 +33,7 @@
 /// Writes what is live to one segment; no driver may have the folder open.
 pub fn compact(folder: &str) -> Result<(), ProgramError> {
     look(folder)?;
-    let refused = |why| ProgramError::Store { folder: folder.to_owned(), why };
+    let refused = |source| ProgramError::DataDirectory { folder: folder.to_owned(), source };
     let disk = Disk::open(Path::new(folder)).map_err(|why| refused(why.into()))?;
     let (mut store, _) = Store::open(disk, ALL, unix_now()).map_err(refused)?;
     let before = store.size().1;
@@ -44,8 +44,8 @@
 
 fn look(folder: &str) -> Result<(Snapshot, Recovered), ProgramError> {
     if !Path::new(folder).is_dir() {
-        return Err(ProgramError::NoFolder(folder.to_owned()));
+        return Err(ProgramError::NoDataDirectory(folder.to_owned()));
     }
     Store::look(Disk::look(Path::new(folder)), ALL, unix_now())
-        .map_err(|why| ProgramError::Store { folder: folder.to_owned(), why })
+        .map_err(|source| ProgramError::DataDirectory { folder: folder.to_owned(), source })
 }
