--- a/crates/proxy/src/cli/check.rs
+++ b/crates/proxy/src/cli/check.rs
@@ -1,25 +1,28 @@
 //! `aldermill check`: reads the configuration as `serve` would, and prints a summary.
 
-use crate::lifecycle::configuration::{self, Files, Start};
+use crate::lifecycle::configuration::{self, Configuration, ConfigurationFiles};
 use crate::lifecycle::errors::ProgramError;
 
+const BYTES_PER_KIB: u64 = 1024;
+
 /// Prints what the configuration amounts to.
 ///
 /// # Errors
 ///
 /// A file cannot be read, or its content cannot be used.
-pub fn run(files: &Files) -> Result<(), ProgramError> {
-    let start = Start::read(files, configuration::environment)?;
-    print_summary(&start);
+pub fn run(files: &ConfigurationFiles) -> Result<(), ProgramError> {
+    print_summary(&Configuration::read(files, configuration::environment)?);
     Ok(())
 }
 
-fn print_summary(start: &Start) {
-    let limits = &start.limits;
-    println!("driver {} listens on {}, discovery at {}", start.name, start.listen, start.discovery);
-    let known = start.known.as_ref().map_or(0, |known| known.members.len());
-    println!("{known} members known, {} offerings", start.decoded.terms.classes.len());
+fn print_summary(configuration: &Configuration) {
+    let Configuration { name, listen, discovery, limits, .. } = configuration;
+    println!("driver {name} listens on {listen}, discovery at {discovery}");
+    let members = configuration.endpoint_list.as_ref().map_or(0, |list| list.members.len());
+    let classes = configuration.settings.terms.classes.len();
+    println!("{members} members known, {classes} offerings");
     println!("connections: {} from clients, {} to members", limits.clients, limits.members);
-    let (room, connection) = (start.bounds.room / 1024, start.bounds.connection / 1024);
-    println!("room for what waits: {room} KiB, {connection} KiB for one connection");
+    let budget = configuration.flow_limits.room / BYTES_PER_KIB;
+    let connection = configuration.flow_limits.connection / BYTES_PER_KIB;
+    println!("room for what waits: {budget} KiB, {connection} KiB for one connection");
 }
--- a/crates/proxy/src/cli/mod.rs
+++ b/crates/proxy/src/cli/mod.rs
@@ -11,7 +11,7 @@
 
 use bpaf::Bpaf;
 
-use crate::lifecycle::configuration::Files;
+use crate::lifecycle::configuration::ConfigurationFiles;
 use crate::lifecycle::errors::ProgramError;
 
 /// A proxy before groups of databases, each a primary and its replicas
@@ -123,8 +123,8 @@
     }
 }
 
-impl From<FileArguments> for Files {
-    fn from(arguments: FileArguments) -> Files {
-        Files { config: arguments.config, operator: arguments.operator }
+impl From<FileArguments> for ConfigurationFiles {
+    fn from(arguments: FileArguments) -> ConfigurationFiles {
+        ConfigurationFiles { config: arguments.config, operator: arguments.operator }
     }
 }
--- a/crates/proxy/src/cli/serve.rs
+++ b/crates/proxy/src/cli/serve.rs
@@ -4,7 +4,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::LocalSet;
 
-use crate::lifecycle::configuration::{self, Files, Start};
+use crate::lifecycle::configuration::{self, Configuration, ConfigurationFiles};
 use crate::lifecycle::errors::ProgramError;
 
 /// Serves clients until the process is told to stop.
@@ -12,7 +12,7 @@
 /// # Errors
 ///
 /// The proxy could not start, or one of its actors stopped unexpectedly.
-pub fn run(files: Files) -> Result<(), ProgramError> {
+pub fn run(files: ConfigurationFiles) -> Result<(), ProgramError> {
     let runtime =
         runtime::Builder::new_current_thread().enable_all().build().map_err(ProgramError::Runtime)?;
     runtime.block_on(LocalSet::new().run_until(async {
@@ -20,7 +20,7 @@
         let heard = |kind| signal(kind).map_err(ProgramError::SignalHandlers);
         let ends = [heard(SignalKind::terminate())?, heard(SignalKind::interrupt())?];
         let hangup = heard(SignalKind::hangup())?;
-        let start = Start::read(&files, configuration::environment)?;
-        crate::run(start, files, ends, hangup).await
+        let configuration = Configuration::read(&files, configuration::environment)?;
+        crate::run(configuration, files, ends, hangup).await
     }))
 }
--- a/crates/proxy/src/lifecycle/configuration.rs
+++ b/crates/proxy/src/lifecycle/configuration.rs
@@ -1,7 +1,9 @@
+//! What the process is started with: the configuration, the operator's file, and what the environment says instead.
+
 use std::net::SocketAddr;
 
-use aldermill_flow_control::{Bounds, Least, PerAddress};
-use aldermill_operator_config::{Council, Fellows, Gateway, Operator, Rate, SlowPeers, Warm};
+use aldermill_flow_control::Bounds;
+use aldermill_operator_config::Operator;
 use aldermill_settings::Decoded;
 use serde::Deserialize;
 use serde_json::Value;
@@ -9,17 +11,35 @@
 
 use crate::discovery::endpoint_list::EndpointList;
 use crate::lifecycle::errors::{ConfigurationError, ProgramError};
+use crate::lifecycle::flow_limits;
+use crate::lifecycle::immutable_fields::{ImmutableField, ImmutableFields};
 use crate::lifecycle::limits::{Descriptors, Limits};
 use crate::shadow::ShadowRouter;
 
-#[derive(Deserialize)]
-struct Allowed {
-    memory_mb: usize,
-    sockets: usize,
+/// The least of `limits.sockets`.
+const MIN_SOCKETS: usize = 64;
+/// The least of `limits.memory_mb`.
+const MIN_MEMORY_MB: usize = 16;
+const BYTES_PER_MB: u64 = 1024 * 1024;
+
+/// Where the configuration is, and the operator's file if there is one.
+pub struct ConfigurationFiles {
+    /// Path of the configuration.
+    pub config: String,
+    /// Path of the operator's file.
+    pub operator: Option<String>,
 }
 
+impl ConfigurationFiles {
+    /// The file that an error in what the operator wants is reported for.
+    fn operator_or_config(&self) -> String {
+        self.operator.as_ref().unwrap_or(&self.config).clone()
+    }
+}
+
+/// The configuration as the file holds it.
 #[derive(Deserialize)]
-struct Form {
+struct ConfigurationForm {
     name: String,
     listen: String,
     discovery: String,
@@ -29,33 +49,133 @@
     settings: Box<RawValue>,
 }
 
-/// What the file says of that which cannot change while the program runs.
-pub type Fixed = [(&'static str, Value); 10];
+impl ConfigurationForm {
+    /// The fields that cannot change while the process runs.
+    fn immutable_fields(&self) -> Vec<ImmutableField> {
+        vec![
+            ImmutableField::new("name", &self.name),
+            ImmutableField::new("listen", &self.listen),
+            ImmutableField::new("limits", &json(&self.limits)),
+            ImmutableField::new("settings", &json(&self.settings)),
+        ]
+    }
+}
 
-/// Where the configuration is, and the operator's own file if there is one.
-pub struct Files {
-    pub config: String,
-    pub operator: Option<String>,
+/// What the platform allows the process, as `limits` in the configuration says.
+#[derive(Deserialize)]
+struct PlatformLimits {
+    memory_mb: usize,
+    sockets: usize,
+}
+
+impl PlatformLimits {
+    /// Reads the limits, and checks them and the system's limit on open files.
+    fn parse(text: &RawValue) -> Result<(PlatformLimits, Descriptors), ConfigurationError> {
+        let limits: PlatformLimits =
+            serde_json::from_str(text.get()).map_err(ConfigurationError::LimitsForm)?;
+        at_least("sockets", limits.sockets, MIN_SOCKETS)?;
+        let descriptors = Descriptors::of_this_process(limits.sockets);
+        if descriptors.allowed < Descriptors::LEAST {
+            let allowed = descriptors.allowed;
+            return Err(ConfigurationError::TooFewDescriptors { allowed, minimum: Descriptors::LEAST });
+        }
+        at_least("memory_mb", limits.memory_mb, MIN_MEMORY_MB)?;
+        Ok((limits, descriptors))
+    }
 }
 
-/// All that a driver is told at its start.
-pub struct Start {
+/// What the process is started with, checked.
+pub struct Configuration {
+    /// The name of this process, its own in the fleet.
     pub name: String,
+    /// Where clients are accepted.
     pub listen: SocketAddr,
+    /// Where discovery is.
     pub discovery: SocketAddr,
+    /// Seed of all random choices.
     pub seed: u64,
-    pub limits: Limits,
-    pub bounds: Bounds,
-    pub gateway: Option<Gateway>,
-    pub trial: Option<ShadowRouter>,
-    pub warm: Option<Warm>,
-    pub fellows: Option<Fellows>,
-    pub council: Option<Council>,
-    pub suspension: bool,
+    /// Memory that the process may use, in bytes.
     pub memory: u64,
-    pub known: Option<EndpointList>,
-    pub decoded: Decoded,
-    pub fixed: Fixed,
+    /// Sizes, counts and times that bound the process.
+    pub limits: Limits,
+    /// Limits on what may wait for slow peers.
+    pub flow_limits: Bounds,
+    /// The endpoint list that the file holds, for the time until discovery answers.
+    pub endpoint_list: Option<EndpointList>,
+    /// The settings of the deployment.
+    pub settings: Decoded,
+    /// Other settings, whose decisions are only counted.
+    pub shadow: Option<ShadowRouter>,
+    /// The operator's file; its defaults where there is none.
+    pub operator: Operator,
+    /// What a reload must find unchanged.
+    pub immutable: ImmutableFields,
+}
+
+impl Configuration {
+    /// Reads both files. `environment` looks up a variable: GW_NAME, GW_LISTEN and GW_DISCOVERY come before what the
+    /// configuration says.
+    ///
+    /// # Errors
+    ///
+    /// A file cannot be read, or its content cannot be used.
+    pub fn read(
+        files: &ConfigurationFiles,
+        environment: impl Fn(&str) -> Option<String>,
+    ) -> Result<Configuration, ProgramError> {
+        let operator = read_operator_file(files.operator.as_deref())?;
+        let text = read_file(&files.config)?;
+        let mut configuration = Configuration::parse(&text, environment, operator)
+            .map_err(|source| ProgramError::Configuration { path: files.config.clone(), source })?;
+        configuration.read_shadow_settings(files)?;
+        configuration.apply_slow_peers(files)?;
+        Ok(configuration)
+    }
+
+    /// All that the text itself says; the shadow settings, and the operator's limits on slow peers, are still to come.
+    fn parse(
+        text: &str,
+        environment: impl Fn(&str) -> Option<String>,
+        operator: Operator,
+    ) -> Result<Configuration, ConfigurationError> {
+        let form: ConfigurationForm = serde_json::from_str(text).map_err(ConfigurationError::Form)?;
+        let (platform, descriptors) = PlatformLimits::parse(&form.limits)?;
+        let settings = Decoded::parse(form.settings.get()).map_err(ConfigurationError::Settings)?;
+        let immutable = ImmutableFields::new(form.immutable_fields(), &operator);
+        let memory = platform.memory_mb as u64 * BYTES_PER_MB;
+        let buffer_kib = operator.slow_peers.buffer_kib;
+        Ok(Configuration {
+            name: environment("GW_NAME").unwrap_or(form.name),
+            listen: address("listen", environment("GW_LISTEN").unwrap_or(form.listen))?,
+            discovery: address("discovery", environment("GW_DISCOVERY").unwrap_or(form.discovery))?,
+            seed: u64::from_str_radix(&form.seed, 16).map_err(|_| ConfigurationError::Seed(form.seed))?,
+            memory,
+            limits: Limits::new(descriptors, platform.memory_mb, &settings, buffer_kib),
+            flow_limits: Bounds::usual(memory),
+            endpoint_list: form.known,
+            settings,
+            shadow: None,
+            operator,
+            immutable,
+        })
+    }
+
+    fn read_shadow_settings(&mut self, files: &ConfigurationFiles) -> Result<(), ProgramError> {
+        let Some(wanted) = &self.operator.trial else { return Ok(()) };
+        let shadow = ShadowRouter::read(wanted, &self.settings)
+            .map_err(|source| ProgramError::ShadowSettings { path: files.operator_or_config(), source })?;
+        self.shadow = Some(shadow);
+        Ok(())
+    }
+
+    /// The operator's limits must leave space for one statement and one answer of full size.
+    fn apply_slow_peers(&mut self, files: &ConfigurationFiles) -> Result<(), ProgramError> {
+        self.flow_limits = flow_limits::apply(self.flow_limits, &self.operator.slow_peers);
+        flow_limits::check(&self.flow_limits, self.limits.statement, self.limits.answer).map_err(|low| {
+            let path = files.operator_or_config();
+            ProgramError::FlowLimitTooLow { path, field: low.field, minimum: low.minimum }
+        })
+    }
 }
 
 /// A variable of the process's environment; an empty one counts as not set.
@@ -63,141 +183,28 @@
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
-fn address(field: &'static str, text: String) -> Result<SocketAddr, ConfigurationError> {
-    text.parse().map_err(|_| ConfigurationError::Address { field, text })
+fn read_file(path: &str) -> Result<String, ProgramError> {
+    std::fs::read_to_string(path)
+        .map_err(|source| ProgramError::UnreadableFile { path: path.to_owned(), source })
 }
 
-impl Start {
-    /// Reads the configuration; GW_NAME, GW_LISTEN and GW_DISCOVERY come before what it says.
-    pub fn read(files: &Files, env: impl Fn(&str) -> Option<String>) -> Result<Start, ProgramError> {
-        let text = |path: &String| {
-            std::fs::read_to_string(path)
-                .map_err(|source| ProgramError::UnreadableFile { path: path.clone(), source })
-        };
-        let operator = match &files.operator {
-            Some(path) => Operator::parse(&text(path)?)
-                .map_err(|source| ProgramError::OperatorFile { path: path.clone(), source })?,
-            None => Operator::default(),
-        };
-        let unclear = |source| ProgramError::Configuration { path: files.config.clone(), source };
-        let mut start = Start::parse(&text(&files.config)?, env, &operator).map_err(unclear)?;
-        let path = || files.operator.as_ref().unwrap_or(&files.config).clone();
-        if let Some(wanted) = &operator.trial {
-            let trial = ShadowRouter::read(wanted, &start.decoded);
-            start.trial =
-                Some(trial.map_err(|source| ProgramError::ShadowSettings { path: path(), source })?);
-        }
-        // What the operator wants must hold one statement and one answer of full size.
-        let sizes = (start.limits.statement as u64, start.limits.answer as u64);
-        start.bounds = bounded(start.bounds, &operator.slow_peers);
-        start.bounds.check(sizes.0, sizes.1).map_err(|(field, least)| {
-            let (field, least) = match field {
-                "per_address.connections" => ("per_address.connections", least),
-                "per_address.room" => ("per_address.room_kib", least.div_ceil(1024)),
-                "connection" => ("connection_kib", least.div_ceil(1024)),
-                _ => ("room_kib", least.div_ceil(1024)),
-            };
-            ProgramError::FlowLimitTooLow { path: path(), field, minimum: least }
-        })?;
-        Ok(start)
-    }
-
-    fn parse(
-        text: &str,
-        env: impl Fn(&str) -> Option<String>,
-        operator: &Operator,
-    ) -> Result<Start, ConfigurationError> {
-        let form: Form = serde_json::from_str(text).map_err(ConfigurationError::Form)?;
-        let told = |variable: &str, field: String| env(variable).unwrap_or(field);
-        let seed = u64::from_str_radix(&form.seed, 16);
-        let Allowed { memory_mb, sockets } =
-            serde_json::from_str(form.limits.get()).map_err(ConfigurationError::LimitsForm)?;
-        if sockets < 64 {
-            return Err(ConfigurationError::LimitTooLow { field: "sockets", value: sockets, minimum: 64 });
-        }
-        let descriptors = Descriptors::of_this_process(sockets);
-        if descriptors.allowed < Descriptors::LEAST {
-            let Descriptors { allowed, .. } = descriptors;
-            return Err(ConfigurationError::TooFewDescriptors { allowed, minimum: Descriptors::LEAST });
-        }
-        if memory_mb < 16 {
-            return Err(ConfigurationError::LimitTooLow {
-                field: "memory_mb",
-                value: memory_mb,
-                minimum: 16,
-            });
-        }
-        let decoded = Decoded::parse(form.settings.get()).map_err(ConfigurationError::Settings)?;
-        let value = |raw: &RawValue| serde_json::from_str(raw.get()).unwrap_or_default();
-        let fixed = [
-            ("name", form.name.clone().into()),
-            ("listen", form.listen.clone().into()),
-            ("limits", value(&form.limits)),
-            ("settings", value(&form.settings)),
-            ("gateway", serde_json::to_value(&operator.gateway).unwrap_or_default()),
-            ("slow_peers.buffer_kib", operator.slow_peers.buffer_kib.into()),
-            ("warm", serde_json::to_value(&operator.warm).unwrap_or_default()),
-            ("suspension", operator.suspension.into()),
-            ("fellows", serde_json::to_value(&operator.fellows).unwrap_or_default()),
-            ("council", serde_json::to_value(operator.council.as_ref().map(lasting)).unwrap_or_default()),
-        ];
-        Ok(Start {
-            fixed,
-            name: told("GW_NAME", form.name),
-            listen: address("listen", told("GW_LISTEN", form.listen))?,
-            discovery: address("discovery", told("GW_DISCOVERY", form.discovery))?,
-            seed: seed.map_err(|_| ConfigurationError::Seed(form.seed))?,
-            limits: Limits::new(descriptors, memory_mb, &decoded, operator.slow_peers.buffer_kib),
-            bounds: Bounds::usual(memory_mb as u64 * 1024 * 1024),
-            gateway: operator.gateway.clone(),
-            trial: None,
-            warm: operator.warm.clone(),
-            fellows: operator.fellows.clone(),
-            council: operator.council.clone(),
-            suspension: operator.suspension,
-            memory: memory_mb as u64 * 1024 * 1024,
-            known: form.known,
-            decoded,
-        })
-    }
+fn read_operator_file(path: Option<&str>) -> Result<Operator, ProgramError> {
+    let Some(path) = path else { return Ok(Operator::default()) };
+    Operator::parse(&read_file(path)?)
+        .map_err(|source| ProgramError::OperatorFile { path: path.to_owned(), source })
 }
 
-/// A council without what may change while the program runs.
-fn lasting(council: &Council) -> Council {
-    Council { cuts: Default::default(), retire: Vec::new(), ..council.clone() }
+fn address(field: &'static str, text: String) -> Result<SocketAddr, ConfigurationError> {
+    text.parse().map_err(|_| ConfigurationError::Address { field, text })
 }
 
-/// The usual limits, but for what the operator's file says otherwise.
-fn bounded(usual: Bounds, wanted: &SlowPeers) -> Bounds {
-    const KIB: u64 = 1024;
-    let micros = |millis: u32| i64::from(millis) * 1000;
-    let least = |usual: Least, wanted: Rate| Least {
-        rate: wanted.bytes_a_second.map_or(usual.rate, |rate| rate.max(1)),
-        start: wanted.start_ms.map_or(usual.start, micros),
-        window: wanted.window_ms.map_or(usual.window, micros),
-    };
-    let room = wanted.room_kib.map_or(usual.room, |kib| kib.saturating_mul(KIB));
-    // Parts that the file does not name keep their proportion.
-    let scaled = |part: u64| (part as f64 / usual.room as f64 * room as f64) as u64;
-    let share = |share: f64| (share.clamp(0.0, 1.0) * room as f64) as u64;
-    Bounds {
-        room,
-        connection: wanted.connection_kib.map_or(scaled(usual.connection), |kib| kib.saturating_mul(KIB)),
-        address: wanted.per_address.map(|most| PerAddress {
-            connections: most.connections as usize,
-            room: most.room_kib.saturating_mul(KIB),
-        }),
-        reserve: wanted.best_paid_share.map_or(scaled(usual.reserve), share),
-        short: wanted.short.map_or((scaled(usual.short.0), scaled(usual.short.1)), |short| {
-            (share(short.enter), share(short.leave))
-        }),
-        reading: least(usual.reading, wanted.reading),
-        sending: least(usual.sending, wanted.sending),
-        answering: least(usual.answering, wanted.answering),
-        taking: least(usual.taking, wanted.taking),
-        patience: wanted.patience_ms.map_or(usual.patience, micros),
-        overdue: wanted.overdue_ms.map_or(usual.overdue, micros),
-        lingering: wanted.lingering_ms.map_or(usual.lingering, micros),
-        stopping: wanted.stopping_ms.map_or(usual.stopping, micros),
+fn at_least(field: &'static str, value: usize, minimum: usize) -> Result<(), ConfigurationError> {
+    if value < minimum {
+        return Err(ConfigurationError::LimitTooLow { field, value, minimum });
     }
+    Ok(())
+}
+
+fn json(text: &RawValue) -> Value {
+    serde_json::from_str(text.get()).unwrap_or_default()
 }
--- a/crates/proxy/src/lifecycle/mod.rs
+++ b/crates/proxy/src/lifecycle/mod.rs
@@ -3,6 +3,8 @@
 pub mod clock;
 pub mod configuration;
 pub mod errors;
+pub mod flow_limits;
+pub mod immutable_fields;
 pub mod limits;
 pub mod process_context;
 pub mod reload;
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! The actor that reads the configuration anew on SIGHUP.
+//! The actor that reads the configuration again on SIGHUP, and hands what may change to the other actors.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,46 +9,62 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::flow_control::FlowControl;
-use crate::lifecycle::configuration::{Files, Fixed, Start};
+use crate::lifecycle::configuration::{Configuration, ConfigurationFiles};
+use crate::lifecycle::immutable_fields::ImmutableFields;
 use crate::messages::DispatcherMessage;
 
+/// What the actor reads, and whom it tells.
 pub struct Reload {
-    pub files: Files,
-    pub fixed: Fixed,
+    /// The files that are read again.
+    pub files: ConfigurationFiles,
+    /// What the last reading said of the fields that cannot change.
+    pub immutable: ImmutableFields,
+    /// Tells the discovery watch where discovery is.
     pub discovery: watch::Sender<SocketAddr>,
+    /// Takes in new limits on slow peers.
     pub flow_control: Rc<FlowControl>,
+    /// Takes in other settings for shadow evaluation.
     pub dispatcher: mpsc::Sender<DispatcherMessage>,
-    /// What drivers decide in common, as the operator's file has it now.
-    pub council: watch::Sender<Option<Council>>,
+    /// Tells the membership actor what the operator's file says of coordination.
+    pub coordination: watch::Sender<Option<Council>>,
+    /// Where reloads are logged.
     pub log: Logger,
 }
 
 impl Reload {
-    /// From the first SIGHUP on, the file's `discovery` holds; what is wrong with the file changes nothing.
+    /// Reloads on every SIGHUP. Files that cannot be used change nothing.
     pub async fn run(mut self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
-            // The environment told where discovery was at the start.
-            let told = |name: &str| std::env::var(name).ok().filter(|_| name != "GW_DISCOVERY");
-            let start = match Start::read(&self.files, told) {
-                Ok(start) => start,
-                Err(why) => {
-                    warn!(self.log, "configuration not read, the old one goes on"; "why" => %why);
-                    continue;
+            match Configuration::read(&self.files, environment_at_reload) {
+                Ok(configuration) => self.apply(configuration).await,
+                Err(error) => {
+                    warn!(self.log, "configuration not reloaded, the old one stays in force"; "why" => %error);
                 }
-            };
-            let changed = start.fixed.iter().zip(&self.fixed).filter(|(new, old)| new != old);
-            for ((field, _), _) in changed {
-                warn!(self.log, "configuration field cannot change while running"; "field" => field);
             }
-            self.fixed = start.fixed;
-            self.flow_control.update_limits(start.bounds);
-            // A dispatcher that is gone ends the program by itself.
-            let _ = self.dispatcher.send(DispatcherMessage::TrialReplaced(start.trial.map(Box::new))).await;
-            self.council.send_replace(start.council);
-            let moved = self
-                .discovery
-                .send_if_modified(|address| std::mem::replace(address, start.discovery) != start.discovery);
-            info!(self.log, "configuration read anew"; "discovery" => %start.discovery, "moved" => moved);
         }
     }
+
+    async fn apply(&mut self, configuration: Configuration) {
+        for field in configuration.immutable.changed_since(&self.immutable) {
+            warn!(self.log, "configuration field cannot change while running"; "field" => field);
+        }
+        self.immutable = configuration.immutable;
+        self.flow_control.update_limits(configuration.flow_limits);
+        let shadow = configuration.shadow.map(Box::new);
+        // If the dispatcher is gone, the process is about to end.
+        let _ = self.dispatcher.send(DispatcherMessage::TrialReplaced(shadow)).await;
+        self.coordination.send_replace(configuration.operator.council);
+        let moved = self.update_discovery(configuration.discovery);
+        info!(self.log, "configuration reloaded"; "discovery" => %configuration.discovery, "moved" => moved);
+    }
+
+    /// Tells the new address to the discovery watch; whether it differs from the old one.
+    fn update_discovery(&self, discovery: SocketAddr) -> bool {
+        self.discovery.send_if_modified(|address| std::mem::replace(address, discovery) != discovery)
+    }
+}
+
+/// From the first SIGHUP on the file says where discovery is: GW_DISCOVERY holds for the start alone.
+fn environment_at_reload(name: &str) -> Option<String> {
+    std::env::var(name).ok().filter(|_| name != "GW_DISCOVERY")
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -38,7 +38,7 @@
 use crate::flow_control::FlowControl;
 use crate::gateway::LinkRegistry;
 use crate::lifecycle::clock::{Clock, UnstalledClock, duration};
-use crate::lifecycle::configuration::{Files, Start};
+use crate::lifecycle::configuration::{Configuration, ConfigurationFiles};
 use crate::lifecycle::errors::{Actor, ProgramError};
 use crate::lifecycle::limits::Limits;
 use crate::lifecycle::process_context::ProcessContext;
@@ -69,25 +69,27 @@
 }
 
 /// Starts the actors and stays until the listener has served its last client.
-async fn run(start: Start, files: Files, ends: [Signal; 2], hangup: Signal) -> Result<(), ProgramError> {
-    let Start {
+async fn run(
+    start: Configuration,
+    files: ConfigurationFiles,
+    ends: [Signal; 2],
+    hangup: Signal,
+) -> Result<(), ProgramError> {
+    let Configuration {
         name,
         listen,
         discovery,
         seed,
         limits,
-        bounds,
-        gateway,
-        trial,
-        warm,
-        fellows,
-        council,
-        suspension,
+        flow_limits: bounds,
+        shadow: trial,
+        operator,
         memory,
-        known,
-        decoded,
-        fixed,
+        endpoint_list: known,
+        settings: decoded,
+        immutable,
     } = start;
+    let aldermill_operator_config::Operator { gateway, warm, fellows, council, suspension, .. } = operator;
     let (stop_window, stop_guests) = (limits.stop_window, limits.stop_guests);
     let (log, _guard) = logger(&limits);
     let [mut terminate, mut interrupt] = ends;
@@ -104,11 +106,11 @@
     spawn_local(
         Reload {
             files,
-            fixed,
+            immutable,
             discovery: address,
             flow_control: flow_control.clone(),
             dispatcher: dispatcher.clone(),
-            council: wanted,
+            coordination: wanted,
             log: log.clone(),
         }
         .run(hangup),
