--- a/crates/proxy/src/cli/check.rs
+++ b/crates/proxy/src/cli/check.rs
@@ -21,8 +21,10 @@
     let members = configuration.endpoint_list.as_ref().map_or(0, |list| list.members.len());
     let classes = configuration.settings.terms.classes.len();
     println!("{members} members known, {classes} offerings");
-    println!("connections: {} from clients, {} to members", limits.clients, limits.members);
-    let budget = configuration.flow_limits.room / BYTES_PER_KIB;
-    let connection = configuration.flow_limits.connection / BYTES_PER_KIB;
+    let clients = limits.connections.clients;
+    let members = limits.connections.members;
+    println!("connections: {clients} from clients, {members} to members");
+    let budget = configuration.flow_limits.budget / BYTES_PER_KIB;
+    let connection = configuration.flow_limits.per_connection / BYTES_PER_KIB;
     println!("room for what waits: {budget} KiB, {connection} KiB for one connection");
 }
--- a/crates/proxy/src/client/statement.rs
+++ b/crates/proxy/src/client/statement.rs
@@ -9,7 +9,7 @@
             self.buffer.consume(length);
             return Vec::new();
         }
-        if length > self.context.limits.small {
+        if length > self.context.limits.buffers.small_message {
             // Held once: what was the buffer becomes the statement.
             let mut message = self.buffer.take(length);
             message.pop();
@@ -83,9 +83,9 @@
     pub(super) async fn reserve(&mut self, size: usize) -> Result<BufferReservation, End> {
         let limits = &self.context.limits;
         let text = self.buffer.held().get(pg::BEFORE_BODY..).and_then(|text| Comment::parse(text).ok());
-        let best = text.is_some_and(|comment| self.context.best_paid.contains(&comment.class));
-        let until = Instant::now() + limits.room_wait;
-        if let Some(room) = self.connection_guard.reserve(size, best, until).await {
+        let priority = text.map_or(Priority::Normal, |comment| self.context.priority(&comment.class));
+        let until = Instant::now() + limits.client.reservation_wait;
+        if let Some(room) = self.connection_guard.reserve(size, priority, until).await {
             self.buffer.expect(size + 1);
             return Ok(room);
         }
@@ -121,12 +121,12 @@
         let mailbox = self.address.clone();
         let request = ClientRequest {
             client,
-            holder: self.connection_guard.peer,
+            peer: self.connection_guard.peer,
             mailbox,
-            arrived,
+            received_at: arrived,
             statement,
             comment,
-            written_ago: None,
+            last_write_age: None,
         };
         self.context.dispatcher.send(DispatcherMessage::ClientRequest(request)).await.map_err(|_| End::Quiet)
     }
--- a/crates/proxy/src/lifecycle/configuration.rs
+++ b/crates/proxy/src/lifecycle/configuration.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use aldermill_flow_control::Bounds;
+use aldermill_flow_control::FlowLimits;
 use aldermill_operator_config::Operator;
 use aldermill_settings::Decoded;
 use serde::Deserialize;
@@ -99,7 +99,7 @@
     /// Sizes, counts and times that bound the process.
     pub limits: Limits,
     /// Limits on what may wait for slow peers.
-    pub flow_limits: Bounds,
+    pub flow_limits: FlowLimits,
     /// The endpoint list that the file holds, for the time until discovery answers.
     pub endpoint_list: Option<EndpointList>,
     /// The settings of the deployment.
@@ -151,7 +151,7 @@
             seed: u64::from_str_radix(&form.seed, 16).map_err(|_| ConfigurationError::Seed(form.seed))?,
             memory,
             limits: Limits::new(descriptors, platform.memory_mb, &settings, buffer_kib),
-            flow_limits: Bounds::usual(memory),
+            flow_limits: FlowLimits::for_memory(memory),
             endpoint_list: form.known,
             settings,
             shadow: None,
@@ -161,7 +161,7 @@
     }
 
     fn read_shadow_settings(&mut self, files: &ConfigurationFiles) -> Result<(), ProgramError> {
-        let Some(wanted) = &self.operator.trial else { return Ok(()) };
+        let Some(wanted) = &self.operator.shadow else { return Ok(()) };
         let shadow = ShadowRouter::read(wanted, &self.settings)
             .map_err(|source| ProgramError::ShadowSettings { path: files.operator_or_config(), source })?;
         self.shadow = Some(shadow);
@@ -171,7 +171,8 @@
     /// The operator's limits must leave space for one statement and one answer of full size.
     fn apply_slow_peers(&mut self, files: &ConfigurationFiles) -> Result<(), ProgramError> {
         self.flow_limits = flow_limits::apply(self.flow_limits, &self.operator.slow_peers);
-        flow_limits::check(&self.flow_limits, self.limits.statement, self.limits.answer).map_err(|low| {
+        let buffers = &self.limits.buffers;
+        flow_limits::check(&self.flow_limits, buffers.statement, buffers.response).map_err(|low| {
             let path = files.operator_or_config();
             ProgramError::FlowLimitTooLow { path, field: low.field, minimum: low.minimum }
         })
--- a/crates/proxy/src/lifecycle/errors.rs
+++ b/crates/proxy/src/lifecycle/errors.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use aldermill_operator_config::Wrong;
+use aldermill_operator_config::OperatorError;
 use aldermill_settings::Trouble;
 use thiserror::Error;
 use tokio::task::JoinError;
@@ -26,7 +26,7 @@
         /// The operator's file.
         path: String,
         /// Which field is wrong, and why.
-        source: Wrong,
+        source: OperatorError,
     },
     /// The configuration cannot be used.
     #[error("{path}: {source}")]
--- a/crates/proxy/src/lifecycle/flow_limits.rs
+++ b/crates/proxy/src/lifecycle/flow_limits.rs
@@ -1,7 +1,9 @@
 //! The limits on slow peers: the usual ones, changed by `slow_peers` of the operator's file.
 
-use aldermill_flow_control::{Bounds, Least, Micros, PerAddress};
-use aldermill_operator_config::{Rate, SlowPeers};
+use aldermill_flow_control::{
+    AddressLimits, FlowLimits, FlowLimitsError, Micros, MinimumRate, PressureThresholds,
+};
+use aldermill_operator_config::{MinimumRate as WantedRate, SlowPeersConfig};
 
 const KIB: u64 = 1024;
 
@@ -15,45 +17,57 @@
 }
 
 /// The usual limits, but for what the operator's file says otherwise.
-pub fn apply(usual: Bounds, wanted: &SlowPeers) -> Bounds {
-    let room = wanted.room_kib.map_or(usual.room, |kib| kib.saturating_mul(KIB));
+pub fn apply(usual: FlowLimits, wanted: &SlowPeersConfig) -> FlowLimits {
+    let budget = wanted.room_kib.map_or(usual.budget, |kib| kib.saturating_mul(KIB));
     // Parts that the file does not name keep their proportion.
-    let scaled = |part: u64| (part as f64 / usual.room as f64 * room as f64) as u64;
-    let share = |share: f64| (share.clamp(0.0, 1.0) * room as f64) as u64;
-    Bounds {
-        room,
-        connection: wanted.connection_kib.map_or(scaled(usual.connection), |kib| kib.saturating_mul(KIB)),
-        address: wanted.per_address.map(|most| PerAddress {
+    let scaled = |part: u64| (part as f64 / usual.budget as f64 * budget as f64) as u64;
+    let share = |share: f64| (share.clamp(0.0, 1.0) * budget as f64) as u64;
+    FlowLimits {
+        budget,
+        per_connection: wanted
+            .connection_kib
+            .map_or(scaled(usual.per_connection), |kib| kib.saturating_mul(KIB)),
+        per_address: wanted.per_address.map(|most| AddressLimits {
             connections: most.connections as usize,
-            room: most.room_kib.saturating_mul(KIB),
+            budget: most.room_kib.saturating_mul(KIB),
         }),
-        reserve: wanted.best_paid_share.map_or(scaled(usual.reserve), share),
-        short: wanted.short.map_or((scaled(usual.short.0), scaled(usual.short.1)), |short| {
-            (share(short.enter), share(short.leave))
-        }),
-        reading: least_rate(usual.reading, wanted.reading),
-        sending: least_rate(usual.sending, wanted.sending),
-        answering: least_rate(usual.answering, wanted.answering),
-        taking: least_rate(usual.taking, wanted.taking),
-        patience: wanted.patience_ms.map_or(usual.patience, micros),
-        overdue: wanted.overdue_ms.map_or(usual.overdue, micros),
-        lingering: wanted.lingering_ms.map_or(usual.lingering, micros),
-        stopping: wanted.stopping_ms.map_or(usual.stopping, micros),
+        priority_reserve: wanted.best_paid_share.map_or(scaled(usual.priority_reserve), share),
+        pressure: match wanted.short {
+            Some(short) => PressureThresholds { enter: share(short.enter), leave: share(short.leave) },
+            None => PressureThresholds {
+                enter: scaled(usual.pressure.enter),
+                leave: scaled(usual.pressure.leave),
+            },
+        },
+        to_client: minimum_rate(usual.to_client, wanted.reading),
+        from_client: minimum_rate(usual.from_client, wanted.sending),
+        from_member: minimum_rate(usual.from_member, wanted.answering),
+        to_member: minimum_rate(usual.to_member, wanted.taking),
+        reservation_timeout: wanted.patience_ms.map_or(usual.reservation_timeout, micros),
+        max_time_behind: wanted.overdue_ms.map_or(usual.max_time_behind, micros),
+        linger: wanted.lingering_ms.map_or(usual.linger, micros),
+        shutdown_grace: wanted.stopping_ms.map_or(usual.shutdown_grace, micros),
     }
 }
 
 /// Checks that one statement and one answer of full size, both in bytes, fit into the limits.
-pub fn check(limits: &Bounds, statement: usize, answer: usize) -> Result<(), LimitTooLow> {
-    limits.check(statement as u64, answer as u64).map_err(|(field, minimum)| match field {
-        "per_address.connections" => LimitTooLow { field: "per_address.connections", minimum },
-        "per_address.room" => LimitTooLow { field: "per_address.room_kib", minimum: minimum.div_ceil(KIB) },
-        "connection" => LimitTooLow { field: "connection_kib", minimum: minimum.div_ceil(KIB) },
-        _ => LimitTooLow { field: "room_kib", minimum: minimum.div_ceil(KIB) },
+pub fn check(limits: &FlowLimits, statement: usize, response: usize) -> Result<(), LimitTooLow> {
+    limits.validate(statement as u64, response as u64).map_err(|error| match error {
+        FlowLimitsError::ConnectionsPerAddress { minimum } => {
+            LimitTooLow { field: "per_address.connections", minimum }
+        }
+        FlowLimitsError::PerAddress { minimum } => in_kib("per_address.room_kib", minimum),
+        FlowLimitsError::PerConnection { minimum } => in_kib("connection_kib", minimum),
+        FlowLimitsError::Budget { minimum } => in_kib("room_kib", minimum),
     })
 }
 
-fn least_rate(usual: Least, wanted: Rate) -> Least {
-    Least {
+fn in_kib(field: &'static str, minimum: u64) -> LimitTooLow {
+    LimitTooLow { field, minimum: minimum.div_ceil(KIB) }
+}
+
+fn minimum_rate(usual: MinimumRate, wanted: WantedRate) -> MinimumRate {
+    MinimumRate {
         rate: wanted.bytes_a_second.map_or(usual.rate, |rate| rate.max(1)),
         start: wanted.start_ms.map_or(usual.start, micros),
         window: wanted.window_ms.map_or(usual.window, micros),
--- a/crates/proxy/src/lifecycle/immutable_fields.rs
+++ b/crates/proxy/src/lifecycle/immutable_fields.rs
@@ -1,6 +1,6 @@
 //! The fields that cannot change while the process runs: a reload compares them and only warns.
 
-use aldermill_operator_config::{Council, Operator};
+use aldermill_operator_config::{CoordinationConfig, Operator};
 use serde::Serialize;
 use serde_json::Value;
 
@@ -20,14 +20,14 @@
 impl ImmutableFields {
     /// These fields of the configuration, followed by those of the operator's file.
     pub fn new(configuration: Vec<ImmutableField>, operator: &Operator) -> ImmutableFields {
-        let coordination = operator.council.as_ref().map(immutable_coordination);
+        let coordination = operator.coordination.as_ref().map(immutable_coordination);
         let mut fields = configuration;
         fields.extend([
             ImmutableField::new("gateway", &operator.gateway),
             ImmutableField::new("slow_peers.buffer_kib", &operator.slow_peers.buffer_kib),
-            ImmutableField::new("warm", &operator.warm),
+            ImmutableField::new("warm", &operator.warm_start),
             ImmutableField::new("suspension", &operator.suspension),
-            ImmutableField::new("fellows", &operator.fellows),
+            ImmutableField::new("fellows", &operator.membership),
             ImmutableField::new("council", &coordination),
         ]);
         ImmutableFields(fields)
@@ -51,6 +51,6 @@
 }
 
 /// The coordination's part that cannot change: a reload takes in cuts and sites that drain.
-fn immutable_coordination(coordination: &Council) -> Council {
-    Council { cuts: Default::default(), retire: Vec::new(), ..coordination.clone() }
+fn immutable_coordination(coordination: &CoordinationConfig) -> CoordinationConfig {
+    CoordinationConfig { cuts: Default::default(), site_drain: Vec::new(), ..coordination.clone() }
 }
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_operator_config::Council;
+use aldermill_operator_config::CoordinationConfig;
 use slog::{Logger, info, warn};
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, watch};
@@ -26,7 +26,7 @@
     /// Takes in other settings for shadow evaluation.
     pub dispatcher: mpsc::Sender<DispatcherMessage>,
     /// Tells the membership actor what the operator's file says of coordination.
-    pub coordination: watch::Sender<Option<Council>>,
+    pub coordination: watch::Sender<Option<CoordinationConfig>>,
     /// Where reloads are logged.
     pub log: Logger,
 }
@@ -52,8 +52,8 @@
         self.flow_control.update_limits(configuration.flow_limits);
         let shadow = configuration.shadow.map(Box::new);
         // If the dispatcher is gone, the process is about to end.
-        let _ = self.dispatcher.send(DispatcherMessage::TrialReplaced(shadow)).await;
-        self.coordination.send_replace(configuration.operator.council);
+        let _ = self.dispatcher.send(DispatcherMessage::ShadowReplaced(shadow)).await;
+        self.coordination.send_replace(configuration.operator.coordination);
         let moved = self.update_discovery(configuration.discovery);
         info!(self.log, "configuration reloaded"; "discovery" => %configuration.discovery, "moved" => moved);
     }
