--- a/crates/proxy/src/lifecycle/errors.rs
+++ b/crates/proxy/src/lifecycle/errors.rs
@@ -37,7 +37,7 @@
         source: ConfigurationError,
     },
     /// The settings for shadow evaluation cannot be used.
-    #[error("{path}: trial.settings: {source}")]
+    #[error("{path}: shadow.settings: {source}")]
     ShadowSettings {
         /// The file that names the settings.
         path: String,
@@ -65,7 +65,7 @@
         source: io::Error,
     },
     /// The lease protocol cannot work with what the operator's file says.
-    #[error("council.{0}")]
+    #[error("coordination.{0}")]
     Coordination(#[from] aldermill_leases::ConfigError),
     /// The async runtime cannot be created.
     #[error("runtime: {0}; the system refuses threads or descriptors, raise its limits for this process")]
@@ -116,7 +116,7 @@
         source: aldermill_store::Problem,
     },
     /// There is no such data directory.
-    #[error("{0}: no such folder; name the one that the operator's file has as `warm.folder`")]
+    #[error("{0}: no such folder; name the one that the operator's file has as `warm_start.folder`")]
     NoDataDirectory(String),
     /// Some records of a data directory cannot be read.
     #[error("{0}: damaged, what is left is read; `aldermill store compact` drops the rest")]
--- a/crates/proxy/src/lifecycle/immutable_fields.rs
+++ b/crates/proxy/src/lifecycle/immutable_fields.rs
@@ -25,10 +25,10 @@
         fields.extend([
             ImmutableField::new("gateway", &operator.gateway),
             ImmutableField::new("slow_peers.buffer_kib", &operator.slow_peers.buffer_kib),
-            ImmutableField::new("warm", &operator.warm_start),
+            ImmutableField::new("warm_start", &operator.warm_start),
             ImmutableField::new("suspension", &operator.suspension),
-            ImmutableField::new("fellows", &operator.membership),
-            ImmutableField::new("council", &coordination),
+            ImmutableField::new("membership", &operator.membership),
+            ImmutableField::new("coordination", &coordination),
         ]);
         ImmutableFields(fields)
     }
--- a/crates/proxy/src/membership/actor.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -74,7 +74,7 @@
         let listen = terms.listen;
         let bound = system::bind_datagrams(listen).await;
         let socket = bound.map_err(|source| ProgramError::Listen {
-            field: "fellows.listen",
+            field: "membership.listen",
             address: listen,
             source,
         })?;
--- a/crates/proxy/tests/staying.rs
+++ b/crates/proxy/tests/staying.rs
@@ -353,7 +353,7 @@
     std::fs::write(&operator, trial("{")).unwrap();
     driver.signal("-HUP");
     until("the line on the bad file", || driver.logged("configuration not reloaded"));
-    assert!(driver.logged("trial.settings: "));
+    assert!(driver.logged("shadow.settings: "));
     assert!(ask(&mut client));
     std::fs::write(&operator, "{}").unwrap();
     driver.signal("-HUP");
@@ -368,7 +368,7 @@
     assert!(!output.status.success());
     let why = String::from_utf8(output.stderr).unwrap();
     assert!(
-        why.contains("trial.settings: ") && why.contains("categories") && why.lines().count() == 1,
+        why.contains("shadow.settings: ") && why.contains("categories") && why.lines().count() == 1,
         "{why}"
     );
 }
