--- a/crates/proxy/src/lifecycle/mod.rs
+++ b/crates/proxy/src/lifecycle/mod.rs
@@ -1,4 +1,5 @@
-//! From the configuration to the end of the process: what it is started with, its clocks and limits, reload and errors.
+//! From the configuration to the end of the process: what it is started with, start, reload and shutdown, its clocks and
+//! limits, and its errors.
 
 pub mod clock;
 pub mod configuration;
@@ -6,6 +7,10 @@
 pub mod flow_limits;
 pub mod immutable_fields;
 pub mod limits;
+pub mod logging;
 pub mod process_context;
 pub mod reload;
+pub mod shutdown;
+pub mod signals;
+pub mod startup;
 pub mod status_socket;
--- /dev/null
+++ b/crates/proxy/src/lifecycle/startup/actors.rs
@@ -0,0 +1,235 @@
+//! Starts the actors, one a function.
+
+use std::rc::Rc;
+
+use aldermill_operator_config::{CoordinationConfig, LeaseKind};
+use aldermill_routing::Micros;
+use aldermill_settings::Decoded;
+use aldermill_site_drain::Plan;
+use aldermill_stall_detection::apart;
+use rand::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+use tokio::net::TcpListener;
+use tokio::signal::unix::Signal;
+use tokio::sync::{mpsc, watch};
+use tokio::task::{JoinHandle, spawn_local};
+
+use super::gateway;
+use super::resources::{DiscoveryChannels, DispatcherChannels, ReloadChannels, Startup};
+use crate::client;
+use crate::discovery::endpoint_list::EndpointList;
+use crate::discovery::watch::Watch;
+use crate::dispatcher::{Dispatcher, DispatcherParts, GatewayPart, Observations, WarmState};
+use crate::lifecycle::clock::duration;
+use crate::lifecycle::configuration::{Configuration, ConfigurationFiles};
+use crate::lifecycle::errors::ProgramError;
+use crate::lifecycle::immutable_fields::ImmutableFields;
+use crate::lifecycle::process_context::ProcessContext;
+use crate::lifecycle::reload::Reload;
+use crate::lifecycle::shutdown::RunningProxy;
+use crate::membership::{CoordinationStart, MembershipActor};
+use crate::messages::ListUpdate;
+use crate::persistence::{self, DataDirectory, Persistence};
+
+/// Each user of random numbers gets a seed of its own: the configured one, rotated left by so many bits.
+const MEMBERSHIP_SEED_ROTATION: u32 = 16;
+const OBSERVATIONS_SEED_ROTATION: u32 = 24;
+const DISCOVERY_SEED_ROTATION: u32 = 32;
+
+/// What is kept over a restart.
+pub(super) struct KeptState {
+    /// `None` where the operator's file names none.
+    pub(super) directory: Option<Rc<DataDirectory>>,
+    pub(super) warm_state: WarmState,
+}
+
+/// The membership actor's task, and what the dispatcher has to know of it before its first request.
+#[derive(Default)]
+struct StartedMembership {
+    /// `None` where the operator's file has no membership.
+    task: Option<JoinHandle<()>>,
+    /// Site drains that a former start saved.
+    site_drains: Vec<Plan>,
+}
+
+impl Startup {
+    /// Starts all actors, in the order that the module above describes.
+    ///
+    /// # Errors
+    ///
+    /// Nobody can listen at a configured address, or the lease protocol cannot work with what is configured.
+    pub async fn spawn_actors(
+        self,
+        files: ConfigurationFiles,
+        hangup: Signal,
+    ) -> Result<RunningProxy, ProgramError> {
+        let Startup { mut configuration, context, listener, channels, log_guard } = self;
+        let immutable = std::mem::take(&mut configuration.immutable);
+        spawn_local(context.flow_control.clone().run());
+        spawn_reload(&context, channels.reload, files, immutable, hangup);
+        let mut kept = open_data_directory(&context, &configuration).await;
+        let revision =
+            send_first_list(&mut configuration, &kept.warm_state, &channels.discovery.list_updates).await;
+        let gateway_part = gateway::start(&context, &mut configuration, &mut kept)?;
+        let observations = observations(&context, &configuration);
+        let reloads = channels.coordination;
+        let is_gateway = gateway_part.is_some();
+        let membership =
+            spawn_membership(&context, &mut configuration, kept.directory, reloads, is_gateway).await?;
+        let watch = discovery_watch(&context, &configuration, channels.discovery, revision);
+        let parts = DispatcherPieces {
+            gateway_part,
+            warm_state: kept.warm_state,
+            observations,
+            site_drains: membership.site_drains,
+        };
+        let dispatcher = spawn_dispatcher(&context, configuration, channels.dispatcher, parts);
+        spawn_local(watch.run());
+        let listener = spawn_listener(&context, listener);
+        let membership = membership.task;
+        Ok(RunningProxy { context, stop: channels.stop, listener, dispatcher, membership, log_guard })
+    }
+}
+
+fn spawn_reload(
+    context: &ProcessContext,
+    channels: ReloadChannels,
+    files: ConfigurationFiles,
+    immutable: ImmutableFields,
+    hangup: Signal,
+) {
+    let reload = Reload {
+        files,
+        immutable,
+        discovery: channels.discovery,
+        flow_control: context.flow_control.clone(),
+        dispatcher: context.dispatcher.clone(),
+        coordination: channels.coordination,
+        log: context.log.clone(),
+    };
+    spawn_local(reload.run(hangup));
+}
+
+/// Opens the data directory, where there is one, and reads what a former start saved.
+async fn open_data_directory(context: &ProcessContext, configuration: &Configuration) -> KeptState {
+    let Some(warm_start) = &configuration.operator.warm_start else {
+        return KeptState {
+            directory: None,
+            warm_state: WarmState { restored: Default::default(), snapshots: None },
+        };
+    };
+    let Persistence { directory, restored, snapshots } = persistence::start(
+        warm_start,
+        &configuration.name,
+        configuration.memory,
+        context.clock,
+        &context.log,
+    )
+    .await;
+    let warm_state = WarmState { restored: restored.snapshot, snapshots: Some(snapshots) };
+    KeptState { directory: Some(directory), warm_state }
+}
+
+/// Hands the dispatcher the newer of the configured and the saved endpoint list, and returns its revision.
+async fn send_first_list(
+    configuration: &mut Configuration,
+    warm_state: &WarmState,
+    list_updates: &mpsc::Sender<ListUpdate>,
+) -> Option<u64> {
+    let configured = configuration.endpoint_list.take();
+    let restored = EndpointList::from_snapshot(&warm_state.restored);
+    let mut newest = configured.into_iter().chain(restored).max_by_key(|list| list.revision)?;
+    let revision = newest.revision;
+    newest.complete = true;
+    let _ = list_updates.send(ListUpdate::Received(newest)).await;
+    Some(revision)
+}
+
+/// What is observed of this process for the fleet's decisions; `None` where nothing is decided in common.
+fn observations(context: &ProcessContext, configuration: &Configuration) -> Option<Observations> {
+    let coordination = configuration.operator.coordination.as_ref()?;
+    let has_split_points = coordination.leases.contains(&LeaseKind::SplitPoints);
+    let seed = configuration.seed.rotate_left(OBSERVATIONS_SEED_ROTATION);
+    Some(Observations::start(context.clock.now(), seed, has_split_points))
+}
+
+async fn spawn_membership(
+    context: &Rc<ProcessContext>,
+    configuration: &mut Configuration,
+    directory: Option<Rc<DataDirectory>>,
+    reloads: watch::Receiver<Option<CoordinationConfig>>,
+    is_gateway: bool,
+) -> Result<StartedMembership, ProgramError> {
+    let Some(membership) = configuration.operator.membership.take() else {
+        return Ok(StartedMembership::default());
+    };
+    let terms = &configuration.settings.terms;
+    let place = (terms.zone, longest_timeout(&configuration.settings));
+    let coordination = configuration.operator.coordination.take();
+    let coordination =
+        coordination.map(|wanted| CoordinationStart { wanted, folder: directory, place, reread: reloads });
+    let own = (&*configuration.name, terms.drivers, is_gateway);
+    let seed = configuration.seed.rotate_left(MEMBERSHIP_SEED_ROTATION);
+    let mut actor = MembershipActor::open(context.clone(), membership, coordination, own, seed).await?;
+    let site_drains = actor.bound();
+    Ok(StartedMembership { task: Some(spawn_local(actor.run())), site_drains })
+}
+
+/// The longest that a request may take, in microseconds.
+fn longest_timeout(settings: &Decoded) -> Micros {
+    settings.terms.classes.iter().map(|class| class.timeout).max().unwrap_or(0)
+}
+
+/// What other parts of the start made for the dispatcher.
+struct DispatcherPieces {
+    gateway_part: Option<GatewayPart>,
+    warm_state: WarmState,
+    observations: Option<Observations>,
+    site_drains: Vec<Plan>,
+}
+
+fn spawn_dispatcher(
+    context: &Rc<ProcessContext>,
+    configuration: Configuration,
+    channels: DispatcherChannels,
+    pieces: DispatcherPieces,
+) -> JoinHandle<()> {
+    let mut dispatcher = Dispatcher::new(DispatcherParts {
+        context: context.clone(),
+        decoded: configuration.settings,
+        seed: configuration.seed,
+        gateway_part: pieces.gateway_part,
+        trial: configuration.shadow,
+        warm_state: pieces.warm_state,
+        observations: pieces.observations,
+        ready: channels.ready,
+        list_wanted: channels.list_requests,
+    });
+    dispatcher.follow_site_drains(pieces.site_drains);
+    spawn_local(dispatcher.run(channels.list_updates, channels.messages))
+}
+
+/// The discovery watch, which waits before it first asks: processes that start together do not ask together.
+fn discovery_watch(
+    context: &Rc<ProcessContext>,
+    configuration: &Configuration,
+    channels: DiscoveryChannels,
+    revision: Option<u64>,
+) -> Watch {
+    let drivers = configuration.settings.terms.drivers;
+    let drain_grace = configuration.settings.drain_grace;
+    let mut rng = Pcg64Mcg::seed_from_u64(configuration.seed.rotate_left(DISCOVERY_SEED_ROTATION));
+    let jitter = apart::wait(&configuration.name, drivers, drain_grace, &mut rng);
+    Watch {
+        context: context.clone(),
+        dispatcher: channels.list_updates,
+        requests: channels.list_requests,
+        revision,
+        first: duration(jitter),
+        rng,
+    }
+}
+
+fn spawn_listener(context: &Rc<ProcessContext>, listener: TcpListener) -> JoinHandle<()> {
+    spawn_local(client::listener::run(context.clone(), listener))
+}
--- /dev/null
+++ b/crates/proxy/src/lifecycle/startup/gateway.rs
@@ -0,0 +1,105 @@
+//! Starts the links to other sites, and the dispatcher's part in them.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use aldermill_operator_config::{GatewayConfig, PeerSite};
+use aldermill_site_link::{Identity, LinkLimits};
+use slog::info;
+use tokio::task::spawn_local;
+
+use super::actors::KeptState;
+use crate::dispatcher::{GatewayPart, Opening};
+use crate::gateway::{self, LinkRegistry};
+use crate::lifecycle::configuration::Configuration;
+use crate::lifecycle::errors::ProgramError;
+use crate::lifecycle::process_context::ProcessContext;
+use crate::system;
+
+/// Links to each address of another site, where the operator's file does not say how many.
+const DEFAULT_LINKS_PER_ADDRESS: u32 = 2;
+/// Sites that a request may come through, where the operator's file does not say.
+const DEFAULT_MAX_HOPS: u32 = 1;
+/// Requests that another gateway may have under way here, where the operator's file does not say.
+const DEFAULT_CREDIT: u32 = 256;
+/// What may wait to be written to one link is this part of the buffer budget, and no less than the bytes below.
+const LINK_SHARE_OF_BUDGET: usize = 8;
+const MIN_LINK_BACKLOG: usize = 256 * 1024;
+
+/// Starts the links, where the operator's file has a gateway. The home sites that a former start saved are taken over.
+///
+/// # Errors
+///
+/// Nobody can listen for links at the configured address.
+pub(super) fn start(
+    context: &Rc<ProcessContext>,
+    configuration: &mut Configuration,
+    kept: &mut KeptState,
+) -> Result<Option<GatewayPart>, ProgramError> {
+    let Some(mut gateway) = configuration.operator.gateway.take() else { return Ok(None) };
+    gateway.homes.extend(std::mem::take(&mut kept.warm_state.restored.home_sites));
+    let now = context.clock.now();
+    let own = Identity {
+        site: gateway.site.clone(),
+        instance: configuration.name.clone(),
+        // New with every start: the time of it, which a restart does not share.
+        incarnation: now.max(1) as u64,
+    };
+    let registry = LinkRegistry::new(own.clone(), &gateway, link_limits(context, configuration));
+    accept_links(context, &registry, gateway.listen)?;
+    gateway::start(context, &registry, addresses(&gateway.peers), configuration.seed);
+    if let Some(path) = &gateway.status {
+        spawn_local(gateway::serve(context.clone(), path.clone()));
+    }
+    let opening = opening(context, own, gateway, kept);
+    Ok(Some(GatewayPart::new(opening, &configuration.settings, configuration.seed, now)))
+}
+
+fn link_limits(context: &ProcessContext, configuration: &Configuration) -> LinkLimits {
+    let budget = configuration.flow_limits.budget as usize;
+    let buffers = &context.limits.buffers;
+    LinkLimits {
+        waiting: (budget / LINK_SHARE_OF_BUDGET).max(MIN_LINK_BACKLOG),
+        ..LinkLimits::standard(buffers.statement, buffers.response)
+    }
+}
+
+/// Accepts links of other sites, where the operator's file says at which address.
+fn accept_links(
+    context: &Rc<ProcessContext>,
+    registry: &Rc<LinkRegistry>,
+    listen: Option<SocketAddr>,
+) -> Result<(), ProgramError> {
+    let Some(address) = listen else { return Ok(()) };
+    let limits = &context.limits;
+    let listener = system::listen(address, limits.queues.listen_backlog, limits.buffers.member_socket)
+        .map_err(|source| ProgramError::Listen { field: "gateway.listen", address, source })?;
+    let address = listener.local_addr().unwrap_or(address);
+    info!(context.log, "gateway accepts links"; "site" => &registry.own.site, "links" => %address);
+    spawn_local(gateway::accept(context.clone(), registry.clone(), listener));
+    Ok(())
+}
+
+/// Each address of another site as often as links are kept to it.
+fn addresses(peers: &[PeerSite]) -> Vec<(String, SocketAddr)> {
+    let of_site = |peer: &PeerSite| {
+        let links = peer.links.unwrap_or(DEFAULT_LINKS_PER_ADDRESS) as usize;
+        let site = peer.site.clone();
+        let repeated = peer.addresses.iter().flat_map(move |&address| std::iter::repeat_n(address, links));
+        repeated.map(move |address| (site.clone(), address)).collect::<Vec<_>>()
+    };
+    peers.iter().flat_map(of_site).collect()
+}
+
+fn opening(context: &ProcessContext, own: Identity, gateway: GatewayConfig, kept: &KeptState) -> Opening {
+    Opening {
+        own,
+        peers: gateway.peers.iter().map(|peer| peer.site.clone()).collect(),
+        homes: gateway.homes.into_iter().collect(),
+        hops: gateway.hops.unwrap_or(DEFAULT_MAX_HOPS) as usize,
+        credit: gateway.credit.unwrap_or(DEFAULT_CREDIT),
+        session: gateway.session,
+        fates: context.limits.links.outcomes_per_sender,
+        folder: kept.directory.clone(),
+    }
+}
