--- a/crates/proxy/src/client/statement.rs
+++ b/crates/proxy/src/client/statement.rs
@@ -105,7 +105,7 @@
         mut comment: Comment,
         large: Option<BufferReservation>,
     ) -> Result<(), End> {
-        if let Some(left) = self.context.left_to_answer() {
+        if let Some(left) = self.context.time_left_at_shutdown() {
             // It has its answer before the program may be killed.
             comment.wait = comment.wait.min(left.as_millis() as u32);
         }
--- a/crates/proxy/src/lifecycle/process_context.rs
+++ b/crates/proxy/src/lifecycle/process_context.rs
@@ -1,3 +1,5 @@
+//! What all actors of the process share.
+
 use std::cell::Cell;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -15,39 +17,45 @@
 use crate::lifecycle::limits::Limits;
 use crate::messages::DispatcherMessage;
 
-/// What every actor of the driver needs.
+/// What all actors share. Every actor has a reference to it; it is never changed as a whole, and lives as long as the process.
 pub struct ProcessContext {
+    /// The router's clock, which never steps.
     pub clock: Clock,
+    /// The clock that leaves out the time in which the process was stalled.
     pub unstalled_clock: UnstalledClock,
+    /// Sizes, counts and times that bound the process.
     pub limits: Limits,
+    /// Where actors log.
     pub log: Logger,
     /// Where discovery is, as the configuration last said.
     pub discovery: watch::Receiver<SocketAddr>,
+    /// The dispatcher's mailbox.
     pub dispatcher: mpsc::Sender<DispatcherMessage>,
-    /// There is a list to decide on.
+    /// Whether there is an endpoint list to decide on: requests wait for it.
     pub ready: watch::Receiver<bool>,
-    /// Set once the driver is to stop: until when new connections are still taken.
+    /// `None` until the process is to stop; then until when new connections are accepted.
     pub stopping: watch::Receiver<Option<Instant>>,
-    /// Room for what waits, and who is too slow.
+    /// The buffer budget, and who is too slow.
     pub flow_control: Rc<FlowControl>,
-    /// The names of the best paid request classes.
-    pub best_paid: HashSet<String>,
-    /// The members' share of descriptors.
-    pub member_room: Arc<Semaphore>,
-    /// Connections that wait for one of them.
-    pub waiting_for_room: Cell<usize>,
+    /// The names of the request classes that may use the buffer space reserved for the best paid.
+    pub highest_priority_classes: HashSet<String>,
+    /// One permit for each connection to a member: `limits.connections.members` at once, idle ones included.
+    pub member_connection_permits: Arc<Semaphore>,
+    /// How many new connections wait for such a permit: while any does, no connection to a member is kept idle.
+    pub waiting_for_permit: Cell<usize>,
 }
 
 impl ProcessContext {
     /// Whether requests of this class may use the buffer space that is reserved for the best paid.
     pub fn priority(&self, class: &str) -> Priority {
-        if self.best_paid.contains(class) { Priority::Highest } else { Priority::Normal }
+        if self.highest_priority_classes.contains(class) { Priority::Highest } else { Priority::Normal }
     }
 
-    /// How long a request that comes now may still be under way: `None` unless the program is to stop.
-    pub fn left_to_answer(&self) -> Option<Duration> {
-        let window_closes = (*self.stopping.borrow())?;
-        let end = window_closes + (self.limits.shutdown.deadline - self.limits.shutdown.accept_window);
-        Some(end.saturating_duration_since(Instant::now()))
+    /// How long a request that arrives now may take before the process may be killed; `None` unless it is to stop.
+    pub fn time_left_at_shutdown(&self) -> Option<Duration> {
+        let accepted_until = (*self.stopping.borrow())?;
+        let limits = &self.limits.shutdown;
+        let answered_by = accepted_until + (limits.deadline - limits.accept_window);
+        Some(answered_by.saturating_duration_since(Instant::now()))
     }
 }
--- a/crates/proxy/src/lifecycle/startup/resources.rs
+++ b/crates/proxy/src/lifecycle/startup/resources.rs
@@ -98,9 +98,9 @@
             ready: shared.ready,
             stopping: shared.stopping,
             flow_control,
-            best_paid: configuration.settings.best_paid().into_iter().collect(),
-            member_room: Arc::new(Semaphore::new(configuration.limits.connections.members)),
-            waiting_for_room: Cell::new(0),
+            highest_priority_classes: configuration.settings.best_paid().into_iter().collect(),
+            member_connection_permits: Arc::new(Semaphore::new(configuration.limits.connections.members)),
+            waiting_for_permit: Cell::new(0),
         });
         log_serving(&context.log, &configuration, &listener);
         Ok(Startup { configuration, context, listener, channels, log_guard: guard })
--- a/crates/proxy/src/member/actor.rs
+++ b/crates/proxy/src/member/actor.rs
@@ -308,7 +308,7 @@
         // Where others wait for a descriptor and no idle connection was there to be closed, this one makes room.
         if let Some(mut connection) = connection
             && era == self.era
-            && self.context.waiting_for_room.get() == 0
+            && self.context.waiting_for_permit.get() == 0
         {
             connection.idle_since = Instant::now();
             self.idle.push(connection);
--- a/crates/proxy/src/member/connection.rs
+++ b/crates/proxy/src/member/connection.rs
@@ -131,12 +131,12 @@
     until: Instant,
 ) -> Result<Connection, Unopened> {
     let until = until.min(Instant::now() + context.limits.member.connect_timeout);
-    let permit = match context.member_room.clone().try_acquire_owned() {
+    let permit = match context.member_connection_permits.clone().try_acquire_owned() {
         Ok(permit) => permit,
         Err(_) => {
             let _ = context.dispatcher.send(DispatcherMessage::DescriptorsExhausted(id)).await;
-            let _waits = Waits::start(&context.waiting_for_room);
-            let room = timeout_at(until, context.member_room.clone().acquire_owned()).await;
+            let _waits = Waits::start(&context.waiting_for_permit);
+            let room = timeout_at(until, context.member_connection_permits.clone().acquire_owned()).await;
             // That this process has no descriptor to spare is no word on the member.
             room.ok().and_then(Result::ok).ok_or(Verdict::LocalFailure)?
         }
