--- a/crates/proxy/src/lifecycle/configuration.rs
+++ b/crates/proxy/src/lifecycle/configuration.rs
@@ -162,7 +162,7 @@
 
     fn read_shadow_settings(&mut self, files: &ConfigurationFiles) -> Result<(), ProgramError> {
         let Some(wanted) = &self.operator.shadow else { return Ok(()) };
-        let shadow = ShadowRouter::read(wanted, &self.settings)
+        let shadow = ShadowRouter::load(wanted, &self.settings)
             .map_err(|source| ProgramError::ShadowSettings { path: files.operator_or_config(), source })?;
         self.shadow = Some(shadow);
         Ok(())
--- a/crates/proxy/src/lifecycle/errors.rs
+++ b/crates/proxy/src/lifecycle/errors.rs
@@ -9,6 +9,8 @@
 use thiserror::Error;
 use tokio::task::JoinError;
 
+use crate::shadow::ShadowError;
+
 /// Why a subcommand failed. The program prints it as one line and exits with code 1.
 #[derive(Debug, Error)]
 pub enum ProgramError {
@@ -185,16 +187,3 @@
     #[error("settings: {0}")]
     Settings(Trouble),
 }
-
-/// What is wrong with settings on trial.
-#[derive(Debug, Error)]
-pub enum ShadowError {
-    #[error("{path}: {why}")]
-    File { path: String, why: io::Error },
-    #[error("{path}: settings: {why}")]
-    Settings { path: String, why: Trouble },
-    #[error(
-        "{path}: {field}: other names than those in force; only settings of the same deployment can be tried"
-    )]
-    Other { path: String, field: &'static str },
-}
--- a/crates/proxy/src/lifecycle/flow_limits.rs
+++ b/crates/proxy/src/lifecycle/flow_limits.rs
@@ -68,9 +68,9 @@
 
 fn minimum_rate(usual: MinimumRate, wanted: WantedRate) -> MinimumRate {
     MinimumRate {
-        rate: wanted.bytes_a_second.map_or(usual.rate, |rate| rate.max(1)),
-        start: wanted.start_ms.map_or(usual.start, micros),
-        window: wanted.window_ms.map_or(usual.window, micros),
+        bytes_per_second: wanted.bytes_a_second.map_or(usual.bytes_per_second, |rate| rate.max(1)),
+        start_allowance: wanted.start_ms.map_or(usual.start_allowance, micros),
+        pause_allowance: wanted.window_ms.map_or(usual.pause_allowance, micros),
     }
 }
 
--- a/crates/proxy/src/lifecycle/startup/actors.rs
+++ b/crates/proxy/src/lifecycle/startup/actors.rs
@@ -6,7 +6,7 @@
 use aldermill_routing::Micros;
 use aldermill_settings::Decoded;
 use aldermill_site_drain::Plan;
-use aldermill_stall_detection::apart;
+use aldermill_stall_detection::start_jitter;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use tokio::net::TcpListener;
@@ -199,7 +199,7 @@
         decoded: configuration.settings,
         seed: configuration.seed,
         gateway_part: pieces.gateway_part,
-        trial: configuration.shadow,
+        shadow: configuration.shadow,
         warm_state: pieces.warm_state,
         observations: pieces.observations,
         ready: channels.ready,
@@ -219,13 +219,13 @@
     let drivers = configuration.settings.terms.drivers;
     let drain_grace = configuration.settings.drain_grace;
     let mut rng = Pcg64Mcg::seed_from_u64(configuration.seed.rotate_left(DISCOVERY_SEED_ROTATION));
-    let jitter = apart::wait(&configuration.name, drivers, drain_grace, &mut rng);
+    let delay = start_jitter::start_delay(&configuration.name, drivers, drain_grace, &mut rng);
     Watch {
         context: context.clone(),
         dispatcher: channels.list_updates,
         requests: channels.list_requests,
         revision,
-        first: duration(jitter),
+        first: duration(delay),
         rng,
     }
 }
--- a/crates/proxy/src/lifecycle/startup/gateway.rs
+++ b/crates/proxy/src/lifecycle/startup/gateway.rs
@@ -1,9 +1,8 @@
 //! Starts the links to other sites, and the dispatcher's part in them.
 
-use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_operator_config::{GatewayConfig, PeerSite};
+use aldermill_operator_config::GatewayConfig;
 use aldermill_site_link::{Identity, LinkLimits};
 use slog::info;
 use tokio::task::spawn_local;
@@ -16,8 +15,6 @@
 use crate::lifecycle::process_context::ProcessContext;
 use crate::system;
 
-/// Links to each address of another site, where the operator's file does not say how many.
-const DEFAULT_LINKS_PER_ADDRESS: u32 = 2;
 /// Sites that a request may come through, where the operator's file does not say.
 const DEFAULT_MAX_HOPS: u32 = 1;
 /// Requests that another gateway may have under way here, where the operator's file does not say.
@@ -46,10 +43,10 @@
         incarnation: now.max(1) as u64,
     };
     let registry = LinkRegistry::new(own.clone(), &gateway, link_limits(context, configuration));
-    accept_links(context, &registry, gateway.listen)?;
-    gateway::start(context, &registry, addresses(&gateway.peers), configuration.seed);
+    accept_links(context, &registry, &gateway)?;
+    gateway::maintain_links(context, &registry, &gateway.peers, configuration.seed);
     if let Some(path) = &gateway.status {
-        spawn_local(gateway::serve(context.clone(), path.clone()));
+        spawn_local(gateway::serve_status(context.clone(), path.clone()));
     }
     let opening = opening(context, own, gateway, kept);
     Ok(Some(GatewayPart::new(opening, &configuration.settings, configuration.seed, now)))
@@ -68,29 +65,18 @@
 fn accept_links(
     context: &Rc<ProcessContext>,
     registry: &Rc<LinkRegistry>,
-    listen: Option<SocketAddr>,
+    config: &GatewayConfig,
 ) -> Result<(), ProgramError> {
-    let Some(address) = listen else { return Ok(()) };
+    let Some(address) = config.listen else { return Ok(()) };
     let limits = &context.limits;
     let listener = system::listen(address, limits.queues.listen_backlog, limits.buffers.member_socket)
         .map_err(|source| ProgramError::Listen { field: "gateway.listen", address, source })?;
     let address = listener.local_addr().unwrap_or(address);
-    info!(context.log, "gateway accepts links"; "site" => &registry.own.site, "links" => %address);
-    spawn_local(gateway::accept(context.clone(), registry.clone(), listener));
+    info!(context.log, "gateway accepts links"; "site" => &config.site, "links" => %address);
+    spawn_local(gateway::accept_links(context.clone(), registry.clone(), listener));
     Ok(())
 }
 
-/// Each address of another site as often as links are kept to it.
-fn addresses(peers: &[PeerSite]) -> Vec<(String, SocketAddr)> {
-    let of_site = |peer: &PeerSite| {
-        let links = peer.links.unwrap_or(DEFAULT_LINKS_PER_ADDRESS) as usize;
-        let site = peer.site.clone();
-        let repeated = peer.addresses.iter().flat_map(move |&address| std::iter::repeat_n(address, links));
-        repeated.map(move |address| (site.clone(), address)).collect::<Vec<_>>()
-    };
-    peers.iter().flat_map(of_site).collect()
-}
-
 fn opening(context: &ProcessContext, own: Identity, gateway: GatewayConfig, kept: &KeptState) -> Opening {
     Opening {
         own,
