--- a/crates/proxy/src/lifecycle/startup/actors.rs
+++ b/crates/proxy/src/lifecycle/startup/actors.rs
@@ -27,7 +27,7 @@
 use crate::lifecycle::process_context::ProcessContext;
 use crate::lifecycle::reload::Reload;
 use crate::lifecycle::shutdown::RunningProxy;
-use crate::membership::{CoordinationStart, MembershipActor};
+use crate::membership::{CoordinationStart, MembershipActor, MembershipStart};
 use crate::messages::ListUpdate;
 use crate::persistence::{self, DataDirectory, Persistence};
 
@@ -160,18 +160,26 @@
     reloads: watch::Receiver<Option<CoordinationConfig>>,
     is_gateway: bool,
 ) -> Result<StartedMembership, ProgramError> {
-    let Some(membership) = configuration.operator.membership.take() else {
+    let Some(config) = configuration.operator.membership.take() else {
         return Ok(StartedMembership::default());
     };
-    let terms = &configuration.settings.terms;
-    let place = (terms.zone, longest_timeout(&configuration.settings));
-    let coordination = configuration.operator.coordination.take();
-    let coordination =
-        coordination.map(|wanted| CoordinationStart { wanted, folder: directory, place, reread: reloads });
-    let own = (&*configuration.name, terms.drivers, is_gateway);
-    let seed = configuration.seed.rotate_left(MEMBERSHIP_SEED_ROTATION);
-    let mut actor = MembershipActor::open(context.clone(), membership, coordination, own, seed).await?;
-    let site_drains = actor.bound();
+    let coordination = configuration.operator.coordination.take().map(|config| CoordinationStart {
+        config,
+        directory,
+        zone: configuration.settings.terms.zone,
+        longest_timeout: longest_timeout(&configuration.settings),
+        reloads,
+    });
+    let start = MembershipStart {
+        config,
+        name: configuration.name.clone(),
+        configured_fleet_size: configuration.settings.terms.drivers,
+        spans_sites: is_gateway,
+        coordination,
+        seed: configuration.seed.rotate_left(MEMBERSHIP_SEED_ROTATION),
+    };
+    let mut actor = MembershipActor::open(context.clone(), start).await?;
+    let site_drains = actor.restored_drain_plans();
     Ok(StartedMembership { task: Some(spawn_local(actor.run())), site_drains })
 }
 
