--- a/crates/proxy/src/lifecycle/configuration.rs
+++ b/crates/proxy/src/lifecycle/configuration.rs
@@ -41,11 +41,17 @@
 #[derive(Deserialize)]
 struct ConfigurationForm {
     name: String,
+    /// An address with a port.
     listen: String,
+    /// An address with a port.
     discovery: String,
+    /// Up to 16 hexadecimal digits.
     seed: String,
+    /// See [`PlatformLimits`].
     limits: Box<RawValue>,
+    /// The endpoint list as of the file's writing.
     known: Option<EndpointList>,
+    /// Read by the package `settings`.
     settings: Box<RawValue>,
 }
 
@@ -64,7 +70,9 @@
 /// What the platform allows the process, as `limits` in the configuration says.
 #[derive(Deserialize)]
 struct PlatformLimits {
+    /// Memory, in units of 1024 * 1024 bytes.
     memory_mb: usize,
+    /// Open files.
     sockets: usize,
 }
 
--- a/crates/proxy/src/lifecycle/startup/actors.rs
+++ b/crates/proxy/src/lifecycle/startup/actors.rs
@@ -31,15 +31,16 @@
 use crate::messages::ListUpdate;
 use crate::persistence::{self, DataDirectory, Persistence};
 
-/// Each user of random numbers gets a seed of its own: the configured one, rotated left by so many bits.
+/// Each user of random numbers has its own seed: the configured one, rotated left by this number of bits.
 const MEMBERSHIP_SEED_ROTATION: u32 = 16;
 const OBSERVATIONS_SEED_ROTATION: u32 = 24;
 const DISCOVERY_SEED_ROTATION: u32 = 32;
 
-/// What is kept over a restart.
-pub(super) struct KeptState {
-    /// `None` where the operator's file names none.
+/// The data directory, and what a former start saved in it.
+pub(super) struct PersistedState {
+    /// `None` if the operator's file names none.
     pub(super) directory: Option<Rc<DataDirectory>>,
+    /// What is handed to the dispatcher of it; empty without a data directory.
     pub(super) warm_state: WarmState,
 }
 
@@ -67,23 +68,24 @@
         let immutable = std::mem::take(&mut configuration.immutable);
         spawn_local(context.flow_control.clone().run());
         spawn_reload(&context, channels.reload, files, immutable, hangup);
-        let mut kept = open_data_directory(&context, &configuration).await;
+        let mut persisted = open_data_directory(&context, &configuration).await;
         let revision =
-            send_first_list(&mut configuration, &kept.warm_state, &channels.discovery.list_updates).await;
-        let gateway_part = gateway::start(&context, &mut configuration, &mut kept)?;
+            send_first_list(&mut configuration, &persisted.warm_state, &channels.discovery.list_updates)
+                .await;
+        let gateway_part = gateway::start(&context, &mut configuration, &mut persisted)?;
         let observations = observations(&context, &configuration);
         let reloads = channels.coordination;
         let is_gateway = gateway_part.is_some();
         let membership =
-            spawn_membership(&context, &mut configuration, kept.directory, reloads, is_gateway).await?;
+            spawn_membership(&context, &mut configuration, persisted.directory, reloads, is_gateway).await?;
         let watch = discovery_watch(&context, &configuration, channels.discovery, revision);
-        let parts = DispatcherPieces {
+        let inputs = DispatcherInputs {
             gateway_part,
-            warm_state: kept.warm_state,
+            warm_state: persisted.warm_state,
             observations,
             site_drains: membership.site_drains,
         };
-        let dispatcher = spawn_dispatcher(&context, configuration, channels.dispatcher, parts);
+        let dispatcher = spawn_dispatcher(&context, configuration, channels.dispatcher, inputs);
         spawn_local(watch.run());
         let listener = spawn_listener(&context, listener);
         let membership = membership.task;
@@ -111,9 +113,9 @@
 }
 
 /// Opens the data directory, where there is one, and reads what a former start saved.
-async fn open_data_directory(context: &ProcessContext, configuration: &Configuration) -> KeptState {
+async fn open_data_directory(context: &ProcessContext, configuration: &Configuration) -> PersistedState {
     let Some(warm_start) = &configuration.operator.warm_start else {
-        return KeptState {
+        return PersistedState {
             directory: None,
             warm_state: WarmState { restored: Default::default(), snapshots: None },
         };
@@ -127,7 +129,7 @@
     )
     .await;
     let warm_state = WarmState { restored: restored.snapshot, snapshots: Some(snapshots) };
-    KeptState { directory: Some(directory), warm_state }
+    PersistedState { directory: Some(directory), warm_state }
 }
 
 /// Hands the dispatcher the newer of the configured and the saved endpoint list, and returns its revision.
@@ -189,7 +191,7 @@
 }
 
 /// What other parts of the start made for the dispatcher.
-struct DispatcherPieces {
+struct DispatcherInputs {
     gateway_part: Option<GatewayPart>,
     warm_state: WarmState,
     observations: Option<Observations>,
@@ -200,20 +202,20 @@
     context: &Rc<ProcessContext>,
     configuration: Configuration,
     channels: DispatcherChannels,
-    pieces: DispatcherPieces,
+    inputs: DispatcherInputs,
 ) -> JoinHandle<()> {
     let mut dispatcher = Dispatcher::new(DispatcherParts {
         context: context.clone(),
         decoded: configuration.settings,
         seed: configuration.seed,
-        gateway_part: pieces.gateway_part,
+        gateway_part: inputs.gateway_part,
         shadow: configuration.shadow,
-        warm_state: pieces.warm_state,
-        observations: pieces.observations,
+        warm_state: inputs.warm_state,
+        observations: inputs.observations,
         ready: channels.ready,
         list_wanted: channels.list_requests,
     });
-    dispatcher.follow_site_drains(pieces.site_drains);
+    dispatcher.follow_site_drains(inputs.site_drains);
     spawn_local(dispatcher.run(channels.list_updates, channels.messages))
 }
 
--- a/crates/proxy/src/lifecycle/startup/gateway.rs
+++ b/crates/proxy/src/lifecycle/startup/gateway.rs
@@ -7,7 +7,7 @@
 use slog::info;
 use tokio::task::spawn_local;
 
-use super::actors::KeptState;
+use super::actors::PersistedState;
 use crate::dispatcher::{GatewayPart, Opening};
 use crate::gateway::{self, LinkRegistry};
 use crate::lifecycle::configuration::Configuration;
@@ -31,10 +31,10 @@
 pub(super) fn start(
     context: &Rc<ProcessContext>,
     configuration: &mut Configuration,
-    kept: &mut KeptState,
+    persisted: &mut PersistedState,
 ) -> Result<Option<GatewayPart>, ProgramError> {
     let Some(mut gateway) = configuration.operator.gateway.take() else { return Ok(None) };
-    gateway.homes.extend(std::mem::take(&mut kept.warm_state.restored.home_sites));
+    gateway.homes.extend(std::mem::take(&mut persisted.warm_state.restored.home_sites));
     let now = context.clock.now();
     let own = Identity {
         site: gateway.site.clone(),
@@ -48,7 +48,7 @@
     if let Some(path) = &gateway.status {
         spawn_local(gateway::serve_status(context.clone(), path.clone()));
     }
-    let opening = opening(context, own, gateway, kept);
+    let opening = opening(context, own, gateway, persisted);
     Ok(Some(GatewayPart::new(opening, &configuration.settings, configuration.seed, now)))
 }
 
@@ -77,7 +77,12 @@
     Ok(())
 }
 
-fn opening(context: &ProcessContext, own: Identity, gateway: GatewayConfig, kept: &KeptState) -> Opening {
+fn opening(
+    context: &ProcessContext,
+    own: Identity,
+    gateway: GatewayConfig,
+    persisted: &PersistedState,
+) -> Opening {
     Opening {
         own,
         peers: gateway.peers.iter().map(|peer| peer.site.clone()).collect(),
@@ -86,6 +91,6 @@
         credit: gateway.credit.unwrap_or(DEFAULT_CREDIT),
         session: gateway.session,
         fates: context.limits.links.outcomes_per_sender,
-        folder: kept.directory.clone(),
+        folder: persisted.directory.clone(),
     }
 }
--- a/crates/proxy/src/lifecycle/startup/resources.rs
+++ b/crates/proxy/src/lifecycle/startup/resources.rs
@@ -23,18 +23,25 @@
 
 /// A proxy that is being started: its resources are open, and none of its actors runs.
 pub struct Startup {
+    /// What was read from the files; each actor takes its part.
     pub(super) configuration: Configuration,
+    /// What all actors share.
     pub(super) context: Rc<ProcessContext>,
     /// Where clients are accepted.
     pub(super) listener: TcpListener,
+    /// What one actor each receives.
     pub(super) channels: Channels,
+    /// Writes the last log lines when it is dropped.
     pub(super) log_guard: AsyncGuard,
 }
 
 /// The channel ends that belong to one actor each.
 pub(super) struct Channels {
+    /// For the reload actor.
     pub(super) reload: ReloadChannels,
+    /// For the dispatcher.
     pub(super) dispatcher: DispatcherChannels,
+    /// For the discovery watch.
     pub(super) discovery: DiscoveryChannels,
     /// What a reload says of coordination, for the membership actor.
     pub(super) coordination: watch::Receiver<Option<CoordinationConfig>>,
@@ -44,13 +51,17 @@
 
 /// Where the reload actor sends what has changed.
 pub(super) struct ReloadChannels {
+    /// The address of discovery, for the discovery watch.
     pub(super) discovery: watch::Sender<SocketAddr>,
+    /// The section on coordination, for the membership actor.
     pub(super) coordination: watch::Sender<Option<CoordinationConfig>>,
 }
 
 /// What the dispatcher receives, and whom it notifies.
 pub(super) struct DispatcherChannels {
+    /// Its mailbox.
     pub(super) messages: mpsc::Receiver<DispatcherMessage>,
+    /// Endpoint lists, and changes to them.
     pub(super) list_updates: mpsc::Receiver<ListUpdate>,
     /// Set once there is an endpoint list.
     pub(super) ready: watch::Sender<bool>,
@@ -60,6 +71,7 @@
 
 /// What the discovery watch sends and receives.
 pub(super) struct DiscoveryChannels {
+    /// Endpoint lists, and changes to them, for the dispatcher.
     pub(super) list_updates: mpsc::Sender<ListUpdate>,
     /// The dispatcher's requests for the endpoint list; `None` where the watch asks by itself.
     pub(super) list_requests: Option<mpsc::Receiver<()>>,
