--- a/crates/proxy/tests/clock.rs
+++ b/crates/proxy/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clocks of the program, under a machine that was suspended and under a wall clock that is stepped.
+//! The clocks of the process, on a machine that is suspended and under a wall clock that is stepped.
 
 #[path = "../src/lifecycle/clock.rs"]
 #[allow(dead_code, reason = "the program uses the rest")]
@@ -11,7 +11,7 @@
 static SUSPENDED: AtomicI64 = AtomicI64::new(7_000_000);
 
 #[test]
-fn a_suspension_is_time_that_passed_and_a_standstill() {
+fn a_suspension_advances_the_routers_clock_and_counts_as_a_stall() {
     let clock = Clock::start(unix_now, Some(|| SUSPENDED.load(Ordering::SeqCst)));
     let unstalled = UnstalledClock::start(clock);
     let (before, began) = (clock.now(), unstalled.now());
@@ -22,13 +22,13 @@
     assert!(
         (40_000_000..50_000_000).contains(&unstalled.stalled_for()) && unstalled.now() - began < 10_000_000
     );
-    // Both ways are each other's.
+    // The two conversions are inverse.
     let at = clock.now() + 5_000_000;
     assert!((clock.at(clock.instant(at)) - at).abs() < 10);
 }
 
 #[test]
-fn the_systems_word_on_suspensions_never_falls() {
+fn the_suspended_time_reported_by_the_system_never_decreases() {
     let first = suspended();
     assert!(first > -1_000 && suspended() >= first - 1_000);
 }
--- a/crates/proxy/tests/departure.rs
+++ b/crates/proxy/tests/departure.rs
@@ -1,5 +1,5 @@
-//! What changes between the decision on an attempt and its last byte, over loopback: every connection to the member
-//! comes up only when the test lets it.
+//! Changes between the decision on an attempt and its last byte, over loopback: each connection to the member opens only
+//! when the test lets it.
 
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::thread;
@@ -10,8 +10,8 @@
     until,
 };
 
-/// A member whose new connections wait at `hold` before they are welcomed.
-fn late(hold: &Hold, act: impl Fn(&str, &mut TcpStream) + Send + Sync + 'static) -> Member {
+/// A member whose new connections wait at `hold` before their startup handshake ends.
+fn slow_to_connect(hold: &Hold, act: impl Fn(&str, &mut TcpStream) + Send + Sync + 'static) -> Member {
     let hold = hold.clone();
     let bears = move |_: &[u8], welcomed: bool| {
         if !welcomed {
@@ -22,8 +22,8 @@
     Member::at(TcpListener::bind("127.0.0.1:0").unwrap(), bears, act)
 }
 
-/// A proxy before this member alone, which sends no health checks; `settings` changes its settings.
-fn before(member: &Member, settings: impl Fn(String) -> String) -> Driver {
+/// A proxy with this member alone, which sends no health checks; `settings` changes its settings.
+fn proxy_before(member: &Member, settings: impl Fn(String) -> String) -> Driver {
     let known = list(1, true, &[("a", member, "in_service")]);
     let discovery = Discovery::default();
     discovery.say(known.clone());
@@ -31,29 +31,29 @@
     Driver::of(&settings(config))
 }
 
-/// By the time that this many round trips are over, the proxy has seen all that was sent before them.
-fn settle(client: &mut Client) {
+/// After this many round trips, the proxy has seen all that was sent before them.
+fn wait_until_seen(client: &mut Client) {
     for _ in 0..3 {
         assert!(client.ask("").empty);
     }
 }
 
 #[test]
-fn an_attempt_whose_client_left_while_its_connection_came_up_is_not_sent() {
+fn an_attempt_is_not_sent_if_its_client_disconnects_while_the_member_connection_opens() {
     for statement in [look(15000), order(15000)] {
         let hold = Hold::default();
-        let member = late(&hold, |text, stream| serve(text, "writer", stream));
-        let driver = before(&member, |config| config);
+        let member = slow_to_connect(&hold, |text, stream| serve(text, "writer", stream));
+        let driver = proxy_before(&member, |config| config);
         let mut other = Client::connect(driver.address);
         hold.close();
         let mut client = Client::connect(driver.address);
         client.send(&named(&statement, "left"));
         hold.reached();
         closed(client.stream);
-        settle(&mut other);
+        wait_until_seen(&mut other);
         hold.open();
         assert!(served(&other.ask(&look(15000))));
-        settle(&mut other);
+        wait_until_seen(&mut other);
         assert!(
             member.requests().iter().all(|request| !request.contains("id=left")),
             "{:?}",
@@ -63,42 +63,42 @@
 }
 
 #[test]
-fn a_client_that_left_behind_more_than_is_read_of_it_has_left_all_the_same() {
+fn a_client_disconnect_is_noticed_behind_more_bytes_than_are_read_ahead() {
     let hold = Hold::default();
     let seen = hold.clone();
     let member = Member::start(move |text, stream| {
         seen.pass();
         serve(text, "writer", stream);
     });
-    let driver = before(&member, |config| config);
+    let driver = proxy_before(&member, |config| config);
     let mut other = Client::connect(driver.address);
     hold.close();
     let mut client = Client::connect(driver.address);
-    // More statements than are taken at once, and behind them more than is read ahead. Their time lasts longer than
-    // this case waits for anything.
+    // More statements than are accepted at once, and behind them more bytes than are read ahead. Their deadlines are
+    // longer than this test waits for anything.
     for number in 0..250 {
         client.send(&named(&look(90_000), &format!("ahead{number}")));
     }
     hold.reached();
-    // The ids of what waits for the member are free once nobody waits for it.
-    let waits = |other: &mut Client, number: usize| {
+    // The id of a request is free again once nobody waits for it.
+    let id_in_use = |other: &mut Client, number: usize| {
         other.ask(&named(&look(200), &format!("ahead{number}"))).code == "08P01"
     };
-    until("the last that is taken", || waits(&mut other, 63));
+    until("the last statement is accepted", || id_in_use(&mut other, 63));
     closed(client.stream);
-    until("the leaving to be seen", || !waits(&mut other, 63));
+    until("the disconnect is noticed", || !id_in_use(&mut other, 63));
     let sent = member.requests().len();
     hold.open();
     assert!(served(&other.ask(&look(15000))));
-    settle(&mut other);
-    assert_eq!(member.requests().len(), sent + 1, "what waited was sent on for nobody");
+    wait_until_seen(&mut other);
+    assert_eq!(member.requests().len(), sent + 1, "a request was attempted though its client had gone");
 }
 
 #[test]
-fn a_member_is_told_no_more_time_than_the_client_has_left_when_its_connection_is_there() {
+fn a_member_connection_that_opens_slowly_shortens_the_deadline_given_to_the_member() {
     let hold = Hold::default();
-    let member = late(&hold, |text, stream| serve(text, "writer", stream));
-    let driver = before(&member, |config| config);
+    let member = slow_to_connect(&hold, |text, stream| serve(text, "writer", stream));
+    let driver = proxy_before(&member, |config| config);
     let mut client = Client::connect(driver.address);
     hold.close();
     let held = Duration::from_millis(400);
@@ -108,14 +108,14 @@
     hold.open();
     assert!(served(&client.answer().unwrap()));
     let request = member.requests().pop().unwrap();
-    let told: u128 = request.split(",d=").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
-    assert!(told <= 5000 - held.as_millis() + 1, "told {told} ms");
+    let deadline_ms: u128 = request.split(",d=").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
+    assert!(deadline_ms <= 5000 - held.as_millis() + 1, "{deadline_ms} ms");
 }
 
 #[test]
-fn an_attempt_does_not_follow_a_connection_to_where_its_member_was() {
+fn an_attempt_is_not_sent_to_the_former_address_of_a_member_that_moved() {
     let hold = Hold::default();
-    let before = late(&hold, |text, stream| serve(text, "writer", stream));
+    let before = slow_to_connect(&hold, |text, stream| serve(text, "writer", stream));
     let now = Member::start(|text, stream| serve(text, "writer", stream));
     let discovery = Discovery::default();
     let known = list(1, true, &[("a", &before, "in_service")]);
@@ -134,25 +134,25 @@
 }
 
 #[test]
-fn a_repeat_whose_window_ends_while_its_connection_comes_up_is_not_sent() {
+fn a_retry_is_not_sent_if_its_deduplication_window_ends_while_the_member_connection_opens() {
     let window = Duration::from_millis(600);
     let hold = Hold::default();
     let seen = hold.clone();
-    // The first attempt may have run, and takes its connection along.
-    let member = late(&hold, move |_, stream| {
+    // The first attempt may have run, and its connection ends with it.
+    let member = slow_to_connect(&hold, move |_, stream| {
         seen.close();
         refuse("XX000", "writer", stream);
         let _ = stream.shutdown(Shutdown::Both);
     });
-    let receipted = r#""effect":"token","dedupScope":"cell","windowMs":600"#;
-    let driver = before(&member, |config| {
-        config.replace(r#""effect":"side_effect","dedupScope":"all","windowMs":0"#, receipted)
+    let deduplicated = r#""effect":"token","dedupScope":"cell","windowMs":600"#;
+    let driver = proxy_before(&member, |config| {
+        config.replace(r#""effect":"side_effect","dedupScope":"all","windowMs":0"#, deduplicated)
     });
     let mut client = Client::connect(driver.address);
     client.send(&order(15000));
     hold.reached();
     thread::sleep(window);
     hold.open();
-    assert_eq!(client.answer().unwrap().code, "40003", "it may have run, and cannot be repeated");
+    assert_eq!(client.answer().unwrap().code, "40003", "it may have run, and cannot be retried");
     assert_eq!(member.requests().len(), 1, "{:?}", member.requests());
 }
--- a/crates/proxy/tests/shutdown_hung.rs
+++ b/crates/proxy/tests/shutdown_hung.rs
@@ -1,4 +1,5 @@
-//! SIGTERM while the only member hangs, over loopback: whatever was read has its answer before the program may be killed.
+//! SIGTERM while the only member hangs, over loopback: every request that was read is answered before the process may be
+//! killed.
 
 use std::io::Write;
 use std::thread;
@@ -9,49 +10,53 @@
 };
 use aldermill_wire::pg;
 
-/// With deadlines of 0.3 s the program may be killed so long after SIGTERM.
-const DEADLINE: u32 = 300;
-const KILLED: Duration = Duration::from_millis(1000);
-/// Clients keep a busy connection busy: so often, and for so long.
-const EVERY: Duration = Duration::from_millis(40);
-const SENDING: Duration = Duration::from_millis(960);
-/// What is written so shortly before a connection ends may cross that, and stay unread.
-const CROSSING: Duration = Duration::from_millis(60);
+/// The deadline of each request, in milliseconds.
+const DEADLINE_MS: u32 = 300;
+/// With such deadlines the process may be killed this long after SIGTERM.
+const KILLED_AFTER: Duration = Duration::from_millis(1000);
+/// How often clients send another request on a busy connection.
+const SEND_INTERVAL: Duration = Duration::from_millis(40);
+/// How long they do.
+const SENDING_TIME: Duration = Duration::from_millis(960);
+/// A request written this shortly before its connection ends may cross the close, and stay unread.
+const CLOSE_MARGIN: Duration = Duration::from_millis(60);
 
-/// What became of one connection: when its requests were written, when their answers came, and when it ended, all since
-/// SIGTERM.
-struct Course {
+/// What happened on one connection, in time since SIGTERM.
+struct Timeline {
+    /// When each request was written.
     written: Vec<Duration>,
+    /// When each answer came.
     answered: Vec<Duration>,
+    /// When the connection ended.
     ended: Duration,
 }
 
-/// Writes a request behind the other for as long as the connection takes them, and reads what comes.
-fn keep_busy(mut client: Client, told: Instant) -> Course {
+/// Pipelines requests for as long as the connection accepts them, and reads the answers.
+fn keep_busy(mut client: Client, signalled: Instant) -> Timeline {
     let mut writer = client.stream.try_clone().unwrap();
     let writing = thread::spawn(move || {
         let mut written = Vec::new();
-        while told.elapsed() < SENDING {
+        while signalled.elapsed() < SENDING_TIME {
             let mut query = Vec::new();
-            pg::query(&mut query, &[look(DEADLINE).as_bytes()]);
-            written.push(told.elapsed());
+            pg::query(&mut query, &[look(DEADLINE_MS).as_bytes()]);
+            written.push(signalled.elapsed());
             if writer.write_all(&query).is_err() {
                 break;
             }
-            thread::sleep(EVERY);
+            thread::sleep(SEND_INTERVAL);
         }
         written
     });
     let mut answered = Vec::new();
     while client.answer().is_some() {
-        answered.push(told.elapsed());
+        answered.push(signalled.elapsed());
     }
-    let ended = told.elapsed();
-    Course { written: writing.join().unwrap(), answered, ended }
+    let ended = signalled.elapsed();
+    Timeline { written: writing.join().unwrap(), answered, ended }
 }
 
 #[test]
-fn requests_sent_on_until_the_kill_have_their_answers_though_the_member_hangs() {
+fn requests_pipelined_until_the_kill_are_answered_while_the_only_member_hangs() {
     let hold = Hold::default();
     let seen = hold.clone();
     let member = Member::start(move |text, stream| {
@@ -67,19 +72,23 @@
     let mut clients: Vec<Client> = (0..3).map(|_| Client::connect(driver.address)).collect();
     clients.iter_mut().for_each(|client| assert!(served(&client.ask(&look(5000)))));
     hold.close();
-    // Busy when the signal comes: what is sent from then on is behind this.
-    clients.iter_mut().for_each(|client| client.send(&look(DEADLINE)));
+    // Each connection is busy when the signal comes: later requests are pipelined behind this one.
+    clients.iter_mut().for_each(|client| client.send(&look(DEADLINE_MS)));
     hold.reached();
     driver.signal("-TERM");
-    let told = Instant::now();
+    let signalled = Instant::now();
     let busy: Vec<_> =
-        clients.into_iter().map(|client| thread::spawn(move || keep_busy(client, told))).collect();
-    let courses: Vec<Course> = busy.into_iter().map(|thread| thread.join().unwrap()).collect();
-    for Course { written, answered, ended } in &courses {
-        // One was under way before.
-        let owed = 1 + written.iter().filter(|&&at| at + CROSSING < *ended).count();
-        assert!(answered.len() >= owed, "{} of {owed} answered, the end after {ended:?}", answered.len());
-        assert!(answered.iter().all(|&at| at < KILLED), "{answered:?}");
+        clients.into_iter().map(|client| thread::spawn(move || keep_busy(client, signalled))).collect();
+    let timelines: Vec<Timeline> = busy.into_iter().map(|thread| thread.join().unwrap()).collect();
+    for Timeline { written, answered, ended } in &timelines {
+        // One was in flight before SIGTERM.
+        let expected = 1 + written.iter().filter(|&&at| at + CLOSE_MARGIN < *ended).count();
+        assert!(
+            answered.len() >= expected,
+            "{} of {expected} answered, the end after {ended:?}",
+            answered.len()
+        );
+        assert!(answered.iter().all(|&at| at < KILLED_AFTER), "{answered:?}");
     }
     until("the end", || driver.child.try_wait().unwrap().is_some());
     assert!(driver.child.wait().unwrap().success());
--- a/crates/proxy/tests/wall_clock.rs
+++ b/crates/proxy/tests/wall_clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock of the process is stepped, before and while it serves, over loopback.
+//! The wall clock of the process is stepped, before it starts and while it serves, over loopback.
 
 use std::io::Write;
 use std::thread;
@@ -14,79 +14,97 @@
 const HOUR: i64 = 3_600 * SECOND;
 const STEPS: [i64; 4] = [-HOUR, -2 * SECOND, 2 * SECOND, HOUR];
 
-/// How the wall clock is off at the process's start, when the replica starts, and half a second into its slow start.
-type Course = [i64; 3];
+/// By how many microseconds the wall clock is off.
+#[derive(Clone, Copy, Debug)]
+struct ClockOffsets {
+    at_process_start: i64,
+    at_replica_start: i64,
+    /// Half a second into the replica's slow start.
+    during_slow_start: i64,
+}
 
-/// Requests that a replica gets in slow start beside two warm ones, by half seconds.
-fn slow_start(clock_at: Course) -> Vec<usize> {
+/// Requests that a replica gets in slow start beside two warm ones, in each half second.
+fn requests_in_slow_start(offsets: ClockOffsets) -> Vec<usize> {
     const HALVES: usize = 8;
     let members = [sound("reader"), sound("reader"), sound("reader")];
-    let told = |revision, phase, since: u128| {
+    let list_line = |revision, phase, since: u128| {
         let [a, b, c] = &members;
         let line = list(revision, true, &[("a", a, "in_service"), ("b", b, "in_service"), ("c", c, phase)]);
         let (others, own) = line.rsplit_once(r#""up_since_ms":0"#).unwrap();
         format!(r#"{others}"up_since_ms":{since}{own}"#)
     };
-    let clock = SteppedClock::start(clock_at[0]);
+    let clock = SteppedClock::start(offsets.at_process_start);
     let discovery = Discovery::default();
-    let config = config(discovery.start(), 256, &told(1, "in_service", 0));
+    let config = config(discovery.start(), 256, &list_line(1, "in_service", 0));
     let config =
         config.replace(r#""coldFrom":0.2,"warmWithinMs":1000"#, r#""coldFrom":0.1,"warmWithinMs":4000"#);
     let driver = Driver::under(&clock, &config);
     let mut client = Client::connect(driver.address);
-    let mut ask_for = |long: Duration| {
+    let mut send_for = |span: Duration| {
         let start = Instant::now();
-        for at in 0..(long.as_millis() / 5) as u32 {
+        for at in 0..(span.as_millis() / 5) as u32 {
             thread::sleep((Duration::from_millis(5) * at).saturating_sub(start.elapsed()));
             assert!(served(&client.ask(&look(15_000))));
         }
     };
-    ask_for(Duration::from_secs(1));
-    clock.step(clock_at[1]);
-    discovery.say(told(2, "terminating", 0));
+    send_for(Duration::from_secs(1));
+    clock.step(offsets.at_replica_start);
+    discovery.say(list_line(2, "terminating", 0));
     until("the drain", || driver.logged("revision: 2"));
-    discovery.say(told(3, "in_service", unix_millis()));
+    discovery.say(list_line(3, "in_service", unix_millis()));
     until("the new start", || driver.logged("revision: 3"));
     let before = members[2].requests().len();
-    let mut got = vec![before];
+    let mut totals = vec![before];
     for half in 0..HALVES {
-        ask_for(Duration::from_millis(500));
-        got.push(members[2].requests().len());
+        send_for(Duration::from_millis(500));
+        totals.push(members[2].requests().len());
         if half == 0 {
-            clock.step(clock_at[2]);
+            clock.step(offsets.during_slow_start);
         }
     }
-    got.windows(2).map(|pair| pair[1] - pair[0]).collect()
+    totals.windows(2).map(|pair| pair[1] - pair[0]).collect()
 }
 
-/// Rule 4, and no replica kept cold: of 33 requests each half second, its part once warm, it gets few at first and most
-/// at last. What the bounds leave is the chance of a crowded machine.
-fn as_unstepped(courses: Vec<Course>) {
-    for courses in courses.chunks(4) {
-        let start = |&clock_at: &Course| (clock_at, thread::spawn(move || slow_start(clock_at)));
-        let runs: Vec<_> = courses.iter().map(start).collect();
-        for (clock_at, run) in runs {
-            let course = run.join().unwrap();
-            let first: usize = course[..2].iter().sum();
-            let last: usize = course[6..].iter().sum();
-            assert!(first <= 36, "warm too early, {clock_at:?}: {course:?}");
-            assert!(last >= 32, "cold for too long, {clock_at:?}: {course:?}");
+/// Slow start lasts its time, no less and no more: a warm replica gets 33 requests each half second, this one few at first
+/// and most of them at last. The bounds leave space for the variation on a busy machine.
+fn assert_slow_start_as_usual(cases: Vec<ClockOffsets>) {
+    for cases in cases.chunks(4) {
+        let start =
+            |&offsets: &ClockOffsets| (offsets, thread::spawn(move || requests_in_slow_start(offsets)));
+        let runs: Vec<_> = cases.iter().map(start).collect();
+        for (offsets, run) in runs {
+            let requests = run.join().unwrap();
+            let first: usize = requests[..2].iter().sum();
+            let last: usize = requests[6..].iter().sum();
+            assert!(first <= 36, "warm too early, {offsets:?}: {requests:?}");
+            assert!(last >= 32, "cold for too long, {offsets:?}: {requests:?}");
         }
     }
 }
 
 #[test]
 fn slow_start_survives_steps_of_the_wall_clock() {
-    as_unstepped(STEPS.iter().flat_map(|&step| [[0, step, step], [0, 0, step]]).collect());
+    let offsets = |at_replica_start, during_slow_start| ClockOffsets {
+        at_process_start: 0,
+        at_replica_start,
+        during_slow_start,
+    };
+    let cases = STEPS.iter().flat_map(|&step| [offsets(step, step), offsets(0, step)]);
+    assert_slow_start_as_usual(cases.collect());
 }
 
 #[test]
 fn slow_start_survives_a_process_started_under_a_wrong_wall_clock() {
-    as_unstepped([0].iter().chain(&STEPS).map(|&step| [step; 3]).collect());
+    let constant = |&offset: &i64| ClockOffsets {
+        at_process_start: offset,
+        at_replica_start: offset,
+        during_slow_start: offset,
+    };
+    assert_slow_start_as_usual([0].iter().chain(&STEPS).map(constant).collect());
 }
 
-/// A replica that stands at such a position, in milliseconds, whenever it is asked.
-fn standing_at(position: impl Fn() -> u128 + Send + Sync + 'static) -> Member {
+/// A replica that reports this replication position, in Unix milliseconds.
+fn replica_at(position: impl Fn() -> u128 + Send + Sync + 'static) -> Member {
     Member::start(move |text, stream| {
         let (mut out, position) = (Vec::new(), position());
         let report = format!("x0={}.0,x1=0,inflight=0", position / 1000);
@@ -99,8 +117,8 @@
     })
 }
 
-/// Before a replica and a primary, reads needing what the settings' word says.
-fn beside(clock: &SteppedClock, replica: Member, need: &str) -> (Driver, Member, Member) {
+/// A proxy with a replica and a primary; `need` is the settings' word for what reads may see.
+fn proxy_with_replica(clock: &SteppedClock, replica: Member, need: &str) -> (Driver, Member, Member) {
     let members = (replica, sound("writer"));
     let known = list(1, true, &[("a", &members.0, "in_service"), ("b", &members.1, "in_service")]);
     let config = config(Discovery::default().start(), 256, &known);
@@ -112,20 +130,22 @@
     )
 }
 
-fn look_after(position: u128) -> String {
+/// A read of a session whose last write was committed at this position, in Unix milliseconds.
+fn read_after_write(position: u128) -> String {
     look(15_000).replace(",cluster=2", &format!(",cluster=2,after={position}"))
 }
 
 #[test]
-fn a_position_and_a_sessions_last_write_are_compared_as_told_across_steps() {
+fn replica_positions_and_last_writes_compare_correctly_across_wall_clock_steps() {
     for (at_start, step) in STEPS.into_iter().flat_map(|step| [(0, step), (step, 0)]) {
         let clock = SteppedClock::start(at_start);
         let position = (unix_millis() / 1000 - 1) * 1000;
-        let (driver, replica, _primary) = beside(&clock, standing_at(move || position), "own_writes");
+        let (driver, replica, _primary) =
+            proxy_with_replica(&clock, replica_at(move || position), "own_writes");
         let mut client = Client::connect(driver.address);
         let mut reads = |after, times| {
             let before = replica.requests().len();
-            (0..times).for_each(|_| assert!(served(&client.ask(&look_after(after)))));
+            (0..times).for_each(|_| assert!(served(&client.ask(&read_after_write(after)))));
             replica.requests().len() - before
         };
         if at_start >= 0 {
@@ -134,21 +154,21 @@
         clock.step(step);
         assert_eq!(reads(position + 500, 20), 0, "stale reads, clock at {at_start}, then {step}");
         if at_start >= 0 {
-            assert!(reads(position, 20) > 0, "held from the replica for nothing, {at_start}, then {step}");
+            assert!(reads(position, 20) > 0, "kept from the replica needlessly, {at_start}, then {step}");
         }
     }
 }
 
 #[test]
-fn a_process_started_under_a_wrong_wall_clock_learns_what_bounded_reads_may_see() {
+fn bounded_staleness_reads_keep_their_bound_in_a_process_started_under_a_wrong_wall_clock() {
     // How far the replica is behind, in milliseconds, and whether it is fresh enough for reads of data 300 ms old.
     let cases = [(-3 * SECOND, 2_500, false), (-HOUR, 3_599_900, false), (-HOUR, 0, true), (HOUR, 0, true)];
     for (at_start, behind, fresh) in
         cases.into_iter().chain([(2 * SECOND, 2_500, false), (2 * SECOND, 0, true)])
     {
         let clock = SteppedClock::start(at_start);
-        let replica = standing_at(move || unix_millis() - behind);
-        let (driver, replica, _primary) = beside(&clock, replica, "recent");
+        let replica = replica_at(move || unix_millis() - behind);
+        let (driver, replica, _primary) = proxy_with_replica(&clock, replica, "recent");
         let mut client = Client::connect(driver.address);
         until("the members' clock", || {
             assert!(served(&client.ask(&order(15_000))) && served(&client.ask(&look(15_000))));
