--- a/crates/proxy/src/lifecycle/startup/actors.rs
+++ b/crates/proxy/src/lifecycle/startup/actors.rs
@@ -93,6 +93,7 @@
     }
 }
 
+/// Reads the files again on SIGHUP.
 fn spawn_reload(
     context: &ProcessContext,
     channels: ReloadChannels,
@@ -155,6 +156,8 @@
     Some(Observations::start(context.clock.now(), seed, has_split_points))
 }
 
+/// Joins the fleet and takes part in coordination, as far as the operator's file says so. `is_gateway` says that the fleet
+/// may span several sites.
 async fn spawn_membership(
     context: &Rc<ProcessContext>,
     configuration: &mut Configuration,
@@ -192,12 +195,17 @@
 
 /// What other parts of the start made for the dispatcher.
 struct DispatcherInputs {
+    /// `None` if this process is no gateway.
     gateway_part: Option<GatewayPart>,
+    /// What a former start saved.
     warm_state: WarmState,
+    /// `None` if nothing is decided in common.
     observations: Option<Observations>,
+    /// Site drains that a former start saved.
     site_drains: Vec<Plan>,
 }
 
+/// Owns the router. It takes the remaining configuration, and the site drains that were in force before its first request.
 fn spawn_dispatcher(
     context: &Rc<ProcessContext>,
     configuration: Configuration,
@@ -240,6 +248,7 @@
     }
 }
 
+/// Accepts clients.
 fn spawn_listener(context: &Rc<ProcessContext>, listener: TcpListener) -> JoinHandle<()> {
     spawn_local(client::listener::run(context.clone(), listener))
 }
--- a/crates/proxy/src/lifecycle/startup/gateway.rs
+++ b/crates/proxy/src/lifecycle/startup/gateway.rs
@@ -23,7 +23,8 @@
 const LINK_SHARE_OF_BUDGET: usize = 8;
 const MIN_LINK_BACKLOG: usize = 256 * 1024;
 
-/// Starts the links, where the operator's file has a gateway. The home sites that a former start saved are taken over.
+/// Starts the links, if the operator's file has a gateway; `None` if not. Home sites that a former start saved come before
+/// those of the file.
 ///
 /// # Errors
 ///
@@ -52,6 +53,7 @@
     Ok(Some(GatewayPart::new(opening, &configuration.settings, configuration.seed, now)))
 }
 
+/// Limits of each link.
 fn link_limits(context: &ProcessContext, configuration: &Configuration) -> LinkLimits {
     let budget = configuration.flow_limits.budget as usize;
     let buffers = &context.limits.buffers;
@@ -77,6 +79,7 @@
     Ok(())
 }
 
+/// What the dispatcher's part starts with.
 fn opening(
     context: &ProcessContext,
     own: Identity,
