--- a/crates/proxy/src/client/statement.rs
+++ b/crates/proxy/src/client/statement.rs
@@ -50,7 +50,7 @@
 
     /// Hands a request to the dispatcher.
     async fn send_request(&mut self, statement: Vec<u8>, mut comment: Comment) -> Result<(), CloseReason> {
-        if let Some(left) = self.context.left_to_answer() {
+        if let Some(left) = self.context.time_left_at_shutdown() {
             // Answered in time before the process may be killed.
             comment.wait = comment.wait.min(left.as_millis() as u32);
         }
--- a/crates/proxy/src/gateway/status.rs
+++ b/crates/proxy/src/gateway/status.rs
@@ -6,14 +6,14 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 
-use crate::cli::status;
 use crate::lifecycle::process_context::ProcessContext;
+use crate::lifecycle::status_socket;
 use crate::messages::DispatcherMessage;
 use crate::system::Acceptor;
 
 /// Writes the state of sites and links, as JSON, to everybody who connects to the socket at that path.
 pub async fn serve_status(context: Rc<ProcessContext>, path: String) {
-    let Some(listener) = status::listen(&path, &context.log) else { return };
+    let Some(listener) = status_socket::listen(&path, &context.log) else { return };
     let mut acceptor = Acceptor::new(listener, context.log.clone());
     loop {
         let mut stream = acceptor.next().await;
--- a/crates/proxy/src/membership/start.rs
+++ b/crates/proxy/src/membership/start.rs
@@ -98,10 +98,10 @@
 
 async fn open_socket(context: &ProcessContext, config: &MembershipConfig) -> Result<Datagrams, ProgramError> {
     let address = config.listen;
-    let socket = system::bind_datagrams(address).await.map_err(|why| ProgramError::Listen {
+    let socket = system::bind_datagrams(address).await.map_err(|source| ProgramError::Listen {
         field: "membership.listen",
         address,
-        why,
+        source,
     })?;
     Ok(Datagrams::new(socket, context.log.clone()))
 }
--- a/crates/proxy/src/membership/status_socket.rs
+++ b/crates/proxy/src/membership/status_socket.rs
@@ -5,7 +5,7 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::task::spawn_local;
 
-use crate::cli::status;
+use crate::lifecycle::status_socket;
 use crate::system::Acceptor;
 
 /// The local socket at which `aldermill peers` asks what this proxy knows.
@@ -14,7 +14,7 @@
 impl StatusSocket {
     /// Opens the socket at this path; `None`, and a warning in the log, if that fails.
     pub(super) fn open(path: &str, log: &Logger) -> Option<StatusSocket> {
-        let listener = status::listen(path, log)?;
+        let listener = status_socket::listen(path, log)?;
         Some(StatusSocket(Acceptor::new(listener, log.clone())))
     }
 }
