--- a/crates/proxy/src/dispatcher/gateway/answers.rs
+++ b/crates/proxy/src/dispatcher/gateway/answers.rs
@@ -48,10 +48,7 @@
             FinalAnswer::Ended(Answer::Served(rows)) => RemoteOutcome::served(rows),
             FinalAnswer::Ended(Answer::Rejected { retry_after }) => {
                 let outcome = Outcome::Rejected { retry_after };
-                RemoteOutcome {
-                    retry_after: retry_after,
-                    ..RemoteOutcome::empty(ResponseKind::Rejected, outcome)
-                }
+                RemoteOutcome { retry_after, ..RemoteOutcome::empty(ResponseKind::Rejected, outcome) }
             }
             FinalAnswer::Ended(Answer::Failed) => RemoteOutcome::empty(ResponseKind::Failed, Outcome::Failed),
             FinalAnswer::Ended(Answer::InvalidStatement(_)) => {
--- a/crates/proxy/tests/stored_data.rs
+++ b/crates/proxy/tests/stored_data.rs
@@ -8,7 +8,7 @@
 use std::process::Command;
 
 use aldermill_site_drain::{Order, Plan, Stage, Word};
-use aldermill_site_routing::previous_incarnations::{key, read_key, read_value, value};
+use aldermill_site_routing::records::{RecordKey, decode_key, decode_outcome, encode_key, encode_outcome};
 use aldermill_site_routing::{Origin, Outcome};
 use aldermill_store::{Batch, Bounds, Disk, Snapshot, Store};
 use aldermill_test_support::program;
@@ -272,13 +272,15 @@
 #[test]
 fn the_stored_outcomes_are_read_and_written_in_the_same_form() {
     let (snapshot, _folder) = stored("outcomes");
-    let origin = Origin { site: "site1".to_owned(), instance: "n5".to_owned(), start: 10 };
+    let origin = Origin { site: "site1".to_owned(), instance: "n5".to_owned(), incarnation: 10 };
     for (number, fate, form) in outcomes() {
         let stored_key = outcome_key(number);
         let stored_value = snapshot.get(6, &stored_key).unwrap();
-        assert_eq!(read_key(&stored_key), Some((0x0102_0304_0506_0708, origin.clone(), number.into())));
-        assert_eq!(read_value(&stored_value), fate);
-        assert_eq!(key(0x0102_0304_0506_0708, &origin, number.into()), stored_key);
+        let key =
+            RecordKey { incarnation: 0x0102_0304_0506_0708, origin: origin.clone(), number: number.into() };
+        assert_eq!(decode_key(&stored_key), Some(key));
+        assert_eq!(decode_outcome(&stored_value), fate);
+        assert_eq!(encode_key(0x0102_0304_0506_0708, &origin, number.into()), stored_key);
         let borrowed = match &fate {
             Outcome::Served(bytes) => Outcome::Served(bytes.as_slice()),
             Outcome::Rejected { retry_after } => Outcome::Rejected { retry_after: *retry_after },
@@ -286,7 +288,7 @@
             Outcome::InFlight => Outcome::InFlight,
             Outcome::Failed | Outcome::Unknown => Outcome::Failed,
         };
-        assert_eq!(value(&borrowed), form);
+        assert_eq!(encode_outcome(&borrowed), form);
     }
     assert_eq!(snapshot.all(6).count(), 5, "the expired one is gone");
 }
