--- a/crates/proxy/src/dispatcher/gateway/announcements.rs
+++ b/crates/proxy/src/dispatcher/gateway/announcements.rs
@@ -38,7 +38,7 @@
             homes: offer
                 .groups
                 .into_iter()
-                .map(|(group, primary)| HomeAnnouncement { group, primary })
+                .map(|(group, has_primary)| HomeAnnouncement { group, has_primary })
                 .collect(),
             draining: self.draining,
         }
--- a/crates/proxy/src/dispatcher/gateway/link_events.rs
+++ b/crates/proxy/src/dispatcher/gateway/link_events.rs
@@ -84,7 +84,7 @@
         let requests = |name| credit(name).map_or(0, |credit| credit.requests);
         let credits: Vec<u32> = gateway_part.classes.iter().map(requests).collect();
         let homes: Vec<(u64, bool)> =
-            announcement.homes.iter().map(|home| (home.group, home.primary)).collect();
+            announcement.homes.iter().map(|home| (home.group, home.has_primary)).collect();
         let actions =
             gateway_part.site_router.capacity_announced(now, gateway, credits, &homes, announcement.draining);
         self.carry_out_sites(actions, None);
--- a/crates/proxy/src/gateway/mod.rs
+++ b/crates/proxy/src/gateway/mod.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use aldermill_operator_config::{GatewayConfig, IpNet};
-use aldermill_site_link::{Identity, LinkLimits};
+use aldermill_site_link::{Identity, LinkConfig};
 use thiserror::Error;
 use tokio::io::AsyncWriteExt;
 use tokio::sync::oneshot;
@@ -36,7 +36,7 @@
 pub struct LinkRegistry {
     pub own: Identity,
     pub peers: Vec<Allowed>,
-    pub bounds: LinkLimits,
+    pub bounds: LinkConfig,
     next: Cell<LinkId>,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl LinkRegistry {
-    pub fn new(own: Identity, gateway: &GatewayConfig, bounds: LinkLimits) -> Rc<LinkRegistry> {
+    pub fn new(own: Identity, gateway: &GatewayConfig, bounds: LinkConfig) -> Rc<LinkRegistry> {
         let peers = gateway.peers.iter();
         let peers = peers.map(|peer| Allowed { site: peer.site.clone(), networks: peer.networks.clone() });
         Rc::new(LinkRegistry { own, peers: peers.collect(), bounds, next: Cell::new(0) })
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -22,7 +22,7 @@
 
 use aldermill_operator_config::{GatewayConfig, LeaseKind, Operator};
 use aldermill_settings::Decoded;
-use aldermill_site_link::{Identity, LinkLimits};
+use aldermill_site_link::{Identity, LinkConfig};
 use aldermill_stall_detection::apart;
 use bpaf::Bpaf;
 use rand::SeedableRng;
@@ -361,9 +361,9 @@
     // New with every start: the time of it, which a restart does not share.
     let own =
         Identity { site: gateway.site.clone(), instance: name.to_owned(), incarnation: now.max(1) as u64 };
-    let bounds = LinkLimits {
-        waiting: (room / 8).max(256 * 1024),
-        ..LinkLimits::standard(limits.buffers.statement, limits.buffers.response)
+    let bounds = LinkConfig {
+        max_queued: (room / 8).max(256 * 1024),
+        ..LinkConfig::standard(limits.buffers.statement, limits.buffers.response)
     };
     let yard = LinkRegistry::new(own.clone(), &gateway, bounds);
     if let Some(listen) = gateway.listen {
--- a/crates/site-link/src/link.rs
+++ b/crates/site-link/src/link.rs
@@ -1,361 +1,302 @@
+//! One connection to another gateway.
+
 use std::collections::HashMap;
 
 use prost::Message;
 
+use crate::error::{MalformedFrame, ProtocolViolation};
 use crate::frame::{
-    CapacityAnnouncement, Close, Confirm, Frame, FrameKind, Hello, OutcomeQuery, OutcomeReply,
-    OutcomeReplyKind, PROTOCOL_VERSION, Ping, Pong, Request, Response, ResponseKind, Window,
+    CapacityAnnouncement, Close, Data, Frame, FrameKind, Hello, OutcomeReply, OutcomeReplyKind,
+    PROTOCOL_VERSION, Ping, Pong, Request, Response, ResponseKind, Window,
 };
-use crate::outbox::{Outbox, Stream};
-use crate::{LinkError, Micros};
-
-/// The limits of one link, all stated at its start.
-#[derive(Clone, Copy, Debug)]
-pub struct LinkLimits {
-    /// One frame, its length aside.
-    pub frame: usize,
-    /// One statement, and one value.
-    pub statement: usize,
-    pub value: usize,
-    /// How much of a stream is taken before more is asked for.
-    pub window: u32,
-    /// Streams whose data has begun and not ended.
-    pub streams: usize,
-    /// Bytes that may wait to go out before nothing more is taken in.
-    pub waiting: usize,
-    /// How often a ping goes out, and after how long without a word the link is dead.
-    pub heartbeat: Micros,
-    pub silence: Micros,
-}
-
-impl LinkLimits {
-    pub fn standard(statement: usize, value: usize) -> LinkLimits {
-        LinkLimits {
-            frame: 16 * 1024,
-            statement,
-            value,
-            window: 64 * 1024,
-            streams: 4096,
-            waiting: 4 * 1024 * 1024,
-            heartbeat: 250_000,
-            silence: 1_000_000,
-        }
-    }
-}
+use crate::incoming::{Announcement, DataProgress, IncomingMessages};
+use crate::outbox::{Outbox, StreamId};
+use crate::{Identity, Inbound, LinkConfig, LinkError, Micros, Outbound};
 
-/// Who speaks.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Identity {
-    pub site: String,
-    pub instance: String,
-    pub incarnation: u64,
-}
-
-/// What came whole.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Inbound {
-    /// The other side's greeting; nothing else comes before it.
-    Greeted(Identity),
-    Request(Request, Vec<u8>),
-    /// The answer to a request of this side, with its value.
-    Response(Response, Vec<u8>),
-    Cancel(u64),
-    OutcomeQuery(OutcomeQuery),
-    OutcomeReply(OutcomeReply, Vec<u8>),
-    Confirm(Confirm),
-    CapacityAnnouncement(CapacityAnnouncement),
-    /// A ping came back after so long.
-    RoundTrip(Micros),
-}
-
-/// What is said to the other side.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Outbound {
-    Request(Request, Vec<u8>),
-    Response(Response, Vec<u8>),
-    Cancel(u64),
-    OutcomeQuery(OutcomeQuery),
-    OutcomeReply(OutcomeReply, Vec<u8>),
-    Confirm(Confirm),
-    CapacityAnnouncement(CapacityAnnouncement),
-}
-
-/// What is announced by a frame whose data follows.
-#[derive(Debug)]
-enum Announced {
-    Request(Request),
-    Response(Response),
-    OutcomeReply(OutcomeReply),
-}
+/// The bytes of a frame's length.
+const LENGTH_PREFIX: usize = 4;
+/// The longest name of a site or an instance, in bytes.
+const MAX_NAME: usize = 64;
+/// The longest name of a request class, in bytes.
+const MAX_CLASS_NAME: usize = 256;
+/// How many sites a request may have come through.
+const MAX_VISITED_SITES: usize = 16;
+/// How many request classes a capacity announcement may name.
+const MAX_ANNOUNCED_CLASSES: usize = 4096;
+/// How much of the other side's reason for closing is kept, in characters.
+const MAX_CLOSE_REASON: usize = 200;
 
-#[derive(Debug)]
-struct Incoming {
-    announced: Announced,
-    length: usize,
-    bytes: Vec<u8>,
-    /// Taken in since the other side was last told that it may send more.
-    untold: usize,
-}
-
-/// One connection to another gateway.
+/// One connection to another gateway, from the greetings until an error ends it.
 #[derive(Debug)]
 pub struct Link {
-    bounds: LinkLimits,
-    met: Option<Identity>,
-    buffer: Vec<u8>,
-    incoming: HashMap<Stream, Incoming>,
+    config: LinkConfig,
+    peer: Option<Identity>,
+    /// Received bytes that are not a whole frame yet.
+    unparsed: Vec<u8>,
+    incoming: IncomingMessages,
     outbox: Outbox,
-    heard: Micros,
-    next_ping: Micros,
+    last_received_at: Micros,
+    next_ping_at: Micros,
+    /// When each ping was sent that has not come back.
     pings: HashMap<u64, Micros>,
-    ping: u64,
+    last_ping: u64,
 }
 
 impl Link {
-    pub fn new(bounds: LinkLimits, own: &Identity, now: Micros) -> Link {
+    /// A link whose first bytes are the greeting of `own`.
+    pub fn new(config: LinkConfig, own: &Identity, now: Micros) -> Link {
         let mut outbox = Outbox::default();
-        outbox.urgent(FrameKind::Hello(Hello {
+        outbox.push_urgent(FrameKind::Hello(Hello {
             version: PROTOCOL_VERSION,
             site: own.site.clone(),
             instance: own.instance.clone(),
             incarnation: own.incarnation,
-            heartbeat_us: bounds.heartbeat.max(0) as u64,
-            window: bounds.window,
+            heartbeat_us: config.heartbeat_interval.max(0) as u64,
+            window: config.stream_window,
         }));
         Link {
-            bounds,
-            met: None,
-            buffer: Vec::new(),
-            incoming: HashMap::new(),
+            config,
+            peer: None,
+            unparsed: Vec::new(),
+            incoming: IncomingMessages::default(),
             outbox,
-            heard: now,
-            next_ping: now,
+            last_received_at: now,
+            next_ping_at: now,
             pings: HashMap::new(),
-            ping: 0,
+            last_ping: 0,
         }
     }
 
+    /// Who is at the other end, once it has greeted.
     pub fn peer_identity(&self) -> Option<&Identity> {
-        self.met.as_ref()
+        self.peer.as_ref()
     }
 
-    /// Takes in bytes; what came whole with them is told in its order.
+    // ---- Input.
+
+    /// Takes bytes that were received, in pieces of any size. Returns the messages that are whole now, in their order.
+    ///
+    /// # Errors
+    ///
+    /// Why the link has to end. Messages that arrived with the same bytes before the fault are lost, as if the connection
+    /// had been.
     pub fn receive(&mut self, now: Micros, bytes: &[u8]) -> Result<Vec<Inbound>, LinkError> {
-        self.heard = now;
-        self.buffer.extend_from_slice(bytes);
-        let (mut events, mut at) = (Vec::new(), 0);
-        while let Some(head) = self.buffer[at..].first_chunk::<4>() {
-            let length = u32::from_be_bytes(*head) as usize;
-            if length > self.bounds.frame {
-                return Err(LinkError::Malformed("frame too long"));
-            }
-            let Some(body) = self.buffer.get(at + 4..at + 4 + length) else { break };
-            let frame = Frame::decode(body).map_err(|_| LinkError::Malformed("no frame"))?;
-            at += 4 + length;
-            self.take(now, frame.kind.ok_or(LinkError::UnknownKind)?, &mut events)?;
+        self.last_received_at = now;
+        self.unparsed.extend_from_slice(bytes);
+        let mut messages = Vec::new();
+        let mut parsed = 0;
+        while let Some(body) = next_frame(&self.unparsed[parsed..], self.config.max_frame)? {
+            let frame = Frame::decode(body).map_err(|_| LinkError::Malformed(MalformedFrame::Undecodable))?;
+            parsed += LENGTH_PREFIX + body.len();
+            let kind = frame.kind.ok_or(LinkError::UnknownKind)?;
+            messages.extend(self.handle_frame(now, kind)?);
         }
-        self.buffer.drain(..at);
-        Ok(events)
+        self.unparsed.drain(..parsed);
+        Ok(messages)
     }
 
-    fn take(&mut self, now: Micros, kind: FrameKind, events: &mut Vec<Inbound>) -> Result<(), LinkError> {
-        if self.met.is_none() && !matches!(kind, FrameKind::Hello(_) | FrameKind::Close(_)) {
-            return Err(LinkError::OutOfPlace("something before the greeting"));
+    /// Takes one frame. Returns the message that is whole with it.
+    fn handle_frame(&mut self, now: Micros, kind: FrameKind) -> Result<Option<Inbound>, LinkError> {
+        if self.peer.is_none() && !matches!(kind, FrameKind::Hello(_) | FrameKind::Close(_)) {
+            return Err(LinkError::OutOfPlace(ProtocolViolation::BeforeGreeting));
         }
         match kind {
-            FrameKind::Hello(_) if self.met.is_some() => {
-                return Err(LinkError::OutOfPlace("a second greeting"));
-            }
-            FrameKind::Hello(hello) if hello.version != PROTOCOL_VERSION => {
-                return Err(LinkError::Version(hello.version));
-            }
-            FrameKind::Hello(hello) => {
-                let Hello { site, instance, incarnation, window, .. } = hello;
-                let named = |name: &str| !name.is_empty() && name.len() <= 64;
-                if !named(&site) || !named(&instance) || window == 0 {
-                    return Err(LinkError::Malformed("greeting without a name or a window"));
-                }
-                self.outbox.open(window as usize);
-                let identity = Identity { site, instance, incarnation };
-                self.met = Some(identity.clone());
-                events.push(Inbound::Greeted(identity));
-            }
-            FrameKind::Request(request) => {
-                let (number, length) = (request.number, request.length as usize);
-                if length > self.bounds.statement || length == 0 {
-                    return Err(LinkError::Malformed("statement of impossible length"));
-                }
-                if request.class.len() > 256 || request.visited.len() > 16 {
-                    return Err(LinkError::Malformed("task with too much to it"));
-                }
-                self.announce((number, false), Announced::Request(request), length, events)?;
-            }
-            FrameKind::Response(outcome) => {
-                let (number, length) = (outcome.number, outcome.length as usize);
-                if outcome.kind() == ResponseKind::Unset || length > self.bounds.value {
-                    return Err(LinkError::Malformed("outcome that is none"));
-                }
-                self.announce((number, true), Announced::Response(outcome), length, events)?;
-            }
-            FrameKind::OutcomeReply(fate) => {
-                let (number, length) = (fate.number, fate.length as usize);
-                if fate.kind() == OutcomeReplyKind::Unset || length > self.bounds.value {
-                    return Err(LinkError::Malformed("fate that is none"));
-                }
-                self.announce((number, true), Announced::OutcomeReply(fate), length, events)?;
-            }
-            FrameKind::Data(data) => self.data((data.number, data.value), data.bytes, events)?,
+            FrameKind::Hello(hello) => self.handle_hello(hello).map(Some),
+            FrameKind::Request(request) => self.handle_request(request),
+            FrameKind::Response(response) => self.handle_response(response),
+            FrameKind::OutcomeReply(reply) => self.handle_outcome_reply(reply),
+            FrameKind::Data(data) => self.handle_data(&data),
             FrameKind::Window(window) => {
-                self.outbox.widen((window.number, window.value), window.bytes as usize);
+                let stream = StreamId { number: window.number, is_response: window.is_response };
+                self.outbox.widen_window(stream, window.bytes as usize);
+                Ok(None)
             }
             FrameKind::Cancel(number) => {
-                // What was still to come of it does not come any more, and no answer is wanted.
-                self.incoming.remove(&(number, false));
-                events.push(Inbound::Cancel(number));
+                self.incoming.cancel(StreamId::statement(number));
+                Ok(Some(Inbound::Cancel(number)))
             }
-            FrameKind::OutcomeQuery(ask) => events.push(Inbound::OutcomeQuery(ask)),
-            FrameKind::Confirm(confirm) => events.push(Inbound::Confirm(confirm)),
-            FrameKind::CapacityAnnouncement(room) => {
-                if room.credits.len() > 4096 {
-                    return Err(LinkError::Malformed("room with too much to it"));
-                }
-                events.push(Inbound::CapacityAnnouncement(room));
-            }
-            FrameKind::Ping(Ping { number }) => self.outbox.urgent(FrameKind::Pong(Pong { number })),
-            FrameKind::Pong(Pong { number }) => {
-                if let Some(sent) = self.pings.remove(&number) {
-                    self.pings.retain(|&older, _| older > number);
-                    events.push(Inbound::RoundTrip(now - sent));
-                }
-            }
-            FrameKind::Close(Close { why }) => {
-                return Err(LinkError::Closed(why.chars().take(200).filter(|c| !c.is_control()).collect()));
+            FrameKind::OutcomeQuery(query) => Ok(Some(Inbound::OutcomeQuery(query))),
+            FrameKind::Confirm(confirm) => Ok(Some(Inbound::Confirm(confirm))),
+            FrameKind::CapacityAnnouncement(announcement) => handle_announcement(announcement).map(Some),
+            FrameKind::Ping(Ping { number }) => {
+                self.outbox.push_urgent(FrameKind::Pong(Pong { number }));
+                Ok(None)
             }
+            FrameKind::Pong(Pong { number }) => Ok(self.handle_pong(now, number)),
+            FrameKind::Close(Close { why }) => Err(LinkError::Closed(printable(&why))),
         }
-        Ok(())
     }
 
-    /// A message whose data follows, or that is whole already.
-    fn announce(
-        &mut self,
-        stream: Stream,
-        announced: Announced,
-        length: usize,
-        events: &mut Vec<Inbound>,
-    ) -> Result<(), LinkError> {
-        if self.incoming.contains_key(&stream) {
-            return Err(LinkError::OutOfPlace("a message while another's data is on its way"));
+    fn handle_hello(&mut self, hello: Hello) -> Result<Inbound, LinkError> {
+        if self.peer.is_some() {
+            return Err(LinkError::OutOfPlace(ProtocolViolation::SecondGreeting));
         }
-        if self.incoming.len() >= self.bounds.streams {
-            return Err(LinkError::OutOfPlace("too many streams"));
+        if hello.version != PROTOCOL_VERSION {
+            return Err(LinkError::Version(hello.version));
         }
-        let incoming = Incoming { announced, length, bytes: Vec::new(), untold: 0 };
-        if length == 0 {
-            events.push(incoming.whole());
-        } else {
-            self.incoming.insert(stream, incoming);
+        let Hello { site, instance, incarnation, window, .. } = hello;
+        let is_name = |name: &str| !name.is_empty() && name.len() <= MAX_NAME;
+        if !is_name(&site) || !is_name(&instance) || window == 0 {
+            return Err(LinkError::Malformed(MalformedFrame::IncompleteGreeting));
         }
-        Ok(())
+        self.outbox.open(window as usize);
+        let identity = Identity { site, instance, incarnation };
+        self.peer = Some(identity.clone());
+        Ok(Inbound::Greeted(identity))
     }
 
-    fn data(&mut self, stream: Stream, bytes: Vec<u8>, events: &mut Vec<Inbound>) -> Result<(), LinkError> {
-        let Some(incoming) = self.incoming.get_mut(&stream) else {
-            // Of a request that was cancelled meanwhile, or of an answer that nobody waits for.
-            return Ok(());
-        };
-        if incoming.bytes.len() + bytes.len() > incoming.length {
-            return Err(LinkError::OutOfPlace("more data than was announced"));
+    fn handle_request(&mut self, request: Request) -> Result<Option<Inbound>, LinkError> {
+        let length = request.length as usize;
+        if length > self.config.max_statement || length == 0 {
+            return Err(LinkError::Malformed(MalformedFrame::StatementLength));
         }
-        incoming.untold += bytes.len();
-        if incoming.untold > self.bounds.window as usize {
-            return Err(LinkError::OutOfPlace("data beyond its window"));
+        if request.class.len() > MAX_CLASS_NAME || request.visited.len() > MAX_VISITED_SITES {
+            return Err(LinkError::Malformed(MalformedFrame::RequestTooLarge));
         }
-        incoming.bytes.extend_from_slice(&bytes);
-        if incoming.bytes.len() == incoming.length {
-            events.extend(self.incoming.remove(&stream).map(Incoming::whole));
-        } else if incoming.untold >= self.bounds.window as usize / 2 {
-            let more = std::mem::take(&mut incoming.untold) as u32;
-            self.outbox.urgent(FrameKind::Window(Window { number: stream.0, value: stream.1, bytes: more }));
+        let stream = StreamId::statement(request.number);
+        self.incoming.announce(&self.config, stream, Announcement::Request(request), length)
+    }
+
+    fn handle_response(&mut self, response: Response) -> Result<Option<Inbound>, LinkError> {
+        let length = response.length as usize;
+        if response.kind() == ResponseKind::Unset || length > self.config.max_response {
+            return Err(LinkError::Malformed(MalformedFrame::InvalidResponse));
         }
-        Ok(())
+        let stream = StreamId::response(response.number);
+        self.incoming.announce(&self.config, stream, Announcement::Response(response), length)
+    }
+
+    fn handle_outcome_reply(&mut self, reply: OutcomeReply) -> Result<Option<Inbound>, LinkError> {
+        let length = reply.length as usize;
+        if reply.kind() == OutcomeReplyKind::Unset || length > self.config.max_response {
+            return Err(LinkError::Malformed(MalformedFrame::InvalidOutcomeReply));
+        }
+        let stream = StreamId::response(reply.number);
+        self.incoming.announce(&self.config, stream, Announcement::OutcomeReply(reply), length)
+    }
+
+    fn handle_data(&mut self, data: &Data) -> Result<Option<Inbound>, LinkError> {
+        let stream = StreamId { number: data.number, is_response: data.is_response };
+        match self.incoming.receive(&self.config, stream, &data.bytes)? {
+            DataProgress::Incomplete => Ok(None),
+            DataProgress::Complete(message) => Ok(Some(message)),
+            DataProgress::WidenWindow(bytes) => {
+                let window = Window { number: data.number, is_response: data.is_response, bytes };
+                self.outbox.push_urgent(FrameKind::Window(window));
+                Ok(None)
+            }
+        }
+    }
+
+    /// A ping came back. Those sent before it count as lost.
+    fn handle_pong(&mut self, now: Micros, number: u64) -> Option<Inbound> {
+        let sent_at = self.pings.remove(&number)?;
+        self.pings.retain(|&other, _| other > number);
+        Some(Inbound::RoundTrip(now - sent_at))
+    }
+
+    /// Whether input may be taken: not while too many bytes wait to go out.
+    pub fn accepts_input(&self) -> bool {
+        self.outbox.queued() < self.config.max_queued
     }
 
-    /// Says something. Nothing goes out before the greeting did.
-    pub fn send(&mut self, said: Outbound) {
-        match said {
+    // ---- Output.
+
+    /// Queues a message. Data goes out once the other side has greeted.
+    pub fn send(&mut self, message: Outbound) {
+        match message {
             Outbound::Request(mut request, statement) => {
                 request.length = statement.len() as u32;
-                let stream = (request.number, false);
-                self.outbox.short(FrameKind::Request(request));
-                self.outbox.data(stream, statement);
+                let stream = StreamId::statement(request.number);
+                self.send_with_data(FrameKind::Request(request), stream, statement);
             }
-            Outbound::Response(mut outcome, value) => {
-                outcome.length = value.len() as u32;
-                let stream = (outcome.number, true);
-                self.outbox.short(FrameKind::Response(outcome));
-                self.outbox.data(stream, value);
+            Outbound::Response(mut response, data) => {
+                response.length = data.len() as u32;
+                let stream = StreamId::response(response.number);
+                self.send_with_data(FrameKind::Response(response), stream, data);
             }
-            Outbound::OutcomeReply(mut fate, value) => {
-                fate.length = value.len() as u32;
-                let stream = (fate.number, true);
-                self.outbox.short(FrameKind::OutcomeReply(fate));
-                self.outbox.data(stream, value);
+            Outbound::OutcomeReply(mut reply, data) => {
+                reply.length = data.len() as u32;
+                let stream = StreamId::response(reply.number);
+                self.send_with_data(FrameKind::OutcomeReply(reply), stream, data);
             }
             Outbound::Cancel(number) => {
-                self.outbox.drop_data((number, false));
-                self.outbox.short(FrameKind::Cancel(number));
+                self.outbox.cancel_data(StreamId::statement(number));
+                self.outbox.push_short(FrameKind::Cancel(number));
+            }
+            Outbound::OutcomeQuery(query) => self.outbox.push_short(FrameKind::OutcomeQuery(query)),
+            Outbound::Confirm(confirm) => self.outbox.push_short(FrameKind::Confirm(confirm)),
+            Outbound::CapacityAnnouncement(announcement) => {
+                self.outbox.push_urgent(FrameKind::CapacityAnnouncement(announcement));
             }
-            Outbound::OutcomeQuery(ask) => self.outbox.short(FrameKind::OutcomeQuery(ask)),
-            Outbound::Confirm(confirm) => self.outbox.short(FrameKind::Confirm(confirm)),
-            Outbound::CapacityAnnouncement(room) => self.outbox.urgent(FrameKind::CapacityAnnouncement(room)),
         }
     }
 
-    /// The last frame of a link that ends.
+    fn send_with_data(&mut self, announcement: FrameKind, stream: StreamId, data: Vec<u8>) {
+        self.outbox.push_short(announcement);
+        self.outbox.push_data(stream, data);
+    }
+
+    /// The bytes of the last frame of a link that ends, with the reason for it.
     pub fn close(why: &str) -> Vec<u8> {
         crate::outbox::encode(FrameKind::Close(Close { why: why.to_owned() }))
     }
 
-    /// The next bytes to go out: whole frames, at least one if there is any, and no more than so many.
-    pub fn next_bytes(&mut self, most: usize) -> Option<Vec<u8>> {
-        let mut out = self.outbox.next()?;
-        while out.len() < most
-            && let Some(more) = self.outbox.next()
+    /// The next bytes to write: whole frames, until there are at least so many bytes or nothing is left that may go.
+    pub fn next_bytes(&mut self, at_least: usize) -> Option<Vec<u8>> {
+        let mut out = self.outbox.pop()?;
+        while out.len() < at_least
+            && let Some(more) = self.outbox.pop()
         {
             out.extend_from_slice(&more);
         }
         Some(out)
     }
 
-    /// Whether bytes may be taken in: not while too many wait to go out.
-    pub fn accepts_input(&self) -> bool {
-        self.outbox.waiting() < self.bounds.waiting
-    }
+    // ---- Time.
 
+    /// Queues a ping if one is due.
+    ///
+    /// # Errors
+    ///
+    /// [`LinkError::Silent`] if nothing has been received for too long.
     pub fn wake(&mut self, now: Micros) -> Result<(), LinkError> {
-        if now - self.heard >= self.bounds.silence {
+        if now - self.last_received_at >= self.config.silence_timeout {
             return Err(LinkError::Silent);
         }
-        if now >= self.next_ping {
-            self.next_ping = now + self.bounds.heartbeat;
-            self.ping += 1;
-            self.pings.insert(self.ping, now);
-            self.outbox.urgent(FrameKind::Ping(Ping { number: self.ping }));
+        if now >= self.next_ping_at {
+            self.next_ping_at = now + self.config.heartbeat_interval;
+            self.last_ping += 1;
+            self.pings.insert(self.last_ping, now);
+            self.outbox.push_urgent(FrameKind::Ping(Ping { number: self.last_ping }));
         }
         Ok(())
     }
 
+    /// When to call [`Link::wake`], on the caller's clock.
     pub fn wake_at(&self) -> Micros {
-        self.next_ping.min(self.heard + self.bounds.silence)
+        self.next_ping_at.min(self.last_received_at + self.config.silence_timeout)
     }
 }
 
-impl Incoming {
-    fn whole(self) -> Inbound {
-        match self.announced {
-            Announced::Request(request) => Inbound::Request(request, self.bytes),
-            Announced::Response(outcome) => Inbound::Response(outcome, self.bytes),
-            Announced::OutcomeReply(fate) => Inbound::OutcomeReply(fate, self.bytes),
-        }
+/// The body of the first frame in `bytes`, if it is there whole.
+fn next_frame(bytes: &[u8], max_frame: usize) -> Result<Option<&[u8]>, LinkError> {
+    let Some(prefix) = bytes.first_chunk::<LENGTH_PREFIX>() else { return Ok(None) };
+    let length = u32::from_be_bytes(*prefix) as usize;
+    if length > max_frame {
+        return Err(LinkError::Malformed(MalformedFrame::TooLong));
     }
+    Ok(bytes.get(LENGTH_PREFIX..LENGTH_PREFIX + length))
+}
+
+fn handle_announcement(announcement: CapacityAnnouncement) -> Result<Inbound, LinkError> {
+    if announcement.credits.len() > MAX_ANNOUNCED_CLASSES {
+        return Err(LinkError::Malformed(MalformedFrame::AnnouncementTooLarge));
+    }
+    Ok(Inbound::CapacityAnnouncement(announcement))
+}
+
+/// The other side's text, safe for a log.
+fn printable(text: &str) -> String {
+    text.chars().take(MAX_CLOSE_REASON).filter(|c| !c.is_control()).collect()
 }
--- a/crates/site-link/src/outbox.rs
+++ b/crates/site-link/src/outbox.rs
@@ -1,5 +1,5 @@
-//! What is to go out, in the order in which it goes: what keeps the link alive first, then short messages, then
-//! parts of large ones in turn.
+//! What waits to go out, in the order in which it goes: first what keeps the link alive, then short messages, then the data
+//! of long ones, a part of each in turn.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,121 +7,157 @@
 
 use crate::frame::{Data, Frame, FrameKind};
 
-/// No frame carries more of a statement or a value: nothing short waits longer than for one such part.
-const PART: usize = 8 * 1024;
+/// How much of a statement or response one frame carries at most, in bytes: a short message waits for one such part at most.
+const MAX_DATA_PART: usize = 8 * 1024;
 
-/// A stream's data: which request's, and whether it is a value.
-pub(crate) type Stream = (u64, bool);
+/// The data of one message. The data of a request and of its response have the same number and go opposite ways.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct StreamId {
+    pub(crate) number: u64,
+    pub(crate) is_response: bool,
+}
+
+impl StreamId {
+    /// The statement of the request with this number.
+    pub(crate) fn statement(number: u64) -> StreamId {
+        StreamId { number, is_response: false }
+    }
+
+    /// The data of the response to the request with this number.
+    pub(crate) fn response(number: u64) -> StreamId {
+        StreamId { number, is_response: true }
+    }
+}
 
 #[derive(Debug)]
-struct Large {
+struct OutgoingData {
     bytes: Vec<u8>,
     sent: usize,
 }
 
+impl OutgoingData {
+    fn remaining(&self) -> usize {
+        self.bytes.len() - self.sent
+    }
+}
+
+/// What waits to go out over one link.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     urgent: VecDeque<Vec<u8>>,
     short: VecDeque<Vec<u8>>,
-    large: HashMap<Stream, Large>,
-    /// Streams that have something to send and may, in turn.
-    turns: VecDeque<Stream>,
-    /// How much of each stream's data the other side takes yet.
-    windows: HashMap<Stream, usize>,
-    window: usize,
-    waiting: usize,
+    data: HashMap<StreamId, OutgoingData>,
+    /// Streams that have something to send, and a window for it, in the order of their turns.
+    turns: VecDeque<StreamId>,
+    /// How many bytes more the other side takes of each stream.
+    windows: HashMap<StreamId, usize>,
+    /// The window that each stream begins with, as the other side greeted; zero before.
+    initial_window: usize,
+    queued: usize,
 }
 
+/// A frame as it is sent: its length in four bytes, and its Protocol Buffers form.
 pub(crate) fn encode(kind: FrameKind) -> Vec<u8> {
     let frame = Frame { kind: Some(kind) };
     let length = frame.encoded_len();
     let mut out = Vec::with_capacity(4 + length);
     out.extend_from_slice(&(length as u32).to_be_bytes());
-    // A vector takes whatever is written.
+    // Writing to a vector cannot fail.
     let _ = frame.encode(&mut out);
     out
 }
 
 impl Outbox {
-    /// What the other side takes of a stream unasked.
-    pub(crate) fn open(&mut self, window: usize) {
-        self.window = window;
-        let streams: Vec<Stream> = self.large.keys().copied().collect();
-        streams.into_iter().for_each(|stream| self.take_turn(stream));
+    /// The other side has greeted, and takes so many bytes of each stream unasked.
+    pub(crate) fn open(&mut self, initial_window: usize) {
+        self.initial_window = initial_window;
+        let streams: Vec<StreamId> = self.data.keys().copied().collect();
+        for stream in streams {
+            self.queue_turn(stream);
+        }
     }
 
-    pub(crate) fn urgent(&mut self, kind: FrameKind) {
+    /// Queues a frame that goes before all others.
+    pub(crate) fn push_urgent(&mut self, kind: FrameKind) {
         let bytes = encode(kind);
-        self.waiting += bytes.len();
+        self.queued += bytes.len();
         self.urgent.push_back(bytes);
     }
 
-    pub(crate) fn short(&mut self, kind: FrameKind) {
+    /// Queues a frame that goes before all data.
+    pub(crate) fn push_short(&mut self, kind: FrameKind) {
         let bytes = encode(kind);
-        self.waiting += bytes.len();
+        self.queued += bytes.len();
         self.short.push_back(bytes);
     }
 
-    pub(crate) fn data(&mut self, stream: Stream, bytes: Vec<u8>) {
+    /// Queues the data of a message that was announced by a short frame.
+    pub(crate) fn push_data(&mut self, stream: StreamId, bytes: Vec<u8>) {
         if bytes.is_empty() {
             return;
         }
-        self.waiting += bytes.len();
-        self.large.insert(stream, Large { bytes, sent: 0 });
-        self.take_turn(stream);
+        self.queued += bytes.len();
+        self.data.insert(stream, OutgoingData { bytes, sent: 0 });
+        self.queue_turn(stream);
     }
 
-    /// The other side takes so much more. What was said of streams that are over says nothing.
-    pub(crate) fn widen(&mut self, stream: Stream, bytes: usize) {
-        if self.large.contains_key(&stream) {
-            let window = self.windows.entry(stream).or_insert(self.window);
-            let stood = std::mem::replace(window, window.saturating_add(bytes)) == 0;
-            if stood {
-                self.turns.push_back(stream);
-            }
+    /// The other side takes so many bytes more of a stream. It may say so late, when the stream has ended.
+    pub(crate) fn widen_window(&mut self, stream: StreamId, bytes: usize) {
+        if !self.data.contains_key(&stream) {
+            return;
+        }
+        let window = self.windows.entry(stream).or_insert(self.initial_window);
+        let was_closed = *window == 0;
+        *window = window.saturating_add(bytes);
+        if was_closed {
+            self.turns.push_back(stream);
         }
     }
 
-    /// Nothing more of a stream is to go out.
-    pub(crate) fn drop_data(&mut self, stream: Stream) {
-        if let Some(large) = self.large.remove(&stream) {
-            self.waiting -= large.bytes.len() - large.sent;
+    /// The rest of a stream is not to be sent.
+    pub(crate) fn cancel_data(&mut self, stream: StreamId) {
+        if let Some(data) = self.data.remove(&stream) {
+            self.queued -= data.remaining();
         }
         self.windows.remove(&stream);
         self.turns.retain(|&turn| turn != stream);
     }
 
-    /// Bytes that wait, whether or not they may go.
-    pub(crate) fn waiting(&self) -> usize {
-        self.waiting
+    /// How many bytes wait, whether or not a window is open for them.
+    pub(crate) fn queued(&self) -> usize {
+        self.queued
     }
 
     /// The next frame to go out.
-    pub(crate) fn next(&mut self) -> Option<Vec<u8>> {
+    pub(crate) fn pop(&mut self) -> Option<Vec<u8>> {
         if let Some(bytes) = self.urgent.pop_front().or_else(|| self.short.pop_front()) {
-            self.waiting -= bytes.len();
+            self.queued -= bytes.len();
             return Some(bytes);
         }
+        self.pop_data()
+    }
+
+    /// The next part of the stream whose turn it is.
+    fn pop_data(&mut self) -> Option<Vec<u8>> {
         let stream = self.turns.pop_front()?;
-        let large = self.large.get_mut(&stream)?;
-        let window = self.windows.entry(stream).or_insert(self.window);
-        let part = (large.bytes.len() - large.sent).min(PART).min(*window);
-        let bytes = large.bytes[large.sent..large.sent + part].to_vec();
-        large.sent += part;
-        *window -= part;
-        self.waiting -= part;
-        let (done, may) = (large.sent == large.bytes.len(), *window > 0);
-        if done {
-            self.large.remove(&stream);
+        let data = self.data.get_mut(&stream)?;
+        let window = self.windows.entry(stream).or_insert(self.initial_window);
+        let length = data.remaining().min(MAX_DATA_PART).min(*window);
+        let bytes = data.bytes[data.sent..data.sent + length].to_vec();
+        data.sent += length;
+        *window -= length;
+        self.queued -= length;
+        if data.remaining() == 0 {
+            self.data.remove(&stream);
             self.windows.remove(&stream);
-        } else if may {
+        } else if *window > 0 {
             self.turns.push_back(stream);
         }
-        Some(encode(FrameKind::Data(Data { number: stream.0, value: stream.1, bytes })))
+        Some(encode(FrameKind::Data(Data { number: stream.number, is_response: stream.is_response, bytes })))
     }
 
-    fn take_turn(&mut self, stream: Stream) {
-        let window = self.windows.get(&stream).copied().unwrap_or(self.window);
+    fn queue_turn(&mut self, stream: StreamId) {
+        let window = self.windows.get(&stream).copied().unwrap_or(self.initial_window);
         if window > 0 && !self.turns.contains(&stream) {
             self.turns.push_back(stream);
         }
--- a/crates/site-link/tests/frames.rs
+++ b/crates/site-link/tests/frames.rs
@@ -1,7 +1,7 @@
 //! Two ends of a link joined by bytes, and one end before hostile bytes.
 
 use aldermill_site_link::{
-    Confirm, Identity, Inbound, Link, LinkError, LinkLimits, Outbound, OutcomeQuery, OutcomeReply,
+    Confirm, Identity, Inbound, Link, LinkConfig, LinkError, Outbound, OutcomeQuery, OutcomeReply,
     OutcomeReplyKind, Request, Response, ResponseKind,
 };
 use proptest::prelude::*;
@@ -11,8 +11,8 @@
     Identity { site: site.into(), instance: "n0".into(), incarnation: 7 }
 }
 
-fn bounds() -> LinkLimits {
-    LinkLimits::standard(200_000, 400_000)
+fn bounds() -> LinkConfig {
+    LinkConfig::standard(200_000, 400_000)
 }
 
 fn ends() -> (Link, Link) {
--- a/crates/site-link/tests/pinned_frames.rs
+++ b/crates/site-link/tests/pinned_frames.rs
@@ -2,7 +2,7 @@
 
 use aldermill_site_link::{
     CapacityAnnouncement, Close, Confirm, Credit, Frame, FrameKind, Hello, HomeAnnouncement, Identity,
-    Inbound, Link, LinkError, LinkLimits, Outbound, OutcomeQuery, OutcomeReply, OutcomeReplyKind, Ping, Pong,
+    Inbound, Link, LinkConfig, LinkError, Outbound, OutcomeQuery, OutcomeReply, OutcomeReplyKind, Ping, Pong,
     Request, Response, ResponseKind,
 };
 use prost::Message;
@@ -74,7 +74,7 @@
         let mut kind = FrameKind::Data(Default::default());
         if let FrameKind::Data(data) = &mut kind {
             data.number = 300;
-            data.value = value;
+            data.is_response = value;
             data.bytes = b"\0part\xff".to_vec();
         }
         pinned(kind, bytes);
@@ -94,7 +94,7 @@
         let mut kind = FrameKind::Window(Default::default());
         if let FrameKind::Window(window) = &mut kind {
             window.number = 300;
-            window.value = value;
+            window.is_response = value;
             window.bytes = 32_768;
         }
         pinned(kind, bytes);
@@ -172,8 +172,8 @@
             Credit { class: "renew".into(), requests: 0 },
         ],
         homes: vec![
-            HomeAnnouncement { group: 7, primary: true },
-            HomeAnnouncement { group: 8, primary: false },
+            HomeAnnouncement { group: 7, has_primary: true },
+            HomeAnnouncement { group: 8, has_primary: false },
         ],
         draining: true,
     }
@@ -204,7 +204,7 @@
 
 /// A link of site `b` that read the greeting of site `a`, and whose own has gone out.
 fn link() -> Link {
-    let mut link = Link::new(LinkLimits::standard(200_000, 400_000), &identity("b"), 0);
+    let mut link = Link::new(LinkConfig::standard(200_000, 400_000), &identity("b"), 0);
     assert_eq!(link.receive(0, HELLO_A), Ok(vec![Inbound::Greeted(identity("a"))]));
     link.next_bytes(1).unwrap();
     link
@@ -221,7 +221,7 @@
 
 #[test]
 fn the_greeting_that_a_link_sends() {
-    let mut link = Link::new(LinkLimits::standard(200_000, 400_000), &identity("a"), 0);
+    let mut link = Link::new(LinkConfig::standard(200_000, 400_000), &identity("a"), 0);
     assert_eq!(text(&link.next_bytes(1).unwrap()), text(HELLO_A));
 }
 
