--- a/crates/proxy/src/dispatcher/outcome_log.rs
+++ b/crates/proxy/src/dispatcher/outcome_log.rs
@@ -17,7 +17,7 @@
 use aldermill_warm_start::namespace;
 use tokio::sync::mpsc;
 
-use crate::persistence::DataDirectory;
+use crate::persistence::{DataDirectory, StoredRecord};
 
 /// How long a remote request, and an outcome, wait for the disk before they go on without it, in microseconds.
 const MAX_WRITE_WAIT: Micros = 250_000;
@@ -105,7 +105,7 @@
         }
         let Some(records) = self.directory.records() else { return };
         let mut previous = PreviousIncarnations::default();
-        for (namespace, key, value) in records {
+        for StoredRecord { namespace, key, value } in records {
             match *namespace {
                 namespace::OUTCOME_LOG => read_record(&mut previous, key, value),
                 namespace::OUTCOME_LOG_PROMISES => read_promise(&mut previous, now, key, value),
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -23,7 +23,7 @@
 use aldermill_operator_config::{GatewayConfig, LeaseKind, Operator};
 use aldermill_settings::Decoded;
 use aldermill_site_link::{Identity, LinkConfig};
-use aldermill_stall_detection::apart;
+use aldermill_stall_detection::start_jitter;
 use bpaf::Bpaf;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -44,7 +44,7 @@
 use crate::lifecycle::limits::Limits;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::lifecycle::reload::Reload;
-use crate::membership::{CoordinationStart, MembershipActor};
+use crate::membership::{CoordinationStart, MembershipActor, MembershipStart};
 use crate::messages::{DispatcherMessage, ListUpdate};
 use crate::persistence::{DataDirectory, Persistence};
 
@@ -132,7 +132,9 @@
             read(&Files { config, operator }).map(|start| describe(&start))
         }
         Command::Sites { socket } => cli::status::ask(&socket).map(|text| print!("{text}")),
-        Command::Fellows { json, socket } => membership::ask(&socket, json).map(|text| print!("{text}")),
+        Command::Fellows { json, socket } => {
+            membership::status::query(&socket, json).map(|text| print!("{text}"))
+        }
         Command::Store { work: FolderWork::Check { folder } } => persistence::maintenance::check(&folder)
             .and_then(|sound| sound.then_some(()).ok_or_else(|| ProgramError::Damaged(folder.clone()))),
         Command::Store { work: FolderWork::Dump { folder } } => persistence::maintenance::dump(&folder),
@@ -298,22 +300,32 @@
         Observations::start(clock.now(), seed.rotate_left(24), splits)
     });
     let mut bound = Vec::new();
-    if let Some(terms) = fellows {
-        let place = (zone, longest_timeout);
-        let wanted =
-            council.map(|wanted| CoordinationStart { wanted, folder: data_directory, place, reread });
-        let own = (&*name, drivers, gateway_part.is_some());
-        let mut company =
-            MembershipActor::open(context.clone(), terms, wanted, own, seed.rotate_left(16)).await?;
-        bound = company.bound();
-        spawn_local(company.run());
+    if let Some(config) = fellows {
+        let coordination = council.map(|config| CoordinationStart {
+            config,
+            directory: data_directory,
+            zone,
+            longest_timeout,
+            reloads: reread,
+        });
+        let start = MembershipStart {
+            config,
+            name: name.clone(),
+            configured_fleet_size: drivers,
+            spans_sites: gateway_part.is_some(),
+            coordination,
+            seed: seed.rotate_left(16),
+        };
+        let mut membership_actor = MembershipActor::open(context.clone(), start).await?;
+        bound = membership_actor.restored_drain_plans();
+        spawn_local(membership_actor.run());
     }
     let mut dispatcher = Dispatcher::new(DispatcherParts {
         context: context.clone(),
         decoded,
         seed,
         gateway_part,
-        trial,
+        shadow: trial,
         warm_state,
         observations,
         ready,
@@ -323,7 +335,7 @@
     let deciding = spawn_local(dispatcher.run(list_updates, calls));
     let requests = on_request.then_some(requests);
     let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(32));
-    let first = duration(apart::wait(&name, drivers, grace, &mut rng));
+    let first = duration(start_jitter::start_delay(&name, drivers, grace, &mut rng));
     spawn_local(
         Watch { context: context.clone(), dispatcher: list_update, requests, revision, first, rng }.run(),
     );
@@ -371,15 +383,11 @@
             .map_err(|why| ProgramError::Listen { field: "gateway.listen", address: listen, why })?;
         let address = listener.local_addr().unwrap_or(listen);
         info!(context.log, "gateway"; "site" => &own.site, "links" => %address);
-        spawn_local(gateway::accept(context.clone(), yard.clone(), listener));
+        spawn_local(gateway::accept_links(context.clone(), yard.clone(), listener));
     }
-    let gone_to = gateway.peers.iter().flat_map(|peer| {
-        let links = peer.links.unwrap_or(2) as usize;
-        peer.addresses.iter().flat_map(move |&address| vec![(peer.site.clone(), address); links])
-    });
-    gateway::start(context, &yard, gone_to.collect(), seed);
+    gateway::maintain_links(context, &yard, &gateway.peers, seed);
     if let Some(path) = &gateway.status {
-        spawn_local(gateway::serve(context.clone(), path.clone()));
+        spawn_local(gateway::serve_status(context.clone(), path.clone()));
     }
     let opening = Opening {
         own,
--- a/crates/proxy/tests/stored_data.rs
+++ b/crates/proxy/tests/stored_data.rs
@@ -276,9 +276,9 @@
     for (number, fate, form) in outcomes() {
         let stored_key = outcome_key(number);
         let stored_value = snapshot.get(6, &stored_key).unwrap();
-        let key =
+        let expected =
             RecordKey { incarnation: 0x0102_0304_0506_0708, origin: origin.clone(), number: number.into() };
-        assert_eq!(decode_key(&stored_key), Some(key));
+        assert_eq!(decode_key(&stored_key), Some(expected));
         assert_eq!(decode_outcome(&stored_value), fate);
         assert_eq!(encode_key(0x0102_0304_0506_0708, &origin, number.into()), stored_key);
         let borrowed = match &fate {
--- a/crates/site-routing/src/peer_gateway.rs
+++ b/crates/site-routing/src/peer_gateway.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use aldermill_statistics::{Histogram, Trip};
+use aldermill_statistics::{Histogram, RoundTripEstimate};
 
 use crate::primary_search::SEARCH_HOLD;
 use crate::{Micros, NEVER, RequestClass, SiteId};
@@ -47,7 +47,7 @@
     pub(crate) site: SiteId,
     links: usize,
     last_link_lost_at: Micros,
-    round_trip: Trip,
+    round_trip: RoundTripEstimate,
     /// How many requests it takes at once, by class, as it announced.
     credits: Vec<u32>,
     draining: bool,
@@ -66,7 +66,7 @@
             site,
             links: 0,
             last_link_lost_at: NEVER,
-            round_trip: Trip::guessed(INITIAL_ROUND_TRIP),
+            round_trip: RoundTripEstimate::assumed(INITIAL_ROUND_TRIP),
             credits: vec![0; classes.len()],
             draining: false,
             blacklist: FailureBlacklist::default(),
@@ -100,7 +100,7 @@
     }
 
     pub(crate) fn record_round_trip(&mut self, round_trip: Micros) {
-        self.round_trip.measured(round_trip);
+        self.round_trip.record(round_trip);
     }
 
     /// It served a request. `duration` is missing where this process stalled meanwhile, so that nothing was measured.
