--- a/crates/proxy/src/dispatcher/gateway/announcements.rs
+++ b/crates/proxy/src/dispatcher/gateway/announcements.rs
@@ -1,4 +1,5 @@
-//! What others are told of this gateway: its available capacity, what it saw, and what it believes.
+//! What this gateway makes known: its available capacity to other gateways, its observations to lease holders, its state
+//! to operators.
 
 use std::collections::HashMap;
 
@@ -11,26 +12,26 @@
 use crate::dispatcher::Dispatcher;
 use crate::messages::SiteObservations;
 
-/// How often others are told of the capacity here though nothing has changed.
-const ANNOUNCE_EVERY: Micros = 500_000;
+/// How often the capacity here is announced though nothing has changed, in microseconds.
+const ANNOUNCE_INTERVAL: Micros = 500_000;
 
 impl GatewayPart {
     /// Tells all gateways the available capacity here.
-    pub(super) fn announce_room(&mut self) {
+    pub(super) fn announce_capacity(&mut self) {
         for gateway in 0..self.peer_gateways.len() {
-            self.announce_room_to(gateway);
+            self.announce_capacity_to(gateway);
         }
     }
 
     /// Tells one gateway, where a link to it stands, the available capacity here.
-    pub(super) fn announce_room_to(&mut self, gateway: PeerGatewayId) {
+    pub(super) fn announce_capacity_to(&mut self, gateway: PeerGatewayId) {
         if self.peer_gateways.get(gateway).is_some_and(|peer| !peer.links.is_empty()) {
-            let room = self.room_frame(gateway);
-            self.send(gateway, None, Outbound::CapacityAnnouncement(room));
+            let announcement = self.capacity_announcement(gateway);
+            self.send(gateway, None, Outbound::CapacityAnnouncement(announcement));
         }
     }
 
-    fn room_frame(&mut self, gateway: PeerGatewayId) -> CapacityAnnouncement {
+    fn capacity_announcement(&mut self, gateway: PeerGatewayId) -> CapacityAnnouncement {
         let offer = self.site_router.offered_capacity(gateway);
         let credits = self.classes.iter().zip(offer.credits);
         CapacityAnnouncement {
@@ -50,8 +51,8 @@
         if now < self.announce_at {
             return;
         }
-        self.announce_at = now + ANNOUNCE_EVERY;
-        self.announce_room();
+        self.announce_at = now + ANNOUNCE_INTERVAL;
+        self.announce_capacity();
         if let Some(outcome_log) = &mut self.outcome_log {
             outcome_log.renew_promise(now);
         }
@@ -134,7 +135,7 @@
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let drained_before = std::mem::replace(&mut gateway_part.draining, true);
         if !drained_before {
-            gateway_part.announce_room();
+            gateway_part.announce_capacity();
         }
     }
 
--- a/crates/proxy/src/dispatcher/gateway/answers.rs
+++ b/crates/proxy/src/dispatcher/gateway/answers.rs
@@ -7,8 +7,7 @@
 use aldermill_site_routing::{Outcome, RequestHandle, SiteId};
 
 use super::{
-    ASKED_AFTER_DEADLINE, DepartingOutcome, ForwardedRequest, GatewayPart, KeptValue, RemoteRequest,
-    Requester,
+    DepartingOutcome, ForwardedRequest, GatewayPart, KeptValue, QUERY_GRACE, RemoteRequest, Requester,
 };
 use crate::dispatcher::Dispatcher;
 use crate::messages::{Answer, Rows};
@@ -35,7 +34,7 @@
 /// What a remote request came to.
 struct RemoteOutcome {
     kind: ResponseKind,
-    /// What whoever asks later is told.
+    /// What a later query is answered with.
     outcome: Outcome<KeptValue>,
     value: Rc<Vec<u8>>,
     retry_after: Micros,
@@ -63,7 +62,7 @@
 
     fn served(rows: Rows) -> RemoteOutcome {
         let value = Rc::new(rows.pieces.concat());
-        let kept = KeptValue { bytes: value.clone(), _room: rows.reservation.map(Rc::new) };
+        let kept = KeptValue { bytes: value.clone(), _reservation: rows.reservation.map(Rc::new) };
         RemoteOutcome { value, ..RemoteOutcome::empty(ResponseKind::Served, Outcome::Served(kept)) }
     }
 
@@ -101,18 +100,18 @@
         let non_idempotent = matches!(effect, Effect::Effectful);
         // Nobody asks about what may simply be sent again.
         let outcome = if non_idempotent { outcome } else { Outcome::Failed };
-        let kept_until = non_idempotent.then_some(now + timeout + ASKED_AFTER_DEADLINE);
-        gateway_part.remember_and_send(now, remote, outcome, kept_until, frame, value);
+        let kept_until = non_idempotent.then_some(now + timeout + QUERY_GRACE);
+        gateway_part.record_and_send(now, remote, outcome, kept_until, frame, value);
         let rejected = kind == ResponseKind::Rejected;
         if gateway_part.site_router.remote_request_ended(now, remote.gateway, forwarded.class, rejected) {
-            gateway_part.announce_room_to(remote.gateway);
+            gateway_part.announce_capacity_to(remote.gateway);
         }
     }
 }
 
 impl GatewayPart {
     /// `kept_until` is set where the outcome is to survive a restart.
-    fn remember_and_send(
+    fn record_and_send(
         &mut self,
         now: Micros,
         remote: &RemoteRequest,
@@ -128,7 +127,7 @@
         }
         self.outcomes.record(&remote.origin, remote.number, outcome);
         // Over the link that it came by, or was last asked about on; where that broke, it will be asked about.
-        let (gateway, link) = (remote.gateway, remote.link);
+        let RemoteRequest { gateway, link, .. } = *remote;
         if !self.peer_gateways[gateway].links.contains(&link) {
             return;
         }
--- a/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
@@ -49,7 +49,7 @@
         let request = Rc::new(request);
         let forwarded = ForwardedRequest { request, class, local: None, requester, visited };
         gateway_part.forwarded.insert(handle, forwarded);
-        self.carry_out_sites(actions, None);
+        self.carry_out_site_actions(actions, None);
     }
 
     /// Nobody waits for a request any more.
@@ -61,7 +61,7 @@
         }
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let actions = gateway_part.site_router.abandon(now, handle);
-        self.carry_out_sites(actions, None);
+        self.carry_out_site_actions(actions, None);
     }
 
     /// The router here has answered a request for the gateway part.
@@ -75,7 +75,7 @@
         self.count_ended_here(handle, ended == LocalResult::Served, now);
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let actions = gateway_part.site_router.local_finished(now, handle, ended);
-        self.carry_out_sites(actions, Some(ReceivedAnswer { handle, answer }));
+        self.carry_out_site_actions(actions, Some(ReceivedAnswer { handle, answer }));
     }
 
     fn count_ended_here(&mut self, handle: RequestHandle, served: bool, now: Micros) {
@@ -113,15 +113,15 @@
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let actions = gateway_part.site_router.primary_found_here(now, group);
-        self.carry_out_sites(actions, None);
+        self.carry_out_site_actions(actions, None);
     }
 
-    /// The endpoint list has so many ready members of each group.
+    /// The endpoint list has changed: each group with its number of ready members.
     pub(in crate::dispatcher) fn groups_listed(&mut self, groups: &[(u64, usize)]) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let actions = gateway_part.site_router.groups_listed(now, groups);
-        self.carry_out_sites(actions, None);
+        self.carry_out_site_actions(actions, None);
     }
 
     /// The site router wanted to be woken now.
@@ -130,7 +130,7 @@
         let Some(gateway_part) = &mut self.gateway_part else { return };
         gateway_part.do_periodic_work(now);
         let actions = gateway_part.site_router.wake(now);
-        self.carry_out_sites(actions, None);
+        self.carry_out_site_actions(actions, None);
     }
 
     /// What was decided in common of sites that drain.
@@ -138,7 +138,7 @@
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let actions = gateway_part.site_router.assign_sessions(now, &gateway_part.names, plans);
-        self.carry_out_sites(actions, None);
+        self.carry_out_site_actions(actions, None);
     }
 
     /// The process stalled until now.
@@ -180,7 +180,7 @@
     }
 
     /// Takes a forwarded request back from the router here: the handle to abandon there.
-    pub(super) fn take_back(&mut self, handle: RequestHandle) -> Option<RouterHandle> {
+    pub(super) fn withdraw(&mut self, handle: RequestHandle) -> Option<RouterHandle> {
         self.forwarded.get_mut(&handle)?.local.take()
     }
 }
--- a/crates/proxy/src/dispatcher/gateway/link_events.rs
+++ b/crates/proxy/src/dispatcher/gateway/link_events.rs
@@ -47,7 +47,7 @@
         let answer = gateway_part.peer_answer(response);
         let actions = gateway_part.site_router.answered(now, response.number, answer);
         gateway_part.sent.remove(&response.number);
-        self.carry_out_sites(actions, received);
+        self.carry_out_site_actions(actions, received);
     }
 
     /// Another gateway tells, as it was asked, what became of a request that was sent there.
@@ -63,7 +63,7 @@
             sent.link = link;
         }
         let actions = gateway_part.site_router.outcome_received(now, frame.number, &outcome);
-        self.carry_out_sites(actions, received);
+        self.carry_out_site_actions(actions, received);
     }
 
     /// Another gateway asks what became of a request that it sent.
@@ -87,7 +87,7 @@
             announcement.homes.iter().map(|home| (home.group, home.has_primary)).collect();
         let actions =
             gateway_part.site_router.capacity_announced(now, gateway, credits, &homes, announcement.draining);
-        self.carry_out_sites(actions, None);
+        self.carry_out_site_actions(actions, None);
     }
 
     /// What another gateway sent for a request, with buffer space for it where it is large.
@@ -135,7 +135,7 @@
         match &mut self.outcome_log {
             Some(outcome_log) if query.receiver_incarnation != own => {
                 let outcome = outcome_log.query(now, origin, query.number, query.receiver_incarnation);
-                outcome.map(|bytes| KeptValue { bytes, _room: None })
+                outcome.map(|bytes| KeptValue { bytes, _reservation: None })
             }
             _ => self.outcomes.query(now, origin, query.number, query.receiver_incarnation, own),
         }
--- a/crates/proxy/src/dispatcher/gateway/links.rs
+++ b/crates/proxy/src/dispatcher/gateway/links.rs
@@ -17,7 +17,7 @@
                 gateway_part.links.insert(link, LinkState { gateway: None, outbox, peer });
             }
             LinkEvent::Lost => self.link_lost(link),
-            LinkEvent::Received(Inbound::Greeted(identity)) => self.greeted_on(link, identity),
+            LinkEvent::Received(Inbound::Greeted(identity)) => self.peer_greeted(link, identity),
             LinkEvent::Received(event) => {
                 let Some(gateway) = gateway_part.links.get(&link).and_then(|state| state.gateway) else {
                     return;
@@ -28,7 +28,7 @@
     }
 
     /// The other side of a link has said who it is. Dropping the link's state closes it.
-    fn greeted_on(&mut self, link: LinkId, identity: Identity) {
+    fn peer_greeted(&mut self, link: LinkId, identity: Identity) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let Some(site) = gateway_part.site(&identity.site).filter(|&site| site != LOCAL_SITE) else {
@@ -40,21 +40,21 @@
         let id = gateway_part.gateway_id(site, &origin);
         let current_up = !gateway_part.peer_gateways[id].links.is_empty();
         if !gateway_part.outcomes.greeted(&origin, current_up) {
-            warn!(self.context.log, "link of an earlier start of that gateway, closed"; "link" => link,
+            warn!(self.context.log, "link of a replaced incarnation closed"; "link" => link,
                 "site" => &origin.site, "instance" => &origin.instance);
             gateway_part.links.remove(&link);
             return;
         }
         let same_incarnation = gateway_part.peer_gateways[id].origin.incarnation == origin.incarnation;
         if !same_incarnation {
-            info!(self.context.log, "gateway started anew, what it had taken it knows as far as it was kept";
+            info!(self.context.log, "peer gateway restarted";
                 "site" => &origin.site, "instance" => &origin.instance);
             gateway_part.replace_incarnation(id, origin);
         }
         let links = gateway_part.add_link(id, link);
         let actions = gateway_part.site_router.links_changed(now, id, site, links, same_incarnation);
-        gateway_part.announce_room_to(id);
-        self.carry_out_sites(actions, None);
+        gateway_part.announce_capacity_to(id);
+        self.carry_out_site_actions(actions, None);
     }
 
     fn link_lost(&mut self, link: LinkId) {
@@ -64,15 +64,16 @@
         let numbers = gateway_part.numbers_sent_over(id, link);
         let peer = &mut gateway_part.peer_gateways[id];
         peer.links.retain(|&other| other != link);
-        let (site, links) = (peer.site, peer.links.len());
+        let site = peer.site;
+        let links = peer.links.len();
         if links == 0 {
-            warn!(self.context.log, "no link to that gateway any more"; "site" => &gateway_part.names[site],
-                "instance" => &peer.origin.instance, "unsettled" => numbers.len());
+            warn!(self.context.log, "last link to peer gateway lost"; "site" => &gateway_part.names[site],
+                "instance" => &peer.origin.instance, "unresolved" => numbers.len());
         }
         let after_count = gateway_part.site_router.links_changed(now, id, site, links, true);
         let after_loss = gateway_part.site_router.link_lost(now, id, &numbers);
-        self.carry_out_sites(after_count, None);
-        self.carry_out_sites(after_loss, None);
+        self.carry_out_site_actions(after_count, None);
+        self.carry_out_site_actions(after_loss, None);
     }
 }
 
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -1,6 +1,8 @@
-//! The dispatcher's part in the gateway: requests that cross to other sites, and remote requests that come from them.
+//! The dispatcher's gateway part: requests that are forwarded to other sites, and remote requests that come from them.
 //!
-//! What `crates/site-routing` returns is carried out here; no choice is made.
+//! What `crates/site-routing` returns is carried out here; no choice is made. A request's way: `forwarded_requests` hands it
+//! to the site router, `site_actions` carries out where it goes, `link_events` takes what comes back over links, `answers`
+//! gives the one answer. `remote_requests` takes what other gateways send; `links` keeps account of who is linked.
 
 mod announcements;
 mod answers;
@@ -27,17 +29,17 @@
 use crate::flow_control::BufferReservation;
 use crate::messages::{ClientId, ClientRequest, LinkId};
 
-/// How long after its deadline somebody may still ask about a request.
-const ASKED_AFTER_DEADLINE: Micros = 5_000_000;
-/// No span that another gateway tells is taken for longer than this.
-const LONGEST_SPAN: Micros = 1_000_000_000;
+/// How long after a request's deadline its sender may still ask about it, in microseconds.
+const QUERY_GRACE: Micros = 5_000_000;
+/// A span that another gateway sent is not taken for longer than this, in microseconds, so that sums do not overflow.
+const MAX_RECEIVED_SPAN: Micros = 1_000_000_000;
 
 /// The response to a served non-idempotent remote request, kept as long as anybody may ask.
 #[derive(Clone)]
 pub struct KeptValue {
     bytes: Rc<Vec<u8>>,
     /// The buffer space that the value takes, held as long as the value.
-    _room: Option<Rc<BufferReservation>>,
+    _reservation: Option<Rc<BufferReservation>>,
 }
 
 /// A request of another gateway, and over which link its answer goes.
@@ -82,7 +84,7 @@
     links: Vec<LinkId>,
 }
 
-/// A request that crossed: to which incarnation of which gateway, and over which link.
+/// A request that was forwarded: to which incarnation of which gateway, and over which link.
 struct SentRequest {
     gateway: PeerGatewayId,
     incarnation: u64,
@@ -125,20 +127,27 @@
     own: Identity,
     /// The sites' names, the own one first.
     names: Vec<String>,
+    /// The names of the request classes, by their index.
     classes: Vec<String>,
+    /// Decides where each request is served.
     site_router: SiteRouter,
+    /// What became of remote requests that this process accepted.
     outcomes: OutcomeTable<KeptValue>,
+    /// The gateways that have greeted, by their index.
     peer_gateways: Vec<PeerGateway>,
     links: HashMap<LinkId, LinkState>,
     forwarded: HashMap<RequestHandle, ForwardedRequest>,
+    /// Remote requests, by the gateway that sent them and its number for them.
     remote_requests: HashMap<(PeerGatewayId, u64), RequestHandle>,
-    /// By the number under which they crossed.
+    /// Requests at other gateways, by the number under which they were forwarded.
     sent: HashMap<u64, SentRequest>,
     /// Where outcomes are kept over a restart.
     pub(super) outcome_log: Option<OutcomeLog>,
     /// Confirms each record of that log, in their order.
     pub(super) written: Option<mpsc::Receiver<bool>>,
+    /// Remote requests whose record is being written.
     arriving: HashMap<RecordTicket, ArrivingRequest>,
+    /// Outcomes whose record is being written.
     departing: HashMap<RecordTicket, DepartingOutcome>,
     next_remote_id: ClientId,
     /// The comment's field that names a session.
@@ -147,7 +156,7 @@
     draining: bool,
     /// When the site router wants to be woken.
     pub(super) wake_at: Micros,
-    /// When others are next told of the available capacity here unasked.
+    /// When the available capacity here is next announced, though nothing may have changed.
     announce_at: Micros,
 }
 
@@ -196,7 +205,7 @@
     }
 }
 
-/// A span as another gateway tells it, in microseconds.
-fn received_span(told: u64) -> Micros {
-    Micros::try_from(told).unwrap_or(LONGEST_SPAN).min(LONGEST_SPAN)
+/// A span that another gateway sent, in microseconds.
+fn received_span(received: u64) -> Micros {
+    Micros::try_from(received).unwrap_or(MAX_RECEIVED_SPAN).min(MAX_RECEIVED_SPAN)
 }
--- a/crates/proxy/src/dispatcher/gateway/remote_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/remote_requests.rs
@@ -9,8 +9,8 @@
 
 use super::forwarded_requests::RequestToForward;
 use super::{
-    ASKED_AFTER_DEADLINE, ArrivingRequest, DepartingOutcome, GatewayPart, LONGEST_SPAN, RemoteRequest,
-    Requester, received_span,
+    ArrivingRequest, DepartingOutcome, GatewayPart, MAX_RECEIVED_SPAN, QUERY_GRACE, RemoteRequest, Requester,
+    received_span,
 };
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::outcome_log::{OutcomeLog, RecordTicket, RecordedAcceptance};
@@ -62,8 +62,8 @@
         let Some(outcome_log) = outcome_log.filter(|_| effect == Some(Effect::Effectful)) else {
             return self.take_remote_request(arriving);
         };
-        let (now, left) = (arriving.received_at, received_span(arriving.frame.timeout_us));
-        let until = now + left + ASKED_AFTER_DEADLINE;
+        let now = arriving.received_at;
+        let until = now + received_span(arriving.frame.timeout_us) + QUERY_GRACE;
         match outcome_log.record_acceptance(now, &arriving.origin, arriving.number, until) {
             RecordedAcceptance::Waits(ticket) => drop(gateway_part.arriving.insert(ticket, arriving)),
             RecordedAcceptance::Unrecorded => self.take_remote_request(arriving),
@@ -93,7 +93,7 @@
         let Some(outcome_log) = self.outcome_log() else { return };
         let tickets = outcome_log.abandon_slow_writes(now);
         if !tickets.is_empty() {
-            warn!(self.context.log, "the gateway's book waits for the disk no longer"; "records" => tickets.len());
+            warn!(self.context.log, "outcome log does not wait for the disk any longer"; "records" => tickets.len());
         }
         for ticket in tickets {
             self.resume_after_record(ticket, false);
@@ -142,7 +142,7 @@
         self.forward(RequestToForward {
             request,
             class: checked.class,
-            ttl: checked.ttl.min(LONGEST_SPAN),
+            ttl: checked.ttl.min(MAX_RECEIVED_SPAN),
             requester: Requester::Gateway(RemoteRequest { gateway, number, link, origin }),
             visited: frame.visited,
         });
--- a/crates/proxy/src/dispatcher/gateway/site_actions.rs
+++ b/crates/proxy/src/dispatcher/gateway/site_actions.rs
@@ -19,7 +19,7 @@
 impl Dispatcher {
     /// Carries out the site router's actions, in their order. `received` is passed on where a request is served
     /// with it.
-    pub(in crate::dispatcher) fn carry_out_sites(
+    pub(in crate::dispatcher) fn carry_out_site_actions(
         &mut self,
         actions: Actions,
         mut received: Option<ReceivedAnswer>,
@@ -32,7 +32,7 @@
             gateway_part.send(gateway, None, Outbound::Confirm(Confirm { up_to }));
         }
         if actions.announce_capacity {
-            gateway_part.announce_room();
+            gateway_part.announce_capacity();
         }
         if let Some(at) = actions.wake_at {
             gateway_part.wake_at = at;
@@ -46,10 +46,10 @@
         received: &mut Option<ReceivedAnswer>,
     ) {
         match action {
-            Action::ServeLocally { timeout } => self.hand_to_router(handle, timeout),
-            Action::Withdraw => self.take_back_from_router(handle),
+            Action::ServeLocally { timeout } => self.serve_locally(handle, timeout),
+            Action::Withdraw => self.withdraw_from_router(handle),
             Action::Forward { gateway, number, timeout } => {
-                self.send_to_site(handle, gateway, number, timeout)
+                self.forward_to_gateway(handle, gateway, number, timeout)
             }
             Action::QueryOutcome { gateway, number } => self.query_outcome(gateway, number),
             Action::Cancel { gateway, number } => self.cancel_at_site(gateway, number),
@@ -68,9 +68,10 @@
         }
     }
 
-    fn hand_to_router(&mut self, handle: RequestHandle, ttl: Micros) {
+    fn serve_locally(&mut self, handle: RequestHandle, ttl: Micros) {
         let Some(forwarded) = self.forwarded_mut(handle) else { return };
-        let (request, class) = (forwarded.request.clone(), forwarded.class);
+        let request = forwarded.request.clone();
+        let class = forwarded.class;
         let deadline = self.context.clock.now() + ttl;
         let (local, actions) = self.hand_over(Handover { request, class, deadline, via: Some(handle) });
         if let Some(forwarded) = self.forwarded_mut(handle) {
@@ -83,15 +84,21 @@
         self.gateway_part.as_mut()?.forwarded.get_mut(&handle)
     }
 
-    fn take_back_from_router(&mut self, handle: RequestHandle) {
-        let local = self.gateway_part.as_mut().and_then(|gateway_part| gateway_part.take_back(handle));
+    fn withdraw_from_router(&mut self, handle: RequestHandle) {
+        let local = self.gateway_part.as_mut().and_then(|gateway_part| gateway_part.withdraw(handle));
         if let Some(local) = local {
             self.abandon(local);
         }
     }
 
     /// Sends a request to another site's gateway. Where no link takes it, it never left this process.
-    fn send_to_site(&mut self, handle: RequestHandle, gateway: PeerGatewayId, number: u64, left: Micros) {
+    fn forward_to_gateway(
+        &mut self,
+        handle: RequestHandle,
+        gateway: PeerGatewayId,
+        number: u64,
+        left: Micros,
+    ) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let Some(forwarded) = gateway_part.forwarded.get(&handle) else { return };
@@ -107,7 +114,7 @@
             return;
         }
         let actions = gateway_part.site_router.answered(now, number, PeerAnswer::NeverAccepted);
-        self.carry_out_sites(actions, None);
+        self.carry_out_site_actions(actions, None);
     }
 
     /// Asks another gateway what became of a request that was sent there.
--- a/crates/proxy/src/dispatcher/gateway/start.rs
+++ b/crates/proxy/src/dispatcher/gateway/start.rs
@@ -9,7 +9,7 @@
 use aldermill_site_routing::{Effect, Need, OutcomeTable, RequestClass, SiteRouter, SiteRouterConfig};
 use tokio::sync::mpsc;
 
-use super::{ASKED_AFTER_DEADLINE, EndedCounts, GatewayPart};
+use super::{EndedCounts, GatewayPart, QUERY_GRACE};
 use crate::dispatcher::outcome_log::OutcomeLog;
 use crate::messages::ClientId;
 use crate::persistence::DataDirectory;
@@ -17,7 +17,7 @@
 /// Remote requests get client ids of their own, from here on.
 const FIRST_REMOTE_ID: ClientId = 1 << 63;
 /// Confirmations that may wait for the dispatcher: as many as records may wait for the disk, and more.
-const CONFIRMATIONS: usize = 2048;
+const MAX_CONFIRMATIONS: usize = 2048;
 
 /// What a gateway is told at its start.
 pub struct Opening {
@@ -44,7 +44,7 @@
     pub fn new(opening: Opening, decoded: &Decoded, seed: u64, now: Micros) -> GatewayPart {
         let terms = site_terms(&opening, decoded);
         let Opening { own, peers, homes, session, fates, folder, .. } = opening;
-        let (confirmations, written) = mpsc::channel(CONFIRMATIONS);
+        let (confirmations, written) = mpsc::channel(MAX_CONFIRMATIONS);
         let outcome_log = folder.map(|folder| OutcomeLog::open(folder, own.incarnation, now, confirmations));
         let names: Vec<String> = std::iter::once(own.site.clone()).chain(peers).collect();
         let mut site_router = SiteRouter::new(terms, seed, now);
@@ -58,7 +58,7 @@
             names,
             classes: decoded.names(),
             site_router,
-            outcomes: OutcomeTable::new(fates, ASKED_AFTER_DEADLINE),
+            outcomes: OutcomeTable::new(fates, QUERY_GRACE),
             peer_gateways: Vec::new(),
             links: HashMap::new(),
             forwarded: HashMap::new(),
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -151,7 +151,7 @@
         self.carry_out(actions);
         self.release(handle);
         if let Some(actions) = miss.actions {
-            self.carry_out_sites(actions, None);
+            self.carry_out_site_actions(actions, None);
         }
         if via.is_some() && report.role == Some(Role::Primary) {
             self.primary_here(group);
