--- a/crates/proxy/src/lifecycle/startup/gateway.rs
+++ b/crates/proxy/src/lifecycle/startup/gateway.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use aldermill_operator_config::GatewayConfig;
-use aldermill_site_link::{Identity, LinkLimits};
+use aldermill_site_link::{Identity, LinkConfig};
 use slog::info;
 use tokio::task::spawn_local;
 
@@ -43,7 +43,7 @@
         // New with every start: the time of it, which a restart does not share.
         incarnation: now.max(1) as u64,
     };
-    let registry = LinkRegistry::new(own.clone(), &gateway, link_limits(context, configuration));
+    let registry = LinkRegistry::new(own.clone(), &gateway, link_config(context, configuration));
     accept_links(context, &registry, &gateway)?;
     gateway::maintain_links(context, &registry, &gateway.peers, configuration.seed);
     if let Some(path) = &gateway.status {
@@ -54,12 +54,12 @@
 }
 
 /// Limits of each link.
-fn link_limits(context: &ProcessContext, configuration: &Configuration) -> LinkLimits {
+fn link_config(context: &ProcessContext, configuration: &Configuration) -> LinkConfig {
     let budget = configuration.flow_limits.budget as usize;
     let buffers = &context.limits.buffers;
-    LinkLimits {
-        waiting: (budget / LINK_SHARE_OF_BUDGET).max(MIN_LINK_BACKLOG),
-        ..LinkLimits::standard(buffers.statement, buffers.response)
+    LinkConfig {
+        max_queued: (budget / LINK_SHARE_OF_BUDGET).max(MIN_LINK_BACKLOG),
+        ..LinkConfig::standard(buffers.statement, buffers.response)
     }
 }
 
