--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -17,7 +17,7 @@
 use crate::lifecycle::limits::RetryInterval;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::ListUpdate;
-use crate::system::{self, Meaning, Party};
+use crate::system::{self, Party, SocketErrorKind};
 
 /// So much within the time of silence is no silence, though no line has come to its end: a long list on a slow line.
 const COMES: usize = 8 * 1024;
@@ -51,7 +51,7 @@
 impl Lost {
     /// This machine could open no connection: nothing is known of discovery.
     fn is_local(&self) -> bool {
-        matches!(self, Lost::Connection(error) if Meaning::of(error) == Meaning::Local)
+        matches!(self, Lost::Connection(error) if SocketErrorKind::of(error) == SocketErrorKind::Local)
     }
 }
 
--- a/crates/proxy/src/gateway/outbound.rs
+++ b/crates/proxy/src/gateway/outbound.rs
@@ -17,7 +17,7 @@
 use super::link::LinkConnection;
 use crate::lifecycle::limits::RetryInterval;
 use crate::lifecycle::process_context::ProcessContext;
-use crate::system::{self, Meaning};
+use crate::system::{self, SocketErrorKind};
 
 /// Links to each address of a peer, where the operator names no figure.
 const DEFAULT_LINKS_PER_ADDRESS: u32 = 2;
@@ -105,7 +105,7 @@
             Err(error) => {
                 self.log_unreachable(&error);
                 // Nothing left this machine, so nothing is known of the other side.
-                matches!(&error, ConnectError::Io(error) if Meaning::of(error) == Meaning::Local)
+                matches!(&error, ConnectError::Io(error) if SocketErrorKind::of(error) == SocketErrorKind::Local)
             }
         }
     }
--- a/crates/proxy/src/member/connection.rs
+++ b/crates/proxy/src/member/connection.rs
@@ -12,7 +12,7 @@
 use crate::lifecycle::limits::Limits;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::DispatcherMessage;
-use crate::system::{self, BufferSizes, Meaning, Party, Peeked};
+use crate::system::{self, BufferSizes, Party, Peeked, SocketErrorKind};
 
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
@@ -24,12 +24,12 @@
 impl Connection {
     /// Reset by the other side, and nobody has seen that yet.
     pub(super) fn is_reset(&self) -> bool {
-        matches!(system::peek(&self.stream), Peeked::Broken(Meaning::Reset))
+        matches!(system::peek(&self.stream), Peeked::Failed(SocketErrorKind::Reset))
     }
 
     /// Neither closed by the peer nor spoken on out of turn.
     pub(super) fn is_quiet(&self) -> bool {
-        self.buffer.is_empty() && matches!(system::peek(&self.stream), Peeked::Quiet)
+        self.buffer.is_empty() && matches!(system::peek(&self.stream), Peeked::NoData)
     }
 }
 
@@ -54,12 +54,12 @@
 
 /// What an error says before the last byte of a query has left.
 pub(super) fn before_send(error: &std::io::Error) -> Verdict {
-    match Meaning::of(error) {
-        Meaning::Local => Verdict::LocalFailure,
-        Meaning::Refused => Verdict::Unconnected,
-        Meaning::Path => Verdict::Unreachable,
+    match SocketErrorKind::of(error) {
+        SocketErrorKind::Local => Verdict::LocalFailure,
+        SocketErrorKind::Refused => Verdict::Unconnected,
+        SocketErrorKind::Unreachable => Verdict::Unreachable,
         // One that took the connection and then broke it stands.
-        Meaning::Reset => Verdict::ConnectionLost,
+        SocketErrorKind::Reset => Verdict::ConnectionLost,
     }
 }
 
--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -16,7 +16,7 @@
 use crate::flow_control::BufferReservation;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{Attempt, Query};
-use crate::system::{self, Meaning, Party, Peeked};
+use crate::system::{self, Party, Peeked, SocketErrorKind};
 
 /// The health check, as members know it.
 const HEALTH_CHECK: &[u8] = b"SHOW usage";
@@ -160,7 +160,7 @@
                 if cut_short { due.min(Instant::now() + limits.member.completion_timeout) } else { due };
             let Connection { stream, buffer, .. } = &mut *connection;
             let mut read = timeout_at(wait, system::read(Party::Member, stream, buffer.tail())).await;
-            if read.is_err() && matches!(system::peek(stream), Peeked::Unread | Peeked::Ended) {
+            if read.is_err() && matches!(system::peek(stream), Peeked::Unread | Peeked::EndOfStream) {
                 // A signal or a standstill has let the clock be heard before the bytes, which came in time.
                 read = timeout(
                     limits.member.completion_timeout,
@@ -189,10 +189,10 @@
 
 /// What an error says while an answer is waited for: the query may have run.
 fn after_send(error: &std::io::Error) -> Verdict {
-    match Meaning::of(error) {
-        Meaning::Reset | Meaning::Refused => Verdict::Reset,
+    match SocketErrorKind::of(error) {
+        SocketErrorKind::Reset | SocketErrorKind::Refused => Verdict::Reset,
         // No answer came through in time, by the system's measure.
-        Meaning::Path => Verdict::TimedOut,
-        Meaning::Local => Verdict::Unobserved,
+        SocketErrorKind::Unreachable => Verdict::TimedOut,
+        SocketErrorKind::Local => Verdict::Unobserved,
     }
 }
--- a/crates/proxy/src/membership/actor.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -21,7 +21,7 @@
 use crate::coordination::{CallTime, Coordination, Datagram};
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::DispatcherMessage;
-use crate::system::{Datagrams, Received};
+use crate::system::{DatagramSocket, Received};
 
 /// Datagrams read before timers are looked at again, so that a flood of them delays nothing for long.
 const READ_BATCH: usize = 64;
@@ -31,7 +31,7 @@
 /// What the actor is made of.
 pub(super) struct ActorParts {
     pub(super) context: Rc<ProcessContext>,
-    pub(super) socket: Datagrams,
+    pub(super) socket: DatagramSocket,
     /// `None` without a path in the operator's file, or where the socket could not be opened.
     pub(super) status_socket: Option<StatusSocket>,
     pub(super) membership: Membership,
@@ -55,7 +55,7 @@
 /// Carries datagrams between this proxy and the others of its fleet.
 pub struct MembershipActor {
     context: Rc<ProcessContext>,
-    socket: Datagrams,
+    socket: DatagramSocket,
     status_socket: Option<StatusSocket>,
     membership: Membership,
     configured_fleet_size: usize,
--- a/crates/proxy/src/membership/start.rs
+++ b/crates/proxy/src/membership/start.rs
@@ -15,7 +15,7 @@
 use crate::lifecycle::errors::ProgramError;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::persistence::DataDirectory;
-use crate::system::{self, Datagrams};
+use crate::system::{self, DatagramSocket};
 
 /// What the membership actor starts with.
 pub struct MembershipStart {
@@ -96,14 +96,17 @@
     }
 }
 
-async fn open_socket(context: &ProcessContext, config: &MembershipConfig) -> Result<Datagrams, ProgramError> {
+async fn open_socket(
+    context: &ProcessContext,
+    config: &MembershipConfig,
+) -> Result<DatagramSocket, ProgramError> {
     let address = config.listen;
     let socket = system::bind_datagrams(address).await.map_err(|why| ProgramError::Listen {
         field: "membership.listen",
         address,
         why,
     })?;
-    Ok(Datagrams::new(socket, context.log.clone()))
+    Ok(DatagramSocket::new(socket, context.log.clone()))
 }
 
 fn open_coordination(
--- a/crates/proxy/src/system/datagrams.rs
+++ b/crates/proxy/src/system/datagrams.rs
@@ -28,7 +28,7 @@
 
 /// Reading goes on after every error: one of an earlier datagram's way is passed over at once, after others it rests.
 /// Protects whoever waits here from a loop over a call that fails at once; delays datagrams by the rest.
-pub struct Datagrams {
+pub struct DatagramSocket {
     socket: UdpSocket,
     log: Logger,
     rests_until: Option<Instant>,
@@ -36,9 +36,9 @@
     told: bool,
 }
 
-impl Datagrams {
-    pub fn new(socket: UdpSocket, log: Logger) -> Datagrams {
-        Datagrams { socket, log, rests_until: None, told: false }
+impl DatagramSocket {
+    pub fn new(socket: UdpSocket, log: Logger) -> DatagramSocket {
+        DatagramSocket { socket, log, rests_until: None, told: false }
     }
 
     /// Until there is something to read.
--- a/crates/proxy/src/system/errors.rs
+++ b/crates/proxy/src/system/errors.rs
@@ -7,7 +7,7 @@
 
 /// Whom an error of connecting, reading or writing speaks of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Meaning {
+pub enum SocketErrorKind {
     /// This machine: no descriptor, port, memory or route, or a rule of its own against it. Nothing is known of the
     /// other side.
     Local,
@@ -16,19 +16,21 @@
     /// The other side, or a machine for it, ended the connection (ECONNRESET, EPIPE).
     Reset,
     /// Nothing comes through to the other side (ETIMEDOUT, EHOSTUNREACH); its process may well live.
-    Path,
+    Unreachable,
 }
 
-impl Meaning {
-    pub fn of(error: &io::Error) -> Meaning {
+impl SocketErrorKind {
+    pub fn of(error: &io::Error) -> SocketErrorKind {
         match error.raw_os_error() {
-            Some(c::ECONNREFUSED) => Meaning::Refused,
-            Some(c::ECONNRESET | c::EPIPE | c::ECONNABORTED) => Meaning::Reset,
-            Some(c::ETIMEDOUT | c::EHOSTUNREACH | c::EHOSTDOWN | c::ENETRESET) => Meaning::Path,
-            Some(_) => Meaning::Local,
+            Some(c::ECONNREFUSED) => SocketErrorKind::Refused,
+            Some(c::ECONNRESET | c::EPIPE | c::ECONNABORTED) => SocketErrorKind::Reset,
+            Some(c::ETIMEDOUT | c::EHOSTUNREACH | c::EHOSTDOWN | c::ENETRESET) => {
+                SocketErrorKind::Unreachable
+            }
+            Some(_) => SocketErrorKind::Local,
             // Not the system's: an end in the middle, or one of [`local`].
-            None if error.get_ref().is_some_and(|inner| inner.is::<LocalError>()) => Meaning::Local,
-            None => Meaning::Reset,
+            None if error.get_ref().is_some_and(|inner| inner.is::<LocalError>()) => SocketErrorKind::Local,
+            None => SocketErrorKind::Reset,
         }
     }
 }
--- a/crates/proxy/src/system/mod.rs
+++ b/crates/proxy/src/system/mod.rs
@@ -1,5 +1,5 @@
 //! The edge to the system: every socket of the proxy is opened, connected, accepted and looked at here, and what an
-//! error of such a call says is decided here alone ([`Meaning`], [`AcceptError`]).
+//! error of such a call says is decided here alone ([`SocketErrorKind`], [`AcceptError`]).
 //!
 //! In builds with debug assertions a test may make these calls fail by seed, see `system/faults.rs`; release builds do
 //! not contain that code.
@@ -19,8 +19,8 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket, UnixListener, UnixStream};
 
 pub use acceptor::Acceptor;
-pub use datagrams::{Datagrams, Received};
-pub use errors::{AcceptError, Meaning};
+pub use datagrams::{DatagramSocket, Received};
+pub use errors::{AcceptError, SocketErrorKind};
 
 /// The calls that tests may let fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -86,7 +86,7 @@
 /// A new connection to that address, with the system's usual buffers where no sizes are given.
 ///
 /// An error of `socket()` or of setting an option is always this machine's; one of `connect()` means what
-/// [`Meaning::of`] says.
+/// [`SocketErrorKind::of`] says.
 pub async fn connect(address: SocketAddr, sizes: Option<BufferSizes>) -> io::Result<TcpStream> {
     let socket = open_socket(address, sizes).map_err(errors::local)?;
     injected(SystemCall::Connect)?;
@@ -122,12 +122,12 @@
 #[derive(Debug)]
 pub enum Peeked {
     /// Nothing to read.
-    Quiet,
+    NoData,
     /// Bytes that nobody has read.
     Unread,
     /// The other side has ended its sending.
-    Ended,
-    Broken(Meaning),
+    EndOfStream,
+    Failed(SocketErrorKind),
 }
 
 /// Looks at the connection. The system itself is asked: what the runtime knows of readiness may be a turn old. A call
@@ -137,11 +137,11 @@
         let looked = injected(SystemCall::Peek)
             .and_then(|()| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]));
         match looked {
-            Ok(0) => return Peeked::Ended,
+            Ok(0) => return Peeked::EndOfStream,
             Ok(_) => return Peeked::Unread,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Peeked::Quiet,
-            Err(error) => return Peeked::Broken(Meaning::of(&error)),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Peeked::NoData,
+            Err(error) => return Peeked::Failed(SocketErrorKind::of(&error)),
         }
     }
 }
