--- a/crates/proxy/src/persistence/writer.rs
+++ b/crates/proxy/src/persistence/writer.rs
@@ -34,6 +34,7 @@
 }
 
 impl SnapshotWriter {
+    /// For a directory that holds what `saved` says.
     pub fn new(
         directory: Rc<DataDirectory>,
         saved: SavedState,
--- a/crates/proxy/src/shadow/mod.rs
+++ b/crates/proxy/src/shadow/mod.rs
@@ -17,7 +17,7 @@
 use difference::Difference;
 pub use error::ShadowError;
 
-/// Of how many decisions one is compared, where the operator names no figure.
+/// One decision in this many is compared, where the operator names no figure.
 const DEFAULT_SAMPLE_INTERVAL: u32 = 10;
 /// How often the counts are logged, in seconds, where the operator names no figure.
 const DEFAULT_LOG_INTERVAL_S: u32 = 60;
@@ -26,7 +26,7 @@
 pub struct ShadowRouter {
     /// The other settings.
     settings: Terms,
-    /// Of so many decisions one is compared.
+    /// One decision in this many is compared.
     sample_interval: u32,
     log_interval: Duration,
     /// Decisions until the next one that is compared, that one included.
--- a/crates/proxy/tests/gateway.rs
+++ b/crates/proxy/tests/gateway.rs
@@ -1,4 +1,5 @@
-//! Two sites of built programs with a line between them that delays and cuts; effects are counted at the members.
+//! Two sites of the built program, with a link between them that a test delays, holds and cuts. Effects are counted at the
+//! members.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -14,7 +15,7 @@
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// Sites 0 and 1, the first going to the second over a cable; the primary is at site 1.
+/// Sites 0 and 1; the first opens its links through a proxied connection. The primary is at site 1.
 fn pair(members: usize) -> (Site, Site, Cable, Ledger) {
     let ledger = Ledger::default();
     ledger.home.store(1, Ordering::SeqCst);
@@ -24,11 +25,11 @@
     far.start(&[(0, None)]);
     near.start(&[(1, Some(cable.address))]);
     until("a link", || near.driver().logged("link up"));
-    until("a write crosses", || served(&near.client().ask(&order(3000))));
+    until("a write is forwarded", || served(&near.client().ask(&order(3000))));
     (near, far, cable, ledger)
 }
 
-/// A write under an id of its own; what came of it, and how often it ran.
+/// Sends a write with an idempotency key of its own; its answer, and how often it took effect.
 fn write(client: &mut Client, ledger: &Ledger, wait: u32) -> (Option<Said>, u32) {
     let id = new_id();
     let said = client.offer(&named(&order(wait), &id)).then(|| client.answer()).flatten();
@@ -59,10 +60,10 @@
     };
     assert_eq!((looks(&near), looks(&far)), (20, 0));
     assert!(far.members[0].requests().len() >= before.1 + 20);
-    // Once the home is known nobody here is asked for it.
+    // Once the primary's site is known, members here are no longer searched.
     assert!(near.members[0].requests().len() <= before.0 + 20 + 4);
     assert!(ledger.doubles().is_empty() && cable.carried()[THERE] > 0);
-    // Values larger than a frame cross whole, both ways.
+    // Values larger than a frame arrive whole, in both directions.
     let large = order(5000).replace("9f", &"9f".repeat(50_000));
     assert!(served(&client.ask(&large)));
     let said = Command::new(program()).arg("sites").arg(near.status()).output().unwrap();
@@ -91,7 +92,7 @@
     }
     println!("{counted:?}");
     assert!(ledger.doubles().is_empty(), "{:?}", ledger.doubles());
-    // The book tells what became of most: a cut alone is no reason to break off.
+    // The outcome log answers for most of them: a cut alone fails no request.
     assert!(counted["served"] >= 20, "{counted:?}");
     assert!(cable.cuts() >= 16, "{}", cable.cuts());
 }
@@ -142,7 +143,7 @@
         let start = Instant::now();
         let (said, _) = write(&mut client, &ledger, 2500);
         assert!(said.is_some() && start.elapsed() < MS(2600), "{:?}", start.elapsed());
-        // Then all at once: frames of links that are long given up.
+        // Then all frames at once, on links that were closed long ago.
         cable.hold(way, false);
         thread::sleep(MS(300));
         until("it is served again", || code(&write(&mut client, &ledger, 2500).0) == "served");
@@ -168,7 +169,7 @@
     for client in &mut clients {
         assert_eq!(client.answer().unwrap().code, "40003");
     }
-    // As soon as the new start has greeted, not at the deadline.
+    // As soon as the handshake shows a new incarnation, not at the deadline.
     assert!(start.elapsed() < MS(4500), "{:?}", start.elapsed());
     until("it is served again", || code(&write(&mut clients[0], &ledger, 3000).0) == "served");
     assert!(ledger.doubles().is_empty());
@@ -223,7 +224,7 @@
     assert!(clients.iter_mut().all(|client| served(&client.answer().unwrap())));
     let mut driver = far.driver.take().unwrap();
     assert!(driver.child.wait().unwrap().success());
-    // With nobody there a write is rejected in its time, and never ran.
+    // Without a gateway there, a write is rejected before its deadline and takes no effect.
     let (said, runs) = write(&mut clients[0], &ledger, 1200);
     assert_eq!((code(&said), runs), ("53300", 0));
 }
@@ -231,24 +232,24 @@
 #[test]
 fn noise_and_unknown_peers_end_only_their_own_link() {
     let (near, far, _cable, ledger) = pair(1);
-    // Bytes that make no sense, and a gateway that claims another site's name.
+    // Bytes that are no frames, and a gateway that claims a site that is no peer.
     for noise in [&b"\x00\x00\x00\x03abc"[..], b"\xff\xff\xff\xff", b"GET / HTTP/1.1\r\n\r\n"] {
         let mut stream = TcpStream::connect(far.links).unwrap();
         stream.write_all(noise).unwrap();
         let mut rest = Vec::new();
         let _ = std::io::Read::read_to_end(&mut stream, &mut rest);
     }
-    until("noise is refused", || far.driver().logged("link rejected"));
+    until("noise is rejected", || far.driver().logged("link rejected"));
     let liar = format!(
         r#"{{"gateway":{{"site":"site9","peers":[{{"site":"site1","addresses":["{}"],"links":1}}]}}}}"#,
         far.links
     );
     let whole = config("127.0.0.1:8500".parse().unwrap(), 256, "null");
     let stranger = Driver::with("127.0.0.1:0".parse().unwrap(), &whole, Some(&liar));
-    until("a stranger is refused", || far.driver().logged("none of this gateway's peers"));
-    until("it hears why", || stranger.logged("none of this gateway's peers"));
+    until("an unknown site is rejected", || far.driver().logged("none of this gateway's peers"));
+    until("the reason is sent to it", || stranger.logged("none of this gateway's peers"));
     assert_eq!(code(&write(&mut near.client(), &ledger, 3000).0), "served");
-    // A configuration that cannot be meant.
+    // A configuration that contradicts itself.
     let wrong = file("operator", r#"{"gateway":{"site":"a","peers":[{"site":"a","networks":["::1/128"]}]}}"#);
     let path = file("config", &whole);
     let output = Command::new(program())
@@ -264,8 +265,8 @@
     std::fs::remove_file(wrong).unwrap();
 }
 
-/// A write that ran at the far site, whose outcome is held back on the line while that gateway is killed and started
-/// again; what its client hears.
+/// The answer to a write that took effect at the far site, whose outcome is held back on the link while that gateway is
+/// killed and started again; `warm` gives that gateway a data directory.
 fn outcome_over_a_restart(warm: bool) -> Said {
     let (near, mut far, cable, ledger) = pair(1);
     let folder = std::env::temp_dir().join(format!("aldermill-book-{}-{warm}", std::process::id()));
@@ -277,7 +278,7 @@
     };
     restart(&mut far);
     cable.cut(false);
-    until("a write crosses again", || served(&near.client().ask(&order(3000))));
+    until("a write is forwarded again", || served(&near.client().ask(&order(3000))));
     cable.hold(BACK, true);
     let (id, mut client) = (new_id(), near.client());
     client.send(&named(&order(20_000), &id));
@@ -285,7 +286,7 @@
     if warm {
         let dump = || Command::new(program()).args(["store", "dump"]).arg(&folder).output().unwrap().stdout;
         let served = || String::from_utf8_lossy(&dump()).matches("\"space\":6,\"value\":\"H").count();
-        until("its outcome is kept", || served() >= 2);
+        until("its outcome is saved", || served() >= 2);
     }
     restart(&mut far);
     cable.cut(false);
@@ -299,5 +300,9 @@
 #[test]
 fn a_restarted_gateway_answers_for_its_previous_incarnation_from_the_saved_outcome_log() {
     assert!(served(&outcome_over_a_restart(true)));
-    assert_eq!(outcome_over_a_restart(false).code, "40003", "without it nobody knows");
+    assert_eq!(
+        outcome_over_a_restart(false).code,
+        "40003",
+        "without a data directory the outcome is unknown"
+    );
 }
--- a/crates/proxy/tests/system_calls.rs
+++ b/crates/proxy/tests/system_calls.rs
@@ -1,5 +1,4 @@
-//! System calls that fail, over loopback: the program is told by a file which of its calls fail. Only builds with debug
-//! assertions read it.
+//! The built program while its system calls fail, by rules in a file that only builds with debug assertions read.
 #![cfg(debug_assertions)]
 
 use std::io::{Read, Write};
@@ -15,7 +14,7 @@
 };
 use aldermill_wire::pg;
 
-/// Longer than new connections are still taken after SIGTERM.
+/// Longer than new connections are accepted after SIGTERM.
 const WINDOW: Duration = Duration::from_millis(700);
 
 fn before(name: &str, members: &[(&str, &Member)], faults: &Faults, operator: Option<&str>) -> Driver {
@@ -26,7 +25,7 @@
     Driver::failing(faults, &config.replace("\"n0\"", &format!("\"{name}\"")), operator)
 }
 
-/// A client that has connected and asked, and waits for its welcome and its answer.
+/// A client that has connected and sent a request, and has read neither the greeting nor the answer.
 fn queued(driver: &Driver) -> Client {
     let mut client = Client::bare(driver.address);
     let mut bytes = Vec::new();
@@ -40,8 +39,8 @@
     client.answer().is_some() && client.answer().is_some_and(|said| served(&said))
 }
 
-/// What the socket at that path says.
-fn told(path: &str) -> String {
+/// What the status socket at that path answers.
+fn status(path: &str) -> String {
     let mut text = String::new();
     let mut stream = UnixStream::connect(path).unwrap();
     stream.set_read_timeout(Some(LONG)).unwrap();
@@ -62,15 +61,15 @@
         let mut busy = Client::connect(driver.address);
         assert!(served(&busy.ask(&look(15000))));
         driver.signal("-TERM");
-        until("the line on the stop", || driver.logged("stopping"));
+        until("shutdown is logged", || driver.logged("stopping"));
         driver.signal("-STOP");
         let mut clients: Vec<Client> = (0..5).map(|_| queued(&driver)).collect();
         faults.set(&format!("accept {error} 100 2"));
-        // The window ends while nobody accepts.
+        // The time for new connections ends while nobody accepts.
         thread::sleep(WINDOW);
         driver.signal("-CONT");
         let lost = clients.iter_mut().filter_map(|client| (!serves(client)).then_some(())).count();
-        // What accept says is gone was one of the backlog.
+        // A connection that accept reports as aborted was one of the backlog.
         let gone = if error == "ECONNABORTED" { 2 } else { 0 };
         assert_eq!(lost, gone, "{error}");
         assert!(driver.child.wait().unwrap().success());
@@ -83,14 +82,14 @@
     let mut driver = before("n0", &[("a", &member)], &faults, None);
     let mut busy = Client::connect(driver.address);
     faults.set("accept EMFILE 100 -");
-    // The call that waits already takes this one.
+    // Accepted by the call that was already waiting.
     let _taken = queued(&driver);
-    until("the line on that", || driver.logged("cannot accept connections"));
+    until("the failure is logged", || driver.logged("cannot accept connections"));
     let mut waiting = queued(&driver);
     assert!(served(&busy.ask(&look(15000))));
     faults.set("");
-    assert!(serves(&mut waiting), "it waited in the backlog");
-    until("the line on the end of that", || driver.logged("accepting connections again"));
+    assert!(serves(&mut waiting), "accepted from the backlog");
+    until("the recovery is logged", || driver.logged("accepting connections again"));
     faults.set("accept EMFILE 100 -");
     drop((busy, waiting));
     driver.signal("-TERM");
@@ -105,7 +104,7 @@
     until("the socket", || std::path::Path::new(&path).exists());
     for error in ["ECONNABORTED", "EMFILE"] {
         faults.set(&format!("accept_local {error} 100 2"));
-        assert!(told(&path).contains("west"), "{error}");
+        assert!(status(&path).contains("west"), "{error}");
     }
 }
 
@@ -123,13 +122,13 @@
     faults.set("receive ENOBUFS 100 -\naccept_local EMFILE 50 -");
     let (healthy, apart) = (Faults::default(), status_path("other"));
     let _other = before("n2", &[("a", &member)], &healthy, Some(&fellows(second, first, &apart)));
-    until("the line on that", || deaf.logged("cannot receive datagrams"));
+    until("the failure is logged", || deaf.logged("cannot receive datagrams"));
     let cpu = deaf.cpu();
     thread::sleep(Duration::from_millis(500));
     assert!(deaf.cpu() - cpu < 0.25, "it spins: {} s in 0.5 s", deaf.cpu() - cpu);
-    assert!(told(&path).contains("n1"));
+    assert!(status(&path).contains("n1"));
     faults.set("");
-    until("word of the other", || told(&path).contains("n2"));
+    until("gossip of the other", || status(&path).contains("n2"));
 }
 
 #[test]
@@ -156,14 +155,14 @@
 
 #[test]
 fn a_network_failure_is_not_taken_for_the_death_of_a_member() {
-    // Idle connections are all reset meanwhile, as by a death, and yet what was waited for says otherwise.
+    // All idle connections are reset meanwhile, as by a member's death; the error of the connection in use decides.
     for (error, lost) in [("ETIMEDOUT", false), ("EHOSTUNREACH", false), ("ECONNRESET", true)] {
         let (hold, faults) = (Hold::default(), Faults::default());
         let passes = hold.clone();
         let member = Member::start(move |text, stream| {
             let answer = whole(b"the value", text, "writer");
             passes.pass();
-            // What follows the first bytes is read by another call.
+            // The rest after the first bytes is read by another call.
             let length = if text.contains("id=broken") { 5 } else { answer.len() };
             let _ = stream.write_all(&answer[..length]);
         });
@@ -181,9 +180,9 @@
         hold.open();
         let said = clients[0].answer().unwrap();
         assert_eq!(said.code, "40003", "{error}");
-        // Lines of the log come in their order.
+        // Log lines are in order, so nothing is missing before this one.
         driver.signal("-HUP");
-        until("the line on the file", || driver.logged("configuration read anew"));
+        until("the reload is logged", || driver.logged("configuration read anew"));
         assert_eq!(driver.logged("member lost"), lost, "{error}");
     }
 }
@@ -213,7 +212,7 @@
     faults.set("connect ENETUNREACH 100 40");
     let start = Instant::now();
     let known = list(1, true, &[("a", &member, "in_service")]);
-    // Waits would grow up to half of the grace after drains.
+    // Backoff would grow up to half of the drain grace.
     let config =
         config(discovery.start(), 256, &known).replace("\"fallMs\"", "\"drainGraceMs\":4000,\"fallMs\"");
     let _driver = Driver::failing(&faults, &config, None);
