--- a/crates/proxy/src/system/acceptor.rs
+++ b/crates/proxy/src/system/acceptor.rs
@@ -14,9 +14,9 @@
 use super::injection::{SystemCall, injected};
 
 /// The wait after the first error that the next call would only meet again; doubled after each that follows.
-const MIN_RETRY_WAIT: Duration = Duration::from_millis(2);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(2);
 /// The longest of these waits, and so what accepting is late by once the system has descriptors again.
-const MAX_RETRY_WAIT: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_millis(100);
 /// How long a connection in the backlog is waited for until the backlog is looked at again: the runtime may not yet have
 /// noticed it.
 const READINESS_WAIT: Duration = Duration::from_millis(2);
@@ -54,30 +54,30 @@
 
 /// A listening socket, and what is remembered of its errors.
 ///
-/// A connection that is gone is passed over at once. After any other error accepting pauses, longer each time: without
+/// A connection that is gone is passed over at once. After any other error accepting backs off, longer each time: without
 /// that the process would spin over a call that fails at once, and serve nobody else. The cost: new connections wait that
 /// much longer in the backlog.
 pub struct Acceptor<L> {
     listener: L,
     log: Logger,
-    retry_wait: Duration,
-    paused_until: Option<Instant>,
+    backoff: Duration,
+    retry_at: Option<Instant>,
     /// Whether the errors since the last accepted connection are logged.
-    is_failure_logged: bool,
+    failure_logged: bool,
 }
 
 impl<L: Listener> Acceptor<L> {
     /// For a socket that listens.
     pub fn new(listener: L, log: Logger) -> Acceptor<L> {
-        Acceptor { listener, log, retry_wait: MIN_RETRY_WAIT, paused_until: None, is_failure_logged: false }
+        Acceptor { listener, log, backoff: INITIAL_BACKOFF, retry_at: None, failure_logged: false }
     }
 
     /// The next connection, however long that takes. Cancel safe.
     pub async fn next(&mut self) -> L::Accepted {
         loop {
-            self.wait_for_pause().await;
+            self.wait_for_retry().await;
             let accepted = self.listener.accept_next().await;
-            if let Some(connection) = self.heed(accepted) {
+            if let Some(connection) = self.handle(accepted) {
                 return connection;
             }
         }
@@ -87,14 +87,14 @@
     /// it is tried again.
     pub async fn next_waiting(&mut self) -> Option<L::Accepted> {
         while self.has_waiting() {
-            self.wait_for_pause().await;
+            self.wait_for_retry().await;
             let accepted = tokio::select! {
                 biased;
                 accepted = self.listener.accept_next() => accepted,
                 () = sleep(READINESS_WAIT) => continue,
             };
             let has_failed = matches!(accepted, Err(AcceptError::Failed(_)));
-            if let Some(connection) = self.heed(accepted) {
+            if let Some(connection) = self.handle(accepted) {
                 return Some(connection);
             }
             if has_failed {
@@ -111,35 +111,35 @@
         uapi::poll(&mut polled, 0).map_or(true, |ready| ready > 0)
     }
 
-    async fn wait_for_pause(&mut self) {
-        if let Some(until) = self.paused_until {
-            sleep_until(until).await;
-            self.paused_until = None;
+    async fn wait_for_retry(&mut self) {
+        if let Some(retry_at) = self.retry_at {
+            sleep_until(retry_at).await;
+            self.retry_at = None;
         }
     }
 
-    /// The connection, if there is one; if not, accepting is paused where the error asks for it.
-    fn heed(&mut self, accepted: Result<L::Accepted, AcceptError>) -> Option<L::Accepted> {
+    /// The connection, if there is one; if not, a wait is due where the next call would only fail again.
+    fn handle(&mut self, accepted: Result<L::Accepted, AcceptError>) -> Option<L::Accepted> {
         match accepted {
             Ok(connection) => {
-                self.retry_wait = MIN_RETRY_WAIT;
-                if std::mem::take(&mut self.is_failure_logged) {
+                self.backoff = INITIAL_BACKOFF;
+                if std::mem::take(&mut self.failure_logged) {
                     info!(self.log, "accepting connections again");
                 }
                 Some(connection)
             }
             Err(AcceptError::Gone(_)) => None,
             Err(error) => {
-                self.pause(&error);
+                self.back_off(&error);
                 None
             }
         }
     }
 
-    fn pause(&mut self, error: &AcceptError) {
-        self.paused_until = Some(Instant::now() + self.retry_wait);
-        self.retry_wait = (self.retry_wait * 2).min(MAX_RETRY_WAIT);
-        if !std::mem::replace(&mut self.is_failure_logged, true) {
+    fn back_off(&mut self, error: &AcceptError) {
+        self.retry_at = Some(Instant::now() + self.backoff);
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
+        if !std::mem::replace(&mut self.failure_logged, true) {
             warn!(self.log, "cannot accept connections, trying again"; "error" => %error);
         }
     }
--- a/crates/proxy/src/system/datagrams.rs
+++ b/crates/proxy/src/system/datagrams.rs
@@ -11,8 +11,8 @@
 
 use super::injection::{SystemCall, injected};
 
-/// How long reading pauses after an error that the next call would only meet again.
-const READ_PAUSE: Duration = Duration::from_millis(10);
+/// The wait after an error that the next call would only meet again.
+const BACKOFF: Duration = Duration::from_millis(10);
 
 /// What one read brought.
 pub enum Received {
@@ -31,30 +31,30 @@
 
 /// A socket for datagrams, and what is remembered of its errors.
 ///
-/// An error about an earlier datagram is passed over at once; after any other one reading pauses. Without that the process
+/// An error about an earlier datagram is passed over at once; after any other one reading backs off. Without that the process
 /// would spin over a call that fails at once, and serve nobody else. The cost: datagrams wait that much longer.
 pub struct DatagramSocket {
     socket: UdpSocket,
     log: Logger,
-    paused_until: Option<Instant>,
+    retry_at: Option<Instant>,
     /// Whether the errors since the last datagram that was read are logged.
-    is_failure_logged: bool,
+    failure_logged: bool,
 }
 
 impl DatagramSocket {
     /// For a socket that is bound.
     pub fn new(socket: UdpSocket, log: Logger) -> DatagramSocket {
-        DatagramSocket { socket, log, paused_until: None, is_failure_logged: false }
+        DatagramSocket { socket, log, retry_at: None, failure_logged: false }
     }
 
     /// Waits until there is something to read. Cancel safe.
     pub async fn readable(&mut self) {
-        if let Some(until) = self.paused_until {
-            sleep_until(until).await;
-            self.paused_until = None;
+        if let Some(retry_at) = self.retry_at {
+            sleep_until(retry_at).await;
+            self.retry_at = None;
         }
         while self.socket.readable().await.is_err() {
-            sleep(READ_PAUSE).await;
+            sleep(BACKOFF).await;
         }
     }
 
@@ -64,7 +64,7 @@
             let read = injected(SystemCall::Receive).and_then(|()| self.socket.try_recv_from(buffer));
             match read {
                 Ok((length, from)) => {
-                    if std::mem::take(&mut self.is_failure_logged) {
+                    if std::mem::take(&mut self.failure_logged) {
                         info!(self.log, "receiving datagrams again");
                     }
                     return Received::Datagram { length, from };
@@ -73,16 +73,16 @@
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if is_about_sent_datagram(&error) => {}
                 Err(error) => {
-                    self.pause(&error);
+                    self.back_off(&error);
                     return Received::Failed;
                 }
             }
         }
     }
 
-    fn pause(&mut self, error: &io::Error) {
-        self.paused_until = Some(Instant::now() + READ_PAUSE);
-        if !std::mem::replace(&mut self.is_failure_logged, true) {
+    fn back_off(&mut self, error: &io::Error) {
+        self.retry_at = Some(Instant::now() + BACKOFF);
+        if !std::mem::replace(&mut self.failure_logged, true) {
             warn!(self.log, "cannot receive datagrams, trying again"; "error" => %error);
         }
     }
