--- a/crates/proxy/src/member/connection.rs
+++ b/crates/proxy/src/member/connection.rs
@@ -36,12 +36,12 @@
 impl Connection {
     /// Whether the other side has reset it, where no read has seen that yet.
     pub(super) fn is_reset(&self) -> bool {
-        matches!(system::peek(&self.stream), Peeked::Broken(SocketErrorKind::Reset))
+        matches!(system::peek(&self.stream), Peeked::Failed(SocketErrorKind::Reset))
     }
 
     /// Whether it still stands, and nothing has come on it that was not asked for.
     pub(super) fn is_quiet(&self) -> bool {
-        self.buffer.is_empty() && matches!(system::peek(&self.stream), Peeked::Quiet)
+        self.buffer.is_empty() && matches!(system::peek(&self.stream), Peeked::NoData)
     }
 }
 
--- a/crates/proxy/src/system/datagrams.rs
+++ b/crates/proxy/src/system/datagrams.rs
@@ -1,4 +1,4 @@
-//! A socket for datagrams, read and written without waiting, that goes on after errors.
+//! A socket for datagrams, read and written without waiting, whatever errors the system reports meanwhile.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -9,47 +9,45 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use uapi::c;
 
-use super::{SystemCall, injected};
+use super::injection::{SystemCall, injected};
 
-/// The wait after a failure that the next call would meet again.
+/// The wait after an error that the next call would only meet again.
 const BACKOFF: Duration = Duration::from_millis(10);
 
 /// What one read brought.
 pub enum Received {
-    /// A datagram, in the buffer that was given.
+    /// A datagram, now in the caller's buffer.
     Datagram {
-        /// Its length in bytes.
+        /// Its bytes there.
         length: usize,
-        /// Its sender, as the system says.
+        /// Its sender.
         from: SocketAddr,
     },
-    /// All that has arrived was read.
+    /// Nothing more has come.
     Nothing,
-    /// There may be more, and it cannot be read now.
+    /// There may be more, which cannot be read now.
     Failed,
 }
 
-/// A socket for datagrams. Reading goes on after every error.
+/// A socket for datagrams, and what is remembered of its errors.
 ///
-/// An error that speaks of a datagram sent earlier is skipped at once. After others it backs off: without that, a call
-/// that fails at once would be made in a loop that starves the rest of the process. The cost: datagrams are read up to
-/// [`BACKOFF`] later.
-pub struct Datagrams {
+/// An error about an earlier datagram is passed over at once; after any other one reading backs off. Without that the process
+/// would spin over a call that fails at once, and serve nobody else. The cost: datagrams wait that much longer.
+pub struct DatagramSocket {
     socket: UdpSocket,
     log: Logger,
-    /// When reading is tried again after a failure.
     retry_at: Option<Instant>,
-    /// Whether the failure was logged; it is logged once until a datagram is read again.
+    /// Whether the errors since the last datagram that was read are logged.
     failure_logged: bool,
 }
 
-impl Datagrams {
-    /// Datagrams of a socket that is bound already.
-    pub fn new(socket: UdpSocket, log: Logger) -> Datagrams {
-        Datagrams { socket, log, retry_at: None, failure_logged: false }
+impl DatagramSocket {
+    /// For a socket that is bound.
+    pub fn new(socket: UdpSocket, log: Logger) -> DatagramSocket {
+        DatagramSocket { socket, log, retry_at: None, failure_logged: false }
     }
 
-    /// Waits until there is something to read. Nothing is lost where the wait is given up.
+    /// Waits until there is something to read. Cancel safe.
     pub async fn readable(&mut self) {
         if let Some(retry_at) = self.retry_at {
             sleep_until(retry_at).await;
@@ -60,17 +58,20 @@
         }
     }
 
-    /// Reads a datagram into `bytes`, without waiting. One that is longer is cut.
-    pub fn receive(&mut self, bytes: &mut [u8]) -> Received {
+    /// Reads a datagram into `buffer`, if one has come.
+    pub fn receive(&mut self, buffer: &mut [u8]) -> Received {
         loop {
-            let read = injected(SystemCall::Receive).and_then(|()| self.socket.try_recv_from(bytes));
+            let read = injected(SystemCall::Receive).and_then(|()| self.socket.try_recv_from(buffer));
             match read {
                 Ok((length, from)) => {
-                    self.note_success();
+                    if std::mem::take(&mut self.failure_logged) {
+                        info!(self.log, "receiving datagrams again");
+                    }
                     return Received::Datagram { length, from };
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Received::Nothing,
-                Err(error) if error.kind() == ErrorKind::Interrupted || is_about_a_sent_datagram(&error) => {}
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) if is_about_sent_datagram(&error) => {}
                 Err(error) => {
                     self.back_off(&error);
                     return Received::Failed;
@@ -79,7 +80,14 @@
         }
     }
 
-    /// Sends a datagram at once, or fails. Returns how many bytes were sent.
+    fn back_off(&mut self, error: &io::Error) {
+        self.retry_at = Some(Instant::now() + BACKOFF);
+        if !std::mem::replace(&mut self.failure_logged, true) {
+            warn!(self.log, "cannot receive datagrams, trying again"; "error" => %error);
+        }
+    }
+
+    /// Sends a datagram at once, or not at all; how many bytes.
     pub fn send(&self, datagram: &[u8], to: SocketAddr) -> io::Result<usize> {
         loop {
             match self.socket.try_send_to(datagram, to) {
@@ -88,24 +96,11 @@
             }
         }
     }
-
-    fn note_success(&mut self) {
-        if std::mem::take(&mut self.failure_logged) {
-            info!(self.log, "datagrams are read again");
-        }
-    }
-
-    fn back_off(&mut self, error: &io::Error) {
-        self.retry_at = Some(Instant::now() + BACKOFF);
-        if !std::mem::replace(&mut self.failure_logged, true) {
-            warn!(self.log, "datagrams cannot be read, tried again"; "error" => %error);
-        }
-    }
 }
 
-/// Whether the system reports that a datagram sent earlier did not arrive. It does so once, on the next read, and that
-/// says nothing about datagrams that have arrived.
-fn is_about_a_sent_datagram(error: &io::Error) -> bool {
-    let undelivered = [c::ECONNREFUSED, c::ECONNRESET, c::EHOSTUNREACH, c::ENETUNREACH, c::EHOSTDOWN];
-    error.raw_os_error().is_some_and(|number| undelivered.contains(&number))
+/// Whether the error is about a datagram that was sent earlier: the system reports it once, by whichever call comes next,
+/// and it says nothing of what has come.
+fn is_about_sent_datagram(error: &io::Error) -> bool {
+    let network_errors = [c::ECONNREFUSED, c::ECONNRESET, c::EHOSTUNREACH, c::ENETUNREACH, c::EHOSTDOWN];
+    error.raw_os_error().is_some_and(|number| network_errors.contains(&number))
 }
