--- a/crates/stall-detection/src/detector.rs
+++ b/crates/stall-detection/src/detector.rs
@@ -1,92 +1,119 @@
+//! The detector: notices stalls by when the loop last ran, and dates what was received meanwhile.
+
 use std::collections::VecDeque;
 
 use crate::Micros;
 
-/// A loop that wakes every 20 ms at the least and did nothing for so long has total still.
+/// A loop that wakes every 20 ms at least and did nothing for longer than this has stalled.
 ///
-/// Protects what is measured from time in which nobody measured. Should also cover a machine that gives the process
-/// no turn, which is the same to those who wait for it. Harms what is learnt from a loop that is only busy: some
-/// milliseconds count as nobody's.
+/// Shorter, and scheduling on a busy machine would count; longer, and members would be blamed for pauses of this process. The
+/// cost: a loop that is only busy loses some milliseconds of measured time.
 pub const STALL_THRESHOLD: Micros = 60_000;
 
-/// Standstills remembered; older ones count no more.
-const REMEMBERED_STALLS: usize = 32;
+/// Stalls remembered. What is asked of lies in the last seconds; older ones no longer count in
+/// [`StallDetector::unstalled_time`].
+const MAX_REMEMBERED_STALLS: usize = 32;
 
-/// How long after a standstill what is read may have come in it, where nobody tells when it came.
+/// How long after a stall something that is read may have been received in it, where the system does not say when it was.
 const READ_BACKLOG: Micros = 250_000;
 
-/// When bytes that were read only now were received.
+/// One stall.
+#[derive(Clone, Copy, Debug)]
+struct Stall {
+    /// When the loop last ran before it.
+    began: Micros,
+    /// When the loop ran again.
+    ended: Micros,
+}
+
+/// When bytes were received that were read only later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReceiptBounds {
-    /// No byte was received before.
+    /// None of them was received before this instant.
     pub earliest: Micros,
-    /// The last byte was received then.
+    /// The last of them was received at this instant, as far as is known.
     pub latest: Micros,
 }
 
-/// What one process knows of its own stalls.
+/// Notices the stalls of one process.
 #[derive(Clone, Debug)]
 pub struct StallDetector {
     last_observed: Micros,
-    /// From when to when, the newest last.
-    stalls: VecDeque<(Micros, Micros)>,
+    /// The newest last.
+    stalls: VecDeque<Stall>,
+    /// All time stalled, that of stalls no longer remembered included.
     total: Micros,
 }
 
 impl StallDetector {
+    /// A detector for a loop that runs from now on.
+    #[must_use]
     pub fn new(now: Micros) -> StallDetector {
         StallDetector { last_observed: now, stalls: VecDeque::new(), total: 0 }
     }
 
-    /// To be called at the beginning of all that the loop does: a step that begins long after the last one began has
-    /// a standstill before it.
+    /// To be called at the beginning of all that the loop does: a step that begins long after the last one began has a stall
+    /// before it.
     pub fn observe(&mut self, now: Micros) {
         if now - self.last_observed > STALL_THRESHOLD {
-            self.stalls.push_back((self.last_observed, now));
-            self.total += now - self.last_observed;
-            if self.stalls.len() > REMEMBERED_STALLS {
-                self.stalls.pop_front();
-            }
+            self.record(Stall { began: self.last_observed, ended: now });
         }
         self.last_observed = self.last_observed.max(now);
     }
 
-    /// All time spent standing.
+    fn record(&mut self, stall: Stall) {
+        self.total += stall.ended - stall.began;
+        self.stalls.push_back(stall);
+        if self.stalls.len() > MAX_REMEMBERED_STALLS {
+            self.stalls.pop_front();
+        }
+    }
+
+    /// All time stalled since the start.
+    #[must_use]
     pub fn stalled_for(&self) -> Micros {
         self.total
     }
 
-    /// Whether any standstill ended after that moment.
+    /// Whether any stall ended after that instant.
+    #[must_use]
     pub fn stalled_since(&self, since: Micros) -> bool {
-        self.stalls.back().is_some_and(|&(_, to)| to > since)
+        self.stalls.back().is_some_and(|stall| stall.ended > since)
     }
 
-    /// How much of the time from one moment to another was lived.
+    /// How much of the time from one instant to another the process was not stalled.
+    #[must_use]
     pub fn unstalled_time(&self, from: Micros, to: Micros) -> Micros {
-        let part = |&(began, ended): &(Micros, Micros)| (ended.min(to) - began.max(from)).max(0);
-        to - from - self.stalls.iter().map(part).sum::<Micros>()
+        let stalled = |stall: &Stall| (stall.ended.min(to) - stall.began.max(from)).max(0);
+        to - from - self.stalls.iter().map(stalled).sum::<Micros>()
     }
 
-    /// Between when and when what is read at `now` came, the last byte at the latter, given when the same connection was last read and how long ago the system says
-    /// that its last byte came. `None` is now, as far as anybody can tell.
+    /// When the bytes were received that are read at `now` from a connection that was last read at `last_read`. `age` is how
+    /// long ago the system received the last of them, where it says so. `None` means now, as far as anybody can tell.
     ///
-    /// Protects clients that left from being served, and members from what nobody waits for any more. Harms what
-    /// comes just behind a standstill where the system says nothing: it is taken for as old as that.
+    /// Without this a client that has left would be served, and a member would get requests that nobody waits for any more.
+    /// The cost: where the system does not say, what arrives just after a stall is taken to be as old as the stall.
+    #[must_use]
     pub fn receipt_bounds(
         &self,
         now: Micros,
         last_read: Micros,
         age: Option<Micros>,
     ) -> Option<ReceiptBounds> {
-        let &(from, to) = self.stalls.back().filter(|&&(_, to)| to > last_read)?;
-        // Nothing that was there when the loop last looked is read only now. Of standstills in a row the first counts.
-        let mut stalls =
-            self.stalls.iter().rev().take_while(|&&(_, to)| now - to < READ_BACKLOG && to > last_read);
-        let earliest = stalls.by_ref().last().map_or(from, |&(from, _)| from);
-        match age {
-            Some(age) if now - age > to => None,
-            Some(age) => Some(ReceiptBounds { earliest, latest: (now - age).max(earliest) }),
-            None => (now - to < READ_BACKLOG).then_some(ReceiptBounds { earliest, latest: earliest }),
+        let newest = self.stalls.back().filter(|stall| stall.ended > last_read)?;
+        let earliest = self.first_of_series(now, last_read).unwrap_or(newest).began;
+        match age.map(|age| now - age) {
+            Some(received) if received > newest.ended => None,
+            Some(received) => Some(ReceiptBounds { earliest, latest: received.max(earliest) }),
+            None if now - newest.ended < READ_BACKLOG => Some(ReceiptBounds { earliest, latest: earliest }),
+            None => None,
         }
     }
+
+    /// The first of the stalls that followed each other so closely that nothing may have been read in between. What was there
+    /// when the loop last ran before it has been read by now.
+    fn first_of_series(&self, now: Micros, last_read: Micros) -> Option<&Stall> {
+        let is_recent = |stall: &&Stall| now - stall.ended < READ_BACKLOG && stall.ended > last_read;
+        self.stalls.iter().rev().take_while(is_recent).last()
+    }
 }
--- a/crates/stall-detection/src/start_jitter.rs
+++ b/crates/stall-detection/src/start_jitter.rs
@@ -1,40 +1,49 @@
-//! How drivers that start together keep apart.
+//! Jitter: what all processes do at their start, and what failed for all of them at once, is not done by all at once.
 
 use rand::Rng;
 
 use crate::Micros;
 
-/// The part of the window that is each driver's.
+/// The part of the window that each process adds: 30 ms.
 const SLOT: Micros = 30_000;
-/// Of the grace after a drain, the part that may pass before the list is asked for.
-const SHARE_OF_GRACE: f64 = 0.7;
 
-/// How long a driver waits before what all drivers do once at their start, such as asking for the list. The window
-/// grows with their number, and a lone one does not wait.
+/// Of the grace that members' drains leave, the fraction within which every process has asked for the endpoint list.
+const FRACTION_OF_GRACE: f64 = 0.7;
+
+/// The golden ratio's fraction. Its multiples, modulo one, fill an interval without gaps or crowds, whichever of them are
+/// taken.
+const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
+
+/// How long a process waits before what all processes do once at their start, such as asking for the endpoint list.
 ///
-/// What the list holds counts as told from the start on, asked for or not: the window ends within the grace that
-/// members' drains leave.
+/// The window grows with the number of processes, and a single one does not wait. It ends within `drain_grace`: an endpoint
+/// list counts as known from the start on, asked for or not, and a member that drains stays up for that grace.
 ///
-/// Protects what all of them ask from being asked by all at once. Names that end in a number are spread evenly, each
-/// within a slot of its own by chance, since places by chance alone leave some tenth of a second with a crowd. Harms
-/// a driver whose list is old by the wait.
-pub fn start_delay(name: &str, drivers: usize, grace: Micros, rng: &mut impl Rng) -> Micros {
-    let window = (SLOT * (drivers as Micros - 1)).min((grace as f64 * SHARE_OF_GRACE) as Micros);
+/// Names that end in a number are spread evenly, each by chance within a slot of its own: by chance alone some tenth of a
+/// second would be crowded. Without the wait, a fleet that restarts together would overload discovery. The cost: a process's
+/// list may be older by the wait.
+pub fn start_delay(name: &str, processes: usize, drain_grace: Micros, rng: &mut impl Rng) -> Micros {
+    let longest = (drain_grace as f64 * FRACTION_OF_GRACE) as Micros;
+    let window = (SLOT * (processes as Micros - 1)).min(longest);
     if window <= 0 {
         return 0;
     }
-    let digits = name.trim_end_matches(|last: char| last.is_ascii_digit()).len();
-    let place = match name[digits..].parse::<u32>() {
-        // Steps of the golden ratio leave no gap and no crowd, whichever numbers are there.
-        Ok(number) => (f64::from(number) * 0.618_033_988_749_895).fract(),
-        Err(_) => rng.random(),
+    let place = match trailing_number(name) {
+        Some(number) => (f64::from(number) * GOLDEN_RATIO).fract(),
+        None => rng.random(),
     };
-    let within = rng.random::<f64>() / drivers as f64;
-    (((place + within) * window as f64) as Micros).min(window)
+    let within_slot = rng.random::<f64>() / processes as f64;
+    (((place + within_slot) * window as f64) as Micros).min(window)
+}
+
+/// How long to wait before a retry, given the backoff: half of it by chance, so that processes whose calls failed together do
+/// not retry together.
+pub fn retry_delay(backoff: Micros, rng: &mut impl Rng) -> Micros {
+    backoff / 2 + (rng.random::<f64>() * backoff as f64 / 2.0) as Micros
 }
 
-/// The wait before something that failed is tried again: half of it is by chance, so that those that failed together
-/// do not come together.
-pub fn retry_delay(wait: Micros, rng: &mut impl Rng) -> Micros {
-    wait / 2 + (rng.random::<f64>() * wait as f64 / 2.0) as Micros
+/// The number that a name ends in; `None` where it ends in none, or in one that is out of range.
+fn trailing_number(name: &str) -> Option<u32> {
+    let prefix = name.trim_end_matches(|last: char| last.is_ascii_digit());
+    name[prefix.len()..].parse().ok()
 }
--- a/crates/stall-detection/tests/stall_detection.rs
+++ b/crates/stall-detection/tests/stall_detection.rs
@@ -1,4 +1,4 @@
-//! Standstills are noticed, what came meanwhile is dated, and starts are spread.
+//! Stalls are noticed, bytes received meanwhile are dated, and starts are spread.
 
 use aldermill_stall_detection::start_jitter::{retry_delay, start_delay};
 use aldermill_stall_detection::{Micros, ReceiptBounds, STALL_THRESHOLD, StallDetector};
@@ -10,35 +10,38 @@
 
 const MS: Micros = 1_000;
 
-fn stood_from_100_to_2600() -> StallDetector {
+fn stalled_from_100_to_2600_ms() -> StallDetector {
     let mut detector = StallDetector::new(0);
-    (0..=5).for_each(|turn| detector.observe(turn * 20 * MS));
+    (0..=5).for_each(|step| detector.observe(step * 20 * MS));
     detector.observe(2_600 * MS);
     detector
 }
 
+/// A process that runs must not throw away what it measures.
 #[test]
-fn a_loop_that_turns_never_stood_still() {
+fn a_running_loop_is_never_taken_for_stalled() {
     let mut detector = StallDetector::new(0);
-    (0..1000).for_each(|turn| detector.observe(turn * 20 * MS));
+    (0..1000).for_each(|step| detector.observe(step * 20 * MS));
     assert_eq!(
         (detector.stalled_for(), detector.stalled_since(0), detector.receipt_bounds(20_000 * MS, 0, None)),
         (0, false, None)
     );
 }
 
+/// Others must not be blamed for a pause of this process.
 #[test]
-fn time_lived_leaves_out_the_standstill() {
-    let detector = stood_from_100_to_2600();
+fn unstalled_time_leaves_out_the_stall() {
+    let detector = stalled_from_100_to_2600_ms();
     assert_eq!(detector.stalled_for(), 2_500 * MS);
     assert_eq!(detector.unstalled_time(50 * MS, 2_700 * MS), 150 * MS);
     assert_eq!(detector.unstalled_time(1_000 * MS, 2_000 * MS), 0);
     assert_eq!(detector.unstalled_time(2_600 * MS, 2_700 * MS), 100 * MS);
 }
 
+/// What arrived during a stall must not pass for new.
 #[test]
-fn what_is_read_after_a_standstill_is_dated_by_the_system_else_by_the_last_look() {
-    let detector = stood_from_100_to_2600();
+fn bytes_read_after_a_stall_are_dated_by_the_system_or_else_by_the_last_step() {
+    let detector = stalled_from_100_to_2600_ms();
     let now = 2_610 * MS;
     assert_eq!(
         detector.receipt_bounds(now, 90 * MS, Some(1_000 * MS)),
@@ -48,7 +51,7 @@
     assert_eq!(
         detector.receipt_bounds(now, 90 * MS, Some(9_000 * MS)),
         Some(ReceiptBounds { earliest: 100 * MS, latest: 100 * MS }),
-        "no older than the last look"
+        "no older than the last step"
     );
     assert_eq!(
         detector.receipt_bounds(now, 90 * MS, None),
@@ -67,9 +70,10 @@
     );
 }
 
+/// A short run between two stalls must not make older bytes look newer.
 #[test]
-fn standstills_in_a_row_count_from_the_first() {
-    let mut detector = stood_from_100_to_2600();
+fn stalls_in_a_row_are_dated_from_the_first() {
+    let mut detector = stalled_from_100_to_2600_ms();
     detector.observe(2_700 * MS);
     assert_eq!(
         detector.receipt_bounds(2_710 * MS, 90 * MS, None),
@@ -77,8 +81,9 @@
     );
 }
 
+/// A fleet that restarts together must not overload what all of them ask.
 #[test]
-fn of_28_drivers_out_of_40_few_come_in_any_100_ms_and_all_within_the_grace() {
+fn of_28_processes_out_of_40_few_start_in_any_100_ms_and_all_within_the_grace() {
     for seed in 0..300 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let of = rand::seq::index::sample(&mut rng, 40, 28);
@@ -90,14 +95,15 @@
     }
 }
 
+/// A delay helps nobody where there is nobody to avoid, and is bounded for any name.
 #[test]
-fn a_lone_driver_does_not_wait_and_nobody_waits_for_long() {
+fn a_single_process_does_not_wait_and_no_delay_exceeds_its_window() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     assert_eq!(start_delay("n0", 1, 500 * MS, &mut rng), 0);
     for name in ["", "gate", "n4294967296", "n7", "ü9"] {
-        for drivers in [2, 40, 300] {
-            let waits = start_delay(name, drivers, 500 * MS, &mut rng);
-            assert!((0..=30 * MS * (drivers as Micros - 1)).contains(&waits) && waits <= 350 * MS);
+        for processes in [2, 40, 300] {
+            let waits = start_delay(name, processes, 500 * MS, &mut rng);
+            assert!((0..=30 * MS * (processes as Micros - 1)).contains(&waits) && waits <= 350 * MS);
         }
     }
     let tried: Vec<Micros> = (0..100).map(|_| retry_delay(1_000, &mut rng)).collect();
@@ -107,26 +113,26 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(41), ..ProptestConfig::default() })]
 
-    /// Whatever the steps of the loop: time is lived or stood, and nothing is dated into the future, before the loop
-    /// last looked, or at all without a standstill.
+    /// Whatever the steps of the loop: time is stalled or unstalled, and no receipt is dated into the future, before the loop
+    /// last ran, or at all without a stall.
     #[test]
-    fn time_is_lived_or_stood(steps in vec(MS..400 * MS, 1..60), last in 0usize..60, told in proptest::option::of(0..9_000 * MS)) {
-        let (mut detector, mut now, mut looks, mut stood) = (StallDetector::new(0), 0, vec![0], 0);
+    fn time_is_stalled_or_unstalled_and_no_receipt_is_in_the_future(steps in vec(MS..400 * MS, 1..60), last in 0usize..60, age in proptest::option::of(0..9_000 * MS)) {
+        let (mut detector, mut now, mut steps_at, mut stalled) = (StallDetector::new(0), 0, vec![0], 0);
         for &step in &steps {
             now += step;
-            stood += if step > STALL_THRESHOLD { step } else { 0 };
+            stalled += if step > STALL_THRESHOLD { step } else { 0 };
             detector.observe(now);
-            looks.push(now);
+            steps_at.push(now);
         }
-        prop_assert_eq!(detector.stalled_for(), stood);
-        let recent = looks[looks.len().saturating_sub(20)];
-        let lived = detector.unstalled_time(recent, now);
-        prop_assert!((0..=now - recent).contains(&lived));
-        let read = looks[last.min(looks.len() - 1)];
-        if let Some(ReceiptBounds { earliest, latest }) = detector.receipt_bounds(now, read, told) {
-            prop_assert!(looks.contains(&earliest) && earliest <= latest);
+        prop_assert_eq!(detector.stalled_for(), stalled);
+        let recent = steps_at[steps_at.len().saturating_sub(20)];
+        let unstalled = detector.unstalled_time(recent, now);
+        prop_assert!((0..=now - recent).contains(&unstalled));
+        let read = steps_at[last.min(steps_at.len() - 1)];
+        if let Some(ReceiptBounds { earliest, latest }) = detector.receipt_bounds(now, read, age) {
+            prop_assert!(steps_at.contains(&earliest) && earliest <= latest);
             prop_assert!(latest <= now && detector.stalled_since(read));
-            prop_assert!(told.is_none_or(|age| latest >= now - age), "never older than the system says");
+            prop_assert!(age.is_none_or(|age| latest >= now - age), "never older than the system says");
         }
     }
 }
