--- a/crates/statistics/src/clock_offset.rs
+++ b/crates/statistics/src/clock_offset.rs
@@ -1,84 +1,110 @@
-//! How far other machines' wall clock is ahead of this process's clock, by what they tell.
+//! How far the other machines' wall clock is ahead of this process's clock, by the times that they report.
 
+use std::cmp::Reverse;
 use std::collections::HashMap;
 
 use crate::Micros;
 
-/// So many words of one machine in a row must agree: one that cannot be right changes nothing.
-const AGREE: usize = 3;
-/// So many machines must be ahead: one whose own clock is wrong changes nothing.
-const MACHINES: usize = 2;
-/// Within this the clocks count as the same.
+/// This many samples of one machine in a row must agree, so that a stray one changes nothing.
+const AGREEING_SAMPLES: usize = 3;
+/// This many machines must be ahead, so that one whose own clock is wrong changes nothing.
+const AGREEING_MACHINES: usize = 2;
+/// Clocks that differ by no more than 50 ms count as the same.
 const TOLERANCE: Micros = 50_000;
 
-/// Bounds on the offset between two clocks of the same pace, both from words whose order is certain: what a machine has
-/// told was true before it was received, and a write was committed after it was sent.
+/// Bounds on the offset between two clocks of the same rate, from events whose order is certain: a time that a machine
+/// reports had passed there when the report was received here, which bounds the offset from below; a write was committed
+/// after it was sent, which bounds it from above.
 ///
-/// Protects fresh reads and slow start from a process that was started under a wrong wall clock. Harms both where
-/// several machines tell times ahead of all others': data then looks old, and members look warm.
+/// A process that was started under a wrong wall clock would take fresh data for stale, and members for started long ago or
+/// not yet. The cost: where several machines' clocks are ahead of all others', data looks older than it is, and members seem
+/// to have been up for longer.
 #[derive(Clone, Debug, Default)]
 pub struct ClockOffset {
     machines: HashMap<usize, OffsetSamples>,
-    /// The machines that were furthest ahead.
-    furthest: Vec<(usize, Micros)>,
-    at_most: Option<Micros>,
+    /// The machines that were furthest ahead, in that order.
+    furthest: Vec<LowerBound>,
+    /// The least bound that commits gave.
+    upper_bound: Option<Micros>,
 }
 
-/// The last words of one machine: told times less when they were received, and commits less when they were sent.
+/// By how much a machine was ahead at least, at some time.
+#[derive(Clone, Copy, Debug)]
+struct LowerBound {
+    machine: usize,
+    offset: Micros,
+}
+
+/// The last samples of one machine.
 #[derive(Clone, Debug, Default)]
 struct OffsetSamples {
+    /// Reported times, less when they were received.
     reports: RecentSamples,
+    /// Commit times, less when the write was sent.
     commits: RecentSamples,
 }
 
+/// The last samples, the newest at the end.
 #[derive(Clone, Debug, Default)]
-struct RecentSamples([Option<Micros>; AGREE]);
+struct RecentSamples([Option<Micros>; AGREEING_SAMPLES]);
 
 impl RecentSamples {
     fn add(&mut self, offset: Micros) {
         self.0.rotate_left(1);
-        self.0[AGREE - 1] = Some(offset);
+        self.0[AGREEING_SAMPLES - 1] = Some(offset);
     }
 
     /// All of them, once there are as many as must agree.
-    fn all(&self) -> Option<[Micros; AGREE]> {
+    fn all(&self) -> Option<[Micros; AGREEING_SAMPLES]> {
         self.0.iter().copied().collect::<Option<Vec<_>>>()?.try_into().ok()
     }
+
+    fn least(&self) -> Option<Micros> {
+        self.all()?.into_iter().min()
+    }
+
+    fn greatest(&self) -> Option<Micros> {
+        self.all()?.into_iter().max()
+    }
 }
 
 impl ClockOffset {
-    /// A machine's word, by its own clock, that was here at `received` by this process's.
+    /// A time by the machine's clock that had passed when it reported it; received at `received` by this process's clock.
     pub fn record_report(&mut self, machine: usize, time: Micros, received: Micros) {
-        let samples = &mut self.machines.entry(machine).or_default().reports;
-        samples.add(time.saturating_sub(received));
-        let Some(least) = samples.all().and_then(|all| all.into_iter().min()) else { return };
-        match self.furthest.iter_mut().find(|(of, _)| *of == machine) {
-            Some((_, most)) => *most = least.max(*most),
-            None => self.furthest.push((machine, least)),
+        let reports = &mut self.machines.entry(machine).or_default().reports;
+        reports.add(time.saturating_sub(received));
+        let Some(offset) = reports.least() else { return };
+        match self.furthest.iter_mut().find(|bound| bound.machine == machine) {
+            Some(bound) => bound.offset = bound.offset.max(offset),
+            None => self.furthest.push(LowerBound { machine, offset }),
         }
-        self.furthest.sort_by_key(|&(_, most)| std::cmp::Reverse(most));
-        self.furthest.truncate(MACHINES);
+        self.furthest.sort_by_key(|bound| Reverse(bound.offset));
+        self.furthest.truncate(AGREEING_MACHINES);
     }
 
-    /// A machine's word on when it committed what it was sent at `sent`, and what it did not have before.
+    /// When, by its own clock, a machine committed a write that this process sent at `sent`, and that had not been committed
+    /// before.
     pub fn record_commit(&mut self, machine: usize, time: Micros, sent: Micros) {
-        let samples = &mut self.machines.entry(machine).or_default().commits;
-        samples.add(time.saturating_sub(sent));
-        let most = samples.all().and_then(|all| all.into_iter().max());
-        self.at_most = [self.at_most, most].into_iter().flatten().min();
+        let commits = &mut self.machines.entry(machine).or_default().commits;
+        commits.add(time.saturating_sub(sent));
+        let bound = commits.greatest();
+        self.upper_bound = [self.upper_bound, bound].into_iter().flatten().min();
     }
 
-    /// A machine that is no more; what it told stays true.
+    /// Forgets the samples of a machine that is gone; the bounds that they gave stay.
     pub fn forget(&mut self, machine: usize) {
         self.machines.remove(&machine);
     }
 
-    /// What is to be added to this process's clock to be no less than the others', as far as is known; zero as long as
+    /// What to add to this process's clock so that it is at least the other machines', as far as is known. Zero as long as
     /// nothing shows that they differ.
+    #[must_use]
     pub fn offset(&self) -> Micros {
-        let enough = self.furthest.len() == MACHINES;
-        let at_least = self.furthest.last().filter(|_| enough).map_or(Micros::MIN, |&(_, most)| most);
-        let offset = at_least.max(self.at_most.unwrap_or(0));
+        let lower_bound = match self.furthest.last() {
+            Some(bound) if self.furthest.len() == AGREEING_MACHINES => bound.offset,
+            _ => Micros::MIN,
+        };
+        let offset = lower_bound.max(self.upper_bound.unwrap_or(0));
         if offset.abs() > TOLERANCE { offset } else { 0 }
     }
 }
