--- a/crates/proxy/src/lifecycle/clock.rs
+++ b/crates/proxy/src/lifecycle/clock.rs
@@ -1,4 +1,9 @@
-//! The program's clocks: the router's, which never steps; unstalled time; and the system's wall clock, which may step.
+//! The proxy's clocks.
+//!
+//! - [`Clock`]: Unix time at the start of the process, and steady from then on. What the router decides is dated by it.
+//! - [`UnstalledClock`]: the same, less the time in which the process was stalled. Spans in which others are measured are
+//!   taken from it, so that nobody is blamed for a pause of this process.
+//! - [`unix_now`]: the system's wall clock, which may step at any moment. Read for what other processes read, never for spans.
 
 use std::cell::RefCell;
 use std::os::fd::AsRawFd;
@@ -10,60 +15,76 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Says how long the machine was suspended, since whenever.
-pub type Suspension = fn() -> Micros;
+/// Returns how long the machine has been suspended since some fixed instant.
+pub type SuspensionClock = fn() -> Micros;
 
-/// Says the Unix time in microseconds by the system's clock, which may be stepped at any moment.
+/// Returns the Unix time by the system's clock, which may step at any moment.
 pub type WallClock = fn() -> Micros;
 
-/// The router's clock: it starts at the Unix time of the start and never steps. What others tell as Unix time (positions,
-/// starts of members, a session's last write) stands on it as it was told: two such times are compared without any clock
-/// of this process, whatever the wall clock does in between. Where it is told of suspensions it counts
-/// them; an instant from before one is then taken for as long before now as the machine has run since.
+/// The router's clock: it starts at the Unix time of the start and never steps.
+///
+/// Unix times that others report (positions, starts of members, a session's last write) are compared on it as they were
+/// reported, so that a step of this machine's wall clock changes nothing between two of them.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
-    at_start: Micros,
+    /// The wall clock at `start`.
+    unix_start: Micros,
     wall: WallClock,
-    /// Who says so, and what was said at the start.
-    suspension: Option<(Suspension, Micros)>,
+    suspension: Option<SuspensionCounter>,
+}
+
+/// Suspensions of the machine since the start, which tokio's clock does not count.
+#[derive(Clone, Copy)]
+struct SuspensionCounter {
+    clock: SuspensionClock,
+    /// What the clock showed at the start.
+    at_start: Micros,
 }
 
 impl Clock {
-    /// The wall clock is read once, and later only where [`Clock::wall`] is asked.
-    pub fn start(wall: WallClock, suspension: Option<Suspension>) -> Clock {
-        let suspension = suspension.map(|told| (told, told()));
-        Clock { start: Instant::now(), at_start: wall(), wall, suspension }
+    /// Starts the clock. The wall clock is read once here, and later only by [`Clock::wall`]. With `suspension`, time in which
+    /// the machine was suspended counts as passed; an instant from before a suspension then lies as long before now as the
+    /// machine has run since.
+    pub fn start(wall: WallClock, suspension: Option<SuspensionClock>) -> Clock {
+        let suspension = suspension.map(|clock| SuspensionCounter { clock, at_start: clock() });
+        Clock { start: Instant::now(), unix_start: wall(), wall, suspension }
     }
 
-    /// The wall clock as it is now, after whatever steps: for what other processes read, never for spans of time.
+    /// The wall clock as it is now, after any steps: for what other processes read, never for spans.
     pub fn wall(&self) -> Micros {
         (self.wall)()
     }
 
+    /// How long the machine was suspended since the start, as far as that counts.
     fn suspended(&self) -> Micros {
-        self.suspension.map_or(0, |(told, before)| (told() - before).max(0))
+        let Some(SuspensionCounter { clock, at_start }) = self.suspension else { return 0 };
+        (clock() - at_start).max(0)
     }
 
+    /// The time now.
     pub fn now(&self) -> Micros {
         self.at(Instant::now())
     }
 
+    /// This clock's time at an instant of tokio's.
     pub fn at(&self, instant: Instant) -> Micros {
-        let ran = instant.saturating_duration_since(self.start).as_micros() as Micros;
-        self.at_start + ran + self.suspended()
+        let elapsed = instant.saturating_duration_since(self.start).as_micros() as Micros;
+        self.unix_start + elapsed + self.suspended()
     }
 
+    /// The instant of tokio's clock at which this one shows `at`, unless the machine is suspended before.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.start + duration(at - self.at_start - self.suspended())
+        self.start + duration(at - self.unix_start - self.suspended())
     }
 }
 
+/// A span in microseconds as a duration; one below zero is zero.
 pub fn duration(micros: Micros) -> Duration {
     Duration::from_micros(micros.max(0) as u64)
 }
 
-/// The system's clock, which may step.
+/// The system's wall clock, which may step: Unix time, zero if it is set to before 1970.
 pub fn unix_now() -> Micros {
     let system = SystemTime::now().duration_since(UNIX_EPOCH);
     system.map_or(0, |since| since.as_micros() as Micros) + fault::wall_clock_step()
@@ -87,30 +108,33 @@
     }
 }
 
-/// The machine's suspensions, by the system's two clocks, of which one counts them.
+/// How long the machine has been suspended since it was started: the difference of the system's two steady clocks, of which
+/// one counts suspension.
 pub fn suspended() -> Micros {
-    let read = |clock| {
-        let mut time = uapi::c::timespec { tv_sec: 0, tv_nsec: 0 };
-        let told =
-            uapi::clock_gettime(clock, &mut time).map(|()| time.tv_sec * 1_000_000 + time.tv_nsec / 1_000);
-        told.unwrap_or(0)
-    };
-    // In this order a pause between the two makes a suspension shorter, never one where there was none.
-    let counting = read(uapi::c::CLOCK_BOOTTIME);
-    counting - read(uapi::c::CLOCK_MONOTONIC)
+    // Read in this order, a pause in between makes a suspension shorter, and never shows one where there was none.
+    let with_suspension = read_system_clock(uapi::c::CLOCK_BOOTTIME);
+    with_suspension - read_system_clock(uapi::c::CLOCK_MONOTONIC)
 }
 
-/// When bytes that were read only now were received.
+/// A clock of the system, in microseconds; zero where it has no such clock.
+fn read_system_clock(clock: uapi::c::clockid_t) -> Micros {
+    let mut time = uapi::c::timespec { tv_sec: 0, tv_nsec: 0 };
+    match uapi::clock_gettime(clock, &mut time) {
+        Ok(()) => time.tv_sec * 1_000_000 + time.tv_nsec / 1_000,
+        Err(_) => 0,
+    }
+}
+
+/// When bytes were received that were read only after a stall.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceiptBounds {
-    /// No byte was received before.
+    /// None of them was received before this instant.
     pub earliest: Instant,
-    /// The last byte was received then.
+    /// The last of them was received at this instant, as far as is known.
     pub latest: Instant,
 }
 
-/// The time that this process has lived: the router's clock, but for the standstills of the process. What is
-/// measured of others is measured in it.
+/// [`Clock`], less the time in which the process was stalled. Clones share what is known of stalls.
 #[derive(Clone)]
 pub struct UnstalledClock {
     clock: Clock,
@@ -118,52 +142,62 @@
 }
 
 impl UnstalledClock {
+    /// Starts with no stall.
     pub fn start(clock: Clock) -> UnstalledClock {
         let detector = Rc::new(RefCell::new(StallDetector::new(clock.now())));
         UnstalledClock { clock, detector }
     }
 
-    /// All time spent standing until now. To be asked at the beginning of whatever rests on time.
+    /// Notices a stall that ended just now. Every method does so first: whichever part of the program runs first after a stall,
+    /// it does not measure others in it.
+    fn observe(&self) {
+        self.detector.borrow_mut().observe(self.clock.now());
+    }
+
+    /// All time stalled until now, in microseconds.
     pub fn stalled_for(&self) -> Micros {
-        let mut detector = self.detector.borrow_mut();
-        detector.observe(self.clock.now());
-        detector.stalled_for()
+        self.observe();
+        self.detector.borrow().stalled_for()
     }
 
+    /// The time now, less all time stalled.
     pub fn now(&self) -> Micros {
         let stalled = self.stalled_for();
         self.clock.now() - stalled
     }
 
-    /// A moment to come, as far as nothing comes between.
+    /// This clock's time at an instant to come, if the process does not stall before.
     pub fn at(&self, instant: Instant) -> Micros {
         self.clock.at(instant) - self.stalled_for()
     }
 
+    /// The instant at which this clock shows `at`, if the process does not stall before.
     pub fn instant(&self, at: Micros) -> Instant {
         self.clock.instant(at + self.stalled_for())
     }
 
-    /// How much of the time since then was lived.
+    /// How much of the time since then the process was not stalled, in microseconds.
     pub fn unstalled_since(&self, then: Instant) -> Micros {
-        self.stalled_for();
+        self.observe();
         self.detector.borrow().unstalled_time(self.clock.at(then), self.clock.now())
     }
 
+    /// Whether a stall ended after that instant.
     pub fn stalled_since(&self, then: Instant) -> bool {
-        self.stalled_for();
+        self.observe();
         self.detector.borrow().stalled_since(self.clock.at(then))
     }
 
-    /// Between when and when what was just read of this connection came, where it may have waited for this process.
-    /// The connection was last read at `last`; `None` is the first time.
-    pub fn receipt_bounds(&self, stream: &TcpStream, last: Option<Instant>) -> Option<ReceiptBounds> {
-        self.stalled_for();
-        let (detector, last) = (self.detector.borrow(), self.clock.at(last.unwrap_or(self.clock.start)));
-        if !detector.stalled_since(last) {
+    /// When the bytes were received that were just read from this connection; `None` means just now, as far as anybody can
+    /// tell. The connection was read before at `last_read`, `None` if never. The system is asked only after a stall.
+    pub fn receipt_bounds(&self, stream: &TcpStream, last_read: Option<Instant>) -> Option<ReceiptBounds> {
+        self.observe();
+        let last_read = self.clock.at(last_read.unwrap_or(self.clock.start));
+        let detector = self.detector.borrow();
+        if !detector.stalled_since(last_read) {
             return None;
         }
-        let bounds = detector.receipt_bounds(self.clock.now(), last, last_data(stream))?;
+        let bounds = detector.receipt_bounds(self.clock.now(), last_read, age_of_last_byte(stream))?;
         Some(ReceiptBounds {
             earliest: self.clock.instant(bounds.earliest),
             latest: self.clock.instant(bounds.latest),
@@ -171,14 +205,15 @@
     }
 }
 
-/// How long ago the system took in the last bytes of a connection, where it says so.
-fn last_data(stream: &TcpStream) -> Option<Micros> {
-    /// Where `tcpi_last_data_recv`, in milliseconds, stands in Linux's `struct tcp_info`, by words of four bytes.
-    const AT: usize = 13;
-    /// The system counts in its own ticks.
+/// How long ago the system received the last byte of a connection, in microseconds; `None` where it does not say.
+fn age_of_last_byte(stream: &TcpStream) -> Option<Micros> {
+    /// The index of `tcpi_last_data_recv`, in milliseconds, in Linux's `struct tcp_info` read as words of four bytes.
+    const LAST_DATA_RECEIVED: usize = 13;
+    /// The system counts in ticks of up to 4 ms, so the byte may be older by one.
     const TICK: Micros = 4_000;
-    let mut info = [0u32; AT + 1];
+    let mut info = [0u32; LAST_DATA_RECEIVED + 1];
     let (level, name) = (uapi::c::IPPROTO_TCP, uapi::c::TCP_INFO);
     let length = uapi::getsockopt(stream.as_raw_fd(), level, name, &mut info).ok()?;
-    (length == std::mem::size_of_val(&info)).then(|| Micros::from(info[AT]) * 1000 + TICK)
+    let is_complete = length == std::mem::size_of_val(&info);
+    is_complete.then(|| Micros::from(info[LAST_DATA_RECEIVED]) * 1000 + TICK)
 }
--- a/crates/proxy/tests/clock.rs
+++ b/crates/proxy/tests/clock.rs
@@ -10,8 +10,9 @@
 
 static SUSPENDED: AtomicI64 = AtomicI64::new(7_000_000);
 
+/// Deadlines must not outlive a suspension, and nobody is blamed for one.
 #[test]
-fn a_suspension_is_time_that_passed_and_a_standstill() {
+fn a_suspension_counts_as_time_passed_and_as_a_stall() {
     let clock = Clock::start(unix_now, Some(|| SUSPENDED.load(Ordering::SeqCst)));
     let unstalled = UnstalledClock::start(clock);
     let (before, began) = (clock.now(), unstalled.now());
@@ -22,29 +23,31 @@
     assert!(
         (40_000_000..50_000_000).contains(&unstalled.stalled_for()) && unstalled.now() - began < 10_000_000
     );
-    // Both ways are each other's.
+    // The two conversions are each other's inverse.
     let at = clock.now() + 5_000_000;
     assert!((clock.at(clock.instant(at)) - at).abs() < 10);
 }
 
+/// A suspension that shrinks would set the clock back.
 #[test]
-fn the_systems_word_on_suspensions_never_falls() {
+fn the_suspension_that_the_system_reports_never_shrinks() {
     let first = suspended();
     assert!(first > -1_000 && suspended() >= first - 1_000);
 }
 
 static STEP: AtomicI64 = AtomicI64::new(0);
 
+/// Timeouts must neither fire early nor hang when the wall clock is set.
 #[test]
 fn a_stepped_wall_clock_moves_neither_the_routers_clock_nor_unstalled_time() {
     const HOUR: i64 = 3_600_000_000;
     let clock = Clock::start(|| unix_now() + STEP.load(Ordering::SeqCst), None);
     let unstalled = UnstalledClock::start(clock);
     for step in [-HOUR, 2_000_000, HOUR, -2_000_000] {
-        let (router, wall, lived) = (clock.now(), clock.wall(), unstalled.now());
+        let (router, wall, before) = (clock.now(), clock.wall(), unstalled.now());
         STEP.fetch_add(step, Ordering::SeqCst);
         assert!((0..1_000_000).contains(&(clock.now() - router)));
-        assert!((0..1_000_000).contains(&(unstalled.now() - lived)));
+        assert!((0..1_000_000).contains(&(unstalled.now() - before)));
         assert!((0..1_000_000).contains(&(clock.wall() - wall - step)));
     }
 }
