--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -194,7 +194,7 @@
         if stalled <= 0 {
             return;
         }
-        warn!(self.context.log, "stood still"; "ms" => stalled / 1000);
+        warn!(self.context.log, "process stalled"; "ms" => stalled / 1000);
         self.report_stall();
         for _ in 0..TURNS_AFTER_STALL {
             yield_now().await;
