--- a/crates/proxy/src/lifecycle/clock.rs
+++ b/crates/proxy/src/lifecycle/clock.rs
@@ -102,6 +102,7 @@
         text.and_then(|text| text.trim().parse().ok()).unwrap_or(0)
     }
 
+    /// Nothing, in a release build.
     #[cfg(not(debug_assertions))]
     pub fn wall_clock_step() -> Micros {
         0
@@ -212,8 +213,8 @@
     /// The system counts in ticks of up to 4 ms, so the byte may be older by one.
     const TICK: Micros = 4_000;
     let mut info = [0u32; LAST_DATA_RECEIVED + 1];
-    let (level, name) = (uapi::c::IPPROTO_TCP, uapi::c::TCP_INFO);
-    let length = uapi::getsockopt(stream.as_raw_fd(), level, name, &mut info).ok()?;
+    let socket = stream.as_raw_fd();
+    let length = uapi::getsockopt(socket, uapi::c::IPPROTO_TCP, uapi::c::TCP_INFO, &mut info).ok()?;
     let is_complete = length == std::mem::size_of_val(&info);
     is_complete.then(|| Micros::from(info[LAST_DATA_RECEIVED]) * 1000 + TICK)
 }
--- a/crates/proxy/tests/slow_peers.rs
+++ b/crates/proxy/tests/slow_peers.rs
@@ -83,8 +83,9 @@
     }
 }
 
+/// Slow readers must take neither buffer space nor connection slots from others, however often they reconnect.
 #[test]
-fn hundreds_of_slow_readers_cost_usual_clients_nothing() {
+fn hundreds_of_slow_readers_do_not_affect_other_clients() {
     let member = with_values();
     let (driver, _) = driver(&[("a", &member)], 48, 256, QUICK);
     let usual = Usual::start(driver.address, 60);
@@ -115,8 +116,9 @@
     readers.into_iter().for_each(|reader| reader.join().unwrap());
 }
 
+/// A sound client must not be disconnected for a pause, or for a poor line that keeps up with the minimum rate.
 #[test]
-fn a_quick_reader_may_pause_and_the_least_rate_is_enough() {
+fn a_quick_reader_may_pause_and_the_minimum_rate_is_enough() {
     let member = with_values();
     let (driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let mut client = Client::narrow(driver.address).unwrap();
@@ -142,8 +144,9 @@
     assert!(!driver.logged("slow clients disconnected"));
 }
 
+/// A client that stops reading must not hold buffer space for ever, and all that it held must be released.
 #[test]
-fn who_takes_the_head_and_never_the_rest_is_cut_and_the_books_are_closed() {
+fn a_client_that_stops_reading_is_disconnected_and_its_buffer_space_is_released() {
     let member = with_values();
     let (driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let mut slow: Vec<Client> = (0..20).map(|_| Client::narrow(driver.address).unwrap()).collect();
@@ -161,8 +164,9 @@
     assert!(quick.iter_mut().all(|client| client.answer().unwrap().value.is_some()));
 }
 
+/// A member that sends single bytes must not hold a request up to its deadline.
 #[test]
-fn a_member_that_trickles_costs_a_attempt_and_one_that_is_slow_but_sound_none() {
+fn a_member_that_trickles_its_response_costs_one_attempt() {
     for (piece, pause) in [(1, 1000), (1, 250), (20, 250)] {
         let trickles = Member::start(move |text, stream| {
             drip(&whole(&[7; 4000], text, "reader"), piece, MS(pause), stream);
@@ -186,8 +190,9 @@
     assert_eq!(trickles.requests().len(), 1);
 }
 
+/// A slow but sound member must not be taken for one that trickles.
 #[test]
-fn sixty_kilobytes_at_twice_the_least_rate_are_sound() {
+fn a_response_at_twice_the_minimum_rate_is_not_broken_off() {
     let steady = Member::start(|text, stream| {
         let value = vec![7; if text.starts_with("/*") { 60_000 } else { 0 }];
         drip(&whole(&value, text, "writer"), 6_500, MS(100), stream);
@@ -199,8 +204,9 @@
     assert_eq!(steady.requests().len(), 4);
 }
 
+/// A statement whose last byte was not written never ran, so it may be retried elsewhere.
 #[test]
-fn a_member_that_takes_a_statement_byte_by_byte_never_ran_it() {
+fn a_statement_that_a_member_reads_too_slowly_counts_as_never_run() {
     let listener = {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(2048).unwrap();
@@ -241,8 +247,9 @@
     assert_eq!(taker.requests().len(), 1);
 }
 
+/// Members that were slow together must serve again once they are sound, not stay ejected.
 #[test]
-fn a_group_whose_members_all_trickle_for_a_while_is_not_stripped() {
+fn a_group_whose_members_all_trickle_for_a_while_serves_again() {
     let ill = Arc::new(AtomicBool::new(true));
     let either = |role: &'static str| {
         let ill = ill.clone();
@@ -263,8 +270,9 @@
     assert!(good >= 45, "{good}");
 }
 
+/// Clients that never finish a statement must not take the connection slots of others.
 #[test]
-fn half_statements_at_a_byte_a_second_keep_nobody_out() {
+fn clients_that_never_finish_a_statement_do_not_affect_others() {
     let member = sound("writer");
     let (driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let usual = Usual::start(driver.address, 20);
@@ -293,8 +301,9 @@
     senders.into_iter().for_each(|sender| sender.join().unwrap());
 }
 
+/// A slow reader must not hold up a shutdown.
 #[test]
-fn told_to_stop_it_does_not_wait_for_slow_readers() {
+fn shutdown_does_not_wait_for_slow_readers() {
     let member = with_values();
     let (mut driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let mut slow: Vec<Client> = (0..10).map(|_| Client::narrow(driver.address).unwrap()).collect();
@@ -306,8 +315,9 @@
     assert!(start.elapsed() < MS(10_000), "{:?}", start.elapsed());
 }
 
+/// An operator in trouble lowers limits while the proxy runs, and may mistype.
 #[test]
-fn lowered_limits_hold_from_sighup_on_and_a_wrong_file_changes_nothing() {
+fn lowered_limits_hold_from_sighup_on_and_an_invalid_file_changes_nothing() {
     let member = with_values();
     let patient = QUICK.replace("\"overdue_ms\":500", "\"overdue_ms\":60000");
     let (driver, _) = driver(&[("a", &member)], 48, 128, &patient);
@@ -328,8 +338,9 @@
     assert!(Client::connect(driver.address).ask(&value(900_000)).value.is_some());
 }
 
+/// One address must not take all connection slots where the operator forbids it.
 #[test]
-fn an_address_may_have_so_many_connections_where_the_operator_says_so() {
+fn an_address_is_kept_to_its_configured_number_of_connections() {
     let member = sound("writer");
     let few = r#"{"slow_peers":{"per_address":{"connections":3,"room_kib":4000}}}"#;
     let (driver, _) = driver(&[("a", &member)], 48, 128, few);
@@ -344,8 +355,9 @@
     until("its place is free", || Client::narrow(driver.address).is_some());
 }
 
+/// An operator must find a mistake in the file from the message alone.
 #[test]
-fn what_is_wrong_with_the_operators_file_is_said_with_its_path() {
+fn an_invalid_operator_file_is_reported_with_the_path_of_the_field() {
     let good = config("127.0.0.1:8500".parse().unwrap(), 256, "null");
     let check = |operator: &str| {
         let (mut command, path) = aldermill(&["check"], &good);
