--- a/crates/proxy/tests/slow_peers.rs
+++ b/crates/proxy/tests/slow_peers.rs
@@ -84,6 +84,7 @@
     }
 }
 
+/// Slow readers must take neither buffer space nor connection slots from others, however often they reconnect.
 #[test]
 fn hundreds_of_slow_readers_do_not_affect_other_clients() {
     let member = with_values();
@@ -116,8 +117,13 @@
     readers.into_iter().for_each(|reader| reader.join().unwrap());
 }
 
+/// A sound client must not be disconnected for a pause, or for a poor line that keeps up with the minimum rate.
 #[test]
+<<<<<<< HEAD
 fn a_fast_reader_may_pause_and_a_reader_above_the_least_rate_is_kept() {
+=======
+fn a_quick_reader_may_pause_and_the_minimum_rate_is_enough() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let member = with_values();
     let (driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let mut client = Client::narrow(driver.address).unwrap();
@@ -143,8 +149,13 @@
     assert!(!driver.logged("slow clients disconnected"));
 }
 
+/// A client that stops reading must not hold buffer space for ever, and all that it held must be released.
 #[test]
+<<<<<<< HEAD
 fn a_client_that_never_reads_its_response_is_disconnected_and_its_buffer_space_freed() {
+=======
+fn a_client_that_stops_reading_is_disconnected_and_its_buffer_space_is_released() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let member = with_values();
     let (driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let mut slow: Vec<Client> = (0..20).map(|_| Client::narrow(driver.address).unwrap()).collect();
@@ -162,8 +173,13 @@
     assert!(quick.iter_mut().all(|client| client.answer().unwrap().value.is_some()));
 }
 
+/// A member that sends single bytes must not hold a request up to its deadline.
 #[test]
+<<<<<<< HEAD
 fn a_trickling_member_delays_reads_little_and_its_writes_are_not_repeated() {
+=======
+fn a_member_that_trickles_its_response_costs_one_attempt() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     for (piece, pause) in [(1, 1000), (1, 250), (20, 250)] {
         let trickles = Member::start(move |text, stream| {
             drip(&whole(&[7; 4000], text, "reader"), piece, MS(pause), stream);
@@ -187,8 +203,13 @@
     assert_eq!(trickles.requests().len(), 1);
 }
 
+/// A slow but sound member must not be taken for one that trickles.
 #[test]
+<<<<<<< HEAD
 fn a_member_that_sends_at_twice_the_least_rate_is_not_cut_off() {
+=======
+fn a_response_at_twice_the_minimum_rate_is_not_broken_off() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let steady = Member::start(|text, stream| {
         let value = vec![7; if text.starts_with("/*") { 60_000 } else { 0 }];
         drip(&whole(&value, text, "writer"), 6_500, MS(100), stream);
@@ -200,8 +221,13 @@
     assert_eq!(steady.requests().len(), 4);
 }
 
+/// A statement whose last byte was not written never ran, so it may be retried elsewhere.
 #[test]
+<<<<<<< HEAD
 fn a_member_that_reads_a_statement_byte_by_byte_never_ran_it() {
+=======
+fn a_statement_that_a_member_reads_too_slowly_counts_as_never_run() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let listener = {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(2048).unwrap();
@@ -240,8 +266,13 @@
     assert_eq!(taker.requests().len(), 1);
 }
 
+/// Members that were slow together must serve again once they are sound, not stay ejected.
 #[test]
+<<<<<<< HEAD
 fn a_group_whose_members_all_trickled_serves_again_once_they_recover() {
+=======
+fn a_group_whose_members_all_trickle_for_a_while_serves_again() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let ill = Arc::new(AtomicBool::new(true));
     let either = |role: &'static str| {
         let ill = ill.clone();
@@ -262,8 +293,13 @@
     assert!(good >= 45, "{good}");
 }
 
+/// Clients that never finish a statement must not take the connection slots of others.
 #[test]
+<<<<<<< HEAD
 fn partial_statements_at_a_byte_a_second_do_not_affect_other_clients() {
+=======
+fn clients_that_never_finish_a_statement_do_not_affect_others() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let member = sound("writer");
     let (driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let fast = FastClients::start(driver.address, 20);
@@ -292,6 +328,7 @@
     senders.into_iter().for_each(|sender| sender.join().unwrap());
 }
 
+/// A slow reader must not hold up a shutdown.
 #[test]
 fn shutdown_does_not_wait_for_slow_readers() {
     let member = with_values();
@@ -305,8 +342,13 @@
     assert!(start.elapsed() < MS(10_000), "{:?}", start.elapsed());
 }
 
+/// An operator in trouble lowers limits while the proxy runs, and may mistype.
 #[test]
+<<<<<<< HEAD
 fn a_reload_applies_lowered_limits_and_a_wrong_file_changes_nothing() {
+=======
+fn lowered_limits_hold_from_sighup_on_and_an_invalid_file_changes_nothing() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let member = with_values();
     let patient = QUICK.replace("\"overdue_ms\":500", "\"overdue_ms\":60000");
     let (driver, _) = driver(&[("a", &member)], 48, 128, &patient);
@@ -327,8 +369,13 @@
     assert!(Client::connect(driver.address).ask(&value(900_000)).value.is_some());
 }
 
+/// One address must not take all connection slots where the operator forbids it.
 #[test]
+<<<<<<< HEAD
 fn connections_of_one_address_are_limited_where_the_operator_says_so() {
+=======
+fn an_address_is_kept_to_its_configured_number_of_connections() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let member = sound("writer");
     let few = r#"{"slow_peers":{"per_address":{"connections":3,"room_kib":4000}}}"#;
     let (driver, _) = driver(&[("a", &member)], 48, 128, few);
@@ -343,8 +390,13 @@
     until("its place is free", || Client::narrow(driver.address).is_some());
 }
 
+/// An operator must find a mistake in the file from the message alone.
 #[test]
+<<<<<<< HEAD
 fn an_error_in_the_operators_file_names_its_field() {
+=======
+fn an_invalid_operator_file_is_reported_with_the_path_of_the_field() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let good = config("127.0.0.1:8500".parse().unwrap(), 256, "null");
     let check = |operator: &str| {
         let (mut command, path) = aldermill(&["check"], &good);
