--- a/crates/proxy/src/lifecycle/startup/resources.rs
+++ b/crates/proxy/src/lifecycle/startup/resources.rs
@@ -93,7 +93,8 @@
     /// Nobody can listen at the configured address.
     pub fn open(configuration: Configuration) -> Result<Startup, ProgramError> {
         let ProcessLog { logger, guard } = ProcessLog::start(&configuration.limits);
-        let suspension = configuration.operator.suspension.then_some(clock::suspended as clock::Suspension);
+        let suspension =
+            configuration.operator.suspension.then_some(clock::suspended as clock::SuspensionClock);
         let clock = Clock::start(clock::unix_now, suspension);
         let unstalled_clock = UnstalledClock::start(clock);
         let flow_control =
--- a/crates/proxy/tests/slow_peers.rs
+++ b/crates/proxy/tests/slow_peers.rs
@@ -119,11 +119,7 @@
 
 /// A sound client must not be disconnected for a pause, or for a poor line that keeps up with the minimum rate.
 #[test]
-<<<<<<< HEAD
 fn a_fast_reader_may_pause_and_a_reader_above_the_least_rate_is_kept() {
-=======
-fn a_quick_reader_may_pause_and_the_minimum_rate_is_enough() {
->>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let member = with_values();
     let (driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let mut client = Client::narrow(driver.address).unwrap();
@@ -151,11 +147,7 @@
 
 /// A client that stops reading must not hold buffer space for ever, and all that it held must be released.
 #[test]
-<<<<<<< HEAD
 fn a_client_that_never_reads_its_response_is_disconnected_and_its_buffer_space_freed() {
-=======
-fn a_client_that_stops_reading_is_disconnected_and_its_buffer_space_is_released() {
->>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let member = with_values();
     let (driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let mut slow: Vec<Client> = (0..20).map(|_| Client::narrow(driver.address).unwrap()).collect();
@@ -175,11 +167,7 @@
 
 /// A member that sends single bytes must not hold a request up to its deadline.
 #[test]
-<<<<<<< HEAD
 fn a_trickling_member_delays_reads_little_and_its_writes_are_not_repeated() {
-=======
-fn a_member_that_trickles_its_response_costs_one_attempt() {
->>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     for (piece, pause) in [(1, 1000), (1, 250), (20, 250)] {
         let trickles = Member::start(move |text, stream| {
             drip(&whole(&[7; 4000], text, "reader"), piece, MS(pause), stream);
@@ -205,11 +193,7 @@
 
 /// A slow but sound member must not be taken for one that trickles.
 #[test]
-<<<<<<< HEAD
 fn a_member_that_sends_at_twice_the_least_rate_is_not_cut_off() {
-=======
-fn a_response_at_twice_the_minimum_rate_is_not_broken_off() {
->>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let steady = Member::start(|text, stream| {
         let value = vec![7; if text.starts_with("/*") { 60_000 } else { 0 }];
         drip(&whole(&value, text, "writer"), 6_500, MS(100), stream);
@@ -223,11 +207,7 @@
 
 /// A statement whose last byte was not written never ran, so it may be retried elsewhere.
 #[test]
-<<<<<<< HEAD
 fn a_member_that_reads_a_statement_byte_by_byte_never_ran_it() {
-=======
-fn a_statement_that_a_member_reads_too_slowly_counts_as_never_run() {
->>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let listener = {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(2048).unwrap();
@@ -268,11 +248,7 @@
 
 /// Members that were slow together must serve again once they are sound, not stay ejected.
 #[test]
-<<<<<<< HEAD
 fn a_group_whose_members_all_trickled_serves_again_once_they_recover() {
-=======
-fn a_group_whose_members_all_trickle_for_a_while_serves_again() {
->>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let ill = Arc::new(AtomicBool::new(true));
     let either = |role: &'static str| {
         let ill = ill.clone();
@@ -295,11 +271,7 @@
 
 /// Clients that never finish a statement must not take the connection slots of others.
 #[test]
-<<<<<<< HEAD
 fn partial_statements_at_a_byte_a_second_do_not_affect_other_clients() {
-=======
-fn clients_that_never_finish_a_statement_do_not_affect_others() {
->>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let member = sound("writer");
     let (driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let fast = FastClients::start(driver.address, 20);
@@ -344,11 +316,7 @@
 
 /// An operator in trouble lowers limits while the proxy runs, and may mistype.
 #[test]
-<<<<<<< HEAD
 fn a_reload_applies_lowered_limits_and_a_wrong_file_changes_nothing() {
-=======
-fn lowered_limits_hold_from_sighup_on_and_an_invalid_file_changes_nothing() {
->>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let member = with_values();
     let patient = QUICK.replace("\"overdue_ms\":500", "\"overdue_ms\":60000");
     let (driver, _) = driver(&[("a", &member)], 48, 128, &patient);
@@ -371,11 +339,7 @@
 
 /// One address must not take all connection slots where the operator forbids it.
 #[test]
-<<<<<<< HEAD
 fn connections_of_one_address_are_limited_where_the_operator_says_so() {
-=======
-fn an_address_is_kept_to_its_configured_number_of_connections() {
->>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let member = sound("writer");
     let few = r#"{"slow_peers":{"per_address":{"connections":3,"room_kib":4000}}}"#;
     let (driver, _) = driver(&[("a", &member)], 48, 128, few);
@@ -392,11 +356,7 @@
 
 /// An operator must find a mistake in the file from the message alone.
 #[test]
-<<<<<<< HEAD
 fn an_error_in_the_operators_file_names_its_field() {
-=======
-fn an_invalid_operator_file_is_reported_with_the_path_of_the_field() {
->>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let good = config("127.0.0.1:8500".parse().unwrap(), 256, "null");
     let check = |operator: &str| {
         let (mut command, path) = aldermill(&["check"], &good);
