--- a/crates/site-routing/src/link_credit.rs
+++ b/crates/site-routing/src/link_credit.rs
@@ -26,7 +26,7 @@
 }
 
 impl Window {
-    /// Whether the gateway has used what it was offered: only then is more worth offering.
+    /// Whether the gateway has used what it was offered: only then does it get a larger offer.
     fn is_full(&self) -> bool {
         f64::from(self.in_flight) >= self.size - 1.0
     }
