--- a/crates/proxy/src/discovery/error.rs
+++ b/crates/proxy/src/discovery/error.rs
@@ -6,7 +6,7 @@
 use aldermill_wire::Malformed;
 use thiserror::Error;
 
-use crate::system::Meaning;
+use crate::system::SocketErrorKind;
 
 /// Why a watch on discovery ended. Whatever it was, the last endpoint list stays in force and the proxy watches again.
 #[derive(Debug, Error)]
@@ -53,7 +53,7 @@
 impl WatchError {
     /// Whether this machine could open no connection, so that nothing is known of discovery.
     pub(super) fn is_local(&self) -> bool {
-        matches!(self, WatchError::Connection(error) if Meaning::of(error) == Meaning::Local)
+        matches!(self, WatchError::Connection(error) if SocketErrorKind::of(error) == SocketErrorKind::Local)
     }
 
     /// Whether discovery was silent. It has been waited for then, so that the next watch starts at once.
--- a/crates/proxy/src/lifecycle/limits/connections.rs
+++ b/crates/proxy/src/lifecycle/limits/connections.rs
@@ -7,7 +7,7 @@
 
 /// Descriptors that clients and members have at the least, however many the program needs for itself.
 const LEAST_SHARED: usize = 4;
-/// Clients, and members, have at least so many connections: one in use while another is being closed.
+/// The least number of connections of clients, and of members: one in use while another is being closed.
 const LEAST_CONNECTIONS: usize = 2;
 /// The clients' share of the descriptors, as a fraction; members have the rest.
 const CLIENT_SHARE: Fraction = Fraction { of: 3, parts: 5 };
@@ -20,8 +20,8 @@
 const MEMBER_MEMORY: Fraction = Fraction { of: 1, parts: 10 };
 /// Small messages that one connection to a member may hold at once.
 const MESSAGES_PER_MEMBER: usize = 2;
-/// Active clients hold at most this part of all descriptors (one in four): clients have a limit on descriptors, too, and
-/// some open a connection for each request and never use it twice.
+/// Active clients hold at most this part of all descriptors (one in four): clients have a limit on descriptors, too,
+/// and some open a connection for each request and never use it twice.
 const ACTIVE_CLIENT_PARTS: usize = 4;
 /// Whoever had a response so short a time ago is about to send the next request.
 const RECENTLY_ACTIVE: Duration = Duration::from_millis(250);
--- a/crates/proxy/src/member/connection.rs
+++ b/crates/proxy/src/member/connection.rs
@@ -13,7 +13,7 @@
 use crate::lifecycle::limits::Limits;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::DispatcherMessage;
-use crate::system::{self, BufferSizes, Meaning, Party, Peeked};
+use crate::system::{self, BufferSizes, Party, Peeked, SocketErrorKind};
 
 /// The user that the proxy connects as; members ask for no password.
 const USER: &str = "client";
@@ -36,7 +36,7 @@
 impl Connection {
     /// Whether the other side has reset it, where no read has seen that yet.
     pub(super) fn is_reset(&self) -> bool {
-        matches!(system::peek(&self.stream), Peeked::Broken(Meaning::Reset))
+        matches!(system::peek(&self.stream), Peeked::Broken(SocketErrorKind::Reset))
     }
 
     /// Whether it still stands, and nothing has come on it that was not asked for.
@@ -130,12 +130,12 @@
     id: MemberId,
     deadline: Instant,
 ) -> Result<OwnedSemaphorePermit, QueryError> {
-    if let Ok(permit) = context.member_room.clone().try_acquire_owned() {
+    if let Ok(permit) = context.member_connection_permits.clone().try_acquire_owned() {
         return Ok(permit);
     }
     let _ = context.dispatcher.send(DispatcherMessage::DescriptorsExhausted(id)).await;
-    let _waiting = DescriptorWait::start(&context.waiting_for_room);
-    let permit = timeout_at(deadline, context.member_room.clone().acquire_owned()).await;
+    let _waiting = DescriptorWait::start(&context.waiting_for_permit);
+    let permit = timeout_at(deadline, context.member_connection_permits.clone().acquire_owned()).await;
     permit.ok().and_then(Result::ok).ok_or(QueryError::NoDescriptor)
 }
 
--- a/crates/proxy/src/membership/mod.rs
+++ b/crates/proxy/src/membership/mod.rs
@@ -5,7 +5,7 @@
 mod announced_sizes;
 mod coordination_link;
 mod start;
-pub mod status;
+mod status;
 mod status_socket;
 
 pub use actor::MembershipActor;
--- a/crates/proxy/src/persistence/maintenance.rs
+++ b/crates/proxy/src/persistence/maintenance.rs
@@ -39,7 +39,8 @@
 pub fn compact(folder: &str) -> Result<(), ProgramError> {
     // Nothing is opened for writing that could not be read.
     read(folder)?;
-    let failed = |problem: Problem| ProgramError::Store { folder: folder.to_owned(), why: problem };
+    let failed =
+        |problem: Problem| ProgramError::DataDirectory { folder: folder.to_owned(), source: problem };
     let disk = Disk::open(Path::new(folder)).map_err(|error| failed(error.into()))?;
     let (mut store, _) = Store::open(disk, UNLIMITED, unix_now()).map_err(failed)?;
     let (_, bytes_before) = store.size();
@@ -51,8 +52,8 @@
 
 fn read(folder: &str) -> Result<(Snapshot, Recovered), ProgramError> {
     if !Path::new(folder).is_dir() {
-        return Err(ProgramError::NoFolder(folder.to_owned()));
+        return Err(ProgramError::NoDataDirectory(folder.to_owned()));
     }
     Store::look(Disk::look(Path::new(folder)), UNLIMITED, unix_now())
-        .map_err(|problem| ProgramError::Store { folder: folder.to_owned(), why: problem })
+        .map_err(|problem| ProgramError::DataDirectory { folder: folder.to_owned(), source: problem })
 }
--- a/crates/proxy/tests/clock.rs
+++ b/crates/proxy/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clocks of the program, under a machine that was suspended and under a wall clock that is stepped.
+//! The clocks of the process, on a machine that is suspended and under a wall clock that is stepped.
 
 #[path = "../src/lifecycle/clock.rs"]
 #[allow(dead_code, reason = "the program uses the rest")]
@@ -12,7 +12,7 @@
 
 /// Deadlines must not outlive a suspension, and nobody is blamed for one.
 #[test]
-fn a_suspension_counts_as_time_passed_and_as_a_stall() {
+fn a_suspension_advances_the_routers_clock_and_counts_as_a_stall() {
     let clock = Clock::start(unix_now, Some(|| SUSPENDED.load(Ordering::SeqCst)));
     let unstalled = UnstalledClock::start(clock);
     let (before, began) = (clock.now(), unstalled.now());
@@ -23,14 +23,14 @@
     assert!(
         (40_000_000..50_000_000).contains(&unstalled.stalled_for()) && unstalled.now() - began < 10_000_000
     );
-    // The two conversions are each other's inverse.
+    // The two conversions are inverse.
     let at = clock.now() + 5_000_000;
     assert!((clock.at(clock.instant(at)) - at).abs() < 10);
 }
 
 /// A suspension that shrinks would set the clock back.
 #[test]
-fn the_suspension_that_the_system_reports_never_shrinks() {
+fn the_suspended_time_reported_by_the_system_never_decreases() {
     let first = suspended();
     assert!(first > -1_000 && suspended() >= first - 1_000);
 }
