--- /dev/null
+++ b/crates/proxy/src/coordination/durability.rs
@@ -0,0 +1,105 @@
+//! How coordination stores what a restart must not forget.
+//!
+//! Nothing that a restart could forget is sent before it is on the disk. What the data directory did not take is handed over
+//! again as long as it is needed; before the directory could be read, no vote is cast.
+
+use std::rc::Rc;
+
+use aldermill_directives::{Micros, Topic, Version};
+use aldermill_leases::Term;
+use slog::warn;
+
+use super::Coordination;
+use super::call::CallTime;
+use super::records::Record;
+
+impl Coordination {
+    /// No vote is cast before the data directory is read, which may be at once.
+    pub(super) fn withhold_votes_until_read(&mut self, now: Micros) {
+        if self.records.is_some() {
+            self.participant.withhold_votes();
+            self.read_records(now);
+        }
+    }
+
+    /// Takes in what an earlier start stored, once the data directory can be read.
+    pub(super) fn read_records(&mut self, now: Micros) {
+        let Some(records) = &mut self.records else { return };
+        let Some(stored) = records.take_stored() else { return };
+        self.participant.restore(stored.granted_terms);
+        let accepted = stored.accepted_terms;
+        // What was accepted meanwhile must not replace a higher term.
+        let is_higher =
+            |lease: &String, term: &mut Term| accepted.get(lease).is_none_or(|stored| stored < term);
+        records.unconfirmed_terms.retain(is_higher);
+        let lowest =
+            |(lease, term): (&String, &Term)| (Topic::new(lease, ""), Version { term: *term, number: 0 });
+        self.directives.restore(accepted.iter().map(lowest));
+        if let Some(site_drain) = &mut self.work.site_drain {
+            site_drain.restore(now, stored.drain_plans);
+        }
+    }
+
+    /// Hands a record to the disk, where there is a data directory.
+    pub(super) fn persist(&mut self, record: Record) {
+        let Some(records) = &mut self.records else { return };
+        if let Record::Accepted { lease, term } = &record {
+            let highest = records.unconfirmed_terms.entry(lease.clone()).or_default();
+            *highest = (*highest).max(*term);
+        }
+        if !records.write(&record) {
+            self.not_persisted(record);
+        }
+    }
+
+    /// Hands over again what the data directory did not take.
+    pub(super) fn persist_again(&mut self) {
+        let Some(records) = &mut self.records else { return };
+        for (lease, term) in records.unconfirmed_terms.clone() {
+            let record = Record::Accepted { lease, term };
+            if !records.in_flight.contains(&record) {
+                records.write(&record);
+            }
+        }
+    }
+
+    /// The oldest write in flight is on the disk, or failed.
+    pub fn write_confirmed(&mut self, at: CallTime, succeeded: bool, others: &[Rc<str>]) {
+        self.read_records(at.now);
+        let Some(records) = &mut self.records else { return };
+        let Some(record) = records.in_flight.pop_front() else { return };
+        if !succeeded {
+            return self.not_persisted(record);
+        }
+        match record {
+            Record::Granted { lease, term } => {
+                let actions = self.participant.persisted(at.now, at.wall, &lease, term);
+                self.carry_out(at, actions, others);
+            }
+            Record::Accepted { lease, term } => {
+                records.unconfirmed_terms.retain(|of, highest| *of != lease || *highest > term);
+            }
+            Record::Drain(plan) => {
+                if let Some(site_drain) = &mut self.work.site_drain {
+                    site_drain.persisted(&plan);
+                }
+            }
+        }
+    }
+
+    fn not_persisted(&mut self, record: Record) {
+        match record {
+            Record::Granted { lease, term } => {
+                warn!(self.log, "lease term not persisted, vote withheld"; "lease" => lease, "term" => term);
+                self.participant.not_persisted();
+            }
+            // Handed over again with the next decisions.
+            Record::Accepted { .. } => {}
+            Record::Drain(plan) => {
+                if let Some(site_drain) = &mut self.work.site_drain {
+                    site_drain.not_persisted(&plan);
+                }
+            }
+        }
+    }
+}
--- a/crates/proxy/src/coordination/mod.rs
+++ b/crates/proxy/src/coordination/mod.rs
@@ -3,6 +3,11 @@
 //! The protocols are those of `crates/leases` and `crates/directives`; here they are put into datagrams, on the disk and
 //! in the log.
 
+mod call;
+mod decision;
+mod describe;
+mod durability;
+mod issuing;
 mod lease_work;
 mod records;
 mod site_drain;
@@ -10,57 +15,36 @@
 mod superseded;
 mod zone_failover;
 
-use std::collections::BTreeSet;
 use std::rc::Rc;
 
 use aldermill_directives::frame::{self, Message};
 use aldermill_directives::{
-    Acceptance, DIGEST_INTERVAL, DigestEntry, Directive, DirectiveStore, FANOUT, LIFETIME, Micros,
-    RENEWAL_INTERVAL, Report, Reporter, Reports,
+    Acceptance, DIGEST_INTERVAL, DigestEntry, Directive, DirectiveStore, FANOUT, Micros, RENEWAL_INTERVAL,
+    Report, Reporter, Reports,
 };
 use aldermill_leases::{Actions, ConfigError, Incarnation, LeaseChange, LeaseConfig, Outgoing, Participant};
 use aldermill_membership::Peer;
-use aldermill_operator_config::CoordinationConfig as Config;
+use aldermill_operator_config::CoordinationConfig;
 use rand::seq::IteratorRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use serde_json::{Value, json};
 use slog::{Logger, info};
 use tokio::sync::mpsc;
 
+pub use call::{CallTime, DECISION_INTERVAL, Datagram};
+
 use crate::persistence::DataDirectory;
+use lease_work::{LeaseWork, LeaseWorkStart};
 use records::{MOST_IN_FLIGHT, Record, Records};
-use site_drain::SiteDrainWork;
-use split_points::SplitPointWork;
-use zone_failover::ZoneFailoverWork;
 
 /// The first byte of a datagram: what follows is a message of the lease protocol, or one about directives.
 const LEASE_MESSAGE: u8 = 1;
 const DIRECTIVE_MESSAGE: u8 = 2;
-/// How often a lease holder decides, and each proxy looks at the directives in force.
-pub const DECISION_INTERVAL: Micros = 1_000_000;
-
-/// When a call is made.
-#[derive(Clone, Copy)]
-pub struct CallTime {
-    /// By the clock that counts stalls, in microseconds.
-    pub now: Micros,
-    /// The Unix time in milliseconds, by the wall clock of the start and the monotonic clock since.
-    pub wall: u64,
-}
-
-/// What is to be sent to another proxy.
-pub struct Datagram {
-    /// The other's name.
-    pub to: String,
-    /// What its [`Coordination::receive`] takes.
-    pub payload: Vec<u8>,
-}
 
 /// What [`Coordination::open`] needs.
 pub struct CoordinationParts {
     /// The operator's section `coordination`.
-    pub config: Config,
+    pub config: CoordinationConfig,
     /// This start of this proxy.
     pub own: Incarnation,
     /// Where terms and drain plans are stored, if anything is.
@@ -73,23 +57,31 @@
 
 /// This proxy's part in what the fleet decides in common.
 pub struct Coordination {
+    /// This start of this proxy.
     own: Incarnation,
     /// The names of all leases.
     leases: Vec<String>,
+    /// This proxy's vote, and the leases that it holds or wants.
     participant: Participant,
     directives: DirectiveStore,
+    /// Reports of all proxies under the leases that this one holds.
     reports: Reports,
+    /// What this proxy has to report to lease holders.
     reporter: Reporter,
+    /// `None` without a data directory.
     records: Option<Records>,
     rng: Pcg64Mcg,
     log: Logger,
-    zone_failover: Option<ZoneFailoverWork>,
-    split_points: Option<SplitPointWork>,
-    site_drain: Option<SiteDrainWork>,
+    work: LeaseWork,
+    /// When directives under held leases are next renewed.
     renew_at: Micros,
+    /// When decisions are next made.
     decide_at: Micros,
-    compare_at: Micros,
-    participant_at: Option<Micros>,
+    /// When a digest of the directives is next sent to another proxy, for both to find out what they miss.
+    digest_at: Micros,
+    /// When the lease protocol next wants to be called.
+    participant_wake_at: Option<Micros>,
+    /// What is to be sent once the running call returns.
     outgoing: Vec<Datagram>,
 }
 
@@ -108,9 +100,9 @@
     ) -> Result<(Coordination, mpsc::Receiver<bool>), ConfigError> {
         let CoordinationParts { config, own, directory, zone, longest_timeout } = parts;
         let now = at.now;
-        let leases: Vec<String> = config.leases.iter().map(|duty| duty.name().to_owned()).collect();
+        let leases: Vec<String> = config.leases.iter().map(|kind| kind.name().to_owned()).collect();
         let lease_config = LeaseConfig {
-            voters: config.voters,
+            voters: config.voters.clone(),
             leases: leases.clone(),
             duration: Micros::from(config.lease_ms) * 1000,
             least_term: config.least_term,
@@ -120,12 +112,14 @@
         let records = directory.map(|directory| Records::start(directory, confirmations));
         info!(log, "coordination started"; "votes" => participant.is_voter(), "leases" => leases.join(" "),
             "kept" => records.is_some());
-        let has = |lease: &str| leases.iter().any(|name| name == lease);
-        let zone_failover = has(zone_failover::LEASE).then(|| ZoneFailoverWork::start(zone, log.clone()));
-        let split_points = has(split_points::LEASE).then(|| SplitPointWork::start(config.cuts, log.clone()));
-        let durable = records.is_some();
-        let site_drain = has(site_drain::LEASE)
-            .then(|| SiteDrainWork::start(now, &config.site_drain, longest_timeout, durable, log.clone()));
+        let work = LeaseWork::start(&LeaseWorkStart {
+            now,
+            config: &config,
+            zone,
+            longest_timeout,
+            is_durable: records.is_some(),
+            log: &log,
+        });
         let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(7));
         let mut coordination = Coordination {
             own,
@@ -136,13 +130,11 @@
             reporter: Reporter::default(),
             records,
             log,
-            zone_failover,
-            split_points,
-            site_drain,
+            work,
             renew_at: now,
             decide_at: now,
-            compare_at: now + rng.random_range(0..DIGEST_INTERVAL),
-            participant_at: Some(now),
+            digest_at: now + rng.random_range(0..DIGEST_INTERVAL),
+            participant_wake_at: Some(now),
             outgoing: Vec::new(),
             rng,
         };
@@ -153,8 +145,8 @@
     /// When [`Coordination::wake`] is to be called.
     pub fn wake_at(&self) -> Micros {
         let report_at = self.reporter.due_at().unwrap_or(Micros::MAX);
-        let participant_at = self.participant_at.unwrap_or(Micros::MAX);
-        self.compare_at.min(self.renew_at).min(self.decide_at).min(participant_at).min(report_at)
+        let participant_wake_at = self.participant_wake_at.unwrap_or(Micros::MAX);
+        self.digest_at.min(self.renew_at).min(self.decide_at).min(participant_wake_at).min(report_at)
     }
 
     /// What is to be sent now.
@@ -260,7 +252,7 @@
     pub fn wake(&mut self, at: CallTime, others: &[Rc<str>]) {
         let now = at.now;
         self.read_records(now);
-        if self.participant_at.is_some_and(|due| due <= now) {
+        if self.participant_wake_at.is_some_and(|due| due <= now) {
             let actions = self.participant.wake(now, at.wall);
             self.carry_out(at, actions, others);
         }
@@ -274,8 +266,8 @@
             self.persist_again();
             self.decide(at, others);
         }
-        if now >= self.compare_at {
-            self.compare_at = now + DIGEST_INTERVAL;
+        if now >= self.digest_at {
+            self.digest_at = now + DIGEST_INTERVAL;
             self.send_digest(now, others);
         }
         self.send_report(now);
@@ -300,7 +292,7 @@
     }
 
     fn carry_out(&mut self, at: CallTime, actions: Actions, others: &[Rc<str>]) {
-        self.participant_at = actions.wake_at;
+        self.participant_wake_at = actions.wake_at;
         for Outgoing { to, message } in actions.send {
             self.send(&to, LEASE_MESSAGE, &aldermill_leases::frame::encode(&message));
         }
@@ -329,9 +321,7 @@
     /// Another proxy is gone, or has started again.
     pub fn peer_gone(&mut self, now: Micros, name: &str) {
         self.reports.forget(name);
-        if let Some(site_drain) = &mut self.site_drain {
-            site_drain.peer_gone(now, name);
-        }
+        self.work.peer_gone(now, name);
     }
 
     /// This proxy shuts down: it releases the leases that it holds.
@@ -347,30 +337,4 @@
     fn send_directive_messages(&mut self, to: &str, messages: Vec<Vec<u8>>) {
         messages.iter().for_each(|message| self.send(to, DIRECTIVE_MESSAGE, message));
     }
-
-    /// What is known here, for the status socket.
-    pub fn describe(&self, now: Micros) -> Value {
-        let leases = self.leases.iter().map(|lease| self.describe_lease(now, lease));
-        json!({"votes": self.participant.is_voter(),
-            "zones": self.zone_failover.as_ref().map(ZoneFailoverWork::describe),
-            "retire": self.site_drain.as_ref().map(SiteDrainWork::describe),
-            "aside": self.split_points.as_ref().map(SplitPointWork::set_aside),
-            "duties": leases.collect::<Vec<_>>(),
-            "decrees": self.directives.all(now).map(describe_directive).collect::<Vec<_>>()})
-    }
-
-    fn describe_lease(&self, now: Micros, lease: &str) -> Value {
-        let holder = self.directives.holder(now, lease);
-        let reports = self.reports.recent(now, LIFETIME, lease);
-        let reporting: BTreeSet<&str> = reports.map(|report| report.reporter).collect();
-        json!({"name": lease, "held_by": holder.map(|holder| holder.name),
-            "term": holder.map(|holder| holder.term), "holds": self.participant.may_act(now, lease),
-            "reporting": reporting.len()})
-    }
-}
-
-fn describe_directive(directive: Directive) -> Value {
-    json!({"duty": directive.topic.lease, "subject": directive.topic.subject,
-        "term": directive.version.term, "number": directive.version.number, "by": directive.issuer,
-        "left_ms": directive.remaining / 1000, "says": String::from_utf8_lossy(&directive.body)})
 }
--- a/crates/proxy/src/coordination/site_drain.rs
+++ b/crates/proxy/src/coordination/site_drain.rs
@@ -10,13 +10,15 @@
 use serde_json::{Value, json};
 use slog::{Logger, info};
 
-use super::lease_work::{Decision, DecisionInputs};
+use super::decision::{Decision, DecisionInputs, LeaseReport};
 use crate::messages::ObservationSummary;
 
 /// The lease's name.
 pub const LEASE: &str = "retire";
 /// For how long a report counts: a proxy reports under other leases between two.
 const REPORTS_COUNT_FOR: Micros = 6_000_000;
+/// The longest span that a report states, in milliseconds.
+const MOST_REPORTED_MS: Micros = 60_000;
 /// For how long after a request's deadline its outcome may still be written.
 const OUTCOME_SLACK: Micros = 5_000_000;
 
@@ -45,7 +47,7 @@
     /// What the operators want of sites, as this proxy was told.
     orders: Vec<Word>,
     obeyed: Obeyed,
-    /// By site; `None` without a folder.
+    /// By site; `None` without a data directory.
     records: Option<BTreeMap<String, PlanRecord>>,
     /// What the dispatcher acts by.
     acting: Vec<Plan>,
@@ -58,19 +60,19 @@
 }
 
 fn orders(configured: &[SiteDrainConfig]) -> Vec<Word> {
-    let order = |pace| match pace {
+    let order = |order| match order {
         DrainOrder::Run => Order::Goes,
         DrainOrder::Pause => Order::Held,
         DrainOrder::Cancel => Order::TakenBack,
         DrainOrder::Expedite => Order::Hurried,
     };
-    let word = |one: &SiteDrainConfig| Word {
-        site: one.site.clone(),
-        number: one.number,
-        order: order(one.order),
-        by_ms: one.by.saturating_mul(1000),
+    let command = |drain: &SiteDrainConfig| Word {
+        site: drain.site.clone(),
+        number: drain.number,
+        order: order(drain.order),
+        by_ms: drain.by.saturating_mul(1000),
     };
-    configured.iter().map(word).collect()
+    configured.iter().map(command).collect()
 }
 
 fn in_force(directives: &DirectiveStore, now: Micros) -> Vec<InForce> {
@@ -83,22 +85,22 @@
 }
 
 impl SiteDrainWork {
-    /// The part of a proxy that starts now. `longest_timeout` is the longest timeout of a request; `durable` says that
-    /// there is a folder.
+    /// The part of a proxy that starts now. `longest_timeout` is the longest timeout of a request; `is_durable` says that
+    /// there is a data directory.
     pub fn start(
         now: Micros,
         configured: &[SiteDrainConfig],
         longest_timeout: Micros,
-        durable: bool,
+        is_durable: bool,
         log: Logger,
     ) -> SiteDrainWork {
-        let acts = Obeyed::acts(LIFETIME) + longest_timeout + OUTCOME_SLACK;
+        let longest_action = Obeyed::acts(LIFETIME) + longest_timeout + OUTCOME_SLACK;
         SiteDrainWork {
             orders: orders(configured),
             obeyed: Obeyed::default(),
-            records: durable.then(BTreeMap::new),
+            records: is_durable.then(BTreeMap::new),
             acting: Vec::new(),
-            holder: Holder::start(now, acts),
+            holder: Holder::start(now, longest_action),
             term: None,
             logged_waits: BTreeMap::new(),
             own_site: String::new(),
@@ -106,13 +108,13 @@
         }
     }
 
-    /// The plans that an earlier start kept.
-    pub fn restore(&mut self, now: Micros, kept: Vec<Plan>) {
+    /// The plans that an earlier start stored.
+    pub fn restore(&mut self, now: Micros, stored: Vec<Plan>) {
         if let Some(records) = &mut self.records {
             let record = |plan: &Plan| PlanRecord { plan: plan.clone(), is_persisted: true };
-            records.extend(kept.iter().map(|plan| (plan.word.site.clone(), record(plan))));
+            records.extend(stored.iter().map(|plan| (plan.word.site.clone(), record(plan))));
         }
-        self.obeyed.read(now, kept);
+        self.obeyed.read(now, stored);
     }
 
     /// This plan is on the disk.
@@ -158,30 +160,30 @@
     }
 
     /// What is to be reported of what was observed.
-    pub fn report(&mut self, seen: &ObservationSummary) -> (Topic, Vec<u8>) {
-        let mut told = Told { words: self.orders.clone(), ..Told::default() };
-        told.keeps = self.kept_plans(seen);
-        if let Some(seen) = &seen.site {
-            self.own_site.clone_from(&seen.site);
-            told.site.clone_from(&seen.site);
-            told.over_ms = (seen.span / 1000).clamp(1, 60_000) as u32;
-            told.ended = seen.ended;
-            told.in_time = seen.within_objective;
-            told.bound = seen.session_reads;
-            for (site, trip) in &seen.round_trips {
-                let millis = (trip / 1000).clamp(0, 60_000) as u32;
-                let shortest = told.trips.entry(site.clone()).or_insert(millis);
+    pub(super) fn report(&mut self, observed: &ObservationSummary) -> LeaseReport {
+        let mut report = Told { words: self.orders.clone(), ..Told::default() };
+        report.keeps = self.kept_plans(observed);
+        if let Some(site) = &observed.site {
+            self.own_site.clone_from(&site.site);
+            report.site.clone_from(&site.site);
+            report.over_ms = (site.span / 1000).clamp(1, MOST_REPORTED_MS) as u32;
+            report.ended = site.ended;
+            report.in_time = site.within_objective;
+            report.bound = site.session_reads;
+            for (other_site, round_trip) in &site.round_trips {
+                let millis = (round_trip / 1000).clamp(0, MOST_REPORTED_MS) as u32;
+                let shortest = report.trips.entry(other_site.clone()).or_insert(millis);
                 *shortest = millis.min(*shortest);
             }
         }
-        (Topic::new(LEASE, ""), told.encode())
+        LeaseReport { topic: Topic::new(LEASE, ""), body: report.encode() }
     }
 
     /// The plans that this proxy obeys, by site. What the dispatcher does not act by yet is left out, and what a restart
     /// could forget.
-    fn kept_plans(&self, seen: &ObservationSummary) -> BTreeMap<String, Keeps> {
+    fn kept_plans(&self, observed: &ObservationSummary) -> BTreeMap<String, Keeps> {
         let mut kept = BTreeMap::new();
-        let open = seen.site.as_ref().map(|site| &site.open);
+        let open = observed.site.as_ref().map(|site| &site.open);
         for plan in self.obeyed.plans() {
             let site = &plan.word.site;
             let is_obeyed = self.acting.contains(plan) && self.survives_restart(plan);
@@ -206,12 +208,12 @@
         }
         let read = |report: ReceivedReport<'_>| {
             let start = reports.start_of(report.reporter)?;
-            let told = Told::decode(report.body).ok()?;
-            Some((report.reporter.to_owned(), (start, report.received_at, told)))
+            let decoded = Told::decode(report.body).ok()?;
+            Some((report.reporter.to_owned(), (start, report.received_at, decoded)))
         };
-        let told = reports.recent(at.now, REPORTS_COUNT_FOR, LEASE).filter_map(read).collect();
-        let standing = self.known_plans(at.now, directives);
-        let plans = self.holder.decide(at.now, at.wall, &told, living, &standing);
+        let drain_reports = reports.recent(at.now, REPORTS_COUNT_FOR, LEASE).filter_map(read).collect();
+        let known_plans = self.known_plans(at.now, directives);
+        let plans = self.holder.decide(at.now, at.wall, &drain_reports, living, &known_plans);
         let decision = |plan: Plan| Decision { subject: plan.word.site.clone(), body: plan.encode() };
         plans.into_iter().map(decision).collect()
     }
@@ -247,7 +249,7 @@
         ObeyedPlans { acting: has_changed.then_some(acting), to_persist: self.take_to_persist() }
     }
 
-    /// What this proxy obeys and was told, for the status socket.
+    /// What this proxy obeys, and what its operator ordered, for the status socket.
     pub fn describe(&self) -> Value {
         json!({"acts_by": self.acting, "words": self.orders})
     }
--- a/crates/proxy/src/coordination/split_points.rs
+++ b/crates/proxy/src/coordination/split_points.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 use slog::{Logger, info};
 
-use super::lease_work::{Decision, DecisionInputs, WhileHeld};
+use super::decision::{Decision, DecisionInputs, LeaseReport, WhileHeld};
 use crate::messages::ObservationSummary;
 
 /// The lease's name.
@@ -21,7 +21,7 @@
 struct Logged {
     state: State,
     /// Where to split it, or why not.
-    what: String,
+    place_or_reason: String,
 }
 
 /// This proxy's part in split recommendations.
@@ -136,9 +136,12 @@
     }
 
     /// What is to be reported of what was observed, by group.
-    pub fn report(&self, seen: &ObservationSummary) -> Vec<(Topic, Vec<u8>)> {
-        let topic = |group: &u64| Topic::new(LEASE, &group.to_string());
-        seen.keys.iter().map(|(group, summary)| (topic(group), summary.clone())).collect()
+    pub(super) fn report(&self, observed: &ObservationSummary) -> Vec<LeaseReport> {
+        let report = |(group, summary): &(u64, Vec<u8>)| LeaseReport {
+            topic: Topic::new(LEASE, &group.to_string()),
+            body: summary.clone(),
+        };
+        observed.keys.iter().map(report).collect()
     }
 
     /// Once a second: what is recommended, while this proxy holds the lease.
@@ -176,6 +179,7 @@
     }
 }
 
+/// Logs a recommendation that is not what was last logged of its range.
 fn log_changed(
     logged: &mut BTreeMap<String, Logged>,
     log: &Logger,
@@ -183,10 +187,10 @@
     state: State,
     body: &Value,
 ) {
-    let what = body["at_text"].as_str().or(body["why"].as_str()).unwrap_or_default().to_owned();
-    let news = Logged { state, what };
-    if logged.get(subject) != Some(&news) {
+    let place_or_reason = body["at_text"].as_str().or(body["why"].as_str()).unwrap_or_default().to_owned();
+    let latest = Logged { state, place_or_reason };
+    if logged.get(subject) != Some(&latest) {
         info!(log, "split recommendation"; "says" => body.to_string(), "range" => subject);
-        logged.insert(subject.to_owned(), news);
+        logged.insert(subject.to_owned(), latest);
     }
 }
--- a/crates/proxy/src/coordination/superseded.rs
+++ b/crates/proxy/src/coordination/superseded.rs
@@ -1,4 +1,5 @@
-//! Terms that others took acts of: told to a lease holder under a lower one, and learnt from others.
+//! Terms under which others accepted directives: a lease holder under a lower term is told of them, and this proxy learns them
+//! from others.
 //!
 //! Voters that all forgot what they granted, under clocks behind those by which earlier terms were made, grant terms whose
 //! directives no proxy accepts. The proxy that refuses says so, in a digest that names the highest term.
@@ -8,7 +9,8 @@
 use aldermill_directives::frame;
 use aldermill_directives::{DigestEntry, Directive, Topic, Version};
 
-use super::{CallTime, Coordination};
+use super::Coordination;
+use super::call::CallTime;
 
 /// The digest that a superseded lease holder is sent.
 struct Notice {
--- a/crates/proxy/src/coordination/zone_failover.rs
+++ b/crates/proxy/src/coordination/zone_failover.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 use slog::{Logger, info};
 
-use super::lease_work::{Decision, DecisionInputs, WhileHeld};
+use super::decision::{Decision, DecisionInputs, LeaseReport, WhileHeld};
 use crate::messages::ObservationSummary;
 
 /// The lease's name.
@@ -16,25 +16,26 @@
 /// For how long a report counts: a proxy reports every second, in up to three parts.
 const REPORTS_COUNT_FOR: Micros = 4_000_000;
 
-/// What is decided for one group's reads in one zone.
-struct GroupLean {
+/// What a directive says on one group's reads in one zone.
+struct ZoneDirective {
     group: Group,
     zone: Zone,
-    lean: Lean,
+    /// How much of the reads goes elsewhere.
+    shift: Lean,
 }
 
 fn subject(group: Group, zone: Zone) -> String {
     format!("{group}.{zone}")
 }
 
-fn read_directive(subject: &str, body: &[u8]) -> Option<GroupLean> {
+fn read_directive(subject: &str, body: &[u8]) -> Option<ZoneDirective> {
     let (group, zone) = subject.split_once('.')?;
-    let lean = frame::read_decree(body).ok()?;
-    Some(GroupLean { group: group.parse().ok()?, zone: zone.parse().ok()?, lean })
+    let shift = frame::read_decree(body).ok()?;
+    Some(ZoneDirective { group: group.parse().ok()?, zone: zone.parse().ok()?, shift })
 }
 
 /// All directives in force under the lease that can be read.
-fn in_force(directives: &DirectiveStore, now: Micros) -> impl Iterator<Item = GroupLean> {
+fn in_force(directives: &DirectiveStore, now: Micros) -> impl Iterator<Item = ZoneDirective> {
     directives.in_force_under(now, LEASE).filter_map(|(subject, body)| read_directive(subject, body))
 }
 
@@ -48,8 +49,8 @@
     /// Goes on from what an earlier lease holder decided.
     fn start(now: Micros, directives: &DirectiveStore) -> Holder {
         let mut zones = Zones::default();
-        for GroupLean { group, zone, lean } in in_force(directives, now) {
-            zones.goes_on(now, group, zone, &lean);
+        for ZoneDirective { group, zone, shift } in in_force(directives, now) {
+            zones.goes_on(now, group, zone, &shift);
         }
         Holder { evidence: Evidence::default(), zones }
     }
@@ -71,12 +72,12 @@
     }
 
     /// What is to be reported of what was observed, in parts that fit into a datagram each.
-    pub fn report(&self, seen: ObservationSummary) -> Vec<(Topic, Vec<u8>)> {
-        let part = |(at, rows): (usize, &[_])| {
-            let told = Told { zone: self.own_zone, over: seen.span, rows: rows.to_vec() };
-            (Topic::new(LEASE, &at.to_string()), frame::report(&told))
+    pub(super) fn report(&self, observed: ObservationSummary) -> Vec<LeaseReport> {
+        let part = |(index, rows): (usize, &[_])| {
+            let report = Told { zone: self.own_zone, over: observed.span, rows: rows.to_vec() };
+            LeaseReport { topic: Topic::new(LEASE, &index.to_string()), body: frame::report(&report) }
         };
-        seen.rows.chunks(frame::ROWS).enumerate().map(part).collect()
+        observed.rows.chunks(frame::ROWS).enumerate().map(part).collect()
     }
 
     /// Once a second: what is decided, while this proxy holds the lease.
@@ -88,31 +89,32 @@
         };
         evidence.take(&recent_reports(now, inputs.reports));
         let mut decisions = Vec::new();
-        for (group, zone, lean) in &zones.decide(now, evidence) {
-            if lean.short {
+        for (group, zone, shift) in &zones.decide(now, evidence) {
+            if shift.short {
                 info!(self.log, "zone failover: not enough capacity elsewhere";
-                    "zone" => zone, "group" => group, "away" => lean.away);
+                    "zone" => zone, "group" => group, "away" => shift.away);
             }
-            decisions.push(Decision { subject: subject(*group, *zone), body: frame::decree(lean) });
+            decisions.push(Decision { subject: subject(*group, *zone), body: frame::decree(shift) });
         }
         decisions
     }
 
     /// What is decided for this proxy's own zone, if that has changed.
     pub fn obey(&mut self, now: Micros, directives: &DirectiveStore) -> Option<Vec<(Group, Lean)>> {
-        let own = in_force(directives, now).filter(|of| of.zone == self.own_zone && of.lean.away > 0);
-        let leans: Vec<(Group, Lean)> = own.map(|of| (of.group, of.lean)).collect();
-        if leans == self.obeyed {
+        let is_own = |directive: &ZoneDirective| directive.zone == self.own_zone && directive.shift.away > 0;
+        let own = in_force(directives, now).filter(is_own);
+        let shifts: Vec<(Group, Lean)> = own.map(|directive| (directive.group, directive.shift)).collect();
+        if shifts == self.obeyed {
             return None;
         }
-        for (group, lean) in &leans {
+        for (group, shift) in &shifts {
             info!(self.log, "zone failover: own zone";
-                "away" => lean.away, "level" => ?lean.level, "group" => group);
+                "away" => shift.away, "level" => ?shift.level, "group" => group);
         }
-        if leans.is_empty() {
+        if shifts.is_empty() {
             info!(self.log, "zone failover: own zone"; "level" => ?Level::Near);
         }
-        self.obeyed = leans;
+        self.obeyed = shifts;
         Some(self.obeyed.clone())
     }
 
--- a/crates/proxy/src/membership/actor.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -136,7 +136,7 @@
     async fn handle_coordination_event(&mut self, event: CoordinationEvent, buffer: &mut [u8]) {
         match event {
             CoordinationEvent::Reconfigured(config) => {
-                self.coordinate(|coordination, at, _| coordination.reconfigure(at.now, config));
+                self.coordinate(|coordination, at, _| coordination.reconfigure(at.now, &config));
             }
             CoordinationEvent::WriteFinished { succeeded } => {
                 self.coordinate(|coordination, at, others| {
