--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -23,7 +23,7 @@
 use aldermill_operator_config::{GatewayConfig, LeaseKind, Operator};
 use aldermill_settings::Decoded;
 use aldermill_site_link::{Identity, LinkLimits};
-use aldermill_stall_detection::apart;
+use aldermill_stall_detection::start_jitter;
 use bpaf::Bpaf;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -34,7 +34,7 @@
 use tokio::time::{Instant, timeout};
 
 use crate::discovery::endpoint_list::EndpointList;
-use crate::discovery::watch::Watch;
+use crate::discovery::watch::{Watch, WatchConfig};
 use crate::dispatcher::{Dispatcher, DispatcherParts, GatewayPart, Observations, Opening, WarmState};
 use crate::flow_control::FlowControl;
 use crate::gateway::LinkRegistry;
@@ -164,7 +164,7 @@
 fn describe(start: &Start) {
     let limits = &start.limits;
     println!("driver {} listens on {}, discovery at {}", start.name, start.listen, start.discovery);
-    let known = start.known.as_ref().map_or(0, |known| known.members.len());
+    let known = start.known.as_ref().map_or(0, |known| known.endpoints.len());
     println!("{known} members known, {} offerings", start.decoded.terms.classes.len());
     println!(
         "connections: {} from clients, {} to members",
@@ -325,7 +325,7 @@
         decoded,
         seed,
         gateway_part,
-        trial,
+        shadow: trial,
         warm_state,
         observations,
         ready,
@@ -335,9 +335,10 @@
     let deciding = spawn_local(dispatcher.run(list_updates, calls));
     let requests = on_request.then_some(requests);
     let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(32));
-    let first = duration(apart::wait(&name, drivers, grace, &mut rng));
+    let first = duration(start_jitter::start_delay(&name, drivers, grace, &mut rng));
     spawn_local(
-        Watch { context: context.clone(), dispatcher: list_update, requests, revision, first, rng }.run(),
+        Watch::new(context.clone(), list_update, WatchConfig { requests, revision, start_delay: first, rng })
+            .run(),
     );
     let serving = spawn_local(client::listener::run(context.clone(), listener));
 
@@ -383,15 +384,11 @@
             .map_err(|why| ProgramError::Listen { field: "gateway.listen", address: listen, why })?;
         let address = listener.local_addr().unwrap_or(listen);
         info!(context.log, "gateway"; "site" => &own.site, "links" => %address);
-        spawn_local(gateway::accept(context.clone(), yard.clone(), listener));
+        spawn_local(gateway::accept_links(context.clone(), yard.clone(), listener));
     }
-    let gone_to = gateway.peers.iter().flat_map(|peer| {
-        let links = peer.links.unwrap_or(2) as usize;
-        peer.addresses.iter().flat_map(move |&address| vec![(peer.site.clone(), address); links])
-    });
-    gateway::start(context, &yard, gone_to.collect(), seed);
+    gateway::maintain_links(context, &yard, &gateway.peers, seed);
     if let Some(path) = &gateway.status {
-        spawn_local(gateway::serve(context.clone(), path.clone()));
+        spawn_local(gateway::serve_status(context.clone(), path.clone()));
     }
     let opening = Opening {
         own,
--- a/crates/proxy/src/membership/actor.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -75,7 +75,7 @@
 impl MembershipActor {
     pub(super) fn new(parts: ActorParts) -> MembershipActor {
         MembershipActor {
-            known_stalls: parts.context.unstalled_clock.stood(),
+            known_stalls: parts.context.unstalled_clock.stalled_for(),
             announced_sizes: AnnouncedSizes::configured(parts.configured_fleet_size),
             context: parts.context,
             socket: parts.socket,
@@ -155,7 +155,7 @@
 
     /// Tells the membership of a stall, if there was one. To be called before anything that follows a wait.
     fn note_stall(&mut self) {
-        let stalls = self.context.unstalled_clock.stood();
+        let stalls = self.context.unstalled_clock.stalled_for();
         let stalled_for = stalls - std::mem::replace(&mut self.known_stalls, stalls);
         if stalled_for > 0 {
             self.unread_for += stalled_for;
