--- a/crates/proxy/src/coordination/mod.rs
+++ b/crates/proxy/src/coordination/mod.rs
@@ -2,6 +2,11 @@
 //!
 //! The protocols are those of `crates/leases` and `crates/directives`; here they are put into datagrams, on the disk and
 //! in the log.
+//!
+//! - Input: datagrams of other proxies, the time, outcomes of writes, what the dispatcher observed, and reloads of the
+//!   operator's section.
+//! - Output: datagrams, records for the disk, and for the dispatcher the directives on zones and draining sites.
+//! - Caller: the membership actor, which carries the datagrams.
 
 mod call;
 mod decision;
@@ -9,6 +14,7 @@
 mod durability;
 mod issuing;
 mod lease_work;
+mod receiving;
 mod records;
 mod site_drain;
 mod split_points;
@@ -17,13 +23,11 @@
 
 use std::rc::Rc;
 
-use aldermill_directives::frame::{self, Message};
+use aldermill_directives::frame;
 use aldermill_directives::{
-    Acceptance, DIGEST_INTERVAL, DigestEntry, Directive, DirectiveStore, FANOUT, Micros, RENEWAL_INTERVAL,
-    Report, Reporter, Reports,
+    DIGEST_INTERVAL, Directive, DirectiveStore, FANOUT, Micros, RENEWAL_INTERVAL, Reporter, Reports,
 };
 use aldermill_leases::{Actions, ConfigError, Incarnation, LeaseChange, LeaseConfig, Outgoing, Participant};
-use aldermill_membership::Peer;
 use aldermill_operator_config::CoordinationConfig;
 use rand::seq::IteratorRandom;
 use rand::{Rng, SeedableRng};
@@ -111,7 +115,7 @@
         let (confirmations, confirmed) = mpsc::channel(MOST_IN_FLIGHT);
         let records = directory.map(|directory| Records::start(directory, confirmations));
         info!(log, "coordination started"; "votes" => participant.is_voter(), "leases" => leases.join(" "),
-            "kept" => records.is_some());
+            "durable" => records.is_some());
         let work = LeaseWork::start(&LeaseWorkStart {
             now,
             config: &config,
@@ -154,87 +158,7 @@
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Takes another proxy's datagram; `age` is how long it may have waited here unread. One that cannot be decoded is
-    /// ignored.
-    pub fn receive(&mut self, at: CallTime, age: Micros, from: &Peer, payload: &[u8], others: &[Rc<str>]) {
-        let Some((&kind, bytes)) = payload.split_first() else { return };
-        self.read_records(at.now);
-        match kind {
-            LEASE_MESSAGE => self.receive_lease_message(at, from, bytes, others),
-            DIRECTIVE_MESSAGE => match frame::decode(bytes) {
-                Ok(Message::Directives(directives)) => {
-                    self.receive_directives(at.now, age, directives, others);
-                }
-                Ok(Message::Digest { entries, is_answer }) => {
-                    self.receive_digest(at, from, &entries, is_answer, others);
-                }
-                Ok(Message::Report(report)) => self.receive_report(at.now, age, from, report),
-                Err(_) => {}
-            },
-            _ => {}
-        }
-    }
-
-    /// Its age does not matter: a message of before a stall says nothing of leases now, and is repeated by its sender.
-    fn receive_lease_message(&mut self, at: CallTime, from: &Peer, bytes: &[u8], others: &[Rc<str>]) {
-        let Ok(message) = aldermill_leases::frame::decode(bytes) else { return };
-        let from = Incarnation { name: from.name.to_string(), start: from.start };
-        let actions = self.participant.receive(at.now, at.wall, &from, &message);
-        self.carry_out(at, actions, others);
-    }
-
-    fn receive_directives(
-        &mut self,
-        now: Micros,
-        age: Micros,
-        directives: Vec<Directive>,
-        others: &[Rc<str>],
-    ) {
-        self.tell_superseded(&directives);
-        let mut new = directives;
-        new.retain(|directive| self.accept(now, age, directive));
-        self.forward(&new, age, others);
-    }
-
-    fn receive_digest(
-        &mut self,
-        at: CallTime,
-        from: &Peer,
-        entries: &[DigestEntry],
-        is_answer: bool,
-        others: &[Rc<str>],
-    ) {
-        self.learn_terms(at, entries, others);
-        let missing = self.directives.missing_from(at.now, entries);
-        if !missing.is_empty() {
-            self.send_directive_messages(&from.name, frame::encode_directives(&missing));
-        }
-        if !is_answer && self.directives.is_behind(entries) {
-            let own = frame::encode_digest(&self.directives.digest(at.now), true);
-            self.send_directive_messages(&from.name, own);
-        }
-    }
-
-    fn receive_report(&mut self, now: Micros, age: Micros, from: &Peer, report: Report) {
-        if self.participant.may_act(now, &report.topic.lease).is_some() {
-            self.reports.receive(now, age, &from.name, from.start, report);
-        }
-    }
-
-    /// Takes a directive; whether it is new.
-    fn accept(&mut self, now: Micros, age: Micros, directive: &Directive) -> bool {
-        let lease = &directive.topic.lease;
-        let term = directive.version.term;
-        let known_term = self.directives.holder(now, lease).map(|holder| holder.term);
-        let is_new = self.directives.receive(now, age, directive.clone()) == Acceptance::New;
-        if is_new && known_term != Some(term) {
-            info!(self.log, "lease held by another"; "holder" => &directive.issuer, "term" => term, "lease" => lease);
-            self.persist(Record::Accepted { lease: lease.clone(), term });
-        }
-        is_new
-    }
-
-    /// Sends new directives on to a few others.
+    /// Forwards new directives to a few others; `age` is how long they waited here unread.
     fn forward(&mut self, new: &[Directive], age: Micros, others: &[Rc<str>]) {
         if new.is_empty() {
             return;
@@ -273,6 +197,7 @@
         self.send_report(now);
     }
 
+    /// Sends a digest of the directives to another proxy, picked at random.
     fn send_digest(&mut self, now: Micros, others: &[Rc<str>]) {
         if let Some(to) = others.iter().cloned().choose(&mut self.rng) {
             let digest = frame::encode_digest(&self.directives.digest(now), false);
@@ -280,6 +205,7 @@
         }
     }
 
+    /// Sends the next report to the lease's holder, which may be this proxy.
     fn send_report(&mut self, now: Micros) {
         let Some(report) = self.reporter.next(now) else { return };
         let Some(holder) = self.directives.holder(now, &report.topic.lease) else { return };
@@ -291,6 +217,7 @@
         }
     }
 
+    /// Does what the lease protocol wants done.
     fn carry_out(&mut self, at: CallTime, actions: Actions, others: &[Rc<str>]) {
         self.participant_wake_at = actions.wake_at;
         for Outgoing { to, message } in actions.send {
--- /dev/null
+++ b/crates/proxy/src/coordination/receiving.rs
@@ -0,0 +1,95 @@
+//! What coordination does with another proxy's datagram.
+
+use std::rc::Rc;
+
+use aldermill_directives::frame::{self, Message};
+use aldermill_directives::{Acceptance, DigestEntry, Directive, Micros, Report};
+use aldermill_leases::Incarnation;
+use aldermill_membership::Peer;
+use slog::info;
+
+use super::call::CallTime;
+use super::records::Record;
+use super::{Coordination, DIRECTIVE_MESSAGE, LEASE_MESSAGE};
+
+impl Coordination {
+    /// Takes another proxy's datagram; `age` is how long it may have waited here unread. One that cannot be decoded is
+    /// ignored.
+    pub fn receive(&mut self, at: CallTime, age: Micros, from: &Peer, payload: &[u8], others: &[Rc<str>]) {
+        let Some((&kind, bytes)) = payload.split_first() else { return };
+        self.read_records(at.now);
+        match kind {
+            LEASE_MESSAGE => self.receive_lease_message(at, from, bytes, others),
+            DIRECTIVE_MESSAGE => match frame::decode(bytes) {
+                Ok(Message::Directives(directives)) => {
+                    self.receive_directives(at.now, age, directives, others);
+                }
+                Ok(Message::Digest { entries, is_answer }) => {
+                    self.receive_digest(at, from, &entries, is_answer, others);
+                }
+                Ok(Message::Report(report)) => self.receive_report(at.now, age, from, report),
+                Err(_) => {}
+            },
+            _ => {}
+        }
+    }
+
+    /// Its age does not matter: a message of before a stall says nothing of leases now, and is repeated by its sender.
+    fn receive_lease_message(&mut self, at: CallTime, from: &Peer, bytes: &[u8], others: &[Rc<str>]) {
+        let Ok(message) = aldermill_leases::frame::decode(bytes) else { return };
+        let from = Incarnation { name: from.name.to_string(), start: from.start };
+        let actions = self.participant.receive(at.now, at.wall, &from, &message);
+        self.carry_out(at, actions, others);
+    }
+
+    fn receive_directives(
+        &mut self,
+        now: Micros,
+        age: Micros,
+        directives: Vec<Directive>,
+        others: &[Rc<str>],
+    ) {
+        self.tell_superseded(&directives);
+        let mut new = directives;
+        new.retain(|directive| self.accept(now, age, directive));
+        self.forward(&new, age, others);
+    }
+
+    fn receive_digest(
+        &mut self,
+        at: CallTime,
+        from: &Peer,
+        entries: &[DigestEntry],
+        is_answer: bool,
+        others: &[Rc<str>],
+    ) {
+        self.learn_terms(at, entries, others);
+        let missing = self.directives.missing_from(at.now, entries);
+        if !missing.is_empty() {
+            self.send_directive_messages(&from.name, frame::encode_directives(&missing));
+        }
+        if !is_answer && self.directives.is_behind(entries) {
+            let own = frame::encode_digest(&self.directives.digest(at.now), true);
+            self.send_directive_messages(&from.name, own);
+        }
+    }
+
+    fn receive_report(&mut self, now: Micros, age: Micros, from: &Peer, report: Report) {
+        if self.participant.may_act(now, &report.topic.lease).is_some() {
+            self.reports.receive(now, age, &from.name, from.start, report);
+        }
+    }
+
+    /// Takes a directive; whether it is new.
+    fn accept(&mut self, now: Micros, age: Micros, directive: &Directive) -> bool {
+        let lease = &directive.topic.lease;
+        let term = directive.version.term;
+        let known_term = self.directives.holder(now, lease).map(|holder| holder.term);
+        let is_new = self.directives.receive(now, age, directive.clone()) == Acceptance::New;
+        if is_new && known_term != Some(term) {
+            info!(self.log, "lease held by another"; "holder" => &directive.issuer, "term" => term, "lease" => lease);
+            self.persist(Record::Accepted { lease: lease.clone(), term });
+        }
+        is_new
+    }
+}
