--- a/crates/site-link/tests/frames.rs
+++ b/crates/site-link/tests/frames.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn all_that_is_said_arrives_whole_and_in_order_whatever_the_splits() {
+fn messages_arrive_whole_and_in_order_however_the_bytes_are_split() {
     for piece in [1, 7, 4096] {
         let mut ends = ends();
         let (statement, value) = (vec![1; 150_000], vec![2; 300_000]);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_large_value_holds_up_neither_a_short_one_nor_a_heartbeat() {
+fn a_large_statement_delays_neither_a_short_one_nor_a_heartbeat() {
     let mut ends = ends();
     ends.0.send(Outbound::Request(request(1), vec![1; 200_000]));
     let first = ends.0.next_bytes(1).unwrap();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn nothing_goes_beyond_a_window_until_more_is_asked_for() {
+fn no_data_goes_beyond_the_window_until_it_is_widened() {
     let mut ends = ends();
     ends.0.send(Outbound::Request(request(1), vec![1; 200_000]));
     let mut sent = 0;
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn what_is_out_of_place_ends_the_link() {
+fn a_frame_out_of_place_ends_the_link() {
     let fresh = || Link::new(bounds(), &identity("b"), 0);
     let said = |said: Outbound| {
         let mut link = Link::new(bounds(), &identity("a"), 0);
--- a/crates/site-link/tests/pinned_frames.rs
+++ b/crates/site-link/tests/pinned_frames.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn outcome_of_each_kind() {
+fn response_of_each_kind() {
     let cases: [(ResponseKind, &[u8]); 6] = [
         (ResponseKind::Unset, b"*\x10\x08\xac\x02\x18\xe8\x07\"\x04east(\x050M"),
         (ResponseKind::Served, b"*\x12\x08\xac\x02\x10\x01\x18\xe8\x07\"\x04east(\x050M"),
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn ask() {
+fn outcome_query() {
     pinned(
         FrameKind::OutcomeQuery(OutcomeQuery { number: 300, receiver_incarnation: 9 }),
         b":\x05\x08\xac\x02\x10\t",
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn fate_of_each_kind() {
+fn outcome_reply_of_each_kind() {
     let cases: [(OutcomeReplyKind, &[u8]); 7] = [
         (OutcomeReplyKind::Unset, b"B\x08\x08\xac\x02\x18\xe8\x07 \x05"),
         (OutcomeReplyKind::NeverAccepted, b"B\n\x08\xac\x02\x10\x01\x18\xe8\x07 \x05"),
@@ -165,7 +165,7 @@
     pinned(FrameKind::Pong(Pong { number: 300 }), b"Z\x03\x08\xac\x02");
 }
 
-fn room() -> CapacityAnnouncement {
+fn announcement() -> CapacityAnnouncement {
     CapacityAnnouncement {
         credits: vec![
             Credit { class: "look".into(), requests: 300 },
@@ -180,9 +180,9 @@
 }
 
 #[test]
-fn room_with_credits_and_homes() {
+fn capacity_announcement_with_credits_and_homes() {
     pinned(
-        FrameKind::CapacityAnnouncement(room()),
+        FrameKind::CapacityAnnouncement(announcement()),
         b"\
         b \n\t\n\x04look\x10\xac\x02\n\x07\n\x05renew\x12\x04\x08\x07\x10\x01\x12\x02\x08\x08\x18\
         \x01",
@@ -277,11 +277,11 @@
     let confirm = Confirm { up_to: 300 };
     crosses(Outbound::Confirm(confirm.clone()), b"\0\0\0\x05J\x03\x08\xac\x02", Inbound::Confirm(confirm));
     crosses(
-        Outbound::CapacityAnnouncement(room()),
+        Outbound::CapacityAnnouncement(announcement()),
         b"\
         \0\0\0\"b \n\t\n\x04look\x10\xac\x02\n\x07\n\x05renew\x12\x04\x08\x07\x10\x01\x12\x02\x08\
         \x08\x18\x01",
-        Inbound::CapacityAnnouncement(room()),
+        Inbound::CapacityAnnouncement(announcement()),
     );
 }
 
--- a/crates/site-routing/tests/failing_disk.rs
+++ b/crates/site-routing/tests/failing_disk.rs
@@ -1,4 +1,4 @@
-//! Drawn histories of a gateway's outcome log over a folder whose calls fail for a while, and whose process is killed at any
+//! Drawn histories of a gateway's outcome log over a disk whose calls fail for a while, and whose process is killed at any
 //! byte: what a later start says of an earlier one's requests is true, and what was confirmed is not forgotten.
 
 #[path = "../../store/tests/power/mod.rs"]
@@ -15,18 +15,18 @@
 
 const HISTORIES: u64 = 500;
 const STEPS: u32 = 200;
-const BOOK: u32 = 6;
+const OUTCOME_LOG: u32 = 6;
 const PROMISES: u32 = 7;
 const BOUNDS: Bounds = Bounds { segment: 2_000, batch: 10_000, live: 100_000, slack: 2 };
-const PATIENCE: Micros = 250_000;
-const WAITING: usize = 8;
+const MAX_WRITE_WAIT: Micros = 250_000;
+const MAX_WAITING_WRITES: usize = 8;
 /// How long a record is kept beyond its request's deadline, as the gateway does.
-const SLACK: Micros = 5_000_000;
+const QUERY_GRACE: Micros = 5_000_000;
 /// How the wall clock may step between two starts.
 const FORWARD: [Micros; 4] = [2_000_000, 4_900_000, 5_100_000, 3_600_000_000];
 const BACK: [Micros; 4] = [-1_000_000, -2_000_000, -4_900_000, -3_600_000_000];
 
-/// What the gateway does wrong, to show that the judge bites.
+/// What the gateway does wrong, to show that the checker finds it.
 #[derive(Clone, Copy, PartialEq)]
 enum Flaw {
     None,
@@ -46,7 +46,7 @@
     GivenUp,
 }
 
-/// The judge's: what truly became of a request, and what is owed of it.
+/// The checker's: what truly became of a request, and what a later incarnation owes its sender.
 struct Request {
     start: u64,
     /// Until when its sender may ask, in real time.
@@ -57,11 +57,11 @@
     owed: Option<KnownOutcome>,
 }
 
-/// One life of the gateway's process.
-struct Life {
+/// One incarnation of the gateway.
+struct Incarnation {
     start: u64,
     store: Option<Store<FailingDisk>>,
-    earlier: Option<PreviousIncarnations<Vec<u8>>>,
+    previous: Option<PreviousIncarnations<Vec<u8>>>,
     keeping: Keeping,
     promise: RecordingPromise,
     waiting: VecDeque<(Batch, Write)>,
@@ -95,80 +95,81 @@
         self.now + self.ahead
     }
 
-    fn start(&mut self, start: u64) -> Life {
-        let (keeping, promise) = (Keeping::start(PATIENCE, WAITING), RecordingPromise::default());
-        let (store, earlier, waiting) = (None, None, VecDeque::new());
-        let mut life = Life { start, store, earlier, keeping, promise, waiting };
-        self.open(&mut life);
-        life
+    fn start(&mut self, start: u64) -> Incarnation {
+        let (keeping, promise) =
+            (Keeping::start(MAX_WRITE_WAIT, MAX_WAITING_WRITES), RecordingPromise::default());
+        let (store, previous, waiting) = (None, None, VecDeque::new());
+        let mut process = Incarnation { start, store, previous, keeping, promise, waiting };
+        self.open(&mut process);
+        process
     }
 
     /// Reading may do where writing does not.
-    fn open(&mut self, life: &mut Life) {
+    fn open(&mut self, process: &mut Incarnation) {
         let opened = Store::open(self.disk.clone(), BOUNDS, self.clock());
         let snapshot = match opened {
             Ok((store, recovered)) => {
                 assert!(recovered.damage.is_empty(), "{recovered:?}");
                 let snapshot = store.snapshot();
-                life.store = Some(store);
+                process.store = Some(store);
                 Some(snapshot)
             }
             Err(_) => Store::look(self.disk.clone(), BOUNDS, self.clock()).ok().map(|(snapshot, _)| snapshot),
         };
-        let (None, Some(snapshot)) = (&life.earlier, snapshot) else { return };
-        let mut earlier = PreviousIncarnations::default();
-        for (name, fate) in snapshot.all(BOOK) {
+        let (None, Some(snapshot)) = (&process.previous, snapshot) else { return };
+        let mut previous = PreviousIncarnations::default();
+        for (name, outcome) in snapshot.all(OUTCOME_LOG) {
             let key = decode_key(name).expect("a key");
-            earlier.add_record(key.incarnation, key.origin, key.number, decode_outcome(fate));
+            previous.add_record(key.incarnation, key.origin, key.number, decode_outcome(outcome));
         }
         for (start, until) in snapshot.all(PROMISES) {
             let word = |bytes: &[u8]| i64::from_be_bytes(bytes.try_into().expect("a word"));
-            earlier.add_promise(self.clock(), word(start) as u64, word(until));
+            previous.add_promise(self.clock(), word(start) as u64, word(until));
         }
-        life.earlier = Some(earlier);
-        life.keeping = Keeping::start(PATIENCE, WAITING);
+        process.previous = Some(previous);
+        process.keeping = Keeping::start(MAX_WRITE_WAIT, MAX_WAITING_WRITES);
     }
 
-    fn hand_over(&self, life: &mut Life, batch: Batch, write: Write) -> bool {
-        if !life.keeping.hands_over(self.clock(), true) {
+    fn hand_over(&self, process: &mut Incarnation, batch: Batch, write: Write) -> bool {
+        if !process.keeping.hands_over(self.clock(), true) {
             return false;
         }
-        if life.store.is_none() || life.waiting.len() >= WAITING {
-            life.keeping.failed(self.clock());
+        if process.store.is_none() || process.waiting.len() >= MAX_WAITING_WRITES {
+            process.keeping.failed(self.clock());
             return false;
         }
-        life.waiting.push_back((batch, write));
+        process.waiting.push_back((batch, write));
         true
     }
 
-    fn renew(&self, life: &mut Life) {
-        let rests = matches!(life.keeping.state(), State::Without { until } if self.clock() < until);
-        if !rests && let Some(until) = life.promise.renew(self.clock()) {
+    fn renew(&self, process: &mut Incarnation) {
+        let rests = matches!(process.keeping.state(), State::Without { until } if self.clock() < until);
+        if !rests && let Some(until) = process.promise.renew(self.clock()) {
             let (mut batch, over) = (Batch::default(), until + 3_600_000_000);
-            batch.put(PROMISES, &life.start.to_be_bytes(), &until.to_be_bytes(), Some(over));
-            if !self.hand_over(life, batch, Write::RecordingPromise) {
-                life.promise.settle();
+            batch.put(PROMISES, &process.start.to_be_bytes(), &until.to_be_bytes(), Some(over));
+            if !self.hand_over(process, batch, Write::RecordingPromise) {
+                process.promise.settle();
             }
         }
     }
 
-    fn record(&self, life: &mut Life, number: u64, fate: &KnownOutcome, write: Write) -> bool {
-        let until = self.requests[&number].deadline + self.ahead + SLACK;
+    fn record(&self, process: &mut Incarnation, number: u64, outcome: &KnownOutcome, write: Write) -> bool {
+        let until = self.requests[&number].deadline + self.ahead + QUERY_GRACE;
         let mut batch = Batch::default();
-        let fate = encode_outcome(&fate.as_ref().map(|bytes| &bytes[..]));
-        batch.put(BOOK, &encode_key(life.start, &origin(), number), &fate, Some(until));
-        self.hand_over(life, batch, write)
+        let outcome = encode_outcome(&outcome.as_ref().map(|bytes| &bytes[..]));
+        batch.put(OUTCOME_LOG, &encode_key(process.start, &origin(), number), &outcome, Some(until));
+        self.hand_over(process, batch, write)
     }
 
-    fn request_comes(&mut self, life: &mut Life) {
+    fn request_comes(&mut self, process: &mut Incarnation) {
         let number = self.requests.len() as u64;
         let deadline = self.now + 100_000 + self.dice.below(6_000_000) as Micros;
-        let request = Request { start: life.start, deadline, ran: false, outcome: None, owed: None };
+        let request = Request { start: process.start, deadline, ran: false, outcome: None, owed: None };
         self.requests.insert(number, request);
-        if self.record(life, number, &Outcome::InFlight, Write::Taking(number)) {
+        if self.record(process, number, &Outcome::InFlight, Write::Taking(number)) {
             self.now_runs(number, self.flaw == Flaw::WaitsForNothing);
-        } else if life.promise.permits_unrecorded(self.clock()) {
-            life.promise.accepted_unrecorded(deadline + self.ahead + SLACK);
+        } else if process.promise.permits_unrecorded(self.clock()) {
+            process.promise.accepted_unrecorded(deadline + self.ahead + QUERY_GRACE);
             self.now_runs(number, true);
         } else {
             self.now_runs(number, self.flaw == Flaw::BreaksPromises);
@@ -180,9 +181,9 @@
     }
 
     /// One of those that run comes to its outcome.
-    fn request_ends(&mut self, life: &mut Life) {
+    fn request_ends(&mut self, process: &mut Incarnation) {
         let runs =
-            |request: &Request| request.start == life.start && request.ran && request.outcome.is_none();
+            |request: &Request| request.start == process.start && request.ran && request.outcome.is_none();
         let Some(number) = self.requests.iter().find(|(_, request)| runs(request)).map(|(&number, _)| number)
         else {
             return;
@@ -193,7 +194,7 @@
             _ => Outcome::Served(number.to_be_bytes().to_vec()),
         };
         self.requests.entry(number).and_modify(|request| request.outcome = Some(outcome.clone()));
-        let handed_over = self.record(life, number, &outcome, Write::Outcome(number));
+        let handed_over = self.record(process, number, &outcome, Write::Outcome(number));
         if handed_over && self.flaw == Flaw::WaitsForNothing {
             self.is_owed(number, Some(outcome));
         }
@@ -204,9 +205,9 @@
     }
 
     /// The disk's thread writes what waits longest; after a failure all is written anew first.
-    fn disk_works(&mut self, life: &mut Life) {
-        let Some((batch, write)) = life.waiting.pop_front() else { return };
-        let Some(store) = &mut life.store else { return };
+    fn disk_works(&mut self, process: &mut Incarnation) {
+        let Some((batch, write)) = process.waiting.pop_front() else { return };
+        let Some(store) = &mut process.store else { return };
         let healed = !store.has_failed() || store.heal().is_ok();
         let well = healed && store.commit(self.now + self.ahead, vec![batch]).is_ok();
         if well && store.wants_compaction() {
@@ -218,11 +219,11 @@
             return;
         }
         match well {
-            true => life.keeping.confirmed(self.now + self.ahead),
-            false => life.keeping.failed(self.now + self.ahead),
+            true => process.keeping.confirmed(self.now + self.ahead),
+            false => process.keeping.failed(self.now + self.ahead),
         }
         match write {
-            Write::RecordingPromise => life.promise.settle(),
+            Write::RecordingPromise => process.promise.settle(),
             // One that was not kept is rejected: it never runs.
             Write::Taking(number) if well => {
                 self.now_runs(number, true);
@@ -236,11 +237,11 @@
         }
     }
 
-    fn patience_ends(&mut self, life: &mut Life) {
-        if life.keeping.gives_up(self.clock()) {
-            for (_, write) in &mut life.waiting {
+    fn abandon_slow_writes(&mut self, process: &mut Incarnation) {
+        if process.keeping.gives_up(self.clock()) {
+            for (_, write) in &mut process.waiting {
                 if matches!(std::mem::replace(write, Write::GivenUp), Write::RecordingPromise) {
-                    life.promise.settle();
+                    process.promise.settle();
                 }
             }
         }
@@ -251,13 +252,13 @@
     }
 
     /// Senders ask this start what became of their requests to earlier ones.
-    fn senders_ask(&mut self, life: &Life) -> Result<(), String> {
+    fn senders_ask(&mut self, process: &Incarnation) -> Result<(), String> {
         for (&number, request) in &self.requests {
-            if request.start == life.start || request.deadline <= self.now {
+            if request.start == process.start || request.deadline <= self.now {
                 continue;
             }
-            let answer = match &life.earlier {
-                Some(earlier) => earlier.query(&origin(), number, request.start),
+            let answer = match &process.previous {
+                Some(previous) => previous.query(&origin(), number, request.start),
                 None => Outcome::Unknown,
             };
             let true_to_it = match &answer {
@@ -266,13 +267,16 @@
                 Outcome::Failed => {
                     !matches!(request.owed, Some(Outcome::Served(_) | Outcome::Rejected { .. }))
                 }
-                Outcome::Unknown => life.earlier.is_none() || request.owed.is_none(),
+                Outcome::Unknown => process.previous.is_none() || request.owed.is_none(),
                 said => request.outcome.as_ref() == Some(said),
             };
             if !true_to_it {
                 let Request { start, ran, outcome, owed, .. } = request;
                 let truth = format!("ran {ran}, outcome {outcome:?}, owed {owed:?}");
-                return Err(format!("start {} says {answer:?} of {number} at {start}: {truth}", life.start));
+                return Err(format!(
+                    "start {} says {answer:?} of {number} at {start}: {truth}",
+                    process.start
+                ));
             }
             self.answers[match answer {
                 Outcome::NeverAccepted => 0,
@@ -283,10 +287,10 @@
         Ok(())
     }
 
-    fn step(&mut self, life: &mut Life) -> Result<(), String> {
+    fn step(&mut self, process: &mut Incarnation) -> Result<(), String> {
         self.now += self.dice.below(200_000) as Micros;
-        self.patience_ends(life);
-        self.renew(life);
+        self.abandon_slow_writes(process);
+        self.renew(process);
         match self.dice.below(24) {
             0 => {
                 let one_in = 1 + self.dice.below(6);
@@ -297,10 +301,10 @@
                 self.disk.toggle_room(room);
             }
             2 => self.disk.state().left = Some(self.dice.below(600) as usize),
-            3..9 => self.request_comes(life),
-            9..14 => self.request_ends(life),
+            3..9 => self.request_comes(process),
+            9..14 => self.request_ends(process),
             14 => {}
-            _ => self.disk_works(life),
+            _ => self.disk_works(process),
         }
         if self.is_killed() || self.dice.one_in(30) {
             self.disk.restart(self.dice.one_in(2));
@@ -310,33 +314,34 @@
                 // By that clock they may be over: what a start then may say is that it does not know.
                 self.requests.values_mut().for_each(|request| request.owed = None);
             }
-            *life = self.start(life.start + 1);
-        } else if life.store.is_none() {
-            self.open(life);
+            *process = self.start(process.start + 1);
+        } else if process.store.is_none() {
+            self.open(process);
         }
-        self.senders_ask(life)
+        self.senders_ask(process)
     }
 }
 
-fn lives(seed: u64, flaw: Flaw, lies: bool) -> Result<[u32; 3], String> {
+fn run_history(seed: u64, flaw: Flaw, lies: bool) -> Result<[u32; 3], String> {
     let history = History::new(seed, flaw);
     history.disk.state().lies = lies;
-    lived(history)
+    run_steps(history)
 }
 
-fn lived(mut history: History) -> Result<[u32; 3], String> {
-    let mut life = history.start(1);
+fn run_steps(mut history: History) -> Result<[u32; 3], String> {
+    let mut process = history.start(1);
     for _ in 0..STEPS {
-        history.step(&mut life)?;
+        history.step(&mut process)?;
     }
     Ok(history.answers)
 }
 
 #[test]
-fn a_later_start_says_nothing_untrue_of_an_earlier_one_whatever_its_folder_does() {
+fn a_later_incarnation_says_nothing_untrue_of_an_earlier_one_whatever_the_disk_does() {
     let mut answers = [0; 3];
     for seed in 0..HISTORIES {
-        let drawn = lives(seed, Flaw::None, false).unwrap_or_else(|why| panic!("history {seed}: {why}"));
+        let drawn =
+            run_history(seed, Flaw::None, false).unwrap_or_else(|why| panic!("history {seed}: {why}"));
         answers.iter_mut().zip(drawn).for_each(|(sum, count)| *sum += count);
     }
     println!("never taken, known, unknown: {answers:?}");
@@ -344,8 +349,8 @@
 }
 
 #[test]
-fn the_judge_finds_broken_promises_what_was_not_waited_for_and_a_disk_that_lies() {
-    let found = |flaw, lies| (0..50).any(|seed| lives(seed, flaw, lies).is_err());
+fn the_checker_finds_broken_promises_unconfirmed_records_and_a_disk_that_lies() {
+    let found = |flaw, lies| (0..50).any(|seed| run_history(seed, flaw, lies).is_err());
     assert!(found(Flaw::BreaksPromises, false));
     assert!(found(Flaw::WaitsForNothing, false));
     assert!(found(Flaw::None, true));
@@ -357,6 +362,6 @@
     for seed in 0..HISTORIES {
         let mut history = History::new(seed, Flaw::None);
         history.clock_steps = BACK;
-        lived(history).unwrap_or_else(|why| panic!("history {seed}: {why}"));
+        run_steps(history).unwrap_or_else(|why| panic!("history {seed}: {why}"));
     }
 }
--- a/crates/site-routing/tests/pinned_records.rs
+++ b/crates/site-routing/tests/pinned_records.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn value_of_each_fate() {
+fn value_of_each_outcome() {
     let cases: [(Outcome<&[u8]>, &[u8]); 6] = [
         (Outcome::InFlight, b"T"),
         (Outcome::NeverAccepted, b"N"),
--- a/crates/site-routing/tests/previous_incarnations.rs
+++ b/crates/site-routing/tests/previous_incarnations.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn records_come_back_as_they_were_and_others_say_nothing() {
+fn records_are_read_back_as_written_and_unreadable_ones_count_as_failed() {
     let read = decode_key(&encode_key(7, &origin(), 3));
     assert_eq!(read, Some(RecordKey { incarnation: 7, origin: origin(), number: 3 }));
     assert!(decode_key(b"short").is_none() && decode_key(&[255; 40]).is_none());
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_promise_binds_until_it_is_over_also_when_nobody_knows_whether_it_was_written() {
+fn a_promise_binds_until_its_end_though_its_write_was_never_confirmed() {
     let mut promise = RecordingPromise::default();
     assert!(promise.permits_unrecorded(1));
     let until = promise.renew(10).expect("due");
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn never_taken_is_said_only_while_the_promise_held() {
+fn never_accepted_is_said_only_where_a_promise_held_to_the_end() {
     let mut earlier = PreviousIncarnations::<()>::default();
     earlier.add_record(7, origin(), 3, Outcome::InFlight);
     earlier.add_record(7, origin(), 4, Outcome::Served(()));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn nothing_is_promised_while_somebody_may_ask_about_what_was_taken_without_a_record() {
+fn no_promise_is_given_while_an_unrecorded_request_may_be_asked_about() {
     let mut promise = RecordingPromise::default();
     assert!(promise.permits_unrecorded(10));
     promise.accepted_unrecorded(8_000_000);
--- a/crates/site-routing/tests/two_sites/main.rs
+++ b/crates/site-routing/tests/two_sites/main.rs
@@ -1,6 +1,8 @@
-//! Two cores joined by a simulated link that delays, cuts and restarts; the rules are checked at every step.
+//! Two site routers joined by a simulated link that delays, breaks and restarts; the invariants are checked at every step.
 
+mod exchange;
 mod one_site;
+mod side;
 mod world;
 
 use std::collections::HashMap;
@@ -8,10 +10,11 @@
 use proptest::collection::vec;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-use world::*;
+use side::{MS, TIMEOUT};
+use world::World;
 
 #[test]
-fn the_rules_hold_between_two_sites_whatever_the_link_does() {
+fn the_invariants_hold_between_two_sites_whatever_the_link_does() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]);
     let limits = Config { cases: 200, failure_persistence: None, ..Config::default() };
     let steps = vec((0u8..18, 0u64..1 << 30), 20..150);
@@ -21,7 +24,7 @@
         .run(&(steps, 0u64..1 << 40), |(steps, seed)| {
             let mut world = World::new(seed);
             steps.iter().for_each(|&(kind, a)| world.step(kind, a));
-            world.pass(2 * LIMIT);
+            world.pass(2 * TIMEOUT);
             for request in &world.requests {
                 *counted.borrow_mut().entry(request.answered.unwrap_or("left")).or_default() += 1;
             }
@@ -34,7 +37,7 @@
 }
 
 #[test]
-fn a_write_goes_to_the_site_of_the_primary_and_follows_it() {
+fn writes_follow_the_primary_to_another_site() {
     let mut world = World::new(1);
     world.primary = 1;
     for _ in 0..40 {
--- a/crates/site-routing/tests/two_sites/one_site.rs
+++ b/crates/site-routing/tests/two_sites/one_site.rs
@@ -5,62 +5,62 @@
     SiteRouterConfig,
 };
 
-use crate::world::{FAR, GATEWAY, GROUP, LIMIT, MS, terms};
+use crate::side::{FAR_SITE, GATEWAY, GROUP, MS, TIMEOUT, config};
 
 #[test]
-fn what_cannot_be_back_in_time_is_rejected_before_it_is_sent() {
-    let mut sites = SiteRouter::new(terms(), 1, 0);
-    sites.links_changed(0, GATEWAY, FAR, 1, true);
-    (0..30).for_each(|_| sites.round_trip_measured(GATEWAY, 300 * MS));
-    sites.capacity_announced(0, GATEWAY, vec![9; 4], &[(GROUP, true)], false);
+fn a_request_that_cannot_be_back_in_time_is_rejected_before_it_is_sent() {
+    let mut router = SiteRouter::new(config(), 1, 0);
+    router.links_changed(0, GATEWAY, FAR_SITE, 1, true);
+    (0..30).for_each(|_| router.round_trip_measured(GATEWAY, 300 * MS));
+    router.capacity_announced(0, GATEWAY, vec![9; 4], &[(GROUP, true)], false);
     let request =
         |class, ttl| Request { class, group: GROUP, timeout: ttl, visited: Vec::new(), session: None };
-    let (handle, actions) = sites.accept(0, request(1, 250 * MS));
+    let (handle, actions) = router.accept(0, request(1, 250 * MS));
     assert!(
         matches!(actions.requests[..], [(other, Action::Reject { .. })] if other == handle),
         "{actions:?}"
     );
-    let (_, actions) = sites.accept(0, request(1, 1_000 * MS));
+    let (_, actions) = router.accept(0, request(1, 1_000 * MS));
     assert!(
         matches!(actions.requests[..], [(_, Action::Forward { timeout, .. })] if timeout <= 850 * MS),
         "{actions:?}"
     );
     // A read whose bound is shorter than the way waits for nothing there.
-    let (_, actions) = sites.accept(0, request(3, 1_000 * MS));
+    let (_, actions) = router.accept(0, request(3, 1_000 * MS));
     assert!(actions.requests.is_empty(), "{actions:?}");
     // No more than there is credit for; the rest is held, and goes as room comes.
     let mut crossed = 1;
     for _ in 0..20 {
-        crossed += sites.accept(0, request(1, 1_000 * MS)).1.requests.len();
+        crossed += router.accept(0, request(1, 1_000 * MS)).1.requests.len();
     }
     assert_eq!(crossed, 9);
-    assert_eq!(sites.capacity_announced(0, GATEWAY, vec![12; 4], &[(GROUP, true)], false).requests.len(), 3);
+    assert_eq!(router.capacity_announced(0, GATEWAY, vec![12; 4], &[(GROUP, true)], false).requests.len(), 3);
     // Over a long line more may be out than it takes at once: most of them are on the way.
     let out: Vec<u64> = (1..=12).collect();
-    out.iter().for_each(|&number| drop(sites.answered(310 * MS, number, PeerAnswer::Served)));
+    out.iter().for_each(|&number| drop(router.answered(310 * MS, number, PeerAnswer::Served)));
     let mut crossed = Vec::new();
     for number in 13..60 {
-        let (_, actions) = sites.accept(310 * MS, request(1, 1_000 * MS));
+        let (_, actions) = router.accept(310 * MS, request(1, 1_000 * MS));
         crossed.extend(actions.requests);
-        drop(sites.answered(620 * MS, number, PeerAnswer::Served));
+        drop(router.answered(620 * MS, number, PeerAnswer::Served));
     }
     assert!(crossed.len() > 40, "{}", crossed.len());
     let more =
-        (0..60).map(|_| sites.accept(620 * MS, request(1, 1_000 * MS)).1.requests.len()).sum::<usize>();
+        (0..60).map(|_| router.accept(620 * MS, request(1, 1_000 * MS)).1.requests.len()).sum::<usize>();
     assert!(more > 12, "{more}");
     // Nothing goes to one that drains.
-    sites.capacity_announced(0, GATEWAY, vec![50; 4], &[(GROUP, true)], true);
-    assert!(sites.accept(0, request(1, 1_000 * MS)).1.requests.is_empty());
+    router.capacity_announced(0, GATEWAY, vec![50; 4], &[(GROUP, true)], true);
+    assert!(router.accept(0, request(1, 1_000 * MS)).1.requests.is_empty());
 }
 
 #[test]
-fn what_fell_into_a_standstill_here_blacklists_no_gateway() {
+fn a_stall_of_this_process_blacklists_no_peer_gateway() {
     let blacklisted = |told: bool| {
-        let mut sites = SiteRouter::new(terms(), 1, 0);
-        sites.links_changed(0, GATEWAY, FAR, 1, true);
-        sites.capacity_announced(0, GATEWAY, vec![50; 4], &[(GROUP, true)], false);
+        let mut router = SiteRouter::new(config(), 1, 0);
+        router.links_changed(0, GATEWAY, FAR_SITE, 1, true);
+        router.capacity_announced(0, GATEWAY, vec![50; 4], &[(GROUP, true)], false);
         for _ in 0..9 {
-            sites.accept(
+            router.accept(
                 0,
                 Request { class: 1, group: GROUP, timeout: 1_000 * MS, visited: Vec::new(), session: None },
             );
@@ -68,12 +68,12 @@
         // Their answers came meanwhile, and nobody read them before their time was over.
         let now = 3_000 * MS;
         if told {
-            sites.stall_ended(now);
+            router.stall_ended(now);
         }
-        let actions = sites.wake(now);
+        let actions = router.wake(now);
         let ended = actions.requests.iter().filter(|(_, step)| matches!(step, Action::Fail)).count();
         assert_eq!(ended, 9, "{actions:?}");
-        sites.gateway_view(now, GATEWAY).blacklisted
+        router.gateway_view(now, GATEWAY).blacklisted
     };
     assert!(!blacklisted(true));
     assert!(blacklisted(false), "gateways that lose tasks are blacklisted");
@@ -81,63 +81,65 @@
 
 #[test]
 fn a_request_is_never_sent_back_where_it_came_from() {
-    let mut sites = SiteRouter::new(terms(), 1, 0);
-    sites.groups_listed(0, &[(GROUP, 2)]);
-    sites.links_changed(0, GATEWAY, FAR, 1, true);
-    sites.capacity_announced(0, GATEWAY, vec![9; 4], &[(GROUP, true)], false);
+    let mut router = SiteRouter::new(config(), 1, 0);
+    router.groups_listed(0, &[(GROUP, 2)]);
+    router.links_changed(0, GATEWAY, FAR_SITE, 1, true);
+    router.capacity_announced(0, GATEWAY, vec![9; 4], &[(GROUP, true)], false);
     // Each believes the other to be home: the one that was asked says so, and nothing goes in a circle.
-    let (handle, actions) = sites
-        .accept(0, Request { class: 1, group: GROUP, timeout: 900 * MS, visited: vec![FAR], session: None });
+    let (handle, actions) = router.accept(
+        0,
+        Request { class: 1, group: GROUP, timeout: 900 * MS, visited: vec![FAR_SITE], session: None },
+    );
     assert!(matches!(actions.requests[..], [(_, Action::ServeLocally { .. })]), "{actions:?}");
     let mut last = Actions::default();
     for _ in 0..2 {
-        last = sites.local_not_primary(10 * MS, handle);
+        last = router.local_not_primary(10 * MS, handle);
     }
     assert_eq!(
         last.requests,
         [(handle, Action::Withdraw), (handle, Action::ReportNotPrimary { hint: None })]
     );
-    assert_eq!(sites.forwarded_as(1), None);
+    assert_eq!(router.forwarded_as(1), None);
     assert_eq!(LOCAL_SITE, 0);
 }
 
 #[test]
-fn what_may_have_run_here_is_not_taken_back_and_what_may_have_run_there_is_not_rejected() {
+fn a_request_that_may_have_run_is_neither_withdrawn_nor_rejected() {
     let classes = || {
         let receipted = Effect::Deduplicated { window: 2_000 * MS, within_site: false };
-        vec![RequestClass { effect: receipted, ..terms().classes[1] }]
+        vec![RequestClass { effect: receipted, ..config().classes[1] }]
     };
     let start = || {
-        let mut sites = SiteRouter::new(SiteRouterConfig { classes: classes(), ..terms() }, 1, 0);
-        sites.groups_listed(0, &[(GROUP, 2)]);
-        sites.links_changed(0, GATEWAY, FAR, 1, true);
-        sites.capacity_announced(0, GATEWAY, vec![9], &[(GROUP, false)], false);
-        sites
+        let mut router = SiteRouter::new(SiteRouterConfig { classes: classes(), ..config() }, 1, 0);
+        router.groups_listed(0, &[(GROUP, 2)]);
+        router.links_changed(0, GATEWAY, FAR_SITE, 1, true);
+        router.capacity_announced(0, GATEWAY, vec![9], &[(GROUP, false)], false);
+        router
     };
-    let request = |visited| Request { class: 0, group: GROUP, timeout: LIMIT, visited, session: None };
+    let request = |visited| Request { class: 0, group: GROUP, timeout: TIMEOUT, visited, session: None };
     // Its attempt was failed, and then all members here said that they are not the primary.
-    for visited in [vec![], vec![FAR]] {
-        let mut sites = start();
-        let (handle, _) = sites.accept(0, request(visited));
-        sites.local_may_have_run(handle, 0);
+    for visited in [vec![], vec![FAR_SITE]] {
+        let mut router = start();
+        let (handle, _) = router.accept(0, request(visited));
+        router.local_may_have_run(handle, 0);
         for _ in 0..6 {
-            let actions = sites.local_not_primary(MS, handle);
+            let actions = router.local_not_primary(MS, handle);
             assert!(actions.requests.is_empty(), "{actions:?}");
         }
-        let actions = sites.local_finished(2 * MS, handle, LocalResult::Failed);
+        let actions = router.local_finished(2 * MS, handle, LocalResult::Failed);
         assert_eq!(actions.requests, [(handle, Action::Fail)]);
     }
     // It crossed, and nobody can say what became of it there; the module here knows nothing of that.
-    let mut sites = start();
-    sites.capacity_announced(0, GATEWAY, vec![9], &[(GROUP, true)], false);
-    let (handle, actions) = sites.accept(0, request(vec![]));
+    let mut router = start();
+    router.capacity_announced(0, GATEWAY, vec![9], &[(GROUP, true)], false);
+    let (handle, actions) = router.accept(0, request(vec![]));
     let Action::Forward { number, .. } = actions.requests[0].1 else { panic!("{actions:?}") };
-    let actions = sites.outcome_received::<()>(MS, number, &Outcome::Unknown);
+    let actions = router.outcome_received::<()>(MS, number, &Outcome::Unknown);
     assert!(matches!(actions.requests[..], [(_, Action::Forward { .. })]), "{actions:?}");
-    sites.primary_found_here(2 * MS, GROUP);
+    router.primary_found_here(2 * MS, GROUP);
     let Action::Forward { number, .. } = actions.requests[0].1 else { panic!("{actions:?}") };
-    let actions = sites.answered(3 * MS, number, PeerAnswer::NotPrimary { hint: None });
+    let actions = router.answered(3 * MS, number, PeerAnswer::NotPrimary { hint: None });
     assert!(matches!(actions.requests[..], [(_, Action::ServeLocally { .. })]), "{actions:?}");
-    let actions = sites.local_finished(4 * MS, handle, LocalResult::Rejected { retry_after: 0 });
+    let actions = router.local_finished(4 * MS, handle, LocalResult::Rejected { retry_after: 0 });
     assert_eq!(actions.requests, [(handle, Action::Fail)]);
 }
