--- a/crates/proxy/src/messages/client.rs
+++ b/crates/proxy/src/messages/client.rs
@@ -35,6 +35,6 @@
 pub struct Rows {
     /// The messages in their order; a large row stands in a piece of its own.
     pub pieces: Vec<Vec<u8>>,
-    /// The buffer space reserved for them, where they are larger than `limits.small`.
+    /// The buffer space reserved for them, where they are larger than `limits.buffers.small_message`.
     pub reservation: Option<BufferReservation>,
 }
