--- a/crates/proxy/src/coordination/mod.rs
+++ b/crates/proxy/src/coordination/mod.rs
@@ -2,65 +2,53 @@
 //!
 //! The protocols are those of `crates/leases` and `crates/directives`; here they are put into datagrams, on the disk and
 //! in the log.
+//!
+//! - Input: datagrams of other proxies, the time, outcomes of writes, what the dispatcher observed, and reloads of the
+//!   operator's section.
+//! - Output: datagrams, records for the disk, and for the dispatcher the directives on zones and draining sites.
+//! - Caller: the membership actor, which carries the datagrams.
 
+mod call;
+mod decision;
+mod describe;
+mod durability;
+mod issuing;
 mod lease_work;
+mod receiving;
 mod records;
 mod site_drain;
 mod split_points;
 mod superseded;
 mod zone_failover;
 
-use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use aldermill_directives::frame::{self, Message};
+use aldermill_directives::frame;
 use aldermill_directives::{
-    Acceptance, DIGEST_INTERVAL, DigestEntry, Directive, DirectiveStore, FANOUT, LIFETIME, Micros,
-    RENEWAL_INTERVAL, Report, Reporter, Reports,
+    DIGEST_INTERVAL, Directive, DirectiveStore, FANOUT, Micros, RENEWAL_INTERVAL, Reporter, Reports,
 };
 use aldermill_leases::{Actions, ConfigError, Incarnation, LeaseChange, LeaseConfig, Outgoing, Participant};
-use aldermill_membership::Peer;
-use aldermill_operator_config::CoordinationConfig as Config;
+use aldermill_operator_config::CoordinationConfig;
 use rand::seq::IteratorRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use serde_json::{Value, json};
 use slog::{Logger, info};
 use tokio::sync::mpsc;
 
+pub use call::{CallTime, DECISION_INTERVAL, Datagram};
+
 use crate::persistence::DataDirectory;
+use lease_work::{LeaseWork, LeaseWorkStart};
 use records::{MOST_IN_FLIGHT, Record, Records};
-use site_drain::SiteDrainWork;
-use split_points::SplitPointWork;
-use zone_failover::ZoneFailoverWork;
 
 /// The first byte of a datagram: what follows is a message of the lease protocol, or one about directives.
 const LEASE_MESSAGE: u8 = 1;
 const DIRECTIVE_MESSAGE: u8 = 2;
-/// How often a lease holder decides, and each proxy looks at the directives in force.
-pub const DECISION_INTERVAL: Micros = 1_000_000;
-
-/// When a call is made.
-#[derive(Clone, Copy)]
-pub struct CallTime {
-    /// By the clock that counts stalls, in microseconds.
-    pub now: Micros,
-    /// The Unix time in milliseconds, by the wall clock of the start and the monotonic clock since.
-    pub wall: u64,
-}
-
-/// What is to be sent to another proxy.
-pub struct Datagram {
-    /// The other's name.
-    pub to: String,
-    /// What its [`Coordination::receive`] takes.
-    pub payload: Vec<u8>,
-}
 
 /// What [`Coordination::open`] needs.
 pub struct CoordinationParts {
     /// The operator's section `coordination`.
-    pub config: Config,
+    pub config: CoordinationConfig,
     /// This start of this proxy.
     pub own: Incarnation,
     /// Where terms and drain plans are stored, if anything is.
@@ -73,23 +61,31 @@
 
 /// This proxy's part in what the fleet decides in common.
 pub struct Coordination {
+    /// This start of this proxy.
     own: Incarnation,
     /// The names of all leases.
     leases: Vec<String>,
+    /// This proxy's vote, and the leases that it holds or wants.
     participant: Participant,
     directives: DirectiveStore,
+    /// Reports of all proxies under the leases that this one holds.
     reports: Reports,
+    /// What this proxy has to report to lease holders.
     reporter: Reporter,
+    /// `None` without a data directory.
     records: Option<Records>,
     rng: Pcg64Mcg,
     log: Logger,
-    zone_failover: Option<ZoneFailoverWork>,
-    split_points: Option<SplitPointWork>,
-    site_drain: Option<SiteDrainWork>,
+    work: LeaseWork,
+    /// When directives under held leases are next renewed.
     renew_at: Micros,
+    /// When decisions are next made.
     decide_at: Micros,
-    compare_at: Micros,
-    participant_at: Option<Micros>,
+    /// When a digest of the directives is next sent to another proxy, for both to find out what they miss.
+    digest_at: Micros,
+    /// When the lease protocol next wants to be called.
+    participant_wake_at: Option<Micros>,
+    /// What is to be sent once the running call returns.
     outgoing: Vec<Datagram>,
 }
 
@@ -108,9 +104,9 @@
     ) -> Result<(Coordination, mpsc::Receiver<bool>), ConfigError> {
         let CoordinationParts { config, own, directory, zone, longest_timeout } = parts;
         let now = at.now;
-        let leases: Vec<String> = config.leases.iter().map(|duty| duty.name().to_owned()).collect();
+        let leases: Vec<String> = config.leases.iter().map(|kind| kind.name().to_owned()).collect();
         let lease_config = LeaseConfig {
-            voters: config.voters,
+            voters: config.voters.clone(),
             leases: leases.clone(),
             duration: Micros::from(config.lease_ms) * 1000,
             least_term: config.least_term,
@@ -119,13 +115,15 @@
         let (confirmations, confirmed) = mpsc::channel(MOST_IN_FLIGHT);
         let records = directory.map(|directory| Records::start(directory, confirmations));
         info!(log, "coordination started"; "votes" => participant.is_voter(), "leases" => leases.join(" "),
-            "kept" => records.is_some());
-        let has = |lease: &str| leases.iter().any(|name| name == lease);
-        let zone_failover = has(zone_failover::LEASE).then(|| ZoneFailoverWork::start(zone, log.clone()));
-        let split_points = has(split_points::LEASE).then(|| SplitPointWork::start(config.cuts, log.clone()));
-        let durable = records.is_some();
-        let site_drain = has(site_drain::LEASE)
-            .then(|| SiteDrainWork::start(now, &config.site_drain, longest_timeout, durable, log.clone()));
+            "durable" => records.is_some());
+        let work = LeaseWork::start(&LeaseWorkStart {
+            now,
+            config: &config,
+            zone,
+            longest_timeout,
+            is_durable: records.is_some(),
+            log: &log,
+        });
         let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(7));
         let mut coordination = Coordination {
             own,
@@ -136,13 +134,11 @@
             reporter: Reporter::default(),
             records,
             log,
-            zone_failover,
-            split_points,
-            site_drain,
+            work,
             renew_at: now,
             decide_at: now,
-            compare_at: now + rng.random_range(0..DIGEST_INTERVAL),
-            participant_at: Some(now),
+            digest_at: now + rng.random_range(0..DIGEST_INTERVAL),
+            participant_wake_at: Some(now),
             outgoing: Vec::new(),
             rng,
         };
@@ -153,8 +149,8 @@
     /// When [`Coordination::wake`] is to be called.
     pub fn wake_at(&self) -> Micros {
         let report_at = self.reporter.due_at().unwrap_or(Micros::MAX);
-        let participant_at = self.participant_at.unwrap_or(Micros::MAX);
-        self.compare_at.min(self.renew_at).min(self.decide_at).min(participant_at).min(report_at)
+        let participant_wake_at = self.participant_wake_at.unwrap_or(Micros::MAX);
+        self.digest_at.min(self.renew_at).min(self.decide_at).min(participant_wake_at).min(report_at)
     }
 
     /// What is to be sent now.
@@ -162,87 +158,7 @@
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Takes another proxy's datagram; `age` is how long it may have waited here unread. One that cannot be decoded is
-    /// ignored.
-    pub fn receive(&mut self, at: CallTime, age: Micros, from: &Peer, payload: &[u8], others: &[Rc<str>]) {
-        let Some((&kind, bytes)) = payload.split_first() else { return };
-        self.read_records(at.now);
-        match kind {
-            LEASE_MESSAGE => self.receive_lease_message(at, from, bytes, others),
-            DIRECTIVE_MESSAGE => match frame::decode(bytes) {
-                Ok(Message::Directives(directives)) => {
-                    self.receive_directives(at.now, age, directives, others);
-                }
-                Ok(Message::Digest { entries, is_answer }) => {
-                    self.receive_digest(at, from, &entries, is_answer, others);
-                }
-                Ok(Message::Report(report)) => self.receive_report(at.now, age, from, report),
-                Err(_) => {}
-            },
-            _ => {}
-        }
-    }
-
-    /// Its age does not matter: a message of before a stall says nothing of leases now, and is repeated by its sender.
-    fn receive_lease_message(&mut self, at: CallTime, from: &Peer, bytes: &[u8], others: &[Rc<str>]) {
-        let Ok(message) = aldermill_leases::frame::decode(bytes) else { return };
-        let from = Incarnation { name: from.name.to_string(), start: from.start };
-        let actions = self.participant.receive(at.now, at.wall, &from, &message);
-        self.carry_out(at, actions, others);
-    }
-
-    fn receive_directives(
-        &mut self,
-        now: Micros,
-        age: Micros,
-        directives: Vec<Directive>,
-        others: &[Rc<str>],
-    ) {
-        self.tell_superseded(&directives);
-        let mut new = directives;
-        new.retain(|directive| self.accept(now, age, directive));
-        self.forward(&new, age, others);
-    }
-
-    fn receive_digest(
-        &mut self,
-        at: CallTime,
-        from: &Peer,
-        entries: &[DigestEntry],
-        is_answer: bool,
-        others: &[Rc<str>],
-    ) {
-        self.learn_terms(at, entries, others);
-        let missing = self.directives.missing_from(at.now, entries);
-        if !missing.is_empty() {
-            self.send_directive_messages(&from.name, frame::encode_directives(&missing));
-        }
-        if !is_answer && self.directives.is_behind(entries) {
-            let own = frame::encode_digest(&self.directives.digest(at.now), true);
-            self.send_directive_messages(&from.name, own);
-        }
-    }
-
-    fn receive_report(&mut self, now: Micros, age: Micros, from: &Peer, report: Report) {
-        if self.participant.may_act(now, &report.topic.lease).is_some() {
-            self.reports.receive(now, age, &from.name, from.start, report);
-        }
-    }
-
-    /// Takes a directive; whether it is new.
-    fn accept(&mut self, now: Micros, age: Micros, directive: &Directive) -> bool {
-        let lease = &directive.topic.lease;
-        let term = directive.version.term;
-        let known_term = self.directives.holder(now, lease).map(|holder| holder.term);
-        let is_new = self.directives.receive(now, age, directive.clone()) == Acceptance::New;
-        if is_new && known_term != Some(term) {
-            info!(self.log, "lease held by another"; "holder" => &directive.issuer, "term" => term, "lease" => lease);
-            self.persist(Record::Accepted { lease: lease.clone(), term });
-        }
-        is_new
-    }
-
-    /// Sends new directives on to a few others.
+    /// Forwards new directives to a few others; `age` is how long they waited here unread.
     fn forward(&mut self, new: &[Directive], age: Micros, others: &[Rc<str>]) {
         if new.is_empty() {
             return;
@@ -260,7 +176,7 @@
     pub fn wake(&mut self, at: CallTime, others: &[Rc<str>]) {
         let now = at.now;
         self.read_records(now);
-        if self.participant_at.is_some_and(|due| due <= now) {
+        if self.participant_wake_at.is_some_and(|due| due <= now) {
             let actions = self.participant.wake(now, at.wall);
             self.carry_out(at, actions, others);
         }
@@ -274,13 +190,14 @@
             self.persist_again();
             self.decide(at, others);
         }
-        if now >= self.compare_at {
-            self.compare_at = now + DIGEST_INTERVAL;
+        if now >= self.digest_at {
+            self.digest_at = now + DIGEST_INTERVAL;
             self.send_digest(now, others);
         }
         self.send_report(now);
     }
 
+    /// Sends a digest of the directives to another proxy, picked at random.
     fn send_digest(&mut self, now: Micros, others: &[Rc<str>]) {
         if let Some(to) = others.iter().cloned().choose(&mut self.rng) {
             let digest = frame::encode_digest(&self.directives.digest(now), false);
@@ -288,6 +205,7 @@
         }
     }
 
+    /// Sends the next report to the lease's holder, which may be this proxy.
     fn send_report(&mut self, now: Micros) {
         let Some(report) = self.reporter.next(now) else { return };
         let Some(holder) = self.directives.holder(now, &report.topic.lease) else { return };
@@ -299,8 +217,9 @@
         }
     }
 
+    /// Does what the lease protocol wants done.
     fn carry_out(&mut self, at: CallTime, actions: Actions, others: &[Rc<str>]) {
-        self.participant_at = actions.wake_at;
+        self.participant_wake_at = actions.wake_at;
         for Outgoing { to, message } in actions.send {
             self.send(&to, LEASE_MESSAGE, &aldermill_leases::frame::encode(&message));
         }
@@ -329,9 +248,7 @@
     /// Another proxy is gone, or has started again.
     pub fn peer_gone(&mut self, now: Micros, name: &str) {
         self.reports.forget(name);
-        if let Some(site_drain) = &mut self.site_drain {
-            site_drain.peer_gone(now, name);
-        }
+        self.work.peer_gone(now, name);
     }
 
     /// This proxy shuts down: it releases the leases that it holds.
@@ -347,30 +264,4 @@
     fn send_directive_messages(&mut self, to: &str, messages: Vec<Vec<u8>>) {
         messages.iter().for_each(|message| self.send(to, DIRECTIVE_MESSAGE, message));
     }
-
-    /// What is known here, for the status socket.
-    pub fn describe(&self, now: Micros) -> Value {
-        let leases = self.leases.iter().map(|lease| self.describe_lease(now, lease));
-        json!({"votes": self.participant.is_voter(),
-            "zones": self.zone_failover.as_ref().map(ZoneFailoverWork::describe),
-            "retire": self.site_drain.as_ref().map(SiteDrainWork::describe),
-            "aside": self.split_points.as_ref().map(SplitPointWork::set_aside),
-            "duties": leases.collect::<Vec<_>>(),
-            "decrees": self.directives.all(now).map(describe_directive).collect::<Vec<_>>()})
-    }
-
-    fn describe_lease(&self, now: Micros, lease: &str) -> Value {
-        let holder = self.directives.holder(now, lease);
-        let reports = self.reports.recent(now, LIFETIME, lease);
-        let reporting: BTreeSet<&str> = reports.map(|report| report.reporter).collect();
-        json!({"name": lease, "held_by": holder.map(|holder| holder.name),
-            "term": holder.map(|holder| holder.term), "holds": self.participant.may_act(now, lease),
-            "reporting": reporting.len()})
-    }
-}
-
-fn describe_directive(directive: Directive) -> Value {
-    json!({"duty": directive.topic.lease, "subject": directive.topic.subject,
-        "term": directive.version.term, "number": directive.version.number, "by": directive.issuer,
-        "left_ms": directive.remaining / 1000, "says": String::from_utf8_lossy(&directive.body)})
 }
--- a/crates/proxy/src/gateway/link.rs
+++ b/crates/proxy/src/gateway/link.rs
@@ -115,7 +115,7 @@
         let (outbox, outbound) = mpsc::channel(context.limits.queues.dispatcher);
         LinkActor {
             id: registry.next_id(),
-            link: Link::new(registry.limits, &registry.own, context.unstalled_clock.now()),
+            link: Link::new(registry.config, &registry.own, context.unstalled_clock.now()),
             state: LinkState::Handshaking { outbox },
             outbound,
             pending: PendingBytes::default(),
--- a/crates/proxy/src/gateway/link_registry.rs
+++ b/crates/proxy/src/gateway/link_registry.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use aldermill_operator_config::{GatewayConfig, IpNet};
-use aldermill_site_link::{Identity, LinkLimits};
+use aldermill_site_link::{Identity, LinkConfig};
 
 use super::errors::PeerRejection;
 use crate::messages::LinkId;
@@ -15,8 +15,8 @@
     /// How this gateway introduces itself.
     pub(super) own: Identity,
     peers: Vec<AllowedPeer>,
-    /// The limits of each link.
-    pub(super) limits: LinkLimits,
+    /// The limits and intervals of each link.
+    pub(super) config: LinkConfig,
     next_link: Cell<LinkId>,
 }
 
@@ -34,12 +34,12 @@
 
 impl LinkRegistry {
     /// For this gateway, called `own`, and the peers that its configuration names.
-    pub fn new(own: Identity, gateway: &GatewayConfig, limits: LinkLimits) -> Rc<LinkRegistry> {
+    pub fn new(own: Identity, gateway: &GatewayConfig, config: LinkConfig) -> Rc<LinkRegistry> {
         let peers = gateway
             .peers
             .iter()
             .map(|peer| AllowedPeer { site: peer.site.clone(), networks: peer.networks.clone() });
-        Rc::new(LinkRegistry { own, peers: peers.collect(), limits, next_link: Cell::new(0) })
+        Rc::new(LinkRegistry { own, peers: peers.collect(), config, next_link: Cell::new(0) })
     }
 
     /// A name for a new link.
--- a/crates/proxy/src/membership/status.rs
+++ b/crates/proxy/src/membership/status.rs
@@ -1,12 +1,10 @@
-//! What a proxy knows of its fleet, as `aldermill peers` shows it: as JSON, or as a table. The keys are read by operators'
-//! programs and stay as they are.
+//! What a proxy knows of its fleet, as its status socket gives it. The keys are read by operators' programs and stay as they
+//! are.
 
 use aldermill_membership::{DroppedDatagrams, Peer, Snapshot};
 use serde_json::{Value, json};
 
 use super::actor::SendCounters;
-use crate::cli::status;
-use crate::lifecycle::errors::ProgramError;
 
 /// What the status socket shows.
 pub(super) struct StatusReport<'a> {
@@ -63,36 +61,3 @@
         "unusable": unusable,
     })
 }
-
-/// What the proxy behind this status socket knows of its fleet: a table, or its JSON as it comes.
-///
-/// # Errors
-///
-/// No proxy answers at the socket, or it is of a version whose answer can't be read.
-pub fn query(path: &str, as_json: bool) -> Result<String, ProgramError> {
-    let text = status::ask(path)?;
-    if as_json {
-        return Ok(text);
-    }
-    let report: Value =
-        serde_json::from_str(&text).map_err(|why| ProgramError::Said { path: path.to_owned(), why })?;
-    Ok(table(&report))
-}
-
-fn table(report: &Value) -> String {
-    let snapshot = &report["view"];
-    let mut table = format!(
-        "{} knows of {} drivers, itself among them; {} at most{}{}\n",
-        report["self"]["name"].as_str().unwrap_or_default(),
-        snapshot["alive"],
-        snapshot["most_seen"],
-        if snapshot["sure"] == true { "" } else { "; in doubt" },
-        if snapshot["may_be_smaller"] == true { "; may be the smaller part" } else { "" },
-    );
-    for peer in report["fellows"].as_array().into_iter().flatten() {
-        let name = peer["name"].as_str().unwrap_or_default();
-        let address = peer["address"].as_str().unwrap_or_default();
-        table += &format!("{name:<24} {address:<24} started {} turn {}\n", peer["start"], peer["turn"]);
-    }
-    table
-}
