--- a/crates/proxy/src/client/response.rs
+++ b/crates/proxy/src/client/response.rs
@@ -91,7 +91,7 @@
         self.unread_reservation.take()
     }
 
-    /// The kernel accepted so many bytes.
+    /// Counts bytes that the kernel has accepted.
     fn written(&mut self, count: usize) {
         self.bytes = self.bytes.saturating_add(count);
     }
