--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -13,7 +13,7 @@
 mod site_actions;
 mod start;
 
-pub use start::Opening;
+pub use start::GatewaySetup;
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
--- a/crates/proxy/src/dispatcher/gateway/start.rs
+++ b/crates/proxy/src/dispatcher/gateway/start.rs
@@ -16,38 +16,39 @@
 
 /// Remote requests get client ids of their own, from here on.
 const FIRST_REMOTE_ID: ClientId = 1 << 63;
-/// Confirmations that may wait for the dispatcher: as many as records may wait for the disk, and more.
+/// How many confirmations may wait for the dispatcher: as many as records may wait for the disk, and more.
 const MAX_CONFIRMATIONS: usize = 2048;
 
-/// What a gateway is told at its start.
-pub struct Opening {
+/// What the gateway part needs to start.
+pub struct GatewaySetup {
     /// Who this gateway is.
     pub own: Identity,
     /// The names of the other sites.
     pub peers: Vec<String>,
-    /// Groups and the site that is taken for their primary's.
+    /// Groups, each with the site that is assumed to have its primary.
     pub homes: Vec<(u64, String)>,
-    /// SiteRouter that a request may come through.
-    pub hops: usize,
-    /// Requests that another gateway may have under way here, at most.
-    pub credit: u32,
+    /// How many links a request may be forwarded over.
+    pub max_hops: usize,
+    /// How many requests of one class another gateway may have in flight here, at most.
+    pub max_credit: u32,
     /// The comment's field that names a session.
-    pub session: Option<String>,
-    /// Outcomes kept for one sender.
-    pub fates: usize,
-    /// Where outcomes are kept over a restart.
-    pub folder: Option<Rc<DataDirectory>>,
+    pub session_field: Option<String>,
+    /// How many outcomes are kept for one sender.
+    pub max_outcomes_per_sender: usize,
+    /// Where outcomes are kept over a restart, if anywhere.
+    pub directory: Option<Rc<DataDirectory>>,
 }
 
 impl GatewayPart {
     /// A gateway without links. `now` is on the router's clock.
-    pub fn new(opening: Opening, decoded: &Decoded, seed: u64, now: Micros) -> GatewayPart {
-        let terms = site_terms(&opening, decoded);
-        let Opening { own, peers, homes, session, fates, folder, .. } = opening;
+    pub fn new(setup: GatewaySetup, decoded: &Decoded, seed: u64, now: Micros) -> GatewayPart {
+        let config = site_router_config(&setup, decoded);
+        let GatewaySetup { own, peers, homes, session_field, max_outcomes_per_sender, directory, .. } = setup;
         let (confirmations, written) = mpsc::channel(MAX_CONFIRMATIONS);
-        let outcome_log = folder.map(|folder| OutcomeLog::open(folder, own.incarnation, now, confirmations));
+        let outcome_log =
+            directory.map(|directory| OutcomeLog::open(directory, own.incarnation, now, confirmations));
         let names: Vec<String> = std::iter::once(own.site.clone()).chain(peers).collect();
-        let mut site_router = SiteRouter::new(terms, seed, now);
+        let mut site_router = SiteRouter::new(config, seed, now);
         for (group, site) in homes {
             if let Some(site) = names.iter().position(|name| *name == site) {
                 site_router.assume_home(group, site);
@@ -58,7 +59,7 @@
             names,
             classes: decoded.names(),
             site_router,
-            outcomes: OutcomeTable::new(fates, QUERY_GRACE),
+            outcomes: OutcomeTable::new(max_outcomes_per_sender, QUERY_GRACE),
             peer_gateways: Vec::new(),
             links: HashMap::new(),
             forwarded: HashMap::new(),
@@ -69,7 +70,7 @@
             arriving: HashMap::new(),
             departing: HashMap::new(),
             next_remote_id: FIRST_REMOTE_ID,
-            session_field: session,
+            session_field,
             ended: EndedCounts { since: now, ..EndedCounts::default() },
             draining: false,
             wake_at: now,
@@ -78,13 +79,13 @@
     }
 }
 
-/// The settings as the site router takes them.
-fn site_terms(opening: &Opening, decoded: &Decoded) -> SiteRouterConfig {
+/// The settings in the site router's form.
+fn site_router_config(setup: &GatewaySetup, decoded: &Decoded) -> SiteRouterConfig {
     SiteRouterConfig {
         classes: decoded.terms.classes.iter().map(site_class).collect(),
-        sites: 1 + opening.peers.len(),
-        max_hops: opening.hops,
-        max_credit: opening.credit,
+        sites: 1 + setup.peers.len(),
+        max_hops: setup.max_hops,
+        max_credit: setup.max_credit,
         max_retry_after: decoded.terms.max_cool_down,
     }
 }
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -13,7 +13,7 @@
 mod requests;
 mod warm_state;
 
-pub use gateway::{GatewayPart, Opening};
+pub use gateway::{GatewayPart, GatewaySetup};
 pub use observations::Observations;
 pub use warm_state::WarmState;
 
--- a/crates/proxy/src/lifecycle/startup/gateway.rs
+++ b/crates/proxy/src/lifecycle/startup/gateway.rs
@@ -8,7 +8,7 @@
 use tokio::task::spawn_local;
 
 use super::actors::PersistedState;
-use crate::dispatcher::{GatewayPart, Opening};
+use crate::dispatcher::{GatewayPart, GatewaySetup};
 use crate::gateway::{self, LinkRegistry};
 use crate::lifecycle::configuration::Configuration;
 use crate::lifecycle::errors::ProgramError;
@@ -49,8 +49,8 @@
     if let Some(path) = &gateway.status {
         spawn_local(gateway::serve_status(context.clone(), path.clone()));
     }
-    let opening = opening(context, own, gateway, persisted);
-    Ok(Some(GatewayPart::new(opening, &configuration.settings, configuration.seed, now)))
+    let setup = gateway_setup(context, own, gateway, persisted);
+    Ok(Some(GatewayPart::new(setup, &configuration.settings, configuration.seed, now)))
 }
 
 /// Limits of each link.
@@ -80,20 +80,20 @@
 }
 
 /// What the dispatcher's part starts with.
-fn opening(
+fn gateway_setup(
     context: &ProcessContext,
     own: Identity,
     gateway: GatewayConfig,
     persisted: &PersistedState,
-) -> Opening {
-    Opening {
+) -> GatewaySetup {
+    GatewaySetup {
         own,
         peers: gateway.peers.iter().map(|peer| peer.site.clone()).collect(),
         homes: gateway.homes.into_iter().collect(),
-        hops: gateway.hops.unwrap_or(DEFAULT_MAX_HOPS) as usize,
-        credit: gateway.credit.unwrap_or(DEFAULT_CREDIT),
-        session: gateway.session,
-        fates: context.limits.links.outcomes_per_sender,
-        folder: persisted.directory.clone(),
+        max_hops: gateway.hops.unwrap_or(DEFAULT_MAX_HOPS) as usize,
+        max_credit: gateway.credit.unwrap_or(DEFAULT_CREDIT),
+        session_field: gateway.session,
+        max_outcomes_per_sender: context.limits.links.outcomes_per_sender,
+        directory: persisted.directory.clone(),
     }
 }
