--- a/crates/proxy/src/gateway/link.rs
+++ b/crates/proxy/src/gateway/link.rs
@@ -61,7 +61,24 @@
 
     /// Runs the link until it ends; whether it was ever up.
     pub async fn run(self) -> bool {
-        LinkActor::new(self).run().await
+        let context = self.context.clone();
+        let address = self.address;
+        let mut actor = LinkActor::new(self);
+        let id = actor.id;
+        let Err(end) = actor.exchange_frames().await;
+        // Closes the connection and the dispatcher's outbox before the message below, which may wait for the
+        // dispatcher: nothing more may be handed to this link, or be held for it, meanwhile.
+        match actor.into_state() {
+            LinkState::Up { site } => {
+                let _ = notify(&context, id, LinkEvent::Lost).await;
+                warn!(context.log, "link down"; "link" => id, "site" => site, "peer" => %address, "reason" => %end);
+                true
+            }
+            LinkState::Handshaking { .. } => {
+                warn!(context.log, "link rejected"; "peer" => %address, "reason" => %end);
+                false
+            }
+        }
     }
 }
 
@@ -125,22 +142,9 @@
         }
     }
 
-    /// Runs until the link ends; whether it was ever up.
-    async fn run(mut self) -> bool {
-        let Err(end) = self.exchange_frames().await;
-        let address = self.connection.address;
-        let log = &self.connection.context.log;
-        match &self.state {
-            LinkState::Up { site } => {
-                let _ = self.notify(LinkEvent::Lost).await;
-                warn!(log, "link down"; "link" => self.id, "site" => site, "peer" => %address, "reason" => %end);
-                true
-            }
-            LinkState::Handshaking { .. } => {
-                warn!(log, "link rejected"; "peer" => %address, "reason" => %end);
-                false
-            }
-        }
+    /// How far the link came; drops all the rest.
+    fn into_state(self) -> LinkState {
+        self.state
     }
 
     /// Moves frames in both directions until the link ends.
@@ -268,7 +272,11 @@
     }
 
     async fn notify(&self, event: LinkEvent) -> Result<(), LinkEnd> {
-        let message = DispatcherMessage::Link(LinkMessage { link: self.id, event });
-        self.connection.context.dispatcher.send(message).await.map_err(|_| LinkEnd::Stopped)
+        notify(&self.connection.context, self.id, event).await
     }
 }
+
+async fn notify(context: &ProcessContext, link: LinkId, event: LinkEvent) -> Result<(), LinkEnd> {
+    let message = DispatcherMessage::Link(LinkMessage { link, event });
+    context.dispatcher.send(message).await.map_err(|_| LinkEnd::Stopped)
+}
