--- a/crates/proxy/src/member/actor.rs
+++ b/crates/proxy/src/member/actor.rs
@@ -227,7 +227,7 @@
     /// so this one makes room.
     fn put_back_connection(&mut self, end: &mut QueryEnd) {
         if let Some(connection) = end.connection.take()
-            && self.context.waiting_for_room.get() == 0
+            && self.context.waiting_for_permit.get() == 0
         {
             self.pool.put(connection, end.pool_generation);
         }
--- a/crates/proxy/src/membership/start.rs
+++ b/crates/proxy/src/membership/start.rs
@@ -101,10 +101,10 @@
     config: &MembershipConfig,
 ) -> Result<DatagramSocket, ProgramError> {
     let address = config.listen;
-    let socket = system::bind_datagrams(address).await.map_err(|why| ProgramError::Listen {
+    let socket = system::bind_datagrams(address).await.map_err(|source| ProgramError::Listen {
         field: "membership.listen",
         address,
-        why,
+        source,
     })?;
     Ok(DatagramSocket::new(socket, context.log.clone()))
 }
--- a/crates/proxy/tests/slow_peers.rs
+++ b/crates/proxy/tests/slow_peers.rs
@@ -84,6 +84,7 @@
     }
 }
 
+/// Slow readers must take neither buffer space nor connection slots from others, however often they reconnect.
 #[test]
 fn hundreds_of_slow_readers_do_not_affect_other_clients() {
     let member = with_values();
@@ -116,6 +117,7 @@
     readers.into_iter().for_each(|reader| reader.join().unwrap());
 }
 
+/// A sound client must not be disconnected for a pause, or for a poor line that keeps up with the minimum rate.
 #[test]
 fn a_fast_reader_may_pause_and_a_reader_above_the_least_rate_is_kept() {
     let member = with_values();
@@ -143,6 +145,7 @@
     assert!(!driver.logged("slow clients disconnected"));
 }
 
+/// A client that stops reading must not hold buffer space for ever, and all that it held must be released.
 #[test]
 fn a_client_that_never_reads_its_response_is_disconnected_and_its_buffer_space_freed() {
     let member = with_values();
@@ -162,6 +165,7 @@
     assert!(quick.iter_mut().all(|client| client.answer().unwrap().value.is_some()));
 }
 
+/// A member that sends single bytes must not hold a request up to its deadline.
 #[test]
 fn a_trickling_member_delays_reads_little_and_its_writes_are_not_repeated() {
     for (piece, pause) in [(1, 1000), (1, 250), (20, 250)] {
@@ -187,6 +191,7 @@
     assert_eq!(trickles.requests().len(), 1);
 }
 
+/// A slow but sound member must not be taken for one that trickles.
 #[test]
 fn a_member_that_sends_at_twice_the_least_rate_is_not_cut_off() {
     let steady = Member::start(|text, stream| {
@@ -200,6 +205,7 @@
     assert_eq!(steady.requests().len(), 4);
 }
 
+/// A statement whose last byte was not written never ran, so it may be retried elsewhere.
 #[test]
 fn a_member_that_reads_a_statement_byte_by_byte_never_ran_it() {
     let listener = {
@@ -240,6 +246,7 @@
     assert_eq!(taker.requests().len(), 1);
 }
 
+/// Members that were slow together must serve again once they are sound, not stay ejected.
 #[test]
 fn a_group_whose_members_all_trickled_serves_again_once_they_recover() {
     let ill = Arc::new(AtomicBool::new(true));
@@ -262,6 +269,7 @@
     assert!(good >= 45, "{good}");
 }
 
+/// Clients that never finish a statement must not take the connection slots of others.
 #[test]
 fn partial_statements_at_a_byte_a_second_do_not_affect_other_clients() {
     let member = sound("writer");
@@ -292,6 +300,7 @@
     senders.into_iter().for_each(|sender| sender.join().unwrap());
 }
 
+/// A slow reader must not hold up a shutdown.
 #[test]
 fn shutdown_does_not_wait_for_slow_readers() {
     let member = with_values();
@@ -305,6 +314,7 @@
     assert!(start.elapsed() < MS(10_000), "{:?}", start.elapsed());
 }
 
+/// An operator in trouble lowers limits while the proxy runs, and may mistype.
 #[test]
 fn a_reload_applies_lowered_limits_and_a_wrong_file_changes_nothing() {
     let member = with_values();
@@ -327,6 +337,7 @@
     assert!(Client::connect(driver.address).ask(&value(900_000)).value.is_some());
 }
 
+/// One address must not take all connection slots where the operator forbids it.
 #[test]
 fn connections_of_one_address_are_limited_where_the_operator_says_so() {
     let member = sound("writer");
@@ -343,6 +354,7 @@
     until("its place is free", || Client::narrow(driver.address).is_some());
 }
 
+/// An operator must find a mistake in the file from the message alone.
 #[test]
 fn an_error_in_the_operators_file_names_its_field() {
     let good = config("127.0.0.1:8500".parse().unwrap(), 256, "null");
--- a/crates/proxy/tests/system_calls.rs
+++ b/crates/proxy/tests/system_calls.rs
@@ -182,7 +182,7 @@
         assert_eq!(said.code, "40003", "{error}");
         // Log lines are in order, so nothing is missing before this one.
         driver.signal("-HUP");
-        until("the reload is logged", || driver.logged("configuration read anew"));
+        until("the reload is logged", || driver.logged("configuration reloaded"));
         assert_eq!(driver.logged("member lost"), lost, "{error}");
     }
 }
--- a/crates/site-link/tests/pinned_frames.rs
+++ b/crates/site-link/tests/pinned_frames.rs
@@ -2,7 +2,7 @@
 
 use aldermill_site_link::{
     CapacityAnnouncement, Close, Confirm, Credit, Frame, FrameKind, Hello, HomeAnnouncement, Identity,
-    Inbound, Link, LinkError, LinkLimits, Outbound, OutcomeQuery, OutcomeReply, OutcomeReplyKind, Ping, Pong,
+    Inbound, Link, LinkConfig, LinkError, Outbound, OutcomeQuery, OutcomeReply, OutcomeReplyKind, Ping, Pong,
     Request, Response, ResponseKind,
 };
 use prost::Message;
@@ -74,7 +74,7 @@
         let mut kind = FrameKind::Data(Default::default());
         if let FrameKind::Data(data) = &mut kind {
             data.number = 300;
-            data.value = value;
+            data.is_response = value;
             data.bytes = b"\0part\xff".to_vec();
         }
         pinned(kind, bytes);
@@ -94,7 +94,7 @@
         let mut kind = FrameKind::Window(Default::default());
         if let FrameKind::Window(window) = &mut kind {
             window.number = 300;
-            window.value = value;
+            window.is_response = value;
             window.bytes = 32_768;
         }
         pinned(kind, bytes);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn outcome_of_each_kind() {
+fn response_of_each_kind() {
     let cases: [(ResponseKind, &[u8]); 6] = [
         (ResponseKind::Unset, b"*\x10\x08\xac\x02\x18\xe8\x07\"\x04east(\x050M"),
         (ResponseKind::Served, b"*\x12\x08\xac\x02\x10\x01\x18\xe8\x07\"\x04east(\x050M"),
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn ask() {
+fn outcome_query() {
     pinned(
         FrameKind::OutcomeQuery(OutcomeQuery { number: 300, receiver_incarnation: 9 }),
         b":\x05\x08\xac\x02\x10\t",
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn fate_of_each_kind() {
+fn outcome_reply_of_each_kind() {
     let cases: [(OutcomeReplyKind, &[u8]); 7] = [
         (OutcomeReplyKind::Unset, b"B\x08\x08\xac\x02\x18\xe8\x07 \x05"),
         (OutcomeReplyKind::NeverAccepted, b"B\n\x08\xac\x02\x10\x01\x18\xe8\x07 \x05"),
@@ -165,24 +165,24 @@
     pinned(FrameKind::Pong(Pong { number: 300 }), b"Z\x03\x08\xac\x02");
 }
 
-fn room() -> CapacityAnnouncement {
+fn announcement() -> CapacityAnnouncement {
     CapacityAnnouncement {
         credits: vec![
             Credit { class: "look".into(), requests: 300 },
             Credit { class: "renew".into(), requests: 0 },
         ],
         homes: vec![
-            HomeAnnouncement { group: 7, primary: true },
-            HomeAnnouncement { group: 8, primary: false },
+            HomeAnnouncement { group: 7, has_primary: true },
+            HomeAnnouncement { group: 8, has_primary: false },
         ],
         draining: true,
     }
 }
 
 #[test]
-fn room_with_credits_and_homes() {
+fn capacity_announcement_with_credits_and_homes() {
     pinned(
-        FrameKind::CapacityAnnouncement(room()),
+        FrameKind::CapacityAnnouncement(announcement()),
         b"\
         b \n\t\n\x04look\x10\xac\x02\n\x07\n\x05renew\x12\x04\x08\x07\x10\x01\x12\x02\x08\x08\x18\
         \x01",
@@ -204,7 +204,7 @@
 
 /// A link of site `b` that read the greeting of site `a`, and whose own has gone out.
 fn link() -> Link {
-    let mut link = Link::new(LinkLimits::standard(200_000, 400_000), &identity("b"), 0);
+    let mut link = Link::new(LinkConfig::standard(200_000, 400_000), &identity("b"), 0);
     assert_eq!(link.receive(0, HELLO_A), Ok(vec![Inbound::Greeted(identity("a"))]));
     link.next_bytes(1).unwrap();
     link
@@ -221,7 +221,7 @@
 
 #[test]
 fn the_greeting_that_a_link_sends() {
-    let mut link = Link::new(LinkLimits::standard(200_000, 400_000), &identity("a"), 0);
+    let mut link = Link::new(LinkConfig::standard(200_000, 400_000), &identity("a"), 0);
     assert_eq!(text(&link.next_bytes(1).unwrap()), text(HELLO_A));
 }
 
@@ -277,11 +277,11 @@
     let confirm = Confirm { up_to: 300 };
     crosses(Outbound::Confirm(confirm.clone()), b"\0\0\0\x05J\x03\x08\xac\x02", Inbound::Confirm(confirm));
     crosses(
-        Outbound::CapacityAnnouncement(room()),
+        Outbound::CapacityAnnouncement(announcement()),
         b"\
         \0\0\0\"b \n\t\n\x04look\x10\xac\x02\n\x07\n\x05renew\x12\x04\x08\x07\x10\x01\x12\x02\x08\
         \x08\x18\x01",
-        Inbound::CapacityAnnouncement(room()),
+        Inbound::CapacityAnnouncement(announcement()),
     );
 }
 
