--- a/crates/proxy/src/lifecycle/startup/actors.rs
+++ b/crates/proxy/src/lifecycle/startup/actors.rs
@@ -18,7 +18,7 @@
 use super::resources::{DiscoveryChannels, DispatcherChannels, ReloadChannels, Startup};
 use crate::client;
 use crate::discovery::endpoint_list::EndpointList;
-use crate::discovery::watch::Watch;
+use crate::discovery::watch::{Watch, WatchConfig};
 use crate::dispatcher::{Dispatcher, DispatcherParts, GatewayPart, Observations, WarmState};
 use crate::lifecycle::clock::duration;
 use crate::lifecycle::configuration::{Configuration, ConfigurationFiles};
@@ -238,14 +238,9 @@
     let drain_grace = configuration.settings.drain_grace;
     let mut rng = Pcg64Mcg::seed_from_u64(configuration.seed.rotate_left(DISCOVERY_SEED_ROTATION));
     let delay = start_jitter::start_delay(&configuration.name, drivers, drain_grace, &mut rng);
-    Watch {
-        context: context.clone(),
-        dispatcher: channels.list_updates,
-        requests: channels.list_requests,
-        revision,
-        first: duration(delay),
-        rng,
-    }
+    let config =
+        WatchConfig { requests: channels.list_requests, revision, start_delay: duration(delay), rng };
+    Watch::new(context.clone(), channels.list_updates, config)
 }
 
 /// Accepts clients.
