--- a/crates/proxy/src/member/outcome.rs
+++ b/crates/proxy/src/member/outcome.rs
@@ -8,7 +8,7 @@
 use aldermill_routing::Verdict;
 use thiserror::Error;
 
-use crate::system::Meaning;
+use crate::system::SocketErrorKind;
 
 /// The SQLSTATE codes of members that mean more than "the statement failed".
 pub mod sql_state {
@@ -72,7 +72,7 @@
     #[error("{source}")]
     Socket {
         /// Whom the error speaks of.
-        meaning: Meaning,
+        kind: SocketErrorKind,
         /// What the system said.
         source: io::Error,
     },
@@ -92,7 +92,7 @@
 
 impl From<io::Error> for QueryError {
     fn from(source: io::Error) -> QueryError {
-        QueryError::Socket { meaning: Meaning::of(&source), source }
+        QueryError::Socket { kind: SocketErrorKind::of(&source), source }
     }
 }
 
@@ -142,21 +142,25 @@
 
         // The member does not have the whole query: it never ran.
         (Partly, Err(DeadlinePassed)) => Verdict::Unconnected,
-        (Nothing | Partly, Err(Socket { meaning: Meaning::Local, .. })) => Verdict::LocalFailure,
-        (Nothing | Partly, Err(Socket { meaning: Meaning::Refused, .. })) => Verdict::Unconnected,
-        (Nothing | Partly, Err(Socket { meaning: Meaning::Path, .. })) => Verdict::Unreachable,
+        (Nothing | Partly, Err(Socket { kind: SocketErrorKind::Local, .. })) => Verdict::LocalFailure,
+        (Nothing | Partly, Err(Socket { kind: SocketErrorKind::Refused, .. })) => Verdict::Unconnected,
+        (Nothing | Partly, Err(Socket { kind: SocketErrorKind::Unreachable, .. })) => Verdict::Unreachable,
         // A process that accepted the connection and then broke it is alive.
-        (Nothing | Partly, Err(Socket { meaning: Meaning::Reset, .. })) => Verdict::ConnectionLost,
+        (Nothing | Partly, Err(Socket { kind: SocketErrorKind::Reset, .. })) => Verdict::ConnectionLost,
         (Nothing | Partly, Err(Closed | Malformed | TooSlow)) => Verdict::ConnectionLost,
 
         // The member has the whole query: it may have run.
         (Whole, Err(DeadlinePassed)) => timed_out(evidence),
-        (Whole, Err(Socket { meaning: Meaning::Path, .. })) => timed_out(evidence),
-        (Whole, Err(Socket { meaning: Meaning::Local, .. })) => Verdict::Unobserved,
+        (Whole, Err(Socket { kind: SocketErrorKind::Unreachable, .. })) => timed_out(evidence),
+        (Whole, Err(Socket { kind: SocketErrorKind::Local, .. })) => Verdict::Unobserved,
         (Whole, Err(Malformed | TooSlow)) => Verdict::Malformed,
         // Where only this connection broke, the member stands. If its process did die, the next connection is refused.
-        (Whole, Err(Closed | Socket { meaning: Meaning::Reset | Meaning::Refused, .. })) => {
-            if process_gone() { Verdict::Reset } else { Verdict::Malformed }
+        (Whole, Err(Closed | Socket { kind: SocketErrorKind::Reset | SocketErrorKind::Refused, .. })) => {
+            if process_gone() {
+                Verdict::Reset
+            } else {
+                Verdict::Malformed
+            }
         }
     }
 }
--- a/crates/proxy/tests/clock.rs
+++ b/crates/proxy/tests/clock.rs
@@ -10,6 +10,7 @@
 
 static SUSPENDED: AtomicI64 = AtomicI64::new(7_000_000);
 
+/// Deadlines must not outlive a suspension, and nobody is blamed for one.
 #[test]
 fn a_suspension_advances_the_routers_clock_and_counts_as_a_stall() {
     let clock = Clock::start(unix_now, Some(|| SUSPENDED.load(Ordering::SeqCst)));
@@ -27,6 +28,7 @@
     assert!((clock.at(clock.instant(at)) - at).abs() < 10);
 }
 
+/// A suspension that shrinks would set the clock back.
 #[test]
 fn the_suspended_time_reported_by_the_system_never_decreases() {
     let first = suspended();
@@ -35,16 +37,17 @@
 
 static STEP: AtomicI64 = AtomicI64::new(0);
 
+/// Timeouts must neither fire early nor hang when the wall clock is set.
 #[test]
 fn a_stepped_wall_clock_moves_neither_the_routers_clock_nor_unstalled_time() {
     const HOUR: i64 = 3_600_000_000;
     let clock = Clock::start(|| unix_now() + STEP.load(Ordering::SeqCst), None);
     let unstalled = UnstalledClock::start(clock);
     for step in [-HOUR, 2_000_000, HOUR, -2_000_000] {
-        let (router, wall, lived) = (clock.now(), clock.wall(), unstalled.now());
+        let (router, wall, before) = (clock.now(), clock.wall(), unstalled.now());
         STEP.fetch_add(step, Ordering::SeqCst);
         assert!((0..1_000_000).contains(&(clock.now() - router)));
-        assert!((0..1_000_000).contains(&(unstalled.now() - lived)));
+        assert!((0..1_000_000).contains(&(unstalled.now() - before)));
         assert!((0..1_000_000).contains(&(clock.wall() - wall - step)));
     }
 }
--- a/crates/proxy/tests/slow_peers.rs
+++ b/crates/proxy/tests/slow_peers.rs
@@ -1,4 +1,5 @@
-//! Slow clients and members beside usual ones, with the built program over loopback.
+//! Slow clients and members beside fast ones, over loopback: the slow ones are disconnected in time, the others notice
+//! nothing.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -42,22 +43,22 @@
     look(15000).replace("'k'", &format!("'v{length}'"))
 }
 
-/// Usual clients, one request after another; each comes again where its connection was closed between two.
-struct Usual {
+/// Fast clients that send one request after another, each connecting again where its connection was closed between two.
+struct FastClients {
     stop: Arc<AtomicBool>,
     asked: Arc<AtomicUsize>,
     served: Arc<AtomicUsize>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Usual {
-    fn start(address: SocketAddr, clients: usize) -> Usual {
+impl FastClients {
+    fn start(address: SocketAddr, clients: usize) -> FastClients {
         let (stop, asked, good) = (Arc::default(), Arc::default(), Arc::default());
-        let mut usual = Usual { stop, asked, served: good, threads: Vec::new() };
+        let mut fast = FastClients { stop, asked, served: good, threads: Vec::new() };
         for _ in 0..clients {
-            let (stop, asked) = (usual.stop.clone(), usual.asked.clone());
-            let good = usual.served.clone();
-            usual.threads.push(thread::spawn(move || {
+            let (stop, asked) = (fast.stop.clone(), fast.asked.clone());
+            let good = fast.served.clone();
+            fast.threads.push(thread::spawn(move || {
                 let mut client = Some(Client::connect(address));
                 while !stop.load(Ordering::SeqCst) {
                     let said = client
@@ -72,8 +73,8 @@
                 }
             }));
         }
-        until("the usual load", || usual.asked.load(Ordering::SeqCst) > 3 * clients);
-        usual
+        until("the fast clients' load", || fast.asked.load(Ordering::SeqCst) > 3 * clients);
+        fast
     }
 
     fn end(self) -> (usize, usize) {
@@ -83,17 +84,18 @@
     }
 }
 
+/// Slow readers must take neither buffer space nor connection slots from others, however often they reconnect.
 #[test]
-fn hundreds_of_slow_readers_cost_usual_clients_nothing() {
+fn hundreds_of_slow_readers_do_not_affect_other_clients() {
     let member = with_values();
     let (driver, _) = driver(&[("a", &member)], 48, 256, QUICK);
-    let usual = Usual::start(driver.address, 60);
+    let fast = FastClients::start(driver.address, 60);
     let stop = Arc::<AtomicBool>::default();
     let readers: Vec<_> = (0..240)
         .map(|number| {
             let (address, stop) = (driver.address, stop.clone());
             thread::spawn(move || {
-                // The same come again as soon as they are cut.
+                // They connect again as soon as they are disconnected.
                 while !stop.load(Ordering::SeqCst) {
                     if let Some(mut client) = Client::narrow(address) {
                         client.send(&value([20, 60_000, 1_000_000][number % 3]));
@@ -106,7 +108,7 @@
         .collect();
     thread::sleep(MS(4000));
     stop.store(true, Ordering::SeqCst);
-    let (asked, good) = usual.end();
+    let (asked, good) = fast.end();
     assert!(asked > 500 && good * 100 >= asked * 99, "{good} of {asked}");
     assert!(driver.logged("slow clients disconnected"));
     let peak = driver.memory("VmHWM");
@@ -115,8 +117,13 @@
     readers.into_iter().for_each(|reader| reader.join().unwrap());
 }
 
+/// A sound client must not be disconnected for a pause, or for a poor line that keeps up with the minimum rate.
 #[test]
-fn a_quick_reader_may_pause_and_the_least_rate_is_enough() {
+<<<<<<< HEAD
+fn a_fast_reader_may_pause_and_a_reader_above_the_least_rate_is_kept() {
+=======
+fn a_quick_reader_may_pause_and_the_minimum_rate_is_enough() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let member = with_values();
     let (driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let mut client = Client::narrow(driver.address).unwrap();
@@ -130,7 +137,7 @@
         assert!(more > 0 && !ended, "{came} and {rest}");
         rest += more;
     }
-    // About twice the least rate, in sips, for far longer than who is behind may stay.
+    // About twice the least rate, for far longer than a client below it would be kept.
     let mut client = Client::narrow(driver.address).unwrap();
     client.send(&value(400_000));
     let mut came = 0;
@@ -142,27 +149,37 @@
     assert!(!driver.logged("slow clients disconnected"));
 }
 
+/// A client that stops reading must not hold buffer space for ever, and all that it held must be released.
 #[test]
-fn who_takes_the_head_and_never_the_rest_is_cut_and_the_books_are_closed() {
+<<<<<<< HEAD
+fn a_client_that_never_reads_its_response_is_disconnected_and_its_buffer_space_freed() {
+=======
+fn a_client_that_stops_reading_is_disconnected_and_its_buffer_space_is_released() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let member = with_values();
     let (driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let mut slow: Vec<Client> = (0..20).map(|_| Client::narrow(driver.address).unwrap()).collect();
     for client in &mut slow {
-        // An effectful one: it is served once, whether or not anybody reads of it.
+        // A non-idempotent request: it is served once, whether or not its response is read.
         client.send(&order(15000).replace("'k'", "'v900000'"));
     }
     until("each is cut", || driver.logged("too_slow: ") || driver.logged("buffer_space: "));
     slow.iter_mut().for_each(|client| while !client.sip(4096, MS(0), MS(50)).1 {});
     let orders = member.requests();
     assert!(orders.len() <= 20, "{}", orders.len());
-    // What they held is free again: as many quick ones as ever fit.
+    // The buffer space that they held is free again: as many fast clients as ever fit.
     let mut quick: Vec<Client> = (0..20).map(|_| Client::connect(driver.address)).collect();
     quick.iter_mut().for_each(|client| client.send(&value(900_000)));
     assert!(quick.iter_mut().all(|client| client.answer().unwrap().value.is_some()));
 }
 
+/// A member that sends single bytes must not hold a request up to its deadline.
 #[test]
-fn a_member_that_trickles_costs_a_attempt_and_one_that_is_slow_but_sound_none() {
+<<<<<<< HEAD
+fn a_trickling_member_delays_reads_little_and_its_writes_are_not_repeated() {
+=======
+fn a_member_that_trickles_its_response_costs_one_attempt() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     for (piece, pause) in [(1, 1000), (1, 250), (20, 250)] {
         let trickles = Member::start(move |text, stream| {
             drip(&whole(&[7; 4000], text, "reader"), piece, MS(pause), stream);
@@ -174,7 +191,7 @@
         assert!((0..8).all(|_| served(&client.ask(&look(15000)))));
         assert!(start.elapsed() < MS(8000), "{:?} for {piece} bytes a time", start.elapsed());
     }
-    // An effectful request ends as one that may have run, long before its time is up, and is sent once.
+    // A non-idempotent request fails as one that may have run, long before its deadline, and is sent once.
     let trickles = Member::start(|text, stream| {
         let out = whole(b"x", text, "writer");
         if text.starts_with("/*") { drip(&out, 1, MS(250), stream) } else { drip(&out, 4096, MS(0), stream) }
@@ -186,8 +203,13 @@
     assert_eq!(trickles.requests().len(), 1);
 }
 
+/// A slow but sound member must not be taken for one that trickles.
 #[test]
-fn sixty_kilobytes_at_twice_the_least_rate_are_sound() {
+<<<<<<< HEAD
+fn a_member_that_sends_at_twice_the_least_rate_is_not_cut_off() {
+=======
+fn a_response_at_twice_the_minimum_rate_is_not_broken_off() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let steady = Member::start(|text, stream| {
         let value = vec![7; if text.starts_with("/*") { 60_000 } else { 0 }];
         drip(&whole(&value, text, "writer"), 6_500, MS(100), stream);
@@ -199,8 +221,13 @@
     assert_eq!(steady.requests().len(), 4);
 }
 
+/// A statement whose last byte was not written never ran, so it may be retried elsewhere.
 #[test]
-fn a_member_that_takes_a_statement_byte_by_byte_never_ran_it() {
+<<<<<<< HEAD
+fn a_member_that_reads_a_statement_byte_by_byte_never_ran_it() {
+=======
+fn a_statement_that_a_member_reads_too_slowly_counts_as_never_run() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let listener = {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(2048).unwrap();
@@ -216,18 +243,16 @@
         }
         true
     };
-    // One primary for each group: with two, each said to be it, the request's way would hang on whose word
-    // came last.
+    // One primary in the group: with two, each said to be it, routing would depend on whose report came last.
     let taker = Member::at(listener, bears, |text, stream| serve(text, "writer", stream));
     let replica = sound("reader");
     let (driver, _) = driver(&[("a", &taker), ("b", &replica)], 192, 128, "{}");
     let mut client = Client::connect(driver.address);
     let start = Instant::now();
-    // What is rejected never ran, and may come again: it is attempted at the primary as often as the limits
-    // allow.
+    // A rejected request never ran: it was attempted at the primary as often as the limits on retries allow.
     let said = client.ask(&order(15000).replace("9f", &"9f".repeat(60_000)));
     assert_eq!(said.code, "53300", "{said:?}, after {:?}", start.elapsed());
-    // Those that may be asked of the other are served there.
+    // Reads, which the replica may serve, are served there.
     for _ in 0..4 {
         let said = client.ask(&look(15000).replace("'k'", &format!("'{}'", "k".repeat(120_000))));
         assert!(served(&said), "{said:?}, after {:?}", start.elapsed());
@@ -241,8 +266,13 @@
     assert_eq!(taker.requests().len(), 1);
 }
 
+/// Members that were slow together must serve again once they are sound, not stay ejected.
 #[test]
-fn a_group_whose_members_all_trickle_for_a_while_is_not_stripped() {
+<<<<<<< HEAD
+fn a_group_whose_members_all_trickled_serves_again_once_they_recover() {
+=======
+fn a_group_whose_members_all_trickle_for_a_while_serves_again() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let ill = Arc::new(AtomicBool::new(true));
     let either = |role: &'static str| {
         let ill = ill.clone();
@@ -263,18 +293,23 @@
     assert!(good >= 45, "{good}");
 }
 
+/// Clients that never finish a statement must not take the connection slots of others.
 #[test]
-fn half_statements_at_a_byte_a_second_keep_nobody_out() {
+<<<<<<< HEAD
+fn partial_statements_at_a_byte_a_second_do_not_affect_other_clients() {
+=======
+fn clients_that_never_finish_a_statement_do_not_affect_others() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let member = sound("writer");
     let (driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
-    let usual = Usual::start(driver.address, 20);
+    let fast = FastClients::start(driver.address, 20);
     let mut statement = Vec::new();
     pg::query(&mut statement, &[look(15000).replace("'k'", &format!("'{}'", "k".repeat(40_000))).as_bytes()]);
     let senders: Vec<_> = (0..200)
         .map(|number| {
             let (address, statement) = (driver.address, statement.clone());
             thread::spawn(move || {
-                // Half of them have had an answer before.
+                // Half of them had a response before.
                 let Some(mut client) = Client::narrow(address) else { return };
                 if number % 2 == 0 && client.offer(&look(5000)) {
                     client.answer();
@@ -287,14 +322,15 @@
         })
         .collect();
     thread::sleep(MS(2500));
-    let (asked, good) = usual.end();
+    let (asked, good) = fast.end();
     assert!(asked > 300 && good * 100 >= asked * 99, "{good} of {asked}");
     drop(driver);
     senders.into_iter().for_each(|sender| sender.join().unwrap());
 }
 
+/// A slow reader must not hold up a shutdown.
 #[test]
-fn told_to_stop_it_does_not_wait_for_slow_readers() {
+fn shutdown_does_not_wait_for_slow_readers() {
     let member = with_values();
     let (mut driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let mut slow: Vec<Client> = (0..10).map(|_| Client::narrow(driver.address).unwrap()).collect();
@@ -306,8 +342,13 @@
     assert!(start.elapsed() < MS(10_000), "{:?}", start.elapsed());
 }
 
+/// An operator in trouble lowers limits while the proxy runs, and may mistype.
 #[test]
-fn lowered_limits_hold_from_sighup_on_and_a_wrong_file_changes_nothing() {
+<<<<<<< HEAD
+fn a_reload_applies_lowered_limits_and_a_wrong_file_changes_nothing() {
+=======
+fn lowered_limits_hold_from_sighup_on_and_an_invalid_file_changes_nothing() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let member = with_values();
     let patient = QUICK.replace("\"overdue_ms\":500", "\"overdue_ms\":60000");
     let (driver, _) = driver(&[("a", &member)], 48, 128, &patient);
@@ -328,8 +369,13 @@
     assert!(Client::connect(driver.address).ask(&value(900_000)).value.is_some());
 }
 
+/// One address must not take all connection slots where the operator forbids it.
 #[test]
-fn an_address_may_have_so_many_connections_where_the_operator_says_so() {
+<<<<<<< HEAD
+fn connections_of_one_address_are_limited_where_the_operator_says_so() {
+=======
+fn an_address_is_kept_to_its_configured_number_of_connections() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let member = sound("writer");
     let few = r#"{"slow_peers":{"per_address":{"connections":3,"room_kib":4000}}}"#;
     let (driver, _) = driver(&[("a", &member)], 48, 128, few);
@@ -344,8 +390,13 @@
     until("its place is free", || Client::narrow(driver.address).is_some());
 }
 
+/// An operator must find a mistake in the file from the message alone.
 #[test]
-fn what_is_wrong_with_the_operators_file_is_said_with_its_path() {
+<<<<<<< HEAD
+fn an_error_in_the_operators_file_names_its_field() {
+=======
+fn an_invalid_operator_file_is_reported_with_the_path_of_the_field() {
+>>>>>>> 54c0ae22c40b547e6eaba6e3217faeb96b2d27bd
     let good = config("127.0.0.1:8500".parse().unwrap(), 256, "null");
     let check = |operator: &str| {
         let (mut command, path) = aldermill(&["check"], &good);
