--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -21,11 +21,11 @@
 struct DecidedAttempt {
     handle: Handle,
     member: MemberId,
-    /// How long it may last.
+    /// How long it may take, in microseconds.
     timeout: Micros,
-    /// Whether it needs a new connection.
+    /// Whether it must use a new connection.
     afresh: bool,
-    /// What must still hold when it leaves.
+    /// What must still hold when it is sent.
     validity: Validity,
 }
 
@@ -71,16 +71,17 @@
         client.answer(answer);
     }
 
-    /// Answers a request whose member answered while there is no room for that answer.
-    pub(super) fn answer_without_room(&mut self, handle: Handle) {
+    /// Answers a request whose member responded while there was no buffer space for the response.
+    pub(super) fn answer_without_buffer_space(&mut self, handle: Handle) {
         let Some(open) = self.open_requests.get(&handle) else { return };
         let Ok(class) = self.decoded.class(&open.request.comment.class) else { return };
-        let answer = self.without_room(class);
+        let answer = self.no_buffer_space_answer(class);
         self.answer(handle, answer);
     }
 
-    /// What a client hears whose answer finds no room: an idempotent request may be rejected, any other did run.
-    pub(super) fn without_room(&self, class: usize) -> Answer {
+    /// The answer where there is no buffer space for a response: an idempotent request is rejected, as it may be repeated;
+    /// any other has run, and has failed for its client.
+    pub(super) fn no_buffer_space_answer(&self, class: usize) -> Answer {
         let terms = &self.decoded.terms;
         match terms.classes[class].effect {
             Effect::Pure => Answer::Rejected {
@@ -92,7 +93,8 @@
 
     fn send_attempt(&mut self, decided: DecidedAttempt) {
         let Some(open) = self.open_requests.get(&decided.handle) else { return };
-        let (handle, member) = (decided.handle, decided.member);
+        let handle = decided.handle;
+        let member = decided.member;
         let entry = self.members[member].as_ref();
         if let Some(observations) = &mut self.observations {
             observations.record_attempt(handle, entry, &self.decoded, &open.request);
@@ -105,7 +107,7 @@
         }
     }
 
-    /// The attempt as its member's actor takes it. It never lasts past the request's deadline.
+    /// The attempt as its member's actor takes it. Its deadline is never later than the request's.
     fn attempt(&self, decided: DecidedAttempt, open: &OpenRequest, entry: Option<&MemberEntry>) -> Attempt {
         let decided_at = Instant::now();
         let deadline = self.context.clock.instant(open.deadline);
@@ -140,20 +142,21 @@
 
     fn close_idle_connections(&self, member: MemberId) {
         if let Some(entry) = &self.members[member] {
-            // A full mailbox means that its connections are wanted.
+            // A full mailbox means that the member is busy and needs its connections.
             let _ = entry.commands.try_send(MemberCommand::CloseIdle);
         }
     }
 
-    /// The first request is there: the endpoint list is asked for now.
+    /// Asks for the endpoint list, when the first request is there.
     fn ask_for_list(&self) {
         if let Some(list_wanted) = &self.list_wanted {
             let _ = list_wanted.try_send(());
         }
     }
 
-    /// A member found no descriptor free: idle connections of others make room, those that rested longest. Protects
-    /// the rest, which are used again. One that is taken into use just then makes no room, so some are closed.
+    /// A member needs a descriptor for a connection and none is free: connections of other members that have been idle
+    /// longest are closed, as they are the least likely to be used again. Several are, because one may be taken into use
+    /// before its member closes it.
     pub(super) fn free_descriptors(&mut self, member: MemberId) {
         for id in self.members_by_idle_time(member).into_iter().take(CLOSED_PER_DESCRIPTOR) {
             let Some(entry) = &self.members[id] else { continue };
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Members with idle connections but for `excluded`, the longest idle first.
+    /// Members with idle connections except `excluded`, the longest idle first.
     fn members_by_idle_time(&self, excluded: MemberId) -> Vec<MemberId> {
         let mut idle: Vec<(Instant, MemberId)> = Vec::new();
         for (id, entry) in self.members.iter().enumerate().filter(|(id, _)| *id != excluded) {
@@ -178,7 +181,7 @@
     }
 }
 
-/// The end of an attempt that never left this process.
+/// The end of an attempt that was never sent.
 fn attempt_not_sent(handle: Handle, decided_at: Instant) -> AttemptFinished {
     AttemptFinished {
         request: handle,
--- a/crates/proxy/src/dispatcher/gateway/link_events.rs
+++ b/crates/proxy/src/dispatcher/gateway/link_events.rs
@@ -104,7 +104,7 @@
         let room = self.context.flow_control.try_reserve(owner, value.len());
         let answer = match room {
             Some(_) => Answer::Served(Rows { pieces: vec![value], reservation: room }),
-            None => self.without_room(forwarded.class),
+            None => self.no_buffer_space_answer(forwarded.class),
         };
         Some(ReceivedAnswer { handle, answer })
     }
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -1,7 +1,7 @@
 //! The actor that owns the router: every decision is asked for here, and carried out at once.
 //!
-//! This file holds the actor's loop. What it turns to stands beside it: requests, the router's actions, the endpoint
-//! list, the members' clock, observations, the warm state, and the gateway part.
+//! This file holds the actor's loop. The files beside it hold what the loop calls: requests, the router's actions, the
+//! endpoint list, the members' clock, observations, the warm state, and the gateway part.
 
 mod actions;
 mod endpoints;
@@ -35,89 +35,94 @@
 use crate::messages::{ClientId, DispatcherMessage, FleetSize, ListUpdate};
 use crate::shadow::ShadowRouter;
 
-/// How often other actors have their turn after a stall, before the dispatcher goes on: to be woken by what came,
-/// to read it, and to hand it on.
+/// How often all other actors run after a stall before the dispatcher goes on: once to be woken by what arrived, once to
+/// read it, once to pass it on.
 const TURNS_AFTER_STALL: usize = 3;
 
-/// What the dispatcher turns to.
+/// What makes the dispatcher act.
 enum Event {
+    /// The discovery watch has a new endpoint list, a change to it, or no connection.
     ListUpdate(ListUpdate),
+    /// The router wants to be woken now.
     RouterDue,
+    /// The site router wants to be woken now.
     SitesDue,
+    /// The process is to stop.
     Stopping,
-    /// A record of the outcome log was written, or was not.
+    /// A record of the outcome log was written (`true`), or could not be.
     RecordWritten(bool),
     /// A record of the outcome log has waited too long.
     RecordLate,
+    /// Another actor sent a message.
     Message(DispatcherMessage),
 }
 
-/// Where the dispatcher's events come from, but for its own timers.
+/// Where the dispatcher's events come from, except for its timers.
 struct Inputs {
     list_updates: mpsc::Receiver<ListUpdate>,
     messages: mpsc::Receiver<DispatcherMessage>,
     stopping: watch::Receiver<Option<tokio::time::Instant>>,
 }
 
-/// What a dispatcher is made of at its start.
+/// What a dispatcher starts with.
 pub struct DispatcherParts {
-    /// What every actor needs.
+    /// What all actors share.
     pub context: Rc<ProcessContext>,
     /// The settings in force.
     pub decoded: Decoded,
     /// Seed of the router's random choices.
     pub seed: u64,
-    /// Present where this process is a gateway to other sites.
+    /// `None` if this process is no gateway to other sites.
     pub gateway_part: Option<GatewayPart>,
     /// Other settings, whose decisions are only compared.
     pub shadow: Option<ShadowRouter>,
     /// What a former start saved, and where snapshots for the next one are published.
     pub warm_state: WarmState,
-    /// Present where the processes decide on zones or splits together.
+    /// `None` if the fleet takes no decisions in common.
     pub observations: Option<Observations>,
     /// Set once there is an endpoint list to decide on.
     pub ready: watch::Sender<bool>,
-    /// Where the first request asks for the endpoint list.
+    /// Where the first request asks for the endpoint list; `None` if the discovery watch asks by itself.
     pub list_wanted: Option<mpsc::Sender<()>>,
 }
 
-/// The actor that owns the router and the requests under way.
+/// The actor that owns the router and the open requests.
 pub struct Dispatcher {
     context: Rc<ProcessContext>,
     decoded: Decoded,
     router: Router,
     shadow: Option<ShadowRouter>,
     gateway_part: Option<GatewayPart>,
-    /// By the router's index; an index whose member was let go stands empty until it is given out anew.
+    /// By the router's index: `None` where the member was removed and the index is not in use again yet.
     members: Vec<Option<MemberEntry>>,
     member_ids: HashMap<String, MemberId>,
-    /// What the members' clock is ahead of the router's.
+    /// By how much the members' clock is ahead of the router's.
     clock_offset: ClockOffset,
-    /// What the router was last told of that, in microseconds.
+    /// What the router was last told of the clock offset, in microseconds.
     reported_offset: Micros,
-    /// Groups that were ever listed.
+    /// All groups that have been in the endpoint list since the start.
     groups: HashSet<u64>,
     open_requests: HashMap<Handle, OpenRequest>,
-    /// The ids, as clients give them, of the requests under way.
+    /// The ids that clients gave their open requests.
     open_ids: HashSet<String>,
     locations: HashMap<ClientId, RequestLocation>,
-    /// What ended while a decision was being carried out.
+    /// Ends of attempts and health checks that came up while a decision was carried out: handled after it.
     deferred: VecDeque<DispatcherMessage>,
     warm_state: WarmState,
     last_endpoint_list: LastEndpointList,
     observations: Option<Observations>,
-    /// When the router wants to be woken, on its clock.
+    /// When the router wants to be woken, on its clock, in microseconds.
     wake_at: Micros,
-    /// The stalled time that router and sites were told of.
+    /// The stalled time that both routers were told of, in microseconds.
     reported_stall: Micros,
     ready: watch::Sender<bool>,
     list_wanted: Option<mpsc::Sender<()>>,
-    /// Who waits until no remote request is under way.
-    remote_end_waiters: Vec<oneshot::Sender<()>>,
+    /// Notified once no remote request is open.
+    remote_requests_waiters: Vec<oneshot::Sender<()>>,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows no member yet.
+    /// A dispatcher without members: the endpoint list brings them.
     pub fn new(parts: DispatcherParts) -> Dispatcher {
         let now = parts.context.clock.now();
         Dispatcher {
@@ -141,13 +146,13 @@
             reported_stall: 0,
             ready: parts.ready,
             list_wanted: parts.list_wanted,
-            remote_end_waiters: Vec::new(),
+            remote_requests_waiters: Vec::new(),
             context: parts.context,
         }
     }
 
-    /// Serves until every other actor is gone. Nothing here ever waits for another actor, but for some turns of all
-    /// after a stall.
+    /// Serves until every other actor is gone. It never waits for another actor; only after a stall it lets all others run
+    /// a few times.
     pub async fn run(
         mut self,
         list_updates: mpsc::Receiver<ListUpdate>,
@@ -161,12 +166,12 @@
             while let Some(message) = self.deferred.pop_front() {
                 self.handle_message(message);
             }
-            self.notify_remote_end();
+            self.notify_remote_requests_waiters();
         }
     }
 
-    /// The next event; `None` once every other actor is gone. The list comes first: the rule on drains counts from
-    /// when it was written.
+    /// The next event; `None` once every other actor is gone. The endpoint list comes first, because the time that a drain
+    /// allows counts from when the list was written.
     async fn next_event(&mut self, inputs: &mut Inputs) -> Option<Event> {
         let clock = self.context.clock;
         let gateway_part = self.gateway_part.as_mut();
@@ -188,7 +193,8 @@
         }
     }
 
-    /// After a stall, what the list said meanwhile comes before what it forbids: the list's actor reads it first.
+    /// After a stall, applies what discovery sent meanwhile before anything else is decided: a member may drain by now. The
+    /// discovery watch has to run first, to read it.
     async fn catch_up_after_stall(&mut self, list_updates: &mut mpsc::Receiver<ListUpdate>) {
         let stalled = self.context.unstalled_clock.stalled_for() - self.reported_stall;
         if stalled <= 0 {
@@ -204,7 +210,7 @@
         }
     }
 
-    /// Whoever decides hears of a stall before anything that fell into it.
+    /// Tells both routers of a stall, before anything that arrived during it.
     fn report_stall(&mut self) {
         let total = self.context.unstalled_clock.stalled_for();
         let unreported = total - std::mem::replace(&mut self.reported_stall, total);
@@ -234,7 +240,7 @@
             DispatcherMessage::HealthCheckFinished(finished) => self.health_check_finished(finished),
             DispatcherMessage::ShadowReplaced(shadow) => self.replace_shadow(shadow.map(|shadow| *shadow)),
             DispatcherMessage::Link(message) => self.link_message(message.link, message.event),
-            DispatcherMessage::AwaitRemoteRequests(reply) => self.await_remote_end(reply),
+            DispatcherMessage::AwaitRemoteRequests(reply) => self.await_remote_requests(reply),
             DispatcherMessage::FleetSize(size) => self.fleet_size(&size),
             DispatcherMessage::TakeObservations(reply) => self.report_observations(reply),
             DispatcherMessage::ZoneDirectives(leans) => self.zone_directives(&leans),
@@ -246,7 +252,7 @@
         }
     }
 
-    /// Asks the router, and, for a sample, a copy of it under other settings, whose actions are only compared.
+    /// Has the router decide. For a sample of decisions, a copy under other settings decides as well, and is only compared.
     fn decide<T>(&mut self, decision: impl Fn(&mut Router) -> (T, Actions)) -> (T, Actions) {
         self.report_stall();
         let Some(shadow) = &mut self.shadow else { return decision(&mut self.router) };
@@ -275,26 +281,26 @@
         self.shadow = shadow;
     }
 
-    /// The program is about to end: the last counts of a shadow evaluation are logged, and `reply` is sent once no
-    /// remote request is under way.
-    fn await_remote_end(&mut self, reply: oneshot::Sender<()>) {
+    /// The process is about to end: logs the last counts of a shadow evaluation, and sends `reply` once no remote request is
+    /// open.
+    fn await_remote_requests(&mut self, reply: oneshot::Sender<()>) {
         if let Some(shadow) = &mut self.shadow {
             shadow.log_counts(&self.context.log);
         }
-        self.remote_end_waiters.push(reply);
+        self.remote_requests_waiters.push(reply);
     }
 
-    fn notify_remote_end(&mut self) {
+    fn notify_remote_requests_waiters(&mut self) {
         if self.gateway_part.as_ref().is_some_and(|gateway_part| gateway_part.remote_requests() > 0) {
             return;
         }
-        for waiter in self.remote_end_waiters.drain(..) {
+        for waiter in self.remote_requests_waiters.drain(..) {
             let _ = waiter.send(());
         }
     }
 }
 
-/// The next confirmation of a record of the outcome log, where there is one.
+/// Whether the next record of the outcome log was written; `None` without such a log, or once its writer is gone.
 async fn next_written(written: Option<&mut mpsc::Receiver<bool>>) -> Option<bool> {
     match written {
         Some(written) => written.recv().await,
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -136,7 +136,7 @@
         self.observe_end(handle, verdict, elapsed);
         match finished.response {
             AttemptResponse::Rows(rows) => self.answer(handle, Answer::Served(rows)),
-            AttemptResponse::TooLarge => self.answer_without_room(handle),
+            AttemptResponse::TooLarge => self.answer_without_buffer_space(handle),
             AttemptResponse::None => {}
         }
         let open = self.open_requests.get(&handle);
