--- a/crates/proxy/src/persistence/mod.rs
+++ b/crates/proxy/src/persistence/mod.rs
@@ -1,5 +1,5 @@
 //! What survives a restart: the data directory and its opening, and the actor that saves snapshots of what the proxy
-//! knows. `docs/coming-back.md` says what an operator sees of it.
+//! knows. `docs/restart.md` says what an operator sees of it.
 //!
 //! Nobody waits for a disk: file calls are made on threads of their own, and a start that finds the directory slow goes
 //! on without what it holds.
