--- a/crates/proxy/src/member/connection.rs
+++ b/crates/proxy/src/member/connection.rs
@@ -36,12 +36,12 @@
 impl Connection {
     /// Whether the other side has reset it, where no read has seen that yet.
     pub(super) fn is_reset(&self) -> bool {
-        matches!(system::peek(&self.stream), Peeked::Broken(SocketErrorKind::Reset))
+        matches!(system::peek(&self.stream), Peeked::Failed(SocketErrorKind::Reset))
     }
 
     /// Whether it still stands, and nothing has come on it that was not asked for.
     pub(super) fn is_quiet(&self) -> bool {
-        self.buffer.is_empty() && matches!(system::peek(&self.stream), Peeked::Quiet)
+        self.buffer.is_empty() && matches!(system::peek(&self.stream), Peeked::NoData)
     }
 }
 
@@ -130,12 +130,12 @@
     id: MemberId,
     deadline: Instant,
 ) -> Result<OwnedSemaphorePermit, QueryError> {
-    if let Ok(permit) = context.member_room.clone().try_acquire_owned() {
+    if let Ok(permit) = context.member_connection_permits.clone().try_acquire_owned() {
         return Ok(permit);
     }
     let _ = context.dispatcher.send(DispatcherMessage::DescriptorsExhausted(id)).await;
-    let _waiting = DescriptorWait::start(&context.waiting_for_room);
-    let permit = timeout_at(deadline, context.member_room.clone().acquire_owned()).await;
+    let _waiting = DescriptorWait::start(&context.waiting_for_permit);
+    let permit = timeout_at(deadline, context.member_connection_permits.clone().acquire_owned()).await;
     permit.ok().and_then(Result::ok).ok_or(QueryError::NoDescriptor)
 }
 
--- a/crates/proxy/src/member/response.rs
+++ b/crates/proxy/src/member/response.rs
@@ -129,7 +129,7 @@
     ) -> Result<std::io::Result<usize>, Elapsed> {
         let Connection { stream, buffer, .. } = connection;
         let read = timeout_at(wait_until, system::read(Party::Member, stream, buffer.tail())).await;
-        if read.is_err() && matches!(system::peek(stream), Peeked::Unread | Peeked::Ended) {
+        if read.is_err() && matches!(system::peek(stream), Peeked::Unread | Peeked::EndOfStream) {
             let limit = self.context.limits.member.completion_timeout;
             return timeout(limit, system::read(Party::Member, stream, buffer.tail())).await;
         }
--- a/crates/proxy/src/system/acceptor.rs
+++ b/crates/proxy/src/system/acceptor.rs
@@ -1,5 +1,6 @@
-//! Accepts connections, and goes on after errors.
+//! Accepting connections whatever errors the system reports meanwhile.
 
+use std::io;
 use std::net::SocketAddr;
 use std::os::fd::AsRawFd;
 use std::time::Duration;
@@ -9,92 +10,102 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use uapi::c;
 
-use super::{AcceptError, accept, accept_local};
+use super::AcceptError;
+use super::injection::{SystemCall, injected};
 
-/// The wait after the first failure that the next call would meet again; it doubles with each failure.
+/// The wait after the first error that the next call would only meet again; doubled after each that follows.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(2);
-/// The longest wait: a new client waits no longer once the failure is over.
+/// The longest of these waits, and so what accepting is late by once the system has descriptors again.
 const MAX_BACKOFF: Duration = Duration::from_millis(100);
+/// How long a connection in the backlog is waited for until the backlog is looked at again: the runtime may not yet have
+/// noticed it.
+const READINESS_WAIT: Duration = Duration::from_millis(2);
 
 /// A socket that connections are accepted from.
 pub trait Listener: AsRawFd {
-    /// A connection, with the peer's address where it has one.
+    /// What an accepted connection is.
     type Accepted;
-    /// Waits for the next connection. Nothing is lost where the wait is given up.
-    fn accepted(&self) -> impl Future<Output = Result<Self::Accepted, AcceptError>>;
+
+    /// The next connection. Cancel safe.
+    fn accept_next(&self) -> impl Future<Output = Result<Self::Accepted, AcceptError>>;
 }
 
 impl Listener for TcpListener {
     type Accepted = (TcpStream, SocketAddr);
-    async fn accepted(&self) -> Result<Self::Accepted, AcceptError> {
-        accept(self).await
+
+    async fn accept_next(&self) -> Result<Self::Accepted, AcceptError> {
+        let Err(fault) = injected(SystemCall::Accept) else { return Ok(self.accept().await?) };
+        if fault.kind() == io::ErrorKind::ConnectionAborted {
+            // The connection that is gone was one of the backlog.
+            self.accept().await?;
+        }
+        Err(fault.into())
     }
 }
 
 impl Listener for UnixListener {
     type Accepted = UnixStream;
-    async fn accepted(&self) -> Result<Self::Accepted, AcceptError> {
-        accept_local(self).await
+
+    async fn accept_next(&self) -> Result<Self::Accepted, AcceptError> {
+        injected(SystemCall::AcceptLocal)?;
+        Ok(self.accept().await?.0)
     }
 }
 
-/// Accepts connections from a listening socket, and goes on after errors.
+/// A listening socket, and what is remembered of its errors.
 ///
-/// A connection that is gone before it was accepted is skipped at once. After other errors it backs off, while whoever
-/// waits here may do other things: without that, a call that fails at once would be made in a loop that starves the
-/// rest of the process. The cost: new connections wait up to [`MAX_BACKOFF`] longer.
+/// A connection that is gone is passed over at once. After any other error accepting backs off, longer each time: without
+/// that the process would spin over a call that fails at once, and serve nobody else. The cost: new connections wait that
+/// much longer in the backlog.
 pub struct Acceptor<L> {
     listener: L,
     log: Logger,
-    /// The wait after the next failure.
     backoff: Duration,
-    /// When accepting is tried again after a failure.
     retry_at: Option<Instant>,
-    /// Whether the failure was logged; it is logged once until a connection is accepted again.
+    /// Whether the errors since the last accepted connection are logged.
     failure_logged: bool,
 }
 
 impl<L: Listener> Acceptor<L> {
-    /// An acceptor for a socket that listens already.
+    /// For a socket that listens.
     pub fn new(listener: L, log: Logger) -> Acceptor<L> {
         Acceptor { listener, log, backoff: INITIAL_BACKOFF, retry_at: None, failure_logged: false }
     }
 
-    /// The next connection, however long that takes. Nothing is lost where the wait is given up.
+    /// The next connection, however long that takes. Cancel safe.
     pub async fn next(&mut self) -> L::Accepted {
         loop {
             self.wait_for_retry().await;
-            let accepted = self.listener.accepted().await;
-            if let Some(accepted) = self.handle(accepted) {
-                return accepted;
+            let accepted = self.listener.accept_next().await;
+            if let Some(connection) = self.handle(accepted) {
+                return connection;
             }
         }
     }
 
-    /// The next connection of those that wait in the backlog by now; `None` once there is none. Only an empty backlog
-    /// ends it, or a socket that is of no use: after any other error it is tried again.
+    /// The next connection of the backlog; `None` once that is empty, or the socket is of no use. After any other error
+    /// it is tried again.
     pub async fn next_waiting(&mut self) -> Option<L::Accepted> {
         while self.has_waiting() {
             self.wait_for_retry().await;
             let accepted = tokio::select! {
                 biased;
-                accepted = self.listener.accepted() => accepted,
-                // The runtime has not yet been notified of the connection that waits.
-                () = sleep(INITIAL_BACKOFF) => continue,
+                accepted = self.listener.accept_next() => accepted,
+                () = sleep(READINESS_WAIT) => continue,
             };
-            let socket_failed = matches!(accepted, Err(AcceptError::Failed(_)));
-            if let Some(accepted) = self.handle(accepted) {
-                return Some(accepted);
+            let has_failed = matches!(accepted, Err(AcceptError::Failed(_)));
+            if let Some(connection) = self.handle(accepted) {
+                return Some(connection);
             }
-            if socket_failed {
+            if has_failed {
                 return None;
             }
         }
         None
     }
 
-    /// Whether a connection waits to be accepted. Asked separately, as without a free descriptor `accept` fails whether
-    /// or not a connection waits.
+    /// Whether the backlog holds a connection. Accepting cannot tell: without free descriptors it also fails where there
+    /// is none.
     fn has_waiting(&self) -> bool {
         let mut polled = [c::pollfd { fd: self.listener.as_raw_fd(), events: c::POLLIN, revents: 0 }];
         uapi::poll(&mut polled, 0).map_or(true, |ready| ready > 0)
@@ -107,12 +118,15 @@
         }
     }
 
-    /// The connection, if there is one; after a failure that the next call would meet again, a wait is due.
+    /// The connection, if there is one; if not, a wait is due where the next call would only fail again.
     fn handle(&mut self, accepted: Result<L::Accepted, AcceptError>) -> Option<L::Accepted> {
         match accepted {
-            Ok(accepted) => {
-                self.note_success();
-                Some(accepted)
+            Ok(connection) => {
+                self.backoff = INITIAL_BACKOFF;
+                if std::mem::take(&mut self.failure_logged) {
+                    info!(self.log, "accepting connections again");
+                }
+                Some(connection)
             }
             Err(AcceptError::Gone(_)) => None,
             Err(error) => {
@@ -122,18 +136,11 @@
         }
     }
 
-    fn note_success(&mut self) {
-        self.backoff = INITIAL_BACKOFF;
-        if std::mem::take(&mut self.failure_logged) {
-            info!(self.log, "accepting again");
-        }
-    }
-
     fn back_off(&mut self, error: &AcceptError) {
         self.retry_at = Some(Instant::now() + self.backoff);
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
         if !std::mem::replace(&mut self.failure_logged, true) {
-            warn!(self.log, "accepting failed"; "error" => %error);
+            warn!(self.log, "cannot accept connections, trying again"; "error" => %error);
         }
     }
 }
--- a/crates/proxy/src/system/errors.rs
+++ b/crates/proxy/src/system/errors.rs
@@ -1,26 +1,26 @@
-//! What errors of system calls on sockets say about this machine and the peer, as Linux documents them.
+//! What errors of system calls on sockets say, as Linux documents them.
 
 use std::io;
 
 use thiserror::Error;
 use uapi::c;
 
-/// What an error of connecting, reading or writing says.
+/// What an error of connecting, reading or writing says of the two ends and the path between them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketErrorKind {
-    /// This machine lacks a descriptor, port, memory or route, or a firewall rule of its own forbids the call.
-    /// Nothing is known of the peer.
+    /// This machine has no descriptor, port, memory or route, or a rule of its own forbids the call. Nothing is known of
+    /// the other side.
     Local,
-    /// The peer's machine answers, and no process listens at that address (ECONNREFUSED).
+    /// Nobody listens at that address (ECONNREFUSED).
     Refused,
-    /// The peer, or a machine between, ended the connection (ECONNRESET, EPIPE, ECONNABORTED).
+    /// The other side, or a machine on its behalf, ended the connection (ECONNRESET, EPIPE).
     Reset,
-    /// Nothing gets through to the peer's machine (ETIMEDOUT, EHOSTUNREACH); its process may well be running.
+    /// Nothing comes through to the other side (ETIMEDOUT, EHOSTUNREACH); its process may well live.
     Unreachable,
 }
 
 impl SocketErrorKind {
-    /// Classifies an error of [`super::connect`], [`super::read`], [`super::write`] or [`super::peek`].
+    /// The kind of an error of a call on a connection, by its number.
     pub fn of(error: &io::Error) -> SocketErrorKind {
         match error.raw_os_error() {
             Some(c::ECONNREFUSED) => SocketErrorKind::Refused,
@@ -29,30 +29,31 @@
                 SocketErrorKind::Unreachable
             }
             Some(_) => SocketErrorKind::Local,
-            // Not from the system: marked by [`local`], or the peer's end where more had to come.
+            // Not the system's: the end of the stream within a message, or one that `as_local` marked.
             None if error.get_ref().is_some_and(|inner| inner.is::<LocalError>()) => SocketErrorKind::Local,
             None => SocketErrorKind::Reset,
         }
     }
 }
 
-/// An error that lies with this machine whatever its number.
+/// An error that is this machine's whatever its number says.
 #[derive(Debug, Error)]
 #[error("no socket: {0}")]
 struct LocalError(io::Error);
 
-/// Marks an error as one that lies with this machine.
-pub(super) fn local(error: io::Error) -> io::Error {
+/// Marks an error as this machine's.
+pub(super) fn as_local(error: io::Error) -> io::Error {
     io::Error::new(error.kind(), LocalError(error))
 }
 
 /// Why a connection was not accepted.
 #[derive(Debug, Error)]
 pub enum AcceptError {
-    /// The connection was closed before it was accepted, or the call was interrupted: the next one is accepted at once.
+    /// The connection went away before it was accepted, or a signal interrupted the call: the next one is accepted at
+    /// once.
     #[error("connection gone before it was accepted: {0}")]
     Gone(io::Error),
-    /// No descriptor or memory is free. The connection waits in the backlog meanwhile.
+    /// The process or the machine has no descriptor or memory left. The connection waits in the backlog.
     #[error(
         "no descriptor or memory free to accept a connection, tried again; raise the limit on open files: {0}"
     )]
@@ -67,7 +68,7 @@
         match error.raw_os_error() {
             Some(c::EMFILE | c::ENFILE | c::ENOBUFS | c::ENOMEM) => AcceptError::Exhausted(error),
             Some(c::EBADF | c::EINVAL | c::ENOTSOCK | c::EFAULT) => AcceptError::Failed(error),
-            // Among them network errors that are pending on the new connection, which accept reports.
+            // Errors of the network that are pending on the new connection are among them: accept passes those on.
             _ => AcceptError::Gone(error),
         }
     }
--- a/crates/proxy/src/system/faults.rs
+++ b/crates/proxy/src/system/faults.rs
@@ -1,9 +1,9 @@
-//! Makes system calls fail in tests. Only builds with debug assertions contain it, release builds never do.
+//! Failing system calls for tests; only in builds with debug assertions, never in released ones.
 //!
-//! `ALDERMILL_TEST_FAULTS` names a file that is read before each call. Each of its lines is a rule of four words: the
-//! call, the error, the chance in percent and the number of failures, as in `socket EMFILE 100 7`; the last may be
-//! `-` for no limit. A line `seed 3` seeds the random draws. Without the file nothing fails. Tests replace the file by
-//! renaming; its rules start anew when its text changes.
+//! `ALDERMILL_TEST_FAULTS` names a file that is read before each call. Each of its lines is a rule of four words: the call,
+//! the error, the chance in percent and the most failures, as in `socket EMFILE 100 7`; the last may be `-` for no limit.
+//! A line `seed 3` fixes the chance. While there is no such file, nothing fails. A test replaces the file by renaming
+//! another; the rules start afresh when its text changes.
 
 use std::cell::RefCell;
 use std::io;
@@ -12,19 +12,20 @@
 use rand_pcg::Pcg64Mcg;
 use uapi::c;
 
-use super::{Party, SystemCall};
+use super::Party;
+use super::injection::SystemCall;
 
-/// The environment variable that names the file of rules.
-const FILE_VARIABLE: &str = "ALDERMILL_TEST_FAULTS";
+/// The environment variable that names the file.
+const FILE: &str = "ALDERMILL_TEST_FAULTS";
 
-/// A kind of call that is to fail.
+/// One line of the file.
 struct Rule {
     call: SystemCall,
-    /// The error's number, as the system counts.
-    errno: i32,
-    /// The chance of each call to fail, in percent.
+    /// The number of the error.
+    error: i32,
+    /// The chance that a call fails.
     percent: u32,
-    /// Failures that are still to come; `None` for no limit.
+    /// Calls that may still fail; `None` for no limit.
     failures_left: Option<u32>,
 }
 
@@ -38,30 +39,31 @@
 }
 
 thread_local! {
+    /// `None` without the environment variable.
     static FAULTS: RefCell<Option<Faults>> =
-        RefCell::new(std::env::var_os(FILE_VARIABLE).map(|_| Faults::default()));
+        RefCell::new(std::env::var_os(FILE).map(|_| Faults::default()));
 }
 
-/// The error that this call is to fail with.
-pub fn draw(call: SystemCall) -> Option<io::Error> {
+/// The error that this call is to fail with, if any.
+pub(super) fn draw(call: SystemCall) -> Option<io::Error> {
     FAULTS.with_borrow_mut(|faults| faults.as_mut()?.draw(call))
 }
 
 impl Faults {
     fn draw(&mut self, call: SystemCall) -> Option<io::Error> {
-        let text = std::env::var_os(FILE_VARIABLE).and_then(|path| std::fs::read_to_string(path).ok());
-        self.read_rules(text.unwrap_or_default());
+        let text = std::env::var_os(FILE).and_then(|path| std::fs::read_to_string(path).ok());
+        self.update(text.unwrap_or_default());
         let rng = self.rng.get_or_insert_with(|| Pcg64Mcg::seed_from_u64(0));
         for rule in self.rules.iter_mut().filter(|rule| rule.call == call && rule.failures_left != Some(0)) {
             if rng.random_range(0..100) < rule.percent {
-                rule.failures_left = rule.failures_left.map(|failures| failures - 1);
-                return Some(io::Error::from_raw_os_error(rule.errno));
+                rule.failures_left = rule.failures_left.map(|left| left - 1);
+                return Some(io::Error::from_raw_os_error(rule.error));
             }
         }
         None
     }
 
-    fn read_rules(&mut self, text: String) {
+    fn update(&mut self, text: String) {
         if text == self.text {
             return;
         }
@@ -74,10 +76,17 @@
 
 fn parse_rule(line: &str) -> Rule {
     let words: Vec<&str> = line.split_whitespace().collect();
-    let &[call, error, percent, failures] = words.as_slice() else {
-        panic!("{FILE_VARIABLE}: not a rule: {line}")
-    };
-    let call = match call {
+    let &[call, error, percent, most] = words.as_slice() else { panic!("{FILE}: not a rule: {line}") };
+    Rule {
+        call: parse_call(call).unwrap_or_else(|| panic!("{FILE}: no such call: {line}")),
+        error: parse_error(error),
+        percent: percent.parse().unwrap_or_else(|_| panic!("{FILE}: no chance: {line}")),
+        failures_left: most.parse().ok(),
+    }
+}
+
+fn parse_call(name: &str) -> Option<SystemCall> {
+    Some(match name {
         "socket" => SystemCall::Socket,
         "connect" => SystemCall::Connect,
         "accept" => SystemCall::Accept,
@@ -90,13 +99,11 @@
         "write:client" => SystemCall::Write(Party::Client),
         "write:member" => SystemCall::Write(Party::Member),
         "write:discovery" => SystemCall::Write(Party::Discovery),
-        _ => panic!("{FILE_VARIABLE}: no such call: {line}"),
-    };
-    let percent = percent.parse().unwrap_or_else(|_| panic!("{FILE_VARIABLE}: no chance: {line}"));
-    Rule { call, errno: parse_errno(error), percent, failures_left: failures.parse().ok() }
+        _ => return None,
+    })
 }
 
-fn parse_errno(name: &str) -> i32 {
+fn parse_error(name: &str) -> i32 {
     match name {
         "ECONNABORTED" => c::ECONNABORTED,
         "ECONNRESET" => c::ECONNRESET,
@@ -109,6 +116,6 @@
         "EPIPE" => c::EPIPE,
         "EINTR" => c::EINTR,
         "ETIMEDOUT" => c::ETIMEDOUT,
-        _ => panic!("{FILE_VARIABLE}: no such error: {name}"),
+        _ => panic!("{FILE}: no such error: {name}"),
     }
 }
