--- a/crates/routing/src/policy/blacklist.rs
+++ b/crates/routing/src/policy/blacklist.rs
@@ -1,89 +1,94 @@
-//! Members that attempts keep away from: blacklisted, draining, gone, or silent.
+//! The blacklist: members that are avoided while others are left, because they failed or left health checks unanswered.
+//!
+//! With the endpoint list's draining members this makes the three redundant filters of the design. Both entries expire
+//! by themselves, so a wrong one costs no more than its duration.
 
-use super::{HOLD, MS};
-use crate::state::Router;
-use crate::{MemberId, Micros, Standing};
+use std::collections::VecDeque;
 
-/// How long a member stays blacklisted.
-pub(super) const BLACKLISTED_FOR: Micros = 5_000 * MS;
-/// So many failures within [`FAILURE_WINDOW`] blacklist a member, and so many malformed responses in a row
-/// are followed by failures.
-pub(super) const FAILURES: usize = 5;
-/// For so long failures count.
+use super::MS;
+use crate::Micros;
+
+/// How long a member stays blacklisted, in microseconds. The design's default is 20 s; see docs/design.md.
+pub(super) const BLACKLIST_DURATION: Micros = 5_000 * MS;
+/// How long a failure counts, in microseconds, as the design says.
 pub(super) const FAILURE_WINDOW: Micros = 10_000 * MS;
+/// Failures within [`FAILURE_WINDOW`] that blacklist a member, as the design says.
+const FAILURE_THRESHOLD: usize = 5;
+/// Up to so many routers the threshold is the design's: beyond, one router sees too few of a member's answers.
+const ROUTERS_AT_FULL_THRESHOLD: f64 = 25.0;
+/// Malformed responses in a row that are not yet counted as failures.
+const TOLERATED_MALFORMED: usize = 5;
+/// Health checks in a row without an answer that blacklist a member, as the design says.
+const MISSED_HEALTH_CHECKS: u32 = 3;
 
-/// An attempt in flight at a member.
-pub(super) struct SentAttempt {
-    /// When it was sent, without the time in which the process stalled.
-    pub(super) at: Micros,
-    pub(super) class: usize,
+/// How many failures within [`FAILURE_WINDOW`] blacklist a member where so many routers share its answers.
+pub(super) fn failure_threshold(routers: usize) -> f64 {
+    let full = FAILURE_THRESHOLD as f64;
+    (full * ROUTERS_AT_FULL_THRESHOLD / routers as f64).min(full)
 }
 
-impl Router {
-    /// A failure that is the member's own: some in a row blacklist it, fewer where each router sees few of
-    /// its answers.
-    pub(super) fn failed(&mut self, now: Micros, id: MemberId) {
-        let drivers = self.terms.drivers as f64;
-        let member = &mut self.members[id];
-        member.failures.push_back(now);
-        member.failures.retain(|&at| at >= now - FAILURE_WINDOW);
-        if member.failures.len() as f64 >= (FAILURES as f64 * 25.0 / drivers).min(FAILURES as f64) {
-            member.failures.clear();
-            member.blacklisted_until = now + BLACKLISTED_FOR;
-        }
+/// What one member has failed at of late, and until when it is avoided for that.
+#[derive(Clone, Default)]
+pub(crate) struct Blacklist {
+    blacklisted_until: Micros,
+    /// When it failed, the oldest first.
+    failures: VecDeque<Micros>,
+    /// Malformed responses and connections lost before the attempt was sent, since the last served attempt.
+    malformed_in_row: usize,
+    missed_health_checks: u32,
+}
+
+impl Blacklist {
+    /// Whether the member may be chosen like any other.
+    pub(super) fn allows(&self, now: Micros) -> bool {
+        now >= self.blacklisted_until
     }
 
-    /// Whether anything may be sent there: never against the drain rule, nor into silence.
-    pub(super) fn usable(&self, now: Micros, id: MemberId) -> bool {
-        let standing = self.members[id].standing;
-        let unbound = standing == Standing::Gone && self.terms.only_draining_binds;
-        (standing == Standing::Ready || unbound) && !self.silent(now, id)
+    /// A failure that is the member's own.
+    pub(super) fn record_failure(&mut self, now: Micros, threshold: f64) {
+        self.failures.push_back(now);
+        self.failures.retain(|&at| at >= now - FAILURE_WINDOW);
+        if self.failures.len() as f64 >= threshold {
+            self.failures.clear();
+            self.blacklisted_until = now + BLACKLIST_DURATION;
+        }
     }
 
-    /// Whether the member could not be reached a short time ago, or takes attempts and answers none; one
-    /// attempt a second tries it again.
+    /// A malformed response, or a connection lost before the attempt was sent: a failure only after several in a row.
     ///
-    /// Guards attempts against a hang, a cut link, a long pause and a death without a reset; costs a member
-    /// whose few attempts in flight are all long ones: it is passed over for a second or until it answers
-    /// one.
-    pub(super) fn silent(&self, now: Micros, id: MemberId) -> bool {
-        let member = &self.members[id];
-        let tried = member.sent.back().is_some_and(|&last| now - last < 2 * HOLD);
-        now < member.lost_until || tried && self.mute(now, id)
+    /// Without this tolerance a link that breaks connections gets a whole group blacklisted, as all its members seem to
+    /// answer so. The cost: some requests fail at a member that really does so.
+    pub(super) fn record_malformed(&mut self, now: Micros, threshold: f64) {
+        if self.malformed_in_row < TOLERATED_MALFORMED {
+            self.malformed_in_row += 1;
+        } else {
+            self.record_failure(now, threshold);
+        }
     }
 
-    /// Whether attempts sent after the newest answered one have waited far longer than attempts take, and
-    /// nothing was answered meanwhile.
-    pub(super) fn mute(&self, now: Micros, id: MemberId) -> bool {
-        let member = &self.members[id];
-        let mut waiting = self.sent_out(id).filter(|sent| sent.at >= member.newest_answered_sent);
-        waiting.any(|sent| now - sent.at.max(member.answered) > self.patience(sent.class))
+    /// An attempt was served.
+    pub(super) fn record_served(&mut self) {
+        self.malformed_in_row = 0;
     }
 
-    /// The attempts in flight at the member.
-    pub(super) fn sent_out(&self, id: MemberId) -> impl Iterator<Item = SentAttempt> {
-        let out = self.members[id].out.iter().map(|out| &self.pending_requests[out]);
-        let in_flight = out.filter(|pending| pending.out.is_some());
-        in_flight.map(|pending| SentAttempt { at: pending.waits_from, class: pending.request.class })
+    /// A health check was not answered.
+    pub(super) fn record_missed_health_check(&mut self, now: Micros) {
+        self.missed_health_checks += 1;
+        if self.missed_health_checks >= MISSED_HEALTH_CHECKS {
+            self.blacklisted_until = now + BLACKLIST_DURATION;
+        }
     }
 
-    /// In microseconds, more than nearly all attempts of the request class take.
-    pub(super) fn patience(&self, class: usize) -> Micros {
-        let objective = self.terms.classes[class].objective;
-        self.took[class].quantile(0.9).unwrap_or(200 * MS).min(objective).max(100 * MS) * 2
+    /// A health check was answered: what missing ones brought about is lifted.
+    pub(super) fn record_answered_health_check(&mut self, now: Micros) {
+        if self.missed_health_checks >= MISSED_HEALTH_CHECKS {
+            self.blacklisted_until = now;
+        }
+        self.missed_health_checks = 0;
     }
 
-    /// A malformed response, or a connection lost before the attempt was sent.
-    ///
-    /// Guards against blacklisting a whole group whose members all answer so alike, as links that break
-    /// connections make them: only those in a row are failures. Costs requests at the member that does so
-    /// most.
-    pub(super) fn malformed(&mut self, now: Micros, id: MemberId) {
-        let member = &mut self.members[id];
-        if member.malformed < FAILURES {
-            member.malformed += 1;
-        } else {
-            self.failed(now, id);
-        }
+    /// The member's process is another one: what the old one failed at does not count against it.
+    pub(super) fn lift(&mut self, now: Micros) {
+        self.blacklisted_until = self.blacklisted_until.min(now);
     }
 }
--- a/crates/routing/src/policy/concurrency_limit.rs
+++ b/crates/routing/src/policy/concurrency_limit.rs
@@ -1,6 +1,6 @@
 //! How many attempts this router may have in flight at a member.
 
-use super::blacklist::SentAttempt;
+use super::availability::SentAttempt;
 use super::{KEEP, MS};
 use crate::state::{Member, Router};
 use crate::{MemberId, Micros, Outcome, Standing, Verdict};
--- a/crates/routing/src/policy/endpoint_list.rs
+++ b/crates/routing/src/policy/endpoint_list.rs
@@ -51,7 +51,7 @@
         }
         let member = &mut self.members[id];
         if !known || member.since != line.since && line.standing == Standing::Ready {
-            member.blacklisted_until = member.blacklisted_until.min(now);
+            member.blacklist.lift(now);
             member.seen_primary = false;
             member.since = line.since;
             member.credit = slow_start_credit;
--- a/crates/routing/src/policy/health_checks.rs
+++ b/crates/routing/src/policy/health_checks.rs
@@ -1,12 +1,10 @@
 //! Health checks: when they are sent, and what their results say.
 
-use super::blacklist::BLACKLISTED_FOR;
+use super::blacklist::BLACKLIST_DURATION;
 use super::{HOLD, MS};
 use crate::state::{RoundTrip, Router};
 use crate::{Actions, MemberId, MemberReport, Micros, Standing, Verdict};
 
-/// So many health checks in a row without an answer blacklist a member.
-const HEALTH_CHECK_MISSES: u32 = 3;
 /// How often a member that is not heard otherwise is checked where credit is left over.
 pub(super) const HEALTH_CHECK_EVERY: Micros = 1_000 * MS;
 /// Health checks of members whose proof of freshness has run out, and of a group without a primary.
@@ -24,7 +22,7 @@
 
     /// The estimate, in microseconds; zero where it is too old to be believed.
     pub(super) fn of_late(self, now: Micros) -> Micros {
-        if now - self.measured_at < BLACKLISTED_FOR { self.estimate } else { 0 }
+        if now - self.measured_at < BLACKLIST_DURATION { self.estimate } else { 0 }
     }
 }
 
@@ -102,10 +100,7 @@
         slow_start_credit: f64,
     ) {
         let member = &mut self.members[id];
-        if member.health_check_misses >= HEALTH_CHECK_MISSES {
-            member.blacklisted_until = now;
-        }
-        member.health_check_misses = 0;
+        member.blacklist.record_answered_health_check(now);
         member.hear(now, slow_start_credit);
         let position_at = report.position.map(|position| position.saturating_sub(self.clock_offset));
         let reported_at = position_at.unwrap_or(now - HOLD - report.age);
@@ -114,14 +109,11 @@
 
     fn health_check_missed(&mut self, now: Micros, id: MemberId, verdict: Verdict) {
         let member = &mut self.members[id];
-        member.health_check_misses += 1;
         if verdict == Verdict::Unconnected {
             member.fell.get_or_insert(now);
         }
         member.lost_until = now + 2 * HOLD;
-        if member.health_check_misses >= HEALTH_CHECK_MISSES {
-            member.blacklisted_until = now + BLACKLISTED_FOR;
-        }
+        member.blacklist.record_missed_health_check(now);
     }
 
     /// Sends a health check, where one is allowed and paid for and the last one was sent at least `gap`
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -15,6 +15,7 @@
 use crate::{Actions, Learnt, MemberId, Micros, Outcome, Standing, Terms};
 
 mod admission;
+mod availability;
 mod blacklist;
 mod concurrency_limit;
 mod dispatch;
@@ -35,6 +36,7 @@
 use concurrency_limit::{START, STAY};
 use replica_subset::salt;
 
+pub(crate) use blacklist::Blacklist;
 pub(crate) use local_failures::Backoff;
 pub(crate) use retry_detection::RetryDetector;
 
--- a/crates/routing/src/policy/read_routing.rs
+++ b/crates/routing/src/policy/read_routing.rs
@@ -86,7 +86,7 @@
     /// left.
     fn read_choice(&self, now: Micros, pending: &PendingRequest, floor: Micros, long: bool) -> ReadChoice {
         let mut open = self.readable(now, pending, floor, long);
-        let preferred = |id: MemberId| now >= self.members[id].blacklisted_until && Some(id) != pending.last;
+        let preferred = |id: MemberId| self.members[id].blacklist.allows(now) && Some(id) != pending.last;
         if open.iter().any(|&id| preferred(id)) {
             open.retain(|&id| preferred(id));
         }
--- a/crates/routing/src/policy/replica_subset.rs
+++ b/crates/routing/src/policy/replica_subset.rs
@@ -81,7 +81,7 @@
         if all || kept >= group.members.len() {
             return group.members.iter().copied().filter(may).collect();
         }
-        let listed = |id: &MemberId| now >= self.members[*id].blacklisted_until && Some(*id) != pending.last;
+        let listed = |id: &MemberId| self.members[*id].blacklist.allows(now) && Some(*id) != pending.last;
         let behind = |id: MemberId| {
             let Member { position, heard, .. } = self.members[id];
             position < floor && now - heard < self.catches_up_in(id, floor)
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -1,5 +1,6 @@
 //! What follows from an attempt's end: what it says of the member, and whether the request is tried again.
 
+use super::blacklist::failure_threshold;
 use super::concurrency_limit::EndedLoad;
 use super::health_checks::HEALTH_CHECK_NEEDED;
 use super::{HOLD, KEEP};
@@ -134,22 +135,31 @@
             }
             Verdict::Overloaded => self.shrink_concurrency_limit(now, id),
             Verdict::NotPrimary | Verdict::NotSent | Verdict::Unobserved => {}
-            Verdict::Malformed | Verdict::ConnectionLost => self.malformed(now, id),
+            Verdict::Malformed | Verdict::ConnectionLost => {
+                let threshold = failure_threshold(self.terms.drivers);
+                self.members[id].blacklist.record_malformed(now, threshold);
+            }
             // An attempt that outlasted its limit at a member that answers others met a crowd, not a fault.
             Verdict::TimedOut | Verdict::Cancelled if !ended.mute || ended.reaped => {}
-            _ => self.failed(now, id),
+            _ => self.record_failure(now, id),
         }
     }
 
+    /// A failure that is the member's own.
+    fn record_failure(&mut self, now: Micros, id: MemberId) {
+        let threshold = failure_threshold(self.terms.drivers);
+        self.members[id].blacklist.record_failure(now, threshold);
+    }
+
     fn attempt_served(&mut self, now: Micros, handle: Handle, ended: &EndedAttempt) {
         self.took[ended.class].add(ended.outcome.took, KEEP * 4);
         self.any_took.add(ended.outcome.took, KEEP * 4);
         let member = &mut self.members[ended.member];
         member.served += 0.1;
-        member.malformed = 0;
+        member.blacklist.record_served();
         let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
         for erred in std::mem::take(&mut pending.erred) {
-            self.failed(now, erred);
+            self.record_failure(now, erred);
         }
     }
 
--- a/crates/routing/src/policy/write_routing.rs
+++ b/crates/routing/src/policy/write_routing.rs
@@ -26,7 +26,7 @@
         let round = (0..order.len()).map(|step| order[(start + step) % order.len()]);
         let mut candidates = round.filter(|&id| self.may_be_primary(now, group, id));
         let first = candidates.clone().next();
-        candidates.find(|&id| now >= self.members[id].blacklisted_until).or(first)
+        candidates.find(|&id| self.members[id].blacklist.allows(now)).or(first)
     }
 
     /// How long writes wait between rounds of misses, in microseconds.
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -5,7 +5,7 @@
 use aldermill_statistics::Histogram;
 use rand_pcg::Pcg64Mcg;
 
-use crate::policy::{Backoff, RetryDetector};
+use crate::policy::{Backoff, Blacklist, RetryDetector};
 use crate::{Actions, Learnt, MemberId, Micros, ReadShift, Request, Standing, Terms};
 
 /// A request that a router has taken, until it knows it no more.
@@ -96,15 +96,9 @@
     pub(crate) lost_until: Micros,
     /// Since when its process seems dead; taken for warming up when it is heard again.
     pub(crate) fell: Option<Micros>,
-    pub(crate) blacklisted_until: Micros,
-    /// When it failed of late.
-    pub(crate) failures: VecDeque<Micros>,
-    /// Attempts with a malformed response or a lost connection since the last served one.
-    pub(crate) malformed: usize,
+    pub(crate) blacklist: Blacklist,
     /// Connections known to be idle, since new ones to it failed here.
     pub(crate) idle: Option<u32>,
-    /// Health checks in a row without an answer.
-    pub(crate) health_check_misses: u32,
     pub(crate) health_check_out: bool,
     /// When the last health check was sent.
     pub(crate) health_checked: Micros,
