--- a/crates/routing/src/policy/admission.rs
+++ b/crates/routing/src/policy/admission.rs
@@ -1,7 +1,6 @@
 //! Admission: accepting a request, and shedding one that cannot be served in time.
 
 use super::BEAT;
-use super::health_checks::CREDIT_PER_REQUEST;
 use super::retry_detection::ClientAttempt;
 use crate::state::{Handle, PendingRequest, Router};
 use crate::{Action, Actions, Effect, Micros, Request, RequestClass, Scope};
@@ -29,7 +28,7 @@
         let handle = Handle(self.next_handle);
         self.next_handle += 1;
         let group = self.group(request.group);
-        self.allowance = (self.allowance + CREDIT_PER_REQUEST).min(self.members.len() as f64);
+        self.health_check_budget.earn_for_request(self.members.len());
         let kind = self.client_attempt(&request);
         let objective_at = self.objective_at(now, &request, kind);
         let pending = PendingRequest {
--- a/crates/routing/src/policy/dispatch.rs
+++ b/crates/routing/src/policy/dispatch.rs
@@ -29,7 +29,7 @@
         }
         let need = class.need;
         let target = match need {
-            _ if self.is_paced(now) => None,
+            _ if self.stall_pacing.holds_back(now) => None,
             Need::Write => self.write_target(now, pending),
             _ => self.read_target(now, handle, need),
         };
@@ -48,7 +48,7 @@
         let validity = self.validity(&self.pending_requests[&handle], id);
         let tries_connection = self.takes_connection(now, id);
         let kept = self.members[id].idle.is_some();
-        let afresh = !kept && rested.is_some_and(|rest| self.reaped(rest));
+        let afresh = !kept && rested.is_some_and(|rest| self.rested_connections.are_dropped_after(rest));
         let member = &mut self.members[id];
         member.out.push(handle);
         member.sent.push_back(now);
@@ -58,8 +58,7 @@
         pending.tries_connection = tries_connection;
         pending.out = Some(InFlight { member: id, sent_at: now });
         pending.waits_from = now;
-        self.attempted += 1.0;
-        self.paced_attempts -= 1.0;
+        self.stall_pacing.record_attempt();
         if let Some(session) = self.session(handle) {
             session.out += 1;
         }
--- a/crates/routing/src/policy/endpoint_list.rs
+++ b/crates/routing/src/policy/endpoint_list.rs
@@ -59,8 +59,7 @@
         }
         self.stand(now, id, line.standing);
         if !known && !self.sparse() && !self.keeps_to_some() {
-            // A health check for each member and one in reserve.
-            self.allowance += 2.0;
+            self.health_check_budget.earn_for_new_member();
             self.health_check(now, id, HEALTH_CHECK_NEEDED);
         }
         if line.primary && line.standing == Standing::Ready {
--- a/crates/routing/src/policy/health_checks.rs
+++ b/crates/routing/src/policy/health_checks.rs
@@ -9,10 +9,6 @@
 pub(super) const HEALTH_CHECK_EVERY: Micros = 1_000 * MS;
 /// Health checks of members whose proof of freshness has run out, and of a group without a primary.
 pub(super) const HEALTH_CHECK_NEEDED: Micros = 100 * MS;
-/// Health checks that one admitted request pays for.
-pub(super) const CREDIT_PER_REQUEST: f64 = 0.7;
-/// Health checks that a router may send before it has admitted any request.
-pub(super) const CREDIT_AT_START: f64 = 4.0;
 
 impl RoundTrip {
     fn measure(&mut self, estimate: Micros, now: Micros) {
@@ -41,7 +37,7 @@
 
     /// Checks a member that was not heard of late, where requests have paid for more than they need.
     pub(super) fn health_check_to_spare(&mut self, now: Micros, id: MemberId) {
-        let spare = self.allowance > self.members.len() as f64 * 0.5;
+        let spare = self.health_check_budget.has_spare(self.members.len());
         if spare && now - self.members[id].heard > HEALTH_CHECK_EVERY {
             self.health_check(now, id, HEALTH_CHECK_EVERY);
         }
@@ -121,9 +117,9 @@
     pub(super) fn health_check(&mut self, now: Micros, id: MemberId, gap: Micros) {
         let member = &mut self.members[id];
         let early = member.health_check_out || now - member.health_checked < gap;
-        let allowed = self.terms.health_checks_allowed && self.allowance >= 1.0;
+        let allowed = self.terms.health_checks_allowed && self.health_check_budget.affords_one();
         if allowed && member.standing == Standing::Ready && !early {
-            self.allowance -= 1.0;
+            self.health_check_budget.spend_one();
             member.health_check_out = true;
             member.health_checked = now;
             self.actions.health_checks.push(id);
--- a/crates/routing/src/policy/local_failures.rs
+++ b/crates/routing/src/policy/local_failures.rs
@@ -85,8 +85,7 @@
         let tried = pending.tries_connection;
         pending.unsent += 1;
         pending.last = Some(id);
-        self.attempted -= 1.0;
-        self.paced_attempts += 1.0;
+        self.stall_pacing.take_back_attempt();
         let member = &mut self.members[id];
         member.out.retain(|&out| out != handle);
         if let Some(at) = member.sent.iter().rposition(|&at| at == sent) {
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -21,15 +21,18 @@
 mod dispatch;
 mod endpoint_list;
 mod freshness;
+mod health_check_budget;
 mod health_checks;
 mod idle_connections;
 mod local_failures;
 mod primary_search;
 mod read_routing;
 mod replica_subset;
+mod rested_connections;
 mod retry;
 mod retry_detection;
 mod slow_start;
+mod stall_pacing;
 mod stalls;
 mod write_routing;
 
@@ -37,8 +40,11 @@
 use replica_subset::salt;
 
 pub(crate) use blacklist::Blacklist;
+pub(crate) use health_check_budget::HealthCheckBudget;
 pub(crate) use local_failures::Backoff;
+pub(crate) use rested_connections::RestedConnections;
 pub(crate) use retry_detection::RetryDetector;
+pub(crate) use stall_pacing::StallPacing;
 
 /// A millisecond.
 const MS: Micros = 1_000;
@@ -91,17 +97,13 @@
             retry_detectors: vec![RetryDetector::default(); terms.classes.len()],
             warm_load: 0.0,
             mean_size: 1.0,
-            allowance: health_checks::CREDIT_AT_START,
-            rests: Default::default(),
+            health_check_budget: HealthCheckBudget::at_start(),
+            rested_connections: RestedConnections::default(),
             tight_until: now,
             backoff: Backoff::none(now),
             next_beat: now,
             next_walk: now,
-            usual_attempts: STAY,
-            attempts: replica_subset::at_start(),
-            attempted: 0.0,
-            paced_until: now,
-            paced_attempts: 0.0,
+            stall_pacing: StallPacing::start(now, replica_subset::at_start()),
             ask_at,
             ask_wait: 500 * MS,
             actions: Actions::default(),
@@ -147,8 +149,8 @@
 
     /// What is due each [`BEAT`].
     fn beat(&mut self, now: Micros) {
-        self.fade_silence();
-        self.count_attempts(now);
+        self.rested_connections.fade();
+        self.stall_pacing.tick(now);
         if now >= self.next_walk {
             self.walk_members(now);
         }
--- a/crates/routing/src/policy/replica_subset.rs
+++ b/crates/routing/src/policy/replica_subset.rs
@@ -59,7 +59,7 @@
         if !self.keeps_to_some() {
             return usize::MAX;
         }
-        let reused = self.attempts * REUSED_WITHIN as f64 / BEAT as f64;
+        let reused = self.stall_pacing.recent_attempts() * REUSED_WITHIN as f64 / BEAT as f64;
         let part = group.members.len() as f64 / self.members.len() as f64;
         ((reused * part).round() as usize).max(LEAST_REPLICAS)
     }
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -75,7 +75,8 @@
             rested: pending.rested,
             tried_connection: pending.tries_connection,
             mute: self.mute(now, attempt.member),
-            reaped: timed_out && pending.rested.is_some_and(|rest| self.reaped(rest)),
+            reaped: timed_out
+                && pending.rested.is_some_and(|rest| self.rested_connections.are_dropped_after(rest)),
             request_closed: outcome.closed || pending.closed,
         };
         self.pending_requests.get_mut(&handle)?.out = None;
@@ -96,8 +97,7 @@
         let verdict = ended.outcome.verdict;
         let Some(rest) = ended.rested else { return };
         if verdict.heard() || verdict == Verdict::TimedOut {
-            let silent = &mut self.rests[rest];
-            *silent += (f64::from(!verdict.heard()) - *silent) * 0.3;
+            self.rested_connections.record(rest, verdict.heard());
         }
     }
 
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -5,7 +5,7 @@
 use aldermill_statistics::Histogram;
 use rand_pcg::Pcg64Mcg;
 
-use crate::policy::{Backoff, Blacklist, RetryDetector};
+use crate::policy::{Backoff, Blacklist, HealthCheckBudget, RestedConnections, RetryDetector, StallPacing};
 use crate::{Actions, Learnt, MemberId, Micros, ReadShift, Request, Standing, Terms};
 
 /// A request that a router has taken, until it knows it no more.
@@ -198,10 +198,8 @@
     /// Attempts that a warm member of size one serves in one window of the overload rule.
     pub(crate) warm_load: f64,
     pub(crate) mean_size: f64,
-    /// Health checks that are paid for.
-    pub(crate) allowance: f64,
-    /// The share met by silence of late, by how long the attempt's connection had rested.
-    pub(crate) rests: [f64; 6],
+    pub(crate) health_check_budget: HealthCheckBudget,
+    pub(crate) rested_connections: RestedConnections,
     /// A member lately had no connection to spare.
     pub(crate) tight_until: Micros,
     /// Of new connections that fail here.
@@ -209,16 +207,7 @@
     pub(crate) next_beat: Micros,
     /// When all members are looked at again.
     pub(crate) next_walk: Micros,
-    /// Attempts in a beat, as of late.
-    pub(crate) usual_attempts: f64,
-    /// Attempts in this beat.
-    pub(crate) attempted: f64,
-    /// Attempts in a beat, as of late, from a careful start.
-    pub(crate) attempts: f64,
-    /// Until then attempts are paced after a stall.
-    pub(crate) paced_until: Micros,
-    /// Attempts due until then.
-    pub(crate) paced_attempts: f64,
+    pub(crate) stall_pacing: StallPacing,
     /// When the endpoint list is subscribed to again.
     pub(crate) ask_at: Micros,
     /// The backoff between two such calls.
