--- a/crates/routing/src/policy/dispatch.rs
+++ b/crates/routing/src/policy/dispatch.rs
@@ -60,7 +60,7 @@
         pending.waits_from = now;
         self.stall_pacing.record_attempt();
         if let Some(session) = self.session(handle) {
-            session.out += 1;
+            session.write_started();
         }
         let timeout = useful_until - now;
         let action = Action::Attempt { member: id, timeout, afresh, validity };
--- a/crates/routing/src/policy/endpoint_list.rs
+++ b/crates/routing/src/policy/endpoint_list.rs
@@ -13,15 +13,15 @@
 
 /// A primary reported longer ago than that is overruled by a list whose roles follow changes late.
 const LISTED_ROLES_LAG: Micros = 1_000 * MS;
-/// The longest backoff between two subscriptions to the list.
-const LONGEST_ASK_WAIT: Micros = 8_000 * MS;
 
 impl Router {
     /// Takes in an endpoint list, or with `full` unset an update of one: members that it does not name are
     /// gone only where it is full.
     pub fn list(&mut self, now: Micros, full: bool, lines: Vec<Listed>) -> Actions {
-        // The list held at the start is no answer to a call.
-        self.ask_at = if self.members.is_empty() { self.ask_at } else { Micros::MAX };
+        // The list held at the start is no answer to a request.
+        if !self.members.is_empty() {
+            self.list_subscription.received();
+        }
         let listed: HashSet<&str> = lines.iter().map(|line| line.name.as_str()).collect();
         for id in 0..self.members.len() {
             if full && !listed.contains(self.members[id].name.as_str()) {
@@ -135,8 +135,7 @@
 
     /// Discovery did not answer: the list is asked for again after a backoff.
     pub fn list_unavailable(&mut self, now: Micros) -> Actions {
-        self.ask_wait = (self.ask_wait * 2).min(LONGEST_ASK_WAIT);
-        self.ask_at = now + self.rng.random_range(self.ask_wait / 2..self.ask_wait);
+        self.list_subscription.failed(now, &mut self.rng);
         self.take_actions()
     }
 }
--- a/crates/routing/src/policy/freshness.rs
+++ b/crates/routing/src/policy/freshness.rs
@@ -1,14 +1,11 @@
 //! How new the data of members is: positions, roles, sessions, and for how long a proof of freshness holds.
 
 use super::HELD_UP;
-use super::blacklist::FAILURE_WINDOW;
 use super::health_checks::{HEALTH_CHECK_EVERY, HEALTH_CHECK_NEEDED};
-use crate::state::{Handle, PendingRequest, Router, Session};
+use super::sessions::Session;
+use crate::state::{Handle, PendingRequest, Router};
 use crate::{Effect, MemberId, MemberReport, Micros, Need, Outcome, Role, Standing, Validity, Verdict};
 
-/// Sessions that are remembered before older ones are forgotten.
-const SESSIONS: usize = 10_000;
-
 impl Router {
     /// Sets by how many microseconds the members' clock is ahead of this one, and when members started by
     /// this one.
@@ -76,7 +73,7 @@
             return None;
         }
         let name = request.session.clone()?;
-        Some(self.sessions.entry(name).or_default())
+        Some(self.sessions.entry(name))
     }
 
     /// Takes in what a member reports of itself: true at `at`, and asked for no earlier than `asked`.
@@ -134,22 +131,13 @@
         }
     }
 
-    /// Forgets sessions that wrote long ago, where there are very many.
-    pub(super) fn forget_old_sessions(&mut self, now: Micros) {
-        if self.sessions.len() <= SESSIONS {
-            return;
-        }
-        self.forgotten = Some(self.members_now(now) - FAILURE_WINDOW);
-        self.sessions.retain(|_, session| session.out > 0 || Some(session.commit) > self.forgotten);
-    }
-
     /// A write of a session has ended: it was committed when its answer says, else by now if at all.
     pub(super) fn end_session_write(&mut self, now: Micros, handle: Handle, outcome: &Outcome) {
         let verdict = outcome.verdict;
         let reported = outcome.report.position.filter(|_| verdict == Verdict::Served);
         let commit = if verdict.never_ran() { 0 } else { reported.unwrap_or(self.members_now(now)) };
         if let Some(session) = self.session(handle) {
-            session.ended(commit);
+            session.write_ended(commit);
         }
     }
 
@@ -166,10 +154,8 @@
     /// The newest write of the read's session, as far as the client says or this router remembers.
     fn session_floor(&self, now: Micros, pending: &PendingRequest) -> Micros {
         let said = pending.request.last_write.map(|ago| pending.arrived - ago);
-        let remembered = pending.request.session.as_ref().and_then(|name| {
-            let session = self.sessions.get(name);
-            session.map(|session| session.floor(self.members_now(now))).or(self.forgotten)
-        });
+        let session = pending.request.session.as_ref();
+        let remembered = session.and_then(|name| self.sessions.floor(name, self.members_now(now)));
         said.max(remembered).unwrap_or(Micros::MIN)
     }
 }
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -24,6 +24,7 @@
 mod health_check_budget;
 mod health_checks;
 mod idle_connections;
+mod list_subscription;
 mod local_failures;
 mod primary_search;
 mod read_routing;
@@ -31,6 +32,7 @@
 mod rested_connections;
 mod retry;
 mod retry_detection;
+mod sessions;
 mod slow_start;
 mod stall_pacing;
 mod stalls;
@@ -41,9 +43,11 @@
 
 pub(crate) use blacklist::Blacklist;
 pub(crate) use health_check_budget::HealthCheckBudget;
+pub(crate) use list_subscription::ListSubscription;
 pub(crate) use local_failures::Backoff;
 pub(crate) use rested_connections::RestedConnections;
 pub(crate) use retry_detection::RetryDetector;
+pub(crate) use sessions::Sessions;
 pub(crate) use stall_pacing::StallPacing;
 
 /// A millisecond.
@@ -76,9 +80,7 @@
     /// A router with its terms and a seed for its chance, before its first list.
     pub fn start(terms: Terms, seed: u64, now: Micros) -> Router {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        // All routers ask at their start: the window grows with their number.
-        let ask_at =
-            now + rng.random_range(0..(30 * MS * terms.drivers as Micros).clamp(200 * MS, 1_200 * MS));
+        let list_subscription = ListSubscription::start(now, terms.drivers, &mut rng);
         Router {
             salt: salt(seed),
             rng,
@@ -87,9 +89,8 @@
             group_ids: HashMap::new(),
             pending_requests: HashMap::new(),
             next_handle: 0,
-            sessions: HashMap::new(),
+            sessions: Sessions::default(),
             clock_offset: 0,
-            forgotten: None,
             // Until attempts tell better, most are taken to last half of the latency objective.
             took: terms.classes.iter().map(|class| Histogram::of(class.objective / 2, 4)).collect(),
             zone_round_trips: BTreeMap::new(),
@@ -104,8 +105,7 @@
             next_beat: now,
             next_walk: now,
             stall_pacing: StallPacing::start(now, replica_subset::at_start()),
-            ask_at,
-            ask_wait: 500 * MS,
+            list_subscription,
             actions: Actions::default(),
             terms,
         }
@@ -163,10 +163,10 @@
         if !self.sparse() && !self.keeps_to_some() {
             (0..self.members.len()).for_each(|id| self.health_check_to_spare(now, id));
         }
-        self.forget_old_sessions(now);
-        if self.terms.list_on_request && now >= self.ask_at {
+        let members_now = self.members_now(now);
+        self.sessions.forget_old(members_now);
+        if self.terms.list_on_request && self.list_subscription.is_due(now) {
             self.actions.subscribe = true;
-            self.ask_at = now + 10_000 * MS;
         }
         self.pump_all(now);
     }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -5,7 +5,10 @@
 use aldermill_statistics::Histogram;
 use rand_pcg::Pcg64Mcg;
 
-use crate::policy::{Backoff, Blacklist, HealthCheckBudget, RestedConnections, RetryDetector, StallPacing};
+use crate::policy::{
+    Backoff, Blacklist, HealthCheckBudget, ListSubscription, RestedConnections, RetryDetector, Sessions,
+    StallPacing,
+};
 use crate::{Actions, Learnt, MemberId, Micros, ReadShift, Request, Standing, Terms};
 
 /// A request that a router has taken, until it knows it no more.
@@ -149,27 +152,6 @@
     pub(crate) saved: f64,    // health checks due
 }
 
-/// What this router's own attempts wrote of a session.
-#[derive(Clone, Copy, Default)]
-pub(crate) struct Session {
-    pub(crate) commit: Micros, // of its last write that ran or may have run, at the latest
-    pub(crate) out: u32,       // writes that are out: each may have been committed by now
-}
-
-impl Session {
-    /// What a read of the session must see now.
-    pub(crate) fn floor(&self, now: Micros) -> Micros {
-        if self.out > 0 { now } else { self.commit }
-    }
-
-    /// A write that was out has ended, and was committed by then at the latest: by now, if at all, where the
-    /// answer does not tell.
-    pub(crate) fn ended(&mut self, commit: Micros) {
-        self.out -= 1;
-        self.commit = self.commit.max(commit);
-    }
-}
-
 /// Decides where requests go. It does no I/O and has no clock: each call brings `now`, in microseconds that
 /// never go back, and returns what to do.
 #[derive(Clone)]
@@ -183,11 +165,9 @@
     pub(crate) group_ids: HashMap<u64, usize>,
     pub(crate) pending_requests: HashMap<Handle, PendingRequest>,
     pub(crate) next_handle: u64,
-    pub(crate) sessions: HashMap<String, Session>,
+    pub(crate) sessions: Sessions,
     /// How far the members' clock, by which positions are reported, is ahead of this one.
     pub(crate) clock_offset: Micros,
-    /// A write of a session not found may be as new as that.
-    pub(crate) forgotten: Option<Micros>,
     /// How long attempts take, by request class.
     pub(crate) took: Vec<Histogram>,
     pub(crate) zone_round_trips: BTreeMap<usize, RoundTrip>,
@@ -208,10 +188,7 @@
     /// When all members are looked at again.
     pub(crate) next_walk: Micros,
     pub(crate) stall_pacing: StallPacing,
-    /// When the endpoint list is subscribed to again.
-    pub(crate) ask_at: Micros,
-    /// The backoff between two such calls.
-    pub(crate) ask_wait: Micros,
+    pub(crate) list_subscription: ListSubscription,
     pub(crate) actions: Actions,
 }
 
