--- a/crates/routing/src/policy/local_failures.rs
+++ b/crates/routing/src/policy/local_failures.rs
@@ -85,8 +85,7 @@
         let tried = pending.tries_connection;
         pending.unsent += 1;
         pending.last = Some(id);
-        self.attempted -= 1.0;
-        self.paced_attempts += 1.0;
+        self.stall_pacing.take_back_attempt();
         let member = &mut self.members[id];
         member.out.retain(|&out| out != handle);
         if let Some(at) = member.sent.iter().rposition(|&at| at == sent) {
@@ -107,7 +106,7 @@
             // Nobody was asked whether it is the primary.
             self.groups[group].walk_after = now;
         }
-        self.session(handle).into_iter().for_each(|session| session.ended(0));
+        self.session(handle).into_iter().for_each(|session| session.write_ended(0));
         if over {
             self.close(handle);
         } else {
