--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -14,20 +14,17 @@
     PoolUse, ReplicaReports,
 };
 
-/// Idle connections that are closed where one descriptor is needed. One of them may be taken into use just then and
-/// frees none; closing few keeps the others for the next requests.
+/// Idle connections that are closed where one descriptor is wanted.
 const CLOSED_PER_DESCRIPTOR: usize = 3;
 
 /// An attempt as the router decided it.
 struct DecidedAttempt {
-    /// The router's name of the request.
     handle: Handle,
-    /// The member that it goes to.
     member: MemberId,
-    /// How long it may last, in microseconds.
+    /// How long it may take, in microseconds.
     timeout: Micros,
-    /// Whether it needs a new connection.
-    new_connection: bool,
+    /// Whether it must use a new connection.
+    afresh: bool,
     /// What must still hold when it is sent.
     validity: Validity,
 }
@@ -53,12 +50,10 @@
         }
     }
 
-    /// Carries out what the router decided for one request.
     fn carry_out_for_request(&mut self, handle: Handle, action: Action) {
         match action {
             Action::Attempt { member, timeout, afresh, validity } => {
-                let new_connection = afresh;
-                self.send_attempt(DecidedAttempt { handle, member, timeout, new_connection, validity })
+                self.send_attempt(DecidedAttempt { handle, member, timeout, afresh, validity })
             }
             Action::Reject { cool_down } => self.answer(handle, Answer::Rejected { retry_after: cool_down }),
             Action::Fail => self.answer(handle, Answer::Failed),
@@ -76,17 +71,17 @@
         client.answer(answer);
     }
 
-    /// Answers a request whose member responded while there is no buffer space for the response.
-    pub(super) fn answer_buffer_exhausted(&mut self, handle: Handle) {
+    /// Answers a request whose member responded while there was no buffer space for the response.
+    pub(super) fn answer_without_buffer_space(&mut self, handle: Handle) {
         let Some(open) = self.open_requests.get(&handle) else { return };
         let Ok(class) = self.decoded.class(&open.request.comment.class) else { return };
-        let answer = self.buffer_exhausted(class);
+        let answer = self.no_buffer_space_answer(class);
         self.answer(handle, answer);
     }
 
-    /// The answer where there is no buffer space for a response: an idempotent request is rejected, so that it is sent
-    /// again; any other did run, and fails.
-    pub(super) fn buffer_exhausted(&self, class: usize) -> Answer {
+    /// The answer where there is no buffer space for a response: an idempotent request is rejected, as it may be repeated;
+    /// any other has run, and has failed for its client.
+    pub(super) fn no_buffer_space_answer(&self, class: usize) -> Answer {
         let terms = &self.decoded.terms;
         match terms.classes[class].effect {
             Effect::Pure => Answer::Rejected {
@@ -96,7 +91,6 @@
         }
     }
 
-    /// Hands an attempt to its member's actor. One whose mailbox is full ends as not sent.
     fn send_attempt(&mut self, decided: DecidedAttempt) {
         let Some(open) = self.open_requests.get(&decided.handle) else { return };
         let handle = decided.handle;
@@ -113,7 +107,7 @@
         }
     }
 
-    /// The attempt as its member's actor takes it. It never lasts past the request's deadline.
+    /// The attempt as its member's actor takes it. Its deadline is never later than the request's.
     fn attempt(&self, decided: DecidedAttempt, open: &OpenRequest, entry: Option<&MemberEntry>) -> Attempt {
         let decided_at = Instant::now();
         let deadline = self.context.clock.instant(open.deadline);
@@ -124,13 +118,12 @@
             reservation_owner: ReservationOwner { peer: open.request.peer, priority: open.priority },
             decided_at,
             deadline: (decided_at + duration(decided.timeout)).min(deadline),
-            pool_use: if decided.new_connection { PoolUse::ConnectAnew } else { PoolUse::Reuse },
+            pool_use: if decided.afresh { PoolUse::ConnectAnew } else { PoolUse::Reuse },
             validity: decided.validity,
             replica_reports: entry.map_or(0, |entry| entry.replica_reports),
         }
     }
 
-    /// Hands a health check to its member's actor. One whose mailbox is full ends as not sent.
     fn send_health_check(&mut self, member: MemberId) {
         let decided_at = Instant::now();
         let deadline = decided_at + self.context.limits.member.health_check_timeout;
@@ -147,23 +140,23 @@
         }
     }
 
-    /// Closes the idle connections to a member.
     fn close_idle_connections(&self, member: MemberId) {
         if let Some(entry) = &self.members[member] {
-            // A full mailbox means that its connections are in use.
+            // A full mailbox means that the member is busy and needs its connections.
             let _ = entry.commands.try_send(MemberCommand::CloseIdle);
         }
     }
 
-    /// The first request has arrived: the endpoint list is asked for now.
+    /// Asks for the endpoint list, when the first request is there.
     fn ask_for_list(&self) {
         if let Some(list_wanted) = &self.list_wanted {
             let _ = list_wanted.try_send(());
         }
     }
 
-    /// A member needs a descriptor and none is free: idle connections of other members are closed, those that were idle
-    /// longest.
+    /// A member needs a descriptor for a connection and none is free: connections of other members that have been idle
+    /// longest are closed, as they are the least likely to be used again. Several are, because one may be taken into use
+    /// before its member closes it.
     pub(super) fn free_descriptors(&mut self, member: MemberId) {
         for id in self.members_by_idle_time(member).into_iter().take(CLOSED_PER_DESCRIPTOR) {
             let Some(entry) = &self.members[id] else { continue };
@@ -175,7 +168,7 @@
         }
     }
 
-    /// Members with idle connections but for `excluded`, the longest idle first.
+    /// Members with idle connections except `excluded`, the longest idle first.
     fn members_by_idle_time(&self, excluded: MemberId) -> Vec<MemberId> {
         let mut idle: Vec<(Instant, MemberId)> = Vec::new();
         for (id, entry) in self.members.iter().enumerate().filter(|(id, _)| *id != excluded) {
@@ -188,7 +181,7 @@
     }
 }
 
-/// The end of an attempt that never left this process.
+/// The end of an attempt that was never sent.
 fn attempt_not_sent(handle: Handle, decided_at: Instant) -> AttemptFinished {
     AttemptFinished {
         request: handle,
--- a/crates/routing/src/policy/health_checks.rs
+++ b/crates/routing/src/policy/health_checks.rs
@@ -1,20 +1,14 @@
 //! Health checks: when they are sent, and what their results say.
 
-use super::blacklist::BLACKLISTED_FOR;
+use super::blacklist::BLACKLIST_DURATION;
 use super::{HOLD, MS};
 use crate::state::{RoundTrip, Router};
 use crate::{Actions, MemberId, MemberReport, Micros, Standing, Verdict};
 
-/// So many health checks in a row without an answer blacklist a member.
-const HEALTH_CHECK_MISSES: u32 = 3;
 /// How often a member that is not heard otherwise is checked where credit is left over.
 pub(super) const HEALTH_CHECK_EVERY: Micros = 1_000 * MS;
 /// Health checks of members whose proof of freshness has run out, and of a group without a primary.
 pub(super) const HEALTH_CHECK_NEEDED: Micros = 100 * MS;
-/// Health checks that one admitted request pays for.
-pub(super) const CREDIT_PER_REQUEST: f64 = 0.7;
-/// Health checks that a router may send before it has admitted any request.
-pub(super) const CREDIT_AT_START: f64 = 4.0;
 
 impl RoundTrip {
     fn measure(&mut self, estimate: Micros, now: Micros) {
@@ -24,7 +18,7 @@
 
     /// The estimate, in microseconds; zero where it is too old to be believed.
     pub(super) fn of_late(self, now: Micros) -> Micros {
-        if now - self.measured_at < BLACKLISTED_FOR { self.estimate } else { 0 }
+        if now - self.measured_at < BLACKLIST_DURATION { self.estimate } else { 0 }
     }
 }
 
@@ -43,7 +37,7 @@
 
     /// Checks a member that was not heard of late, where requests have paid for more than they need.
     pub(super) fn health_check_to_spare(&mut self, now: Micros, id: MemberId) {
-        let spare = self.allowance > self.members.len() as f64 * 0.5;
+        let spare = self.health_check_budget.has_spare(self.members.len());
         if spare && now - self.members[id].heard > HEALTH_CHECK_EVERY {
             self.health_check(now, id, HEALTH_CHECK_EVERY);
         }
@@ -102,10 +96,7 @@
         slow_start_credit: f64,
     ) {
         let member = &mut self.members[id];
-        if member.health_check_misses >= HEALTH_CHECK_MISSES {
-            member.blacklisted_until = now;
-        }
-        member.health_check_misses = 0;
+        member.blacklist.record_answered_health_check(now);
         member.hear(now, slow_start_credit);
         let position_at = report.position.map(|position| position.saturating_sub(self.clock_offset));
         let reported_at = position_at.unwrap_or(now - HOLD - report.age);
@@ -114,14 +105,11 @@
 
     fn health_check_missed(&mut self, now: Micros, id: MemberId, verdict: Verdict) {
         let member = &mut self.members[id];
-        member.health_check_misses += 1;
         if verdict == Verdict::Unconnected {
             member.fell.get_or_insert(now);
         }
         member.lost_until = now + 2 * HOLD;
-        if member.health_check_misses >= HEALTH_CHECK_MISSES {
-            member.blacklisted_until = now + BLACKLISTED_FOR;
-        }
+        member.blacklist.record_missed_health_check(now);
     }
 
     /// Sends a health check, where one is allowed and paid for and the last one was sent at least `gap`
@@ -129,9 +117,9 @@
     pub(super) fn health_check(&mut self, now: Micros, id: MemberId, gap: Micros) {
         let member = &mut self.members[id];
         let early = member.health_check_out || now - member.health_checked < gap;
-        let allowed = self.terms.health_checks_allowed && self.allowance >= 1.0;
+        let allowed = self.terms.health_checks_allowed && self.health_check_budget.affords_one();
         if allowed && member.standing == Standing::Ready && !early {
-            self.allowance -= 1.0;
+            self.health_check_budget.spend_one();
             member.health_check_out = true;
             member.health_checked = now;
             self.actions.health_checks.push(id);
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -15,28 +15,40 @@
 use crate::{Actions, Learnt, MemberId, Micros, Outcome, Standing, Terms};
 
 mod admission;
+mod availability;
 mod blacklist;
 mod concurrency_limit;
 mod dispatch;
 mod endpoint_list;
 mod freshness;
+mod health_check_budget;
 mod health_checks;
 mod idle_connections;
+mod list_subscription;
 mod local_failures;
 mod primary_search;
 mod read_routing;
 mod replica_subset;
+mod rested_connections;
 mod retry;
 mod retry_detection;
+mod sessions;
 mod slow_start;
+mod stall_pacing;
 mod stalls;
 mod write_routing;
 
 use concurrency_limit::{START, STAY};
 use replica_subset::salt;
 
+pub(crate) use blacklist::Blacklist;
+pub(crate) use health_check_budget::HealthCheckBudget;
+pub(crate) use list_subscription::ListSubscription;
 pub(crate) use local_failures::Backoff;
+pub(crate) use rested_connections::RestedConnections;
 pub(crate) use retry_detection::RetryDetector;
+pub(crate) use sessions::Sessions;
+pub(crate) use stall_pacing::StallPacing;
 
 /// A millisecond.
 const MS: Micros = 1_000;
@@ -68,9 +80,7 @@
     /// A router with its terms and a seed for its chance, before its first list.
     pub fn start(terms: Terms, seed: u64, now: Micros) -> Router {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        // All routers ask at their start: the window grows with their number.
-        let ask_at =
-            now + rng.random_range(0..(30 * MS * terms.drivers as Micros).clamp(200 * MS, 1_200 * MS));
+        let list_subscription = ListSubscription::start(now, terms.drivers, &mut rng);
         Router {
             salt: salt(seed),
             rng,
@@ -79,9 +89,8 @@
             group_ids: HashMap::new(),
             pending_requests: HashMap::new(),
             next_handle: 0,
-            sessions: HashMap::new(),
+            sessions: Sessions::default(),
             clock_offset: 0,
-            forgotten: None,
             // Until attempts tell better, most are taken to last half of the latency objective.
             took: terms.classes.iter().map(|class| Histogram::of(class.objective / 2, 4)).collect(),
             zone_round_trips: BTreeMap::new(),
@@ -89,19 +98,14 @@
             retry_detectors: vec![RetryDetector::default(); terms.classes.len()],
             warm_load: 0.0,
             mean_size: 1.0,
-            allowance: health_checks::CREDIT_AT_START,
-            rests: Default::default(),
+            health_check_budget: HealthCheckBudget::at_start(),
+            rested_connections: RestedConnections::default(),
             tight_until: now,
             backoff: Backoff::none(now),
             next_beat: now,
             next_walk: now,
-            usual_attempts: STAY,
-            attempts: replica_subset::at_start(),
-            attempted: 0.0,
-            paced_until: now,
-            paced_attempts: 0.0,
-            ask_at,
-            ask_wait: 500 * MS,
+            stall_pacing: StallPacing::start(now, replica_subset::at_start()),
+            list_subscription,
             actions: Actions::default(),
             terms,
         }
@@ -145,8 +149,8 @@
 
     /// What is due each [`BEAT`].
     fn beat(&mut self, now: Micros) {
-        self.fade_silence();
-        self.count_attempts(now);
+        self.rested_connections.fade();
+        self.stall_pacing.tick(now);
         if now >= self.next_walk {
             self.walk_members(now);
         }
@@ -159,10 +163,10 @@
         if !self.sparse() && !self.keeps_to_some() {
             (0..self.members.len()).for_each(|id| self.health_check_to_spare(now, id));
         }
-        self.forget_old_sessions(now);
-        if self.terms.list_on_request && now >= self.ask_at {
+        let members_now = self.members_now(now);
+        self.sessions.forget_old(members_now);
+        if self.terms.list_on_request && self.list_subscription.is_due(now) {
             self.actions.subscribe = true;
-            self.ask_at = now + 10_000 * MS;
         }
         self.pump_all(now);
     }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -5,7 +5,10 @@
 use aldermill_statistics::Histogram;
 use rand_pcg::Pcg64Mcg;
 
-use crate::policy::{Backoff, RetryDetector};
+use crate::policy::{
+    Backoff, Blacklist, HealthCheckBudget, ListSubscription, RestedConnections, RetryDetector, Sessions,
+    StallPacing,
+};
 use crate::{Actions, Learnt, MemberId, Micros, ReadShift, Request, Standing, Terms};
 
 /// A request that a router has taken, until it knows it no more.
@@ -96,15 +99,9 @@
     pub(crate) lost_until: Micros,
     /// Since when its process seems dead; taken for warming up when it is heard again.
     pub(crate) fell: Option<Micros>,
-    pub(crate) blacklisted_until: Micros,
-    /// When it failed of late.
-    pub(crate) failures: VecDeque<Micros>,
-    /// Attempts with a malformed response or a lost connection since the last served one.
-    pub(crate) malformed: usize,
+    pub(crate) blacklist: Blacklist,
     /// Connections known to be idle, since new ones to it failed here.
     pub(crate) idle: Option<u32>,
-    /// Health checks in a row without an answer.
-    pub(crate) health_check_misses: u32,
     pub(crate) health_check_out: bool,
     /// When the last health check was sent.
     pub(crate) health_checked: Micros,
@@ -155,27 +152,6 @@
     pub(crate) saved: f64,    // health checks due
 }
 
-/// What this router's own attempts wrote of a session.
-#[derive(Clone, Copy, Default)]
-pub(crate) struct Session {
-    pub(crate) commit: Micros, // of its last write that ran or may have run, at the latest
-    pub(crate) out: u32,       // writes that are out: each may have been committed by now
-}
-
-impl Session {
-    /// What a read of the session must see now.
-    pub(crate) fn floor(&self, now: Micros) -> Micros {
-        if self.out > 0 { now } else { self.commit }
-    }
-
-    /// A write that was out has ended, and was committed by then at the latest: by now, if at all, where the
-    /// answer does not tell.
-    pub(crate) fn ended(&mut self, commit: Micros) {
-        self.out -= 1;
-        self.commit = self.commit.max(commit);
-    }
-}
-
 /// Decides where requests go. It does no I/O and has no clock: each call brings `now`, in microseconds that
 /// never go back, and returns what to do.
 #[derive(Clone)]
@@ -189,11 +165,9 @@
     pub(crate) group_ids: HashMap<u64, usize>,
     pub(crate) pending_requests: HashMap<Handle, PendingRequest>,
     pub(crate) next_handle: u64,
-    pub(crate) sessions: HashMap<String, Session>,
+    pub(crate) sessions: Sessions,
     /// How far the members' clock, by which positions are reported, is ahead of this one.
     pub(crate) clock_offset: Micros,
-    /// A write of a session not found may be as new as that.
-    pub(crate) forgotten: Option<Micros>,
     /// How long attempts take, by request class.
     pub(crate) took: Vec<Histogram>,
     pub(crate) zone_round_trips: BTreeMap<usize, RoundTrip>,
@@ -204,10 +178,8 @@
     /// Attempts that a warm member of size one serves in one window of the overload rule.
     pub(crate) warm_load: f64,
     pub(crate) mean_size: f64,
-    /// Health checks that are paid for.
-    pub(crate) allowance: f64,
-    /// The share met by silence of late, by how long the attempt's connection had rested.
-    pub(crate) rests: [f64; 6],
+    pub(crate) health_check_budget: HealthCheckBudget,
+    pub(crate) rested_connections: RestedConnections,
     /// A member lately had no connection to spare.
     pub(crate) tight_until: Micros,
     /// Of new connections that fail here.
@@ -215,20 +187,8 @@
     pub(crate) next_beat: Micros,
     /// When all members are looked at again.
     pub(crate) next_walk: Micros,
-    /// Attempts in a beat, as of late.
-    pub(crate) usual_attempts: f64,
-    /// Attempts in this beat.
-    pub(crate) attempted: f64,
-    /// Attempts in a beat, as of late, from a careful start.
-    pub(crate) attempts: f64,
-    /// Until then attempts are paced after a stall.
-    pub(crate) paced_until: Micros,
-    /// Attempts due until then.
-    pub(crate) paced_attempts: f64,
-    /// When the endpoint list is subscribed to again.
-    pub(crate) ask_at: Micros,
-    /// The backoff between two such calls.
-    pub(crate) ask_wait: Micros,
+    pub(crate) stall_pacing: StallPacing,
+    pub(crate) list_subscription: ListSubscription,
     pub(crate) actions: Actions,
 }
 
