--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -19,7 +19,9 @@
 
 /// An attempt as the router decided it.
 struct DecidedAttempt {
+    /// The router's name of the request.
     handle: Handle,
+    /// The member that it goes to.
     member: MemberId,
     /// How long it may take, in microseconds.
     timeout: Micros,
@@ -50,6 +52,7 @@
         }
     }
 
+    /// Carries out what the router decided for one request.
     fn carry_out_for_request(&mut self, handle: Handle, action: Action) {
         match action {
             Action::Attempt { member, timeout, afresh, validity } => {
@@ -91,6 +94,7 @@
         }
     }
 
+    /// Hands an attempt to its member's actor. One whose mailbox is full ends as not sent.
     fn send_attempt(&mut self, decided: DecidedAttempt) {
         let Some(open) = self.open_requests.get(&decided.handle) else { return };
         let handle = decided.handle;
@@ -124,6 +128,7 @@
         }
     }
 
+    /// Hands a health check to its member's actor. One whose mailbox is full ends as not sent.
     fn send_health_check(&mut self, member: MemberId) {
         let decided_at = Instant::now();
         let deadline = decided_at + self.context.limits.member.health_check_timeout;
@@ -140,6 +145,7 @@
         }
     }
 
+    /// Closes the idle connections to a member.
     fn close_idle_connections(&self, member: MemberId) {
         if let Some(entry) = &self.members[member] {
             // A full mailbox means that the member is busy and needs its connections.
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -59,8 +59,11 @@
 
 /// Where the dispatcher's events come from, except for its timers.
 struct Inputs {
+    /// From the discovery watch.
     list_updates: mpsc::Receiver<ListUpdate>,
+    /// From all other actors.
     messages: mpsc::Receiver<DispatcherMessage>,
+    /// Set once the process is to stop.
     stopping: watch::Receiver<Option<tokio::time::Instant>>,
 }
 
@@ -88,13 +91,19 @@
 
 /// The actor that owns the router and the open requests.
 pub struct Dispatcher {
+    /// What every actor needs.
     context: Rc<ProcessContext>,
+    /// The settings in force.
     decoded: Decoded,
+    /// Decides on requests and members.
     router: Router,
+    /// The router under other settings, whose actions are only compared.
     shadow: Option<ShadowRouter>,
+    /// Present where this process is a gateway to other sites.
     gateway_part: Option<GatewayPart>,
     /// By the router's index: `None` where the member was removed and the index is not in use again yet.
     members: Vec<Option<MemberEntry>>,
+    /// The router's index of each member, by the id that the endpoint list gives it.
     member_ids: HashMap<String, MemberId>,
     /// By how much the members' clock is ahead of the router's.
     clock_offset: ClockOffset,
@@ -102,20 +111,27 @@
     reported_offset: Micros,
     /// All groups that have been in the endpoint list since the start.
     groups: HashSet<u64>,
+    /// Requests that the router decides on.
     open_requests: HashMap<Handle, OpenRequest>,
     /// The ids that clients gave their open requests.
     open_ids: HashSet<String>,
+    /// Who decides on each client's request.
     locations: HashMap<ClientId, RequestLocation>,
     /// Ends of attempts and health checks that came up while a decision was carried out: handled after it.
     deferred: VecDeque<DispatcherMessage>,
+    /// What a former start saved, and where snapshots for the next one are published.
     warm_state: WarmState,
+    /// The endpoint list in force, for snapshots.
     last_endpoint_list: LastEndpointList,
+    /// Present where the processes decide on zones or splits together.
     observations: Option<Observations>,
     /// When the router wants to be woken, on its clock, in microseconds.
     wake_at: Micros,
     /// The stalled time that both routers were told of, in microseconds.
     reported_stall: Micros,
+    /// Set once there is an endpoint list to decide on.
     ready: watch::Sender<bool>,
+    /// Where the first request asks for the endpoint list.
     list_wanted: Option<mpsc::Sender<()>>,
     /// Notified once no remote request is open.
     remote_requests_waiters: Vec<oneshot::Sender<()>>,
@@ -220,6 +236,7 @@
         }
     }
 
+    /// Handles one event.
     fn handle_event(&mut self, event: Event) {
         match event {
             Event::ListUpdate(list_update) => self.list_update(list_update),
@@ -232,6 +249,7 @@
         }
     }
 
+    /// Handles one message of another actor.
     fn handle_message(&mut self, message: DispatcherMessage) {
         match message {
             DispatcherMessage::ClientRequest(request) => self.client_request(request),
@@ -261,6 +279,7 @@
         decided
     }
 
+    /// Lets the router act on the time that has passed, and publishes a snapshot where one is due.
     fn wake_router(&mut self) {
         let now = self.context.clock.now();
         let ((), actions) = self.decide(|router| ((), router.wake(now)));
@@ -268,12 +287,14 @@
         self.publish_snapshot();
     }
 
+    /// Tells the router how many processes share the members.
     fn fleet_size(&mut self, size: &FleetSize) {
         let ((), actions) = self
             .decide(|router| (router.fleet(size.sharing_warm, size.sharing_warming_up), Actions::default()));
         self.carry_out(actions);
     }
 
+    /// Replaces the shadow evaluation, after the last counts of the former are logged.
     fn replace_shadow(&mut self, shadow: Option<ShadowRouter>) {
         if let Some(ended) = &mut self.shadow {
             ended.log_counts(&self.context.log);
--- a/crates/proxy/src/dispatcher/open_request.rs
+++ b/crates/proxy/src/dispatcher/open_request.rs
@@ -20,7 +20,9 @@
 
 /// The client that waits for a request.
 pub(super) struct WaitingClient {
+    /// The client's name of its request.
     pub(super) id: ClientId,
+    /// Where the answer goes.
     pub(super) mailbox: mpsc::Sender<ClientMessage>,
 }
 
@@ -49,6 +51,7 @@
     pub(super) client: Option<WaitingClient>,
     /// Set when the client left, or the gateway part took the request back.
     pub(super) cancellation: Cancellation,
+    /// The statement and its comment.
     pub(super) request: Rc<ClientRequest>,
 }
 
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -15,7 +15,9 @@
 
 /// A request for the router, and until when it must be answered.
 pub(super) struct Handover {
+    /// The client's request.
     pub(super) request: Rc<ClientRequest>,
+    /// Its request class, by its place in the settings.
     pub(super) class: usize,
     /// On the router's clock: an instant, which a process that is held up on the way does not put off.
     pub(super) deadline: Micros,
@@ -61,6 +63,7 @@
         Ok(class)
     }
 
+    /// Whether the group was ever listed, here or at another site.
     fn knows_group(&self, group: u64) -> bool {
         let elsewhere = |gateway_part: &GatewayPart| gateway_part.knows_group(group);
         self.groups.contains(&group) || self.gateway_part.as_ref().is_some_and(elsewhere)
