--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -311,6 +311,7 @@
         self.remote_requests_waiters.push(reply);
     }
 
+    /// Answers those who wait until no remote request is open.
     fn notify_remote_requests_waiters(&mut self) {
         if self.gateway_part.as_ref().is_some_and(|gateway_part| gateway_part.remote_requests() > 0) {
             return;
