--- a/crates/proxy/src/cli/mod.rs
+++ b/crates/proxy/src/cli/mod.rs
@@ -43,7 +43,7 @@
         /// Print the JSON object as the proxy gives it
         #[bpaf(long)]
         json: bool,
-        /// Path of the status socket, as the operator's file names it
+        /// Path of the status socket, `membership.status` in the operator's file
         #[bpaf(positional("SOCKET"))]
         socket: String,
     },
--- a/crates/proxy/src/cli/serve.rs
+++ b/crates/proxy/src/cli/serve.rs
@@ -8,7 +8,7 @@
 use crate::lifecycle::signals::Signals;
 use crate::lifecycle::startup::Startup;
 
-/// Serves clients until the process is told to stop.
+/// Serves clients until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
@@ -20,7 +20,7 @@
 }
 
 async fn serve(files: ConfigurationFiles) -> Result<(), ProgramError> {
-    // Before anything else: a signal that comes during the start is kept.
+    // Before anything else: a signal that comes during the start takes effect after it.
     let signals = Signals::install()?;
     let configuration = Configuration::read(&files, configuration::environment)?;
     let startup = Startup::open(configuration)?;
--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -2,19 +2,19 @@
 //!
 //! The order, and why:
 //!
-//! 1. All actors are told until when new connections are accepted. Client connections without a request are closed, the
-//!    others finish theirs; the membership actor releases the leases that it holds and tells its peers that it leaves; the
-//!    dispatcher announces to other sites that this one drains.
+//! 1. All actors are notified until when new connections are accepted. Idle client connections are closed, the others
+//!    once their requests are answered; the membership actor releases the leases that it holds and tells its peers that
+//!    it leaves; the dispatcher announces to other sites that this one drains.
 //! 2. Flow control limits how long answers may still be read, so that a client that does not read cannot hold up the end.
 //! 3. The listener is joined. It ends when the window for new connections is over and the last client has its answer.
 //!    The dispatcher, the members and the links must outlive it: they bring these answers.
-//! 4. Requests of other sites are waited for, no longer than `limits.shutdown.remote_request_wait`. It comes after the
-//!    clients, because their requests may be forwarded over the same links.
+//! 4. Requests of other sites are waited for, no longer than `limits.shutdown.remote_request_wait`: when the links are cut,
+//!    what is still open on them counts as unknown at the other site.
 //! 5. The membership actor is joined; it ended by itself soon after step 1.
 //!
 //! All other tasks (flow control, reload, data directory, links, status sockets, dispatcher, discovery watch) have no end
-//! of their own and nothing left to finish: records are confirmed before anybody is told of them. They are cancelled
-//! together when the caller drops its `LocalSet`, after the last log line.
+//! of their own and nothing left to finish: no answer leaves before its record is confirmed. They are cancelled together
+//! when the caller drops its `LocalSet`, after the last log line.
 
 use std::rc::Rc;
 
@@ -33,13 +33,13 @@
 pub struct RunningProxy {
     /// What its actors share.
     pub context: Rc<ProcessContext>,
-    /// Tells all actors until when new connections are accepted.
+    /// Notifies all actors that the process stops, and until when new connections are accepted.
     pub stop: watch::Sender<Option<Instant>>,
-    /// Ends once it is told to stop and the last client has its answer.
+    /// Ends after `stop`, once the last client has its answer.
     pub listener: JoinHandle<()>,
     /// Ends when every other actor is gone: never before the process does.
     pub dispatcher: JoinHandle<()>,
-    /// Ends soon after it is told to stop; `None` where the operator's file has no membership.
+    /// Ends soon after `stop`; `None` where the operator's file has no membership.
     pub membership: Option<JoinHandle<()>>,
     /// Writes the last log lines when it is dropped.
     pub log_guard: AsyncGuard,
@@ -65,7 +65,7 @@
         self.listener.await.map_err(|source| ProgramError::ActorFailed { actor: Actor::Listener, source })?;
         wait_for_remote_requests(&self.context).await;
         if let Some(membership) = self.membership {
-            // Its failure leaves nothing to do: peers notice by themselves that this process is gone.
+            // Its failure leaves nothing to do: peers notice by themselves when this process ends.
             let _ = membership.await;
         }
         info!(self.context.log, "stopped");
--- a/crates/proxy/src/lifecycle/startup/actors.rs
+++ b/crates/proxy/src/lifecycle/startup/actors.rs
@@ -234,10 +234,10 @@
     channels: DiscoveryChannels,
     revision: Option<u64>,
 ) -> Watch {
-    let drivers = configuration.settings.terms.drivers;
+    let fleet_size = configuration.settings.terms.drivers;
     let drain_grace = configuration.settings.drain_grace;
     let mut rng = Pcg64Mcg::seed_from_u64(configuration.seed.rotate_left(DISCOVERY_SEED_ROTATION));
-    let delay = start_jitter::start_delay(&configuration.name, drivers, drain_grace, &mut rng);
+    let delay = start_jitter::start_delay(&configuration.name, fleet_size, drain_grace, &mut rng);
     let config =
         WatchConfig { requests: channels.list_requests, revision, start_delay: duration(delay), rng };
     Watch::new(context.clone(), channels.list_updates, config)
