--- a/crates/membership/examples/gossip.rs
+++ b/crates/membership/examples/gossip.rs
@@ -1,87 +1,136 @@
-//! Measures what knowing of one another costs and how soon it tells, in virtual time:
-//! `cargo run --release -p aldermill-membership --example gossip [drivers] [seconds] [loss]`.
+//! Measures, in virtual time, what membership costs and how soon deaths are known:
+//! `cargo run --release -p aldermill-membership --example gossip [proxies] [seconds] [loss]`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use aldermill_membership::Change;
-use common::{MILLISECOND, SECOND, Simulation};
+use std::collections::BTreeSet;
+
+use aldermill_membership::{Change, Micros};
+use common::{MILLISECOND, Node, SECOND, Simulation};
+
+const DEFAULT_PROXIES: i64 = 300;
+const DEFAULT_SECONDS: i64 = 120;
+const DEFAULT_LOSSES: [f64; 4] = [0.0, 0.01, 0.05, 0.2];
+const SECONDS_A_DAY: f64 = 86_400.0;
+/// Proxies that are killed one after the other, at most.
+const DEATHS: usize = 10;
+/// How long a death is followed.
+const DEATH_TIMEOUT: Micros = 60 * SECOND;
+const POLL_INTERVAL: Micros = 50 * MILLISECOND;
 
 fn main() {
-    let word = |at: usize| std::env::args().nth(at).and_then(|word| word.parse::<i64>().ok());
-    let (count, seconds) = (word(1).unwrap_or(300) as usize, word(2).unwrap_or(120));
-    let losses =
-        std::env::args().nth(3).map_or(vec![0.0, 0.01, 0.05, 0.2], |word| vec![word.parse().unwrap()]);
+    let argument = |index: usize| std::env::args().nth(index);
+    let number = |index, default| argument(index).and_then(|text| text.parse().ok()).unwrap_or(default);
+    let proxies = number(1, DEFAULT_PROXIES) as usize;
+    let seconds = number(2, DEFAULT_SECONDS);
+    let losses = argument(3).map_or(DEFAULT_LOSSES.to_vec(), |text| vec![text.parse().unwrap()]);
     for loss in losses {
-        let mut simulation = Simulation::new(count, 7);
-        simulation.loss = loss;
-        simulation.start_all();
-        let all: Vec<usize> = (0..count).collect();
-        let found = simulation.run_until_all_see(&all, count, 60 * SECOND);
-        simulation.run_for(20 * SECOND);
-        let totals = |simulation: &Simulation| {
-            let nodes = simulation.nodes.iter();
-            nodes.fold((0, 0), |(sent, bytes), node| (sent + node.datagrams_sent, bytes + node.bytes_sent))
-        };
-        let (before, began) = (totals(&simulation), simulation.now);
-        simulation.run_for(seconds * SECOND);
-        let after = totals(&simulation);
-        let each = (count as i64 * seconds) as f64;
-        let wrong = simulation.false_deaths(began, |_| true);
-        let accusers = {
-            let mut names: Vec<String> = Vec::new();
-            for learnt in simulation.nodes.iter().flat_map(|node| &node.changes) {
-                if let Change::Down(peer) = &learnt.change
-                    && learnt.at >= began
-                {
-                    names.push(format!("{} {}", peer.name, peer.rejoins));
-                }
+        measure(proxies, seconds, loss);
+    }
+}
+
+/// Starts a fleet on a network that loses this share of datagrams, and prints one line of figures.
+fn measure(proxies: usize, seconds: i64, loss: f64) {
+    let mut simulation = Simulation::new(proxies, 7);
+    simulation.loss = loss;
+    simulation.start_all();
+    let all: Vec<usize> = (0..proxies).collect();
+    let found_after = simulation.run_until_all_see(&all, proxies, 60 * SECOND);
+    simulation.run_for(20 * SECOND);
+    let quiet = quiet_period(&mut simulation, seconds);
+    let deaths = kill_some(&mut simulation);
+    let proxy_seconds = (proxies as i64 * seconds) as f64;
+    println!(
+        "{proxies} proxies, loss {loss}: all found after {:?} ms; a second a proxy {:.1} datagrams, {:.0} bytes; \
+         falsely dead {} in {seconds} s ({} notices of it), {:.1} a day for one proxy; a death known to half after {} ms, \
+         to all after {} ms (worst in brackets)",
+        found_after.map(|span| span / MILLISECOND),
+        quiet.datagrams as f64 / proxy_seconds,
+        quiet.bytes as f64 / proxy_seconds,
+        quiet.falsely_dead,
+        quiet.false_notices,
+        quiet.falsely_dead as f64 / proxy_seconds * SECONDS_A_DAY,
+        median_and_worst(deaths.known_to_half_ms),
+        median_and_worst(deaths.known_to_all_ms),
+    );
+}
+
+/// What happened while no proxy died.
+struct QuietPeriod {
+    datagrams: u64,
+    bytes: u64,
+    /// Proxies that were declared dead.
+    falsely_dead: usize,
+    /// Changes by which proxies learnt of that.
+    false_notices: usize,
+}
+
+fn quiet_period(simulation: &mut Simulation, seconds: i64) -> QuietPeriod {
+    let datagrams =
+        |simulation: &Simulation| simulation.nodes.iter().map(|node| node.datagrams_sent).sum::<u64>();
+    let bytes = |simulation: &Simulation| simulation.nodes.iter().map(|node| node.bytes_sent).sum::<u64>();
+    let datagrams_before = datagrams(simulation);
+    let bytes_before = bytes(simulation);
+    let began = simulation.now;
+    simulation.run_for(seconds * SECOND);
+    let mut falsely_dead = BTreeSet::new();
+    for learnt in simulation.nodes.iter().flat_map(|node| &node.changes) {
+        if let Change::Down(peer) = &learnt.change
+            && learnt.at >= began
+        {
+            falsely_dead.insert((peer.name.clone(), peer.rejoins));
+        }
+    }
+    QuietPeriod {
+        datagrams: datagrams(simulation) - datagrams_before,
+        bytes: bytes(simulation) - bytes_before,
+        falsely_dead: falsely_dead.len(),
+        false_notices: simulation.false_deaths(began, |_| true),
+    }
+}
+
+/// How long deaths took to be known, in milliseconds, one entry a death that was.
+#[derive(Default)]
+struct Deaths {
+    known_to_half_ms: Vec<i64>,
+    known_to_all_ms: Vec<i64>,
+}
+
+/// Kills some proxies, one after the other.
+fn kill_some(simulation: &mut Simulation) -> Deaths {
+    let mut deaths = Deaths::default();
+    for index in 0..DEATHS.min(simulation.nodes.len() / 4) {
+        let victim = index * 3 + 1;
+        let died_at = simulation.now;
+        simulation.kill(victim);
+        let name = format!("n{victim}");
+        let mut is_known_to_half = false;
+        while simulation.now - died_at < DEATH_TIMEOUT {
+            simulation.run_for(POLL_INTERVAL);
+            let after_ms = (simulation.now - died_at) / MILLISECOND;
+            let running = simulation.nodes.iter().filter(|node| node.membership.is_some()).count();
+            let knowing = simulation.nodes.iter().filter(|node| knows_death(node, &name)).count();
+            if !is_known_to_half && 2 * knowing >= running {
+                is_known_to_half = true;
+                deaths.known_to_half_ms.push(after_ms);
             }
-            names.sort();
-            names.dedup();
-            names.len()
-        };
-        // Deaths, one after the other.
-        let (mut halves, mut alls) = (Vec::new(), Vec::new());
-        for dead in 0..10.min(count / 4) {
-            let (since, name) = (simulation.now, format!("n{}", dead * 3 + 1));
-            simulation.kill(dead * 3 + 1);
-            let mut half = None;
-            for _ in 0..1200 {
-                simulation.run_for(50 * MILLISECOND);
-                let knows = |node: &&common::Node| {
-                    node.membership
-                        .as_ref()
-                        .is_some_and(|membership| membership.alive().all(|at| *at.name != name))
-                };
-                let living = simulation.nodes.iter().filter(|node| node.membership.is_some()).count();
-                let knowing = simulation.nodes.iter().filter(knows).count();
-                if half.is_none() && 2 * knowing >= living {
-                    half = Some((simulation.now - since) / MILLISECOND);
-                }
-                if knowing == living {
-                    alls.push((simulation.now - since) / MILLISECOND);
-                    break;
-                }
+            if knowing == running {
+                deaths.known_to_all_ms.push(after_ms);
+                break;
             }
-            halves.extend(half);
         }
-        halves.sort_unstable();
-        alls.sort_unstable();
-        let show = |times: &[i64]| {
-            let median = times.get(times.len() / 2).copied().unwrap_or(-1);
-            format!("{median} ({})", times.last().copied().unwrap_or(-1))
-        };
-        println!(
-            "{count} drivers, loss {loss}: all found after {:?} ms; a second a driver {:.1} datagrams, {:.0} bytes; \
-             falsely dead {accusers} in {seconds} s ({wrong} words of it), {:.1} a day for one driver; a death known to half after {} ms, \
-             to all after {} ms (worst in brackets)",
-            found.map(|took| took / MILLISECOND),
-            (after.0 - before.0) as f64 / each,
-            (after.1 - before.1) as f64 / each,
-            accusers as f64 / each * 86_400.0,
-            show(&halves),
-            show(&alls),
-        );
     }
+    deaths
+}
+
+fn knows_death(node: &Node, name: &str) -> bool {
+    node.membership.as_ref().is_some_and(|membership| membership.alive().all(|peer| *peer.name != *name))
+}
+
+fn median_and_worst(mut times_ms: Vec<i64>) -> String {
+    times_ms.sort_unstable();
+    let median = times_ms.get(times_ms.len() / 2).copied().unwrap_or(-1);
+    let worst = times_ms.last().copied().unwrap_or(-1);
+    format!("{median} ({worst})")
 }
