--- a/crates/proxy/src/coordination/site_drain.rs
+++ b/crates/proxy/src/coordination/site_drain.rs
@@ -39,22 +39,26 @@
 /// A plan in force, and the version of its directive.
 struct InForce {
     plan: Plan,
-    place: Place,
+    version: Place,
 }
 
 /// This proxy's part in the drains of sites.
 pub struct SiteDrainWork {
     /// What the operators want of sites, as this proxy was told.
     orders: Vec<Word>,
+    /// The newest plan of each site that was in force here.
     obeyed: Obeyed,
-    /// By site; `None` without a data directory.
+    /// Which plans the disk has, by site; `None` without a data directory.
     records: Option<BTreeMap<String, PlanRecord>>,
     /// What the dispatcher acts by.
     acting: Vec<Plan>,
+    /// What this proxy knows and decides while it holds the lease.
     holder: Holder,
+    /// The term under which it last decided.
     term: Option<Term>,
     /// What the next step of each site waits for, as it was last logged.
     logged_waits: BTreeMap<String, Option<String>>,
+    /// The name of this proxy's site; empty until the dispatcher has told it.
     own_site: String,
     log: Logger,
 }
@@ -79,7 +83,7 @@
     let read = |(site, body): (&str, &[u8])| {
         let version = directives.version(&Topic::new(LEASE, site))?;
         let plan = Plan::decode(body).ok()?;
-        Some(InForce { plan, place: (version.term, version.number) })
+        Some(InForce { plan, version: (version.term, version.number) })
     };
     directives.in_force_under(now, LEASE).filter_map(read).collect()
 }
@@ -221,7 +225,7 @@
     /// The plans in force, and those that only this proxy still obeys: a lease holder that was alone knows them by that.
     fn known_plans(&self, now: Micros, directives: &DirectiveStore) -> Vec<(Plan, Place)> {
         let in_force = in_force(directives, now).into_iter();
-        let mut known: Vec<(Plan, Place)> = in_force.map(|known| (known.plan, known.place)).collect();
+        let mut known: Vec<(Plan, Place)> = in_force.map(|known| (known.plan, known.version)).collect();
         for plan in self.obeyed.plans() {
             if !known.iter().any(|(known, _)| known.word.site == plan.word.site) {
                 known.push((plan.clone(), (0, 0)));
@@ -232,10 +236,10 @@
 
     /// Takes the plans in force.
     pub fn obey(&mut self, now: Micros, directives: &DirectiveStore) -> ObeyedPlans {
-        for InForce { plan, place } in in_force(directives, now) {
+        for InForce { plan, version } in in_force(directives, now) {
             let site = plan.word.site.clone();
             let waits = plan.waits.clone();
-            let is_new = self.obeyed.hear(now, plan, place);
+            let is_new = self.obeyed.hear(now, plan, version);
             let Some(plan) = self.obeyed.plan(&site) else { continue };
             if is_new || self.logged_waits.get(&site) != Some(&waits) {
                 info!(self.log, "site drain"; "waits" => &waits, "weight" => plan.weight,
