--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -55,7 +55,7 @@
     Latest,
     /// What the request's session has written.
     OwnWrites,
-    /// All but the last so many microseconds.
+    /// All commits but those of the last microseconds, this many.
     Recent(Micros),
     /// Any age will do.
     Loose,
--- a/crates/routing/src/policy/admission.rs
+++ b/crates/routing/src/policy/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: accepting a request, and shedding one that cannot be served in time.
 
-use super::BEAT;
+use super::TICK;
 use super::retry_detection::ClientAttempt;
 use crate::state::{Handle, PendingRequest, Router};
 use crate::{Action, Actions, Effect, Micros, Request, RequestClass, Scope};
@@ -16,7 +16,7 @@
 /// Before half of the client's time is over, less what a beat and the way to the client take.
 fn shed_at(pending: &PendingRequest) -> Micros {
     let half = (pending.request.ttl - pending.request.waited) / 2;
-    (pending.arrived + half - 2 * BEAT).max(pending.arrived + 1)
+    (pending.arrived + half - 2 * TICK).max(pending.arrived + 1)
 }
 
 impl Router {
@@ -40,7 +40,7 @@
             ..PendingRequest::default()
         };
         self.pending_requests.insert(handle, pending);
-        self.place(now, handle);
+        self.route(now, handle);
         (handle, self.take_actions())
     }
 
@@ -68,13 +68,13 @@
         let late_weight = self.terms.classes[pending.request.class].late_priority_weight;
         let useful_until = if late_weight > 0.0 { end } else { end.min(pending.objective_at) };
         // A router among many cannot see the crowd: it attempts nothing that would be worth little by then.
-        let worthwhile_until = if self.sparse() && late_weight < 0.5 {
+        let worthwhile_until = if self.is_one_of_many() && late_weight < 0.5 {
             useful_until.min(pending.objective_at)
         } else {
             useful_until
         };
         let duration = self.expected_duration(now, pending);
-        let last_start = worthwhile_until - duration - BEAT;
+        let last_start = worthwhile_until - duration - TICK;
         let give_up_at =
             if self.shed_early(now, pending) { last_start.min(shed_at(pending)) } else { last_start };
         RequestDeadlines { give_up_at, useful_until }
@@ -84,9 +84,9 @@
     /// waited.
     fn expected_duration(&self, now: Micros, pending: &PendingRequest) -> Micros {
         // What waited for a replica's report alone has not waited for capacity.
-        let arrives = now == pending.arrived || pending.asked && now - pending.arrived <= 2 * BEAT;
+        let arrives = now == pending.arrived || pending.awaited_report && now - pending.arrived <= 2 * TICK;
         let share = if arrives { 0.5 } else { 0.85 };
-        self.took[pending.request.class].quantile(share).unwrap_or(0)
+        self.durations[pending.request.class].quantile(share).unwrap_or(0)
     }
 
     /// Whether the request is given up before half of its client's time is over.
@@ -97,7 +97,7 @@
     fn shed_early(&self, now: Micros, pending: &PendingRequest) -> bool {
         let late_weight = self.terms.classes[pending.request.class].late_priority_weight;
         let waits_for_capacity = pending.attempts == 0 && !self.backs_off(now);
-        waits_for_capacity && (late_weight < 0.5 || self.sparse())
+        waits_for_capacity && (late_weight < 0.5 || self.is_one_of_many())
     }
 
     /// Rejects the request where that is true to say, else fails it.
@@ -105,7 +105,7 @@
         let pending = &self.pending_requests[&handle];
         let rejectable = match self.terms.classes[pending.request.class].effect {
             Effect::Pure | Effect::Receipted { scope: Scope::All, .. } => true,
-            _ => pending.may_have_run.is_none() && pending.out.is_none(),
+            _ => pending.may_have_run.is_none() && pending.in_flight.is_none(),
         };
         // What is rejected for want of capacity has missed its latency objective: a client that comes back
         // sooner only adds to the crowd.
@@ -130,6 +130,7 @@
     /// Guards members against being blacklisted, and attempts against being used up, for statements that
     /// every member rejects; costs a request its last attempts when it met two faulty members.
     pub(super) fn at_fault(&self, pending: &PendingRequest) -> bool {
-        pending.erred.len() > 2 || pending.erred.iter().any(|id| *id != pending.erred[0])
+        pending.errored_members.len() > 2
+            || pending.errored_members.iter().any(|id| *id != pending.errored_members[0])
     }
 }
--- a/crates/routing/src/policy/blacklist.rs
+++ b/crates/routing/src/policy/blacklist.rs
@@ -14,14 +14,14 @@
 pub(super) const FAILURE_WINDOW: Micros = 10_000 * MS;
 /// Failures within [`FAILURE_WINDOW`] that blacklist a member, as the design says.
 const FAILURE_THRESHOLD: usize = 5;
-/// Up to so many routers the threshold is the design's: beyond, one router sees too few of a member's answers.
+/// Up to this number of routers the threshold is the design's; of more, each sees too few of a member's answers.
 const ROUTERS_AT_FULL_THRESHOLD: f64 = 25.0;
 /// Malformed responses in a row that are not yet counted as failures.
 const TOLERATED_MALFORMED: usize = 5;
 /// Health checks in a row without an answer that blacklist a member, as the design says.
 const MISSED_HEALTH_CHECKS: u32 = 3;
 
-/// How many failures within [`FAILURE_WINDOW`] blacklist a member where so many routers share its answers.
+/// How many failures within [`FAILURE_WINDOW`] blacklist a member where `routers` share its answers.
 pub(super) fn failure_threshold(routers: usize) -> f64 {
     let full = FAILURE_THRESHOLD as f64;
     (full * ROUTERS_AT_FULL_THRESHOLD / routers as f64).min(full)
--- a/crates/routing/src/policy/dispatch.rs
+++ b/crates/routing/src/policy/dispatch.rs
@@ -1,6 +1,6 @@
 //! A request's way: to a member, among the queued requests, or to its end.
 
-use super::HELD_UP;
+use super::SEND_DELAY_MARGIN;
 use crate::state::{Handle, InFlight, PendingRequest, Router};
 use crate::{Action, Effect, MemberId, Micros, Need};
 
@@ -10,20 +10,20 @@
     match (effect, pending.may_have_run) {
         (_, None) | (Effect::Pure, _) => true,
         (Effect::Effectful, Some(_)) => false,
-        (Effect::Receipted { window, .. }, Some(first)) => now < first.sent_at + window - HELD_UP,
+        (Effect::Receipted { window, .. }, Some(first)) => now < first.sent_at + window - SEND_DELAY_MARGIN,
     }
 }
 
 impl Router {
     /// Sends an attempt of the request, holds the request, or gives it up.
-    pub(super) fn place(&mut self, now: Micros, handle: Handle) {
+    pub(super) fn route(&mut self, now: Micros, handle: Handle) {
         let pending = &self.pending_requests[&handle];
         let class = &self.terms.classes[pending.request.class];
         let deadlines = self.deadlines(now, pending);
         if !may_run_again(now, class.effect, pending)
             || self.at_fault(pending)
             || now >= deadlines.give_up_at
-            || pending.attempts - pending.unsent >= self.attempts_allowed(class)
+            || pending.attempts - pending.local_failures >= self.attempts_allowed(class)
         {
             return self.give_up(handle);
         }
@@ -35,29 +35,29 @@
         };
         match target {
             Some(id) => {
-                self.account(now, id, need == Need::Write);
+                self.charge_attempt(now, id, need == Need::Write);
                 self.send_attempt(now, handle, id, deadlines.useful_until);
             }
-            None => self.groups[self.pending_requests[&handle].group].held.push(handle),
+            None => self.groups[self.pending_requests[&handle].group].queued.push(handle),
         }
     }
 
     /// Sends an attempt to the member, which ends at `useful_until` at the latest.
     fn send_attempt(&mut self, now: Micros, handle: Handle, id: MemberId, useful_until: Micros) {
-        let rested = self.rested(now, id);
+        let rested = self.rest_class_of(now, id);
         let validity = self.validity(&self.pending_requests[&handle], id);
-        let tries_connection = self.takes_connection(now, id);
-        let kept = self.members[id].idle.is_some();
+        let tries_connection = self.claim_connection(now, id);
+        let kept = self.members[id].known_idle_connections.is_some();
         let afresh = !kept && rested.is_some_and(|rest| self.rested_connections.are_dropped_after(rest));
         let member = &mut self.members[id];
-        member.out.push(handle);
-        member.sent.push_back(now);
+        member.in_flight.push(handle);
+        member.sent_recently.push_back(now);
         let pending = self.pending_requests.get_mut(&handle).expect("held by its handle");
         pending.attempts += 1;
-        pending.rested = rested.filter(|_| !afresh);
+        pending.rest_class = rested.filter(|_| !afresh);
         pending.tries_connection = tries_connection;
-        pending.out = Some(InFlight { member: id, sent_at: now });
-        pending.waits_from = now;
+        pending.in_flight = Some(InFlight { member: id, sent_at: now });
+        pending.waiting_since = now;
         self.stall_pacing.record_attempt();
         if let Some(session) = self.session(handle) {
             session.write_started();
@@ -70,24 +70,24 @@
     /// The request is over; it is forgotten once no attempt of it is in flight.
     pub(super) fn close(&mut self, handle: Handle) {
         let Some(pending) = self.pending_requests.get_mut(&handle) else { return };
-        pending.closed = true;
-        self.groups[pending.group].held.retain(|&held| held != handle);
-        if pending.out.is_none() {
+        pending.is_closed = true;
+        self.groups[pending.group].queued.retain(|&held| held != handle);
+        if pending.in_flight.is_none() {
             self.pending_requests.remove(&handle);
         }
     }
 
     /// Places the held requests of all groups again.
-    pub(super) fn pump_all(&mut self, now: Micros) {
-        (0..self.groups.len()).for_each(|group| self.pump(now, group));
+    pub(super) fn route_all_queued(&mut self, now: Micros) {
+        (0..self.groups.len()).for_each(|group| self.route_queued(now, group));
     }
 
     /// Places the held requests of a group again: by priority weight, then the newest first.
-    pub(super) fn pump(&mut self, now: Micros, group: usize) {
-        if self.groups[group].held.is_empty() {
+    pub(super) fn route_queued(&mut self, now: Micros, group: usize) {
+        if self.groups[group].queued.is_empty() {
             return;
         }
-        let mut held = std::mem::take(&mut self.groups[group].held);
+        let mut held = std::mem::take(&mut self.groups[group].queued);
         let weight = |handle: &Handle| {
             let pending = &self.pending_requests[handle];
             let class = &self.terms.classes[pending.request.class];
@@ -95,6 +95,6 @@
             class.priority_weight * if late { class.late_priority_weight } else { 1.0 }
         };
         held.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then(b.cmp(a)));
-        held.into_iter().for_each(|handle| self.place(now, handle));
+        held.into_iter().for_each(|handle| self.route(now, handle));
     }
 }
--- a/crates/routing/src/policy/endpoint_list.rs
+++ b/crates/routing/src/policy/endpoint_list.rs
@@ -6,7 +6,7 @@
 
 use super::MS;
 use super::blacklist::FAILURE_WINDOW;
-use super::concurrency_limit::{MOST, START};
+use super::concurrency_limit::{INITIAL_FLEET_LIMIT, MAX_FLEET_LIMIT};
 use super::health_checks::HEALTH_CHECK_NEEDED;
 use crate::state::{Member, Router};
 use crate::{Actions, Listed, ListedRoles, MemberId, Micros, Standing};
@@ -25,7 +25,7 @@
         let listed: HashSet<&str> = lines.iter().map(|line| line.name.as_str()).collect();
         for id in 0..self.members.len() {
             if full && !listed.contains(self.members[id].name.as_str()) {
-                self.stand(now, id, Standing::Gone);
+                self.set_standing(now, id, Standing::Gone);
             }
         }
         if self.members.is_empty() {
@@ -36,29 +36,29 @@
         for line in lines {
             self.list_line(now, line);
         }
-        self.pump_all(now);
+        self.route_all_queued(now);
         self.take_actions()
     }
 
     /// Takes in one line: a new member, or what changed of a known one.
     fn list_line(&mut self, now: Micros, line: Listed) {
         let group = self.group(line.group);
-        let slow_start_credit = self.first_credit() + f64::from(line.since.is_none());
+        let slow_start_credit = self.initial_saved_attempts() + f64::from(line.since.is_none());
         let id = line.member;
         let known = self.members[id].group == group && self.members[id].name == line.name;
         if !known {
             self.add_member(now, group, &line);
         }
         let member = &mut self.members[id];
-        if !known || member.since != line.since && line.standing == Standing::Ready {
+        if !known || member.started_at != line.since && line.standing == Standing::Ready {
             member.blacklist.lift(now);
-            member.seen_primary = false;
-            member.since = line.since;
-            member.credit = slow_start_credit;
-            member.credited = now;
+            member.confirmed_primary = false;
+            member.started_at = line.since;
+            member.saved_attempts = slow_start_credit;
+            member.saved_at = now;
         }
-        self.stand(now, id, line.standing);
-        if !known && !self.sparse() && !self.keeps_to_some() {
+        self.set_standing(now, id, line.standing);
+        if !known && !self.is_one_of_many() && !self.uses_subset() {
             self.health_check_budget.earn_for_new_member();
             self.health_check(now, id, HEALTH_CHECK_NEEDED);
         }
@@ -70,29 +70,33 @@
     fn add_member(&mut self, now: Micros, group: usize, line: &Listed) {
         let drivers = self.terms.drivers as f64;
         let size = line.size / self.mean_size;
-        let window = if self.sparse() { MOST / drivers * size } else { (START / drivers).max(1.0) };
+        let concurrency_limit = if self.is_one_of_many() {
+            MAX_FLEET_LIMIT / drivers * size
+        } else {
+            (INITIAL_FLEET_LIMIT / drivers).max(1.0)
+        };
         self.members[line.member] = Member {
             name: line.name.clone(),
             group,
             zone: line.zone,
             size,
-            window,
+            concurrency_limit,
             position: Micros::MIN,
-            not_primary: Micros::MIN,
-            heard: now,
-            answered: now,
+            not_primary_at: Micros::MIN,
+            last_heard_at: now,
+            last_answered_at: now,
             ..Member::default()
         };
-        self.enter(group, line.member);
+        self.add_to_group(group, line.member);
     }
 
     /// The list says that the member is its group's primary, which is believed as far as the list is.
     fn learn_listed_primary(&mut self, now: Micros, group: usize, id: MemberId) {
         let group = &mut self.groups[group];
-        if group.listed == Some(id) {
+        if group.listed_primary == Some(id) {
             return;
         }
-        let first = group.listed.replace(id).is_none();
+        let first = group.listed_primary.replace(id).is_none();
         let trusted = match self.terms.listed_roles {
             ListedRoles::Late => first || now - group.primary_reported_at > LISTED_ROLES_LAG,
             ListedRoles::AtStart => first && group.primary.is_none(),
@@ -104,16 +108,16 @@
     }
 
     /// Sets whether a member is ready, draining or gone; a primary that is not ready is no longer believed.
-    pub(super) fn stand(&mut self, now: Micros, id: MemberId, standing: Standing) {
+    pub(super) fn set_standing(&mut self, now: Micros, id: MemberId, standing: Standing) {
         self.members[id].standing = standing;
-        self.members[id].seen_primary &= standing == Standing::Ready;
-        let hold = self.hold();
+        self.members[id].confirmed_primary &= standing == Standing::Ready;
+        let hold = self.search_hold();
         let group = &mut self.groups[self.members[id].group];
         if standing != Standing::Ready && group.primary == Some(id) {
             // All routers are notified at once, but their searches are not to begin at once.
             group.primary = None;
-            group.walk_after = now + self.rng.random_range(0..hold);
-            group.search.since = now;
+            group.search_after = now + self.rng.random_range(0..hold);
+            group.search.round_started_at = now;
         }
     }
 
@@ -121,13 +125,15 @@
     /// whether it did: its index may then be given out anew, and one that comes back is another member.
     pub fn forget(&mut self, now: Micros, id: MemberId) -> bool {
         let member = &self.members[id];
-        let quiet = member.out.is_empty() && !member.health_check_out && now - member.heard > FAILURE_WINDOW;
+        let quiet = member.in_flight.is_empty()
+            && !member.health_check_in_flight
+            && now - member.last_heard_at > FAILURE_WINDOW;
         let forgotten = member.standing == Standing::Gone && quiet;
         if forgotten {
             let group = &mut self.groups[member.group];
             group.members.retain(|&member| member != id);
             group.preferred.retain(|&member| member != id);
-            group.listed = group.listed.filter(|&listed| listed != id);
+            group.listed_primary = group.listed_primary.filter(|&listed| listed != id);
             self.members[id] = Member::default();
         }
         forgotten
--- a/crates/routing/src/policy/freshness.rs
+++ b/crates/routing/src/policy/freshness.rs
@@ -1,6 +1,6 @@
 //! How new the data of members is: positions, roles, sessions, and for how long a proof of freshness holds.
 
-use super::HELD_UP;
+use super::SEND_DELAY_MARGIN;
 use super::health_checks::{HEALTH_CHECK_EVERY, HEALTH_CHECK_NEEDED};
 use super::sessions::Session;
 use crate::state::{Handle, PendingRequest, Router};
@@ -16,7 +16,7 @@
         self.clock_offset = offset;
         for &(id, since) in starts {
             if let Some(member) = self.members.get_mut(id) {
-                member.since = since;
+                member.started_at = since;
             }
         }
     }
@@ -26,7 +26,7 @@
     ///
     /// Guards the budget of health checks and the time of writes; costs up to a second when a member catches
     /// up faster.
-    pub(super) fn catches_up_in(&self, id: MemberId, floor: Micros) -> Micros {
+    pub(super) fn time_to_catch_up(&self, id: MemberId, floor: Micros) -> Micros {
         let position = self.members[id].position;
         let lacks = if position == Micros::MIN { 0 } else { floor.saturating_sub(position) };
         (lacks / 2).clamp(HEALTH_CHECK_NEEDED, HEALTH_CHECK_EVERY)
@@ -36,11 +36,11 @@
     ///
     /// Guards reads and repeats against what comes between the decision and the last byte: a connection that
     /// comes up late, a primary that steps down, a window of repeats that ends, a process that is held up.
-    /// Costs reads as much proof of freshness as [`HELD_UP`].
+    /// Costs reads as much proof of freshness as [`SEND_DELAY_MARGIN`].
     pub(super) fn validity(&self, pending: &PendingRequest, id: MemberId) -> Validity {
         let effect = self.terms.classes[pending.request.class].effect;
         let repeats_until = match (effect, pending.may_have_run) {
-            (Effect::Receipted { window, .. }, Some(first)) => first.sent_at + window - HELD_UP,
+            (Effect::Receipted { window, .. }, Some(first)) => first.sent_at + window - SEND_DELAY_MARGIN,
             _ => Micros::MAX,
         };
         let fresh = self.freshness(pending, id);
@@ -50,12 +50,12 @@
     /// For how long the member is proven fresh enough for the request.
     fn freshness(&self, pending: &PendingRequest, id: MemberId) -> Validity {
         let member = &self.members[id];
-        let primary = self.groups[pending.group].primary == Some(id) && member.seen_primary;
+        let primary = self.groups[pending.group].primary == Some(id) && member.confirmed_primary;
         match self.terms.classes[pending.request.class].need {
             Need::Write | Need::Loose => Validity::LASTING,
             _ if self.terms.members_check => Validity::LASTING,
             Need::Recent(bound) if !primary => {
-                let until = member.position.saturating_add(bound - HELD_UP - self.clock_offset);
+                let until = member.position.saturating_add(bound - SEND_DELAY_MARGIN - self.clock_offset);
                 Validity { until, while_primary: false }
             }
             _ => Validity { until: Micros::MAX, while_primary: primary },
@@ -82,7 +82,7 @@
     /// take a member for primary only by a report asked for after it was last heard to be a replica, which
     /// holds unless provably older, as positions never go back. Costs reads without a fresh replica a wait
     /// just after a failover.
-    pub(super) fn note(
+    pub(super) fn record_report(
         &mut self,
         now: Micros,
         id: MemberId,
@@ -94,9 +94,11 @@
         let position = report.position.unwrap_or(Micros::MIN);
         member.position = member.position.max(position);
         match report.role {
-            Some(Role::Primary) if at >= member.demoted => self.reported_primary(id, position, asked, at),
+            Some(Role::Primary) if at >= member.replica_since => {
+                self.reported_primary(id, position, asked, at)
+            }
             Some(Role::Replica) => {
-                member.not_primary = member.not_primary.max(now - report.age);
+                member.not_primary_at = member.not_primary_at.max(now - report.age);
                 self.reported_replica(now, id, position, at);
             }
             _ => {}
@@ -105,7 +107,7 @@
 
     fn reported_primary(&mut self, id: MemberId, position: Micros, asked: Micros, at: Micros) {
         let member = &mut self.members[id];
-        member.seen_primary |= asked >= member.replica_heard;
+        member.confirmed_primary |= asked >= member.replica_report_received_at;
         member.primary_position = member.primary_position.max(position);
         let group = &mut self.groups[member.group];
         let newer = at >= group.primary_reported_at || group.primary.is_none();
@@ -122,12 +124,12 @@
         if newer && group.primary == Some(id) {
             group.primary = None;
             group.primary_reported_at = at;
-            group.search.since = now;
+            group.search.round_started_at = now;
         }
         if newer || group.primary != Some(id) {
-            member.seen_primary = false;
-            member.replica_heard = now;
-            member.demoted = member.demoted.max(at);
+            member.confirmed_primary = false;
+            member.replica_report_received_at = now;
+            member.replica_since = member.replica_since.max(at);
         }
     }
 
@@ -146,7 +148,7 @@
         match need {
             Need::Latest => self.members_now(pending.arrived),
             Need::OwnWrites => self.session_floor(now, pending),
-            Need::Recent(bound) => self.members_now(now) - bound + HELD_UP,
+            Need::Recent(bound) => self.members_now(now) - bound + SEND_DELAY_MARGIN,
             Need::Loose | Need::Write => Micros::MIN,
         }
     }
--- a/crates/routing/src/policy/health_checks.rs
+++ b/crates/routing/src/policy/health_checks.rs
@@ -1,7 +1,7 @@
 //! Health checks: when they are sent, and what their results say.
 
 use super::blacklist::BLACKLIST_DURATION;
-use super::{HOLD, MS};
+use super::{MS, WRITE_HOLD};
 use crate::state::{RoundTrip, Router};
 use crate::{Actions, MemberId, MemberReport, Micros, Standing, Verdict};
 
@@ -26,10 +26,10 @@
     /// Checks members of a group in which requests are held, where that may set them free.
     pub(super) fn health_check_for_held(&mut self, now: Micros, group: usize) {
         let sought = !self.is_wide(&self.groups[group]) && self.lacks_primary(now, &self.groups[group]);
-        let gap = if self.sparse() { HOLD } else { HEALTH_CHECK_NEEDED };
+        let gap = if self.is_one_of_many() { WRITE_HOLD } else { HEALTH_CHECK_NEEDED };
         for at in 0..self.groups[group].members.len() {
             let id = self.groups[group].members[at];
-            if sought || now < self.members[id].lost_until {
+            if sought || now < self.members[id].unreachable_until {
                 self.health_check(now, id, gap);
             }
         }
@@ -38,7 +38,7 @@
     /// Checks a member that was not heard of late, where requests have paid for more than they need.
     pub(super) fn health_check_to_spare(&mut self, now: Micros, id: MemberId) {
         let spare = self.health_check_budget.has_spare(self.members.len());
-        if spare && now - self.members[id].heard > HEALTH_CHECK_EVERY {
+        if spare && now - self.members[id].last_heard_at > HEALTH_CHECK_EVERY {
             self.health_check(now, id, HEALTH_CHECK_EVERY);
         }
     }
@@ -53,10 +53,10 @@
         took: Micros,
         report: MemberReport,
     ) -> Actions {
-        let slow_start_credit = self.first_credit();
+        let slow_start_credit = self.initial_saved_attempts();
         let Some(member) = self.members.get_mut(id) else { return self.take_actions() };
         let group = member.group;
-        member.health_check_out = false;
+        member.health_check_in_flight = false;
         self.measure_round_trip(now, id, verdict, took);
         match verdict {
             // Nobody asked it, or nobody saw its answer.
@@ -66,8 +66,8 @@
             }
             _ => self.health_check_missed(now, id, verdict),
         }
-        self.pump(now, group);
-        self.part_with(id);
+        self.route_queued(now, group);
+        self.close_unless_kept(id);
         self.take_actions()
     }
 
@@ -97,18 +97,18 @@
     ) {
         let member = &mut self.members[id];
         member.blacklist.record_answered_health_check(now);
-        member.hear(now, slow_start_credit);
+        member.record_heard(now, slow_start_credit);
         let position_at = report.position.map(|position| position.saturating_sub(self.clock_offset));
-        let reported_at = position_at.unwrap_or(now - HOLD - report.age);
-        self.note(now, id, report, reported_at, reported_at);
+        let reported_at = position_at.unwrap_or(now - WRITE_HOLD - report.age);
+        self.record_report(now, id, report, reported_at, reported_at);
     }
 
     fn health_check_missed(&mut self, now: Micros, id: MemberId, verdict: Verdict) {
         let member = &mut self.members[id];
         if verdict == Verdict::Unconnected {
-            member.fell.get_or_insert(now);
+            member.down_since.get_or_insert(now);
         }
-        member.lost_until = now + 2 * HOLD;
+        member.unreachable_until = now + 2 * WRITE_HOLD;
         member.blacklist.record_missed_health_check(now);
     }
 
@@ -116,18 +116,18 @@
     /// microseconds ago.
     pub(super) fn health_check(&mut self, now: Micros, id: MemberId, gap: Micros) {
         let member = &mut self.members[id];
-        let early = member.health_check_out || now - member.health_checked < gap;
+        let early = member.health_check_in_flight || now - member.last_health_check_at < gap;
         let allowed = self.terms.health_checks_allowed && self.health_check_budget.affords_one();
         if allowed && member.standing == Standing::Ready && !early {
             self.health_check_budget.spend_one();
-            member.health_check_out = true;
-            member.health_checked = now;
+            member.health_check_in_flight = true;
+            member.last_health_check_at = now;
             self.actions.health_checks.push(id);
         }
     }
 
     /// There and back to the member, in microseconds, as far as its health checks of late tell.
-    pub(super) fn way(&self, now: Micros, id: MemberId) -> Micros {
+    pub(super) fn round_trip_to(&self, now: Micros, id: MemberId) -> Micros {
         self.members[id].round_trip.of_late(now)
     }
 }
--- a/crates/routing/src/policy/local_failures.rs
+++ b/crates/routing/src/policy/local_failures.rs
@@ -14,9 +14,9 @@
 const SHORTEST_WAIT: Micros = 20 * MS;
 /// The longest such wait.
 const LONGEST_WAIT: Micros = 80 * MS;
-/// For so long after a failure new connections are tried one by one, and no request that was never sent is
-/// given up early: it has not waited for members.
-const TROUBLE: Micros = 1_000 * MS;
+/// How long after a failure new connections are tried one by one, in microseconds. Until then no request that was never
+/// sent is given up early, as it has not waited for members.
+const FAILURE_MEMORY: Micros = 1_000 * MS;
 
 /// Until when new connections are tried one by one, because they failed here: one is tried after each wait,
 /// which doubles where that fails and halves where it works.
@@ -44,17 +44,17 @@
     }
 
     /// Whether an idle connection leads there, or a new one may be tried.
-    pub(super) fn connectable(&self, now: Micros, id: MemberId) -> bool {
-        let idle = self.members[id].idle.filter(|_| self.backs_off(now));
+    pub(super) fn may_connect(&self, now: Micros, id: MemberId) -> bool {
+        let idle = self.members[id].known_idle_connections.filter(|_| self.backs_off(now));
         idle.is_none_or(|idle| idle > 0 || now >= self.backoff.retry_at)
     }
 
     /// An attempt goes there. Says whether it tries a new connection where these failed.
-    pub(super) fn takes_connection(&mut self, now: Micros, id: MemberId) -> bool {
+    pub(super) fn claim_connection(&mut self, now: Micros, id: MemberId) -> bool {
         if !self.backs_off(now) {
-            self.members[id].idle = None;
+            self.members[id].known_idle_connections = None;
         }
-        match &mut self.members[id].idle {
+        match &mut self.members[id].known_idle_connections {
             None => false,
             Some(0) => {
                 self.backoff.retry_at = now + self.backoff.wait;
@@ -68,8 +68,8 @@
     }
 
     /// An attempt had a connection, and `heard` says that it can be used again.
-    pub(super) fn connected(&mut self, now: Micros, id: MemberId, tried: bool, heard: bool) {
-        if let Some(idle) = &mut self.members[id].idle {
+    pub(super) fn connection_worked(&mut self, now: Micros, id: MemberId, tried: bool, heard: bool) {
+        if let Some(idle) = &mut self.members[id].known_idle_connections {
             *idle += u32::from(heard);
         }
         if tried {
@@ -83,17 +83,17 @@
     pub(super) fn not_sent(&mut self, now: Micros, handle: Handle, id: MemberId, sent: Micros, over: bool) {
         let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
         let tried = pending.tries_connection;
-        pending.unsent += 1;
-        pending.last = Some(id);
+        pending.local_failures += 1;
+        pending.last_member = Some(id);
         self.stall_pacing.take_back_attempt();
         let member = &mut self.members[id];
-        member.out.retain(|&out| out != handle);
-        if let Some(at) = member.sent.iter().rposition(|&at| at == sent) {
-            member.sent.remove(at);
+        member.in_flight.retain(|&out| out != handle);
+        if let Some(at) = member.sent_recently.iter().rposition(|&at| at == sent) {
+            member.sent_recently.remove(at);
         }
-        member.credit += 1.0;
+        member.saved_attempts += 1.0;
         // The member's actor found no idle connection to it.
-        member.idle = Some(0);
+        member.known_idle_connections = Some(0);
         let group = member.group;
         let wait = match self.backoff.wait {
             _ if !self.backs_off(now) => SHORTEST_WAIT,
@@ -101,17 +101,17 @@
             wait => wait,
         };
         let retry_at = now + self.rng.random_range(wait / 2..=wait);
-        self.backoff = Backoff { until: now + TROUBLE, wait, retry_at };
+        self.backoff = Backoff { until: now + FAILURE_MEMORY, wait, retry_at };
         if self.groups[group].primary.is_none() {
             // Nobody was asked whether it is the primary.
-            self.groups[group].walk_after = now;
+            self.groups[group].search_after = now;
         }
         self.session(handle).into_iter().for_each(|session| session.write_ended(0));
         if over {
             self.close(handle);
         } else {
-            self.place(now, handle);
+            self.route(now, handle);
         }
-        self.pump(now, group);
+        self.route_queued(now, group);
     }
 }
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -8,11 +8,11 @@
 use std::collections::{BTreeMap, HashMap};
 
 use aldermill_statistics::Histogram;
-use rand::{Rng, SeedableRng};
+use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-use crate::state::{Group, Handle, Member, PendingRequest, Router};
-use crate::{Actions, Learnt, MemberId, Micros, Outcome, Standing, Terms};
+use crate::state::{Handle, Router};
+use crate::{Actions, Learnt, Micros, Outcome, Standing, Terms};
 
 mod admission;
 mod availability;
@@ -38,7 +38,7 @@
 mod stalls;
 mod write_routing;
 
-use concurrency_limit::{START, STAY};
+use concurrency_limit::{GUARANTEED_FLEET_LIMIT, INITIAL_FLEET_LIMIT};
 use replica_subset::salt;
 
 pub(crate) use blacklist::Blacklist;
@@ -50,16 +50,16 @@
 pub(crate) use sessions::Sessions;
 pub(crate) use stall_pacing::StallPacing;
 
-/// A millisecond.
+/// A millisecond, in microseconds.
 const MS: Micros = 1_000;
-/// How often the router looks at what no event brings.
-const BEAT: Micros = 20 * MS;
-/// For so long may the process be held up between a decision and the write that follows from it.
-const HELD_UP: Micros = 150 * MS;
-/// How long a write waits after a round of misses, as the design says.
-const HOLD: Micros = 500 * MS;
+/// How often the router does what no event brings about, in microseconds.
+const TICK: Micros = 20 * MS;
+/// How long the process may be held up between a decision and the write that follows from it, in microseconds.
+const SEND_DELAY_MARGIN: Micros = 150 * MS;
+/// How long a write waits after a round of members that are not the primary, in microseconds, as the design says.
+const WRITE_HOLD: Micros = 500 * MS;
 /// Attempts that a histogram of durations remembers.
-const KEEP: u32 = 32;
+const HISTOGRAM_MEMORY: u32 = 32;
 
 impl Handle {
     /// The request's attempt has ended.
@@ -71,7 +71,7 @@
     /// The client has left; nothing more is owed.
     pub fn left(self, router: &mut Router, now: Micros) -> Actions {
         router.close(self);
-        router.pump_all(now);
+        router.route_all_queued(now);
         router.take_actions()
     }
 }
@@ -92,18 +92,18 @@
             sessions: Sessions::default(),
             clock_offset: 0,
             // Until attempts tell better, most are taken to last half of the latency objective.
-            took: terms.classes.iter().map(|class| Histogram::of(class.objective / 2, 4)).collect(),
+            durations: terms.classes.iter().map(|class| Histogram::of(class.objective / 2, 4)).collect(),
             zone_round_trips: BTreeMap::new(),
-            any_took: Histogram::of(terms.classes.iter().map(|o| o.objective / 2).min().unwrap_or(0), 4),
+            all_durations: Histogram::of(terms.classes.iter().map(|o| o.objective / 2).min().unwrap_or(0), 4),
             retry_detectors: vec![RetryDetector::default(); terms.classes.len()],
             warm_load: 0.0,
             mean_size: 1.0,
             health_check_budget: HealthCheckBudget::at_start(),
             rested_connections: RestedConnections::default(),
-            tight_until: now,
+            connections_scarce_until: now,
             backoff: Backoff::none(now),
-            next_beat: now,
-            next_walk: now,
+            next_tick: now,
+            next_sweep: now,
             stall_pacing: StallPacing::start(now, replica_subset::at_start()),
             list_subscription,
             actions: Actions::default(),
@@ -124,43 +124,45 @@
                 group.primary_reported_at = reported_at;
             }
         }
-        for (took, &(usual, _)) in self.took.iter_mut().zip(&learnt.took).filter(|(_, of)| of.0 > 0) {
+        for (took, &(usual, _)) in self.durations.iter_mut().zip(&learnt.took).filter(|(_, of)| of.0 > 0) {
             *took = Histogram::of(usual, 8);
         }
         for &(id, power) in &learnt.windows {
             let member = &mut self.members[id];
-            member.window = member.window.min(2f64.powi(power).max(STAY / self.terms.drivers as f64));
+            member.concurrency_limit = member
+                .concurrency_limit
+                .min(2f64.powi(power).max(GUARANTEED_FLEET_LIMIT / self.terms.drivers as f64));
         }
     }
 
     /// Does what is due by now; the caller wakes the router at [`Actions::wake_at`].
     pub fn wake(&mut self, now: Micros) -> Actions {
-        if now >= self.next_beat {
-            self.next_beat = now + BEAT;
-            self.beat(now);
+        if now >= self.next_tick {
+            self.next_tick = now + TICK;
+            self.tick(now);
         }
         self.take_actions()
     }
 
-    /// Whether this router is one among so many that it is not due one attempt at a time at each member.
-    fn sparse(&self) -> bool {
-        self.terms.drivers as f64 > 1.5 * START
+    /// Whether there are so many routers that this one is not due one attempt at a time at each member.
+    fn is_one_of_many(&self) -> bool {
+        self.terms.drivers as f64 > 1.5 * INITIAL_FLEET_LIMIT
     }
 
-    /// What is due each [`BEAT`].
-    fn beat(&mut self, now: Micros) {
+    /// What is due each [`TICK`].
+    fn tick(&mut self, now: Micros) {
         self.rested_connections.fade();
         self.stall_pacing.tick(now);
-        if now >= self.next_walk {
-            self.walk_members(now);
+        if now >= self.next_sweep {
+            self.sweep_members(now);
         }
         for group in 0..self.groups.len() {
-            if !self.groups[group].held.is_empty() {
+            if !self.groups[group].queued.is_empty() {
                 self.search_primary(now, group);
                 self.health_check_for_held(now, group);
             }
         }
-        if !self.sparse() && !self.keeps_to_some() {
+        if !self.is_one_of_many() && !self.uses_subset() {
             (0..self.members.len()).for_each(|id| self.health_check_to_spare(now, id));
         }
         let members_now = self.members_now(now);
@@ -168,6 +170,6 @@
         if self.terms.list_on_request && self.list_subscription.is_due(now) {
             self.actions.subscribe = true;
         }
-        self.pump_all(now);
+        self.route_all_queued(now);
     }
 }
--- a/crates/routing/src/policy/read_routing.rs
+++ b/crates/routing/src/policy/read_routing.rs
@@ -6,8 +6,8 @@
 use rand::seq::IndexedRandom;
 use rand_pcg::Pcg64Mcg;
 
-use super::BEAT;
-use super::concurrency_limit::MOST;
+use super::TICK;
+use super::concurrency_limit::MAX_FLEET_LIMIT;
 use super::health_checks::HEALTH_CHECK_NEEDED;
 use crate::state::{Handle, Member, PendingRequest, Router};
 use crate::{Effect, MemberId, Micros, Need, ReadShift, RequestClass, Scope};
@@ -25,7 +25,7 @@
     floor: Micros,
     primary: Option<MemberId>,
     /// The primary, where the read may go there and it has said itself that it is the primary.
-    seen_primary: Option<MemberId>,
+    confirmed_primary: Option<MemberId>,
     /// The same, where it is due attempts beyond those that it had.
     owed_primary: Option<MemberId>,
     replicas: Vec<MemberId>,
@@ -54,9 +54,9 @@
     /// what it drew. None where the read has to wait.
     pub(super) fn read_target(&mut self, now: Micros, handle: Handle, need: Need) -> Option<MemberId> {
         let pending = &self.pending_requests[&handle];
-        let asked = pending.asked;
+        let asked = pending.awaited_report;
         let floor = self.position_floor(now, pending, need);
-        let long = need == Need::Loose && self.long(pending.request.class);
+        let long = need == Need::Loose && self.is_long_read(pending.request.class);
         let choice = self.read_choice(now, pending, floor, long);
         if long {
             // All routers alike: the last replica by name that has room.
@@ -65,44 +65,47 @@
         }
         let mut proven = choice.candidates.clone();
         proven.retain(|candidate| self.is_fresh(&choice, candidate.member));
-        let drawn = if self.sparse() && !asked { self.draw(&choice.candidates) } else { None };
+        let drawn = if self.is_one_of_many() && !asked { self.draw(&choice.candidates) } else { None };
         let fresh_drawn = drawn.filter(|&id| self.is_fresh(&choice, id));
         let target = fresh_drawn.or_else(|| self.draw(&proven));
         let resort = self.last_resort(now, &choice);
         let mut stale = choice.replicas.clone();
         stale.retain(|&id| !self.is_fresh(&choice, id));
-        let crowded = |id| self.room(now, id) < self.members[id].window.floor() * 0.7;
+        let crowded =
+            |id| self.available_capacity(now, id) < self.members[id].concurrency_limit.floor() * 0.7;
         let unsure = drawn.is_some_and(|id| stale.contains(&id));
         if stale.is_empty() || !unsure && !target.is_none_or(crowded) {
             return target.or(resort);
         }
         self.check_stale(now, &stale, drawn, floor);
         let waits = (target.is_none() || unsure) && self.awaits_report(now, &stale);
-        self.pending_requests.get_mut(&handle).expect("being placed").asked |= waits;
+        self.pending_requests.get_mut(&handle).expect("being placed").awaited_report |= waits;
         if waits { None } else { target.or(resort) }
     }
 
     /// The members that the read may go to, without those that failed it or are blacklisted where others are
     /// left.
     fn read_choice(&self, now: Micros, pending: &PendingRequest, floor: Micros, long: bool) -> ReadChoice {
-        let mut open = self.readable(now, pending, floor, long);
-        let preferred = |id: MemberId| self.members[id].blacklist.allows(now) && Some(id) != pending.last;
+        let mut open = self.read_subset(now, pending, floor, long);
+        let preferred =
+            |id: MemberId| self.members[id].blacklist.allows(now) && Some(id) != pending.last_member;
         if open.iter().any(|&id| preferred(id)) {
             open.retain(|&id| preferred(id));
         }
         let group = &self.groups[pending.group];
         let primary = group.primary;
-        let seen_primary = primary.filter(|id| open.contains(id) && self.members[*id].seen_primary);
-        let owed_primary = seen_primary.filter(|_| self.sparse() && group.owed > 0.0);
+        let confirmed_primary = primary.filter(|id| open.contains(id) && self.members[*id].confirmed_primary);
+        let owed_primary = confirmed_primary.filter(|_| self.is_one_of_many() && group.primary_deficit > 0.0);
         let replicas: Vec<MemberId> = open.into_iter().filter(|&id| Some(id) != primary).collect();
         let drawable = replicas.iter().copied().chain(owed_primary);
-        let candidates = drawable.map(|member| Candidate { member, room: self.room(now, member) });
+        let candidates =
+            drawable.map(|member| Candidate { member, room: self.available_capacity(now, member) });
         let mut candidates: Vec<Candidate> = candidates.filter(|candidate| candidate.room > 0.0).collect();
-        let at_hand = |candidate: &Candidate| !self.remote(now, candidate.member, pending.request.class);
+        let at_hand = |candidate: &Candidate| !self.is_too_far(now, candidate.member, pending.request.class);
         if candidates.iter().any(at_hand) {
             candidates.retain(at_hand);
         }
-        ReadChoice { floor, primary, seen_primary, owed_primary, replicas, candidates }
+        ReadChoice { floor, primary, confirmed_primary, owed_primary, replicas, candidates }
     }
 
     fn is_fresh(&self, choice: &ReadChoice, id: MemberId) -> bool {
@@ -113,18 +116,19 @@
     /// where members check freshness themselves, to the newest replica that may have caught up.
     fn last_resort(&self, now: Micros, choice: &ReadChoice) -> Option<MemberId> {
         let uncrowded = |id: MemberId| {
-            let window = self.members[id].window;
-            let most = MOST / self.terms.drivers as f64;
-            self.room(now, id) > window.floor() * 0.3 && (!self.sparse() || window * 3.0 > most)
+            let window = self.members[id].concurrency_limit;
+            let most = MAX_FLEET_LIMIT / self.terms.drivers as f64;
+            self.available_capacity(now, id) > window.floor() * 0.3
+                && (!self.is_one_of_many() || window * 3.0 > most)
         };
-        let primary = choice.seen_primary.filter(|&id| uncrowded(id));
+        let primary = choice.confirmed_primary.filter(|&id| uncrowded(id));
         if !self.terms.members_check || primary.is_some() {
             return primary;
         }
         // Not one that has just said how far behind it is: it would reject the read, or hold it for nothing.
         let may_be_fresh =
-            |id: MemberId| now - self.members[id].heard >= self.catches_up_in(id, choice.floor);
-        let usable = |&id: &MemberId| may_be_fresh(id) && self.room(now, id) > 0.0;
+            |id: MemberId| now - self.members[id].last_heard_at >= self.time_to_catch_up(id, choice.floor);
+        let usable = |&id: &MemberId| may_be_fresh(id) && self.available_capacity(now, id) > 0.0;
         choice.replicas.iter().copied().filter(usable).max_by_key(|&id| self.members[id].position)
     }
 
@@ -133,7 +137,8 @@
         if self.awaits_report(now, stale) {
             return;
         }
-        let due = |id: &MemberId| now - self.members[*id].health_checked >= self.catches_up_in(*id, floor);
+        let due =
+            |id: &MemberId| now - self.members[*id].last_health_check_at >= self.time_to_catch_up(*id, floor);
         let due: Vec<MemberId> = stale.iter().copied().filter(due).collect();
         let checked = drawn.filter(|id| due.contains(id)).or_else(|| due.choose(&mut self.rng).copied());
         if let Some(id) = checked {
@@ -143,7 +148,8 @@
 
     /// A report of one of them is due at any moment: a read waits for it before it burdens the primary.
     fn awaits_report(&self, now: Micros, stale: &[MemberId]) -> bool {
-        let awaited = |member: &Member| member.health_check_out && now - member.health_checked < BEAT;
+        let awaited =
+            |member: &Member| member.health_check_in_flight && now - member.last_health_check_at < TICK;
         stale.iter().any(|&id| awaited(&self.members[id]))
     }
 
@@ -152,12 +158,12 @@
     /// Guards the freshness of replicas against reads of which a few in a row hold up their log for longer
     /// than bounded reads bear; costs long reads time when that replica is slow, or when they hold up
     /// nothing. A router among many cannot see a crowd there, and goes by the whole bound.
-    pub(super) fn long(&self, class: usize) -> bool {
-        let usual = |class: usize| self.took[class].quantile(0.5).unwrap_or(0);
+    pub(super) fn is_long_read(&self, class: usize) -> bool {
+        let usual = |class: usize| self.durations[class].quantile(0.5).unwrap_or(0);
         let bound = |o: &RequestClass| if let Need::Recent(bound) = o.need { Some(bound) } else { None };
         let bound = self.terms.classes.iter().filter_map(bound).min();
-        let least = (0..self.took.len()).map(usual).min().unwrap_or(0);
-        let row = if self.sparse() { 1 } else { 3 };
+        let least = (0..self.durations.len()).map(usual).min().unwrap_or(0);
+        let row = if self.is_one_of_many() { 1 } else { 3 };
         bound.is_some_and(|bound| usual(class) > (bound / row).max(3 * least))
     }
 
@@ -166,10 +172,10 @@
     ///
     /// Guards reads against a slow link; costs the members beyond it their reads when they are checked just
     /// as a neighbour dies.
-    pub(super) fn remote(&self, now: Micros, id: MemberId, class: usize) -> bool {
+    pub(super) fn is_too_far(&self, now: Micros, id: MemberId, class: usize) -> bool {
         let zone = self.members[id].zone;
-        let usual = self.took[class].quantile(0.5).unwrap_or(0);
-        let mut way = self.way(now, id);
+        let usual = self.durations[class].quantile(0.5).unwrap_or(0);
+        let mut way = self.round_trip_to(now, id);
         if zone != self.terms.zone {
             let to_zone = self.zone_round_trips.get(&zone).copied().unwrap_or_default();
             way = way.max(to_zone.of_late(now));
@@ -188,8 +194,11 @@
             return Some(id);
         }
         let room = |of: &[Candidate]| of.iter().map(|candidate| candidate.room).sum::<f64>();
-        let stays =
-            if self.sparse() { room(&near) / room(candidates) * self.terms.zones as f64 } else { 1.0 };
+        let stays = if self.is_one_of_many() {
+            room(&near) / room(candidates) * self.terms.zones as f64
+        } else {
+            1.0
+        };
         let priced = self.terms.crossing_price > 0.0 && !near.is_empty() && !far.is_empty();
         let drawn_from = if priced && self.rng.random::<f64>() < stays { &near } else { candidates };
         choose(&mut self.rng, drawn_from)
@@ -212,7 +221,7 @@
 
     /// Whether a read may go to this member at all; one that may have run stays where its repeats are
     /// deduplicated.
-    pub(super) fn may_follow(&self, now: Micros, pending: &PendingRequest, id: MemberId) -> bool {
+    pub(super) fn may_read_from(&self, now: Micros, pending: &PendingRequest, id: MemberId) -> bool {
         let scope = self.terms.classes[pending.request.class].effect;
         let zoned = matches!(scope, Effect::Receipted { scope: Scope::Zone, .. });
         let kept = pending.may_have_run.is_none_or(|first| !zoned || first.zone == self.members[id].zone);
--- a/crates/routing/src/policy/replica_subset.rs
+++ b/crates/routing/src/policy/replica_subset.rs
@@ -1,25 +1,29 @@
 //! The replicas that this router keeps to, where there are more members than it has requests for.
 
-use super::*;
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
 
-/// Up to so many members a router uses all alike. A figure of our own, between the largest usual fleet (120
+use super::{MS, TICK};
+use crate::state::{Group, Member, PendingRequest, Router};
+use crate::{MemberId, Micros};
+
+/// Up to this number of members a router uses all of them alike. A figure of our own, between the largest usual fleet (120
 /// members) and the smallest that was measured with descriptors or connections beyond their bounds (320). It
 /// is not derived: what bounds it is how many descriptors a process has for members (some 87 of 256), which
-/// this module is not told. What it is told gives no bound: 60 attempts a second use each of 1,800
-/// connections again within the 30 s that one may rest. Harms processes with few descriptors before 100
-/// members, which open connections again and again, and those with many before 300, which use fewer replicas
-/// than they could.
-const KEPT_MEMBERS: usize = 128;
+/// this package is not told. What it is told gives no bound: 60 attempts a second use each of 1,800
+/// connections again within the 30 s that one may rest. The cost: a process with few descriptors opens connections
+/// again and again before it has 100 members, and one with many uses fewer replicas than it could before 300.
+const MAX_MEMBERS_USED_ALIKE: usize = 128;
 /// An idle connection that is used again within this time is worth keeping.
 const REUSED_WITHIN: Micros = 1_000 * MS;
-/// Of a group's members no fewer are kept to.
-const LEAST_REPLICAS: usize = 1;
+/// The least number of a group's members that a router uses.
+const MIN_SUBSET: usize = 1;
 /// Keeps what is derived from a router's seed apart from what it draws.
 const SALT: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Attempts in a beat, taken for usual until a router knows: enough for a quarter of those members.
 pub(super) fn at_start() -> f64 {
-    KEPT_MEMBERS as f64 / 4.0 * BEAT as f64 / REUSED_WITHIN as f64
+    MAX_MEMBERS_USED_ALIKE as f64 / 4.0 * TICK as f64 / REUSED_WITHIN as f64
 }
 
 /// Spreads seeds that follow one another over all numbers.
@@ -37,13 +41,14 @@
 
 impl Router {
     /// There are more members than a router can keep connections to.
-    pub(super) fn keeps_to_some(&self) -> bool {
-        self.members.len() > KEPT_MEMBERS
+    pub(super) fn uses_subset(&self) -> bool {
+        self.members.len() > MAX_MEMBERS_USED_ALIKE
     }
 
     /// Enters a member into its group, by name and by preference.
-    pub(super) fn enter(&mut self, group: usize, id: MemberId) {
-        let (salt, all) = (self.salt, &self.members);
+    pub(super) fn add_to_group(&mut self, group: usize, id: MemberId) {
+        let salt = self.salt;
+        let all = &self.members;
         let name = |id: MemberId| all[id].name.as_str();
         let Group { members, preferred, .. } = &mut self.groups[group];
         let at = members.partition_point(|&other| name(other) <= name(id));
@@ -55,20 +60,20 @@
 
     /// How many members of the group this router keeps to: as many as its requests use again and again,
     /// shared out among the groups by their size.
-    pub(super) fn kept(&self, group: &Group) -> usize {
-        if !self.keeps_to_some() {
+    pub(super) fn subset_size(&self, group: &Group) -> usize {
+        if !self.uses_subset() {
             return usize::MAX;
         }
-        let reused = self.stall_pacing.recent_attempts() * REUSED_WITHIN as f64 / BEAT as f64;
+        let reused = self.stall_pacing.recent_attempts() * REUSED_WITHIN as f64 / TICK as f64;
         let part = group.members.len() as f64 / self.members.len() as f64;
-        ((reused * part).round() as usize).max(LEAST_REPLICAS)
+        ((reused * part).round() as usize).max(MIN_SUBSET)
     }
 
     /// The members among which a read is drawn: of those that may take it the first few by preference, and
-    /// the primary. Protects descriptors and members' connections where every router would open one to each
-    /// of very many members and close it unused. Members that fail, drain, are blacklisted, lag or have no
-    /// room are passed over, and the next ones stand in for them. Harms by less choice among fresh replicas.
-    pub(super) fn readable(
+    /// the primary. Otherwise every router would open a connection to each of very many members and close it unused.
+    /// Members that fail, drain, are blacklisted, lag or have no capacity are passed over, and the next ones stand in for
+    /// them. The cost: less choice among fresh replicas.
+    pub(super) fn read_subset(
         &self,
         now: Micros,
         pending: &PendingRequest,
@@ -76,18 +81,22 @@
         all: bool,
     ) -> Vec<MemberId> {
         let group = &self.groups[pending.group];
-        let may = |id: &MemberId| self.may_follow(now, pending, *id);
-        let kept = self.kept(group);
+        let may = |id: &MemberId| self.may_read_from(now, pending, *id);
+        let kept = self.subset_size(group);
         if all || kept >= group.members.len() {
             return group.members.iter().copied().filter(may).collect();
         }
-        let listed = |id: &MemberId| self.members[*id].blacklist.allows(now) && Some(*id) != pending.last;
+        let listed =
+            |id: &MemberId| self.members[*id].blacklist.allows(now) && Some(*id) != pending.last_member;
         let behind = |id: MemberId| {
-            let Member { position, heard, .. } = self.members[id];
-            position < floor && now - heard < self.catches_up_in(id, floor)
+            let Member { position, last_heard_at, .. } = self.members[id];
+            position < floor && now - last_heard_at < self.time_to_catch_up(id, floor)
         };
         let takes = |id: &MemberId| {
-            Some(*id) != group.primary && listed(id) && !behind(*id) && self.room(now, *id) > 0.0
+            Some(*id) != group.primary
+                && listed(id)
+                && !behind(*id)
+                && self.available_capacity(now, *id) > 0.0
         };
         let found = group.preferred.iter().copied().filter(may).filter(takes).take(kept);
         let mut found: Vec<MemberId> = found.chain(group.primary.filter(may)).collect();
@@ -97,14 +106,13 @@
         found
     }
 
-    /// Closes what was opened to a member only to hear whether it is the primary. Protects descriptors and
-    /// members' connections from searches that go through large groups. Harms a member that is used next by a
-    /// handshake.
-    pub(super) fn part_with(&mut self, id: MemberId) {
-        let Some(member) = self.members.get(id).filter(|_| self.keeps_to_some()) else { return };
+    /// Closes what was opened to a member only to learn whether it is the primary. Otherwise searches through large groups
+    /// use up descriptors and members' connections. The cost: a handshake, if the member is used next.
+    pub(super) fn close_unless_kept(&mut self, id: MemberId) {
+        let Some(member) = self.members.get(id).filter(|_| self.uses_subset()) else { return };
         let group = &self.groups[member.group];
-        let mut kept = group.preferred.iter().take(self.kept(group)).chain(&group.primary);
-        if member.out.is_empty() && !kept.any(|&kept| kept == id) {
+        let mut kept = group.preferred.iter().take(self.subset_size(group)).chain(&group.primary);
+        if member.in_flight.is_empty() && !kept.any(|&kept| kept == id) {
             self.actions.shut.push(id);
         }
     }
--- a/crates/routing/src/policy/rested_connections.rs
+++ b/crates/routing/src/policy/rested_connections.rs
@@ -1,12 +1,12 @@
 //! Connections that something on the way dropped, unseen, while they rested.
 
 use super::blacklist::FAILURE_WINDOW;
-use super::{BEAT, MS};
+use super::{MS, TICK};
 use crate::Micros;
 
 /// Rests are told apart by powers of two of this time, in microseconds.
 const SHORTEST_REST: Micros = 250 * MS;
-/// A rest of so many times the shortest, or more, is not told from others.
+/// Rests of this many times the shortest, or longer, are not told apart.
 const MAX_REST: Micros = 32;
 /// How many powers of two there are below that.
 const REST_CLASSES: usize = 6;
@@ -20,7 +20,7 @@
 /// How long a connection had rested, as a power of two of 250 ms.
 pub(crate) type RestClass = usize;
 
-/// The class of a rest of so many microseconds; `None` beyond the longest.
+/// The class of a rest, in microseconds; `None` beyond the longest.
 pub(super) fn rest_class(rested_for: Micros) -> Option<RestClass> {
     let rest = (rested_for / SHORTEST_REST).max(0);
     (rest < MAX_REST).then_some((Micros::BITS - rest.leading_zeros()) as usize)
@@ -52,7 +52,7 @@
 
     /// Lets what was learnt fade, by one tick.
     pub(super) fn fade(&mut self) {
-        let faded = 1.0 - BEAT as f64 / (3 * FAILURE_WINDOW) as f64;
+        let faded = 1.0 - TICK as f64 / (3 * FAILURE_WINDOW) as f64;
         self.silence.iter_mut().for_each(|share| *share *= faded);
     }
 }
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -3,7 +3,7 @@
 use super::blacklist::failure_threshold;
 use super::concurrency_limit::EndedLoad;
 use super::health_checks::HEALTH_CHECK_NEEDED;
-use super::{HOLD, KEEP};
+use super::{HISTOGRAM_MEMORY, WRITE_HOLD};
 use crate::state::{FirstRun, Handle, Router};
 use crate::{MemberId, Micros, Outcome, Verdict};
 
@@ -15,7 +15,7 @@
     class: usize,
     sent: Micros,
     /// As `sent`, without the time in which the process stalled.
-    waits_from: Micros,
+    waiting_since: Micros,
     /// How long its connection had rested, as a power of two.
     rested: Option<usize>,
     tried_connection: bool,
@@ -29,7 +29,7 @@
 impl Router {
     /// Enters the end of an attempt; its request is closed, or placed again.
     pub(super) fn attempt_ended(&mut self, now: Micros, handle: Handle, outcome: Outcome) {
-        let slow_start_credit = self.first_credit();
+        let slow_start_credit = self.initial_saved_attempts();
         let Some(ended) = self.take_ended(now, handle, outcome) else { return };
         let id = ended.member;
         match outcome.verdict {
@@ -37,33 +37,33 @@
                 return self.not_sent(now, handle, id, ended.sent, ended.request_closed);
             }
             Verdict::NotSent => {}
-            verdict => self.connected(now, id, ended.tried_connection, verdict.heard()),
+            verdict => self.connection_worked(now, id, ended.tried_connection, verdict.heard()),
         }
         self.release_attempt(handle, &ended);
         self.learn_of_rested_connection(&ended);
         let refused = self.learn_of_reachability(now, &ended, slow_start_credit);
         let load = EndedLoad { member: id, class: ended.class, reaped: ended.reaped, outcome };
         self.adapt_concurrency_limit(now, &load);
-        self.judge_member(now, handle, &ended);
+        self.record_verdict(now, handle, &ended);
         self.end_session_write(now, handle, &outcome);
-        self.pending_requests.get_mut(&handle).expect("not yet closed").last = Some(id);
+        self.pending_requests.get_mut(&handle).expect("not yet closed").last_member = Some(id);
         self.release_connections(now, id, refused);
-        self.note(now, id, outcome.report, ended.sent, now - outcome.report.age);
+        self.record_report(now, id, outcome.report, ended.sent, now - outcome.report.age);
         if outcome.verdict == Verdict::NotPrimary && self.groups[ended.group].primary.is_none() {
             self.count_miss(now, handle, &ended);
         }
         if ended.request_closed {
             self.close(handle);
         } else {
-            self.place(now, handle);
+            self.route(now, handle);
         }
-        self.pump(now, ended.group);
+        self.route_queued(now, ended.group);
     }
 
     /// Takes the attempt out of its request; none where the request has no attempt in flight.
     fn take_ended(&mut self, now: Micros, handle: Handle, outcome: Outcome) -> Option<EndedAttempt> {
         let pending = self.pending_requests.get(&handle)?;
-        let attempt = pending.out?;
+        let attempt = pending.in_flight?;
         let timed_out = outcome.verdict == Verdict::TimedOut;
         let ended = EndedAttempt {
             outcome,
@@ -71,22 +71,22 @@
             group: pending.group,
             class: pending.request.class,
             sent: attempt.sent_at,
-            waits_from: pending.waits_from,
-            rested: pending.rested,
+            waiting_since: pending.waiting_since,
+            rested: pending.rest_class,
             tried_connection: pending.tries_connection,
-            mute: self.mute(now, attempt.member),
+            mute: self.leaves_unanswered(now, attempt.member),
             reaped: timed_out
-                && pending.rested.is_some_and(|rest| self.rested_connections.are_dropped_after(rest)),
-            request_closed: outcome.closed || pending.closed,
+                && pending.rest_class.is_some_and(|rest| self.rested_connections.are_dropped_after(rest)),
+            request_closed: outcome.closed || pending.is_closed,
         };
-        self.pending_requests.get_mut(&handle)?.out = None;
+        self.pending_requests.get_mut(&handle)?.in_flight = None;
         Some(ended)
     }
 
     /// The attempt is no longer in flight at its member, and may have run there.
     fn release_attempt(&mut self, handle: Handle, ended: &EndedAttempt) {
         let member = &mut self.members[ended.member];
-        member.out.retain(|&out| out != handle);
+        member.in_flight.retain(|&out| out != handle);
         if !ended.outcome.verdict.never_ran() {
             let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
             pending.may_have_run.get_or_insert(FirstRun { sent_at: ended.sent, zone: member.zone });
@@ -103,34 +103,35 @@
 
     /// Says whether the member refused a connection at once, as seen by a router among many.
     fn learn_of_reachability(&mut self, now: Micros, ended: &EndedAttempt, slow_start_credit: f64) -> bool {
-        let many_routers = self.sparse();
+        let many_routers = self.is_one_of_many();
         let verdict = ended.outcome.verdict;
         let member = &mut self.members[ended.member];
         if verdict.heard() {
-            member.answered = now;
-            member.newest_answered_sent = member.newest_answered_sent.max(ended.waits_from);
-            member.hear(now, slow_start_credit);
+            member.last_answered_at = now;
+            member.newest_answered_sent = member.newest_answered_sent.max(ended.waiting_since);
+            member.record_heard(now, slow_start_credit);
             return false;
         }
         if !matches!(verdict, Verdict::Unconnected | Verdict::Unreachable | Verdict::Reset) {
             return false;
         }
         let refused = verdict == Verdict::Unconnected && ended.outcome.took < HEALTH_CHECK_NEEDED;
-        member.lost_until = now + 2 * HOLD;
+        member.unreachable_until = now + 2 * WRITE_HOLD;
         if verdict == Verdict::Reset || refused {
-            member.fell.get_or_insert(now);
+            member.down_since.get_or_insert(now);
         }
         refused && many_routers
     }
 
     /// Enters what the verdict says for or against the member.
-    fn judge_member(&mut self, now: Micros, handle: Handle, ended: &EndedAttempt) {
-        let (id, took) = (ended.member, ended.outcome.took);
+    fn record_verdict(&mut self, now: Micros, handle: Handle, ended: &EndedAttempt) {
+        let id = ended.member;
+        let took = ended.outcome.took;
         match ended.outcome.verdict {
             Verdict::Served => self.attempt_served(now, handle, ended),
             // Nobody's fault as yet: whoever serves the request proves that the member failed it.
             Verdict::Error => {
-                self.pending_requests.get_mut(&handle).expect("not yet closed").erred.push(id);
+                self.pending_requests.get_mut(&handle).expect("not yet closed").errored_members.push(id);
                 self.give_back_quick_error(now, id, ended.class, took);
             }
             Verdict::Overloaded => self.shrink_concurrency_limit(now, id),
@@ -152,13 +153,13 @@
     }
 
     fn attempt_served(&mut self, now: Micros, handle: Handle, ended: &EndedAttempt) {
-        self.took[ended.class].add(ended.outcome.took, KEEP * 4);
-        self.any_took.add(ended.outcome.took, KEEP * 4);
+        self.durations[ended.class].add(ended.outcome.took, HISTOGRAM_MEMORY * 4);
+        self.all_durations.add(ended.outcome.took, HISTOGRAM_MEMORY * 4);
         let member = &mut self.members[ended.member];
-        member.served += 0.1;
+        member.served_load += 0.1;
         member.blacklist.record_served();
         let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
-        for erred in std::mem::take(&mut pending.erred) {
+        for erred in std::mem::take(&mut pending.errored_members) {
             self.record_failure(now, erred);
         }
     }
@@ -166,15 +167,15 @@
     /// A write that met a replica: after a round of misses the group's writes wait for a while.
     fn count_miss(&mut self, now: Micros, handle: Handle, ended: &EndedAttempt) {
         let round = self.groups[ended.group].members.len().min(self.terms.max_attempts as usize / 2);
-        let hold = self.hold();
+        let hold = self.search_hold();
         let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
-        pending.misses += 1;
-        if pending.misses >= round {
-            pending.misses = 0;
-            self.groups[ended.group].walk_after = now + hold;
+        pending.not_primary_answers += 1;
+        if pending.not_primary_answers >= round {
+            pending.not_primary_answers = 0;
+            self.groups[ended.group].search_after = now + hold;
         }
         let member = &mut self.members[ended.member];
-        member.not_primary = member.not_primary.max(now - ended.outcome.report.age);
-        self.part_with(ended.member);
+        member.not_primary_at = member.not_primary_at.max(now - ended.outcome.report.age);
+        self.close_unless_kept(ended.member);
     }
 }
--- a/crates/routing/src/policy/retry_detection.rs
+++ b/crates/routing/src/policy/retry_detection.rs
@@ -4,7 +4,7 @@
 
 /// The most that a detector's confidence grows to, in requests.
 const MOST_CONFIDENCE: i32 = 64;
-/// From so many requests in agreement on, a shorter wait is taken for that of a retry.
+/// A shorter wait is taken for that of a retry only after this many requests agreed on the usual one.
 const SURE: i32 = 2;
 
 /// What a request is, as far as its client's wait tells.
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -2,18 +2,18 @@
 
 use rand::Rng;
 
-use super::concurrency_limit::STAY;
-use super::{BEAT, HOLD};
+use super::concurrency_limit::GUARANTEED_FLEET_LIMIT;
+use super::{TICK, WRITE_HOLD};
 use crate::state::{Member, Router};
 use crate::{MemberId, Micros, Standing};
 
 /// How often all members are looked at where a router keeps to some of them.
-const WALK: Micros = 10 * BEAT;
+const SWEEP_INTERVAL: Micros = 10 * TICK;
 
 impl Member {
     /// Whether it started so recently that it is to be sent little.
     pub(super) fn is_warming_up(&self, now: Micros, warm_within: Micros) -> bool {
-        self.since.is_some_and(|since| now - since < warm_within)
+        self.started_at.is_some_and(|since| now - since < warm_within)
     }
 
     /// The member's process was heard. One that seemed dead for long is taken for started now.
@@ -21,13 +21,13 @@
     /// Guards a process that died and came back against the crowd that waits for it, where no list tells its
     /// start; costs a member that only refused connections: it gets a slow-start allowance, unless it is
     /// heard sooner than any process comes back.
-    pub(super) fn hear(&mut self, now: Micros, credit: f64) {
-        self.heard = now;
-        self.lost_until = now;
-        if self.fell.take().is_some_and(|at| now - at > 4 * HOLD) {
-            self.since = Some(now);
-            self.credit = credit;
-            self.credited = now;
+    pub(super) fn record_heard(&mut self, now: Micros, credit: f64) {
+        self.last_heard_at = now;
+        self.unreachable_until = now;
+        if self.down_since.take().is_some_and(|at| now - at > 4 * WRITE_HOLD) {
+            self.started_at = Some(now);
+            self.saved_attempts = credit;
+            self.saved_at = now;
         }
     }
 }
@@ -35,42 +35,42 @@
 impl Router {
     /// The slow-start allowance: attempts that the member may be sent in one window of the overload rule;
     /// infinite once it is warm.
-    pub(super) fn bearable(&self, now: Micros, id: MemberId) -> f64 {
+    pub(super) fn slow_start_allowance(&self, now: Micros, id: MemberId) -> f64 {
         let member = &self.members[id];
-        let age = member.since.map_or(Micros::MAX, |since| now - since);
+        let age = member.started_at.map_or(Micros::MAX, |since| now - since);
         if age >= self.terms.warm_within {
             return f64::INFINITY;
         }
         // The capacity at the middle of the window that ends now: it grows about evenly.
         let age = (age - self.terms.overload_window / 2).max(0) as f64 / self.terms.warm_within as f64;
         let capacity = self.terms.cold_from + (1.0 - self.terms.cold_from) * age;
-        let load = self.warm_load.max(STAY / self.terms.drivers_at_cold as f64);
+        let load = self.warm_load.max(GUARANTEED_FLEET_LIMIT / self.terms.drivers_at_cold as f64);
         self.terms.overload_factor * capacity * load * member.size
     }
 
     /// Saving up for a member that warms up begins at a random credit, so that not all routers come at once.
-    pub(super) fn first_credit(&mut self) -> f64 {
-        self.rng.random::<f64>() + STAY / self.terms.drivers_at_cold as f64
+    pub(super) fn initial_saved_attempts(&mut self) -> f64 {
+        self.rng.random::<f64>() + GUARANTEED_FLEET_LIMIT / self.terms.drivers_at_cold as f64
     }
 
     /// Lets fade what is remembered of each member, and measures what warm members carry. Where there are
     /// many members this is done less often.
-    pub(super) fn walk_members(&mut self, now: Micros) {
+    pub(super) fn sweep_members(&mut self, now: Micros) {
         // Only what was served counts as a warm member's load: misses and rejected attempts are no work.
         let window = self.terms.overload_window;
         let mut load = 0.0;
         let mut warm = 0.0;
-        let passed = if self.keeps_to_some() { WALK } else { BEAT };
-        self.next_walk = now + passed;
+        let passed = if self.uses_subset() { SWEEP_INTERVAL } else { TICK };
+        self.next_sweep = now + passed;
         let fading = passed as f64 / window as f64;
         for member in &mut self.members {
-            member.sent.retain(|&at| at > now - window);
+            member.sent_recently.retain(|&at| at > now - window);
             let warming_up = member.is_warming_up(now, self.terms.warm_within);
             if member.standing == Standing::Ready && !warming_up {
-                load += member.served;
+                load += member.served_load;
                 warm += member.size;
             }
-            member.served *= if warming_up { 0.0 } else { 1.0 - 0.1 * fading };
+            member.served_load *= if warming_up { 0.0 } else { 1.0 - 0.1 * fading };
         }
         // What members carry does not shrink with what they are sent: their best of late counts.
         let faded = self.warm_load * (1.0 - 0.02 * fading);
--- a/crates/routing/src/policy/stall_pacing.rs
+++ b/crates/routing/src/policy/stall_pacing.rs
@@ -1,18 +1,18 @@
 //! The pace of attempts after a stall of the process.
 
-use super::concurrency_limit::STAY;
-use super::{BEAT, MS};
+use super::concurrency_limit::GUARANTEED_FLEET_LIMIT;
+use super::{MS, TICK};
 use crate::Micros;
 
 /// How long attempts are paced after a stall, in microseconds.
 const PACED_FOR: Micros = 2_000 * MS;
 /// A stall that is no longer than this, in microseconds, leaves the pace as it is.
-const SHORT_STALL: Micros = 10 * BEAT;
+const SHORT_STALL: Micros = 10 * TICK;
 /// Attempts in a tick after a stall, as a multiple of the usual ones.
 const PACE: f64 = 1.6;
 /// The least number of attempts that a tick after a stall allows for.
 const MIN_PACE: f64 = 0.2;
-/// Unused attempts are saved up for at most so many ticks.
+/// Unused attempts are saved up for at most this many ticks.
 const SAVED_TICKS: f64 = 5.0;
 /// The part by which one tick moves an average of attempts.
 const AVERAGE_STEP: f64 = 0.02;
@@ -38,7 +38,13 @@
 impl StallPacing {
     /// Not paced; `recent_attempts` in a tick are assumed until they are counted.
     pub(super) fn start(now: Micros, recent_attempts: f64) -> StallPacing {
-        StallPacing { usual_attempts: STAY, attempted: 0.0, paced_until: now, allowed: 0.0, recent_attempts }
+        StallPacing {
+            usual_attempts: GUARANTEED_FLEET_LIMIT,
+            attempted: 0.0,
+            paced_until: now,
+            allowed: 0.0,
+            recent_attempts,
+        }
     }
 
     /// The process stalled for `stall` microseconds, until now.
--- a/crates/routing/src/policy/stalls.rs
+++ b/crates/routing/src/policy/stalls.rs
@@ -7,14 +7,22 @@
     /// The process stalled for `long` microseconds, until now: what is measured of members goes on where it
     /// stopped.
     pub fn stood_still(&mut self, now: Micros, long: Micros) {
-        self.pending_requests.values_mut().for_each(|pending| pending.waits_from += long);
+        self.pending_requests.values_mut().for_each(|pending| pending.waiting_since += long);
         for member in &mut self.members {
-            let Member { heard, answered, newest_answered_sent, health_checked, credited, .. } = member;
-            for at in [heard, answered, newest_answered_sent, health_checked, credited] {
+            let Member {
+                last_heard_at,
+                last_answered_at,
+                newest_answered_sent,
+                last_health_check_at,
+                saved_at,
+                ..
+            } = member;
+            for at in [last_heard_at, last_answered_at, newest_answered_sent, last_health_check_at, saved_at]
+            {
                 *at = (*at + long).min(now);
             }
         }
-        self.next_beat = now;
+        self.next_tick = now;
         self.stall_pacing.stalled(now, long);
     }
 }
--- a/crates/routing/src/policy/write_routing.rs
+++ b/crates/routing/src/policy/write_routing.rs
@@ -1,6 +1,6 @@
 //! The member that a write goes to: the believed primary, or the next member of the primary search.
 
-use super::HOLD;
+use super::WRITE_HOLD;
 use crate::state::{PendingRequest, Router};
 use crate::{MemberId, Micros};
 
@@ -10,10 +10,10 @@
         let group = &self.groups[pending.group];
         let target = match group.primary {
             Some(primary) => Some(primary).filter(|&id| self.usable(now, id)),
-            None if pending.misses == 0 && now < group.walk_after => None,
+            None if pending.not_primary_answers == 0 && now < group.search_after => None,
             None => self.next_candidate(now, pending),
         };
-        target.filter(|&id| self.room(now, id) > 0.0)
+        target.filter(|&id| self.available_capacity(now, id) > 0.0)
     }
 
     /// The next member of the search order, behind the one that the request asked last, that may be the
@@ -21,7 +21,7 @@
     fn next_candidate(&self, now: Micros, pending: &PendingRequest) -> Option<MemberId> {
         let group = &self.groups[pending.group];
         let order = self.search_order(group);
-        let asked = pending.last.and_then(|last| order.iter().position(|&id| id == last));
+        let asked = pending.last_member.and_then(|last| order.iter().position(|&id| id == last));
         let start = asked.map_or(0, |position| position + 1);
         let round = (0..order.len()).map(|step| order[(start + step) % order.len()]);
         let mut candidates = round.filter(|&id| self.may_be_primary(now, group, id));
@@ -33,7 +33,7 @@
     ///
     /// Guards members, those that warm up most, against searches of many routers at once; costs a router
     /// among many time to find a new primary when health checks do not tell it.
-    pub(super) fn hold(&self) -> Micros {
-        HOLD.max(HOLD * self.terms.drivers as Micros * 2 / 50)
+    pub(super) fn search_hold(&self) -> Micros {
+        WRITE_HOLD.max(WRITE_HOLD * self.terms.drivers as Micros * 2 / 50)
     }
 }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -47,25 +47,25 @@
     pub(crate) is_retry: bool,
     pub(crate) attempts: u32,
     /// Of these, those that could not leave this machine.
-    pub(crate) unsent: u32,
+    pub(crate) local_failures: u32,
     /// Its attempt is on a new connection where these failed.
     pub(crate) tries_connection: bool,
-    pub(crate) out: Option<InFlight>,
+    pub(crate) in_flight: Option<InFlight>,
     /// When its attempt was sent, without the time in which the process stalled.
-    pub(crate) waits_from: Micros,
+    pub(crate) waiting_since: Micros,
     pub(crate) may_have_run: Option<FirstRun>,
     /// Members in this round that answered that they are not the primary.
-    pub(crate) misses: usize,
+    pub(crate) not_primary_answers: usize,
     /// How long its attempt's connection had rested, as a power of two; none where it is new.
-    pub(crate) rested: Option<usize>,
+    pub(crate) rest_class: Option<usize>,
     /// Members that answered it with an error.
-    pub(crate) erred: Vec<MemberId>,
+    pub(crate) errored_members: Vec<MemberId>,
     /// It has waited for a replica's report.
-    pub(crate) asked: bool,
+    pub(crate) awaited_report: bool,
     /// Where its newest attempt that ended was.
-    pub(crate) last: Option<MemberId>,
+    pub(crate) last_member: Option<MemberId>,
     /// It has its final answer.
-    pub(crate) closed: bool,
+    pub(crate) is_closed: bool,
 }
 
 /// What is believed of a member.
@@ -76,49 +76,49 @@
     pub(crate) zone: usize,
     pub(crate) standing: Standing,
     /// When it started; none is long ago.
-    pub(crate) since: Option<Micros>,
+    pub(crate) started_at: Option<Micros>,
     pub(crate) size: f64,
     /// The newest that it reported, by the members' clock.
     pub(crate) position: Micros,
     /// It reported itself primary, and not since replica.
-    pub(crate) seen_primary: bool,
+    pub(crate) confirmed_primary: bool,
     /// The time of its newest report that it is a replica.
-    pub(crate) demoted: Micros,
+    pub(crate) replica_since: Micros,
     /// When such a report was last heard.
-    pub(crate) replica_heard: Micros,
+    pub(crate) replica_report_received_at: Micros,
     /// The newest time at which it was known not to be the primary.
-    pub(crate) not_primary: Micros,
+    pub(crate) not_primary_at: Micros,
     /// The newest position that it reported as primary, or zero.
     pub(crate) primary_position: Micros,
-    pub(crate) heard: Micros,
+    pub(crate) last_heard_at: Micros,
     /// When it last answered an attempt.
-    pub(crate) answered: Micros,
+    pub(crate) last_answered_at: Micros,
     /// When the newest attempt that it answered was sent.
     pub(crate) newest_answered_sent: Micros,
     /// It could not be reached; believed until then, or until it is heard.
-    pub(crate) lost_until: Micros,
+    pub(crate) unreachable_until: Micros,
     /// Since when its process seems dead; taken for warming up when it is heard again.
-    pub(crate) fell: Option<Micros>,
+    pub(crate) down_since: Option<Micros>,
     pub(crate) blacklist: Blacklist,
     /// Connections known to be idle, since new ones to it failed here.
-    pub(crate) idle: Option<u32>,
-    pub(crate) health_check_out: bool,
+    pub(crate) known_idle_connections: Option<u32>,
+    pub(crate) health_check_in_flight: bool,
     /// When the last health check was sent.
-    pub(crate) health_checked: Micros,
+    pub(crate) last_health_check_at: Micros,
     /// By its own health checks.
     pub(crate) round_trip: RoundTrip,
     /// Requests with an attempt in flight there.
-    pub(crate) out: Vec<Handle>,
+    pub(crate) in_flight: Vec<Handle>,
     /// Attempts that may be in flight at once; below one, the part of the time that one may be.
-    pub(crate) window: f64,
-    /// Attempts saved up at `credited`, where the window or a slow-start allowance is below one.
-    pub(crate) credit: f64,
-    pub(crate) credited: Micros,
-    pub(crate) took: Histogram,
+    pub(crate) concurrency_limit: f64,
+    /// Attempts saved up at `saved_at`, where the window or a slow-start allowance is below one.
+    pub(crate) saved_attempts: f64,
+    pub(crate) saved_at: Micros,
+    pub(crate) durations: Histogram,
     /// When attempts were sent to it, in the last window of the overload rule.
-    pub(crate) sent: VecDeque<Micros>,
+    pub(crate) sent_recently: VecDeque<Micros>,
     /// Attempts served in one window of the overload rule, as of late.
-    pub(crate) served: f64,
+    pub(crate) served_load: f64,
 }
 
 /// What is believed of a group.
@@ -133,23 +133,23 @@
     /// The time of the newest report of the primary.
     pub(crate) primary_reported_at: Micros,
     /// The primary by the list.
-    pub(crate) listed: Option<MemberId>,
+    pub(crate) listed_primary: Option<MemberId>,
     /// Until then no write looks for the primary by itself.
-    pub(crate) walk_after: Micros,
+    pub(crate) search_after: Micros,
     pub(crate) search: PrimarySearch,
     /// Attempts due to the primary by its size and window, beyond those it had.
-    pub(crate) owed: f64,
+    pub(crate) primary_deficit: f64,
     /// Requests that wait for a member.
-    pub(crate) held: Vec<Handle>,
+    pub(crate) queued: Vec<Handle>,
     pub(crate) read_shift: ReadShift,
 }
 
 /// The search for the primary of a group.
 #[derive(Clone, Default)]
 pub(crate) struct PrimarySearch {
-    pub(crate) since: Micros, // what members said of their role before this round does not count
-    pub(crate) next: usize,   // the position of the member that is asked next
-    pub(crate) saved: f64,    // health checks due
+    pub(crate) round_started_at: Micros, // what members said of their role before this round does not count
+    pub(crate) next_position: usize,     // the position of the member that is asked next
+    pub(crate) saved_health_checks: f64, // health checks due
 }
 
 /// Decides where requests go. It does no I/O and has no clock: each call brings `now`, in microseconds that
@@ -169,10 +169,10 @@
     /// How far the members' clock, by which positions are reported, is ahead of this one.
     pub(crate) clock_offset: Micros,
     /// How long attempts take, by request class.
-    pub(crate) took: Vec<Histogram>,
+    pub(crate) durations: Vec<Histogram>,
     pub(crate) zone_round_trips: BTreeMap<usize, RoundTrip>,
     /// How long attempts of all request classes together take.
-    pub(crate) any_took: Histogram,
+    pub(crate) all_durations: Histogram,
     /// By request class.
     pub(crate) retry_detectors: Vec<RetryDetector>,
     /// Attempts that a warm member of size one serves in one window of the overload rule.
@@ -181,12 +181,12 @@
     pub(crate) health_check_budget: HealthCheckBudget,
     pub(crate) rested_connections: RestedConnections,
     /// A member lately had no connection to spare.
-    pub(crate) tight_until: Micros,
+    pub(crate) connections_scarce_until: Micros,
     /// Of new connections that fail here.
     pub(crate) backoff: Backoff,
-    pub(crate) next_beat: Micros,
+    pub(crate) next_tick: Micros,
     /// When all members are looked at again.
-    pub(crate) next_walk: Micros,
+    pub(crate) next_sweep: Micros,
     pub(crate) stall_pacing: StallPacing,
     pub(crate) list_subscription: ListSubscription,
     pub(crate) actions: Actions,
@@ -207,10 +207,10 @@
     pub fn learnt(&self) -> Learnt {
         let primary = |group: &Group| group.primary.map(|id| (id, group.primary_reported_at));
         let took = |of: &Histogram| (of.quantile(0.5).unwrap_or(0), of.quantile(0.9).unwrap_or(0));
-        let window = |id: MemberId| (id, self.members[id].window.log2().floor() as i32);
+        let window = |id: MemberId| (id, self.members[id].concurrency_limit.log2().floor() as i32);
         Learnt {
             primaries: self.groups.iter().filter_map(primary).collect(),
-            took: self.took.iter().map(took).collect(),
+            took: self.durations.iter().map(took).collect(),
             windows: (0..self.members.len()).map(window).collect(),
         }
     }
@@ -221,7 +221,7 @@
     }
 
     pub(crate) fn take_actions(&mut self) -> Actions {
-        self.actions.wake_at = Some(self.next_beat);
+        self.actions.wake_at = Some(self.next_tick);
         std::mem::take(&mut self.actions)
     }
 
@@ -229,7 +229,7 @@
         *self.group_ids.entry(name).or_insert_with(|| {
             self.groups.push(Group {
                 primary_reported_at: Micros::MIN / 2,
-                walk_after: Micros::MIN,
+                search_after: Micros::MIN,
                 ..Group::default()
             });
             self.groups.len() - 1
