--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -7,7 +7,8 @@
 use std::process::ExitCode;
 
 use aldermill_routing::{
-    Action, Actions, Handle, Listed, MemberId, MemberReport, Micros, Outcome, Request, Role, Router, Standing,
+    Action, Actions, ListedMember, MemberId, MemberReport, Micros, Outcome, Request, RequestHandle, Role,
+    Router, Standing,
 };
 use aldermill_settings::{Decoded, Trouble};
 use wire::Fields;
@@ -45,8 +46,8 @@
     decoded: Decoded,
     member_ids: HashMap<String, MemberId>,
     member_names: Vec<String>,
-    handles: HashMap<u64, Handle>,
-    tickets: HashMap<Handle, u64>,
+    handles: HashMap<u64, RequestHandle>,
+    tickets: HashMap<RequestHandle, u64>,
     armed: Option<Micros>,
     timers: u64,
 }
@@ -76,8 +77,8 @@
         id
     }
 
-    fn list(&mut self, items: &[Item]) -> Vec<Listed> {
-        let listed = |item: &Item| Listed {
+    fn list(&mut self, items: &[Item]) -> Vec<ListedMember> {
+        let listed = |item: &Item| ListedMember {
             member: self.member(&item.name),
             name: item.name.clone(),
             group: item.group,
@@ -100,7 +101,7 @@
                     }
                     reply.call_out(who, ticket, &self.member_names[member], timeout)
                 }
-                Action::Reject { cool_down } => reply.turn_away(who, ticket, cool_down),
+                Action::Reject { retry_after } => reply.turn_away(who, ticket, retry_after),
                 Action::Fail => reply.error(who, ticket),
             }
             self.release(handle);
@@ -143,7 +144,7 @@
     }
 
     /// Drops the names of a request of which nothing more can be heard.
-    fn release(&mut self, handle: Handle) {
+    fn release(&mut self, handle: RequestHandle) {
         if !self.router.knows(handle)
             && let Some(ticket) = self.tickets.remove(&handle)
         {
--- a/crates/bench-adapter/src/wire.rs
+++ b/crates/bench-adapter/src/wire.rs
@@ -126,8 +126,8 @@
         self.add(format_args!("CALL_OUT\t{who}\t{ticket}\t{member}\t{}", millis(timeout)));
     }
 
-    pub fn turn_away(&mut self, who: u32, ticket: u64, cool_down: Micros) {
-        self.add(format_args!("TURN_AWAY\t{who}\t{ticket}\t{}", millis(cool_down)));
+    pub fn turn_away(&mut self, who: u32, ticket: u64, retry_after: Micros) {
+        self.add(format_args!("TURN_AWAY\t{who}\t{ticket}\t{}", millis(retry_after)));
     }
 
     pub fn error(&mut self, who: u32, ticket: u64) {
--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -1,7 +1,9 @@
 //! Carries out what the router decided: answers, attempts, health checks, connections to close.
 
 use aldermill_flow_control::ReservationOwner;
-use aldermill_routing::{Action, Actions, Effect, Handle, MemberId, MemberReport, Micros, Validity, Verdict};
+use aldermill_routing::{
+    Action, Actions, Effect, MemberId, MemberReport, Micros, RequestHandle, Validity, Verdict,
+};
 use slog::warn;
 use tokio::time::Instant;
 
@@ -19,7 +21,7 @@
 
 /// An attempt as the router decided it.
 struct DecidedAttempt {
-    handle: Handle,
+    handle: RequestHandle,
     member: MemberId,
     /// How long it may take, in microseconds.
     timeout: Micros,
@@ -50,18 +52,18 @@
         }
     }
 
-    fn carry_out_for_request(&mut self, handle: Handle, action: Action) {
+    fn carry_out_for_request(&mut self, handle: RequestHandle, action: Action) {
         match action {
             Action::Attempt { member, timeout, afresh, validity } => {
                 self.send_attempt(DecidedAttempt { handle, member, timeout, afresh, validity })
             }
-            Action::Reject { cool_down } => self.answer(handle, Answer::Rejected { retry_after: cool_down }),
+            Action::Reject { retry_after } => self.answer(handle, Answer::Rejected { retry_after }),
             Action::Fail => self.answer(handle, Answer::Failed),
         }
     }
 
     /// Gives a request its one answer.
-    pub(super) fn answer(&mut self, handle: Handle, answer: Answer) {
+    pub(super) fn answer(&mut self, handle: RequestHandle, answer: Answer) {
         let Some(open) = self.open_requests.get_mut(&handle) else { return };
         let Some(client) = open.client.take() else { return };
         if let Some(via) = open.via {
@@ -72,7 +74,7 @@
     }
 
     /// Answers a request whose member responded while there was no buffer space for the response.
-    pub(super) fn answer_without_buffer_space(&mut self, handle: Handle) {
+    pub(super) fn answer_without_buffer_space(&mut self, handle: RequestHandle) {
         let Some(open) = self.open_requests.get(&handle) else { return };
         let Ok(class) = self.decoded.class(&open.request.comment.class) else { return };
         let answer = self.no_buffer_space_answer(class);
@@ -84,8 +86,8 @@
     pub(super) fn no_buffer_space_answer(&self, class: usize) -> Answer {
         let terms = &self.decoded.terms;
         match terms.classes[class].effect {
-            Effect::Pure => Answer::Rejected {
-                retry_after: self.context.flow_control.retry_after().min(terms.max_cool_down),
+            Effect::Idempotent => Answer::Rejected {
+                retry_after: self.context.flow_control.retry_after().min(terms.max_retry_after),
             },
             _ => Answer::Failed,
         }
@@ -182,7 +184,7 @@
 }
 
 /// The end of an attempt that was never sent.
-fn attempt_not_sent(handle: Handle, decided_at: Instant) -> AttemptFinished {
+fn attempt_not_sent(handle: RequestHandle, decided_at: Instant) -> AttemptFinished {
     AttemptFinished {
         request: handle,
         verdict: Verdict::NotSent,
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_routing::{Actions, Listed, MemberId, Micros, Standing};
+use aldermill_routing::{Actions, ListedMember, MemberId, Micros, Standing};
 use slog::{info, warn};
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
@@ -128,7 +128,7 @@
     }
 
     /// The endpoints in the router's form. Their actors act by the list from here on.
-    fn listed_members(&mut self, list: &EndpointList) -> Vec<Listed> {
+    fn listed_members(&mut self, list: &EndpointList) -> Vec<ListedMember> {
         if list.complete {
             self.stop_using_unlisted(list);
         }
@@ -157,7 +157,7 @@
     }
 
     /// One endpoint in the router's form; `None` where it has no usable address, or is gone and was never known.
-    fn listed_member(&mut self, endpoint: &Endpoint) -> Option<Listed> {
+    fn listed_member(&mut self, endpoint: &Endpoint) -> Option<ListedMember> {
         let Ok(address) = endpoint.host_port.parse::<SocketAddr>() else {
             warn!(self.context.log, "list endpoint without a usable address, left out";
                 "member" => &endpoint.id, "host_port" => &endpoint.host_port);
@@ -172,7 +172,7 @@
         self.update_member(member, endpoint, address);
         let since = self.members[member].as_ref()?.started_at;
         self.groups.insert(endpoint.group);
-        Some(Listed {
+        Some(ListedMember {
             member,
             name: endpoint.id.clone(),
             group: endpoint.group,
--- a/crates/proxy/src/dispatcher/gateway/answers.rs
+++ b/crates/proxy/src/dispatcher/gateway/answers.rs
@@ -97,7 +97,7 @@
             ..ResponseFrame::default()
         };
         let timeout = Micros::from(forwarded.request.comment.wait) * 1000;
-        let non_idempotent = matches!(effect, Effect::Effectful);
+        let non_idempotent = matches!(effect, Effect::NonIdempotent);
         // Nobody asks about what may simply be sent again.
         let outcome = if non_idempotent { outcome } else { Outcome::Failed };
         let kept_until = non_idempotent.then_some(now + timeout + QUERY_GRACE);
--- a/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use aldermill_routing::{Handle as RouterHandle, Micros, Need};
+use aldermill_routing::{Micros, Need, RequestHandle as RouterHandle};
 use aldermill_site_drain::Plan;
 use aldermill_site_routing::{Action, LocalResult, Request, RequestHandle, SiteId};
 use aldermill_wire::statement;
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 
 use aldermill_flow_control::PeerId;
-use aldermill_routing::{Handle as RouterHandle, Micros};
+use aldermill_routing::{Micros, RequestHandle as RouterHandle};
 use aldermill_site_link::{Identity, Outbound, Request as RequestFrame, Response as ResponseFrame};
 use aldermill_site_routing::{Origin, OutcomeTable, PeerGatewayId, RequestHandle, SiteId, SiteRouter};
 use tokio::sync::mpsc;
--- a/crates/proxy/src/dispatcher/gateway/remote_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/remote_requests.rs
@@ -59,7 +59,7 @@
         let effect = class.map(|class| self.decoded.terms.classes[class].effect);
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let outcome_log = gateway_part.outcome_log.as_mut();
-        let Some(outcome_log) = outcome_log.filter(|_| effect == Some(Effect::Effectful)) else {
+        let Some(outcome_log) = outcome_log.filter(|_| effect == Some(Effect::NonIdempotent)) else {
             return self.take_remote_request(arriving);
         };
         let now = arriving.received_at;
--- a/crates/proxy/src/dispatcher/gateway/start.rs
+++ b/crates/proxy/src/dispatcher/gateway/start.rs
@@ -86,7 +86,7 @@
         sites: 1 + setup.peers.len(),
         max_hops: setup.max_hops,
         max_credit: setup.max_credit,
-        max_retry_after: decoded.terms.max_cool_down,
+        max_retry_after: decoded.terms.max_retry_after,
     }
 }
 
@@ -102,11 +102,11 @@
 
 fn site_effect(effect: RouterEffect) -> Effect {
     match effect {
-        RouterEffect::Pure => Effect::Idempotent,
-        RouterEffect::Receipted { scope, window } => {
+        RouterEffect::Idempotent => Effect::Idempotent,
+        RouterEffect::Deduplicated { scope, window } => {
             Effect::Deduplicated { window, within_site: scope == Scope::Zone }
         }
-        RouterEffect::Effectful => Effect::NonIdempotent,
+        RouterEffect::NonIdempotent => Effect::NonIdempotent,
     }
 }
 
--- a/crates/proxy/src/dispatcher/members_clock.rs
+++ b/crates/proxy/src/dispatcher/members_clock.rs
@@ -1,6 +1,6 @@
 //! How far the members' clock is ahead of the router's: this process may have been started under a wrong wall clock.
 
-use aldermill_routing::{Effect, Handle, MemberId, MemberReport, Micros, Need};
+use aldermill_routing::{Effect, MemberId, MemberReport, Micros, Need, RequestHandle};
 use slog::warn;
 use tokio::time::Instant;
 
@@ -11,11 +11,11 @@
 
 impl Dispatcher {
     /// Whether the request is a non-idempotent write, whose commit is never one from before it was sent.
-    pub(super) fn is_non_idempotent_write(&self, handle: Handle) -> bool {
+    pub(super) fn is_non_idempotent_write(&self, handle: RequestHandle) -> bool {
         let comment = self.open_requests.get(&handle).map(|open| &open.request.comment);
         let class = comment.and_then(|comment| self.decoded.class(&comment.class).ok());
         let class = class.map(|class| &self.decoded.terms.classes[class]);
-        class.is_some_and(|class| class.effect == Effect::Effectful && class.need == Need::Write)
+        class.is_some_and(|class| class.effect == Effect::NonIdempotent && class.need == Need::Write)
     }
 
     /// Uses the position in a response as a reading of the members' clock; where the response is to a write that was sent
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -20,7 +20,7 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 
-use aldermill_routing::{Actions, Handle, MemberId, Micros, Router};
+use aldermill_routing::{Actions, MemberId, Micros, RequestHandle, Router};
 use aldermill_settings::Decoded;
 use aldermill_statistics::ClockOffset;
 use slog::warn;
@@ -102,7 +102,7 @@
     reported_offset: Micros,
     /// All groups that have been in the endpoint list since the start.
     groups: HashSet<u64>,
-    open_requests: HashMap<Handle, OpenRequest>,
+    open_requests: HashMap<RequestHandle, OpenRequest>,
     /// The ids that clients gave their open requests.
     open_ids: HashSet<String>,
     locations: HashMap<ClientId, RequestLocation>,
@@ -215,7 +215,7 @@
         let total = self.context.unstalled_clock.stalled_for();
         let unreported = total - std::mem::replace(&mut self.reported_stall, total);
         if unreported > 0 {
-            self.router.stood_still(self.context.clock.now(), unreported);
+            self.router.stall_ended(self.context.clock.now(), unreported);
             self.report_stall_to_sites();
         }
     }
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use aldermill_routing::{Handle, Micros, Need, ReadShift, Verdict};
+use aldermill_routing::{Micros, Need, ReadShift, RequestHandle, Verdict};
 use aldermill_settings::Decoded;
 use aldermill_split_points::{Sketch, frame};
 use aldermill_wire::statement::quoted;
@@ -32,7 +32,7 @@
 /// Ends of attempts by group and zone, and which keys cost what.
 pub struct Observations {
     tally: Tally,
-    in_flight: HashMap<Handle, AttemptInFlight>,
+    in_flight: HashMap<RequestHandle, AttemptInFlight>,
     /// By group; `None` where no split points are decided.
     keys: Option<BTreeMap<u64, Sketch>>,
     seed: u64,
@@ -49,7 +49,7 @@
     /// An attempt is about to be sent to this member.
     pub(super) fn record_attempt(
         &mut self,
-        handle: Handle,
+        handle: RequestHandle,
         member: Option<&MemberEntry>,
         decoded: &Decoded,
         request: &ClientRequest,
@@ -74,7 +74,7 @@
         quoted(&request.statement[request.comment.end..]).unwrap_or_default().into_bytes()
     }
 
-    fn record_end(&mut self, now: Micros, handle: Handle, verdict: Verdict, elapsed: Micros) {
+    fn record_end(&mut self, now: Micros, handle: RequestHandle, verdict: Verdict, elapsed: Micros) {
         let Some(attempt) = self.in_flight.remove(&handle) else { return };
         if verdict == Verdict::Served {
             self.count_key(now, &attempt, elapsed);
@@ -131,7 +131,7 @@
 
 impl Dispatcher {
     /// An attempt ended, for the observations if there are any.
-    pub(super) fn observe_end(&mut self, handle: Handle, verdict: Verdict, elapsed: Micros) {
+    pub(super) fn observe_end(&mut self, handle: RequestHandle, verdict: Verdict, elapsed: Micros) {
         if let Some(observations) = &mut self.observations {
             observations.record_end(self.context.clock.now(), handle, verdict, elapsed);
         }
--- a/crates/proxy/src/dispatcher/open_request.rs
+++ b/crates/proxy/src/dispatcher/open_request.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use aldermill_flow_control::Priority;
-use aldermill_routing::{Handle, Micros};
+use aldermill_routing::{Micros, RequestHandle};
 use aldermill_site_routing::RequestHandle as SiteRequestHandle;
 use tokio::sync::mpsc;
 
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy)]
 pub(super) enum RequestLocation {
     /// The router alone.
-    Router(Handle),
+    Router(RequestHandle),
     /// The gateway part, which may have handed it to the router.
     Gateway(SiteRequestHandle),
 }
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use aldermill_routing::{Handle, Micros, Need, Outcome, Request, Role, Verdict};
+use aldermill_routing::{Micros, Need, Outcome, Request, RequestHandle, Role, Verdict};
 use aldermill_site_routing::{Actions as SiteActions, RequestHandle as SiteRequestHandle};
 use aldermill_wire::statement::quoted;
 
@@ -89,7 +89,7 @@
     }
 
     /// Hands a request to the router. What the router returns is not carried out yet.
-    pub(super) fn hand_over(&mut self, handover: Handover) -> (Handle, aldermill_routing::Actions) {
+    pub(super) fn hand_over(&mut self, handover: Handover) -> (RequestHandle, aldermill_routing::Actions) {
         let Handover { request, class, deadline, via } = handover;
         let now = self.context.clock.now();
         let routed = self.routed_request(&request, class, deadline, now);
@@ -209,7 +209,7 @@
     }
 
     /// The router forgets a request that nobody waits for here any more; attempts that were sent go on.
-    pub(super) fn abandon(&mut self, handle: Handle) {
+    pub(super) fn abandon(&mut self, handle: RequestHandle) {
         if let Some(open) = self.open_requests.get_mut(&handle) {
             open.cancel();
         }
@@ -220,7 +220,7 @@
     }
 
     /// Drops what is kept for a request that the router has finished with.
-    pub(super) fn release(&mut self, handle: Handle) {
+    pub(super) fn release(&mut self, handle: RequestHandle) {
         if self.router.knows(handle) {
             return;
         }
--- a/crates/proxy/src/member/actor.rs
+++ b/crates/proxy/src/member/actor.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_routing::{Handle, MemberId, MemberReport, Verdict};
+use aldermill_routing::{MemberId, MemberReport, RequestHandle, Verdict};
 use tokio::sync::{mpsc, watch};
 use tokio::task::{self, JoinError, JoinSet};
 use tokio::time::{Instant, MissedTickBehavior, interval};
@@ -28,7 +28,7 @@
 
 /// What a query that is running is for.
 enum QueryPurpose {
-    Attempt { handle: Handle, decided_at: Instant },
+    Attempt { handle: RequestHandle, decided_at: Instant },
     HealthCheck { decided_at: Instant },
 }
 
--- a/crates/proxy/src/messages/dispatcher.rs
+++ b/crates/proxy/src/messages/dispatcher.rs
@@ -1,7 +1,7 @@
 //! What the dispatcher receives from all other actors.
 
 use aldermill_flow_control::PeerId;
-use aldermill_routing::{Handle, MemberId, MemberReport, Micros, Verdict};
+use aldermill_routing::{MemberId, MemberReport, Micros, RequestHandle, Verdict};
 use aldermill_site_drain::Plan;
 use aldermill_site_link::{Inbound, Outbound};
 use aldermill_wire::statement::Comment;
@@ -119,7 +119,7 @@
 /// How an attempt ended.
 pub struct AttemptFinished {
     /// The attempt, by the router's name for it.
-    pub request: Handle,
+    pub request: RequestHandle,
     /// What its end means for the request.
     pub verdict: Verdict,
     /// When the attempt was decided.
--- a/crates/proxy/src/messages/member.rs
+++ b/crates/proxy/src/messages/member.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use aldermill_flow_control::ReservationOwner;
-use aldermill_routing::{Handle, Validity};
+use aldermill_routing::{RequestHandle, Validity};
 use aldermill_wire::pg;
 use tokio::time::Instant;
 
@@ -42,7 +42,7 @@
 /// An attempt for a member's actor to send.
 pub struct Attempt {
     /// Names the attempt to the router.
-    pub handle: Handle,
+    pub handle: RequestHandle,
     /// Its statement is encoded when it is sent, as it tells the member how much time the client has left then.
     pub request: Rc<ClientRequest>,
     /// Shared by all attempts of the request.
--- a/crates/proxy/src/shadow/difference.rs
+++ b/crates/proxy/src/shadow/difference.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use aldermill_routing::{Action, Actions, Handle, MemberId};
+use aldermill_routing::{Action, Actions, MemberId, RequestHandle};
 
 /// What one decision does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -115,7 +115,7 @@
 }
 
 /// The last action for each request.
-fn last_actions(actions: &Actions) -> BTreeMap<Handle, Action> {
+fn last_actions(actions: &Actions) -> BTreeMap<RequestHandle, Action> {
     actions.requests.iter().copied().collect()
 }
 
@@ -131,8 +131,8 @@
                 (timeout != shadow_timeout).then_some(Difference::Timeout)
             }
         }
-        (Some(Action::Reject { cool_down }), Some(Action::Reject { cool_down: shadow_cool_down })) => {
-            (cool_down != shadow_cool_down).then_some(Difference::RetryAfter)
+        (Some(Action::Reject { retry_after }), Some(Action::Reject { retry_after: shadow_retry_after })) => {
+            (retry_after != shadow_retry_after).then_some(Difference::RetryAfter)
         }
         (made, shadow) => {
             let made = Disposition::of(made);
--- a/crates/proxy/src/shadow/mod.rs
+++ b/crates/proxy/src/shadow/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use aldermill_operator_config::ShadowConfig;
-use aldermill_routing::{Actions, Router, Terms};
+use aldermill_routing::{Actions, Router, RouterConfig};
 use aldermill_settings::Decoded;
 use slog::{Logger, info};
 use tokio::time::Instant;
@@ -25,7 +25,7 @@
 /// Compares the router's decisions with those under other settings.
 pub struct ShadowRouter {
     /// The other settings.
-    settings: Terms,
+    settings: RouterConfig,
     /// One decision in this many is compared.
     sample_interval: u32,
     log_interval: Duration,
--- a/crates/proxy/tests/shadow.rs
+++ b/crates/proxy/tests/shadow.rs
@@ -6,7 +6,7 @@
 
 use aldermill_operator_config::ShadowConfig;
 use aldermill_routing::{
-    Action, Actions, Listed, MemberReport, Outcome, Request, Role, Router, Standing, Verdict,
+    Action, Actions, ListedMember, MemberReport, Outcome, Request, Role, Router, Standing, Verdict,
 };
 use aldermill_settings::Decoded;
 use aldermill_test_support::{TERMS, file};
@@ -34,7 +34,7 @@
         done.push(format!("{actions:?}"));
         actions
     };
-    let line = |member: usize| Listed {
+    let line = |member: usize| ListedMember {
         member,
         name: format!("m{member}"),
         group: 1,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,7 @@
 //! The routing decisions of aldermill and the types they are asked and answered in.
 //!
 //! [`Router`] in `policy` makes every decision. This file holds the interface: the terms that a router is
-//! started with ([`Terms`]), what it takes ([`Request`]), what it hears ([`Listed`], [`Outcome`],
+//! started with ([`RouterConfig`]), what it takes ([`Request`]), what it hears ([`ListedMember`], [`Outcome`],
 //! [`MemberReport`]) and what its caller is to do next ([`Actions`]).
 
 #![warn(missing_docs)]
@@ -11,7 +11,7 @@
 mod policy;
 mod state;
 
-pub use state::{Handle, Router};
+pub use state::{RequestHandle, Router};
 
 /// Whole microseconds, on the caller's clock.
 pub type Micros = i64;
@@ -34,16 +34,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Nothing: the request is idempotent.
-    Pure,
+    Idempotent,
     /// Nothing while members remember the request's idempotency key.
-    Receipted {
+    Deduplicated {
         /// Which members remember it.
         scope: Scope,
         /// For how long after the first attempt.
         window: Micros,
     },
     /// It takes effect again: the request is not idempotent.
-    Effectful,
+    NonIdempotent,
 }
 
 /// How new the data behind an answer must be.
@@ -91,15 +91,15 @@
 
 /// The terms of one router, from the settings. Other routers of its fleet are started with the same ones.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct RouterConfig {
     /// The request classes, by the index that requests name.
     pub classes: Vec<RequestClass>,
     /// How many routers share the members.
     pub drivers: usize,
     /// How many routers share members that are warming up.
-    pub drivers_at_cold: usize,
+    pub routers_sharing_warm_up: usize,
     /// Clients mark their retries.
-    pub repeats_marked: bool,
+    pub client_retries_marked: bool,
     /// The zone that this router is in.
     pub zone: usize,
     /// How many zones there are.
@@ -109,7 +109,7 @@
     /// Health checks may be sent.
     pub health_checks_allowed: bool,
     /// The longest retry-after that clients may be given.
-    pub max_cool_down: Micros,
+    pub max_retry_after: Micros,
     /// How far the list's roles are to be believed.
     pub listed_roles: ListedRoles,
     /// Members reject reads for which they are too far behind.
@@ -135,7 +135,7 @@
 /// A client's request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// The index of its class in [`Terms::classes`].
+    /// The index of its class in [`RouterConfig::classes`].
     pub class: usize,
     /// The name of the group that it is for.
     pub group: u64,
@@ -165,7 +165,7 @@
 
 /// One line of the endpoint list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedMember {
     /// The index that the caller gave the member.
     pub member: MemberId,
     /// Its name, the same for as long as it lives.
@@ -321,7 +321,7 @@
     /// Answer the client that its request was rejected, and took no effect.
     Reject {
         /// The retry-after that the client is given.
-        cool_down: Micros,
+        retry_after: Micros,
     },
     /// Answer the client that its request failed, and may have taken effect.
     Fail,
@@ -331,7 +331,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Actions {
     /// What is to be done for each request.
-    pub requests: Vec<(Handle, Action)>,
+    pub requests: Vec<(RequestHandle, Action)>,
     /// Members that a health check is to be sent to.
     pub health_checks: Vec<MemberId>,
     /// Members whose idle connections are to be closed.
--- a/crates/routing/src/policy/admission.rs
+++ b/crates/routing/src/policy/admission.rs
@@ -2,7 +2,7 @@
 
 use super::TICK;
 use super::retry_detection::ClientAttempt;
-use crate::state::{Handle, PendingRequest, Router};
+use crate::state::{PendingRequest, RequestHandle, Router};
 use crate::{Action, Actions, Effect, Micros, Request, RequestClass, Scope};
 
 /// The instants that bound what is done for a request.
@@ -24,8 +24,8 @@
     ///
     /// The caller carries out the returned actions in order. A request that cannot be served in time is
     /// rejected or failed among them at once.
-    pub fn take(&mut self, now: Micros, request: Request) -> (Handle, Actions) {
-        let handle = Handle(self.next_handle);
+    pub fn take(&mut self, now: Micros, request: Request) -> (RequestHandle, Actions) {
+        let handle = RequestHandle(self.next_handle);
         self.next_handle += 1;
         let group = self.group(request.group);
         self.health_check_budget.earn_for_request(self.members.len());
@@ -49,7 +49,7 @@
         let guess = self.retry_detectors[request.class].classify(request.ttl + request.waited);
         match request.repeat {
             true => ClientAttempt::Retry,
-            false if self.terms.repeats_marked => ClientAttempt::First,
+            false if self.terms.client_retries_marked => ClientAttempt::First,
             false => guess,
         }
     }
@@ -101,17 +101,17 @@
     }
 
     /// Rejects the request where that is true to say, else fails it.
-    pub(super) fn give_up(&mut self, handle: Handle) {
+    pub(super) fn give_up(&mut self, handle: RequestHandle) {
         let pending = &self.pending_requests[&handle];
         let rejectable = match self.terms.classes[pending.request.class].effect {
-            Effect::Pure | Effect::Receipted { scope: Scope::All, .. } => true,
+            Effect::Idempotent | Effect::Deduplicated { scope: Scope::All, .. } => true,
             _ => pending.may_have_run.is_none() && pending.in_flight.is_none(),
         };
         // What is rejected for want of capacity has missed its latency objective: a client that comes back
         // sooner only adds to the crowd.
-        let cool_down = self.terms.classes[pending.request.class].objective.min(self.terms.max_cool_down);
+        let retry_after = self.terms.classes[pending.request.class].objective.min(self.terms.max_retry_after);
         let rejected = rejectable && !self.at_fault(pending);
-        let action = if rejected { Action::Reject { cool_down } } else { Action::Fail };
+        let action = if rejected { Action::Reject { retry_after } } else { Action::Fail };
         self.actions.requests.push((handle, action));
         self.close(handle);
     }
--- a/crates/routing/src/policy/concurrency_limit.rs
+++ b/crates/routing/src/policy/concurrency_limit.rs
@@ -29,7 +29,7 @@
     pub fn fleet(&mut self, living: usize, warming: usize) {
         let ratio = self.terms.drivers as f64 / living as f64;
         self.terms.drivers = living;
-        self.terms.drivers_at_cold = warming;
+        self.terms.routers_sharing_warm_up = warming;
         let least = if self.is_one_of_many() { 0.0 } else { 1.0 };
         self.members
             .iter_mut()
--- a/crates/routing/src/policy/dispatch.rs
+++ b/crates/routing/src/policy/dispatch.rs
@@ -1,22 +1,24 @@
 //! A request's way: to a member, among the queued requests, or to its end.
 
 use super::SEND_DELAY_MARGIN;
-use crate::state::{Handle, InFlight, PendingRequest, Router};
+use crate::state::{InFlight, PendingRequest, RequestHandle, Router};
 use crate::{Action, Effect, MemberId, Micros, Need};
 
 /// Whether another attempt may have an effect: of what may have run never for a non-idempotent request, and
 /// for a deduplicated one only within its window.
 fn may_run_again(now: Micros, effect: Effect, pending: &PendingRequest) -> bool {
     match (effect, pending.may_have_run) {
-        (_, None) | (Effect::Pure, _) => true,
-        (Effect::Effectful, Some(_)) => false,
-        (Effect::Receipted { window, .. }, Some(first)) => now < first.sent_at + window - SEND_DELAY_MARGIN,
+        (_, None) | (Effect::Idempotent, _) => true,
+        (Effect::NonIdempotent, Some(_)) => false,
+        (Effect::Deduplicated { window, .. }, Some(first)) => {
+            now < first.sent_at + window - SEND_DELAY_MARGIN
+        }
     }
 }
 
 impl Router {
     /// Sends an attempt of the request, holds the request, or gives it up.
-    pub(super) fn route(&mut self, now: Micros, handle: Handle) {
+    pub(super) fn route(&mut self, now: Micros, handle: RequestHandle) {
         let pending = &self.pending_requests[&handle];
         let class = &self.terms.classes[pending.request.class];
         let deadlines = self.deadlines(now, pending);
@@ -43,7 +45,7 @@
     }
 
     /// Sends an attempt to the member, which ends at `useful_until` at the latest.
-    fn send_attempt(&mut self, now: Micros, handle: Handle, id: MemberId, useful_until: Micros) {
+    fn send_attempt(&mut self, now: Micros, handle: RequestHandle, id: MemberId, useful_until: Micros) {
         let rested = self.rest_class_of(now, id);
         let validity = self.validity(&self.pending_requests[&handle], id);
         let tries_connection = self.claim_connection(now, id);
@@ -68,7 +70,7 @@
     }
 
     /// The request is over; it is forgotten once no attempt of it is in flight.
-    pub(super) fn close(&mut self, handle: Handle) {
+    pub(super) fn close(&mut self, handle: RequestHandle) {
         let Some(pending) = self.pending_requests.get_mut(&handle) else { return };
         pending.is_closed = true;
         self.groups[pending.group].queued.retain(|&held| held != handle);
@@ -88,7 +90,7 @@
             return;
         }
         let mut held = std::mem::take(&mut self.groups[group].queued);
-        let weight = |handle: &Handle| {
+        let weight = |handle: &RequestHandle| {
             let pending = &self.pending_requests[handle];
             let class = &self.terms.classes[pending.request.class];
             let late = now > pending.objective_at || pending.is_retry;
--- a/crates/routing/src/policy/endpoint_list.rs
+++ b/crates/routing/src/policy/endpoint_list.rs
@@ -9,7 +9,7 @@
 use super::concurrency_limit::{INITIAL_FLEET_LIMIT, MAX_FLEET_LIMIT};
 use super::health_checks::HEALTH_CHECK_NEEDED;
 use crate::state::{Member, Router};
-use crate::{Actions, Listed, ListedRoles, MemberId, Micros, Standing};
+use crate::{Actions, ListedMember, ListedRoles, MemberId, Micros, Standing};
 
 /// A primary reported longer ago than that is overruled by a list whose roles follow changes late.
 const LISTED_ROLES_LAG: Micros = 1_000 * MS;
@@ -17,7 +17,7 @@
 impl Router {
     /// Takes in an endpoint list, or with `full` unset an update of one: members that it does not name are
     /// gone only where it is full.
-    pub fn list(&mut self, now: Micros, full: bool, lines: Vec<Listed>) -> Actions {
+    pub fn list(&mut self, now: Micros, full: bool, lines: Vec<ListedMember>) -> Actions {
         // The list held at the start is no answer to a request.
         if !self.members.is_empty() {
             self.list_subscription.received();
@@ -41,7 +41,7 @@
     }
 
     /// Takes in one line: a new member, or what changed of a known one.
-    fn list_line(&mut self, now: Micros, line: Listed) {
+    fn list_line(&mut self, now: Micros, line: ListedMember) {
         let group = self.group(line.group);
         let slow_start_credit = self.initial_saved_attempts() + f64::from(line.since.is_none());
         let id = line.member;
@@ -67,7 +67,7 @@
         }
     }
 
-    fn add_member(&mut self, now: Micros, group: usize, line: &Listed) {
+    fn add_member(&mut self, now: Micros, group: usize, line: &ListedMember) {
         let drivers = self.terms.drivers as f64;
         let size = line.size / self.mean_size;
         let concurrency_limit = if self.is_one_of_many() {
--- a/crates/routing/src/policy/freshness.rs
+++ b/crates/routing/src/policy/freshness.rs
@@ -3,7 +3,7 @@
 use super::SEND_DELAY_MARGIN;
 use super::health_checks::{HEALTH_CHECK_EVERY, HEALTH_CHECK_NEEDED};
 use super::sessions::Session;
-use crate::state::{Handle, PendingRequest, Router};
+use crate::state::{PendingRequest, RequestHandle, Router};
 use crate::{Effect, MemberId, MemberReport, Micros, Need, Outcome, Role, Standing, Validity, Verdict};
 
 impl Router {
@@ -40,7 +40,7 @@
     pub(super) fn validity(&self, pending: &PendingRequest, id: MemberId) -> Validity {
         let effect = self.terms.classes[pending.request.class].effect;
         let repeats_until = match (effect, pending.may_have_run) {
-            (Effect::Receipted { window, .. }, Some(first)) => first.sent_at + window - SEND_DELAY_MARGIN,
+            (Effect::Deduplicated { window, .. }, Some(first)) => first.sent_at + window - SEND_DELAY_MARGIN,
             _ => Micros::MAX,
         };
         let fresh = self.freshness(pending, id);
@@ -66,7 +66,7 @@
     ///
     /// Guards its reads against a write whose answer was lost or is on its way; costs the primary these reads
     /// while such a write is in flight.
-    pub(super) fn session(&mut self, handle: Handle) -> Option<&mut Session> {
+    pub(super) fn session(&mut self, handle: RequestHandle) -> Option<&mut Session> {
         let request = &self.pending_requests[&handle].request;
         let writes = self.terms.remember_sessions && self.terms.classes[request.class].need == Need::Write;
         if !writes {
@@ -134,7 +134,7 @@
     }
 
     /// A write of a session has ended: it was committed when its answer says, else by now if at all.
-    pub(super) fn end_session_write(&mut self, now: Micros, handle: Handle, outcome: &Outcome) {
+    pub(super) fn end_session_write(&mut self, now: Micros, handle: RequestHandle, outcome: &Outcome) {
         let verdict = outcome.verdict;
         let reported = outcome.report.position.filter(|_| verdict == Verdict::Served);
         let commit = if verdict.never_ran() { 0 } else { reported.unwrap_or(self.members_now(now)) };
--- a/crates/routing/src/policy/local_failures.rs
+++ b/crates/routing/src/policy/local_failures.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 
 use super::MS;
-use crate::state::{Handle, Router};
+use crate::state::{RequestHandle, Router};
 use crate::{MemberId, Micros};
 
 /// The shortest wait between two tries of a new connection, to whichever member, after one failed.
@@ -80,7 +80,14 @@
     }
 
     /// The attempt never left: what was counted of it is given back, and it is placed again.
-    pub(super) fn not_sent(&mut self, now: Micros, handle: Handle, id: MemberId, sent: Micros, over: bool) {
+    pub(super) fn not_sent(
+        &mut self,
+        now: Micros,
+        handle: RequestHandle,
+        id: MemberId,
+        sent: Micros,
+        over: bool,
+    ) {
         let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
         let tried = pending.tries_connection;
         pending.local_failures += 1;
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -1,7 +1,7 @@
 //! Every decision of the router.
 //!
 //! A caller starts one [`Router`] with its terms and a seed, hands it lists and answers of health checks, and
-//! wakes it at the time last asked for. `take` gives a [`Handle`] for a request; what happens to the request
+//! wakes it at the time last asked for. `take` gives a [`RequestHandle`] for a request; what happens to the request
 //! later is a call on that handle. Each call brings `now` and returns [`Actions`]. The interface types are in
 //! `lib.rs`. A request's way: `admission`, `dispatch`, `read_routing` or `write_routing`, `retry`.
 
@@ -11,8 +11,8 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-use crate::state::{Handle, Router};
-use crate::{Actions, Learnt, Micros, Outcome, Standing, Terms};
+use crate::state::{RequestHandle, Router};
+use crate::{Actions, Learnt, Micros, Outcome, RouterConfig, Standing};
 
 mod admission;
 mod availability;
@@ -61,7 +61,7 @@
 /// Attempts that a histogram of durations remembers.
 const HISTOGRAM_MEMORY: u32 = 32;
 
-impl Handle {
+impl RequestHandle {
     /// The request's attempt has ended.
     pub fn ended(self, router: &mut Router, now: Micros, outcome: Outcome) -> Actions {
         router.attempt_ended(now, self, outcome);
@@ -78,7 +78,7 @@
 
 impl Router {
     /// A router with its terms and a seed for its chance, before its first list.
-    pub fn start(terms: Terms, seed: u64, now: Micros) -> Router {
+    pub fn start(terms: RouterConfig, seed: u64, now: Micros) -> Router {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let list_subscription = ListSubscription::start(now, terms.drivers, &mut rng);
         Router {
--- a/crates/routing/src/policy/read_routing.rs
+++ b/crates/routing/src/policy/read_routing.rs
@@ -9,7 +9,7 @@
 use super::TICK;
 use super::concurrency_limit::MAX_FLEET_LIMIT;
 use super::health_checks::HEALTH_CHECK_NEEDED;
-use crate::state::{Handle, Member, PendingRequest, Router};
+use crate::state::{Member, PendingRequest, RequestHandle, Router};
 use crate::{Effect, MemberId, Micros, Need, ReadShift, RequestClass, Scope};
 
 /// A member that a read may go to, and the attempts that it has room for.
@@ -52,7 +52,7 @@
 
     /// A random replica proven fresh enough, else the primary. A router among many draws first, then checks
     /// what it drew. None where the read has to wait.
-    pub(super) fn read_target(&mut self, now: Micros, handle: Handle, need: Need) -> Option<MemberId> {
+    pub(super) fn read_target(&mut self, now: Micros, handle: RequestHandle, need: Need) -> Option<MemberId> {
         let pending = &self.pending_requests[&handle];
         let asked = pending.awaited_report;
         let floor = self.position_floor(now, pending, need);
@@ -223,7 +223,7 @@
     /// deduplicated.
     pub(super) fn may_read_from(&self, now: Micros, pending: &PendingRequest, id: MemberId) -> bool {
         let scope = self.terms.classes[pending.request.class].effect;
-        let zoned = matches!(scope, Effect::Receipted { scope: Scope::Zone, .. });
+        let zoned = matches!(scope, Effect::Deduplicated { scope: Scope::Zone, .. });
         let kept = pending.may_have_run.is_none_or(|first| !zoned || first.zone == self.members[id].zone);
         kept && self.usable(now, id)
     }
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -4,7 +4,7 @@
 use super::concurrency_limit::EndedLoad;
 use super::health_checks::HEALTH_CHECK_NEEDED;
 use super::{HISTOGRAM_MEMORY, WRITE_HOLD};
-use crate::state::{FirstRun, Handle, Router};
+use crate::state::{FirstRun, RequestHandle, Router};
 use crate::{MemberId, Micros, Outcome, Verdict};
 
 /// An attempt that has ended, with what was known just before its end was entered.
@@ -28,7 +28,7 @@
 
 impl Router {
     /// Enters the end of an attempt; its request is closed, or placed again.
-    pub(super) fn attempt_ended(&mut self, now: Micros, handle: Handle, outcome: Outcome) {
+    pub(super) fn attempt_ended(&mut self, now: Micros, handle: RequestHandle, outcome: Outcome) {
         let slow_start_credit = self.initial_saved_attempts();
         let Some(ended) = self.take_ended(now, handle, outcome) else { return };
         let id = ended.member;
@@ -61,7 +61,7 @@
     }
 
     /// Takes the attempt out of its request; none where the request has no attempt in flight.
-    fn take_ended(&mut self, now: Micros, handle: Handle, outcome: Outcome) -> Option<EndedAttempt> {
+    fn take_ended(&mut self, now: Micros, handle: RequestHandle, outcome: Outcome) -> Option<EndedAttempt> {
         let pending = self.pending_requests.get(&handle)?;
         let attempt = pending.in_flight?;
         let timed_out = outcome.verdict == Verdict::TimedOut;
@@ -84,7 +84,7 @@
     }
 
     /// The attempt is no longer in flight at its member, and may have run there.
-    fn release_attempt(&mut self, handle: Handle, ended: &EndedAttempt) {
+    fn release_attempt(&mut self, handle: RequestHandle, ended: &EndedAttempt) {
         let member = &mut self.members[ended.member];
         member.in_flight.retain(|&out| out != handle);
         if !ended.outcome.verdict.never_ran() {
@@ -124,7 +124,7 @@
     }
 
     /// Enters what the verdict says for or against the member.
-    fn record_verdict(&mut self, now: Micros, handle: Handle, ended: &EndedAttempt) {
+    fn record_verdict(&mut self, now: Micros, handle: RequestHandle, ended: &EndedAttempt) {
         let id = ended.member;
         let took = ended.outcome.took;
         match ended.outcome.verdict {
@@ -152,7 +152,7 @@
         self.members[id].blacklist.record_failure(now, threshold);
     }
 
-    fn attempt_served(&mut self, now: Micros, handle: Handle, ended: &EndedAttempt) {
+    fn attempt_served(&mut self, now: Micros, handle: RequestHandle, ended: &EndedAttempt) {
         self.durations[ended.class].add(ended.outcome.took, HISTOGRAM_MEMORY * 4);
         self.all_durations.add(ended.outcome.took, HISTOGRAM_MEMORY * 4);
         let member = &mut self.members[ended.member];
@@ -165,7 +165,7 @@
     }
 
     /// A write that met a replica: after a round of misses the group's writes wait for a while.
-    fn count_miss(&mut self, now: Micros, handle: Handle, ended: &EndedAttempt) {
+    fn count_miss(&mut self, now: Micros, handle: RequestHandle, ended: &EndedAttempt) {
         let round = self.groups[ended.group].members.len().min(self.terms.max_attempts as usize / 2);
         let hold = self.search_hold();
         let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -44,13 +44,13 @@
         // The capacity at the middle of the window that ends now: it grows about evenly.
         let age = (age - self.terms.overload_window / 2).max(0) as f64 / self.terms.warm_within as f64;
         let capacity = self.terms.cold_from + (1.0 - self.terms.cold_from) * age;
-        let load = self.warm_load.max(GUARANTEED_FLEET_LIMIT / self.terms.drivers_at_cold as f64);
+        let load = self.warm_load.max(GUARANTEED_FLEET_LIMIT / self.terms.routers_sharing_warm_up as f64);
         self.terms.overload_factor * capacity * load * member.size
     }
 
     /// Saving up for a member that warms up begins at a random credit, so that not all routers come at once.
     pub(super) fn initial_saved_attempts(&mut self) -> f64 {
-        self.rng.random::<f64>() + GUARANTEED_FLEET_LIMIT / self.terms.drivers_at_cold as f64
+        self.rng.random::<f64>() + GUARANTEED_FLEET_LIMIT / self.terms.routers_sharing_warm_up as f64
     }
 
     /// Lets fade what is remembered of each member, and measures what warm members carry. Where there are
--- a/crates/routing/src/policy/stalls.rs
+++ b/crates/routing/src/policy/stalls.rs
@@ -6,7 +6,7 @@
 impl Router {
     /// The process stalled for `long` microseconds, until now: what is measured of members goes on where it
     /// stopped.
-    pub fn stood_still(&mut self, now: Micros, long: Micros) {
+    pub fn stall_ended(&mut self, now: Micros, long: Micros) {
         self.pending_requests.values_mut().for_each(|pending| pending.waiting_since += long);
         for member in &mut self.members {
             let Member {
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -9,11 +9,11 @@
     Backoff, Blacklist, HealthCheckBudget, ListSubscription, RestedConnections, RetryDetector, Sessions,
     StallPacing,
 };
-use crate::{Actions, Learnt, MemberId, Micros, ReadShift, Request, Standing, Terms};
+use crate::{Actions, Learnt, MemberId, Micros, ReadShift, Request, RouterConfig, Standing};
 
 /// A request that a router has taken, until it knows it no more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Handle(pub(crate) u64);
+pub struct RequestHandle(pub(crate) u64);
 
 /// The attempt of a request that is in flight.
 #[derive(Clone, Copy)]
@@ -108,7 +108,7 @@
     /// By its own health checks.
     pub(crate) round_trip: RoundTrip,
     /// Requests with an attempt in flight there.
-    pub(crate) in_flight: Vec<Handle>,
+    pub(crate) in_flight: Vec<RequestHandle>,
     /// Attempts that may be in flight at once; below one, the part of the time that one may be.
     pub(crate) concurrency_limit: f64,
     /// Attempts saved up at `saved_at`, where the window or a slow-start allowance is below one.
@@ -140,7 +140,7 @@
     /// Attempts due to the primary by its size and window, beyond those it had.
     pub(crate) primary_deficit: f64,
     /// Requests that wait for a member.
-    pub(crate) queued: Vec<Handle>,
+    pub(crate) queued: Vec<RequestHandle>,
     pub(crate) read_shift: ReadShift,
 }
 
@@ -156,14 +156,14 @@
 /// never go back, and returns what to do.
 #[derive(Clone)]
 pub struct Router {
-    pub(crate) terms: Terms,
+    pub(crate) terms: RouterConfig,
     pub(crate) rng: Pcg64Mcg,
     /// Sets this router's choices apart from those of others.
     pub(crate) salt: u64,
     pub(crate) members: Vec<Member>,
     pub(crate) groups: Vec<Group>,
     pub(crate) group_ids: HashMap<u64, usize>,
-    pub(crate) pending_requests: HashMap<Handle, PendingRequest>,
+    pub(crate) pending_requests: HashMap<RequestHandle, PendingRequest>,
     pub(crate) next_handle: u64,
     pub(crate) sessions: Sessions,
     /// How far the members' clock, by which positions are reported, is ahead of this one.
@@ -194,12 +194,12 @@
 
 impl Router {
     /// A copy that goes on under other terms, to see how it would decide.
-    pub fn under(&self, terms: &Terms) -> Router {
+    pub fn under(&self, terms: &RouterConfig) -> Router {
         Router { terms: terms.clone(), ..self.clone() }
     }
 
     /// Whether the request has an attempt in flight or no final answer yet.
-    pub fn knows(&self, handle: Handle) -> bool {
+    pub fn knows(&self, handle: RequestHandle) -> bool {
         self.pending_requests.contains_key(&handle)
     }
 
--- a/crates/routing/tests/router/among_many.rs
+++ b/crates/routing/tests/router/among_many.rs
@@ -1,7 +1,7 @@
 //! A driver among many, which meets each member seldom.
 
 use crate::world::{LOOSE, MS, READ, WRITE, World, heard, line, many, target, terms};
-use aldermill_routing::{Handle, Listed, Standing, Verdict};
+use aldermill_routing::{ListedMember, RequestHandle, Standing, Verdict};
 
 #[test]
 fn health_checks_are_paid_for_by_requests() {
@@ -98,7 +98,7 @@
     let mut world = heard(many());
     world.grow(6);
     for id in [4, 5] {
-        world.relist_as(Listed { zone: 1, ..line(id, Standing::Ready, None) });
+        world.relist_as(ListedMember { zone: 1, ..line(id, Standing::Ready, None) });
     }
     let met = |world: &mut World| {
         let met = (0..40).filter(|_| {
@@ -142,7 +142,7 @@
         world.router.fleet(living, 150);
         world.pass(1_500 * MS);
         world.hear_all();
-        let requests: Vec<Handle> = (0..60).map(|_| world.take(LOOSE, 1_500 * MS)).collect();
+        let requests: Vec<RequestHandle> = (0..60).map(|_| world.take(LOOSE, 1_500 * MS)).collect();
         let out = world.out().len();
         for request in requests {
             if target(&world, request).is_some() {
@@ -239,7 +239,7 @@
 
 /// So many in ten requests end with a quick error wherever they go.
 fn hold_to_what_a_cold_member_bears(bad: usize) {
-    let terms = aldermill_routing::Terms { drivers: 30, drivers_at_cold: 30, ..terms() };
+    let terms = aldermill_routing::RouterConfig { drivers: 30, routers_sharing_warm_up: 30, ..terms() };
     let mut worlds: Vec<World> = (0..30).map(|seed| World::seeded(terms.clone(), 4, seed)).collect();
     worlds.iter_mut().for_each(World::hear_all);
     let mut at_cold: Vec<i64> = Vec::new();
--- a/crates/routing/tests/router/cases.rs
+++ b/crates/routing/tests/router/cases.rs
@@ -1,7 +1,7 @@
 //! Plain cases of the design's path and of each failure found.
 
 use crate::world::{BOUND, LOOSE, MS, OWN, READ, REPORT, WRITE, World, heard, line, target, terms};
-use aldermill_routing::{Handle, Request, Standing, Terms, Verdict};
+use aldermill_routing::{Request, RequestHandle, RouterConfig, Standing, Verdict};
 
 #[test]
 fn a_write_goes_to_the_primary_and_a_read_to_a_fresh_replica() {
@@ -88,7 +88,7 @@
 
 #[test]
 fn a_primary_that_cannot_be_reached_is_not_tried_until_heard() {
-    let mut world = heard(Terms { overload_window: 500 * MS, ..terms() });
+    let mut world = heard(RouterConfig { overload_window: 500 * MS, ..terms() });
     let write = world.take(WRITE, 4_000 * MS);
     world.end(write, Verdict::Unconnected);
     assert_eq!(target(&world, write), None);
@@ -106,7 +106,7 @@
 
 #[test]
 fn a_member_heard_just_after_it_refused_a_connection_is_not_taken_for_cold() {
-    let mut world = heard(Terms { overload_window: 500 * MS, ..terms() });
+    let mut world = heard(RouterConfig { overload_window: 500 * MS, ..terms() });
     let (write, second) = (world.take(WRITE, 2_000 * MS), world.take(WRITE, 2_000 * MS));
     world.end(write, Verdict::Unconnected);
     world.pass(600 * MS);
@@ -117,7 +117,7 @@
 #[test]
 fn attempts_that_were_overtaken_and_stay_out_for_long_hold_no_place() {
     let mut world = heard(terms());
-    let lost: Vec<Handle> = (0..40).map(|_| world.take(WRITE, 60_000 * MS)).collect();
+    let lost: Vec<RequestHandle> = (0..40).map(|_| world.take(WRITE, 60_000 * MS)).collect();
     let held = lost.iter().filter(|&&write| target(&world, write).is_none()).count();
     assert!(held > 0, "the window is full");
     for _ in 0..3 {
@@ -315,7 +315,7 @@
 #[test]
 fn reads_of_which_a_few_in_a_row_outlast_the_bound_are_long_but_not_among_many() {
     // A report is taken to last half of its latency objective: under the bound, and over a third of it.
-    let met = |terms: Terms| {
+    let met = |terms: RouterConfig| {
         let report = terms.classes[REPORT].objective / 2;
         let mut terms = terms;
         terms.classes[READ].need = aldermill_routing::Need::Recent(report * 2);
@@ -334,7 +334,7 @@
 
 #[test]
 fn an_unmarked_repeat_is_told_by_a_wait_cut_short() {
-    let mut world = heard(Terms { repeats_marked: false, ..terms() });
+    let mut world = heard(RouterConfig { client_retries_marked: false, ..terms() });
     for _ in 0..3 {
         let read = world.take(READ, 1_200 * MS);
         world.end(read, Verdict::Served);
@@ -356,15 +356,16 @@
 
 #[test]
 fn what_was_never_attempted_among_many_is_rejected_before_half_of_its_time_is_over() {
-    let mut world = World::new(Terms { drivers: 40, drivers_at_cold: 40, ..terms() }, 4);
+    let mut world = World::new(RouterConfig { drivers: 40, routers_sharing_warm_up: 40, ..terms() }, 4);
     world.primary = 9;
     world.positions.resize(10, 0);
     (0..4).for_each(|id| world.health_check_answer(id, true));
     // No member is primary: some writes walk, those behind them wait.
-    let requests: Vec<Handle> = (0..6).map(|_| world.take(WRITE, 2_000 * MS)).collect();
+    let requests: Vec<RequestHandle> = (0..6).map(|_| world.take(WRITE, 2_000 * MS)).collect();
     (0..99).for_each(|_| world.pass(10 * MS));
-    let waited = |request: &&Handle| !world.attempted.iter().any(|(attempted, _)| attempted == *request);
-    let waited: Vec<&Handle> = requests.iter().filter(waited).collect();
+    let waited =
+        |request: &&RequestHandle| !world.attempted.iter().any(|(attempted, _)| attempted == *request);
+    let waited: Vec<&RequestHandle> = requests.iter().filter(waited).collect();
     assert!(
         !waited.is_empty() && waited.iter().all(|request| world.rejected.contains(request)),
         "{:?}",
@@ -374,13 +375,13 @@
 
 #[test]
 fn a_read_that_waited_for_a_replicas_word_is_held_to_the_standard_of_an_arrival() {
-    let mut terms = Terms { drivers: 40, drivers_at_cold: 40, ..terms() };
+    let mut terms = RouterConfig { drivers: 40, routers_sharing_warm_up: 40, ..terms() };
     // Attempts are taken to last 30 ms: half come in time after a wait of 6 ms, 85 of a hundred do not.
     terms.classes[READ].objective = 60 * MS;
     let mut world = World::new(terms, 2);
     world.health_check_answer(0, true);
     world.pass(BOUND + 30 * MS);
-    let reads: Vec<Handle> = (0..8).map(|_| world.take(READ, 1_500 * MS)).collect();
+    let reads: Vec<RequestHandle> = (0..8).map(|_| world.take(READ, 1_500 * MS)).collect();
     assert!(world.health_checks.contains(&1) && reads.iter().any(|&read| target(&world, read).is_none()));
     world.pass(6 * MS);
     world.positions[1] = world.now;
--- a/crates/routing/tests/router/givens.rs
+++ b/crates/routing/tests/router/givens.rs
@@ -14,7 +14,7 @@
 pub const OWN: usize = 4;
 pub const REPORT: usize = 5;
 
-pub fn terms() -> Terms {
+pub fn terms() -> RouterConfig {
     let class = |effect, need, priority_weight, late_priority_weight| RequestClass {
         effect,
         need,
@@ -23,28 +23,28 @@
         priority_weight,
         late_priority_weight,
     };
-    let receipted = Effect::Receipted { scope: Scope::Group, window: 2_000 * MS };
-    Terms {
+    let receipted = Effect::Deduplicated { scope: Scope::Group, window: 2_000 * MS };
+    RouterConfig {
         classes: vec![
-            class(Effect::Pure, Need::Recent(BOUND), 1.0, 0.0),
-            class(Effect::Pure, Need::Loose, 2.0, 0.2),
-            class(Effect::Effectful, Need::Write, 6.0, 0.5),
+            class(Effect::Idempotent, Need::Recent(BOUND), 1.0, 0.0),
+            class(Effect::Idempotent, Need::Loose, 2.0, 0.2),
+            class(Effect::NonIdempotent, Need::Write, 6.0, 0.5),
             class(receipted, Need::Write, 3.0, 0.5),
-            class(Effect::Pure, Need::OwnWrites, 1.0, 0.0),
+            class(Effect::Idempotent, Need::OwnWrites, 1.0, 0.0),
             RequestClass {
                 objective: 6_000 * MS,
                 timeout: 12_000 * MS,
-                ..class(Effect::Pure, Need::Loose, 4.0, 0.0)
+                ..class(Effect::Idempotent, Need::Loose, 4.0, 0.0)
             },
         ],
         drivers: 2,
-        drivers_at_cold: 2,
-        repeats_marked: true,
+        routers_sharing_warm_up: 2,
+        client_retries_marked: true,
         zone: 0,
         zones: 1,
         max_attempts: 8,
         health_checks_allowed: true,
-        max_cool_down: 1_000 * MS,
+        max_retry_after: 1_000 * MS,
         listed_roles: ListedRoles::Never,
         members_check: false,
         remember_sessions: true,
@@ -58,8 +58,8 @@
     }
 }
 
-pub fn line(member: MemberId, standing: Standing, since: Option<Micros>) -> Listed {
-    Listed {
+pub fn line(member: MemberId, standing: Standing, since: Option<Micros>) -> ListedMember {
+    ListedMember {
         member,
         name: format!("m{member}"),
         group: 7,
@@ -71,16 +71,16 @@
     }
 }
 
-pub fn heard(terms: Terms) -> World {
+pub fn heard(terms: RouterConfig) -> World {
     let mut world = World::new(terms, 4);
     world.hear_all();
     world
 }
 
-pub fn target(world: &World, handle: Handle) -> Option<MemberId> {
+pub fn target(world: &World, handle: RequestHandle) -> Option<MemberId> {
     world.out().into_iter().find(|&(out, _)| out == handle).map(|(_, id)| id)
 }
 
-pub fn many() -> Terms {
-    Terms { drivers: 150, drivers_at_cold: 150, list_on_request: false, ..terms() }
+pub fn many() -> RouterConfig {
+    RouterConfig { drivers: 150, routers_sharing_warm_up: 150, list_on_request: false, ..terms() }
 }
--- a/crates/routing/tests/router/in_time.rs
+++ b/crates/routing/tests/router/in_time.rs
@@ -91,7 +91,7 @@
     world.move_primary(2);
     world.health_check_answer(2, true);
     world.now += 2_500 * MS;
-    world.router.stood_still(world.now, 2_500 * MS);
+    world.router.stall_ended(world.now, 2_500 * MS);
     let report = MemberReport { role, position, age: world.now - now + 100 * MS };
     let _ = world.router.health_checked(world.now, 0, Verdict::Served, MS, report);
     let write = world.take(WRITE, 1_000 * MS);
--- a/crates/routing/tests/router/local.rs
+++ b/crates/routing/tests/router/local.rs
@@ -1,7 +1,7 @@
 //! Attempts that this machine could not send.
 
 use crate::world::{LOOSE, MS, WRITE, World, heard, target, terms};
-use aldermill_routing::{Terms, Verdict};
+use aldermill_routing::{RouterConfig, Verdict};
 
 /// Every attempt out ends as one that could not leave.
 fn fail_all(world: &mut World) {
@@ -65,7 +65,7 @@
     assert_eq!(world.out().len(), waiting + 1, "all are out by now");
 }
 
-fn fail_all_but(world: &mut World, kept: aldermill_routing::Handle) {
+fn fail_all_but(world: &mut World, kept: aldermill_routing::RequestHandle) {
     loop {
         let failing = world.out().into_iter().find(|&(handle, _)| handle != kept);
         let Some((handle, _)) = failing else { return };
@@ -76,7 +76,7 @@
 #[test]
 fn a_member_that_no_path_led_to_is_passed_over_and_not_taken_for_cold() {
     for (verdict, cold) in [(Verdict::Unreachable, false), (Verdict::Unconnected, true)] {
-        let mut world = heard(Terms { overload_window: 500 * MS, ..terms() });
+        let mut world = heard(RouterConfig { overload_window: 500 * MS, ..terms() });
         let first = world.take(WRITE, 4_000 * MS);
         world.end(first, verdict);
         assert_eq!(target(&world, first), None, "{verdict:?}: not at once again");
--- a/crates/routing/tests/router/rules.rs
+++ b/crates/routing/tests/router/rules.rs
@@ -80,7 +80,7 @@
         .run(&(script, roles, drivers), |(script, roles, drivers)| {
             let mut terms = terms();
             terms.drivers = [2, 30, 150][drivers];
-            terms.drivers_at_cold = terms.drivers;
+            terms.routers_sharing_warm_up = terms.drivers;
             terms.listed_roles = [ListedRoles::Never, ListedRoles::Late, ListedRoles::AtStart][roles];
             let mut world = World::new(terms, if drivers == 2 { 9 } else { 4 });
             for (kind, a, b) in script {
--- a/crates/routing/tests/router/wide_groups.rs
+++ b/crates/routing/tests/router/wide_groups.rs
@@ -1,12 +1,12 @@
 //! Groups of so many members that a walk by misses does not reach the primary in the time of a write.
 
-use aldermill_routing::{Handle, Listed, MemberId, Request, Standing, Terms, Verdict};
+use aldermill_routing::{ListedMember, MemberId, Request, RequestHandle, RouterConfig, Standing, Verdict};
 
 use crate::world::{LOOSE, MS, WRITE, World, line, many, target, terms};
 
 /// Passes time in which members answer health checks within a few milliseconds and attempts at once, until the
 /// write is served. Returns how long that took, and the health checks it cost.
-fn until_served(world: &mut World, write: Handle) -> Option<(i64, Vec<MemberId>)> {
+fn until_served(world: &mut World, write: RequestHandle) -> Option<(i64, Vec<MemberId>)> {
     let (begin, mut checks) = (world.now, Vec::new());
     while world.now - begin < 2_000 * MS {
         while let Some(id) = target(world, write) {
@@ -24,8 +24,9 @@
 }
 
 fn wide(drivers: usize, members: usize, seed: u64) -> World {
-    let few = Terms { list_on_request: false, max_attempts: 8, ..terms() };
-    let mut world = World::seeded(Terms { drivers, drivers_at_cold: drivers, ..few }, members, seed);
+    let few = RouterConfig { list_on_request: false, max_attempts: 8, ..terms() };
+    let mut world =
+        World::seeded(RouterConfig { drivers, routers_sharing_warm_up: drivers, ..few }, members, seed);
     world.primary = members * 2 / 3;
     world
 }
@@ -77,7 +78,8 @@
 
 #[test]
 fn the_search_of_many_routers_is_paced_by_what_a_member_bears() {
-    let mut world = World::seeded(Terms { drivers: 900, drivers_at_cold: 900, ..many() }, 800, 3);
+    let mut world =
+        World::seeded(RouterConfig { drivers: 900, routers_sharing_warm_up: 900, ..many() }, 800, 3);
     world.primary = 1_000;
     world.positions.resize(1_001, 0);
     let write = world.take(WRITE, 20_000 * MS);
@@ -95,7 +97,7 @@
     world.positions.resize(2_001, 0);
     for id in 80..1_920 {
         let group = 100 + (id / 80) as u64;
-        world.relist_as(Listed { group, ..line(id, Standing::Ready, None) });
+        world.relist_as(ListedMember { group, ..line(id, Standing::Ready, None) });
     }
     for group in 101..124 {
         world.take_request(Request { class: WRITE, group, ttl: 20_000 * MS, ..Request::default() });
--- a/crates/routing/tests/router/world.rs
+++ b/crates/routing/tests/router/world.rs
@@ -25,7 +25,7 @@
 
 pub struct World {
     pub router: Router,
-    pub terms: Terms,
+    pub terms: RouterConfig,
     pub now: Micros,
     pub primary: MemberId,
     /// True positions; the primary's is the present.
@@ -36,10 +36,10 @@
     sent: Vec<VecDeque<Micros>>,
     served: Vec<VecDeque<Micros>>,
     most_warm: usize,
-    flights: BTreeMap<Handle, Flight>,
-    pub attempted: Vec<(Handle, MemberId)>,
-    pub rejected: Vec<Handle>,
-    pub failed: Vec<Handle>,
+    flights: BTreeMap<RequestHandle, Flight>,
+    pub attempted: Vec<(RequestHandle, MemberId)>,
+    pub rejected: Vec<RequestHandle>,
+    pub failed: Vec<RequestHandle>,
     pub health_checks: Vec<MemberId>,
     pub shut: Vec<MemberId>,
     pub afresh: Vec<MemberId>,
@@ -50,11 +50,11 @@
 }
 
 impl World {
-    pub fn new(terms: Terms, members: usize) -> World {
+    pub fn new(terms: RouterConfig, members: usize) -> World {
         World::seeded(terms, members, 11)
     }
 
-    pub fn seeded(terms: Terms, members: usize, seed: u64) -> World {
+    pub fn seeded(terms: RouterConfig, members: usize, seed: u64) -> World {
         let now = 5_000_000 * MS;
         let mut world = World {
             router: Router::start(terms.clone(), seed, now),
@@ -102,9 +102,9 @@
     /// The driver stands still for so long and goes on: what ran out meanwhile was seen by nobody.
     pub fn stand(&mut self, long: Micros) {
         self.now += long;
-        self.router.stood_still(self.now, long);
+        self.router.stall_ended(self.now, long);
         let over = |f: &Flight| f.out.is_some_and(|(_, deadline)| deadline <= self.now);
-        let ends: Vec<Handle> =
+        let ends: Vec<RequestHandle> =
             self.flights.iter().filter(|(_, f)| over(f)).map(|(&handle, _)| handle).collect();
         ends.into_iter().for_each(|handle| self.end(handle, Verdict::Unobserved));
         let actions = self.router.wake(self.now);
@@ -115,7 +115,7 @@
     /// Attempts whose limit has passed end as timed out; no request outlives its end.
     fn run_out(&mut self) {
         let due = |f: &Flight| f.out.is_some_and(|(_, deadline)| deadline <= self.now);
-        let ends: Vec<Handle> =
+        let ends: Vec<RequestHandle> =
             self.flights.iter().filter(|(_, f)| due(f)).map(|(&handle, _)| handle).collect();
         for handle in ends {
             self.end(handle, Verdict::TimedOut);
@@ -127,24 +127,24 @@
         );
     }
 
-    pub fn take(&mut self, class: usize, ttl: Micros) -> Handle {
+    pub fn take(&mut self, class: usize, ttl: Micros) -> RequestHandle {
         self.take_try(class, ttl, false)
     }
 
-    pub fn take_session(&mut self, class: usize, ttl: Micros, session: &str) -> Handle {
+    pub fn take_session(&mut self, class: usize, ttl: Micros, session: &str) -> RequestHandle {
         self.take_whole(class, ttl, false, session)
     }
 
-    pub fn take_try(&mut self, class: usize, ttl: Micros, repeat: bool) -> Handle {
+    pub fn take_try(&mut self, class: usize, ttl: Micros, repeat: bool) -> RequestHandle {
         self.take_whole(class, ttl, repeat, "s")
     }
 
-    fn take_whole(&mut self, class: usize, ttl: Micros, repeat: bool, session: &str) -> Handle {
+    fn take_whole(&mut self, class: usize, ttl: Micros, repeat: bool, session: &str) -> RequestHandle {
         let session = Some(session.to_owned());
         self.take_request(Request { class, group: 7, ttl, session, repeat, ..Request::default() })
     }
 
-    pub fn take_request(&mut self, request: Request) -> Handle {
+    pub fn take_request(&mut self, request: Request) -> RequestHandle {
         let (class, ttl) = (request.class, request.ttl);
         let (handle, actions) = self.router.take(self.now, request);
         let flight = Flight {
@@ -206,12 +206,12 @@
         (0..self.positions.len()).for_each(|id| self.health_check_answer(id, true));
     }
 
-    pub fn out(&self) -> Vec<(Handle, MemberId)> {
+    pub fn out(&self) -> Vec<(RequestHandle, MemberId)> {
         self.flights.iter().filter_map(|(&handle, f)| f.out.map(|(id, _)| (handle, id))).collect()
     }
 
     /// An attempt ends in a way that its member's role allows.
-    pub fn end(&mut self, handle: Handle, verdict: Verdict) {
+    pub fn end(&mut self, handle: RequestHandle, verdict: Verdict) {
         let flight = &self.flights[&handle];
         let (id, _) = flight.out.expect("out");
         let write = self.terms.classes[flight.class].need == Need::Write;
@@ -230,7 +230,7 @@
     }
 
     /// An attempt ends, and its member says this of itself.
-    pub fn end_saying(&mut self, handle: Handle, verdict: Verdict, report: MemberReport) {
+    pub fn end_saying(&mut self, handle: RequestHandle, verdict: Verdict, report: MemberReport) {
         let flight = self.flights.get_mut(&handle).expect("taken");
         let (id, deadline) = flight.out.take().expect("out");
         let write = self.terms.classes[flight.class].need == Need::Write;
@@ -264,7 +264,7 @@
         self.carry_out(actions);
     }
 
-    pub fn leave(&mut self, handle: Handle) {
+    pub fn leave(&mut self, handle: RequestHandle) {
         let flight = self.flights.get_mut(&handle).expect("taken");
         if flight.out.is_some() || !flight.over {
             flight.over = true;
@@ -277,8 +277,8 @@
         self.relist_as(line(id, standing, since));
     }
 
-    pub fn relist_as(&mut self, line: Listed) {
-        let Listed { member: id, standing, since, .. } = line;
+    pub fn relist_as(&mut self, line: ListedMember) {
+        let ListedMember { member: id, standing, since, .. } = line;
         if self.standing[id].0 != standing {
             self.standing[id] = (standing, self.now);
         }
@@ -323,7 +323,7 @@
                 }
                 Action::Reject { .. } => {
                     let flight = self.flights.get_mut(&handle).expect("taken");
-                    let pure = self.terms.classes[flight.class].effect == Effect::Pure;
+                    let pure = self.terms.classes[flight.class].effect == Effect::Idempotent;
                     assert!(pure || flight.may_have_run.is_none() && flight.out.is_none(), "rule 2: denied");
                     assert!(!std::mem::replace(&mut flight.over, true), "rule 1: a second answer");
                     self.rejected.push(handle);
@@ -337,7 +337,7 @@
         }
     }
 
-    fn check_attempt(&mut self, handle: Handle, id: MemberId, timeout: Micros, validity: Validity) {
+    fn check_attempt(&mut self, handle: RequestHandle, id: MemberId, timeout: Micros, validity: Validity) {
         let now = self.now;
         let flight = self.flights.get_mut(&handle).expect("taken");
         let class = &self.terms.classes[flight.class];
@@ -346,12 +346,12 @@
         assert!(flight.attempts < self.terms.max_attempts && timeout > 0);
         assert!(now < flight.end, "attempted when its client has gone");
         match class.effect {
-            Effect::Effectful => assert!(flight.may_have_run.is_none(), "rule 2: attempted again"),
-            Effect::Receipted { window, .. } => {
+            Effect::NonIdempotent => assert!(flight.may_have_run.is_none(), "rule 2: attempted again"),
+            Effect::Deduplicated { window, .. } => {
                 let forgotten = flight.may_have_run.map_or(Micros::MAX, |at| at + window - HELD_UP);
                 assert!(now < forgotten && validity.until <= forgotten, "rule 2: repeats forgotten")
             }
-            Effect::Pure => {}
+            Effect::Idempotent => {}
         }
         let (standing, at) = self.standing[id];
         assert!(standing == Standing::Ready || now == at, "rule 3: attempted at a drain");
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -15,25 +15,25 @@
 const CAPACITY: f64 = 80.0;
 const COLD: MemberId = 0;
 
-fn terms(processes: usize) -> Terms {
+fn terms(processes: usize) -> RouterConfig {
     let class = RequestClass {
-        effect: Effect::Pure,
+        effect: Effect::Idempotent,
         need: Need::Loose,
         objective: 500 * MS,
         timeout: 1_000 * MS,
         priority_weight: 1.0,
         late_priority_weight: 0.0,
     };
-    Terms {
+    RouterConfig {
         classes: vec![class],
         drivers: processes,
-        drivers_at_cold: processes,
-        repeats_marked: true,
+        routers_sharing_warm_up: processes,
+        client_retries_marked: true,
         zone: 0,
         zones: 1,
         max_attempts: 4,
         health_checks_allowed: true,
-        max_cool_down: 500 * MS,
+        max_retry_after: 500 * MS,
         listed_roles: ListedRoles::Never,
         members_check: false,
         remember_sessions: false,
@@ -47,8 +47,8 @@
     }
 }
 
-fn line(member: MemberId, since: Option<Micros>) -> Listed {
-    Listed {
+fn line(member: MemberId, since: Option<Micros>) -> ListedMember {
+    ListedMember {
         member,
         name: format!("m{member}"),
         group: 0,
@@ -64,7 +64,7 @@
 struct Process {
     router: Router,
     part: f64,
-    out: VecDeque<(Micros, Handle)>,
+    out: VecDeque<(Micros, RequestHandle)>,
     /// When it hears of the start.
     told_at: Micros,
     wake_at: Micros,
@@ -72,7 +72,7 @@
 
 struct Fleet {
     now: Micros,
-    terms: Terms,
+    terms: RouterConfig,
     processes: Vec<Process>,
     rng: Pcg64Mcg,
     /// When the cold member was sent something, health checks included, over one window.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,9 @@
 use std::collections::HashMap;
 use std::fmt;
 
-use aldermill_routing::{Effect, ListedRoles, MemberReport, Micros, Need, RequestClass, Role, Scope, Terms};
+use aldermill_routing::{
+    Effect, ListedRoles, MemberReport, Micros, Need, RequestClass, Role, RouterConfig, Scope,
+};
 use serde::Deserialize;
 
 /// What cannot be read: the field, and why.
@@ -120,7 +122,7 @@
 
 /// What a program around the router needs of the settings, beside the router's own terms.
 pub struct Decoded {
-    pub terms: Terms,
+    pub terms: RouterConfig,
     /// A member closes a connection that was idle for so long.
     pub idle: Micros,
     pub connect_timeout: Micros,
@@ -177,11 +179,11 @@
             let window = time("windowMs", category.window_ms)?;
             known("dedupScope", &category.dedup_scope, &["all", "zone", "cell"])?;
             let effect = match (category.effect.as_str(), category.dedup_scope.as_str()) {
-                ("pure", _) => Effect::Pure,
-                ("side_effect", _) => Effect::Effectful,
-                ("token", "all") => Effect::Receipted { scope: Scope::All, window },
-                ("token", "zone") => Effect::Receipted { scope: Scope::Zone, window },
-                ("token", _) => Effect::Receipted { scope: Scope::Group, window },
+                ("pure", _) => Effect::Idempotent,
+                ("side_effect", _) => Effect::NonIdempotent,
+                ("token", "all") => Effect::Deduplicated { scope: Scope::All, window },
+                ("token", "zone") => Effect::Deduplicated { scope: Scope::Zone, window },
+                ("token", _) => Effect::Deduplicated { scope: Scope::Group, window },
                 (other, _) => return bad("effect", other),
             };
             let need = match family.needs_by_class.get(index).map_or("loose", String::as_str) {
@@ -209,16 +211,16 @@
         };
         let (limits, rules) = (&message.limits, &message.rules);
         let zone = |name: &str| message.azs.iter().position(|zone| zone == name);
-        let terms = Terms {
+        let terms = RouterConfig {
             classes,
             drivers: message.balancers,
-            drivers_at_cold: message.balancers,
-            repeats_marked: message.clients.marks_retry,
+            routers_sharing_warm_up: message.balancers,
+            client_retries_marked: message.clients.marks_retry,
             zone: zone(&message.my_zone).unwrap_or(message.azs.len()),
             zones: message.azs.len(),
             max_attempts: limits.max_attempts,
             health_checks_allowed: limits.probes,
-            max_cool_down: match time("limits.maxRetryAfterMs", limits.max_retry_after_ms)? {
+            max_retry_after: match time("limits.maxRetryAfterMs", limits.max_retry_after_ms)? {
                 longest if limits.retry_after => longest,
                 _ => 0,
             },
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -91,13 +91,13 @@
             "targetMs": 750, "deadlineMs": 2000, "worth": 3, "lateWorth": 0.7});
         let decoded = with("/categories", Some(json!([category]))).unwrap();
         let window = 1_200_000;
-        assert_eq!(decoded.terms.classes[0].effect, Effect::Receipted { scope, window });
+        assert_eq!(decoded.terms.classes[0].effect, Effect::Deduplicated { scope, window });
     }
 }
 
 #[test]
 fn without_a_time_to_return_a_rejection_names_none() {
-    assert_eq!(with("/limits/retryAfter", Some(json!(false))).unwrap().terms.max_cool_down, 0);
-    assert_eq!(with("/limits/retryAfter", Some(json!(true))).unwrap().terms.max_cool_down, 500_000);
+    assert_eq!(with("/limits/retryAfter", Some(json!(false))).unwrap().terms.max_retry_after, 0);
+    assert_eq!(with("/limits/retryAfter", Some(json!(true))).unwrap().terms.max_retry_after, 500_000);
     assert!(refused("/limits/retryAfter", json!(1)).contains("expected a boolean"));
 }
