--- a/crates/proxy/tests/membership.rs
+++ b/crates/proxy/tests/membership.rs
@@ -31,7 +31,7 @@
     /// What the subcommand prints about this proxy.
     fn status(&self, as_json: bool) -> String {
         let mut command = std::process::Command::new(program());
-        command.arg("fellows");
+        command.arg("peers");
         if as_json {
             command.arg("--json");
         }
