--- a/crates/proxy/src/coordination/records.rs
+++ b/crates/proxy/src/coordination/records.rs
@@ -66,7 +66,7 @@
                 batch.put(namespace::ACCEPTED_TERMS, lease.as_bytes(), &term.to_be_bytes(), None);
             }
             Record::Drain(plan) => {
-                batch.put(namespace::SITE_DRAINS, plan.word.site.as_bytes(), &plan.encode(), None)
+                batch.put(namespace::SITE_DRAINS, plan.command.site.as_bytes(), &plan.encode(), None)
             }
         }
         // One more could not be confirmed, and each confirmation counts for the oldest.
--- a/crates/proxy/src/coordination/site_drain.rs
+++ b/crates/proxy/src/coordination/site_drain.rs
@@ -1,12 +1,15 @@
 //! The work of the lease `retire`: what this proxy reports of its site, what it decides on sites that drain while it holds
-//! the lease, and what it obeys.
+//! the lease, and what it follows.
 
 use std::collections::BTreeMap;
 
-use aldermill_directives::{DirectiveStore, LIFETIME, Micros, ReceivedReport, Topic};
+use aldermill_directives::{DirectiveStore, LIFETIME, Micros, ReceivedReport as ReportFrame, Topic};
 use aldermill_leases::Term;
 use aldermill_operator_config::{DrainOrder, SiteDrainConfig};
-use aldermill_site_drain::{Holder, Keeps, Obeyed, Order, Place, Plan, Told, Word};
+use aldermill_site_drain::{
+    DirectiveVersion, DrainCoordinator, DrainReport, DrainStatus, FollowedPlans, OperatorCommand, Order,
+    Plan, ReceivedReport,
+};
 use serde_json::{Value, json};
 use slog::{Logger, info};
 
@@ -15,10 +18,10 @@
 
 /// The lease's name.
 pub const LEASE: &str = "retire";
-/// For how long a report counts: a proxy reports under other leases between two.
-const REPORTS_COUNT_FOR: Micros = 6_000_000;
-/// For how long after a request's deadline its outcome may still be written.
-const OUTCOME_SLACK: Micros = 5_000_000;
+/// How long a report counts, in microseconds: a proxy reports under other leases in between.
+const REPORT_LIFETIME: Micros = 6_000_000;
+/// How long after a request's deadline its outcome may still be written, in microseconds.
+const QUERY_GRACE: Micros = 5_000_000;
 
 /// A plan that was handed to the disk.
 struct PlanRecord {
@@ -27,7 +30,7 @@
 }
 
 /// What a proxy is to do about the plans in force.
-pub struct ObeyedPlans {
+pub struct PlanChanges {
     /// What to act by from now on, if that has changed.
     pub acting: Option<Vec<Plan>>,
     /// What to hand to the disk.
@@ -37,19 +40,19 @@
 /// A plan in force, and the version of its directive.
 struct InForce {
     plan: Plan,
-    place: Place,
+    version: DirectiveVersion,
 }
 
 /// This proxy's part in the drains of sites.
 pub struct SiteDrainWork {
-    /// What the operators want of sites, as this proxy was told.
-    orders: Vec<Word>,
-    obeyed: Obeyed,
+    /// What operators commanded in this proxy's configuration.
+    commands: Vec<OperatorCommand>,
+    followed: FollowedPlans,
     /// By site; `None` without a folder.
     records: Option<BTreeMap<String, PlanRecord>>,
     /// What the dispatcher acts by.
     acting: Vec<Plan>,
-    holder: Holder,
+    coordinator: DrainCoordinator,
     term: Option<Term>,
     /// What the next step of each site waits for, as it was last logged.
     logged_waits: BTreeMap<String, Option<String>>,
@@ -57,27 +60,27 @@
     log: Logger,
 }
 
-fn orders(configured: &[SiteDrainConfig]) -> Vec<Word> {
+fn commands(configured: &[SiteDrainConfig]) -> Vec<OperatorCommand> {
     let order = |pace| match pace {
-        DrainOrder::Run => Order::Goes,
-        DrainOrder::Pause => Order::Held,
-        DrainOrder::Cancel => Order::TakenBack,
-        DrainOrder::Expedite => Order::Hurried,
+        DrainOrder::Run => Order::Run,
+        DrainOrder::Pause => Order::Pause,
+        DrainOrder::Cancel => Order::Cancel,
+        DrainOrder::Expedite => Order::Expedite,
     };
-    let word = |one: &SiteDrainConfig| Word {
+    let command = |one: &SiteDrainConfig| OperatorCommand {
         site: one.site.clone(),
         number: one.number,
         order: order(one.order),
         by_ms: one.by.saturating_mul(1000),
     };
-    configured.iter().map(word).collect()
+    configured.iter().map(command).collect()
 }
 
 fn in_force(directives: &DirectiveStore, now: Micros) -> Vec<InForce> {
     let read = |(site, body): (&str, &[u8])| {
         let version = directives.version(&Topic::new(LEASE, site))?;
         let plan = Plan::decode(body).ok()?;
-        Some(InForce { plan, place: (version.term, version.number) })
+        Some(InForce { plan, version: DirectiveVersion { term: version.term, number: version.number } })
     };
     directives.in_force_under(now, LEASE).filter_map(read).collect()
 }
@@ -92,13 +95,13 @@
         durable: bool,
         log: Logger,
     ) -> SiteDrainWork {
-        let acts = Obeyed::acts(LIFETIME) + longest_timeout + OUTCOME_SLACK;
+        let longest_action = FollowedPlans::longest_autonomy(LIFETIME) + longest_timeout + QUERY_GRACE;
         SiteDrainWork {
-            orders: orders(configured),
-            obeyed: Obeyed::default(),
+            commands: commands(configured),
+            followed: FollowedPlans::default(),
             records: durable.then(BTreeMap::new),
             acting: Vec::new(),
-            holder: Holder::start(now, acts),
+            coordinator: DrainCoordinator::new(now, longest_action),
             term: None,
             logged_waits: BTreeMap::new(),
             own_site: String::new(),
@@ -110,14 +113,14 @@
     pub fn restore(&mut self, now: Micros, kept: Vec<Plan>) {
         if let Some(records) = &mut self.records {
             let record = |plan: &Plan| PlanRecord { plan: plan.clone(), is_persisted: true };
-            records.extend(kept.iter().map(|plan| (plan.word.site.clone(), record(plan))));
+            records.extend(kept.iter().map(|plan| (plan.command.site.clone(), record(plan))));
         }
-        self.obeyed.read(now, kept);
+        self.followed.restore(now, kept);
     }
 
     /// This plan is on the disk.
     pub fn persisted(&mut self, plan: &Plan) {
-        let record = self.records.as_mut().and_then(|records| records.get_mut(&plan.word.site));
+        let record = self.records.as_mut().and_then(|records| records.get_mut(&plan.command.site));
         if let Some(record) = record.filter(|record| record.plan == *plan) {
             record.is_persisted = true;
         }
@@ -133,63 +136,68 @@
     /// Whether a restart would know of the plan, as far as that is provided for.
     fn survives_restart(&self, plan: &Plan) -> bool {
         let Some(records) = &self.records else { return true };
-        records.get(&plan.word.site).is_some_and(|record| record.is_persisted && record.plan == *plan)
+        records.get(&plan.command.site).is_some_and(|record| record.is_persisted && record.plan == *plan)
     }
 
     /// What is to be handed to the disk now.
     fn take_to_persist(&mut self) -> Vec<Plan> {
         let Some(records) = &mut self.records else { return Vec::new() };
         let is_known =
-            |plan: &&Plan| records.get(&plan.word.site).is_some_and(|record| record.plan == **plan);
-        let new: Vec<Plan> = self.obeyed.plans().filter(|plan| !is_known(plan)).cloned().collect();
+            |plan: &&Plan| records.get(&plan.command.site).is_some_and(|record| record.plan == **plan);
+        let new: Vec<Plan> = self.followed.plans().filter(|plan| !is_known(plan)).cloned().collect();
         let record = |plan: &Plan| PlanRecord { plan: plan.clone(), is_persisted: false };
-        records.extend(new.iter().map(|plan| (plan.word.site.clone(), record(plan))));
+        records.extend(new.iter().map(|plan| (plan.command.site.clone(), record(plan))));
         new
     }
 
     /// The operator's file was read again.
     pub fn reconfigure(&mut self, configured: &[SiteDrainConfig]) {
-        self.orders = orders(configured);
+        self.commands = commands(configured);
     }
 
     /// Another proxy is gone, or has started again.
     pub fn peer_gone(&mut self, now: Micros, name: &str) {
-        self.holder.gone(now, name);
+        self.coordinator.proxy_departed(now, name);
     }
 
     /// What is to be reported of what was observed.
     pub fn report(&mut self, seen: &ObservationSummary) -> (Topic, Vec<u8>) {
-        let mut told = Told { words: self.orders.clone(), ..Told::default() };
-        told.keeps = self.kept_plans(seen);
+        let mut report = DrainReport { commands: self.commands.clone(), ..DrainReport::default() };
+        report.statuses = self.kept_plans(seen);
         if let Some(seen) = &seen.site {
             self.own_site.clone_from(&seen.site);
-            told.site.clone_from(&seen.site);
-            told.over_ms = (seen.span / 1000).clamp(1, 60_000) as u32;
-            told.ended = seen.ended;
-            told.in_time = seen.within_objective;
-            told.bound = seen.session_reads;
-            for (site, trip) in &seen.round_trips {
-                let millis = (trip / 1000).clamp(0, 60_000) as u32;
-                let shortest = told.trips.entry(site.clone()).or_insert(millis);
+            report.site.clone_from(&seen.site);
+            report.over_ms = (seen.span / 1000).clamp(1, 60_000) as u32;
+            report.ended = seen.ended;
+            report.within_objective = seen.within_objective;
+            report.session_reads = seen.session_reads;
+            for (site, round_trip) in &seen.round_trips {
+                let millis = (round_trip / 1000).clamp(0, 60_000) as u32;
+                let shortest = report.round_trips_ms.entry(site.clone()).or_insert(millis);
                 *shortest = millis.min(*shortest);
             }
         }
-        (Topic::new(LEASE, ""), told.encode())
+        (Topic::new(LEASE, ""), report.encode())
     }
 
-    /// The plans that this proxy obeys, by site. What the dispatcher does not act by yet is left out, and what a restart
+    /// The plans that this proxy follows, by site. What the dispatcher does not act by yet is left out, and what a restart
     /// could forget.
-    fn kept_plans(&self, seen: &ObservationSummary) -> BTreeMap<String, Keeps> {
+    fn kept_plans(&self, seen: &ObservationSummary) -> BTreeMap<String, DrainStatus> {
         let mut kept = BTreeMap::new();
         let open = seen.site.as_ref().map(|site| &site.open);
-        for plan in self.obeyed.plans() {
-            let site = &plan.word.site;
-            let is_obeyed = self.acting.contains(plan) && self.survives_restart(plan);
-            let Some(place) = self.obeyed.place(site).filter(|_| is_obeyed) else { continue };
+        for plan in self.followed.plans() {
+            let site = &plan.command.site;
+            let is_followed = self.acting.contains(plan) && self.survives_restart(plan);
+            let Some(version) = self.followed.version(site).filter(|_| is_followed) else { continue };
             let open = open.and_then(|open| open.get(site)).copied().unwrap_or_default();
-            let keeps =
-                Keeps { place, number: plan.word.number, weight: plan.weight, stage: plan.stage, open };
-            kept.insert(site.clone(), keeps);
+            let status = DrainStatus {
+                version,
+                number: plan.command.number,
+                weight: plan.weight,
+                stage: plan.stage,
+                open,
+            };
+            kept.insert(site.clone(), status);
         }
         kept
     }
@@ -199,56 +207,58 @@
         let DecisionInputs { at, term, reports, directives, living } = *inputs;
         if self.term != term {
             self.term = term;
-            self.holder.lays_down();
+            self.coordinator.step_down();
         }
         if term.is_none() {
             return Vec::new();
         }
-        let read = |report: ReceivedReport<'_>| {
-            let start = reports.start_of(report.reporter)?;
-            let told = Told::decode(report.body).ok()?;
-            Some((report.reporter.to_owned(), (start, report.received_at, told)))
+        let read = |frame: ReportFrame<'_>| {
+            let incarnation = reports.start_of(frame.reporter)?;
+            let report = DrainReport::decode(frame.body).ok()?;
+            let received = ReceivedReport { incarnation, received_at: frame.received_at, report };
+            Some((frame.reporter.to_owned(), received))
         };
-        let told = reports.recent(at.now, REPORTS_COUNT_FOR, LEASE).filter_map(read).collect();
-        let standing = self.known_plans(at.now, directives);
-        let plans = self.holder.decide(at.now, at.wall, &told, living, &standing);
-        let decision = |plan: Plan| Decision { subject: plan.word.site.clone(), body: plan.encode() };
+        let received = reports.recent(at.now, REPORT_LIFETIME, LEASE).filter_map(read).collect();
+        let known = self.known_plans(at.now, directives);
+        let plans = self.coordinator.decide(at.now, at.wall, &received, living, &known);
+        let decision = |plan: Plan| Decision { subject: plan.command.site.clone(), body: plan.encode() };
         plans.into_iter().map(decision).collect()
     }
 
-    /// The plans in force, and those that only this proxy still obeys: a lease holder that was alone knows them by that.
-    fn known_plans(&self, now: Micros, directives: &DirectiveStore) -> Vec<(Plan, Place)> {
+    /// The plans in force, and those that only this proxy still follows: a lease holder that was alone knows them by that.
+    fn known_plans(&self, now: Micros, directives: &DirectiveStore) -> Vec<(Plan, DirectiveVersion)> {
         let in_force = in_force(directives, now).into_iter();
-        let mut known: Vec<(Plan, Place)> = in_force.map(|known| (known.plan, known.place)).collect();
-        for plan in self.obeyed.plans() {
-            if !known.iter().any(|(known, _)| known.word.site == plan.word.site) {
-                known.push((plan.clone(), (0, 0)));
+        let mut known: Vec<(Plan, DirectiveVersion)> =
+            in_force.map(|known| (known.plan, known.version)).collect();
+        for plan in self.followed.plans() {
+            if !known.iter().any(|(known, _)| known.command.site == plan.command.site) {
+                known.push((plan.clone(), DirectiveVersion::NONE));
             }
         }
         known
     }
 
     /// Takes the plans in force.
-    pub fn obey(&mut self, now: Micros, directives: &DirectiveStore) -> ObeyedPlans {
-        for InForce { plan, place } in in_force(directives, now) {
-            let site = plan.word.site.clone();
+    pub fn obey(&mut self, now: Micros, directives: &DirectiveStore) -> PlanChanges {
+        for InForce { plan, version } in in_force(directives, now) {
+            let site = plan.command.site.clone();
             let waits = plan.waits.clone();
-            let is_new = self.obeyed.hear(now, plan, place);
-            let Some(plan) = self.obeyed.plan(&site) else { continue };
+            let is_new = self.followed.receive(now, plan, version);
+            let Some(plan) = self.followed.plan(&site) else { continue };
             if is_new || self.logged_waits.get(&site) != Some(&waits) {
                 info!(self.log, "site drain"; "waits" => &waits, "weight" => plan.weight,
                     "stage" => ?plan.stage, "site" => &site);
                 self.logged_waits.insert(site, waits);
             }
         }
-        let acting = self.obeyed.acting(now, &self.own_site);
+        let acting = self.followed.effective_plans(now, &self.own_site);
         let has_changed = acting != self.acting;
         self.acting.clone_from(&acting);
-        ObeyedPlans { acting: has_changed.then_some(acting), to_persist: self.take_to_persist() }
+        PlanChanges { acting: has_changed.then_some(acting), to_persist: self.take_to_persist() }
     }
 
-    /// What this proxy obeys and was told, for the status socket.
+    /// What this proxy follows and was told, for the status socket.
     pub fn describe(&self) -> Value {
-        json!({"acts_by": self.acting, "words": self.orders})
+        json!({"acts_by": self.acting, "words": self.commands})
     }
 }
--- a/crates/proxy/src/messages/observations.rs
+++ b/crates/proxy/src/messages/observations.rs
@@ -1,7 +1,7 @@
 //! What a process observed, for the lease holders that decide for the whole fleet.
 
 use aldermill_routing::Micros;
-use aldermill_site_routing::OpenWork;
+use aldermill_site_routing::OpenWorkBySite;
 use aldermill_zone_failover::Row;
 
 /// What a process observed since it was last asked.
@@ -33,5 +33,5 @@
     /// Round trips by the other site's name, in microseconds.
     pub round_trips: Vec<(String, Micros)>,
     /// What is still open of sites that drain.
-    pub open: OpenWork,
+    pub open: OpenWorkBySite,
 }
--- a/crates/proxy/tests/stored_data.rs
+++ b/crates/proxy/tests/stored_data.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use aldermill_site_drain::{Order, Plan, Stage, Word};
+use aldermill_site_drain::{OperatorCommand, Order, Plan, Stage};
 use aldermill_site_routing::records::{RecordKey, decode_key, decode_outcome, encode_key, encode_outcome};
 use aldermill_site_routing::{Origin, Outcome};
 use aldermill_store::{Batch, Bounds, Disk, Snapshot, Store};
@@ -97,28 +97,28 @@
 }
 
 fn plan(site: &str, order: Order, stage: Stage, waits: Option<&str>) -> Plan {
-    let word = Word { site: site.to_owned(), number: 3, order, by_ms: 1_700_000_600_000 };
+    let word = OperatorCommand { site: site.to_owned(), number: 3, order, by_ms: 1_700_000_600_000 };
     let shares = [("site1".to_owned(), 400), ("site2".to_owned(), 600)].into();
-    Plan { word, stage, weight: 250, shares, waits: waits.map(str::to_owned) }
+    Plan { command: word, stage, weight: 250, shares, waits: waits.map(str::to_owned) }
 }
 
 /// The plans of sites that drain, with their stored form.
 fn plans() -> [(Plan, &'static str); 4] {
     [
         (
-            plan("site3", Order::Goes, Stage::Moving, Some("room at site1")),
+            plan("site3", Order::Run, Stage::Moving, Some("room at site1")),
             r#"{"site":"site3","number":3,"order":"goes","by_ms":1700000600000,"stage":"moving","weight":250,"shares":{"site1":400,"site2":600},"waits":"room at site1"}"#,
         ),
         (
-            plan("site4", Order::Held, Stage::Emptied, None),
+            plan("site4", Order::Pause, Stage::Emptied, None),
             r#"{"site":"site4","number":3,"order":"held","by_ms":1700000600000,"stage":"emptied","weight":250,"shares":{"site1":400,"site2":600}}"#,
         ),
         (
-            plan("site5", Order::Hurried, Stage::Retired, None),
+            plan("site5", Order::Expedite, Stage::Drained, None),
             r#"{"site":"site5","number":3,"order":"hurried","by_ms":1700000600000,"stage":"retired","weight":250,"shares":{"site1":400,"site2":600}}"#,
         ),
         (
-            plan("site6", Order::TakenBack, Stage::Back, None),
+            plan("site6", Order::Cancel, Stage::Restored, None),
             r#"{"site":"site6","number":3,"order":"taken_back","by_ms":1700000600000,"stage":"back","weight":250,"shares":{"site1":400,"site2":600}}"#,
         ),
     ]
@@ -141,7 +141,7 @@
     put(9, b"zones", b"\0\0\0\0\0\0\x01\x03");
     put(9, b"retire", b"\0\0\0\0\0\0\x01\x04");
     for (plan, stored) in plans() {
-        put(10, plan.word.site.as_bytes(), stored.as_bytes());
+        put(10, plan.command.site.as_bytes(), stored.as_bytes());
     }
     for (number, _, stored) in outcomes() {
         batch.put(6, &outcome_key(number), stored, Some(EXPIRES_AT));
@@ -297,7 +297,7 @@
 fn the_stored_plans_of_draining_sites_are_read_and_written_in_the_same_form() {
     let (snapshot, _folder) = stored("plans");
     for (plan, form) in plans() {
-        let body = snapshot.get(10, plan.word.site.as_bytes()).unwrap();
+        let body = snapshot.get(10, plan.command.site.as_bytes()).unwrap();
         assert_eq!(Plan::decode(&body).unwrap(), plan);
         assert_eq!(String::from_utf8(plan.encode()).unwrap(), form);
     }
--- a/crates/site-drain/src/lib.rs
+++ b/crates/site-drain/src/lib.rs
@@ -1,32 +1,53 @@
-//! A site that hands its clients on and goes.
+//! Takes a site out of service without losing requests: its sessions move to other sites in steps, and it is said to be
+//! drained only when nothing of it is left anywhere.
 //!
-//! Sessions belong to sites by weighted rendezvous hashing ([`Homes`]): while the weight of one site falls, each of its sessions
-//! moves at most once, and none between the others. The holder of the duty lowers it in steps that the survivors were
-//! measured to bear, waits when something is wrong and says for what ([`Retirement`]); it says that the site is retired once
-//! every driver that lives has said under this plan that nothing of it is left, and those that are not heard are past all
-//! that they could hold ([`Farewell`]).
+//! An operator's [`OperatorCommand`] starts it. Every proxy reports once a second what its site serves and what it still has
+//! of draining sites ([`DrainReport`]). The lease holder runs the [`DrainCoordinator`]: it lowers the weight of a draining
+//! site in steps that the other sites were measured to bear ([`SiteDrain`]), and says that the site is drained once every
+//! proxy that is alive has reported under the present plan that it has nothing left there, and those that are silent are
+//! past all that they could still do ([`CompletionCheck`]). Its directives carry a [`Plan`] for each draining site, which
+//! every proxy follows ([`FollowedPlans`]).
 //!
-//! What the operator said is a [`Word`], what stands a [`Plan`]: the body of the duty's decree, which each driver keeps to
-//! ([`Obeyed`]) and which the holder of the duty carries on ([`Holder`]) by what drivers tell it ([`Told`]).
+//! Sessions belong to sites by weighted rendezvous hashing ([`SiteWeights`], [`SessionPlacement`]): while the weight of one
+//! site falls, each of its sessions moves at most once, and none moves between the others.
 //!
-//! Nothing here does I/O or has a clock.
+//! The proxy's coordination actor is the caller. Nothing here does I/O or has a clock: each call brings `now` in
+//! microseconds of one clock of the caller, and the lease holder is assumed to evaluate once a second.
+//!
+//! # Example
+//!
+//! ```
+//! use aldermill_site_drain::SiteWeights;
+//!
+//! let weights = [("north", 1000), ("south", 1000)].map(|(site, weight)| (site.to_owned(), weight));
+//! let weights = SiteWeights::new(weights).unwrap();
+//! let site = weights.site_for("session 1", |_| false).unwrap();
+//! // Without that site the session belongs to the other one.
+//! assert_ne!(weights.site_for("session 1", |name| name == site), Some(site));
+//! ```
+
+#![warn(missing_docs)]
 
-mod farewell;
-mod holder;
-mod homes;
-mod obeyed;
-mod pace;
+mod completion_check;
+mod coordinator;
+mod followed_plans;
+mod observations;
 mod plan;
+mod report;
+mod site_drain;
+mod site_weights;
 
-pub use farewell::{Farewell, Left, Open};
-pub use holder::{Heard, Holder, Keeps, Told};
-pub use homes::{Homes, Unusable};
-pub use obeyed::Obeyed;
-pub use pace::{Looks, Order, Retirement, Site, State, Waits};
-pub use plan::{Binding, Malformed, Place, Plan, Stage, Word};
+pub use completion_check::{CompletionCheck, Remaining};
+pub use coordinator::DrainCoordinator;
+pub use followed_plans::FollowedPlans;
+pub use observations::{FleetObservations, SiteLoad};
+pub use plan::{DirectiveVersion, MalformedPayload, OperatorCommand, Order, Plan, SessionPlacement, Stage};
+pub use report::{DrainReport, DrainStatus, OpenWork, ReceivedReport};
+pub use site_drain::{DrainState, SiteDrain, WaitReason};
+pub use site_weights::{SiteWeights, WeightsError};
 
-/// Whole microseconds, on the caller's clock.
+/// Whole microseconds: an instant on the caller's clock, or a span.
 pub type Micros = i64;
 
-/// Weights and shares are in thousandths of a whole site.
+/// The weight of a whole site. Weights and shares are in thousandths of it.
 pub const WHOLE: u32 = 1000;
--- a/crates/site-drain/tests/pinned_payloads.rs
+++ b/crates/site-drain/tests/pinned_payloads.rs
@@ -2,17 +2,20 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_site_drain::{Heard, Holder, Keeps, Open, Order, Plan, Stage, Told, Word};
+use aldermill_site_drain::{
+    DirectiveVersion, DrainCoordinator, DrainReport, DrainStatus, OpenWork, OperatorCommand, Order, Plan,
+    ReceivedReport, Stage,
+};
 
 const S: i64 = 1_000_000;
 
-fn word(order: Order) -> Word {
-    Word { site: "north".into(), number: 3, order, by_ms: 1_800_000_000_000 }
+fn command(order: Order) -> OperatorCommand {
+    OperatorCommand { site: "north".into(), number: 3, order, by_ms: 1_800_000_000_000 }
 }
 
 fn plan(order: Order, stage: Stage, waits: Option<&str>) -> Plan {
     let shares = [("east".to_owned(), 1000), ("west".to_owned(), 250)].into();
-    Plan { word: word(order), stage, weight: 750, shares, waits: waits.map(str::to_owned) }
+    Plan { command: command(order), stage, weight: 750, shares, waits: waits.map(str::to_owned) }
 }
 
 #[track_caller]
@@ -22,16 +25,16 @@
 }
 
 #[track_caller]
-fn pinned_report(told: Told, json: &str) {
+fn pinned_report(told: DrainReport, json: &str) {
     assert_eq!(String::from_utf8(told.encode()).unwrap(), json);
-    assert_eq!(Told::decode(json.as_bytes()).unwrap(), told);
+    assert_eq!(DrainReport::decode(json.as_bytes()).unwrap(), told);
 }
 
 #[test]
 fn directive_with_what_it_waits_for() {
     let waits = Some("room elsewhere");
     pinned_plan(
-        plan(Order::Goes, Stage::Moving, waits),
+        plan(Order::Run, Stage::Moving, waits),
         concat!(
             r#"{"site":"north","number":3,"order":"goes","by_ms":1800000000000,"stage":"moving","#,
             r#""weight":750,"shares":{"east":1000,"west":250},"waits":"room elsewhere"}"#
@@ -42,28 +45,28 @@
 #[test]
 fn directive_of_each_order_and_stage() {
     pinned_plan(
-        plan(Order::Goes, Stage::Moving, None),
+        plan(Order::Run, Stage::Moving, None),
         concat!(
             r#"{"site":"north","number":3,"order":"goes","by_ms":1800000000000,"stage":"moving","#,
             r#""weight":750,"shares":{"east":1000,"west":250}}"#
         ),
     );
     pinned_plan(
-        plan(Order::Held, Stage::Emptied, None),
+        plan(Order::Pause, Stage::Emptied, None),
         concat!(
             r#"{"site":"north","number":3,"order":"held","by_ms":1800000000000,"stage":"emptied","#,
             r#""weight":750,"shares":{"east":1000,"west":250}}"#
         ),
     );
     pinned_plan(
-        plan(Order::Hurried, Stage::Retired, None),
+        plan(Order::Expedite, Stage::Drained, None),
         concat!(
             r#"{"site":"north","number":3,"order":"hurried","by_ms":1800000000000,"stage":"retired","#,
             r#""weight":750,"shares":{"east":1000,"west":250}}"#
         ),
     );
     pinned_plan(
-        plan(Order::TakenBack, Stage::Back, None),
+        plan(Order::Cancel, Stage::Restored, None),
         concat!(
             r#"{"site":"north","number":3,"order":"taken_back","by_ms":1800000000000,"stage":"back","#,
             r#""weight":750,"shares":{"east":1000,"west":250}}"#
@@ -73,17 +76,17 @@
 
 #[test]
 fn report_with_every_field() {
-    let open = Open { sessions: 11, requests: 12, fates: 13, groups: 14 };
-    let keeps = Keeps { place: (5, 6), number: 3, weight: 750, stage: Stage::Moving, open };
-    let told = Told {
+    let open = OpenWork { sessions: 11, requests: 12, outcomes: 13, primaries: 14 };
+    let keeps = DrainStatus { version: (5, 6).into(), number: 3, weight: 750, stage: Stage::Moving, open };
+    let told = DrainReport {
         site: "east".into(),
         over_ms: 1000,
         ended: 200,
-        in_time: 190,
-        bound: 150,
-        trips: [("north".to_owned(), 12), ("west".to_owned(), 30)].into(),
-        keeps: [("north".to_owned(), keeps)].into(),
-        words: vec![word(Order::Goes), word(Order::TakenBack)],
+        within_objective: 190,
+        session_reads: 150,
+        round_trips_ms: [("north".to_owned(), 12), ("west".to_owned(), 30)].into(),
+        statuses: [("north".to_owned(), keeps)].into(),
+        commands: vec![command(Order::Run), command(Order::Cancel)],
     };
     pinned_report(
         told,
@@ -101,7 +104,7 @@
 #[test]
 fn report_of_a_proxy_without_a_gateway() {
     pinned_report(
-        Told::default(),
+        DrainReport::default(),
         concat!(
             r#"{"site":"","over_ms":0,"ended":0,"in_time":0,"bound":0,"trips":{},"keeps":{},"#,
             r#""words":[]}"#
@@ -109,51 +112,59 @@
     );
 }
 
-/// What a holder decides that hears one driver of each site, whenever the stage or what it waits for changes.
+fn received(received_at: i64, report: DrainReport) -> ReceivedReport {
+    ReceivedReport { incarnation: 1, received_at, report }
+}
+
+/// What a lease holder decides that has reports of one proxy of each site, whenever the stage or what it waits for changes.
 fn decisions(order: Order) -> Vec<String> {
-    let mut holder = Holder::start(0, 10 * S);
+    let mut coordinator = DrainCoordinator::new(0, 10 * S);
     let mut decided: Vec<Plan> = Vec::new();
-    let mut standing: Vec<(Plan, (u64, u64))> = Vec::new();
+    let mut in_force: Vec<(Plan, DirectiveVersion)> = Vec::new();
     for second in 100..160 {
         let now = second * S;
-        let open = Open { sessions: u64::from(second < 150), ..Open::default() };
-        let keeps = |(plan, place): &(Plan, (u64, u64))| {
-            let keeps = Keeps { place: *place, number: 3, weight: plan.weight, stage: plan.stage, open };
-            (plan.word.site.clone(), keeps)
+        let open = OpenWork { sessions: u64::from(second < 150), ..OpenWork::default() };
+        let keeps = |(plan, version): &(Plan, DirectiveVersion)| {
+            let keeps =
+                DrainStatus { version: *version, number: 3, weight: plan.weight, stage: plan.stage, open };
+            (plan.command.site.clone(), keeps)
         };
-        let weight = standing.first().map_or(1000, |(plan, _)| plan.weight);
-        let told = |site: &str, bound: u32| Told {
+        let weight = in_force.first().map_or(1000, |(plan, _)| plan.weight);
+        let report = |site: &str, bound: u32| DrainReport {
             site: site.to_owned(),
             over_ms: 1000,
             ended: 1000,
-            in_time: 1000,
-            bound,
-            keeps: standing.iter().map(keeps).collect(),
-            words: vec![word(order)],
-            ..Told::default()
+            within_objective: 1000,
+            session_reads: bound,
+            statuses: in_force.iter().map(keeps).collect(),
+            commands: vec![command(order)],
+            ..DrainReport::default()
         };
-        let heard: BTreeMap<String, Heard> = [
-            ("d1".to_owned(), (1, now, told("north", weight))),
-            ("d2".to_owned(), (1, now, told("east", 1000))),
+        let heard: BTreeMap<String, ReceivedReport> = [
+            ("d1".to_owned(), received(now, report("north", weight))),
+            ("d2".to_owned(), received(now, report("east", 1000))),
         ]
         .into();
-        let plans = holder.decide(now, 1_700_000_000_000, &heard, &["d1", "d2"], &standing);
+        let plans = coordinator.decide(now, 1_700_000_000_000, &heard, &["d1", "d2"], &in_force);
         for plan in &plans {
             let last = decided.last();
             if last.is_none_or(|last| (last.stage, &last.waits) != (plan.stage, &plan.waits)) {
                 decided.push(plan.clone());
             }
         }
-        standing = plans.into_iter().map(|plan| (plan, (1, second as u64))).collect();
+        in_force = plans
+            .into_iter()
+            .map(|plan| (plan, DirectiveVersion { term: 1, number: second as u64 }))
+            .collect();
     }
     let json = |plan: &Plan| String::from_utf8(plan.encode()).unwrap();
     decided.iter().map(json).collect()
 }
 
 #[test]
-fn directives_that_a_holder_issues_until_a_site_is_retired() {
+fn directives_that_a_lease_holder_issues_until_a_site_is_drained() {
     assert_eq!(
-        decisions(Order::Goes),
+        decisions(Order::Run),
         [
             concat!(
                 r#"{"site":"north","number":3,"order":"goes","by_ms":1800000000000,"#,
@@ -178,7 +189,7 @@
 #[test]
 fn directive_that_waits_for_the_operator() {
     assert_eq!(
-        decisions(Order::Held),
+        decisions(Order::Pause),
         [concat!(
             r#"{"site":"north","number":3,"order":"held","by_ms":1800000000000,"#,
             r#""stage":"moving","weight":1000,"shares":{"east":1000},"waits":"the operator's word"}"#
--- a/crates/site-routing/src/lib.rs
+++ b/crates/site-routing/src/lib.rs
@@ -85,7 +85,7 @@
 pub use recording_promise::RecordingPromise;
 pub use request::{LocalResult, PeerAnswer, Request};
 pub use router::{CapacityOffer, HomeView, SiteRouter};
-pub use session_assignment::OpenWork;
+pub use session_assignment::OpenWorkBySite;
 
 /// Whole microseconds: an instant on the caller's clock, or a span.
 pub type Micros = i64;
--- a/crates/site-routing/src/router.rs
+++ b/crates/site-routing/src/router.rs
@@ -1,6 +1,6 @@
 //! The router between sites: accepts requests, answers questions about its state, and holds all that it decides by.
 
-use aldermill_site_drain::{Open, Plan};
+use aldermill_site_drain::{OpenWork, Plan};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -13,8 +13,8 @@
 use crate::primary_search::PrimarySearch;
 use crate::session_assignment::SessionAssignments;
 use crate::{
-    Action, Actions, ForwardNumber, LOCAL_SITE, Micros, NEVER, OpenWork, PeerGatewayId, PeerGatewayView,
-    Request, RequestClass, RequestHandle, SiteId, SiteRouterConfig,
+    Action, Actions, ForwardNumber, LOCAL_SITE, Micros, NEVER, OpenWorkBySite, PeerGatewayId,
+    PeerGatewayView, Request, RequestClass, RequestHandle, SiteId, SiteRouterConfig,
 };
 
 mod completion;
@@ -123,7 +123,7 @@
     /// What this gateway still has in progress at each draining site: at its own, what the local router has and which groups
     /// have their primary there; at others, what was forwarded there. `outcomes` are those in the caller's
     /// [`OutcomeTable`](crate::OutcomeTable) and on their way from or to the disk.
-    pub fn open_work(&self, outcomes: u64) -> OpenWork {
+    pub fn open_work(&self, outcomes: u64) -> OpenWorkBySite {
         let draining = self.sessions.draining_sites();
         let open = |site: SiteId, weight: u32| match site {
             LOCAL_SITE => self.open_work_here(weight, outcomes),
@@ -132,20 +132,20 @@
         draining.map(|(site, name, weight)| (name.to_owned(), open(site, weight))).collect()
     }
 
-    fn open_work_here(&self, weight: u32, outcomes: u64) -> Open {
+    fn open_work_here(&self, weight: u32, outcomes: u64) -> OpenWork {
         let primaries = self.homes.groups().filter(|&group| self.homes.home(group) == Some(LOCAL_SITE));
-        Open {
+        OpenWork {
             sessions: weight.into(),
             requests: self.pending.count_local() as u64,
-            fates: outcomes,
-            groups: primaries.count() as u64,
+            outcomes,
+            primaries: primaries.count() as u64,
         }
     }
 
-    fn open_work_at(&self, site: SiteId) -> Open {
+    fn open_work_at(&self, site: SiteId) -> OpenWork {
         let forwarded: usize =
             self.gateways.ids_at(site).map(|gateway| self.forwarded.open_at(gateway).len()).sum();
-        Open { requests: forwarded as u64, ..Open::default() }
+        OpenWork { requests: forwarded as u64, ..OpenWork::default() }
     }
 
     /// The request that was forwarded under this number, if it is not closed.
--- a/crates/site-routing/src/session_assignment.rs
+++ b/crates/site-routing/src/session_assignment.rs
@@ -2,59 +2,61 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_site_drain::{Binding, Open, Plan, Stage};
+use aldermill_site_drain::{OpenWork, Plan, SessionPlacement, Stage};
 
 use crate::SiteId;
 
 /// What this gateway still has in progress at each draining site, by the site's name.
-pub type OpenWork = BTreeMap<String, Open>;
+pub type OpenWorkBySite = BTreeMap<String, OpenWork>;
 
 /// The fleet's plans for draining sites. A site without one serves its sessions as ever.
 #[derive(Debug, Default)]
 pub(crate) struct SessionAssignments {
     /// The sites' names, by their index.
     names: Vec<String>,
-    plans: BTreeMap<SiteId, Binding>,
+    plans: BTreeMap<SiteId, SessionPlacement>,
 }
 
 impl SessionAssignments {
     /// `names` are the sites', by their index. Plans for sites that are not among them do not concern this gateway.
     pub(crate) fn new(names: &[String], plans: Vec<Plan>) -> SessionAssignments {
         let index = |name: &String| names.iter().position(|known| known == name);
-        let plans = plans.into_iter().filter_map(|plan| Some((index(&plan.word.site)?, Binding::of(plan))));
+        let plans = plans
+            .into_iter()
+            .filter_map(|plan| Some((index(&plan.command.site)?, SessionPlacement::new(plan))));
         SessionAssignments { names: names.to_vec(), plans: plans.collect() }
     }
 
     /// The plan for a site that drains.
-    pub(crate) fn plan(&self, site: SiteId) -> Option<&Binding> {
+    pub(crate) fn plan(&self, site: SiteId) -> Option<&SessionPlacement> {
         self.plans.get(&site)
     }
 
     /// The site that took over a session from a draining site, among those that can be reached.
     pub(crate) fn successor(
         &self,
-        plan: &Binding,
+        placement: &SessionPlacement,
         session: &str,
         reachable: impl Fn(SiteId) -> bool,
     ) -> Option<SiteId> {
         let index = |name: &str| self.names.iter().position(|known| known == name);
-        let successor = plan.home(session, |name| index(name).is_some_and(&reachable));
+        let successor = placement.successor(session, |name| index(name).is_some_and(&reachable));
         successor.and_then(index)
     }
 
     /// Whether no session is assigned to the site any more: reads that another site can serve do not go there.
     pub(crate) fn is_emptied(&self, site: SiteId) -> bool {
-        self.plans.get(&site).is_some_and(|binding| binding.plan.weight == 0)
+        self.plans.get(&site).is_some_and(|placement| placement.plan.weight == 0)
     }
 
     /// Whether the site's drain is completed: nothing new goes there.
     pub(crate) fn is_drained(&self, site: SiteId) -> bool {
-        self.plans.get(&site).is_some_and(|binding| binding.plan.stage == Stage::Retired)
+        self.plans.get(&site).is_some_and(|placement| placement.plan.stage == Stage::Drained)
     }
 
     /// Each draining site with its name and the part of its sessions that it still has, in thousandths.
     pub(crate) fn draining_sites(&self) -> impl Iterator<Item = (SiteId, &str, u32)> {
         let plans = self.plans.iter();
-        plans.map(|(&site, binding)| (site, binding.plan.word.site.as_str(), binding.plan.weight))
+        plans.map(|(&site, placement)| (site, placement.plan.command.site.as_str(), placement.plan.weight))
     }
 }
--- a/crates/site-routing/tests/draining_site.rs
+++ b/crates/site-routing/tests/draining_site.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_site_drain::{Order, Plan, Stage, Word};
+use aldermill_site_drain::{OperatorCommand, Order, Plan, Stage};
 use aldermill_site_routing::{
     Action, Effect, LOCAL_SITE, LocalResult, Micros, Need, PeerAnswer, Request, RequestClass, SiteRouter,
     SiteRouterConfig,
@@ -40,9 +40,9 @@
 }
 
 fn plan(site: &str, stage: Stage, weight: u32) -> Plan {
-    let word = Word { site: site.to_owned(), number: 1, order: Order::Goes, by_ms: 0 };
+    let word = OperatorCommand { site: site.to_owned(), number: 1, order: Order::Run, by_ms: 0 };
     let shares = names().into_iter().filter(|name| name != site).map(|name| (name, 1000)).collect();
-    Plan { word, stage, weight, shares, waits: None }
+    Plan { command: word, stage, weight, shares, waits: None }
 }
 
 /// The site that the request goes to at once; `None` where it waits. It is answered there.
@@ -115,11 +115,11 @@
     };
     assert!(matches!(remote_request(&mut router, READ), Action::ServeLocally { .. }));
     let open = router.open_work(3)["a"];
-    assert_eq!((open.sessions, open.requests, open.fates, open.groups), (0, 1, 3, 0));
+    assert_eq!((open.sessions, open.requests, open.outcomes, open.primaries), (0, 1, 3, 0));
     router.primary_found_here(0, GROUP);
-    assert_eq!(router.open_work(0)["a"].groups, 1);
+    assert_eq!(router.open_work(0)["a"].primaries, 1);
     assert!(matches!(remote_request(&mut router, WRITE), Action::ServeLocally { .. }));
-    router.assign_sessions(0, &names(), vec![plan("a", Stage::Retired, 0)]);
+    router.assign_sessions(0, &names(), vec![plan("a", Stage::Drained, 0)]);
     assert!(matches!(remote_request(&mut router, READ), Action::ReportNotPrimary { .. }));
     assert!(matches!(remote_request(&mut router, WRITE), Action::ReportNotPrimary { .. }));
     assert_eq!(site_chosen(&mut router, "s", WRITE), None);
@@ -137,6 +137,6 @@
     assert_eq!(site_chosen(&mut router, "s", READ), Some(2));
     assert_eq!(site_chosen(&mut router, "s", WRITE), Some(1), "roles are not moved by anybody here");
     assert_eq!(router.open_work(0)["b"].requests, 0);
-    router.assign_sessions(0, &names(), vec![plan("b", Stage::Retired, 0)]);
+    router.assign_sessions(0, &names(), vec![plan("b", Stage::Drained, 0)]);
     assert_eq!(site_chosen(&mut router, "s", WRITE), Some(2));
 }
