--- a/crates/proxy/src/coordination/site_drain.rs
+++ b/crates/proxy/src/coordination/site_drain.rs
@@ -13,13 +13,15 @@
 use serde_json::{Value, json};
 use slog::{Logger, info};
 
-use super::lease_work::{Decision, DecisionInputs};
+use super::decision::{Decision, DecisionInputs, LeaseReport};
 use crate::messages::ObservationSummary;
 
 /// The lease's name.
 pub const LEASE: &str = "retire";
 /// How long a report counts, in microseconds: a proxy reports under other leases in between.
 const REPORT_LIFETIME: Micros = 6_000_000;
+/// The longest span that a report states, in milliseconds.
+const MAX_REPORTED_MS: i64 = 60_000;
 /// How long after a request's deadline its outcome may still be written, in microseconds.
 const QUERY_GRACE: Micros = 5_000_000;
 
@@ -47,31 +49,35 @@
 pub struct SiteDrainWork {
     /// What operators commanded in this proxy's configuration.
     commands: Vec<OperatorCommand>,
+    /// The newest plan of each site that was in force here.
     followed: FollowedPlans,
-    /// By site; `None` without a folder.
+    /// Which plans the disk has, by site; `None` without a data directory.
     records: Option<BTreeMap<String, PlanRecord>>,
     /// What the dispatcher acts by.
     acting: Vec<Plan>,
+    /// What this proxy knows and decides while it holds the lease.
     coordinator: DrainCoordinator,
+    /// The term under which it last decided.
     term: Option<Term>,
     /// What the next step of each site waits for, as it was last logged.
     logged_waits: BTreeMap<String, Option<String>>,
+    /// The name of this proxy's site; empty until the dispatcher has told it.
     own_site: String,
     log: Logger,
 }
 
 fn commands(configured: &[SiteDrainConfig]) -> Vec<OperatorCommand> {
-    let order = |pace| match pace {
+    let order = |order| match order {
         DrainOrder::Run => Order::Run,
         DrainOrder::Pause => Order::Pause,
         DrainOrder::Cancel => Order::Cancel,
         DrainOrder::Expedite => Order::Expedite,
     };
-    let command = |one: &SiteDrainConfig| OperatorCommand {
-        site: one.site.clone(),
-        number: one.number,
-        order: order(one.order),
-        by_ms: one.by.saturating_mul(1000),
+    let command = |drain: &SiteDrainConfig| OperatorCommand {
+        site: drain.site.clone(),
+        number: drain.number,
+        order: order(drain.order),
+        by_ms: drain.by.saturating_mul(1000),
     };
     configured.iter().map(command).collect()
 }
@@ -86,20 +92,20 @@
 }
 
 impl SiteDrainWork {
-    /// The part of a proxy that starts now. `longest_timeout` is the longest timeout of a request; `durable` says that
-    /// there is a folder.
+    /// The part of a proxy that starts now. `longest_timeout` is the longest timeout of a request; `is_durable` says that
+    /// there is a data directory.
     pub fn start(
         now: Micros,
         configured: &[SiteDrainConfig],
         longest_timeout: Micros,
-        durable: bool,
+        is_durable: bool,
         log: Logger,
     ) -> SiteDrainWork {
         let longest_action = FollowedPlans::longest_autonomy(LIFETIME) + longest_timeout + QUERY_GRACE;
         SiteDrainWork {
             commands: commands(configured),
             followed: FollowedPlans::default(),
-            records: durable.then(BTreeMap::new),
+            records: is_durable.then(BTreeMap::new),
             acting: Vec::new(),
             coordinator: DrainCoordinator::new(now, longest_action),
             term: None,
@@ -109,13 +115,13 @@
         }
     }
 
-    /// The plans that an earlier start kept.
-    pub fn restore(&mut self, now: Micros, kept: Vec<Plan>) {
+    /// The plans that an earlier start stored.
+    pub fn restore(&mut self, now: Micros, stored: Vec<Plan>) {
         if let Some(records) = &mut self.records {
             let record = |plan: &Plan| PlanRecord { plan: plan.clone(), is_persisted: true };
-            records.extend(kept.iter().map(|plan| (plan.command.site.clone(), record(plan))));
+            records.extend(stored.iter().map(|plan| (plan.command.site.clone(), record(plan))));
         }
-        self.followed.restore(now, kept);
+        self.followed.restore(now, stored);
     }
 
     /// This plan is on the disk.
@@ -161,30 +167,30 @@
     }
 
     /// What is to be reported of what was observed.
-    pub fn report(&mut self, seen: &ObservationSummary) -> (Topic, Vec<u8>) {
+    pub(super) fn report(&mut self, observed: &ObservationSummary) -> LeaseReport {
         let mut report = DrainReport { commands: self.commands.clone(), ..DrainReport::default() };
-        report.statuses = self.kept_plans(seen);
-        if let Some(seen) = &seen.site {
-            self.own_site.clone_from(&seen.site);
-            report.site.clone_from(&seen.site);
-            report.over_ms = (seen.span / 1000).clamp(1, 60_000) as u32;
-            report.ended = seen.ended;
-            report.within_objective = seen.within_objective;
-            report.session_reads = seen.session_reads;
-            for (site, round_trip) in &seen.round_trips {
-                let millis = (round_trip / 1000).clamp(0, 60_000) as u32;
-                let shortest = report.round_trips_ms.entry(site.clone()).or_insert(millis);
+        report.statuses = self.kept_plans(observed);
+        if let Some(site) = &observed.site {
+            self.own_site.clone_from(&site.site);
+            report.site.clone_from(&site.site);
+            report.over_ms = (site.span / 1000).clamp(1, MAX_REPORTED_MS) as u32;
+            report.ended = site.ended;
+            report.within_objective = site.within_objective;
+            report.session_reads = site.session_reads;
+            for (other_site, round_trip) in &site.round_trips {
+                let millis = (round_trip / 1000).clamp(0, MAX_REPORTED_MS) as u32;
+                let shortest = report.round_trips_ms.entry(other_site.clone()).or_insert(millis);
                 *shortest = millis.min(*shortest);
             }
         }
-        (Topic::new(LEASE, ""), report.encode())
+        LeaseReport { topic: Topic::new(LEASE, ""), body: report.encode() }
     }
 
     /// The plans that this proxy follows, by site. What the dispatcher does not act by yet is left out, and what a restart
     /// could forget.
-    fn kept_plans(&self, seen: &ObservationSummary) -> BTreeMap<String, DrainStatus> {
+    fn kept_plans(&self, observed: &ObservationSummary) -> BTreeMap<String, DrainStatus> {
         let mut kept = BTreeMap::new();
-        let open = seen.site.as_ref().map(|site| &site.open);
+        let open = observed.site.as_ref().map(|site| &site.open);
         for plan in self.followed.plans() {
             let site = &plan.command.site;
             let is_followed = self.acting.contains(plan) && self.survives_restart(plan);
@@ -218,9 +224,9 @@
             let received = ReceivedReport { incarnation, received_at: frame.received_at, report };
             Some((frame.reporter.to_owned(), received))
         };
-        let received = reports.recent(at.now, REPORT_LIFETIME, LEASE).filter_map(read).collect();
-        let known = self.known_plans(at.now, directives);
-        let plans = self.coordinator.decide(at.now, at.wall, &received, living, &known);
+        let drain_reports = reports.recent(at.now, REPORT_LIFETIME, LEASE).filter_map(read).collect();
+        let known_plans = self.known_plans(at.now, directives);
+        let plans = self.coordinator.decide(at.now, at.wall, &drain_reports, living, &known_plans);
         let decision = |plan: Plan| Decision { subject: plan.command.site.clone(), body: plan.encode() };
         plans.into_iter().map(decision).collect()
     }
@@ -257,7 +263,7 @@
         PlanChanges { acting: has_changed.then_some(acting), to_persist: self.take_to_persist() }
     }
 
-    /// What this proxy follows and was told, for the status socket.
+    /// What this proxy follows, and what its operator ordered, for the status socket.
     pub fn describe(&self) -> Value {
         json!({"acts_by": self.acting, "words": self.commands})
     }
