--- a/crates/proxy/src/dispatcher/open_request.rs
+++ b/crates/proxy/src/dispatcher/open_request.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher keeps for each request under way.
+//! What the dispatcher keeps of a request under way.
 
 use std::rc::Rc;
 
@@ -18,7 +18,7 @@
     Gateway(SiteRequestHandle),
 }
 
-/// The client that waits for the answer to a request.
+/// The client that waits for a request.
 pub(super) struct WaitingClient {
     /// The client's name of its request.
     pub(super) id: ClientId,
@@ -27,14 +27,14 @@
 }
 
 impl WaitingClient {
-    /// The client that sent this request.
+    /// Whoever sent this request.
     pub(super) fn of(request: &ClientRequest) -> WaitingClient {
         WaitingClient { id: request.client, mailbox: request.mailbox.clone() }
     }
 
     /// Gives the client its one answer.
     pub(super) fn answer(&self, answer: Answer) {
-        // Its mailbox always has a place for each answer that it waits for; the client may have left.
+        // Its mailbox always has room for the answers it waits for; it may be gone.
         let _ = self.mailbox.try_send(ClientMessage::Answer(self.id, answer));
     }
 }
@@ -43,9 +43,9 @@
 pub(super) struct OpenRequest {
     /// Present where it came through the gateway part, which is told what the router says and answers the client.
     pub(super) via: Option<SiteRequestHandle>,
-    /// The priority of its request class for buffer space.
+    /// Whether its class is the best paid.
     pub(super) priority: Priority,
-    /// The client's deadline, on the router's clock. No attempt may last longer.
+    /// When the client's time is over, on the router's clock. No attempt may last longer.
     pub(super) deadline: Micros,
     /// `None` once it was answered, or nobody waits for it.
     pub(super) client: Option<WaitingClient>,
@@ -56,8 +56,8 @@
 }
 
 impl OpenRequest {
-    /// Nobody waits for it here any more: what was not sent of it is cancelled.
-    pub(super) fn cancel(&mut self) {
+    /// Nobody waits for it here any more.
+    pub(super) fn withdraw(&mut self) {
         self.client = None;
         self.cancellation.cancel();
     }
