--- a/crates/proxy/src/coordination/issuing.rs
+++ b/crates/proxy/src/coordination/issuing.rs
@@ -5,7 +5,7 @@
 use aldermill_directives::{LIFETIME, Micros, Topic};
 use aldermill_operator_config::CoordinationConfig;
 use aldermill_site_drain::Plan;
-use aldermill_zone_failover::{Group, Lean};
+use aldermill_zone_failover::{Group, TrafficShift};
 use slog::warn;
 
 use super::Coordination;
@@ -67,7 +67,7 @@
     }
 
     /// How much of this proxy's own zone's reads is to go elsewhere, by group, if that has changed.
-    pub fn zone_directives(&mut self, now: Micros) -> Option<Vec<(Group, Lean)>> {
+    pub fn zone_directives(&mut self, now: Micros) -> Option<Vec<(Group, TrafficShift)>> {
         self.work.zone_directives(now, &self.directives)
     }
 
--- a/crates/proxy/src/coordination/lease_work.rs
+++ b/crates/proxy/src/coordination/lease_work.rs
@@ -3,7 +3,7 @@
 
 use aldermill_directives::{DirectiveStore, Micros};
 use aldermill_operator_config::CoordinationConfig;
-use aldermill_zone_failover::{Group, Lean};
+use aldermill_zone_failover::{Group, TrafficShift};
 use serde_json::Value;
 use slog::Logger;
 
@@ -82,7 +82,7 @@
         &mut self,
         now: Micros,
         directives: &DirectiveStore,
-    ) -> Option<Vec<(Group, Lean)>> {
+    ) -> Option<Vec<(Group, TrafficShift)>> {
         self.zone_failover.as_mut()?.obey(now, directives)
     }
 
--- a/crates/proxy/src/coordination/zone_failover.rs
+++ b/crates/proxy/src/coordination/zone_failover.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use aldermill_directives::{DirectiveStore, Micros, Reports, Topic};
-use aldermill_zone_failover::frame::{self, Told};
-use aldermill_zone_failover::{Evidence, Group, Lean, Level, Zone, Zones};
+use aldermill_zone_failover::frame::{self, ZoneReport};
+use aldermill_zone_failover::{Evidence, FailoverLevel, FailoverPlanner, Group, TrafficShift, Zone};
 use serde_json::{Value, json};
 use slog::{Logger, info};
 
@@ -21,7 +21,7 @@
     group: Group,
     zone: Zone,
     /// How much of the reads goes elsewhere.
-    shift: Lean,
+    shift: TrafficShift,
 }
 
 fn subject(group: Group, zone: Zone) -> String {
@@ -30,7 +30,7 @@
 
 fn read_directive(subject: &str, body: &[u8]) -> Option<ZoneDirective> {
     let (group, zone) = subject.split_once('.')?;
-    let shift = frame::read_decree(body).ok()?;
+    let shift = frame::decode_directive(body).ok()?;
     Some(ZoneDirective { group: group.parse().ok()?, zone: zone.parse().ok()?, shift })
 }
 
@@ -42,15 +42,15 @@
 /// What the holder of the lease knows.
 struct Holder {
     evidence: Evidence,
-    zones: Zones,
+    zones: FailoverPlanner,
 }
 
 impl Holder {
     /// Goes on from what an earlier lease holder decided.
     fn start(now: Micros, directives: &DirectiveStore) -> Holder {
-        let mut zones = Zones::default();
+        let mut zones = FailoverPlanner::default();
         for ZoneDirective { group, zone, shift } in in_force(directives, now) {
-            zones.goes_on(now, group, zone, &shift);
+            zones.resume(now, group, zone, &shift);
         }
         Holder { evidence: Evidence::default(), zones }
     }
@@ -61,7 +61,7 @@
     own_zone: Zone,
     holder: WhileHeld<Holder>,
     /// What the dispatcher was last told.
-    obeyed: Vec<(Group, Lean)>,
+    obeyed: Vec<(Group, TrafficShift)>,
     log: Logger,
 }
 
@@ -74,8 +74,8 @@
     /// What is to be reported of what was observed, in parts that fit into a datagram each.
     pub(super) fn report(&self, observed: ObservationSummary) -> Vec<LeaseReport> {
         let part = |(index, rows): (usize, &[_])| {
-            let report = Told { zone: self.own_zone, over: observed.span, rows: rows.to_vec() };
-            LeaseReport { topic: Topic::new(LEASE, &index.to_string()), body: frame::report(&report) }
+            let report = ZoneReport { zone: self.own_zone, over: observed.span, rows: rows.to_vec() };
+            LeaseReport { topic: Topic::new(LEASE, &index.to_string()), body: frame::encode_report(&report) }
         };
         observed.rows.chunks(frame::ROWS).enumerate().map(part).collect()
     }
@@ -94,16 +94,18 @@
                 info!(self.log, "zone failover: not enough capacity elsewhere";
                     "zone" => zone, "group" => group, "away" => shift.away);
             }
-            decisions.push(Decision { subject: subject(*group, *zone), body: frame::decree(shift) });
+            decisions
+                .push(Decision { subject: subject(*group, *zone), body: frame::encode_directive(shift) });
         }
         decisions
     }
 
     /// What is decided for this proxy's own zone, if that has changed.
-    pub fn obey(&mut self, now: Micros, directives: &DirectiveStore) -> Option<Vec<(Group, Lean)>> {
+    pub fn obey(&mut self, now: Micros, directives: &DirectiveStore) -> Option<Vec<(Group, TrafficShift)>> {
         let is_own = |directive: &ZoneDirective| directive.zone == self.own_zone && directive.shift.away > 0;
         let own = in_force(directives, now).filter(is_own);
-        let shifts: Vec<(Group, Lean)> = own.map(|directive| (directive.group, directive.shift)).collect();
+        let shifts: Vec<(Group, TrafficShift)> =
+            own.map(|directive| (directive.group, directive.shift)).collect();
         if shifts == self.obeyed {
             return None;
         }
@@ -112,7 +114,7 @@
                 "away" => shift.away, "level" => ?shift.level, "group" => group);
         }
         if shifts.is_empty() {
-            info!(self.log, "zone failover: own zone"; "level" => ?Level::Near);
+            info!(self.log, "zone failover: own zone"; "level" => ?FailoverLevel::Near);
         }
         self.obeyed = shifts;
         Some(self.obeyed.clone())
@@ -130,10 +132,10 @@
     }
 }
 
-fn recent_reports(now: Micros, reports: &Reports) -> BTreeMap<String, Vec<Told>> {
-    let mut by_reporter: BTreeMap<String, Vec<Told>> = BTreeMap::new();
+fn recent_reports(now: Micros, reports: &Reports) -> BTreeMap<String, Vec<ZoneReport>> {
+    let mut by_reporter: BTreeMap<String, Vec<ZoneReport>> = BTreeMap::new();
     for report in reports.recent(now, REPORTS_COUNT_FOR, LEASE) {
-        if let Ok(part) = frame::read_report(report.body) {
+        if let Ok(part) = frame::decode_report(report.body) {
             by_reporter.entry(report.reporter.to_owned()).or_default().push(part);
         }
     }
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -8,7 +8,7 @@
 use aldermill_settings::Decoded;
 use aldermill_split_points::{Sketch, frame};
 use aldermill_wire::statement::quoted;
-use aldermill_zone_failover::{End, Lean, Tally};
+use aldermill_zone_failover::{ReadOutcome, TrafficShift, ZoneHistory};
 use tokio::sync::oneshot;
 
 use super::Dispatcher;
@@ -31,7 +31,7 @@
 
 /// Ends of attempts by group and zone, and which keys cost what.
 pub struct Observations {
-    tally: Tally,
+    tally: ZoneHistory,
     in_flight: HashMap<Handle, AttemptInFlight>,
     /// By group; `None` where no split points are decided.
     keys: Option<BTreeMap<u64, Sketch>>,
@@ -43,7 +43,7 @@
     /// them.
     pub fn start(now: Micros, seed: u64, splits: bool) -> Observations {
         let keys = splits.then(BTreeMap::new);
-        Observations { tally: Tally::start(now), in_flight: HashMap::new(), keys, seed }
+        Observations { tally: ZoneHistory::start(now), in_flight: HashMap::new(), keys, seed }
     }
 
     /// An attempt is about to be sent to this member.
@@ -111,16 +111,16 @@
 }
 
 /// What the end of a read says of its zone; `None` where nothing was seen of the member.
-fn end_of_read(verdict: Verdict, elapsed: Micros, objective: Micros) -> Option<End> {
+fn end_of_read(verdict: Verdict, elapsed: Micros, objective: Micros) -> Option<ReadOutcome> {
     match verdict {
-        Verdict::Served => Some(End::Served { in_time: elapsed <= objective }),
-        Verdict::Overloaded => Some(End::Refused),
-        Verdict::Error | Verdict::Malformed => Some(End::Error),
+        Verdict::Served => Some(ReadOutcome::Served { in_time: elapsed <= objective }),
+        Verdict::Overloaded => Some(ReadOutcome::Refused),
+        Verdict::Error | Verdict::Malformed => Some(ReadOutcome::Error),
         Verdict::TimedOut
         | Verdict::Unconnected
         | Verdict::Unreachable
         | Verdict::Reset
-        | Verdict::ConnectionLost => Some(End::Silent),
+        | Verdict::ConnectionLost => Some(ReadOutcome::Silent),
         Verdict::Cancelled
         | Verdict::Unobserved
         | Verdict::LocalFailure
@@ -147,13 +147,13 @@
     }
 
     /// Applies the directives for this process's zone, by group; a group that is not named has none.
-    pub(super) fn zone_directives(&mut self, leans: &[(u64, Lean)]) {
+    pub(super) fn zone_directives(&mut self, leans: &[(u64, TrafficShift)]) {
         let shifts = leans.iter().map(|(group, lean)| (*group, read_shift(lean))).collect();
         self.router.shift_reads(&shifts);
     }
 }
 
-fn read_shift(lean: &Lean) -> ReadShift {
+fn read_shift(lean: &TrafficShift) -> ReadShift {
     ReadShift {
         away: fraction(lean.away),
         to_zones: lean.to.iter().map(|&(zone, share)| (zone, fraction(share))).collect(),
--- a/crates/proxy/src/messages/dispatcher.rs
+++ b/crates/proxy/src/messages/dispatcher.rs
@@ -5,7 +5,7 @@
 use aldermill_site_drain::Plan;
 use aldermill_site_link::{Inbound, Outbound};
 use aldermill_wire::statement::Comment;
-use aldermill_zone_failover::Lean;
+use aldermill_zone_failover::TrafficShift;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
@@ -39,7 +39,7 @@
     /// To be answered with what was observed since this was last asked.
     TakeObservations(oneshot::Sender<ObservationSummary>),
     /// The zone failover directives in force for this process's zone, by group.
-    ZoneDirectives(Vec<(u64, Lean)>),
+    ZoneDirectives(Vec<(u64, TrafficShift)>),
     /// The site drain directives in force.
     SiteDrainPlans(Vec<Plan>),
     /// This member's actor found no descriptor free for a new connection.
--- a/crates/proxy/tests/status_json.rs
+++ b/crates/proxy/tests/status_json.rs
@@ -8,7 +8,7 @@
 
 use aldermill_store::{Batch, Bounds, Disk, Store};
 use aldermill_test_support::*;
-use aldermill_zone_failover::{Finding, Level};
+use aldermill_zone_failover::{FailoverLevel, ZoneVerdict};
 use serde_json::{Value, json};
 
 /// Adds the paths of all keys under `value`, which stands at `path`; `[]` stands for each item of an array,
@@ -301,16 +301,16 @@
 #[test]
 fn the_findings_and_levels_of_zones_are_shown_by_these_names() {
     let findings = [
-        Finding::Unknown,
-        Finding::Well,
-        Finding::Between,
-        Finding::Lost,
-        Finding::CutOff,
-        Finding::Crowded,
-        Finding::Some,
+        ZoneVerdict::Unknown,
+        ZoneVerdict::Well,
+        ZoneVerdict::Between,
+        ZoneVerdict::Lost,
+        ZoneVerdict::CutOff,
+        ZoneVerdict::Crowded,
+        ZoneVerdict::Some,
     ];
     let shown = findings.map(|finding| format!("{finding:?}"));
     assert_eq!(shown, ["Unknown", "Well", "Between", "Lost", "CutOff", "Crowded", "Some"]);
-    let levels = [Level::Near, Level::Leaning, Level::Left, Level::Coming];
+    let levels = [FailoverLevel::Near, FailoverLevel::Leaning, FailoverLevel::Left, FailoverLevel::Coming];
     assert_eq!(levels.map(|level| format!("{level:?}")), ["Near", "Leaning", "Left", "Coming"]);
 }
--- a/crates/zone-failover/src/evidence.rs
+++ b/crates/zone-failover/src/evidence.rs
@@ -1,7 +1,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::frame::Told;
-use crate::{Group, Seen, Zone};
+use crate::frame::ZoneReport;
+use crate::{Group, OutcomeCounts, Zone};
 
 /// Attempts of a second, all drivers together, under which nothing is concluded, and drivers.
 const LEAST: u32 = 12;
@@ -20,7 +20,7 @@
 
 /// What is the matter with one zone, as its own drivers and the others see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Finding {
+pub enum ZoneVerdict {
     /// Too few attempts, or drivers, to say.
     Unknown,
     Well,
@@ -38,8 +38,8 @@
 
 /// What is known of one zone of a group.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct View {
-    pub finding: Finding,
+pub struct ZoneView {
+    pub finding: ZoneVerdict,
     /// By its own drivers: what they ask of it and of others, attempts a second.
     pub asked: f64,
     /// What was sent to it by all, and served in time, a second.
@@ -53,7 +53,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
-    seen: Seen,
+    seen: OutcomeCounts,
     a_second: f64,
     in_time_a_second: f64,
     drivers: usize,
@@ -64,13 +64,13 @@
 pub struct Evidence {
     /// The most that each zone served in time, a second.
     bears: BTreeMap<(Group, Zone), f64>,
-    views: BTreeMap<(Group, Zone), View>,
+    views: BTreeMap<(Group, Zone), ZoneView>,
     /// Drivers set aside as ill themselves.
     ill: BTreeSet<String>,
 }
 
 impl Evidence {
-    pub fn views(&self) -> &BTreeMap<(Group, Zone), View> {
+    pub fn views(&self) -> &BTreeMap<(Group, Zone), ZoneView> {
         &self.views
     }
 
@@ -79,13 +79,13 @@
     }
 
     /// Takes in what all drivers told of the last second or so, each under its name.
-    pub fn take(&mut self, told: &BTreeMap<String, Vec<Told>>) {
+    pub fn take(&mut self, told: &BTreeMap<String, Vec<ZoneReport>>) {
         self.ill = ill(told);
-        let well: BTreeMap<&String, &Vec<Told>> =
+        let well: BTreeMap<&String, &Vec<ZoneReport>> =
             told.iter().filter(|(name, _)| !self.ill.contains(*name)).collect();
         // By group, asking and asked zone; and each driver's own sight of its own zone.
         let mut rates: BTreeMap<(Group, Zone, Zone), Rate> = BTreeMap::new();
-        let mut near: BTreeMap<(Group, Zone), Vec<Seen>> = BTreeMap::new();
+        let mut near: BTreeMap<(Group, Zone), Vec<OutcomeCounts>> = BTreeMap::new();
         for told in well.values().flat_map(|parts| parts.iter()) {
             let seconds = (told.over as f64 / 1e6).max(0.2);
             for row in &told.rows {
@@ -127,10 +127,10 @@
                 let bears = self.bears.entry((group, zone)).or_default();
                 *bears = bears.max(served);
                 // What it does not serve now it does not bear now, whatever it once did.
-                if matches!(finding, Finding::Crowded | Finding::Lost) {
+                if matches!(finding, ZoneVerdict::Crowded | ZoneVerdict::Lost) {
                     *bears += (served - *bears) * 0.2;
                 }
-                let view = View {
+                let view = ZoneView {
                     finding,
                     asked,
                     sent,
@@ -147,16 +147,19 @@
 /// Drivers that are served badly wherever they ask, while others of their zone are not.
 ///
 /// Protects zones from one driver's word, however loud. Harms a zone of which most drivers are ill: then they are the median.
-fn ill(told: &BTreeMap<String, Vec<Told>>) -> BTreeSet<String> {
+fn ill(told: &BTreeMap<String, Vec<ZoneReport>>) -> BTreeSet<String> {
     let mut shares: BTreeMap<Zone, Vec<(f64, &String)>> = BTreeMap::new();
     for (name, parts) in told {
-        let mut by_zone: BTreeMap<Zone, Seen> = BTreeMap::new();
+        let mut by_zone: BTreeMap<Zone, OutcomeCounts> = BTreeMap::new();
         for row in parts.iter().flat_map(|told| &told.rows) {
             by_zone.entry(row.zone).or_default().add(&row.seen);
         }
         // Where it fares best.
-        let best =
-            by_zone.values().filter(|seen| seen.attempts > 0).map(Seen::share_in_time).reduce(f64::max);
+        let best = by_zone
+            .values()
+            .filter(|seen| seen.attempts > 0)
+            .map(OutcomeCounts::share_in_time)
+            .reduce(f64::max);
         if let (Some(first), Some(best)) = (parts.first(), best) {
             shares.entry(first.zone).or_default().push((best, name));
         }
@@ -172,7 +175,7 @@
     ill
 }
 
-fn find(own: &Rate, others: &Rate, near: &[Seen]) -> Finding {
+fn find(own: &Rate, others: &Rate, near: &[OutcomeCounts]) -> ZoneVerdict {
     let enough = |rate: &Rate| rate.seen.attempts >= LEAST && rate.drivers >= DRIVERS;
     // In a crowd attempts run out of time too, but some are served.
     let mute = |rate: &Rate| {
@@ -180,20 +183,20 @@
         few && rate.seen.silent >= NOBODY && rate.drivers >= DRIVERS
     };
     if mute(own) {
-        return Finding::Lost;
+        return ZoneVerdict::Lost;
     }
     if !enough(own) {
         // Nobody near says anything: what others find tells at least that nobody is there.
-        return if mute(others) { Finding::Lost } else { Finding::Unknown };
+        return if mute(others) { ZoneVerdict::Lost } else { ZoneVerdict::Unknown };
     }
     let share = own.seen.share_in_time();
     if share >= BADLY && mute(others) {
-        return Finding::CutOff;
+        return ZoneVerdict::CutOff;
     }
     if share >= BADLY {
-        return if share >= WELL { Finding::Well } else { Finding::Between };
+        return if share >= WELL { ZoneVerdict::Well } else { ZoneVerdict::Between };
     }
     // Some of its drivers served as ever: what is wrong is not the zone's.
     let served = near.iter().filter(|seen| seen.share_in_time() >= WELL).count();
-    if served * 3 >= near.len() { Finding::Some } else { Finding::Crowded }
+    if served * 3 >= near.len() { ZoneVerdict::Some } else { ZoneVerdict::Crowded }
 }
--- a/crates/zone-failover/src/frame.rs
+++ b/crates/zone-failover/src/frame.rs
@@ -8,7 +8,7 @@
 use bytes::{Buf, BufMut};
 use thiserror::Error;
 
-use crate::{Lean, Level, Micros, Row, Seen, Zone};
+use crate::{FailoverLevel, Micros, OutcomeCounts, Row, TrafficShift, Zone};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Malformed {
@@ -25,27 +25,27 @@
 
 /// What one driver tells.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct ZoneReport {
     /// Where the driver is.
     pub zone: Zone,
     pub over: Micros,
     pub rows: Vec<Row>,
 }
 
-pub fn report(told: &Told) -> Vec<u8> {
+pub fn encode_report(told: &ZoneReport) -> Vec<u8> {
     let mut to = Vec::with_capacity(5 + told.rows.len() * 33);
     to.put_u8(told.zone.min(255) as u8);
     to.put_u32((told.over / 1000).clamp(0, 1 << 30) as u32);
     for Row { group, zone, seen } in told.rows.iter().take(ROWS) {
         to.put_u64(*group);
         to.put_u8((*zone).min(255) as u8);
-        let Seen { attempts, in_time, refused, errors, silent, took_ms } = *seen;
+        let OutcomeCounts { attempts, in_time, refused, errors, silent, took_ms } = *seen;
         [attempts, in_time, refused, errors, silent, took_ms].into_iter().for_each(|count| to.put_u32(count));
     }
     to
 }
 
-pub fn read_report(mut from: &[u8]) -> Result<Told, Malformed> {
+pub fn decode_report(mut from: &[u8]) -> Result<ZoneReport, Malformed> {
     let short = |_| Malformed::Short;
     let zone = Zone::from(from.try_get_u8().map_err(short)?);
     let over = Micros::from(from.try_get_u32().map_err(short)?) * 1000;
@@ -58,18 +58,22 @@
             *count = from.try_get_u32().map_err(short)?;
         }
         let [attempts, in_time, refused, errors, silent, took_ms] = counts;
-        rows.push(Row { group, zone, seen: Seen { attempts, in_time, refused, errors, silent, took_ms } });
+        rows.push(Row {
+            group,
+            zone,
+            seen: OutcomeCounts { attempts, in_time, refused, errors, silent, took_ms },
+        });
     }
-    Ok(Told { zone, over, rows })
+    Ok(ZoneReport { zone, over, rows })
 }
 
-pub fn decree(lean: &Lean) -> Vec<u8> {
+pub fn encode_directive(lean: &TrafficShift) -> Vec<u8> {
     let mut to = Vec::new();
     to.put_u8(match lean.level {
-        Level::Near => 0,
-        Level::Leaning => 1,
-        Level::Left => 2,
-        Level::Coming => 3,
+        FailoverLevel::Near => 0,
+        FailoverLevel::Leaning => 1,
+        FailoverLevel::Left => 2,
+        FailoverLevel::Coming => 3,
     });
     to.put_u16(lean.away);
     to.put_u8(u8::from(lean.short));
@@ -80,17 +84,17 @@
     to
 }
 
-pub fn read_decree(mut from: &[u8]) -> Result<Lean, Malformed> {
+pub fn decode_directive(mut from: &[u8]) -> Result<TrafficShift, Malformed> {
     let short = |_| Malformed::Short;
     let share = |from: &mut &[u8]| match from.try_get_u16().map_err(short)? {
         share @ 0..=1000 => Ok(share),
         share => Err(Malformed::Share(share)),
     };
     let level = match from.try_get_u8().map_err(short)? {
-        0 => Level::Near,
-        1 => Level::Leaning,
-        2 => Level::Left,
-        3 => Level::Coming,
+        0 => FailoverLevel::Near,
+        1 => FailoverLevel::Leaning,
+        2 => FailoverLevel::Left,
+        3 => FailoverLevel::Coming,
         level => return Err(Malformed::Level(level)),
     };
     let away = share(&mut from)?;
@@ -100,5 +104,5 @@
         let zone = Zone::from(from.try_get_u8().map_err(short)?);
         to.push((zone, share(&mut from)?));
     }
-    Ok(Lean { level, away, short: is_short, to })
+    Ok(TrafficShift { level, away, short: is_short, to })
 }
--- a/crates/zone-failover/src/tally.rs
+++ b/crates/zone-failover/src/history.rs
@@ -4,7 +4,7 @@
 
 /// How an attempt ended, as far as zones are concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ReadOutcome {
     /// Served within its request class's latency objective, or later.
     Served {
         in_time: bool,
@@ -18,7 +18,7 @@
 
 /// What became of attempts of one group at one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct OutcomeCounts {
     pub attempts: u32,
     pub in_time: u32,
     pub refused: u32,
@@ -28,9 +28,9 @@
     pub took_ms: u32,
 }
 
-impl Seen {
-    pub fn add(&mut self, other: &Seen) {
-        let Seen { attempts, in_time, refused, errors, silent, took_ms } = other;
+impl OutcomeCounts {
+    pub fn add(&mut self, other: &OutcomeCounts) {
+        let OutcomeCounts { attempts, in_time, refused, errors, silent, took_ms } = other;
         self.attempts = self.attempts.saturating_add(*attempts);
         self.in_time = self.in_time.saturating_add(*in_time);
         self.refused = self.refused.saturating_add(*refused);
@@ -57,39 +57,39 @@
 pub struct Row {
     pub group: Group,
     pub zone: Zone,
-    pub seen: Seen,
+    pub seen: OutcomeCounts,
 }
 
 /// What is told is of the time since so many tellings: a driver that finds nobody soon stops asking, and one second may
 /// hold too little to conclude from.
 const TELLINGS: usize = 2;
 
-type Counts = BTreeMap<(Group, Zone), Seen>;
+type Counts = BTreeMap<(Group, Zone), OutcomeCounts>;
 
 /// Counts what one driver saw of late.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct ZoneHistory {
     of: Counts,
     since: Micros,
     before: VecDeque<(Micros, Counts)>,
 }
 
-impl Tally {
-    pub fn start(now: Micros) -> Tally {
-        Tally { since: now, ..Tally::default() }
+impl ZoneHistory {
+    pub fn start(now: Micros) -> ZoneHistory {
+        ZoneHistory { since: now, ..ZoneHistory::default() }
     }
 
-    pub fn ended(&mut self, group: Group, zone: Zone, end: End, took: Micros) {
+    pub fn ended(&mut self, group: Group, zone: Zone, end: ReadOutcome, took: Micros) {
         let seen = self.of.entry((group, zone)).or_default();
         seen.attempts += 1;
         match end {
-            End::Served { in_time } => {
+            ReadOutcome::Served { in_time } => {
                 seen.in_time += u32::from(in_time);
                 seen.took_ms = seen.took_ms.saturating_add((took / 1000).clamp(0, 1 << 20) as u32);
             }
-            End::Refused => seen.refused += 1,
-            End::Error => seen.errors += 1,
-            End::Silent => seen.silent += 1,
+            ReadOutcome::Refused => seen.refused += 1,
+            ReadOutcome::Error => seen.errors += 1,
+            ReadOutcome::Silent => seen.silent += 1,
         }
     }
 
--- a/crates/zone-failover/src/levels.rs
+++ b/crates/zone-failover/src/levels.rs
@@ -1,6 +1,6 @@
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::{Evidence, Finding, Group, Micros, View, Zone};
+use crate::{Evidence, Group, Micros, Zone, ZoneVerdict, ZoneView};
 
 /// At most so many changes of level of one zone of a group, in that time.
 const CHANGES: usize = 2;
@@ -25,7 +25,7 @@
 const KEEPS: f64 = 0.9;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Level {
+pub enum FailoverLevel {
     Near,
     /// Near does not serve all in time: a part goes elsewhere.
     Leaning,
@@ -38,8 +38,8 @@
 /// What is decreed for one zone of a group: of what its drivers could send near, so many thousandths go elsewhere, and of
 /// those so many to each zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Lean {
-    pub level: Level,
+pub struct TrafficShift {
+    pub level: FailoverLevel,
     pub away: u16,
     pub to: Vec<(Zone, u16)>,
     /// The others were not measured to bear all that should go there.
@@ -48,10 +48,10 @@
 
 #[derive(Clone, Debug)]
 struct State {
-    level: Level,
+    level: FailoverLevel,
     away: u16,
     /// What stands of late, since when.
-    finding: Finding,
+    finding: ZoneVerdict,
     since: Micros,
     stepped: Micros,
     changes: VecDeque<Micros>,
@@ -59,13 +59,13 @@
 
 /// The levels of all groups and zones, at the holder of the duty.
 #[derive(Clone, Debug, Default)]
-pub struct Zones {
+pub struct FailoverPlanner {
     of: BTreeMap<(Group, Zone), State>,
 }
 
-impl Zones {
+impl FailoverPlanner {
     /// A new holder goes on from what stands.
-    pub fn goes_on(&mut self, now: Micros, group: Group, zone: Zone, lean: &Lean) {
+    pub fn resume(&mut self, now: Micros, group: Group, zone: Zone, lean: &TrafficShift) {
         let (level, away) = (lean.level, lean.away);
         let mut state = State::start(now);
         (state.level, state.away) = (level, away);
@@ -75,14 +75,14 @@
     }
 
     /// The rate at which a zone's traffic would go elsewhere, and what others can take of it.
-    fn room(views: &BTreeMap<(Group, Zone), View>, group: Group, zone: Zone) -> f64 {
+    fn room(views: &BTreeMap<(Group, Zone), ZoneView>, group: Group, zone: Zone) -> f64 {
         let Some(view) = views.get(&(group, zone)) else { return 0.0 };
-        let takes = matches!(view.finding, Finding::Well | Finding::Between);
+        let takes = matches!(view.finding, ZoneVerdict::Well | ZoneVerdict::Between);
         if takes { (view.bears * TRIES - view.sent).max(0.0) * KEEPS } else { 0.0 }
     }
 
     /// Once a second: what is decreed from now on, for each zone that is not simply near or has just become so.
-    pub fn decide(&mut self, now: Micros, evidence: &Evidence) -> Vec<(Group, Zone, Lean)> {
+    pub fn decide(&mut self, now: Micros, evidence: &Evidence) -> Vec<(Group, Zone, TrafficShift)> {
         let views = evidence.views();
         for (&(group, zone), view) in views {
             let state = self.of.entry((group, zone)).or_insert_with(|| State::start(now));
@@ -106,23 +106,28 @@
         &mut self,
         now: Micros,
         group: Group,
-        views: &BTreeMap<(Group, Zone), View>,
-    ) -> Vec<(Group, Zone, Lean)> {
+        views: &BTreeMap<(Group, Zone), ZoneView>,
+    ) -> Vec<(Group, Zone, TrafficShift)> {
         let zones: Vec<Zone> = self.of.keys().filter(|key| key.0 == group).map(|key| key.1).collect();
-        let near = |zones: &Zones, zone: Zone| zones.of[&(group, zone)].level == Level::Near;
+        let near =
+            |zones: &FailoverPlanner, zone: Zone| zones.of[&(group, zone)].level == FailoverLevel::Near;
         let takers: Vec<Zone> = zones.iter().copied().filter(|&zone| near(self, zone)).collect();
         let mut room: BTreeMap<Zone, f64> =
-            takers.iter().map(|&zone| (zone, Zones::room(views, group, zone))).collect();
+            takers.iter().map(|&zone| (zone, FailoverPlanner::room(views, group, zone))).collect();
         // What already goes there by earlier decrees is part of what is sent there, and is given back first.
         let rate = |zone: Zone| views.get(&(group, zone)).map_or(0.0, |view| view.asked);
         let mut decreed = Vec::new();
         for &zone in &zones {
             let state = &self.of[&(group, zone)];
             let (level, wanted) = (state.level, state.away);
-            if level == Level::Near {
+            if level == FailoverLevel::Near {
                 let news = state.changes.back().is_some_and(|&at| now - at <= 3_000_000);
                 if news {
-                    decreed.push((group, zone, Lean { level, away: 0, to: Vec::new(), short: false }));
+                    decreed.push((
+                        group,
+                        zone,
+                        TrafficShift { level, away: 0, to: Vec::new(), short: false },
+                    ));
                 }
                 continue;
             }
@@ -138,25 +143,25 @@
             }
             let short = goes + 0.5 < wants;
             let away = if to.is_empty() { 0 } else { away.min(wanted) };
-            decreed.push((group, zone, Lean { level, away, to, short }));
+            decreed.push((group, zone, TrafficShift { level, away, to, short }));
         }
         decreed
     }
 
-    pub fn level(&self, group: Group, zone: Zone) -> Option<Level> {
+    pub fn level(&self, group: Group, zone: Zone) -> Option<FailoverLevel> {
         self.of.get(&(group, zone)).map(|state| state.level)
     }
 }
 
 impl State {
     fn start(now: Micros) -> State {
-        let (level, finding) = (Level::Near, Finding::Unknown);
+        let (level, finding) = (FailoverLevel::Near, ZoneVerdict::Unknown);
         State { level, away: 0, finding, since: now, stepped: now, changes: VecDeque::new() }
     }
 
     /// Too little to say is no news: nobody asks where nobody is.
-    fn see(&mut self, now: Micros, finding: Finding) {
-        if finding != self.finding && finding != Finding::Unknown {
+    fn see(&mut self, now: Micros, finding: ZoneVerdict) {
+        if finding != self.finding && finding != ZoneVerdict::Unknown {
             (self.finding, self.since) = (finding, now);
         }
     }
@@ -165,7 +170,7 @@
     ///
     /// Protects members and clients from traffic that follows a zone which goes and comes. Harms a zone that is lost again
     /// within the minute: its drivers then go by what each sees alone.
-    fn becomes(&mut self, now: Micros, level: Level, away: u16) {
+    fn becomes(&mut self, now: Micros, level: FailoverLevel, away: u16) {
         self.changes.retain(|&at| now - at < MINUTE);
         if self.changes.len() < CHANGES {
             self.changes.push_back(now);
@@ -176,25 +181,34 @@
     /// One look at the table of docs/zones.md.
     fn step(&mut self, now: Micros) {
         let stands = now - self.since;
-        let back = self.level == Level::Coming;
+        let back = self.level == FailoverLevel::Coming;
         let confirmed = now - self.stepped >= if back { CONFIRM_BACK } else { CONFIRM };
         match (self.level, self.finding) {
-            (Level::Near | Level::Leaning | Level::Coming, Finding::Lost) if stands >= LOST => {
-                self.becomes(now, Level::Left, LEAVES);
+            (FailoverLevel::Near | FailoverLevel::Leaning | FailoverLevel::Coming, ZoneVerdict::Lost)
+                if stands >= LOST =>
+            {
+                self.becomes(now, FailoverLevel::Left, LEAVES);
+            }
+            (FailoverLevel::Near, ZoneVerdict::Crowded) if stands >= CROWDED => {
+                self.becomes(now, FailoverLevel::Leaning, STEP)
             }
-            (Level::Near, Finding::Crowded) if stands >= CROWDED => self.becomes(now, Level::Leaning, STEP),
-            (Level::Leaning, Finding::Crowded) if confirmed => {
+            (FailoverLevel::Leaning, ZoneVerdict::Crowded) if confirmed => {
                 (self.away, self.stepped) = ((self.away + STEP).min(LEANS), now);
             }
-            (Level::Leaning, Finding::Well) if confirmed && stands >= CONFIRM => self.returns(now, STEP),
-            (Level::Left, Finding::Well | Finding::Between | Finding::Crowded | Finding::Some)
-                if stands >= BACK =>
-            {
-                self.becomes(now, Level::Coming, LEAVES - STEP_BACK);
+            (FailoverLevel::Leaning, ZoneVerdict::Well) if confirmed && stands >= CONFIRM => {
+                self.returns(now, STEP)
+            }
+            (
+                FailoverLevel::Left,
+                ZoneVerdict::Well | ZoneVerdict::Between | ZoneVerdict::Crowded | ZoneVerdict::Some,
+            ) if stands >= BACK => {
+                self.becomes(now, FailoverLevel::Coming, LEAVES - STEP_BACK);
+            }
+            (FailoverLevel::Coming, ZoneVerdict::Well | ZoneVerdict::Between) if confirmed => {
+                self.returns(now, STEP_BACK)
             }
-            (Level::Coming, Finding::Well | Finding::Between) if confirmed => self.returns(now, STEP_BACK),
             // What came back is not served: a step less.
-            (Level::Coming, Finding::Crowded) if confirmed => {
+            (FailoverLevel::Coming, ZoneVerdict::Crowded) if confirmed => {
                 (self.away, self.stepped) = ((self.away + STEP).min(LEAVES), now);
             }
             _ => {}
@@ -207,7 +221,7 @@
         } else {
             // All of it is back; where the level may not change yet it stays at nothing.
             (self.away, self.stepped) = (0, now);
-            self.becomes(now, Level::Near, 0);
+            self.becomes(now, FailoverLevel::Near, 0);
         }
     }
 }
--- a/crates/zone-failover/tests/zones.rs
+++ b/crates/zone-failover/tests/zones.rs
@@ -1,9 +1,12 @@
-//! Zones that are lost, cut off, crowded, half ill or come and go; and what must hold whatever is reported.
+//! FailoverPlanner that are lost, cut off, crowded, half ill or come and go; and what must hold whatever is reported.
 
 use std::collections::BTreeMap;
 
-use aldermill_zone_failover::frame::{self, Told};
-use aldermill_zone_failover::{End, Evidence, Finding, Lean, Level, Micros, Row, Seen, Tally, Zone, Zones};
+use aldermill_zone_failover::frame::{self, ZoneReport};
+use aldermill_zone_failover::{
+    Evidence, FailoverLevel, FailoverPlanner, Micros, OutcomeCounts, ReadOutcome, Row, TrafficShift, Zone,
+    ZoneHistory, ZoneVerdict,
+};
 use proptest::collection::vec;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -13,15 +16,15 @@
 struct World {
     now: Micros,
     evidence: Evidence,
-    zones: Zones,
+    zones: FailoverPlanner,
     /// By asking driver and asked zone: the share in time, and the share that finds nobody.
     sees: Box<dyn Fn(usize, Zone) -> (f64, f64)>,
-    last: Vec<(u64, Zone, Lean)>,
+    last: Vec<(u64, Zone, TrafficShift)>,
 }
 
 impl World {
     fn new() -> World {
-        let (evidence, zones) = (Evidence::default(), Zones::default());
+        let (evidence, zones) = (Evidence::default(), FailoverPlanner::default());
         let mut world = World { now: 0, evidence, zones, sees: Box::new(|_, _| (1.0, 0.0)), last: vec![] };
         world.pass(5);
         world
@@ -37,11 +40,15 @@
                     let attempts = if zone == own { 20 } else { 2 };
                     let (in_time, silent) = (self.sees)(driver, zone);
                     let part = |share: f64| (f64::from(attempts) * share).round() as u32;
-                    let seen =
-                        Seen { attempts, in_time: part(in_time), silent: part(silent), ..Seen::default() };
+                    let seen = OutcomeCounts {
+                        attempts,
+                        in_time: part(in_time),
+                        silent: part(silent),
+                        ..OutcomeCounts::default()
+                    };
                     Row { group: 7, zone, seen }
                 });
-                let one = Told { zone: own, over: S, rows: rows.collect() };
+                let one = ZoneReport { zone: own, over: S, rows: rows.collect() };
                 told.insert(format!("n{driver}"), vec![one]);
             }
             self.evidence.take(&told);
@@ -49,15 +56,15 @@
         }
     }
 
-    fn level(&self, zone: Zone) -> Level {
+    fn level(&self, zone: Zone) -> FailoverLevel {
         self.zones.level(7, zone).unwrap()
     }
 
-    fn lean(&self, zone: Zone) -> Option<&Lean> {
+    fn lean(&self, zone: Zone) -> Option<&TrafficShift> {
         self.last.iter().find(|(_, of, _)| *of == zone).map(|(.., lean)| lean)
     }
 
-    fn finding(&self, zone: Zone) -> Finding {
+    fn finding(&self, zone: Zone) -> ZoneVerdict {
         self.evidence.views()[&(7, zone)].finding
     }
 }
@@ -66,7 +73,7 @@
 fn calm_traffic_stays_near_and_nothing_is_decreed() {
     let mut world = World::new();
     world.pass(30);
-    assert!(world.last.is_empty() && (0..3).all(|zone| world.level(zone) == Level::Near));
+    assert!(world.last.is_empty() && (0..3).all(|zone| world.level(zone) == FailoverLevel::Near));
 }
 
 #[test]
@@ -74,15 +81,15 @@
     let mut world = World::new();
     world.sees = Box::new(|_, zone| if zone == 0 { (0.0, 1.0) } else { (1.0, 0.0) });
     world.pass(2);
-    assert_eq!((world.finding(0), world.level(0)), (Finding::Lost, Level::Left));
+    assert_eq!((world.finding(0), world.level(0)), (ZoneVerdict::Lost, FailoverLevel::Left));
     let lean = world.lean(0).unwrap();
     assert!(lean.short, "the others were never seen to bear so much more: {lean:?}");
     assert!(lean.to.iter().all(|&(zone, _)| zone != 0));
     world.sees = Box::new(|_, _| (1.0, 0.0));
     world.pass(2);
-    assert_eq!(world.level(0), Level::Left, "it has to show that it stays");
+    assert_eq!(world.level(0), FailoverLevel::Left, "it has to show that it stays");
     world.pass(1);
-    assert_eq!(world.level(0), Level::Coming);
+    assert_eq!(world.level(0), FailoverLevel::Coming);
     let mut away = Vec::new();
     for _ in 0..10 {
         away.extend(world.lean(0).map(|lean| lean.away));
@@ -98,8 +105,8 @@
     world.sees =
         Box::new(|driver, zone| if (driver % 3 == 0) != (zone == 0) { (0.0, 1.0) } else { (1.0, 0.0) });
     world.pass(10);
-    assert_eq!((world.finding(0), world.level(0)), (Finding::CutOff, Level::Near));
-    assert!((1..3).all(|zone| world.level(zone) == Level::Near), "the others still have each other");
+    assert_eq!((world.finding(0), world.level(0)), (ZoneVerdict::CutOff, FailoverLevel::Near));
+    assert!((1..3).all(|zone| world.level(zone) == FailoverLevel::Near), "the others still have each other");
 }
 
 #[test]
@@ -107,14 +114,14 @@
     let mut world = World::new();
     world.sees = Box::new(|_, zone| if zone == 1 { (0.6, 0.0) } else { (1.0, 0.0) });
     world.pass(2);
-    assert_eq!(world.level(1), Level::Near);
+    assert_eq!(world.level(1), FailoverLevel::Near);
     world.pass(3);
-    assert_eq!((world.finding(1), world.level(1)), (Finding::Crowded, Level::Leaning));
+    assert_eq!((world.finding(1), world.level(1)), (ZoneVerdict::Crowded, FailoverLevel::Leaning));
     assert!(world.lean(1).unwrap().away <= 200, "{:?}", world.lean(1));
     let mut world = World::new();
     world.sees = Box::new(|driver, zone| if zone == 1 && driver % 6 == 1 { (0.5, 0.0) } else { (1.0, 0.0) });
     world.pass(20);
-    assert_eq!((world.finding(1), world.level(1)), (Finding::Some, Level::Near));
+    assert_eq!((world.finding(1), world.level(1)), (ZoneVerdict::Some, FailoverLevel::Near));
 }
 
 #[test]
@@ -122,14 +129,14 @@
     let mut world = World::new();
     world.sees = Box::new(|driver, _| if driver == 4 { (0.0, 1.0) } else { (1.0, 0.0) });
     world.pass(20);
-    assert!((0..3).all(|zone| world.level(zone) == Level::Near));
+    assert!((0..3).all(|zone| world.level(zone) == FailoverLevel::Near));
     assert_eq!(world.evidence.ill().iter().collect::<Vec<_>>(), ["n4"]);
 }
 
 #[test]
 fn a_zone_that_goes_and_comes_is_not_followed() {
     let mut world = World::new();
-    let (mut changes, mut last) = (Vec::new(), Level::Near);
+    let (mut changes, mut last) = (Vec::new(), FailoverLevel::Near);
     for second in 0..240 {
         let down = second / 4 % 2 == 0;
         world.sees = Box::new(move |_, zone| if zone == 0 && down { (0.0, 1.0) } else { (1.0, 0.0) });
@@ -150,10 +157,10 @@
     world.sees = Box::new(|_, zone| if zone == 0 { (0.0, 1.0) } else { (1.0, 0.0) });
     world.pass(3);
     let lean = world.lean(0).unwrap().clone();
-    world.zones = Zones::default();
-    world.zones.goes_on(world.now, 7, 0, &lean);
+    world.zones = FailoverPlanner::default();
+    world.zones.resume(world.now, 7, 0, &lean);
     world.pass(1);
-    assert_eq!(world.level(0), Level::Left);
+    assert_eq!(world.level(0), FailoverLevel::Left);
 }
 
 /// Whatever is reported, in whatever order, late, doubled or never.
@@ -167,24 +174,25 @@
     let mut runner = TestRunner::new_with_rng(limits, rng);
     runner
         .run(&seconds, |seconds| {
-            let (mut evidence, mut zones) = (Evidence::default(), Zones::default());
-            let mut reports: BTreeMap<String, Vec<Told>> = BTreeMap::new();
+            let (mut evidence, mut zones) = (Evidence::default(), FailoverPlanner::default());
+            let mut reports: BTreeMap<String, Vec<ZoneReport>> = BTreeMap::new();
             let mut changes: BTreeMap<(u64, Zone), Vec<Micros>> = BTreeMap::new();
-            let mut levels: BTreeMap<(u64, Zone), Level> = BTreeMap::new();
+            let mut levels: BTreeMap<(u64, Zone), FailoverLevel> = BTreeMap::new();
             for (second, told) in seconds.into_iter().enumerate() {
                 let now = second as i64 * S;
                 for (driver, (zone, over, rows)) in told {
                     let rows = rows.into_iter().map(|(group, zone, attempts, in_time, silent)| {
                         let part = |share: f64| (f64::from(attempts) * share) as u32;
-                        let seen = Seen {
+                        let seen = OutcomeCounts {
                             attempts,
                             in_time: part(in_time),
                             silent: part(silent),
-                            ..Seen::default()
+                            ..OutcomeCounts::default()
                         };
                         Row { group, zone, seen }
                     });
-                    reports.insert(format!("n{driver}"), vec![Told { zone, over, rows: rows.collect() }]);
+                    reports
+                        .insert(format!("n{driver}"), vec![ZoneReport { zone, over, rows: rows.collect() }]);
                 }
                 evidence.take(&reports);
                 let decreed = zones.decide(now, &evidence);
@@ -195,7 +203,7 @@
                             && lean.to.iter().map(|&(_, share)| u32::from(share)).sum::<u32>() <= 1000
                     );
                     for &(to, share) in &lean.to {
-                        let back = |(of, from, other): &&(u64, Zone, Lean)| {
+                        let back = |(of, from, other): &&(u64, Zone, TrafficShift)| {
                             of == group && *from == to && other.away > 0
                         };
                         assert!(decreed.iter().find(back).is_none(), "{zone} and {to} send to each other");
@@ -225,21 +233,22 @@
 
 #[test]
 fn what_is_written_is_read_and_a_tally_counts_each_attempt_once() {
-    let mut tally = Tally::start(0);
-    tally.ended(7, 1, End::Served { in_time: true }, 20_000);
-    tally.ended(7, 1, End::Served { in_time: false }, 600_000);
-    tally.ended(7, 1, End::Silent, 0);
-    tally.ended(7, 2, End::Refused, 0);
-    tally.ended(7, 2, End::Error, 0);
+    let mut tally = ZoneHistory::start(0);
+    tally.ended(7, 1, ReadOutcome::Served { in_time: true }, 20_000);
+    tally.ended(7, 1, ReadOutcome::Served { in_time: false }, 600_000);
+    tally.ended(7, 1, ReadOutcome::Silent, 0);
+    tally.ended(7, 2, ReadOutcome::Refused, 0);
+    tally.ended(7, 2, ReadOutcome::Error, 0);
     let (over, rows) = tally.take(S);
     assert_eq!((over, rows.len(), rows[0].seen.attempts, rows[0].seen.took_ms), (S, 2, 3, 620));
     assert_eq!(tally.take(2 * S).1[0].seen.attempts, 3, "told of the last two seconds");
     assert!(tally.take(3 * S).1.is_empty());
-    let told = Told { zone: 1, over, rows };
-    assert_eq!(frame::read_report(&frame::report(&told)), Ok(told));
-    let lean = Lean { level: Level::Coming, away: 300, to: vec![(0, 400), (2, 600)], short: true };
-    assert_eq!(frame::read_decree(&frame::decree(&lean)), Ok(lean));
-    assert_eq!(frame::read_decree(&[1, 9, 9, 0]), Err(frame::Malformed::Share(0x909)));
-    assert_eq!(frame::read_decree(&[9, 0, 0, 0]), Err(frame::Malformed::Level(9)));
-    assert!(frame::read_report(&[1, 0]).is_err());
+    let told = ZoneReport { zone: 1, over, rows };
+    assert_eq!(frame::decode_report(&frame::encode_report(&told)), Ok(told));
+    let lean =
+        TrafficShift { level: FailoverLevel::Coming, away: 300, to: vec![(0, 400), (2, 600)], short: true };
+    assert_eq!(frame::decode_directive(&frame::encode_directive(&lean)), Ok(lean));
+    assert_eq!(frame::decode_directive(&[1, 9, 9, 0]), Err(frame::Malformed::Share(0x909)));
+    assert_eq!(frame::decode_directive(&[9, 0, 0, 0]), Err(frame::Malformed::Level(9)));
+    assert!(frame::decode_report(&[1, 0]).is_err());
 }
