--- a/crates/proxy/src/coordination/issuing.rs
+++ b/crates/proxy/src/coordination/issuing.rs
@@ -5,7 +5,7 @@
 use aldermill_directives::{LIFETIME, Micros, Topic};
 use aldermill_operator_config::CoordinationConfig;
 use aldermill_site_drain::Plan;
-use aldermill_zone_failover::{Group, TrafficShift};
+use aldermill_zone_failover::ZoneDirective;
 use slog::warn;
 
 use super::Coordination;
@@ -66,8 +66,8 @@
         }
     }
 
-    /// How much of this proxy's own zone's reads is to go elsewhere, by group, if that has changed.
-    pub fn zone_directives(&mut self, now: Micros) -> Option<Vec<(Group, TrafficShift)>> {
+    /// The directives that shift reads of this proxy's own zone, if they have changed.
+    pub fn zone_directives(&mut self, now: Micros) -> Option<Vec<ZoneDirective>> {
         self.work.zone_directives(now, &self.directives)
     }
 
--- a/crates/proxy/src/coordination/lease_work.rs
+++ b/crates/proxy/src/coordination/lease_work.rs
@@ -3,7 +3,7 @@
 
 use aldermill_directives::{DirectiveStore, Micros};
 use aldermill_operator_config::CoordinationConfig;
-use aldermill_zone_failover::{Group, TrafficShift};
+use aldermill_zone_failover::ZoneDirective;
 use serde_json::Value;
 use slog::Logger;
 
@@ -77,12 +77,12 @@
         reports
     }
 
-    /// How much of this proxy's own zone's reads is to go elsewhere, by group, if that has changed.
+    /// The directives that shift reads of this proxy's own zone, if they have changed.
     pub(super) fn zone_directives(
         &mut self,
         now: Micros,
         directives: &DirectiveStore,
-    ) -> Option<Vec<(Group, TrafficShift)>> {
+    ) -> Option<Vec<ZoneDirective>> {
         self.zone_failover.as_mut()?.obey(now, directives)
     }
 
--- a/crates/proxy/src/coordination/zone_failover.rs
+++ b/crates/proxy/src/coordination/zone_failover.rs
@@ -1,10 +1,15 @@
 //! The work of the lease `zones`: what this proxy reports, what it decides while it holds the lease, and what it obeys.
+//!
+//! The decisions are those of `aldermill-zone-failover`; here they meet the reports and directives of the fleet, the log
+//! and the status socket.
 
 use std::collections::BTreeMap;
 
 use aldermill_directives::{DirectiveStore, Micros, Reports, Topic};
-use aldermill_zone_failover::frame::{self, ZoneReport};
-use aldermill_zone_failover::{Evidence, FailoverLevel, FailoverPlanner, Group, TrafficShift, Zone};
+use aldermill_zone_failover::{
+    Evidence, FailoverLevel, FailoverPlanner, Group, GroupZone, MAX_ROWS, TrafficShift, Zone, ZoneDirective,
+    ZoneReport, ZoneView,
+};
 use serde_json::{Value, json};
 use slog::{Logger, info};
 
@@ -13,24 +18,19 @@
 
 /// The lease's name.
 pub const LEASE: &str = "zones";
-/// For how long a report counts: a proxy reports every second, in up to three parts.
+/// For how long a report counts, in microseconds: a proxy reports every second, in up to three parts, and two reports may
+/// be lost on their way.
 const REPORTS_COUNT_FOR: Micros = 4_000_000;
 
-/// What a directive says on one group's reads in one zone.
-struct ZoneDirective {
-    group: Group,
-    zone: Zone,
-    /// How much of the reads goes elsewhere.
-    shift: TrafficShift,
-}
-
+/// A directive's subject: `GROUP.ZONE`, each in decimal.
 fn subject(group: Group, zone: Zone) -> String {
     format!("{group}.{zone}")
 }
 
+/// `None` for a subject or body that this version can't read.
 fn read_directive(subject: &str, body: &[u8]) -> Option<ZoneDirective> {
     let (group, zone) = subject.split_once('.')?;
-    let shift = frame::decode_directive(body).ok()?;
+    let shift = TrafficShift::decode(body).ok()?;
     Some(ZoneDirective { group: group.parse().ok()?, zone: zone.parse().ok()?, shift })
 }
 
@@ -39,20 +39,20 @@
     directives.in_force_under(now, LEASE).filter_map(|(subject, body)| read_directive(subject, body))
 }
 
-/// What the holder of the lease knows.
+/// What the lease holder keeps for as long as it holds the lease.
 struct Holder {
     evidence: Evidence,
-    zones: FailoverPlanner,
+    planner: FailoverPlanner,
 }
 
 impl Holder {
-    /// Goes on from what an earlier lease holder decided.
+    /// Continues what an earlier lease holder directed.
     fn start(now: Micros, directives: &DirectiveStore) -> Holder {
-        let mut zones = FailoverPlanner::default();
-        for ZoneDirective { group, zone, shift } in in_force(directives, now) {
-            zones.resume(now, group, zone, &shift);
+        let mut planner = FailoverPlanner::default();
+        for directive in in_force(directives, now) {
+            planner.resume(now, &directive);
         }
-        Holder { evidence: Evidence::default(), zones }
+        Holder { evidence: Evidence::default(), planner }
     }
 }
 
@@ -60,8 +60,8 @@
 pub struct ZoneFailoverWork {
     own_zone: Zone,
     holder: WhileHeld<Holder>,
-    /// What the dispatcher was last told.
-    obeyed: Vec<(Group, TrafficShift)>,
+    /// The directives that the dispatcher was last given.
+    obeyed: Vec<ZoneDirective>,
     log: Logger,
 }
 
@@ -74,68 +74,83 @@
     /// What is to be reported of what was observed, in parts that fit into a datagram each.
     pub(super) fn report(&self, observed: ObservationSummary) -> Vec<LeaseReport> {
         let part = |(index, rows): (usize, &[_])| {
-            let report = ZoneReport { zone: self.own_zone, over: observed.span, rows: rows.to_vec() };
-            LeaseReport { topic: Topic::new(LEASE, &index.to_string()), body: frame::encode_report(&report) }
+            let report = ZoneReport { zone: self.own_zone, span: observed.span, rows: rows.to_vec() };
+            LeaseReport { topic: Topic::new(LEASE, &index.to_string()), body: report.encode() }
         };
-        observed.rows.chunks(frame::ROWS).enumerate().map(part).collect()
+        observed.rows.chunks(MAX_ROWS).enumerate().map(part).collect()
     }
 
     /// Once a second: what is decided, while this proxy holds the lease.
     pub(super) fn decide(&mut self, inputs: &DecisionInputs<'_>) -> Vec<Decision> {
         let now = inputs.at.now;
         let begin = || Holder::start(now, inputs.directives);
-        let Some(Holder { evidence, zones }) = self.holder.under(inputs.term, begin) else {
+        let Some(Holder { evidence, planner }) = self.holder.under(inputs.term, begin) else {
             return Vec::new();
         };
-        evidence.take(&recent_reports(now, inputs.reports));
+        evidence.evaluate(&recent_reports(now, inputs.reports));
         let mut decisions = Vec::new();
-        for (group, zone, shift) in &zones.decide(now, evidence) {
+        for ZoneDirective { group, zone, shift } in planner.decide(now, evidence) {
             if shift.short {
                 info!(self.log, "zone failover: not enough capacity elsewhere";
                     "zone" => zone, "group" => group, "away" => shift.away);
             }
-            decisions
-                .push(Decision { subject: subject(*group, *zone), body: frame::encode_directive(shift) });
+            decisions.push(Decision { subject: subject(group, zone), body: shift.encode() });
         }
         decisions
     }
 
-    /// What is decided for this proxy's own zone, if that has changed.
-    pub fn obey(&mut self, now: Micros, directives: &DirectiveStore) -> Option<Vec<(Group, TrafficShift)>> {
-        let is_own = |directive: &ZoneDirective| directive.zone == self.own_zone && directive.shift.away > 0;
-        let own = in_force(directives, now).filter(is_own);
-        let shifts: Vec<(Group, TrafficShift)> =
-            own.map(|directive| (directive.group, directive.shift)).collect();
-        if shifts == self.obeyed {
+    /// The directives for this proxy's own zone that shift reads, if they have changed since this was last asked.
+    pub fn obey(&mut self, now: Micros, directives: &DirectiveStore) -> Option<Vec<ZoneDirective>> {
+        let shifts_own =
+            |directive: &ZoneDirective| directive.zone == self.own_zone && directive.shift.away > 0;
+        let own: Vec<ZoneDirective> = in_force(directives, now).filter(shifts_own).collect();
+        if own == self.obeyed {
             return None;
         }
-        for (group, shift) in &shifts {
+        self.log_own_zone(&own);
+        self.obeyed = own;
+        Some(self.obeyed.clone())
+    }
+
+    fn log_own_zone(&self, own: &[ZoneDirective]) {
+        for ZoneDirective { group, shift, .. } in own {
             info!(self.log, "zone failover: own zone";
                 "away" => shift.away, "level" => ?shift.level, "group" => group);
         }
-        if shifts.is_empty() {
-            info!(self.log, "zone failover: own zone"; "level" => ?FailoverLevel::Near);
+        if own.is_empty() {
+            info!(self.log, "zone failover: own zone"; "level" => ?FailoverLevel::Local);
         }
-        self.obeyed = shifts;
-        Some(self.obeyed.clone())
     }
 
     /// What the lease holder concludes from all reports, for the status socket.
     pub fn describe(&self) -> Value {
-        let Some(Holder { evidence, zones }) = self.holder.get() else { return Value::Null };
-        let views = evidence.views().iter().map(|(&(group, zone), view)| {
-            json!({"group": group, "zone": zone, "finding": format!("{:?}", view.finding),
-                "level": zones.level(group, zone).map(|level| format!("{level:?}")), "asked": view.asked,
-                "sent": view.sent, "served": view.served, "bears": view.bears, "drivers": view.drivers})
-        });
-        json!({"views": views.collect::<Vec<_>>(), "ill": evidence.ill()})
+        let Some(Holder { evidence, planner }) = self.holder.get() else { return Value::Null };
+        let views = evidence.views().iter();
+        let views = views.map(|(&key, view)| describe_view(key, view, planner.level(key)));
+        json!({"views": views.collect::<Vec<_>>(), "ill": evidence.unhealthy_reporters()})
     }
 }
 
+/// Keys and words are read by users' programs; they keep their form whatever the fields are called here.
+fn describe_view(key: GroupZone, view: &ZoneView, level: Option<FailoverLevel>) -> Value {
+    json!({
+        "group": key.group,
+        "zone": key.zone,
+        "finding": view.verdict.status_word(),
+        "level": level.map(FailoverLevel::status_word),
+        "asked": view.demand,
+        "sent": view.load,
+        "served": view.in_time,
+        "bears": view.capacity,
+        "drivers": view.reporters,
+    })
+}
+
+/// By the reporter's name; reports that can't be read are left out.
 fn recent_reports(now: Micros, reports: &Reports) -> BTreeMap<String, Vec<ZoneReport>> {
     let mut by_reporter: BTreeMap<String, Vec<ZoneReport>> = BTreeMap::new();
     for report in reports.recent(now, REPORTS_COUNT_FOR, LEASE) {
-        if let Ok(part) = frame::decode_report(report.body) {
+        if let Ok(part) = ZoneReport::decode(report.body) {
             by_reporter.entry(report.reporter.to_owned()).or_default().push(part);
         }
     }
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -237,7 +237,7 @@
             DispatcherMessage::AwaitRemoteRequests(reply) => self.await_remote_end(reply),
             DispatcherMessage::FleetSize(size) => self.fleet_size(&size),
             DispatcherMessage::TakeObservations(reply) => self.report_observations(reply),
-            DispatcherMessage::ZoneDirectives(leans) => self.zone_directives(&leans),
+            DispatcherMessage::ZoneDirectives(directives) => self.zone_directives(&directives),
             DispatcherMessage::SiteDrainPlans(plans) => self.follow_site_drains(plans),
             DispatcherMessage::DescribeSites(reply) => {
                 let _ = reply.send(self.describe());
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -8,7 +8,7 @@
 use aldermill_settings::Decoded;
 use aldermill_split_points::{Sketch, frame};
 use aldermill_wire::statement::quoted;
-use aldermill_zone_failover::{ReadOutcome, TrafficShift, ZoneHistory};
+use aldermill_zone_failover::{ReadOutcome, RecentReads, TrafficShift, ZoneDirective, ZoneHistory};
 use tokio::sync::oneshot;
 
 use super::Dispatcher;
@@ -31,7 +31,7 @@
 
 /// Ends of attempts by group and zone, and which keys cost what.
 pub struct Observations {
-    tally: ZoneHistory,
+    zone_history: ZoneHistory,
     in_flight: HashMap<Handle, AttemptInFlight>,
     /// By group; `None` where no split points are decided.
     keys: Option<BTreeMap<u64, Sketch>>,
@@ -43,7 +43,7 @@
     /// them.
     pub fn start(now: Micros, seed: u64, splits: bool) -> Observations {
         let keys = splits.then(BTreeMap::new);
-        Observations { tally: ZoneHistory::start(now), in_flight: HashMap::new(), keys, seed }
+        Observations { zone_history: ZoneHistory::start(now), in_flight: HashMap::new(), keys, seed }
     }
 
     /// An attempt is about to be sent to this member.
@@ -83,8 +83,8 @@
         if attempt.write {
             return;
         }
-        if let Some(end) = end_of_read(verdict, elapsed, attempt.objective) {
-            self.tally.ended(attempt.group, attempt.zone, end, elapsed);
+        if let Some(outcome) = read_outcome(verdict, elapsed, attempt.objective) {
+            self.zone_history.record(attempt.group, attempt.zone, outcome, elapsed);
         }
     }
 
@@ -103,7 +103,7 @@
     }
 
     fn summary(&mut self, now: Micros, site: Option<SiteObservations>) -> ObservationSummary {
-        let (span, rows) = self.tally.take(now);
+        let RecentReads { span, rows } = self.zone_history.take(now);
         let encoded = |(&group, sketch): (&u64, &mut Sketch)| (group, frame::encode(sketch, now));
         let keys = self.keys.iter_mut().flatten().map(encoded).collect();
         ObservationSummary { span, rows, keys, site }
@@ -111,16 +111,16 @@
 }
 
 /// What the end of a read says of its zone; `None` where nothing was seen of the member.
-fn end_of_read(verdict: Verdict, elapsed: Micros, objective: Micros) -> Option<ReadOutcome> {
+fn read_outcome(verdict: Verdict, elapsed: Micros, objective: Micros) -> Option<ReadOutcome> {
     match verdict {
         Verdict::Served => Some(ReadOutcome::Served { in_time: elapsed <= objective }),
-        Verdict::Overloaded => Some(ReadOutcome::Refused),
-        Verdict::Error | Verdict::Malformed => Some(ReadOutcome::Error),
+        Verdict::Overloaded => Some(ReadOutcome::Rejected),
+        Verdict::Error | Verdict::Malformed => Some(ReadOutcome::Failed),
         Verdict::TimedOut
         | Verdict::Unconnected
         | Verdict::Unreachable
         | Verdict::Reset
-        | Verdict::ConnectionLost => Some(ReadOutcome::Silent),
+        | Verdict::ConnectionLost => Some(ReadOutcome::Unanswered),
         Verdict::Cancelled
         | Verdict::Unobserved
         | Verdict::LocalFailure
@@ -147,16 +147,17 @@
     }
 
     /// Applies the directives for this process's zone, by group; a group that is not named has none.
-    pub(super) fn zone_directives(&mut self, leans: &[(u64, TrafficShift)]) {
-        let shifts = leans.iter().map(|(group, lean)| (*group, read_shift(lean))).collect();
+    pub(super) fn zone_directives(&mut self, directives: &[ZoneDirective]) {
+        let by_group = |directive: &ZoneDirective| (directive.group, read_shift(&directive.shift));
+        let shifts = directives.iter().map(by_group).collect();
         self.router.shift_reads(&shifts);
     }
 }
 
-fn read_shift(lean: &TrafficShift) -> ReadShift {
+fn read_shift(shift: &TrafficShift) -> ReadShift {
     ReadShift {
-        away: fraction(lean.away),
-        to_zones: lean.to.iter().map(|&(zone, share)| (zone, fraction(share))).collect(),
+        away: fraction(shift.away),
+        to_zones: shift.to.iter().map(|part| (part.zone, fraction(part.share))).collect(),
     }
 }
 
--- a/crates/proxy/src/messages/dispatcher.rs
+++ b/crates/proxy/src/messages/dispatcher.rs
@@ -5,7 +5,7 @@
 use aldermill_site_drain::Plan;
 use aldermill_site_link::{Inbound, Outbound};
 use aldermill_wire::statement::Comment;
-use aldermill_zone_failover::TrafficShift;
+use aldermill_zone_failover::ZoneDirective;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
@@ -38,8 +38,8 @@
     FleetSize(FleetSize),
     /// To be answered with what was observed since this was last asked.
     TakeObservations(oneshot::Sender<ObservationSummary>),
-    /// The zone failover directives in force for this process's zone, by group.
-    ZoneDirectives(Vec<(u64, TrafficShift)>),
+    /// The zone failover directives in force that shift reads of this process's zone.
+    ZoneDirectives(Vec<ZoneDirective>),
     /// The site drain directives in force.
     SiteDrainPlans(Vec<Plan>),
     /// This member's actor found no descriptor free for a new connection.
--- a/crates/proxy/src/messages/observations.rs
+++ b/crates/proxy/src/messages/observations.rs
@@ -2,7 +2,7 @@
 
 use aldermill_routing::Micros;
 use aldermill_site_routing::OpenWork;
-use aldermill_zone_failover::Row;
+use aldermill_zone_failover::ZoneRow;
 
 /// What a process observed since it was last asked.
 #[derive(Default)]
@@ -10,7 +10,7 @@
     /// The span that `rows` were observed over, in microseconds.
     pub span: Micros,
     /// Ends of attempts, by group and zone.
-    pub rows: Vec<Row>,
+    pub rows: Vec<ZoneRow>,
     /// By group, an encoded summary of which keys cost what.
     pub keys: Vec<(u64, Vec<u8>)>,
     /// Present where the process is a gateway.
--- a/crates/proxy/tests/status_json.rs
+++ b/crates/proxy/tests/status_json.rs
@@ -299,18 +299,23 @@
 }
 
 #[test]
-fn the_findings_and_levels_of_zones_are_shown_by_these_names() {
-    let findings = [
+fn renamed_verdicts_and_levels_keep_their_words_in_the_status() {
+    let verdicts = [
         ZoneVerdict::Unknown,
-        ZoneVerdict::Well,
-        ZoneVerdict::Between,
-        ZoneVerdict::Lost,
-        ZoneVerdict::CutOff,
-        ZoneVerdict::Crowded,
-        ZoneVerdict::Some,
+        ZoneVerdict::Healthy,
+        ZoneVerdict::Marginal,
+        ZoneVerdict::Unreachable,
+        ZoneVerdict::Partitioned,
+        ZoneVerdict::Overloaded,
+        ZoneVerdict::PartlyServed,
     ];
-    let shown = findings.map(|finding| format!("{finding:?}"));
+    let shown = verdicts.map(ZoneVerdict::status_word);
     assert_eq!(shown, ["Unknown", "Well", "Between", "Lost", "CutOff", "Crowded", "Some"]);
-    let levels = [FailoverLevel::Near, FailoverLevel::Leaning, FailoverLevel::Left, FailoverLevel::Coming];
-    assert_eq!(levels.map(|level| format!("{level:?}")), ["Near", "Leaning", "Left", "Coming"]);
+    let levels = [
+        FailoverLevel::Local,
+        FailoverLevel::Spillover,
+        FailoverLevel::FailedOver,
+        FailoverLevel::FailingBack,
+    ];
+    assert_eq!(levels.map(FailoverLevel::status_word), ["Near", "Leaning", "Left", "Coming"]);
 }
--- a/crates/zone-failover/src/evidence.rs
+++ b/crates/zone-failover/src/evidence.rs
@@ -1,202 +1,185 @@
+//! All proxies' reports, combined into one view of each group in each zone.
+
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::frame::ZoneReport;
-use crate::{Group, OutcomeCounts, Zone};
-
-/// Attempts of a second, all drivers together, under which nothing is concluded, and drivers.
-const LEAST: u32 = 12;
-const DRIVERS: usize = 2;
-/// So many attempts that find nobody are enough, since drivers soon stop asking there.
-const NOBODY: u32 = 4;
-/// A zone serves in time from this share on, and does not under that one; between them all stays as it is.
-pub const WELL: f64 = 0.95;
-pub const BADLY: f64 = 0.85;
-/// From this share on attempts met nobody.
-const MUTE: f64 = 0.5;
-/// A driver whose share in time is this much under the median of its zone's, at all zones alike, is itself ill.
-const ILL: f64 = 0.3;
-/// How fast what a zone was seen to bear is forgotten, a second.
-const FADES: f64 = 0.998;
-
-/// What is the matter with one zone, as its own drivers and the others see it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ZoneVerdict {
-    /// Too few attempts, or drivers, to say.
-    Unknown,
-    Well,
-    /// It serves neither well nor badly.
-    Between,
-    /// Most attempts of its own drivers find nobody, and so do those of others.
-    Lost,
-    /// Its own drivers are served, and others find nobody: the way between is gone.
-    CutOff,
-    /// Its own drivers are not served in time, though somebody is there.
-    Crowded,
-    /// Some of its drivers are served and some are not: their ways differ, and moving all would help few.
-    Some,
-}
+use crate::outliers::unhealthy_reporters;
+use crate::{Group, GroupZone, Micros, OutcomeCounts, Zone, ZoneReport, ZoneRow, ZoneVerdict};
+
+/// The share of a measured capacity that is kept at each evaluation, once a second: after 5.8 minutes half is forgotten,
+/// unless it is served again. Members may have become fewer or slower since.
+const CAPACITY_KEPT: f64 = 0.998;
+/// While a zone is overloaded or unreachable, its capacity moves at each evaluation by this share of the way to what it
+/// serves now, whatever it once did.
+const CAPACITY_CORRECTION: f64 = 0.2;
+/// The shortest span that rates are taken over, in seconds: a very short report must not turn a few reads into a huge rate.
+const MIN_SPAN_SECONDS: f64 = 0.2;
 
-/// What is known of one zone of a group.
+/// What is known of one group's members in one zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneView {
-    pub finding: ZoneVerdict,
-    /// By its own drivers: what they ask of it and of others, attempts a second.
-    pub asked: f64,
-    /// What was sent to it by all, and served in time, a second.
-    pub sent: f64,
-    pub served: f64,
-    /// The most that it was seen to serve in time of late, a second.
-    pub bears: f64,
-    /// How many drivers stand behind this.
-    pub drivers: usize,
+    /// What is wrong, if anything.
+    pub verdict: ZoneVerdict,
+    /// Attempts a second of the zone's own proxies, at whatever zone.
+    pub demand: f64,
+    /// Attempts a second of all proxies at this zone.
+    pub load: f64,
+    /// Those of them that were served in time, a second.
+    pub in_time: f64,
+    /// The most that it served in time of late, a second; decays.
+    pub capacity: f64,
+    /// Reported rows behind this; each proxy sends one for each zone that it tried.
+    pub reporters: usize,
 }
 
+/// Reads of proxies of one zone at another, or the same.
 #[derive(Clone, Copy, Debug, Default)]
-struct Rate {
-    seen: OutcomeCounts,
-    a_second: f64,
-    in_time_a_second: f64,
-    drivers: usize,
+pub(crate) struct RouteRate {
+    pub(crate) counts: OutcomeCounts,
+    /// Attempts a second.
+    pub(crate) attempts: f64,
+    /// Served in time, a second.
+    pub(crate) in_time: f64,
+    /// Reported rows behind this.
+    pub(crate) reporters: usize,
+}
+
+impl RouteRate {
+    fn add_row(&mut self, row: &ZoneRow, seconds: f64) {
+        self.counts.add(&row.counts);
+        self.attempts += f64::from(row.counts.attempts) / seconds;
+        self.in_time += f64::from(row.counts.in_time) / seconds;
+        self.reporters += 1;
+    }
+
+    fn add(&mut self, other: &RouteRate) {
+        self.counts.add(&other.counts);
+        self.attempts += other.attempts;
+        self.in_time += other.in_time;
+        self.reporters += other.reporters;
+    }
+}
+
+/// Which reads a rate is about.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Route {
+    group: Group,
+    /// The proxies' zone.
+    from: Zone,
+    /// The members' zone.
+    to: Zone,
+}
+
+/// The rows of all healthy reporters, added up by route.
+#[derive(Debug, Default)]
+struct CombinedReports {
+    rates: BTreeMap<Route, RouteRate>,
+    /// How each proxy fared in its own zone.
+    own_zone: BTreeMap<GroupZone, Vec<OutcomeCounts>>,
+}
+
+impl CombinedReports {
+    fn of<'a>(reports: impl Iterator<Item = &'a ZoneReport>) -> CombinedReports {
+        let mut combined = CombinedReports::default();
+        for report in reports {
+            let seconds = span_seconds(report.span);
+            for row in &report.rows {
+                combined.add(report.zone, row, seconds);
+            }
+        }
+        combined
+    }
+
+    fn add(&mut self, from: Zone, row: &ZoneRow, seconds: f64) {
+        let ZoneRow { group, zone, counts } = *row;
+        self.rates.entry(Route { group, from, to: zone }).or_default().add_row(row, seconds);
+        if from == zone && counts.attempts > 0 {
+            self.own_zone.entry(GroupZone { group, zone }).or_default().push(counts);
+        }
+    }
+
+    /// The sum over the group's routes that are wanted.
+    fn sum(&self, group: Group, wanted: impl Fn(&Route) -> bool) -> RouteRate {
+        let mut sum = RouteRate::default();
+        for (route, rate) in &self.rates {
+            if route.group == group && wanted(route) {
+                sum.add(rate);
+            }
+        }
+        sum
+    }
+
+    /// Each group that was read from with each zone that any proxy is in or has tried.
+    fn keys(&self) -> Vec<GroupZone> {
+        let groups: BTreeSet<Group> = self.rates.keys().map(|route| route.group).collect();
+        let zones: BTreeSet<Zone> = self.rates.keys().flat_map(|route| [route.from, route.to]).collect();
+        let of_group = |group| zones.iter().map(move |&zone| GroupZone { group, zone });
+        groups.into_iter().flat_map(of_group).collect()
+    }
 }
 
-/// All drivers' reports, put together. Drivers that are not heard are missing; they never count as having seen nothing.
+fn span_seconds(span: Micros) -> f64 {
+    (span as f64 / 1e6).max(MIN_SPAN_SECONDS)
+}
+
+/// What the lease holder knows of all zones. Proxies that are not heard are missing; they never count as having observed
+/// nothing.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// The most that each zone served in time, a second.
-    bears: BTreeMap<(Group, Zone), f64>,
-    views: BTreeMap<(Group, Zone), ZoneView>,
-    /// Drivers set aside as ill themselves.
-    ill: BTreeSet<String>,
+    /// The most that was served in time, a second.
+    capacities: BTreeMap<GroupZone, f64>,
+    views: BTreeMap<GroupZone, ZoneView>,
+    unhealthy: BTreeSet<String>,
 }
 
 impl Evidence {
-    pub fn views(&self) -> &BTreeMap<(Group, Zone), ZoneView> {
+    /// By group and zone, what the last evaluation concluded.
+    pub fn views(&self) -> &BTreeMap<GroupZone, ZoneView> {
         &self.views
     }
 
-    pub fn ill(&self) -> &BTreeSet<String> {
-        &self.ill
+    /// Names of the proxies whose reports were left out of the last evaluation, as they are unhealthy themselves.
+    pub fn unhealthy_reporters(&self) -> &BTreeSet<String> {
+        &self.unhealthy
     }
 
-    /// Takes in what all drivers told of the last second or so, each under its name.
-    pub fn take(&mut self, told: &BTreeMap<String, Vec<ZoneReport>>) {
-        self.ill = ill(told);
-        let well: BTreeMap<&String, &Vec<ZoneReport>> =
-            told.iter().filter(|(name, _)| !self.ill.contains(*name)).collect();
-        // By group, asking and asked zone; and each driver's own sight of its own zone.
-        let mut rates: BTreeMap<(Group, Zone, Zone), Rate> = BTreeMap::new();
-        let mut near: BTreeMap<(Group, Zone), Vec<OutcomeCounts>> = BTreeMap::new();
-        for told in well.values().flat_map(|parts| parts.iter()) {
-            let seconds = (told.over as f64 / 1e6).max(0.2);
-            for row in &told.rows {
-                let rate = rates.entry((row.group, told.zone, row.zone)).or_default();
-                rate.seen.add(&row.seen);
-                rate.a_second += f64::from(row.seen.attempts) / seconds;
-                rate.in_time_a_second += f64::from(row.seen.in_time) / seconds;
-                rate.drivers += 1;
-                if told.zone == row.zone && row.seen.attempts > 0 {
-                    near.entry((row.group, row.zone)).or_default().push(row.seen);
-                }
-            }
+    /// Concludes from the recent reports of all proxies, by the proxies' names. Called once a second.
+    pub fn evaluate(&mut self, reports: &BTreeMap<String, Vec<ZoneReport>>) {
+        self.unhealthy = unhealthy_reporters(reports);
+        let healthy = reports.iter().filter(|(reporter, _)| !self.unhealthy.contains(*reporter));
+        let combined = CombinedReports::of(healthy.flat_map(|(_, parts)| parts));
+        for capacity in self.capacities.values_mut() {
+            *capacity *= CAPACITY_KEPT;
         }
-        let groups: BTreeSet<Group> = rates.keys().map(|&(group, ..)| group).collect();
-        let zones: BTreeSet<Zone> = rates.keys().flat_map(|&(_, from, to)| [from, to]).collect();
-        self.bears.values_mut().for_each(|bears| *bears *= FADES);
         self.views.clear();
-        for &group in &groups {
-            for &zone in &zones {
-                let sum = |of: &dyn Fn(Zone, Zone) -> bool| {
-                    let mut all = Rate::default();
-                    for (_, rate) in
-                        rates.iter().filter(|((of_group, from, to), _)| *of_group == group && of(*from, *to))
-                    {
-                        all.seen.add(&rate.seen);
-                        all.a_second += rate.a_second;
-                        all.in_time_a_second += rate.in_time_a_second;
-                        all.drivers += rate.drivers;
-                    }
-                    all
-                };
-                let own = sum(&|from, to| from == zone && to == zone);
-                let others = sum(&|from, to| from != zone && to == zone);
-                let asked = sum(&|from, _| from == zone).a_second;
-                let (sent, served) =
-                    (own.a_second + others.a_second, own.in_time_a_second + others.in_time_a_second);
-                let drivers = near.get(&(group, zone)).map_or(&[][..], Vec::as_slice);
-                let finding = find(&own, &others, drivers);
-                let bears = self.bears.entry((group, zone)).or_default();
-                *bears = bears.max(served);
-                // What it does not serve now it does not bear now, whatever it once did.
-                if matches!(finding, ZoneVerdict::Crowded | ZoneVerdict::Lost) {
-                    *bears += (served - *bears) * 0.2;
-                }
-                let view = ZoneView {
-                    finding,
-                    asked,
-                    sent,
-                    served,
-                    bears: *bears,
-                    drivers: own.drivers + others.drivers,
-                };
-                self.views.insert((group, zone), view);
-            }
+        for key in combined.keys() {
+            let view = self.view(key, &combined);
+            self.views.insert(key, view);
         }
     }
-}
 
-/// Drivers that are served badly wherever they ask, while others of their zone are not.
-///
-/// Protects zones from one driver's word, however loud. Harms a zone of which most drivers are ill: then they are the median.
-fn ill(told: &BTreeMap<String, Vec<ZoneReport>>) -> BTreeSet<String> {
-    let mut shares: BTreeMap<Zone, Vec<(f64, &String)>> = BTreeMap::new();
-    for (name, parts) in told {
-        let mut by_zone: BTreeMap<Zone, OutcomeCounts> = BTreeMap::new();
-        for row in parts.iter().flat_map(|told| &told.rows) {
-            by_zone.entry(row.zone).or_default().add(&row.seen);
-        }
-        // Where it fares best.
-        let best = by_zone
-            .values()
-            .filter(|seen| seen.attempts > 0)
-            .map(OutcomeCounts::share_in_time)
-            .reduce(f64::max);
-        if let (Some(first), Some(best)) = (parts.first(), best) {
-            shares.entry(first.zone).or_default().push((best, name));
+    fn view(&mut self, key: GroupZone, combined: &CombinedReports) -> ZoneView {
+        let GroupZone { group, zone } = key;
+        let own = combined.sum(group, |route| route.from == zone && route.to == zone);
+        let others = combined.sum(group, |route| route.from != zone && route.to == zone);
+        let own_proxies = combined.own_zone.get(&key).map_or(&[][..], Vec::as_slice);
+        let verdict = ZoneVerdict::of(&own, &others, own_proxies);
+        let in_time = own.in_time + others.in_time;
+        ZoneView {
+            verdict,
+            demand: combined.sum(group, |route| route.from == zone).attempts,
+            load: own.attempts + others.attempts,
+            in_time,
+            capacity: self.measure_capacity(key, in_time, verdict),
+            reporters: own.reporters + others.reporters,
         }
     }
-    let mut ill = BTreeSet::new();
-    for drivers in shares.values_mut().filter(|drivers| drivers.len() > 2) {
-        drivers.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let median = drivers[drivers.len() / 2].0;
-        ill.extend(
-            drivers.iter().filter(|(share, _)| *share < median - ILL).map(|(_, name)| (*name).clone()),
-        );
-    }
-    ill
-}
 
-fn find(own: &Rate, others: &Rate, near: &[OutcomeCounts]) -> ZoneVerdict {
-    let enough = |rate: &Rate| rate.seen.attempts >= LEAST && rate.drivers >= DRIVERS;
-    // In a crowd attempts run out of time too, but some are served.
-    let mute = |rate: &Rate| {
-        let few = rate.seen.share_silent() >= MUTE && rate.seen.share_in_time() < 0.1;
-        few && rate.seen.silent >= NOBODY && rate.drivers >= DRIVERS
-    };
-    if mute(own) {
-        return ZoneVerdict::Lost;
-    }
-    if !enough(own) {
-        // Nobody near says anything: what others find tells at least that nobody is there.
-        return if mute(others) { ZoneVerdict::Lost } else { ZoneVerdict::Unknown };
-    }
-    let share = own.seen.share_in_time();
-    if share >= BADLY && mute(others) {
-        return ZoneVerdict::CutOff;
-    }
-    if share >= BADLY {
-        return if share >= WELL { ZoneVerdict::Well } else { ZoneVerdict::Between };
+    fn measure_capacity(&mut self, key: GroupZone, in_time: f64, verdict: ZoneVerdict) -> f64 {
+        let capacity = self.capacities.entry(key).or_default();
+        *capacity = capacity.max(in_time);
+        if matches!(verdict, ZoneVerdict::Overloaded | ZoneVerdict::Unreachable) {
+            *capacity += (in_time - *capacity) * CAPACITY_CORRECTION;
+        }
+        *capacity
     }
-    // Some of its drivers served as ever: what is wrong is not the zone's.
-    let served = near.iter().filter(|seen| seen.share_in_time() >= WELL).count();
-    if served * 3 >= near.len() { ZoneVerdict::Some } else { ZoneVerdict::Crowded }
 }
--- a/crates/zone-failover/src/history.rs
+++ b/crates/zone-failover/src/history.rs
@@ -1,110 +1,83 @@
-use std::collections::{BTreeMap, VecDeque};
-
-use crate::{Group, Micros, Zone};
-
-/// How an attempt ended, as far as zones are concerned.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReadOutcome {
-    /// Served within its request class's latency objective, or later.
-    Served {
-        in_time: bool,
-    },
-    /// The member had no room.
-    Refused,
-    Error,
-    /// Nothing came back, or nobody could be reached.
-    Silent,
-}
+//! What a proxy counts of its own reads until it reports them.
 
-/// What became of attempts of one group at one zone.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct OutcomeCounts {
-    pub attempts: u32,
-    pub in_time: u32,
-    pub refused: u32,
-    pub errors: u32,
-    pub silent: u32,
-    /// All that served ones took, in milliseconds.
-    pub took_ms: u32,
-}
+use std::collections::{BTreeMap, VecDeque};
 
-impl OutcomeCounts {
-    pub fn add(&mut self, other: &OutcomeCounts) {
-        let OutcomeCounts { attempts, in_time, refused, errors, silent, took_ms } = other;
-        self.attempts = self.attempts.saturating_add(*attempts);
-        self.in_time = self.in_time.saturating_add(*in_time);
-        self.refused = self.refused.saturating_add(*refused);
-        self.errors = self.errors.saturating_add(*errors);
-        self.silent = self.silent.saturating_add(*silent);
-        self.took_ms = self.took_ms.saturating_add(*took_ms);
-    }
+use crate::{Group, GroupZone, Micros, OutcomeCounts, ReadOutcome, Zone, ZoneRow};
 
-    /// Those that say something of the zone: an error may be the request's own.
-    fn telling(&self) -> f64 {
-        f64::from((self.attempts - self.errors.min(self.attempts)).max(1))
-    }
+/// How many reporting intervals a report covers. A proxy that reaches nobody in a zone soon blacklists its members and
+/// stops trying, so that one second alone may hold too few attempts for a verdict.
+const INTERVALS_REPORTED: usize = 2;
+/// The longest time that one served read adds, in milliseconds (about 17 minutes).
+const MAX_READ_MS: Micros = 1 << 20;
 
-    pub fn share_in_time(&self) -> f64 {
-        f64::from(self.in_time) / self.telling()
-    }
+type CountsByZone = BTreeMap<GroupZone, OutcomeCounts>;
 
-    pub fn share_silent(&self) -> f64 {
-        f64::from(self.silent) / self.telling()
-    }
+/// One reporting interval that has ended.
+#[derive(Clone, Debug)]
+struct Interval {
+    span: Micros,
+    counts: CountsByZone,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Row {
-    pub group: Group,
-    pub zone: Zone,
-    pub seen: OutcomeCounts,
+/// Reads of the last reporting intervals.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RecentReads {
+    /// How long the intervals were together, in microseconds.
+    pub span: Micros,
+    /// How the reads ended, in order of group and zone.
+    pub rows: Vec<ZoneRow>,
 }
 
-/// What is told is of the time since so many tellings: a driver that finds nobody soon stops asking, and one second may
-/// hold too little to conclude from.
-const TELLINGS: usize = 2;
-
-type Counts = BTreeMap<(Group, Zone), OutcomeCounts>;
-
-/// Counts what one driver saw of late.
+/// Counts how this proxy's reads ended, by group and zone, over the last two reporting intervals.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneHistory {
-    of: Counts,
-    since: Micros,
-    before: VecDeque<(Micros, Counts)>,
+    current: CountsByZone,
+    current_since: Micros,
+    /// Oldest first.
+    recent: VecDeque<Interval>,
 }
 
 impl ZoneHistory {
+    /// Counts from `now` on.
     pub fn start(now: Micros) -> ZoneHistory {
-        ZoneHistory { since: now, ..ZoneHistory::default() }
+        ZoneHistory { current_since: now, ..ZoneHistory::default() }
     }
 
-    pub fn ended(&mut self, group: Group, zone: Zone, end: ReadOutcome, took: Micros) {
-        let seen = self.of.entry((group, zone)).or_default();
-        seen.attempts += 1;
-        match end {
+    /// An attempt at a read ended after `elapsed` microseconds.
+    pub fn record(&mut self, group: Group, zone: Zone, outcome: ReadOutcome, elapsed: Micros) {
+        let counts = self.current.entry(GroupZone { group, zone }).or_default();
+        counts.attempts += 1;
+        match outcome {
             ReadOutcome::Served { in_time } => {
-                seen.in_time += u32::from(in_time);
-                seen.took_ms = seen.took_ms.saturating_add((took / 1000).clamp(0, 1 << 20) as u32);
+                let elapsed_ms = (elapsed / 1000).clamp(0, MAX_READ_MS) as u32;
+                counts.in_time += u32::from(in_time);
+                counts.served_ms = counts.served_ms.saturating_add(elapsed_ms);
             }
-            ReadOutcome::Refused => seen.refused += 1,
-            ReadOutcome::Error => seen.errors += 1,
-            ReadOutcome::Silent => seen.silent += 1,
+            ReadOutcome::Rejected => counts.rejected += 1,
+            ReadOutcome::Failed => counts.errors += 1,
+            ReadOutcome::Unanswered => counts.unanswered += 1,
         }
     }
 
-    /// What was counted of late, and over how long.
-    pub fn take(&mut self, now: Micros) -> (Micros, Vec<Row>) {
-        let over = now - std::mem::replace(&mut self.since, now);
-        self.before.push_back((over, std::mem::take(&mut self.of)));
-        if self.before.len() > TELLINGS {
-            self.before.pop_front();
+    /// Ends the reporting interval, and returns what the last ones counted. Called once a second.
+    pub fn take(&mut self, now: Micros) -> RecentReads {
+        let span = now - self.current_since;
+        let counts = std::mem::take(&mut self.current);
+        self.current_since = now;
+        self.recent.push_back(Interval { span, counts });
+        if self.recent.len() > INTERVALS_REPORTED {
+            self.recent.pop_front();
         }
-        let mut all: Counts = BTreeMap::new();
-        for (key, seen) in self.before.iter().flat_map(|(_, of)| of) {
-            all.entry(*key).or_default().add(seen);
+        RecentReads { span: self.recent.iter().map(|interval| interval.span).sum(), rows: self.rows() }
+    }
+
+    /// The last intervals added up.
+    fn rows(&self) -> Vec<ZoneRow> {
+        let mut totals = CountsByZone::new();
+        for (key, counts) in self.recent.iter().flat_map(|interval| &interval.counts) {
+            totals.entry(*key).or_default().add(counts);
         }
-        let rows = all.into_iter().map(|((group, zone), seen)| Row { group, zone, seen }).collect();
-        (self.before.iter().map(|(over, _)| over).sum(), rows)
+        let row = |(GroupZone { group, zone }, counts)| ZoneRow { group, zone, counts };
+        totals.into_iter().map(row).collect()
     }
 }
--- /dev/null
+++ b/crates/zone-failover/src/planner.rs
@@ -0,0 +1,144 @@
+//! Which traffic is shifted where, for all groups and zones.
+
+use std::collections::BTreeMap;
+
+use crate::zone_state::ZoneState;
+use crate::{
+    ALL_TRAFFIC, Evidence, FailoverLevel, Group, GroupZone, Micros, TrafficShift, Zone, ZoneDirective,
+    ZoneShare, ZoneVerdict, ZoneView,
+};
+
+/// The most that a zone is sent, as a multiple of its measured capacity: only a trial shows that it bears more.
+const CAPACITY_TRIAL: f64 = 1.1;
+/// Of a zone's spare capacity this share is given out; the rest is reserved for a further failure.
+const SPARE_GIVEN_OUT: f64 = 0.9;
+/// For how long after its return a zone's directive says that nothing is shifted any more, in microseconds. It
+/// is said at several evaluations, as one directive may be lost on its way.
+const ANNOUNCE_RETURN_FOR: Micros = 3_000_000;
+/// Missing capacity that is not yet reported as short, in reads a second: rounding to whole thousandths is no shortage.
+const SHORTAGE_TOLERANCE: f64 = 0.5;
+
+/// Capacity that one group has left in the zones that take traffic, in reads a second.
+#[derive(Debug)]
+struct SpareCapacity {
+    by_zone: BTreeMap<Zone, f64>,
+}
+
+impl SpareCapacity {
+    fn total(&self) -> f64 {
+        self.by_zone.values().sum()
+    }
+
+    /// The shifted traffic, divided in proportion to what is left.
+    fn shares(&self) -> Vec<ZoneShare> {
+        let total = self.total();
+        let share = |spare: f64| if total > 0.0 { thousandths(spare / total) } else { 0 };
+        let takers = self.by_zone.iter().filter(|(_, spare)| **spare > 0.0);
+        takers.map(|(&zone, &spare)| ZoneShare { zone, share: share(spare) }).collect()
+    }
+
+    /// Reserves `rate` in the same proportion.
+    fn reserve(&mut self, rate: f64) {
+        let total = self.total();
+        if total > 0.0 {
+            for spare in self.by_zone.values_mut() {
+                *spare -= *spare / total * rate;
+            }
+        }
+    }
+}
+
+fn thousandths(share: f64) -> u16 {
+    (share * f64::from(ALL_TRAFFIC)) as u16
+}
+
+/// What a zone may be sent on top of its load, in reads a second; nothing unless it serves well.
+fn spare_capacity(view: &ZoneView) -> f64 {
+    if !matches!(view.verdict, ZoneVerdict::Healthy | ZoneVerdict::Marginal) {
+        return 0.0;
+    }
+    (view.capacity * CAPACITY_TRIAL - view.load).max(0.0) * SPARE_GIVEN_OUT
+}
+
+/// Keeps the failover levels of all groups and zones, at the holder of the lease `zones`.
+#[derive(Clone, Debug, Default)]
+pub struct FailoverPlanner {
+    states: BTreeMap<GroupZone, ZoneState>,
+}
+
+impl FailoverPlanner {
+    /// Continues a directive of an earlier lease holder. Called before the first decision.
+    pub fn resume(&mut self, now: Micros, directive: &ZoneDirective) {
+        let shift = &directive.shift;
+        self.states.insert(directive.key(), ZoneState::resume(now, shift.level, shift.away));
+    }
+
+    /// The level of a group in a zone; `None` where nothing was ever reported of it.
+    pub fn level(&self, key: GroupZone) -> Option<FailoverLevel> {
+        self.states.get(&key).map(|state| state.level)
+    }
+
+    /// Decides once a second, and returns a directive for each zone that is not local or has just become so.
+    ///
+    /// A zone that is not reported any more keeps its level; as no demand of it is known, its directive shifts nothing.
+    pub fn decide(&mut self, now: Micros, evidence: &Evidence) -> Vec<ZoneDirective> {
+        for (&key, view) in evidence.views() {
+            let state = self.states.entry(key).or_insert_with(|| ZoneState::start(now));
+            state.observe(now, view.verdict);
+            state.step(now);
+        }
+        let mut groups: Vec<Group> = self.states.keys().map(|key| key.group).collect();
+        groups.dedup();
+        groups.into_iter().flat_map(|group| self.direct_group(now, group, evidence.views())).collect()
+    }
+
+    /// Divides a group's shifted traffic among the zones where spare capacity was measured. A zone that shifts traffic
+    /// itself takes none, so that no two send to each other.
+    fn direct_group(
+        &self,
+        now: Micros,
+        group: Group,
+        views: &BTreeMap<GroupZone, ZoneView>,
+    ) -> Vec<ZoneDirective> {
+        let mut spare = self.spare_capacity(group, views);
+        let mut directives = Vec::new();
+        for (zone, state) in self.zones(group) {
+            let demand = views.get(&GroupZone { group, zone }).map_or(0.0, |view| view.demand);
+            let shift = match state.level {
+                FailoverLevel::Local if state.changed_within(now, ANNOUNCE_RETURN_FOR) => {
+                    TrafficShift::none()
+                }
+                FailoverLevel::Local => continue,
+                level => shift_traffic(level, state.away, demand, &mut spare),
+            };
+            directives.push(ZoneDirective { group, zone, shift });
+        }
+        directives
+    }
+
+    fn zones(&self, group: Group) -> impl Iterator<Item = (Zone, &ZoneState)> {
+        let of_group = self.states.iter().filter(move |(key, _)| key.group == group);
+        of_group.map(|(key, state)| (key.zone, state))
+    }
+
+    fn spare_capacity(&self, group: Group, views: &BTreeMap<GroupZone, ZoneView>) -> SpareCapacity {
+        let local = self.zones(group).filter(|(_, state)| state.level == FailoverLevel::Local);
+        let spare = |zone| views.get(&GroupZone { group, zone }).map_or(0.0, spare_capacity);
+        SpareCapacity { by_zone: local.map(|(zone, _)| (zone, spare(zone))).collect() }
+    }
+}
+
+/// Shifts `wanted` thousandths of `demand` (reads a second), or as much of it as there is capacity for, and reserves that.
+fn shift_traffic(level: FailoverLevel, wanted: u16, demand: f64, spare: &mut SpareCapacity) -> TrafficShift {
+    let wanted_rate = demand * f64::from(wanted) / f64::from(ALL_TRAFFIC);
+    let rate = wanted_rate.min(spare.total());
+    let possible = if demand > 0.0 { thousandths(rate / demand) } else { 0 };
+    let to = spare.shares();
+    spare.reserve(rate);
+    TrafficShift {
+        level,
+        away: if to.is_empty() { 0 } else { possible.min(wanted) },
+        to,
+        short: rate + SHORTAGE_TOLERANCE < wanted_rate,
+    }
+}
--- a/crates/zone-failover/tests/zones.rs
+++ b/crates/zone-failover/tests/zones.rs
@@ -1,147 +1,171 @@
-//! FailoverPlanner that are lost, cut off, crowded, half ill or come and go; and what must hold whatever is reported.
+//! Zones that are unreachable, partitioned, overloaded or flapping, and what holds whatever is reported.
 
 use std::collections::BTreeMap;
 
-use aldermill_zone_failover::frame::{self, ZoneReport};
 use aldermill_zone_failover::{
-    Evidence, FailoverLevel, FailoverPlanner, Micros, OutcomeCounts, ReadOutcome, Row, TrafficShift, Zone,
-    ZoneHistory, ZoneVerdict,
+    Evidence, FailoverLevel, FailoverPlanner, GroupZone, Malformed, Micros, OutcomeCounts, ReadOutcome,
+    TrafficShift, Zone, ZoneDirective, ZoneHistory, ZoneReport, ZoneRow, ZoneShare, ZoneVerdict,
 };
 use proptest::collection::vec;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
+const GROUP: u64 = 7;
 
-/// Three zones of four drivers; each driver sends 20 a second to its own zone, and 2 to each other.
-struct World {
+/// How one proxy's reads end in one zone.
+#[derive(Clone, Copy)]
+struct Shares {
+    in_time: f64,
+    unanswered: f64,
+}
+
+const SERVED: Shares = Shares { in_time: 1.0, unanswered: 0.0 };
+const UNANSWERED: Shares = Shares { in_time: 0.0, unanswered: 1.0 };
+
+/// Served in time so far; the rest is served late.
+fn served_in_time(in_time: f64) -> Shares {
+    Shares { in_time, unanswered: 0.0 }
+}
+
+/// Three zones of four proxies; each proxy sends 20 reads a second to its own zone, and 2 to each other.
+struct Fleet {
     now: Micros,
     evidence: Evidence,
-    zones: FailoverPlanner,
-    /// By asking driver and asked zone: the share in time, and the share that finds nobody.
-    sees: Box<dyn Fn(usize, Zone) -> (f64, f64)>,
-    last: Vec<(u64, Zone, TrafficShift)>,
-}
-
-impl World {
-    fn new() -> World {
-        let (evidence, zones) = (Evidence::default(), FailoverPlanner::default());
-        let mut world = World { now: 0, evidence, zones, sees: Box::new(|_, _| (1.0, 0.0)), last: vec![] };
-        world.pass(5);
-        world
+    planner: FailoverPlanner,
+    /// By the proxy's number and the zone that it reads from.
+    reads_end: Box<dyn Fn(usize, Zone) -> Shares>,
+    directives: Vec<ZoneDirective>,
+}
+
+impl Fleet {
+    /// All zones are healthy for five seconds.
+    fn healthy() -> Fleet {
+        let mut fleet = Fleet {
+            now: 0,
+            evidence: Evidence::default(),
+            planner: FailoverPlanner::default(),
+            reads_end: Box::new(|_, _| SERVED),
+            directives: vec![],
+        };
+        fleet.pass(5);
+        fleet
     }
 
+    /// Every proxy reports and the lease holder decides, once a second.
     fn pass(&mut self, seconds: i64) {
         for _ in 0..seconds {
-            self.now += S;
-            let mut told = BTreeMap::new();
-            for driver in 0..12 {
-                let own = driver % 3;
-                let rows = (0..3).map(|zone| {
-                    let attempts = if zone == own { 20 } else { 2 };
-                    let (in_time, silent) = (self.sees)(driver, zone);
-                    let part = |share: f64| (f64::from(attempts) * share).round() as u32;
-                    let seen = OutcomeCounts {
-                        attempts,
-                        in_time: part(in_time),
-                        silent: part(silent),
-                        ..OutcomeCounts::default()
-                    };
-                    Row { group: 7, zone, seen }
-                });
-                let one = ZoneReport { zone: own, over: S, rows: rows.collect() };
-                told.insert(format!("n{driver}"), vec![one]);
-            }
-            self.evidence.take(&told);
-            self.last = self.zones.decide(self.now, &self.evidence);
+            self.now += SECOND;
+            let reports = (0..12).map(|proxy| (format!("n{proxy}"), vec![self.report_of(proxy)]));
+            self.evidence.evaluate(&reports.collect());
+            self.directives = self.planner.decide(self.now, &self.evidence);
         }
     }
 
+    fn report_of(&self, proxy: usize) -> ZoneReport {
+        let own_zone = proxy % 3;
+        let rows = (0..3).map(|zone| {
+            let attempts = if zone == own_zone { 20 } else { 2 };
+            let Shares { in_time, unanswered } = (self.reads_end)(proxy, zone);
+            let part = |share: f64| (f64::from(attempts) * share).round() as u32;
+            let counts = OutcomeCounts {
+                attempts,
+                in_time: part(in_time),
+                unanswered: part(unanswered),
+                ..OutcomeCounts::default()
+            };
+            ZoneRow { group: GROUP, zone, counts }
+        });
+        ZoneReport { zone: own_zone, span: SECOND, rows: rows.collect() }
+    }
+
     fn level(&self, zone: Zone) -> FailoverLevel {
-        self.zones.level(7, zone).unwrap()
+        self.planner.level(GroupZone { group: GROUP, zone }).unwrap()
     }
 
-    fn lean(&self, zone: Zone) -> Option<&TrafficShift> {
-        self.last.iter().find(|(_, of, _)| *of == zone).map(|(.., lean)| lean)
+    fn shift(&self, zone: Zone) -> Option<&TrafficShift> {
+        self.directives.iter().find(|directive| directive.zone == zone).map(|directive| &directive.shift)
     }
 
-    fn finding(&self, zone: Zone) -> ZoneVerdict {
-        self.evidence.views()[&(7, zone)].finding
+    fn verdict(&self, zone: Zone) -> ZoneVerdict {
+        self.evidence.views()[&GroupZone { group: GROUP, zone }].verdict
     }
 }
 
 #[test]
-fn calm_traffic_stays_near_and_nothing_is_decreed() {
-    let mut world = World::new();
-    world.pass(30);
-    assert!(world.last.is_empty() && (0..3).all(|zone| world.level(zone) == FailoverLevel::Near));
+fn healthy_zones_get_no_directive() {
+    let mut fleet = Fleet::healthy();
+    fleet.pass(30);
+    assert!(fleet.directives.is_empty() && (0..3).all(|zone| fleet.level(zone) == FailoverLevel::Local));
 }
 
 #[test]
-fn a_zone_that_is_lost_is_left_within_seconds_and_comes_back_in_steps() {
-    let mut world = World::new();
-    world.sees = Box::new(|_, zone| if zone == 0 { (0.0, 1.0) } else { (1.0, 0.0) });
-    world.pass(2);
-    assert_eq!((world.finding(0), world.level(0)), (ZoneVerdict::Lost, FailoverLevel::Left));
-    let lean = world.lean(0).unwrap();
-    assert!(lean.short, "the others were never seen to bear so much more: {lean:?}");
-    assert!(lean.to.iter().all(|&(zone, _)| zone != 0));
-    world.sees = Box::new(|_, _| (1.0, 0.0));
-    world.pass(2);
-    assert_eq!(world.level(0), FailoverLevel::Left, "it has to show that it stays");
-    world.pass(1);
-    assert_eq!(world.level(0), FailoverLevel::Coming);
+fn unreachable_zone_fails_over_within_seconds_and_fails_back_in_steps() {
+    let mut fleet = Fleet::healthy();
+    fleet.reads_end = Box::new(|_, zone| if zone == 0 { UNANSWERED } else { SERVED });
+    fleet.pass(2);
+    assert_eq!((fleet.verdict(0), fleet.level(0)), (ZoneVerdict::Unreachable, FailoverLevel::FailedOver));
+    let shift = fleet.shift(0).unwrap();
+    assert!(shift.short, "the others were never measured to bear so much more: {shift:?}");
+    assert!(shift.to.iter().all(|part| part.zone != 0));
+    fleet.reads_end = Box::new(|_, _| SERVED);
+    fleet.pass(2);
+    assert_eq!(fleet.level(0), FailoverLevel::FailedOver, "it has to show that it stays");
+    fleet.pass(1);
+    assert_eq!(fleet.level(0), FailoverLevel::FailingBack);
     let mut away = Vec::new();
     for _ in 0..10 {
-        away.extend(world.lean(0).map(|lean| lean.away));
-        world.pass(1);
+        away.extend(fleet.shift(0).map(|shift| shift.away));
+        fleet.pass(1);
     }
     assert!(away.windows(2).all(|pair| pair[1] <= pair[0]), "{away:?}");
-    assert_eq!(world.lean(0).map_or(0, |lean| lean.away), 0);
+    assert_eq!(fleet.shift(0).map_or(0, |shift| shift.away), 0);
 }
 
 #[test]
-fn a_zone_that_others_cannot_reach_keeps_its_own_clients() {
-    let mut world = World::new();
-    world.sees =
-        Box::new(|driver, zone| if (driver % 3 == 0) != (zone == 0) { (0.0, 1.0) } else { (1.0, 0.0) });
-    world.pass(10);
-    assert_eq!((world.finding(0), world.level(0)), (ZoneVerdict::CutOff, FailoverLevel::Near));
-    assert!((1..3).all(|zone| world.level(zone) == FailoverLevel::Near), "the others still have each other");
+fn partitioned_zone_keeps_its_own_clients() {
+    let mut fleet = Fleet::healthy();
+    fleet.reads_end =
+        Box::new(|proxy, zone| if (proxy % 3 == 0) != (zone == 0) { UNANSWERED } else { SERVED });
+    fleet.pass(10);
+    assert_eq!((fleet.verdict(0), fleet.level(0)), (ZoneVerdict::Partitioned, FailoverLevel::Local));
+    assert!((1..3).all(|zone| fleet.level(zone) == FailoverLevel::Local), "the others still have each other");
 }
 
 #[test]
-fn a_crowded_zone_leans_by_steps_and_a_way_that_is_slow_for_some_moves_nothing() {
-    let mut world = World::new();
-    world.sees = Box::new(|_, zone| if zone == 1 { (0.6, 0.0) } else { (1.0, 0.0) });
-    world.pass(2);
-    assert_eq!(world.level(1), FailoverLevel::Near);
-    world.pass(3);
-    assert_eq!((world.finding(1), world.level(1)), (ZoneVerdict::Crowded, FailoverLevel::Leaning));
-    assert!(world.lean(1).unwrap().away <= 200, "{:?}", world.lean(1));
-    let mut world = World::new();
-    world.sees = Box::new(|driver, zone| if zone == 1 && driver % 6 == 1 { (0.5, 0.0) } else { (1.0, 0.0) });
-    world.pass(20);
-    assert_eq!((world.finding(1), world.level(1)), (ZoneVerdict::Some, FailoverLevel::Near));
+fn overloaded_zone_spills_over_in_steps_and_slow_paths_of_some_proxies_shift_nothing() {
+    let mut fleet = Fleet::healthy();
+    fleet.reads_end = Box::new(|_, zone| if zone == 1 { served_in_time(0.6) } else { SERVED });
+    fleet.pass(2);
+    assert_eq!(fleet.level(1), FailoverLevel::Local);
+    fleet.pass(3);
+    assert_eq!((fleet.verdict(1), fleet.level(1)), (ZoneVerdict::Overloaded, FailoverLevel::Spillover));
+    assert!(fleet.shift(1).unwrap().away <= 200, "{:?}", fleet.shift(1));
+    let mut fleet = Fleet::healthy();
+    fleet.reads_end =
+        Box::new(|proxy, zone| if zone == 1 && proxy % 6 == 1 { served_in_time(0.5) } else { SERVED });
+    fleet.pass(20);
+    assert_eq!((fleet.verdict(1), fleet.level(1)), (ZoneVerdict::PartlyServed, FailoverLevel::Local));
 }
 
 #[test]
-fn one_drivers_word_moves_nothing_however_loud() {
-    let mut world = World::new();
-    world.sees = Box::new(|driver, _| if driver == 4 { (0.0, 1.0) } else { (1.0, 0.0) });
-    world.pass(20);
-    assert!((0..3).all(|zone| world.level(zone) == FailoverLevel::Near));
-    assert_eq!(world.evidence.ill().iter().collect::<Vec<_>>(), ["n4"]);
+fn one_unhealthy_proxy_shifts_nothing() {
+    let mut fleet = Fleet::healthy();
+    fleet.reads_end = Box::new(|proxy, _| if proxy == 4 { UNANSWERED } else { SERVED });
+    fleet.pass(20);
+    assert!((0..3).all(|zone| fleet.level(zone) == FailoverLevel::Local));
+    assert_eq!(fleet.evidence.unhealthy_reporters().iter().collect::<Vec<_>>(), ["n4"]);
 }
 
 #[test]
-fn a_zone_that_goes_and_comes_is_not_followed() {
-    let mut world = World::new();
-    let (mut changes, mut last) = (Vec::new(), FailoverLevel::Near);
+fn flapping_zone_changes_level_at_most_twice_a_minute() {
+    let mut fleet = Fleet::healthy();
+    let mut changes = Vec::new();
+    let mut last = FailoverLevel::Local;
     for second in 0..240 {
         let down = second / 4 % 2 == 0;
-        world.sees = Box::new(move |_, zone| if zone == 0 && down { (0.0, 1.0) } else { (1.0, 0.0) });
-        world.pass(1);
-        if std::mem::replace(&mut last, world.level(0)) != last {
+        fleet.reads_end = Box::new(move |_, zone| if zone == 0 && down { UNANSWERED } else { SERVED });
+        fleet.pass(1);
+        if std::mem::replace(&mut last, fleet.level(0)) != last {
             changes.push(second);
         }
     }
@@ -152,103 +176,130 @@
 }
 
 #[test]
-fn a_new_holder_goes_on_from_what_stands() {
-    let mut world = World::new();
-    world.sees = Box::new(|_, zone| if zone == 0 { (0.0, 1.0) } else { (1.0, 0.0) });
-    world.pass(3);
-    let lean = world.lean(0).unwrap().clone();
-    world.zones = FailoverPlanner::default();
-    world.zones.resume(world.now, 7, 0, &lean);
-    world.pass(1);
-    assert_eq!(world.level(0), FailoverLevel::Left);
+fn new_lease_holder_resumes_the_failover() {
+    let mut fleet = Fleet::healthy();
+    fleet.reads_end = Box::new(|_, zone| if zone == 0 { UNANSWERED } else { SERVED });
+    fleet.pass(3);
+    let shift = fleet.shift(0).unwrap().clone();
+    let directive = ZoneDirective { group: GROUP, zone: 0, shift };
+    fleet.planner = FailoverPlanner::default();
+    fleet.planner.resume(fleet.now, &directive);
+    fleet.pass(1);
+    assert_eq!(fleet.level(0), FailoverLevel::FailedOver);
+}
+
+/// One proxy's report as the generator draws it: its zone, the span, and for each row the group, the zone, attempts, and the
+/// shares served in time and unanswered.
+type DrawnReport = (Zone, Micros, Vec<(u64, Zone, u32, f64, f64)>);
+
+fn report_of((zone, span, rows): DrawnReport) -> ZoneReport {
+    let rows = rows.into_iter().map(|(group, zone, attempts, in_time, unanswered)| {
+        let part = |share: f64| (f64::from(attempts) * share) as u32;
+        let counts = OutcomeCounts {
+            attempts,
+            in_time: part(in_time),
+            unanswered: part(unanswered),
+            ..OutcomeCounts::default()
+        };
+        ZoneRow { group, zone, counts }
+    });
+    ZoneReport { zone, span, rows: rows.collect() }
+}
+
+/// Shares are at most the whole, no two zones send to each other, and none is sent more than it was measured to bear.
+fn check_directives(evidence: &Evidence, directives: &[ZoneDirective]) {
+    let mut sent: BTreeMap<GroupZone, f64> = BTreeMap::new();
+    for ZoneDirective { group, zone, shift } in directives {
+        assert!(shift.away <= 1000 && shift.to.iter().map(|part| u32::from(part.share)).sum::<u32>() <= 1000);
+        for &ZoneShare { zone: to, share } in &shift.to {
+            let sends_back =
+                |other: &&ZoneDirective| other.group == *group && other.zone == to && other.shift.away > 0;
+            assert!(directives.iter().find(sends_back).is_none(), "{zone} and {to} send to each other");
+            let key = GroupZone { group: *group, zone: *zone };
+            let goes = evidence.views()[&key].demand * f64::from(shift.away) / 1000.0;
+            *sent.entry(GroupZone { group: *group, zone: to }).or_default() +=
+                goes * f64::from(share) / 1000.0;
+        }
+    }
+    for (key, goes) in sent {
+        let view = evidence.views()[&key];
+        let room = (view.capacity * 1.1 - view.load).max(0.0);
+        assert!(goes <= room + 1e-6, "{goes} to {key:?}, which has room for {room}");
+    }
+}
+
+/// Feeds reports second by second, and checks directives and how often levels change.
+fn check_history(seconds: Vec<Vec<(usize, DrawnReport)>>) {
+    let mut evidence = Evidence::default();
+    let mut planner = FailoverPlanner::default();
+    let mut reports: BTreeMap<String, Vec<ZoneReport>> = BTreeMap::new();
+    let mut changes: BTreeMap<GroupZone, Vec<Micros>> = BTreeMap::new();
+    let mut levels: BTreeMap<GroupZone, FailoverLevel> = BTreeMap::new();
+    for (second, drawn) in seconds.into_iter().enumerate() {
+        let now = second as i64 * SECOND;
+        for (proxy, report) in drawn {
+            reports.insert(format!("n{proxy}"), vec![report_of(report)]);
+        }
+        evidence.evaluate(&reports);
+        check_directives(&evidence, &planner.decide(now, &evidence));
+        for &key in evidence.views().keys() {
+            let level = planner.level(key).unwrap();
+            if levels.insert(key, level).is_some_and(|before| before != level) {
+                changes.entry(key).or_default().push(now);
+            }
+        }
+    }
+    for changes in changes.values() {
+        assert!(changes.windows(3).all(|three| three[2] - three[0] >= 60 * SECOND), "{changes:?}");
+    }
 }
 
 /// Whatever is reported, in whatever order, late, doubled or never.
 #[test]
-fn no_two_zones_are_sent_to_each_other_and_none_more_than_it_was_seen_to_bear() {
+fn no_reports_make_zones_send_to_each_other_or_beyond_measured_capacity() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]);
     let limits = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let row = (0u64..2, 0usize..4, 0u32..60, 0.0..1.0f64, 0.0..1.0f64);
-    let told = (0usize..4, 200_000i64..3_000_000, vec(row, 0..8));
-    let seconds = vec(vec((0usize..9, told), 0..12), 1..40);
+    let report = (0usize..4, 200_000i64..3_000_000, vec(row, 0..8));
+    let seconds = vec(vec((0usize..9, report), 0..12), 1..40);
     let mut runner = TestRunner::new_with_rng(limits, rng);
-    runner
-        .run(&seconds, |seconds| {
-            let (mut evidence, mut zones) = (Evidence::default(), FailoverPlanner::default());
-            let mut reports: BTreeMap<String, Vec<ZoneReport>> = BTreeMap::new();
-            let mut changes: BTreeMap<(u64, Zone), Vec<Micros>> = BTreeMap::new();
-            let mut levels: BTreeMap<(u64, Zone), FailoverLevel> = BTreeMap::new();
-            for (second, told) in seconds.into_iter().enumerate() {
-                let now = second as i64 * S;
-                for (driver, (zone, over, rows)) in told {
-                    let rows = rows.into_iter().map(|(group, zone, attempts, in_time, silent)| {
-                        let part = |share: f64| (f64::from(attempts) * share) as u32;
-                        let seen = OutcomeCounts {
-                            attempts,
-                            in_time: part(in_time),
-                            silent: part(silent),
-                            ..OutcomeCounts::default()
-                        };
-                        Row { group, zone, seen }
-                    });
-                    reports
-                        .insert(format!("n{driver}"), vec![ZoneReport { zone, over, rows: rows.collect() }]);
-                }
-                evidence.take(&reports);
-                let decreed = zones.decide(now, &evidence);
-                let mut sent: BTreeMap<(u64, Zone), f64> = BTreeMap::new();
-                for (group, zone, lean) in &decreed {
-                    assert!(
-                        lean.away <= 1000
-                            && lean.to.iter().map(|&(_, share)| u32::from(share)).sum::<u32>() <= 1000
-                    );
-                    for &(to, share) in &lean.to {
-                        let back = |(of, from, other): &&(u64, Zone, TrafficShift)| {
-                            of == group && *from == to && other.away > 0
-                        };
-                        assert!(decreed.iter().find(back).is_none(), "{zone} and {to} send to each other");
-                        let goes = evidence.views()[&(*group, *zone)].asked * f64::from(lean.away) / 1000.0;
-                        *sent.entry((*group, to)).or_default() += goes * f64::from(share) / 1000.0;
-                    }
-                }
-                for (key, goes) in sent {
-                    let view = evidence.views()[&key];
-                    let room = (view.bears * 1.1 - view.sent).max(0.0);
-                    assert!(goes <= room + 1e-6, "{goes} to {key:?}, which has room for {room}");
-                }
-                for &key in evidence.views().keys() {
-                    let level = zones.level(key.0, key.1).unwrap();
-                    if levels.insert(key, level).is_some_and(|before| before != level) {
-                        changes.entry(key).or_default().push(now);
-                    }
-                }
-            }
-            for changes in changes.values() {
-                assert!(changes.windows(3).all(|three| three[2] - three[0] >= 60 * S), "{changes:?}");
-            }
-            Ok(())
-        })
-        .unwrap();
+    let check = |seconds| {
+        check_history(seconds);
+        Ok(())
+    };
+    runner.run(&seconds, check).unwrap();
+}
+
+/// Two served reads and one unanswered in zone 1, one rejected and one failed in zone 2.
+fn five_reads() -> ZoneHistory {
+    let mut history = ZoneHistory::start(0);
+    history.record(GROUP, 1, ReadOutcome::Served { in_time: true }, 20_000);
+    history.record(GROUP, 1, ReadOutcome::Served { in_time: false }, 600_000);
+    history.record(GROUP, 1, ReadOutcome::Unanswered, 0);
+    history.record(GROUP, 2, ReadOutcome::Rejected, 0);
+    history.record(GROUP, 2, ReadOutcome::Failed, 0);
+    history
+}
+
+#[test]
+fn history_counts_each_read_once_and_covers_two_intervals() {
+    let mut history = five_reads();
+    let recent = history.take(SECOND);
+    let first = &recent.rows[0].counts;
+    assert_eq!((recent.span, recent.rows.len(), first.attempts, first.served_ms), (SECOND, 2, 3, 620));
+    assert_eq!(history.take(2 * SECOND).rows[0].counts.attempts, 3, "told of the last two seconds");
+    assert!(history.take(3 * SECOND).rows.is_empty());
 }
 
 #[test]
-fn what_is_written_is_read_and_a_tally_counts_each_attempt_once() {
-    let mut tally = ZoneHistory::start(0);
-    tally.ended(7, 1, ReadOutcome::Served { in_time: true }, 20_000);
-    tally.ended(7, 1, ReadOutcome::Served { in_time: false }, 600_000);
-    tally.ended(7, 1, ReadOutcome::Silent, 0);
-    tally.ended(7, 2, ReadOutcome::Refused, 0);
-    tally.ended(7, 2, ReadOutcome::Error, 0);
-    let (over, rows) = tally.take(S);
-    assert_eq!((over, rows.len(), rows[0].seen.attempts, rows[0].seen.took_ms), (S, 2, 3, 620));
-    assert_eq!(tally.take(2 * S).1[0].seen.attempts, 3, "told of the last two seconds");
-    assert!(tally.take(3 * S).1.is_empty());
-    let told = ZoneReport { zone: 1, over, rows };
-    assert_eq!(frame::decode_report(&frame::encode_report(&told)), Ok(told));
-    let lean =
-        TrafficShift { level: FailoverLevel::Coming, away: 300, to: vec![(0, 400), (2, 600)], short: true };
-    assert_eq!(frame::decode_directive(&frame::encode_directive(&lean)), Ok(lean));
-    assert_eq!(frame::decode_directive(&[1, 9, 9, 0]), Err(frame::Malformed::Share(0x909)));
-    assert_eq!(frame::decode_directive(&[9, 0, 0, 0]), Err(frame::Malformed::Level(9)));
-    assert!(frame::decode_report(&[1, 0]).is_err());
+fn payloads_are_read_as_written_and_bad_ones_are_refused() {
+    let recent = five_reads().take(SECOND);
+    let report = ZoneReport { zone: 1, span: recent.span, rows: recent.rows };
+    assert_eq!(ZoneReport::decode(&report.encode()), Ok(report));
+    let to = vec![ZoneShare { zone: 0, share: 400 }, ZoneShare { zone: 2, share: 600 }];
+    let shift = TrafficShift { level: FailoverLevel::FailingBack, away: 300, to, short: true };
+    assert_eq!(TrafficShift::decode(&shift.encode()), Ok(shift));
+    assert_eq!(TrafficShift::decode(&[1, 9, 9, 0]), Err(Malformed::Share(0x909)));
+    assert_eq!(TrafficShift::decode(&[9, 0, 0, 0]), Err(Malformed::Level(9)));
+    assert!(ZoneReport::decode(&[1, 0]).is_err());
 }
