--- a/crates/routing/src/policy/replica_subset.rs
+++ b/crates/routing/src/policy/replica_subset.rs
@@ -59,7 +59,7 @@
         if !self.keeps_to_some() {
             return usize::MAX;
         }
-        let reused = self.attempts * REUSED_WITHIN as f64 / BEAT as f64;
+        let reused = self.stall_pacing.recent_attempts() * REUSED_WITHIN as f64 / BEAT as f64;
         let part = group.members.len() as f64 / self.members.len() as f64;
         ((reused * part).round() as usize).max(LEAST_REPLICAS)
     }
@@ -81,7 +81,7 @@
         if all || kept >= group.members.len() {
             return group.members.iter().copied().filter(may).collect();
         }
-        let listed = |id: &MemberId| now >= self.members[*id].blacklisted_until && Some(*id) != pending.last;
+        let listed = |id: &MemberId| self.members[*id].blacklist.allows(now) && Some(*id) != pending.last;
         let behind = |id: MemberId| {
             let Member { position, heard, .. } = self.members[id];
             position < floor && now - heard < self.catches_up_in(id, floor)
