--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -1,5 +1,11 @@
 //! Puts the routing decisions on the bench's wire: lines in, calls on the router, results out.
 
+#![allow(
+    clippy::cognitive_complexity,
+    clippy::too_many_lines,
+    reason = "long functions are split when this package is reworked for readers (docs/ROADMAP.md)"
+)]
+
 mod wire;
 
 use std::collections::HashMap;
--- a/crates/directives/tests/directives.rs
+++ b/crates/directives/tests/directives.rs
@@ -148,6 +148,7 @@
 /// Forty drivers, news passed on to three, digests compared with one each second; some are cut off for a while. Each takes
 /// what it takes in order, and all have the last one within seconds of the cut's end.
 #[test]
+#[allow(clippy::too_many_lines, reason = "one history of a superseded holder, step by step")]
 fn all_drivers_come_to_have_the_same_in_order_although_datagrams_are_lost() {
     const DRIVERS: usize = 40;
     for seed in 0..40 {
--- a/crates/fault-injection/src/breaker.rs
+++ b/crates/fault-injection/src/breaker.rs
@@ -2,6 +2,11 @@
 //!
 //! `aldermill-fault-injection-breaker HOW serve --config FILE ...`, HOW being one of the words below.
 
+#![allow(
+    clippy::needless_continue,
+    reason = "this package is not reworked for readers yet (docs/ROADMAP.md)"
+)]
+
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -4,6 +4,17 @@
 //! drivers are processes of the built program and see nothing but sockets. Everything that happens at the models is
 //! kept as a [`history::History`]; `judge` reads nothing else, and shares no code with the driver.
 
+#![allow(
+    clippy::cognitive_complexity,
+    clippy::too_many_lines,
+    reason = "long functions are split when this package is reworked for readers (docs/ROADMAP.md)"
+)]
+#![allow(missing_docs, reason = "not every public item is documented yet (docs/ROADMAP.md)")]
+#![allow(
+    clippy::items_after_statements,
+    reason = "this package is not reworked for readers yet (docs/ROADMAP.md)"
+)]
+
 pub mod cable;
 pub mod council;
 pub mod discovery;
--- a/crates/flow-control/tests/controller.rs
+++ b/crates/flow-control/tests/controller.rs
@@ -315,6 +315,7 @@
         }
     }
 
+    #[allow(clippy::too_many_lines, reason = "one history, step by step")]
     fn step(&mut self, kind: u8, a: usize, b: u64) {
         let peer = self.order.get(a % self.order.len().max(1)).copied();
         let reservation = self.reservations.keys().min_by_key(|reservation| {
--- a/crates/membership/examples/gossip.rs
+++ b/crates/membership/examples/gossip.rs
@@ -7,6 +7,10 @@
 use aldermill_membership::Change;
 use common::{MILLISECOND, SECOND, Simulation};
 
+#[allow(
+    clippy::too_many_lines,
+    reason = "a measurement: set-up, faults and figures in the order in which they happen"
+)]
 fn main() {
     let word = |at: usize| std::env::args().nth(at).and_then(|word| word.parse::<i64>().ok());
     let (count, seconds) = (word(1).unwrap_or(300) as usize, word(2).unwrap_or(120));
--- a/crates/proxy/src/member/outcome.rs
+++ b/crates/proxy/src/member/outcome.rs
@@ -115,6 +115,11 @@
 ///
 /// `process_gone` says whether the member's process seems to be gone, by its other connections. It looks at their
 /// sockets, and is asked only where a connection broke under a query that was sent.
+#[allow(
+    clippy::enum_glob_use,
+    clippy::wildcard_imports,
+    reason = "a table of verdicts, which reads by the names of the variants alone"
+)]
 pub fn verdict(evidence: &Evidence<'_>, process_gone: impl FnOnce() -> bool) -> Verdict {
     use QueryError::*;
     use Sent::{Nothing, Partly, Whole};
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -4,6 +4,11 @@
 //! started with ([`Terms`]), what it takes ([`Request`]), what it hears ([`Listed`], [`Outcome`],
 //! [`MemberReport`]) and what its caller is to do next ([`Actions`]).
 
+#![allow(
+    clippy::enum_glob_use,
+    clippy::wildcard_imports,
+    reason = "this package is not reworked for readers yet (docs/ROADMAP.md)"
+)]
 #![warn(missing_docs)]
 
 use std::collections::BTreeMap;
--- a/crates/routing/tests/router/main.rs
+++ b/crates/routing/tests/router/main.rs
@@ -1,3 +1,5 @@
+//! Cases of every decision of the router, with the router as its callers have it.
+
 mod among_many;
 mod cases;
 mod fresh;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,12 @@
 //! Decodes the settings that every driver is told at its start, in the drill and on sockets alike, into the
 //! router's terms and the few figures that the programs around it need.
 
+#![allow(
+    clippy::too_many_lines,
+    reason = "long functions are split when this package is reworked for readers (docs/ROADMAP.md)"
+)]
+#![allow(missing_docs, reason = "not every public item is documented yet (docs/ROADMAP.md)")]
+
 use std::collections::HashMap;
 use std::fmt;
 
--- a/crates/site-drain/src/lib.rs
+++ b/crates/site-drain/src/lib.rs
@@ -11,6 +11,8 @@
 //!
 //! Nothing here does I/O or has a clock.
 
+#![allow(missing_docs, reason = "not every public item is documented yet (docs/ROADMAP.md)")]
+
 mod farewell;
 mod holder;
 mod homes;
--- a/crates/site-routing/src/recording_promise.rs
+++ b/crates/site-routing/src/recording_promise.rs
@@ -13,7 +13,7 @@
 ///
 /// Without it a later incarnation could never say "never accepted", and a request that is safe to send elsewhere would fail.
 /// It holds whatever the disk does: stand still, fill up or vanish. The cost: remote requests that come while the disk takes
-/// nothing and the promise holds are rejected, for [`PROMISE_DURATION`] at most. After a request was accepted without a
+/// nothing and the promise holds are rejected, for `PROMISE_DURATION` at most. After a request was accepted without a
 /// record, the next promise waits until nobody can ask about that request any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Default)]
 pub struct RecordingPromise {
--- a/crates/split-points/src/lib.rs
+++ b/crates/split-points/src/lib.rs
@@ -12,6 +12,8 @@
 //!
 //! Nothing here does I/O or has a clock.
 
+#![allow(missing_docs, reason = "not every public item is documented yet (docs/ROADMAP.md)")]
+
 mod advice;
 pub mod frame;
 mod picture;
--- a/crates/split-points/tests/splits.rs
+++ b/crates/split-points/tests/splits.rs
@@ -208,7 +208,7 @@
         told.insert(format!("n{driver}"), sketch.summary(world.now, 60));
     }
     let sound = Picture::of(&told);
-    for summary in told.get_mut("n3").into_iter() {
+    if let Some(summary) = told.get_mut("n3") {
         summary.cost *= 1e6;
         summary.samples.iter_mut().for_each(|sample| sample.weight *= 1e6);
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -4,6 +4,8 @@
 //! is synced. All file work goes through [`Files`], so that tests can tear it. The format is written down in
 //! `docs/store.md`.
 
+#![allow(missing_docs, reason = "not every public item is documented yet (docs/ROADMAP.md)")]
+
 mod commit;
 mod compact;
 mod contents;
--- a/crates/store/tests/torn.rs
+++ b/crates/store/tests/torn.rs
@@ -347,6 +347,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "one history, cut at every byte")]
 fn it_holds_what_a_plain_map_holds() {
     let change = (0u8..20, proptest::option::of(any::<u8>()), 0u8..4);
     let act = prop_oneof![
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,6 +1,8 @@
 //! Stand-ins for what stands around the program: members, clients and discovery, and the program itself as a child.
 //! Only tests and measurements use them; all of them listen and connect on loopback addresses.
 
+#![allow(missing_docs, reason = "not every public item is documented yet (docs/ROADMAP.md)")]
+
 mod cable;
 mod client;
 mod discovery;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -3,6 +3,8 @@
 //! Each parser looks at the bytes received so far and says what stands at their front and how long it is,
 //! or that more is to come. [`Buffer`] holds the bytes of one connection.
 
+#![allow(missing_docs, reason = "not every public item is documented yet (docs/ROADMAP.md)")]
+
 mod buffer;
 mod exchange;
 pub mod http;
--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -9,6 +9,8 @@
 //! Traffic stays near while near serves in time. It moves in steps, never more than the others were measured to bear, and no
 //! two zones are sent to each other at once. Nothing here does I/O or has a clock.
 
+#![allow(missing_docs, reason = "not every public item is documented yet (docs/ROADMAP.md)")]
+
 mod evidence;
 pub mod frame;
 mod levels;
--- a/crates/zone-failover/tests/zones.rs
+++ b/crates/zone-failover/tests/zones.rs
@@ -158,6 +158,7 @@
 
 /// Whatever is reported, in whatever order, late, doubled or never.
 #[test]
+#[allow(clippy::too_many_lines, reason = "one seeded history, step by step")]
 fn no_two_zones_are_sent_to_each_other_and_none_more_than_it_was_seen_to_bear() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]);
     let limits = Config { cases: 300, failure_persistence: None, ..Config::default() };
