--- /dev/null
+++ b/crates/proxy/tests/on_call_page.rs
@@ -0,0 +1,178 @@
+//! The runbook, docs/on-call.md, has an entry for each warning and error that the proxy logs, and none for others.
+
+use std::collections::BTreeSet;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+/// The macros whose lines may page somebody.
+const MACROS: [&str; 3] = ["warn!", "error!", "crit!"];
+/// What each entry says beside what the line means.
+const PARTS: [&str; 3] = ["- **The proxy:**", "- **Do:**", "- **Don't:**"];
+
+/// A warning that nobody described, or an entry for a line that is no longer logged, leaves the paged engineer alone.
+#[test]
+fn each_warning_and_error_has_an_entry_in_the_runbook_and_the_other_way_about() {
+    let logged = logged_messages(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"));
+    let described: BTreeSet<String> = entries(&runbook()).into_iter().map(|entry| entry.message).collect();
+    let missing: Vec<&String> = logged.difference(&described).collect();
+    let stale: Vec<&String> = described.difference(&logged).collect();
+    assert!(!logged.is_empty(), "no warning was found, the sources were not read");
+    assert!(missing.is_empty(), "logged, and not in docs/on-call.md: {missing:#?}");
+    assert!(stale.is_empty(), "in docs/on-call.md, and logged nowhere: {stale:#?}");
+}
+
+#[test]
+fn each_entry_says_what_the_proxy_does_what_to_do_and_what_not_to_do() {
+    let entries = entries(&runbook());
+    let mut seen = BTreeSet::new();
+    for entry in entries {
+        assert!(seen.insert(entry.message.clone()), "described twice: {}", entry.message);
+        for part in PARTS {
+            assert!(entry.text.contains(part), "{}: no {part}", entry.message);
+        }
+        let meaning = entry.text.split("- **").next().unwrap_or_default();
+        assert!(!meaning.trim().is_empty(), "{}: does not say what it means", entry.message);
+    }
+}
+
+#[test]
+fn an_invocation_on_many_lines_is_found_and_one_in_a_comment_is_not() {
+    let source = r#"
+        // warn!(log, "in a comment");
+        warn!(
+            self.context.log,
+            "on many lines";
+            "why" => %why("a, b; c", ')'),
+        );
+        slog::error!(log, "a \"quoted\" name"; "n" => 1);
+        my_warn!(log, "another macro");
+        info!(log, "only information");
+    "#;
+    let messages: Vec<String> = invocations(source).into_iter().map(|found| message(&found)).collect();
+    assert_eq!(messages, ["on many lines", "a \"quoted\" name"]);
+}
+
+#[test]
+#[should_panic(expected = "not constant")]
+fn a_message_that_is_not_constant_is_refused() {
+    for found in invocations(r#"warn!(log, "{}", what; "by" => name);"#) {
+        message(&found);
+    }
+}
+
+/// An entry of the runbook: the message in its heading, and the text up to the next heading.
+struct Entry {
+    message: String,
+    text: String,
+}
+
+fn runbook() -> String {
+    let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/on-call.md");
+    fs::read_to_string(page).expect("docs/on-call.md")
+}
+
+/// The entries below the page's section on warnings and errors.
+fn entries(page: &str) -> Vec<Entry> {
+    let section = page.split("\n## ").find(|section| section.starts_with("Warnings and errors\n"));
+    let section = section.expect("the section on warnings and errors");
+    let mut entries = Vec::new();
+    for part in section.split("\n#### ").skip(1) {
+        let (heading, text) = part.split_once('\n').expect("text below a heading");
+        let message = heading.strip_prefix('`').and_then(|rest| rest.strip_suffix('`'));
+        let message = message.unwrap_or_else(|| panic!("a heading that is no message: {heading}"));
+        let text = text.split("\n### ").next().unwrap_or_default();
+        entries.push(Entry { message: message.to_owned(), text: text.to_owned() });
+    }
+    entries
+}
+
+/// The constant messages of all warnings and errors in the sources below a folder.
+fn logged_messages(folder: &Path) -> BTreeSet<String> {
+    let mut messages = BTreeSet::new();
+    for file in sources(folder) {
+        let source = fs::read_to_string(&file).expect("a source file");
+        messages.extend(invocations(&source).iter().map(|found| message(found)));
+    }
+    messages
+}
+
+fn sources(folder: &Path) -> Vec<PathBuf> {
+    let mut files = Vec::new();
+    for entry in fs::read_dir(folder).expect("a folder of sources") {
+        let path = entry.expect("an entry of a folder").path();
+        if path.is_dir() {
+            files.extend(sources(&path));
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
+            files.push(path);
+        }
+    }
+    files
+}
+
+/// The arguments of each invocation of one of the macros, as text, in the order of the source.
+fn invocations(source: &str) -> Vec<String> {
+    let source: String = source.lines().filter(|line| !line.trim_start().starts_with("//")).fold(
+        String::new(),
+        |mut kept, line| {
+            kept.push_str(line);
+            kept.push('\n');
+            kept
+        },
+    );
+    let mut found = Vec::new();
+    for (at, _) in source.match_indices('!') {
+        let (before, after) = (&source[..=at], source[at + 1..].trim_start());
+        let is_one = MACROS.iter().any(|name| {
+            before
+                .strip_suffix(name)
+                .is_some_and(|rest| !rest.ends_with(|last: char| last.is_alphanumeric() || last == '_'))
+        });
+        if is_one && let Some(arguments) = after.strip_prefix('(') {
+            found.push(arguments[..length_of_arguments(arguments)].to_owned());
+        }
+    }
+    found
+}
+
+/// Up to the parenthesis that closes the invocation; those in strings and character literals close nothing.
+fn length_of_arguments(text: &str) -> usize {
+    let mut depth = 1;
+    let mut rest = text.char_indices().peekable();
+    while let Some((at, character)) = rest.next() {
+        match character {
+            '"' => {
+                while let Some((_, inner)) = rest.next() {
+                    match inner {
+                        '\\' => drop(rest.next()),
+                        '"' => break,
+                        _ => {}
+                    }
+                }
+            }
+            '\'' if text[at..].starts_with("'('") || text[at..].starts_with("')'") => drop(rest.next()),
+            '(' => depth += 1,
+            ')' if depth == 1 => return at,
+            ')' => depth -= 1,
+            _ => {}
+        }
+    }
+    panic!("an invocation without an end: {text}");
+}
+
+/// The message of an invocation: its second argument, which is a literal without a place to fill in.
+fn message(arguments: &str) -> String {
+    let (_, after_logger) = arguments.split_once(',').expect("a logger and a message");
+    let text = after_logger.trim_start();
+    let Some(literal) = text.strip_prefix('"') else { panic!("the message is not constant: {arguments}") };
+    let mut message = String::new();
+    let mut rest = literal.chars();
+    while let Some(character) = rest.next() {
+        match character {
+            '"' => break,
+            '\\' => message.extend(rest.next()),
+            other => message.push(other),
+        }
+    }
+    assert!(!message.contains('{'), "the message is not constant: {arguments}");
+    message
+}
