--- a/crates/site-drain/src/coordinator.rs
+++ b/crates/site-drain/src/coordinator.rs
@@ -2,25 +2,13 @@
 
 use std::collections::BTreeMap;
 
+use crate::load_measurement::{MeasuredSite, rates_by_site};
+use crate::wait_texts::{moving_text, remaining_text};
 use crate::{
     CompletionCheck, DirectiveVersion, DrainState, FleetObservations, Micros, OperatorCommand, Order, Plan,
-    ReceivedReport, Remaining, SiteDrain, SiteLoad, Stage, WHOLE, WaitReason,
+    ReceivedReport, Remaining, SiteDrain, Stage, WHOLE,
 };
 
-/// A site is expected to bear this many times what it was seen to serve.
-const EXPECTED_HEADROOM: f64 = 1.25;
-/// What a site was seen to serve is believed this much less with each evaluation, once a second: by half in six minutes.
-const CAPACITY_DECAY: f64 = 0.998;
-/// The weight of a new figure in the smoothed load.
-const SMOOTHING: f64 = 0.4;
-/// Requests a second from which on the share that is served says something.
-const MIN_RATE: f64 = 5.0;
-/// The served share under which a site does not bear what it was expected to.
-const OVERLOADED_SHARE: f64 = 0.9;
-/// How fast the expectation then falls to what it serves, with each evaluation.
-const OVERLOAD_CORRECTION: f64 = 0.2;
-/// The shortest span that rates are computed over, in milliseconds, so that the division stays sound.
-const MIN_SPAN_MS: u32 = 100;
 /// How long a report counts, in microseconds: a proxy reports under other leases in between.
 const REPORT_LIFETIME: Micros = 6_000_000;
 /// How many of the living proxies must report before a drain begins, in percent: shares stay the same for the whole drain.
@@ -30,21 +18,6 @@
 /// Stands for all proxies that departed before this lease holder started.
 const EARLIER_PROXIES: &str = "";
 
-/// The smoothed load of a site, and the rate that it was seen to serve.
-#[derive(Debug)]
-struct MeasuredSite {
-    load: SiteLoad,
-    proven_rate: f64,
-}
-
-/// Requests a second, summed over the proxies of one site.
-#[derive(Clone, Copy, Debug, Default)]
-struct Rates {
-    ended: f64,
-    within_objective: f64,
-    session_reads: f64,
-}
-
 /// One site's drain, as this lease holder carries it on.
 #[derive(Debug)]
 struct ActiveDrain {
@@ -216,8 +189,7 @@
     fn measure(&mut self, reports: &BTreeMap<String, ReceivedReport>) {
         let rates = rates_by_site(reports);
         for (name, site) in &mut self.sites {
-            site.load.is_alive = rates.contains_key(name.as_str());
-            site.proven_rate *= CAPACITY_DECAY;
+            site.fade(rates.contains_key(name.as_str()));
         }
         for (name, rates) in rates {
             let site = self.sites.entry(name.to_owned()).or_insert_with(|| MeasuredSite::new(rates));
@@ -276,52 +248,6 @@
     spare_rate: f64,
 }
 
-fn rates_by_site(reports: &BTreeMap<String, ReceivedReport>) -> BTreeMap<&str, Rates> {
-    let mut sums: BTreeMap<&str, Rates> = BTreeMap::new();
-    let reports = reports.values().map(|received| &received.report);
-    for report in reports.filter(|report| !report.site.is_empty()) {
-        let seconds = f64::from(report.over_ms.max(MIN_SPAN_MS)) / 1000.0;
-        let sum = sums.entry(&report.site).or_default();
-        sum.ended += f64::from(report.ended) / seconds;
-        sum.within_objective += f64::from(report.within_objective) / seconds;
-        sum.session_reads += f64::from(report.session_reads) / seconds;
-    }
-    sums
-}
-
-impl Rates {
-    /// The share that is served within its latency objective; all of it where too few requests end to tell.
-    fn served_share(&self) -> f64 {
-        if self.ended >= MIN_RATE { self.within_objective / self.ended } else { 1.0 }
-    }
-}
-
-impl MeasuredSite {
-    fn new(rates: Rates) -> MeasuredSite {
-        let load = SiteLoad {
-            rate: rates.ended,
-            session_rate: rates.session_reads,
-            spare_rate: 0.0,
-            served_share: rates.served_share(),
-            is_alive: true,
-        };
-        MeasuredSite { load, proven_rate: rates.within_objective }
-    }
-
-    fn update(&mut self, rates: Rates) {
-        let load = &mut self.load;
-        load.rate += (rates.ended - load.rate) * SMOOTHING;
-        load.session_rate += (rates.session_reads - load.session_rate) * SMOOTHING;
-        load.served_share += (rates.served_share() - load.served_share) * SMOOTHING;
-        let served = load.rate * load.served_share;
-        self.proven_rate = self.proven_rate.max(served);
-        if load.served_share < OVERLOADED_SHARE {
-            self.proven_rate += (served - self.proven_rate) * OVERLOAD_CORRECTION;
-        }
-        load.spare_rate = (self.proven_rate * EXPECTED_HEADROOM - load.rate).max(0.0);
-    }
-}
-
 impl ActiveDrain {
     /// The plan to direct now. `emptied_by` is the directive in force that says that the site has no sessions, if any.
     fn evaluate(&mut self, evaluation: &Evaluation<'_>, emptied_by: Option<DirectiveVersion>) -> Plan {
@@ -385,35 +311,3 @@
         Plan { command, stage, weight, shares: self.shares.clone(), waits }
     }
 }
-
-// ---- What a plan waits for, for people. Other versions and users' programs read these texts: they stay as they are.
-
-/// What the next step waits for. That the last one is to be confirmed is true of each, and not worth telling.
-fn moving_text(waits: Option<&WaitReason>, is_late: bool) -> Option<String> {
-    let waits = waits.filter(|waits| **waits != WaitReason::StepUnconfirmed).map(wait_text);
-    let late = is_late.then(|| "too late for the time named, at this pace".to_owned());
-    let texts: Vec<String> = [waits, late].into_iter().flatten().collect();
-    Some(texts.join("; ")).filter(|text| !text.is_empty())
-}
-
-fn wait_text(waits: &WaitReason) -> String {
-    match waits {
-        WaitReason::StepUnconfirmed => "the last step to be confirmed".to_owned(),
-        WaitReason::PoorService(site) => format!("service at {site}"),
-        WaitReason::SiteSilent(site) => format!("site {site}, which is not heard"),
-        WaitReason::FewReports => "more drivers to be heard".to_owned(),
-        WaitReason::NoCapacity => "room elsewhere".to_owned(),
-        WaitReason::Paused => "the operator's word".to_owned(),
-    }
-}
-
-fn remaining_text(remaining: Option<Remaining>) -> String {
-    match remaining {
-        Some(Remaining::Proxies(names)) => {
-            format!("drivers that have something there: {}", names.join(" "))
-        }
-        Some(Remaining::SilentUntil(_)) => "drivers that are not heard and may act still".to_owned(),
-        Some(Remaining::Nothing) => String::new(),
-        None => "its decree to go round".to_owned(),
-    }
-}
--- a/crates/site-drain/src/lib.rs
+++ b/crates/site-drain/src/lib.rs
@@ -31,11 +31,13 @@
 mod completion_check;
 mod coordinator;
 mod followed_plans;
+mod load_measurement;
 mod observations;
 mod plan;
 mod report;
 mod site_drain;
 mod site_weights;
+mod wait_texts;
 
 pub use completion_check::{CompletionCheck, Remaining};
 pub use coordinator::DrainCoordinator;
--- a/crates/site-link/src/incoming.rs
+++ b/crates/site-link/src/incoming.rs
@@ -40,7 +40,7 @@
 pub(crate) enum DataProgress {
     /// The rest is to be waited for.
     Incomplete,
-    /// The sender may send so many bytes more.
+    /// The sender may send this many bytes more.
     WidenWindow(u32),
     /// The message has arrived whole.
     Complete(Inbound),
--- a/crates/site-link/src/link.rs
+++ b/crates/site-link/src/link.rs
@@ -242,7 +242,7 @@
         crate::outbox::encode(FrameKind::Close(Close { why: why.to_owned() }))
     }
 
-    /// The next bytes to write: whole frames, until there are at least so many bytes or nothing is left that may go.
+    /// The next bytes to write: whole frames, until there are `at_least` bytes or nothing is left that may go.
     pub fn next_bytes(&mut self, at_least: usize) -> Option<Vec<u8>> {
         let mut out = self.outbox.pop()?;
         while out.len() < at_least
--- a/crates/site-link/src/message.rs
+++ b/crates/site-link/src/message.rs
@@ -22,7 +22,7 @@
     Confirm(Confirm),
     /// What the other side can take, and which groups it has.
     CapacityAnnouncement(CapacityAnnouncement),
-    /// A ping came back after so many microseconds.
+    /// A ping came back; this is the round trip in microseconds.
     RoundTrip(Micros),
 }
 
--- a/crates/site-link/src/outbox.rs
+++ b/crates/site-link/src/outbox.rs
@@ -68,7 +68,7 @@
 }
 
 impl Outbox {
-    /// The other side has greeted, and takes so many bytes of each stream unasked.
+    /// The other side has greeted; it takes `initial_window` bytes of each stream unasked.
     pub(crate) fn open(&mut self, initial_window: usize) {
         self.initial_window = initial_window;
         let streams: Vec<StreamId> = self.data.keys().copied().collect();
@@ -101,7 +101,7 @@
         self.queue_turn(stream);
     }
 
-    /// The other side takes so many bytes more of a stream. It may say so late, when the stream has ended.
+    /// The other side takes more of a stream. Its frame may come late, when the stream has ended.
     pub(crate) fn widen_window(&mut self, stream: StreamId, bytes: usize) {
         if !self.data.contains_key(&stream) {
             return;
--- a/crates/site-routing/src/router/link_events.rs
+++ b/crates/site-routing/src/router/link_events.rs
@@ -12,7 +12,7 @@
         self.homes.assume(group, site);
     }
 
-    /// The local endpoint list has these groups, each with so many ready members.
+    /// The local endpoint list has changed: each group with its number of ready members.
     pub fn groups_listed(&mut self, now: Micros, groups: &[(u64, usize)]) -> Actions {
         self.homes.set_local_members(groups);
         self.actions.announce_capacity = true;
--- a/crates/site-routing/src/router/local.rs
+++ b/crates/site-routing/src/router/local.rs
@@ -4,7 +4,7 @@
 use crate::pending_requests::{PendingRequest, RequestLocation};
 use crate::{Action, Actions, LOCAL_SITE, LocalResult, Micros, Need, RequestHandle};
 
-/// The home of a group is doubted only after so many attempts found no primary there, even if the site has fewer members: a
+/// How many attempts must find no primary at the home of a group before it is doubted, even if the site has fewer members: a
 /// single answer may be from before a fail-over within the site.
 const ANSWERS_TO_DOUBT_HOME: usize = 2;
 
