--- a/crates/site-routing/src/peer_gateway.rs
+++ b/crates/site-routing/src/peer_gateway.rs
@@ -7,7 +7,7 @@
 use crate::primary_search::SEARCH_HOLD;
 use crate::{Micros, NEVER, RequestClass, SiteId};
 
-/// The round trip that is assumed until one is measured, in microseconds: a long line within a continent.
+/// The round trip that is assumed until one is measured, in microseconds.
 pub(crate) const INITIAL_ROUND_TRIP: Micros = 50_000;
 /// How long a gateway that failed is blacklisted, in microseconds.
 const BLACKLIST_DURATION: Micros = 5_000_000;
--- a/crates/site-routing/src/primary_search.rs
+++ b/crates/site-routing/src/primary_search.rs
@@ -5,8 +5,7 @@
 use crate::{Micros, NEVER};
 
 /// How long no further search for a group's primary starts after all sites said that it is not there, in microseconds; as
-/// long as the local router holds a write after all members said so. A fail-over takes about that long, and until it is over
-/// every search costs each site one attempt at each of its members.
+/// long as the local router holds a write after all members said so. Every search costs each site an attempt at its members.
 pub(crate) const SEARCH_HOLD: Micros = 500_000;
 
 /// Decides when the sites may be searched for a group's primary.
--- a/crates/site-routing/src/recording_promise.rs
+++ b/crates/site-routing/src/recording_promise.rs
@@ -5,7 +5,7 @@
 /// How long a promise holds, in microseconds; also how long remote requests are rejected at most once the disk takes
 /// nothing.
 pub(crate) const PROMISE_DURATION: Micros = 5_000_000;
-/// A promise is renewed once no more than this is left of it, in microseconds, so that a slow disk has two seconds.
+/// A promise is renewed once no more than this is left of it, in microseconds: a slow disk has that long before it ends.
 const RENEW_BELOW: Micros = 3_000_000;
 
 /// That until a stated time nothing is accepted without a record on disk. It stands on the disk too, so that a later
