--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use aldermill_routing::{Handle, Micros, Need, Outcome, Request, Role, Verdict};
+use aldermill_routing::{Micros, Need, Outcome, Request, RequestHandle, Role, Verdict};
 use aldermill_site_routing::{Actions as SiteActions, RequestHandle as SiteRequestHandle};
 use aldermill_wire::statement::quoted;
 
@@ -19,23 +19,23 @@
     pub(super) request: Rc<ClientRequest>,
     /// Its request class, by its place in the settings.
     pub(super) class: usize,
-    /// An instant on the router's clock: a span would start anew after a stall of the process.
+    /// On the router's clock: an instant, which a process that is held up on the way does not put off.
     pub(super) deadline: Micros,
-    /// Present where the gateway part hands it to the router.
+    /// Present where the gateway part hands it over.
     pub(super) via: Option<SiteRequestHandle>,
 }
 
-/// What the gateway part decides when an attempt found that its member is not primary.
+/// What the gateway part makes of an answer that its member is not primary.
 #[derive(Default)]
-pub(super) struct NotPrimaryDecision {
-    /// To be carried out once the router was told of the attempt, too.
+pub(super) struct SiteMiss {
+    /// To be carried out once the router has heard the answer, too.
     pub(super) actions: Option<SiteActions>,
     /// Whether the gateway part takes the request back from the router.
     pub(super) taken_back: bool,
 }
 
 impl Dispatcher {
-    /// Rejects a client's request at once, or hands it on.
+    /// A client's request: rejected at once, or on its way.
     pub(super) fn client_request(&mut self, request: ClientRequest) {
         match self.check(&request) {
             Err(answer) => WaitingClient::of(&request).answer(answer),
@@ -44,13 +44,13 @@
         }
     }
 
-    /// The request's class, or the answer where it is not accepted.
+    /// The request's class, or why it is not taken.
     fn check(&self, request: &ClientRequest) -> Result<usize, Answer> {
         let comment = &request.comment;
         let Ok(class) = self.decoded.class(&comment.class) else {
             return Err(Answer::InvalidStatement("unknown offering"));
         };
-        // The endpoint list may be older than the group: the request was not forwarded, and may be sent again.
+        // The list may be older than its group: the request was not sent on, and may be sent again.
         if !self.knows_group(comment.group) {
             return Err(Answer::Rejected { retry_after: 0 });
         }
@@ -65,22 +65,21 @@
 
     /// Whether the group was ever listed, here or at another site.
     fn knows_group(&self, group: u64) -> bool {
-        let at_other_site = |gateway_part: &GatewayPart| gateway_part.knows_group(group);
-        self.groups.contains(&group) || self.gateway_part.as_ref().is_some_and(at_other_site)
+        let elsewhere = |gateway_part: &GatewayPart| gateway_part.knows_group(group);
+        self.groups.contains(&group) || self.gateway_part.as_ref().is_some_and(elsewhere)
     }
 
     /// Whether as many requests are under way as the operator allows.
     fn is_full(&self) -> bool {
-        let between_sites = self.gateway_part.as_ref().map_or(0, GatewayPart::open_requests);
-        self.open_requests.len().max(between_sites) >= self.context.limits.open_requests
+        let crossing = self.gateway_part.as_ref().map_or(0, GatewayPart::open_requests);
+        self.open_requests.len().max(crossing) >= self.context.limits.open_requests
     }
 
     /// Hands a checked request to the router and carries out its first decision.
     fn admit(&mut self, request: ClientRequest, class: usize) {
         // The timeout has run since the statement arrived.
         let deadline = request.received_at + Micros::from(request.comment.wait) * 1000;
-        let client = request.client;
-        let id = request.comment.id.clone();
+        let (client, id) = (request.client, request.comment.id.clone());
         let handover = Handover { request: Rc::new(request), class, deadline, via: None };
         let (handle, actions) = self.hand_over(handover);
         self.locations.insert(client, RequestLocation::Router(handle));
@@ -89,7 +88,7 @@
     }
 
     /// Hands a request to the router. What the router returns is not carried out yet.
-    pub(super) fn hand_over(&mut self, handover: Handover) -> (Handle, aldermill_routing::Actions) {
+    pub(super) fn hand_over(&mut self, handover: Handover) -> (RequestHandle, aldermill_routing::Actions) {
         let Handover { request, class, deadline, via } = handover;
         let now = self.context.clock.now();
         let routed = self.routed_request(&request, class, deadline, now);
@@ -144,18 +143,17 @@
             AttemptResponse::None => {}
         }
         let open = self.open_requests.get(&handle);
-        let via = open.and_then(|open| open.via);
-        let group = open.map_or(0, |open| open.request.comment.group);
-        // The gateway part is told first: it may take the request back before the router retries it.
-        let not_primary = self.report_to_gateway_part(via, verdict, elapsed);
+        let (via, group) = open.map_or((None, 0), |open| (open.via, open.request.comment.group));
+        // The gateway part hears of a miss first: it may take the request back before the router tries again.
+        let miss = self.gateway_part_hears(via, verdict, elapsed);
         let no_longer_awaited = self.open_requests.get(&handle).is_none_or(|open| open.client.is_none());
-        let closed = not_primary.taken_back || no_longer_awaited;
+        let closed = miss.taken_back || no_longer_awaited;
         let outcome = Outcome { verdict, took: elapsed, report, closed };
         let now = self.context.clock.now();
         let ((), actions) = self.decide(|router| ((), handle.ended(router, now, outcome)));
         self.carry_out(actions);
         self.release(handle);
-        if let Some(actions) = not_primary.actions {
+        if let Some(actions) = miss.actions {
             self.carry_out_site_actions(actions, None);
         }
         if via.is_some() && report.role == Some(Role::Primary) {
@@ -181,14 +179,13 @@
         }
     }
 
-    /// Tells the gateway part, where the request came through it, that an attempt found a member that is not primary, or
-    /// may have run.
-    fn report_to_gateway_part(
+    /// Tells the gateway part, where the request came through it, that an attempt missed or may have run.
+    fn gateway_part_hears(
         &mut self,
         via: Option<SiteRequestHandle>,
         verdict: Verdict,
         elapsed: Micros,
-    ) -> NotPrimaryDecision {
+    ) -> SiteMiss {
         match via {
             Some(via) if verdict == Verdict::NotPrimary => return self.not_primary_here(via),
             Some(via) if verdict != Verdict::Served && !verdict.never_ran() => {
@@ -196,7 +193,7 @@
             }
             _ => {}
         }
-        NotPrimaryDecision::default()
+        SiteMiss::default()
     }
 
     /// A client no longer waits for its request, whoever decides on it.
@@ -209,9 +206,9 @@
     }
 
     /// The router forgets a request that nobody waits for here any more; attempts that were sent go on.
-    pub(super) fn abandon(&mut self, handle: Handle) {
+    pub(super) fn abandon(&mut self, handle: RequestHandle) {
         if let Some(open) = self.open_requests.get_mut(&handle) {
-            open.cancel();
+            open.withdraw();
         }
         let now = self.context.clock.now();
         let ((), actions) = self.decide(|router| ((), handle.left(router, now)));
@@ -220,12 +217,12 @@
     }
 
     /// Drops what is kept for a request that the router has finished with.
-    pub(super) fn release(&mut self, handle: Handle) {
+    pub(super) fn release(&mut self, handle: RequestHandle) {
         if self.router.knows(handle) {
             return;
         }
         let Some(open) = self.open_requests.remove(&handle) else { return };
-        // For its own requests the gateway part keeps these.
+        // The gateway part keeps these of its own requests.
         if open.via.is_none() {
             self.open_ids.remove(&open.request.comment.id);
             if let Some(client) = open.client {
