--- a/crates/proxy/src/coordination/split_points.rs
+++ b/crates/proxy/src/coordination/split_points.rs
@@ -4,7 +4,10 @@
 use std::collections::BTreeMap;
 
 use aldermill_directives::{DirectiveStore, Micros, Reports, Topic};
-use aldermill_split_points::{Group, Picture, RangeAdvice, Ranges, Said, State, Summary, frame};
+use aldermill_split_points::{
+    Group, KeyDistribution, KeySummary, RangeRecommendation, RangeSet, RecommendationState, SplitAssessment,
+    SplitPoint,
+};
 use serde_json::{Value, json};
 use slog::{Logger, info};
 
@@ -13,31 +16,31 @@
 
 /// The lease's name.
 pub const LEASE: &str = "splits";
-/// For how long a report counts: a proxy reports one group after the other.
+/// For how long a report counts, in microseconds: a proxy reports one group after the other, up to 64 of them.
 const REPORTS_COUNT_FOR: Micros = 60_000_000;
 
 /// What was last logged of a range.
 #[derive(PartialEq)]
 struct Logged {
-    state: State,
+    state: RecommendationState,
     /// Where to split it, or why not.
-    place_or_reason: String,
+    split_or_reason: String,
 }
 
 /// This proxy's part in split recommendations.
 pub struct SplitPointWork {
     /// Where the operators have split each group.
-    cuts: BTreeMap<u64, Vec<String>>,
-    ranges: WhileHeld<BTreeMap<Group, Ranges>>,
+    splits: BTreeMap<Group, Vec<String>>,
+    ranges: WhileHeld<BTreeMap<Group, RangeSet>>,
     /// By the subject of the range.
     logged: BTreeMap<String, Logged>,
-    /// Proxies whose figures were set aside in the last decision.
-    set_aside: Vec<String>,
+    /// Proxies whose figures were left out of the last decision.
+    excluded: Vec<String>,
     log: Logger,
 }
 
-fn cuts_of(cuts: &BTreeMap<u64, Vec<String>>, group: Group) -> Vec<Vec<u8>> {
-    cuts.get(&group).into_iter().flatten().map(|cut| cut.clone().into_bytes()).collect()
+fn splits_of(splits: &BTreeMap<Group, Vec<String>>, group: Group) -> Vec<Vec<u8>> {
+    splits.get(&group).into_iter().flatten().map(|split| split.clone().into_bytes()).collect()
 }
 
 fn hex(key: &[u8]) -> String {
@@ -49,89 +52,126 @@
     pairs.map(|pair| u8::from_str_radix(std::str::from_utf8(pair).ok()?, 16).ok()).collect()
 }
 
+/// A key as operators read it; bytes that are not UTF-8 are replaced.
+fn key_text(key: &[u8]) -> String {
+    String::from_utf8_lossy(key).into_owned()
+}
+
+/// To thousandths, as operators need no more.
+fn rounded(share: f64) -> f64 {
+    (share * 1000.0).round() / 1000.0
+}
+
 /// A range as a directive's subject: the group, and the range's first key where it is not the group's first.
 fn subject(group: Group, from: &[u8]) -> String {
     if from.is_empty() { group.to_string() } else { format!("{group}+{}", hex(from)) }
 }
 
 /// What is recommended for a range, as it stands in the directive and on the status socket. Keys are in hexadecimal, and
-/// as text.
-fn body(of: &RangeAdvice, alone: bool) -> Value {
-    let advice = &of.advice;
-    let state = match advice.state {
-        State::Seen => "seen",
-        State::Proposed => "proposed",
-        State::Withdrawn => "withdrawn",
-    };
-    let text = |key: &[u8]| String::from_utf8_lossy(key).into_owned();
-    let rounded = |share: f64| (share * 1000.0).round() / 1000.0;
-    let why = match &advice.said {
-        _ if of.merges => json!({"why": "it and the range before it are cold, give both to one"}),
-        Said::Balanced => json!({"why": "none too large among its group's ranges"}),
-        Said::Unknown => json!({"why": "too little was seen"}),
-        Said::Uncovered { heard, living } => {
-            json!({"why": "too few drivers are heard", "heard": heard, "living": living})
-        }
-        Said::Even => json!({"why": "cost follows the number of keys, any cut by their number is as good"}),
-        Said::HotKey { key, share } => {
-            json!({"why": "one key has most of it, a cut does not help", "key": text(key), "share": rounded(*share)})
-        }
-        Said::Front { from } => {
-            json!({"why": "load is at ever new keys, give those from here on to a new range", "from": text(from)})
-        }
-        Said::Waits => json!({"why": "it has not held for long enough"}),
-        Said::Cut(cut) => json!({"at": hex(&cut.at), "at_text": text(&cut.at), "left": rounded(cut.left),
-            "within": rounded(cut.within), "writes": cut.writes.map(rounded)}),
+/// as text. Users' programs read it: keys and texts keep their form.
+fn body(range: &RangeRecommendation, only_range: bool) -> Value {
+    let split = &range.split;
+    let mut body = json!({
+        "state": state_word(split.state),
+        "drivers": split.reporters,
+        "cost_ms": split.cost.round(),
+    });
+    let details = if range.merge_with_previous {
+        json!({"why": "it and the range before it are cold, give both to one"})
+    } else {
+        describe_assessment(&split.assessment)
     };
-    let mut body = json!({"state": state, "drivers": advice.drivers, "cost_ms": advice.cost.round()});
-    if let (Value::Object(body), Value::Object(why)) = (&mut body, why) {
-        body.extend(why);
+    if let (Value::Object(body), Value::Object(details)) = (&mut body, details) {
+        body.extend(details);
     }
-    if !alone {
-        body["from"] = json!(hex(&of.from));
-        body["from_text"] = json!(text(&of.from));
-        body["share"] = json!(rounded(of.share));
-        body["share_within"] = json!(rounded(of.within));
+    if !only_range {
+        body["from"] = json!(hex(&range.from));
+        body["from_text"] = json!(key_text(&range.from));
+        body["share"] = json!(rounded(range.share));
+        body["share_within"] = json!(rounded(range.margin));
     }
     body
 }
 
-/// Where an earlier lease holder recommended to split a range.
-fn proposed_cut(directives: &DirectiveStore, now: Micros, subject: &str) -> Option<Vec<u8>> {
+fn state_word(state: RecommendationState) -> &'static str {
+    match state {
+        RecommendationState::Observing => "seen",
+        RecommendationState::Proposed => "proposed",
+        RecommendationState::Withdrawn => "withdrawn",
+    }
+}
+
+fn describe_assessment(assessment: &SplitAssessment) -> Value {
+    match assessment {
+        SplitAssessment::Balanced => json!({"why": "none too large among its group's ranges"}),
+        SplitAssessment::Unknown => json!({"why": "too little was seen"}),
+        SplitAssessment::LowCoverage { reporters, living } => {
+            json!({"why": "too few drivers are heard", "heard": reporters, "living": living})
+        }
+        SplitAssessment::Uniform => {
+            json!({"why": "cost follows the number of keys, any cut by their number is as good"})
+        }
+        SplitAssessment::HotKey { key, share } => json!({
+            "why": "one key has most of it, a cut does not help",
+            "key": key_text(key),
+            "share": rounded(*share),
+        }),
+        SplitAssessment::MovingFront { from } => json!({
+            "why": "load is at ever new keys, give those from here on to a new range",
+            "from": key_text(from),
+        }),
+        SplitAssessment::Pending => json!({"why": "it has not held for long enough"}),
+        SplitAssessment::Split(split) => describe_split(split),
+    }
+}
+
+fn describe_split(split: &SplitPoint) -> Value {
+    json!({
+        "at": hex(&split.key),
+        "at_text": key_text(&split.key),
+        "left": rounded(split.left_share),
+        "within": rounded(split.margin),
+        "writes": [rounded(split.writes.left), rounded(split.writes.right)],
+    })
+}
+
+/// Where an earlier lease holder proposed to split a range.
+fn proposed_split(directives: &DirectiveStore, now: Micros, subject: &str) -> Option<Vec<u8>> {
     let body: Value = serde_json::from_slice(directives.in_force(now, &Topic::new(LEASE, subject))?).ok()?;
     let proposed = body["state"] == "proposed";
     from_hex(body["at"].as_str().filter(|_| proposed)?)
 }
 
-fn recent_pictures(now: Micros, reports: &Reports) -> BTreeMap<Group, Picture> {
-    let mut summaries: BTreeMap<Group, BTreeMap<String, Summary>> = BTreeMap::new();
+/// The newest summaries of all proxies, combined by group; those that can't be read are left out.
+fn recent_distributions(now: Micros, reports: &Reports) -> BTreeMap<Group, KeyDistribution> {
+    let mut summaries: BTreeMap<Group, BTreeMap<String, KeySummary>> = BTreeMap::new();
     for report in reports.recent(now, REPORTS_COUNT_FOR, LEASE) {
         if let Ok(group) = report.subject.parse()
-            && let Ok(summary) = frame::decode(report.body)
+            && let Ok(summary) = KeySummary::decode(report.body)
         {
             summaries.entry(group).or_default().insert(report.reporter.to_owned(), summary);
         }
     }
-    summaries.into_iter().map(|(group, of_group)| (group, Picture::of(&of_group))).collect()
+    summaries.into_iter().map(|(group, of_group)| (group, KeyDistribution::combine(&of_group))).collect()
 }
 
 impl SplitPointWork {
     /// The part of a proxy, with the splits that the operators have made.
-    pub fn start(cuts: BTreeMap<u64, Vec<String>>, log: Logger) -> SplitPointWork {
+    pub fn start(splits: BTreeMap<Group, Vec<String>>, log: Logger) -> SplitPointWork {
         SplitPointWork {
-            cuts,
+            splits,
             ranges: WhileHeld::none(),
             logged: BTreeMap::new(),
-            set_aside: Vec::new(),
+            excluded: Vec::new(),
             log,
         }
     }
 
     /// The operators have split elsewhere: ranges that are as they were keep what is known of them.
-    pub fn reconfigure(&mut self, now: Micros, cuts: &BTreeMap<u64, Vec<String>>) {
-        self.cuts.clone_from(cuts);
+    pub fn reconfigure(&mut self, now: Micros, splits: &BTreeMap<Group, Vec<String>>) {
+        self.splits.clone_from(splits);
         for (group, ranges) in self.ranges.get_mut().into_iter().flatten() {
-            ranges.cut(now, &cuts_of(cuts, *group), |_| None);
+            ranges.set_splits(now, &splits_of(splits, *group), |_| None);
         }
     }
 
@@ -148,47 +188,55 @@
     pub(super) fn decide(&mut self, inputs: &DecisionInputs<'_>) -> Vec<Decision> {
         let now = inputs.at.now;
         let Some(groups) = self.ranges.under(inputs.term, BTreeMap::new) else { return Vec::new() };
-        let pictures = recent_pictures(now, inputs.reports);
-        for group in pictures.keys() {
+        let distributions = recent_distributions(now, inputs.reports);
+        for group in distributions.keys() {
             groups.entry(*group).or_insert_with(|| {
-                let proposed = |from: &[u8]| proposed_cut(inputs.directives, now, &subject(*group, from));
-                Ranges::start(now, &cuts_of(&self.cuts, *group), proposed)
+                let proposed = |from: &[u8]| proposed_split(inputs.directives, now, &subject(*group, from));
+                RangeSet::start(now, &splits_of(&self.splits, *group), proposed)
             });
         }
-        let ranges: usize = groups.values().map(Ranges::len).sum();
-        let usual_cost = pictures.values().map(Picture::cost).sum::<f64>() / ranges.max(1) as f64;
+        let average_cost = average_range_cost(groups, &distributions);
         let mut decisions = Vec::new();
-        self.set_aside.clear();
-        for (group, picture) in pictures {
+        self.excluded.clear();
+        for (group, distribution) in distributions {
             let Some(ranges) = groups.get_mut(&group) else { continue };
-            self.set_aside.extend(picture.aside.iter().cloned());
-            let advice = ranges.look(now, &picture, inputs.living.len(), usual_cost);
-            for of in &advice {
-                let subject = subject(group, &of.from);
-                let body = body(of, advice.len() == 1);
-                log_changed(&mut self.logged, &self.log, &subject, of.advice.state, &body);
+            self.excluded.extend(distribution.excluded.iter().cloned());
+            let recommendations = ranges.advise(now, &distribution, inputs.living.len(), average_cost);
+            for range in &recommendations {
+                let subject = subject(group, &range.from);
+                let body = body(range, recommendations.len() == 1);
+                log_changed(&mut self.logged, &self.log, &subject, range.split.state, &body);
                 decisions.push(Decision { subject, body: body.to_string().into_bytes() });
             }
         }
         decisions
     }
 
-    /// Proxies whose figures were set aside.
+    /// Proxies whose figures were left out of the last decision.
     pub fn set_aside(&self) -> &[String] {
-        &self.set_aside
+        &self.excluded
     }
 }
 
+/// What a range costs on average over all groups, in milliseconds of recent member time.
+fn average_range_cost(
+    groups: &BTreeMap<Group, RangeSet>,
+    distributions: &BTreeMap<Group, KeyDistribution>,
+) -> f64 {
+    let ranges: usize = groups.values().map(RangeSet::len).sum();
+    distributions.values().map(KeyDistribution::cost).sum::<f64>() / ranges.max(1) as f64
+}
+
 /// Logs a recommendation that is not what was last logged of its range.
 fn log_changed(
     logged: &mut BTreeMap<String, Logged>,
     log: &Logger,
     subject: &str,
-    state: State,
+    state: RecommendationState,
     body: &Value,
 ) {
-    let place_or_reason = body["at_text"].as_str().or(body["why"].as_str()).unwrap_or_default().to_owned();
-    let latest = Logged { state, place_or_reason };
+    let split_or_reason = body["at_text"].as_str().or(body["why"].as_str()).unwrap_or_default().to_owned();
+    let latest = Logged { state, split_or_reason };
     if logged.get(subject) != Some(&latest) {
         info!(log, "split recommendation"; "says" => body.to_string(), "range" => subject);
         logged.insert(subject.to_owned(), latest);
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -6,7 +6,7 @@
 
 use aldermill_routing::{Handle, Micros, Need, ReadShift, Verdict};
 use aldermill_settings::Decoded;
-use aldermill_split_points::{Sketch, frame};
+use aldermill_split_points::KeySketch;
 use aldermill_wire::statement::quoted;
 use aldermill_zone_failover::{ReadOutcome, RecentReads, TrafficShift, ZoneDirective, ZoneHistory};
 use tokio::sync::oneshot;
@@ -34,7 +34,7 @@
     zone_history: ZoneHistory,
     in_flight: HashMap<Handle, AttemptInFlight>,
     /// By group; `None` where no split points are decided.
-    keys: Option<BTreeMap<u64, Sketch>>,
+    keys: Option<BTreeMap<u64, KeySketch>>,
     seed: u64,
 }
 
@@ -97,14 +97,14 @@
             return;
         }
         let seed = self.seed ^ group;
-        let sketch = keys.entry(group).or_insert_with(|| Sketch::start(now, seed));
+        let sketch = keys.entry(group).or_insert_with(|| KeySketch::start(now, seed));
         let cost_ms = elapsed as f64 / 1000.0;
-        sketch.access(now, &attempt.key, attempt.write, cost_ms);
+        sketch.record(now, &attempt.key, attempt.write, cost_ms);
     }
 
     fn summary(&mut self, now: Micros, site: Option<SiteObservations>) -> ObservationSummary {
         let RecentReads { span, rows } = self.zone_history.take(now);
-        let encoded = |(&group, sketch): (&u64, &mut Sketch)| (group, frame::encode(sketch, now));
+        let encoded = |(&group, sketch): (&u64, &mut KeySketch)| (group, sketch.encode_summary(now));
         let keys = self.keys.iter_mut().flatten().map(encoded).collect();
         ObservationSummary { span, rows, keys, site }
     }
--- a/crates/split-points/src/ranges.rs
+++ b/crates/split-points/src/ranges.rs
@@ -1,109 +1,162 @@
-use crate::{Advice, Advisor, Micros, Picture, Said, State};
+//! Recommendations for all ranges into which operators have split a group.
 
-/// A range is looked at for a cut where it has so many times its even share of the group.
-const LARGE: f64 = 1.25;
-/// Two neighbours that together cost under so much of a usual range are better one.
-const COLD: f64 = 0.3;
-const WINDOW: Micros = 10_000_000;
-/// In so many windows running.
-const HOLDS: usize = 3;
+use crate::{
+    KeyDistribution, Micros, RecommendationState, SplitAdvisor, SplitAssessment, SplitRecommendation, WINDOW,
+    WINDOWS_TO_HOLD,
+};
 
-/// What is said of one range of a group.
+/// From which share of the group's cost on a range is considered for a split, as a multiple of its even share: a range that
+/// is none too large among its group's is left whole.
+const LARGE_TIMES_EVEN_SHARE: f64 = 1.25;
+/// Two neighbours that together cost under this part of an average range are better merged.
+const COLD_PAIR_COST: f64 = 0.3;
+
+/// What is recommended for one range of a group.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RangeAdvice {
-    /// Its first key; empty for the group's first range.
+pub struct RangeRecommendation {
+    /// The range's first key; empty for the group's first range.
     pub from: Vec<u8>,
-    /// Its share of the group's cost, and how far that may be off.
+    /// Its share of the group's cost, from 0 to 1.
     pub share: f64,
-    pub within: f64,
-    /// It and the one before are better one: nothing else is said of it.
-    pub merges: bool,
-    pub advice: Advice,
+    /// How far `share` may be off to either side, in 95 of 100 cases.
+    pub margin: f64,
+    /// It and the range before it are better merged; then operators are told nothing else of it.
+    pub merge_with_previous: bool,
+    /// Whether it should be split.
+    pub split: SplitRecommendation,
 }
 
-#[derive(Clone, Debug)]
-struct Range {
+/// The keys of one range.
+#[derive(Clone, Debug, PartialEq)]
+struct KeyBounds {
+    /// The first key; empty for the group's first range.
     from: Vec<u8>,
-    advisor: Advisor,
-    /// For how many windows it and the one before have been cold.
-    cold: usize,
+    /// The first key of the next range, if there is one.
+    to: Option<Vec<u8>>,
 }
 
-/// Keeps the recommendations for one group, which its operators have cut into ranges or not.
 #[derive(Clone, Debug)]
-pub struct Ranges {
-    next: Micros,
-    ranges: Vec<Range>,
+struct KeyRange {
+    bounds: KeyBounds,
+    advisor: SplitAdvisor,
+    /// For how many windows running it and the one before have been cold.
+    windows_cold: usize,
 }
 
-impl Ranges {
-    /// `standing` tells what an earlier holder proposed for the range with that first key.
-    pub fn start(now: Micros, cuts: &[Vec<u8>], standing: impl Fn(&[u8]) -> Option<Vec<u8>>) -> Ranges {
-        let mut ranges = Ranges { next: now, ranges: Vec::new() };
-        ranges.cut(now, cuts, standing);
-        ranges
+/// Keeps the recommendations for one group, whose operators have split it into ranges or not.
+#[derive(Clone, Debug)]
+pub struct RangeSet {
+    next_window: Micros,
+    /// In order of their keys; at least one.
+    ranges: Vec<KeyRange>,
+}
+
+impl RangeSet {
+    /// The group's ranges, which begin at `splits` and at the empty key. `proposed` returns what an earlier lease holder
+    /// proposed for the range with that first key.
+    pub fn start(now: Micros, splits: &[Vec<u8>], proposed: impl Fn(&[u8]) -> Option<Vec<u8>>) -> RangeSet {
+        let mut set = RangeSet { next_window: now, ranges: Vec::new() };
+        set.set_splits(now, splits, proposed);
+        set
     }
 
-    /// The operators have cut it so. What is known of a range that is as it was stays.
-    pub fn cut(&mut self, now: Micros, cuts: &[Vec<u8>], standing: impl Fn(&[u8]) -> Option<Vec<u8>>) {
-        let bounds = |ranges: &[Range], at: usize| {
-            (ranges[at].from.clone(), ranges.get(at + 1).map(|next| next.from.clone()))
-        };
+    /// The operators have split the group so. A range that is as it was keeps what is known of it.
+    pub fn set_splits(
+        &mut self,
+        now: Micros,
+        splits: &[Vec<u8>],
+        proposed: impl Fn(&[u8]) -> Option<Vec<u8>>,
+    ) {
         let before = std::mem::take(&mut self.ranges);
-        let mut froms: Vec<Vec<u8>> = cuts.iter().filter(|cut| !cut.is_empty()).cloned().collect();
-        froms.push(Vec::new());
-        froms.sort();
-        froms.dedup();
-        for (at, from) in froms.iter().enumerate() {
-            let own = (from.clone(), froms.get(at + 1).cloned());
-            let known = (0..before.len()).find(|&old| bounds(&before, old) == own);
-            let advisor =
-                known.map_or_else(|| Advisor::start(now, standing(from)), |old| before[old].advisor.clone());
-            self.ranges.push(Range { from: from.clone(), advisor, cold: 0 });
+        for bounds in bounds_between(splits) {
+            let same = before.iter().find(|range| range.bounds == bounds);
+            let advisor = match same {
+                Some(range) => range.advisor.clone(),
+                None => SplitAdvisor::start(now, proposed(&bounds.from)),
+            };
+            self.ranges.push(KeyRange { bounds, advisor, windows_cold: 0 });
         }
     }
 
+    /// How many ranges there are; 1 for a group that was not split.
     pub fn len(&self) -> usize {
         self.ranges.len()
     }
 
+    /// Never: a group that was not split is one range.
     pub fn is_empty(&self) -> bool {
         self.ranges.is_empty()
     }
 
-    /// What is said now; `usual` is what a range costs on average over all groups, `living` how many drivers there are.
+    /// What is recommended now, in order of the ranges. `average_cost` is what a range costs on average over all groups,
+    /// `living` how many proxies there are.
     ///
-    /// Protects operators from cuts of ranges that are not large among their group's, and from many cold ones. Harms a
-    /// group that is cold for half a minute and then is not: merged, it has to be cut again.
-    pub fn look(&mut self, now: Micros, picture: &Picture, living: usize, usual: f64) -> Vec<RangeAdvice> {
-        let count = self.ranges.len();
-        let froms: Vec<Vec<u8>> = self.ranges.iter().map(|range| range.from.clone()).collect();
-        let parts: Vec<Picture> = (0..count)
-            .map(|at| picture.between(&froms[at], froms.get(at + 1).map(|next| &next[..])))
-            .collect();
-        let all = picture.cost().max(f64::EPSILON);
-        let within = picture.within();
-        let window = now >= self.next;
-        if window {
-            self.next = now + WINDOW;
+    /// Without a look at all ranges together operators would split ranges that are not large among their group's, and be
+    /// left with many cold ones. The cost: a group that is cold for half a minute and then is not, once merged, has to be
+    /// split again.
+    pub fn advise(
+        &mut self,
+        now: Micros,
+        group: &KeyDistribution,
+        living: usize,
+        average_cost: f64,
+    ) -> Vec<RangeRecommendation> {
+        let window_ends = now >= self.next_window;
+        if window_ends {
+            self.next_window = now + WINDOW;
         }
-        let mut said = Vec::new();
-        for (at, range) in self.ranges.iter_mut().enumerate() {
-            let share = parts[at].cost() / all;
-            let mut advice = range.advisor.look(now, parts[at].clone(), living);
-            let known = !matches!(advice.said, Said::Uncovered { .. });
-            if known && window && at > 0 {
-                let pair = parts[at - 1].cost() + parts[at].cost() + within * all;
-                range.cold = if pair < COLD * usual { range.cold + 1 } else { 0 };
-            }
-            // A range that is none too large among several is left whole, whatever a cut would do to it.
-            if count > 1 && known && share - within < LARGE / count as f64 && advice.state != State::Proposed
+        let count = self.ranges.len();
+        let group_cost = group.cost().max(f64::EPSILON);
+        let margin = group.margin();
+        let mut previous_cost = None;
+        let mut recommendations = Vec::new();
+        for range in &mut self.ranges {
+            let part = group.between(&range.bounds.from, range.bounds.to.as_deref());
+            let cost = part.cost();
+            let share = cost / group_cost;
+            let mut split = range.advisor.advise(now, part, living);
+            let known = !matches!(split.assessment, SplitAssessment::LowCoverage { .. });
+            if let Some(previous_cost) = previous_cost
+                && known
+                && window_ends
             {
-                advice.said = Said::Balanced;
+                range.count_cold_window(previous_cost + cost + margin * group_cost, average_cost);
             }
-            let merges = range.cold >= HOLDS;
-            said.push(RangeAdvice { from: range.from.clone(), share, within, merges, advice });
+            previous_cost = Some(cost);
+            if known && is_balanced(share - margin, count) && split.state != RecommendationState::Proposed {
+                split.assessment = SplitAssessment::Balanced;
+            }
+            recommendations.push(RangeRecommendation {
+                from: range.bounds.from.clone(),
+                share,
+                margin,
+                merge_with_previous: range.windows_cold >= WINDOWS_TO_HOLD,
+                split,
+            });
         }
-        said
+        recommendations
+    }
+}
+
+impl KeyRange {
+    /// `pair_cost` is what this range and the one before may cost together at most.
+    fn count_cold_window(&mut self, pair_cost: f64, average_cost: f64) {
+        let is_cold = pair_cost < COLD_PAIR_COST * average_cost;
+        self.windows_cold = if is_cold { self.windows_cold + 1 } else { 0 };
     }
 }
+
+/// Whether a range of several is left whole, whatever a split would do to it.
+fn is_balanced(least_share: f64, ranges: usize) -> bool {
+    ranges > 1 && least_share < LARGE_TIMES_EVEN_SHARE / ranges as f64
+}
+
+/// The ranges between splits, in order. A split named twice, or at the empty key, counts once.
+fn bounds_between(splits: &[Vec<u8>]) -> Vec<KeyBounds> {
+    let mut starts: Vec<Vec<u8>> = splits.iter().filter(|split| !split.is_empty()).cloned().collect();
+    starts.push(Vec::new());
+    starts.sort();
+    starts.dedup();
+    let ends = starts.iter().skip(1).cloned().map(Some).chain([None]);
+    starts.iter().cloned().zip(ends).map(|(from, to)| KeyBounds { from, to }).collect()
+}
--- a/crates/split-points/src/sketch.rs
+++ b/crates/split-points/src/sketch.rs
@@ -1,133 +1,187 @@
+//! What a proxy keeps of one group's accesses: a priority sample over the keys, and counters of heavy hitters.
+
 use std::collections::BTreeMap;
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::Micros;
-
-/// Samples and heavy keys kept of a group, and how much of a key: 64 KB a group at the most.
-const SAMPLES: usize = 256;
-const HEAVY: usize = 32;
-pub const KEY: usize = 48;
-/// What was seen is worth half after so long.
-const HALVES: Micros = 10_000_000;
-
-/// One access that stands for others like it.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Sample {
-    pub key: Vec<u8>,
-    pub write: bool,
-    /// How much cost it stands for.
-    pub weight: f64,
-}
-
-/// A key that alone has much of the cost, give or take `error`.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Heavy {
-    pub key: Vec<u8>,
-    pub cost: f64,
-    pub error: f64,
-}
+use crate::report::samples_that_fit;
+use crate::{AccessSample, HeavyHitter, KeySummary, Micros};
 
-/// What a driver tells of a group.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Summary {
-    /// All cost of late, of which the samples are a part.
-    pub cost: f64,
-    pub samples: Vec<Sample>,
-    pub heavy: Vec<Heavy>,
-}
+/// Samples kept of a group. With [`MAX_COUNTERS`] and [`MAX_KEY_BYTES`] this bounds a sketch to 64 KB, some 20 KB in
+/// practice.
+const MAX_SAMPLES: usize = 256;
+/// Keys counted apart as possible heavy hitters of a group.
+const MAX_COUNTERS: usize = 32;
+/// How much of a key is kept, in bytes. Keys that only differ after that count as one.
+pub const MAX_KEY_BYTES: usize = 48;
+/// What was recorded counts half after so long, in microseconds: as long as a window of the recommendations, so that each
+/// window shows mostly what is new in it.
+const HALF_LIFE: Micros = 10_000_000;
+/// A sketch whose cost has aged below this (in the caller's unit) is as good as empty, and starts anew.
+const NEGLIGIBLE_COST: f64 = 1e-6;
+/// A key is reported as a heavy hitter where more than one part in twenty of all cost is certainly its own: the six that fit
+/// into a summary then seldom leave one out that matters.
+const HEAVY_HITTER_PARTS: f64 = 20.0;
 
+/// An access in the sample.
 #[derive(Clone, Debug)]
-struct Kept {
+struct SampledAccess {
     key: Vec<u8>,
     write: bool,
     weight: f64,
+    /// Its weight over a random number from (0, 1]; the highest ones stay in the sample.
     priority: f64,
 }
 
-/// The accesses of one group, as one driver saw them.
+/// A counter of SpaceSaving.
+#[derive(Clone, Copy, Debug)]
+struct Counter {
+    /// Never lower than what the key cost.
+    cost: f64,
+    /// By how much `cost` may be too high: what the key that was replaced had.
+    error: f64,
+}
+
+/// The recent accesses of one group, as one proxy saw them.
 #[derive(Clone, Debug)]
-pub struct Sketch {
+pub struct KeySketch {
     /// In order of priority, the highest first.
-    kept: Vec<Kept>,
+    samples: Vec<SampledAccess>,
     /// The highest priority that was left out.
     threshold: f64,
-    heavy: BTreeMap<Vec<u8>, (f64, f64)>,
+    counters: BTreeMap<Vec<u8>, Counter>,
     cost: f64,
-    halved: Micros,
+    last_halved: Micros,
     rng: Pcg64Mcg,
 }
 
-impl Sketch {
-    pub fn start(now: Micros, seed: u64) -> Sketch {
-        let rng = Pcg64Mcg::seed_from_u64(seed);
-        Sketch { kept: Vec::new(), threshold: 0.0, heavy: BTreeMap::new(), cost: 0.0, halved: now, rng }
+impl KeySketch {
+    /// An empty sketch; `seed` determines its random draws.
+    pub fn start(now: Micros, seed: u64) -> KeySketch {
+        KeySketch {
+            samples: Vec::new(),
+            threshold: 0.0,
+            counters: BTreeMap::new(),
+            cost: 0.0,
+            last_halved: now,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+        }
     }
 
-    /// An access of that cost, in whatever unit all drivers count.
-    pub fn access(&mut self, now: Micros, key: &[u8], write: bool, cost: f64) {
+    /// Records an access of that cost, in whatever unit all proxies count.
+    pub fn record(&mut self, now: Micros, key: &[u8], write: bool, cost: f64) {
         self.age(now);
-        let key = &key[..key.len().min(KEY)];
+        let key = &key[..key.len().min(MAX_KEY_BYTES)];
         self.cost += cost;
+        self.sample(key, write, cost);
+        self.count(key, cost);
+    }
+
+    /// Keeps the access in the sample where its priority is high enough.
+    fn sample(&mut self, key: &[u8], write: bool, cost: f64) {
         let priority = cost / (1.0 - self.rng.random::<f64>());
         if priority > self.threshold {
-            let at = self.kept.partition_point(|kept| kept.priority >= priority);
-            self.kept.insert(at, Kept { key: key.to_vec(), write, weight: cost, priority });
-            if self.kept.len() > SAMPLES
-                && let Some(last) = self.kept.pop()
-            {
-                self.threshold = self.threshold.max(last.priority);
-            }
+            self.insert_sample(SampledAccess { key: key.to_vec(), write, weight: cost, priority });
+        }
+    }
+
+    fn insert_sample(&mut self, access: SampledAccess) {
+        let at = self.samples.partition_point(|sampled| sampled.priority >= access.priority);
+        self.samples.insert(at, access);
+        if self.samples.len() > MAX_SAMPLES
+            && let Some(last) = self.samples.pop()
+        {
+            self.threshold = self.threshold.max(last.priority);
         }
-        if let Some((count, _)) = self.heavy.get_mut(key) {
-            *count += cost;
-        } else if self.heavy.len() < HEAVY {
-            self.heavy.insert(key.to_vec(), (cost, 0.0));
-        } else if let Some((least, &(count, _))) = self.heavy.iter().min_by(|a, b| a.1.0.total_cmp(&b.1.0)) {
-            let least = least.clone();
-            self.heavy.remove(&least);
-            self.heavy.insert(key.to_vec(), (count + cost, count));
+    }
+
+    /// Counts the key; where no counter is free, it takes over the least one.
+    fn count(&mut self, key: &[u8], cost: f64) {
+        if let Some(counter) = self.counters.get_mut(key) {
+            counter.cost += cost;
+        } else if self.counters.len() < MAX_COUNTERS {
+            self.counters.insert(key.to_vec(), Counter { cost, error: 0.0 });
+        } else if let Some((replaced, least)) = self.least_counter() {
+            self.counters.remove(&replaced);
+            let counter = Counter { cost: least.cost + cost, error: least.cost };
+            self.counters.insert(key.to_vec(), counter);
         }
     }
 
-    /// All weights and priorities alike are worth less, so that the sample stays one.
+    fn least_counter(&self) -> Option<(Vec<u8>, Counter)> {
+        let least = self.counters.iter().min_by(|a, b| a.1.cost.total_cmp(&b.1.cost));
+        least.map(|(key, counter)| (key.clone(), *counter))
+    }
+
+    /// Halves all weights and priorities alike for each half-life that passed, so that the sample stays a priority sample.
     fn age(&mut self, now: Micros) {
-        while now - self.halved >= HALVES {
-            self.halved += HALVES;
-            for kept in &mut self.kept {
-                (kept.weight, kept.priority) = (kept.weight / 2.0, kept.priority / 2.0);
-            }
-            self.heavy
-                .values_mut()
-                .for_each(|(count, error)| (*count, *error) = (*count / 2.0, *error / 2.0));
-            (self.threshold, self.cost) = (self.threshold / 2.0, self.cost / 2.0);
-            if self.cost < 1e-6 {
-                (self.kept, self.threshold, self.cost) = (Vec::new(), 0.0, 0.0);
-                self.heavy.clear();
-                self.halved = now;
+        while now - self.last_halved >= HALF_LIFE {
+            self.last_halved += HALF_LIFE;
+            self.halve();
+            if self.cost < NEGLIGIBLE_COST {
+                self.clear();
+                self.last_halved = now;
             }
         }
     }
 
-    /// The longest key of all samples.
-    pub(crate) fn longest(&self) -> usize {
-        self.kept.iter().map(|kept| kept.key.len()).max().unwrap_or(0)
+    fn halve(&mut self) {
+        for sampled in &mut self.samples {
+            sampled.weight /= 2.0;
+            sampled.priority /= 2.0;
+        }
+        for counter in self.counters.values_mut() {
+            counter.cost /= 2.0;
+            counter.error /= 2.0;
+        }
+        self.threshold /= 2.0;
+        self.cost /= 2.0;
     }
 
-    /// The best so many samples, which are a priority sample themselves, and keys that have a twentieth of the cost, the
-    /// costliest first.
-    pub fn summary(&mut self, now: Micros, most: usize) -> Summary {
+    fn clear(&mut self) {
+        self.samples = Vec::new();
+        self.threshold = 0.0;
+        self.cost = 0.0;
+        self.counters.clear();
+    }
+
+    /// The bytes of the newest summary, with as many samples as fit into [`MAX_SUMMARY_BYTES`](crate::MAX_SUMMARY_BYTES).
+    pub fn encode_summary(&mut self, now: Micros) -> Vec<u8> {
+        let heavy_hitters = self.summary(now, 0).heavy_hitters;
+        let fit = samples_that_fit(&heavy_hitters, self.longest_key());
+        self.summary(now, fit).encode()
+    }
+
+    /// The length of the longest key of all samples, in bytes.
+    fn longest_key(&self) -> usize {
+        self.samples.iter().map(|sampled| sampled.key.len()).max().unwrap_or(0)
+    }
+
+    /// A summary with at most `max_samples`, those of highest priority, which are a priority sample themselves; and with the
+    /// keys that certainly have over a twentieth of the cost.
+    pub fn summary(&mut self, now: Micros, max_samples: usize) -> KeySummary {
         self.age(now);
-        let left_out = self.kept.get(most).map_or(self.threshold, |kept| kept.priority);
-        let samples = self.kept.iter().take(most).map(|kept| {
-            let weight = kept.weight.max(left_out);
-            Sample { key: kept.key.clone(), write: kept.write, weight }
+        let left_out = self.samples.get(max_samples).map_or(self.threshold, |sampled| sampled.priority);
+        let samples = self.samples.iter().take(max_samples).map(|sampled| AccessSample {
+            key: sampled.key.clone(),
+            write: sampled.write,
+            weight: sampled.weight.max(left_out),
         });
-        let heavy = self.heavy.iter().filter(|(_, (count, error))| count - error > self.cost / 20.0);
-        let heavy = heavy.map(|(key, &(cost, error))| Heavy { key: key.clone(), cost, error });
-        let mut heavy: Vec<Heavy> = heavy.collect();
-        heavy.sort_by(|a, b| b.cost.total_cmp(&a.cost));
-        Summary { cost: self.cost, samples: samples.collect(), heavy }
+        KeySummary { cost: self.cost, samples: samples.collect(), heavy_hitters: self.heavy_hitters() }
+    }
+
+    /// The costliest first.
+    fn heavy_hitters(&self) -> Vec<HeavyHitter> {
+        let least = self.cost / HEAVY_HITTER_PARTS;
+        let heavy = self.counters.iter().filter(|(_, counter)| counter.cost - counter.error > least);
+        let hitter = |(key, counter): (&Vec<u8>, &Counter)| HeavyHitter {
+            key: key.clone(),
+            cost: counter.cost,
+            error: counter.error,
+        };
+        let mut hitters: Vec<HeavyHitter> = heavy.map(hitter).collect();
+        hitters.sort_by(|a, b| b.cost.total_cmp(&a.cost));
+        hitters
     }
 }
--- a/crates/split-points/tests/pinned_payloads.rs
+++ b/crates/split-points/tests/pinned_payloads.rs
@@ -1,14 +1,13 @@
 //! The bytes of summaries, as proxies of other versions send and read them.
 
-use aldermill_split_points::frame::{decode, encode};
-use aldermill_split_points::{Heavy, Sample, Sketch, Summary};
+use aldermill_split_points::{AccessSample, HeavyHitter, KeySketch, KeySummary};
 
 fn text(bytes: &[u8]) -> String {
     bytes.escape_ascii().to_string()
 }
 
-fn sample(key: &[u8], write: bool, weight: f64) -> Sample {
-    Sample { key: key.to_vec(), write, weight }
+fn sample(key: &[u8], write: bool, weight: f64) -> AccessSample {
+    AccessSample { key: key.to_vec(), write, weight }
 }
 
 #[test]
@@ -16,12 +15,12 @@
     let bytes = b"\
         @h\0\0\x02@ \0\0\0\0\0\0\x05apple?\x80\0\0\0\0\0\0\x04pear\x05@ \0\0apple\x84?\x80\0\0pear\
         \x02>\0\0\0\0\xff";
-    let mut sketch = Sketch::start(0, 7);
-    sketch.access(0, b"apple", false, 2.5);
-    sketch.access(0, b"pear", true, 1.0);
-    sketch.access(0, b"\0\xff", false, 0.125);
-    assert_eq!(text(&encode(&mut sketch, 0)), text(bytes));
-    let decoded = decode(bytes).unwrap();
+    let mut sketch = KeySketch::start(0, 7);
+    sketch.record(0, b"apple", false, 2.5);
+    sketch.record(0, b"pear", true, 1.0);
+    sketch.record(0, b"\0\xff", false, 0.125);
+    assert_eq!(text(&sketch.encode_summary(0)), text(bytes));
+    let decoded = KeySummary::decode(bytes).unwrap();
     assert_eq!(decoded, sketch.summary(0, 3));
     assert_eq!(decoded.cost, 3.625);
 }
@@ -29,17 +28,17 @@
 #[test]
 fn report_of_an_empty_sketch() {
     let bytes = b"\0\0\0\0\0";
-    assert_eq!(text(&encode(&mut Sketch::start(0, 7), 0)), text(bytes));
-    assert_eq!(decode(bytes), Ok(Summary::default()));
+    assert_eq!(text(&KeySketch::start(0, 7).encode_summary(0)), text(bytes));
+    assert_eq!(KeySummary::decode(bytes), Ok(KeySummary::default()));
 }
 
 #[test]
 fn report_of_a_full_sketch_leaves_out_the_lightest_samples() {
-    let mut sketch = Sketch::start(0, 7);
+    let mut sketch = KeySketch::start(0, 7);
     for number in 0..400_u32 {
-        sketch.access(0, format!("key-{number:03}").as_bytes(), number % 3 == 0, 1.0);
+        sketch.record(0, format!("key-{number:03}").as_bytes(), number % 3 == 0, 1.0);
     }
-    let encoded = encode(&mut sketch, 0);
+    let encoded = sketch.encode_summary(0);
     assert_eq!(encoded.len(), 893);
     assert_eq!(
         text(&encoded[..41]),
@@ -53,10 +52,10 @@
 #[test]
 fn error_of_a_heavy_key_and_mark_of_a_write_are_read() {
     let bytes = b"\x42\x48\0\0\x01\x41\x20\0\0\x3f\0\0\0\x03hot\x82\x40\x40\0\0k1\x02\x3f\x80\0\0k2";
-    let summary = Summary {
+    let summary = KeySummary {
         cost: 50.0,
         samples: vec![sample(b"k1", true, 3.0), sample(b"k2", false, 1.0)],
-        heavy: vec![Heavy { key: b"hot".to_vec(), cost: 10.0, error: 0.5 }],
+        heavy_hitters: vec![HeavyHitter { key: b"hot".to_vec(), cost: 10.0, error: 0.5 }],
     };
-    assert_eq!(decode(bytes), Ok(summary));
+    assert_eq!(KeySummary::decode(bytes), Ok(summary));
 }
--- a/crates/split-points/tests/ranges.rs
+++ b/crates/split-points/tests/ranges.rs
@@ -1,113 +1,131 @@
-//! Groups that their operators have cut into ranges.
+//! Groups that their operators have split into ranges.
 
 use std::collections::BTreeMap;
 
-use aldermill_split_points::{Micros, Picture, RangeAdvice, Ranges, Said, Sketch, State};
+use aldermill_split_points::{
+    KeyDistribution, KeySketch, Micros, RangeRecommendation, RangeSet, RecommendationState, SplitAssessment,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 const KEYS: usize = 2_000;
 
-fn name(key: usize) -> Vec<u8> {
-    format!("k{key:06}").into_bytes()
+fn numbered_key(number: usize) -> Vec<u8> {
+    format!("k{number:06}").into_bytes()
 }
 
-struct World {
+/// Twenty proxies that read one group of keys, and the lease holder.
+struct Fleet {
     now: Micros,
-    sketches: Vec<Sketch>,
+    sketches: Vec<KeySketch>,
     rng: Pcg64Mcg,
-    ranges: Ranges,
-    hot: std::ops::Range<usize>,
+    ranges: RangeSet,
+    /// Keys that 0.7 of the accesses go to; the others go to all keys.
+    hot_keys: std::ops::Range<usize>,
     /// Accesses a second.
     rate: usize,
 }
 
-impl World {
-    fn new(cuts: &[usize], hot: std::ops::Range<usize>) -> World {
-        let cuts: Vec<Vec<u8>> = cuts.iter().copied().map(name).collect();
-        World {
+impl Fleet {
+    fn new(splits: &[usize], hot: std::ops::Range<usize>) -> Fleet {
+        let splits: Vec<Vec<u8>> = splits.iter().copied().map(numbered_key).collect();
+        Fleet {
             now: 0,
-            sketches: (0..20).map(|driver| Sketch::start(0, 7 + driver)).collect(),
+            sketches: (0..20).map(|proxy| KeySketch::start(0, 7 + proxy)).collect(),
             rng: Pcg64Mcg::seed_from_u64(3),
-            ranges: Ranges::start(0, &cuts, |_| None),
-            hot,
+            ranges: RangeSet::start(0, &splits, |_| None),
+            hot_keys: hot,
             rate: 400,
         }
     }
 
-    fn pass(&mut self, seconds: i64, usual: f64) -> Vec<RangeAdvice> {
+    fn pass(&mut self, seconds: i64, average_cost: f64) -> Vec<RangeRecommendation> {
         let mut last = Vec::new();
         for _ in 0..seconds {
-            self.now += S;
+            self.now += SECOND;
             for _ in 0..self.rate {
                 let hot = self.rng.random_bool(0.7);
-                let key = if hot {
-                    self.rng.random_range(self.hot.clone())
+                let number = if hot {
+                    self.rng.random_range(self.hot_keys.clone())
                 } else {
                     self.rng.random_range(0..KEYS)
                 };
-                let driver = self.rng.random_range(0..20);
-                self.sketches[driver].access(self.now, &name(key), false, 10.0);
+                let proxy = self.rng.random_range(0..20);
+                self.sketches[proxy].record(self.now, &numbered_key(number), false, 10.0);
             }
-            let told: BTreeMap<String, _> = (self.sketches.iter_mut().enumerate())
-                .map(|(driver, sketch)| (format!("n{driver}"), sketch.summary(self.now, 60)))
+            let summaries: BTreeMap<String, _> = (self.sketches.iter_mut().enumerate())
+                .map(|(proxy, sketch)| (format!("n{proxy}"), sketch.summary(self.now, 60)))
                 .collect();
-            last = self.ranges.look(self.now, &Picture::of(&told), 20, usual);
+            last = self.ranges.advise(self.now, &KeyDistribution::combine(&summaries), 20, average_cost);
         }
         last
     }
 }
 
 #[test]
-fn of_several_ranges_the_large_one_is_cut_and_the_others_are_left_whole() {
-    let mut world = World::new(&[1_000], 1_400..1_600);
-    let said = world.pass(50, 1.0);
-    assert_eq!(said.len(), 2);
-    assert_eq!(said[0].advice.said, Said::Balanced, "{:?}", said[0].advice);
-    assert!((said[1].share - 0.85).abs() < said[1].within + 0.02, "{}", said[1].share);
-    let Said::Cut(cut) = &said[1].advice.said else { panic!("{:?}", said[1].advice) };
-    assert_eq!(said[1].advice.state, State::Proposed);
-    assert!((name(1_450)..name(1_550)).contains(&cut.at), "{}", String::from_utf8_lossy(&cut.at));
-    // The operators cut there: what is known of the first range stays, and the two new ones begin anew.
-    let at: usize = String::from_utf8_lossy(&cut.at[1..]).parse().unwrap();
-    world.ranges.cut(world.now, &[name(1_000), name(at)], |_| None);
-    let said = world.pass(50, 1.0);
-    let shares: Vec<f64> = said.iter().map(|of| of.share).collect();
+fn only_the_large_one_of_several_ranges_is_split() {
+    let mut fleet = Fleet::new(&[1_000], 1_400..1_600);
+    let advice = fleet.pass(50, 1.0);
+    assert_eq!(advice.len(), 2);
+    assert_eq!(advice[0].split.assessment, SplitAssessment::Balanced, "{:?}", advice[0].split);
+    assert!((advice[1].share - 0.85).abs() < advice[1].margin + 0.02, "{}", advice[1].share);
+    let SplitAssessment::Split(split) = &advice[1].split.assessment else { panic!("{:?}", advice[1].split) };
+    assert_eq!(advice[1].split.state, RecommendationState::Proposed);
+    assert!(
+        (numbered_key(1_450)..numbered_key(1_550)).contains(&split.key),
+        "{}",
+        String::from_utf8_lossy(&split.key)
+    );
+    // The operators split there: what is known of the first range stays, and the two new ones begin anew.
+    let at: usize = String::from_utf8_lossy(&split.key[1..]).parse().unwrap();
+    fleet.ranges.set_splits(fleet.now, &[numbered_key(1_000), numbered_key(at)], |_| None);
+    let advice = fleet.pass(50, 1.0);
+    let shares: Vec<f64> = advice.iter().map(|range| range.share).collect();
     assert!(shares.len() == 3 && shares[1] < 0.5 && shares[2] < 0.5, "{shares:?}");
     // One more halving of each helps, and no more than that is proposed.
-    assert!(said.iter().all(|of| !of.merges));
-    world.ranges.cut(world.now, &[name(400), name(1_000), name(1_450), name(at), name(1_550)], |_| None);
-    let said = world.pass(50, 1.0);
-    assert!(said.iter().filter(|of| of.advice.state == State::Proposed).count() <= 3, "{said:?}");
+    assert!(advice.iter().all(|range| !range.merge_with_previous));
+    fleet.ranges.set_splits(
+        fleet.now,
+        &[numbered_key(400), numbered_key(1_000), numbered_key(1_450), numbered_key(at), numbered_key(1_550)],
+        |_| None,
+    );
+    let advice = fleet.pass(50, 1.0);
+    assert!(
+        advice.iter().filter(|range| range.split.state == RecommendationState::Proposed).count() <= 3,
+        "{advice:?}"
+    );
 }
 
 #[test]
-fn neighbours_that_are_cold_are_merged_once_they_have_been_for_three_windows() {
-    let mut world = World::new(&[1_000], 0..KEYS);
-    let usual = 1e9;
-    let cost = world.pass(5, usual).iter().map(|of| of.advice.cost).sum::<f64>();
+fn neighbours_are_merged_once_they_have_been_cold_for_three_windows() {
+    let mut fleet = Fleet::new(&[1_000], 0..KEYS);
+    let average_cost = 1e9;
+    let cost = fleet.pass(5, average_cost).iter().map(|range| range.split.cost).sum::<f64>();
     assert!(
-        cost > 0.0 && world.pass(5, usual).iter().all(|of| !of.merges),
+        cost > 0.0 && fleet.pass(5, average_cost).iter().all(|range| !range.merge_with_previous),
         "it has not held for long enough"
     );
-    let said = world.pass(30, usual);
-    assert_eq!(said.iter().map(|of| of.merges).collect::<Vec<_>>(), [false, true]);
-    // Their load is what others have: at once it is no more said, and not while too few are heard.
-    assert!(world.pass(20, cost).iter().all(|of| !of.merges));
-    let cuts = world.ranges.len();
-    world.ranges.cut(world.now, &[], |_| None);
-    assert_eq!((cuts, world.ranges.len(), world.pass(1, usual).len()), (2, 1, 1));
+    let advice = fleet.pass(30, average_cost);
+    assert_eq!(advice.iter().map(|range| range.merge_with_previous).collect::<Vec<_>>(), [false, true]);
+    // Their load is as large as that of others: it is not recommended any more at once, nor while too few are heard.
+    assert!(fleet.pass(20, cost).iter().all(|range| !range.merge_with_previous));
+    let before = fleet.ranges.len();
+    fleet.ranges.set_splits(fleet.now, &[], |_| None);
+    assert_eq!((before, fleet.ranges.len(), fleet.pass(1, average_cost).len()), (2, 1, 1));
 }
 
 #[test]
-fn a_new_holder_goes_on_from_what_stands_for_each_range() {
-    let cut = name(1_500);
-    let stands = |from: &[u8]| (from == name(1_000)).then(|| cut.clone());
-    let mut world = World::new(&[], 1_400..1_600);
-    world.ranges = Ranges::start(0, &[name(1_000), Vec::new(), name(1_000)], stands);
-    let said = world.pass(25, 1.0);
-    assert_eq!(said.len(), 2, "a cut twice, or at no key, is none");
-    assert_eq!((said[0].advice.state, said[1].advice.state), (State::Seen, State::Proposed));
-    assert!(matches!(&said[1].advice.said, Said::Cut(of) if of.at == cut));
+fn new_lease_holder_keeps_the_proposal_of_each_range() {
+    let proposed = numbered_key(1_500);
+    let stands = |from: &[u8]| (from == numbered_key(1_000)).then(|| proposed.clone());
+    let mut fleet = Fleet::new(&[], 1_400..1_600);
+    fleet.ranges = RangeSet::start(0, &[numbered_key(1_000), Vec::new(), numbered_key(1_000)], stands);
+    let advice = fleet.pass(25, 1.0);
+    assert_eq!(advice.len(), 2, "a split named twice, or at the empty key, counts once");
+    assert_eq!(
+        (advice[0].split.state, advice[1].split.state),
+        (RecommendationState::Observing, RecommendationState::Proposed)
+    );
+    assert!(matches!(&advice[1].split.assessment, SplitAssessment::Split(split) if split.key == proposed));
 }
