--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -1,7 +1,9 @@
 //! Carries out what the router decided: answers, attempts, health checks, connections to close.
 
 use aldermill_flow_control::ReservationOwner;
-use aldermill_routing::{Action, Actions, Effect, Handle, MemberId, MemberReport, Micros, Validity, Verdict};
+use aldermill_routing::{
+    Action, Actions, Effect, MemberId, MemberReport, Micros, RequestHandle, Validity, Verdict,
+};
 use slog::warn;
 use tokio::time::Instant;
 
@@ -19,13 +21,13 @@
 
 /// An attempt as the router decided it.
 struct DecidedAttempt {
-    handle: Handle,
+    handle: RequestHandle,
     member: MemberId,
-    /// How long it may last.
+    /// How long it may take, in microseconds.
     timeout: Micros,
-    /// Whether it needs a new connection.
+    /// Whether it must use a new connection.
     afresh: bool,
-    /// What must still hold when it leaves.
+    /// What must still hold when it is sent.
     validity: Validity,
 }
 
@@ -50,18 +52,18 @@
         }
     }
 
-    fn carry_out_for_request(&mut self, handle: Handle, action: Action) {
+    fn carry_out_for_request(&mut self, handle: RequestHandle, action: Action) {
         match action {
             Action::Attempt { member, timeout, afresh, validity } => {
                 self.send_attempt(DecidedAttempt { handle, member, timeout, afresh, validity })
             }
-            Action::Reject { cool_down } => self.answer(handle, Answer::Rejected { retry_after: cool_down }),
+            Action::Reject { retry_after } => self.answer(handle, Answer::Rejected { retry_after }),
             Action::Fail => self.answer(handle, Answer::Failed),
         }
     }
 
     /// Gives a request its one answer.
-    pub(super) fn answer(&mut self, handle: Handle, answer: Answer) {
+    pub(super) fn answer(&mut self, handle: RequestHandle, answer: Answer) {
         let Some(open) = self.open_requests.get_mut(&handle) else { return };
         let Some(client) = open.client.take() else { return };
         if let Some(via) = open.via {
@@ -71,20 +73,21 @@
         client.answer(answer);
     }
 
-    /// Answers a request whose member answered while there is no room for that answer.
-    pub(super) fn answer_without_room(&mut self, handle: Handle) {
+    /// Answers a request whose member responded while there was no buffer space for the response.
+    pub(super) fn answer_without_buffer_space(&mut self, handle: RequestHandle) {
         let Some(open) = self.open_requests.get(&handle) else { return };
         let Ok(class) = self.decoded.class(&open.request.comment.class) else { return };
-        let answer = self.without_room(class);
+        let answer = self.no_buffer_space_answer(class);
         self.answer(handle, answer);
     }
 
-    /// What a client hears whose answer finds no room: an idempotent request may be rejected, any other did run.
-    pub(super) fn without_room(&self, class: usize) -> Answer {
+    /// The answer where there is no buffer space for a response: an idempotent request is rejected, as it may be repeated;
+    /// any other has run, and has failed for its client.
+    pub(super) fn no_buffer_space_answer(&self, class: usize) -> Answer {
         let terms = &self.decoded.terms;
         match terms.classes[class].effect {
-            Effect::Pure => Answer::Rejected {
-                retry_after: self.context.flow_control.retry_after().min(terms.max_cool_down),
+            Effect::Idempotent => Answer::Rejected {
+                retry_after: self.context.flow_control.retry_after().min(terms.max_retry_after),
             },
             _ => Answer::Failed,
         }
@@ -92,7 +95,8 @@
 
     fn send_attempt(&mut self, decided: DecidedAttempt) {
         let Some(open) = self.open_requests.get(&decided.handle) else { return };
-        let (handle, member) = (decided.handle, decided.member);
+        let handle = decided.handle;
+        let member = decided.member;
         let entry = self.members[member].as_ref();
         if let Some(observations) = &mut self.observations {
             observations.record_attempt(handle, entry, &self.decoded, &open.request);
@@ -105,7 +109,7 @@
         }
     }
 
-    /// The attempt as its member's actor takes it. It never lasts past the request's deadline.
+    /// The attempt as its member's actor takes it. Its deadline is never later than the request's.
     fn attempt(&self, decided: DecidedAttempt, open: &OpenRequest, entry: Option<&MemberEntry>) -> Attempt {
         let decided_at = Instant::now();
         let deadline = self.context.clock.instant(open.deadline);
@@ -140,20 +144,21 @@
 
     fn close_idle_connections(&self, member: MemberId) {
         if let Some(entry) = &self.members[member] {
-            // A full mailbox means that its connections are wanted.
+            // A full mailbox means that the member is busy and needs its connections.
             let _ = entry.commands.try_send(MemberCommand::CloseIdle);
         }
     }
 
-    /// The first request is there: the endpoint list is asked for now.
+    /// Asks for the endpoint list, when the first request is there.
     fn ask_for_list(&self) {
         if let Some(list_wanted) = &self.list_wanted {
             let _ = list_wanted.try_send(());
         }
     }
 
-    /// A member found no descriptor free: idle connections of others make room, those that rested longest. Protects
-    /// the rest, which are used again. One that is taken into use just then makes no room, so some are closed.
+    /// A member needs a descriptor for a connection and none is free: connections of other members that have been idle
+    /// longest are closed, as they are the least likely to be used again. Several are, because one may be taken into use
+    /// before its member closes it.
     pub(super) fn free_descriptors(&mut self, member: MemberId) {
         for id in self.members_by_idle_time(member).into_iter().take(CLOSED_PER_DESCRIPTOR) {
             let Some(entry) = &self.members[id] else { continue };
@@ -165,7 +170,7 @@
         }
     }
 
-    /// Members with idle connections but for `excluded`, the longest idle first.
+    /// Members with idle connections except `excluded`, the longest idle first.
     fn members_by_idle_time(&self, excluded: MemberId) -> Vec<MemberId> {
         let mut idle: Vec<(Instant, MemberId)> = Vec::new();
         for (id, entry) in self.members.iter().enumerate().filter(|(id, _)| *id != excluded) {
@@ -178,8 +183,8 @@
     }
 }
 
-/// The end of an attempt that never left this process.
-fn attempt_not_sent(handle: Handle, decided_at: Instant) -> AttemptFinished {
+/// The end of an attempt that was never sent.
+fn attempt_not_sent(handle: RequestHandle, decided_at: Instant) -> AttemptFinished {
     AttemptFinished {
         request: handle,
         verdict: Verdict::NotSent,
--- a/crates/proxy/src/dispatcher/open_request.rs
+++ b/crates/proxy/src/dispatcher/open_request.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use aldermill_flow_control::Priority;
-use aldermill_routing::{Handle, Micros};
+use aldermill_routing::{Micros, RequestHandle};
 use aldermill_site_routing::RequestHandle as SiteRequestHandle;
 use tokio::sync::mpsc;
 
@@ -13,14 +13,16 @@
 #[derive(Clone, Copy)]
 pub(super) enum RequestLocation {
     /// The router alone.
-    Router(Handle),
+    Router(RequestHandle),
     /// The gateway part, which may have handed it to the router.
     Gateway(SiteRequestHandle),
 }
 
 /// The client that waits for a request.
 pub(super) struct WaitingClient {
+    /// The client's name of its request.
     pub(super) id: ClientId,
+    /// Where the answer goes.
     pub(super) mailbox: mpsc::Sender<ClientMessage>,
 }
 
@@ -49,6 +51,7 @@
     pub(super) client: Option<WaitingClient>,
     /// Set when the client left, or the gateway part took the request back.
     pub(super) cancellation: Cancellation,
+    /// The statement and its comment.
     pub(super) request: Rc<ClientRequest>,
 }
 
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use aldermill_routing::{Handle, Micros, Need, Outcome, Request, Role, Verdict};
+use aldermill_routing::{Micros, Need, Outcome, Request, RequestHandle, Role, Verdict};
 use aldermill_site_routing::{Actions as SiteActions, RequestHandle as SiteRequestHandle};
 use aldermill_wire::statement::quoted;
 
@@ -15,7 +15,9 @@
 
 /// A request for the router, and until when it must be answered.
 pub(super) struct Handover {
+    /// The client's request.
     pub(super) request: Rc<ClientRequest>,
+    /// Its request class, by its place in the settings.
     pub(super) class: usize,
     /// On the router's clock: an instant, which a process that is held up on the way does not put off.
     pub(super) deadline: Micros,
@@ -61,6 +63,7 @@
         Ok(class)
     }
 
+    /// Whether the group was ever listed, here or at another site.
     fn knows_group(&self, group: u64) -> bool {
         let elsewhere = |gateway_part: &GatewayPart| gateway_part.knows_group(group);
         self.groups.contains(&group) || self.gateway_part.as_ref().is_some_and(elsewhere)
@@ -85,7 +88,7 @@
     }
 
     /// Hands a request to the router. What the router returns is not carried out yet.
-    pub(super) fn hand_over(&mut self, handover: Handover) -> (Handle, aldermill_routing::Actions) {
+    pub(super) fn hand_over(&mut self, handover: Handover) -> (RequestHandle, aldermill_routing::Actions) {
         let Handover { request, class, deadline, via } = handover;
         let now = self.context.clock.now();
         let routed = self.routed_request(&request, class, deadline, now);
@@ -136,7 +139,7 @@
         self.observe_end(handle, verdict, elapsed);
         match finished.response {
             AttemptResponse::Rows(rows) => self.answer(handle, Answer::Served(rows)),
-            AttemptResponse::TooLarge => self.answer_without_room(handle),
+            AttemptResponse::TooLarge => self.answer_without_buffer_space(handle),
             AttemptResponse::None => {}
         }
         let open = self.open_requests.get(&handle);
@@ -202,8 +205,8 @@
         }
     }
 
-    /// The router is to forget a request that nobody waits for here any more; what was sent of it goes on.
-    pub(super) fn abandon(&mut self, handle: Handle) {
+    /// The router forgets a request that nobody waits for here any more; attempts that were sent go on.
+    pub(super) fn abandon(&mut self, handle: RequestHandle) {
         if let Some(open) = self.open_requests.get_mut(&handle) {
             open.withdraw();
         }
@@ -213,8 +216,8 @@
         self.release(handle);
     }
 
-    /// Drops what is kept for a request of which nothing more can be heard.
-    pub(super) fn release(&mut self, handle: Handle) {
+    /// Drops what is kept for a request that the router has finished with.
+    pub(super) fn release(&mut self, handle: RequestHandle) {
         if self.router.knows(handle) {
             return;
         }
--- a/crates/routing/src/policy/health_checks.rs
+++ b/crates/routing/src/policy/health_checks.rs
@@ -1,20 +1,14 @@
 //! Health checks: when they are sent, and what their results say.
 
-use super::blacklist::BLACKLISTED_FOR;
-use super::{HOLD, MS};
+use super::blacklist::BLACKLIST_DURATION;
+use super::{MS, WRITE_HOLD};
 use crate::state::{RoundTrip, Router};
 use crate::{Actions, MemberId, MemberReport, Micros, Standing, Verdict};
 
-/// So many health checks in a row without an answer blacklist a member.
-const HEALTH_CHECK_MISSES: u32 = 3;
 /// How often a member that is not heard otherwise is checked where credit is left over.
 pub(super) const HEALTH_CHECK_EVERY: Micros = 1_000 * MS;
 /// Health checks of members whose proof of freshness has run out, and of a group without a primary.
 pub(super) const HEALTH_CHECK_NEEDED: Micros = 100 * MS;
-/// Health checks that one admitted request pays for.
-pub(super) const CREDIT_PER_REQUEST: f64 = 0.7;
-/// Health checks that a router may send before it has admitted any request.
-pub(super) const CREDIT_AT_START: f64 = 4.0;
 
 impl RoundTrip {
     fn measure(&mut self, estimate: Micros, now: Micros) {
@@ -24,7 +18,7 @@
 
     /// The estimate, in microseconds; zero where it is too old to be believed.
     pub(super) fn of_late(self, now: Micros) -> Micros {
-        if now - self.measured_at < BLACKLISTED_FOR { self.estimate } else { 0 }
+        if now - self.measured_at < BLACKLIST_DURATION { self.estimate } else { 0 }
     }
 }
 
@@ -32,10 +26,10 @@
     /// Checks members of a group in which requests are held, where that may set them free.
     pub(super) fn health_check_for_held(&mut self, now: Micros, group: usize) {
         let sought = !self.is_wide(&self.groups[group]) && self.lacks_primary(now, &self.groups[group]);
-        let gap = if self.sparse() { HOLD } else { HEALTH_CHECK_NEEDED };
+        let gap = if self.is_one_of_many() { WRITE_HOLD } else { HEALTH_CHECK_NEEDED };
         for at in 0..self.groups[group].members.len() {
             let id = self.groups[group].members[at];
-            if sought || now < self.members[id].lost_until {
+            if sought || now < self.members[id].unreachable_until {
                 self.health_check(now, id, gap);
             }
         }
@@ -43,8 +37,8 @@
 
     /// Checks a member that was not heard of late, where requests have paid for more than they need.
     pub(super) fn health_check_to_spare(&mut self, now: Micros, id: MemberId) {
-        let spare = self.allowance > self.members.len() as f64 * 0.5;
-        if spare && now - self.members[id].heard > HEALTH_CHECK_EVERY {
+        let spare = self.health_check_budget.has_spare(self.members.len());
+        if spare && now - self.members[id].last_heard_at > HEALTH_CHECK_EVERY {
             self.health_check(now, id, HEALTH_CHECK_EVERY);
         }
     }
@@ -59,10 +53,10 @@
         took: Micros,
         report: MemberReport,
     ) -> Actions {
-        let slow_start_credit = self.first_credit();
+        let slow_start_credit = self.initial_saved_attempts();
         let Some(member) = self.members.get_mut(id) else { return self.take_actions() };
         let group = member.group;
-        member.health_check_out = false;
+        member.health_check_in_flight = false;
         self.measure_round_trip(now, id, verdict, took);
         match verdict {
             // Nobody asked it, or nobody saw its answer.
@@ -72,8 +66,8 @@
             }
             _ => self.health_check_missed(now, id, verdict),
         }
-        self.pump(now, group);
-        self.part_with(id);
+        self.route_queued(now, group);
+        self.close_unless_kept(id);
         self.take_actions()
     }
 
@@ -102,44 +96,38 @@
         slow_start_credit: f64,
     ) {
         let member = &mut self.members[id];
-        if member.health_check_misses >= HEALTH_CHECK_MISSES {
-            member.blacklisted_until = now;
-        }
-        member.health_check_misses = 0;
-        member.hear(now, slow_start_credit);
+        member.blacklist.record_answered_health_check(now);
+        member.record_heard(now, slow_start_credit);
         let position_at = report.position.map(|position| position.saturating_sub(self.clock_offset));
-        let reported_at = position_at.unwrap_or(now - HOLD - report.age);
-        self.note(now, id, report, reported_at, reported_at);
+        let reported_at = position_at.unwrap_or(now - WRITE_HOLD - report.age);
+        self.record_report(now, id, report, reported_at, reported_at);
     }
 
     fn health_check_missed(&mut self, now: Micros, id: MemberId, verdict: Verdict) {
         let member = &mut self.members[id];
-        member.health_check_misses += 1;
         if verdict == Verdict::Unconnected {
-            member.fell.get_or_insert(now);
-        }
-        member.lost_until = now + 2 * HOLD;
-        if member.health_check_misses >= HEALTH_CHECK_MISSES {
-            member.blacklisted_until = now + BLACKLISTED_FOR;
+            member.down_since.get_or_insert(now);
         }
+        member.unreachable_until = now + 2 * WRITE_HOLD;
+        member.blacklist.record_missed_health_check(now);
     }
 
     /// Sends a health check, where one is allowed and paid for and the last one was sent at least `gap`
     /// microseconds ago.
     pub(super) fn health_check(&mut self, now: Micros, id: MemberId, gap: Micros) {
         let member = &mut self.members[id];
-        let early = member.health_check_out || now - member.health_checked < gap;
-        let allowed = self.terms.health_checks_allowed && self.allowance >= 1.0;
+        let early = member.health_check_in_flight || now - member.last_health_check_at < gap;
+        let allowed = self.terms.health_checks_allowed && self.health_check_budget.affords_one();
         if allowed && member.standing == Standing::Ready && !early {
-            self.allowance -= 1.0;
-            member.health_check_out = true;
-            member.health_checked = now;
+            self.health_check_budget.spend_one();
+            member.health_check_in_flight = true;
+            member.last_health_check_at = now;
             self.actions.health_checks.push(id);
         }
     }
 
     /// There and back to the member, in microseconds, as far as its health checks of late tell.
-    pub(super) fn way(&self, now: Micros, id: MemberId) -> Micros {
+    pub(super) fn round_trip_to(&self, now: Micros, id: MemberId) -> Micros {
         self.members[id].round_trip.of_late(now)
     }
 }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -5,12 +5,15 @@
 use aldermill_statistics::Histogram;
 use rand_pcg::Pcg64Mcg;
 
-use crate::policy::{Backoff, RetryDetector};
-use crate::{Actions, Learnt, MemberId, Micros, ReadShift, Request, Standing, Terms};
+use crate::policy::{
+    Backoff, Blacklist, HealthCheckBudget, ListSubscription, RestedConnections, RetryDetector, Sessions,
+    StallPacing,
+};
+use crate::{Actions, Learnt, MemberId, Micros, ReadShift, Request, RouterConfig, Standing};
 
 /// A request that a router has taken, until it knows it no more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Handle(pub(crate) u64);
+pub struct RequestHandle(pub(crate) u64);
 
 /// The attempt of a request that is in flight.
 #[derive(Clone, Copy)]
@@ -44,25 +47,25 @@
     pub(crate) is_retry: bool,
     pub(crate) attempts: u32,
     /// Of these, those that could not leave this machine.
-    pub(crate) unsent: u32,
+    pub(crate) local_failures: u32,
     /// Its attempt is on a new connection where these failed.
     pub(crate) tries_connection: bool,
-    pub(crate) out: Option<InFlight>,
+    pub(crate) in_flight: Option<InFlight>,
     /// When its attempt was sent, without the time in which the process stalled.
-    pub(crate) waits_from: Micros,
+    pub(crate) waiting_since: Micros,
     pub(crate) may_have_run: Option<FirstRun>,
     /// Members in this round that answered that they are not the primary.
-    pub(crate) misses: usize,
+    pub(crate) not_primary_answers: usize,
     /// How long its attempt's connection had rested, as a power of two; none where it is new.
-    pub(crate) rested: Option<usize>,
+    pub(crate) rest_class: Option<usize>,
     /// Members that answered it with an error.
-    pub(crate) erred: Vec<MemberId>,
+    pub(crate) errored_members: Vec<MemberId>,
     /// It has waited for a replica's report.
-    pub(crate) asked: bool,
+    pub(crate) awaited_report: bool,
     /// Where its newest attempt that ended was.
-    pub(crate) last: Option<MemberId>,
+    pub(crate) last_member: Option<MemberId>,
     /// It has its final answer.
-    pub(crate) closed: bool,
+    pub(crate) is_closed: bool,
 }
 
 /// What is believed of a member.
@@ -73,55 +76,49 @@
     pub(crate) zone: usize,
     pub(crate) standing: Standing,
     /// When it started; none is long ago.
-    pub(crate) since: Option<Micros>,
+    pub(crate) started_at: Option<Micros>,
     pub(crate) size: f64,
     /// The newest that it reported, by the members' clock.
     pub(crate) position: Micros,
     /// It reported itself primary, and not since replica.
-    pub(crate) seen_primary: bool,
+    pub(crate) confirmed_primary: bool,
     /// The time of its newest report that it is a replica.
-    pub(crate) demoted: Micros,
+    pub(crate) replica_since: Micros,
     /// When such a report was last heard.
-    pub(crate) replica_heard: Micros,
+    pub(crate) replica_report_received_at: Micros,
     /// The newest time at which it was known not to be the primary.
-    pub(crate) not_primary: Micros,
+    pub(crate) not_primary_at: Micros,
     /// The newest position that it reported as primary, or zero.
     pub(crate) primary_position: Micros,
-    pub(crate) heard: Micros,
+    pub(crate) last_heard_at: Micros,
     /// When it last answered an attempt.
-    pub(crate) answered: Micros,
+    pub(crate) last_answered_at: Micros,
     /// When the newest attempt that it answered was sent.
     pub(crate) newest_answered_sent: Micros,
     /// It could not be reached; believed until then, or until it is heard.
-    pub(crate) lost_until: Micros,
+    pub(crate) unreachable_until: Micros,
     /// Since when its process seems dead; taken for warming up when it is heard again.
-    pub(crate) fell: Option<Micros>,
-    pub(crate) blacklisted_until: Micros,
-    /// When it failed of late.
-    pub(crate) failures: VecDeque<Micros>,
-    /// Attempts with a malformed response or a lost connection since the last served one.
-    pub(crate) malformed: usize,
+    pub(crate) down_since: Option<Micros>,
+    pub(crate) blacklist: Blacklist,
     /// Connections known to be idle, since new ones to it failed here.
-    pub(crate) idle: Option<u32>,
-    /// Health checks in a row without an answer.
-    pub(crate) health_check_misses: u32,
-    pub(crate) health_check_out: bool,
+    pub(crate) known_idle_connections: Option<u32>,
+    pub(crate) health_check_in_flight: bool,
     /// When the last health check was sent.
-    pub(crate) health_checked: Micros,
+    pub(crate) last_health_check_at: Micros,
     /// By its own health checks.
     pub(crate) round_trip: RoundTrip,
     /// Requests with an attempt in flight there.
-    pub(crate) out: Vec<Handle>,
+    pub(crate) in_flight: Vec<RequestHandle>,
     /// Attempts that may be in flight at once; below one, the part of the time that one may be.
-    pub(crate) window: f64,
-    /// Attempts saved up at `credited`, where the window or a slow-start allowance is below one.
-    pub(crate) credit: f64,
-    pub(crate) credited: Micros,
-    pub(crate) took: Histogram,
+    pub(crate) concurrency_limit: f64,
+    /// Attempts saved up at `saved_at`, where the window or a slow-start allowance is below one.
+    pub(crate) saved_attempts: f64,
+    pub(crate) saved_at: Micros,
+    pub(crate) durations: Histogram,
     /// When attempts were sent to it, in the last window of the overload rule.
-    pub(crate) sent: VecDeque<Micros>,
+    pub(crate) sent_recently: VecDeque<Micros>,
     /// Attempts served in one window of the overload rule, as of late.
-    pub(crate) served: f64,
+    pub(crate) served_load: f64,
 }
 
 /// What is believed of a group.
@@ -136,110 +133,73 @@
     /// The time of the newest report of the primary.
     pub(crate) primary_reported_at: Micros,
     /// The primary by the list.
-    pub(crate) listed: Option<MemberId>,
+    pub(crate) listed_primary: Option<MemberId>,
     /// Until then no write looks for the primary by itself.
-    pub(crate) walk_after: Micros,
+    pub(crate) search_after: Micros,
     pub(crate) search: PrimarySearch,
     /// Attempts due to the primary by its size and window, beyond those it had.
-    pub(crate) owed: f64,
+    pub(crate) primary_deficit: f64,
     /// Requests that wait for a member.
-    pub(crate) held: Vec<Handle>,
+    pub(crate) queued: Vec<RequestHandle>,
     pub(crate) read_shift: ReadShift,
 }
 
 /// The search for the primary of a group.
 #[derive(Clone, Default)]
 pub(crate) struct PrimarySearch {
-    pub(crate) since: Micros, // what members said of their role before this round does not count
-    pub(crate) next: usize,   // the position of the member that is asked next
-    pub(crate) saved: f64,    // health checks due
-}
-
-/// What this router's own attempts wrote of a session.
-#[derive(Clone, Copy, Default)]
-pub(crate) struct Session {
-    pub(crate) commit: Micros, // of its last write that ran or may have run, at the latest
-    pub(crate) out: u32,       // writes that are out: each may have been committed by now
-}
-
-impl Session {
-    /// What a read of the session must see now.
-    pub(crate) fn floor(&self, now: Micros) -> Micros {
-        if self.out > 0 { now } else { self.commit }
-    }
-
-    /// A write that was out has ended, and was committed by then at the latest: by now, if at all, where the
-    /// answer does not tell.
-    pub(crate) fn ended(&mut self, commit: Micros) {
-        self.out -= 1;
-        self.commit = self.commit.max(commit);
-    }
+    pub(crate) round_started_at: Micros, // what members said of their role before this round does not count
+    pub(crate) next_position: usize,     // the position of the member that is asked next
+    pub(crate) saved_health_checks: f64, // health checks due
 }
 
 /// Decides where requests go. It does no I/O and has no clock: each call brings `now`, in microseconds that
 /// never go back, and returns what to do.
 #[derive(Clone)]
 pub struct Router {
-    pub(crate) terms: Terms,
+    pub(crate) terms: RouterConfig,
     pub(crate) rng: Pcg64Mcg,
     /// Sets this router's choices apart from those of others.
     pub(crate) salt: u64,
     pub(crate) members: Vec<Member>,
     pub(crate) groups: Vec<Group>,
     pub(crate) group_ids: HashMap<u64, usize>,
-    pub(crate) pending_requests: HashMap<Handle, PendingRequest>,
+    pub(crate) pending_requests: HashMap<RequestHandle, PendingRequest>,
     pub(crate) next_handle: u64,
-    pub(crate) sessions: HashMap<String, Session>,
+    pub(crate) sessions: Sessions,
     /// How far the members' clock, by which positions are reported, is ahead of this one.
     pub(crate) clock_offset: Micros,
-    /// A write of a session not found may be as new as that.
-    pub(crate) forgotten: Option<Micros>,
     /// How long attempts take, by request class.
-    pub(crate) took: Vec<Histogram>,
+    pub(crate) durations: Vec<Histogram>,
     pub(crate) zone_round_trips: BTreeMap<usize, RoundTrip>,
     /// How long attempts of all request classes together take.
-    pub(crate) any_took: Histogram,
+    pub(crate) all_durations: Histogram,
     /// By request class.
     pub(crate) retry_detectors: Vec<RetryDetector>,
     /// Attempts that a warm member of size one serves in one window of the overload rule.
     pub(crate) warm_load: f64,
     pub(crate) mean_size: f64,
-    /// Health checks that are paid for.
-    pub(crate) allowance: f64,
-    /// The share met by silence of late, by how long the attempt's connection had rested.
-    pub(crate) rests: [f64; 6],
+    pub(crate) health_check_budget: HealthCheckBudget,
+    pub(crate) rested_connections: RestedConnections,
     /// A member lately had no connection to spare.
-    pub(crate) tight_until: Micros,
+    pub(crate) connections_scarce_until: Micros,
     /// Of new connections that fail here.
     pub(crate) backoff: Backoff,
-    pub(crate) next_beat: Micros,
+    pub(crate) next_tick: Micros,
     /// When all members are looked at again.
-    pub(crate) next_walk: Micros,
-    /// Attempts in a beat, as of late.
-    pub(crate) usual_attempts: f64,
-    /// Attempts in this beat.
-    pub(crate) attempted: f64,
-    /// Attempts in a beat, as of late, from a careful start.
-    pub(crate) attempts: f64,
-    /// Until then attempts are paced after a stall.
-    pub(crate) paced_until: Micros,
-    /// Attempts due until then.
-    pub(crate) paced_attempts: f64,
-    /// When the endpoint list is subscribed to again.
-    pub(crate) ask_at: Micros,
-    /// The backoff between two such calls.
-    pub(crate) ask_wait: Micros,
+    pub(crate) next_sweep: Micros,
+    pub(crate) stall_pacing: StallPacing,
+    pub(crate) list_subscription: ListSubscription,
     pub(crate) actions: Actions,
 }
 
 impl Router {
     /// A copy that goes on under other terms, to see how it would decide.
-    pub fn under(&self, terms: &Terms) -> Router {
+    pub fn under(&self, terms: &RouterConfig) -> Router {
         Router { terms: terms.clone(), ..self.clone() }
     }
 
     /// Whether the request has an attempt in flight or no final answer yet.
-    pub fn knows(&self, handle: Handle) -> bool {
+    pub fn knows(&self, handle: RequestHandle) -> bool {
         self.pending_requests.contains_key(&handle)
     }
 
@@ -247,10 +207,10 @@
     pub fn learnt(&self) -> Learnt {
         let primary = |group: &Group| group.primary.map(|id| (id, group.primary_reported_at));
         let took = |of: &Histogram| (of.quantile(0.5).unwrap_or(0), of.quantile(0.9).unwrap_or(0));
-        let window = |id: MemberId| (id, self.members[id].window.log2().floor() as i32);
+        let window = |id: MemberId| (id, self.members[id].concurrency_limit.log2().floor() as i32);
         Learnt {
             primaries: self.groups.iter().filter_map(primary).collect(),
-            took: self.took.iter().map(took).collect(),
+            took: self.durations.iter().map(took).collect(),
             windows: (0..self.members.len()).map(window).collect(),
         }
     }
@@ -261,7 +221,7 @@
     }
 
     pub(crate) fn take_actions(&mut self) -> Actions {
-        self.actions.wake_at = Some(self.next_beat);
+        self.actions.wake_at = Some(self.next_tick);
         std::mem::take(&mut self.actions)
     }
 
@@ -269,7 +229,7 @@
         *self.group_ids.entry(name).or_insert_with(|| {
             self.groups.push(Group {
                 primary_reported_at: Micros::MIN / 2,
-                walk_after: Micros::MIN,
+                search_after: Micros::MIN,
                 ..Group::default()
             });
             self.groups.len() - 1
--- a/crates/split-points/src/lib.rs
+++ b/crates/split-points/src/lib.rs
@@ -13,7 +13,7 @@
 //! 4. *Directive.* Its body is JSON for operators, and is written by the caller.
 //!
 //! **Caller.** The proxy's dispatcher records accesses; its `coordination::split_points` sends reports, runs steps 2 and 3
-//! once a second while it holds the lease `splits`, and issues the directives. `docs/split-points.md` has the table of
+//! once a second while it holds the lease `splits`, and issues the directives. `docs/splits.md` has the table of
 //! recommendations.
 //!
 //! **Assumptions.** `now` never goes back, comes from one clock for each object, and is in whole microseconds. Cost is in
--- a/crates/split-points/tests/splits.rs
+++ b/crates/split-points/tests/splits.rs
@@ -216,7 +216,7 @@
         summaries.insert(format!("n{proxy}"), sketch.summary(fleet.now, 60));
     }
     let sound = KeyDistribution::combine(&summaries);
-    for summary in summaries.get_mut("n3").into_iter() {
+    if let Some(summary) = summaries.get_mut("n3") {
         summary.cost *= 1e6;
         summary.samples.iter_mut().for_each(|sample| sample.weight *= 1e6);
     }
