--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -6,6 +6,7 @@
     reason = "long functions are split when this package is reworked for readers (docs/ROADMAP.md)"
 )]
 
+mod error;
 mod wire;
 
 use std::collections::HashMap;
@@ -16,7 +17,8 @@
     Action, Actions, ListedMember, MemberId, MemberReport, Micros, Outcome, Request, RequestHandle, Role,
     Router, Standing,
 };
-use aldermill_settings::{Decoded, Trouble};
+use aldermill_settings::Settings;
+use error::MessageError;
 use wire::Fields;
 
 /// One line of a sheet, as it stands there.
@@ -31,7 +33,7 @@
 }
 
 impl Item {
-    fn parse(fields: &mut Fields) -> Result<Item, Trouble> {
+    fn parse(fields: &mut Fields) -> Result<Item, MessageError> {
         let item = Item {
             primary: fields.number("primary")? >= 1.0,
             hint: fields.number("powerHint")?,
@@ -49,7 +51,7 @@
 /// One driver: its router and the names that the wire uses for what the router numbers.
 struct Driver {
     router: Router,
-    decoded: Decoded,
+    decoded: Settings,
     member_ids: HashMap<String, MemberId>,
     member_names: Vec<String>,
     handles: HashMap<u64, RequestHandle>,
@@ -59,10 +61,10 @@
 }
 
 impl Driver {
-    fn new(settings: &str, seed: u64, now: Micros) -> Result<Driver, Trouble> {
-        let decoded = Decoded::parse(settings)?;
+    fn new(settings: &str, seed: u64, now: Micros) -> Result<Driver, MessageError> {
+        let decoded = Settings::parse(settings)?;
         Ok(Driver {
-            router: Router::start(decoded.terms.clone(), seed, now),
+            router: Router::start(decoded.router_config.clone(), seed, now),
             decoded,
             member_ids: HashMap::new(),
             member_names: Vec::new(),
@@ -88,10 +90,10 @@
             member: self.member(&item.name),
             name: item.name.clone(),
             group: item.group,
-            zone: self.decoded.zone(&item.hall),
+            zone: self.decoded.zone_index(&item.hall),
             standing: item.standing,
             since: item.since,
-            size: self.decoded.size(item.hint),
+            size: self.decoded.member_size(item.hint),
             primary: item.primary,
         };
         items.iter().map(listed).collect()
@@ -131,10 +133,10 @@
     }
 
     /// What an answer's note and a load report say; the newer position of the two.
-    fn report(&self, stand: Option<u64>, load: Option<&str>) -> Result<MemberReport, Trouble> {
+    fn report(&self, stand: Option<u64>, load: Option<&str>) -> Result<MemberReport, MessageError> {
         let pairs = load.into_iter().flat_map(|load| load.split(','));
         let pairs = pairs.map(|pair| pair.split_once(':').unwrap_or((pair, "")));
-        let mut report = Decoded::report(pairs, self.decoded.zero)?;
+        let mut report = aldermill_settings::parse_load_report(pairs, self.decoded.position_origin)?;
         if let Some(stand) = stand.filter(|&stand| stand > 0) {
             report.role = match stand % 4 {
                 1 => Some(Role::Primary),
@@ -142,7 +144,7 @@
                 _ => report.role,
             };
             if stand >= 4 {
-                let position = self.decoded.zero + (stand / 4) as Micros * 1000;
+                let position = self.decoded.position_origin + (stand / 4) as Micros * 1000;
                 report.position = report.position.max(Some(position));
             }
         }
@@ -170,12 +172,12 @@
 }
 
 impl Drill {
-    fn line(&mut self, line: &str, out: &mut impl Write) -> Result<(), Trouble> {
+    fn line(&mut self, line: &str, out: &mut impl Write) -> Result<(), MessageError> {
         let mut fields = Fields::new(line);
         let verb = fields.verb();
         if let Some((page, left)) = self.open_sheet {
             if verb != "ITEM" {
-                return Err(Trouble::new("ITEM", "a sheet's line is missing here"));
+                return Err(MessageError::new("ITEM", "a sheet's line is missing here"));
             }
             let items = self.sheets.entry(page).or_default();
             items.push(Item::parse(&mut fields)?);
@@ -184,7 +186,7 @@
         }
         match verb {
             "MARK" => self.now = fields.time("clock")?,
-            "GO" => self.reply.finish(out).map_err(|error| Trouble::new("reply", &error.to_string()))?,
+            "GO" => self.reply.finish(out).map_err(|error| MessageError::new("reply", &error.to_string()))?,
             "SHEET" => {
                 let page = fields.integer("page")?;
                 let lines = fields.integer("lines")? as usize;
@@ -207,12 +209,12 @@
             "STARTED" | "PEER_DATA" => {
                 fields.instance()?;
             }
-            other => return Err(Trouble::new(other, "unknown message")),
+            other => return Err(MessageError::new(other, "unknown message")),
         }
         Ok(())
     }
 
-    fn event(&mut self, verb: &str, fields: &mut Fields) -> Result<(), Trouble> {
+    fn event(&mut self, verb: &str, fields: &mut Fields) -> Result<(), MessageError> {
         let now = self.now;
         let who = fields.instance()?;
         let Some(driver) = self.drivers.get_mut(&who) else { return Ok(()) };
@@ -226,11 +228,11 @@
                         let full = match form {
                             "update" => false,
                             "replace" | "restored" => true,
-                            _ => return Err(Trouble::new("form", "unknown kind of list")),
+                            _ => return Err(MessageError::new("form", "unknown kind of list")),
                         };
                         let page = page.and_then(|page| page.parse().ok());
                         let items = page.and_then(|page: u64| self.sheets.get(&page));
-                        let items = items.ok_or(Trouble::new("page", "no such sheet"))?;
+                        let items = items.ok_or(MessageError::new("page", "no such sheet"))?;
                         let lines = driver.list(items);
                         driver.router.list(now, full, lines)
                     }
@@ -238,8 +240,10 @@
             }
             "ORDER" => {
                 let ticket = fields.integer("ticket")?;
-                let class = driver.decoded.class(fields.text("service")?)?;
-                fields.optional("account")?.map_or(Ok(()), |account| driver.decoded.account(account))?;
+                let class = driver.decoded.class_index(fields.text("service")?)?;
+                fields
+                    .optional("account")?
+                    .map_or(Ok(()), |account| driver.decoded.check_account(account))?;
                 let session = fields.optional("session")?.map(str::to_owned);
                 let ttl = fields.time("ttlMs")?;
                 fields.skip("workMs")?;
@@ -307,7 +311,7 @@
         let result = match input.read_line(&mut line) {
             Ok(0) => return ExitCode::SUCCESS,
             Ok(_) => drill.line(line.trim_end_matches(['\n', '\r']), &mut out),
-            Err(error) => Err(Trouble::new("input", &error.to_string())),
+            Err(error) => Err(MessageError::new("input", &error.to_string())),
         };
         if let Err(trouble) = result {
             let verb = line.split('\t').next().unwrap_or_default().trim_end();
--- a/crates/bench-adapter/src/wire.rs
+++ b/crates/bench-adapter/src/wire.rs
@@ -3,7 +3,9 @@
 use std::str::{FromStr, Split};
 
 use aldermill_routing::{Micros, Standing, Verdict};
-use aldermill_settings::{Trouble, micros};
+use aldermill_settings::micros_from_millis;
+
+use crate::error::MessageError;
 
 /// The tab-separated parts of one line, taken from left to right.
 pub struct Fields<'a> {
@@ -23,73 +25,73 @@
         self.parts.by_ref().collect::<Vec<_>>().join("\t")
     }
 
-    pub fn optional(&mut self, field: &str) -> Result<Option<&'a str>, Trouble> {
+    pub fn optional(&mut self, field: &str) -> Result<Option<&'a str>, MessageError> {
         match self.parts.next() {
-            None => Err(Trouble::new(field, "missing")),
+            None => Err(MessageError::new(field, "missing")),
             Some("-") => Ok(None),
             Some(text) => Ok(Some(text)),
         }
     }
 
-    pub fn skip(&mut self, field: &str) -> Result<(), Trouble> {
+    pub fn skip(&mut self, field: &str) -> Result<(), MessageError> {
         self.optional(field).map(|_| ())
     }
 
-    pub fn text(&mut self, field: &str) -> Result<&'a str, Trouble> {
-        self.optional(field)?.ok_or_else(|| Trouble::new(field, "missing"))
+    pub fn text(&mut self, field: &str) -> Result<&'a str, MessageError> {
+        self.optional(field)?.ok_or_else(|| MessageError::new(field, "missing"))
     }
 
-    fn parsed<T: FromStr>(&mut self, field: &str) -> Result<Option<T>, Trouble> {
+    fn parsed<T: FromStr>(&mut self, field: &str) -> Result<Option<T>, MessageError> {
         let Some(text) = self.optional(field)? else { return Ok(None) };
-        text.parse().map(Some).map_err(|_| Trouble::new(field, &format!("bad number {text:?}")))
+        text.parse().map(Some).map_err(|_| MessageError::new(field, &format!("bad number {text:?}")))
     }
 
-    pub fn optional_integer(&mut self, field: &str) -> Result<Option<u64>, Trouble> {
+    pub fn optional_integer(&mut self, field: &str) -> Result<Option<u64>, MessageError> {
         self.parsed(field)
     }
 
-    pub fn integer(&mut self, field: &str) -> Result<u64, Trouble> {
-        self.parsed(field)?.ok_or_else(|| Trouble::new(field, "missing"))
+    pub fn integer(&mut self, field: &str) -> Result<u64, MessageError> {
+        self.parsed(field)?.ok_or_else(|| MessageError::new(field, "missing"))
     }
 
-    pub fn instance(&mut self) -> Result<u32, Trouble> {
-        self.parsed("who")?.ok_or_else(|| Trouble::new("who", "missing"))
+    pub fn instance(&mut self) -> Result<u32, MessageError> {
+        self.parsed("who")?.ok_or_else(|| MessageError::new("who", "missing"))
     }
 
-    pub fn number(&mut self, field: &str) -> Result<f64, Trouble> {
+    pub fn number(&mut self, field: &str) -> Result<f64, MessageError> {
         Ok(self.parsed(field)?.unwrap_or(0.0))
     }
 
-    pub fn optional_time(&mut self, field: &str) -> Result<Option<Micros>, Trouble> {
+    pub fn optional_time(&mut self, field: &str) -> Result<Option<Micros>, MessageError> {
         let millis: Option<f64> = self.parsed(field)?;
         match millis {
-            Some(millis) if !millis.is_finite() => Err(Trouble::new(field, "not a finite time")),
-            millis => Ok(millis.map(micros)),
+            Some(millis) if !millis.is_finite() => Err(MessageError::new(field, "not a finite time")),
+            millis => Ok(millis.map(micros_from_millis)),
         }
     }
 
-    pub fn time(&mut self, field: &str) -> Result<Micros, Trouble> {
-        self.optional_time(field)?.ok_or_else(|| Trouble::new(field, "missing"))
+    pub fn time(&mut self, field: &str) -> Result<Micros, MessageError> {
+        self.optional_time(field)?.ok_or_else(|| MessageError::new(field, "missing"))
     }
 
-    pub fn flag(&mut self, field: &str) -> Result<bool, Trouble> {
+    pub fn flag(&mut self, field: &str) -> Result<bool, MessageError> {
         match self.text(field)? {
             "0" => Ok(false),
             "1" => Ok(true),
-            other => Err(Trouble::new(field, &format!("neither 0 nor 1: {other:?}"))),
+            other => Err(MessageError::new(field, &format!("neither 0 nor 1: {other:?}"))),
         }
     }
 
-    pub fn standing(&mut self, field: &str) -> Result<Standing, Trouble> {
+    pub fn standing(&mut self, field: &str) -> Result<Standing, MessageError> {
         match self.text(field)? {
             "ready" => Ok(Standing::Ready),
             "draining" => Ok(Standing::Draining),
             "gone" => Ok(Standing::Gone),
-            other => Err(Trouble::new(field, &format!("unknown condition {other:?}"))),
+            other => Err(MessageError::new(field, &format!("unknown condition {other:?}"))),
         }
     }
 
-    pub fn verdict(&mut self, field: &str) -> Result<Verdict, Trouble> {
+    pub fn verdict(&mut self, field: &str) -> Result<Verdict, MessageError> {
         match self.integer(field)? {
             200 => Ok(Verdict::Served),
             204 => Ok(Verdict::NotPrimary),
@@ -100,7 +102,7 @@
             502 => Ok(Verdict::Error),
             520 => Ok(Verdict::Reset),
             521 => Ok(Verdict::Unconnected),
-            other => Err(Trouble::new(field, &format!("unknown outcome {other}"))),
+            other => Err(MessageError::new(field, &format!("unknown outcome {other}"))),
         }
     }
 }
--- a/crates/proxy/src/cli/check.rs
+++ b/crates/proxy/src/cli/check.rs
@@ -19,7 +19,7 @@
     let Configuration { name, listen, discovery, limits, .. } = configuration;
     println!("driver {name} listens on {listen}, discovery at {discovery}");
     let members = configuration.endpoint_list.as_ref().map_or(0, |list| list.endpoints.len());
-    let classes = configuration.settings.terms.classes.len();
+    let classes = configuration.settings.router_config.classes.len();
     println!("{members} members known, {classes} offerings");
     let clients = limits.connections.clients;
     let members = limits.connections.members;
--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -76,7 +76,7 @@
     /// Answers a request whose member responded while there was no buffer space for the response.
     pub(super) fn answer_without_buffer_space(&mut self, handle: RequestHandle) {
         let Some(open) = self.open_requests.get(&handle) else { return };
-        let Ok(class) = self.decoded.class(&open.request.comment.class) else { return };
+        let Ok(class) = self.decoded.class_index(&open.request.comment.class) else { return };
         let answer = self.no_buffer_space_answer(class);
         self.answer(handle, answer);
     }
@@ -84,7 +84,7 @@
     /// The answer where there is no buffer space for a response: an idempotent request is rejected, as it may be repeated;
     /// any other has run, and has failed for its client.
     pub(super) fn no_buffer_space_answer(&self, class: usize) -> Answer {
-        let terms = &self.decoded.terms;
+        let terms = &self.decoded.router_config;
         match terms.classes[class].effect {
             Effect::Idempotent => Answer::Rejected {
                 retry_after: self.context.flow_control.retry_after().min(terms.max_retry_after),
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -152,7 +152,7 @@
         match standing {
             Standing::Ready => true,
             Standing::Draining => false,
-            Standing::Gone => self.decoded.terms.only_draining_binds,
+            Standing::Gone => self.decoded.router_config.only_draining_binds,
         }
     }
 
@@ -176,10 +176,10 @@
             member,
             name: endpoint.id.clone(),
             group: endpoint.group,
-            zone: self.decoded.zone(&endpoint.zone),
+            zone: self.decoded.zone_index(&endpoint.zone),
             standing,
             since,
-            size: self.decoded.size(endpoint.size),
+            size: self.decoded.member_size(endpoint.size),
             primary: endpoint.is_primary(),
         })
     }
@@ -193,7 +193,7 @@
         let Some(known) = &mut self.members[member] else { return };
         let was_accepting = known.accepts_requests.send_replace(accepts_requests);
         known.group = endpoint.group;
-        known.zone = self.decoded.zone(&endpoint.zone);
+        known.zone = self.decoded.zone_index(&endpoint.zone);
         known.ready = standing == Standing::Ready;
         let restarted = known.ready && known.up_since_ms != endpoint.up_since_ms;
         if restarted {
@@ -228,7 +228,7 @@
         let first_listed = self.context.clock.now();
         let mut known = MemberEntry {
             group: endpoint.group,
-            zone: self.decoded.zone(&endpoint.zone),
+            zone: self.decoded.zone_index(&endpoint.zone),
             ready: false,
             commands,
             oldest_idle_since,
--- a/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
@@ -82,7 +82,7 @@
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let Some(forwarded) = gateway_part.forwarded.get_mut(&handle) else { return };
         forwarded.local = None;
-        let class = &self.decoded.terms.classes[forwarded.class];
+        let class = &self.decoded.router_config.classes[forwarded.class];
         let in_time = served && now - forwarded.request.received_at <= class.objective;
         let reads = matches!(class.need, Need::Loose | Need::Recent(_));
         let from_client = matches!(forwarded.requester, Requester::Client(_));
--- a/crates/proxy/src/dispatcher/gateway/remote_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/remote_requests.rs
@@ -55,8 +55,8 @@
 
     /// Writes the record of a non-idempotent request, which waits for that; any other goes on.
     fn record(&mut self, arriving: ArrivingRequest) {
-        let class = self.decoded.class(&arriving.frame.class).ok();
-        let effect = class.map(|class| self.decoded.terms.classes[class].effect);
+        let class = self.decoded.class_index(&arriving.frame.class).ok();
+        let effect = class.map(|class| self.decoded.router_config.classes[class].effect);
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let outcome_log = gateway_part.outcome_log.as_mut();
         let Some(outcome_log) = outcome_log.filter(|_| effect == Some(Effect::NonIdempotent)) else {
--- a/crates/proxy/src/dispatcher/gateway/start.rs
+++ b/crates/proxy/src/dispatcher/gateway/start.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use aldermill_routing::{Effect as RouterEffect, Micros, Need as RouterNeed, Scope};
-use aldermill_settings::Decoded;
+use aldermill_settings::Settings;
 use aldermill_site_link::Identity;
 use aldermill_site_routing::{Effect, Need, OutcomeTable, RequestClass, SiteRouter, SiteRouterConfig};
 use tokio::sync::mpsc;
@@ -41,7 +41,7 @@
 
 impl GatewayPart {
     /// A gateway without links. `now` is on the router's clock.
-    pub fn new(setup: GatewaySetup, decoded: &Decoded, seed: u64, now: Micros) -> GatewayPart {
+    pub fn new(setup: GatewaySetup, decoded: &Settings, seed: u64, now: Micros) -> GatewayPart {
         let config = site_router_config(&setup, decoded);
         let GatewaySetup { own, peers, homes, session_field, max_outcomes_per_sender, directory, .. } = setup;
         let (confirmations, written) = mpsc::channel(MAX_CONFIRMATIONS);
@@ -57,7 +57,7 @@
         GatewayPart {
             own,
             names,
-            classes: decoded.names(),
+            classes: decoded.class_names(),
             site_router,
             outcomes: OutcomeTable::new(max_outcomes_per_sender, QUERY_GRACE),
             peer_gateways: Vec::new(),
@@ -80,13 +80,13 @@
 }
 
 /// The settings in the site router's form.
-fn site_router_config(setup: &GatewaySetup, decoded: &Decoded) -> SiteRouterConfig {
+fn site_router_config(setup: &GatewaySetup, decoded: &Settings) -> SiteRouterConfig {
     SiteRouterConfig {
-        classes: decoded.terms.classes.iter().map(site_class).collect(),
+        classes: decoded.router_config.classes.iter().map(site_class).collect(),
         sites: 1 + setup.peers.len(),
         max_hops: setup.max_hops,
         max_credit: setup.max_credit,
-        max_retry_after: decoded.terms.max_retry_after,
+        max_retry_after: decoded.router_config.max_retry_after,
     }
 }
 
--- a/crates/proxy/src/dispatcher/members_clock.rs
+++ b/crates/proxy/src/dispatcher/members_clock.rs
@@ -13,8 +13,8 @@
     /// Whether the request is a non-idempotent write, whose commit is never one from before it was sent.
     pub(super) fn is_non_idempotent_write(&self, handle: RequestHandle) -> bool {
         let comment = self.open_requests.get(&handle).map(|open| &open.request.comment);
-        let class = comment.and_then(|comment| self.decoded.class(&comment.class).ok());
-        let class = class.map(|class| &self.decoded.terms.classes[class]);
+        let class = comment.and_then(|comment| self.decoded.class_index(&comment.class).ok());
+        let class = class.map(|class| &self.decoded.router_config.classes[class]);
         class.is_some_and(|class| class.effect == Effect::NonIdempotent && class.need == Need::Write)
     }
 
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -21,7 +21,7 @@
 use std::rc::Rc;
 
 use aldermill_routing::{Actions, MemberId, Micros, RequestHandle, Router};
-use aldermill_settings::Decoded;
+use aldermill_settings::Settings;
 use aldermill_statistics::ClockOffset;
 use slog::warn;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -69,7 +69,7 @@
     /// What all actors share.
     pub context: Rc<ProcessContext>,
     /// The settings in force.
-    pub decoded: Decoded,
+    pub decoded: Settings,
     /// Seed of the router's random choices.
     pub seed: u64,
     /// `None` if this process is no gateway to other sites.
@@ -89,7 +89,7 @@
 /// The actor that owns the router and the open requests.
 pub struct Dispatcher {
     context: Rc<ProcessContext>,
-    decoded: Decoded,
+    decoded: Settings,
     router: Router,
     shadow: Option<ShadowRouter>,
     gateway_part: Option<GatewayPart>,
@@ -126,7 +126,7 @@
     pub fn new(parts: DispatcherParts) -> Dispatcher {
         let now = parts.context.clock.now();
         Dispatcher {
-            router: Router::start(parts.decoded.terms.clone(), parts.seed, now),
+            router: Router::start(parts.decoded.router_config.clone(), parts.seed, now),
             decoded: parts.decoded,
             shadow: parts.shadow,
             gateway_part: parts.gateway_part,
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use aldermill_routing::{Micros, Need, ReadShift, RequestHandle, Verdict};
-use aldermill_settings::Decoded;
+use aldermill_settings::Settings;
 use aldermill_split_points::{Sketch, frame};
 use aldermill_wire::statement::quoted;
 use aldermill_zone_failover::{ReadOutcome, RecentReads, TrafficShift, ZoneDirective, ZoneHistory};
@@ -51,11 +51,11 @@
         &mut self,
         handle: RequestHandle,
         member: Option<&MemberEntry>,
-        decoded: &Decoded,
+        decoded: &Settings,
         request: &ClientRequest,
     ) {
-        let Ok(class) = decoded.class(&request.comment.class) else { return };
-        let class = &decoded.terms.classes[class];
+        let Ok(class) = decoded.class_index(&request.comment.class) else { return };
+        let class = &decoded.router_config.classes[class];
         let Some(member) = member else { return };
         let attempt = AttemptInFlight {
             group: member.group,
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -47,7 +47,7 @@
     /// The request's class, or why it is not taken.
     fn check(&self, request: &ClientRequest) -> Result<usize, Answer> {
         let comment = &request.comment;
-        let Ok(class) = self.decoded.class(&comment.class) else {
+        let Ok(class) = self.decoded.class_index(&comment.class) else {
             return Err(Answer::InvalidStatement("unknown offering"));
         };
         // The list may be older than its group: the request was not sent on, and may be sent again.
@@ -114,7 +114,7 @@
         now: Micros,
     ) -> Request {
         let comment = &request.comment;
-        let keyed = matches!(self.decoded.terms.classes[class].need, Need::Write | Need::OwnWrites);
+        let keyed = matches!(self.decoded.router_config.classes[class].need, Need::Write | Need::OwnWrites);
         let session = if keyed { quoted(&request.statement[comment.end..]) } else { None };
         Request {
             class,
--- a/crates/proxy/src/dispatcher/warm_state.rs
+++ b/crates/proxy/src/dispatcher/warm_state.rs
@@ -71,7 +71,7 @@
         let concurrency_limits = restored.concurrency_limits.iter();
         Learnt {
             primaries: restored.primaries.values().filter_map(primary).collect(),
-            took: self.decoded.names().iter().map(service_time).collect(),
+            took: self.decoded.class_names().iter().map(service_time).collect(),
             windows: concurrency_limits.filter_map(|(name, &power)| Some((id(name)?, power))).collect(),
         }
     }
@@ -95,7 +95,8 @@
         let primary = |&(id, confirmed_at): &(usize, Micros)| {
             Some((group(id)?, KnownPrimary { member: name(id)?, confirmed_at }))
         };
-        let service_times = self.decoded.names().into_iter().zip(&learnt.took).filter(|(_, took)| took.0 > 0);
+        let service_times =
+            self.decoded.class_names().into_iter().zip(&learnt.took).filter(|(_, took)| took.0 > 0);
         let home_sites = self.gateway_part.as_ref().map(GatewayPart::homes);
         StateSnapshot {
             revision: self.last_endpoint_list.revision,
--- a/crates/proxy/src/lifecycle/configuration.rs
+++ b/crates/proxy/src/lifecycle/configuration.rs
@@ -4,7 +4,7 @@
 
 use aldermill_flow_control::FlowLimits;
 use aldermill_operator_config::Operator;
-use aldermill_settings::Decoded;
+use aldermill_settings::Settings;
 use serde::Deserialize;
 use serde_json::Value;
 use serde_json::value::RawValue;
@@ -111,7 +111,7 @@
     /// The endpoint list that the file holds, for the time until discovery answers.
     pub endpoint_list: Option<EndpointList>,
     /// The settings of the deployment.
-    pub settings: Decoded,
+    pub settings: Settings,
     /// Other settings, whose decisions are only counted.
     pub shadow: Option<ShadowRouter>,
     /// The operator's file; its defaults where there is none.
@@ -148,7 +148,7 @@
     ) -> Result<Configuration, ConfigurationError> {
         let form: ConfigurationForm = serde_json::from_str(text).map_err(ConfigurationError::Form)?;
         let (platform, descriptors) = PlatformLimits::parse(&form.limits)?;
-        let settings = Decoded::parse(form.settings.get()).map_err(ConfigurationError::Settings)?;
+        let settings = Settings::parse(form.settings.get()).map_err(ConfigurationError::Settings)?;
         let immutable = ImmutableFields::new(form.immutable_fields(), &operator);
         let memory = platform.memory_mb as u64 * BYTES_PER_MB;
         let buffer_kib = operator.slow_peers.buffer_kib;
--- a/crates/proxy/src/lifecycle/errors.rs
+++ b/crates/proxy/src/lifecycle/errors.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use aldermill_operator_config::OperatorError;
-use aldermill_settings::Trouble;
+use aldermill_settings::SettingsError;
 use thiserror::Error;
 use tokio::task::JoinError;
 
@@ -185,5 +185,5 @@
     },
     /// The settings cannot be used.
     #[error("settings: {0}")]
-    Settings(Trouble),
+    Settings(SettingsError),
 }
--- a/crates/proxy/src/lifecycle/limits/discovery.rs
+++ b/crates/proxy/src/lifecycle/limits/discovery.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use aldermill_settings::Decoded;
+use aldermill_settings::Settings;
 
 use super::RetryInterval;
 use crate::lifecycle::clock::duration;
@@ -37,7 +37,7 @@
 
 impl DiscoveryLimits {
     /// The limits under these settings.
-    pub(super) fn new(decoded: &Decoded) -> DiscoveryLimits {
+    pub(super) fn new(decoded: &Settings) -> DiscoveryLimits {
         // What discovery has counts as told as soon as it can be reached, and the grace after a drain runs from then:
         // half of it is left to learn of the drain.
         let max = (duration(decoded.drain_grace) / 2).clamp(RETRY_INITIAL, RETRY_MAX);
--- a/crates/proxy/src/lifecycle/limits/member.rs
+++ b/crates/proxy/src/lifecycle/limits/member.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use aldermill_routing::Micros;
-use aldermill_settings::Decoded;
+use aldermill_settings::Settings;
 
 use crate::lifecycle::clock::duration;
 
@@ -50,7 +50,7 @@
 
 impl MemberLimits {
     /// The limits under these settings.
-    pub(super) fn new(decoded: &Decoded) -> MemberLimits {
+    pub(super) fn new(decoded: &Settings) -> MemberLimits {
         let connect_timeout = duration(decoded.connect_timeout);
         MemberLimits {
             connect_timeout,
@@ -60,7 +60,7 @@
             completion_timeout: COMPLETION_TIMEOUT,
             settle_time: SETTLE_TIME,
             max_clock_lead: MAX_CLOCK_LEAD,
-            idle_timeout: duration(decoded.idle * 4 / 5),
+            idle_timeout: duration(decoded.member_idle_timeout * 4 / 5),
             sweep_interval: SWEEP_INTERVAL,
         }
     }
--- a/crates/proxy/src/lifecycle/limits/mod.rs
+++ b/crates/proxy/src/lifecycle/limits/mod.rs
@@ -15,7 +15,7 @@
 
 use std::time::Duration;
 
-use aldermill_settings::Decoded;
+use aldermill_settings::Settings;
 
 pub use buffers::BufferLimits;
 pub use client::ClientLimits;
@@ -72,7 +72,7 @@
     pub fn new(
         descriptors: Descriptors,
         memory_mb: usize,
-        decoded: &Decoded,
+        decoded: &Settings,
         socket_buffer_kib: Option<u32>,
     ) -> Limits {
         let memory = memory_mb * MIB;
@@ -84,7 +84,7 @@
             buffers: BufferLimits::new(memory, socket_buffer_kib),
             queues: QueueLimits::new(&connections),
             connections,
-            open_requests: decoded.max_open.max(1),
+            open_requests: decoded.max_open_requests.max(1),
             client: ClientLimits::new(),
             member: MemberLimits::new(decoded),
             discovery: DiscoveryLimits::new(decoded),
--- a/crates/proxy/src/lifecycle/limits/shutdown.rs
+++ b/crates/proxy/src/lifecycle/limits/shutdown.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use aldermill_settings::Decoded;
+use aldermill_settings::Settings;
 
 use crate::lifecycle::clock::duration;
 
@@ -32,8 +32,8 @@
 
 impl ShutdownLimits {
     /// The limits under these settings.
-    pub(super) fn new(decoded: &Decoded) -> ShutdownLimits {
-        let longest = decoded.terms.classes.iter().map(|class| duration(class.timeout)).max();
+    pub(super) fn new(decoded: &Settings) -> ShutdownLimits {
+        let longest = decoded.router_config.classes.iter().map(|class| duration(class.timeout)).max();
         let counted = longest.unwrap_or_default().min(LONGEST_COUNTED_TIMEOUT);
         ShutdownLimits {
             accept_window: ACCEPT_WINDOW,
--- a/crates/proxy/src/lifecycle/startup/actors.rs
+++ b/crates/proxy/src/lifecycle/startup/actors.rs
@@ -4,7 +4,7 @@
 
 use aldermill_operator_config::{CoordinationConfig, LeaseKind};
 use aldermill_routing::Micros;
-use aldermill_settings::Decoded;
+use aldermill_settings::Settings;
 use aldermill_site_drain::Plan;
 use aldermill_stall_detection::start_jitter;
 use rand::SeedableRng;
@@ -171,14 +171,14 @@
     let coordination = configuration.operator.coordination.take().map(|config| CoordinationStart {
         config,
         directory,
-        zone: configuration.settings.terms.zone,
+        zone: configuration.settings.router_config.zone,
         longest_timeout: longest_timeout(&configuration.settings),
         reloads,
     });
     let start = MembershipStart {
         config,
         name: configuration.name.clone(),
-        configured_fleet_size: configuration.settings.terms.drivers,
+        configured_fleet_size: configuration.settings.router_config.drivers,
         spans_sites: is_gateway,
         coordination,
         seed: configuration.seed.rotate_left(MEMBERSHIP_SEED_ROTATION),
@@ -189,8 +189,8 @@
 }
 
 /// The longest that a request may take, in microseconds.
-fn longest_timeout(settings: &Decoded) -> Micros {
-    settings.terms.classes.iter().map(|class| class.timeout).max().unwrap_or(0)
+fn longest_timeout(settings: &Settings) -> Micros {
+    settings.router_config.classes.iter().map(|class| class.timeout).max().unwrap_or(0)
 }
 
 /// What other parts of the start made for the dispatcher.
@@ -234,7 +234,7 @@
     channels: DiscoveryChannels,
     revision: Option<u64>,
 ) -> Watch {
-    let fleet_size = configuration.settings.terms.drivers;
+    let fleet_size = configuration.settings.router_config.drivers;
     let drain_grace = configuration.settings.drain_grace;
     let mut rng = Pcg64Mcg::seed_from_u64(configuration.seed.rotate_left(DISCOVERY_SEED_ROTATION));
     let delay = start_jitter::start_delay(&configuration.name, fleet_size, drain_grace, &mut rng);
--- a/crates/proxy/src/lifecycle/startup/resources.rs
+++ b/crates/proxy/src/lifecycle/startup/resources.rs
@@ -111,7 +111,7 @@
             ready: shared.ready,
             stopping: shared.stopping,
             flow_control,
-            highest_priority_classes: configuration.settings.best_paid().into_iter().collect(),
+            highest_priority_classes: configuration.settings.highest_priority_classes().into_iter().collect(),
             member_connection_permits: Arc::new(Semaphore::new(configuration.limits.connections.members)),
             waiting_for_permit: Cell::new(0),
         });
@@ -135,7 +135,7 @@
     let (list_updates, received_list_updates) = mpsc::channel(queues.list_updates);
     let (has_list, ready) = watch::channel(false);
     let (stop, stopping) = watch::channel(None);
-    let on_request = configuration.settings.terms.list_on_request;
+    let on_request = configuration.settings.router_config.list_on_request;
     let (list_requests, received_list_requests) = mpsc::channel(1);
     let channels = Channels {
         reload: ReloadChannels { discovery: discovery_changes, coordination: coordination_changes },
--- a/crates/proxy/src/member/report.rs
+++ b/crates/proxy/src/member/report.rs
@@ -1,7 +1,7 @@
 //! What a response says of its member: role, position, age.
 
 use aldermill_routing::{MemberReport, Micros, Role};
-use aldermill_settings::Decoded;
+use aldermill_settings::parse_load_report;
 use aldermill_wire::Exchange;
 
 /// The role that the primary reports.
@@ -28,7 +28,7 @@
     }
     let fields = usage.into_iter().flat_map(|usage| usage.split(','));
     let fields = fields.filter_map(|field| field.trim().split_once('='));
-    let mut report = Decoded::report(fields, 0).unwrap_or_default();
+    let mut report = parse_load_report(fields, 0).unwrap_or_default();
     report.age = age;
     report.role = stated_role(exchange).or(report.role);
     report.position = report.position.max(stated_position(exchange));
--- a/crates/proxy/src/shadow/error.rs
+++ b/crates/proxy/src/shadow/error.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use aldermill_settings::Trouble;
+use aldermill_settings::SettingsError;
 use thiserror::Error;
 
 /// Why the settings of a shadow evaluation are not used.
@@ -22,7 +22,7 @@
         /// The file that the operator's file names.
         path: String,
         /// Which field is wrong, and why.
-        error: Trouble,
+        error: SettingsError,
     },
     /// Decisions under these settings cannot be compared with those made: they know other request classes or zones.
     #[error(
--- a/crates/proxy/src/shadow/mod.rs
+++ b/crates/proxy/src/shadow/mod.rs
@@ -10,7 +10,7 @@
 
 use aldermill_operator_config::ShadowConfig;
 use aldermill_routing::{Actions, Router, RouterConfig};
-use aldermill_settings::Decoded;
+use aldermill_settings::Settings;
 use slog::{Logger, info};
 use tokio::time::Instant;
 
@@ -45,12 +45,12 @@
     ///
     /// The file cannot be read or is not in the form of settings, or its request classes or zones are not those of the
     /// settings in force.
-    pub fn load(config: &ShadowConfig, in_force: &Decoded) -> Result<ShadowRouter, ShadowError> {
+    pub fn load(config: &ShadowConfig, in_force: &Settings) -> Result<ShadowRouter, ShadowError> {
         let path = || config.settings.clone();
         let text = std::fs::read_to_string(&config.settings)
             .map_err(|error| ShadowError::File { path: path(), error })?;
-        let other = Decoded::parse(&text).map_err(|error| ShadowError::Settings { path: path(), error })?;
-        if other.names() != in_force.names() {
+        let other = Settings::parse(&text).map_err(|error| ShadowError::Settings { path: path(), error })?;
+        if other.class_names() != in_force.class_names() {
             return Err(ShadowError::OtherDeployment { path: path(), field: "categories" });
         }
         if other.zones() != in_force.zones() {
@@ -59,7 +59,7 @@
         let sample_interval = config.one_in.unwrap_or(DEFAULT_SAMPLE_INTERVAL).max(1);
         let log_interval_s = config.every_s.unwrap_or(DEFAULT_LOG_INTERVAL_S).max(1);
         Ok(ShadowRouter {
-            settings: other.terms,
+            settings: other.router_config,
             sample_interval,
             log_interval: Duration::from_secs(log_interval_s.into()),
             until_next_sample: sample_interval,
--- a/crates/proxy/tests/shadow.rs
+++ b/crates/proxy/tests/shadow.rs
@@ -8,13 +8,13 @@
 use aldermill_routing::{
     Action, Actions, ListedMember, MemberReport, Outcome, Request, Role, Router, Standing, Verdict,
 };
-use aldermill_settings::Decoded;
+use aldermill_settings::Settings;
 use aldermill_test_support::{TERMS, file};
 use shadow::ShadowRouter;
 use shadow::difference::{Difference, Disposition};
 
-fn decoded(text: &str) -> Decoded {
-    Decoded::parse(text).map_err(|trouble| trouble.to_string()).unwrap()
+fn decoded(text: &str) -> Settings {
+    Settings::parse(text).map_err(|trouble| trouble.to_string()).unwrap()
 }
 
 fn config(text: &str) -> ShadowConfig {
@@ -24,7 +24,7 @@
 
 /// A short life of a router, each decision compared; what it did, line by line.
 fn run(mut shadow: Option<&mut ShadowRouter>) -> Vec<String> {
-    let mut router = Router::start(decoded(TERMS).terms, 7, 0);
+    let mut router = Router::start(decoded(TERMS).router_config, 7, 0);
     let mut done = Vec::new();
     let mut ask = |router: &mut Router, decide: &dyn Fn(&mut Router) -> Actions| {
         let actions = match &mut shadow {
