--- a/crates/membership/examples/gossip.rs
+++ b/crates/membership/examples/gossip.rs
@@ -19,10 +19,6 @@
 const DEATH_TIMEOUT: Micros = 60 * SECOND;
 const POLL_INTERVAL: Micros = 50 * MILLISECOND;
 
-#[allow(
-    clippy::too_many_lines,
-    reason = "a measurement: set-up, faults and figures in the order in which they happen"
-)]
 fn main() {
     let argument = |index: usize| std::env::args().nth(index);
     let number = |index, default| argument(index).and_then(|text| text.parse().ok()).unwrap_or(default);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -4,11 +4,7 @@
 //! started with ([`RouterConfig`]), what it takes ([`Request`]), what it hears ([`ListedMember`], [`Outcome`],
 //! [`MemberReport`]) and what its caller is to do next ([`Actions`]).
 
-#![allow(
-    clippy::enum_glob_use,
-    clippy::wildcard_imports,
-    reason = "this package is not reworked for readers yet (docs/ROADMAP.md)"
-)]
+#![allow(clippy::enum_glob_use, reason = "what a verdict means reads by the names of the verdicts alone")]
 #![warn(missing_docs)]
 
 use std::collections::BTreeMap;
