--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -1,5 +1,12 @@
 //! Puts the routing decisions on the bench's wire: lines in, calls on the router, results out.
 
+#![allow(
+    clippy::cognitive_complexity,
+    clippy::too_many_lines,
+    reason = "long functions are split when this package is reworked for readers (docs/ROADMAP.md)"
+)]
+
+mod error;
 mod wire;
 
 use std::collections::HashMap;
@@ -7,9 +14,11 @@
 use std::process::ExitCode;
 
 use aldermill_routing::{
-    Action, Actions, Handle, Listed, MemberId, MemberReport, Micros, Outcome, Request, Role, Router, Standing,
+    Action, Actions, ListedMember, MemberId, MemberReport, Micros, Outcome, Request, RequestHandle, Role,
+    Router, Standing,
 };
-use aldermill_settings::{Decoded, Trouble};
+use aldermill_settings::Settings;
+use error::MessageError;
 use wire::Fields;
 
 /// One line of a sheet, as it stands there.
@@ -24,7 +33,7 @@
 }
 
 impl Item {
-    fn parse(fields: &mut Fields) -> Result<Item, Trouble> {
+    fn parse(fields: &mut Fields) -> Result<Item, MessageError> {
         let item = Item {
             primary: fields.number("primary")? >= 1.0,
             hint: fields.number("powerHint")?,
@@ -42,20 +51,20 @@
 /// One driver: its router and the names that the wire uses for what the router numbers.
 struct Driver {
     router: Router,
-    decoded: Decoded,
+    decoded: Settings,
     member_ids: HashMap<String, MemberId>,
     member_names: Vec<String>,
-    handles: HashMap<u64, Handle>,
-    tickets: HashMap<Handle, u64>,
+    handles: HashMap<u64, RequestHandle>,
+    tickets: HashMap<RequestHandle, u64>,
     armed: Option<Micros>,
     timers: u64,
 }
 
 impl Driver {
-    fn new(settings: &str, seed: u64, now: Micros) -> Result<Driver, Trouble> {
-        let decoded = Decoded::parse(settings)?;
+    fn new(settings: &str, seed: u64, now: Micros) -> Result<Driver, MessageError> {
+        let decoded = Settings::parse(settings)?;
         Ok(Driver {
-            router: Router::start(decoded.terms.clone(), seed, now),
+            router: Router::start(decoded.router_config.clone(), seed, now),
             decoded,
             member_ids: HashMap::new(),
             member_names: Vec::new(),
@@ -76,15 +85,15 @@
         id
     }
 
-    fn list(&mut self, items: &[Item]) -> Vec<Listed> {
-        let listed = |item: &Item| Listed {
+    fn list(&mut self, items: &[Item]) -> Vec<ListedMember> {
+        let listed = |item: &Item| ListedMember {
             member: self.member(&item.name),
             name: item.name.clone(),
             group: item.group,
-            zone: self.decoded.zone(&item.hall),
+            zone: self.decoded.zone_index(&item.hall),
             standing: item.standing,
             since: item.since,
-            size: self.decoded.size(item.hint),
+            size: self.decoded.member_size(item.hint),
             primary: item.primary,
         };
         items.iter().map(listed).collect()
@@ -100,7 +109,7 @@
                     }
                     reply.call_out(who, ticket, &self.member_names[member], timeout)
                 }
-                Action::Reject { cool_down } => reply.turn_away(who, ticket, cool_down),
+                Action::Reject { retry_after } => reply.turn_away(who, ticket, retry_after),
                 Action::Fail => reply.error(who, ticket),
             }
             self.release(handle);
@@ -124,10 +133,10 @@
     }
 
     /// What an answer's note and a load report say; the newer position of the two.
-    fn report(&self, stand: Option<u64>, load: Option<&str>) -> Result<MemberReport, Trouble> {
+    fn report(&self, stand: Option<u64>, load: Option<&str>) -> Result<MemberReport, MessageError> {
         let pairs = load.into_iter().flat_map(|load| load.split(','));
         let pairs = pairs.map(|pair| pair.split_once(':').unwrap_or((pair, "")));
-        let mut report = Decoded::report(pairs, self.decoded.zero)?;
+        let mut report = aldermill_settings::parse_load_report(pairs, self.decoded.position_origin)?;
         if let Some(stand) = stand.filter(|&stand| stand > 0) {
             report.role = match stand % 4 {
                 1 => Some(Role::Primary),
@@ -135,7 +144,7 @@
                 _ => report.role,
             };
             if stand >= 4 {
-                let position = self.decoded.zero + (stand / 4) as Micros * 1000;
+                let position = self.decoded.position_origin + (stand / 4) as Micros * 1000;
                 report.position = report.position.max(Some(position));
             }
         }
@@ -143,7 +152,7 @@
     }
 
     /// Drops the names of a request of which nothing more can be heard.
-    fn release(&mut self, handle: Handle) {
+    fn release(&mut self, handle: RequestHandle) {
         if !self.router.knows(handle)
             && let Some(ticket) = self.tickets.remove(&handle)
         {
@@ -163,12 +172,12 @@
 }
 
 impl Drill {
-    fn line(&mut self, line: &str, out: &mut impl Write) -> Result<(), Trouble> {
+    fn line(&mut self, line: &str, out: &mut impl Write) -> Result<(), MessageError> {
         let mut fields = Fields::new(line);
         let verb = fields.verb();
         if let Some((page, left)) = self.open_sheet {
             if verb != "ITEM" {
-                return Err(Trouble::new("ITEM", "a sheet's line is missing here"));
+                return Err(MessageError::new("ITEM", "a sheet's line is missing here"));
             }
             let items = self.sheets.entry(page).or_default();
             items.push(Item::parse(&mut fields)?);
@@ -177,7 +186,7 @@
         }
         match verb {
             "MARK" => self.now = fields.time("clock")?,
-            "GO" => self.reply.finish(out).map_err(|error| Trouble::new("reply", &error.to_string()))?,
+            "GO" => self.reply.finish(out).map_err(|error| MessageError::new("reply", &error.to_string()))?,
             "SHEET" => {
                 let page = fields.integer("page")?;
                 let lines = fields.integer("lines")? as usize;
@@ -200,12 +209,12 @@
             "STARTED" | "PEER_DATA" => {
                 fields.instance()?;
             }
-            other => return Err(Trouble::new(other, "unknown message")),
+            other => return Err(MessageError::new(other, "unknown message")),
         }
         Ok(())
     }
 
-    fn event(&mut self, verb: &str, fields: &mut Fields) -> Result<(), Trouble> {
+    fn event(&mut self, verb: &str, fields: &mut Fields) -> Result<(), MessageError> {
         let now = self.now;
         let who = fields.instance()?;
         let Some(driver) = self.drivers.get_mut(&who) else { return Ok(()) };
@@ -219,11 +228,11 @@
                         let full = match form {
                             "update" => false,
                             "replace" | "restored" => true,
-                            _ => return Err(Trouble::new("form", "unknown kind of list")),
+                            _ => return Err(MessageError::new("form", "unknown kind of list")),
                         };
                         let page = page.and_then(|page| page.parse().ok());
                         let items = page.and_then(|page: u64| self.sheets.get(&page));
-                        let items = items.ok_or(Trouble::new("page", "no such sheet"))?;
+                        let items = items.ok_or(MessageError::new("page", "no such sheet"))?;
                         let lines = driver.list(items);
                         driver.router.list(now, full, lines)
                     }
@@ -231,8 +240,10 @@
             }
             "ORDER" => {
                 let ticket = fields.integer("ticket")?;
-                let class = driver.decoded.class(fields.text("service")?)?;
-                fields.optional("account")?.map_or(Ok(()), |account| driver.decoded.account(account))?;
+                let class = driver.decoded.class_index(fields.text("service")?)?;
+                fields
+                    .optional("account")?
+                    .map_or(Ok(()), |account| driver.decoded.check_account(account))?;
                 let session = fields.optional("session")?.map(str::to_owned);
                 let ttl = fields.time("ttlMs")?;
                 fields.skip("workMs")?;
@@ -300,7 +311,7 @@
         let result = match input.read_line(&mut line) {
             Ok(0) => return ExitCode::SUCCESS,
             Ok(_) => drill.line(line.trim_end_matches(['\n', '\r']), &mut out),
-            Err(error) => Err(Trouble::new("input", &error.to_string())),
+            Err(error) => Err(MessageError::new("input", &error.to_string())),
         };
         if let Err(trouble) = result {
             let verb = line.split('\t').next().unwrap_or_default().trim_end();
--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -1,7 +1,9 @@
 //! Carries out what the router decided: answers, attempts, health checks, connections to close.
 
 use aldermill_flow_control::ReservationOwner;
-use aldermill_routing::{Action, Actions, Effect, Handle, MemberId, MemberReport, Micros, Validity, Verdict};
+use aldermill_routing::{
+    Action, Actions, Effect, MemberId, MemberReport, Micros, RequestHandle, Validity, Verdict,
+};
 use slog::warn;
 use tokio::time::Instant;
 
@@ -19,9 +21,7 @@
 
 /// An attempt as the router decided it.
 struct DecidedAttempt {
-    /// The router's name of the request.
-    handle: Handle,
-    /// The member that it goes to.
+    handle: RequestHandle,
     member: MemberId,
     /// How long it may take, in microseconds.
     timeout: Micros,
@@ -52,19 +52,18 @@
         }
     }
 
-    /// Carries out what the router decided for one request.
-    fn carry_out_for_request(&mut self, handle: Handle, action: Action) {
+    fn carry_out_for_request(&mut self, handle: RequestHandle, action: Action) {
         match action {
             Action::Attempt { member, timeout, afresh, validity } => {
                 self.send_attempt(DecidedAttempt { handle, member, timeout, afresh, validity })
             }
-            Action::Reject { cool_down } => self.answer(handle, Answer::Rejected { retry_after: cool_down }),
+            Action::Reject { retry_after } => self.answer(handle, Answer::Rejected { retry_after }),
             Action::Fail => self.answer(handle, Answer::Failed),
         }
     }
 
     /// Gives a request its one answer.
-    pub(super) fn answer(&mut self, handle: Handle, answer: Answer) {
+    pub(super) fn answer(&mut self, handle: RequestHandle, answer: Answer) {
         let Some(open) = self.open_requests.get_mut(&handle) else { return };
         let Some(client) = open.client.take() else { return };
         if let Some(via) = open.via {
@@ -75,9 +74,9 @@
     }
 
     /// Answers a request whose member responded while there was no buffer space for the response.
-    pub(super) fn answer_without_buffer_space(&mut self, handle: Handle) {
+    pub(super) fn answer_without_buffer_space(&mut self, handle: RequestHandle) {
         let Some(open) = self.open_requests.get(&handle) else { return };
-        let Ok(class) = self.decoded.class(&open.request.comment.class) else { return };
+        let Ok(class) = self.decoded.class_index(&open.request.comment.class) else { return };
         let answer = self.no_buffer_space_answer(class);
         self.answer(handle, answer);
     }
@@ -85,16 +84,15 @@
     /// The answer where there is no buffer space for a response: an idempotent request is rejected, as it may be repeated;
     /// any other has run, and has failed for its client.
     pub(super) fn no_buffer_space_answer(&self, class: usize) -> Answer {
-        let terms = &self.decoded.terms;
+        let terms = &self.decoded.router_config;
         match terms.classes[class].effect {
-            Effect::Pure => Answer::Rejected {
-                retry_after: self.context.flow_control.retry_after().min(terms.max_cool_down),
+            Effect::Idempotent => Answer::Rejected {
+                retry_after: self.context.flow_control.retry_after().min(terms.max_retry_after),
             },
             _ => Answer::Failed,
         }
     }
 
-    /// Hands an attempt to its member's actor. One whose mailbox is full ends as not sent.
     fn send_attempt(&mut self, decided: DecidedAttempt) {
         let Some(open) = self.open_requests.get(&decided.handle) else { return };
         let handle = decided.handle;
@@ -128,7 +126,6 @@
         }
     }
 
-    /// Hands a health check to its member's actor. One whose mailbox is full ends as not sent.
     fn send_health_check(&mut self, member: MemberId) {
         let decided_at = Instant::now();
         let deadline = decided_at + self.context.limits.member.health_check_timeout;
@@ -145,7 +142,6 @@
         }
     }
 
-    /// Closes the idle connections to a member.
     fn close_idle_connections(&self, member: MemberId) {
         if let Some(entry) = &self.members[member] {
             // A full mailbox means that the member is busy and needs its connections.
@@ -188,7 +184,7 @@
 }
 
 /// The end of an attempt that was never sent.
-fn attempt_not_sent(handle: Handle, decided_at: Instant) -> AttemptFinished {
+fn attempt_not_sent(handle: RequestHandle, decided_at: Instant) -> AttemptFinished {
     AttemptFinished {
         request: handle,
         verdict: Verdict::NotSent,
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_routing::{Actions, Listed, MemberId, Micros, Standing};
+use aldermill_routing::{Actions, ListedMember, MemberId, Micros, Standing};
 use slog::{info, warn};
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
@@ -128,7 +128,7 @@
     }
 
     /// The endpoints in the router's form. Their actors act by the list from here on.
-    fn listed_members(&mut self, list: &EndpointList) -> Vec<Listed> {
+    fn listed_members(&mut self, list: &EndpointList) -> Vec<ListedMember> {
         if list.complete {
             self.stop_using_unlisted(list);
         }
@@ -152,12 +152,12 @@
         match standing {
             Standing::Ready => true,
             Standing::Draining => false,
-            Standing::Gone => self.decoded.terms.only_draining_binds,
+            Standing::Gone => self.decoded.router_config.only_draining_binds,
         }
     }
 
     /// One endpoint in the router's form; `None` where it has no usable address, or is gone and was never known.
-    fn listed_member(&mut self, endpoint: &Endpoint) -> Option<Listed> {
+    fn listed_member(&mut self, endpoint: &Endpoint) -> Option<ListedMember> {
         let Ok(address) = endpoint.host_port.parse::<SocketAddr>() else {
             warn!(self.context.log, "list endpoint without a usable address, left out";
                 "member" => &endpoint.id, "host_port" => &endpoint.host_port);
@@ -172,14 +172,14 @@
         self.update_member(member, endpoint, address);
         let since = self.members[member].as_ref()?.started_at;
         self.groups.insert(endpoint.group);
-        Some(Listed {
+        Some(ListedMember {
             member,
             name: endpoint.id.clone(),
             group: endpoint.group,
-            zone: self.decoded.zone(&endpoint.zone),
+            zone: self.decoded.zone_index(&endpoint.zone),
             standing,
             since,
-            size: self.decoded.size(endpoint.size),
+            size: self.decoded.member_size(endpoint.size),
             primary: endpoint.is_primary(),
         })
     }
@@ -193,7 +193,7 @@
         let Some(known) = &mut self.members[member] else { return };
         let was_accepting = known.accepts_requests.send_replace(accepts_requests);
         known.group = endpoint.group;
-        known.zone = self.decoded.zone(&endpoint.zone);
+        known.zone = self.decoded.zone_index(&endpoint.zone);
         known.ready = standing == Standing::Ready;
         let restarted = known.ready && known.up_since_ms != endpoint.up_since_ms;
         if restarted {
@@ -228,7 +228,7 @@
         let first_listed = self.context.clock.now();
         let mut known = MemberEntry {
             group: endpoint.group,
-            zone: self.decoded.zone(&endpoint.zone),
+            zone: self.decoded.zone_index(&endpoint.zone),
             ready: false,
             commands,
             oldest_idle_since,
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -20,8 +20,8 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 
-use aldermill_routing::{Actions, Handle, MemberId, Micros, Router};
-use aldermill_settings::Decoded;
+use aldermill_routing::{Actions, MemberId, Micros, RequestHandle, Router};
+use aldermill_settings::Settings;
 use aldermill_statistics::ClockOffset;
 use slog::warn;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -59,11 +59,8 @@
 
 /// Where the dispatcher's events come from, except for its timers.
 struct Inputs {
-    /// From the discovery watch.
     list_updates: mpsc::Receiver<ListUpdate>,
-    /// From all other actors.
     messages: mpsc::Receiver<DispatcherMessage>,
-    /// Set once the process is to stop.
     stopping: watch::Receiver<Option<tokio::time::Instant>>,
 }
 
@@ -72,7 +69,7 @@
     /// What all actors share.
     pub context: Rc<ProcessContext>,
     /// The settings in force.
-    pub decoded: Decoded,
+    pub decoded: Settings,
     /// Seed of the router's random choices.
     pub seed: u64,
     /// `None` if this process is no gateway to other sites.
@@ -91,19 +88,13 @@
 
 /// The actor that owns the router and the open requests.
 pub struct Dispatcher {
-    /// What every actor needs.
     context: Rc<ProcessContext>,
-    /// The settings in force.
-    decoded: Decoded,
-    /// Decides on requests and members.
+    decoded: Settings,
     router: Router,
-    /// The router under other settings, whose actions are only compared.
     shadow: Option<ShadowRouter>,
-    /// Present where this process is a gateway to other sites.
     gateway_part: Option<GatewayPart>,
     /// By the router's index: `None` where the member was removed and the index is not in use again yet.
     members: Vec<Option<MemberEntry>>,
-    /// The router's index of each member, by the id that the endpoint list gives it.
     member_ids: HashMap<String, MemberId>,
     /// By how much the members' clock is ahead of the router's.
     clock_offset: ClockOffset,
@@ -111,27 +102,20 @@
     reported_offset: Micros,
     /// All groups that have been in the endpoint list since the start.
     groups: HashSet<u64>,
-    /// Requests that the router decides on.
-    open_requests: HashMap<Handle, OpenRequest>,
+    open_requests: HashMap<RequestHandle, OpenRequest>,
     /// The ids that clients gave their open requests.
     open_ids: HashSet<String>,
-    /// Who decides on each client's request.
     locations: HashMap<ClientId, RequestLocation>,
     /// Ends of attempts and health checks that came up while a decision was carried out: handled after it.
     deferred: VecDeque<DispatcherMessage>,
-    /// What a former start saved, and where snapshots for the next one are published.
     warm_state: WarmState,
-    /// The endpoint list in force, for snapshots.
     last_endpoint_list: LastEndpointList,
-    /// Present where the processes decide on zones or splits together.
     observations: Option<Observations>,
     /// When the router wants to be woken, on its clock, in microseconds.
     wake_at: Micros,
     /// The stalled time that both routers were told of, in microseconds.
     reported_stall: Micros,
-    /// Set once there is an endpoint list to decide on.
     ready: watch::Sender<bool>,
-    /// Where the first request asks for the endpoint list.
     list_wanted: Option<mpsc::Sender<()>>,
     /// Notified once no remote request is open.
     remote_requests_waiters: Vec<oneshot::Sender<()>>,
@@ -142,7 +126,7 @@
     pub fn new(parts: DispatcherParts) -> Dispatcher {
         let now = parts.context.clock.now();
         Dispatcher {
-            router: Router::start(parts.decoded.terms.clone(), parts.seed, now),
+            router: Router::start(parts.decoded.router_config.clone(), parts.seed, now),
             decoded: parts.decoded,
             shadow: parts.shadow,
             gateway_part: parts.gateway_part,
@@ -231,12 +215,11 @@
         let total = self.context.unstalled_clock.stalled_for();
         let unreported = total - std::mem::replace(&mut self.reported_stall, total);
         if unreported > 0 {
-            self.router.stood_still(self.context.clock.now(), unreported);
+            self.router.stall_ended(self.context.clock.now(), unreported);
             self.report_stall_to_sites();
         }
     }
 
-    /// Handles one event.
     fn handle_event(&mut self, event: Event) {
         match event {
             Event::ListUpdate(list_update) => self.list_update(list_update),
@@ -249,7 +232,6 @@
         }
     }
 
-    /// Handles one message of another actor.
     fn handle_message(&mut self, message: DispatcherMessage) {
         match message {
             DispatcherMessage::ClientRequest(request) => self.client_request(request),
@@ -261,7 +243,7 @@
             DispatcherMessage::AwaitRemoteRequests(reply) => self.await_remote_requests(reply),
             DispatcherMessage::FleetSize(size) => self.fleet_size(&size),
             DispatcherMessage::TakeObservations(reply) => self.report_observations(reply),
-            DispatcherMessage::ZoneDirectives(leans) => self.zone_directives(&leans),
+            DispatcherMessage::ZoneDirectives(directives) => self.zone_directives(&directives),
             DispatcherMessage::SiteDrainPlans(plans) => self.follow_site_drains(plans),
             DispatcherMessage::DescribeSites(reply) => {
                 let _ = reply.send(self.describe());
@@ -279,7 +261,6 @@
         decided
     }
 
-    /// Lets the router act on the time that has passed, and publishes a snapshot where one is due.
     fn wake_router(&mut self) {
         let now = self.context.clock.now();
         let ((), actions) = self.decide(|router| ((), router.wake(now)));
@@ -287,14 +268,12 @@
         self.publish_snapshot();
     }
 
-    /// Tells the router how many processes share the members.
     fn fleet_size(&mut self, size: &FleetSize) {
         let ((), actions) = self
             .decide(|router| (router.fleet(size.sharing_warm, size.sharing_warming_up), Actions::default()));
         self.carry_out(actions);
     }
 
-    /// Replaces the shadow evaluation, after the last counts of the former are logged.
     fn replace_shadow(&mut self, shadow: Option<ShadowRouter>) {
         if let Some(ended) = &mut self.shadow {
             ended.log_counts(&self.context.log);
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -4,11 +4,11 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use aldermill_routing::{Handle, Micros, Need, ReadShift, Verdict};
-use aldermill_settings::Decoded;
-use aldermill_split_points::{Sketch, frame};
+use aldermill_routing::{Micros, Need, ReadShift, RequestHandle, Verdict};
+use aldermill_settings::Settings;
+use aldermill_split_points::KeySketch;
 use aldermill_wire::statement::quoted;
-use aldermill_zone_failover::{End, Lean, Tally};
+use aldermill_zone_failover::{ReadOutcome, RecentReads, TrafficShift, ZoneDirective, ZoneHistory};
 use tokio::sync::oneshot;
 
 use super::Dispatcher;
@@ -31,10 +31,10 @@
 
 /// Ends of attempts by group and zone, and which keys cost what.
 pub struct Observations {
-    tally: Tally,
-    in_flight: HashMap<Handle, AttemptInFlight>,
+    zone_history: ZoneHistory,
+    in_flight: HashMap<RequestHandle, AttemptInFlight>,
     /// By group; `None` where no split points are decided.
-    keys: Option<BTreeMap<u64, Sketch>>,
+    keys: Option<BTreeMap<u64, KeySketch>>,
     seed: u64,
 }
 
@@ -43,19 +43,19 @@
     /// them.
     pub fn start(now: Micros, seed: u64, splits: bool) -> Observations {
         let keys = splits.then(BTreeMap::new);
-        Observations { tally: Tally::start(now), in_flight: HashMap::new(), keys, seed }
+        Observations { zone_history: ZoneHistory::start(now), in_flight: HashMap::new(), keys, seed }
     }
 
     /// An attempt is about to be sent to this member.
     pub(super) fn record_attempt(
         &mut self,
-        handle: Handle,
+        handle: RequestHandle,
         member: Option<&MemberEntry>,
-        decoded: &Decoded,
+        decoded: &Settings,
         request: &ClientRequest,
     ) {
-        let Ok(class) = decoded.class(&request.comment.class) else { return };
-        let class = &decoded.terms.classes[class];
+        let Ok(class) = decoded.class_index(&request.comment.class) else { return };
+        let class = &decoded.router_config.classes[class];
         let Some(member) = member else { return };
         let attempt = AttemptInFlight {
             group: member.group,
@@ -74,7 +74,7 @@
         quoted(&request.statement[request.comment.end..]).unwrap_or_default().into_bytes()
     }
 
-    fn record_end(&mut self, now: Micros, handle: Handle, verdict: Verdict, elapsed: Micros) {
+    fn record_end(&mut self, now: Micros, handle: RequestHandle, verdict: Verdict, elapsed: Micros) {
         let Some(attempt) = self.in_flight.remove(&handle) else { return };
         if verdict == Verdict::Served {
             self.count_key(now, &attempt, elapsed);
@@ -83,8 +83,8 @@
         if attempt.write {
             return;
         }
-        if let Some(end) = end_of_read(verdict, elapsed, attempt.objective) {
-            self.tally.ended(attempt.group, attempt.zone, end, elapsed);
+        if let Some(outcome) = read_outcome(verdict, elapsed, attempt.objective) {
+            self.zone_history.record(attempt.group, attempt.zone, outcome, elapsed);
         }
     }
 
@@ -97,30 +97,30 @@
             return;
         }
         let seed = self.seed ^ group;
-        let sketch = keys.entry(group).or_insert_with(|| Sketch::start(now, seed));
+        let sketch = keys.entry(group).or_insert_with(|| KeySketch::start(now, seed));
         let cost_ms = elapsed as f64 / 1000.0;
-        sketch.access(now, &attempt.key, attempt.write, cost_ms);
+        sketch.record(now, &attempt.key, attempt.write, cost_ms);
     }
 
     fn summary(&mut self, now: Micros, site: Option<SiteObservations>) -> ObservationSummary {
-        let (span, rows) = self.tally.take(now);
-        let encoded = |(&group, sketch): (&u64, &mut Sketch)| (group, frame::encode(sketch, now));
+        let RecentReads { span, rows } = self.zone_history.take(now);
+        let encoded = |(&group, sketch): (&u64, &mut KeySketch)| (group, sketch.encode_summary(now));
         let keys = self.keys.iter_mut().flatten().map(encoded).collect();
         ObservationSummary { span, rows, keys, site }
     }
 }
 
 /// What the end of a read says of its zone; `None` where nothing was seen of the member.
-fn end_of_read(verdict: Verdict, elapsed: Micros, objective: Micros) -> Option<End> {
+fn read_outcome(verdict: Verdict, elapsed: Micros, objective: Micros) -> Option<ReadOutcome> {
     match verdict {
-        Verdict::Served => Some(End::Served { in_time: elapsed <= objective }),
-        Verdict::Overloaded => Some(End::Refused),
-        Verdict::Error | Verdict::Malformed => Some(End::Error),
+        Verdict::Served => Some(ReadOutcome::Served { in_time: elapsed <= objective }),
+        Verdict::Overloaded => Some(ReadOutcome::Rejected),
+        Verdict::Error | Verdict::Malformed => Some(ReadOutcome::Failed),
         Verdict::TimedOut
         | Verdict::Unconnected
         | Verdict::Unreachable
         | Verdict::Reset
-        | Verdict::ConnectionLost => Some(End::Silent),
+        | Verdict::ConnectionLost => Some(ReadOutcome::Unanswered),
         Verdict::Cancelled
         | Verdict::Unobserved
         | Verdict::LocalFailure
@@ -131,7 +131,7 @@
 
 impl Dispatcher {
     /// An attempt ended, for the observations if there are any.
-    pub(super) fn observe_end(&mut self, handle: Handle, verdict: Verdict, elapsed: Micros) {
+    pub(super) fn observe_end(&mut self, handle: RequestHandle, verdict: Verdict, elapsed: Micros) {
         if let Some(observations) = &mut self.observations {
             observations.record_end(self.context.clock.now(), handle, verdict, elapsed);
         }
@@ -147,16 +147,17 @@
     }
 
     /// Applies the directives for this process's zone, by group; a group that is not named has none.
-    pub(super) fn zone_directives(&mut self, leans: &[(u64, Lean)]) {
-        let shifts = leans.iter().map(|(group, lean)| (*group, read_shift(lean))).collect();
+    pub(super) fn zone_directives(&mut self, directives: &[ZoneDirective]) {
+        let by_group = |directive: &ZoneDirective| (directive.group, read_shift(&directive.shift));
+        let shifts = directives.iter().map(by_group).collect();
         self.router.shift_reads(&shifts);
     }
 }
 
-fn read_shift(lean: &Lean) -> ReadShift {
+fn read_shift(shift: &TrafficShift) -> ReadShift {
     ReadShift {
-        away: fraction(lean.away),
-        to_zones: lean.to.iter().map(|&(zone, share)| (zone, fraction(share))).collect(),
+        away: fraction(shift.away),
+        to_zones: shift.to.iter().map(|part| (part.zone, fraction(part.share))).collect(),
     }
 }
 
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use aldermill_routing::{Handle, Micros, Need, Outcome, Request, Role, Verdict};
+use aldermill_routing::{Micros, Need, Outcome, Request, RequestHandle, Role, Verdict};
 use aldermill_site_routing::{Actions as SiteActions, RequestHandle as SiteRequestHandle};
 use aldermill_wire::statement::quoted;
 
@@ -47,7 +47,7 @@
     /// The request's class, or why it is not taken.
     fn check(&self, request: &ClientRequest) -> Result<usize, Answer> {
         let comment = &request.comment;
-        let Ok(class) = self.decoded.class(&comment.class) else {
+        let Ok(class) = self.decoded.class_index(&comment.class) else {
             return Err(Answer::InvalidStatement("unknown offering"));
         };
         // The list may be older than its group: the request was not sent on, and may be sent again.
@@ -88,7 +88,7 @@
     }
 
     /// Hands a request to the router. What the router returns is not carried out yet.
-    pub(super) fn hand_over(&mut self, handover: Handover) -> (Handle, aldermill_routing::Actions) {
+    pub(super) fn hand_over(&mut self, handover: Handover) -> (RequestHandle, aldermill_routing::Actions) {
         let Handover { request, class, deadline, via } = handover;
         let now = self.context.clock.now();
         let routed = self.routed_request(&request, class, deadline, now);
@@ -114,7 +114,7 @@
         now: Micros,
     ) -> Request {
         let comment = &request.comment;
-        let keyed = matches!(self.decoded.terms.classes[class].need, Need::Write | Need::OwnWrites);
+        let keyed = matches!(self.decoded.router_config.classes[class].need, Need::Write | Need::OwnWrites);
         let session = if keyed { quoted(&request.statement[comment.end..]) } else { None };
         Request {
             class,
@@ -205,8 +205,8 @@
         }
     }
 
-    /// The router is to forget a request that nobody waits for here any more; what was sent of it goes on.
-    pub(super) fn abandon(&mut self, handle: Handle) {
+    /// The router forgets a request that nobody waits for here any more; attempts that were sent go on.
+    pub(super) fn abandon(&mut self, handle: RequestHandle) {
         if let Some(open) = self.open_requests.get_mut(&handle) {
             open.withdraw();
         }
@@ -216,8 +216,8 @@
         self.release(handle);
     }
 
-    /// Drops what is kept for a request of which nothing more can be heard.
-    pub(super) fn release(&mut self, handle: Handle) {
+    /// Drops what is kept for a request that the router has finished with.
+    pub(super) fn release(&mut self, handle: RequestHandle) {
         if self.router.knows(handle) {
             return;
         }
--- a/crates/proxy/src/messages/observations.rs
+++ b/crates/proxy/src/messages/observations.rs
@@ -1,8 +1,8 @@
 //! What a process observed, for the lease holders that decide for the whole fleet.
 
 use aldermill_routing::Micros;
-use aldermill_site_routing::OpenWork;
-use aldermill_zone_failover::Row;
+use aldermill_site_routing::OpenWorkBySite;
+use aldermill_zone_failover::ZoneRow;
 
 /// What a process observed since it was last asked.
 #[derive(Default)]
@@ -10,7 +10,7 @@
     /// The span that `rows` were observed over, in microseconds.
     pub span: Micros,
     /// Ends of attempts, by group and zone.
-    pub rows: Vec<Row>,
+    pub rows: Vec<ZoneRow>,
     /// By group, an encoded summary of which keys cost what.
     pub keys: Vec<(u64, Vec<u8>)>,
     /// Present where the process is a gateway.
@@ -33,5 +33,5 @@
     /// Round trips by the other site's name, in microseconds.
     pub round_trips: Vec<(String, Micros)>,
     /// What is still open of sites that drain.
-    pub open: OpenWork,
+    pub open: OpenWorkBySite,
 }
--- a/crates/proxy/tests/status_json.rs
+++ b/crates/proxy/tests/status_json.rs
@@ -8,7 +8,7 @@
 
 use aldermill_store::{Batch, Bounds, Disk, Store};
 use aldermill_test_support::*;
-use aldermill_zone_failover::{Finding, Level};
+use aldermill_zone_failover::{FailoverLevel, ZoneVerdict};
 use serde_json::{Value, json};
 
 /// Adds the paths of all keys under `value`, which stands at `path`; `[]` stands for each item of an array,
@@ -299,18 +299,23 @@
 }
 
 #[test]
-fn the_findings_and_levels_of_zones_are_shown_by_these_names() {
-    let findings = [
-        Finding::Unknown,
-        Finding::Well,
-        Finding::Between,
-        Finding::Lost,
-        Finding::CutOff,
-        Finding::Crowded,
-        Finding::Some,
+fn renamed_verdicts_and_levels_keep_their_words_in_the_status() {
+    let verdicts = [
+        ZoneVerdict::Unknown,
+        ZoneVerdict::Healthy,
+        ZoneVerdict::Marginal,
+        ZoneVerdict::Unreachable,
+        ZoneVerdict::Partitioned,
+        ZoneVerdict::Overloaded,
+        ZoneVerdict::PartlyServed,
     ];
-    let shown = findings.map(|finding| format!("{finding:?}"));
+    let shown = verdicts.map(ZoneVerdict::status_word);
     assert_eq!(shown, ["Unknown", "Well", "Between", "Lost", "CutOff", "Crowded", "Some"]);
-    let levels = [Level::Near, Level::Leaning, Level::Left, Level::Coming];
-    assert_eq!(levels.map(|level| format!("{level:?}")), ["Near", "Leaning", "Left", "Coming"]);
+    let levels = [
+        FailoverLevel::Local,
+        FailoverLevel::Spillover,
+        FailoverLevel::FailedOver,
+        FailoverLevel::FailingBack,
+    ];
+    assert_eq!(levels.map(FailoverLevel::status_word), ["Near", "Leaning", "Left", "Coming"]);
 }
--- a/crates/site-routing/src/recording_promise.rs
+++ b/crates/site-routing/src/recording_promise.rs
@@ -5,7 +5,7 @@
 /// How long a promise holds, in microseconds; also how long remote requests are rejected at most once the disk takes
 /// nothing.
 pub(crate) const PROMISE_DURATION: Micros = 5_000_000;
-/// A promise is renewed once no more than this is left of it, in microseconds, so that a slow disk has two seconds.
+/// A promise is renewed once no more than this is left of it, in microseconds: a slow disk has that long before it ends.
 const RENEW_BELOW: Micros = 3_000_000;
 
 /// That until a stated time nothing is accepted without a record on disk. It stands on the disk too, so that a later
@@ -13,7 +13,7 @@
 ///
 /// Without it a later incarnation could never say "never accepted", and a request that is safe to send elsewhere would fail.
 /// It holds whatever the disk does: stand still, fill up or vanish. The cost: remote requests that come while the disk takes
-/// nothing and the promise holds are rejected, for [`PROMISE_DURATION`] at most. After a request was accepted without a
+/// nothing and the promise holds are rejected, for `PROMISE_DURATION` at most. After a request was accepted without a
 /// record, the next promise waits until nobody can ask about that request any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Default)]
 pub struct RecordingPromise {
