--- a/crates/proxy/tests/list.rs
+++ b/crates/proxy/tests/list.rs
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn idle_clients_that_fill_the_descriptors_leave_discovery_members_and_signals_theirs() {
+fn idle_clients_that_use_up_their_descriptors_leave_those_of_discovery_members_and_reload() {
     let (old, new) = (sound("writer"), sound("writer"));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/proxy/tests/members.rs
+++ b/crates/proxy/tests/members.rs
@@ -11,7 +11,7 @@
 use aldermill_wire::pg;
 
 #[test]
-fn reads_go_past_a_member_that_fails_them() {
+fn reads_are_retried_past_a_member_that_closes_their_connections() {
     let broken = Member::start(|_, stream| stream.shutdown(std::net::Shutdown::Both).unwrap());
     let primary = sound("writer");
     let driver = Driver::before(&[("a", &broken), ("b", &primary)]);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_health_check_that_finds_no_connection_in_time_is_no_sign_of_a_dead_process() {
+fn a_health_check_that_cannot_connect_in_time_does_not_show_a_dead_process() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let refuses = || loop {
         thread::sleep(LONG);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_connection_closed_as_idle_leaves_what_crossed_that_unread() {
+fn a_statement_that_crosses_an_idle_close_is_reset() {
     let member = sound("writer");
     let driver = Driver::before(&[("a", &member)]);
     let mut client = Client::connect(driver.address);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn an_id_under_way_is_an_error_and_leaves_its_request_alone() {
+fn a_duplicate_request_id_is_rejected_and_the_request_in_flight_goes_on() {
     let member = Member::start(|text, stream| {
         if text.starts_with("/*") {
             thread::sleep(Duration::from_millis(300));
