--- a/crates/zone-failover/src/planner.rs
+++ b/crates/zone-failover/src/planner.rs
@@ -8,8 +8,8 @@
     ZoneShare, ZoneVerdict, ZoneView,
 };
 
-/// The most that a zone is sent, as a multiple of its measured capacity: only a trial shows that it bears more.
-const CAPACITY_TRIAL: f64 = 1.1;
+/// The most that a zone is sent, as a multiple of its measured capacity: only load beyond it shows that it bears more.
+const CAPACITY_OVERSHOOT: f64 = 1.1;
 /// Of a zone's spare capacity this share is given out; the rest is reserved for a further failure.
 const SPARE_GIVEN_OUT: f64 = 0.9;
 /// For how long after its return a zone's directive says that nothing is shifted any more, in microseconds. It
@@ -57,7 +57,7 @@
     if !matches!(view.verdict, ZoneVerdict::Healthy | ZoneVerdict::Marginal) {
         return 0.0;
     }
-    (view.capacity * CAPACITY_TRIAL - view.load).max(0.0) * SPARE_GIVEN_OUT
+    (view.capacity * CAPACITY_OVERSHOOT - view.load).max(0.0) * SPARE_GIVEN_OUT
 }
 
 /// Keeps the failover levels of all groups and zones, at the holder of the lease `zones`.
