--- a/crates/split-points/src/recommendation.rs
+++ b/crates/split-points/src/recommendation.rs
@@ -112,7 +112,12 @@
         let cost = distribution.cost();
         if (reporters as f64) < MIN_COVERAGE * living as f64 {
             let assessment = SplitAssessment::LowCoverage { reporters, living };
-            return SplitRecommendation { state: self.state_without_news(), assessment, reporters, cost };
+            return SplitRecommendation {
+                state: self.state_under_low_coverage(),
+                assessment,
+                reporters,
+                cost,
+            };
         }
         self.end_window(now, &distribution);
         let assessment = match &self.proposed {
@@ -123,7 +128,7 @@
     }
 
     /// A proposal stands where too few are heard: nothing is known against it.
-    fn state_without_news(&self) -> RecommendationState {
+    fn state_under_low_coverage(&self) -> RecommendationState {
         if self.proposed.is_some() { RecommendationState::Proposed } else { RecommendationState::Observing }
     }
 
--- a/crates/zone-failover/src/verdict.rs
+++ b/crates/zone-failover/src/verdict.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Judges a zone: `own` and `others` are the reads of its own proxies and of all others there, `own_proxies` how each
+    /// The verdict on a zone: `own` and `others` are the reads of its own proxies and of all others there, `own_proxies` how each
     /// of its own fared.
     pub(crate) fn of(own: &RouteRate, others: &RouteRate, own_proxies: &[OutcomeCounts]) -> ZoneVerdict {
         if is_unreachable(own) {
