--- a/crates/fault-injection/src/breaker.rs
+++ b/crates/fault-injection/src/breaker.rs
@@ -155,24 +155,24 @@
         let (mut buffer, mut out) = (Buffer::default(), Vec::new());
         let mut greeted = false;
         loop {
-            if !greeted && let Some((_, length)) = pg::opening(buffer.held()).ok()? {
+            if !greeted && let Some((_, length)) = pg::initial_message(buffer.held()).ok()? {
                 buffer.consume(length);
                 greeted = true;
-                pg::welcome(&mut out, 1);
+                pg::write_startup_response(&mut out, 1);
             }
             while greeted && let Some(message) = pg::message(buffer.held(), 1 << 20).ok()? {
                 let (tag, length) = (message.tag, message.length);
                 let text =
-                    if tag == b'Q' { pg::query_text(message.body).ok()?.to_vec() } else { return None };
+                    if tag == b'Q' { pg::parse_query(message.body).ok()?.to_vec() } else { return None };
                 buffer.consume(length);
                 if text.is_empty() {
-                    pg::empty_query(&mut out);
+                    pg::write_empty_query_response(&mut out);
                 } else {
                     self.request(&mut out, &text).await?;
                 }
-                pg::ready(&mut out);
+                pg::write_ready_for_query(&mut out);
                 if self.how == How::Behind && !text.is_empty() {
-                    pg::ready(&mut out);
+                    pg::write_ready_for_query(&mut out);
                 }
             }
             stream.write_all(&out).await.ok()?;
@@ -197,7 +197,7 @@
                 sleep(wait + Duration::from_millis(900)).await;
                 late.walk(&comment, class, &text).await;
             });
-            pg::error(out, false, "53300", "later", Some("500"));
+            pg::write_error_response(out, false, "53300", "later", Some("500"));
             return Some(());
         }
         if self.how == How::Both && effect == "pure" {
@@ -214,7 +214,7 @@
         }
         match brought {
             Brought::Served(_) if self.how == How::Rejected && effect != "pure" => {
-                pg::error(out, false, "53300", "later", Some("500"));
+                pg::write_error_response(out, false, "53300", "later", Some("500"));
             }
             brought => self.answer(out, brought),
         }
@@ -224,8 +224,8 @@
     fn answer(&self, out: &mut Vec<u8>, brought: Brought) {
         match brought {
             Brought::Served(rows) => out.extend_from_slice(&rows),
-            Brought::Refused => pg::error(out, false, "53300", "nobody takes it", Some("200")),
-            Brought::Lost => pg::error(out, false, "40003", "broken off", None),
+            Brought::Refused => pg::write_error_response(out, false, "53300", "nobody takes it", Some("200")),
+            Brought::Lost => pg::write_error_response(out, false, "40003", "broken off", None),
         }
     }
 
@@ -255,7 +255,7 @@
 async fn attempt(address: &str, text: &[u8]) -> Brought {
     let Ok(mut stream) = TcpStream::connect(address).await else { return Brought::Refused };
     let mut hello = Vec::new();
-    pg::startup(&mut hello, "client", "core");
+    pg::write_startup_message(&mut hello, "client", "core");
     let (mut buffer, mut welcomed) = (Buffer::default(), false);
     if stream.write_all(&hello).await.is_err() {
         return Brought::Refused;
@@ -276,7 +276,7 @@
             if tag == b'Z' {
                 welcomed = true;
                 let mut query = Vec::new();
-                pg::query(&mut query, &[text]);
+                pg::write_query(&mut query, &[text]);
                 if stream.write_all(&query).await.is_err() {
                     return Brought::Lost;
                 }
--- a/crates/fault-injection/src/front.rs
+++ b/crates/fault-injection/src/front.rs
@@ -105,8 +105,8 @@
     async fn is_ready(&self, driver: usize) -> Option<()> {
         let mut stream = TcpStream::connect(self.places[driver].address).await.ok()?;
         let mut out = Vec::new();
-        pg::startup(&mut out, "client", "core");
-        pg::query(&mut out, &[]);
+        pg::write_startup_message(&mut out, "client", "core");
+        pg::write_query(&mut out, &[]);
         stream.write_all(&out).await.ok()?;
         let mut buffer = Buffer::default();
         loop {
@@ -300,7 +300,7 @@
         let Connection { stream, buffer, last } = connection;
         let mut out = Vec::new();
         match *last {
-            None => pg::startup(&mut out, "client", "core"),
+            None => pg::write_startup_message(&mut out, "client", "core"),
             Some(last) => {
                 // Nothing may come behind an answer.
                 if stream.try_read_buf(buffer.tail()).is_ok_and(|count| count > 0) {
@@ -310,7 +310,7 @@
                 }
             }
         }
-        pg::query(&mut out, &[text.as_bytes()]);
+        pg::write_query(&mut out, &[text.as_bytes()]);
         stream.write_all(&out).await.ok()?;
         let (mut how, mut again, mut welcomed) = (How::Wrong, None, last.is_some());
         loop {
@@ -318,7 +318,7 @@
                 match message.tag {
                     b'D' => how = How::Served,
                     b'E' => {
-                        let refusal = pg::refusal(message.body).ok()?;
+                        let refusal = pg::ErrorResponse::parse(message.body).ok()?;
                         how = match refusal.code {
                             "53300" | "57P03" => How::Rejected,
                             "40003" => How::Failed,
--- a/crates/fault-injection/src/member.rs
+++ b/crates/fault-injection/src/member.rs
@@ -157,7 +157,7 @@
         let mut buffer = Buffer::default();
         let mut out = Vec::new();
         loop {
-            if let Some((_, length)) = pg::opening(buffer.held()).ok()? {
+            if let Some((_, length)) = pg::initial_message(buffer.held()).ok()? {
                 buffer.consume(length);
                 break;
             }
@@ -167,11 +167,11 @@
         }
         self.awake().await;
         if self.connections.get() > self.world.plan.bearing.connections {
-            pg::error(&mut out, true, "53300", "too many connections", None);
+            pg::write_error_response(&mut out, true, "53300", "too many connections", None);
             return stream.write_all(&out).await.ok();
         }
         self.occupied(self.world.plan.bearing.handshake_ms).await;
-        pg::welcome(&mut out, 1);
+        pg::write_startup_response(&mut out, 1);
         stream.write_all(&out).await.ok()?;
         loop {
             let message = pg::message(buffer.held(), 1 << 20).ok()?;
@@ -182,12 +182,12 @@
                 continue;
             };
             let (tag, length) = (message.tag, message.length);
-            let text = if tag == b'Q' { pg::query_text(message.body).ok()?.to_vec() } else { return None };
+            let text = if tag == b'Q' { pg::parse_query(message.body).ok()?.to_vec() } else { return None };
             buffer.consume(length);
             out.clear();
             if text.is_empty() {
-                pg::empty_query(&mut out);
-                pg::ready(&mut out);
+                pg::write_empty_query_response(&mut out);
+                pg::write_ready_for_query(&mut out);
             } else if let Ok(comment) = Comment::parse(&text) {
                 self.request(stream, &mut out, driver, &comment).await?;
             } else {
@@ -195,9 +195,9 @@
                 self.awake().await;
                 let primary = u8::from(self.world.is_primary(self.id));
                 let report = format!("x0={:.3},x1={primary},inflight=0", self.unix_millis() as f64 / 1000.0);
-                pg::single_row(&mut out, "usage", report.as_bytes(), "SHOW");
+                pg::write_single_row(&mut out, "usage", report.as_bytes(), "SHOW");
                 self.state(&mut out);
-                pg::ready(&mut out);
+                pg::write_ready_for_query(&mut out);
             }
             stream.write_all(&out).await.ok()?;
         }
@@ -212,8 +212,8 @@
         comment: &Comment,
     ) -> Option<()> {
         let Some(class) = CLASSES.iter().position(|class| class.name == comment.class) else {
-            pg::error(out, false, "08P01", "no such request class", None);
-            pg::ready(out);
+            pg::write_error_response(out, false, "08P01", "no such request class", None);
+            pg::write_ready_for_query(out);
             return Some(());
         };
         let id: u64 = comment.id.parse().ok()?;
@@ -236,9 +236,9 @@
         self.waiting.set(self.waiting.get() - 1);
         let begun = begun?;
         if begun.is_none() {
-            pg::error(out, false, "53300", "queue full, or over", None);
+            pg::write_error_response(out, false, "53300", "queue full, or over", None);
         } else if is_write(class) && !world.is_primary(member) {
-            pg::error(out, false, "25006", "not the primary", None);
+            pg::write_error_response(out, false, "25006", "not the primary", None);
         } else {
             // What runs runs to its end, whoever waits for it; its effect is there from the start.
             let age = world.now() - world.position(member);
@@ -258,20 +258,20 @@
                 // Its role was lost under it: nobody is told what became of it.
                 return None;
             }
-            pg::single_row(out, "val", b"the value", "SELECT 1");
+            pg::write_single_row(out, "val", b"the value", "SELECT 1");
         }
         drop(begun);
         self.awake().await;
         self.state(out);
-        pg::ready(out);
+        pg::write_ready_for_query(out);
         drop(over);
         Some(())
     }
 
     fn state(&self, out: &mut Vec<u8>) {
         let role = if self.world.is_primary(self.id) { "writer" } else { "reader" };
-        pg::parameter_status(out, "server_role", role);
-        pg::parameter_status(out, "commit_clock", &self.unix_millis().to_string());
+        pg::write_parameter_status(out, "server_role", role);
+        pg::write_parameter_status(out, "commit_clock", &self.unix_millis().to_string());
     }
 
     /// Its position as Unix milliseconds, rounded down.
--- a/crates/fault-injection/src/wide/clients.rs
+++ b/crates/fault-injection/src/wide/clients.rs
@@ -160,9 +160,9 @@
     async fn converse(&mut self, text: &[u8]) -> Option<Outcome> {
         let mut out = Vec::new();
         if !self.welcomed {
-            pg::startup(&mut out, "client", "core");
+            pg::write_startup_message(&mut out, "client", "core");
         }
-        pg::query(&mut out, &[text]);
+        pg::write_query(&mut out, &[text]);
         self.stream.write_all(&out).await.ok()?;
         let mut outcome = Outcome::Failed;
         loop {
@@ -170,7 +170,7 @@
                 match message.tag {
                     b'D' => outcome = Outcome::Served,
                     b'E' => {
-                        let code = pg::refusal(message.body).ok()?.code;
+                        let code = pg::ErrorResponse::parse(message.body).ok()?.code;
                         if matches!(code, "53300" | "57P03") {
                             outcome = Outcome::Rejected;
                         }
--- a/crates/fault-injection/src/wide/member.rs
+++ b/crates/fault-injection/src/wide/member.rs
@@ -70,18 +70,18 @@
         stream.set_nodelay(true).ok()?;
         let (mut buffer, mut out) = (Buffer::default(), Vec::new());
         let length = loop {
-            if let Some((_, length)) = pg::opening(buffer.held()).ok()? {
+            if let Some((_, length)) = pg::initial_message(buffer.held()).ok()? {
                 break length;
             }
             self.read(&mut stream, &mut buffer).await?;
         };
         buffer.consume(length);
         if self.open.get() as f64 > self.ground.day.part(self.ground.day.connections).max(2.0) {
-            pg::error(&mut out, true, "53300", "too many connections", None);
+            pg::write_error_response(&mut out, true, "53300", "too many connections", None);
             return stream.write_all(&out).await.ok();
         }
         self.work(HANDSHAKE_MS).await;
-        pg::welcome(&mut out, 1);
+        pg::write_startup_response(&mut out, 1);
         stream.write_all(&out).await.ok()?;
         loop {
             let Some(message) = pg::message(buffer.held(), MAX_MESSAGE).ok()? else {
@@ -91,7 +91,7 @@
             if message.tag != b'Q' {
                 return None;
             }
-            let text = pg::query_text(message.body).ok()?.to_vec();
+            let text = pg::parse_query(message.body).ok()?.to_vec();
             let length = message.length;
             buffer.consume(length);
             out.clear();
@@ -113,7 +113,7 @@
 
     async fn answer(&self, text: &[u8], out: &mut Vec<u8>) {
         if text.is_empty() {
-            pg::empty_query(out);
+            pg::write_empty_query_response(out);
         } else if let Ok(comment) = Comment::parse(text) {
             self.request(&comment, out).await;
             self.state(out);
@@ -121,21 +121,21 @@
             count(&self.ground.health_checks);
             let primary = u8::from(self.ground.is_primary(self.id));
             let report = format!("x0={:.3},x1={primary},inflight=0", self.position_ms() as f64 / 1000.0);
-            pg::single_row(out, "usage", report.as_bytes(), "SHOW");
+            pg::write_single_row(out, "usage", report.as_bytes(), "SHOW");
             self.state(out);
         }
-        pg::ready(out);
+        pg::write_ready_for_query(out);
     }
 
     async fn request(&self, comment: &Comment, out: &mut Vec<u8>) {
         let class = CLASSES.iter().position(|class| class.name == comment.class).unwrap_or(0);
         let until = Instant::now() + Duration::from_millis(u64::from(comment.wait));
         let Ok(Ok(_worker)) = timeout_at(until, self.workers.acquire()).await else {
-            return pg::error(out, false, "53300", "over before it began", None);
+            return pg::write_error_response(out, false, "53300", "over before it began", None);
         };
         if is_write(class) && !self.ground.is_primary(self.id) {
             count(&self.ground.misses);
-            return pg::error(out, false, "25006", "not the primary", None);
+            return pg::write_error_response(out, false, "25006", "not the primary", None);
         }
         if is_write(class) {
             let process = super::clients::process_of(&comment.id);
@@ -144,13 +144,13 @@
         let spread = 0.5 + self.ground.rng.borrow_mut().random::<f64>();
         let took = CLASSES[class].work_ms * spread * self.slowness;
         sleep(Duration::from_secs_f64(took / 1000.0)).await;
-        pg::single_row(out, "val", b"the value", "SELECT 1");
+        pg::write_single_row(out, "val", b"the value", "SELECT 1");
     }
 
     fn state(&self, out: &mut Vec<u8>) {
         let role = if self.ground.is_primary(self.id) { "writer" } else { "reader" };
-        pg::parameter_status(out, "server_role", role);
-        pg::parameter_status(out, "commit_clock", &self.position_ms().to_string());
+        pg::write_parameter_status(out, "server_role", role);
+        pg::write_parameter_status(out, "commit_clock", &self.position_ms().to_string());
     }
 
     fn position_ms(&self) -> u64 {
--- a/crates/proxy/src/client/close.rs
+++ b/crates/proxy/src/client/close.rs
@@ -3,6 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use aldermill_wire::pg::sql_state;
 use aldermill_wire::{Buffer, Malformed, pg};
 use slog::debug;
 use socket2::SockRef;
@@ -67,8 +68,8 @@
         }
         self.buffer = Buffer::default();
         if let CloseReason::ProtocolError(malformed) = reason {
-            debug!(self.context.log, "client connection closed after a protocol error"; "error" => malformed.0);
-            let error = EncodedResponse::fatal_error("08P01", malformed.0);
+            debug!(self.context.log, "client connection closed after a protocol error"; "error" => %malformed);
+            let error = EncodedResponse::fatal_error(sql_state::PROTOCOL_VIOLATION, &malformed.to_string());
             let _ = self.write_response(error).await;
         }
         let limits = &self.context.limits;
@@ -119,7 +120,7 @@
 /// Tells a client that there is no room for its connection, and closes it.
 pub(super) async fn reject_connection(context: Rc<ProcessContext>, mut stream: TcpStream) {
     let mut error = Vec::new();
-    pg::error(&mut error, true, "53300", "too many connections", None);
+    pg::write_error_response(&mut error, true, sql_state::TOO_MANY_CONNECTIONS, "too many connections", None);
     let limits = &context.limits;
     let write = system::write_all(Party::Client, &mut stream, &error);
     let _ = timeout(limits.client.error_write_timeout, write).await;
--- a/crates/proxy/src/client/intake.rs
+++ b/crates/proxy/src/client/intake.rs
@@ -1,6 +1,7 @@
 //! Message intake: what the client's next message is, the buffer space for it, and what follows from it.
 
 use aldermill_flow_control::Priority;
+use aldermill_wire::pg::sql_state;
 use aldermill_wire::statement::Comment;
 use aldermill_wire::{Malformed, pg};
 use tokio::time::Instant;
@@ -89,7 +90,7 @@
             return Ok(NextMessage::Terminate);
         }
         let kind = MessageKind::of(message.tag);
-        if kind == MessageKind::Query && self.conflicts_with_pending(pg::query_text(message.body)?) {
+        if kind == MessageKind::Query && self.conflicts_with_pending(pg::parse_query(message.body)?) {
             return Ok(NextMessage::NoneYet);
         }
         Ok(NextMessage::Accept(ReceivedMessage { kind, length: message.length }))
@@ -111,7 +112,7 @@
             MessageKind::Extended => self.refuse_extended_message(),
             MessageKind::FunctionCall => self.refuse_function_call(),
             MessageKind::CopyData => self.intake.release_reservation(),
-            MessageKind::Unknown => self.drain(Malformed("unknown message type").into()),
+            MessageKind::Unknown => self.drain(Malformed::UnknownMessageType.into()),
         }
         Ok(())
     }
@@ -127,10 +128,10 @@
             // The buffer itself becomes the statement, so that a large one is held once.
             let mut statement = self.buffer.take(length);
             statement.pop();
-            statement.drain(..pg::BEFORE_BODY);
+            statement.drain(..pg::MESSAGE_HEADER_LENGTH);
             return statement;
         }
-        let statement = self.buffer.held()[pg::BEFORE_BODY..length - 1].to_vec();
+        let statement = self.buffer.held()[pg::MESSAGE_HEADER_LENGTH..length - 1].to_vec();
         self.buffer.consume(length);
         statement
     }
@@ -139,7 +140,7 @@
     fn end_extended_messages(&mut self) {
         self.intake.skips_until_sync = false;
         let mut response = Vec::new();
-        pg::ready(&mut response);
+        pg::write_ready_for_query(&mut response);
         self.respond_at_once(response);
     }
 
@@ -155,7 +156,7 @@
     /// Function calls are refused one by one.
     fn refuse_function_call(&mut self) {
         let mut response = not_served();
-        pg::ready(&mut response);
+        pg::write_ready_for_query(&mut response);
         self.respond_at_once(response);
     }
 
@@ -167,7 +168,7 @@
 
     /// Reserves buffer space for the message at the front of the buffer, once, where it is a large one.
     pub(super) async fn reserve_for_large_message(&mut self) -> Result<(), CloseReason> {
-        let claimed = pg::claimed(self.buffer.held());
+        let claimed = pg::announced_length(self.buffer.held());
         if claimed > self.context.limits.buffers.small_message && self.intake.reservation.is_none() {
             self.intake.reservation = Some(self.reserve(claimed).await?);
         }
@@ -186,14 +187,17 @@
         if self.connection_guard.is_disconnected() {
             return Err(CloseReason::TooSlow);
         }
-        let error = EncodedResponse::fatal_error("53300", "no room for a statement of this size");
+        let error = EncodedResponse::fatal_error(
+            sql_state::TOO_MANY_CONNECTIONS,
+            "no room for a statement of this size",
+        );
         self.write_response(error).await?;
         Err(CloseReason::Normal)
     }
 
     /// The priority of the message at the front of the buffer, as far as its comment is there to tell.
     fn next_message_priority(&self) -> Priority {
-        let text = self.buffer.held().get(pg::BEFORE_BODY..);
+        let text = self.buffer.held().get(pg::MESSAGE_HEADER_LENGTH..);
         let comment = text.and_then(|text| Comment::parse(text).ok());
         comment.map_or(Priority::Normal, |comment| self.context.priority(&comment.class))
     }
@@ -202,6 +206,12 @@
 /// The error for what is no simple query.
 fn not_served() -> Vec<u8> {
     let mut error = Vec::new();
-    pg::error(&mut error, false, "0A000", "only simple queries are served", None);
+    pg::write_error_response(
+        &mut error,
+        false,
+        sql_state::FEATURE_NOT_SUPPORTED,
+        "only simple queries are served",
+        None,
+    );
     error
 }
--- a/crates/proxy/src/client/response.rs
+++ b/crates/proxy/src/client/response.rs
@@ -3,7 +3,7 @@
 use std::io::ErrorKind;
 
 use aldermill_flow_control::Transfer;
-use aldermill_wire::pg;
+use aldermill_wire::pg::{self, sql_state};
 
 use super::close::CloseReason;
 use super::connection::ClientConnection;
@@ -28,7 +28,7 @@
     /// An error that ends the connection.
     pub(super) fn fatal_error(code: &str, message: &str) -> EncodedResponse {
         let mut bytes = Vec::new();
-        pg::error(&mut bytes, true, code, message, None);
+        pg::write_error_response(&mut bytes, true, code, message, None);
         EncodedResponse::small(bytes)
     }
 
@@ -36,7 +36,7 @@
     pub(super) fn of(answer: Answer) -> EncodedResponse {
         let mut response = EncodedResponse::without_end(answer);
         match response.pieces.last_mut() {
-            Some(last) => pg::ready(last),
+            Some(last) => pg::write_ready_for_query(last),
             None => response.pieces.push(Vec::new()),
         }
         response
@@ -53,13 +53,27 @@
                 let millis = (retry_after + 999) / 1000;
                 let detail = (millis > 0).then(|| millis.to_string());
                 let text = "denied, trying again is harmless";
-                pg::error(&mut bytes, false, "53300", text, detail.as_deref());
+                pg::write_error_response(
+                    &mut bytes,
+                    false,
+                    sql_state::TOO_MANY_CONNECTIONS,
+                    text,
+                    detail.as_deref(),
+                );
             }
             Answer::Failed => {
                 let text = "broken off, it is not known whether it took effect";
-                pg::error(&mut bytes, false, "40003", text, None);
+                pg::write_error_response(
+                    &mut bytes,
+                    false,
+                    sql_state::STATEMENT_COMPLETION_UNKNOWN,
+                    text,
+                    None,
+                );
+            }
+            Answer::InvalidStatement(why) => {
+                pg::write_error_response(&mut bytes, false, sql_state::PROTOCOL_VIOLATION, why, None)
             }
-            Answer::InvalidStatement(why) => pg::error(&mut bytes, false, "08P01", why, None),
         }
         EncodedResponse::small(bytes)
     }
--- a/crates/proxy/src/client/startup.rs
+++ b/crates/proxy/src/client/startup.rs
@@ -16,18 +16,18 @@
     pub(super) async fn startup(&mut self) -> Result<(), CloseReason> {
         let deadline = self.connected_at + self.context.limits.client.startup_timeout;
         loop {
-            match pg::opening(self.buffer.held())? {
+            match pg::initial_message(self.buffer.held())? {
                 None => self.read_startup(deadline).await?,
-                Some((pg::Opening::Cancel, _)) => return Err(CloseReason::Normal),
-                Some((pg::Opening::Encryption, length)) => {
+                Some((pg::InitialMessage::CancelRequest, _)) => return Err(CloseReason::Normal),
+                Some((pg::InitialMessage::EncryptionRequest, length)) => {
                     self.buffer.consume(length);
                     let refusal = EncodedResponse::small(ENCRYPTION_REFUSED.to_vec());
                     self.write_response(refusal).await?;
                 }
-                Some((pg::Opening::Startup, length)) => {
+                Some((pg::InitialMessage::StartupMessage, length)) => {
                     self.buffer.consume(length);
                     let mut welcome = Vec::new();
-                    pg::welcome(&mut welcome, self.id as u32);
+                    pg::write_startup_response(&mut welcome, self.id as u32);
                     return self.write_response(EncodedResponse::small(welcome)).await;
                 }
             }
--- a/crates/proxy/src/client/statement.rs
+++ b/crates/proxy/src/client/statement.rs
@@ -1,7 +1,7 @@
 //! From a statement to a request for the dispatcher.
 
-use aldermill_wire::pg;
-use aldermill_wire::statement::{Comment, is_empty, quoted};
+use aldermill_wire::pg::{self, sql_state};
+use aldermill_wire::statement::{Comment, first_quoted_text, is_empty};
 
 use super::close::CloseReason;
 use super::connection::ClientConnection;
@@ -20,7 +20,7 @@
             return false;
         }
         let Ok(comment) = Comment::parse(statement) else { return false };
-        let key = quoted(&statement[comment.end..]);
+        let key = first_quoted_text(&statement[comment.end..]);
         key.is_some_and(|key| self.pending_responses.writes(&key))
     }
 
@@ -29,14 +29,23 @@
         let mut response = Vec::new();
         if is_empty(&statement) {
             self.wait_for_first_list().await?;
-            pg::empty_query(&mut response);
+            pg::write_empty_query_response(&mut response);
         } else {
             match Comment::parse(&statement) {
                 Ok(comment) => return self.send_request(statement, comment).await,
-                Err(malformed) => pg::error(&mut response, false, "08P01", malformed.0, None),
+                Err(malformed) => {
+                    let text = malformed.to_string();
+                    pg::write_error_response(
+                        &mut response,
+                        false,
+                        sql_state::PROTOCOL_VIOLATION,
+                        &text,
+                        None,
+                    );
+                }
             }
         }
-        pg::ready(&mut response);
+        pg::write_ready_for_query(&mut response);
         self.respond_at_once(response);
         Ok(())
     }
@@ -85,5 +94,5 @@
 fn write_key(text: &[u8]) -> Option<String> {
     let verb = text.trim_ascii_start().get(..6);
     let reads = verb.is_some_and(|verb| verb.eq_ignore_ascii_case(b"SELECT"));
-    if reads { None } else { quoted(text) }
+    if reads { None } else { first_quoted_text(text) }
 }
--- a/crates/proxy/src/discovery/stream.rs
+++ b/crates/proxy/src/discovery/stream.rs
@@ -3,6 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use aldermill_wire::http::LineRead;
 use aldermill_wire::{Buffer, http, json};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
@@ -24,9 +25,9 @@
     buffer: Buffer,
     limits: DiscoveryLimits,
     /// The response's body; `None` until its head is there.
-    body: Option<http::Lines>,
+    body: Option<http::BodyLines>,
     /// The list whose lines are being gathered: it may come indented, on many lines.
-    list: json::Whole,
+    list: json::ValueAssembler,
     /// What the first bytes were given, the time to connect included.
     first_byte_timeout: Duration,
     has_received: bool,
@@ -49,14 +50,18 @@
         let mut stream = connected.map_err(|_| WatchError::NoResponse(first_byte_timeout))??;
         let index = revision.map_or(String::new(), |revision| format!("&index={revision}"));
         let mut request = Vec::new();
-        http::get(&mut request, &address.to_string(), &format!("/catalog/members?stream=1{index}"));
+        http::write_get_request(
+            &mut request,
+            &address.to_string(),
+            &format!("/catalog/members?stream=1{index}"),
+        );
         system::write_all(Party::Discovery, &mut stream, &request).await?;
         Ok(ListStream {
             stream,
             buffer: Buffer::default(),
             limits: limits.clone(),
             body: None,
-            list: json::Whole::default(),
+            list: json::ValueAssembler::default(),
             first_byte_timeout,
             has_received: false,
             due,
@@ -88,13 +93,13 @@
         if self.body.is_some() {
             return Ok(());
         }
-        let head = http::head(self.buffer.held(), self.limits.response_head);
+        let head = http::parse_response_head(self.buffer.held(), self.limits.response_head);
         let Some(head) = head.map_err(WatchError::Malformed)? else { return Ok(()) };
         if head.status != STATUS_OK {
             return Err(WatchError::Status(head.status));
         }
         self.buffer.consume(head.length);
-        self.body = Some(http::Lines::new(head.body, self.limits.list_line));
+        self.body = Some(http::BodyLines::new(head.body, self.limits.list_line));
         Ok(())
     }
 
@@ -102,8 +107,9 @@
     /// Each line ends the silence, also an empty one, which discovery sends while nothing changes.
     pub(super) fn next_line(&mut self) -> Result<Option<Vec<u8>>, WatchError> {
         let Some(body) = &mut self.body else { return Ok(None) };
-        let (used, line) = body.next(self.buffer.held()).map_err(WatchError::Malformed)?;
-        self.buffer.consume(used);
+        let LineRead { consumed, line } =
+            body.next_line(self.buffer.held()).map_err(WatchError::Malformed)?;
+        self.buffer.consume(consumed);
         if line.is_some() {
             self.restart_silence_timeout();
         } else if body.is_over() {
@@ -116,7 +122,7 @@
     /// cuts in two has lost its end.
     pub(super) fn add_line(&mut self, line: &[u8]) -> Result<Option<Vec<u8>>, WatchError> {
         if !line.trim_ascii().is_empty() {
-            return self.list.add(line, self.limits.list_line).map_err(WatchError::Malformed);
+            return self.list.add_line(line, self.limits.list_line).map_err(WatchError::Malformed);
         }
         if self.list.is_open() { Err(WatchError::Truncated) } else { Ok(None) }
     }
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -7,7 +7,7 @@
 use aldermill_routing::{Micros, Need, ReadShift, RequestHandle, Verdict};
 use aldermill_settings::Settings;
 use aldermill_split_points::{Sketch, frame};
-use aldermill_wire::statement::quoted;
+use aldermill_wire::statement::first_quoted_text;
 use aldermill_zone_failover::{ReadOutcome, RecentReads, TrafficShift, ZoneDirective, ZoneHistory};
 use tokio::sync::oneshot;
 
@@ -71,7 +71,7 @@
         if self.keys.is_none() {
             return Vec::new();
         }
-        quoted(&request.statement[request.comment.end..]).unwrap_or_default().into_bytes()
+        first_quoted_text(&request.statement[request.comment.end..]).unwrap_or_default().into_bytes()
     }
 
     fn record_end(&mut self, now: Micros, handle: RequestHandle, verdict: Verdict, elapsed: Micros) {
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -4,7 +4,7 @@
 
 use aldermill_routing::{Micros, Need, Outcome, Request, RequestHandle, Role, Verdict};
 use aldermill_site_routing::{Actions as SiteActions, RequestHandle as SiteRequestHandle};
-use aldermill_wire::statement::quoted;
+use aldermill_wire::statement::first_quoted_text;
 
 use super::Dispatcher;
 use super::gateway::GatewayPart;
@@ -115,7 +115,7 @@
     ) -> Request {
         let comment = &request.comment;
         let keyed = matches!(self.decoded.router_config.classes[class].need, Need::Write | Need::OwnWrites);
-        let session = if keyed { quoted(&request.statement[comment.end..]) } else { None };
+        let session = if keyed { first_quoted_text(&request.statement[comment.end..]) } else { None };
         Request {
             class,
             group: comment.group,
--- a/crates/proxy/src/member/connection.rs
+++ b/crates/proxy/src/member/connection.rs
@@ -4,12 +4,13 @@
 use std::net::SocketAddr;
 
 use aldermill_routing::MemberId;
+use aldermill_wire::pg::sql_state;
 use aldermill_wire::{Buffer, pg};
 use tokio::net::TcpStream;
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Instant, timeout_at};
 
-use super::outcome::{QueryError, sql_state};
+use super::outcome::QueryError;
 use crate::lifecycle::limits::Limits;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::DispatcherMessage;
@@ -83,7 +84,7 @@
 async fn exchange_empty_query(connection: &mut Connection, limits: &Limits) -> Option<()> {
     let Connection { stream, buffer, .. } = connection;
     let mut query = Vec::new();
-    pg::query(&mut query, &[]);
+    pg::write_query(&mut query, &[]);
     system::write_all(Party::Member, stream, &query).await.ok()?;
     let mut was_acknowledged = false;
     loop {
@@ -149,7 +150,7 @@
     let mut stream = system::connect(address, Some(sizes)).await?;
     stream.set_nodelay(true)?;
     let mut startup = Vec::new();
-    pg::startup(&mut startup, USER, DATABASE);
+    pg::write_startup_message(&mut startup, USER, DATABASE);
     system::write_all(Party::Member, &mut stream, &startup).await?;
     let mut buffer = Buffer::default();
     loop {
@@ -176,6 +177,7 @@
 
 /// What an error in place of a welcome means.
 fn connection_refused(body: &[u8]) -> QueryError {
-    let is_full = pg::refusal(body).is_ok_and(|refusal| refusal.code == sql_state::TOO_MANY_CONNECTIONS);
+    let is_full =
+        pg::ErrorResponse::parse(body).is_ok_and(|refusal| refusal.code == sql_state::TOO_MANY_CONNECTIONS);
     if is_full { QueryError::TooManyConnections } else { QueryError::ConnectionRejected }
 }
--- a/crates/proxy/src/member/outcome.rs
+++ b/crates/proxy/src/member/outcome.rs
@@ -6,22 +6,11 @@
 use std::io;
 
 use aldermill_routing::Verdict;
+use aldermill_wire::pg::sql_state;
 use thiserror::Error;
 
 use crate::system::SocketErrorKind;
 
-/// The SQLSTATE codes of members that mean more than "the statement failed".
-pub mod sql_state {
-    /// A write was sent to a member that is not the primary.
-    pub const READ_ONLY_TRANSACTION: &str = "25006";
-    /// The other code by which members say that they are not the primary.
-    pub const SNAPSHOT_TOO_OLD: &str = "72000";
-    /// The member has no connection or no capacity left.
-    pub const TOO_MANY_CONNECTIONS: &str = "53300";
-    /// The member does not take queries at the moment; health checks meet it at a member that is overloaded.
-    pub const CANNOT_CONNECT_NOW: &str = "57P03";
-}
-
 /// What a query is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryKind {
@@ -129,7 +118,7 @@
     match (evidence.sent, evidence.result) {
         // The member answered: that counts, whatever happened to the connection afterwards.
         (_, Ok(Answer::Value | Answer::TooLarge)) => Verdict::Served,
-        (_, Ok(Answer::Error(READ_ONLY_TRANSACTION | SNAPSHOT_TOO_OLD))) => Verdict::NotPrimary,
+        (_, Ok(Answer::Error(READ_ONLY_SQL_TRANSACTION | SNAPSHOT_TOO_OLD))) => Verdict::NotPrimary,
         (_, Ok(Answer::Error(TOO_MANY_CONNECTIONS))) => Verdict::Overloaded,
         (_, Ok(Answer::Error(CANNOT_CONNECT_NOW))) if is_health_check => Verdict::Overloaded,
         (_, Ok(Answer::Error(_))) => Verdict::Error,
--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -197,7 +197,7 @@
     fn encode(&self) -> Query {
         let Some(attempt) = &self.attempt else {
             let mut health_check = Vec::new();
-            pg::query(&mut health_check, &[HEALTH_CHECK]);
+            pg::write_query(&mut health_check, &[HEALTH_CHECK]);
             return Query::Whole(health_check);
         };
         let left = self.deadline.saturating_duration_since(Instant::now());
--- a/crates/proxy/src/member/response.rs
+++ b/crates/proxy/src/member/response.rs
@@ -65,7 +65,7 @@
     /// Reserves buffer space where the response turns out to be large. Until it is granted nothing is read: what the
     /// member sends stays with it, and occupies its capacity.
     async fn reserve_buffer_space(&mut self, buffer: &mut Buffer) -> Result<(), QueryError> {
-        let announced = pg::claimed(buffer.held());
+        let announced = pg::announced_length(buffer.held());
         if announced <= self.context.limits.buffers.small_message || self.response.reservation.is_some() {
             return Ok(());
         }
@@ -113,7 +113,8 @@
         let due = self.meter.as_ref().and_then(ProgressMeter::deadline);
         let due =
             due.map_or(self.deadline, |due| self.context.unstalled_clock.instant(due).min(self.deadline));
-        let lacks_only_its_end = self.response.exchange.is_served() || pg::ends_as_answer(buffer.held());
+        let lacks_only_its_end =
+            self.response.exchange.is_served() || pg::ends_with_ready_for_query(buffer.held());
         if lacks_only_its_end {
             due.min(Instant::now() + self.context.limits.member.completion_timeout)
         } else {
--- a/crates/proxy/src/messages/member.rs
+++ b/crates/proxy/src/messages/member.rs
@@ -104,11 +104,11 @@
         let after = &statement[comment.wait_at.end..];
         if statement.len() <= SINGLE_PIECE_MAX {
             let mut query = Vec::with_capacity(statement.len() + QUERY_OVERHEAD);
-            pg::query(&mut query, &[before, timeout.as_bytes(), after]);
+            pg::write_query(&mut query, &[before, timeout.as_bytes(), after]);
             return Query::Whole(query);
         }
         let mut front = Vec::with_capacity(before.len() + QUERY_OVERHEAD);
-        pg::query_front(&mut front, &[before, timeout.as_bytes()].concat(), after.len() + 1);
+        pg::write_query_start(&mut front, &[before, timeout.as_bytes()].concat(), after.len() + 1);
         Query::Split { front, request: request.clone() }
     }
 
--- a/crates/proxy/tests/fresh.rs
+++ b/crates/proxy/tests/fresh.rs
@@ -25,10 +25,10 @@
     } else {
         "the value".to_owned()
     };
-    pg::single_row(&mut out, "val", value.as_bytes(), "SELECT 1");
-    pg::parameter_status(&mut out, "server_role", "reader");
-    pg::parameter_status(&mut out, "commit_clock", &position.to_string());
-    pg::ready(&mut out);
+    pg::write_single_row(&mut out, "val", value.as_bytes(), "SELECT 1");
+    pg::write_parameter_status(&mut out, "server_role", "reader");
+    pg::write_parameter_status(&mut out, "commit_clock", &position.to_string());
+    pg::write_ready_for_query(&mut out);
     out
 }
 
@@ -86,7 +86,7 @@
         }
         let whole = lagging(text, unix_millis() - 5000);
         let mut ready = Vec::new();
-        pg::ready(&mut ready);
+        pg::write_ready_for_query(&mut ready);
         let _ = stream.write_all(&whole[..whole.len() - ready.len()]);
     });
     let discovery = Discovery::default();
--- a/crates/proxy/tests/members.rs
+++ b/crates/proxy/tests/members.rs
@@ -104,8 +104,8 @@
             // Late enough for the next statement to be decided on.
             thread::sleep(Duration::from_millis(2));
             let mut out = Vec::new();
-            pg::single_row(&mut out, "val", b"a stray value", "SELECT 1");
-            pg::ready(&mut out);
+            pg::write_single_row(&mut out, "val", b"a stray value", "SELECT 1");
+            pg::write_ready_for_query(&mut out);
             let _ = stream.write_all(&out);
         }
     });
@@ -121,8 +121,8 @@
 fn lengths_that_claim_too_much_are_noticed_before_the_time_limit() {
     let whole = |value: &[u8]| {
         let mut out = Vec::new();
-        pg::single_row(&mut out, "val", value, "SELECT 1");
-        pg::ready(&mut out);
+        pg::write_single_row(&mut out, "val", value, "SELECT 1");
+        pg::write_ready_for_query(&mut out);
         out
     };
     let member = Member::start(move |text, stream| {
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -24,15 +24,15 @@
 
 fn query_message(statement: &str) -> Vec<u8> {
     let mut bytes = Vec::new();
-    pg::query(&mut bytes, &[statement.as_bytes()]);
+    pg::write_query(&mut bytes, &[statement.as_bytes()]);
     bytes
 }
 
 /// What a new client sends that does not wait for the end of its startup handshake.
 fn startup_and_query(statement: &str) -> Vec<u8> {
     let mut bytes = Vec::new();
-    pg::startup(&mut bytes, "client", "core");
-    pg::query(&mut bytes, &[statement.as_bytes()]);
+    pg::write_startup_message(&mut bytes, "client", "core");
+    pg::write_query(&mut bytes, &[statement.as_bytes()]);
     bytes
 }
 
@@ -149,7 +149,7 @@
     assert!(idle.ended());
     // A client without an answer yet is still served for a while; if the machine is too slow for that, nothing is promised.
     let mut out = Vec::new();
-    pg::query(&mut out, &[look(15000).as_bytes()]);
+    pg::write_query(&mut out, &[look(15000).as_bytes()]);
     let answered = fresh.stream.write_all(&out).is_ok() && fresh.answer().is_some_and(|said| served(&said));
     assert!(answered || signalled.elapsed() > Duration::from_millis(500));
     assert!(fresh.ended());
--- a/crates/proxy/tests/shutdown_hung.rs
+++ b/crates/proxy/tests/shutdown_hung.rs
@@ -38,7 +38,7 @@
         let mut written = Vec::new();
         while signalled.elapsed() < SENDING_TIME {
             let mut query = Vec::new();
-            pg::query(&mut query, &[look(DEADLINE_MS).as_bytes()]);
+            pg::write_query(&mut query, &[look(DEADLINE_MS).as_bytes()]);
             written.push(signalled.elapsed());
             if writer.write_all(&query).is_err() {
                 break;
--- a/crates/proxy/tests/slow_peers.rs
+++ b/crates/proxy/tests/slow_peers.rs
@@ -276,7 +276,10 @@
     let (driver, _) = driver(&[("a", &member)], 48, 128, QUICK);
     let fast = FastClients::start(driver.address, 20);
     let mut statement = Vec::new();
-    pg::query(&mut statement, &[look(15000).replace("'k'", &format!("'{}'", "k".repeat(40_000))).as_bytes()]);
+    pg::write_query(
+        &mut statement,
+        &[look(15000).replace("'k'", &format!("'{}'", "k".repeat(40_000))).as_bytes()],
+    );
     let senders: Vec<_> = (0..200)
         .map(|number| {
             let (address, statement) = (driver.address, statement.clone());
@@ -345,7 +348,7 @@
     let (driver, _) = driver(&[("a", &member)], 48, 128, few);
     let mut clients: Vec<Client> = (0..3).map(|_| Client::connect(driver.address)).collect();
     let mut hello = Vec::new();
-    pg::startup(&mut hello, "client", "core");
+    pg::write_startup_message(&mut hello, "client", "core");
     let mut fourth = Client::bare(driver.address);
     fourth.raw(&hello);
     assert!(fourth.answer().is_none_or(|said| said.code == "53300"));
--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -41,11 +41,11 @@
     let member = sound("writer");
     let driver = Driver::before(&[("a", &member)]);
     let mut bytes = Vec::new();
-    pg::startup(&mut bytes, "client", "core");
-    pg::query(&mut bytes, &[look(15000).as_bytes()]);
-    pg::query(&mut bytes, &[b" ; "]);
-    pg::query(&mut bytes, &[b"SELECT 1"]);
-    pg::query(&mut bytes, &[look(15000).as_bytes()]);
+    pg::write_startup_message(&mut bytes, "client", "core");
+    pg::write_query(&mut bytes, &[look(15000).as_bytes()]);
+    pg::write_query(&mut bytes, &[b" ; "]);
+    pg::write_query(&mut bytes, &[b"SELECT 1"]);
+    pg::write_query(&mut bytes, &[look(15000).as_bytes()]);
     for size in [bytes.len(), 1] {
         let mut client = Client::bare(driver.address);
         client.stream.set_nodelay(true).unwrap();
@@ -76,9 +76,9 @@
             thread::sleep(Duration::from_millis(300));
         }
         busy.fetch_sub(1, Ordering::SeqCst);
-        pg::single_row(&mut out, "val", key.as_bytes(), "SELECT 1");
-        pg::parameter_status(&mut out, "server_role", "writer");
-        pg::ready(&mut out);
+        pg::write_single_row(&mut out, "val", key.as_bytes(), "SELECT 1");
+        pg::write_parameter_status(&mut out, "server_role", "writer");
+        pg::write_ready_for_query(&mut out);
         let _ = stream.write_all(&out);
     });
     let driver = Driver::before(&[("a", &member)]);
@@ -182,7 +182,7 @@
             "half",
             Box::new(|_, stream| {
                 let mut out = Vec::new();
-                pg::single_row(&mut out, "val", b"the value", "INSERT 0 1");
+                pg::write_single_row(&mut out, "val", b"the value", "INSERT 0 1");
                 stream.write_all(&out[..out.len() - 20]).unwrap();
                 stream.shutdown(std::net::Shutdown::Both).unwrap();
             }),
@@ -256,14 +256,14 @@
 fn full_size_values_on_every_connection_stay_within_the_memory_limit() {
     let member = Member::start(|text, stream| {
         let mut out = Vec::new();
-        pg::single_row(
+        pg::write_single_row(
             &mut out,
             "val",
             &vec![7; if text.starts_with("/*") { 65_536 } else { 0 }],
             "SELECT 1",
         );
-        pg::parameter_status(&mut out, "server_role", "writer");
-        pg::ready(&mut out);
+        pg::write_parameter_status(&mut out, "server_role", "writer");
+        pg::write_ready_for_query(&mut out);
         let _ = stream.write_all(&out);
     });
     let discovery = Discovery::default();
@@ -288,14 +288,14 @@
 fn values_above_the_stated_size_are_served_on_every_connection() {
     let member = Member::start(|text, stream| {
         let mut out = Vec::new();
-        pg::single_row(
+        pg::write_single_row(
             &mut out,
             "val",
             &vec![7; if text.starts_with("/*") { 900_000 } else { 0 }],
             "SELECT 1",
         );
-        pg::parameter_status(&mut out, "server_role", "writer");
-        pg::ready(&mut out);
+        pg::write_parameter_status(&mut out, "server_role", "writer");
+        pg::write_ready_for_query(&mut out);
         let _ = stream.write_all(&out);
     });
     let driver = Driver::before(&[("a", &member)]);
--- a/crates/proxy/tests/stalled_clients.rs
+++ b/crates/proxy/tests/stalled_clients.rs
@@ -11,13 +11,13 @@
 
 fn startup() -> Vec<u8> {
     let mut bytes = Vec::new();
-    pg::startup(&mut bytes, "client", "core");
+    pg::write_startup_message(&mut bytes, "client", "core");
     bytes
 }
 
 fn message(statement: &str) -> Vec<u8> {
     let mut bytes = Vec::new();
-    pg::query(&mut bytes, &[statement.as_bytes()]);
+    pg::write_query(&mut bytes, &[statement.as_bytes()]);
     bytes
 }
 
--- a/crates/proxy/tests/staying.rs
+++ b/crates/proxy/tests/staying.rs
@@ -179,9 +179,9 @@
                 stream.set_read_timeout(Some(LONG)).unwrap();
                 let mut client = Client { stream, buffer: Buffer::default() };
                 let mut bytes = Vec::new();
-                pg::startup(&mut bytes, "client", "core");
+                pg::write_startup_message(&mut bytes, "client", "core");
                 let statement = if number.is_multiple_of(2) { look(15000) } else { order(15000) };
-                pg::query(&mut bytes, &[statement.as_bytes()]);
+                pg::write_query(&mut bytes, &[statement.as_bytes()]);
                 if client.stream.write_all(&bytes).is_err() {
                     continue;
                 }
@@ -194,7 +194,7 @@
                 // not.
                 while said.is_some() && !over.load(Ordering::SeqCst) {
                     let mut query = Vec::new();
-                    pg::query(&mut query, &[statement.as_bytes()]);
+                    pg::write_query(&mut query, &[statement.as_bytes()]);
                     let Some(said) = client.stream.write_all(&query).ok().and_then(|()| client.answer())
                     else {
                         break;
@@ -259,14 +259,14 @@
     for (number, client) in open.iter_mut().enumerate() {
         // An empty query in the same piece: its answer shows that the request behind it was read, too.
         let mut piece = Vec::new();
-        pg::query(&mut piece, &[]);
-        pg::query(&mut piece, &[named(&look(15000), &format!("5{number}")).as_bytes()]);
+        pg::write_query(&mut piece, &[]);
+        pg::write_query(&mut piece, &[named(&look(15000), &format!("5{number}")).as_bytes()]);
         client.raw(&piece);
     }
     open.iter_mut().for_each(|client| assert!(client.answer().unwrap().empty));
     let mut more = Client::bare(driver.address);
     let mut hello = Vec::new();
-    pg::startup(&mut hello, "client", "core");
+    pg::write_startup_message(&mut hello, "client", "core");
     more.raw(&hello);
     let said = more.answer();
     assert!(said.is_none_or(|said| said.code == "53300"));
--- a/crates/proxy/tests/system_calls.rs
+++ b/crates/proxy/tests/system_calls.rs
@@ -29,8 +29,8 @@
 fn queued(driver: &Driver) -> Client {
     let mut client = Client::bare(driver.address);
     let mut bytes = Vec::new();
-    pg::startup(&mut bytes, "client", "core");
-    pg::query(&mut bytes, &[look(15000).as_bytes()]);
+    pg::write_startup_message(&mut bytes, "client", "core");
+    pg::write_query(&mut bytes, &[look(15000).as_bytes()]);
     client.raw(&bytes);
     client
 }
--- a/crates/proxy/tests/wall_clock.rs
+++ b/crates/proxy/tests/wall_clock.rs
@@ -109,10 +109,10 @@
         let (mut out, position) = (Vec::new(), position());
         let report = format!("x0={}.0,x1=0,inflight=0", position / 1000);
         let value = if text == "SHOW usage" { report.as_bytes() } else { b"the value" };
-        pg::single_row(&mut out, "val", value, "SELECT 1");
-        pg::parameter_status(&mut out, "server_role", "reader");
-        pg::parameter_status(&mut out, "commit_clock", &position.to_string());
-        pg::ready(&mut out);
+        pg::write_single_row(&mut out, "val", value, "SELECT 1");
+        pg::write_parameter_status(&mut out, "server_role", "reader");
+        pg::write_parameter_status(&mut out, "commit_clock", &position.to_string());
+        pg::write_ready_for_query(&mut out);
         let _ = stream.write_all(&out);
     })
 }
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -37,7 +37,7 @@
     /// Once it was welcomed; `None` where it was not.
     pub fn greeted(mut self) -> Option<Client> {
         let mut hello = Vec::new();
-        pg::startup(&mut hello, "client", "core");
+        pg::write_startup_message(&mut hello, "client", "core");
         self.stream.write_all(&hello).ok()?;
         (self.answer() == Some(Said::default())).then_some(self)
     }
@@ -48,14 +48,14 @@
 
     pub fn send(&mut self, statement: &str) {
         let mut out = Vec::new();
-        pg::query(&mut out, &[statement.as_bytes()]);
+        pg::write_query(&mut out, &[statement.as_bytes()]);
         self.raw(&out);
     }
 
     /// Sends a statement; whether the other side was there for it.
     pub fn offer(&mut self, statement: &str) -> bool {
         let mut out = Vec::new();
-        pg::query(&mut out, &[statement.as_bytes()]);
+        pg::write_query(&mut out, &[statement.as_bytes()]);
         self.stream.write_all(&out).is_ok()
     }
 
@@ -66,9 +66,9 @@
         loop {
             while let Some(message) = pg::message(self.buffer.held(), MAX).unwrap() {
                 match message.tag {
-                    b'D' => said.value = pg::single_value(message.body).unwrap().map(<[u8]>::to_vec),
+                    b'D' => said.value = pg::parse_data_row(message.body).unwrap().map(<[u8]>::to_vec),
                     b'E' => {
-                        let refusal = pg::refusal(message.body).unwrap();
+                        let refusal = pg::ErrorResponse::parse(message.body).unwrap();
                         (said.code, said.detail) = (refusal.code.to_owned(), refusal.detail.to_owned());
                     }
                     b'I' => said.empty = true,
--- a/crates/test-support/src/member.rs
+++ b/crates/test-support/src/member.rs
@@ -66,21 +66,21 @@
             return;
         }
         if !welcomed {
-            let Some((_, length)) = pg::opening(buffer.held()).unwrap() else { continue };
+            let Some((_, length)) = pg::initial_message(buffer.held()).unwrap() else { continue };
             buffer.consume(length);
             let mut out = Vec::new();
-            pg::welcome(&mut out, 1);
+            pg::write_startup_response(&mut out, 1);
             let _ = stream.write_all(&out);
             welcomed = true;
         }
         while let Some(message) = pg::message(buffer.held(), MAX).unwrap() {
-            let text = String::from_utf8(pg::query_text(message.body).unwrap().to_vec()).unwrap();
+            let text = String::from_utf8(pg::parse_query(message.body).unwrap().to_vec()).unwrap();
             let length = message.length;
             buffer.consume(length);
             if text.is_empty() {
                 let mut out = Vec::new();
-                pg::empty_query(&mut out);
-                pg::ready(&mut out);
+                pg::write_empty_query_response(&mut out);
+                pg::write_ready_for_query(&mut out);
                 let _ = stream.write_all(&out);
                 continue;
             }
@@ -104,18 +104,18 @@
     let mut out = Vec::new();
     let report = format!("x0={}.0,x1={},inflight=0", unix_millis() / 1000, u8::from(role == "writer"));
     let value = if text == "SHOW usage" { report.as_bytes() } else { value };
-    pg::single_row(&mut out, "val", value, "SELECT 1");
-    pg::parameter_status(&mut out, "server_role", role);
-    pg::parameter_status(&mut out, "commit_clock", &unix_millis().to_string());
-    pg::ready(&mut out);
+    pg::write_single_row(&mut out, "val", value, "SELECT 1");
+    pg::write_parameter_status(&mut out, "server_role", role);
+    pg::write_parameter_status(&mut out, "commit_clock", &unix_millis().to_string());
+    pg::write_ready_for_query(&mut out);
     out
 }
 
 pub fn refuse(code: &str, role: &str, stream: &mut TcpStream) {
     let mut out = Vec::new();
-    pg::error(&mut out, false, code, "stand-in", None);
-    pg::parameter_status(&mut out, "server_role", role);
-    pg::ready(&mut out);
+    pg::write_error_response(&mut out, false, code, "stand-in", None);
+    pg::write_parameter_status(&mut out, "server_role", role);
+    pg::write_ready_for_query(&mut out);
     let _ = stream.write_all(&out);
 }
 
--- a/crates/wire/src/buffer.rs
+++ b/crates/wire/src/buffer.rs
@@ -1,50 +1,57 @@
-/// What is kept allocated while nothing is held.
-const SMALL: usize = 4096;
+//! The received bytes of one connection.
 
-/// The received bytes of one connection that are not yet dealt with. It grows as messages need, moves what is
-/// left to its front, and gives back what a large message took once that is over.
+/// What stays allocated while nothing is held, and the least by which the buffer grows, in bytes.
+const BASE_CAPACITY: usize = 4096;
+/// The least free space for a read, in bytes; with less the buffer grows first.
+const MIN_FREE: usize = BASE_CAPACITY / 4;
+
+/// The received bytes of one connection that have not been consumed. It grows as messages need, moves what is left to its
+/// front, and gives back what a large message took once that is consumed.
 #[derive(Debug, Default)]
 pub struct Buffer {
     data: Vec<u8>,
+    /// How many bytes of `data` have been consumed.
     start: usize,
 }
 
 impl Buffer {
+    /// The bytes that have not been consumed.
     pub fn held(&self) -> &[u8] {
         &self.data[self.start..]
     }
 
+    /// Whether all bytes have been consumed.
     pub fn is_empty(&self) -> bool {
         self.start == self.data.len()
     }
 
-    /// Where the next bytes are to be appended, with room for at least a few.
+    /// Where a read is to append its bytes, with free space for at least a few.
     pub fn tail(&mut self) -> &mut Vec<u8> {
         self.compact();
-        if self.data.capacity() - self.data.len() < SMALL / 4 {
-            // By half: a statement of full size is not to take twice its room.
-            self.data.reserve_exact((self.data.len() / 2).max(SMALL));
+        if self.data.capacity() - self.data.len() < MIN_FREE {
+            // It grows by half, not to twice its size: a statement of the greatest size must not take twice its memory.
+            self.data.reserve_exact((self.data.len() / 2).max(BASE_CAPACITY));
         }
         &mut self.data
     }
 
-    /// The first `count` bytes are dealt with.
+    /// Consumes the first `count` bytes.
     pub fn consume(&mut self, count: usize) {
         self.start = (self.start + count).min(self.data.len());
         if self.is_empty() {
             self.data.clear();
             self.start = 0;
-            self.data.shrink_to(SMALL);
+            self.data.shrink_to(BASE_CAPACITY);
         }
     }
 
-    /// A message of so many bytes is under way: room for exactly that, however it comes in.
+    /// Reserves exactly the memory for a message of `length` bytes, of which the first may be held already.
     pub fn expect(&mut self, length: usize) {
         self.compact();
         self.data.reserve_exact(length.saturating_sub(self.data.len()));
     }
 
-    /// The first `count` bytes, handed out without another copy of them where they are most of what is held.
+    /// Takes the first `count` bytes. They are not copied: the buffer's allocation is handed out, and the rest is copied.
     pub fn take(&mut self, count: usize) -> Vec<u8> {
         self.compact();
         let rest = self.data.split_off(count.min(self.data.len()));
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,11 +1,30 @@
 //! The protocols on aldermill's sockets, as parsers and encoders that do no I/O.
 //!
-//! Each parser looks at the bytes received so far and says what stands at their front and how long it is,
-//! or that more is to come. [`Buffer`] holds the bytes of one connection.
+//! Input: the bytes that a connection has received so far, in any split. Output: what stands at their front and how long
+//! it is, `None` while more is to come, or [`Malformed`]; encoders append a whole message to a buffer. Callers: the
+//! proxy's connections to clients, members and discovery, and the stand-ins of the tests. A parser never allocates more
+//! than the caller's limit, and never panics, whatever the bytes.
+//!
+//! - [`pg`]: PostgreSQL's protocol, version 3, as far as simple queries need it; [`Exchange`] reads a member's response.
+//! - [`statement`]: the comment at the front of a client's statement.
+//! - [`http`] and [`json`]: the stream of endpoint lists from discovery.
+//! - [`Buffer`] holds the received bytes of one connection.
+//!
+//! ```
+//! use aldermill_wire::pg;
+//!
+//! let mut bytes = Vec::new();
+//! pg::write_query(&mut bytes, &[b"SELECT ", b"1"]);
+//! let message = pg::message(&bytes, 1024)?.expect("it is whole");
+//! assert_eq!(message.tag, pg::message_type::QUERY);
+//! assert_eq!(pg::parse_query(message.body)?, b"SELECT 1");
+//! # Ok::<(), aldermill_wire::Malformed>(())
+//! ```
 
-#![allow(missing_docs, reason = "not every public item is documented yet (docs/ROADMAP.md)")]
+#![warn(missing_docs)]
 
 mod buffer;
+mod error;
 mod exchange;
 pub mod http;
 pub mod json;
@@ -13,16 +32,5 @@
 pub mod statement;
 
 pub use buffer::Buffer;
+pub use error::Malformed;
 pub use exchange::Exchange;
-
-/// The peer's bytes are not what the protocol allows; what is wrong with them.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Malformed(pub &'static str);
-
-impl std::fmt::Display for Malformed {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(self.0)
-    }
-}
-
-impl std::error::Error for Malformed {}
--- a/crates/wire/src/statement.rs
+++ b/crates/wire/src/statement.rs
@@ -5,80 +5,127 @@
 
 use crate::Malformed;
 
-/// An hour: no client waits longer for one answer.
-const MAX_WAIT: u32 = 3_600_000;
+/// The longest timeout that a client may state, in milliseconds: an hour.
+pub const MAX_TIMEOUT_MS: u32 = 3_600_000;
+/// The length of `/*` and of `*/`, in bytes.
+const COMMENT_MARK: usize = 2;
 
 /// What a statement's comment says of its request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Comment {
+    /// The request's name, the same for each of its client's retries (key `id`).
     pub id: String,
+    /// The name of its request class (key `c`).
     pub class: String,
-    /// How long the client waits, in milliseconds.
+    /// How long the client waits, in milliseconds; from 1 to [`MAX_TIMEOUT_MS`] (key `d`).
     pub wait: u32,
+    /// The client has tried before (key `r`, 0 or 1; absent is 0).
     pub repeat: bool,
+    /// The name of the group of members that it is for (key `cluster`).
     pub group: u64,
-    /// The position that a read must see, in Unix milliseconds.
+    /// The position that a read must see, in Unix milliseconds (key `after`).
     pub after: Option<u64>,
-    /// Where the digits of `wait` stand in the statement.
+    /// Where the digits of `wait` stand in the statement, so that a member can be given what remains of it.
     pub wait_at: Range<usize>,
     /// Where the statement goes on behind the comment.
     pub end: usize,
 }
 
-/// Whether a statement says nothing at all.
+/// The fields of a comment as they are found; a field that stands twice is malformed.
+#[derive(Default)]
+struct Fields<'a> {
+    id: Option<&'a str>,
+    class: Option<&'a str>,
+    timeout: Option<TimeoutField>,
+    is_retry: Option<bool>,
+    group: Option<u64>,
+    after: Option<u64>,
+}
+
+/// The client's timeout, and where its digits stand in the statement.
+struct TimeoutField {
+    millis: u32,
+    digits: Range<usize>,
+}
+
+/// Whether a statement is empty: blanks and semicolons alone.
 pub fn is_empty(statement: &[u8]) -> bool {
     statement.iter().all(|byte| byte.is_ascii_whitespace() || *byte == b';')
 }
 
 impl Comment {
+    /// Reads the comment at the front of a statement; blanks may stand before it. Fields that are not known are passed
+    /// over.
+    ///
+    /// # Errors
+    ///
+    /// [`Malformed`], by what is wrong with the comment.
     pub fn parse(statement: &[u8]) -> Result<Comment, Malformed> {
-        let skipped = statement.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
-        let rest = &statement[skipped..];
-        let inner = rest.strip_prefix(b"/*").ok_or(Malformed("no comment names the task"))?;
-        let length = memchr::memmem::find(inner, b"*/").ok_or(Malformed("comment without an end"))?;
-        let inner = std::str::from_utf8(&inner[..length]).map_err(|_| Malformed("comment is not text"))?;
-        let start = skipped + 2;
-
-        let (mut id, mut class, mut wait, mut repeat) = (None, None, None, None);
-        let (mut group, mut after) = (None, None);
-        let mut at = start;
+        let blanks = statement.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+        let inner = statement[blanks..].strip_prefix(b"/*").ok_or(Malformed::NoComment)?;
+        let length = memchr::memmem::find(inner, b"*/").ok_or(Malformed::UnterminatedComment)?;
+        let inner = std::str::from_utf8(&inner[..length]).map_err(|_| Malformed::CommentNotText)?;
+        let start = blanks + COMMENT_MARK;
+        Fields::parse(inner, start)?.into_comment(start + length + COMMENT_MARK)
+    }
+}
+
+impl<'a> Fields<'a> {
+    /// Reads the comment's inside, which begins at `start` in the statement.
+    fn parse(inner: &'a str, start: usize) -> Result<Fields<'a>, Malformed> {
+        let mut fields = Fields::default();
+        let mut part_start = start;
         for part in inner.split(',') {
-            let pair = part.trim();
-            let value_end = at + part.trim_end().len();
-            at += part.len() + 1;
-            let (name, value) = pair.split_once('=').ok_or(Malformed("comment field without a value"))?;
-            let fresh = match name {
-                "id" => id.replace(value).is_none() && !value.is_empty(),
-                "c" => class.replace(value).is_none(),
-                "d" => wait.replace((number(value)?, value_end - value.len()..value_end)).is_none(),
-                "r" => repeat.replace(number::<u8>(value)? == 1).is_none(),
-                "cluster" => group.replace(number(value)?).is_none(),
-                "after" => after.replace(number(value)?).is_none(),
-                _ => true,
-            };
-            if !fresh {
-                return Err(Malformed("comment field repeated or empty"));
+            let value_end = part_start + part.trim_end().len();
+            let (name, value) = part.trim().split_once('=').ok_or(Malformed::CommentFieldWithoutValue)?;
+            let is_first = fields.set(name, value, value_end)?;
+            if !is_first {
+                return Err(Malformed::CommentFieldRepeatedOrEmpty);
             }
+            part_start += part.len() + 1;
         }
-        let id = id.ok_or(Malformed("comment lacks id"))?;
-        let (wait, wait_at) = wait.ok_or(Malformed("comment lacks d"))?;
-        if !(1..=MAX_WAIT).contains(&wait) {
-            return Err(Malformed("comment leaves no time, or more than any client has"));
+        Ok(fields)
+    }
+
+    /// Sets a field; false if it was set before, or is an empty `id`. `value_end` is where the value ends in the
+    /// statement.
+    fn set(&mut self, name: &str, value: &'a str, value_end: usize) -> Result<bool, Malformed> {
+        let is_first = match name {
+            "id" => self.id.replace(value).is_none() && !value.is_empty(),
+            "c" => self.class.replace(value).is_none(),
+            "d" => {
+                let digits = value_end - value.len()..value_end;
+                self.timeout.replace(TimeoutField { millis: number(value)?, digits }).is_none()
+            }
+            "r" => self.is_retry.replace(number::<u8>(value)? == 1).is_none(),
+            "cluster" => self.group.replace(number(value)?).is_none(),
+            "after" => self.after.replace(number(value)?).is_none(),
+            _ => true,
+        };
+        Ok(is_first)
+    }
+
+    /// The comment, if no field lacks that each request must have.
+    fn into_comment(self, end: usize) -> Result<Comment, Malformed> {
+        let id = self.id.ok_or(Malformed::CommentLacks("id"))?;
+        let timeout = self.timeout.ok_or(Malformed::CommentLacks("d"))?;
+        if !(1..=MAX_TIMEOUT_MS).contains(&timeout.millis) {
+            return Err(Malformed::TimeoutOutOfRange);
         }
         Ok(Comment {
             id: id.to_owned(),
-            class: class.ok_or(Malformed("comment lacks c"))?.to_owned(),
-            wait,
-            repeat: repeat.unwrap_or(false),
-            group: group.ok_or(Malformed("comment lacks cluster"))?,
-            after,
-            wait_at,
-            end: start + length + 2,
+            class: self.class.ok_or(Malformed::CommentLacks("c"))?.to_owned(),
+            wait: timeout.millis,
+            repeat: self.is_retry.unwrap_or(false),
+            group: self.group.ok_or(Malformed::CommentLacks("cluster"))?,
+            after: self.after,
+            wait_at: timeout.digits,
+            end,
         })
     }
 }
 
-/// What the comment at the statement's front says under that name.
+/// The value of that field in the comment at the statement's front, if it stands there.
 pub fn field<'a>(statement: &'a [u8], name: &str) -> Option<&'a str> {
     let inner = statement.trim_ascii_start().strip_prefix(b"/*")?;
     let inner = std::str::from_utf8(&inner[..memchr::memmem::find(inner, b"*/")?]).ok()?;
@@ -86,33 +133,46 @@
     pairs.filter(|(known, _)| *known == name).map(|(_, value)| value).next()
 }
 
-/// Digits alone: no sign, no blanks.
+/// A number of digits alone: no sign, no blanks.
 fn number<T: FromStr>(text: &str) -> Result<T, Malformed> {
-    let digits = text.bytes().all(|byte| byte.is_ascii_digit());
-    text.parse().ok().filter(|_| digits).ok_or(Malformed("comment field is no number in range"))
+    let only_digits = text.bytes().all(|byte| byte.is_ascii_digit());
+    text.parse().ok().filter(|_| only_digits).ok_or(Malformed::InvalidCommentNumber)
 }
 
-/// The first quoted text of a statement, unquoted: doubled quotes, and backslashes where it is an escape
-/// string. `None` where there is none or it does not end.
-pub fn quoted(statement: &[u8]) -> Option<String> {
+/// The first quoted text of a statement, unquoted: doubled quotes, and backslashes where it is an escape string. `None`
+/// where there is none, or it does not end.
+pub fn first_quoted_text(statement: &[u8]) -> Option<String> {
     let open = memchr::memchr(b'\'', statement)?;
-    let escapes = statement[..open].last().is_some_and(|byte| byte.eq_ignore_ascii_case(&b'e'))
-        && !statement[..open - 1].last().is_some_and(|byte| byte.is_ascii_alphanumeric() || *byte == b'_');
+    let is_escape_string = ends_with_escape_prefix(&statement[..open]);
     let mut text = Vec::new();
     let mut bytes = statement[open + 1..].iter().copied().peekable();
     loop {
         match bytes.next()? {
             b'\'' if bytes.peek() == Some(&b'\'') => text.extend(bytes.next()),
             b'\'' => return String::from_utf8(text).ok(),
-            b'\\' if escapes => text.push(match bytes.next()? {
-                b'n' => b'\n',
-                b't' => b'\t',
-                b'r' => b'\r',
-                b'b' => 8,
-                b'f' => 12,
-                other => other,
-            }),
+            b'\\' if is_escape_string => text.push(unescaped(bytes.next()?)),
             other => text.push(other),
         }
     }
 }
+
+/// Whether an `E` that belongs to no longer word stands at the end.
+fn ends_with_escape_prefix(before_quote: &[u8]) -> bool {
+    let Some((last, before)) = before_quote.split_last() else { return false };
+    let in_word = before.last().is_some_and(|byte| byte.is_ascii_alphanumeric() || *byte == b'_');
+    last.eq_ignore_ascii_case(&b'e') && !in_word
+}
+
+/// What a backslash and that byte stand for in an escape string.
+fn unescaped(byte: u8) -> u8 {
+    const BACKSPACE: u8 = 8;
+    const FORM_FEED: u8 = 12;
+    match byte {
+        b'n' => b'\n',
+        b't' => b'\t',
+        b'r' => b'\r',
+        b'b' => BACKSPACE,
+        b'f' => FORM_FEED,
+        other => other,
+    }
+}
