--- a/crates/leases/tests/failing.rs
+++ b/crates/leases/tests/failing.rs
@@ -5,13 +5,14 @@
 mod power;
 
 use aldermill_leases::{Ballot, Incarnation, Message, Micros, Payload, Term, Voter};
-use aldermill_store::{Batch, Bounds, Store};
+use aldermill_store::{Batch, Limits, Store};
 use power::{Dice, FailingDisk};
 
 const LASTS: Micros = 3_000_000;
 const GRANTED: u32 = 8;
 const HISTORIES: u64 = 500;
-const BOUNDS: Bounds = Bounds { segment: 300, batch: 10_000, live: 100_000, slack: 2 };
+const LIMITS: Limits =
+    Limits { max_segment_bytes: 300, max_batch_bytes: 10_000, max_live_bytes: 100_000, max_log_ratio: 2 };
 
 /// What the voter does with a folder that it cannot read.
 #[derive(Clone, Copy, PartialEq)]
@@ -57,7 +58,7 @@
 
     /// Reading may do where writing does not.
     fn open(&mut self, life: &mut Life) {
-        let opened = Store::open(self.disk.clone(), BOUNDS, self.now);
+        let opened = Store::open(self.disk.clone(), LIMITS, self.now);
         let snapshot = match opened {
             Ok((store, recovered)) => {
                 assert!(recovered.damage.is_empty(), "{recovered:?}");
@@ -65,11 +66,12 @@
                 life.store = Some(store);
                 Some(snapshot)
             }
-            Err(_) => Store::look(self.disk.clone(), BOUNDS, self.now).ok().map(|(snapshot, _)| snapshot),
+            Err(_) => Store::read(self.disk.clone(), LIMITS, self.now).ok().map(|(snapshot, _)| snapshot),
         };
         if let Some(snapshot) = snapshot {
-            let terms =
-                snapshot.all(GRANTED).map(|(_, value)| Term::from_be_bytes(value.try_into().unwrap()));
+            let terms = snapshot
+                .namespace_entries(GRANTED)
+                .map(|(_, value)| Term::from_be_bytes(value.try_into().unwrap()));
             life.voter.restore(terms.map(|term| ("d".to_owned(), term)));
         }
     }
--- a/crates/proxy/src/dispatcher/outcome_log.rs
+++ b/crates/proxy/src/dispatcher/outcome_log.rs
@@ -13,7 +13,7 @@
 use aldermill_routing::Micros;
 use aldermill_site_routing::records::{decode_key, decode_outcome, encode_key, encode_outcome};
 use aldermill_site_routing::{Origin, Outcome, PreviousIncarnations, RecordingPromise, RestoredCounts};
-use aldermill_store::{Batch, Keeping, State};
+use aldermill_store::{Batch, DiskCircuitBreaker, DiskState};
 use aldermill_warm_start::namespace;
 use tokio::sync::mpsc;
 
@@ -64,7 +64,7 @@
     /// This process's own.
     incarnation: u64,
     /// Whether the disk is trusted with writes for now.
-    writing: Keeping,
+    writing: DiskCircuitBreaker,
     promise: RecordingPromise,
     /// What earlier incarnations left; `None` while the directory could not be read.
     previous: Option<PreviousIncarnations<Rc<Vec<u8>>>>,
@@ -87,7 +87,7 @@
         let mut outcome_log = OutcomeLog {
             directory,
             incarnation,
-            writing: Keeping::start(MAX_WRITE_WAIT, MAX_UNCONFIRMED_WRITES),
+            writing: DiskCircuitBreaker::new(MAX_WRITE_WAIT, MAX_UNCONFIRMED_WRITES),
             promise: RecordingPromise::default(),
             previous: None,
             next_ticket: 0,
@@ -114,7 +114,7 @@
         }
         self.previous = Some(previous);
         // Writes that failed before the directory was there say nothing about it now.
-        self.writing = Keeping::start(MAX_WRITE_WAIT, MAX_UNCONFIRMED_WRITES);
+        self.writing = DiskCircuitBreaker::new(MAX_WRITE_WAIT, MAX_UNCONFIRMED_WRITES);
     }
 
     /// What became of a request that was sent to an earlier incarnation. Nothing is known while the directory cannot be
@@ -139,7 +139,7 @@
     /// Gives another promise where the last one is about to end.
     pub fn renew_promise(&mut self, now: Micros) {
         self.read_if_possible(now);
-        if matches!(self.writing.state(), State::Without { until } if now < until) {
+        if matches!(self.writing.state(), DiskState::Unavailable { until } if now < until) {
             return;
         }
         let Some(until) = self.promise.renew(now) else { return };
@@ -194,11 +194,11 @@
 
     /// Hands a batch to the disk. Returns whether it was taken.
     fn hand_over(&mut self, now: Micros, batch: Batch, purpose: WritePurpose) -> bool {
-        if !self.writing.hands_over(now, true) {
+        if !self.writing.admit_write(now, true) {
             return false;
         }
         if !self.directory.write(batch, &self.confirmations) {
-            self.writing.failed(now);
+            self.writing.write_failed(now);
             return false;
         }
         self.unconfirmed.push_back(purpose);
@@ -209,9 +209,9 @@
     pub fn write_finished(&mut self, now: Micros, is_written: bool) -> Option<FinishedRecord> {
         let purpose = self.unconfirmed.pop_front()?;
         if is_written {
-            self.writing.confirmed(now);
+            self.writing.write_confirmed(now);
         } else {
-            self.writing.failed(now);
+            self.writing.write_failed(now);
         }
         match purpose {
             WritePurpose::Record(ticket) => return Some(FinishedRecord { ticket, is_written }),
@@ -224,7 +224,7 @@
     /// Stops waiting for writes that take too long. Returns the records that something waited for: they count as not
     /// written, though they may still get to the disk.
     pub fn abandon_slow_writes(&mut self, now: Micros) -> Vec<RecordTicket> {
-        if !self.writing.gives_up(now) {
+        if !self.writing.check_timeout(now) {
             return Vec::new();
         }
         let mut tickets = Vec::new();
@@ -240,12 +240,12 @@
 
     /// When to call [`OutcomeLog::abandon_slow_writes`], on the router's clock.
     pub fn write_deadline(&self) -> Option<Micros> {
-        self.writing.due()
+        self.writing.timeout_at()
     }
 
     /// Whether the disk takes writes, as far as is known.
     pub fn is_disk_available(&self) -> bool {
-        !matches!(self.writing.state(), State::Without { .. })
+        !matches!(self.writing.state(), DiskState::Unavailable { .. })
     }
 }
 
--- a/crates/proxy/src/lifecycle/errors.rs
+++ b/crates/proxy/src/lifecycle/errors.rs
@@ -115,7 +115,7 @@
         /// The directory.
         folder: String,
         /// What went wrong, and what to do.
-        source: aldermill_store::Problem,
+        source: aldermill_store::StoreError,
     },
     /// There is no such data directory.
     #[error("{0}: no such folder; name the one that the operator's file has as `warm_start.folder`")]
--- a/crates/proxy/src/persistence/data_directory.rs
+++ b/crates/proxy/src/persistence/data_directory.rs
@@ -41,7 +41,7 @@
     /// Opens it for writing. Only the first call counts.
     pub(super) fn set_committer(&self, committer: Committer) {
         if let Err(second) = self.committer.set(committer) {
-            second.leave();
+            second.detach();
         }
     }
 
@@ -62,7 +62,7 @@
 impl Drop for DataDirectory {
     fn drop(&mut self) {
         if let Some(committer) = self.committer.take() {
-            committer.leave();
+            committer.detach();
         }
     }
 }
--- a/crates/proxy/src/persistence/errors.rs
+++ b/crates/proxy/src/persistence/errors.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::time::Duration;
 
-use aldermill_store::Problem;
+use aldermill_store::StoreError;
 use aldermill_warm_start::RestoreError;
 use thiserror::Error;
 
@@ -18,7 +18,7 @@
     NoSpace,
     /// The store cannot be read or written.
     #[error("{0}")]
-    Store(Problem),
+    Store(StoreError),
     /// The records are not for this proxy or this version.
     #[error("{0}")]
     Restore(#[from] RestoreError),
@@ -36,11 +36,11 @@
     ThreadEnded,
 }
 
-impl From<Problem> for OpenError {
-    fn from(problem: Problem) -> OpenError {
-        match problem {
-            Problem::Io(error) if error.kind() == io::ErrorKind::StorageFull => OpenError::NoSpace,
-            problem => OpenError::Store(problem),
+impl From<StoreError> for OpenError {
+    fn from(error: StoreError) -> OpenError {
+        match error {
+            StoreError::Io(error) if error.kind() == io::ErrorKind::StorageFull => OpenError::NoSpace,
+            error => OpenError::Store(error),
         }
     }
 }
--- a/crates/proxy/src/persistence/open_attempt.rs
+++ b/crates/proxy/src/persistence/open_attempt.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use aldermill_store::{Bounds, Committer, Disk, Problem, Recovered, Snapshot, Store};
+use aldermill_store::{Committer, Disk, Limits, RecoveryReport, Snapshot, Store, StoreError};
 use aldermill_warm_start::{RestoredState, restore};
 use tokio::sync::oneshot;
 
@@ -19,7 +19,7 @@
     pub path: PathBuf,
     /// The name of this proxy, which the records must bear.
     pub name: String,
-    pub bounds: Bounds,
+    pub limits: Limits,
     pub clock: Clock,
 }
 
@@ -29,7 +29,7 @@
     pub lock: Disk,
     pub contents: DirectoryContents,
     /// The store's thread, or why the directory cannot be written to.
-    pub committer: Result<Committer, Problem>,
+    pub committer: Result<Committer, StoreError>,
 }
 
 /// What the directory held.
@@ -59,7 +59,7 @@
             None => self.lock(now)?,
         };
         // Read under the lock, and so after the last write of the process that had it before.
-        match Store::open(lock.again(), self.bounds, now) {
+        match Store::open(lock.share_lock(), self.limits, now) {
             Ok((store, recovered)) => {
                 let contents = self.check(now, store.snapshot(), recovered)?;
                 // Of this process's clock, which no step of the wall clock moves.
@@ -68,10 +68,10 @@
                 Ok(OpenedDirectory { lock, contents, committer: Ok(committer) })
             }
             // The disk may be full, or fail otherwise when written to, and still be readable.
-            Err(problem) => {
-                let (snapshot, recovered) = Store::look(lock.again(), self.bounds, now)?;
+            Err(error) => {
+                let (snapshot, recovered) = Store::read(lock.share_lock(), self.limits, now)?;
                 let contents = self.check(now, snapshot, recovered)?;
-                Ok(OpenedDirectory { lock, contents, committer: Err(problem) })
+                Ok(OpenedDirectory { lock, contents, committer: Err(error) })
             }
         }
     }
@@ -80,7 +80,7 @@
     /// proxy is not even touched.
     fn lock(&self, now: i64) -> Result<Disk, OpenError> {
         if self.path.exists() {
-            let (snapshot, recovered) = Store::look(Disk::look(&self.path), self.bounds, now)?;
+            let (snapshot, recovered) = Store::read(Disk::open_read_only(&self.path), self.limits, now)?;
             self.check(now, snapshot, recovered)?;
         }
         Disk::open(&self.path).map_err(OpenError::Lock)
@@ -91,14 +91,14 @@
         &self,
         now: i64,
         snapshot: Snapshot,
-        recovered: Recovered,
+        recovered: RecoveryReport,
     ) -> Result<DirectoryContents, OpenError> {
-        let restored = restore(&self.name, now, snapshot.everything())?;
+        let restored = restore(&self.name, now, snapshot.entries())?;
         if !recovered.damage.is_empty() {
             return Err(OpenError::Damaged(recovered.damage.len()));
         }
         let records = snapshot
-            .everything()
+            .entries()
             .map(|(namespace, key, value)| StoredRecord {
                 namespace,
                 key: key.to_vec(),
--- a/crates/proxy/src/persistence/opening.rs
+++ b/crates/proxy/src/persistence/opening.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aldermill_store::{Bounds, Disk};
+use aldermill_store::{Disk, Limits};
 use aldermill_warm_start::{RestoredState, SavedState, StateSnapshot};
 use slog::{Logger, info, warn};
 use tokio::sync::{oneshot, watch};
@@ -45,7 +45,7 @@
         let attempt = OpenAttempt {
             path: path.to_owned(),
             name: name.to_owned(),
-            bounds: Bounds::usual(memory),
+            limits: Limits::for_memory(memory),
             clock,
         };
         Opener { directory: Rc::default(), attempt, snapshots, log: log.clone(), logged_failure: None }
@@ -72,7 +72,7 @@
                     self.publish(opened.contents, first_restored.take());
                     match opened.committer {
                         Ok(committer) => return self.directory.set_committer(committer),
-                        Err(problem) => self.log_failure(&OpenFailure::NotWritable(problem.into())),
+                        Err(error) => self.log_failure(&OpenFailure::NotWritable(error.into())),
                     }
                     lock = Some(opened.lock);
                 }
--- a/crates/proxy/src/persistence/writer.rs
+++ b/crates/proxy/src/persistence/writer.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use aldermill_routing::Micros;
-use aldermill_store::{Batch, Keeping, State};
+use aldermill_store::{Batch, DiskCircuitBreaker, DiskState};
 use aldermill_warm_start::{Change, SavedState, StateSnapshot};
 use slog::{Logger, info, warn};
 use tokio::sync::{mpsc, watch};
@@ -26,9 +26,9 @@
     /// What is to be saved; the newest counts.
     snapshots: watch::Receiver<Option<StateSnapshot>>,
     /// Whether the disk keeps up, and so what it may be handed.
-    disk: Keeping,
+    disk: DiskCircuitBreaker,
     /// The state of the disk that was logged last.
-    logged_state: State,
+    logged_state: DiskState,
     clock: Clock,
     log: Logger,
 }
@@ -42,8 +42,8 @@
         clock: Clock,
         log: Logger,
     ) -> SnapshotWriter {
-        let disk = Keeping::start(CONFIRMATION_TIMEOUT, MAX_IN_FLIGHT);
-        SnapshotWriter { directory, saved, snapshots, disk, logged_state: State::Well, clock, log }
+        let disk = DiskCircuitBreaker::new(CONFIRMATION_TIMEOUT, MAX_IN_FLIGHT);
+        SnapshotWriter { directory, saved, snapshots, disk, logged_state: DiskState::Healthy, clock, log }
     }
 
     /// Runs until nobody publishes snapshots any more.
@@ -51,7 +51,7 @@
         // Those of writes that timed out may still come.
         let (confirmations, mut confirmed) = mpsc::channel(MAX_IN_FLIGHT * 2);
         loop {
-            let timeout_at = self.disk.due().map(|at| self.clock.instant(at));
+            let timeout_at = self.disk.timeout_at().map(|at| self.clock.instant(at));
             tokio::select! {
                 changed = self.snapshots.changed() => {
                     if changed.is_err() {
@@ -61,7 +61,7 @@
                 }
                 Some(is_written) = confirmed.recv() => self.write_finished(is_written),
                 () = sleep_until(timeout_at.unwrap_or_else(Instant::now)), if timeout_at.is_some() => {
-                    if self.disk.gives_up(self.clock.now()) {
+                    if self.disk.check_timeout(self.clock.now()) {
                         self.saved.write_failed();
                     }
                 }
@@ -74,13 +74,13 @@
     fn save_newest(&mut self, confirmations: &mpsc::Sender<bool>) {
         let Some(snapshot) = self.snapshots.borrow_and_update().clone() else { return };
         let now = self.clock.now();
-        let is_lagging = !matches!(self.disk.state(), State::Well) && self.disk.due().is_some();
-        if is_lagging || !self.disk.hands_over(now, true) {
+        let is_lagging = !matches!(self.disk.state(), DiskState::Healthy) && self.disk.timeout_at().is_some();
+        if is_lagging || !self.disk.admit_write(now, true) {
             return;
         }
         let batch = batch(self.saved.changes(now, snapshot));
         if batch.is_empty() {
-            self.disk.confirmed(now);
+            self.disk.write_confirmed(now);
         } else if !self.directory.write(batch, confirmations) {
             self.write_failed();
         }
@@ -90,14 +90,14 @@
         if !is_written {
             return self.write_failed();
         }
-        self.disk.confirmed(self.clock.now());
-        if self.disk.due().is_none() {
+        self.disk.write_confirmed(self.clock.now());
+        if self.disk.timeout_at().is_none() {
             self.saved.writes_confirmed();
         }
     }
 
     fn write_failed(&mut self) {
-        self.disk.failed(self.clock.now());
+        self.disk.write_failed(self.clock.now());
         self.saved.write_failed();
     }
 
@@ -107,9 +107,11 @@
             return;
         }
         match state {
-            State::Well => info!(self.log, "state is saved again"),
-            State::Slow => warn!(self.log, "disk is slow, saving state lags"),
-            State::Without { .. } => warn!(self.log, "state is not saved, disk writes fail or time out"),
+            DiskState::Healthy => info!(self.log, "state is saved again"),
+            DiskState::Slow => warn!(self.log, "disk is slow, saving state lags"),
+            DiskState::Unavailable { .. } => {
+                warn!(self.log, "state is not saved, disk writes fail or time out")
+            }
         }
         self.logged_state = state;
     }
--- a/crates/proxy/tests/status_json.rs
+++ b/crates/proxy/tests/status_json.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 use std::sync::atomic::Ordering;
 
-use aldermill_store::{Batch, Bounds, Disk, Store};
+use aldermill_store::{Batch, Disk, Limits, Store};
 use aldermill_test_support::*;
 use aldermill_zone_failover::{FailoverLevel, ZoneVerdict};
 use serde_json::{Value, json};
@@ -250,11 +250,16 @@
 fn a_lease_is_granted_above_the_stored_granted_term() {
     // In 2096, while terms are taken from the clock.
     const TERM: u64 = 4_000_000_000_000;
-    let bounds = Bounds { segment: 4 << 20, batch: 1 << 20, live: 1 << 24, slack: 4 };
+    let limits = Limits {
+        max_segment_bytes: 4 << 20,
+        max_batch_bytes: 1 << 20,
+        max_live_bytes: 1 << 24,
+        max_log_ratio: 4,
+    };
     let folder = Folder::empty("terms");
     for name in NAMES {
         let disk = Disk::open(&folder.socket("warm", name)).unwrap();
-        let (mut store, _) = Store::open(disk, bounds, 1).unwrap();
+        let (mut store, _) = Store::open(disk, limits, 1).unwrap();
         let mut batch = Batch::default();
         batch.put(1, b"", format!(r#"{{"name":"{name}","format":1}}"#).as_bytes(), None);
         batch.put(8, b"zones", &TERM.to_be_bytes(), None);
--- a/crates/proxy/tests/stored_data.rs
+++ b/crates/proxy/tests/stored_data.rs
@@ -10,7 +10,7 @@
 use aldermill_site_drain::{OperatorCommand, Order, Plan, Stage};
 use aldermill_site_routing::records::{RecordKey, decode_key, decode_outcome, encode_key, encode_outcome};
 use aldermill_site_routing::{Origin, Outcome};
-use aldermill_store::{Batch, Bounds, Disk, Snapshot, Store};
+use aldermill_store::{Batch, Disk, Limits, Snapshot, Store};
 use aldermill_test_support::program;
 use aldermill_warm_start::{
     Change, KnownPrimary, RestoredState, SavedState, ServiceTime, StateSnapshot, namespace, restore,
@@ -21,7 +21,12 @@
 /// When its outcomes and its promise expire: in 2096.
 const EXPIRES_AT: i64 = 4_000_000_000_000_000;
 const SECOND: i64 = 1_000_000;
-const BOUNDS: Bounds = Bounds { segment: 4 << 20, batch: 1 << 20, live: 1 << 24, slack: 4 };
+const LIMITS: Limits = Limits {
+    max_segment_bytes: 4 << 20,
+    max_batch_bytes: 1 << 20,
+    max_live_bytes: 1 << 24,
+    max_log_ratio: 4,
+};
 
 const IDENTITY: &str = r#"{"name":"n0","format":1}"#;
 const ENTRY_A: &str = r#"{"id":"s-a","host_port":"127.0.0.1:5401","locality":"here","cell":2,"phase":"in_service","size":1.5,"up_since_ms":1600000000000.0}"#;
@@ -161,8 +166,9 @@
 
 fn stored(name: &str) -> (Snapshot, Folder) {
     let folder = Folder::copy_of_fixture(name);
-    let (snapshot, found) = Store::look(Disk::look(&folder.0), BOUNDS, WRITTEN_AT + 2 * SECOND).unwrap();
-    assert!(found.damage.is_empty() && found.torn == 0);
+    let (snapshot, found) =
+        Store::read(Disk::open_read_only(&folder.0), LIMITS, WRITTEN_AT + 2 * SECOND).unwrap();
+    assert!(found.damage.is_empty() && found.torn_bytes == 0);
     (snapshot, folder)
 }
 
@@ -205,11 +211,11 @@
 fn the_store_writes_the_same_segments_byte_for_byte() {
     let folder = Folder::empty("written");
     let disk = Disk::open(&folder.0).unwrap();
-    let (mut store, _) = Store::open(disk, BOUNDS, WRITTEN_AT).unwrap();
+    let (mut store, _) = Store::open(disk, LIMITS, WRITTEN_AT).unwrap();
     store.commit(WRITTEN_AT, vec![first_batch()]).unwrap();
     store.compact().unwrap();
     drop(store);
-    let (mut store, _) = Store::open(Disk::open(&folder.0).unwrap(), BOUNDS, WRITTEN_AT + SECOND).unwrap();
+    let (mut store, _) = Store::open(Disk::open(&folder.0).unwrap(), LIMITS, WRITTEN_AT + SECOND).unwrap();
     store.commit(WRITTEN_AT + SECOND, vec![second_batch()]).unwrap();
     drop(store);
     assert!(segments(&folder.0) == segments(&fixture()), "the segments differ from the fixture's");
@@ -238,7 +244,7 @@
 #[test]
 fn the_stored_warm_start_records_are_restored_as_these_values() {
     let (snapshot, _folder) = stored("recall");
-    let restored = restore("n0", WRITTEN_AT + 2 * SECOND, snapshot.everything()).unwrap();
+    let restored = restore("n0", WRITTEN_AT + 2 * SECOND, snapshot.entries()).unwrap();
     assert_eq!(
         restored,
         RestoredState {
@@ -290,7 +296,7 @@
         };
         assert_eq!(encode_outcome(&borrowed), form);
     }
-    assert_eq!(snapshot.all(6).count(), 5, "the expired one is gone");
+    assert_eq!(snapshot.namespace_entries(6).count(), 5, "the expired one is gone");
 }
 
 #[test]
@@ -301,5 +307,5 @@
         assert_eq!(Plan::decode(&body).unwrap(), plan);
         assert_eq!(String::from_utf8(plan.encode()).unwrap(), form);
     }
-    assert_eq!(snapshot.all(10).count(), 4);
+    assert_eq!(snapshot.namespace_entries(10).count(), 4);
 }
--- a/crates/site-routing/tests/failing_disk.rs
+++ b/crates/site-routing/tests/failing_disk.rs
@@ -8,7 +8,7 @@
 
 use aldermill_site_routing::records::{decode_key, decode_outcome, encode_key, encode_outcome};
 use aldermill_site_routing::{Micros, Origin, Outcome, PreviousIncarnations, RecordingPromise};
-use aldermill_store::{Batch, Bounds, Keeping, State, Store};
+use aldermill_store::{Batch, DiskCircuitBreaker, DiskState, Limits, Store};
 use power::{Dice, FailingDisk};
 
 type KnownOutcome = Outcome<Vec<u8>>;
@@ -17,7 +17,8 @@
 const STEPS: u32 = 200;
 const OUTCOME_LOG: u32 = 6;
 const PROMISES: u32 = 7;
-const BOUNDS: Bounds = Bounds { segment: 2_000, batch: 10_000, live: 100_000, slack: 2 };
+const LIMITS: Limits =
+    Limits { max_segment_bytes: 2_000, max_batch_bytes: 10_000, max_live_bytes: 100_000, max_log_ratio: 2 };
 const MAX_WRITE_WAIT: Micros = 250_000;
 const MAX_WAITING_WRITES: usize = 8;
 /// How long a record is kept beyond its request's deadline, as the gateway does.
@@ -62,7 +63,7 @@
     start: u64,
     store: Option<Store<FailingDisk>>,
     previous: Option<PreviousIncarnations<Vec<u8>>>,
-    keeping: Keeping,
+    breaker: DiskCircuitBreaker,
     promise: RecordingPromise,
     waiting: VecDeque<(Batch, Write)>,
 }
@@ -96,17 +97,17 @@
     }
 
     fn start(&mut self, start: u64) -> Incarnation {
-        let (keeping, promise) =
-            (Keeping::start(MAX_WRITE_WAIT, MAX_WAITING_WRITES), RecordingPromise::default());
+        let (breaker, promise) =
+            (DiskCircuitBreaker::new(MAX_WRITE_WAIT, MAX_WAITING_WRITES), RecordingPromise::default());
         let (store, previous, waiting) = (None, None, VecDeque::new());
-        let mut process = Incarnation { start, store, previous, keeping, promise, waiting };
+        let mut process = Incarnation { start, store, previous, breaker, promise, waiting };
         self.open(&mut process);
         process
     }
 
     /// Reading may do where writing does not.
     fn open(&mut self, process: &mut Incarnation) {
-        let opened = Store::open(self.disk.clone(), BOUNDS, self.clock());
+        let opened = Store::open(self.disk.clone(), LIMITS, self.clock());
         let snapshot = match opened {
             Ok((store, recovered)) => {
                 assert!(recovered.damage.is_empty(), "{recovered:?}");
@@ -114,28 +115,28 @@
                 process.store = Some(store);
                 Some(snapshot)
             }
-            Err(_) => Store::look(self.disk.clone(), BOUNDS, self.clock()).ok().map(|(snapshot, _)| snapshot),
+            Err(_) => Store::read(self.disk.clone(), LIMITS, self.clock()).ok().map(|(snapshot, _)| snapshot),
         };
         let (None, Some(snapshot)) = (&process.previous, snapshot) else { return };
         let mut previous = PreviousIncarnations::default();
-        for (name, outcome) in snapshot.all(OUTCOME_LOG) {
+        for (name, outcome) in snapshot.namespace_entries(OUTCOME_LOG) {
             let key = decode_key(name).expect("a key");
             previous.add_record(key.incarnation, key.origin, key.number, decode_outcome(outcome));
         }
-        for (start, until) in snapshot.all(PROMISES) {
+        for (start, until) in snapshot.namespace_entries(PROMISES) {
             let word = |bytes: &[u8]| i64::from_be_bytes(bytes.try_into().expect("a word"));
             previous.add_promise(self.clock(), word(start) as u64, word(until));
         }
         process.previous = Some(previous);
-        process.keeping = Keeping::start(MAX_WRITE_WAIT, MAX_WAITING_WRITES);
+        process.breaker = DiskCircuitBreaker::new(MAX_WRITE_WAIT, MAX_WAITING_WRITES);
     }
 
     fn hand_over(&self, process: &mut Incarnation, batch: Batch, write: Write) -> bool {
-        if !process.keeping.hands_over(self.clock(), true) {
+        if !process.breaker.admit_write(self.clock(), true) {
             return false;
         }
         if process.store.is_none() || process.waiting.len() >= MAX_WAITING_WRITES {
-            process.keeping.failed(self.clock());
+            process.breaker.write_failed(self.clock());
             return false;
         }
         process.waiting.push_back((batch, write));
@@ -143,7 +144,8 @@
     }
 
     fn renew(&self, process: &mut Incarnation) {
-        let rests = matches!(process.keeping.state(), State::Without { until } if self.clock() < until);
+        let rests =
+            matches!(process.breaker.state(), DiskState::Unavailable { until } if self.clock() < until);
         if !rests && let Some(until) = process.promise.renew(self.clock()) {
             let (mut batch, over) = (Batch::default(), until + 3_600_000_000);
             batch.put(PROMISES, &process.start.to_be_bytes(), &until.to_be_bytes(), Some(over));
@@ -219,8 +221,8 @@
             return;
         }
         match well {
-            true => process.keeping.confirmed(self.now + self.ahead),
-            false => process.keeping.failed(self.now + self.ahead),
+            true => process.breaker.write_confirmed(self.now + self.ahead),
+            false => process.breaker.write_failed(self.now + self.ahead),
         }
         match write {
             Write::RecordingPromise => process.promise.settle(),
@@ -238,7 +240,7 @@
     }
 
     fn abandon_slow_writes(&mut self, process: &mut Incarnation) {
-        if process.keeping.gives_up(self.clock()) {
+        if process.breaker.check_timeout(self.clock()) {
             for (_, write) in &mut process.waiting {
                 if matches!(std::mem::replace(write, Write::GivenUp), Write::RecordingPromise) {
                     process.promise.settle();
--- a/crates/store/examples/commits.rs
+++ b/crates/store/examples/commits.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-use aldermill_store::{Batch, Bounds, Committer, Disk, Store};
+use aldermill_store::{Batch, Committer, Disk, Limits, Store};
 
 const LONG: Duration = Duration::from_secs(3);
 const VALUE: [u8; 100] = [7; 100];
@@ -18,8 +18,8 @@
 
 /// Confirmed writes a second with so many writers waiting, and the 99% of their waits in milliseconds.
 fn store(folder: &Path, writers: usize) -> (f64, f64) {
-    let bounds = Bounds { segment: 16 << 20, ..Bounds::usual(256 << 20) };
-    let (store, _) = Store::open(Disk::open(folder).unwrap(), bounds, 0).unwrap();
+    let limits = Limits { max_segment_bytes: 16 << 20, ..Limits::for_memory(256 << 20) };
+    let (store, _) = Store::open(Disk::open(folder).unwrap(), limits, 0).unwrap();
     let committer = Committer::start(store, writers, || 0);
     let (told, heard) = channel::<Instant>();
     let hand = |key: u64| {
@@ -58,12 +58,16 @@
 fn recovery(folder: &Path, megabytes: u64) {
     let _ = std::fs::remove_dir_all(folder);
     let live = megabytes * 1024 * 1024 / 100;
-    let bounds =
-        Bounds { segment: 16 << 20, batch: 4 << 20, live: 2 * live + (4 << 20), slack: u64::MAX >> 24 };
-    let (mut store, _) = Store::open(Disk::open(folder).unwrap(), bounds, 0).unwrap();
+    let limits = Limits {
+        max_segment_bytes: 16 << 20,
+        max_batch_bytes: 4 << 20,
+        max_live_bytes: 2 * live + (4 << 20),
+        max_log_ratio: u64::MAX >> 24,
+    };
+    let (mut store, _) = Store::open(Disk::open(folder).unwrap(), limits, 0).unwrap();
     let keys = (live / 1024).max(1);
     let mut key = 0;
-    while store.size().1 < megabytes << 20 {
+    while store.log_bytes() < megabytes << 20 {
         let mut batch = Batch::default();
         for _ in 0..256 {
             batch.put(1, &(key % keys).to_be_bytes(), &[1; 1024], None);
@@ -73,7 +77,7 @@
     }
     drop(store);
     let start = Instant::now();
-    let (store, recovered) = Store::open(Disk::open(folder).unwrap(), bounds, 0).unwrap();
+    let (store, recovered) = Store::open(Disk::open(folder).unwrap(), limits, 0).unwrap();
     let took = start.elapsed();
     let start = Instant::now();
     let mut store = store;
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,366 +1,315 @@
+//! The store over one directory: opening, committing, and the segment that is written to.
+
 use std::collections::BTreeMap;
 
-use crate::contents::{Entry, Index, over};
 use crate::files::Files;
-use crate::log::{BadHead, Body, Change, FRONT, HEAD, Kind, head, read_head, read_record, record};
-use crate::{Batch, Damage, Micros, Problem, Recovered, Snapshot};
+use crate::format::{
+    Change, NEVER_EXPIRES, RecordBody, SEGMENT_HEADER_BYTES, SegmentHeader, SegmentKind, encode_header,
+    encode_record,
+};
+use crate::index::{EntryKey, Index};
+use crate::recovery::{Recovery, RecoveryOutcome, UnprovenRecord};
+use crate::{Batch, Micros, RecoveryReport, Snapshot, StoreError};
 
-/// The limits of a store, all stated at its start. Sizes in bytes.
+/// The limits of a store, all stated at its start.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// A segment is ended once it is so long.
-    pub segment: u64,
-    /// One batch.
-    pub batch: usize,
-    /// All that is live, keys and values: it is held in memory.
-    pub live: u64,
-    /// The log is compacted once it is so many times as long as what is live in it, and longer than a segment.
-    pub slack: u64,
+pub struct Limits {
+    /// A segment is ended once it has this length, in bytes.
+    pub max_segment_bytes: u64,
+    /// The length of one batch's record, in bytes.
+    pub max_batch_bytes: usize,
+    /// All keys and values that are live, in bytes: they are held in memory.
+    pub max_live_bytes: u64,
+    /// The log is compacted once it is longer than this many times the live data, and longer than a segment.
+    pub max_log_ratio: u64,
 }
 
-impl Bounds {
-    pub fn usual(memory: u64) -> Bounds {
-        Bounds { segment: 4 << 20, batch: 1 << 20, live: memory / 8, slack: 4 }
+impl Limits {
+    /// For a process that may use `memory` bytes. Live data may take an eighth of it, since it is held beside all that
+    /// the process does. With a log of up to four times the live data, compaction writes one byte for every three that
+    /// were committed.
+    pub fn for_memory(memory: u64) -> Limits {
+        Limits {
+            max_segment_bytes: 4 << 20,
+            max_batch_bytes: 1 << 20,
+            max_live_bytes: memory / 8,
+            max_log_ratio: 4,
+        }
     }
 }
 
-/// The store over one folder.
+/// The store over one directory.
 pub struct Store<F: Files> {
     pub(crate) files: F,
-    pub(crate) bounds: Bounds,
+    pub(crate) limits: Limits,
+    /// What is confirmed.
     pub(crate) index: Index,
-    /// Bytes of keys and values in the index.
-    pub(crate) live: u64,
-    /// Segments and their lengths; the last one is written to.
+    /// The lengths of the segments in bytes, by number; the last one is written to.
     pub(crate) segments: BTreeMap<u64, u64>,
+    /// That of the last record.
     pub(crate) sequence: u64,
-    pub(crate) synced: u64,
-    /// The latest time that was ever told or found, as the records have it.
+    /// All records up to this one are known to be on the disk.
+    pub(crate) synced_sequence: u64,
+    /// The records' time: the latest that a caller told or a record had. It never goes back.
     pub(crate) now: Micros,
     /// By how much the records' time is ahead of the caller's: an earlier start's clock was ahead of this one's.
-    ahead: Micros,
-    pub(crate) failed: bool,
-    /// Files that say nothing any more may lie in the folder: removing them failed.
-    pub(crate) litter: bool,
-    /// Read in a recovery, and not proven to be on the disk: the system may hold it in memory only.
-    unproven: Vec<(u64, Vec<Change>)>,
-    /// An unsound end of a segment, until something behind it tells whether it was confirmed.
-    doubtful: Option<Damage>,
-    /// When expired entries were last looked for.
-    swept: Micros,
+    pub(crate) clock_lead: Micros,
+    /// A write failed, and nothing was healed since.
+    pub(crate) has_failed: bool,
+    /// Removing obsolete files failed, or listing them.
+    pub(crate) may_have_obsolete_files: bool,
+    /// When expired entries were last dropped.
+    last_expiry: Micros,
 }
 
-/// How often entries that are over are let go of.
-const SWEEP: Micros = 1_000_000;
+/// How often expired entries are dropped, in microseconds. Each time all entries are looked at; until then they take
+/// memory, and no snapshot shows them.
+const EXPIRY_INTERVAL: Micros = 1_000_000;
+
+/// The digits in the name of a segment's file: names then sort as their numbers do.
+const SEGMENT_NAME_DIGITS: usize = 10;
 
-pub(crate) fn name(number: u64) -> String {
-    format!("{number:010}.log")
+/// The name of a segment's file.
+pub(crate) fn segment_name(number: u64) -> String {
+    format!("{number:0SEGMENT_NAME_DIGITS$}.log")
 }
 
-pub(crate) fn number(name: &str) -> Option<u64> {
+/// The number of the segment in a file of this name; none for other files.
+pub(crate) fn segment_number(name: &str) -> Option<u64> {
     let digits = name.strip_suffix(".log")?;
-    (digits.len() == 10).then(|| digits.parse().ok()).flatten()
+    (digits.len() == SEGMENT_NAME_DIGITS).then(|| digits.parse().ok()).flatten()
+}
+
+/// Batches that are written together.
+struct EncodedBatches {
+    /// Their records, one behind the other.
+    bytes: Vec<u8>,
+    /// What the records hold.
+    bodies: Vec<RecordBody>,
+    /// Bytes of the keys and values that they bring.
+    added_bytes: u64,
 }
 
 impl<F: Files> Store<F> {
-    /// Opens what is there, whatever state a crash left it in: all that was confirmed, and nothing half.
-    pub fn open(files: F, bounds: Bounds, now: Micros) -> Result<(Store<F>, Recovered), Problem> {
-        let mut store = Store::empty(files, bounds, now);
-        let recovered = store.recover()?;
+    /// Opens what is there, whatever state a crash left it in: all that was confirmed, and each other batch whole or
+    /// not at all. `now` is the caller's time.
+    ///
+    /// Fails with [`StoreError::NewerFormat`] where a later program wrote it, and with [`StoreError::Io`] where it cannot
+    /// be read or written; it may be tried again.
+    pub fn open(files: F, limits: Limits, now: Micros) -> Result<(Store<F>, RecoveryReport), StoreError> {
+        let mut store = Store::empty(files, limits, now);
+        let RecoveryOutcome { report, unproven } = Recovery::new(&mut store).run()?;
         // Never appended to what a crash may have left: a new segment begins. What was read and may yet be lost is
         // written again, and confirmed by that.
         store.begin_segment()?;
-        if let Err(why) = store.write_unproven() {
+        if let Err(error) = store.rewrite_unproven(unproven) {
             // All that is in it stands in the segments before it, too.
-            store.remove_last();
-            return Err(why);
+            store.remove_newest_segment();
+            return Err(error);
         }
-        store.synced = store.sequence;
+        store.synced_sequence = store.sequence;
         // Where something is damaged, all that lies there may help whoever looks into it.
-        if recovered.damage.is_empty() {
-            store.tidy();
-        }
-        Ok((store, recovered))
-    }
-
-    /// One record of all that is not proven: however often a start fails behind this, the log grows by no more than that.
-    fn write_unproven(&mut self) -> Result<(), Problem> {
-        let changes = std::mem::take(&mut self.unproven).into_iter().flat_map(|(_, changes)| changes);
-        let latest: BTreeMap<(u32, Vec<u8>), Change> =
-            changes.map(|change| ((change.space, change.key.clone()), change)).collect();
-        if latest.is_empty() {
-            return Ok(());
-        }
-        self.sequence += 1;
-        let body = Body { changes: latest.into_values().collect(), at: self.now };
-        self.write(&record(self.sequence, self.synced, &body))
-    }
-
-    /// The newest segment is gone again, if that can be done.
-    fn remove_last(&mut self) {
-        if let Some((number, _)) = self.segments.pop_last() {
-            // What is left is found to say nothing new by the next start.
-            let _ = self.files.remove(&name(number));
+        if report.damage.is_empty() {
+            store.remove_obsolete_files();
         }
+        Ok((store, report))
     }
 
-    /// Reads what is there without changing anything.
-    pub fn look(files: F, bounds: Bounds, now: Micros) -> Result<(Snapshot, Recovered), Problem> {
-        let mut store = Store::empty(files, bounds, now);
-        let recovered = store.recover()?;
-        Ok((store.snapshot(), recovered))
+    /// Reads what is there without changing anything. Fails as [`open`](Store::open) does.
+    pub fn read(files: F, limits: Limits, now: Micros) -> Result<(Snapshot, RecoveryReport), StoreError> {
+        let mut store = Store::empty(files, limits, now);
+        let report = Recovery::new(&mut store).run()?.report;
+        Ok((store.snapshot(), report))
     }
 
-    fn empty(files: F, bounds: Bounds, now: Micros) -> Store<F> {
+    fn empty(files: F, limits: Limits, now: Micros) -> Store<F> {
         Store {
             files,
-            bounds,
-            index: Index::new(),
-            live: 0,
+            limits,
+            index: Index::default(),
             segments: BTreeMap::new(),
             sequence: 0,
-            synced: 0,
+            synced_sequence: 0,
             now,
-            ahead: 0,
-            failed: false,
-            litter: false,
-            unproven: Vec::new(),
-            doubtful: None,
-            swept: now,
+            clock_lead: 0,
+            has_failed: false,
+            may_have_obsolete_files: false,
+            last_expiry: now,
         }
     }
 
-    fn recover(&mut self) -> Result<Recovered, Problem> {
-        let mut names: Vec<(u64, String)> =
-            self.files.list()?.into_iter().filter_map(|name| Some((number(&name)?, name))).collect();
-        names.sort();
-        let given = self.now;
-        let mut recovered = Recovered::default();
-        let mut segments = Vec::new();
-        for (number, name) in names {
-            let bytes = self.files.read(&name)?;
-            let kind = match read_head(&bytes) {
-                Ok((kind, inside)) if inside == number => Some(kind),
-                Err(BadHead::Newer(version)) => return Err(Problem::Newer(version)),
-                _ => None,
-            };
-            segments.push((number, kind, bytes));
-        }
-        // What stands before the newest base is left over from a compaction that did not get to remove it.
-        let base = segments.iter().rposition(|(_, kind, _)| *kind == Some(Kind::Base)).unwrap_or(0);
-        for (number, kind, bytes) in segments.into_iter().skip(base) {
-            if kind.is_none() {
-                self.read_headless(number, &bytes, &mut recovered);
-                continue;
-            }
-            // A tail may be torn in any of them: each start of the program leaves one, and begins another.
-            self.read_segment(number, &bytes, &mut recovered);
-            self.segments.insert(number, bytes.len() as u64);
-            recovered.segments += 1;
+    /// Writes one record of all that is not proven to be on the disk. However often a start fails behind this, the log
+    /// grows by no more than that record.
+    fn rewrite_unproven(&mut self, unproven: Vec<UnprovenRecord>) -> Result<(), StoreError> {
+        let changes = unproven.into_iter().flat_map(|record| record.changes);
+        let latest: BTreeMap<EntryKey, Change> =
+            changes.map(|change| ((change.namespace, change.key.clone()), change)).collect();
+        if latest.is_empty() {
+            return Ok(());
         }
-        self.ahead = self.now - given;
-        recovered.torn += self.doubtful.take().map_or(0, |end| end.to - end.from);
-        Ok(recovered)
+        self.sequence += 1;
+        let body = RecordBody { changes: latest.into_values().collect(), written_at: self.now };
+        self.write(&encode_record(self.sequence, self.synced_sequence, &body))
     }
 
-    /// A segment without a sound head: one that was begun when the process was killed or the disk failed, unless what
-    /// stands behind it tells that something in it had been confirmed.
-    fn read_headless(&mut self, number: u64, bytes: &[u8], recovered: &mut Recovered) {
-        let whole = Damage { segment: number, from: 0, to: bytes.len() as u64 };
-        match bytes.len() <= HEAD {
-            true if self.doubtful.is_none() => self.doubtful = Some(whole),
-            true => recovered.torn += whole.to,
-            // Its head was on the disk before anything was put behind it.
-            false => recovered.damage.push(whole),
+    /// Removes the newest segment, if that can be done.
+    fn remove_newest_segment(&mut self) {
+        if let Some((number, _)) = self.segments.pop_last() {
+            // If it stays, the next start finds nothing new in it.
+            let _ = self.files.remove(&segment_name(number));
         }
     }
 
-    fn read_segment(&mut self, number: u64, bytes: &[u8], recovered: &mut Recovered) {
-        let mut at = HEAD;
-        while at < bytes.len() {
-            if let Some(found) = read_record(&bytes[at..]) {
-                at += found.length;
-                recovered.records += 1;
-                // An unsound end before it was confirmed if more had been synced than was read.
-                if let Some(end) = self.doubtful.take() {
-                    match found.synced > self.sequence {
-                        true => recovered.damage.push(end),
-                        false => recovered.torn += end.to - end.from,
-                    }
-                }
-                self.sequence = self.sequence.max(found.sequence);
-                self.synced = self.synced.max(found.synced);
-                self.now = self.now.max(found.body.at);
-                let synced = self.synced;
-                self.unproven.retain(|(sequence, _)| *sequence > synced);
-                if found.sequence > synced {
-                    self.unproven.push((found.sequence, found.body.changes.clone()));
-                }
-                self.apply(found.body.changes);
-                continue;
-            }
-            // Something unsound. If a sound record stands behind it that was written when more than what was read so
-            // far had been synced, this was confirmed once, and is damage; else it was never confirmed, and neither
-            // was anything behind it.
-            let read = self.sequence;
-            let behind = (at + 1..bytes.len().saturating_sub(FRONT - 1))
-                .find_map(|next| Some((next, read_record(&bytes[next..])?)));
-            match behind {
-                Some((next, found)) if found.synced > read => {
-                    recovered.damage.push(Damage { segment: number, from: at as u64, to: next as u64 });
-                    at = next;
-                }
-                _ => {
-                    let earlier = self.doubtful.replace(Damage {
-                        segment: number,
-                        from: at as u64,
-                        to: bytes.len() as u64,
-                    });
-                    recovered.torn += earlier.map_or(0, |end| end.to - end.from);
-                    return;
-                }
-            }
+    /// Writes these batches with one sync for them all; they are confirmed when it returns without an error. `now` is the
+    /// caller's time.
+    ///
+    /// After [`StoreError::TooLarge`] nothing was written. After any other error the batches may be found after a crash
+    /// or not, and the store takes nothing more until it is [healed](Store::heal) or opened anew.
+    pub fn commit(&mut self, now: Micros, batches: Vec<Batch>) -> Result<(), StoreError> {
+        if self.has_failed {
+            return Err(StoreError::Failed);
         }
+        self.now = self.now.max(now + self.clock_lead);
+        let encoded = self.encode(batches)?;
+        self.ensure_memory_for(encoded.added_bytes)?;
+        let written = self.write(&encoded.bytes);
+        self.has_failed = written.is_err();
+        written?;
+        self.sequence += encoded.bodies.len() as u64;
+        self.synced_sequence = self.sequence;
+        for body in encoded.bodies {
+            self.index.apply(body.changes);
+        }
+        self.tidy_up();
+        Ok(())
     }
 
-    fn apply(&mut self, changes: Vec<Change>) {
-        for Change { space, key, value, until } in changes {
-            let size = key.len() as u64;
-            let before = match value {
-                Some(value) => {
-                    self.live += size + value.len() as u64;
-                    self.index.insert((space, key), Entry { value: value.into(), until })
+    /// One record for each batch, with expiry times by the records' time.
+    fn encode(&self, batches: Vec<Batch>) -> Result<EncodedBatches, StoreError> {
+        let mut encoded =
+            EncodedBatches { bytes: Vec::new(), bodies: Vec::with_capacity(batches.len()), added_bytes: 0 };
+        for Batch { mut changes } in batches {
+            for change in &mut changes {
+                if change.expires_at != NEVER_EXPIRES {
+                    change.expires_at += self.clock_lead;
                 }
-                None => self.index.remove(&(space, key)),
-            };
-            if let Some(before) = before {
-                self.live -= size + before.value.len() as u64;
             }
+            encoded.added_bytes += changes.iter().map(Change::size).sum::<u64>();
+            let body = RecordBody { changes, written_at: self.now };
+            let sequence = self.sequence + 1 + encoded.bodies.len() as u64;
+            let record = encode_record(sequence, self.synced_sequence, &body);
+            if record.len() > self.limits.max_batch_bytes {
+                return Err(StoreError::TooLarge);
+            }
+            encoded.bytes.extend_from_slice(&record);
+            encoded.bodies.push(body);
         }
+        Ok(encoded)
     }
 
-    /// Writes these batches with one sync between them all; they are confirmed when it returns well. After an error
-    /// nothing is known of them, and the store takes nothing more until it is opened anew.
-    pub fn commit(&mut self, now: Micros, batches: Vec<Batch>) -> Result<(), Problem> {
-        if self.failed {
-            return Err(Problem::Failed);
-        }
-        self.now = self.now.max(now + self.ahead);
-        let mut added = 0;
-        let mut bytes = Vec::new();
-        let mut bodies = Vec::with_capacity(batches.len());
-        for Batch { mut changes } in batches {
-            changes
-                .iter_mut()
-                .filter(|change| change.until != 0)
-                .for_each(|change| change.until += self.ahead);
-            let size =
-                |change: &Change| (change.key.len() + change.value.as_ref().map_or(0, Vec::len)) as u64;
-            added += changes.iter().map(size).sum::<u64>();
-            let body = Body { changes, at: self.now };
-            let record = record(self.sequence + 1 + bodies.len() as u64, self.synced, &body);
-            if record.len() > self.bounds.batch {
-                return Err(Problem::TooLarge);
-            }
-            bytes.extend_from_slice(&record);
-            bodies.push(body);
-        }
-        if self.live + added > self.bounds.live {
-            self.sweep();
-            if self.live + added > self.bounds.live {
-                return Err(Problem::TooLarge);
-            }
+    /// Fails if this many more live bytes would exceed the limit even after expired entries are dropped.
+    fn ensure_memory_for(&mut self, added_bytes: u64) -> Result<(), StoreError> {
+        if self.index.live_bytes() + added_bytes <= self.limits.max_live_bytes {
+            return Ok(());
         }
-        let written = self.write(&bytes);
-        if written.is_err() {
-            self.failed = true;
+        self.remove_expired();
+        if self.index.live_bytes() + added_bytes > self.limits.max_live_bytes {
+            return Err(StoreError::TooLarge);
         }
-        written?;
-        self.sequence += bodies.len() as u64;
-        self.synced = self.sequence;
-        bodies.into_iter().for_each(|body| self.apply(body.changes));
-        if self.now - self.swept >= SWEEP {
-            self.sweep();
-            if self.litter {
-                self.tidy();
+        Ok(())
+    }
+
+    /// What is due now and then after a commit.
+    fn tidy_up(&mut self) {
+        if self.now - self.last_expiry >= EXPIRY_INTERVAL {
+            self.remove_expired();
+            if self.may_have_obsolete_files {
+                self.remove_obsolete_files();
             }
         }
-        if self.segments.last_key_value().is_some_and(|(_, &length)| length >= self.bounds.segment) {
-            // These batches are confirmed all the same; the next ones find that it failed.
-            self.failed = self.begin_segment().is_err();
+        let newest_length = self.segments.last_key_value().map(|(_, &length)| length);
+        if newest_length.is_some_and(|length| length >= self.limits.max_segment_bytes) {
+            // What was just committed is confirmed all the same; the next commit finds that this failed.
+            self.has_failed = self.begin_segment().is_err();
         }
-        Ok(())
     }
 
-    fn write(&mut self, bytes: &[u8]) -> Result<(), Problem> {
-        let Some((&number, _)) = self.segments.last_key_value() else { return Err(Problem::Failed) };
-        let name = name(number);
+    /// Appends to the newest segment, and syncs it.
+    fn write(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
+        let Some((&number, _)) = self.segments.last_key_value() else { return Err(StoreError::Failed) };
+        let name = segment_name(number);
         self.files.append(&name, bytes)?;
         self.files.sync(&name)?;
         *self.segments.entry(number).or_default() += bytes.len() as u64;
         Ok(())
     }
 
-    pub(crate) fn begin_segment(&mut self) -> Result<(), Problem> {
-        // Above every file there is, also one that could not be read.
-        let highest = self.files.list()?.iter().filter_map(|name| number(name)).max().unwrap_or(0);
-        let number = highest + 1;
-        self.new_segment(&name(number), Kind::Log, number)?;
-        self.segments.insert(number, HEAD as u64);
+    /// Begins the segment that is written to from now on.
+    pub(crate) fn begin_segment(&mut self) -> Result<(), StoreError> {
+        let number = self.next_segment_number()?;
+        let header = SegmentHeader { kind: SegmentKind::Log, number };
+        self.create_segment(&segment_name(number), header)?;
+        self.segments.insert(number, SEGMENT_HEADER_BYTES as u64);
         Ok(())
     }
 
-    pub(crate) fn new_segment(&mut self, file: &str, kind: Kind, number: u64) -> Result<(), Problem> {
-        let begun = self.try_new_segment(file, kind, number);
-        if begun.is_err() {
-            // Each trial in a folder that stays full would leave another. Where this fails too, the next start does it.
+    /// Above that of every file there is, also of one that could not be read.
+    pub(crate) fn next_segment_number(&self) -> Result<u64, StoreError> {
+        let highest = self.files.list()?.iter().filter_map(|name| segment_number(name)).max();
+        Ok(highest.unwrap_or(0) + 1)
+    }
+
+    /// Makes a file with a segment's header, on the disk once this returns without an error.
+    pub(crate) fn create_segment(&mut self, file: &str, header: SegmentHeader) -> Result<(), StoreError> {
+        let created = self.try_create_segment(file, header);
+        if created.is_err() {
+            // Each attempt in a directory that stays full would leave another. If this fails, too, a later commit or
+            // start removes it.
             let _ = self.files.remove(file);
-            self.litter = true;
+            self.may_have_obsolete_files = true;
         }
-        begun
+        created
     }
 
-    fn try_new_segment(&mut self, file: &str, kind: Kind, number: u64) -> Result<(), Problem> {
+    fn try_create_segment(&mut self, file: &str, header: SegmentHeader) -> Result<(), StoreError> {
         self.files.create(file)?;
-        self.files.append(file, &head(kind, number))?;
+        self.files.append(file, &encode_header(header))?;
         self.files.sync(file)?;
-        Ok(self.files.sync_names()?)
+        Ok(self.files.sync_directory()?)
     }
 
-    /// Lets go of what is over.
-    pub(crate) fn sweep(&mut self) {
-        self.swept = self.now;
-        let now = self.now;
-        let gone: Vec<(u32, Vec<u8>)> =
-            self.index.iter().filter(|(_, entry)| over(entry, now)).map(|(key, _)| key.clone()).collect();
-        for key in gone {
-            if let Some(entry) = self.index.remove(&key) {
-                self.live -= (key.1.len() + entry.value.len()) as u64;
-            }
-        }
+    /// Drops the entries that have expired.
+    pub(crate) fn remove_expired(&mut self) {
+        self.last_expiry = self.now;
+        self.index.remove_expired(self.now);
     }
 
+    /// What is confirmed now.
     pub fn snapshot(&self) -> Snapshot {
-        Snapshot { index: self.index.clone(), at: self.now }
+        Snapshot { index: self.index.clone(), taken_at: self.now }
     }
 
-    /// Bytes of keys and values that are live, and bytes of the log.
-    pub fn size(&self) -> (u64, u64) {
-        (self.live, self.segments.values().sum())
+    /// Bytes of all segments.
+    pub fn log_bytes(&self) -> u64 {
+        self.segments.values().sum()
     }
 
+    /// Whether a write failed and nothing was [healed](Store::heal) since.
     pub fn has_failed(&self) -> bool {
-        self.failed
+        self.has_failed
     }
 
+    /// The directory.
     pub fn files(&self) -> &F {
         &self.files
     }
 
+    /// The directory, to be changed beside the store: tests make its calls fail.
     pub fn files_mut(&mut self) -> &mut F {
         &mut self.files
     }
 
+    /// Gives the directory back.
     pub fn into_files(self) -> F {
         self.files
     }
--- a/crates/store/tests/committer.rs
+++ b/crates/store/tests/committer.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use aldermill_store::{Batch, Bounds, Committer, Disk, Keeping, State, Store};
+use aldermill_store::{Batch, Committer, Disk, DiskCircuitBreaker, DiskState, Limits, Store};
 
 struct Folder(PathBuf);
 
@@ -32,14 +32,14 @@
     batch
 }
 
-fn bounds() -> Bounds {
-    Bounds { segment: 64 << 10, ..Bounds::usual(64 << 20) }
+fn limits() -> Limits {
+    Limits { max_segment_bytes: 64 << 10, ..Limits::for_memory(64 << 20) }
 }
 
 #[test]
 fn what_is_confirmed_is_there_after_a_restart_and_a_second_process_is_refused() {
     let folder = Folder::new("restart");
-    let (store, _) = Store::open(Disk::open(&folder.0).unwrap(), bounds(), now()).unwrap();
+    let (store, _) = Store::open(Disk::open(&folder.0).unwrap(), limits(), now()).unwrap();
     assert!(Disk::open(&folder.0).is_err());
     let committer = Committer::start(store, 64, now);
     let (told, heard) = channel();
@@ -57,11 +57,11 @@
     }
     assert!((0..2000).all(|_| heard.recv_timeout(Duration::from_secs(30)).unwrap()));
     // Reading needs no leave of the one that writes.
-    let (seen, _) = Store::look(Disk::look(&folder.0), bounds(), now()).unwrap();
-    assert_eq!(seen.all(1).count(), 300);
+    let (seen, _) = Store::read(Disk::open_read_only(&folder.0), limits(), now()).unwrap();
+    assert_eq!(seen.namespace_entries(1).count(), 300);
     drop(committer);
-    let (store, recovered) = Store::open(Disk::open(&folder.0).unwrap(), bounds(), now()).unwrap();
-    assert_eq!((recovered.damage.len(), recovered.torn), (0, 0));
+    let (store, recovered) = Store::open(Disk::open(&folder.0).unwrap(), limits(), now()).unwrap();
+    assert_eq!((recovered.damage.len(), recovered.torn_bytes), (0, 0));
     let newest = |key: u32| (key + 300 * ((1999 - key) / 300)).to_be_bytes();
     for key in 0..300u32 {
         assert_eq!(store.snapshot().get(1, &key.to_be_bytes()).as_deref(), Some(&newest(key)[..]));
@@ -71,7 +71,7 @@
 #[test]
 fn a_batch_that_is_too_large_fails_alone() {
     let folder = Folder::new("large");
-    let (store, _) = Store::open(Disk::open(&folder.0).unwrap(), bounds(), now()).unwrap();
+    let (store, _) = Store::open(Disk::open(&folder.0).unwrap(), limits(), now()).unwrap();
     let committer = Committer::start(store, 64, now);
     let (told, heard) = channel();
     for (key, size) in [(1, 10), (2, 2 << 20), (3, 10)] {
@@ -84,32 +84,34 @@
     said.sort();
     assert_eq!(said, [(1, true), (2, false), (3, true)]);
     let (told, heard) = channel();
-    assert!(committer.look(move |seen| told.send(seen.all(1).count()).unwrap_or_default()));
+    assert!(
+        committer.read_snapshot(move |seen| told.send(seen.namespace_entries(1).count()).unwrap_or_default())
+    );
     assert_eq!(heard.recv_timeout(Duration::from_secs(30)).unwrap(), 2);
 }
 
 #[test]
 fn work_goes_on_without_a_disk_that_does_not_keep_up() {
     const S: i64 = 1_000_000;
-    let mut keeping = Keeping::start(S / 10, 3);
-    assert!((0..3).all(|_| keeping.hands_over(0, false)));
-    assert!(!keeping.hands_over(0, true), "more than may wait");
-    keeping.confirmed(S / 100);
-    assert_eq!(keeping.state(), State::Well);
-    keeping.confirmed(S / 12);
+    let mut breaker = DiskCircuitBreaker::new(S / 10, 3);
+    assert!((0..3).all(|_| breaker.admit_write(0, false)));
+    assert!(!breaker.admit_write(0, true), "more than may wait");
+    breaker.write_confirmed(S / 100);
+    assert_eq!(breaker.state(), DiskState::Healthy);
+    breaker.write_confirmed(S / 12);
     // Late, but in time: only what must be kept.
-    assert_eq!((keeping.state(), keeping.hands_over(S / 12, false)), (State::Slow, false));
-    assert!(keeping.hands_over(S / 12, true));
-    assert!(!keeping.gives_up(S / 10) && keeping.due().is_some());
-    assert!(keeping.gives_up(S / 5));
-    assert_eq!(keeping.state(), State::Without { until: S / 5 + S });
-    assert!(!keeping.hands_over(S, true));
+    assert_eq!((breaker.state(), breaker.admit_write(S / 12, false)), (DiskState::Slow, false));
+    assert!(breaker.admit_write(S / 12, true));
+    assert!(!breaker.check_timeout(S / 10) && breaker.timeout_at().is_some());
+    assert!(breaker.check_timeout(S / 5));
+    assert_eq!(breaker.state(), DiskState::Unavailable { until: S / 5 + S });
+    assert!(!breaker.admit_write(S, true));
     // One write tries, and each failure makes the next rest longer.
-    assert!(keeping.hands_over(2 * S, true) && !keeping.hands_over(2 * S, true));
-    keeping.failed(2 * S);
-    assert_eq!(keeping.state(), State::Without { until: 4 * S });
-    assert!(keeping.hands_over(5 * S, true));
-    keeping.confirmed(5 * S);
-    assert_eq!(keeping.state(), State::Well);
-    assert!(keeping.hands_over(5 * S, false));
+    assert!(breaker.admit_write(2 * S, true) && !breaker.admit_write(2 * S, true));
+    breaker.write_failed(2 * S);
+    assert_eq!(breaker.state(), DiskState::Unavailable { until: 4 * S });
+    assert!(breaker.admit_write(5 * S, true));
+    breaker.write_confirmed(5 * S);
+    assert_eq!(breaker.state(), DiskState::Healthy);
+    assert!(breaker.admit_write(5 * S, false));
 }
--- a/crates/store/tests/expiry.rs
+++ b/crates/store/tests/expiry.rs
@@ -2,7 +2,7 @@
 
 mod power;
 
-use aldermill_store::{Batch, Bounds, Store};
+use aldermill_store::{Batch, Limits, Store};
 use power::FailingDisk;
 
 const SECOND: i64 = 1_000_000;
@@ -21,7 +21,7 @@
 #[test]
 fn after_an_earlier_start_whose_clock_was_ahead_entries_live_as_long_as_they_should() {
     let disk = FailingDisk::new(1);
-    let open = |now| Store::open(disk.clone(), Bounds::usual(1 << 20), now).unwrap().0;
+    let open = |now| Store::open(disk.clone(), Limits::for_memory(1 << 20), now).unwrap().0;
     let mut ahead = open(HOUR);
     ahead.commit(HOUR, until(b"before", HOUR + 30 * SECOND)).unwrap();
     drop(ahead);
--- a/crates/store/tests/failing.rs
+++ b/crates/store/tests/failing.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_store::{Batch, Bounds, Store};
+use aldermill_store::{Batch, Limits, Store};
 use power::{Dice, FailingDisk};
 
 type Contents = BTreeMap<Vec<u8>, Vec<u8>>;
@@ -14,12 +14,12 @@
 /// Histories in one run; `ALDERMILL_HISTORIES` draws more.
 const HISTORIES: u64 = 500;
 
-fn bounds() -> Bounds {
-    Bounds { segment: 300, batch: 10_000, live: 100_000, slack: 2 }
+fn limits() -> Limits {
+    Limits { max_segment_bytes: 300, max_batch_bytes: 10_000, max_live_bytes: 100_000, max_log_ratio: 2 }
 }
 
 fn contents(store: &Store<FailingDisk>) -> Contents {
-    store.snapshot().all(1).map(|(key, value)| (key.to_vec(), value.to_vec())).collect()
+    store.snapshot().namespace_entries(1).map(|(key, value)| (key.to_vec(), value.to_vec())).collect()
 }
 
 /// The judge: what may be found, worked out from what was confirmed alone.
@@ -54,7 +54,7 @@
 
     /// Opens the folder, which may fail; what it then holds is judged.
     fn open(&mut self) -> Result<Option<Store<FailingDisk>>, String> {
-        let Ok((store, recovered)) = Store::open(self.disk.clone(), bounds(), 0) else { return Ok(None) };
+        let Ok((store, recovered)) = Store::open(self.disk.clone(), limits(), 0) else { return Ok(None) };
         if !recovered.damage.is_empty() {
             return Err(format!("a torn end taken for damage: {:?}", recovered.damage));
         }
--- a/crates/store/tests/power/mod.rs
+++ b/crates/store/tests/power/mod.rs
@@ -236,7 +236,7 @@
         })
     }
 
-    fn sync_names(&mut self) -> Result<()> {
+    fn sync_directory(&mut self) -> Result<()> {
         let state = &mut *self.state();
         if state.call()? != Fails::Never {
             return Err(broken());
--- a/crates/store/tests/torn.rs
+++ b/crates/store/tests/torn.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 use std::io::{Error, Result};
 
-use aldermill_store::{Batch, Bounds, Damage, Files, Problem, Recovered, Store};
+use aldermill_store::{Batch, Damage, Files, Limits, RecoveryReport, Store, StoreError};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-fn bounds() -> Bounds {
-    Bounds { segment: 300, batch: 10_000, live: 100_000, slack: 2 }
+fn limits() -> Limits {
+    Limits { max_segment_bytes: 300, max_batch_bytes: 10_000, max_live_bytes: 100_000, max_log_ratio: 2 }
 }
 
 /// What was asked of the disk.
@@ -85,7 +85,7 @@
         self.files.remove(name).map(|_| ()).ok_or_else(|| Error::other("no such file"))
     }
 
-    fn sync_names(&mut self) -> Result<()> {
+    fn sync_directory(&mut self) -> Result<()> {
         self.asked.push(Asked::SyncNames);
         Ok(())
     }
@@ -139,7 +139,7 @@
 type State = BTreeMap<Vec<u8>, Vec<u8>>;
 
 fn state<F: Files>(store: &Store<F>) -> State {
-    store.snapshot().all(1).map(|(key, value)| (key.to_vec(), value.to_vec())).collect()
+    store.snapshot().namespace_entries(1).map(|(key, value)| (key.to_vec(), value.to_vec())).collect()
 }
 
 /// A life of a store: what was asked of the disk, and after how much of it which states were there.
@@ -153,7 +153,7 @@
 }
 
 fn live(lies: bool) -> Life {
-    let (mut store, _) = Store::open(Tape { lies, ..Tape::default() }, bounds(), 0).unwrap();
+    let (mut store, _) = Store::open(Tape { lies, ..Tape::default() }, limits(), 0).unwrap();
     let (mut states, mut begun, mut confirmed) = (vec![State::new()], Vec::new(), Vec::new());
     let files = |store: Store<Tape>| store.into_files();
     for turn in 0..14u8 {
@@ -195,7 +195,7 @@
             let mut torn = power.clone();
             torn.does(asked, cut);
             for (names, kept) in [(true, 0), (true, 1), (true, 2), (false, 0), (false, 2)] {
-                let opened = Store::open(torn.found(names, kept), bounds(), 0);
+                let opened = Store::open(torn.found(names, kept), limits(), 0);
                 let (store, recovered) = opened.map_err(|why| format!("at {at}, {cut}: {why}"))?;
                 let found = state(&store);
                 // Commits known as confirmed before this was asked must be there; none that was never begun.
@@ -227,7 +227,8 @@
 }
 
 fn three() -> Tape {
-    let (mut store, _) = Store::open(Tape::default(), Bounds { segment: 1 << 20, ..bounds() }, 0).unwrap();
+    let (mut store, _) =
+        Store::open(Tape::default(), Limits { max_segment_bytes: 1 << 20, ..limits() }, 0).unwrap();
     for turn in 0..3u8 {
         let mut batch = Batch::default();
         batch.put(1, &[turn], &[turn; 50], None);
@@ -245,7 +246,7 @@
         let mut flipped = whole.clone();
         flipped.files.get_mut(&name).unwrap()[at] ^= 0x10;
         // A later start shows that all before it had been confirmed.
-        let (mut store, first) = Store::open(flipped, bounds(), 0).unwrap();
+        let (mut store, first) = Store::open(flipped, limits(), 0).unwrap();
         let found = state(&store);
         assert!(found.iter().all(|(key, value)| value == &vec![key[0]; 50]), "served a flipped byte");
         let lost = (0..3u8).filter(|key| !found.contains_key(&vec![*key])).count();
@@ -257,47 +258,47 @@
         store.commit(0, vec![batch]).unwrap();
     }
     // The last record of a segment, flipped after a later start: that wrote it again, as nothing proved it synced.
-    let (mut store, _) = Store::open(whole, bounds(), 0).unwrap();
+    let (mut store, _) = Store::open(whole, limits(), 0).unwrap();
     let mut batch = Batch::default();
     batch.put(1, b"x", b"y", None);
     store.commit(0, vec![batch]).unwrap();
     let mut tape = store.into_files();
     *tape.files.get_mut(&name).unwrap().last_mut().unwrap() ^= 1;
-    let (store, recovered) = Store::open(tape, bounds(), 0).unwrap();
+    let (store, recovered) = Store::open(tape, limits(), 0).unwrap();
     assert_eq!((state(&store).len(), recovered.damage), (4, vec![]));
     // Any other one: a later segment tells that it had been confirmed.
     let mut tape = store.into_files();
     let middle = tape.files.get_mut(&name).unwrap();
     let at = middle.len() / 2;
     middle.truncate(at);
-    let (store, recovered) = Store::open(tape, bounds(), 0).unwrap();
+    let (store, recovered) = Store::open(tape, limits(), 0).unwrap();
     assert_eq!((state(&store).len(), recovered.damage.len()), (3, 1), "{recovered:?}");
 }
 
 #[test]
 fn a_sync_that_failed_is_never_taken_for_one_that_worked() {
-    let (mut store, _) = Store::open(three(), bounds(), 0).unwrap();
+    let (mut store, _) = Store::open(three(), limits(), 0).unwrap();
     let put = |key: &[u8]| {
         let mut batch = Batch::default();
         batch.put(1, key, b"value", None);
         vec![batch]
     };
     store.files_mut().sync_fails = true;
-    assert!(matches!(store.commit(0, put(b"lost")), Err(Problem::Io(_))));
+    assert!(matches!(store.commit(0, put(b"lost")), Err(StoreError::Io(_))));
     store.files_mut().sync_fails = false;
     // Not as if nothing had been: until it is healed nothing is taken, and what failed is not there.
-    assert!(matches!(store.commit(0, put(b"next")), Err(Problem::Failed)));
+    assert!(matches!(store.commit(0, put(b"next")), Err(StoreError::Failed)));
     store.heal().unwrap();
     assert_eq!(store.snapshot().get(1, b"lost"), None);
     store.commit(0, put(b"next")).unwrap();
-    let (store, recovered) = Store::open(store.into_files(), bounds(), 0).unwrap();
+    let (store, recovered) = Store::open(store.into_files(), limits(), 0).unwrap();
     assert_eq!((state(&store).len(), recovered.damage.len()), (4, 0));
 }
 
 #[test]
 fn a_disk_that_is_full_in_the_middle_of_a_batch_and_then_has_room_again() {
     for room in 0..180 {
-        let (mut store, _) = Store::open(three(), bounds(), 0).unwrap();
+        let (mut store, _) = Store::open(three(), limits(), 0).unwrap();
         store.files_mut().room = Some(room);
         let batch = |key: &[u8]| {
             let mut batch = Batch::default();
@@ -309,7 +310,7 @@
         store.files_mut().room = None;
         store.heal().unwrap();
         store.commit(0, batch(b"b")).unwrap();
-        let (store, _) = Store::open(store.into_files(), bounds(), 0).unwrap();
+        let (store, _) = Store::open(store.into_files(), limits(), 0).unwrap();
         assert_eq!(state(&store).len(), 4, "with room for {room} bytes");
     }
 }
@@ -325,15 +326,15 @@
     head[24..].copy_from_slice(&sum.to_le_bytes());
     tape.files.insert(name, head);
     let files = tape.files.clone();
-    assert!(matches!(Store::open(tape, bounds(), 0), Err(Problem::Newer(2))));
+    assert!(matches!(Store::open(tape, limits(), 0), Err(StoreError::NewerFormat(2))));
     assert!(!files.is_empty());
-    let (mut store, _) = Store::open(Tape::default(), bounds(), 5_000_000).unwrap();
+    let (mut store, _) = Store::open(Tape::default(), limits(), 5_000_000).unwrap();
     let mut batch = Batch::default();
     batch.put(1, b"short", b"", Some(6_000_000));
     batch.put(1, b"long", b"", Some(90_000_000));
     store.commit(7_000_000, vec![batch]).unwrap();
     // A clock set back by hours brings nothing back to life.
-    let (store, _) = Store::open(store.into_files(), bounds(), 1).unwrap();
+    let (store, _) = Store::open(store.into_files(), limits(), 1).unwrap();
     assert_eq!(state(&store).into_keys().collect::<Vec<_>>(), [b"long".to_vec()]);
 }
 
@@ -358,11 +359,11 @@
         2 => (0u32..3_000_000).prop_map(Act::Pass),
     ];
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
-    let limits = Config { cases: 300, failure_persistence: None, ..Config::default() };
-    TestRunner::new_with_rng(limits, rng)
+    let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
+    TestRunner::new_with_rng(config, rng)
         .run(&vec(act, 1..60), |acts| {
             let mut now = 1;
-            let (mut store, _) = Store::open(Tape::default(), bounds(), now).unwrap();
+            let (mut store, _) = Store::open(Tape::default(), limits(), now).unwrap();
             let mut plain: BTreeMap<Vec<u8>, (Vec<u8>, i64)> = BTreeMap::new();
             for act in acts {
                 match act {
@@ -385,7 +386,7 @@
                     }
                     Act::Compact => store.compact().unwrap(),
                     Act::Reopen => {
-                        let (opened, recovered) = Store::open(store.into_files(), bounds(), now).unwrap();
+                        let (opened, recovered) = Store::open(store.into_files(), limits(), now).unwrap();
                         prop_assert_eq!(recovered.damage, Vec::<Damage>::new());
                         store = opened;
                     }
@@ -418,14 +419,17 @@
 
 #[test]
 fn a_snapshot_stays_as_it_was() {
-    let (mut store, recovered) = Store::open(three(), bounds(), 0).unwrap();
-    assert_eq!(recovered, Recovered { segments: 1, records: 3, damage: vec![], torn: 0 });
+    let (mut store, recovered) = Store::open(three(), limits(), 0).unwrap();
+    assert_eq!(recovered, RecoveryReport { segments: 1, records: 3, damage: vec![], torn_bytes: 0 });
     let snapshot = store.snapshot();
     let mut batch = Batch::default();
     batch.remove(1, &[1]);
     batch.put(2, b"other", b"space", None);
     store.commit(0, vec![batch]).unwrap();
     store.compact().unwrap();
-    assert_eq!((snapshot.all(1).count(), store.snapshot().all(1).count()), (3, 2));
+    assert_eq!(
+        (snapshot.namespace_entries(1).count(), store.snapshot().namespace_entries(1).count()),
+        (3, 2)
+    );
     assert_eq!(store.snapshot().get(2, b"other").as_deref(), Some(&b"space"[..]));
 }
