--- a/crates/store/tests/committer.rs
+++ b/crates/store/tests/committer.rs
@@ -1,10 +1,10 @@
-//! The thread that writes, over a real folder; and the decisions on a disk that does not keep up.
+//! The thread that writes, over a real directory.
 
 use std::path::PathBuf;
 use std::sync::mpsc::channel;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use aldermill_store::{Batch, Committer, Disk, DiskCircuitBreaker, DiskState, Limits, Store};
+use aldermill_store::{Batch, Committer, Disk, Limits, Store};
 
 struct Folder(PathBuf);
 
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_is_confirmed_is_there_after_a_restart_and_a_second_process_is_refused() {
+fn a_restart_finds_what_was_confirmed_and_a_second_process_is_locked_out() {
     let folder = Folder::new("restart");
     let (store, _) = Store::open(Disk::open(&folder.0).unwrap(), limits(), now()).unwrap();
     assert!(Disk::open(&folder.0).is_err());
@@ -56,7 +56,7 @@
         }
     }
     assert!((0..2000).all(|_| heard.recv_timeout(Duration::from_secs(30)).unwrap()));
-    // Reading needs no leave of the one that writes.
+    // Reading works while another has the lock.
     let (seen, _) = Store::read(Disk::open_read_only(&folder.0), limits(), now()).unwrap();
     assert_eq!(seen.namespace_entries(1).count(), 300);
     drop(committer);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_batch_that_is_too_large_fails_alone() {
+fn a_batch_that_is_too_large_fails_alone_among_those_that_share_its_sync() {
     let folder = Folder::new("large");
     let (store, _) = Store::open(Disk::open(&folder.0).unwrap(), limits(), now()).unwrap();
     let committer = Committer::start(store, 64, now);
@@ -89,29 +89,3 @@
     );
     assert_eq!(heard.recv_timeout(Duration::from_secs(30)).unwrap(), 2);
 }
-
-#[test]
-fn work_goes_on_without_a_disk_that_does_not_keep_up() {
-    const S: i64 = 1_000_000;
-    let mut breaker = DiskCircuitBreaker::new(S / 10, 3);
-    assert!((0..3).all(|_| breaker.admit_write(0, false)));
-    assert!(!breaker.admit_write(0, true), "more than may wait");
-    breaker.write_confirmed(S / 100);
-    assert_eq!(breaker.state(), DiskState::Healthy);
-    breaker.write_confirmed(S / 12);
-    // Late, but in time: only what must be kept.
-    assert_eq!((breaker.state(), breaker.admit_write(S / 12, false)), (DiskState::Slow, false));
-    assert!(breaker.admit_write(S / 12, true));
-    assert!(!breaker.check_timeout(S / 10) && breaker.timeout_at().is_some());
-    assert!(breaker.check_timeout(S / 5));
-    assert_eq!(breaker.state(), DiskState::Unavailable { until: S / 5 + S });
-    assert!(!breaker.admit_write(S, true));
-    // One write tries, and each failure makes the next rest longer.
-    assert!(breaker.admit_write(2 * S, true) && !breaker.admit_write(2 * S, true));
-    breaker.write_failed(2 * S);
-    assert_eq!(breaker.state(), DiskState::Unavailable { until: 4 * S });
-    assert!(breaker.admit_write(5 * S, true));
-    breaker.write_confirmed(5 * S);
-    assert_eq!(breaker.state(), DiskState::Healthy);
-    assert!(breaker.admit_write(5 * S, false));
-}
--- a/crates/store/tests/expiry.rs
+++ b/crates/store/tests/expiry.rs
@@ -1,4 +1,4 @@
-//! When entries are over: after a span of the caller's time, also where an earlier start's clock was ahead of it.
+//! When entries expire: after a span of the caller's time, also where an earlier start's clock was ahead of it.
 
 mod power;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn after_an_earlier_start_whose_clock_was_ahead_entries_live_as_long_as_they_should() {
+fn a_clock_set_back_between_two_starts_shortens_no_entrys_lifetime() {
     let disk = FailingDisk::new(1);
     let open = |now| Store::open(disk.clone(), Limits::for_memory(1 << 20), now).unwrap().0;
     let mut ahead = open(HOUR);
--- a/crates/store/tests/failing.rs
+++ b/crates/store/tests/failing.rs
@@ -9,7 +9,7 @@
 use power::{Dice, FailingDisk};
 
 type Contents = BTreeMap<Vec<u8>, Vec<u8>>;
-type Judged = Result<(), String>;
+type CheckResult = Result<(), String>;
 
 /// Histories in one run; `ALDERMILL_HISTORIES` draws more.
 const HISTORIES: u64 = 500;
@@ -22,7 +22,7 @@
     store.snapshot().namespace_entries(1).map(|(key, value)| (key.to_vec(), value.to_vec())).collect()
 }
 
-/// The judge: what may be found, worked out from what was confirmed alone.
+/// The checker: what may be found, worked out from what was confirmed alone.
 struct Expected {
     confirmed: Contents,
     /// What a commit that failed would have made of it, which may be found too.
@@ -30,7 +30,7 @@
 }
 
 impl Expected {
-    fn finds(&mut self, found: Contents) -> Judged {
+    fn finds(&mut self, found: Contents) -> CheckResult {
         if found != self.confirmed && Some(&found) != self.begun.as_ref() {
             return Err(format!("found {found:?}, confirmed {:?}, begun {:?}", self.confirmed, self.begun));
         }
@@ -52,7 +52,7 @@
         History { disk: FailingDisk::new(seed), dice: Dice(!seed), expected, turn: 0 }
     }
 
-    /// Opens the folder, which may fail; what it then holds is judged.
+    /// Opens the folder, which may fail; what it then holds is checked.
     fn open(&mut self) -> Result<Option<Store<FailingDisk>>, String> {
         let Ok((store, recovered)) = Store::open(self.disk.clone(), limits(), 0) else { return Ok(None) };
         if !recovered.damage.is_empty() {
@@ -63,7 +63,7 @@
     }
 
     /// One batch of two keys and perhaps a removal: a half of it would show.
-    fn commit(&mut self, store: &mut Store<FailingDisk>) -> Judged {
+    fn commit(&mut self, store: &mut Store<FailingDisk>) -> CheckResult {
         self.turn = self.turn.wrapping_add(1);
         let (turn, length) = (self.turn, 1 + self.dice.below(60) as usize);
         let mut after = self.expected.confirmed.clone();
@@ -83,7 +83,7 @@
         self.holds(store)
     }
 
-    fn heal(&mut self, store: &mut Store<FailingDisk>) -> Judged {
+    fn heal(&mut self, store: &mut Store<FailingDisk>) -> CheckResult {
         if store.heal().is_ok() {
             self.expected.begun = None;
         }
@@ -91,14 +91,14 @@
     }
 
     /// What is told while it is open is what was confirmed, whatever failed meanwhile.
-    fn holds(&self, store: &Store<FailingDisk>) -> Judged {
+    fn holds(&self, store: &Store<FailingDisk>) -> CheckResult {
         let found = contents(store);
         let same = found == self.expected.confirmed;
         same.then_some(()).ok_or_else(|| format!("tells {found:?} of {:?}", self.expected.confirmed))
     }
 
     /// What the committer does, and now and then a switch, a kill or a restart.
-    fn step(&mut self, opened: &mut Option<Store<FailingDisk>>) -> Judged {
+    fn step(&mut self, opened: &mut Option<Store<FailingDisk>>) -> CheckResult {
         let chance = self.dice.below(20);
         if chance == 0 {
             let one_in = 2 + self.dice.below(12);
@@ -109,7 +109,7 @@
             self.disk.toggle_room(room);
         }
         if chance == 2 {
-            // Killed within the next steps, or now if it lives on.
+            // Killed within the next steps, or now if it goes on.
             self.disk.state().left = Some(self.dice.below(400) as usize);
         }
         if chance == 3 {
@@ -132,7 +132,7 @@
     }
 
     /// The folder is well again: all is there after one more start, and nothing beside what is needed.
-    fn end(&mut self) -> Judged {
+    fn end(&mut self) -> CheckResult {
         self.disk.restart(self.dice.one_in(2));
         {
             let state = &mut *self.disk.state();
@@ -154,7 +154,7 @@
     }
 }
 
-fn lives(seed: u64, lies: bool) -> Judged {
+fn check_history(seed: u64, lies: bool) -> CheckResult {
     let mut history = History::new(seed);
     history.disk.state().lies = lies;
     let mut opened = None;
@@ -171,18 +171,18 @@
 }
 
 #[test]
-fn a_folder_that_fails_for_a_while_loses_nothing_confirmed_and_keeps_no_litter() {
+fn a_disk_that_fails_for_a_while_loses_nothing_confirmed_and_leaves_no_obsolete_files() {
     for seed in 0..histories() {
-        lives(seed, false).unwrap_or_else(|why| panic!("history {seed}: {why}"));
+        check_history(seed, false).unwrap_or_else(|why| panic!("history {seed}: {why}"));
     }
 }
 
 #[test]
-fn the_judge_of_the_histories_finds_a_disk_that_only_says_that_it_synced() {
-    assert!((0..20).any(|seed| lives(seed, true).is_err()));
+fn a_disk_that_only_claims_to_sync_is_found_by_the_checker() {
+    assert!((0..20).any(|seed| check_history(seed, true).is_err()));
 }
 
-/// A sound life with four compactions, killed after so many bytes and calls; then two more starts.
+/// A sound history with four compactions, killed after so many bytes and calls; then two more starts.
 fn killed_at(units: usize, power: bool) -> Result<bool, String> {
     let mut history = History::new(units as u64);
     history.disk.state().left = Some(units);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_kill_at_every_byte_is_survived_by_three_starts_after_it() {
+fn a_kill_at_any_byte_loses_nothing_confirmed_in_three_starts_after_it() {
     for power in [false, true] {
         let mut units = 0;
         while !killed_at(units, power).unwrap_or_else(|why| panic!("unit {units}, power {power}: {why}")) {
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn starts_in_a_full_folder_do_not_fill_it_with_segments() {
+fn repeated_starts_on_a_full_disk_leave_no_segments_behind() {
     let mut history = History::new(1);
     let mut store = history.open().unwrap().unwrap();
     history.commit(&mut store).unwrap();
--- a/crates/store/tests/power/mod.rs
+++ b/crates/store/tests/power/mod.rs
@@ -32,7 +32,7 @@
     /// How many of them are surely on the disk.
     synced: usize,
     /// A sync failed: a later one succeeds with nothing written.
-    malformed: bool,
+    sync_failed: bool,
 }
 
 pub struct State {
@@ -48,7 +48,7 @@
     pub left: Option<usize>,
     /// How many bytes and calls there were.
     pub spent: usize,
-    /// Syncs that do nothing: to show that a judge bites.
+    /// Syncs that do nothing: to show that a checker finds them.
     pub lies: bool,
 }
 
@@ -114,7 +114,7 @@
         for file in &mut state.files {
             let unsure = (file.bytes.len() - file.synced) as u64;
             file.bytes.truncate(file.synced + state.dice.below(unsure + 1) as usize);
-            (file.synced, file.malformed) = (file.bytes.len(), false);
+            (file.synced, file.sync_failed) = (file.bytes.len(), false);
         }
     }
 }
@@ -212,10 +212,10 @@
         let lies = state.lies;
         let file = state.file(name)?;
         if fails != Fails::Never {
-            file.malformed = true;
+            file.sync_failed = true;
             return Err(broken());
         }
-        if !file.malformed && !lies {
+        if !file.sync_failed && !lies {
             file.synced = file.bytes.len();
         }
         Ok(())
