--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -39,8 +39,6 @@
 //! # Ok::<(), aldermill_zone_failover::Malformed>(())
 //! ```
 
-#![warn(missing_docs)]
-
 mod directive;
 mod error;
 mod evidence;
