--- a/crates/fault-injection/src/breaker.rs
+++ b/crates/fault-injection/src/breaker.rs
@@ -155,7 +155,9 @@
         let (mut buffer, mut out) = (Buffer::default(), Vec::new());
         let mut greeted = false;
         loop {
-            if !greeted && let Some((_, length)) = pg::initial_message(buffer.held()).ok()? {
+            if !greeted
+                && let Some(pg::InitialMessage { length, .. }) = pg::initial_message(buffer.held()).ok()?
+            {
                 buffer.consume(length);
                 greeted = true;
                 pg::write_startup_response(&mut out, 1);
@@ -187,7 +189,8 @@
         let comment = Comment::parse(text).ok()?;
         let class = CLASSES.iter().position(|class| class.name == comment.class)?;
         let effect = CLASSES[class].effect;
-        let (number, wait) = (comment.id.parse::<u64>().ok()?, Duration::from_millis(comment.wait.into()));
+        let (number, wait) =
+            (comment.id.parse::<u64>().ok()?, Duration::from_millis(comment.timeout_ms.into()));
         if matches!(self.how, How::Mute | How::Stays) && number.is_multiple_of(5) {
             std::future::pending::<()>().await;
         }
--- a/crates/fault-injection/src/member.rs
+++ b/crates/fault-injection/src/member.rs
@@ -157,7 +157,7 @@
         let mut buffer = Buffer::default();
         let mut out = Vec::new();
         loop {
-            if let Some((_, length)) = pg::initial_message(buffer.held()).ok()? {
+            if let Some(pg::InitialMessage { length, .. }) = pg::initial_message(buffer.held()).ok()? {
                 buffer.consume(length);
                 break;
             }
@@ -225,7 +225,7 @@
         let over = Over { world, id, driver, member };
         self.awake().await;
         // A client's end is seen while it waits, and what has not begun then is dropped.
-        let until = arrived + Duration::from_millis(u64::from(comment.wait));
+        let until = arrived + Duration::from_millis(u64::from(comment.timeout_ms));
         let full = self.waiting.get() >= world.plan.bearing.queue;
         self.waiting.set(self.waiting.get() + 1);
         let begun = tokio::select! {
--- a/crates/fault-injection/src/wide/member.rs
+++ b/crates/fault-injection/src/wide/member.rs
@@ -70,7 +70,7 @@
         stream.set_nodelay(true).ok()?;
         let (mut buffer, mut out) = (Buffer::default(), Vec::new());
         let length = loop {
-            if let Some((_, length)) = pg::initial_message(buffer.held()).ok()? {
+            if let Some(pg::InitialMessage { length, .. }) = pg::initial_message(buffer.held()).ok()? {
                 break length;
             }
             self.read(&mut stream, &mut buffer).await?;
@@ -129,7 +129,7 @@
 
     async fn request(&self, comment: &Comment, out: &mut Vec<u8>) {
         let class = CLASSES.iter().position(|class| class.name == comment.class).unwrap_or(0);
-        let until = Instant::now() + Duration::from_millis(u64::from(comment.wait));
+        let until = Instant::now() + Duration::from_millis(u64::from(comment.timeout_ms));
         let Ok(Ok(_worker)) = timeout_at(until, self.workers.acquire()).await else {
             return pg::write_error_response(out, false, "53300", "over before it began", None);
         };
--- a/crates/proxy/src/client/startup.rs
+++ b/crates/proxy/src/client/startup.rs
@@ -1,6 +1,6 @@
 //! The startup handshake, and requests for encryption before it.
 
-use aldermill_wire::pg;
+use aldermill_wire::pg::{self, InitialMessageKind};
 use tokio::time::{Instant, timeout_at};
 
 use super::close::CloseReason;
@@ -16,16 +16,19 @@
     pub(super) async fn startup(&mut self) -> Result<(), CloseReason> {
         let deadline = self.connected_at + self.context.limits.client.startup_timeout;
         loop {
-            match pg::initial_message(self.buffer.held())? {
-                None => self.read_startup(deadline).await?,
-                Some((pg::InitialMessage::CancelRequest, _)) => return Err(CloseReason::Normal),
-                Some((pg::InitialMessage::EncryptionRequest, length)) => {
-                    self.buffer.consume(length);
+            let Some(message) = pg::initial_message(self.buffer.held())? else {
+                self.read_startup(deadline).await?;
+                continue;
+            };
+            match message.kind {
+                InitialMessageKind::CancelRequest => return Err(CloseReason::Normal),
+                InitialMessageKind::EncryptionRequest => {
+                    self.buffer.consume(message.length);
                     let refusal = EncodedResponse::small(ENCRYPTION_REFUSED.to_vec());
                     self.write_response(refusal).await?;
                 }
-                Some((pg::InitialMessage::StartupMessage, length)) => {
-                    self.buffer.consume(length);
+                InitialMessageKind::StartupMessage => {
+                    self.buffer.consume(message.length);
                     let mut welcome = Vec::new();
                     pg::write_startup_response(&mut welcome, self.id as u32);
                     return self.write_response(EncodedResponse::small(welcome)).await;
--- a/crates/proxy/src/client/statement.rs
+++ b/crates/proxy/src/client/statement.rs
@@ -61,7 +61,7 @@
     async fn send_request(&mut self, statement: Vec<u8>, mut comment: Comment) -> Result<(), CloseReason> {
         if let Some(left) = self.context.time_left_at_shutdown() {
             // Answered in time before the process may be killed.
-            comment.wait = comment.wait.min(left.as_millis() as u32);
+            comment.timeout_ms = comment.timeout_ms.min(left.as_millis() as u32);
         }
         let client = self.next_request_id();
         self.pending_responses.push_request(PendingRequest {
--- a/crates/proxy/src/dispatcher/gateway/answers.rs
+++ b/crates/proxy/src/dispatcher/gateway/answers.rs
@@ -96,7 +96,7 @@
             duration_us: (now - forwarded.request.received_at).max(0) as u64,
             ..ResponseFrame::default()
         };
-        let timeout = Micros::from(forwarded.request.comment.wait) * 1000;
+        let timeout = Micros::from(forwarded.request.comment.timeout_ms) * 1000;
         let non_idempotent = matches!(effect, Effect::NonIdempotent);
         // Nobody asks about what may simply be sent again.
         let outcome = if non_idempotent { outcome } else { Outcome::Failed };
--- a/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
@@ -29,7 +29,7 @@
     /// A client's request where there is a gateway: to the router here, or to another site.
     pub(in crate::dispatcher) fn route_between_sites(&mut self, request: ClientRequest, class: usize) {
         let waited = self.context.clock.now() - request.received_at;
-        let ttl = Micros::from(request.comment.wait) * 1000 - waited;
+        let ttl = Micros::from(request.comment.timeout_ms) * 1000 - waited;
         let requester = Requester::Client(WaitingClient::of(&request));
         self.forward(RequestToForward { request, class, ttl, requester, visited: Vec::new() });
     }
--- a/crates/proxy/src/dispatcher/gateway/site_actions.rs
+++ b/crates/proxy/src/dispatcher/gateway/site_actions.rs
@@ -144,7 +144,7 @@
             class: request.comment.class.clone(),
             group: request.comment.group,
             written_ago_us: written_ago as u64,
-            client_retry: request.comment.repeat,
+            client_retry: request.comment.client_retry,
             visited,
             ..RequestFrame::default()
         }
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -78,7 +78,7 @@
     /// Hands a checked request to the router and carries out its first decision.
     fn admit(&mut self, request: ClientRequest, class: usize) {
         // The timeout has run since the statement arrived.
-        let deadline = request.received_at + Micros::from(request.comment.wait) * 1000;
+        let deadline = request.received_at + Micros::from(request.comment.timeout_ms) * 1000;
         let (client, id) = (request.client, request.comment.id.clone());
         let handover = Handover { request: Rc::new(request), class, deadline, via: None };
         let (handle, actions) = self.hand_over(handover);
@@ -123,7 +123,7 @@
             waited: now - request.received_at,
             session,
             last_write: request.last_write(now),
-            repeat: comment.repeat,
+            repeat: comment.client_retry,
         }
     }
 
--- a/crates/proxy/src/messages/dispatcher.rs
+++ b/crates/proxy/src/messages/dispatcher.rs
@@ -106,7 +106,7 @@
     /// clock is behind. What the client states comes first: it is a time on the members' clock, as their positions are, so
     /// that both compare as they were stated.
     pub fn last_write(&self, now: Micros) -> Option<Micros> {
-        let stated = self.comment.after.map(|after| now.saturating_sub(millis(after)));
+        let stated = self.comment.min_position_ms.map(|after| now.saturating_sub(millis(after)));
         stated.or(self.last_write_age)
     }
 }
--- a/crates/proxy/src/messages/member.rs
+++ b/crates/proxy/src/messages/member.rs
@@ -100,8 +100,8 @@
     /// The client's statement with its timeout replaced by `timeout`, a decimal number of milliseconds.
     pub fn of(request: &Rc<ClientRequest>, timeout: &str) -> Query {
         let ClientRequest { statement, comment, .. } = &**request;
-        let before = &statement[..comment.wait_at.start];
-        let after = &statement[comment.wait_at.end..];
+        let before = &statement[..comment.timeout_range.start];
+        let after = &statement[comment.timeout_range.end..];
         if statement.len() <= SINGLE_PIECE_MAX {
             let mut query = Vec::with_capacity(statement.len() + QUERY_OVERHEAD);
             pg::write_query(&mut query, &[before, timeout.as_bytes(), after]);
@@ -117,7 +117,7 @@
         match self {
             Query::Whole(query) => [query, &[], &[]],
             Query::Split { front, request } => {
-                [front, &request.statement[request.comment.wait_at.end..], &[0]]
+                [front, &request.statement[request.comment.timeout_range.end..], &[0]]
             }
         }
     }
--- a/crates/test-support/src/member.rs
+++ b/crates/test-support/src/member.rs
@@ -66,7 +66,9 @@
             return;
         }
         if !welcomed {
-            let Some((_, length)) = pg::initial_message(buffer.held()).unwrap() else { continue };
+            let Some(pg::InitialMessage { length, .. }) = pg::initial_message(buffer.held()).unwrap() else {
+                continue;
+            };
             buffer.consume(length);
             let mut out = Vec::new();
             pg::write_startup_response(&mut out, 1);
--- a/crates/wire/src/pg/decode.rs
+++ b/crates/wire/src/pg/decode.rs
@@ -19,9 +19,9 @@
 /// How many bytes stand before a message's body: its type and its length word.
 pub const MESSAGE_HEADER_LENGTH: usize = 1 + LENGTH_WORD;
 
-/// What may come first on a client's connection; it has no type byte.
+/// What may come first on a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InitialMessage {
+pub enum InitialMessageKind {
     /// StartupMessage: the session begins.
     StartupMessage,
     /// SSLRequest or GSSENCRequest: a single byte is the answer, and a StartupMessage follows.
@@ -30,25 +30,34 @@
     CancelRequest,
 }
 
-/// The initial message at the front of `bytes` and its length in bytes, or `None` while it is not whole.
+/// The first message on a client's connection; it has no type byte.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct InitialMessage {
+    /// Which one it is.
+    pub kind: InitialMessageKind,
+    /// Its length in bytes, with the length word.
+    pub length: usize,
+}
+
+/// The initial message at the front of `bytes`, or `None` while it is not whole.
 ///
 /// # Errors
 ///
 /// [`Malformed::StartupMessageLength`] and [`Malformed::UnsupportedProtocolVersion`], as soon as they show.
-pub fn initial_message(bytes: &[u8]) -> Result<Option<(InitialMessage, usize)>, Malformed> {
+pub fn initial_message(bytes: &[u8]) -> Result<Option<InitialMessage>, Malformed> {
     let Some(length) = word(bytes, 0) else { return Ok(None) };
     let length = length as usize;
     if !(MIN_STARTUP_LENGTH..=MAX_STARTUP_LENGTH).contains(&length) {
         return Err(Malformed::StartupMessageLength);
     }
     let Some(code) = word(bytes, LENGTH_WORD) else { return Ok(None) };
-    let message = match code {
-        CANCEL_REQUEST_CODE => InitialMessage::CancelRequest,
-        SSL_REQUEST_CODE | GSS_ENCRYPTION_REQUEST_CODE => InitialMessage::EncryptionRequest,
-        code if code >> 16 == PROTOCOL_VERSION_3 >> 16 => InitialMessage::StartupMessage,
+    let kind = match code {
+        CANCEL_REQUEST_CODE => InitialMessageKind::CancelRequest,
+        SSL_REQUEST_CODE | GSS_ENCRYPTION_REQUEST_CODE => InitialMessageKind::EncryptionRequest,
+        code if code >> 16 == PROTOCOL_VERSION_3 >> 16 => InitialMessageKind::StartupMessage,
         _ => return Err(Malformed::UnsupportedProtocolVersion),
     };
-    Ok((bytes.len() >= length).then_some((message, length)))
+    Ok((bytes.len() >= length).then_some(InitialMessage { kind, length }))
 }
 
 /// One message.
--- a/crates/wire/src/statement.rs
+++ b/crates/wire/src/statement.rs
@@ -18,15 +18,15 @@
     /// The name of its request class (key `c`).
     pub class: String,
     /// How long the client waits, in milliseconds; from 1 to [`MAX_TIMEOUT_MS`] (key `d`).
-    pub wait: u32,
+    pub timeout_ms: u32,
     /// The client has tried before (key `r`, 0 or 1; absent is 0).
-    pub repeat: bool,
+    pub client_retry: bool,
     /// The name of the group of members that it is for (key `cluster`).
     pub group: u64,
     /// The position that a read must see, in Unix milliseconds (key `after`).
-    pub after: Option<u64>,
-    /// Where the digits of `wait` stand in the statement, so that a member can be given what remains of it.
-    pub wait_at: Range<usize>,
+    pub min_position_ms: Option<u64>,
+    /// Where the digits of `timeout_ms` stand in the statement, so that a member can be given what remains of it.
+    pub timeout_range: Range<usize>,
     /// Where the statement goes on behind the comment.
     pub end: usize,
 }
@@ -37,9 +37,9 @@
     id: Option<&'a str>,
     class: Option<&'a str>,
     timeout: Option<TimeoutField>,
-    is_retry: Option<bool>,
+    client_retry: Option<bool>,
     group: Option<u64>,
-    after: Option<u64>,
+    min_position_ms: Option<u64>,
 }
 
 /// The client's timeout, and where its digits stand in the statement.
@@ -97,9 +97,9 @@
                 let digits = value_end - value.len()..value_end;
                 self.timeout.replace(TimeoutField { millis: number(value)?, digits }).is_none()
             }
-            "r" => self.is_retry.replace(number::<u8>(value)? == 1).is_none(),
+            "r" => self.client_retry.replace(number::<u8>(value)? == 1).is_none(),
             "cluster" => self.group.replace(number(value)?).is_none(),
-            "after" => self.after.replace(number(value)?).is_none(),
+            "after" => self.min_position_ms.replace(number(value)?).is_none(),
             _ => true,
         };
         Ok(is_first)
@@ -115,11 +115,11 @@
         Ok(Comment {
             id: id.to_owned(),
             class: self.class.ok_or(Malformed::CommentLacks("c"))?.to_owned(),
-            wait: timeout.millis,
-            repeat: self.is_retry.unwrap_or(false),
+            timeout_ms: timeout.millis,
+            client_retry: self.client_retry.unwrap_or(false),
             group: self.group.ok_or(Malformed::CommentLacks("cluster"))?,
-            after: self.after,
-            wait_at: timeout.digits,
+            min_position_ms: self.min_position_ms,
+            timeout_range: timeout.digits,
             end,
         })
     }
--- a/crates/wire/tests/parsers.rs
+++ b/crates/wire/tests/parsers.rs
@@ -133,8 +133,11 @@
         for piece in pieces(&bytes, &cuts) {
             buffer.tail().extend_from_slice(piece);
             if !opened {
-                let Some((opening, length)) = pg::initial_message(buffer.held()).unwrap() else { continue };
-                prop_assert_eq!(opening, pg::InitialMessage::StartupMessage);
+                let Some(pg::InitialMessage { kind, length }) = pg::initial_message(buffer.held()).unwrap()
+                else {
+                    continue;
+                };
+                prop_assert_eq!(kind, pg::InitialMessageKind::StartupMessage);
                 buffer.consume(length);
                 opened = true;
             }
@@ -230,9 +233,9 @@
 fn a_comment_names_the_whole_request_or_is_malformed() {
     let statement = b" /* id=9b1f,c=basket,d=480,r=1,cluster=2,after=1767225600123,more=x */ SELECT 1";
     let comment = Comment::parse(statement).unwrap();
-    assert_eq!((&comment.class[..], comment.wait, comment.group), ("basket", 480, 2));
-    assert_eq!((comment.repeat, comment.after), (true, Some(1_767_225_600_123)));
-    assert_eq!(&statement[comment.wait_at.clone()], b"480");
+    assert_eq!((&comment.class[..], comment.timeout_ms, comment.group), ("basket", 480, 2));
+    assert_eq!((comment.client_retry, comment.min_position_ms), (true, Some(1_767_225_600_123)));
+    assert_eq!(&statement[comment.timeout_range.clone()], b"480");
     assert_eq!(&statement[comment.end..], b" SELECT 1");
     for bad in [
         "SELECT 1",
