--- a/crates/store/src/compaction.rs
+++ b/crates/store/src/compaction.rs
@@ -62,7 +62,7 @@
 
     /// Appends all that is live to a segment that was begun; its length then, in bytes.
     fn write_live_entries(&mut self, file: &str) -> Result<u64, StoreError> {
-        // Half of what one batch may have leaves room for what an entry adds to a record that is nearly full.
+        // Records of about the size of a batch: compaction then holds not much more at once than a commit does.
         let max_changes_bytes = self.limits.max_batch_bytes / 2;
         let mut length = SEGMENT_HEADER_BYTES as u64;
         let mut changes = Vec::new();
