--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -10,13 +10,14 @@
 //!    The dispatcher, the members and the links must outlive it: they bring these answers.
 //! 4. Requests of other sites are waited for, no longer than `limits.shutdown.remote_request_wait`: when the links are cut,
 //!    what is still open on them counts as unknown at the other site.
-//! 5. The membership actor is joined; it ended by itself soon after step 1.
+//! 5. The membership actor is joined, no longer than [`MEMBERSHIP_LEAVE_TIMEOUT`]; it ended by itself soon after step 1.
 //!
 //! All other tasks (flow control, reload, data directory, links, status sockets, dispatcher, discovery watch) have no end
 //! of their own and nothing left to finish: no answer leaves before its record is confirmed. They are cancelled together
 //! when the caller drops its `LocalSet`, after the last log line.
 
 use std::rc::Rc;
+use std::time::Duration;
 
 use slog::info;
 use slog_async::AsyncGuard;
@@ -29,6 +30,9 @@
 use crate::lifecycle::signals::StopSignals;
 use crate::messages::DispatcherMessage;
 
+/// How long the membership actor is waited for. It needs to send one round of datagrams, and may not hold up the end.
+const MEMBERSHIP_LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
+
 /// A proxy that serves: what is needed to stop it.
 pub struct RunningProxy {
     /// What its actors share.
@@ -66,7 +70,7 @@
         wait_for_remote_requests(&self.context).await;
         if let Some(membership) = self.membership {
             // Its failure leaves nothing to do: peers notice by themselves when this process ends.
-            let _ = membership.await;
+            let _ = timeout(MEMBERSHIP_LEAVE_TIMEOUT, membership).await;
         }
         info!(self.context.log, "stopped");
         drop(self.log_guard);
--- a/crates/proxy/tests/stored_data.rs
+++ b/crates/proxy/tests/stored_data.rs
@@ -6,6 +6,7 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::process::Command;
+use std::sync::{Mutex, PoisonError};
 
 use aldermill_site_drain::{OperatorCommand, Order, Plan, Stage};
 use aldermill_site_routing::records::{RecordKey, decode_key, decode_outcome, encode_key, encode_outcome};
@@ -76,7 +77,12 @@
     logs.map(|(name, path)| (name, std::fs::read(path).unwrap())).collect()
 }
 
+/// A child process holds the descriptors of this one until it executes its program, the lock on a data directory included.
+/// So no case starts a program while another one closes a directory and opens it again.
+static STARTS_PROGRAMS: Mutex<()> = Mutex::new(());
+
 fn tool(work: &str, folder: &Path) -> (bool, String) {
+    let _alone = STARTS_PROGRAMS.lock().unwrap_or_else(PoisonError::into_inner);
     let output = Command::new(program()).args(["store", work]).arg(folder).output().unwrap();
     (output.status.success(), String::from_utf8([output.stdout, output.stderr].concat()).unwrap())
 }
@@ -209,6 +215,7 @@
 
 #[test]
 fn the_store_writes_the_same_segments_byte_for_byte() {
+    let _alone = STARTS_PROGRAMS.lock().unwrap_or_else(PoisonError::into_inner);
     let folder = Folder::empty("written");
     let disk = Disk::open(&folder.0).unwrap();
     let (mut store, _) = Store::open(disk, LIMITS, WRITTEN_AT).unwrap();
