--- a/crates/fault-injection/tests/troubles.rs
+++ b/crates/fault-injection/tests/troubles.rs
@@ -147,7 +147,7 @@
     let logs = restarted_under_a_step("ahead", HOUR_MS);
     let ahead = aldermill_test_support::unix_millis() as i64 + HOUR_MS / 2;
     let started = |line: &str| {
-        let micros: i64 = line.split_once(" started ")?.1.split(' ').next()?.parse().ok()?;
+        let micros: i64 = line.split_once(", start: ")?.1.split(',').next()?.parse().ok()?;
         Some(micros / 1_000)
     };
     assert!(logs.lines().filter_map(started).any(|at| at > ahead), "the step was real: {logs}");
