--- a/crates/proxy/src/dispatcher/gateway/announcements.rs
+++ b/crates/proxy/src/dispatcher/gateway/announcements.rs
@@ -57,7 +57,7 @@
             outcome_log.renew_promise(now);
         }
         let site_router = &self.site_router;
-        self.sent.retain(|&number, _| site_router.forwarded_as(number).is_some());
+        self.sent.retain(|&number, _| site_router.handle_by_forward_number(number).is_some());
     }
 
     /// What this gateway saw of its site since it was last asked, and what it has of those that drain.
--- a/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
@@ -112,7 +112,7 @@
     pub(in crate::dispatcher) fn primary_here(&mut self, group: u64) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let actions = gateway_part.site_router.primary_found_here(now, group);
+        let actions = gateway_part.site_router.local_primary_found(now, group);
         self.carry_out_site_actions(actions, None);
     }
 
--- a/crates/proxy/src/dispatcher/gateway/link_events.rs
+++ b/crates/proxy/src/dispatcher/gateway/link_events.rs
@@ -93,7 +93,7 @@
     /// What another gateway sent for a request, with buffer space for it where it is large.
     fn received_answer(&self, number: u64, value: Vec<u8>) -> Option<ReceivedAnswer> {
         let gateway_part = self.gateway_part.as_ref()?;
-        let handle = gateway_part.site_router.forwarded_as(number)?;
+        let handle = gateway_part.site_router.handle_by_forward_number(number)?;
         let forwarded = gateway_part.forwarded.get(&handle)?;
         if value.len() <= self.context.limits.buffers.small_message {
             let answer = Answer::Served(Rows { pieces: vec![value], reservation: None });
--- a/crates/site-routing/src/records.rs
+++ b/crates/site-routing/src/records.rs
@@ -4,13 +4,13 @@
 use crate::{BootId, BootInstant, ForwardNumber, Micros, Origin, Outcome, PromiseEnd, PromiseRecord};
 
 /// The bytes of a key's three numbers: the receiver's incarnation, the request's number, the sender's incarnation.
-const NUMBERS_LENGTH: usize = 24;
+const NUMERIC_KEY_PREFIX_LENGTH: usize = 24;
 
-const IN_FLIGHT: u8 = b'T';
-const NEVER_ACCEPTED: u8 = b'N';
-const REJECTED: u8 = b'D';
-const SERVED: u8 = b'H';
-const FAILED: u8 = b'B';
+const IN_FLIGHT_TAG: u8 = b'T';
+const NEVER_ACCEPTED_TAG: u8 = b'N';
+const REJECTED_TAG: u8 = b'D';
+const SERVED_TAG: u8 = b'H';
+const FAILED_TAG: u8 = b'B';
 
 /// Stands for the boot of a promise that ends with its incarnation.
 const NO_BOOT: [u8; BOOT_ID_LENGTH] = [0; BOOT_ID_LENGTH];
@@ -28,7 +28,8 @@
 
 /// A record's key in the store.
 pub fn encode_key(incarnation: u64, origin: &Origin, number: ForwardNumber) -> Vec<u8> {
-    let mut key = Vec::with_capacity(NUMBERS_LENGTH + 1 + origin.site.len() + origin.instance.len());
+    let mut key =
+        Vec::with_capacity(NUMERIC_KEY_PREFIX_LENGTH + 1 + origin.site.len() + origin.instance.len());
     key.extend_from_slice(&incarnation.to_be_bytes());
     key.extend_from_slice(&number.to_be_bytes());
     key.extend_from_slice(&origin.incarnation.to_be_bytes());
@@ -40,7 +41,7 @@
 
 /// Reads a record's key; `None` where it is not one.
 pub fn decode_key(key: &[u8]) -> Option<RecordKey> {
-    let (numbers, names) = key.split_at_checked(NUMBERS_LENGTH)?;
+    let (numbers, names) = key.split_at_checked(NUMERIC_KEY_PREFIX_LENGTH)?;
     let mut numbers = numbers.chunks_exact(8).map(|bytes| bytes.try_into().map(u64::from_be_bytes));
     let mut next_number = || numbers.next()?.ok();
     let incarnation = next_number()?;
@@ -55,24 +56,24 @@
 /// A record's value in the store. An outcome that is unknown is recorded as failed.
 pub fn encode_outcome(outcome: &Outcome<&[u8]>) -> Vec<u8> {
     match outcome {
-        Outcome::InFlight => vec![IN_FLIGHT],
-        Outcome::NeverAccepted => vec![NEVER_ACCEPTED],
-        Outcome::Rejected { retry_after } => [&[REJECTED][..], &retry_after.to_be_bytes()].concat(),
-        Outcome::Served(response) => [&[SERVED][..], response].concat(),
-        Outcome::Failed | Outcome::Unknown => vec![FAILED],
+        Outcome::InFlight => vec![IN_FLIGHT_TAG],
+        Outcome::NeverAccepted => vec![NEVER_ACCEPTED_TAG],
+        Outcome::Rejected { retry_after } => [&[REJECTED_TAG][..], &retry_after.to_be_bytes()].concat(),
+        Outcome::Served(response) => [&[SERVED_TAG][..], response].concat(),
+        Outcome::Failed | Outcome::Unknown => vec![FAILED_TAG],
     }
 }
 
 /// Reads a record's value. One that cannot be read may have been any outcome, and counts as failed.
 pub fn decode_outcome(value: &[u8]) -> Outcome<Vec<u8>> {
     match value.split_first() {
-        Some((&IN_FLIGHT, [])) => Outcome::InFlight,
-        Some((&NEVER_ACCEPTED, [])) => Outcome::NeverAccepted,
-        Some((&REJECTED, rest)) => match rest.try_into().map(Micros::from_be_bytes) {
+        Some((&IN_FLIGHT_TAG, [])) => Outcome::InFlight,
+        Some((&NEVER_ACCEPTED_TAG, [])) => Outcome::NeverAccepted,
+        Some((&REJECTED_TAG, rest)) => match rest.try_into().map(Micros::from_be_bytes) {
             Ok(retry_after) => Outcome::Rejected { retry_after: retry_after.max(0) },
             Err(_) => Outcome::Failed,
         },
-        Some((&SERVED, rest)) => Outcome::Served(rest.to_vec()),
+        Some((&SERVED_TAG, rest)) => Outcome::Served(rest.to_vec()),
         _ => Outcome::Failed,
     }
 }
--- a/crates/site-routing/src/router.rs
+++ b/crates/site-routing/src/router.rs
@@ -19,7 +19,7 @@
 
 mod completion;
 mod link_events;
-mod local;
+mod local_events;
 mod periodic;
 mod placement;
 
@@ -104,9 +104,9 @@
         self.take_actions()
     }
 
-    /// Takes over the fleet's plans for draining sites; `names` are all sites', by their index.
-    pub fn assign_sessions(&mut self, now: Micros, names: &[String], plans: Vec<Plan>) -> Actions {
-        self.sessions = SessionAssignments::new(names, plans);
+    /// Takes over the fleet's plans for draining sites; `site_names` are all sites', by their index.
+    pub fn assign_sessions(&mut self, now: Micros, site_names: &[String], plans: Vec<Plan>) -> Actions {
+        self.sessions = SessionAssignments::new(site_names, plans);
         self.place_queued(now);
         self.take_actions()
     }
@@ -126,13 +126,13 @@
     pub fn open_work(&self, outcomes: u64) -> OpenWorkBySite {
         let draining = self.sessions.draining_sites();
         let open = |site: SiteId, weight: u32| match site {
-            LOCAL_SITE => self.open_work_here(weight, outcomes),
-            site => self.open_work_at(site),
+            LOCAL_SITE => self.local_open_work(weight, outcomes),
+            site => self.remote_open_work(site),
         };
         draining.map(|(site, name, weight)| (name.to_owned(), open(site, weight))).collect()
     }
 
-    fn open_work_here(&self, weight: u32, outcomes: u64) -> OpenWork {
+    fn local_open_work(&self, weight: u32, outcomes: u64) -> OpenWork {
         let primaries = self.homes.groups().filter(|&group| self.homes.home(group) == Some(LOCAL_SITE));
         OpenWork {
             sessions: weight.into(),
@@ -142,14 +142,14 @@
         }
     }
 
-    fn open_work_at(&self, site: SiteId) -> OpenWork {
+    fn remote_open_work(&self, site: SiteId) -> OpenWork {
         let forwarded: usize =
             self.gateways.ids_at(site).map(|gateway| self.forwarded.open_at(gateway).len()).sum();
         OpenWork { requests: forwarded as u64, ..OpenWork::default() }
     }
 
     /// The request that was forwarded under this number, if it is not closed.
-    pub fn forwarded_as(&self, number: ForwardNumber) -> Option<RequestHandle> {
+    pub fn handle_by_forward_number(&self, number: ForwardNumber) -> Option<RequestHandle> {
         self.forwarded.get(number).map(|request| request.handle)
     }
 
@@ -190,7 +190,7 @@
         &self.config.classes[request.class]
     }
 
-    fn act(&mut self, handle: RequestHandle, action: Action) {
+    fn push_action(&mut self, handle: RequestHandle, action: Action) {
         self.actions.requests.push((handle, action));
     }
 
--- a/crates/site-routing/src/router/completion.rs
+++ b/crates/site-routing/src/router/completion.rs
@@ -23,7 +23,7 @@
 
     fn relay_response(&mut self, handle: RequestHandle) {
         if self.pending.get(handle).is_some() {
-            self.act(handle, Action::RelayResponse);
+            self.push_action(handle, Action::RelayResponse);
             self.close(handle);
         }
     }
@@ -72,14 +72,14 @@
 
     pub(super) fn query_if_unresolved(&mut self, now: Micros, number: ForwardNumber) {
         if let Some(request) = self.forwarded.start_query(now, number) {
-            self.act(request.handle, Action::QueryOutcome { gateway: request.gateway, number });
+            self.push_action(request.handle, Action::QueryOutcome { gateway: request.gateway, number });
         }
     }
 
     pub(super) fn cancel_if_forwarded(&mut self, handle: RequestHandle) {
         let location = self.pending.get(handle).map(|pending| pending.location);
         if let Some(RequestLocation::Forwarded { number, to }) = location {
-            self.act(handle, Action::Cancel { gateway: to, number });
+            self.push_action(handle, Action::Cancel { gateway: to, number });
         }
     }
 
@@ -92,7 +92,7 @@
         } else {
             Action::Fail
         };
-        self.act(handle, action);
+        self.push_action(handle, action);
         self.close(handle);
     }
 
@@ -105,7 +105,7 @@
 
     /// Tells the gateway that sent the request that it never ran here, and where the primary is believed to be.
     pub(super) fn report_not_primary(&mut self, handle: RequestHandle, hint: Option<SiteId>) {
-        self.act(handle, Action::ReportNotPrimary { hint });
+        self.push_action(handle, Action::ReportNotPrimary { hint });
         self.close(handle);
     }
 
--- a/crates/site-routing/src/router/link_events.rs
+++ b/crates/site-routing/src/router/link_events.rs
@@ -21,7 +21,7 @@
     }
 
     /// A member of this site answered as the primary of its group.
-    pub fn primary_found_here(&mut self, now: Micros, group: u64) -> Actions {
+    pub fn local_primary_found(&mut self, now: Micros, group: u64) -> Actions {
         if self.confirm_home(now, group, LOCAL_SITE) {
             self.actions.announce_capacity = true;
             self.place_queued(now);
@@ -180,8 +180,8 @@
     /// What is offered to a gateway now.
     pub fn offered_capacity(&mut self, gateway: PeerGatewayId) -> CapacityOffer {
         let homes = &self.homes;
-        let local = homes.groups().filter(|&group| homes.local_members(group) > 0);
-        let groups = local.map(|group| (group, homes.home(group) == Some(LOCAL_SITE))).collect();
+        let local_groups = homes.groups().filter(|&group| homes.local_members(group) > 0);
+        let groups = local_groups.map(|group| (group, homes.home(group) == Some(LOCAL_SITE))).collect();
         CapacityOffer { credits: self.link_credit.offered_to(gateway), groups }
     }
 
--- a/crates/site-routing/src/router/local.rs
+++ b/crates/site-routing/src/router/local_events.rs
@@ -6,21 +6,21 @@
 
 /// How many attempts must find no primary at the home of a group before it is doubted, even if the site has fewer members: a
 /// single answer may be from before a fail-over within the site.
-const ANSWERS_TO_DOUBT_HOME: usize = 2;
+const MIN_ANSWERS_TO_RULE_OUT_HOME: usize = 2;
 
 impl SiteRouter {
     /// An attempt at this site found its member not to be the primary.
     pub fn local_not_primary(&mut self, now: Micros, handle: RequestHandle) -> Actions {
-        if self.is_ruled_out_here(handle) {
-            self.search_elsewhere(now, handle);
+        if self.is_local_site_ruled_out(handle) {
+            self.search_other_sites(now, handle);
         }
         self.take_actions()
     }
 
     /// An attempt at this site, which began at that time, may have run.
-    pub fn local_may_have_run(&mut self, handle: RequestHandle, began: Micros) {
+    pub fn local_may_have_run(&mut self, handle: RequestHandle, started_at: Micros) {
         if let Some(pending) = self.pending.get_mut(handle).filter(|pending| pending.is_local()) {
-            pending.note_possible_execution(began, LOCAL_SITE);
+            pending.note_possible_execution(started_at, LOCAL_SITE);
         }
     }
 
@@ -31,7 +31,7 @@
     }
 
     /// Counts an answer of a member that is not the primary. Returns whether all members here have said so.
-    fn is_ruled_out_here(&mut self, handle: RequestHandle) -> bool {
+    fn is_local_site_ruled_out(&mut self, handle: RequestHandle) -> bool {
         let Some(pending) = self.pending.get_mut(handle) else { return false };
         let RequestLocation::Local { not_primary_answers } = &mut pending.location else { return false };
         // Only the local router knows what it has done. If the request were taken back, it could be rejected or sent on
@@ -43,24 +43,25 @@
         let answers = *not_primary_answers;
         let group = pending.request.group;
         let is_home = self.homes.home(group) == Some(LOCAL_SITE);
-        answers >= self.homes.local_members(group) && (!is_home || answers >= ANSWERS_TO_DOUBT_HOME)
+        answers >= self.homes.local_members(group) && (!is_home || answers >= MIN_ANSWERS_TO_RULE_OUT_HOME)
     }
 
     /// No member here is the primary: the search goes on at other sites, if any can be asked. Otherwise the local router
     /// keeps the request, which waits there for a primary as without other sites.
-    fn search_elsewhere(&mut self, now: Micros, handle: RequestHandle) {
+    fn search_other_sites(&mut self, now: Micros, handle: RequestHandle) {
         let Some(pending) = self.pending.get(handle) else { return };
         self.homes.rule_out(now, pending.request.group, LOCAL_SITE, None);
-        let may_leave = pending.request.is_remote() || self.site_selection(now).has_other_candidate(pending);
+        let can_withdraw =
+            pending.request.is_remote() || self.site_selection(now).has_other_candidate(pending);
         let Some(pending) = self.pending.get_mut(handle) else { return };
-        if !may_leave {
+        if !can_withdraw {
             // The next search may ask all sites anew.
             pending.ruled_out.clear();
             return;
         }
         pending.location = RequestLocation::Queued;
         pending.ruled_out.push(LOCAL_SITE);
-        self.act(handle, Action::Withdraw);
+        self.push_action(handle, Action::Withdraw);
         self.place(now, handle);
     }
 
@@ -69,14 +70,14 @@
         match result {
             LocalResult::Served => {
                 self.note_served_locally(now, handle);
-                self.act(handle, Action::RelayResponse);
+                self.push_action(handle, Action::RelayResponse);
             }
             // The local router does not know that the request may have run at another site.
             LocalResult::Rejected { retry_after } if may_have_run_elsewhere(pending) => {
                 return self.reject(handle, retry_after);
             }
-            LocalResult::Rejected { retry_after } => self.act(handle, Action::Reject { retry_after }),
-            LocalResult::Failed => self.act(handle, Action::Fail),
+            LocalResult::Rejected { retry_after } => self.push_action(handle, Action::Reject { retry_after }),
+            LocalResult::Failed => self.push_action(handle, Action::Fail),
         }
         self.close(handle);
     }
--- a/crates/site-routing/src/router/placement.rs
+++ b/crates/site-routing/src/router/placement.rs
@@ -60,7 +60,7 @@
         let Some(pending) = self.pending.get_mut(handle) else { return };
         pending.location = RequestLocation::Local { not_primary_answers: 0 };
         let timeout = pending.deadline - now;
-        self.act(handle, Action::ServeLocally { timeout });
+        self.push_action(handle, Action::ServeLocally { timeout });
     }
 
     /// Sends a request to a gateway of the site, if it can be back in time.
@@ -79,7 +79,7 @@
         };
         let number = self.forwarded.open(now, handle, gateway, class);
         self.mark_forwarded(handle, gateway, number);
-        self.act(handle, Action::Forward { gateway, number, timeout });
+        self.push_action(handle, Action::Forward { gateway, number, timeout });
     }
 
     fn mark_forwarded(&mut self, handle: RequestHandle, to: PeerGatewayId, number: ForwardNumber) {
--- a/crates/site-routing/tests/draining_site.rs
+++ b/crates/site-routing/tests/draining_site.rs
@@ -116,7 +116,7 @@
     assert!(matches!(remote_request(&mut router, READ), Action::ServeLocally { .. }));
     let open = router.open_work(3)["a"];
     assert_eq!((open.sessions, open.requests, open.outcomes, open.primaries), (0, 1, 3, 0));
-    router.primary_found_here(0, GROUP);
+    router.local_primary_found(0, GROUP);
     assert_eq!(router.open_work(0)["a"].primaries, 1);
     assert!(matches!(remote_request(&mut router, WRITE), Action::ServeLocally { .. }));
     router.assign_sessions(0, &names(), vec![plan("a", Stage::Drained, 0)]);
--- a/crates/site-routing/tests/two_sites/one_site.rs
+++ b/crates/site-routing/tests/two_sites/one_site.rs
@@ -99,7 +99,7 @@
         last.requests,
         [(handle, Action::Withdraw), (handle, Action::ReportNotPrimary { hint: None })]
     );
-    assert_eq!(router.forwarded_as(1), None);
+    assert_eq!(router.handle_by_forward_number(1), None);
     assert_eq!(LOCAL_SITE, 0);
 }
 
@@ -136,7 +136,7 @@
     let Action::Forward { number, .. } = actions.requests[0].1 else { panic!("{actions:?}") };
     let actions = router.outcome_received::<()>(MS, number, &Outcome::Unknown);
     assert!(matches!(actions.requests[..], [(_, Action::Forward { .. })]), "{actions:?}");
-    router.primary_found_here(2 * MS, GROUP);
+    router.local_primary_found(2 * MS, GROUP);
     let Action::Forward { number, .. } = actions.requests[0].1 else { panic!("{actions:?}") };
     let actions = router.answered(3 * MS, number, PeerAnswer::NotPrimary { hint: None });
     assert!(matches!(actions.requests[..], [(_, Action::ServeLocally { .. })]), "{actions:?}");
