--- a/crates/site-routing/src/actions.rs
+++ b/crates/site-routing/src/actions.rs
@@ -1,65 +1,66 @@
-//! What the caller is to do.
+//! The actions that the site router asks its caller to carry out.
 
 use crate::{ForwardNumber, Micros, PeerGatewayId, RequestHandle, SiteId};
 
-/// What is to be done about one request.
+/// An action for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Hand it to the local router.
+    /// Hand the request to the local router.
     ServeLocally {
-        /// How long it may take there, in microseconds.
+        /// How long the request may take there, in microseconds.
         timeout: Micros,
     },
-    /// Take it back from the local router, where it has not run.
+    /// Take the request back from the local router, where it has not run.
     Withdraw,
-    /// Send it to another gateway.
+    /// Send the request to another gateway.
     Forward {
-        /// The gateway that is to receive it.
+        /// The gateway that is to receive the request.
         gateway: PeerGatewayId,
-        /// The number it is sent under.
+        /// The number under which the request is sent.
         number: ForwardNumber,
-        /// How much time is left for it when it arrives there, in microseconds.
+        /// The time until the request's deadline when it arrives at the gateway, in microseconds.
         timeout: Micros,
     },
-    /// Ask a gateway what became of a request that was forwarded to it.
+    /// Ask a gateway for the outcome of a request that was forwarded to it.
     QueryOutcome {
-        /// The gateway that was sent the request.
+        /// The gateway that the request was sent to.
         gateway: PeerGatewayId,
-        /// The number it was sent under.
+        /// The number under which the request was sent.
         number: ForwardNumber,
     },
-    /// Tell a gateway that nobody waits for a request any more.
+    /// Tell a gateway that the answer to a request is no longer needed.
     Cancel {
-        /// The gateway that was sent the request.
+        /// The gateway that the request was sent to.
         gateway: PeerGatewayId,
-        /// The number it was sent under.
+        /// The number under which the request was sent.
         number: ForwardNumber,
     },
-    /// Give the requester the response that the caller has just received for it.
+    /// Pass the response that the caller has just received for the request on to the requester.
     RelayResponse,
     /// Tell the requester that the request was rejected and did not run.
     Reject {
-        /// After how long it may try again, in microseconds.
+        /// How long the requester should wait before it tries again, in microseconds.
         retry_after: Micros,
     },
     /// Tell the requester that the request failed and may have run.
     Fail,
-    /// Tell the gateway that sent the request that the primary is not at this site.
+    /// Tell the gateway that sent the request that it never ran here, as this site does not have the primary.
     ReportNotPrimary {
-        /// Where the primary is believed to be.
+        /// The site where the primary is believed to be; `None` if unknown.
         hint: Option<SiteId>,
     },
 }
 
-/// What the caller is to do now, in the order of the fields, and when to call again.
+/// The actions that the caller is to carry out now, in the order of the fields, and when to call again.
 #[derive(Debug, Default)]
 pub struct Actions {
-    /// What is to be done about requests, in this order.
+    /// The actions for requests, to be carried out in this order.
     pub requests: Vec<(RequestHandle, Action)>,
-    /// For each gateway named, the number up to which its outcomes will not be asked for any more.
+    /// For each gateway listed, the number up to which this gateway will not query outcomes any more.
     pub confirmations: Vec<(PeerGatewayId, ForwardNumber)>,
-    /// What this gateway offers to others has changed and is to be announced.
+    /// Whether to announce this gateway's capacity to the others, because it has changed.
     pub announce_capacity: bool,
-    /// When to call [`SiteRouter::wake`](crate::SiteRouter::wake) at the latest, on the caller's clock.
+    /// The latest time to call [`SiteRouter::wake`](crate::SiteRouter::wake), on the caller's clock; `None`
+    /// only in the default value, never in what a call returns.
     pub wake_at: Option<Micros>,
 }
--- a/crates/site-routing/src/config.rs
+++ b/crates/site-routing/src/config.rs
@@ -1,60 +1,61 @@
-//! What a site router is told once, at its start.
+//! The configuration of a site router: request classes and limits, fixed when the router is created.
 
 use crate::Micros;
 
-/// What a second execution of a request does.
+/// The effect of executing a request a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: the request is idempotent.
+    /// No effect: the request is idempotent.
     Idempotent,
-    /// Nothing while members remember the request's idempotency key.
+    /// No effect while members remember the request's idempotency key.
     Deduplicated {
-        /// For how long after the first attempt, in microseconds.
+        /// How long after the first attempt members remember the key, in microseconds.
         window: Micros,
-        /// Only members of the site that had the request first remember it; else all members of the group do.
+        /// Whether only members of the site of the first attempt remember the key; otherwise all members of
+        /// the group do.
         within_site: bool,
     },
-    /// It takes effect again: the request is not idempotent.
+    /// The request takes effect again: it is not idempotent.
     NonIdempotent,
 }
 
 /// Which sites can serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
-    /// The one that has the group's primary.
+    /// Only the site that has the group's primary.
     Primary,
-    /// Any that has members of the group, from data no older than this, in microseconds.
+    /// Any site that has members of the group, if the data read is no older than this, in microseconds.
     Recent(Micros),
-    /// Any that has members of the group.
+    /// Any site that has members of the group.
     Any,
 }
 
-/// What holds for all requests of one class.
+/// The properties that all requests of one class share.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestClass {
-    /// What a second execution does.
+    /// The effect of a second execution.
     pub effect: Effect,
-    /// Which sites can serve it.
+    /// Which sites can serve a request of the class.
     pub need: Need,
-    /// The latency objective, in microseconds from the request's arrival.
+    /// The latency objective, in microseconds from the arrival of the request.
     pub objective: Micros,
-    /// What an answer within the latency objective is worth, relative to other classes.
+    /// The value of an answer within the latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// The part of the priority weight that an answer after the latency objective still earns, from 0 to 1.
+    /// The fraction of `priority_weight`, from 0 to 1, that an answer after the latency objective is worth.
     pub late_priority_weight: f64,
 }
 
-/// What a site router is told at its start.
+/// The configuration of a [`SiteRouter`](crate::SiteRouter).
 #[derive(Clone, Debug)]
 pub struct SiteRouterConfig {
-    /// The request classes; a class is named by its index here.
+    /// The request classes; each is identified by its index here.
     pub classes: Vec<RequestClass>,
-    /// How many sites there are, this one included.
+    /// The number of sites, including the local one.
     pub sites: usize,
-    /// How many links a request may be forwarded over.
+    /// The maximum number of forwards on a request's path from its origin to the site that serves it.
     pub max_hops: usize,
-    /// How many requests of one class another gateway may have in flight here, at most.
+    /// The maximum number of requests of one class that another gateway may have in flight at this one.
     pub max_credit: u32,
-    /// The longest retry-after that a client is told, in microseconds.
+    /// The maximum retry-after that is returned to a requester, in microseconds.
     pub max_retry_after: Micros,
 }
--- a/crates/site-routing/src/lib.rs
+++ b/crates/site-routing/src/lib.rs
@@ -1,27 +1,31 @@
-//! Decides which site serves a request, and keeps account of requests that were forwarded between sites.
+//! Decides which site serves a request, and tracks the requests that are forwarded between sites.
 //!
-//! A site is a set of members behind its own gateways. Every gateway runs one [`SiteRouter`], one level above the router
-//! that chooses members within the site: it has a believed home site for each group, corrected by answers, searches the
-//! other sites for a primary that has moved, and avoids gateways that fail for a while.
+//! A site is a set of members behind its own gateways. Every gateway runs one [`SiteRouter`], one level above
+//! the router that chooses members within the site. The site router keeps the believed home site of each
+//! group and corrects it by the answers to requests, searches the other sites for a primary that has moved,
+//! and blacklists failing gateways for a while.
 //!
-//! # What goes in and what comes out
+//! # Inputs and outputs
 //!
-//! The caller hands in requests ([`SiteRouter::accept`]), what happened to them at the local router and at other
-//! gateways, and what other gateways announce. Each call brings `now` in microseconds and returns [`Actions`]: what to do
-//! with which request, in that order, and when to call [`SiteRouter::wake`].
+//! The caller passes in new requests ([`SiteRouter::accept`]), what happened to them at the local router and
+//! at other gateways, and the announcements of other gateways. Calls that depend on the time take `now` in
+//! microseconds. Calls that can cause actions return [`Actions`]: what to do with which request, in order,
+//! and when to call [`SiteRouter::wake`].
 //!
-//! Three accounts are kept of a forwarded request, so that no non-idempotent one runs twice:
+//! The state of a forwarded request is kept in three places, so that no non-idempotent request runs twice:
 //!
-//! - the sender's, within [`SiteRouter`]: every request that it forwarded and whose outcome it does not know yet;
-//! - the receiver's, in memory: [`OutcomeTable`], every request that this process accepted from other gateways;
-//! - the receiver's, on disk: the caller writes [`records`] under a [`RecordingPromise`] and, after a restart, reads them
-//!   into [`PreviousIncarnations`], which answers for processes that ran before this one.
+//! - at the sender, within [`SiteRouter`]: every forwarded request whose outcome is not known yet;
+//! - at the receiver, in memory: [`OutcomeTable`], every request that this process accepted from other
+//!   gateways;
+//! - at the receiver, on disk: the caller writes [`records`] under a [`RecordingPromise`] and, after a
+//!   restart, reads them into [`PreviousIncarnations`], which answers for earlier processes of this gateway.
 //!
 //! # Caller and assumptions
 //!
-//! The gateway part of the proxy's dispatcher is the only caller. It owns links, sockets, clock and disk; nothing here does
-//! I/O, has a clock or keeps global state. The caller is assumed to carry out the actions in their order, to give each
-//! gateway an index ([`PeerGatewayId`]) that never changes its meaning, and to bring a `now` that does not run backwards.
+//! The gateway part of the proxy's dispatcher is the only caller. It owns links, sockets, clock and disk;
+//! this crate does no I/O, reads no clock and keeps no global state. The caller is assumed to carry out the
+//! actions in order, to give each gateway an index ([`PeerGatewayId`]) that always refers to that gateway,
+//! and to pass a `now` that never decreases.
 //!
 //! # Example
 //!
@@ -45,7 +49,7 @@
 //!     max_retry_after: 500_000,
 //! };
 //! let mut router = SiteRouter::new(config, 1, 0);
-//! // Group 7 has three members at this site, so a read of it stays here.
+//! // Group 7 has three members at this site, so its reads are served locally.
 //! router.groups_listed(0, &[(7, 3)]);
 //! let request = Request { class: 0, group: 7, timeout: 1_000_000, ..Request::default() };
 //! let (handle, actions) = router.accept(0, request);
@@ -89,21 +93,22 @@
 pub use session_assignment::OpenWorkBySite;
 pub use stored_promises::{BootId, BootInstant, PromiseEnd, PromiseRecord, StoredPromises};
 
-/// Whole microseconds: an instant on the caller's clock, or a span.
+/// A time in whole microseconds: either an instant on the caller's clock or a duration.
 pub type Micros = i64;
 
-/// A site, as an index that the caller gives out; [`LOCAL_SITE`] is this gateway's own.
+/// The index of a site, assigned by the caller; [`LOCAL_SITE`] is the site of this gateway.
 pub type SiteId = usize;
 
-/// The site of this gateway.
+/// The index of this gateway's own site.
 pub const LOCAL_SITE: SiteId = 0;
 
-/// A gateway process at another site, as an index that the caller gives out. It stays when the process restarts.
+/// The index of a gateway at another site, assigned by the caller; unchanged when the gateway restarts.
 pub type PeerGatewayId = usize;
 
-/// Numbers the requests that this gateway forwards, rising from 1 over all other gateways. With the sender's [`Origin`] it
-/// is the key by which a receiver tells a request from another copy of it.
+/// The number of a request that this gateway forwards: a single sequence from 1 for all receivers. Together
+/// with the sender's [`Origin`] it is the key by which a receiver recognizes copies of the same request.
 pub type ForwardNumber = u64;
 
-/// An instant before all others, for what has never happened. Half of the range, so that a difference does not overflow.
+/// Stands for the time of an event that has never happened: earlier than every real instant. Half of the
+/// minimum, so that differences to real instants do not overflow.
 pub(crate) const NEVER: Micros = Micros::MIN / 2;
--- a/crates/site-routing/src/records.rs
+++ b/crates/site-routing/src/records.rs
@@ -1,32 +1,47 @@
-//! The form of records on disk, as `docs/store.md` has it. Records outlast versions of the program: the form never changes.
+//! The format of the outcome log's records on disk, specified in `docs/store.md`.
+//!
+//! Records outlive the version of the program that wrote them, so the format never changes. All integers are
+//! 8 bytes, big-endian.
+//!
+//! The key of a request's record is the receiver's incarnation, the request's number, the sender's
+//! incarnation, the name of the sender's site, a zero byte, and the name of the sender's instance. Its value
+//! is a tag byte, followed by the retry-after in microseconds for a rejected request, or by the response for
+//! a served one.
+//!
+//! A promise has two records. The first, whose key is the incarnation, holds the end of the promise in
+//! microseconds of Unix time. The second, whose key is the incarnation followed by a boot ID, holds its end
+//! in microseconds on the clock of that boot; a boot ID of zeros means that the promise ends with the
+//! incarnation.
 
 use crate::stored_promises::BOOT_ID_LENGTH;
 use crate::{BootId, BootInstant, ForwardNumber, Micros, Origin, Outcome, PromiseEnd, PromiseRecord};
 
-/// The bytes of a key's three numbers: the receiver's incarnation, the request's number, the sender's incarnation.
+/// The length in bytes of a key's three numbers: the receiver's incarnation, the request's number and the
+/// sender's incarnation.
 const NUMERIC_KEY_PREFIX_LENGTH: usize = 24;
 
+// The first byte of an outcome's value.
 const IN_FLIGHT_TAG: u8 = b'T';
 const NEVER_ACCEPTED_TAG: u8 = b'N';
 const REJECTED_TAG: u8 = b'D';
 const SERVED_TAG: u8 = b'H';
 const FAILED_TAG: u8 = b'B';
 
-/// Stands for the boot of a promise that ends with its incarnation.
+/// Takes the place of the boot ID for a promise that ends with its incarnation.
 const NO_BOOT: [u8; BOOT_ID_LENGTH] = [0; BOOT_ID_LENGTH];
 
-/// Which request a record is about.
+/// Identifies the request that a record belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordKey {
     /// The incarnation of this gateway that accepted the request.
     pub incarnation: u64,
-    /// Who sent the request.
+    /// The process that sent the request.
     pub origin: Origin,
-    /// The sender's number for it.
+    /// The sender's number for the request.
     pub number: ForwardNumber,
 }
 
-/// A record's key in the store.
+/// Encodes the key of a request's record.
 pub fn encode_key(incarnation: u64, origin: &Origin, number: ForwardNumber) -> Vec<u8> {
     let mut key =
         Vec::with_capacity(NUMERIC_KEY_PREFIX_LENGTH + 1 + origin.site.len() + origin.instance.len());
@@ -39,7 +54,7 @@
     key
 }
 
-/// Reads a record's key; `None` where it is not one.
+/// Decodes the key of a request's record. Returns `None` if `key` is malformed.
 pub fn decode_key(key: &[u8]) -> Option<RecordKey> {
     let (numbers, names) = key.split_at_checked(NUMERIC_KEY_PREFIX_LENGTH)?;
     let mut numbers = numbers.chunks_exact(8).map(|bytes| bytes.try_into().map(u64::from_be_bytes));
@@ -53,7 +68,7 @@
     Some(RecordKey { incarnation, origin, number })
 }
 
-/// A record's value in the store. An outcome that is unknown is recorded as failed.
+/// Encodes the value of a request's record. [`Outcome::Unknown`] is stored as failed.
 pub fn encode_outcome(outcome: &Outcome<&[u8]>) -> Vec<u8> {
     match outcome {
         Outcome::InFlight => vec![IN_FLIGHT_TAG],
@@ -64,7 +79,8 @@
     }
 }
 
-/// Reads a record's value. One that cannot be read may have been any outcome, and counts as failed.
+/// Decodes the value of a request's record. A malformed value may stand for any outcome and decodes as
+/// [`Outcome::Failed`]; a negative retry-after decodes as 0.
 pub fn decode_outcome(value: &[u8]) -> Outcome<Vec<u8>> {
     match value.split_first() {
         Some((&IN_FLIGHT_TAG, [])) => Outcome::InFlight,
@@ -78,17 +94,19 @@
     }
 }
 
-/// A key and its value in the store.
+/// A key and its value, as stored for a promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredPair {
-    /// The key in its namespace.
+    /// The key within the store's namespace for promises.
     pub key: Vec<u8>,
-    /// The value.
+    /// The value: a time in microseconds, big-endian.
     pub value: [u8; 8],
 }
 
-/// A promise of `incarnation` as it stands in the store. An end stands under a longer key than the Unix time, which
-/// versions of the program that know no end pass over.
+/// Encodes one record of a promise that `incarnation` gave.
+///
+/// A [`PromiseRecord::End`] has a longer key than a [`PromiseRecord::Until`], so that versions of the program
+/// that do not know it skip it.
 pub fn encode_promise(incarnation: u64, record: PromiseRecord) -> StoredPair {
     let incarnation = incarnation.to_be_bytes();
     let (boot, at) = match record {
@@ -101,7 +119,8 @@
     StoredPair { key: [&incarnation[..], &boot].concat(), value: at.to_be_bytes() }
 }
 
-/// Reads a promise: whose it is, and what the record says; `None` where it is not one.
+/// Decodes one record of a promise and the incarnation that gave it. Returns `None` if the record is
+/// malformed.
 pub fn decode_promise(key: &[u8], value: &[u8]) -> Option<(u64, PromiseRecord)> {
     let (incarnation, boot) = key.split_first_chunk()?;
     let at = Micros::from_be_bytes(value.try_into().ok()?);
--- a/crates/site-routing/src/request.rs
+++ b/crates/site-routing/src/request.rs
@@ -1,52 +1,55 @@
-//! A request, and how it ended at the local router or at another gateway.
+//! Requests, and their results from the local router or another gateway.
 
 use crate::{Micros, SiteId};
 
-/// A request to be served at this site or at another.
+/// A request that is to be served at the local site or at another one.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Index of its class in [`SiteRouterConfig::classes`](crate::SiteRouterConfig::classes).
+    /// The index of the request's class in [`SiteRouterConfig::classes`](crate::SiteRouterConfig::classes).
     pub class: usize,
-    /// The group of members whose data it is about.
+    /// The group of members that holds the data.
     pub group: u64,
-    /// How long its requester still waits, in microseconds.
+    /// How much longer the requester waits for an answer, in microseconds.
     pub timeout: Micros,
-    /// The sites that it has come through, its origin first; empty where a client of this site sent it.
+    /// The sites that the request has passed through, its origin first; empty if a client of the local site
+    /// sent it.
     pub visited: Vec<SiteId>,
-    /// The session that it is part of, if known. Sessions are assigned to sites while one of them drains.
+    /// The session that the request belongs to; `None` if unknown. Sessions are assigned to sites while a
+    /// site drains.
     pub session: Option<String>,
 }
 
 impl Request {
-    /// Whether another gateway sent it, rather than a client of this site.
+    /// Whether another gateway sent the request, rather than a client of the local site.
     pub(crate) fn is_remote(&self) -> bool {
         !self.visited.is_empty()
     }
 }
 
-/// How another gateway answered a request that was forwarded to it.
+/// The answer of another gateway to a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerAnswer {
-    /// It was served; the caller has the response.
+    /// The request was served; the caller has the response.
     Served,
-    /// It was rejected and never ran.
+    /// The request was rejected and never ran.
     Rejected {
-        /// After how long the client may try again, in microseconds.
+        /// How long the client should wait before it tries again, in microseconds.
         retry_after: Micros,
     },
-    /// It failed, and may have run.
+    /// The request failed, and may have run.
     Failed,
-    /// It never ran: the group's primary is not at that site.
+    /// The request never ran, because the group's primary is not at the other site.
     NotPrimary {
-        /// Where that gateway believes the primary to be.
+        /// The site where the other gateway believes the primary to be; `None` if unknown.
         hint: Option<SiteId>,
     },
-    /// It never ran and never will: it is invalid there, or its number was fenced by a query about its outcome.
+    /// The request never ran and never will: no link took it, it is invalid at the other gateway, or a query
+    /// about its outcome fenced its number.
     NeverAccepted,
 }
 
 impl PeerAnswer {
-    /// Whether it is certain that the request did not run there.
+    /// Whether the answer proves that the request did not run at the other site.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -55,16 +58,17 @@
     }
 }
 
-/// How the local router ended a request.
+/// The result of a request at the local router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalResult {
-    /// It was served; the caller has the response.
+    /// The request was served; the caller has the response.
     Served,
-    /// It was rejected. The local router vouches that it did not run at this site, and knows nothing of other sites.
+    /// The request was rejected. The local router guarantees that it did not run at the local site; it may
+    /// have run at another site, which the local router cannot know.
     Rejected {
-        /// After how long the client may try again, in microseconds.
+        /// How long the client should wait before it tries again, in microseconds.
         retry_after: Micros,
     },
-    /// It failed, and may have run.
+    /// The request failed, and may have run.
     Failed,
 }
