--- a/crates/site-routing/src/router.rs
+++ b/crates/site-routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router between sites: accepts requests, answers questions about its state, and holds all that it decides by.
+//! The site router: accepts requests, reports its state, and holds everything that its decisions depend on.
 
 use aldermill_site_drain::{OpenWork, Plan};
 use rand::SeedableRng;
@@ -23,31 +23,31 @@
 mod periodic;
 mod placement;
 
-/// Where one group's primary is believed to be, for people.
+/// The believed home site of one group, for status output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HomeView {
     /// The group.
     pub group: u64,
-    /// The site that is believed to have its primary.
+    /// The site that is believed to have the group's primary; `None` if unknown.
     pub home: Option<SiteId>,
-    /// How many ready members of it this site has.
+    /// The number of ready members of the group at the local site.
     pub local_members: usize,
 }
 
-/// What this gateway offers to another.
+/// The capacity that this gateway offers to another one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CapacityOffer {
-    /// How many requests it takes at once, by class.
+    /// The number of requests that the other gateway may have in flight here, by class.
     pub credits: Vec<u32>,
-    /// The groups that have members at this site, each with whether it has the primary.
+    /// The groups that have members at the local site, each with whether the site has its primary.
     pub groups: Vec<(u64, bool)>,
 }
 
 /// Decides, for one gateway, at which site each request is served.
 ///
-/// The ordinary path of a request: it is accepted, a site is chosen, it is handed to the local router or forwarded to a
-/// gateway of that site, the answer teaches something about site and gateway, and the request is answered, placed again, or
-/// given up. It waits while no site can take it.
+/// A request is accepted and a site is chosen for it; it is handed to the local router or forwarded to a
+/// gateway of that site. The answer updates what is known about the site and the gateway, and the request is
+/// then answered, placed again or rejected. While no site can take it, the request waits in a queue.
 #[derive(Debug)]
 pub struct SiteRouter {
     config: SiteRouterConfig,
@@ -61,14 +61,15 @@
     forwarded: ForwardedRequests,
     link_credit: LinkCredit,
     next_tick: Micros,
-    /// When the last stall of this process ended.
+    /// When the last stall of this process ended; [`NEVER`] before the first one.
     last_stall_ended_at: Micros,
-    /// What the caller will be told to do when the present call returns.
+    /// The actions collected for the caller during the current call.
     actions: Actions,
 }
 
 impl SiteRouter {
-    /// A router without links and groups. The same `seed` and calls give the same choices.
+    /// Creates a router without links and groups. The same `seed` and the same calls lead to the same
+    /// choices.
     pub fn new(config: SiteRouterConfig, seed: u64, now: Micros) -> SiteRouter {
         SiteRouter {
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Accepts a request of a client, or of another gateway.
+    /// Accepts a request of a client or of another gateway, and places it.
     pub fn accept(&mut self, now: Micros, request: Request) -> (RequestHandle, Actions) {
         let class = *self.class_of(&request);
         let pending = PendingRequest::new(now, request, &class);
@@ -96,7 +97,8 @@
         (handle, self.take_actions())
     }
 
-    /// The requester no longer waits for the request.
+    /// Drops a request whose requester no longer waits for it. A gateway that it was forwarded to is told to
+    /// cancel it.
     pub fn abandon(&mut self, now: Micros, handle: RequestHandle) -> Actions {
         self.cancel_if_forwarded(handle);
         self.close(handle);
@@ -104,25 +106,29 @@
         self.take_actions()
     }
 
-    /// Takes over the fleet's plans for draining sites; `site_names` are all sites', by their index.
+    /// Replaces the plans for draining sites by the fleet's current ones. `site_names` holds the name of
+    /// every site, by its index.
     pub fn assign_sessions(&mut self, now: Micros, site_names: &[String], plans: Vec<Plan>) -> Actions {
         self.sessions = SessionAssignments::new(site_names, plans);
         self.place_queued(now);
         self.take_actions()
     }
 
-    /// The process stalled until now. Requests that were in flight meanwhile say nothing about other gateways: neither how
-    /// long they take nor that they lose requests.
+    /// Records that a stall of this process ended at `now`. Requests that were in flight during the stall are
+    /// not used to judge other gateways: neither their durations nor their loss count.
     ///
-    /// Without it a stall here would blacklist gateways at other sites. The cost: one that really loses requests at that
-    /// moment is found out by those that are sent after it.
+    /// Otherwise a stall of this process would blacklist gateways at other sites. The cost: a gateway that
+    /// does lose requests at that moment is detected only by requests that are sent later.
     pub fn stall_ended(&mut self, now: Micros) {
         self.last_stall_ended_at = now;
     }
 
-    /// What this gateway still has in progress at each draining site: at its own, what the local router has and which groups
-    /// have their primary there; at others, what was forwarded there. `outcomes` are those in the caller's
-    /// [`OutcomeTable`](crate::OutcomeTable) and on their way from or to the disk.
+    /// Returns the work that this gateway still has in progress at each draining site. For the local site
+    /// this is the part of its sessions that it still has, the requests at the local router, the groups that
+    /// have their primary there, and `outcomes`; for another site, the requests that were forwarded there.
+    ///
+    /// `outcomes` is the number of outcomes in the caller's [`OutcomeTable`](crate::OutcomeTable) or in
+    /// transit from or to the disk.
     pub fn open_work(&self, outcomes: u64) -> OpenWorkBySite {
         let draining = self.sessions.draining_sites();
         let open = |site: SiteId, weight: u32| match site {
@@ -148,28 +154,30 @@
         OpenWork { requests: forwarded as u64, ..OpenWork::default() }
     }
 
-    /// The request that was forwarded under this number, if it is not closed.
+    /// Returns the handle of the request that was forwarded under `number`; `None` once the number is closed.
     pub fn handle_by_forward_number(&self, number: ForwardNumber) -> Option<RequestHandle> {
         self.forwarded.get(number).map(|request| request.handle)
     }
 
-    /// Whether any site is known to have the group.
+    /// Whether the group is known from the endpoint list, an answer, an announcement or the configuration.
     pub fn knows_group(&self, group: u64) -> bool {
         self.homes.knows(group)
     }
 
-    /// One way to a gateway, with a margin, in microseconds.
+    /// Returns the one-way delay to a gateway, with a margin, in microseconds; the assumed initial round trip
+    /// if it has not greeted yet.
     pub fn one_way_delay(&self, gateway: PeerGatewayId) -> Micros {
         self.gateways.get(gateway).map_or(INITIAL_ROUND_TRIP, |gateway| gateway.one_way_delay())
     }
 
-    /// What is believed of a gateway, for people.
+    /// Returns what is known about a gateway, for status output and reports; the default value if it has not
+    /// greeted yet.
     pub fn gateway_view(&self, now: Micros, gateway: PeerGatewayId) -> PeerGatewayView {
         let in_flight = self.forwarded.open_at(gateway).len();
         self.gateways.get(gateway).map_or_else(PeerGatewayView::default, |known| known.view(now, in_flight))
     }
 
-    /// Each known group with its believed home, in ascending order.
+    /// Returns the believed home of each known group, in ascending order of group numbers.
     pub fn home_sites(&self) -> Vec<HomeView> {
         let homes = &self.homes;
         let view =
@@ -177,7 +185,8 @@
         homes.groups().map(view).collect()
     }
 
-    /// An answer showed a group's primary at that site. Returns whether its home has changed.
+    /// Sets a group's home to the site where an answer showed its primary. Returns whether the home has
+    /// changed.
     fn confirm_home(&mut self, now: Micros, group: u64, site: SiteId) -> bool {
         let moved = self.homes.confirm(now, group, site);
         if moved {
--- a/crates/site-routing/src/router/completion.rs
+++ b/crates/site-routing/src/router/completion.rs
@@ -1,4 +1,4 @@
-//! What is concluded of forwarded requests, and the end of every request.
+//! The conclusions about forwarded requests, and the completion of every request.
 
 use super::SiteRouter;
 use crate::forwarded_requests::ForwardedRequest;
@@ -8,7 +8,8 @@
 };
 
 impl SiteRouter {
-    /// Closes the account of a forwarded request, unless it stays open, and answers the request or places it again.
+    /// Closes the entry of a forwarded request, unless the conclusion leaves it open, and answers the request
+    /// or places it again.
     pub(super) fn conclude(&mut self, now: Micros, number: ForwardNumber, conclusion: Conclusion) {
         if conclusion == Conclusion::Open {
             return;
@@ -28,7 +29,7 @@
         }
     }
 
-    /// The gateway lost the request, or it may have run and failed there.
+    /// Handles a request that the gateway lost, or that failed there and may have run.
     fn possibly_executed(&mut self, now: Micros, forwarded: &ForwardedRequest) {
         let mut site = LOCAL_SITE;
         if let Some(gateway) = self.gateways.get_mut(forwarded.gateway) {
@@ -43,7 +44,8 @@
         }
     }
 
-    /// Closes the account of a forwarded request: nothing more will be asked about it. The receiver is told so.
+    /// Closes the entry of a forwarded request and confirms to the receiver that no more queries about it
+    /// will come. Returns the entry; `None` if it was closed before.
     pub(super) fn close_forward(&mut self, number: ForwardNumber) -> Option<ForwardedRequest> {
         let forwarded = self.forwarded.close(number)?;
         if let Some(pending) = self.pending.get_mut(forwarded.handle) {
@@ -53,7 +55,8 @@
         Some(forwarded)
     }
 
-    /// Tells a gateway up to which number all is closed, if that has risen; of several the last in a call counts.
+    /// Tells a gateway up to which number all its entries are closed, if that number has risen. A later
+    /// confirmation replaces an earlier one of the same call.
     fn confirm_closed(&mut self, gateway: PeerGatewayId) {
         if let Some(up_to) = self.forwarded.confirm(gateway) {
             self.actions.confirmations.retain(|(other, _)| *other != gateway);
@@ -61,7 +64,7 @@
         }
     }
 
-    /// Asks a gateway about all requests sent to it whose outcome is unresolved, if a link leads there.
+    /// Queries a gateway about all unresolved requests that were sent to it, if a link to it is up.
     pub(super) fn query_unresolved_at(&mut self, now: Micros, gateway: PeerGatewayId) {
         if self.gateways.get(gateway).is_some_and(|gateway| gateway.is_linked()) {
             for number in self.forwarded.open_at(gateway) {
@@ -70,12 +73,14 @@
         }
     }
 
+    /// Queries the receiver about the request with this number, if the request is unresolved.
     pub(super) fn query_if_unresolved(&mut self, now: Micros, number: ForwardNumber) {
         if let Some(request) = self.forwarded.start_query(now, number) {
             self.push_action(request.handle, Action::QueryOutcome { gateway: request.gateway, number });
         }
     }
 
+    /// Tells the gateway that a request was forwarded to, if any, that its answer is no longer needed.
     pub(super) fn cancel_if_forwarded(&mut self, handle: RequestHandle) {
         let location = self.pending.get(handle).map(|pending| pending.location);
         if let Some(RequestLocation::Forwarded { number, to }) = location {
@@ -83,7 +88,8 @@
         }
     }
 
-    /// Rejects a request. A rejection promises that nothing ran: where that is not certain, and matters, the request fails.
+    /// Rejects a request. A rejection guarantees that the request did not run; if that is not certain, and
+    /// the request is not idempotent, it fails instead.
     pub(super) fn reject(&mut self, handle: RequestHandle, retry_after: Micros) {
         let Some(pending) = self.pending.get(handle) else { return };
         let is_idempotent = self.class_of(&pending.request).effect == Effect::Idempotent;
@@ -96,20 +102,22 @@
         self.close(handle);
     }
 
-    /// Rejects a request that no site can serve in time; the client may try again after its class's latency objective.
+    /// Rejects a request that no site can or may serve in time, with the latency objective of its class as
+    /// the retry-after.
     pub(super) fn give_up(&mut self, handle: RequestHandle) {
         let Some(pending) = self.pending.get(handle) else { return };
         let objective = self.class_of(&pending.request).objective;
         self.reject(handle, objective);
     }
 
-    /// Tells the gateway that sent the request that it never ran here, and where the primary is believed to be.
+    /// Tells the gateway that sent the request that it never ran here, and which site is believed to have the
+    /// primary.
     pub(super) fn report_not_primary(&mut self, handle: RequestHandle, hint: Option<SiteId>) {
         self.push_action(handle, Action::ReportNotPrimary { hint });
         self.close(handle);
     }
 
-    /// Forgets a request that was answered, or that nobody waits for.
+    /// Removes a request that was answered or abandoned, and closes its forward entry if it has one.
     pub(super) fn close(&mut self, handle: RequestHandle) {
         if let Some(pending) = self.pending.remove(handle) {
             if let Some(number) = pending.forward_number() {
--- a/crates/site-routing/src/router/link_events.rs
+++ b/crates/site-routing/src/router/link_events.rs
@@ -1,4 +1,4 @@
-//! What is heard over links and of the local endpoint list.
+//! Events from links to other gateways, and about the groups at the local site.
 
 use super::SiteRouter;
 use crate::{
@@ -7,12 +7,13 @@
 };
 
 impl SiteRouter {
-    /// Assumes a group's home, as configured, until an answer or an announcement says otherwise.
+    /// Sets a group's home to the configured site, until an answer or an announcement contradicts it.
     pub fn assume_home(&mut self, group: u64, site: SiteId) {
         self.homes.assume(group, site);
     }
 
-    /// The local endpoint list has changed: each group with its number of ready members.
+    /// Takes over a changed local endpoint list: `groups` holds each group with its number of ready members.
+    /// Groups left out have none.
     pub fn groups_listed(&mut self, now: Micros, groups: &[(u64, usize)]) -> Actions {
         self.homes.set_local_members(groups);
         self.actions.announce_capacity = true;
@@ -20,7 +21,7 @@
         self.take_actions()
     }
 
-    /// A member of this site answered as the primary of its group.
+    /// Handles an answer in which a member of the local site acted as the primary of its group.
     pub fn local_primary_found(&mut self, now: Micros, group: u64) -> Actions {
         if self.confirm_home(now, group, LOCAL_SITE) {
             self.actions.announce_capacity = true;
@@ -29,8 +30,8 @@
         self.take_actions()
     }
 
-    /// A gateway has greeted, or one of its links came or went; `links` stand now. `same_incarnation` is false where its
-    /// process is another than before.
+    /// Handles the greeting of a gateway, or a change in the number of links to it. `links` is the number
+    /// that are up now; `same_incarnation` is false if the gateway's process has been replaced since.
     pub fn links_changed(
         &mut self,
         now: Micros,
@@ -52,7 +53,9 @@
         self.take_actions()
     }
 
-    /// The new process may have read back what the old one accepted: it is asked, and knows or does not.
+    /// Handles a restart of a gateway's process. The new process may have restored what the old one accepted,
+    /// so it is queried about the non-idempotent requests that were sent to the old one; it may not know
+    /// their outcome.
     fn gateway_restarted(&mut self, now: Micros, gateway: PeerGatewayId) {
         if let Some(gateway) = self.gateways.get_mut(gateway) {
             gateway.restarted();
@@ -63,7 +66,7 @@
         }
     }
 
-    /// A link to the gateway was lost, over which these numbers had been sent.
+    /// Handles the loss of a link to the gateway, over which the requests with these numbers had been sent.
     pub fn link_lost(&mut self, now: Micros, gateway: PeerGatewayId, numbers: &[ForwardNumber]) -> Actions {
         for &number in numbers {
             if self.forwarded.get(number).is_some_and(|request| request.gateway == gateway) {
@@ -75,7 +78,7 @@
         self.take_actions()
     }
 
-    /// The answer of a forwarded request may be lost.
+    /// Handles a forwarded request whose answer may be lost.
     fn forward_lost(&mut self, now: Micros, number: ForwardNumber) {
         let Some(request) = self.forwarded.get_mut(number) else { return };
         let harmless_to_repeat = self.config.classes[request.class].effect != Effect::NonIdempotent;
@@ -83,8 +86,8 @@
         self.conclude(now, number, conclusion);
     }
 
-    /// A gateway announced what it offers: credits by class, the groups with members at its site, each with whether it has
-    /// the primary, and whether it drains.
+    /// Handles a gateway's announcement of its capacity: its credits by class, the groups that have members
+    /// at its site, each with whether the site has the primary, and whether the gateway drains.
     pub fn capacity_announced(
         &mut self,
         now: Micros,
@@ -103,21 +106,21 @@
         self.take_actions()
     }
 
-    /// A round trip to a gateway was measured, in microseconds.
+    /// Records a measured round trip to a gateway, in microseconds.
     pub fn round_trip_measured(&mut self, gateway: PeerGatewayId, round_trip: Micros) {
         if let Some(gateway) = self.gateways.get_mut(gateway) {
             gateway.record_round_trip(round_trip);
         }
     }
 
-    /// A gateway answered the request that was forwarded under this number.
+    /// Handles a gateway's answer to the request that was forwarded under `number`.
     pub fn answered(&mut self, now: Micros, number: ForwardNumber, answer: PeerAnswer) -> Actions {
         if let Some(request) = self.forwarded.get_mut(number) {
             let handle = request.handle;
             let conclusion = request.state.answered(answer);
             self.learn_from_answer(now, number, answer);
             match answer {
-                // The other site's retry-after goes to the client as it is.
+                // The retry-after of the other site is passed on to the requester, up to `max_retry_after`.
                 PeerAnswer::Rejected { retry_after } => {
                     self.close_forward(number);
                     self.reject(handle, retry_after);
@@ -129,7 +132,7 @@
         self.take_actions()
     }
 
-    /// What an answer says about its gateway and about the home of the request's group.
+    /// Updates what is known about the answering gateway and about the home of the request's group.
     fn learn_from_answer(&mut self, now: Micros, number: ForwardNumber, answer: PeerAnswer) {
         let Some(&request) = self.forwarded.get(number) else { return };
         let group = self.pending.get(request.handle).map(|pending| pending.request.group);
@@ -155,7 +158,7 @@
         }
     }
 
-    /// A gateway replied to a query about the request that was forwarded under this number.
+    /// Handles a gateway's reply to a query about the request that was forwarded under `number`.
     pub fn outcome_received<V>(
         &mut self,
         now: Micros,
@@ -177,7 +180,7 @@
         self.take_actions()
     }
 
-    /// What is offered to a gateway now.
+    /// Returns the capacity that is currently offered to a gateway.
     pub fn offered_capacity(&mut self, gateway: PeerGatewayId) -> CapacityOffer {
         let homes = &self.homes;
         let local_groups = homes.groups().filter(|&group| homes.local_members(group) > 0);
@@ -185,12 +188,13 @@
         CapacityOffer { credits: self.link_credit.offered_to(gateway), groups }
     }
 
-    /// A request of another gateway was accepted here.
+    /// Counts a remote request that was accepted here against the credit of the gateway that sent it.
     pub fn remote_request_started(&mut self, gateway: PeerGatewayId, class: usize) {
         self.link_credit.request_started(gateway, class);
     }
 
-    /// A request of another gateway has ended here. Returns whether the offer to that gateway has changed.
+    /// Releases the credit of a remote request that has ended here. Returns whether the credits offered to
+    /// the gateway that sent it have changed.
     pub fn remote_request_ended(
         &mut self,
         now: Micros,
--- a/crates/site-routing/src/router/periodic.rs
+++ b/crates/site-routing/src/router/periodic.rs
@@ -1,13 +1,14 @@
-//! What is done at regular intervals: deadlines, queries that were not replied to, requests that wait.
+//! Periodic work: expiring deadlines, repeating unanswered queries, and placing queued requests.
 
 use super::SiteRouter;
 use crate::{Actions, Conclusion, Micros};
 
-/// How often that is done, in microseconds. A request that would expire before the next time is given up.
+/// The interval of the periodic work, in microseconds. A request that would expire before the next tick is
+/// not placed any more, and a forwarded one is cancelled.
 pub(super) const TICK_INTERVAL: Micros = 20_000;
 
 impl SiteRouter {
-    /// To be called when [`Actions::wake_at`] has come; it does nothing before.
+    /// Does the periodic work. The caller calls this at [`Actions::wake_at`]; an earlier call does nothing.
     pub fn wake(&mut self, now: Micros) -> Actions {
         if now >= self.next_tick {
             self.next_tick = now + TICK_INTERVAL;
@@ -18,7 +19,7 @@
         self.take_actions()
     }
 
-    /// Forwarded requests that expire before the next tick end as what they are: they may have run.
+    /// Cancels forwarded requests that expire before the next tick, and concludes that they may have run.
     fn end_expiring_forwards(&mut self, now: Micros) {
         for handle in self.pending.forwarded_due_by(now + TICK_INTERVAL) {
             let number = self.pending.get(handle).and_then(|pending| pending.forward_number());
@@ -29,7 +30,7 @@
         }
     }
 
-    /// A query or its reply may have been lost with a link.
+    /// Repeats queries that had no reply in time, as the query or its reply may have been lost with a link.
     fn repeat_queries(&mut self, now: Micros) {
         for number in self.forwarded.expire_queries(now) {
             let gateway = self.forwarded.get(number).and_then(|request| self.gateways.get(request.gateway));
--- a/crates/site-routing/src/router/placement.rs
+++ b/crates/site-routing/src/router/placement.rs
@@ -1,4 +1,4 @@
-//! The ordinary path: where a request goes.
+//! Placement of requests: at the local router, at another site, or in the queue.
 
 use super::SiteRouter;
 use crate::peer_gateway::PeerGateway;
@@ -10,11 +10,11 @@
 
 use super::periodic::TICK_INTERVAL;
 
-/// A request may be forwarded this many times more than there are sites.
+/// A request that was forwarded more often than the number of sites plus this is not placed again.
 const EXTRA_FORWARDS: u32 = 2;
 
 impl SiteRouter {
-    /// Hands a request to the site that is to serve it, lets it wait, or gives it up.
+    /// Hands a request to the site that is to serve it, queues it, or rejects it.
     pub(super) fn place(&mut self, now: Micros, handle: RequestHandle) {
         let Some(pending) = self.pending.get(handle) else { return };
         let class = *self.class_of(&pending.request);
@@ -28,13 +28,14 @@
         }
     }
 
-    /// Places all requests that wait, the most important first.
+    /// Places all queued requests, in descending order of priority weight.
     pub(super) fn place_queued(&mut self, now: Micros) {
         for handle in self.queue.take_in_order(&self.pending, &self.config.classes) {
             self.place(now, handle);
         }
     }
 
+    /// Returns the state that the choice of a site depends on, as of `now`.
     pub(super) fn site_selection(&self, now: Micros) -> SiteSelection<'_> {
         SiteSelection {
             now,
@@ -46,10 +47,10 @@
         }
     }
 
-    /// Whether no site may be given the request any more.
+    /// Whether the request must not be placed at any site any more.
     fn is_unplaceable(&self, now: Micros, pending: &PendingRequest, class: &RequestClass) -> bool {
         let expires_before_next_tick = now + TICK_INTERVAL >= pending.deadline;
-        // Without a limit a request that is lost again and again would cost both sites work each time.
+        // Without a limit, a request that is lost repeatedly would cost both sites work each time.
         let max_forwards = EXTRA_FORWARDS + self.config.sites as u32;
         pending.must_not_run_again(now, class.effect)
             || expires_before_next_tick
@@ -63,7 +64,8 @@
         self.push_action(handle, Action::ServeLocally { timeout });
     }
 
-    /// Sends a request to a gateway of the site, if it can be back in time.
+    /// Forwards a request to a gateway of the site, if its answer can be back in time. A remote request that
+    /// has no hops left goes back to its sender with the site as a hint.
     fn forward(&mut self, now: Micros, handle: RequestHandle, site: SiteId) {
         let Some(pending) = self.pending.get(handle) else { return };
         if pending.request.visited.len() >= self.config.max_hops {
@@ -71,7 +73,7 @@
         }
         let class = pending.request.class;
         let Some(gateway) = self.choose_gateway(now, site, class) else {
-            // It goes as soon as the site has capacity.
+            // The request is forwarded as soon as the site has capacity.
             return self.queue(now, handle);
         };
         let Some(timeout) = self.timeout_on_arrival(now, handle, gateway) else {
@@ -96,8 +98,8 @@
         self.gateways.choose(now, site, limit, in_flight, &mut self.rng)
     }
 
-    /// How much time is left for a request when it arrives at the gateway; `None` if it cannot be back while an answer is
-    /// worth anything.
+    /// Returns the time until the request's deadline when it arrives at the gateway, in microseconds; `None`
+    /// if its answer is expected too late to be of value.
     fn timeout_on_arrival(
         &self,
         now: Micros,
@@ -112,14 +114,16 @@
         (now + expected < useful_until).then_some(pending.deadline - now - one_way)
     }
 
-    /// Lets a request wait until a site can take it. One that another gateway sent goes back there and waits there.
+    /// Queues a request until a site can take it. A remote request goes back to the gateway that sent it and
+    /// waits there.
     fn queue(&mut self, now: Micros, handle: RequestHandle) {
         let Some(pending) = self.pending.get(handle) else { return };
         if pending.request.is_remote() {
             return self.report_not_primary(handle, None);
         }
-        // A read that no site could take for half of its time is rejected, as the local router does, so that its client is
-        // told in time to try elsewhere. The cost: capacity that comes later does not help it any more.
+        // A read that no site could take during half of its timeout is rejected, as the local router does, so
+        // that its client has time left to try elsewhere. The cost: the read cannot use capacity that becomes
+        // available later.
         let is_read = self.class_of(&pending.request).need != Need::Primary;
         if is_read && now + pending.request.timeout / 2 >= pending.deadline {
             return self.give_up(handle);
@@ -128,7 +132,8 @@
         self.queue.push(handle);
     }
 
-    /// All sites that could be asked said that they do not have the primary: the next search, after a rest, asks all anew.
+    /// Ends a search in which every site that could be asked said that it does not have the primary. The next
+    /// search starts after a hold and may ask all sites again.
     fn end_search(&mut self, now: Micros, handle: RequestHandle) {
         let Some(pending) = self.pending.get_mut(handle) else { return };
         if !pending.ruled_out.is_empty() {
