--- a/crates/proxy/src/dispatcher/gateway/links.rs
+++ b/crates/proxy/src/dispatcher/gateway/links.rs
@@ -39,7 +39,7 @@
         let origin = Origin { site: name, instance, incarnation };
         let id = gateway_part.gateway_id(site, &origin);
         let current_up = !gateway_part.peer_gateways[id].links.is_empty();
-        if !gateway_part.outcomes.greeted(&origin, current_up) {
+        if !gateway_part.outcomes.register_incarnation(&origin, current_up) {
             warn!(self.context.log, "link of a replaced incarnation closed"; "link" => link,
                 "site" => &origin.site, "instance" => &origin.instance);
             gateway_part.links.remove(&link);
--- a/crates/proxy/src/dispatcher/outcome_log.rs
+++ b/crates/proxy/src/dispatcher/outcome_log.rs
@@ -162,7 +162,7 @@
         let until = now + (end - promise_now);
         let batch = self.promise_batch(until, end);
         if !self.hand_over(now, batch, WritePurpose::Promise) {
-            self.promise.settle();
+            self.promise.resolve_pending();
         }
     }
 
@@ -245,7 +245,7 @@
         }
         match purpose {
             WritePurpose::Record(ticket) => return Some(FinishedRecord { ticket, is_written }),
-            WritePurpose::Promise => self.promise.settle(),
+            WritePurpose::Promise => self.promise.resolve_pending(),
             WritePurpose::Abandoned => {}
         }
         None
@@ -261,7 +261,7 @@
         for purpose in &mut self.unconfirmed {
             match std::mem::replace(purpose, WritePurpose::Abandoned) {
                 WritePurpose::Record(ticket) => tickets.push(ticket),
-                WritePurpose::Promise => self.promise.settle(),
+                WritePurpose::Promise => self.promise.resolve_pending(),
                 WritePurpose::Abandoned => {}
             }
         }
--- a/crates/site-routing/src/forwarded_requests.rs
+++ b/crates/site-routing/src/forwarded_requests.rs
@@ -88,13 +88,13 @@
 #[derive(Debug)]
 pub(crate) struct ForwardedRequests {
     open: BTreeMap<ForwardNumber, ForwardedRequest>,
-    next: ForwardNumber,
-    sent_to: BTreeMap<PeerGatewayId, SentNumbers>,
+    next_number: ForwardNumber,
+    numbers_by_gateway: BTreeMap<PeerGatewayId, SentNumbers>,
 }
 
 impl Default for ForwardedRequests {
     fn default() -> Self {
-        ForwardedRequests { open: BTreeMap::new(), next: 1, sent_to: BTreeMap::new() }
+        ForwardedRequests { open: BTreeMap::new(), next_number: 1, numbers_by_gateway: BTreeMap::new() }
     }
 }
 
@@ -107,12 +107,12 @@
         gateway: PeerGatewayId,
         class: usize,
     ) -> ForwardNumber {
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         let state = ForwardState::InFlight;
         let request = ForwardedRequest { handle, gateway, class, sent_at: now, last_contact_at: now, state };
         self.open.insert(number, request);
-        let numbers = self.sent_to.entry(gateway).or_default();
+        let numbers = self.numbers_by_gateway.entry(gateway).or_default();
         numbers.open.insert(number);
         numbers.highest = number;
         number
@@ -129,7 +129,7 @@
     /// Closes the account: nothing more will be asked about the request.
     pub(crate) fn close(&mut self, number: ForwardNumber) -> Option<ForwardedRequest> {
         let request = self.open.remove(&number)?;
-        if let Some(numbers) = self.sent_to.get_mut(&request.gateway) {
+        if let Some(numbers) = self.numbers_by_gateway.get_mut(&request.gateway) {
             numbers.open.remove(&number);
         }
         Some(request)
@@ -148,7 +148,7 @@
 
     /// Makes requests unresolved again whose query was not replied to in time. Returns their numbers, by gateway.
     pub(crate) fn expire_queries(&mut self, now: Micros) -> Vec<ForwardNumber> {
-        let numbers = self.sent_to.values().flat_map(|numbers| &numbers.open);
+        let numbers = self.numbers_by_gateway.values().flat_map(|numbers| &numbers.open);
         let overdue = |request: &ForwardedRequest| {
             request.state == ForwardState::Queried && now - request.last_contact_at >= QUERY_RETRY_INTERVAL
         };
@@ -164,18 +164,20 @@
 
     /// The numbers open at a gateway, the oldest first.
     pub(crate) fn open_at(&self, gateway: PeerGatewayId) -> Vec<ForwardNumber> {
-        self.sent_to.get(&gateway).map_or(Vec::new(), |numbers| numbers.open.iter().copied().collect())
+        self.numbers_by_gateway
+            .get(&gateway)
+            .map_or(Vec::new(), |numbers| numbers.open.iter().copied().collect())
     }
 
     /// How many requests of a class are open at a gateway.
     pub(crate) fn count_at(&self, gateway: PeerGatewayId, class: usize) -> usize {
-        let open = self.sent_to.get(&gateway).into_iter().flat_map(|numbers| &numbers.open);
+        let open = self.numbers_by_gateway.get(&gateway).into_iter().flat_map(|numbers| &numbers.open);
         open.filter(|number| self.open.get(number).is_some_and(|request| request.class == class)).count()
     }
 
     /// The number up to which all that was sent to a gateway is closed, if that has risen since it was last returned.
     pub(crate) fn confirm(&mut self, gateway: PeerGatewayId) -> Option<ForwardNumber> {
-        let numbers = self.sent_to.get_mut(&gateway)?;
+        let numbers = self.numbers_by_gateway.get_mut(&gateway)?;
         let closed_up_to = numbers.open.first().map_or(numbers.highest, |first| first - 1);
         if closed_up_to <= numbers.confirmed {
             return None;
--- a/crates/site-routing/src/home_sites.rs
+++ b/crates/site-routing/src/home_sites.rs
@@ -6,13 +6,13 @@
 
 /// A site's own announcement is believed against an older belief once that is this old, in microseconds. Answers of members
 /// are first-hand and newer; an announcement may have been made before the primary moved.
-const ANSWER_TRUSTED_FOR: Micros = 1_000_000;
+const ANSWER_TRUST_DURATION: Micros = 1_000_000;
 
 #[derive(Debug)]
 struct Group {
     home: Option<SiteId>,
     /// When an answer last confirmed the home or ruled it out.
-    learned_at: Micros,
+    last_answer_at: Micros,
     /// How many ready members the local endpoint list has.
     local_members: usize,
     /// Other sites that announced members.
@@ -21,7 +21,7 @@
 
 impl Default for Group {
     fn default() -> Group {
-        Group { home: None, learned_at: NEVER, local_members: 0, remote_sites: BTreeSet::new() }
+        Group { home: None, last_answer_at: NEVER, local_members: 0, remote_sites: BTreeSet::new() }
     }
 }
 
@@ -84,7 +84,7 @@
     /// An answer showed the primary at that site. Returns whether the home has changed.
     pub(crate) fn confirm(&mut self, now: Micros, group: u64, site: SiteId) -> bool {
         let group = self.entry(group);
-        group.learned_at = now;
+        group.last_answer_at = now;
         group.home.replace(site) != Some(site)
     }
 
@@ -93,13 +93,13 @@
         let group = self.entry(group);
         if group.home == Some(site) || group.home.is_none() {
             group.home = hint.filter(|&hint| hint != site);
-            group.learned_at = now;
+            group.last_answer_at = now;
         }
     }
 
     /// Another site announced all groups that it has members of, each with whether it has the primary. Returns the groups
     /// whose home has changed.
-    pub(crate) fn learn_announcement(
+    pub(crate) fn apply_announcement(
         &mut self,
         now: Micros,
         site: SiteId,
@@ -112,7 +112,7 @@
         for &(name, has_primary) in announced {
             let group = self.entry(name);
             group.remote_sites.insert(site);
-            let replaceable = group.home.is_none() || now - group.learned_at > ANSWER_TRUSTED_FOR;
+            let replaceable = group.home.is_none() || now - group.last_answer_at > ANSWER_TRUST_DURATION;
             if has_primary && replaceable && group.home != Some(site) {
                 group.home = Some(site);
                 moved.push(name);
--- a/crates/site-routing/src/link_credit.rs
+++ b/crates/site-routing/src/link_credit.rs
@@ -12,7 +12,7 @@
 /// overload.
 const SHRINK_INTERVAL: Micros = 100_000;
 /// What a rejection leaves of the window of a class that is worth nothing.
-const LEAST_SHRINK_FACTOR: f64 = 0.5;
+const MIN_SHRINK_FACTOR: f64 = 0.5;
 /// By how much more it leaves of the window of the class that is worth most; others lie between by their weight.
 const SHRINK_FACTOR_RANGE: f64 = 0.4;
 
@@ -60,9 +60,9 @@
     /// `max` is the largest window, in requests.
     pub(crate) fn new(classes: &[RequestClass], max: u32) -> LinkCredit {
         let weights = classes.iter().map(|class| class.priority_weight);
-        let best = weights.clone().fold(f64::MIN_POSITIVE, f64::max);
+        let max_weight = weights.clone().fold(f64::MIN_POSITIVE, f64::max);
         let factor =
-            |weight: f64| LEAST_SHRINK_FACTOR + SHRINK_FACTOR_RANGE * (weight / best).clamp(0.0, 1.0);
+            |weight: f64| MIN_SHRINK_FACTOR + SHRINK_FACTOR_RANGE * (weight / max_weight).clamp(0.0, 1.0);
         LinkCredit {
             windows: HashMap::new(),
             shrink_factors: weights.map(factor).collect(),
@@ -91,7 +91,7 @@
         class: usize,
         rejected: bool,
     ) -> bool {
-        let factor = self.shrink_factors.get(class).copied().unwrap_or(LEAST_SHRINK_FACTOR);
+        let factor = self.shrink_factors.get(class).copied().unwrap_or(MIN_SHRINK_FACTOR);
         let max = self.max;
         let Some(window) = self.windows_of(gateway).get_mut(class) else { return false };
         let offered_before = window.size.floor();
@@ -106,7 +106,7 @@
     }
 
     /// The gateway has restarted: it has nothing in flight here, and begins with the initial window.
-    pub(crate) fn forget(&mut self, gateway: PeerGatewayId) {
+    pub(crate) fn reset(&mut self, gateway: PeerGatewayId) {
         self.windows.remove(&gateway);
     }
 
--- a/crates/site-routing/src/outcome_table.rs
+++ b/crates/site-routing/src/outcome_table.rs
@@ -103,7 +103,7 @@
 struct SenderOutcomes<V> {
     incarnation: u64,
     /// Numbers at or below it are fenced, except those that have a record.
-    floor: ForwardNumber,
+    fenced_up_to: ForwardNumber,
     records: BTreeMap<ForwardNumber, Record<V>>,
     /// Incarnations that a later one has replaced, the oldest first.
     replaced: VecDeque<u64>,
@@ -111,7 +111,7 @@
 
 impl<V> SenderOutcomes<V> {
     fn new(incarnation: u64, replaced: VecDeque<u64>) -> SenderOutcomes<V> {
-        SenderOutcomes { incarnation, floor: 0, records: BTreeMap::new(), replaced }
+        SenderOutcomes { incarnation, fenced_up_to: 0, records: BTreeMap::new(), replaced }
     }
 
     /// Forgets records that have expired, and fences their numbers.
@@ -120,7 +120,7 @@
         let highest =
             self.records.iter().rev().find(|(_, record)| expired(record)).map(|(&number, _)| number);
         if let Some(highest) = highest {
-            self.floor = self.floor.max(highest);
+            self.fenced_up_to = self.fenced_up_to.max(highest);
             self.records.retain(|_, record| !expired(record));
         }
     }
@@ -146,7 +146,7 @@
     ///
     /// `current_is_linked` says whether a link of the incarnation known so far stands; while it does, one of a lower number
     /// is taken for an older one that comes late.
-    pub fn greeted(&mut self, origin: &Origin, current_is_linked: bool) -> bool {
+    pub fn register_incarnation(&mut self, origin: &Origin, current_is_linked: bool) -> bool {
         let name = (origin.site.clone(), origin.instance.clone());
         let Some(sender) = self.senders.get_mut(&name) else {
             self.senders.insert(name, SenderOutcomes::new(origin.incarnation, VecDeque::new()));
@@ -155,8 +155,8 @@
         if sender.incarnation == origin.incarnation {
             return true;
         }
-        let older = current_is_linked && origin.incarnation < sender.incarnation;
-        if older || sender.replaced.contains(&origin.incarnation) {
+        let is_older = current_is_linked && origin.incarnation < sender.incarnation;
+        if is_older || sender.replaced.contains(&origin.incarnation) {
             return false;
         }
         let mut replaced = std::mem::take(&mut sender.replaced);
@@ -186,10 +186,10 @@
         match sender.records.get(&number) {
             Some(Record { outcome: Outcome::NeverAccepted, .. }) => return Err(NotAccepted::Fenced),
             Some(_) => return Err(NotAccepted::Duplicate),
-            None if number <= sender.floor => return Err(NotAccepted::Fenced),
+            None if number <= sender.fenced_up_to => return Err(NotAccepted::Fenced),
             None if sender.records.len() >= max_records => {
                 // Fenced by the floor, as there is no place for a record: another copy must not be accepted later.
-                sender.floor = sender.floor.max(number);
+                sender.fenced_up_to = sender.fenced_up_to.max(number);
                 return Err(NotAccepted::Full);
             }
             None => {}
@@ -227,7 +227,7 @@
             record.expires_at = record.expires_at.max(expires_at);
             return record.outcome.clone();
         }
-        if number <= sender.floor {
+        if number <= sender.fenced_up_to {
             return Outcome::Unknown;
         }
         sender.records.insert(number, Record { outcome: Outcome::NeverAccepted, expires_at });
@@ -237,7 +237,7 @@
     /// The sender will not ask about any number up to this one.
     pub fn confirm(&mut self, origin: &Origin, up_to: ForwardNumber) {
         if let Some(sender) = self.sender(origin) {
-            sender.floor = sender.floor.max(up_to);
+            sender.fenced_up_to = sender.fenced_up_to.max(up_to);
             // What is still in flight keeps its record, so that another copy of it is recognized.
             sender
                 .records
--- a/crates/site-routing/src/peer_gateway.rs
+++ b/crates/site-routing/src/peer_gateway.rs
@@ -4,7 +4,7 @@
 
 use aldermill_statistics::{Histogram, RoundTripEstimate};
 
-use crate::primary_search::SEARCH_HOLD;
+use crate::primary_search::SEARCH_BACKOFF;
 use crate::{Micros, NEVER, RequestClass, SiteId};
 
 /// The round trip that is assumed until one is measured, in microseconds.
@@ -12,13 +12,13 @@
 /// How long a gateway that failed is blacklisted, in microseconds.
 const BLACKLIST_DURATION: Micros = 5_000_000;
 /// So many failures blacklist a gateway; fewer may be one lost link.
-const FAILURES_TO_BLACKLIST: usize = 5;
+const BLACKLIST_FAILURE_THRESHOLD: usize = 5;
 /// Failures older than this do not count, in microseconds.
 const FAILURE_WINDOW: Micros = 10_000_000;
 /// How many durations of a class are remembered before older ones lose weight.
 const MAX_DURATION_SAMPLES: u32 = 128;
 /// A class is assumed to take this part of its latency objective until durations are measured.
-const ASSUMED_PART_OF_OBJECTIVE: Micros = 8;
+const ASSUMED_OBJECTIVE_DIVISOR: Micros = 8;
 /// How many measured durations the assumption weighs as much as.
 const ASSUMED_SAMPLES: u32 = 4;
 /// How many requests a gateway must have served before its durations are believed.
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub(crate) struct PeerGateway {
     pub(crate) site: SiteId,
-    links: usize,
+    link_count: usize,
     last_link_lost_at: Micros,
     round_trip: RoundTripEstimate,
     /// How many requests it takes at once, by class, as it announced.
@@ -60,11 +60,11 @@
 impl PeerGateway {
     pub(crate) fn new(site: SiteId, classes: &[RequestClass]) -> PeerGateway {
         let assumed = |class: &RequestClass| {
-            Histogram::of(class.objective / ASSUMED_PART_OF_OBJECTIVE, ASSUMED_SAMPLES)
+            Histogram::of(class.objective / ASSUMED_OBJECTIVE_DIVISOR, ASSUMED_SAMPLES)
         };
         PeerGateway {
             site,
-            links: 0,
+            link_count: 0,
             last_link_lost_at: NEVER,
             round_trip: RoundTripEstimate::assumed(INITIAL_ROUND_TRIP),
             credits: vec![0; classes.len()],
@@ -77,24 +77,24 @@
 
     // ---- What is heard of it.
 
-    pub(crate) fn set_links(&mut self, now: Micros, links: usize) {
-        if self.links > 0 && links == 0 {
+    pub(crate) fn set_link_count(&mut self, now: Micros, link_count: usize) {
+        if self.link_count > 0 && link_count == 0 {
             self.last_link_lost_at = now;
         }
-        self.links = links;
+        self.link_count = link_count;
     }
 
     /// Its process has restarted: the new one has not announced that it drains.
-    pub(crate) fn restarted(&mut self) {
+    pub(crate) fn process_restarted(&mut self) {
         self.draining = false;
     }
 
     /// What it offered no longer holds, as no link leads there.
-    pub(crate) fn withdraw_credits(&mut self) {
+    pub(crate) fn clear_credits(&mut self) {
         self.credits.fill(0);
     }
 
-    pub(crate) fn announced(&mut self, credits: Vec<u32>, draining: bool) {
+    pub(crate) fn apply_announcement(&mut self, credits: Vec<u32>, draining: bool) {
         self.credits = credits;
         self.draining = draining;
     }
@@ -120,7 +120,7 @@
     // ---- What follows for requests.
 
     pub(crate) fn is_linked(&self) -> bool {
-        self.links > 0
+        self.link_count > 0
     }
 
     /// Whether it can be sent requests at all.
@@ -129,7 +129,7 @@
     }
 
     pub(crate) fn is_blacklisted(&self, now: Micros) -> bool {
-        self.blacklist.is_in_force(now)
+        self.blacklist.is_active(now)
     }
 
     /// Whether none of the three reasons to avoid it holds: no link, its announcement that it drains, recent failures.
@@ -139,7 +139,7 @@
 
     /// Whether its last link was lost so recently that it is expected back.
     pub(crate) fn is_expected_back(&self, now: Micros) -> bool {
-        !self.draining && now - self.last_link_lost_at < SEARCH_HOLD
+        !self.draining && now - self.last_link_lost_at < SEARCH_BACKOFF
     }
 
     pub(crate) fn round_trip(&self) -> Micros {
@@ -168,9 +168,9 @@
         }
         let total = self.median_duration(class);
         let service_time = (total - self.round_trip.mean()).max(MIN_SERVICE_TIME);
-        let stretch = (total.max(service_time) as f64 / service_time as f64).max(1.0);
-        let stretched = (f64::from(credit) * stretch) as usize;
-        stretched.min(max as usize).max(credit as usize)
+        let latency_ratio = (total.max(service_time) as f64 / service_time as f64).max(1.0);
+        let scaled_credit = (f64::from(credit) * latency_ratio) as usize;
+        scaled_credit.min(max as usize).max(credit as usize)
     }
 
     pub(crate) fn view(&self, now: Micros, in_flight: usize) -> PeerGatewayView {
@@ -209,7 +209,7 @@
     fn record_failure(&mut self, now: Micros) {
         self.failures.push_back(now);
         self.failures.retain(|&at| at >= now - FAILURE_WINDOW);
-        if self.failures.len() >= FAILURES_TO_BLACKLIST {
+        if self.failures.len() >= BLACKLIST_FAILURE_THRESHOLD {
             self.until = now + BLACKLIST_DURATION;
             self.failures.clear();
         }
@@ -219,7 +219,7 @@
         self.failures.clear();
     }
 
-    fn is_in_force(&self, now: Micros) -> bool {
+    fn is_active(&self, now: Micros) -> bool {
         now < self.until
     }
 }
--- a/crates/site-routing/src/peer_gateways.rs
+++ b/crates/site-routing/src/peer_gateways.rs
@@ -86,12 +86,12 @@
         if open.is_empty() {
             open = candidates(&PeerGateway::accepts_requests);
         }
-        draw(open, rng)
+        choose_by_capacity(open, rng)
     }
 }
 
 /// Draws one in proportion to its capacity; nothing is drawn where there is none.
-fn draw(candidates: Vec<Candidate>, rng: &mut Pcg64Mcg) -> Option<PeerGatewayId> {
+fn choose_by_capacity(candidates: Vec<Candidate>, rng: &mut Pcg64Mcg) -> Option<PeerGatewayId> {
     let total: usize = candidates.iter().map(|candidate| candidate.capacity).sum();
     if total == 0 {
         return None;
--- a/crates/site-routing/src/pending_requests.rs
+++ b/crates/site-routing/src/pending_requests.rs
@@ -82,7 +82,7 @@
     }
 
     /// Notes an attempt that may have run, unless an earlier one did.
-    pub(crate) fn note_possible_execution(&mut self, at: Micros, site: SiteId) {
+    pub(crate) fn record_possible_execution(&mut self, at: Micros, site: SiteId) {
         self.may_have_run.get_or_insert(PossibleExecution { at, site });
     }
 
@@ -106,13 +106,13 @@
 #[derive(Debug, Default)]
 pub(crate) struct PendingRequests {
     requests: HashMap<RequestHandle, PendingRequest>,
-    next: u64,
+    next_handle: u64,
 }
 
 impl PendingRequests {
     pub(crate) fn insert(&mut self, request: PendingRequest) -> RequestHandle {
-        let handle = RequestHandle(self.next);
-        self.next += 1;
+        let handle = RequestHandle(self.next_handle);
+        self.next_handle += 1;
         self.requests.insert(handle, request);
         handle
     }
--- a/crates/site-routing/src/recording_promise.rs
+++ b/crates/site-routing/src/recording_promise.rs
@@ -6,7 +6,7 @@
 /// nothing.
 pub(crate) const PROMISE_DURATION: Micros = 5_000_000;
 /// A promise is renewed once no more than this is left of it, in microseconds: a slow disk has that long before it ends.
-const RENEW_BELOW: Micros = 3_000_000;
+const RENEWAL_THRESHOLD: Micros = 3_000_000;
 
 /// How long a promise binds the incarnation that gave it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Default)]
@@ -45,7 +45,7 @@
 
     /// Until when the next promise holds, if one is due and may be given. The caller writes it.
     pub fn renew(&mut self, now: Micros) -> Option<Micros> {
-        let is_fresh = self.until.is_some_and(|until| until - now > RENEW_BELOW);
+        let is_fresh = self.until.is_some_and(|until| until - now > RENEWAL_THRESHOLD);
         if self.pending.is_some() || is_fresh || now < self.unrecorded_until {
             return None;
         }
@@ -54,7 +54,7 @@
     }
 
     /// The write of the last promise has ended, well or not. It may be on the disk in either case, and binds.
-    pub fn settle(&mut self) {
+    pub fn resolve_pending(&mut self) {
         self.until = self.until.max(self.pending.take());
     }
 
--- a/crates/site-routing/src/router.rs
+++ b/crates/site-routing/src/router.rs
@@ -181,7 +181,7 @@
     fn confirm_home(&mut self, now: Micros, group: u64, site: SiteId) -> bool {
         let moved = self.homes.confirm(now, group, site);
         if moved {
-            self.search.resume(now, group);
+            self.search.end_backoff(now, group);
         }
         moved
     }
--- a/crates/site-routing/src/router/link_events.rs
+++ b/crates/site-routing/src/router/link_events.rs
@@ -39,14 +39,14 @@
         links: usize,
         same_incarnation: bool,
     ) -> Actions {
-        self.gateways.get_or_add(gateway, site, &self.config.classes).set_links(now, links);
+        self.gateways.get_or_add(gateway, site, &self.config.classes).set_link_count(now, links);
         if !same_incarnation {
             self.gateway_restarted(now, gateway);
         }
         if links > 0 {
             self.query_unresolved_at(now, gateway);
         } else if let Some(gateway) = self.gateways.get_mut(gateway) {
-            gateway.withdraw_credits();
+            gateway.clear_credits();
         }
         self.place_queued(now);
         self.take_actions()
@@ -55,9 +55,9 @@
     /// The new process may have read back what the old one accepted: it is asked, and knows or does not.
     fn gateway_restarted(&mut self, now: Micros, gateway: PeerGatewayId) {
         if let Some(gateway) = self.gateways.get_mut(gateway) {
-            gateway.restarted();
+            gateway.process_restarted();
         }
-        self.link_credit.forget(gateway);
+        self.link_credit.reset(gateway);
         for number in self.forwarded.open_at(gateway) {
             self.forward_lost(now, number);
         }
@@ -94,9 +94,9 @@
         draining: bool,
     ) -> Actions {
         if let Some(gateway) = self.gateways.get_mut(gateway) {
-            gateway.announced(credits, draining);
-            for group in self.homes.learn_announcement(now, gateway.site, groups) {
-                self.search.resume(now, group);
+            gateway.apply_announcement(credits, draining);
+            for group in self.homes.apply_announcement(now, gateway.site, groups) {
+                self.search.end_backoff(now, group);
             }
         }
         self.place_queued(now);
--- a/crates/site-routing/src/router/local.rs
+++ b/crates/site-routing/src/router/local.rs
@@ -20,7 +20,7 @@
     /// An attempt at this site, which began at that time, may have run.
     pub fn local_may_have_run(&mut self, handle: RequestHandle, began: Micros) {
         if let Some(pending) = self.pending.get_mut(handle).filter(|pending| pending.is_local()) {
-            pending.note_possible_execution(began, LOCAL_SITE);
+            pending.record_possible_execution(began, LOCAL_SITE);
         }
     }
 
--- a/crates/site-routing/src/router/placement.rs
+++ b/crates/site-routing/src/router/placement.rs
@@ -133,7 +133,7 @@
         let Some(pending) = self.pending.get_mut(handle) else { return };
         if !pending.ruled_out.is_empty() {
             pending.ruled_out.clear();
-            self.search.hold(now, pending.request.group);
+            self.search.start_backoff(now, pending.request.group);
         }
     }
 }
--- a/crates/site-routing/src/site_selection.rs
+++ b/crates/site-routing/src/site_selection.rs
@@ -38,7 +38,7 @@
 
     /// Whether another site could still be asked whether it has the request's primary.
     pub(crate) fn has_other_candidate(&self, pending: &PendingRequest) -> bool {
-        self.gateways.iter().any(|gateway| self.may_send(pending, gateway))
+        self.gateways.iter().any(|gateway| self.can_forward_to(pending, gateway))
     }
 
     /// The believed home; else the search: every other site in the order of its index, the local one first.
@@ -57,7 +57,7 @@
                 return None;
             }
         }
-        if self.search.is_held(self.now, group) {
+        if self.search.is_backing_off(self.now, group) {
             return None;
         }
         let mut candidates = (0..self.sites).filter(may_have_primary);
@@ -73,36 +73,44 @@
     fn site_for_read(
         &self,
         pending: &PendingRequest,
-        is_close: impl Fn(&PeerGateway) -> bool,
+        is_fresh_enough: impl Fn(&PeerGateway) -> bool,
     ) -> Option<SiteId> {
         let has_local_members = self.homes.local_members(pending.request.group) > 0;
         // A remote request was sent here by a gateway that knew of the drain; it is not sent on.
-        let drain = self.sessions.plan(LOCAL_SITE).filter(|_| !pending.request.is_remote());
+        let placement = self.sessions.placement(LOCAL_SITE).filter(|_| !pending.request.is_remote());
         let session = pending.request.session.as_deref().unwrap_or_default();
-        if let Some(drain) = drain.filter(|drain| !drain.stays(session)) {
-            let suits = |gateway: &PeerGateway| self.may_send(pending, gateway) && is_close(gateway);
-            let reachable = |site| self.gateways.iter().any(|gateway| gateway.site == site && suits(gateway));
-            if let Some(successor) = self.sessions.successor(drain, session, reachable) {
+        if let Some(placement) = placement.filter(|placement| !placement.stays(session)) {
+            let is_eligible =
+                |gateway: &PeerGateway| self.can_forward_to(pending, gateway) && is_fresh_enough(gateway);
+            let reachable =
+                |site| self.gateways.iter().any(|gateway| gateway.site == site && is_eligible(gateway));
+            if let Some(successor) = self.sessions.successor(placement, session, reachable) {
                 return Some(successor);
             }
             // With no other site in reach, this one serves it as long as any session is left here.
-            return (has_local_members && drain.plan.weight > 0).then_some(LOCAL_SITE);
+            return (has_local_members && placement.plan.weight > 0).then_some(LOCAL_SITE);
         }
         if has_local_members && !self.sessions.is_drained(LOCAL_SITE) {
             return Some(LOCAL_SITE);
         }
-        self.nearest(pending, |gateway| is_close(gateway) && !self.sessions.is_emptied(gateway.site))
+        self.nearest(pending, |gateway| is_fresh_enough(gateway) && !self.sessions.is_emptied(gateway.site))
     }
 
     /// The site with the shortest round trip, of those that can be sent the request and suit.
-    fn nearest(&self, pending: &PendingRequest, suits: impl Fn(&PeerGateway) -> bool) -> Option<SiteId> {
-        let gateways =
-            self.gateways.iter().filter(|gateway| self.may_send(pending, gateway) && suits(gateway));
+    fn nearest(
+        &self,
+        pending: &PendingRequest,
+        is_eligible: impl Fn(&PeerGateway) -> bool,
+    ) -> Option<SiteId> {
+        let gateways = self
+            .gateways
+            .iter()
+            .filter(|gateway| self.can_forward_to(pending, gateway) && is_eligible(gateway));
         gateways.min_by_key(|gateway| gateway.round_trip()).map(|gateway| gateway.site)
     }
 
     /// Whether the request can be sent to that gateway, whose site has members and has not been asked yet.
-    fn may_send(&self, pending: &PendingRequest, gateway: &PeerGateway) -> bool {
+    fn can_forward_to(&self, pending: &PendingRequest, gateway: &PeerGateway) -> bool {
         self.homes.has_members(pending.request.group, gateway.site)
             && !pending.has_been_at(gateway.site)
             && gateway.is_usable(self.now)
--- a/crates/site-routing/tests/failing_disk/history.rs
+++ b/crates/site-routing/tests/failing_disk/history.rs
@@ -178,7 +178,7 @@
                 batch.put(PROMISES, &key, &value, Some(over));
             }
             if !self.hand_over(process, batch, Write::RecordingPromise) {
-                process.promise.settle();
+                process.promise.resolve_pending();
             }
         }
     }
@@ -254,7 +254,7 @@
             false => process.breaker.write_failed(self.now + self.ahead),
         }
         match write {
-            Write::RecordingPromise => process.promise.settle(),
+            Write::RecordingPromise => process.promise.resolve_pending(),
             // One that was not kept is rejected: it never runs.
             Write::Taking(number) if well => {
                 self.now_runs(number, true);
@@ -272,7 +272,7 @@
         if process.breaker.check_timeout(self.clock()) {
             for (_, write) in &mut process.waiting {
                 if matches!(std::mem::replace(write, Write::GivenUp), Write::RecordingPromise) {
-                    process.promise.settle();
+                    process.promise.resolve_pending();
                 }
             }
         }
--- a/crates/site-routing/tests/forwarding_model/protocol.rs
+++ b/crates/site-routing/tests/forwarding_model/protocol.rs
@@ -31,7 +31,7 @@
         let mut promise = RecordingPromise::new(PromiseScope::Timed);
         if self.disk {
             promise.renew(now);
-            promise.settle();
+            promise.resolve_pending();
         }
         promise
     }
--- a/crates/site-routing/tests/forwarding_model/state.rs
+++ b/crates/site-routing/tests/forwarding_model/state.rs
@@ -112,6 +112,6 @@
 
 pub fn new_table() -> OutcomeTable<()> {
     let mut outcomes = OutcomeTable::new(100, 10);
-    outcomes.greeted(&origin(), false);
+    outcomes.register_incarnation(&origin(), false);
     outcomes
 }
--- a/crates/site-routing/tests/previous_incarnations.rs
+++ b/crates/site-routing/tests/previous_incarnations.rs
@@ -36,11 +36,11 @@
     let until = promise.renew(10).expect("due");
     assert!(!promise.permits_unrecorded(11), "it may be on the disk already");
     assert_eq!(promise.renew(11), None);
-    promise.settle();
+    promise.resolve_pending();
     assert_eq!(promise.renew(11), None);
     assert!(!promise.permits_unrecorded(until) && promise.permits_unrecorded(until + 1));
     let next = promise.renew(until - 1).expect("due again");
-    promise.settle();
+    promise.resolve_pending();
     assert!(!promise.permits_unrecorded(next) && promise.permits_unrecorded(next + 1));
 }
 
@@ -84,7 +84,7 @@
     let mut promise = RecordingPromise::default();
     assert!(promise.permits_unrecorded(1), "none was given");
     let until = promise.renew(10).expect("due");
-    promise.settle();
+    promise.resolve_pending();
     assert!(!promise.permits_unrecorded(until + 1) && !promise.permits_unrecorded(until + 3_600_000_000));
     assert!(promise.renew(until - 1).is_some(), "due again");
 }
--- a/crates/site-routing/tests/two_sites/world.rs
+++ b/crates/site-routing/tests/two_sites/world.rs
@@ -42,7 +42,7 @@
         self.linked = true;
         for at in 0..2 {
             let incarnation = self.sides[1 - at].incarnation;
-            self.sides[at].outcomes.greeted(&origin(1 - at, incarnation), false);
+            self.sides[at].outcomes.register_incarnation(&origin(1 - at, incarnation), false);
             let offer = self.sides[1 - at].router.offered_capacity(GATEWAY);
             let actions = self.sides[at].router.links_changed(self.now, GATEWAY, FAR_SITE, 1, true);
             self.carry_out(at, actions);
@@ -85,8 +85,8 @@
         self.sides[at] = side(incarnation * 77 + at as u64, self.now, incarnation);
         let actions = self.sides[1 - at].router.links_changed(self.now, GATEWAY, FAR_SITE, 0, false);
         self.carry_out(1 - at, actions);
-        self.sides[1 - at].outcomes.greeted(&origin(at, incarnation), false);
-        self.sides[at].outcomes.greeted(&origin(1 - at, self.sides[1 - at].incarnation), false);
+        self.sides[1 - at].outcomes.register_incarnation(&origin(at, incarnation), false);
+        self.sides[at].outcomes.register_incarnation(&origin(1 - at, self.sides[1 - at].incarnation), false);
     }
 
     pub fn send(&mut self, from: usize, frame: Frame) {
