--- a/crates/site-routing/src/forwarded_requests.rs
+++ b/crates/site-routing/src/forwarded_requests.rs
@@ -1,45 +1,46 @@
-//! The sender's account of forwarded requests: each one that went to another gateway and whose outcome is not known yet.
+//! The sender's table of forwarded requests: each request sent to another gateway whose outcome is not known yet.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{ForwardNumber, Micros, Outcome, PeerAnswer, PeerGatewayId, RequestHandle};
 
-/// After how long without a reply a query about an outcome is repeated, in microseconds: well over a round trip between
-/// sites, and short against the timeouts of requests.
+/// Time without a reply after which a query about an outcome is repeated, in microseconds. Well above a round trip
+/// between sites, and short compared to the timeouts of requests.
 const QUERY_RETRY_INTERVAL: Micros = 500_000;
 
-/// What the sender knows of one forwarded request.
+/// State of a forwarded request, as known to its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ForwardState {
-    /// Sent over a link that stands: its answer is on the way.
+    /// The request was sent over a link that is still up, and its answer is expected.
     InFlight,
-    /// Its link was lost, and perhaps its answer with it: the receiver is to be asked.
+    /// The request's link was lost, and possibly the answer with it; the receiver must be asked.
     Unresolved,
-    /// The receiver was asked, and has not replied yet.
+    /// The receiver was asked and has not replied yet.
     Queried,
 }
 
-/// What an answer, an outcome or a lost link says about a forwarded request.
+/// What an answer, an outcome or a lost link implies for a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Conclusion {
-    /// Nothing yet: it stays open.
+    /// Nothing yet: the request stays open.
     Open,
-    /// It never ran: it may go elsewhere, or be rejected.
+    /// The request never ran, so it may be sent elsewhere or rejected.
     NeverRan,
-    /// It was served.
+    /// The request was served.
     Served,
-    /// It may have run, and more will not be known.
+    /// The request may have run, and nothing more will be learned about it.
     MayHaveRun,
 }
 
 impl ForwardState {
-    /// The link of the request was lost. Where a second execution is harmless, the outcome need not be found out.
+    /// Handles the loss of the request's link. If a second execution is harmless, the outcome does not need to be
+    /// known.
     pub fn link_lost(&mut self, harmless_to_repeat: bool) -> Conclusion {
         *self = ForwardState::Unresolved;
         if harmless_to_repeat { Conclusion::MayHaveRun } else { Conclusion::Open }
     }
 
-    /// The receiver answered the request.
+    /// Handles the receiver's answer to the request.
     pub fn answered(&mut self, answer: PeerAnswer) -> Conclusion {
         match answer {
             PeerAnswer::Served => Conclusion::Served,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The receiver replied to a query about the request.
+    /// Handles the receiver's reply to a query about the request.
     pub fn outcome_received<V>(&mut self, outcome: &Outcome<V>) -> Conclusion {
         match outcome {
             Outcome::NeverAccepted | Outcome::Rejected { .. } => Conclusion::NeverRan,
@@ -63,28 +64,29 @@
     }
 }
 
-/// A request that was forwarded and is not closed.
+/// A request that was forwarded and is still open.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ForwardedRequest {
     pub(crate) handle: RequestHandle,
     pub(crate) gateway: PeerGatewayId,
     pub(crate) class: usize,
     pub(crate) sent_at: Micros,
-    /// When it was sent, or its receiver last asked about it.
+    /// When the request was sent, or its receiver was last asked about it.
     pub(crate) last_contact_at: Micros,
     pub(crate) state: ForwardState,
 }
 
-/// The numbers that one gateway was sent.
+/// Numbers of the requests that were sent to one gateway.
 #[derive(Debug, Default)]
 struct SentNumbers {
     open: BTreeSet<ForwardNumber>,
     highest: ForwardNumber,
-    /// Up to here the gateway was told that nothing will be asked any more.
+    /// Highest number confirmed to the gateway: nothing up to this number will be asked about any more. Zero if none
+    /// was.
     confirmed: ForwardNumber,
 }
 
-/// All requests that this gateway forwarded and has not closed, by number.
+/// All requests that this gateway forwarded and that are still open, by number.
 #[derive(Debug)]
 pub(crate) struct ForwardedRequests {
     open: BTreeMap<ForwardNumber, ForwardedRequest>,
@@ -99,7 +101,7 @@
 }
 
 impl ForwardedRequests {
-    /// Opens the account of a request that is sent now. Returns the number to send it under.
+    /// Adds a request that is being sent now. Returns the number to send it under.
     pub(crate) fn open(
         &mut self,
         now: Micros,
@@ -126,7 +128,7 @@
         self.open.get_mut(&number)
     }
 
-    /// Closes the account: nothing more will be asked about the request.
+    /// Removes a request that nothing more will be asked about.
     pub(crate) fn close(&mut self, number: ForwardNumber) -> Option<ForwardedRequest> {
         let request = self.open.remove(&number)?;
         if let Some(numbers) = self.numbers_by_gateway.get_mut(&request.gateway) {
@@ -135,7 +137,7 @@
         Some(request)
     }
 
-    /// The receiver is to be asked about a request whose outcome is unresolved. Returns the request if so.
+    /// Marks a request as queried if its outcome is unresolved. Returns the request if its receiver is to be asked.
     pub(crate) fn start_query(&mut self, now: Micros, number: ForwardNumber) -> Option<ForwardedRequest> {
         let request = self.open.get_mut(&number)?;
         if request.state != ForwardState::Unresolved {
@@ -146,7 +148,8 @@
         Some(*request)
     }
 
-    /// Makes requests unresolved again whose query was not replied to in time. Returns their numbers, by gateway.
+    /// Marks requests as unresolved again if their query was not replied to in time. Returns their numbers, ordered by
+    /// gateway.
     pub(crate) fn expire_queries(&mut self, now: Micros) -> Vec<ForwardNumber> {
         let numbers = self.numbers_by_gateway.values().flat_map(|numbers| &numbers.open);
         let overdue = |request: &ForwardedRequest| {
@@ -162,20 +165,21 @@
         expired
     }
 
-    /// The numbers open at a gateway, the oldest first.
+    /// Returns the numbers of the requests that are open at a gateway, oldest first.
     pub(crate) fn open_at(&self, gateway: PeerGatewayId) -> Vec<ForwardNumber> {
         self.numbers_by_gateway
             .get(&gateway)
             .map_or(Vec::new(), |numbers| numbers.open.iter().copied().collect())
     }
 
-    /// How many requests of a class are open at a gateway.
+    /// Returns how many requests of a class are open at a gateway.
     pub(crate) fn count_at(&self, gateway: PeerGatewayId, class: usize) -> usize {
         let open = self.numbers_by_gateway.get(&gateway).into_iter().flat_map(|numbers| &numbers.open);
         open.filter(|number| self.open.get(number).is_some_and(|request| request.class == class)).count()
     }
 
-    /// The number up to which all that was sent to a gateway is closed, if that has risen since it was last returned.
+    /// Returns the number up to which all requests sent to a gateway are closed, or `None` if it has not risen since it
+    /// was last returned.
     pub(crate) fn confirm(&mut self, gateway: PeerGatewayId) -> Option<ForwardNumber> {
         let numbers = self.numbers_by_gateway.get_mut(&gateway)?;
         let closed_up_to = numbers.open.first().map_or(numbers.highest, |first| first - 1);
--- a/crates/site-routing/src/home_sites.rs
+++ b/crates/site-routing/src/home_sites.rs
@@ -1,21 +1,21 @@
-//! The home cache: at which site each group's primary is believed to be, and which sites have members of it.
+//! Home site cache: the site believed to have each group's primary, and the sites that have members of the group.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{LOCAL_SITE, Micros, NEVER, SiteId};
 
-/// A site's own announcement is believed against an older belief once that is this old, in microseconds. Answers of members
-/// are first-hand and newer; an announcement may have been made before the primary moved.
+/// How long an answer outweighs announcements, in microseconds. Answers come from the members themselves and are more
+/// recent; an announcement may have been made before the primary moved.
 const ANSWER_TRUST_DURATION: Micros = 1_000_000;
 
 #[derive(Debug)]
 struct Group {
     home: Option<SiteId>,
-    /// When an answer last confirmed the home or ruled it out.
+    /// When an answer last confirmed the home or ruled it out; [`NEVER`] if none did.
     last_answer_at: Micros,
-    /// How many ready members the local endpoint list has.
+    /// Number of ready members in the local endpoint list.
     local_members: usize,
-    /// Other sites that announced members.
+    /// Other sites known to have members.
     remote_sites: BTreeSet<SiteId>,
 }
 
@@ -25,36 +25,36 @@
     }
 }
 
-/// The home site of each group, as last learned.
+/// The last known home site of each group.
 ///
-/// Sources, the strongest first: answers to requests, announcements of other sites, the operator's configuration.
+/// Sources in descending precedence: answers to requests, announcements of other sites, the operator's configuration.
 #[derive(Debug, Default)]
 pub(crate) struct HomeSites {
     groups: BTreeMap<u64, Group>,
 }
 
 impl HomeSites {
-    /// All groups known here, in ascending order.
+    /// Returns all known groups in ascending order.
     pub(crate) fn groups(&self) -> impl Iterator<Item = u64> {
         self.groups.keys().copied()
     }
 
-    /// Whether any site is known to have the group.
+    /// Returns whether the cache has an entry for the group.
     pub(crate) fn knows(&self, group: u64) -> bool {
         self.groups.contains_key(&group)
     }
 
-    /// The site where the group's primary is believed to be.
+    /// Returns the site believed to have the group's primary, or `None` if it is not known.
     pub(crate) fn home(&self, group: u64) -> Option<SiteId> {
         self.groups.get(&group)?.home
     }
 
-    /// How many ready members of the group this site has.
+    /// Returns the number of ready members of the group at this site.
     pub(crate) fn local_members(&self, group: u64) -> usize {
         self.groups.get(&group).map_or(0, |group| group.local_members)
     }
 
-    /// Whether the site has members of the group.
+    /// Returns whether the site has members of the group.
     pub(crate) fn has_members(&self, group: u64, site: SiteId) -> bool {
         self.groups.get(&group).is_some_and(|group| match site {
             LOCAL_SITE => group.local_members > 0,
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Takes over the local endpoint list: each group with its number of ready members. Groups left out have none.
+    /// Applies the local endpoint list: each group with its number of ready members. Groups not listed have none.
     pub(crate) fn set_local_members(&mut self, listed: &[(u64, usize)]) {
         for group in self.groups.values_mut() {
             group.local_members = 0;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Assumes a home, as configured, until an answer or an announcement says otherwise.
+    /// Sets the configured home of a group, which holds until an answer or an announcement replaces it.
     pub(crate) fn assume(&mut self, group: u64, site: SiteId) {
         let group = self.entry(group);
         group.home = Some(site);
@@ -81,14 +81,15 @@
         }
     }
 
-    /// An answer showed the primary at that site. Returns whether the home has changed.
+    /// Records that an answer showed the primary at the site. Returns whether the home has changed.
     pub(crate) fn confirm(&mut self, now: Micros, group: u64, site: SiteId) -> bool {
         let group = self.entry(group);
         group.last_answer_at = now;
         group.home.replace(site) != Some(site)
     }
 
-    /// An answer showed that the primary is not at that site; `hint` says where it may be instead.
+    /// Records that an answer showed the primary not to be at the site; `hint` is where it may be instead. A home
+    /// believed to be at a different site stays.
     pub(crate) fn rule_out(&mut self, now: Micros, group: u64, site: SiteId, hint: Option<SiteId>) {
         let group = self.entry(group);
         if group.home == Some(site) || group.home.is_none() {
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Another site announced all groups that it has members of, each with whether it has the primary. Returns the groups
-    /// whose home has changed.
+    /// Applies an announcement of another site, which lists all groups that the site has members of, each with whether
+    /// it has the primary. Returns the groups whose home has changed.
     pub(crate) fn apply_announcement(
         &mut self,
         now: Micros,
--- a/crates/site-routing/src/link_credit.rs
+++ b/crates/site-routing/src/link_credit.rs
@@ -1,32 +1,33 @@
-//! How many requests other gateways may have in flight here, by request class.
+//! Credit offered to other gateways: how many requests of each class they may have in flight at this gateway.
 
 use std::collections::HashMap;
 
 use crate::{Micros, NEVER, PeerGatewayId, RequestClass};
 
-/// The window of a gateway that has just come, in requests.
+/// Initial window of a gateway for each class, in requests.
 const INITIAL_WINDOW: f64 = 16.0;
-/// The smallest window, in requests: with none at all nobody would find out that there is capacity again.
+/// Smallest window, in requests. With a window of zero nobody would find out that capacity is available again.
 const MIN_WINDOW: f64 = 1.0;
-/// How long a window that was shrunk is not shrunk again, in microseconds: rejections that come together are one sign of
-/// overload.
+/// Minimum time between two reductions of a window, in microseconds. Rejections in quick succession count as one sign
+/// of overload.
 const SHRINK_INTERVAL: Micros = 100_000;
-/// What a rejection leaves of the window of a class that is worth nothing.
+/// Factor by which a rejection multiplies the window of a class whose priority weight is zero.
 const MIN_SHRINK_FACTOR: f64 = 0.5;
-/// By how much more it leaves of the window of the class that is worth most; others lie between by their weight.
+/// Amount added to [`MIN_SHRINK_FACTOR`] for the class with the highest priority weight; other classes get a part of it
+/// in proportion to their weight.
 const SHRINK_FACTOR_RANGE: f64 = 0.4;
 
-/// How many requests of one class one gateway may have in flight here.
+/// Limit on the requests of one class that one gateway may have in flight here.
 #[derive(Clone, Copy, Debug)]
 struct Window {
-    /// Whole requests are offered; the fraction grows.
+    /// Size in requests. Only whole requests are offered; the fraction accumulates growth.
     size: f64,
     in_flight: u32,
     shrunk_at: Micros,
 }
 
 impl Window {
-    /// Whether the gateway has used what it was offered: only then does it get a larger offer.
+    /// Returns whether the gateway uses all of its window; only then does the window grow.
     fn is_full(&self) -> bool {
         f64::from(self.in_flight) >= self.size - 1.0
     }
@@ -36,28 +37,29 @@
         self.shrunk_at = now;
     }
 
-    /// By one request for each window's worth of requests.
+    /// Grows the window by one request for each window's worth of requests.
     fn grow(&mut self, max: f64) {
         self.size = (self.size + 1.0 / self.size).min(max);
     }
 }
 
-/// The credit that this gateway offers to others: a window for each gateway and request class, which a rejection shrinks and
-/// success grows.
+/// Credit that this gateway offers to others: one window for each gateway and request class, which shrinks on a
+/// rejection and grows on success.
 ///
-/// Without it a site that is overloaded passes its overload on, and this site's own clients suffer. A flood of one class
-/// leaves the windows of others alone, and the class of the highest priority weight shrinks least. The cost: a sudden shift
-/// of load to this site is taken on slowly, by one request more for each window's worth of requests.
+/// Without this limit an overloaded site would pass its overload on, at the expense of this site's own clients. A flood
+/// of one class does not affect the windows of other classes, and the window of the class with the highest priority
+/// weight shrinks least. The drawback is that this site takes on a sudden shift of load only slowly, at one more
+/// request for each window's worth of requests.
 #[derive(Debug)]
 pub(crate) struct LinkCredit {
     windows: HashMap<PeerGatewayId, Vec<Window>>,
-    /// What a rejection leaves of a window, by class.
+    /// Factor by which a rejection multiplies a window, by class index.
     shrink_factors: Vec<f64>,
     max: f64,
 }
 
 impl LinkCredit {
-    /// `max` is the largest window, in requests.
+    /// Creates the state without any gateway. `max` is the largest window, in requests; zero counts as one.
     pub(crate) fn new(classes: &[RequestClass], max: u32) -> LinkCredit {
         let weights = classes.iter().map(|class| class.priority_weight);
         let max_weight = weights.clone().fold(f64::MIN_POSITIVE, f64::max);
@@ -70,20 +72,20 @@
         }
     }
 
-    /// What is offered to a gateway, in requests by class.
+    /// Returns the credit offered to a gateway, in requests by class index.
     pub(crate) fn offered_to(&mut self, gateway: PeerGatewayId) -> Vec<u32> {
         let windows = self.windows_of(gateway).iter();
         windows.map(|window| window.size.floor().max(MIN_WINDOW) as u32).collect()
     }
 
-    /// A request of a gateway was accepted.
+    /// Records that a request of a gateway was accepted.
     pub(crate) fn request_started(&mut self, gateway: PeerGatewayId, class: usize) {
         if let Some(window) = self.windows_of(gateway).get_mut(class) {
             window.in_flight += 1;
         }
     }
 
-    /// A request of a gateway has ended. Returns whether the offer to that gateway has changed.
+    /// Records that a request of a gateway has ended. Returns whether the credit offered to that gateway has changed.
     pub(crate) fn request_ended(
         &mut self,
         now: Micros,
@@ -105,7 +107,8 @@
         window.size.floor() != offered_before
     }
 
-    /// The gateway has restarted: it has nothing in flight here, and begins with the initial window.
+    /// Discards the windows of a gateway that has restarted: it has nothing in flight here, and starts with the initial
+    /// window again.
     pub(crate) fn reset(&mut self, gateway: PeerGatewayId) {
         self.windows.remove(&gateway);
     }
--- a/crates/site-routing/src/outcome_table.rs
+++ b/crates/site-routing/src/outcome_table.rs
@@ -1,56 +1,57 @@
-//! The receiver's account in memory: what became of each request that this process accepted from other gateways.
+//! The receiver's in-memory table of the outcome of each request that this process accepted from other gateways.
 //!
-//! Two logs hold outcomes, and each has one owner. The [`OutcomeTable`] here belongs to the running process: it holds every
-//! remote request that this incarnation accepted, decides whether another copy is accepted, and answers queries that name
-//! this incarnation. It is lost with the process. The proxy's `dispatcher/outcome_log.rs` owns the log on disk: it holds the
-//! non-idempotent requests alone, is only written while the process runs, and is only read by a later incarnation, as
-//! [`PreviousIncarnations`](crate::PreviousIncarnations), to answer queries that name this one.
+//! Outcomes are kept in two places, each with one owner. The [`OutcomeTable`] belongs to the running process: it holds
+//! every remote request that this incarnation accepted, decides whether another copy is accepted, and answers queries
+//! about this incarnation. It is lost when the process ends. The proxy's `dispatcher/outcome_log.rs` owns the log on
+//! disk: the log holds only non-idempotent requests and is only written while the process runs. A later incarnation
+//! reads it as [`PreviousIncarnations`](crate::PreviousIncarnations), to answer queries about this incarnation.
 //!
-//! A number is accepted once. A query about a number that was never accepted fences it: from then on it never will be, so
-//! that the sender may send the request elsewhere. A record is forgotten once nobody can ask about it, by its deadline or
-//! by the sender's confirmation; numbers that were forgotten stay fenced by a floor below all later ones.
+//! Each number is accepted at most once. A query about a number that was never accepted fences the number: it will
+//! never be accepted, so the sender may send the request elsewhere. A record is dropped once nobody can ask about it
+//! any more, because it has expired or because the sender confirmed that it will not ask. Its number stays fenced: the
+//! table keeps, for each sender, a number up to which all are fenced.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::{ForwardNumber, Micros};
 
-/// How many replaced incarnations of one sender are remembered. A frame of an older one would have to be on its way for as
-/// long as that many restarts take.
+/// Number of replaced incarnations that are remembered per sender. A frame from an older one would have to be in
+/// transit for as long as that many restarts take.
 const MAX_REPLACED_INCARNATIONS: usize = 64;
 
-/// The process that sent a request. With the request's number it is the request's key.
+/// The process that sent a request. Together with the request's number it forms the request's key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Origin {
-    /// The name of its site.
+    /// Name of the process's site.
     pub site: String,
-    /// The name of its instance within the site.
+    /// Name of the instance within the site.
     pub instance: String,
-    /// Differs between any two starts of that instance.
+    /// Incarnation number, different for each start of the instance.
     pub incarnation: u64,
 }
 
-/// What became of a request that was sent to this gateway. `V` is the response to a served one.
+/// Outcome of a request that was sent to this gateway. `V` is the type of the response to a served request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome<V> {
-    /// It was never accepted, and never will be.
+    /// The request was never accepted, and never will be.
     NeverAccepted,
-    /// It was accepted, and has not ended yet.
+    /// The request was accepted and has not ended yet.
     InFlight,
-    /// It was rejected and never ran.
+    /// The request was rejected and never ran.
     Rejected {
-        /// After how long the client may try again, in microseconds.
+        /// Delay after which the client may retry, in microseconds.
         retry_after: Micros,
     },
-    /// It was served with this response.
+    /// The request was served with this response.
     Served(V),
-    /// It failed, and may have run.
+    /// The request failed, and may have run.
     Failed,
-    /// It may have been accepted; nothing is known of it.
+    /// Nothing is known about the request; it may have been accepted.
     Unknown,
 }
 
 impl<V> Outcome<V> {
-    /// The same with a reference to the response.
+    /// Returns the outcome with a reference to the response.
     pub fn as_ref(&self) -> Outcome<&V> {
         match self {
             Outcome::NeverAccepted => Outcome::NeverAccepted,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// The same with the response converted.
+    /// Returns the outcome with the response converted by `convert`.
     pub fn map<W>(self, convert: impl FnOnce(V) -> W) -> Outcome<W> {
         match self {
             Outcome::NeverAccepted => Outcome::NeverAccepted,
@@ -75,37 +76,37 @@
     }
 }
 
-/// Why a request is not accepted.
+/// Reason why a request is not accepted.
 ///
-/// The sender is told of [`NotAccepted::Full`] alone. Another copy may have run before: it must never be called a request
-/// that did not run.
+/// Only [`NotAccepted::Full`] is reported to the sender. In the other cases an earlier copy may have run, so the sender
+/// must not be told that the request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotAccepted {
-    /// Its number was fenced by a query, or is at or below the floor.
+    /// The request's number was fenced by a query, or is not above the number up to which all are fenced.
     Fenced,
-    /// It is another copy of a request that was accepted.
+    /// The request is another copy of one that was accepted.
     Duplicate,
-    /// It is from an incarnation of its sender that another has replaced.
+    /// The request comes from an incarnation of its sender that another one has replaced.
     StaleIncarnation,
-    /// The sender has as many requests here as are remembered of one sender.
+    /// The table already holds the maximum number of records for the sender.
     Full,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Record<V> {
     outcome: Outcome<V>,
-    /// When nobody can ask about it any more.
+    /// When nobody can ask about the request any more.
     expires_at: Micros,
 }
 
-/// The requests of one sender's present incarnation.
+/// Requests of one sender's current incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct SenderOutcomes<V> {
     incarnation: u64,
-    /// Numbers at or below it are fenced, except those that have a record.
+    /// All numbers up to this one are fenced, except those that have a record.
     fenced_up_to: ForwardNumber,
     records: BTreeMap<ForwardNumber, Record<V>>,
-    /// Incarnations that a later one has replaced, the oldest first.
+    /// Incarnations that a later one has replaced, in order of replacement.
     replaced: VecDeque<u64>,
 }
 
@@ -114,7 +115,7 @@
         SenderOutcomes { incarnation, fenced_up_to: 0, records: BTreeMap::new(), replaced }
     }
 
-    /// Forgets records that have expired, and fences their numbers.
+    /// Drops expired records and fences their numbers.
     fn expire(&mut self, now: Micros) {
         let expired = |record: &Record<V>| now >= record.expires_at;
         let highest =
@@ -126,26 +127,27 @@
     }
 }
 
-/// What became of all requests that this process accepted, by sender.
+/// Outcomes of all requests that this process accepted from other gateways, by sender.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OutcomeTable<V> {
-    /// By the names of site and instance.
+    /// Senders by the names of their site and instance.
     senders: BTreeMap<(String, String), SenderOutcomes<V>>,
     max_records_per_sender: usize,
     query_grace: Micros,
 }
 
 impl<V: Clone> OutcomeTable<V> {
-    /// `query_grace` is how long after a request's deadline its sender may still ask about it, in microseconds.
+    /// Creates an empty table with room for `max_records_per_sender` records of each sender. `query_grace` is how long
+    /// after a request's deadline its sender may still ask about it, in microseconds.
     pub fn new(max_records_per_sender: usize, query_grace: Micros) -> OutcomeTable<V> {
         OutcomeTable { senders: BTreeMap::new(), max_records_per_sender, query_grace }
     }
 
-    /// A sender has greeted. Returns whether it is welcome: an incarnation that another has replaced is not, and its late
-    /// frames are not accepted any more.
+    /// Registers the incarnation of a sender that has connected. Returns whether it is the sender's current
+    /// incarnation: one that another has replaced is refused, and late frames from it are not accepted.
     ///
-    /// `current_is_linked` says whether a link of the incarnation known so far stands; while it does, one of a lower number
-    /// is taken for an older one that comes late.
+    /// `current_is_linked` says whether the incarnation known so far still has a link; while it does, an incarnation
+    /// with a lower number is taken for an older one that connects late.
     pub fn register_incarnation(&mut self, origin: &Origin, current_is_linked: bool) -> bool {
         let name = (origin.site.clone(), origin.instance.clone());
         let Some(sender) = self.senders.get_mut(&name) else {
@@ -168,11 +170,12 @@
         true
     }
 
-    /// Accepts a request, once. `timeout` is how long its sender still waits for it, in microseconds.
+    /// Accepts a request; each number is accepted at most once. `timeout` is how long the sender still waits for the
+    /// request, in microseconds; a negative one counts as zero.
     ///
     /// # Errors
     ///
-    /// Why it is not accepted; see there what the sender is told.
+    /// Returns the reason why the request is not accepted. [`NotAccepted`] says which reason is reported to the sender.
     pub fn accept(
         &mut self,
         now: Micros,
@@ -188,7 +191,7 @@
             Some(_) => return Err(NotAccepted::Duplicate),
             None if number <= sender.fenced_up_to => return Err(NotAccepted::Fenced),
             None if sender.records.len() >= max_records => {
-                // Fenced by the floor, as there is no place for a record: another copy must not be accepted later.
+                // There is no room for a record, so the number is fenced: another copy must not be accepted later.
                 sender.fenced_up_to = sender.fenced_up_to.max(number);
                 return Err(NotAccepted::Full);
             }
@@ -198,7 +201,7 @@
         Ok(())
     }
 
-    /// Records what became of a request that was accepted. Only the first outcome counts.
+    /// Records the outcome of a request that was accepted. Only the first outcome counts.
     pub fn record(&mut self, origin: &Origin, number: ForwardNumber, outcome: Outcome<V>) {
         let record = self.sender(origin).and_then(|sender| sender.records.get_mut(&number));
         if let Some(record) = record
@@ -208,8 +211,9 @@
         }
     }
 
-    /// Answers a sender's query. `receiver_incarnation` is the incarnation of this gateway that the request was sent to,
-    /// `own_incarnation` the present one. What an earlier one accepted is not known here.
+    /// Answers a sender's query about a request. `receiver_incarnation` is the incarnation of this gateway that the
+    /// request was sent to, and `own_incarnation` is the running one. The table does not know what previous
+    /// incarnations accepted.
     pub fn query(
         &mut self,
         now: Micros,
@@ -234,36 +238,37 @@
         Outcome::NeverAccepted
     }
 
-    /// The sender will not ask about any number up to this one.
+    /// Drops the records up to a number, after the sender has confirmed that it will not ask about them.
     pub fn confirm(&mut self, origin: &Origin, up_to: ForwardNumber) {
         if let Some(sender) = self.sender(origin) {
             sender.fenced_up_to = sender.fenced_up_to.max(up_to);
-            // What is still in flight keeps its record, so that another copy of it is recognized.
+            // Requests still in flight keep their record, so that another copy is recognized as a duplicate.
             sender
                 .records
                 .retain(|&number, record| number > up_to || matches!(record.outcome, Outcome::InFlight));
         }
     }
 
-    /// Forgets what nobody can ask about any more. The floor rises over it, so that a copy that comes later still is not
-    /// accepted; neither is, harmlessly, a request that was sent before and has not come yet.
+    /// Drops the records that nobody can ask about any more. All numbers up to the highest dropped one are fenced, so
+    /// that a copy that arrives even later is not accepted. A request with a lower number that has not arrived yet is
+    /// not accepted either, which is harmless.
     pub fn expire(&mut self, now: Micros) {
         for sender in self.senders.values_mut() {
             sender.expire(now);
         }
     }
 
-    /// How many records are held, of all senders.
+    /// Returns the number of records of all senders.
     pub fn len(&self) -> usize {
         self.senders.values().map(|sender| sender.records.len()).sum()
     }
 
-    /// Whether no record is held.
+    /// Returns whether the table has no records.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The sender, if this is its present incarnation.
+    /// Returns the sender's state if `origin` is its current incarnation.
     fn sender(&mut self, origin: &Origin) -> Option<&mut SenderOutcomes<V>> {
         let name = (origin.site.clone(), origin.instance.clone());
         self.senders.get_mut(&name).filter(|sender| sender.incarnation == origin.incarnation)
--- a/crates/site-routing/src/peer_gateway.rs
+++ b/crates/site-routing/src/peer_gateway.rs
@@ -1,4 +1,4 @@
-//! What is believed of one gateway at another site.
+//! State of one gateway at another site: links, round trip, credits, latency and recent failures.
 
 use std::collections::VecDeque;
 
@@ -7,37 +7,38 @@
 use crate::primary_search::SEARCH_BACKOFF;
 use crate::{Micros, NEVER, RequestClass, SiteId};
 
-/// The round trip that is assumed until one is measured, in microseconds.
+/// Round trip assumed until one is measured, in microseconds.
 pub(crate) const INITIAL_ROUND_TRIP: Micros = 50_000;
-/// How long a gateway that failed is blacklisted, in microseconds.
+/// How long a failing gateway stays blacklisted, in microseconds.
 const BLACKLIST_DURATION: Micros = 5_000_000;
-/// So many failures blacklist a gateway; fewer may be one lost link.
+/// Number of failures within [`FAILURE_WINDOW`] that blacklist a gateway; fewer may be due to a single lost link.
 const BLACKLIST_FAILURE_THRESHOLD: usize = 5;
-/// Failures older than this do not count, in microseconds.
+/// Age in microseconds beyond which a failure no longer counts.
 const FAILURE_WINDOW: Micros = 10_000_000;
-/// How many durations of a class are remembered before older ones lose weight.
+/// Number of recorded durations per class at which older ones start to lose weight.
 const MAX_DURATION_SAMPLES: u32 = 128;
-/// A class is assumed to take this part of its latency objective until durations are measured.
+/// Until durations are measured, requests of a class are assumed to take its latency objective divided by this.
 const ASSUMED_OBJECTIVE_DIVISOR: Micros = 8;
-/// How many measured durations the assumption weighs as much as.
+/// Weight of the assumed duration, in measured durations.
 const ASSUMED_SAMPLES: u32 = 4;
-/// How many requests a gateway must have served before its durations are believed.
+/// Number of requests that a gateway must have served before its measured durations affect its concurrency limit.
 const MIN_SERVED: u32 = 16;
-/// The shortest time that a request is taken to run at the other site, in microseconds, so that the division stays sound.
+/// Lower bound of the estimated service time at the other site, in microseconds. Keeps the divisor in
+/// [`PeerGateway::concurrency_limit`] positive.
 const MIN_SERVICE_TIME: Micros = 1_000;
 
-/// What is believed of a gateway, for people.
+/// State of a peer gateway for status output.
 #[derive(Clone, Debug, Default)]
 pub struct PeerGatewayView {
-    /// The mean round trip, in microseconds.
+    /// Mean round trip, in microseconds.
     pub round_trip: Micros,
-    /// How many requests it takes at once, by class.
+    /// Number of concurrent requests that the gateway accepts, by class index.
     pub credits: Vec<u32>,
-    /// It announced that it drains.
+    /// Whether the gateway announced that it is draining.
     pub draining: bool,
-    /// It failed of late and is avoided.
+    /// Whether the gateway is avoided because of recent failures.
     pub blacklisted: bool,
-    /// Requests in flight there.
+    /// Number of requests forwarded to the gateway whose outcome is not known yet.
     pub in_flight: usize,
 }
 
@@ -48,11 +49,11 @@
     link_count: usize,
     last_link_lost_at: Micros,
     round_trip: RoundTripEstimate,
-    /// How many requests it takes at once, by class, as it announced.
+    /// Announced number of concurrent requests, by class index; all zero while there is no link.
     credits: Vec<u32>,
     draining: bool,
     blacklist: FailureBlacklist,
-    /// From when a request was sent until its response came, by class.
+    /// Time from sending a request until its response arrived, by class index.
     durations: Vec<Histogram>,
     served: u32,
 }
@@ -75,7 +76,7 @@
         }
     }
 
-    // ---- What is heard of it.
+    // ---- Updates from links, announcements and answers.
 
     pub(crate) fn set_link_count(&mut self, now: Micros, link_count: usize) {
         if self.link_count > 0 && link_count == 0 {
@@ -84,12 +85,12 @@
         self.link_count = link_count;
     }
 
-    /// Its process has restarted: the new one has not announced that it drains.
+    /// Handles a restart of the gateway's process: the new process has not announced that it is draining.
     pub(crate) fn process_restarted(&mut self) {
         self.draining = false;
     }
 
-    /// What it offered no longer holds, as no link leads there.
+    /// Sets all credits to zero, because no link to the gateway is left.
     pub(crate) fn clear_credits(&mut self) {
         self.credits.fill(0);
     }
@@ -103,7 +104,8 @@
         self.round_trip.record(round_trip);
     }
 
-    /// It served a request. `duration` is missing where this process stalled meanwhile, so that nothing was measured.
+    /// Records that the gateway served a request. `duration` is in microseconds, and `None` if this process stalled in
+    /// the meantime, so that nothing was measured.
     pub(crate) fn record_served(&mut self, class: usize, duration: Option<Micros>) {
         if let Some(duration) = duration {
             self.durations[class].add(duration, MAX_DURATION_SAMPLES);
@@ -112,18 +114,18 @@
         self.blacklist.forget_failures();
     }
 
-    /// A request that it was sent was lost, or may have run and failed.
+    /// Records that a request forwarded to the gateway was lost, or failed and may have run.
     pub(crate) fn record_failure(&mut self, now: Micros) {
         self.blacklist.record_failure(now);
     }
 
-    // ---- What follows for requests.
+    // ---- Properties that routing decisions depend on.
 
     pub(crate) fn is_linked(&self) -> bool {
         self.link_count > 0
     }
 
-    /// Whether it can be sent requests at all.
+    /// Returns whether requests can be forwarded to the gateway at all: it is linked and not draining.
     pub(crate) fn accepts_requests(&self) -> bool {
         self.is_linked() && !self.draining
     }
@@ -132,12 +134,12 @@
         self.blacklist.is_active(now)
     }
 
-    /// Whether none of the three reasons to avoid it holds: no link, its announcement that it drains, recent failures.
+    /// Returns whether the gateway is linked, not draining and not blacklisted.
     pub(crate) fn is_usable(&self, now: Micros) -> bool {
         self.accepts_requests() && !self.is_blacklisted(now)
     }
 
-    /// Whether its last link was lost so recently that it is expected back.
+    /// Returns whether the gateway's last link was lost so recently that the gateway is expected to reconnect.
     pub(crate) fn is_expected_back(&self, now: Micros) -> bool {
         !self.draining && now - self.last_link_lost_at < SEARCH_BACKOFF
     }
@@ -146,21 +148,24 @@
         self.round_trip.mean()
     }
 
-    /// One way to it, with a margin, in microseconds.
+    /// Estimated one-way delay to the gateway in microseconds, with a safety margin.
     pub(crate) fn one_way_delay(&self) -> Micros {
         self.round_trip.one_way()
     }
 
-    /// How long a request of that class usually takes from here, in microseconds.
+    /// Typical time in microseconds from sending a request of the class until its response arrives.
     pub(crate) fn expected_duration(&self, class: usize) -> Micros {
         self.median_duration(class).max(self.round_trip.mean())
     }
 
-    /// How many requests of a class may be in flight from here, so that as many run there as it offers.
+    /// Returns how many requests of a class this gateway may have in flight at the peer, so that the peer executes as
+    /// many at once as its credit allows.
     ///
-    /// On a long line most requests are on the way at any time. If each of them used up credit, throughput would be the
-    /// credit per round trip, however little the other site has to do. The cost: what is on the way can arrive at once, and
-    /// the other gateway then rejects what it cannot take, and offers less.
+    /// The credit is scaled by the ratio of total latency to service time. On a high-latency link most requests are in
+    /// transit at any time; if each of them used up credit, throughput would be limited to the credit per round trip,
+    /// however idle the other site is. The drawback is that requests in transit can arrive all at once; the peer then
+    /// rejects those beyond its capacity and offers less credit. The credit is not scaled before [`MIN_SERVED`]
+    /// requests were served. `max` limits only the scaling: the result is never below the credit.
     pub(crate) fn concurrency_limit(&self, class: usize, max: u32) -> usize {
         let credit = self.credits.get(class).copied().unwrap_or(0);
         if self.served < MIN_SERVED || credit == 0 {
@@ -188,13 +193,14 @@
     }
 }
 
-/// Avoids a gateway for a while that failed several times in a row.
+/// Temporarily blacklists a gateway after several failures without a served request in between.
 ///
-/// Without it a gateway that loses requests, or whose links break all the time, would be sent more of them. The cost: one
-/// whose link broke once under many requests is avoided as well, unless it is the only one of its site.
+/// Otherwise requests would still be forwarded to a gateway that loses them or whose links keep breaking. The drawback
+/// is that a gateway whose link broke once with many requests in flight is avoided as well, unless it is the only one
+/// at its site.
 #[derive(Debug)]
 struct FailureBlacklist {
-    /// When the last failures happened, the oldest first.
+    /// Times of recent failures, oldest first.
     failures: VecDeque<Micros>,
     until: Micros,
 }
--- a/crates/site-routing/src/peer_gateways.rs
+++ b/crates/site-routing/src/peer_gateways.rs
@@ -1,4 +1,4 @@
-//! All gateways at other sites, and the choice of one of them.
+//! The set of gateways at other sites, and the choice of the gateway that receives a request.
 
 use std::collections::BTreeMap;
 
@@ -8,13 +8,13 @@
 use crate::peer_gateway::PeerGateway;
 use crate::{LOCAL_SITE, Micros, PeerGatewayId, RequestClass, SiteId};
 
-/// The gateways at other sites that have greeted.
+/// Gateways at other sites that have connected and identified themselves.
 #[derive(Debug, Default)]
 pub(crate) struct PeerGateways {
     gateways: BTreeMap<PeerGatewayId, PeerGateway>,
 }
 
-/// A gateway that a request may go to, and how many more requests of its class may.
+/// A gateway that a request may be forwarded to, and how many more requests of its class the gateway may be sent.
 struct Candidate {
     id: PeerGatewayId,
     capacity: usize,
@@ -29,7 +29,7 @@
         self.gateways.get_mut(&id)
     }
 
-    /// The gateway, which is added if it is new.
+    /// Returns the gateway, after adding it if it is new.
     pub(crate) fn get_or_add(
         &mut self,
         id: PeerGatewayId,
@@ -39,33 +39,35 @@
         self.gateways.entry(id).or_insert_with(|| PeerGateway::new(site, classes))
     }
 
-    /// All gateways, by their index.
+    /// Returns all gateways in the order of their index.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &PeerGateway> {
         self.gateways.values()
     }
 
-    /// The indices of a site's gateways.
+    /// Returns the indices of a site's gateways.
     pub(crate) fn ids_at(&self, site: SiteId) -> impl Iterator<Item = PeerGatewayId> {
         self.gateways.iter().filter(move |(_, gateway)| gateway.site == site).map(|(&id, _)| id)
     }
 
-    /// Whether requests can be sent to the site at all.
+    /// Returns whether requests can be sent to the site at all. The local site can always be reached.
     pub(crate) fn is_reachable(&self, site: SiteId) -> bool {
         let accepts = |gateway: &PeerGateway| gateway.site == site && gateway.accepts_requests();
         site == LOCAL_SITE || self.iter().any(accepts)
     }
 
-    /// Whether a link to the site was lost so recently that its requests wait for it.
+    /// Returns whether a link to the site was lost so recently that the site's requests wait for the link to come back.
     ///
-    /// Without it every short interruption of a link would start a search through other sites and through the members here.
-    /// A gateway that restarts is waited for as well. The cost: writes whose primary moved while the link was down wait as
-    /// long as after a search that found none.
+    /// Without the wait every short interruption of a link would start a primary search through other sites and through
+    /// the members here. A restarting gateway is waited for as well. The drawback is that writes whose primary moved
+    /// while the link was down wait as long as after a search that found no primary.
     pub(crate) fn is_expected_back(&self, now: Micros, site: SiteId) -> bool {
         self.iter().any(|gateway| gateway.site == site && gateway.is_expected_back(now))
     }
 
-    /// Chooses a gateway of the site by chance, in proportion to the capacity that is left for the class. Blacklisted ones
-    /// are chosen only where all are. `in_flight` says how many requests of the class a gateway has.
+    /// Chooses a gateway of the site at random, with probability proportional to its remaining capacity. Blacklisted
+    /// gateways are considered only if all gateways of the site that accept requests are blacklisted. `limit` returns
+    /// how many requests of the class a gateway may have in flight, and `in_flight` how many it has. Returns `None` if
+    /// no gateway has capacity left.
     pub(crate) fn choose(
         &self,
         now: Micros,
@@ -90,7 +92,7 @@
     }
 }
 
-/// Draws one in proportion to its capacity; nothing is drawn where there is none.
+/// Chooses a candidate at random, with probability proportional to its capacity; `None` if there is no capacity.
 fn choose_by_capacity(candidates: Vec<Candidate>, rng: &mut Pcg64Mcg) -> Option<PeerGatewayId> {
     let total: usize = candidates.iter().map(|candidate| candidate.capacity).sum();
     if total == 0 {
--- a/crates/site-routing/src/pending_requests.rs
+++ b/crates/site-routing/src/pending_requests.rs
@@ -1,28 +1,28 @@
-//! Requests that were accepted and have not been answered, and those of them that wait.
+//! Requests that were accepted and not yet answered, and the queue of those that wait for a site.
 
 use std::collections::HashMap;
 
 use crate::{Effect, ForwardNumber, Micros, PeerGatewayId, Request, RequestClass, SiteId};
 
-/// Names a request from its acceptance to its answer. Handles rise in the order of acceptance.
+/// Identifies a request from its acceptance to its answer. Handles increase in order of acceptance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestHandle(u64);
 
-/// Where a request is.
+/// Where a pending request currently is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestLocation {
-    /// It waits here, or is about to be placed.
+    /// The request waits in this router, or is about to be placed.
     Queued,
-    /// With the local router.
+    /// The local router has the request.
     Local {
-        /// How many attempts found their member not to be the primary since it was handed over.
+        /// Number of attempts, since the request was handed over, whose member turned out not to be the primary.
         not_primary_answers: usize,
     },
-    /// At another gateway, with its outcome unknown.
+    /// The request was forwarded to another gateway, and its outcome is not known yet.
     Forwarded {
-        /// The number it was sent under.
+        /// Number that the request was forwarded under.
         number: ForwardNumber,
-        /// The gateway it was sent to.
+        /// Gateway that the request was forwarded to.
         to: PeerGatewayId,
     },
 }
@@ -30,22 +30,22 @@
 /// An attempt that may have taken effect.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PossibleExecution {
-    /// When it began, or its site was last asked about it.
+    /// When the attempt began, or its site was last asked about it.
     pub(crate) at: Micros,
     pub(crate) site: SiteId,
 }
 
-/// A request that has not been answered.
+/// A request that has not been answered yet.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
     pub(crate) request: Request,
     pub(crate) deadline: Micros,
-    /// When its latency objective is missed.
+    /// Instant after which the request's latency objective is missed.
     pub(crate) objective_at: Micros,
     pub(crate) location: RequestLocation,
-    /// Sites that said in this search that they do not have the primary.
+    /// Sites that answered during the current primary search that they do not have the primary.
     pub(crate) ruled_out: Vec<SiteId>,
-    /// The first attempt that may have run.
+    /// The first attempt that may have run; `None` if none may have.
     pub(crate) may_have_run: Option<PossibleExecution>,
     pub(crate) times_forwarded: u32,
 }
@@ -63,12 +63,12 @@
         }
     }
 
-    /// Whether the local router has it.
+    /// Returns whether the local router has the request.
     pub(crate) fn is_local(&self) -> bool {
         matches!(self.location, RequestLocation::Local { .. })
     }
 
-    /// The number it was forwarded under, where its outcome is not known.
+    /// Returns the number that the request was forwarded under, or `None` if it is not at another gateway.
     pub(crate) fn forward_number(&self) -> Option<ForwardNumber> {
         match self.location {
             RequestLocation::Forwarded { number, .. } => Some(number),
@@ -76,17 +76,17 @@
         }
     }
 
-    /// Whether it has been to the site, in this search or on its way here.
+    /// Returns whether the request has already been at the site, in the current primary search or on its way here.
     pub(crate) fn has_been_at(&self, site: SiteId) -> bool {
         self.request.visited.contains(&site) || self.ruled_out.contains(&site)
     }
 
-    /// Notes an attempt that may have run, unless an earlier one did.
+    /// Records an attempt that may have run, unless an earlier one is already recorded.
     pub(crate) fn record_possible_execution(&mut self, at: Micros, site: SiteId) {
         self.may_have_run.get_or_insert(PossibleExecution { at, site });
     }
 
-    /// Whether another attempt could make it take effect twice.
+    /// Returns whether another attempt could make the request take effect twice.
     pub(crate) fn must_not_run_again(&self, now: Micros, effect: Effect) -> bool {
         let Some(execution) = self.may_have_run else { return false };
         match effect {
@@ -96,13 +96,14 @@
         }
     }
 
-    /// Until when an answer is worth anything: its deadline, or its latency objective if a late answer earns nothing.
+    /// Returns until when an answer is useful: the deadline, or the earlier of the deadline and the latency objective
+    /// if the class gives late answers no weight.
     pub(crate) fn useful_until(&self, class: &RequestClass) -> Micros {
         if class.late_priority_weight > 0.0 { self.deadline } else { self.deadline.min(self.objective_at) }
     }
 }
 
-/// All requests that have not been answered.
+/// All requests that have not been answered yet.
 #[derive(Debug, Default)]
 pub(crate) struct PendingRequests {
     requests: HashMap<RequestHandle, PendingRequest>,
@@ -129,12 +130,12 @@
         self.requests.remove(&handle)
     }
 
-    /// How many requests the local router has.
+    /// Returns the number of requests that the local router has.
     pub(crate) fn count_local(&self) -> usize {
         self.requests.values().filter(|pending| pending.is_local()).count()
     }
 
-    /// Forwarded requests whose deadline is no later than `deadline`, in the order of their acceptance.
+    /// Returns the forwarded requests whose deadline is no later than `deadline`, in order of acceptance.
     pub(crate) fn forwarded_due_by(&self, deadline: Micros) -> Vec<RequestHandle> {
         let due =
             |pending: &PendingRequest| pending.forward_number().is_some() && deadline >= pending.deadline;
@@ -145,7 +146,7 @@
     }
 }
 
-/// Requests that wait until they can be placed.
+/// Requests that wait until a site can take them.
 #[derive(Debug, Default)]
 pub(crate) struct WaitQueue {
     handles: Vec<RequestHandle>,
@@ -160,7 +161,7 @@
         self.handles.retain(|&queued| queued != handle);
     }
 
-    /// Empties the queue: the highest priority weight first, then the earliest accepted.
+    /// Empties the queue and returns its requests by descending priority weight, then in order of acceptance.
     pub(crate) fn take_in_order(
         &mut self,
         requests: &PendingRequests,
--- a/crates/site-routing/src/previous_incarnations.rs
+++ b/crates/site-routing/src/previous_incarnations.rs
@@ -1,15 +1,15 @@
-//! What earlier incarnations of this gateway accepted, as far as their records are on disk.
+//! Requests that previous incarnations of this gateway accepted, as far as their records are on disk.
 
 use std::collections::BTreeMap;
 
 use crate::recording_promise::PROMISE_DURATION;
 use crate::{ForwardNumber, Micros, Origin, Outcome};
 
-/// One earlier incarnation.
+/// Records of one previous incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PreviousIncarnation<V> {
     records: BTreeMap<(Origin, ForwardNumber), Outcome<V>>,
-    /// Whether it accepted nothing without a record, up to its end.
+    /// Whether the incarnation accepted no request without a record until it ended.
     is_complete: bool,
 }
 
@@ -19,16 +19,16 @@
     }
 }
 
-/// How much was read back from the disk.
+/// Counts of what was read back from disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RestoredCounts {
-    /// Records of requests.
+    /// Number of request records.
     pub records: usize,
-    /// Incarnations that left a record or a promise.
+    /// Number of incarnations that left a record or a promise.
     pub incarnations: usize,
 }
 
-/// The records and promises that earlier incarnations left on disk. It answers queries that name one of them.
+/// Records and promises that previous incarnations left on disk, for answering queries about those incarnations.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PreviousIncarnations<V> {
     incarnations: BTreeMap<u64, PreviousIncarnation<V>>,
@@ -41,7 +41,7 @@
 }
 
 impl<V: Clone> PreviousIncarnations<V> {
-    /// Takes over a record of `incarnation` that was read back.
+    /// Adds a record of `incarnation` that was read back.
     pub fn add_record(
         &mut self,
         incarnation: u64,
@@ -52,22 +52,23 @@
         self.entry(incarnation).records.insert((origin, number), outcome);
     }
 
-    /// Takes over the promise of `incarnation`, which was read back at `now`, when that incarnation had ended: it accepted
-    /// nothing without a record `until` then.
+    /// Adds the promise of `incarnation`, which was read back at `now`, after that incarnation had ended: it accepted
+    /// nothing without a record up to `until`. Both instants are in microseconds on the same clock.
     ///
-    /// A promise that ends later than one given just now would shows that the wall clock was set back; it proves nothing. A
-    /// clock that was set back by less does not show, so the caller passes only promises that
-    /// [`StoredPromises::kept`](crate::StoredPromises::kept) names, or that bind for the whole incarnation.
+    /// A promise that ends later than one made at `now` would is evidence that the wall clock was set back, and proves
+    /// nothing. A smaller step back cannot be detected here, so the caller must pass only promises that
+    /// [`StoredPromises::kept`](crate::StoredPromises::kept) returns, or that last for the whole incarnation.
     pub fn add_promise(&mut self, now: Micros, incarnation: u64, until: Micros) {
         let plausible = now..=now.saturating_add(PROMISE_DURATION);
         self.entry(incarnation).is_complete = plausible.contains(&until);
     }
 
-    /// What became of a request that was sent to `incarnation`. That one has ended: what it has not accepted it never will.
+    /// Returns the outcome of a request that was sent to `incarnation`. The incarnation has ended, so it will never
+    /// accept a request that it has not accepted yet.
     pub fn query(&self, origin: &Origin, number: ForwardNumber, incarnation: u64) -> Outcome<V> {
         let Some(incarnation) = self.incarnations.get(&incarnation) else { return Outcome::Unknown };
         match incarnation.records.get(&(origin.clone(), number)) {
-            // It was accepted, and the incarnation ended before the request did.
+            // The incarnation accepted the request and ended before the request did.
             Some(Outcome::InFlight) => Outcome::Failed,
             Some(outcome) => outcome.clone(),
             None if incarnation.is_complete => Outcome::NeverAccepted,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// How much was read back.
+    /// Returns the counts of what was read back.
     pub fn counts(&self) -> RestoredCounts {
         let records = self.incarnations.values().map(|incarnation| incarnation.records.len()).sum();
         RestoredCounts { records, incarnations: self.incarnations.len() }
--- a/crates/site-routing/src/session_assignment.rs
+++ b/crates/site-routing/src/session_assignment.rs
@@ -1,4 +1,4 @@
-//! Which site serves a session while sites drain.
+//! Assignment of sessions to sites while sites are draining.
 
 use std::collections::BTreeMap;
 
@@ -6,19 +6,21 @@
 
 use crate::SiteId;
 
-/// What this gateway still has in progress at each draining site, by the site's name.
+/// Work that this gateway still has in progress at each draining site, by the site's name.
 pub type OpenWorkBySite = BTreeMap<String, OpenWork>;
 
-/// The fleet's plans for draining sites. A site without one serves its sessions as ever.
+/// Session placements that follow from the fleet's plans for draining sites. A site without a plan serves its sessions
+/// as usual.
 #[derive(Debug, Default)]
 pub(crate) struct SessionAssignments {
-    /// The sites' names, by their index.
+    /// Names of all sites, by site index.
     site_names: Vec<String>,
     placements: BTreeMap<SiteId, SessionPlacement>,
 }
 
 impl SessionAssignments {
-    /// `names` are the sites', by their index. Plans for sites that are not among them do not concern this gateway.
+    /// Creates the placements for `plans`. `site_names` holds the names of all sites by site index. Plans for other
+    /// sites do not concern this gateway and are ignored.
     pub(crate) fn new(site_names: &[String], plans: Vec<Plan>) -> SessionAssignments {
         let index = |name: &String| site_names.iter().position(|known| known == name);
         let placements = plans
@@ -27,12 +29,13 @@
         SessionAssignments { site_names: site_names.to_vec(), placements: placements.collect() }
     }
 
-    /// The plan for a site that drains.
+    /// Returns the session placement of a draining site, or `None` if there is no plan for the site.
     pub(crate) fn placement(&self, site: SiteId) -> Option<&SessionPlacement> {
         self.placements.get(&site)
     }
 
-    /// The site that took over a session from a draining site, among those that can be reached.
+    /// Returns the site that takes over a session from a draining site, among those that can be reached, or `None` if
+    /// there is none.
     pub(crate) fn successor(
         &self,
         placement: &SessionPlacement,
@@ -44,17 +47,17 @@
         successor.and_then(index)
     }
 
-    /// Whether no session is assigned to the site any more: reads that another site can serve do not go there.
+    /// Returns whether no session is assigned to the site any more; reads that another site can serve do not go there.
     pub(crate) fn is_emptied(&self, site: SiteId) -> bool {
         self.placements.get(&site).is_some_and(|placement| placement.plan.weight == 0)
     }
 
-    /// Whether the site's drain is completed: nothing new goes there.
+    /// Returns whether the site is completely drained; no new request goes there.
     pub(crate) fn is_drained(&self, site: SiteId) -> bool {
         self.placements.get(&site).is_some_and(|placement| placement.plan.stage == Stage::Drained)
     }
 
-    /// Each draining site with its name and the part of its sessions that it still has, in thousandths.
+    /// Returns each draining site with its name and the share of its sessions that it still has, in thousandths.
     pub(crate) fn draining_sites(&self) -> impl Iterator<Item = (SiteId, &str, u32)> {
         let placements = self.placements.iter();
         placements
--- a/crates/site-routing/src/site_selection.rs
+++ b/crates/site-routing/src/site_selection.rs
@@ -1,4 +1,4 @@
-//! Which site a request goes to next. Nothing is changed here.
+//! Selection of the site that a request goes to next. Reads the router's state without changing it.
 
 use crate::home_sites::HomeSites;
 use crate::peer_gateway::PeerGateway;
@@ -8,10 +8,10 @@
 use crate::session_assignment::SessionAssignments;
 use crate::{Effect, LOCAL_SITE, Micros, Need, RequestClass, SiteId};
 
-/// What the choice of a site depends on.
+/// Inputs of the site selection.
 pub(crate) struct SiteSelection<'a> {
     pub(crate) now: Micros,
-    /// How many sites there are, this one included.
+    /// Number of sites, including this one.
     pub(crate) sites: usize,
     pub(crate) homes: &'a HomeSites,
     pub(crate) search: &'a PrimarySearch,
@@ -20,9 +20,9 @@
 }
 
 impl SiteSelection<'_> {
-    /// The site that the request goes to next; `None` if it has to wait.
+    /// Returns the site that the request goes to next, or `None` if it has to wait.
     pub(crate) fn choose(&self, pending: &PendingRequest, class: &RequestClass) -> Option<SiteId> {
-        // Other sites do not remember the idempotency key.
+        // Members at other sites do not remember the idempotency key and could execute the request again.
         if let Effect::Deduplicated { within_site: true, .. } = class.effect
             && let Some(execution) = pending.may_have_run
         {
@@ -31,17 +31,19 @@
         match class.need {
             Need::Primary => self.site_of_primary(pending),
             Need::Any => self.site_for_read(pending, |_| true),
-            // The age is measured from when the request was sent, so the way there counts.
+            // The age of the data counts from when the request is sent, so it includes the one-way delay.
             Need::Recent(max_age) => self.site_for_read(pending, |gateway| gateway.one_way_delay() < max_age),
         }
     }
 
-    /// Whether another site could still be asked whether it has the request's primary.
+    /// Returns whether the primary search can still try another site for the request.
     pub(crate) fn has_other_candidate(&self, pending: &PendingRequest) -> bool {
         self.gateways.iter().any(|gateway| self.can_forward_to(pending, gateway))
     }
 
-    /// The believed home; else the search: every other site in the order of its index, the local one first.
+    /// Returns the believed home site of the request's group, if it can be reached. A home that is expected to
+    /// reconnect is waited for. Otherwise the primary search tries all sites in index order, which starts with the
+    /// local site.
     fn site_of_primary(&self, pending: &PendingRequest) -> Option<SiteId> {
         let group = pending.request.group;
         let may_have_primary = |&site: &SiteId| {
@@ -64,19 +66,21 @@
         candidates.find(|&site| self.gateways.is_reachable(site))
     }
 
-    /// The site for a request that any site with members can serve. `is_close` says whether a gateway's data is new enough.
+    /// Returns the site for a request that any site with members of the group can serve. `is_fresh_enough` says whether
+    /// data read through a gateway is recent enough for the request.
     ///
-    /// It is this site where that has members, unless this site drains and has handed the session on: then it is the one
-    /// site that took the session over, as long as that can be reached. Without such assignments sessions would move back and
-    /// forth, and the remaining sites would get sessions that they were not measured to bear. The cost: such a request takes
-    /// the way to the other site, and a session whose new site is lost moves once more.
+    /// The local site is chosen if it has members, unless it is draining and no longer has the request's session: then
+    /// the session's successor site is chosen, as long as it can be reached. Without such assignments sessions would
+    /// move back and forth, and the remaining sites would get sessions beyond the load they were measured to sustain.
+    /// The drawbacks are the extra latency to the other site, and that a session whose successor site fails moves a
+    /// second time.
     fn site_for_read(
         &self,
         pending: &PendingRequest,
         is_fresh_enough: impl Fn(&PeerGateway) -> bool,
     ) -> Option<SiteId> {
         let has_local_members = self.homes.local_members(pending.request.group) > 0;
-        // A remote request was sent here by a gateway that knew of the drain; it is not sent on.
+        // The gateway that forwarded a remote request already knew of the drain, so the request is not forwarded again.
         let placement = self.sessions.placement(LOCAL_SITE).filter(|_| !pending.request.is_remote());
         let session = pending.request.session.as_deref().unwrap_or_default();
         if let Some(placement) = placement.filter(|placement| !placement.stays(session)) {
@@ -87,7 +91,7 @@
             if let Some(successor) = self.sessions.successor(placement, session, reachable) {
                 return Some(successor);
             }
-            // With no other site in reach, this one serves it as long as any session is left here.
+            // No other site can be reached: this one serves the request as long as it still has any sessions.
             return (has_local_members && placement.plan.weight > 0).then_some(LOCAL_SITE);
         }
         if has_local_members && !self.sessions.is_drained(LOCAL_SITE) {
@@ -96,7 +100,8 @@
         self.nearest(pending, |gateway| is_fresh_enough(gateway) && !self.sessions.is_emptied(gateway.site))
     }
 
-    /// The site with the shortest round trip, of those that can be sent the request and suit.
+    /// Returns the site with the shortest round trip among those that the request can be forwarded to and whose gateway
+    /// is eligible.
     fn nearest(
         &self,
         pending: &PendingRequest,
@@ -109,7 +114,8 @@
         gateways.min_by_key(|gateway| gateway.round_trip()).map(|gateway| gateway.site)
     }
 
-    /// Whether the request can be sent to that gateway, whose site has members and has not been asked yet.
+    /// Returns whether the request can be forwarded to the gateway: the gateway is usable, and its site has members of
+    /// the group and has not been tried yet.
     fn can_forward_to(&self, pending: &PendingRequest, gateway: &PeerGateway) -> bool {
         self.homes.has_members(pending.request.group, gateway.site)
             && !pending.has_been_at(gateway.site)
