--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -150,7 +150,7 @@
     pub(super) fn zone_directives(&mut self, directives: &[ZoneDirective]) {
         let by_group = |directive: &ZoneDirective| (directive.group, read_shift(&directive.shift));
         let shifts = directives.iter().map(by_group).collect();
-        self.router.shift_reads(&shifts);
+        self.router.set_read_shifts(&shifts);
     }
 }
 
--- a/crates/routing/src/policy/admission.rs
+++ b/crates/routing/src/policy/admission.rs
@@ -96,7 +96,7 @@
     /// capacity later.
     fn shed_early(&self, now: Micros, pending: &PendingRequest) -> bool {
         let late_weight = self.terms.classes[pending.request.class].late_priority_weight;
-        let waits_for_capacity = pending.attempts == 0 && !self.backs_off(now);
+        let waits_for_capacity = pending.attempts == 0 && !self.is_backing_off(now);
         waits_for_capacity && (late_weight < 0.5 || self.is_one_of_many())
     }
 
--- a/crates/routing/src/policy/dispatch.rs
+++ b/crates/routing/src/policy/dispatch.rs
@@ -31,7 +31,7 @@
         }
         let need = class.need;
         let target = match need {
-            _ if self.stall_pacing.holds_back(now) => None,
+            _ if self.stall_pacing.blocks_attempts(now) => None,
             Need::Write => self.write_target(now, pending),
             _ => self.read_target(now, handle, need),
         };
@@ -46,11 +46,11 @@
 
     /// Sends an attempt to the member, which ends at `useful_until` at the latest.
     fn send_attempt(&mut self, now: Micros, handle: RequestHandle, id: MemberId, useful_until: Micros) {
-        let rested = self.rest_class_of(now, id);
+        let rested = self.idle_class_of(now, id);
         let validity = self.validity(&self.pending_requests[&handle], id);
         let tries_connection = self.claim_connection(now, id);
         let kept = self.members[id].known_idle_connections.is_some();
-        let afresh = !kept && rested.is_some_and(|rest| self.rested_connections.are_dropped_after(rest));
+        let afresh = !kept && rested.is_some_and(|rest| self.rested_connections.likely_dropped(rest));
         let member = &mut self.members[id];
         member.in_flight.push(handle);
         member.sent_recently.push_back(now);
--- a/crates/routing/src/policy/endpoint_list.rs
+++ b/crates/routing/src/policy/endpoint_list.rs
@@ -7,7 +7,7 @@
 use super::MS;
 use super::blacklist::FAILURE_WINDOW;
 use super::concurrency_limit::{INITIAL_FLEET_LIMIT, MAX_FLEET_LIMIT};
-use super::health_checks::HEALTH_CHECK_NEEDED;
+use super::health_checks::URGENT_HEALTH_CHECK_INTERVAL;
 use crate::state::{Member, Router};
 use crate::{Actions, ListedMember, ListedRoles, MemberId, Micros, Standing};
 
@@ -60,7 +60,7 @@
         self.set_standing(now, id, line.standing);
         if !known && !self.is_one_of_many() && !self.uses_subset() {
             self.health_check_budget.earn_for_new_member();
-            self.health_check(now, id, HEALTH_CHECK_NEEDED);
+            self.try_health_check(now, id, URGENT_HEALTH_CHECK_INTERVAL);
         }
         if line.primary && line.standing == Standing::Ready {
             self.learn_listed_primary(now, group, id);
--- a/crates/routing/src/policy/freshness.rs
+++ b/crates/routing/src/policy/freshness.rs
@@ -1,7 +1,7 @@
 //! How new the data of members is: positions, roles, sessions, and for how long a proof of freshness holds.
 
 use super::SEND_DELAY_MARGIN;
-use super::health_checks::{HEALTH_CHECK_EVERY, HEALTH_CHECK_NEEDED};
+use super::health_checks::{HEALTH_CHECK_INTERVAL, URGENT_HEALTH_CHECK_INTERVAL};
 use super::sessions::Session;
 use crate::state::{PendingRequest, RequestHandle, Router};
 use crate::{Effect, MemberId, MemberReport, Micros, Need, Outcome, Role, Standing, Validity, Verdict};
@@ -29,7 +29,7 @@
     pub(super) fn time_to_catch_up(&self, id: MemberId, floor: Micros) -> Micros {
         let position = self.members[id].position;
         let lacks = if position == Micros::MIN { 0 } else { floor.saturating_sub(position) };
-        (lacks / 2).clamp(HEALTH_CHECK_NEEDED, HEALTH_CHECK_EVERY)
+        (lacks / 2).clamp(URGENT_HEALTH_CHECK_INTERVAL, HEALTH_CHECK_INTERVAL)
     }
 
     /// What must still hold when the attempt leaves.
--- a/crates/routing/src/policy/health_check_budget.rs
+++ b/crates/routing/src/policy/health_check_budget.rs
@@ -3,11 +3,11 @@
 /// Health checks that one admitted request pays for.
 const CREDIT_PER_REQUEST: f64 = 0.7;
 /// Health checks that a router may send before it has admitted any request.
-const CREDIT_AT_START: f64 = 4.0;
+const INITIAL_CREDIT: f64 = 4.0;
 /// Health checks that a newly listed member brings with it: one for itself and one in reserve.
 const CREDIT_PER_NEW_MEMBER: f64 = 2.0;
 /// The part of one health check for each member beyond which the credit is more than requests need.
-const SPARE_PER_MEMBER: f64 = 0.5;
+const SPARE_CREDIT_PER_MEMBER: f64 = 0.5;
 
 /// How many health checks are paid for.
 #[derive(Clone)]
@@ -17,8 +17,8 @@
 
 impl HealthCheckBudget {
     /// The budget of a router that starts.
-    pub(super) fn at_start() -> HealthCheckBudget {
-        HealthCheckBudget { credit: CREDIT_AT_START }
+    pub(super) fn new() -> HealthCheckBudget {
+        HealthCheckBudget { credit: INITIAL_CREDIT }
     }
 
     /// A request was admitted; saved up is at most one health check for each of `members`.
@@ -33,7 +33,7 @@
 
     /// Whether more is saved up than requests need, where there are so many members.
     pub(super) fn has_spare(&self, members: usize) -> bool {
-        self.credit > members as f64 * SPARE_PER_MEMBER
+        self.credit > members as f64 * SPARE_CREDIT_PER_MEMBER
     }
 
     /// Whether one health check is paid for.
--- a/crates/routing/src/policy/health_checks.rs
+++ b/crates/routing/src/policy/health_checks.rs
@@ -6,40 +6,41 @@
 use crate::{Actions, MemberId, MemberReport, Micros, Standing, Verdict};
 
 /// How often a member that is not heard otherwise is checked where credit is left over.
-pub(super) const HEALTH_CHECK_EVERY: Micros = 1_000 * MS;
+pub(super) const HEALTH_CHECK_INTERVAL: Micros = 1_000 * MS;
 /// Health checks of members whose proof of freshness has run out, and of a group without a primary.
-pub(super) const HEALTH_CHECK_NEEDED: Micros = 100 * MS;
+pub(super) const URGENT_HEALTH_CHECK_INTERVAL: Micros = 100 * MS;
 
 impl RoundTrip {
-    fn measure(&mut self, estimate: Micros, now: Micros) {
+    fn record(&mut self, estimate: Micros, now: Micros) {
         self.estimate = estimate;
         self.measured_at = now;
     }
 
     /// The estimate, in microseconds; zero where it is too old to be believed.
-    pub(super) fn of_late(self, now: Micros) -> Micros {
+    pub(super) fn recent_estimate(self, now: Micros) -> Micros {
         if now - self.measured_at < BLACKLIST_DURATION { self.estimate } else { 0 }
     }
 }
 
 impl Router {
     /// Checks members of a group in which requests are held, where that may set them free.
-    pub(super) fn health_check_for_held(&mut self, now: Micros, group: usize) {
-        let sought = !self.is_wide(&self.groups[group]) && self.lacks_primary(now, &self.groups[group]);
-        let gap = if self.is_one_of_many() { WRITE_HOLD } else { HEALTH_CHECK_NEEDED };
-        for at in 0..self.groups[group].members.len() {
-            let id = self.groups[group].members[at];
-            if sought || now < self.members[id].unreachable_until {
-                self.health_check(now, id, gap);
+    pub(super) fn health_check_for_queued(&mut self, now: Micros, group: usize) {
+        let searches_primary =
+            !self.is_large_group(&self.groups[group]) && self.lacks_primary(now, &self.groups[group]);
+        let min_interval = if self.is_one_of_many() { WRITE_HOLD } else { URGENT_HEALTH_CHECK_INTERVAL };
+        for index in 0..self.groups[group].members.len() {
+            let id = self.groups[group].members[index];
+            if searches_primary || now < self.members[id].unreachable_until {
+                self.try_health_check(now, id, min_interval);
             }
         }
     }
 
     /// Checks a member that was not heard of late, where requests have paid for more than they need.
-    pub(super) fn health_check_to_spare(&mut self, now: Micros, id: MemberId) {
-        let spare = self.health_check_budget.has_spare(self.members.len());
-        if spare && now - self.members[id].last_heard_at > HEALTH_CHECK_EVERY {
-            self.health_check(now, id, HEALTH_CHECK_EVERY);
+    pub(super) fn background_health_check(&mut self, now: Micros, id: MemberId) {
+        let has_spare_credit = self.health_check_budget.has_spare(self.members.len());
+        if has_spare_credit && now - self.members[id].last_heard_at > HEALTH_CHECK_INTERVAL {
+            self.try_health_check(now, id, HEALTH_CHECK_INTERVAL);
         }
     }
 
@@ -67,7 +68,7 @@
             _ => self.health_check_missed(now, id, verdict),
         }
         self.route_queued(now, group);
-        self.close_unless_kept(id);
+        self.close_if_outside_subset(id);
         self.take_actions()
     }
 
@@ -79,10 +80,10 @@
         let zone = self.zone_round_trips.entry(member.zone).or_insert(unmeasured);
         match verdict {
             Verdict::Served => {
-                zone.measure((zone.estimate + took) / 2, now);
-                member.round_trip.measure((member.round_trip.estimate + took) / 2, now);
+                zone.record((zone.estimate + took) / 2, now);
+                member.round_trip.record((member.round_trip.estimate + took) / 2, now);
             }
-            Verdict::TimedOut => zone.measure(zone.estimate + (took - zone.estimate) / 4, now),
+            Verdict::TimedOut => zone.record(zone.estimate + (took - zone.estimate) / 4, now),
             _ => {}
         }
     }
@@ -114,11 +115,11 @@
 
     /// Sends a health check, where one is allowed and paid for and the last one was sent at least `gap`
     /// microseconds ago.
-    pub(super) fn health_check(&mut self, now: Micros, id: MemberId, gap: Micros) {
+    pub(super) fn try_health_check(&mut self, now: Micros, id: MemberId, min_interval: Micros) {
         let member = &mut self.members[id];
-        let early = member.health_check_in_flight || now - member.last_health_check_at < gap;
+        let too_early = member.health_check_in_flight || now - member.last_health_check_at < min_interval;
         let allowed = self.terms.health_checks_allowed && self.health_check_budget.affords_one();
-        if allowed && member.standing == Standing::Ready && !early {
+        if allowed && member.standing == Standing::Ready && !too_early {
             self.health_check_budget.spend_one();
             member.health_check_in_flight = true;
             member.last_health_check_at = now;
@@ -128,6 +129,6 @@
 
     /// There and back to the member, in microseconds, as far as its health checks of late tell.
     pub(super) fn round_trip_to(&self, now: Micros, id: MemberId) -> Micros {
-        self.members[id].round_trip.of_late(now)
+        self.members[id].round_trip.recent_estimate(now)
     }
 }
--- a/crates/routing/src/policy/rested_connections.rs
+++ b/crates/routing/src/policy/idle_drop_detection.rs
@@ -5,54 +5,57 @@
 use crate::Micros;
 
 /// Rests are told apart by powers of two of this time, in microseconds.
-const SHORTEST_REST: Micros = 250 * MS;
+const IDLE_CLASS_UNIT: Micros = 250 * MS;
 /// Rests of this many times the shortest, or longer, are not told apart.
-const MAX_REST: Micros = 32;
+const MAX_IDLE_MULTIPLE: Micros = 32;
 /// How many powers of two there are below that.
-const REST_CLASSES: usize = 6;
+const IDLE_CLASSES: usize = 6;
 /// The part by which one attempt moves the share of silence.
-const AVERAGE_STEP: f64 = 0.3;
+const SMOOTHING_FACTOR: f64 = 0.3;
 /// Beyond this share of silence a rest is taken for too long.
-const MOSTLY_SILENT: f64 = 0.5;
+const DROPPED_ABOVE: f64 = 0.5;
 /// Under this share of silence a rest is taken for harmless.
-const SELDOM_SILENT: f64 = 0.25;
+const HEALTHY_BELOW: f64 = 0.25;
 
 /// How long a connection had rested, as a power of two of 250 ms.
-pub(crate) type RestClass = usize;
+pub(crate) type IdleClass = usize;
 
 /// The class of a rest, in microseconds; `None` beyond the longest.
-pub(super) fn rest_class(rested_for: Micros) -> Option<RestClass> {
-    let rest = (rested_for / SHORTEST_REST).max(0);
-    (rest < MAX_REST).then_some((Micros::BITS - rest.leading_zeros()) as usize)
+pub(super) fn idle_class(idle_time: Micros) -> Option<IdleClass> {
+    let multiple = (idle_time / IDLE_CLASS_UNIT).max(0);
+    (multiple < MAX_IDLE_MULTIPLE).then_some((Micros::BITS - multiple.leading_zeros()) as usize)
 }
 
 /// What attempts on rested connections met of late.
 #[derive(Clone, Default)]
-pub(crate) struct RestedConnections {
+pub(crate) struct IdleDropDetector {
     /// The share that met silence, by rest class.
-    silence: [f64; REST_CLASSES],
+    unanswered_share: [f64; IDLE_CLASSES],
 }
 
-impl RestedConnections {
+impl IdleDropDetector {
     /// Whether a connection that has rested for so long has most likely been dropped on the way.
     ///
     /// Without it attempts time out on connections that something on the way dropped unseen, also within the settings'
     /// idle limits. It takes evidence from both sides: rested connections mostly meet silence, less rested ones do not.
     /// The cost: handshakes where members fall silent at random.
-    pub(super) fn are_dropped_after(&self, rest: RestClass) -> bool {
-        let least = self.silence.iter().position(|&share| share > MOSTLY_SILENT).unwrap_or(0);
-        least > 0 && rest >= least && self.silence[..least].iter().all(|&share| share < SELDOM_SILENT)
+    pub(super) fn likely_dropped(&self, class: IdleClass) -> bool {
+        let shortest_dropped =
+            self.unanswered_share.iter().position(|&share| share > DROPPED_ABOVE).unwrap_or(0);
+        shortest_dropped > 0
+            && class >= shortest_dropped
+            && self.unanswered_share[..shortest_dropped].iter().all(|&share| share < HEALTHY_BELOW)
     }
 
     /// An attempt on a connection that had rested was answered, or met silence.
-    pub(super) fn record(&mut self, rest: RestClass, answered: bool) {
-        let share = &mut self.silence[rest];
-        *share += (f64::from(!answered) - *share) * AVERAGE_STEP;
+    pub(super) fn record(&mut self, class: IdleClass, answered: bool) {
+        let share = &mut self.unanswered_share[class];
+        *share += (f64::from(!answered) - *share) * SMOOTHING_FACTOR;
     }
 
     /// Lets what was learnt fade, by one tick.
     pub(super) fn fade(&mut self) {
         let faded = 1.0 - TICK as f64 / (3 * FAILURE_WINDOW) as f64;
-        self.silence.iter_mut().for_each(|share| *share *= faded);
+        self.unanswered_share.iter_mut().for_each(|share| *share *= faded);
     }
 }
--- a/crates/routing/src/policy/list_subscription.rs
+++ b/crates/routing/src/policy/list_subscription.rs
@@ -27,19 +27,19 @@
 
 impl ListSubscription {
     /// All routers of a fleet ask at their start: the span over which they are spread grows with their number.
-    pub(super) fn start(now: Micros, routers: usize, rng: &mut Pcg64Mcg) -> ListSubscription {
-        let spread = START_SPREAD_PER_ROUTER * routers as Micros;
-        let next_at = now + rng.random_range(0..spread.clamp(MIN_START_SPREAD, MAX_START_SPREAD));
+    pub(super) fn new(now: Micros, routers: usize, rng: &mut Pcg64Mcg) -> ListSubscription {
+        let start_spread = START_SPREAD_PER_ROUTER * routers as Micros;
+        let next_at = now + rng.random_range(0..start_spread.clamp(MIN_START_SPREAD, MAX_START_SPREAD));
         ListSubscription { next_at, backoff: INITIAL_BACKOFF }
     }
 
     /// Whether the list is to be asked for now; if so, an answer is waited for.
     pub(super) fn is_due(&mut self, now: Micros) -> bool {
-        let due = now >= self.next_at;
-        if due {
+        let is_due_now = now >= self.next_at;
+        if is_due_now {
             self.next_at = now + ANSWER_TIMEOUT;
         }
-        due
+        is_due_now
     }
 
     /// The list was received: it need not be asked for any more.
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -24,12 +24,12 @@
 mod health_check_budget;
 mod health_checks;
 mod idle_connections;
+mod idle_drop_detection;
 mod list_subscription;
 mod local_failures;
 mod primary_search;
 mod read_routing;
 mod replica_subset;
-mod rested_connections;
 mod retry;
 mod retry_detection;
 mod sessions;
@@ -39,13 +39,13 @@
 mod write_routing;
 
 use concurrency_limit::{GUARANTEED_FLEET_LIMIT, INITIAL_FLEET_LIMIT};
-use replica_subset::salt;
+use replica_subset::scramble_seed;
 
 pub(crate) use blacklist::Blacklist;
 pub(crate) use health_check_budget::HealthCheckBudget;
+pub(crate) use idle_drop_detection::IdleDropDetector;
 pub(crate) use list_subscription::ListSubscription;
-pub(crate) use local_failures::Backoff;
-pub(crate) use rested_connections::RestedConnections;
+pub(crate) use local_failures::ConnectionBackoff;
 pub(crate) use retry_detection::RetryDetector;
 pub(crate) use sessions::Sessions;
 pub(crate) use stall_pacing::StallPacing;
@@ -80,9 +80,9 @@
     /// A router with its terms and a seed for its chance, before its first list.
     pub fn start(terms: RouterConfig, seed: u64, now: Micros) -> Router {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let list_subscription = ListSubscription::start(now, terms.drivers, &mut rng);
+        let list_subscription = ListSubscription::new(now, terms.drivers, &mut rng);
         Router {
-            salt: salt(seed),
+            salt: scramble_seed(seed),
             rng,
             members: Vec::new(),
             groups: Vec::new(),
@@ -98,13 +98,13 @@
             retry_detectors: vec![RetryDetector::default(); terms.classes.len()],
             warm_load: 0.0,
             mean_size: 1.0,
-            health_check_budget: HealthCheckBudget::at_start(),
-            rested_connections: RestedConnections::default(),
+            health_check_budget: HealthCheckBudget::new(),
+            rested_connections: IdleDropDetector::default(),
             connections_scarce_until: now,
-            backoff: Backoff::none(now),
+            backoff: ConnectionBackoff::inactive(now),
             next_tick: now,
             next_sweep: now,
-            stall_pacing: StallPacing::start(now, replica_subset::at_start()),
+            stall_pacing: StallPacing::new(now, replica_subset::initial_attempts_per_tick()),
             list_subscription,
             actions: Actions::default(),
             terms,
@@ -158,12 +158,12 @@
         }
         for group in 0..self.groups.len() {
             if !self.groups[group].queued.is_empty() {
-                self.search_primary(now, group);
-                self.health_check_for_held(now, group);
+                self.advance_primary_search(now, group);
+                self.health_check_for_queued(now, group);
             }
         }
         if !self.is_one_of_many() && !self.uses_subset() {
-            (0..self.members.len()).for_each(|id| self.health_check_to_spare(now, id));
+            (0..self.members.len()).for_each(|id| self.background_health_check(now, id));
         }
         let members_now = self.members_now(now);
         self.sessions.forget_old(members_now);
--- a/crates/routing/src/policy/read_routing.rs
+++ b/crates/routing/src/policy/read_routing.rs
@@ -8,7 +8,7 @@
 
 use super::TICK;
 use super::concurrency_limit::MAX_FLEET_LIMIT;
-use super::health_checks::HEALTH_CHECK_NEEDED;
+use super::health_checks::URGENT_HEALTH_CHECK_INTERVAL;
 use crate::state::{Member, PendingRequest, RequestHandle, Router};
 use crate::{Effect, MemberId, Micros, Need, ReadShift, RequestClass, Scope};
 
@@ -16,26 +16,26 @@
 #[derive(Clone, Copy)]
 struct Candidate {
     member: MemberId,
-    room: f64,
+    capacity: f64,
 }
 
 /// What a read may be sent to.
-struct ReadChoice {
+struct ReadOptions {
     /// The position that a member must have reached.
     floor: Micros,
     primary: Option<MemberId>,
     /// The primary, where the read may go there and it has said itself that it is the primary.
     confirmed_primary: Option<MemberId>,
     /// The same, where it is due attempts beyond those that it had.
-    owed_primary: Option<MemberId>,
+    deficit_primary: Option<MemberId>,
     replicas: Vec<MemberId>,
     /// Those with room, and only those on a short way where there are any.
     candidates: Vec<Candidate>,
 }
 
 /// One of the candidates by chance, weighed by their room.
-fn choose(rng: &mut Pcg64Mcg, candidates: &[Candidate]) -> Option<MemberId> {
-    candidates.choose_weighted(rng, |candidate| candidate.room).ok().map(|candidate| candidate.member)
+fn choose_by_capacity(rng: &mut Pcg64Mcg, candidates: &[Candidate]) -> Option<MemberId> {
+    candidates.choose_weighted(rng, |candidate| candidate.capacity).ok().map(|candidate| candidate.member)
 }
 
 impl Router {
@@ -44,7 +44,7 @@
     ///
     /// It weighs what the draw leaves open, and opens nothing. Guards against crowding the members of a full
     /// or returning zone; costs reads a crossing each when the directive is out of date.
-    pub fn shift_reads(&mut self, shifts: &HashMap<u64, ReadShift>) {
+    pub fn set_read_shifts(&mut self, shifts: &HashMap<u64, ReadShift>) {
         for (name, &group) in &self.group_ids {
             self.groups[group].read_shift = shifts.get(name).cloned().unwrap_or_default();
         }
@@ -54,82 +54,97 @@
     /// what it drew. None where the read has to wait.
     pub(super) fn read_target(&mut self, now: Micros, handle: RequestHandle, need: Need) -> Option<MemberId> {
         let pending = &self.pending_requests[&handle];
-        let asked = pending.awaited_report;
+        let awaited_report_before = pending.awaited_report;
         let floor = self.position_floor(now, pending, need);
-        let long = need == Need::Loose && self.is_long_read(pending.request.class);
-        let choice = self.read_choice(now, pending, floor, long);
-        if long {
+        let is_long = need == Need::Loose && self.is_long_read(pending.request.class);
+        let options = self.read_options(now, pending, floor, is_long);
+        if is_long {
             // All routers alike: the last replica by name that has room.
-            let replica = |candidate: &&Candidate| Some(candidate.member) != choice.primary;
-            return choice.candidates.iter().rev().find(replica).map(|candidate| candidate.member);
+            let is_replica = |candidate: &&Candidate| Some(candidate.member) != options.primary;
+            return options.candidates.iter().rev().find(is_replica).map(|candidate| candidate.member);
         }
-        let mut proven = choice.candidates.clone();
-        proven.retain(|candidate| self.is_fresh(&choice, candidate.member));
-        let drawn = if self.is_one_of_many() && !asked { self.draw(&choice.candidates) } else { None };
-        let fresh_drawn = drawn.filter(|&id| self.is_fresh(&choice, id));
-        let target = fresh_drawn.or_else(|| self.draw(&proven));
-        let resort = self.last_resort(now, &choice);
-        let mut stale = choice.replicas.clone();
-        stale.retain(|&id| !self.is_fresh(&choice, id));
-        let crowded =
+        let mut fresh = options.candidates.clone();
+        fresh.retain(|candidate| self.is_fresh(&options, candidate.member));
+        let drawn = if self.is_one_of_many() && !awaited_report_before {
+            self.draw_member(&options.candidates)
+        } else {
+            None
+        };
+        let drawn_if_fresh = drawn.filter(|&id| self.is_fresh(&options, id));
+        let target = drawn_if_fresh.or_else(|| self.draw_member(&fresh));
+        let fallback = self.fallback_target(now, &options);
+        let mut stale = options.replicas.clone();
+        stale.retain(|&id| !self.is_fresh(&options, id));
+        let is_nearly_full =
             |id| self.available_capacity(now, id) < self.members[id].concurrency_limit.floor() * 0.7;
-        let unsure = drawn.is_some_and(|id| stale.contains(&id));
-        if stale.is_empty() || !unsure && !target.is_none_or(crowded) {
-            return target.or(resort);
+        let drawn_is_stale = drawn.is_some_and(|id| stale.contains(&id));
+        if stale.is_empty() || !drawn_is_stale && !target.is_none_or(is_nearly_full) {
+            return target.or(fallback);
         }
         self.check_stale(now, &stale, drawn, floor);
-        let waits = (target.is_none() || unsure) && self.awaits_report(now, &stale);
-        self.pending_requests.get_mut(&handle).expect("being placed").awaited_report |= waits;
-        if waits { None } else { target.or(resort) }
+        let must_wait = (target.is_none() || drawn_is_stale) && self.awaits_report(now, &stale);
+        self.pending_requests.get_mut(&handle).expect("being placed").awaited_report |= must_wait;
+        if must_wait { None } else { target.or(fallback) }
     }
 
     /// The members that the read may go to, without those that failed it or are blacklisted where others are
     /// left.
-    fn read_choice(&self, now: Micros, pending: &PendingRequest, floor: Micros, long: bool) -> ReadChoice {
-        let mut open = self.read_subset(now, pending, floor, long);
-        let preferred =
+    fn read_options(
+        &self,
+        now: Micros,
+        pending: &PendingRequest,
+        floor: Micros,
+        is_long: bool,
+    ) -> ReadOptions {
+        let mut allowed = self.read_subset(now, pending, floor, is_long);
+        let is_preferred =
             |id: MemberId| self.members[id].blacklist.allows(now) && Some(id) != pending.last_member;
-        if open.iter().any(|&id| preferred(id)) {
-            open.retain(|&id| preferred(id));
+        if allowed.iter().any(|&id| is_preferred(id)) {
+            allowed.retain(|&id| is_preferred(id));
         }
         let group = &self.groups[pending.group];
         let primary = group.primary;
-        let confirmed_primary = primary.filter(|id| open.contains(id) && self.members[*id].confirmed_primary);
-        let owed_primary = confirmed_primary.filter(|_| self.is_one_of_many() && group.primary_deficit > 0.0);
-        let replicas: Vec<MemberId> = open.into_iter().filter(|&id| Some(id) != primary).collect();
-        let drawable = replicas.iter().copied().chain(owed_primary);
+        let confirmed_primary =
+            primary.filter(|id| allowed.contains(id) && self.members[*id].confirmed_primary);
+        let deficit_primary =
+            confirmed_primary.filter(|_| self.is_one_of_many() && group.primary_deficit > 0.0);
+        let replicas: Vec<MemberId> = allowed.into_iter().filter(|&id| Some(id) != primary).collect();
+        let drawable = replicas.iter().copied().chain(deficit_primary);
         let candidates =
-            drawable.map(|member| Candidate { member, room: self.available_capacity(now, member) });
-        let mut candidates: Vec<Candidate> = candidates.filter(|candidate| candidate.room > 0.0).collect();
-        let at_hand = |candidate: &Candidate| !self.is_too_far(now, candidate.member, pending.request.class);
-        if candidates.iter().any(at_hand) {
-            candidates.retain(at_hand);
+            drawable.map(|member| Candidate { member, capacity: self.available_capacity(now, member) });
+        let mut candidates: Vec<Candidate> =
+            candidates.filter(|candidate| candidate.capacity > 0.0).collect();
+        let is_near = |candidate: &Candidate| {
+            !self.is_round_trip_too_long(now, candidate.member, pending.request.class)
+        };
+        if candidates.iter().any(is_near) {
+            candidates.retain(is_near);
         }
-        ReadChoice { floor, primary, confirmed_primary, owed_primary, replicas, candidates }
+        ReadOptions { floor, primary, confirmed_primary, deficit_primary, replicas, candidates }
     }
 
-    fn is_fresh(&self, choice: &ReadChoice, id: MemberId) -> bool {
-        Some(id) == choice.owed_primary || self.members[id].position >= choice.floor
+    fn is_fresh(&self, options: &ReadOptions, id: MemberId) -> bool {
+        Some(id) == options.deficit_primary || self.members[id].position >= options.floor
     }
 
     /// Where a read goes when no replica is proven fresh: to the primary where it has room to spare, else,
     /// where members check freshness themselves, to the newest replica that may have caught up.
-    fn last_resort(&self, now: Micros, choice: &ReadChoice) -> Option<MemberId> {
-        let uncrowded = |id: MemberId| {
-            let window = self.members[id].concurrency_limit;
-            let most = MAX_FLEET_LIMIT / self.terms.drivers as f64;
-            self.available_capacity(now, id) > window.floor() * 0.3
-                && (!self.is_one_of_many() || window * 3.0 > most)
+    fn fallback_target(&self, now: Micros, options: &ReadOptions) -> Option<MemberId> {
+        let has_spare_capacity = |id: MemberId| {
+            let limit = self.members[id].concurrency_limit;
+            let max_limit = MAX_FLEET_LIMIT / self.terms.drivers as f64;
+            self.available_capacity(now, id) > limit.floor() * 0.3
+                && (!self.is_one_of_many() || limit * 3.0 > max_limit)
         };
-        let primary = choice.confirmed_primary.filter(|&id| uncrowded(id));
+        let primary = options.confirmed_primary.filter(|&id| has_spare_capacity(id));
         if !self.terms.members_check || primary.is_some() {
             return primary;
         }
         // Not one that has just said how far behind it is: it would reject the read, or hold it for nothing.
         let may_be_fresh =
-            |id: MemberId| now - self.members[id].last_heard_at >= self.time_to_catch_up(id, choice.floor);
+            |id: MemberId| now - self.members[id].last_heard_at >= self.time_to_catch_up(id, options.floor);
         let usable = |&id: &MemberId| may_be_fresh(id) && self.available_capacity(now, id) > 0.0;
-        choice.replicas.iter().copied().filter(usable).max_by_key(|&id| self.members[id].position)
+        options.replicas.iter().copied().filter(usable).max_by_key(|&id| self.members[id].position)
     }
 
     /// Checks one stale replica at a time: the one that was drawn, else one by chance.
@@ -137,20 +152,22 @@
         if self.awaits_report(now, stale) {
             return;
         }
-        let due =
+        let is_due =
             |id: &MemberId| now - self.members[*id].last_health_check_at >= self.time_to_catch_up(*id, floor);
-        let due: Vec<MemberId> = stale.iter().copied().filter(due).collect();
-        let checked = drawn.filter(|id| due.contains(id)).or_else(|| due.choose(&mut self.rng).copied());
+        let due_members: Vec<MemberId> = stale.iter().copied().filter(is_due).collect();
+        let checked = drawn
+            .filter(|id| due_members.contains(id))
+            .or_else(|| due_members.choose(&mut self.rng).copied());
         if let Some(id) = checked {
-            self.health_check(now, id, HEALTH_CHECK_NEEDED);
+            self.try_health_check(now, id, URGENT_HEALTH_CHECK_INTERVAL);
         }
     }
 
     /// A report of one of them is due at any moment: a read waits for it before it burdens the primary.
     fn awaits_report(&self, now: Micros, stale: &[MemberId]) -> bool {
-        let awaited =
+        let is_awaited =
             |member: &Member| member.health_check_in_flight && now - member.last_health_check_at < TICK;
-        stale.iter().any(|&id| awaited(&self.members[id]))
+        stale.iter().any(|&id| is_awaited(&self.members[id]))
     }
 
     /// Whether reads of the class last so long that they share one replica.
@@ -160,11 +177,12 @@
     /// nothing. A router among many cannot see a crowd there, and goes by the whole bound.
     pub(super) fn is_long_read(&self, class: usize) -> bool {
         let usual = |class: usize| self.durations[class].quantile(0.5).unwrap_or(0);
-        let bound = |o: &RequestClass| if let Need::Recent(bound) = o.need { Some(bound) } else { None };
-        let bound = self.terms.classes.iter().filter_map(bound).min();
-        let least = (0..self.durations.len()).map(usual).min().unwrap_or(0);
-        let row = if self.is_one_of_many() { 1 } else { 3 };
-        bound.is_some_and(|bound| usual(class) > (bound / row).max(3 * least))
+        let recent_bound =
+            |class: &RequestClass| if let Need::Recent(bound) = class.need { Some(bound) } else { None };
+        let bound = self.terms.classes.iter().filter_map(recent_bound).min();
+        let shortest_usual = (0..self.durations.len()).map(usual).min().unwrap_or(0);
+        let consecutive_reads = if self.is_one_of_many() { 1 } else { 3 };
+        bound.is_some_and(|bound| usual(class) > (bound / consecutive_reads).max(3 * shortest_usual))
     }
 
     /// Whether the way to the member has grown so long that answers would come too late, as health checks of
@@ -172,59 +190,71 @@
     ///
     /// Guards reads against a slow link; costs the members beyond it their reads when they are checked just
     /// as a neighbour dies.
-    pub(super) fn is_too_far(&self, now: Micros, id: MemberId, class: usize) -> bool {
+    pub(super) fn is_round_trip_too_long(&self, now: Micros, id: MemberId, class: usize) -> bool {
         let zone = self.members[id].zone;
         let usual = self.durations[class].quantile(0.5).unwrap_or(0);
-        let mut way = self.round_trip_to(now, id);
+        let mut round_trip = self.round_trip_to(now, id);
         if zone != self.terms.zone {
             let to_zone = self.zone_round_trips.get(&zone).copied().unwrap_or_default();
-            way = way.max(to_zone.of_late(now));
+            round_trip = round_trip.max(to_zone.recent_estimate(now));
         }
-        way + usual > self.terms.classes[class].objective / 2
+        round_trip + usual > self.terms.classes[class].objective / 2
     }
 
     /// A member drawn by its room.
     ///
     /// Where crossing has a price the own zone is preferred; a router among many prefers it for what that
     /// zone's members carry if all zones send alike.
-    fn draw(&mut self, candidates: &[Candidate]) -> Option<MemberId> {
-        let (near, far): (Vec<Candidate>, Vec<Candidate>) =
+    fn draw_member(&mut self, candidates: &[Candidate]) -> Option<MemberId> {
+        let (own_zone, other_zones): (Vec<Candidate>, Vec<Candidate>) =
             candidates.iter().partition(|candidate| self.members[candidate.member].zone == self.terms.zone);
-        if let Some(id) = self.draw_shifted(candidates, &far) {
+        if let Some(id) = self.draw_by_read_shift(candidates, &other_zones) {
             return Some(id);
         }
-        let room = |of: &[Candidate]| of.iter().map(|candidate| candidate.room).sum::<f64>();
-        let stays = if self.is_one_of_many() {
-            room(&near) / room(candidates) * self.terms.zones as f64
+        let total_capacity = |of: &[Candidate]| of.iter().map(|candidate| candidate.capacity).sum::<f64>();
+        let own_zone_probability = if self.is_one_of_many() {
+            total_capacity(&own_zone) / total_capacity(candidates) * self.terms.zones as f64
         } else {
             1.0
         };
-        let priced = self.terms.crossing_price > 0.0 && !near.is_empty() && !far.is_empty();
-        let drawn_from = if priced && self.rng.random::<f64>() < stays { &near } else { candidates };
-        choose(&mut self.rng, drawn_from)
+        let prefers_own_zone =
+            self.terms.crossing_price > 0.0 && !own_zone.is_empty() && !other_zones.is_empty();
+        let pool = if prefers_own_zone && self.rng.random::<f64>() < own_zone_probability {
+            &own_zone
+        } else {
+            candidates
+        };
+        choose_by_capacity(&mut self.rng, pool)
     }
 
     /// A member of another zone, where the group's read shift sends this read away.
-    fn draw_shifted(&mut self, candidates: &[Candidate], far: &[Candidate]) -> Option<MemberId> {
+    fn draw_by_read_shift(
+        &mut self,
+        candidates: &[Candidate],
+        other_zones: &[Candidate],
+    ) -> Option<MemberId> {
         let group = self.members[candidates.first()?.member].group;
-        let shift = &self.groups[group].read_shift;
-        if shift.away <= 0.0 || self.rng.random::<f64>() >= shift.away {
+        let read_shift = &self.groups[group].read_shift;
+        if read_shift.away <= 0.0 || self.rng.random::<f64>() >= read_shift.away {
             return None;
         }
-        let weighed = |candidate: &Candidate| {
-            let weight = shift.to_zones.get(&self.members[candidate.member].zone).copied().unwrap_or(0.0);
-            Candidate { room: candidate.room * weight, ..*candidate }
+        let weighted = |candidate: &Candidate| {
+            let weight =
+                read_shift.to_zones.get(&self.members[candidate.member].zone).copied().unwrap_or(0.0);
+            Candidate { capacity: candidate.capacity * weight, ..*candidate }
         };
-        let weighed: Vec<Candidate> = far.iter().map(weighed).collect();
-        choose(&mut self.rng, &weighed)
+        let weighted: Vec<Candidate> = other_zones.iter().map(weighted).collect();
+        choose_by_capacity(&mut self.rng, &weighted)
     }
 
     /// Whether a read may go to this member at all; one that may have run stays where its repeats are
     /// deduplicated.
     pub(super) fn may_read_from(&self, now: Micros, pending: &PendingRequest, id: MemberId) -> bool {
-        let scope = self.terms.classes[pending.request.class].effect;
-        let zoned = matches!(scope, Effect::Deduplicated { scope: Scope::Zone, .. });
-        let kept = pending.may_have_run.is_none_or(|first| !zoned || first.zone == self.members[id].zone);
-        kept && self.usable(now, id)
+        let effect = self.terms.classes[pending.request.class].effect;
+        let is_zone_scoped = matches!(effect, Effect::Deduplicated { scope: Scope::Zone, .. });
+        let zone_allowed = pending
+            .may_have_run
+            .is_none_or(|first_run| !is_zone_scoped || first_run.zone == self.members[id].zone);
+        zone_allowed && self.usable(now, id)
     }
 }
--- a/crates/routing/src/policy/replica_subset.rs
+++ b/crates/routing/src/policy/replica_subset.rs
@@ -13,43 +13,43 @@
 /// this package is not told. What it is told gives no bound: 60 attempts a second use each of 1,800
 /// connections again within the 30 s that one may rest. The cost: a process with few descriptors opens connections
 /// again and again before it has 100 members, and one with many uses fewer replicas than it could before 300.
-const MAX_MEMBERS_USED_ALIKE: usize = 128;
+const MAX_MEMBERS_WITHOUT_SUBSET: usize = 128;
 /// An idle connection that is used again within this time is worth keeping.
-const REUSED_WITHIN: Micros = 1_000 * MS;
+const REUSE_INTERVAL: Micros = 1_000 * MS;
 /// The least number of a group's members that a router uses.
 const MIN_SUBSET: usize = 1;
 /// Keeps what is derived from a router's seed apart from what it draws.
-const SALT: u64 = 0x9e37_79b9_7f4a_7c15;
+const SEED_SALT: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Attempts in a beat, taken for usual until a router knows: enough for a quarter of those members.
-pub(super) fn at_start() -> f64 {
-    MAX_MEMBERS_USED_ALIKE as f64 / 4.0 * TICK as f64 / REUSED_WITHIN as f64
+pub(super) fn initial_attempts_per_tick() -> f64 {
+    MAX_MEMBERS_WITHOUT_SUBSET as f64 / 4.0 * TICK as f64 / REUSE_INTERVAL as f64
 }
 
 /// Spreads seeds that follow one another over all numbers.
-pub(super) fn salt(seed: u64) -> u64 {
-    Pcg64Mcg::seed_from_u64(seed ^ SALT).random()
+pub(super) fn scramble_seed(seed: u64) -> u64 {
+    Pcg64Mcg::seed_from_u64(seed ^ SEED_SALT).random()
 }
 
 /// How much a router prefers a member: by rendezvous hashing, so that all routers together spread evenly, and
 /// a member that comes or goes moves nothing else.
 fn preference(salt: u64, name: &str) -> u64 {
     let hashed = name.bytes().fold(salt, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3));
-    let mixed = (hashed ^ (hashed >> 32)).wrapping_mul(SALT);
+    let mixed = (hashed ^ (hashed >> 32)).wrapping_mul(SEED_SALT);
     mixed ^ (mixed >> 29)
 }
 
 impl Router {
     /// There are more members than a router can keep connections to.
     pub(super) fn uses_subset(&self) -> bool {
-        self.members.len() > MAX_MEMBERS_USED_ALIKE
+        self.members.len() > MAX_MEMBERS_WITHOUT_SUBSET
     }
 
     /// Enters a member into its group, by name and by preference.
     pub(super) fn add_to_group(&mut self, group: usize, id: MemberId) {
         let salt = self.salt;
-        let all = &self.members;
-        let name = |id: MemberId| all[id].name.as_str();
+        let all_members = &self.members;
+        let name = |id: MemberId| all_members[id].name.as_str();
         let Group { members, preferred, .. } = &mut self.groups[group];
         let at = members.partition_point(|&other| name(other) <= name(id));
         members.insert(at, id);
@@ -64,9 +64,9 @@
         if !self.uses_subset() {
             return usize::MAX;
         }
-        let reused = self.stall_pacing.recent_attempts() * REUSED_WITHIN as f64 / TICK as f64;
-        let part = group.members.len() as f64 / self.members.len() as f64;
-        ((reused * part).round() as usize).max(MIN_SUBSET)
+        let reused_connections = self.stall_pacing.recent_attempts() * REUSE_INTERVAL as f64 / TICK as f64;
+        let group_share = group.members.len() as f64 / self.members.len() as f64;
+        ((reused_connections * group_share).round() as usize).max(MIN_SUBSET)
     }
 
     /// The members among which a read is drawn: of those that may take it the first few by preference, and
@@ -78,37 +78,37 @@
         now: Micros,
         pending: &PendingRequest,
         floor: Micros,
-        all: bool,
+        ignore_subset: bool,
     ) -> Vec<MemberId> {
         let group = &self.groups[pending.group];
-        let may = |id: &MemberId| self.may_read_from(now, pending, *id);
-        let kept = self.subset_size(group);
-        if all || kept >= group.members.len() {
-            return group.members.iter().copied().filter(may).collect();
+        let is_allowed = |id: &MemberId| self.may_read_from(now, pending, *id);
+        let subset_size = self.subset_size(group);
+        if ignore_subset || subset_size >= group.members.len() {
+            return group.members.iter().copied().filter(is_allowed).collect();
         }
-        let listed =
+        let is_preferred =
             |id: &MemberId| self.members[*id].blacklist.allows(now) && Some(*id) != pending.last_member;
-        let behind = |id: MemberId| {
+        let is_behind = |id: MemberId| {
             let Member { position, last_heard_at, .. } = self.members[id];
             position < floor && now - last_heard_at < self.time_to_catch_up(id, floor)
         };
-        let takes = |id: &MemberId| {
+        let can_take = |id: &MemberId| {
             Some(*id) != group.primary
-                && listed(id)
-                && !behind(*id)
+                && is_preferred(id)
+                && !is_behind(*id)
                 && self.available_capacity(now, *id) > 0.0
         };
-        let found = group.preferred.iter().copied().filter(may).filter(takes).take(kept);
-        let mut found: Vec<MemberId> = found.chain(group.primary.filter(may)).collect();
-        if found.is_empty() {
-            found = group.members.iter().copied().filter(may).collect();
+        let chosen = group.preferred.iter().copied().filter(is_allowed).filter(can_take).take(subset_size);
+        let mut chosen: Vec<MemberId> = chosen.chain(group.primary.filter(is_allowed)).collect();
+        if chosen.is_empty() {
+            chosen = group.members.iter().copied().filter(is_allowed).collect();
         }
-        found
+        chosen
     }
 
     /// Closes what was opened to a member only to learn whether it is the primary. Otherwise searches through large groups
     /// use up descriptors and members' connections. The cost: a handshake, if the member is used next.
-    pub(super) fn close_unless_kept(&mut self, id: MemberId) {
+    pub(super) fn close_if_outside_subset(&mut self, id: MemberId) {
         let Some(member) = self.members.get(id).filter(|_| self.uses_subset()) else { return };
         let group = &self.groups[member.group];
         let mut kept = group.preferred.iter().take(self.subset_size(group)).chain(&group.primary);
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -2,7 +2,7 @@
 
 use super::blacklist::failure_threshold;
 use super::concurrency_limit::EndedLoad;
-use super::health_checks::HEALTH_CHECK_NEEDED;
+use super::health_checks::URGENT_HEALTH_CHECK_INTERVAL;
 use super::{HISTOGRAM_MEMORY, WRITE_HOLD};
 use crate::state::{FirstRun, RequestHandle, Router};
 use crate::{MemberId, Micros, Outcome, Verdict};
@@ -13,16 +13,16 @@
     member: MemberId,
     group: usize,
     class: usize,
-    sent: Micros,
+    sent_at: Micros,
     /// As `sent`, without the time in which the process stalled.
     waiting_since: Micros,
     /// How long its connection had rested, as a power of two.
-    rested: Option<usize>,
+    idle_class: Option<usize>,
     tried_connection: bool,
     /// The member had left its attempts without an answer for too long.
-    mute: bool,
+    member_unresponsive: bool,
     /// Its connection had most likely been dropped on the way while it rested.
-    reaped: bool,
+    connection_dropped: bool,
     request_closed: bool,
 }
 
@@ -30,27 +30,27 @@
     /// Enters the end of an attempt; its request is closed, or placed again.
     pub(super) fn attempt_ended(&mut self, now: Micros, handle: RequestHandle, outcome: Outcome) {
         let slow_start_credit = self.initial_saved_attempts();
-        let Some(ended) = self.take_ended(now, handle, outcome) else { return };
+        let Some(ended) = self.take_ended_attempt(now, handle, outcome) else { return };
         let id = ended.member;
         match outcome.verdict {
             Verdict::LocalFailure => {
-                return self.not_sent(now, handle, id, ended.sent, ended.request_closed);
+                return self.attempt_failed_locally(now, handle, id, ended.sent_at, ended.request_closed);
             }
             Verdict::NotSent => {}
-            verdict => self.connection_worked(now, id, ended.tried_connection, verdict.heard()),
+            verdict => self.record_connection_success(now, id, ended.tried_connection, verdict.heard()),
         }
         self.release_attempt(handle, &ended);
-        self.learn_of_rested_connection(&ended);
-        let refused = self.learn_of_reachability(now, &ended, slow_start_credit);
-        let load = EndedLoad { member: id, class: ended.class, reaped: ended.reaped, outcome };
+        self.record_idle_outcome(&ended);
+        let refused = self.record_reachability(now, &ended, slow_start_credit);
+        let load = EndedLoad { member: id, class: ended.class, reaped: ended.connection_dropped, outcome };
         self.adapt_concurrency_limit(now, &load);
         self.record_verdict(now, handle, &ended);
         self.end_session_write(now, handle, &outcome);
         self.pending_requests.get_mut(&handle).expect("not yet closed").last_member = Some(id);
-        self.release_connections(now, id, refused);
-        self.record_report(now, id, outcome.report, ended.sent, now - outcome.report.age);
+        self.release_idle_connections(now, id, refused);
+        self.record_report(now, id, outcome.report, ended.sent_at, now - outcome.report.age);
         if outcome.verdict == Verdict::NotPrimary && self.groups[ended.group].primary.is_none() {
-            self.count_miss(now, handle, &ended);
+            self.count_not_primary_answer(now, handle, &ended);
         }
         if ended.request_closed {
             self.close(handle);
@@ -61,7 +61,12 @@
     }
 
     /// Takes the attempt out of its request; none where the request has no attempt in flight.
-    fn take_ended(&mut self, now: Micros, handle: RequestHandle, outcome: Outcome) -> Option<EndedAttempt> {
+    fn take_ended_attempt(
+        &mut self,
+        now: Micros,
+        handle: RequestHandle,
+        outcome: Outcome,
+    ) -> Option<EndedAttempt> {
         let pending = self.pending_requests.get(&handle)?;
         let attempt = pending.in_flight?;
         let timed_out = outcome.verdict == Verdict::TimedOut;
@@ -70,13 +75,15 @@
             member: attempt.member,
             group: pending.group,
             class: pending.request.class,
-            sent: attempt.sent_at,
+            sent_at: attempt.sent_at,
             waiting_since: pending.waiting_since,
-            rested: pending.rest_class,
+            idle_class: pending.rest_class,
             tried_connection: pending.tries_connection,
-            mute: self.leaves_unanswered(now, attempt.member),
-            reaped: timed_out
-                && pending.rest_class.is_some_and(|rest| self.rested_connections.are_dropped_after(rest)),
+            member_unresponsive: self.leaves_unanswered(now, attempt.member),
+            connection_dropped: timed_out
+                && pending
+                    .rest_class
+                    .is_some_and(|idle_class| self.rested_connections.likely_dropped(idle_class)),
             request_closed: outcome.closed || pending.is_closed,
         };
         self.pending_requests.get_mut(&handle)?.in_flight = None;
@@ -86,23 +93,23 @@
     /// The attempt is no longer in flight at its member, and may have run there.
     fn release_attempt(&mut self, handle: RequestHandle, ended: &EndedAttempt) {
         let member = &mut self.members[ended.member];
-        member.in_flight.retain(|&out| out != handle);
+        member.in_flight.retain(|&other| other != handle);
         if !ended.outcome.verdict.never_ran() {
             let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
-            pending.may_have_run.get_or_insert(FirstRun { sent_at: ended.sent, zone: member.zone });
+            pending.may_have_run.get_or_insert(FirstRun { sent_at: ended.sent_at, zone: member.zone });
         }
     }
 
-    fn learn_of_rested_connection(&mut self, ended: &EndedAttempt) {
+    fn record_idle_outcome(&mut self, ended: &EndedAttempt) {
         let verdict = ended.outcome.verdict;
-        let Some(rest) = ended.rested else { return };
+        let Some(idle_class) = ended.idle_class else { return };
         if verdict.heard() || verdict == Verdict::TimedOut {
-            self.rested_connections.record(rest, verdict.heard());
+            self.rested_connections.record(idle_class, verdict.heard());
         }
     }
 
     /// Says whether the member refused a connection at once, as seen by a router among many.
-    fn learn_of_reachability(&mut self, now: Micros, ended: &EndedAttempt, slow_start_credit: f64) -> bool {
+    fn record_reachability(&mut self, now: Micros, ended: &EndedAttempt, slow_start_credit: f64) -> bool {
         let many_routers = self.is_one_of_many();
         let verdict = ended.outcome.verdict;
         let member = &mut self.members[ended.member];
@@ -115,7 +122,7 @@
         if !matches!(verdict, Verdict::Unconnected | Verdict::Unreachable | Verdict::Reset) {
             return false;
         }
-        let refused = verdict == Verdict::Unconnected && ended.outcome.took < HEALTH_CHECK_NEEDED;
+        let refused = verdict == Verdict::Unconnected && ended.outcome.took < URGENT_HEALTH_CHECK_INTERVAL;
         member.unreachable_until = now + 2 * WRITE_HOLD;
         if verdict == Verdict::Reset || refused {
             member.down_since.get_or_insert(now);
@@ -141,7 +148,8 @@
                 self.members[id].blacklist.record_malformed(now, threshold);
             }
             // An attempt that outlasted its limit at a member that answers others met a crowd, not a fault.
-            Verdict::TimedOut | Verdict::Cancelled if !ended.mute || ended.reaped => {}
+            Verdict::TimedOut | Verdict::Cancelled
+                if !ended.member_unresponsive || ended.connection_dropped => {}
             _ => self.record_failure(now, id),
         }
     }
@@ -159,23 +167,24 @@
         member.served_load += 0.1;
         member.blacklist.record_served();
         let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
-        for erred in std::mem::take(&mut pending.errored_members) {
-            self.record_failure(now, erred);
+        for errored_member in std::mem::take(&mut pending.errored_members) {
+            self.record_failure(now, errored_member);
         }
     }
 
     /// A write that met a replica: after a round of misses the group's writes wait for a while.
-    fn count_miss(&mut self, now: Micros, handle: RequestHandle, ended: &EndedAttempt) {
-        let round = self.groups[ended.group].members.len().min(self.terms.max_attempts as usize / 2);
+    fn count_not_primary_answer(&mut self, now: Micros, handle: RequestHandle, ended: &EndedAttempt) {
+        let answers_per_round =
+            self.groups[ended.group].members.len().min(self.terms.max_attempts as usize / 2);
         let hold = self.search_hold();
         let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
         pending.not_primary_answers += 1;
-        if pending.not_primary_answers >= round {
+        if pending.not_primary_answers >= answers_per_round {
             pending.not_primary_answers = 0;
             self.groups[ended.group].search_after = now + hold;
         }
         let member = &mut self.members[ended.member];
         member.not_primary_at = member.not_primary_at.max(now - ended.outcome.report.age);
-        self.close_unless_kept(ended.member);
+        self.close_if_outside_subset(ended.member);
     }
 }
--- a/crates/routing/src/policy/retry_detection.rs
+++ b/crates/routing/src/policy/retry_detection.rs
@@ -3,9 +3,9 @@
 use crate::Micros;
 
 /// The most that a detector's confidence grows to, in requests.
-const MOST_CONFIDENCE: i32 = 64;
+const MAX_CONFIDENCE: i32 = 64;
 /// A shorter wait is taken for that of a retry only after this many requests agreed on the usual one.
-const SURE: i32 = 2;
+const MIN_CONFIDENCE: i32 = 2;
 
 /// What a request is, as far as its client's wait tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,11 +34,11 @@
     /// Takes in the whole wait of a request that is not marked, in microseconds, and says what the request
     /// is.
     pub(crate) fn classify(&mut self, wait: Micros) -> ClientAttempt {
-        let usual = (wait - self.usual_wait).abs() <= self.usual_wait / 64;
-        self.learn(wait, usual);
-        if usual {
+        let is_usual = (wait - self.usual_wait).abs() <= self.usual_wait / 64;
+        self.update_majority(wait, is_usual);
+        if is_usual {
             ClientAttempt::First
-        } else if self.confidence >= SURE && wait < self.usual_wait {
+        } else if self.confidence >= MIN_CONFIDENCE && wait < self.usual_wait {
             ClientAttempt::Retry
         } else {
             ClientAttempt::Unusual
@@ -46,9 +46,9 @@
     }
 
     /// A running majority vote: a wait that loses its majority is replaced by the newest one.
-    fn learn(&mut self, wait: Micros, usual: bool) {
-        if usual {
-            self.confidence = (self.confidence + 1).min(MOST_CONFIDENCE);
+    fn update_majority(&mut self, wait: Micros, is_usual: bool) {
+        if is_usual {
+            self.confidence = (self.confidence + 1).min(MAX_CONFIDENCE);
             return;
         }
         self.confidence -= 1;
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -58,22 +58,22 @@
     pub(super) fn sweep_members(&mut self, now: Micros) {
         // Only what was served counts as a warm member's load: misses and rejected attempts are no work.
         let window = self.terms.overload_window;
-        let mut load = 0.0;
-        let mut warm = 0.0;
-        let passed = if self.uses_subset() { SWEEP_INTERVAL } else { TICK };
-        self.next_sweep = now + passed;
-        let fading = passed as f64 / window as f64;
+        let mut total_load = 0.0;
+        let mut warm_size = 0.0;
+        let interval = if self.uses_subset() { SWEEP_INTERVAL } else { TICK };
+        self.next_sweep = now + interval;
+        let window_fraction = interval as f64 / window as f64;
         for member in &mut self.members {
             member.sent_recently.retain(|&at| at > now - window);
             let warming_up = member.is_warming_up(now, self.terms.warm_within);
             if member.standing == Standing::Ready && !warming_up {
-                load += member.served_load;
-                warm += member.size;
+                total_load += member.served_load;
+                warm_size += member.size;
             }
-            member.served_load *= if warming_up { 0.0 } else { 1.0 - 0.1 * fading };
+            member.served_load *= if warming_up { 0.0 } else { 1.0 - 0.1 * window_fraction };
         }
         // What members carry does not shrink with what they are sent: their best of late counts.
-        let faded = self.warm_load * (1.0 - 0.02 * fading);
-        self.warm_load = faded.max(if warm > 0.0 { load / warm } else { 0.0 });
+        let faded_load = self.warm_load * (1.0 - 0.02 * window_fraction);
+        self.warm_load = faded_load.max(if warm_size > 0.0 { total_load / warm_size } else { 0.0 });
     }
 }
--- a/crates/routing/src/policy/stall_pacing.rs
+++ b/crates/routing/src/policy/stall_pacing.rs
@@ -5,17 +5,17 @@
 use crate::Micros;
 
 /// How long attempts are paced after a stall, in microseconds.
-const PACED_FOR: Micros = 2_000 * MS;
+const PACING_DURATION: Micros = 2_000 * MS;
 /// A stall that is no longer than this, in microseconds, leaves the pace as it is.
-const SHORT_STALL: Micros = 10 * TICK;
+const MAX_UNPACED_STALL: Micros = 10 * TICK;
 /// Attempts in a tick after a stall, as a multiple of the usual ones.
-const PACE: f64 = 1.6;
+const PACE_FACTOR: f64 = 1.6;
 /// The least number of attempts that a tick after a stall allows for.
 const MIN_PACE: f64 = 0.2;
 /// Unused attempts are saved up for at most this many ticks.
-const SAVED_TICKS: f64 = 5.0;
+const MAX_SAVED_TICKS: f64 = 5.0;
 /// The part by which one tick moves an average of attempts.
-const AVERAGE_STEP: f64 = 0.02;
+const SMOOTHING_FACTOR: f64 = 0.02;
 
 /// Counts attempts by ticks, and allows for only so many after a stall.
 ///
@@ -37,7 +37,7 @@
 
 impl StallPacing {
     /// Not paced; `recent_attempts` in a tick are assumed until they are counted.
-    pub(super) fn start(now: Micros, recent_attempts: f64) -> StallPacing {
+    pub(super) fn new(now: Micros, recent_attempts: f64) -> StallPacing {
         StallPacing {
             usual_attempts: GUARANTEED_FLEET_LIMIT,
             attempted: 0.0,
@@ -48,9 +48,10 @@
     }
 
     /// The process stalled for `stall` microseconds, until now.
-    pub(super) fn stalled(&mut self, now: Micros, stall: Micros) {
+    pub(super) fn record_stall(&mut self, now: Micros, stall: Micros) {
         self.allowed = 1.0;
-        self.paced_until = self.paced_until.max(if stall > SHORT_STALL { now + PACED_FOR } else { 0 });
+        self.paced_until =
+            self.paced_until.max(if stall > MAX_UNPACED_STALL { now + PACING_DURATION } else { 0 });
     }
 
     /// An attempt was sent.
@@ -60,7 +61,7 @@
     }
 
     /// An attempt could not leave this machine: it does not count.
-    pub(super) fn take_back_attempt(&mut self) {
+    pub(super) fn undo_attempt(&mut self) {
         self.attempted -= 1.0;
         self.allowed += 1.0;
     }
@@ -68,16 +69,16 @@
     /// A tick ends: counts its attempts, and those that the next one allows for.
     pub(super) fn tick(&mut self, now: Micros) {
         if now >= self.paced_until {
-            self.usual_attempts += (self.attempted - self.usual_attempts) * AVERAGE_STEP;
+            self.usual_attempts += (self.attempted - self.usual_attempts) * SMOOTHING_FACTOR;
         }
-        self.recent_attempts += (self.attempted - self.recent_attempts) * AVERAGE_STEP;
-        let pace = (self.usual_attempts * PACE).max(MIN_PACE);
+        self.recent_attempts += (self.attempted - self.recent_attempts) * SMOOTHING_FACTOR;
+        let pace = (self.usual_attempts * PACE_FACTOR).max(MIN_PACE);
         self.attempted = 0.0;
-        self.allowed = (self.allowed + pace).min((SAVED_TICKS * pace).max(1.0));
+        self.allowed = (self.allowed + pace).min((MAX_SAVED_TICKS * pace).max(1.0));
     }
 
     /// Whether attempts wait because those allowed for are used up.
-    pub(super) fn holds_back(&self, now: Micros) -> bool {
+    pub(super) fn blocks_attempts(&self, now: Micros) -> bool {
         now < self.paced_until && self.allowed < 1.0
     }
 
--- a/crates/routing/src/policy/stalls.rs
+++ b/crates/routing/src/policy/stalls.rs
@@ -6,8 +6,8 @@
 impl Router {
     /// The process stalled for `long` microseconds, until now: what is measured of members goes on where it
     /// stopped.
-    pub fn stall_ended(&mut self, now: Micros, long: Micros) {
-        self.pending_requests.values_mut().for_each(|pending| pending.waiting_since += long);
+    pub fn stall_ended(&mut self, now: Micros, duration: Micros) {
+        self.pending_requests.values_mut().for_each(|pending| pending.waiting_since += duration);
         for member in &mut self.members {
             let Member {
                 last_heard_at,
@@ -19,10 +19,10 @@
             } = member;
             for at in [last_heard_at, last_answered_at, newest_answered_sent, last_health_check_at, saved_at]
             {
-                *at = (*at + long).min(now);
+                *at = (*at + duration).min(now);
             }
         }
         self.next_tick = now;
-        self.stall_pacing.stalled(now, long);
+        self.stall_pacing.record_stall(now, duration);
     }
 }
--- a/crates/routing/src/policy/write_routing.rs
+++ b/crates/routing/src/policy/write_routing.rs
@@ -23,8 +23,8 @@
         let order = self.search_order(group);
         let asked = pending.last_member.and_then(|last| order.iter().position(|&id| id == last));
         let start = asked.map_or(0, |position| position + 1);
-        let round = (0..order.len()).map(|step| order[(start + step) % order.len()]);
-        let mut candidates = round.filter(|&id| self.may_be_primary(now, group, id));
+        let rotation = (0..order.len()).map(|step| order[(start + step) % order.len()]);
+        let mut candidates = rotation.filter(|&id| self.may_be_primary(now, group, id));
         let first = candidates.clone().next();
         candidates.find(|&id| self.members[id].blacklist.allows(now)).or(first)
     }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -6,8 +6,8 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::policy::{
-    Backoff, Blacklist, HealthCheckBudget, ListSubscription, RestedConnections, RetryDetector, Sessions,
-    StallPacing,
+    Blacklist, ConnectionBackoff, HealthCheckBudget, IdleDropDetector, ListSubscription, RetryDetector,
+    Sessions, StallPacing,
 };
 use crate::{Actions, Learnt, MemberId, Micros, ReadShift, Request, RouterConfig, Standing};
 
@@ -179,11 +179,11 @@
     pub(crate) warm_load: f64,
     pub(crate) mean_size: f64,
     pub(crate) health_check_budget: HealthCheckBudget,
-    pub(crate) rested_connections: RestedConnections,
+    pub(crate) rested_connections: IdleDropDetector,
     /// A member lately had no connection to spare.
     pub(crate) connections_scarce_until: Micros,
     /// Of new connections that fail here.
-    pub(crate) backoff: Backoff,
+    pub(crate) backoff: ConnectionBackoff,
     pub(crate) next_tick: Micros,
     /// When all members are looked at again.
     pub(crate) next_sweep: Micros,
