--- a/crates/routing/src/policy/health_check_budget.rs
+++ b/crates/routing/src/policy/health_check_budget.rs
@@ -1,47 +1,49 @@
-//! The budget for health checks: requests pay for them, so that their number follows the traffic.
+//! The health check budget: admitted requests earn the credit that health checks spend, so the rate of health
+//! checks follows the traffic.
 
-/// Health checks that one admitted request pays for.
+/// Credit that each admitted request earns, in health checks.
 const CREDIT_PER_REQUEST: f64 = 0.7;
-/// Health checks that a router may send before it has admitted any request.
+/// Credit of a router that has not admitted any request yet, in health checks.
 const INITIAL_CREDIT: f64 = 4.0;
-/// Health checks that a newly listed member brings with it: one for itself and one in reserve.
+/// Credit that a newly listed member adds, in health checks: one to check it and one in reserve.
 const CREDIT_PER_NEW_MEMBER: f64 = 2.0;
-/// The part of one health check for each member beyond which the credit is more than requests need.
+/// Credit per member, in health checks, above which the budget holds more than requests need.
 const SPARE_CREDIT_PER_MEMBER: f64 = 0.5;
 
-/// How many health checks are paid for.
+/// Credit for health checks, earned by requests and by new members. One unit pays for one health check.
 #[derive(Clone)]
 pub(crate) struct HealthCheckBudget {
     credit: f64,
 }
 
 impl HealthCheckBudget {
-    /// The budget of a router that starts.
+    /// Creates the budget of a router that has not admitted any request yet.
     pub(super) fn new() -> HealthCheckBudget {
         HealthCheckBudget { credit: INITIAL_CREDIT }
     }
 
-    /// A request was admitted; saved up is at most one health check for each of `members`.
+    /// Adds the credit for an admitted request. The total is capped at one health check for each of
+    /// `members`.
     pub(super) fn earn_for_request(&mut self, members: usize) {
         self.credit = (self.credit + CREDIT_PER_REQUEST).min(members as f64);
     }
 
-    /// A member was listed for the first time.
+    /// Adds the credit for a member that is listed for the first time.
     pub(super) fn earn_for_new_member(&mut self) {
         self.credit += CREDIT_PER_NEW_MEMBER;
     }
 
-    /// Whether more is saved up than requests need, where there are so many members.
+    /// Returns whether the credit exceeds what requests need, given the number of members.
     pub(super) fn has_spare(&self, members: usize) -> bool {
         self.credit > members as f64 * SPARE_CREDIT_PER_MEMBER
     }
 
-    /// Whether one health check is paid for.
+    /// Returns whether the credit pays for one health check.
     pub(super) fn affords_one(&self) -> bool {
         self.credit >= 1.0
     }
 
-    /// A health check is sent.
+    /// Deducts the cost of one health check.
     pub(super) fn spend_one(&mut self) {
         self.credit -= 1.0;
     }
--- a/crates/routing/src/policy/health_checks.rs
+++ b/crates/routing/src/policy/health_checks.rs
@@ -1,29 +1,33 @@
-//! Health checks: when they are sent, and what their results say.
+//! Health checks: when they are sent, and what their results say about members.
 
 use super::blacklist::BLACKLIST_DURATION;
 use super::{MS, WRITE_HOLD};
 use crate::state::{RoundTrip, Router};
 use crate::{Actions, MemberId, MemberReport, Micros, Standing, Verdict};
 
-/// How often a member that is not heard otherwise is checked where credit is left over.
+/// Interval, in microseconds, at which a member that is not heard from otherwise is checked while the budget
+/// has spare credit.
 pub(super) const HEALTH_CHECK_INTERVAL: Micros = 1_000 * MS;
-/// Health checks of members whose proof of freshness has run out, and of a group without a primary.
+/// Minimum interval, in microseconds, between health checks of a member whose proof of freshness has expired
+/// or whose group lacks a primary.
 pub(super) const URGENT_HEALTH_CHECK_INTERVAL: Micros = 100 * MS;
 
 impl RoundTrip {
+    /// Stores a new estimate, in microseconds, and the time at which it was measured.
     fn record(&mut self, estimate: Micros, now: Micros) {
         self.estimate = estimate;
         self.measured_at = now;
     }
 
-    /// The estimate, in microseconds; zero where it is too old to be believed.
+    /// Returns the estimate in microseconds, or zero if the measurement is too old to be reliable.
     pub(super) fn recent_estimate(self, now: Micros) -> Micros {
         if now - self.measured_at < BLACKLIST_DURATION { self.estimate } else { 0 }
     }
 }
 
 impl Router {
-    /// Checks members of a group in which requests are held, where that may set them free.
+    /// Checks the members of a group whose results may unblock its queued requests: unreachable members and,
+    /// in a group that is not large and lacks a primary, all members.
     pub(super) fn health_check_for_queued(&mut self, now: Micros, group: usize) {
         let searches_primary =
             !self.is_large_group(&self.groups[group]) && self.lacks_primary(now, &self.groups[group]);
@@ -36,7 +40,7 @@
         }
     }
 
-    /// Checks a member that was not heard of late, where requests have paid for more than they need.
+    /// Checks a member that was not heard from for [`HEALTH_CHECK_INTERVAL`], if the budget has spare credit.
     pub(super) fn background_health_check(&mut self, now: Micros, id: MemberId) {
         let has_spare_credit = self.health_check_budget.has_spare(self.members.len());
         if has_spare_credit && now - self.members[id].last_heard_at > HEALTH_CHECK_INTERVAL {
@@ -44,8 +48,11 @@
         }
     }
 
-    /// Takes in how a health check ended, after `took` microseconds. A member too full to report has answered
-    /// all the same. A member that is not known is passed over.
+    /// Records the result of a health check that took `took` microseconds, and routes the queued requests of
+    /// the member's group again.
+    ///
+    /// A member that is too overloaded to report has answered nevertheless. The result is ignored if the
+    /// member is not known.
     pub fn health_checked(
         &mut self,
         now: Micros,
@@ -60,7 +67,7 @@
         member.health_check_in_flight = false;
         self.measure_round_trip(now, id, verdict, took);
         match verdict {
-            // Nobody asked it, or nobody saw its answer.
+            // The member was not asked, or its answer was not observed.
             Verdict::NotSent | Verdict::Unobserved | Verdict::LocalFailure => {}
             Verdict::Served | Verdict::Overloaded | Verdict::Malformed | Verdict::ConnectionLost => {
                 self.health_check_answered(now, id, report, slow_start_credit);
@@ -72,8 +79,9 @@
         self.take_actions()
     }
 
-    /// The way to the member and its zone: an answer halves the difference; silence says less, as one member
-    /// alone may be dead.
+    /// Updates the round-trip estimates of the member and its zone. An answer moves both estimates half of
+    /// the way to the measured time. A timeout moves only the zone's estimate, by a quarter, because the
+    /// cause may be that this one member is dead.
     fn measure_round_trip(&mut self, now: Micros, id: MemberId, verdict: Verdict, took: Micros) {
         let member = &mut self.members[id];
         let unmeasured = RoundTrip { estimate: 0, measured_at: now };
@@ -88,7 +96,7 @@
         }
     }
 
-    /// An answer lifts the blacklisting that missing ones brought about.
+    /// Records that a health check was answered, which ends a blacklisting caused by missed health checks.
     fn health_check_answered(
         &mut self,
         now: Micros,
@@ -104,6 +112,8 @@
         self.record_report(now, id, report, reported_at, reported_at);
     }
 
+    /// Records that a health check was not answered. The member counts as unreachable for two write holds, or
+    /// until it is heard from.
     fn health_check_missed(&mut self, now: Micros, id: MemberId, verdict: Verdict) {
         let member = &mut self.members[id];
         if verdict == Verdict::Unconnected {
@@ -113,8 +123,8 @@
         member.blacklist.record_missed_health_check(now);
     }
 
-    /// Sends a health check, where one is allowed and paid for and the last one was sent at least `gap`
-    /// microseconds ago.
+    /// Sends a health check if health checks are allowed, the budget pays for it, the member is ready, no
+    /// other check of it is in flight, and the last one was sent at least `min_interval` microseconds ago.
     pub(super) fn try_health_check(&mut self, now: Micros, id: MemberId, min_interval: Micros) {
         let member = &mut self.members[id];
         let too_early = member.health_check_in_flight || now - member.last_health_check_at < min_interval;
@@ -127,7 +137,8 @@
         }
     }
 
-    /// There and back to the member, in microseconds, as far as its health checks of late tell.
+    /// Returns the round-trip time to the member in microseconds, as measured by its recent health checks;
+    /// zero if there is no recent measurement.
     pub(super) fn round_trip_to(&self, now: Micros, id: MemberId) -> Micros {
         self.members[id].round_trip.recent_estimate(now)
     }
--- a/crates/routing/src/policy/idle_connections.rs
+++ b/crates/routing/src/policy/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Idle connections that are not to be trusted, or not to be kept.
+//! Idle connections to members: how long they have been idle, and when they are closed.
 
 use super::blacklist::FAILURE_WINDOW;
 use super::health_checks::URGENT_HEALTH_CHECK_INTERVAL;
@@ -7,18 +7,20 @@
 use crate::{MemberId, Micros};
 
 impl Router {
-    /// How long the connection to the member has rested, where it would be used again.
+    /// Returns the idle class of the connection that the next attempt at the member would reuse. `None` if no
+    /// connection is known to be idle, or if it has been idle for too long to be classified.
     pub(super) fn idle_class_of(&self, now: Micros, id: MemberId) -> Option<IdleClass> {
         let Member { in_flight, newest_answered_sent, last_answered_at, .. } = &self.members[id];
         let has_idle_connection = in_flight.is_empty() && *newest_answered_sent > 0;
         idle_class(now - last_answered_at).filter(|_| has_idle_connection)
     }
 
-    /// A router among many that was refused closes its idle connections, for a while after each use; a health
-    /// check tells whether the process is dead.
+    /// Handles a refused connection in a router among many: closes all idle connections on the first refusal
+    /// and, for [`FAILURE_WINDOW`] after the last one, each connection once it is idle again. A health check
+    /// of the member tells whether its process is dead.
     ///
-    /// Guards members that take few connections against those that routers keep idle; costs attempts a
-    /// handshake each.
+    /// This keeps the idle connections of routers from using up those of members that accept only a few. The
+    /// cost is a handshake for each attempt.
     pub(super) fn record_connection_refused(&mut self, now: Micros, id: MemberId) {
         if now >= self.connections_scarce_until {
             let idle = (0..self.members.len()).filter(|&id| self.members[id].in_flight.is_empty());
@@ -28,7 +30,8 @@
         self.try_health_check(now, id, URGENT_HEALTH_CHECK_INTERVAL);
     }
 
-    /// After an attempt: closes what is idle at the member, or at all, while members take few connections.
+    /// Closes idle connections after an attempt while members accept few connections. A `refused` attempt
+    /// starts or prolongs that time.
     pub(super) fn release_idle_connections(&mut self, now: Micros, id: MemberId, refused: bool) {
         if refused {
             self.record_connection_refused(now, id);
--- a/crates/routing/src/policy/list_subscription.rs
+++ b/crates/routing/src/policy/list_subscription.rs
@@ -1,4 +1,4 @@
-//! When the endpoint list is asked for, where it comes only on request.
+//! When the endpoint list is requested from a discovery service that sends it only on request.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -6,19 +6,21 @@
 use super::MS;
 use crate::Micros;
 
-/// What each router adds to the span over which the first requests of a fleet are spread, in microseconds.
+/// Time that each router adds to the interval over which a fleet spreads its first list requests, in
+/// microseconds.
 const START_SPREAD_PER_ROUTER: Micros = 30 * MS;
-/// The shortest and the longest such span, in microseconds.
+/// Minimum interval over which a fleet spreads its first list requests, in microseconds.
 const MIN_START_SPREAD: Micros = 200 * MS;
+/// Maximum interval over which a fleet spreads its first list requests, in microseconds.
 const MAX_START_SPREAD: Micros = 1_200 * MS;
-/// The backoff before the first failure, in microseconds; each failure doubles it.
+/// Backoff before the first failure, in microseconds. Each failure doubles it.
 const INITIAL_BACKOFF: Micros = 500 * MS;
-/// The longest backoff, in microseconds.
+/// Maximum backoff, in microseconds.
 const MAX_BACKOFF: Micros = 8_000 * MS;
-/// How long an answer is waited for before the list is asked for again, in microseconds.
+/// How long to wait for an answer before the list is requested again, in microseconds.
 const ANSWER_TIMEOUT: Micros = 10_000 * MS;
 
-/// When the endpoint list is asked for next.
+/// Schedules the requests for the endpoint list.
 #[derive(Clone)]
 pub(crate) struct ListSubscription {
     next_at: Micros,
@@ -26,14 +28,16 @@
 }
 
 impl ListSubscription {
-    /// All routers of a fleet ask at their start: the span over which they are spread grows with their number.
+    /// Schedules the first request at a random time. All routers of a fleet send theirs when they start, so
+    /// the interval over which these are spread grows with the number of routers.
     pub(super) fn new(now: Micros, routers: usize, rng: &mut Pcg64Mcg) -> ListSubscription {
         let start_spread = START_SPREAD_PER_ROUTER * routers as Micros;
         let next_at = now + rng.random_range(0..start_spread.clamp(MIN_START_SPREAD, MAX_START_SPREAD));
         ListSubscription { next_at, backoff: INITIAL_BACKOFF }
     }
 
-    /// Whether the list is to be asked for now; if so, an answer is waited for.
+    /// Returns whether the list is to be requested now. If so, the next request is due after
+    /// [`ANSWER_TIMEOUT`].
     pub(super) fn is_due(&mut self, now: Micros) -> bool {
         let is_due_now = now >= self.next_at;
         if is_due_now {
@@ -42,12 +46,13 @@
         is_due_now
     }
 
-    /// The list was received: it need not be asked for any more.
+    /// Records that the list was received: it is not requested any more.
     pub(super) fn received(&mut self) {
         self.next_at = Micros::MAX;
     }
 
-    /// Discovery did not answer.
+    /// Records that discovery did not answer: doubles the backoff, and schedules the next request at a random
+    /// time in the second half of it.
     pub(super) fn failed(&mut self, now: Micros, rng: &mut Pcg64Mcg) {
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
         self.next_at = now + rng.random_range(self.backoff / 2..self.backoff);
--- a/crates/routing/src/policy/local_failures.rs
+++ b/crates/routing/src/policy/local_failures.rs
@@ -1,8 +1,8 @@
-//! Attempts that could not leave because this machine opens no connections for a moment: no descriptor, port,
-//! route or memory is free.
+//! Attempts that could not be sent because this machine cannot open connections for the moment: no
+//! descriptor, port, route or memory is available.
 //!
-//! Nothing is learnt of the member then. The attempt is placed again: on a member that an idle connection
-//! leads to, else after a backoff, for as long as its deadline allows.
+//! Such a failure says nothing about the member. The attempt is routed again: to a member with an idle
+//! connection, otherwise after a backoff, for as long as the request's deadline allows.
 
 use rand::Rng;
 
@@ -10,19 +10,20 @@
 use crate::state::{RequestHandle, Router};
 use crate::{MemberId, Micros};
 
-/// The shortest wait between two tries of a new connection, to whichever member, after one failed.
+/// Minimum delay, in microseconds, between two tries of a new connection to any member after one failed.
 const MIN_BACKOFF: Micros = 20 * MS;
-/// The longest such wait.
+/// Maximum delay, in microseconds, between two tries of a new connection to any member after one failed.
 const MAX_BACKOFF: Micros = 80 * MS;
-/// How long after a failure new connections are tried one by one, in microseconds. Until then no request that was never
-/// sent is given up early, as it has not waited for members.
+/// How long the backoff lasts after a failure, in microseconds. Until then, new connections are tried one at
+/// a time, and no request that was never sent is shed early, because such a request has not waited for member
+/// capacity.
 const BACKOFF_EXPIRY: Micros = 1_000 * MS;
 
-/// Until when new connections are tried one by one, because they failed here: one is tried after each wait,
-/// which doubles where that fails and halves where it works.
+/// Backoff for new connections after one could not be opened on this machine. One new connection is tried
+/// after each delay, which doubles if the connection fails and halves if it succeeds.
 ///
-/// Guards this machine and the members against all that waits at once when connections can be opened again;
-/// costs what waits some tens of milliseconds.
+/// This protects this machine and the members from a burst of all waiting attempts when connections can be
+/// opened again. The cost is a wait of some tens of milliseconds.
 #[derive(Clone, Copy)]
 pub(crate) struct ConnectionBackoff {
     active_until: Micros,
@@ -31,25 +32,27 @@
 }
 
 impl ConnectionBackoff {
-    /// New connections are not known to fail.
+    /// Creates an inactive backoff: new connections are not known to fail.
     pub(super) fn inactive(now: Micros) -> ConnectionBackoff {
         ConnectionBackoff { active_until: now, delay: MIN_BACKOFF, retry_at: now }
     }
 }
 
 impl Router {
-    /// Whether new connections failed here a short time ago.
+    /// Returns whether a new connection failed on this machine less than [`BACKOFF_EXPIRY`] ago.
     pub(super) fn is_backing_off(&self, now: Micros) -> bool {
         now < self.backoff.active_until
     }
 
-    /// Whether an idle connection leads there, or a new one may be tried.
+    /// Returns whether an attempt may go to the member now: over an idle connection, or because a new
+    /// connection may be tried.
     pub(super) fn may_connect(&self, now: Micros, id: MemberId) -> bool {
         let idle_connections = self.members[id].known_idle_connections.filter(|_| self.is_backing_off(now));
         idle_connections.is_none_or(|count| count > 0 || now >= self.backoff.retry_at)
     }
 
-    /// An attempt goes there. Says whether it tries a new connection where these failed.
+    /// Takes a connection to the member for an attempt. Returns whether the attempt tries a new connection
+    /// while the backoff is active.
     pub(super) fn claim_connection(&mut self, now: Micros, id: MemberId) -> bool {
         if !self.is_backing_off(now) {
             self.members[id].known_idle_connections = None;
@@ -67,7 +70,8 @@
         }
     }
 
-    /// An attempt had a connection, and `heard` says that it can be used again.
+    /// Records that an attempt had a connection. `tried_connection` says that it was a new one tried during
+    /// the backoff, and `reusable` that it can be used again.
     pub(super) fn record_connection_success(
         &mut self,
         now: Micros,
@@ -85,7 +89,8 @@
         }
     }
 
-    /// The attempt never left: what was counted of it is given back, and it is placed again.
+    /// Handles an attempt that was never sent because of a local failure: reverts what was counted for it,
+    /// and routes the request again or, if `request_closed`, closes it.
     pub(super) fn attempt_failed_locally(
         &mut self,
         now: Micros,
@@ -94,7 +99,8 @@
         sent_at: Micros,
         request_closed: bool,
     ) {
-        let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
+        let pending =
+            self.pending_requests.get_mut(&handle).expect("a request is pending until it is closed");
         let tried_connection = pending.tries_connection;
         pending.local_failures += 1;
         pending.last_member = Some(id);
@@ -116,7 +122,7 @@
         let retry_at = now + self.rng.random_range(delay / 2..=delay);
         self.backoff = ConnectionBackoff { active_until: now + BACKOFF_EXPIRY, delay, retry_at };
         if self.groups[group].primary.is_none() {
-            // Nobody was asked whether it is the primary.
+            // No member was asked whether it is the primary.
             self.groups[group].search_after = now;
         }
         self.session(handle).into_iter().for_each(|session| session.write_ended(0));
--- a/crates/routing/src/policy/primary_search.rs
+++ b/crates/routing/src/policy/primary_search.rs
@@ -1,43 +1,50 @@
-//! The search for a group's primary: by misses, by the answers of reads and by health checks, until a member
-//! says that it is the primary.
+//! The search for a group's primary: through writes that reach replicas, the answers to reads, and health
+//! checks, until a member reports that it is the primary.
 
 use super::{MS, TICK};
 use crate::state::{Group, Member, Router};
 use crate::{MemberId, Micros, Standing};
 
-/// Health checks that one member gets from the searches of all routers together, in a second at the most.
+/// Maximum number of health checks that one member gets in a second from the searches of all routers
+/// together.
 const MEMBER_SEARCH_CHECKS_PER_SECOND: f64 = 60.0;
-/// A round of health checks takes this long at the least, in microseconds.
+/// Minimum duration of a round of health checks, in microseconds.
 const MIN_SEARCH_ROUND: Micros = 600 * MS;
-/// Health checks that the searches of one router wait for at a time, in all groups together: of the
-/// connections to members that the fewest usual descriptors (256) allow, some 87, less than half.
+/// Maximum number of health checks that the searches of one router wait for at a time, in all groups
+/// together. It is less than half of the about 87 connections to members that the lowest usual descriptor
+/// limit (256) allows.
 const MAX_SEARCH_CHECKS_IN_FLIGHT: usize = 32;
-/// A health check that was not answered in this time, in microseconds, is not waited for. It is far longer than a
-/// crowded member takes, as what is sent before that only adds to the crowd. The cost: in a search of many groups each
-/// member that has vanished may hold up its group for so long.
+/// How long a search waits for the answer to a health check, in microseconds. It is far longer than an
+/// overloaded member takes, as checks that are sent before then only add to its load. The cost: in a search
+/// of many groups, each member that has vanished may delay its group for this long.
 const SEARCH_CHECK_TIMEOUT: Micros = 1_000 * MS;
 
 impl Router {
-    /// One round of misses reaches only a part of the group.
+    /// Returns whether the group is large: it has more members than a request has attempts, so one round of
+    /// attempts that reach replicas covers only a part of it.
     pub(super) fn is_large_group(&self, group: &Group) -> bool {
         group.members.len() > self.terms.max_attempts as usize
     }
 
-    /// No primary is believed, or it cannot be reached.
+    /// Returns whether the group has no believed primary, or has one that cannot be reached or does not
+    /// answer.
     pub(super) fn lacks_primary(&self, now: Micros, group: &Group) -> bool {
         group.primary.is_none_or(|id| self.is_silent(now, id))
     }
 
-    /// The order in which the members of a group are asked: by name, in a wide group by this router's
-    /// preference. By name alone, all routers would ask a wide group's first members at once, and not begin with those
-    /// to which they have connections.
+    /// Returns the order in which the members of a group are asked whether they are the primary: by name, or
+    /// by this router's preference in a large group.
+    ///
+    /// By name alone, all routers would ask the first members of a large group at once, and would not start
+    /// with the members that they have connections to.
     pub(super) fn search_order<'a>(&self, group: &'a Group) -> &'a [MemberId] {
         if self.is_large_group(group) { &group.preferred } else { &group.members }
     }
 
-    /// Usable, and not known to be a replica since the primary was lost. Otherwise the writes of a wide group would use
-    /// up their attempts on the same replicas. The cost: a primary that was promoted after it said that it is a replica
-    /// is found only in the next round.
+    /// Returns whether the member is usable and is not known to be a replica since the primary was lost.
+    ///
+    /// Otherwise the writes of a large group would use up their attempts on the same replicas. The cost: a
+    /// primary that was promoted after it reported itself a replica is found only in the next round.
     pub(super) fn may_be_primary(&self, now: Micros, group: &Group, id: MemberId) -> bool {
         let primary_heard_at =
             group.primary.map_or(Micros::MIN, |primary| self.members[primary].last_heard_at);
@@ -45,10 +52,12 @@
             && self.usable(now, id)
     }
 
-    /// Looks on for the primary of a group in which requests are held: the members that may be it are asked
-    /// one after another, in an order that differs from router to router; once none is left all may be it
-    /// again. In a wide group writes alone do not reach the primary within their time. The cost: members get one health
-    /// check from each router in a round, which the pace bounds.
+    /// Continues the search for the primary of a group with queued requests. Members that may be the primary
+    /// are asked one after another, in an order that differs between routers. Once none is left, the next
+    /// round starts, in which all of them may be the primary again.
+    ///
+    /// Health checks are sent in a large group, because writes alone do not reach its primary before their
+    /// deadlines. The cost: members get one health check from each router in a round, at a limited rate.
     pub(super) fn advance_primary_search(&mut self, now: Micros, group: usize) {
         let searched = &self.groups[group];
         if searched.members.is_empty() || !self.lacks_primary(now, searched) {
@@ -65,9 +74,11 @@
         }
     }
 
-    /// How many more health checks the search of this group may wait for. A router that looks for the primaries of many
-    /// groups at once would otherwise use up descriptors, and crowd members with checks, faster than they answer. The
-    /// cost: such a search takes longer.
+    /// Returns how many more health checks the search of this group may wait for.
+    ///
+    /// Without this limit, a router that searches for the primaries of many groups at once would use up
+    /// descriptors, and would overload members with checks faster than they answer. The cost: such a search
+    /// takes longer.
     fn search_slots(&self, now: Micros, group: usize) -> usize {
         let searched = |group: &&Group| {
             self.is_large_group(group) && !group.queued.is_empty() && self.lacks_primary(now, group)
@@ -81,7 +92,7 @@
         (MAX_SEARCH_CHECKS_IN_FLIGHT / search_count.max(1)).max(1).saturating_sub(in_flight)
     }
 
-    /// The health checks that are due in this beat.
+    /// Sends the health checks that are due in this tick.
     fn check_candidates(&mut self, now: Micros, group: usize) {
         let slots = self.search_slots(now, group) as f64;
         let count = self.groups[group].members.len();
@@ -102,6 +113,8 @@
         }
     }
 
+    /// Sends a health check to the member at `index` of the search order, if it may be the primary and was
+    /// not checked within [`MIN_SEARCH_ROUND`].
     fn check_candidate(&mut self, now: Micros, group: usize, index: usize) {
         let searched = &self.groups[group];
         let id = self.search_order(searched)[index];
@@ -112,7 +125,7 @@
         }
         let searched = &mut self.groups[group];
         searched.search.saved_health_checks -= 1.0;
-        // Writes keep their attempts for the member that the health checks find.
+        // Writes save their attempts for the member that the health checks find.
         searched.search_after = searched.search_after.max(now + MIN_SEARCH_ROUND);
         let member = &mut self.members[id];
         member.health_check_in_flight = true;
--- a/crates/routing/src/policy/read_routing.rs
+++ b/crates/routing/src/policy/read_routing.rs
@@ -1,4 +1,5 @@
-//! The member that a read goes to: replicas proven fresh enough, near and far.
+//! The member that a read goes to: a replica in the own or another zone that is proven fresh enough, or the
+//! primary.
 
 use std::collections::HashMap;
 
@@ -12,46 +13,51 @@
 use crate::state::{Member, PendingRequest, RequestHandle, Router};
 use crate::{Effect, MemberId, Micros, Need, ReadShift, RequestClass, Scope};
 
-/// A member that a read may go to, and the attempts that it has room for.
+/// A member that a read may go to, and the number of attempts that it has capacity for.
 #[derive(Clone, Copy)]
 struct Candidate {
     member: MemberId,
     capacity: f64,
 }
 
-/// What a read may be sent to.
+/// The members that a read may be sent to.
 struct ReadOptions {
-    /// The position that a member must have reached.
+    /// The position that a member must have reached, by the members' clock; `Micros::MIN` if any will do.
     floor: Micros,
+    /// The believed primary.
     primary: Option<MemberId>,
-    /// The primary, where the read may go there and it has said itself that it is the primary.
+    /// The primary, if the read may go to it and it has itself reported that it is the primary.
     confirmed_primary: Option<MemberId>,
-    /// The same, where it is due attempts beyond those that it had.
+    /// The confirmed primary, if it is owed attempts beyond those that it had. `None` unless this router is
+    /// one of many.
     deficit_primary: Option<MemberId>,
+    /// The other members that the read may go to.
     replicas: Vec<MemberId>,
-    /// Those with room, and only those on a short way where there are any.
+    /// Replicas, and the primary if it is owed attempts, that have capacity. If the round trip to any of them
+    /// is short enough, those with too long a round trip are left out.
     candidates: Vec<Candidate>,
 }
 
-/// One of the candidates by chance, weighed by their room.
+/// Draws one of the candidates at random, weighted by capacity.
 fn choose_by_capacity(rng: &mut Pcg64Mcg, candidates: &[Candidate]) -> Option<MemberId> {
     candidates.choose_weighted(rng, |candidate| candidate.capacity).ok().map(|candidate| candidate.member)
 }
 
 impl Router {
-    /// Sets what part of the own zone's reads goes to other zones, by group; groups that are not named keep
-    /// to their own choice.
+    /// Sets the share of this zone's reads that goes to other zones, by group. Groups that are not named are
+    /// routed without a shift.
     ///
-    /// It weighs what the draw leaves open, and opens nothing. Guards against crowding the members of a full
-    /// or returning zone; costs reads a crossing each when the directive is out of date.
+    /// A read shift only changes the weights of the random choice among the members that a read may go to
+    /// anyway. It protects the members of a zone that is full or coming back from overload. The cost: while
+    /// the directive is out of date, each shifted read crosses zones for nothing.
     pub fn set_read_shifts(&mut self, shifts: &HashMap<u64, ReadShift>) {
         for (name, &group) in &self.group_ids {
             self.groups[group].read_shift = shifts.get(name).cloned().unwrap_or_default();
         }
     }
 
-    /// A random replica proven fresh enough, else the primary. A router among many draws first, then checks
-    /// what it drew. None where the read has to wait.
+    /// Returns a random replica that is proven fresh enough, otherwise a fallback such as the primary. `None`
+    /// if the read has to wait. A router among many draws a replica first, then checks its freshness.
     pub(super) fn read_target(&mut self, now: Micros, handle: RequestHandle, need: Need) -> Option<MemberId> {
         let pending = &self.pending_requests[&handle];
         let awaited_report_before = pending.awaited_report;
@@ -59,7 +65,7 @@
         let is_long = need == Need::Loose && self.is_long_read(pending.request.class);
         let options = self.read_options(now, pending, floor, is_long);
         if is_long {
-            // All routers alike: the last replica by name that has room.
+            // All routers choose the same replica: the last one by name that has capacity.
             let is_replica = |candidate: &&Candidate| Some(candidate.member) != options.primary;
             return options.candidates.iter().rev().find(is_replica).map(|candidate| candidate.member);
         }
@@ -83,12 +89,15 @@
         }
         self.check_stale(now, &stale, drawn, floor);
         let must_wait = (target.is_none() || drawn_is_stale) && self.awaits_report(now, &stale);
-        self.pending_requests.get_mut(&handle).expect("being placed").awaited_report |= must_wait;
+        self.pending_requests
+            .get_mut(&handle)
+            .expect("a request is pending while it is routed")
+            .awaited_report |= must_wait;
         if must_wait { None } else { target.or(fallback) }
     }
 
-    /// The members that the read may go to, without those that failed it or are blacklisted where others are
-    /// left.
+    /// Collects the members that the read may go to. Blacklisted members, and the member of its last attempt,
+    /// are left out if others remain.
     fn read_options(
         &self,
         now: Micros,
@@ -123,12 +132,14 @@
         ReadOptions { floor, primary, confirmed_primary, deficit_primary, replicas, candidates }
     }
 
+    /// Returns whether the member is fresh enough for the read. A primary that is owed attempts always counts
+    /// as fresh.
     fn is_fresh(&self, options: &ReadOptions, id: MemberId) -> bool {
         Some(id) == options.deficit_primary || self.members[id].position >= options.floor
     }
 
-    /// Where a read goes when no replica is proven fresh: to the primary where it has room to spare, else,
-    /// where members check freshness themselves, to the newest replica that may have caught up.
+    /// Returns where a read goes when no replica is proven fresh: to the primary if it has spare capacity,
+    /// otherwise, if members check freshness themselves, to the newest replica that may have caught up.
     fn fallback_target(&self, now: Micros, options: &ReadOptions) -> Option<MemberId> {
         let has_spare_capacity = |id: MemberId| {
             let limit = self.members[id].concurrency_limit;
@@ -140,14 +151,16 @@
         if !self.terms.members_check || primary.is_some() {
             return primary;
         }
-        // Not one that has just said how far behind it is: it would reject the read, or hold it for nothing.
+        // A replica that has just reported how far behind it is would reject the read, or hold it for
+        // nothing.
         let may_be_fresh =
             |id: MemberId| now - self.members[id].last_heard_at >= self.time_to_catch_up(id, options.floor);
         let usable = |&id: &MemberId| may_be_fresh(id) && self.available_capacity(now, id) > 0.0;
         options.replicas.iter().copied().filter(usable).max_by_key(|&id| self.members[id].position)
     }
 
-    /// Checks one stale replica at a time: the one that was drawn, else one by chance.
+    /// Sends a health check to one stale replica at a time: to the drawn one if it is due, otherwise to a
+    /// random one that is.
     fn check_stale(&mut self, now: Micros, stale: &[MemberId], drawn: Option<MemberId>, floor: Micros) {
         if self.awaits_report(now, stale) {
             return;
@@ -163,18 +176,20 @@
         }
     }
 
-    /// A report of one of them is due at any moment: a read waits for it before it burdens the primary.
+    /// Returns whether a report of one of the stale replicas is due at any moment. A read waits for it before
+    /// it adds load to the primary.
     fn awaits_report(&self, now: Micros, stale: &[MemberId]) -> bool {
         let is_awaited =
             |member: &Member| member.health_check_in_flight && now - member.last_health_check_at < TICK;
         stale.iter().any(|&id| is_awaited(&self.members[id]))
     }
 
-    /// Whether reads of the class last so long that they share one replica.
+    /// Returns whether reads of the class take so long that all of them go to one replica.
     ///
-    /// Guards the freshness of replicas against reads of which a few in a row hold up their log for longer
-    /// than bounded reads bear; costs long reads time when that replica is slow, or when they hold up
-    /// nothing. A router among many cannot see a crowd there, and goes by the whole bound.
+    /// This protects the freshness of the other replicas: a few long reads in a row delay a replica's log for
+    /// longer than reads with a staleness bound tolerate. The cost: long reads take longer if that replica is
+    /// slow, and are confined to it even if they delay nothing. A router among many cannot see how crowded
+    /// that replica is, so it applies the whole bound to a single read.
     pub(super) fn is_long_read(&self, class: usize) -> bool {
         let usual = |class: usize| self.durations[class].quantile(0.5).unwrap_or(0);
         let recent_bound =
@@ -185,11 +200,11 @@
         bound.is_some_and(|bound| usual(class) > (bound / consecutive_reads).max(3 * shortest_usual))
     }
 
-    /// Whether the way to the member has grown so long that answers would come too late, as health checks of
-    /// late say.
+    /// Returns whether, by recent health checks, the round trip to the member is so long that answers would
+    /// come too late.
     ///
-    /// Guards reads against a slow link; costs the members beyond it their reads when they are checked just
-    /// as a neighbour dies.
+    /// This protects reads from a slow link. The cost: members behind the link lose their reads if they are
+    /// checked just as a neighbouring member dies.
     pub(super) fn is_round_trip_too_long(&self, now: Micros, id: MemberId, class: usize) -> bool {
         let zone = self.members[id].zone;
         let usual = self.durations[class].quantile(0.5).unwrap_or(0);
@@ -201,10 +216,10 @@
         round_trip + usual > self.terms.classes[class].objective / 2
     }
 
-    /// A member drawn by its room.
+    /// Draws a member at random, weighted by capacity.
     ///
-    /// Where crossing has a price the own zone is preferred; a router among many prefers it for what that
-    /// zone's members carry if all zones send alike.
+    /// If crossing zones has a price, the own zone is preferred. A router among many prefers it only to the
+    /// extent that the zone's members can carry if all zones send alike.
     fn draw_member(&mut self, candidates: &[Candidate]) -> Option<MemberId> {
         let (own_zone, other_zones): (Vec<Candidate>, Vec<Candidate>) =
             candidates.iter().partition(|candidate| self.members[candidate.member].zone == self.terms.zone);
@@ -227,7 +242,8 @@
         choose_by_capacity(&mut self.rng, pool)
     }
 
-    /// A member of another zone, where the group's read shift sends this read away.
+    /// Draws a member of another zone if the group's read shift sends this read away, otherwise returns
+    /// `None`.
     fn draw_by_read_shift(
         &mut self,
         candidates: &[Candidate],
@@ -247,8 +263,8 @@
         choose_by_capacity(&mut self.rng, &weighted)
     }
 
-    /// Whether a read may go to this member at all; one that may have run stays where its repeats are
-    /// deduplicated.
+    /// Returns whether a read may go to the member at all. A read that may have run stays in the zone of its
+    /// first run if only that zone deduplicates repeats of it.
     pub(super) fn may_read_from(&self, now: Micros, pending: &PendingRequest, id: MemberId) -> bool {
         let effect = self.terms.classes[pending.request.class].effect;
         let is_zone_scoped = matches!(effect, Effect::Deduplicated { scope: Scope::Zone, .. });
--- a/crates/routing/src/policy/replica_subset.rs
+++ b/crates/routing/src/policy/replica_subset.rs
@@ -1,4 +1,4 @@
-//! The replicas that this router keeps to, where there are more members than it has requests for.
+//! The subset of replicas that a router uses when there are more members than it has requests for.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -7,32 +7,37 @@
 use crate::state::{Group, Member, PendingRequest, Router};
 use crate::{MemberId, Micros};
 
-/// Up to this number of members a router uses all of them alike. A figure of our own, between the largest usual fleet (120
-/// members) and the smallest that was measured with descriptors or connections beyond their bounds (320). It
-/// is not derived: what bounds it is how many descriptors a process has for members (some 87 of 256), which
-/// this package is not told. What it is told gives no bound: 60 attempts a second use each of 1,800
-/// connections again within the 30 s that one may rest. The cost: a process with few descriptors opens connections
-/// again and again before it has 100 members, and one with many uses fewer replicas than it could before 300.
+/// Number of members up to which a router uses all of them alike. It lies between the largest usual fleet
+/// (120 members) and the smallest one that was measured with descriptors or connections beyond their limits
+/// (320).
+///
+/// The value is not derived. The actual limit is the number of descriptors that a process has for members
+/// (about 87 of 256), which this crate is not told. What it is told implies no limit: 60 attempts a second
+/// reuse each of 1,800 connections within the 30 s that one may be idle. The cost: a process with few
+/// descriptors keeps reopening connections even below 100 members, and a process with many descriptors uses
+/// fewer replicas than it could below 300 members.
 const MAX_MEMBERS_WITHOUT_SUBSET: usize = 128;
-/// An idle connection that is used again within this time is worth keeping.
+/// Time within which an idle connection must be reused to be worth keeping, in microseconds.
 const REUSE_INTERVAL: Micros = 1_000 * MS;
-/// The least number of a group's members that a router uses.
+/// Minimum number of a group's members that a router uses.
 const MIN_SUBSET: usize = 1;
-/// Keeps what is derived from a router's seed apart from what it draws.
+/// Keeps what is derived from a router's seed independent of the random numbers drawn from the same seed.
 const SEED_SALT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Attempts in a beat, taken for usual until a router knows: enough for a quarter of those members.
+/// Returns the attempts per tick that a router assumes until it has counted its own: enough to use a quarter
+/// of [`MAX_MEMBERS_WITHOUT_SUBSET`] members.
 pub(super) fn initial_attempts_per_tick() -> f64 {
     MAX_MEMBERS_WITHOUT_SUBSET as f64 / 4.0 * TICK as f64 / REUSE_INTERVAL as f64
 }
 
-/// Spreads seeds that follow one another over all numbers.
+/// Spreads consecutive seeds over the whole range of `u64`.
 pub(super) fn scramble_seed(seed: u64) -> u64 {
     Pcg64Mcg::seed_from_u64(seed ^ SEED_SALT).random()
 }
 
-/// How much a router prefers a member: by rendezvous hashing, so that all routers together spread evenly, and
-/// a member that comes or goes moves nothing else.
+/// Returns the rank of a member in a router's order of preference, lowest first, by rendezvous hashing: the
+/// routers together spread evenly over the members, and a member that joins or leaves does not change the
+/// order of the others.
 fn preference(salt: u64, name: &str) -> u64 {
     let hashed = name.bytes().fold(salt, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3));
     let mixed = (hashed ^ (hashed >> 32)).wrapping_mul(SEED_SALT);
@@ -40,12 +45,12 @@
 }
 
 impl Router {
-    /// There are more members than a router can keep connections to.
+    /// Returns whether there are more members than a router can keep connections to.
     pub(super) fn uses_subset(&self) -> bool {
         self.members.len() > MAX_MEMBERS_WITHOUT_SUBSET
     }
 
-    /// Enters a member into its group, by name and by preference.
+    /// Adds a member to its group's lists, which are sorted by name and by preference.
     pub(super) fn add_to_group(&mut self, group: usize, id: MemberId) {
         let salt = self.salt;
         let all_members = &self.members;
@@ -58,8 +63,8 @@
         preferred.insert(at, id);
     }
 
-    /// How many members of the group this router keeps to: as many as its requests use again and again,
-    /// shared out among the groups by their size.
+    /// Returns how many members of the group this router uses: as many as its requests reuse connections to,
+    /// divided among the groups by their size. `usize::MAX` if it uses all members.
     pub(super) fn subset_size(&self, group: &Group) -> usize {
         if !self.uses_subset() {
             return usize::MAX;
@@ -69,10 +74,13 @@
         ((reused_connections * group_share).round() as usize).max(MIN_SUBSET)
     }
 
-    /// The members among which a read is drawn: of those that may take it the first few by preference, and
-    /// the primary. Otherwise every router would open a connection to each of very many members and close it unused.
-    /// Members that fail, drain, are blacklisted, lag or have no capacity are passed over, and the next ones stand in for
-    /// them. The cost: less choice among fresh replicas.
+    /// Returns the members among which a read is drawn: of those that may take it, the first few by
+    /// preference, and the primary. If there are none, or with `ignore_subset`, it returns all members that
+    /// may take the read.
+    ///
+    /// Without a subset, every router would open a connection to each of very many members and close it
+    /// unused. Members that fail, drain, are blacklisted, lag or have no capacity are skipped, and the next
+    /// ones by preference take their place. The cost: less choice among fresh replicas.
     pub(super) fn read_subset(
         &self,
         now: Micros,
@@ -106,8 +114,9 @@
         chosen
     }
 
-    /// Closes what was opened to a member only to learn whether it is the primary. Otherwise searches through large groups
-    /// use up descriptors and members' connections. The cost: a handshake, if the member is used next.
+    /// Closes the idle connections to a member outside the subset, which were opened only to learn whether it
+    /// is the primary. Otherwise searches through large groups use up descriptors and the members'
+    /// connections. The cost: a handshake if the member is used next.
     pub(super) fn close_if_outside_subset(&mut self, id: MemberId) {
         let Some(member) = self.members.get(id).filter(|_| self.uses_subset()) else { return };
         let group = &self.groups[member.group];
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -1,4 +1,4 @@
-//! What follows from an attempt's end: what it says of the member, and whether the request is tried again.
+//! Handles the end of an attempt: what it says about the member, and whether the request is tried again.
 
 use super::blacklist::failure_threshold;
 use super::concurrency_limit::EndedLoad;
@@ -7,27 +7,27 @@
 use crate::state::{FirstRun, RequestHandle, Router};
 use crate::{MemberId, Micros, Outcome, Verdict};
 
-/// An attempt that has ended, with what was known just before its end was entered.
+/// An attempt that has ended, with the state just before its end was recorded.
 struct EndedAttempt {
     outcome: Outcome,
     member: MemberId,
     group: usize,
     class: usize,
     sent_at: Micros,
-    /// As `sent`, without the time in which the process stalled.
+    /// When the attempt was sent, without the time for which the process was stalled.
     waiting_since: Micros,
-    /// How long its connection had rested, as a power of two.
+    /// Idle class of the attempt's connection; `None` if the connection was new or not classified.
     idle_class: Option<usize>,
     tried_connection: bool,
-    /// The member had left its attempts without an answer for too long.
+    /// The member had left attempts unanswered for too long.
     member_unresponsive: bool,
-    /// Its connection had most likely been dropped on the way while it rested.
+    /// The attempt's connection had most likely been dropped on the path while it was idle.
     connection_dropped: bool,
     request_closed: bool,
 }
 
 impl Router {
-    /// Enters the end of an attempt; its request is closed, or placed again.
+    /// Records the end of an attempt, and closes its request or routes it again.
     pub(super) fn attempt_ended(&mut self, now: Micros, handle: RequestHandle, outcome: Outcome) {
         let slow_start_credit = self.initial_saved_attempts();
         let Some(ended) = self.take_ended_attempt(now, handle, outcome) else { return };
@@ -46,7 +46,10 @@
         self.adapt_concurrency_limit(now, &load);
         self.record_verdict(now, handle, &ended);
         self.end_session_write(now, handle, &outcome);
-        self.pending_requests.get_mut(&handle).expect("not yet closed").last_member = Some(id);
+        self.pending_requests
+            .get_mut(&handle)
+            .expect("a request is pending until it is closed")
+            .last_member = Some(id);
         self.release_idle_connections(now, id, refused);
         self.record_report(now, id, outcome.report, ended.sent_at, now - outcome.report.age);
         if outcome.verdict == Verdict::NotPrimary && self.groups[ended.group].primary.is_none() {
@@ -60,7 +63,7 @@
         self.route_queued(now, ended.group);
     }
 
-    /// Takes the attempt out of its request; none where the request has no attempt in flight.
+    /// Removes the attempt from its request. `None` if the request is not known or has no attempt in flight.
     fn take_ended_attempt(
         &mut self,
         now: Micros,
@@ -90,16 +93,19 @@
         Some(ended)
     }
 
-    /// The attempt is no longer in flight at its member, and may have run there.
+    /// Removes the attempt from those in flight at its member, and records that it may have run there unless
+    /// it is known not to have.
     fn release_attempt(&mut self, handle: RequestHandle, ended: &EndedAttempt) {
         let member = &mut self.members[ended.member];
         member.in_flight.retain(|&other| other != handle);
         if !ended.outcome.verdict.never_ran() {
-            let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
+            let pending =
+                self.pending_requests.get_mut(&handle).expect("a request is pending until it is closed");
             pending.may_have_run.get_or_insert(FirstRun { sent_at: ended.sent_at, zone: member.zone });
         }
     }
 
+    /// Records whether an attempt on a connection that had been idle was answered.
     fn record_idle_outcome(&mut self, ended: &EndedAttempt) {
         let verdict = ended.outcome.verdict;
         let Some(idle_class) = ended.idle_class else { return };
@@ -108,7 +114,8 @@
         }
     }
 
-    /// Says whether the member refused a connection at once, as seen by a router among many.
+    /// Records what the attempt says about the member's reachability. Returns whether the member refused the
+    /// connection at once; always `false` unless this router is one of many.
     fn record_reachability(&mut self, now: Micros, ended: &EndedAttempt, slow_start_credit: f64) -> bool {
         let many_routers = self.is_one_of_many();
         let verdict = ended.outcome.verdict;
@@ -130,15 +137,20 @@
         refused && many_routers
     }
 
-    /// Enters what the verdict says for or against the member.
+    /// Records what the verdict says for or against the member.
     fn record_verdict(&mut self, now: Micros, handle: RequestHandle, ended: &EndedAttempt) {
         let id = ended.member;
         let took = ended.outcome.took;
         match ended.outcome.verdict {
             Verdict::Served => self.attempt_served(now, handle, ended),
-            // Nobody's fault as yet: whoever serves the request proves that the member failed it.
+            // Not a failure of the member yet: that is proven only when another attempt of the request is
+            // served.
             Verdict::Error => {
-                self.pending_requests.get_mut(&handle).expect("not yet closed").errored_members.push(id);
+                self.pending_requests
+                    .get_mut(&handle)
+                    .expect("a request is pending until it is closed")
+                    .errored_members
+                    .push(id);
                 self.give_back_quick_error(now, id, ended.class, took);
             }
             Verdict::Overloaded => self.shrink_concurrency_limit(now, id),
@@ -147,37 +159,41 @@
                 let threshold = failure_threshold(self.terms.drivers);
                 self.members[id].blacklist.record_malformed(now, threshold);
             }
-            // An attempt that outlasted its limit at a member that answers others met a crowd, not a fault.
+            // A timeout at a member that answers other attempts is a sign of overload, not of a fault.
             Verdict::TimedOut | Verdict::Cancelled
                 if !ended.member_unresponsive || ended.connection_dropped => {}
             _ => self.record_failure(now, id),
         }
     }
 
-    /// A failure that is the member's own.
+    /// Records a failure for which the member itself is responsible.
     fn record_failure(&mut self, now: Micros, id: MemberId) {
         let threshold = failure_threshold(self.terms.drivers);
         self.members[id].blacklist.record_failure(now, threshold);
     }
 
+    /// Records a served attempt, and a failure of each member that answered the same request with an error.
     fn attempt_served(&mut self, now: Micros, handle: RequestHandle, ended: &EndedAttempt) {
         self.durations[ended.class].add(ended.outcome.took, HISTOGRAM_MEMORY * 4);
         self.all_durations.add(ended.outcome.took, HISTOGRAM_MEMORY * 4);
         let member = &mut self.members[ended.member];
         member.served_load += 0.1;
         member.blacklist.record_served();
-        let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
+        let pending =
+            self.pending_requests.get_mut(&handle).expect("a request is pending until it is closed");
         for errored_member in std::mem::take(&mut pending.errored_members) {
             self.record_failure(now, errored_member);
         }
     }
 
-    /// A write that met a replica: after a round of misses the group's writes wait for a while.
+    /// Counts an attempt of a write that reached a replica. After a round of these, the group's writes wait
+    /// for a while.
     fn count_not_primary_answer(&mut self, now: Micros, handle: RequestHandle, ended: &EndedAttempt) {
         let answers_per_round =
             self.groups[ended.group].members.len().min(self.terms.max_attempts as usize / 2);
         let hold = self.search_hold();
-        let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
+        let pending =
+            self.pending_requests.get_mut(&handle).expect("a request is pending until it is closed");
         pending.not_primary_answers += 1;
         if pending.not_primary_answers >= answers_per_round {
             pending.not_primary_answers = 0;
--- a/crates/routing/src/policy/retry_detection.rs
+++ b/crates/routing/src/policy/retry_detection.rs
@@ -1,29 +1,31 @@
-//! Tells client retries from first attempts where clients do not mark them.
+//! Distinguishes client retries from first attempts if clients do not mark them.
 
 use crate::Micros;
 
-/// The most that a detector's confidence grows to, in requests.
+/// Maximum confidence of a detector, in requests.
 const MAX_CONFIDENCE: i32 = 64;
-/// A shorter wait is taken for that of a retry only after this many requests agreed on the usual one.
+/// Confidence, in requests that agree on the usual wait, from which a shorter wait is taken for that of a
+/// retry.
 const MIN_CONFIDENCE: i32 = 2;
 
-/// What a request is, as far as its client's wait tells.
+/// What a request is to its client, as inferred from how long the client waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClientAttempt {
-    /// The first attempt of its client.
+    /// The client's first attempt.
     First,
-    /// Its client waits for another time than most; it is ranked as a retry, but its objective counts from
-    /// now.
+    /// The client waits for a different time than most. The request is ranked as a retry, but its objective
+    /// counts from now.
     Unusual,
-    /// A retry: the time missing from its wait has gone by already.
+    /// A retry: the time by which its wait is shorter than the usual one has already passed.
     Retry,
 }
 
-/// Learns how long most clients of a request class wait: most first attempts bring the same time, so a
-/// shorter one is a retry.
+/// Learns how long most clients of a request class wait. Most first attempts carry the same wait, so a
+/// shorter wait indicates a retry.
 ///
-/// Guards against serving first what a client has already waited for in vain; costs a client in a hurry,
-/// whose first attempt is ranked as a retry, when clients of one class wait for different times.
+/// This keeps requests for which a client has already waited in vain from being served first. The cost: if
+/// clients of one class wait for different times, the first attempt of an impatient client is ranked as a
+/// retry.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RetryDetector {
     usual_wait: Micros,
@@ -31,7 +33,7 @@
 }
 
 impl RetryDetector {
-    /// Takes in the whole wait of a request that is not marked, in microseconds, and says what the request
+    /// Records the whole wait of a request that is not marked, in microseconds, and returns what the request
     /// is.
     pub(crate) fn classify(&mut self, wait: Micros) -> ClientAttempt {
         let is_usual = (wait - self.usual_wait).abs() <= self.usual_wait / 64;
@@ -45,7 +47,7 @@
         }
     }
 
-    /// A running majority vote: a wait that loses its majority is replaced by the newest one.
+    /// Updates a running majority vote: once the usual wait loses its majority, the newest wait replaces it.
     fn update_majority(&mut self, wait: Micros, is_usual: bool) {
         if is_usual {
             self.confidence = (self.confidence + 1).min(MAX_CONFIDENCE);
--- a/crates/routing/src/policy/sessions.rs
+++ b/crates/routing/src/policy/sessions.rs
@@ -1,62 +1,68 @@
-//! What this router's own attempts wrote, by session, for reads that must see their session's writes.
+//! What this router's own attempts wrote in each session, for reads that must see their session's writes.
 
 use std::collections::HashMap;
 
 use super::blacklist::FAILURE_WINDOW;
 use crate::Micros;
 
-/// Sessions that are remembered before older ones are forgotten.
+/// Number of sessions that are remembered before older ones are forgotten.
 const MAX_SESSIONS: usize = 10_000;
-/// How long ago a session must have written to be forgotten where there are more, in microseconds.
+/// Minimum age of a session's last commit, in microseconds, for the session to be forgotten when there are
+/// more than [`MAX_SESSIONS`].
 const FORGET_AFTER: Micros = FAILURE_WINDOW;
 
-/// What this router's own attempts wrote of one session.
+/// What this router's own attempts wrote in one session.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Session {
-    /// When its last write that ran or may have run was committed at the latest, by the members' clock.
+    /// Latest time, by the members' clock, at which the session's last write that ran or may have run was
+    /// committed; zero if there is none.
     last_commit: Micros,
-    /// Writes in flight: each may have been committed by now.
+    /// Number of writes in flight. Each of these may have been committed by now.
     writes_in_flight: u32,
 }
 
 impl Session {
-    /// The position that a read of the session must see, `now` by the members' clock.
+    /// Returns the position that a read of the session must see. `now` is by the members' clock.
     fn floor(&self, now: Micros) -> Micros {
         if self.writes_in_flight > 0 { now } else { self.last_commit }
     }
 
-    /// A write is sent.
+    /// Records that a write was sent.
     pub(super) fn write_started(&mut self) {
         self.writes_in_flight += 1;
     }
 
-    /// A write has ended, and was committed by `commit` at the latest; zero where it never ran.
+    /// Records that a write has ended. `commit` is the latest time at which the write was committed, or zero
+    /// if it never ran.
     pub(super) fn write_ended(&mut self, commit: Micros) {
         self.writes_in_flight -= 1;
         self.last_commit = self.last_commit.max(commit);
     }
 }
 
-/// The sessions that wrote of late.
+/// The sessions that wrote recently.
 #[derive(Clone, Default)]
 pub(crate) struct Sessions {
     by_name: HashMap<String, Session>,
-    /// A write of a session that is not found may be as new as that.
+    /// Latest commit time that a forgotten session may have, by the members' clock; `None` if none was
+    /// forgotten.
     forgotten_until: Option<Micros>,
 }
 
 impl Sessions {
-    /// The session of that name, new where it was not known.
+    /// Returns the session of that name, creating it if it is not known.
     pub(super) fn entry(&mut self, name: String) -> &mut Session {
         self.by_name.entry(name).or_default()
     }
 
-    /// The position that a read of the session must see, `now` by the members' clock; `None` where nothing bounds it.
+    /// Returns the position that a read of the session must see, or `None` if nothing bounds it. `now` is by
+    /// the members' clock.
     pub(super) fn floor(&self, name: &str, now: Micros) -> Option<Micros> {
         self.by_name.get(name).map(|session| session.floor(now)).or(self.forgotten_until)
     }
 
-    /// Forgets sessions that wrote long ago, where there are very many; `now` by the members' clock.
+    /// Forgets sessions that wrote long ago if there are more than [`MAX_SESSIONS`]. `now` is by the members'
+    /// clock.
     pub(super) fn forget_old(&mut self, now: Micros) {
         if self.by_name.len() <= MAX_SESSIONS {
             return;
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! How much a member that is warming up may be sent.
+//! Slow start: how many attempts a member that is warming up may be sent.
 
 use rand::Rng;
 
@@ -7,20 +7,22 @@
 use crate::state::{Member, Router};
 use crate::{MemberId, Micros, Standing};
 
-/// How often all members are looked at where a router keeps to some of them.
+/// Interval, in microseconds, at which a router that uses a subset of the members sweeps all of them.
 const SWEEP_INTERVAL: Micros = 10 * TICK;
 
 impl Member {
-    /// Whether it started so recently that it is to be sent little.
+    /// Returns whether the member started less than `warm_within` microseconds ago and is to be sent few
+    /// attempts.
     pub(super) fn is_warming_up(&self, now: Micros, warm_within: Micros) -> bool {
         self.started_at.is_some_and(|since| now - since < warm_within)
     }
 
-    /// The member's process was heard. One that seemed dead for long is taken for started now.
+    /// Records that the member's process was heard from. A process that seemed dead for more than four write
+    /// holds is taken to have started now, with `credit` as its saved attempts.
     ///
-    /// Guards a process that died and came back against the crowd that waits for it, where no list tells its
-    /// start; costs a member that only refused connections: it gets a slow-start allowance, unless it is
-    /// heard sooner than any process comes back.
+    /// This protects a process that died and came back from all the requests that wait for it, if no list
+    /// tells when it started. The cost: a member that only refused connections gets a slow-start allowance,
+    /// unless it is heard from sooner than any process could restart.
     pub(super) fn record_heard(&mut self, now: Micros, credit: f64) {
         self.last_heard_at = now;
         self.unreachable_until = now;
@@ -33,30 +35,32 @@
 }
 
 impl Router {
-    /// The slow-start allowance: attempts that the member may be sent in one window of the overload rule;
-    /// infinite once it is warm.
+    /// Returns the slow-start allowance: the number of attempts that the member may be sent in one window of
+    /// the overload rule. It is infinite once the member is warm.
     pub(super) fn slow_start_allowance(&self, now: Micros, id: MemberId) -> f64 {
         let member = &self.members[id];
         let age = member.started_at.map_or(Micros::MAX, |since| now - since);
         if age >= self.terms.warm_within {
             return f64::INFINITY;
         }
-        // The capacity at the middle of the window that ends now: it grows about evenly.
+        // The capacity at the middle of the window that ends now, as capacity grows about linearly.
         let age = (age - self.terms.overload_window / 2).max(0) as f64 / self.terms.warm_within as f64;
         let capacity = self.terms.cold_from + (1.0 - self.terms.cold_from) * age;
         let load = self.warm_load.max(GUARANTEED_FLEET_LIMIT / self.terms.routers_sharing_warm_up as f64);
         self.terms.overload_factor * capacity * load * member.size
     }
 
-    /// Saving up for a member that warms up begins at a random credit, so that not all routers come at once.
+    /// Returns the saved attempts with which a member starts to warm up. They are random, so that not all
+    /// routers send to it at once.
     pub(super) fn initial_saved_attempts(&mut self) -> f64 {
         self.rng.random::<f64>() + GUARANTEED_FLEET_LIMIT / self.terms.routers_sharing_warm_up as f64
     }
 
-    /// Lets fade what is remembered of each member, and measures what warm members carry. Where there are
-    /// many members this is done less often.
+    /// Lets what is remembered about each member decay, and measures the load of warm members. With many
+    /// members, this is done less often.
     pub(super) fn sweep_members(&mut self, now: Micros) {
-        // Only what was served counts as a warm member's load: misses and rejected attempts are no work.
+        // Only served attempts count as a warm member's load: rejected attempts, and those that reached a
+        // replica instead of the primary, are no work.
         let window = self.terms.overload_window;
         let mut total_load = 0.0;
         let mut warm_size = 0.0;
@@ -72,7 +76,8 @@
             }
             member.served_load *= if warming_up { 0.0 } else { 1.0 - 0.1 * window_fraction };
         }
-        // What members carry does not shrink with what they are sent: their best of late counts.
+        // The load that members can carry does not shrink when they are sent less, so their recent maximum
+        // counts.
         let faded_load = self.warm_load * (1.0 - 0.02 * window_fraction);
         self.warm_load = faded_load.max(if warm_size > 0.0 { total_load / warm_size } else { 0.0 });
     }
--- a/crates/routing/src/policy/stall_pacing.rs
+++ b/crates/routing/src/policy/stall_pacing.rs
@@ -1,4 +1,4 @@
-//! The pace of attempts after a stall of the process.
+//! Pacing of attempts after a stall of the process.
 
 use super::concurrency_limit::GUARANTEED_FLEET_LIMIT;
 use super::{MS, TICK};
@@ -6,37 +6,38 @@
 
 /// How long attempts are paced after a stall, in microseconds.
 const PACING_DURATION: Micros = 2_000 * MS;
-/// A stall that is no longer than this, in microseconds, leaves the pace as it is.
+/// Longest stall, in microseconds, that neither starts nor prolongs pacing.
 const MAX_UNPACED_STALL: Micros = 10 * TICK;
-/// Attempts in a tick after a stall, as a multiple of the usual ones.
+/// Attempts allowed per tick after a stall, as a multiple of the usual number.
 const PACE_FACTOR: f64 = 1.6;
-/// The least number of attempts that a tick after a stall allows for.
+/// Minimum number of attempts allowed per tick after a stall.
 const MIN_PACE: f64 = 0.2;
-/// Unused attempts are saved up for at most this many ticks.
+/// Maximum number of ticks for which unused attempts are saved up.
 const MAX_SAVED_TICKS: f64 = 5.0;
-/// The part by which one tick moves an average of attempts.
+/// Weight of one tick in the moving averages of attempts.
 const SMOOTHING_FACTOR: f64 = 0.02;
 
-/// Counts attempts by ticks, and allows for only so many after a stall.
+/// Counts attempts per tick, and limits them after a stall.
 ///
-/// Without it all processes of a fleet that stalled together, as in a suspended machine, send at once what waited
-/// meanwhile. The cost: attempts that would have been in time wait.
+/// Without this limit, all processes of a fleet that stalled together, as in a suspended machine, would send
+/// at once what waited in the meantime. The cost: attempts that would have been in time have to wait.
 #[derive(Clone)]
 pub(crate) struct StallPacing {
-    /// Attempts in a tick, as of late, while not paced.
+    /// Moving average of attempts per tick while they are not paced.
     usual_attempts: f64,
-    /// Attempts in this tick.
+    /// Attempts in the current tick.
     attempted: f64,
-    /// Until then attempts are paced.
+    /// Time until which attempts are paced.
     paced_until: Micros,
-    /// Attempts that are allowed for, while paced.
+    /// Attempts that are still allowed while they are paced.
     allowed: f64,
-    /// Attempts in a tick, as of late, paced or not, from a careful start.
+    /// Moving average of attempts per tick, paced or not, from a conservative initial value.
     recent_attempts: f64,
 }
 
 impl StallPacing {
-    /// Not paced; `recent_attempts` in a tick are assumed until they are counted.
+    /// Creates an instance that is not pacing. `recent_attempts` per tick are assumed until attempts are
+    /// counted.
     pub(super) fn new(now: Micros, recent_attempts: f64) -> StallPacing {
         StallPacing {
             usual_attempts: GUARANTEED_FLEET_LIMIT,
@@ -47,26 +48,26 @@
         }
     }
 
-    /// The process stalled for `stall` microseconds, until now.
+    /// Records that the process stalled for `stall` microseconds, until now.
     pub(super) fn record_stall(&mut self, now: Micros, stall: Micros) {
         self.allowed = 1.0;
         self.paced_until =
             self.paced_until.max(if stall > MAX_UNPACED_STALL { now + PACING_DURATION } else { 0 });
     }
 
-    /// An attempt was sent.
+    /// Counts an attempt that was sent.
     pub(super) fn record_attempt(&mut self) {
         self.attempted += 1.0;
         self.allowed -= 1.0;
     }
 
-    /// An attempt could not leave this machine: it does not count.
+    /// Reverts the count of an attempt that could not be sent from this machine.
     pub(super) fn undo_attempt(&mut self) {
         self.attempted -= 1.0;
         self.allowed += 1.0;
     }
 
-    /// A tick ends: counts its attempts, and those that the next one allows for.
+    /// Ends a tick: updates the averages by its attempts, and adds the attempts allowed in the next tick.
     pub(super) fn tick(&mut self, now: Micros) {
         if now >= self.paced_until {
             self.usual_attempts += (self.attempted - self.usual_attempts) * SMOOTHING_FACTOR;
@@ -77,12 +78,12 @@
         self.allowed = (self.allowed + pace).min((MAX_SAVED_TICKS * pace).max(1.0));
     }
 
-    /// Whether attempts wait because those allowed for are used up.
+    /// Returns whether attempts have to wait because the allowed ones are used up.
     pub(super) fn blocks_attempts(&self, now: Micros) -> bool {
         now < self.paced_until && self.allowed < 1.0
     }
 
-    /// Attempts in a tick, as of late.
+    /// Returns the moving average of attempts per tick, paced or not.
     pub(super) fn recent_attempts(&self) -> f64 {
         self.recent_attempts
     }
--- a/crates/routing/src/policy/stalls.rs
+++ b/crates/routing/src/policy/stalls.rs
@@ -4,8 +4,9 @@
 use crate::state::{Member, Router};
 
 impl Router {
-    /// The process stalled for `long` microseconds, until now: what is measured of members goes on where it
-    /// stopped.
+    /// Handles a stall of the process that lasted `duration` microseconds, until now. The times from which
+    /// members and attempts are measured move forward by the duration, so that the stall does not count as
+    /// waiting.
     pub fn stall_ended(&mut self, now: Micros, duration: Micros) {
         self.pending_requests.values_mut().for_each(|pending| pending.waiting_since += duration);
         for member in &mut self.members {
--- a/crates/routing/src/policy/write_routing.rs
+++ b/crates/routing/src/policy/write_routing.rs
@@ -1,11 +1,12 @@
-//! The member that a write goes to: the believed primary, or the next member of the primary search.
+//! The member that a write goes to: the believed primary, or the next member in the search for the primary.
 
 use super::WRITE_HOLD;
 use crate::state::{PendingRequest, Router};
 use crate::{MemberId, Micros};
 
 impl Router {
-    /// The believed primary; without one, the next member of the search order, one write at a time.
+    /// Returns the believed primary or, if there is none, the next member of the search order for one write
+    /// at a time. `None` if the write has to wait.
     pub(super) fn write_target(&self, now: Micros, pending: &PendingRequest) -> Option<MemberId> {
         let group = &self.groups[pending.group];
         let target = match group.primary {
@@ -16,8 +17,8 @@
         target.filter(|&id| self.available_capacity(now, id) > 0.0)
     }
 
-    /// The next member of the search order, behind the one that the request asked last, that may be the
-    /// primary; one that is blacklisted only where no other is left.
+    /// Returns the next member of the search order, after the one that the request asked last, that may be
+    /// the primary. A blacklisted member is returned only if no other is left.
     fn next_candidate(&self, now: Micros, pending: &PendingRequest) -> Option<MemberId> {
         let group = &self.groups[pending.group];
         let order = self.search_order(group);
@@ -29,10 +30,10 @@
         candidates.find(|&id| self.members[id].blacklist.allows(now)).or(first)
     }
 
-    /// How long writes wait between rounds of misses, in microseconds.
+    /// Returns how long writes wait between rounds of attempts that reached only replicas, in microseconds.
     ///
-    /// Guards members, those that warm up most, against searches of many routers at once; costs a router
-    /// among many time to find a new primary when health checks do not tell it.
+    /// This protects members, above all those that are warming up, from the searches of many routers at once.
+    /// The cost: a router among many takes longer to find a new primary if health checks do not reveal it.
     pub(super) fn search_hold(&self) -> Micros {
         WRITE_HOLD.max(WRITE_HOLD * self.terms.drivers as Micros * 2 / 50)
     }
