--- a/crates/site-routing/tests/draining_site.rs
+++ b/crates/site-routing/tests/draining_site.rs
@@ -14,12 +14,12 @@
 const WRITE: usize = 1;
 const TIMEOUT: Micros = 1_000 * MS;
 
-fn names() -> Vec<String> {
+fn site_names() -> Vec<String> {
     ["a", "b", "c"].map(str::to_owned).to_vec()
 }
 
 /// A gateway of site a, with links to one gateway of b and one of c; all have members of the group.
-fn gateway() -> SiteRouter {
+fn router_at_site_a() -> SiteRouter {
     let class = |effect, need| RequestClass {
         effect,
         need,
@@ -28,9 +28,9 @@
         late_priority_weight: 0.5,
     };
     let classes = vec![class(Effect::Idempotent, Need::Any), class(Effect::NonIdempotent, Need::Primary)];
-    let terms =
+    let config =
         SiteRouterConfig { classes, sites: 3, max_hops: 1, max_credit: 10_000, max_retry_after: 500 * MS };
-    let mut router = SiteRouter::new(terms, 1, 0);
+    let mut router = SiteRouter::new(config, 1, 0);
     router.groups_listed(0, &[(GROUP, 2)]);
     for gateway in 0..2 {
         router.links_changed(0, gateway, gateway + 1, 1, true);
@@ -40,13 +40,13 @@
 }
 
 fn plan(site: &str, stage: Stage, weight: u32) -> Plan {
-    let word = OperatorCommand { site: site.to_owned(), number: 1, order: Order::Run, by_ms: 0 };
-    let shares = names().into_iter().filter(|name| name != site).map(|name| (name, 1000)).collect();
-    Plan { command: word, stage, weight, shares, waits: None }
+    let operator_command = OperatorCommand { site: site.to_owned(), number: 1, order: Order::Run, by_ms: 0 };
+    let shares = site_names().into_iter().filter(|name| name != site).map(|name| (name, 1000)).collect();
+    Plan { command: operator_command, stage, weight, shares, waits: None }
 }
 
 /// The site that the request goes to at once; `None` where it waits. It is answered there.
-fn site_chosen(router: &mut SiteRouter, session: &str, class: usize) -> Option<usize> {
+fn route_and_answer(router: &mut SiteRouter, session: &str, class: usize) -> Option<usize> {
     let session = Some(session.to_owned());
     let request = Request { class, group: GROUP, timeout: TIMEOUT, visited: Vec::new(), session };
     let (handle, actions) = router.accept(0, request);
@@ -66,77 +66,82 @@
 
 #[test]
 fn each_session_moves_once_in_a_drain_and_again_only_if_its_new_site_is_lost() {
-    let mut router = gateway();
-    let all: Vec<String> = (0..300).map(|at| format!("session {at}")).collect();
-    let mut at: BTreeMap<&str, usize> = all.iter().map(|name| (name.as_str(), LOCAL_SITE)).collect();
-    let mut moves: BTreeMap<&str, u32> = BTreeMap::new();
+    let mut router = router_at_site_a();
+    let sessions: Vec<String> = (0..300).map(|index| format!("session {index}")).collect();
+    let mut site_by_session: BTreeMap<&str, usize> =
+        sessions.iter().map(|name| (name.as_str(), LOCAL_SITE)).collect();
+    let mut moves_by_session: BTreeMap<&str, u32> = BTreeMap::new();
     for weight in [1000, 750, 600, 350, 100, 0] {
         let stage = if weight > 0 { Stage::Moving } else { Stage::Emptied };
-        router.assign_sessions(0, &names(), vec![plan("a", stage, weight)]);
-        for session in &all {
-            let to = site_chosen(&mut router, session, READ).unwrap();
-            if at.insert(session, to) != Some(to) {
-                *moves.entry(session).or_default() += 1;
+        router.assign_sessions(0, &site_names(), vec![plan("a", stage, weight)]);
+        for session in &sessions {
+            let site = route_and_answer(&mut router, session, READ).unwrap();
+            if site_by_session.insert(session, site) != Some(site) {
+                *moves_by_session.entry(session).or_default() += 1;
             }
         }
-        let stay = at.values().filter(|site| **site == LOCAL_SITE).count() as u32;
-        assert!(stay.abs_diff(weight * 3 / 10) <= 30, "{stay} at {weight}");
+        let remaining = site_by_session.values().filter(|site| **site == LOCAL_SITE).count() as u32;
+        assert!(remaining.abs_diff(weight * 3 / 10) <= 30, "{remaining} at {weight}");
     }
-    assert!(moves.len() == 300 && moves.values().all(|moves| *moves == 1), "{moves:?}");
+    assert!(
+        moves_by_session.len() == 300 && moves_by_session.values().all(|count| *count == 1),
+        "{moves_by_session:?}"
+    );
     // b is lost: its sessions alone are bound anew.
     router.links_changed(0, 0, 1, 0, true);
-    for session in &all {
-        assert_eq!(site_chosen(&mut router, session, READ), Some(2));
+    for session in &sessions {
+        assert_eq!(route_and_answer(&mut router, session, READ), Some(2));
     }
     router.links_changed(0, 0, 1, 1, true);
     router.capacity_announced(0, 0, vec![10_000, 10_000], &[(GROUP, true)], false);
-    assert!(
-        all.iter()
-            .all(|session| site_chosen(&mut router, session, READ) == at.get(session.as_str()).copied())
-    );
+    assert!(sessions.iter().all(|session| route_and_answer(&mut router, session, READ)
+        == site_by_session.get(session.as_str()).copied()));
 }
 
 #[test]
-fn without_links_a_draining_site_serves_until_its_sessions_are_gone_and_nothing_once_drained() {
-    let mut router = gateway();
+fn an_unlinked_draining_site_serves_while_it_has_sessions_and_nothing_once_drained() {
+    let mut router = router_at_site_a();
     (0..2).for_each(|gateway| drop(router.links_changed(0, gateway, gateway + 1, 0, true)));
-    router.assign_sessions(0, &names(), vec![plan("a", Stage::Moving, 1)]);
-    assert_eq!(site_chosen(&mut router, "s", READ), Some(LOCAL_SITE));
-    router.assign_sessions(0, &names(), vec![plan("a", Stage::Emptied, 0)]);
-    assert_eq!(site_chosen(&mut router, "s", READ), None);
+    router.assign_sessions(0, &site_names(), vec![plan("a", Stage::Moving, 1)]);
+    assert_eq!(route_and_answer(&mut router, "s", READ), Some(LOCAL_SITE));
+    router.assign_sessions(0, &site_names(), vec![plan("a", Stage::Emptied, 0)]);
+    assert_eq!(route_and_answer(&mut router, "s", READ), None);
     // It is rejected by half of its time, not at the end of it.
     assert!(router.wake(TIMEOUT / 2 - MS).requests.is_empty());
-    let said = router.wake(TIMEOUT / 2 + 20 * MS).requests;
-    assert!(matches!(said[..], [(_, Action::Reject { .. })]), "{said:?}");
+    let actions = router.wake(TIMEOUT / 2 + 20 * MS).requests;
+    assert!(matches!(actions[..], [(_, Action::Reject { .. })]), "{actions:?}");
     // Remote requests of gateways that have not heard of it are answered until it is retired.
-    let remote_request = |router: &mut SiteRouter, class| {
+    let accept_remote_request = |router: &mut SiteRouter, class| {
         let request = Request { class, group: GROUP, timeout: TIMEOUT, visited: vec![1], session: None };
         router.accept(0, request).1.requests[0].1
     };
-    assert!(matches!(remote_request(&mut router, READ), Action::ServeLocally { .. }));
-    let open = router.open_work(3)["a"];
-    assert_eq!((open.sessions, open.requests, open.outcomes, open.primaries), (0, 1, 3, 0));
+    assert!(matches!(accept_remote_request(&mut router, READ), Action::ServeLocally { .. }));
+    let open_work = router.open_work(3)["a"];
+    assert_eq!(
+        (open_work.sessions, open_work.requests, open_work.outcomes, open_work.primaries),
+        (0, 1, 3, 0)
+    );
     router.local_primary_found(0, GROUP);
     assert_eq!(router.open_work(0)["a"].primaries, 1);
-    assert!(matches!(remote_request(&mut router, WRITE), Action::ServeLocally { .. }));
-    router.assign_sessions(0, &names(), vec![plan("a", Stage::Drained, 0)]);
-    assert!(matches!(remote_request(&mut router, READ), Action::ReportNotPrimary { .. }));
-    assert!(matches!(remote_request(&mut router, WRITE), Action::ReportNotPrimary { .. }));
-    assert_eq!(site_chosen(&mut router, "s", WRITE), None);
+    assert!(matches!(accept_remote_request(&mut router, WRITE), Action::ServeLocally { .. }));
+    router.assign_sessions(0, &site_names(), vec![plan("a", Stage::Drained, 0)]);
+    assert!(matches!(accept_remote_request(&mut router, READ), Action::ReportNotPrimary { .. }));
+    assert!(matches!(accept_remote_request(&mut router, WRITE), Action::ReportNotPrimary { .. }));
+    assert_eq!(route_and_answer(&mut router, "s", WRITE), None);
 }
 
 #[test]
 fn other_sites_send_no_reads_to_an_emptied_site_and_no_writes_to_a_drained_one() {
-    let mut router = gateway();
+    let mut router = router_at_site_a();
     // No members here: reads go to the nearest, writes to b.
     router.groups_listed(0, &[]);
     router.round_trip_measured(0, 10 * MS);
     router.round_trip_measured(1, 40 * MS);
-    assert_eq!(site_chosen(&mut router, "s", READ), Some(1));
-    router.assign_sessions(0, &names(), vec![plan("b", Stage::Emptied, 0)]);
-    assert_eq!(site_chosen(&mut router, "s", READ), Some(2));
-    assert_eq!(site_chosen(&mut router, "s", WRITE), Some(1), "roles are not moved by anybody here");
+    assert_eq!(route_and_answer(&mut router, "s", READ), Some(1));
+    router.assign_sessions(0, &site_names(), vec![plan("b", Stage::Emptied, 0)]);
+    assert_eq!(route_and_answer(&mut router, "s", READ), Some(2));
+    assert_eq!(route_and_answer(&mut router, "s", WRITE), Some(1), "roles are not moved by anybody here");
     assert_eq!(router.open_work(0)["b"].requests, 0);
-    router.assign_sessions(0, &names(), vec![plan("b", Stage::Drained, 0)]);
-    assert_eq!(site_chosen(&mut router, "s", WRITE), Some(2));
+    router.assign_sessions(0, &site_names(), vec![plan("b", Stage::Drained, 0)]);
+    assert_eq!(route_and_answer(&mut router, "s", WRITE), Some(2));
 }
--- a/crates/site-routing/tests/forwarding_model/main.rs
+++ b/crates/site-routing/tests/forwarding_model/main.rs
@@ -6,33 +6,35 @@
 
 use stateright::{Checker, Model};
 
-use protocol::{PLAIN, Protocol};
+use protocol::{Protocol, SINGLE_REQUEST};
 
 #[test]
-fn no_request_runs_twice_though_frames_are_lost_duplicated_and_late() {
-    let checked = Protocol { link_losses: 2, ..PLAIN }.checker().spawn_bfs().join();
+fn no_request_runs_twice_although_frames_are_lost_duplicated_and_delayed() {
+    let checked = Protocol { max_link_losses: 2, ..SINGLE_REQUEST }.checker().spawn_bfs().join();
     println!("one number: {} states", checked.unique_state_count());
     checked.assert_properties();
     assert!(checked.unique_state_count() > 500);
 }
 
 #[test]
-fn the_model_finds_a_double_execution_without_the_fence() {
-    let checked = Protocol { restarts: 0, fenced: false, ..PLAIN }.checker().spawn_bfs().join();
-    let double = checked.discovery("at most one side ever runs a request");
-    println!("{:?}", double.expect("a double").into_actions());
+fn the_model_finds_a_double_execution_without_fencing() {
+    let checked =
+        Protocol { max_restarts: 0, queries_fence: false, ..SINGLE_REQUEST }.checker().spawn_bfs().join();
+    let discovery = checked.discovery("at most one side ever runs a request");
+    println!("{:?}", discovery.expect("a double").into_actions());
 }
 
 #[test]
 fn with_a_log_on_disk_no_request_runs_twice_and_previous_incarnations_are_answered_for() {
-    let checked = Protocol { disk: true, ..PLAIN }.checker().spawn_bfs().join();
+    let checked = Protocol { has_disk: true, ..SINGLE_REQUEST }.checker().spawn_bfs().join();
     println!("one number with a disk: {} states", checked.unique_state_count());
     checked.assert_properties();
 }
 
 #[test]
-fn the_model_finds_a_double_execution_if_the_promise_is_ignored() {
-    let checked = Protocol { disk: true, keeps_promise: false, ..PLAIN }.checker().spawn_bfs().join();
+fn the_model_finds_a_double_execution_if_the_promise_is_not_kept() {
+    let checked =
+        Protocol { has_disk: true, keeps_promise: false, ..SINGLE_REQUEST }.checker().spawn_bfs().join();
     println!(
         "{:?}",
         checked.discovery("at most one side ever runs a request").expect("a double").into_actions()
@@ -42,8 +44,8 @@
 /// Millions of states: `cargo test --release -p aldermill-site-routing -- --ignored --nocapture`.
 #[test]
 #[ignore = "minutes"]
-fn two_requests_with_a_floor_between_them_do_not_run_twice() {
-    let checker = Protocol { requests: 2, ..PLAIN }.checker();
+fn two_requests_with_a_growing_fenced_range_do_not_run_twice() {
+    let checker = Protocol { requests: 2, ..SINGLE_REQUEST }.checker();
     let checked = checker.threads(4).spawn_bfs().join();
     println!("two requests: {} states", checked.unique_state_count());
     checked.assert_properties();
--- a/crates/site-routing/tests/forwarding_model/protocol.rs
+++ b/crates/site-routing/tests/forwarding_model/protocol.rs
@@ -7,29 +7,37 @@
 };
 use stateright::{Model, Property};
 
-use crate::state::{Message, Phase, Report, State, Step, new_table, origin, outcome, report};
+use crate::state::{
+    Message, Phase, ReportedOutcome, State, Step, from_reported, new_outcome_table, origin, to_reported,
+};
 
 /// How much may happen, and what the receiver leaves out.
 pub struct Protocol {
     pub requests: u64,
-    pub link_losses: u8,
-    pub restarts: u64,
+    pub max_link_losses: u8,
+    pub max_restarts: u64,
     /// Whether a query fences a number; left out to show that the model finds the fault.
-    pub fenced: bool,
+    pub queries_fence: bool,
     /// Whether the receiver's log is on a disk.
-    pub disk: bool,
+    pub has_disk: bool,
     /// Whether the receiver keeps its promise; broken to show that the model finds the fault.
     pub keeps_promise: bool,
 }
 
 /// One request, one lost link, one restart, no disk.
-pub const PLAIN: Protocol =
-    Protocol { requests: 1, link_losses: 1, restarts: 1, fenced: true, disk: false, keeps_promise: true };
+pub const SINGLE_REQUEST: Protocol = Protocol {
+    requests: 1,
+    max_link_losses: 1,
+    max_restarts: 1,
+    queries_fence: true,
+    has_disk: false,
+    keeps_promise: true,
+};
 
 impl Protocol {
-    fn promise(&self, now: i64) -> RecordingPromise {
+    fn new_promise(&self, now: i64) -> RecordingPromise {
         let mut promise = RecordingPromise::new(PromiseScope::Timed);
-        if self.disk {
+        if self.has_disk {
             promise.renew(now);
             promise.resolve_pending();
         }
@@ -37,12 +45,12 @@
     }
 
     fn conclude(&self, state: &mut State, number: u64, conclusion: Conclusion) {
-        let at = number as usize - 1;
-        state.phases[at] = match conclusion {
+        let index = number as usize - 1;
+        state.phases[index] = match conclusion {
             Conclusion::Open => return,
             // Either may follow; a rejection promises more, and running it here shows a double.
             Conclusion::NeverRan if number % 2 == 1 => {
-                state.runs[at] += 1;
+                state.runs[index] += 1;
                 Phase::RanElsewhere
             }
             Conclusion::NeverRan => Phase::Rejected,
@@ -56,15 +64,15 @@
             Message::Request { number, incarnation } if incarnation == state.incarnation => {
                 if state.outcomes.accept(0, &origin(), number, 10).is_ok() {
                     // The record first; without one it is rejected while the promise holds.
-                    if self.disk && !state.disk_full {
+                    if self.has_disk && !state.disk_full {
                         state.previous.add_record(incarnation, origin(), number, Outcome::InFlight);
                     }
-                    if self.disk
+                    if self.has_disk
                         && state.disk_full
                         && self.keeps_promise
                         && !state.promise.permits_unrecorded(state.now)
                     {
-                        return self.end(state, number, Outcome::Rejected { retry_after: 0 });
+                        return self.finish(state, number, Outcome::Rejected { retry_after: 0 });
                     }
                     state.accepted.insert(number);
                 }
@@ -73,33 +81,33 @@
             Message::Request { .. } => {}
             Message::OutcomeQuery { number, incarnation } => {
                 let mut table = state.outcomes.clone();
-                let outcome = match incarnation < state.incarnation && self.disk {
+                let outcome = match incarnation < state.incarnation && self.has_disk {
                     true => state.previous.query(&origin(), number, incarnation),
                     false => table.query(0, &origin(), number, incarnation, state.incarnation),
                 };
-                if self.fenced {
+                if self.queries_fence {
                     state.outcomes = table;
                 }
-                state.network.insert(Message::OutcomeReply { number, report: report(&outcome) });
+                state.network.insert(Message::OutcomeReply { number, outcome: to_reported(&outcome) });
             }
             Message::Confirm { up_to, incarnation } if incarnation == state.incarnation => {
                 state.outcomes.confirm(&origin(), up_to)
             }
             Message::Confirm { .. } => {}
-            Message::Answer { number, report } => {
+            Message::Answer { number, outcome } => {
                 if let Phase::Forwarded(mut forward) = state.phases[number as usize - 1] {
-                    let conclusion = forward.answered(match report {
-                        Report::Served => PeerAnswer::Served,
-                        Report::Rejected => PeerAnswer::Rejected { retry_after: 0 },
+                    let conclusion = forward.answered(match outcome {
+                        ReportedOutcome::Served => PeerAnswer::Served,
+                        ReportedOutcome::Rejected => PeerAnswer::Rejected { retry_after: 0 },
                         _ => PeerAnswer::Failed,
                     });
                     state.phases[number as usize - 1] = Phase::Forwarded(forward);
                     self.conclude(state, number, conclusion);
                 }
             }
-            Message::OutcomeReply { number, report } => {
+            Message::OutcomeReply { number, outcome } => {
                 if let Phase::Forwarded(mut forward) = state.phases[number as usize - 1] {
-                    let conclusion = forward.outcome_received(&outcome(report));
+                    let conclusion = forward.outcome_received(&from_reported(outcome));
                     state.phases[number as usize - 1] = Phase::Forwarded(forward);
                     self.conclude(state, number, conclusion);
                 }
@@ -107,12 +115,12 @@
         }
     }
 
-    fn end(&self, state: &mut State, number: u64, outcome: Outcome<()>) {
+    fn finish(&self, state: &mut State, number: u64, outcome: Outcome<()>) {
         state.accepted.remove(&number);
-        if self.disk && !state.disk_full {
+        if self.has_disk && !state.disk_full {
             state.previous.add_record(state.incarnation, origin(), number, outcome.clone());
         }
-        state.network.insert(Message::Answer { number, report: report(&outcome) });
+        state.network.insert(Message::Answer { number, outcome: to_reported(&outcome) });
         state.outcomes.record(&origin(), number, outcome);
     }
 
@@ -121,16 +129,16 @@
         let until = if state.promise.permits_unrecorded(state.now) { state.now - 1 } else { state.now };
         state.previous.add_promise(state.now, state.incarnation, until);
         state.disk_full = false;
-        state.promise = self.promise(state.now);
+        state.promise = self.new_promise(state.now);
         state.incarnation += 1;
-        state.outcomes = new_table();
+        state.outcomes = new_outcome_table();
         state.accepted.clear();
     }
 }
 
 /// The sender learns that what it sent to an earlier incarnation is not under way any more.
 fn notice_restart(state: &mut State) {
-    for (phase, &incarnation) in state.phases.iter_mut().zip(&state.sent_to) {
+    for (phase, &incarnation) in state.phases.iter_mut().zip(&state.receiver_incarnations) {
         if let Phase::Forwarded(forward) = phase
             && incarnation < state.incarnation
         {
@@ -148,12 +156,12 @@
         vec![State {
             network: BTreeSet::new(),
             phases: vec![Phase::New; requests],
-            sent_to: vec![0; requests],
-            outcomes: new_table(),
+            receiver_incarnations: vec![0; requests],
+            outcomes: new_outcome_table(),
             incarnation: 1,
             accepted: BTreeSet::new(),
             previous: PreviousIncarnations::default(),
-            promise: self.promise(0),
+            promise: self.new_promise(0),
             disk_full: false,
             now: 0,
             runs: vec![0; requests],
@@ -163,7 +171,7 @@
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
-        let open = |phase: &Phase| matches!(phase, Phase::New | Phase::Forwarded(_));
+        let is_open = |phase: &Phase| matches!(phase, Phase::New | Phase::Forwarded(_));
         for (number, phase) in (1..).zip(&state.phases) {
             match phase {
                 // In the order of their numbers, as the sender gives them out.
@@ -177,7 +185,7 @@
                 _ => {}
             }
         }
-        if state.link_losses < self.link_losses
+        if state.link_losses < self.max_link_losses
             && state.phases.contains(&Phase::Forwarded(ForwardState::InFlight))
         {
             steps.push(Step::LoseLink);
@@ -187,24 +195,24 @@
             .accepted
             .iter()
             .for_each(|&number| steps.extend([Step::Run(number), Step::Reject(number), Step::Fail(number)]));
-        if state.incarnation <= self.restarts {
+        if state.incarnation <= self.max_restarts {
             steps.push(Step::Restart);
         }
-        if self.disk && !state.disk_full {
-            steps.push(Step::DiskFills);
+        if self.has_disk && !state.disk_full {
+            steps.push(Step::FillDisk);
         }
-        if self.disk && !state.promise.permits_unrecorded(state.now) {
-            steps.push(Step::PromiseEnds);
+        if self.has_disk && !state.promise.permits_unrecorded(state.now) {
+            steps.push(Step::EndPromise);
         }
-        let stale = |(phase, &incarnation): (&Phase, &u64)| {
+        let is_stale = |(phase, &incarnation): (&Phase, &u64)| {
             matches!(phase, Phase::Forwarded(ForwardState::InFlight)) && incarnation < state.incarnation
         };
-        if state.phases.iter().zip(&state.sent_to).any(stale) {
+        if state.phases.iter().zip(&state.receiver_incarnations).any(is_stale) {
             steps.push(Step::NoticeRestart);
         }
         steps.push(Step::Confirm);
         // Time limits are long over for the sender before the receiver forgets.
-        if !state.expired && !state.phases.iter().any(open) {
+        if !state.expired && !state.phases.iter().any(is_open) {
             steps.push(Step::Expire);
         }
     }
@@ -214,7 +222,7 @@
         match step {
             Step::Send(number) => {
                 state.phases[number as usize - 1] = Phase::Forwarded(ForwardState::InFlight);
-                state.sent_to[number as usize - 1] = state.incarnation;
+                state.receiver_incarnations[number as usize - 1] = state.incarnation;
                 state.network.insert(Message::Request { number, incarnation: state.incarnation });
             }
             Step::LoseLink => {
@@ -226,30 +234,31 @@
                 }
             }
             Step::Query(number) => {
-                let incarnation = state.sent_to[number as usize - 1];
+                let incarnation = state.receiver_incarnations[number as usize - 1];
                 state.phases[number as usize - 1] = Phase::Forwarded(ForwardState::Queried);
                 state.network.insert(Message::OutcomeQuery { number, incarnation });
             }
             Step::GiveUp(number) => state.phases[number as usize - 1] = Phase::Failed,
             Step::Confirm => {
-                let open = |phase: &&Phase| matches!(phase, Phase::New | Phase::Forwarded(_));
-                let closed = state.phases.iter().take_while(|phase| !open(phase)).count() as u64;
-                let incarnation = state.sent_to.get(closed.saturating_sub(1) as usize).copied().unwrap_or(0);
+                let is_open = |phase: &&Phase| matches!(phase, Phase::New | Phase::Forwarded(_));
+                let closed = state.phases.iter().take_while(|phase| !is_open(phase)).count() as u64;
+                let incarnation =
+                    state.receiver_incarnations.get(closed.saturating_sub(1) as usize).copied().unwrap_or(0);
                 state.network.insert(Message::Confirm { up_to: closed, incarnation });
             }
             Step::Deliver(message) => self.deliver(&mut state, message),
             Step::Run(number) => {
                 state.runs[number as usize - 1] += 1;
-                self.end(&mut state, number, Outcome::Served(()));
+                self.finish(&mut state, number, Outcome::Served(()));
             }
-            Step::Reject(number) => self.end(&mut state, number, Outcome::Rejected { retry_after: 0 }),
+            Step::Reject(number) => self.finish(&mut state, number, Outcome::Rejected { retry_after: 0 }),
             Step::Fail(number) => {
                 // It ran, and the answer was lost.
                 state.runs[number as usize - 1] += 1;
-                self.end(&mut state, number, Outcome::Failed);
+                self.finish(&mut state, number, Outcome::Failed);
             }
-            Step::DiskFills => state.disk_full = true,
-            Step::PromiseEnds => state.now += 10_000_000,
+            Step::FillDisk => state.disk_full = true,
+            Step::EndPromise => state.now += 10_000_000,
             Step::Restart => self.restart(&mut state),
             Step::NoticeRestart => notice_restart(&mut state),
             Step::Expire => {
--- a/crates/site-routing/tests/forwarding_model/state.rs
+++ b/crates/site-routing/tests/forwarding_model/state.rs
@@ -11,14 +11,14 @@
 pub enum Message {
     Request { number: u64, incarnation: u64 },
     OutcomeQuery { number: u64, incarnation: u64 },
-    Answer { number: u64, report: Report },
-    OutcomeReply { number: u64, report: Report },
+    Answer { number: u64, outcome: ReportedOutcome },
+    OutcomeReply { number: u64, outcome: ReportedOutcome },
     Confirm { up_to: u64, incarnation: u64 },
 }
 
 /// An outcome as a frame carries it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Report {
+pub enum ReportedOutcome {
     NeverAccepted,
     InFlight,
     Rejected,
@@ -46,7 +46,7 @@
     pub network: BTreeSet<Message>,
     pub phases: Vec<Phase>,
     /// The incarnation of the receiver that each request was sent to.
-    pub sent_to: Vec<u64>,
+    pub receiver_incarnations: Vec<u64>,
     pub outcomes: OutcomeTable<()>,
     pub incarnation: u64,
     /// Accepted by the receiver's present incarnation and not run yet.
@@ -77,8 +77,8 @@
     Run(u64),
     Reject(u64),
     Fail(u64),
-    DiskFills,
-    PromiseEnds,
+    FillDisk,
+    EndPromise,
     Restart,
     NoticeRestart,
     Expire,
@@ -88,29 +88,29 @@
     Origin { site: "a".into(), instance: "n0".into(), incarnation: 1 }
 }
 
-pub fn report(outcome: &Outcome<()>) -> Report {
+pub fn to_reported(outcome: &Outcome<()>) -> ReportedOutcome {
     match outcome {
-        Outcome::NeverAccepted => Report::NeverAccepted,
-        Outcome::InFlight => Report::InFlight,
-        Outcome::Rejected { .. } => Report::Rejected,
-        Outcome::Served(()) => Report::Served,
-        Outcome::Failed => Report::Failed,
-        Outcome::Unknown => Report::Unknown,
+        Outcome::NeverAccepted => ReportedOutcome::NeverAccepted,
+        Outcome::InFlight => ReportedOutcome::InFlight,
+        Outcome::Rejected { .. } => ReportedOutcome::Rejected,
+        Outcome::Served(()) => ReportedOutcome::Served,
+        Outcome::Failed => ReportedOutcome::Failed,
+        Outcome::Unknown => ReportedOutcome::Unknown,
     }
 }
 
-pub fn outcome(report: Report) -> Outcome<()> {
-    match report {
-        Report::NeverAccepted => Outcome::NeverAccepted,
-        Report::InFlight => Outcome::InFlight,
-        Report::Rejected => Outcome::Rejected { retry_after: 0 },
-        Report::Served => Outcome::Served(()),
-        Report::Failed => Outcome::Failed,
-        Report::Unknown => Outcome::Unknown,
+pub fn from_reported(outcome: ReportedOutcome) -> Outcome<()> {
+    match outcome {
+        ReportedOutcome::NeverAccepted => Outcome::NeverAccepted,
+        ReportedOutcome::InFlight => Outcome::InFlight,
+        ReportedOutcome::Rejected => Outcome::Rejected { retry_after: 0 },
+        ReportedOutcome::Served => Outcome::Served(()),
+        ReportedOutcome::Failed => Outcome::Failed,
+        ReportedOutcome::Unknown => Outcome::Unknown,
     }
 }
 
-pub fn new_table() -> OutcomeTable<()> {
+pub fn new_outcome_table() -> OutcomeTable<()> {
     let mut outcomes = OutcomeTable::new(100, 10);
     outcomes.register_incarnation(&origin(), false);
     outcomes
--- a/crates/site-routing/tests/previous_incarnations.rs
+++ b/crates/site-routing/tests/previous_incarnations.rs
@@ -12,25 +12,25 @@
 
 #[test]
 fn records_are_read_back_as_written_and_unreadable_ones_count_as_failed() {
-    let read = decode_key(&encode_key(7, &origin(), 3));
-    assert_eq!(read, Some(RecordKey { incarnation: 7, origin: origin(), number: 3 }));
+    let decoded_key = decode_key(&encode_key(7, &origin(), 3));
+    assert_eq!(decoded_key, Some(RecordKey { incarnation: 7, origin: origin(), number: 3 }));
     assert!(decode_key(b"short").is_none() && decode_key(&[255; 40]).is_none());
-    let fates = [
+    let outcomes = [
         Outcome::InFlight,
         Outcome::NeverAccepted,
         Outcome::Rejected { retry_after: 5 },
         Outcome::Served(&b"v"[..]),
     ];
-    for fate in fates {
-        let back = decode_outcome(&encode_outcome(&fate));
-        assert_eq!(format!("{back:?}"), format!("{fate:?}").replace("b\"v\"", "[118]"));
+    for outcome in outcomes {
+        let decoded = decode_outcome(&encode_outcome(&outcome));
+        assert_eq!(format!("{decoded:?}"), format!("{outcome:?}").replace("b\"v\"", "[118]"));
     }
     assert_eq!(decode_outcome(b"?"), Outcome::Failed);
     assert_eq!(decode_outcome(b""), Outcome::Failed);
 }
 
 #[test]
-fn a_promise_binds_until_its_end_though_its_write_was_never_confirmed() {
+fn a_promise_binds_until_its_end_even_if_its_write_was_never_confirmed() {
     let mut promise = RecordingPromise::new(PromiseScope::Timed);
     assert!(promise.permits_unrecorded(1));
     let until = promise.renew(10).expect("due");
@@ -39,28 +39,28 @@
     promise.resolve_pending();
     assert_eq!(promise.renew(11), None);
     assert!(!promise.permits_unrecorded(until) && promise.permits_unrecorded(until + 1));
-    let next = promise.renew(until - 1).expect("due again");
+    let next_until = promise.renew(until - 1).expect("due again");
     promise.resolve_pending();
-    assert!(!promise.permits_unrecorded(next) && promise.permits_unrecorded(next + 1));
+    assert!(!promise.permits_unrecorded(next_until) && promise.permits_unrecorded(next_until + 1));
 }
 
 #[test]
-fn never_accepted_is_said_only_where_a_promise_held_to_the_end() {
-    let mut earlier = PreviousIncarnations::<()>::default();
-    earlier.add_record(7, origin(), 3, Outcome::InFlight);
-    earlier.add_record(7, origin(), 4, Outcome::Served(()));
-    earlier.add_promise(100, 7, 100);
-    earlier.add_promise(101, 8, 100);
-    let asked = [(3, 7), (4, 7), (5, 7), (5, 8), (5, 9)]
-        .map(|(number, start)| earlier.query(&origin(), number, start));
+fn never_accepted_is_answered_only_if_a_promise_held_to_the_end() {
+    let mut previous = PreviousIncarnations::<()>::default();
+    previous.add_record(7, origin(), 3, Outcome::InFlight);
+    previous.add_record(7, origin(), 4, Outcome::Served(()));
+    previous.add_promise(100, 7, 100);
+    previous.add_promise(101, 8, 100);
+    let answers = [(3, 7), (4, 7), (5, 7), (5, 8), (5, 9)]
+        .map(|(number, incarnation)| previous.query(&origin(), number, incarnation));
     assert_eq!(
-        asked,
+        answers,
         [Outcome::Failed, Outcome::Served(()), Outcome::NeverAccepted, Outcome::Unknown, Outcome::Unknown]
     );
 }
 
 #[test]
-fn no_promise_is_given_while_an_unrecorded_request_may_be_asked_about() {
+fn no_promise_is_made_while_an_unrecorded_request_may_be_asked_about() {
     let mut promise = RecordingPromise::default();
     assert!(promise.permits_unrecorded(10));
     promise.accepted_unrecorded(8_000_000);
@@ -70,11 +70,11 @@
 }
 
 #[test]
-fn a_promise_read_by_a_clock_that_was_set_back_proves_nothing() {
-    let mut earlier = PreviousIncarnations::<()>::default();
+fn a_promise_proves_nothing_if_the_wall_clock_was_set_back() {
+    let mut previous = PreviousIncarnations::<()>::default();
     let hour = 3_600_000_000;
-    earlier.add_promise(100, 7, hour);
-    assert_eq!(earlier.query(&origin(), 5, 7), Outcome::Unknown);
+    previous.add_promise(100, 7, hour);
+    assert_eq!(previous.query(&origin(), 5, 7), Outcome::Unknown);
 }
 
 /// Without a clock that later incarnations read, the end of a promise cannot be told from the time before it: it was taken
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_promise_counts_as_kept_only_by_the_clock_of_the_same_boot() {
+fn a_timed_promise_counts_as_kept_only_on_the_clock_of_the_same_boot() {
     let until = PromiseRecord::Until(SECOND);
     let end = |boot, at| PromiseRecord::End(PromiseEnd::After(BootInstant { boot, at }));
     assert!(is_kept(&[until, end(BOOT, 100 * SECOND)]) && is_kept(&[until, end(BOOT, 105 * SECOND)]));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn without_a_boot_clock_only_promises_for_the_whole_incarnation_count() {
+fn without_a_boot_clock_only_promises_for_a_whole_incarnation_count() {
     let mut promises = StoredPromises::default();
     let end = PromiseEnd::After(BootInstant { boot: BOOT, at: 102 * SECOND });
     for (incarnation, end) in [(7, end), (8, PromiseEnd::WithIncarnation)] {
--- /dev/null
+++ b/crates/site-routing/tests/two_sites/event_handling.rs
@@ -0,0 +1,189 @@
+//! What the two sides do with requests: the local router's answers, frames that arrive, and the one answer of each.
+
+use aldermill_site_routing::{
+    Action, Actions, LocalResult, Micros, Outcome, PeerAnswer, Request, RequestHandle,
+};
+use rand::Rng;
+
+use crate::gateway::{Frame, GROUP, MS, PEER_GATEWAY, REMOTE_SITE, origin};
+use crate::simulation::Simulation;
+
+impl Simulation {
+    pub fn execute(&mut self, gateway: usize, actions: Actions) {
+        for (handle, action) in actions.requests {
+            match action {
+                Action::ServeLocally { timeout: remaining } => {
+                    let duration = (self.rng.random_range(1..150) * MS).min((remaining - 20 * MS).max(0));
+                    self.gateways[gateway]
+                        .at_local_router
+                        .insert(handle, (self.now + duration, self.now + remaining));
+                }
+                Action::Withdraw => {
+                    self.gateways[gateway]
+                        .at_local_router
+                        .remove(&handle)
+                        .expect("taken back from where it is");
+                }
+                Action::Forward { number, timeout: remaining, .. } => {
+                    assert!(remaining > 0, "sent with no time left");
+                    let (request, incarnation) = (
+                        self.gateways[gateway].client_requests[&handle],
+                        self.gateways[1 - gateway].incarnation,
+                    );
+                    self.forwarded_requests.insert(number as usize * 2 + gateway, request as u32);
+                    self.gateways[gateway].sent_numbers.push(number);
+                    self.gateways[gateway].receiver_incarnations.insert(number, incarnation);
+                    let class = self.requests[request].class;
+                    self.send(gateway, Frame::Request { number, class, remaining, incarnation });
+                }
+                Action::QueryOutcome { number, .. } => {
+                    let incarnation = self.gateways[gateway].receiver_incarnations[&number];
+                    self.send(gateway, Frame::OutcomeQuery { number, incarnation });
+                }
+                Action::Cancel { number, .. } => self.send(gateway, Frame::Cancel(number)),
+                Action::RelayResponse => self.answer(gateway, handle, PeerAnswer::Served),
+                Action::Reject { retry_after } => {
+                    self.answer(gateway, handle, PeerAnswer::Rejected { retry_after })
+                }
+                Action::Fail => self.answer(gateway, handle, PeerAnswer::Failed),
+                Action::ReportNotPrimary { hint } => {
+                    self.answer(gateway, handle, PeerAnswer::NotPrimary { hint })
+                }
+            }
+        }
+        for (_, up_to) in actions.confirmations {
+            self.send(gateway, Frame::Confirm(up_to));
+        }
+    }
+
+    /// The one answer to a client, or to the other side.
+    pub fn answer(&mut self, gateway: usize, handle: RequestHandle, answer: PeerAnswer) {
+        if let Some(request) = self.gateways[gateway].client_requests.remove(&handle) {
+            let now = self.now;
+            let request = &mut self.requests[request];
+            if request.abandoned {
+                return;
+            }
+            let label = match answer {
+                PeerAnswer::Served => "served",
+                PeerAnswer::Rejected { .. } => "rejected",
+                PeerAnswer::Failed => "failed",
+                _ => panic!("no answer for a client: {answer:?}"),
+            };
+            assert_eq!(request.answer.replace(label), None, "answered twice");
+            assert!(now <= request.deadline, "{} too late", now - request.deadline);
+            let non_idempotent = request.class == 1;
+            assert!(label != "rejected" || !non_idempotent || request.runs == 0, "rejected, and it ran");
+            assert!(label != "served" || request.runs > 0, "served, and it never ran");
+        } else if let Some((number, class)) = self.gateways[gateway].remote_requests.remove(&handle) {
+            let sender = origin(1 - gateway, self.gateways[1 - gateway].incarnation);
+            if class == 1 {
+                let outcome = match answer {
+                    PeerAnswer::Served => Outcome::Served(()),
+                    PeerAnswer::Failed => Outcome::Failed,
+                    _ => Outcome::Rejected { retry_after: 0 },
+                };
+                self.gateways[gateway].outcomes.record(&sender, number, outcome);
+            }
+            let rejected = matches!(answer, PeerAnswer::Rejected { .. });
+            self.gateways[gateway].router.remote_request_ended(self.now, PEER_GATEWAY, class, rejected);
+            self.send(gateway, Frame::Answer { number, answer });
+        }
+    }
+
+    /// The module at a side is done with a request.
+    pub fn finish_local(&mut self, gateway: usize, handle: RequestHandle, deadline: Micros) {
+        let gateway_state = &mut self.gateways[gateway];
+        let request =
+            match (gateway_state.client_requests.get(&handle), gateway_state.remote_requests.get(&handle)) {
+                (Some(&request), _) => request,
+                (None, Some(&(number, _))) => {
+                    self.forwarded_requests[&(number as usize * 2 + (1 - gateway))] as usize
+                }
+                _ => return,
+            };
+        let has_primary = self.primary_site == gateway;
+        let needs_primary = matches!(self.requests[request].class, 1 | 2);
+        let actions = if needs_primary && !has_primary && self.now > deadline - 60 * MS {
+            gateway_state.router.local_finished(self.now, handle, LocalResult::Rejected { retry_after: 0 })
+        } else if needs_primary && !has_primary {
+            let actions = gateway_state.router.local_not_primary(self.now, handle);
+            if !actions.requests.contains(&(handle, Action::Withdraw)) {
+                gateway_state.at_local_router.insert(handle, (self.now + 30 * MS, deadline));
+            } else {
+                gateway_state.at_local_router.insert(handle, (0, 0));
+            }
+            actions
+        } else {
+            let result = match self.rng.random_range(0..20) {
+                0 => LocalResult::Rejected { retry_after: 0 },
+                1 => LocalResult::Failed,
+                _ => LocalResult::Served,
+            };
+            if !matches!(result, LocalResult::Rejected { .. }) {
+                self.requests[request].runs += 1;
+                let request_state = &self.requests[request];
+                assert!(
+                    request_state.class != 1 || request_state.runs == 1,
+                    "an effectful request ran twice"
+                );
+                assert!(
+                    request_state.class != 1 || request_state.answer != Some("rejected"),
+                    "it ran after a denial"
+                );
+            }
+            gateway_state.router.local_finished(self.now, handle, result)
+        };
+        self.execute(gateway, actions);
+    }
+
+    pub fn receive(&mut self, gateway: usize, frame: Frame) {
+        let sender = origin(1 - gateway, self.gateways[1 - gateway].incarnation);
+        let (now, own_incarnation) = (self.now, self.gateways[gateway].incarnation);
+        match frame {
+            Frame::Request { incarnation, .. } if incarnation != own_incarnation => {}
+            Frame::Request { number, class, remaining, .. } => {
+                // Whatever its effect, a number is taken once: a doubled frame is no second request.
+                if self.gateways[gateway].outcomes.accept(now, &sender, number, remaining).is_err() {
+                    return;
+                }
+                self.gateways[gateway].router.remote_request_started(PEER_GATEWAY, class);
+                let request = Request {
+                    class,
+                    group: GROUP,
+                    timeout: remaining - self.delay,
+                    visited: vec![REMOTE_SITE],
+                    session: None,
+                };
+                let (handle, actions) = self.gateways[gateway].router.accept(now, request);
+                self.gateways[gateway].remote_requests.insert(handle, (number, class));
+                self.execute(gateway, actions);
+            }
+            Frame::Answer { number, answer } => {
+                let actions = self.gateways[gateway].router.answered(now, number, answer);
+                self.execute(gateway, actions);
+            }
+            Frame::OutcomeQuery { number, incarnation } => {
+                let outcome =
+                    self.gateways[gateway].outcomes.query(now, &sender, number, incarnation, own_incarnation);
+                self.send(gateway, Frame::OutcomeReply { number, outcome });
+            }
+            Frame::OutcomeReply { number, outcome } => {
+                let actions = self.gateways[gateway].router.outcome_received(now, number, &outcome);
+                self.execute(gateway, actions);
+            }
+            Frame::Cancel(number) => {
+                let remote =
+                    self.gateways[gateway].remote_requests.iter().find(|(_, remote)| remote.0 == number);
+                if let Some((&handle, _)) = remote {
+                    // What the module has begun goes on there.
+                    if !self.gateways[gateway].at_local_router.contains_key(&handle) {
+                        let actions = self.gateways[gateway].router.abandon(now, handle);
+                        self.execute(gateway, actions);
+                    }
+                }
+            }
+            Frame::Confirm(up_to) => self.gateways[gateway].outcomes.confirm(&sender, up_to),
+        }
+    }
+}
--- a/crates/site-routing/tests/two_sites/side.rs
+++ b/crates/site-routing/tests/two_sites/gateway.rs
@@ -11,8 +11,8 @@
 pub const TIMEOUT: Micros = 2_000 * MS;
 pub const GROUP: u64 = 2;
 /// The other gateway, at either end.
-pub const GATEWAY: usize = 0;
-pub const FAR_SITE: usize = 1;
+pub const PEER_GATEWAY: usize = 0;
+pub const REMOTE_SITE: usize = 1;
 
 pub fn config() -> SiteRouterConfig {
     let class = |effect, need, priority_weight| RequestClass {
@@ -38,7 +38,7 @@
 
 #[derive(Clone, Debug)]
 pub enum Frame {
-    Request { number: u64, class: usize, left: Micros, incarnation: u64 },
+    Request { number: u64, class: usize, remaining: Micros, incarnation: u64 },
     Answer { number: u64, answer: PeerAnswer },
     OutcomeQuery { number: u64, incarnation: u64 },
     OutcomeReply { number: u64, outcome: Outcome<()> },
@@ -51,40 +51,40 @@
 pub struct ClientRequest {
     pub class: usize,
     pub deadline: Micros,
-    pub answered: Option<&'static str>,
-    pub left: bool,
+    pub answer: Option<&'static str>,
+    pub abandoned: bool,
     pub runs: u32,
 }
 
-pub struct Side {
+pub struct SimulatedGateway {
     pub router: SiteRouter,
     pub outcomes: OutcomeTable<()>,
     pub incarnation: u64,
     /// Which client's request each handle is, or which number of the other side's.
-    pub own: HashMap<RequestHandle, usize>,
-    pub remote: HashMap<RequestHandle, (u64, usize)>,
+    pub client_requests: HashMap<RequestHandle, usize>,
+    pub remote_requests: HashMap<RequestHandle, (u64, usize)>,
     /// With the module here: when it is done, and by when it must be.
-    pub local: BTreeMap<RequestHandle, (Micros, Micros)>,
-    pub sent: Vec<u64>,
+    pub at_local_router: BTreeMap<RequestHandle, (Micros, Micros)>,
+    pub sent_numbers: Vec<u64>,
     /// The incarnation of the other side that a number was sent to.
-    pub sent_to: HashMap<u64, u64>,
+    pub receiver_incarnations: HashMap<u64, u64>,
 }
 
-pub fn origin(side: usize, incarnation: u64) -> Origin {
-    Origin { site: ["a", "b"][side].into(), instance: "n0".into(), incarnation }
+pub fn origin(gateway: usize, incarnation: u64) -> Origin {
+    Origin { site: ["a", "b"][gateway].into(), instance: "n0".into(), incarnation }
 }
 
-pub fn side(seed: u64, now: Micros, incarnation: u64) -> Side {
+pub fn new_gateway(seed: u64, now: Micros, incarnation: u64) -> SimulatedGateway {
     let mut router = SiteRouter::new(config(), seed, now);
     router.groups_listed(now, &[(GROUP, 2)]);
-    Side {
+    SimulatedGateway {
         router,
         outcomes: OutcomeTable::new(1000, 1_000 * MS),
         incarnation,
-        own: HashMap::new(),
-        remote: HashMap::new(),
-        local: BTreeMap::new(),
-        sent: Vec::new(),
-        sent_to: HashMap::new(),
+        client_requests: HashMap::new(),
+        remote_requests: HashMap::new(),
+        at_local_router: BTreeMap::new(),
+        sent_numbers: Vec::new(),
+        receiver_incarnations: HashMap::new(),
     }
 }
--- a/crates/site-routing/tests/two_sites/one_site.rs
+++ b/crates/site-routing/tests/two_sites/single_gateway.rs
@@ -5,16 +5,21 @@
     SiteRouterConfig,
 };
 
-use crate::side::{FAR_SITE, GATEWAY, GROUP, MS, TIMEOUT, config};
+use crate::gateway::{GROUP, MS, PEER_GATEWAY, REMOTE_SITE, TIMEOUT, config};
 
 #[test]
-fn a_request_that_cannot_be_back_in_time_is_rejected_before_it_is_sent() {
+fn a_request_that_cannot_be_answered_in_time_is_rejected_before_it_is_forwarded() {
     let mut router = SiteRouter::new(config(), 1, 0);
-    router.links_changed(0, GATEWAY, FAR_SITE, 1, true);
-    (0..30).for_each(|_| router.round_trip_measured(GATEWAY, 300 * MS));
-    router.capacity_announced(0, GATEWAY, vec![9; 4], &[(GROUP, true)], false);
-    let request =
-        |class, ttl| Request { class, group: GROUP, timeout: ttl, visited: Vec::new(), session: None };
+    router.links_changed(0, PEER_GATEWAY, REMOTE_SITE, 1, true);
+    (0..30).for_each(|_| router.round_trip_measured(PEER_GATEWAY, 300 * MS));
+    router.capacity_announced(0, PEER_GATEWAY, vec![9; 4], &[(GROUP, true)], false);
+    let request = |class, remaining| Request {
+        class,
+        group: GROUP,
+        timeout: remaining,
+        visited: Vec::new(),
+        session: None,
+    };
     let (handle, actions) = router.accept(0, request(1, 250 * MS));
     assert!(
         matches!(actions.requests[..], [(other, Action::Reject { .. })] if other == handle),
@@ -29,36 +34,39 @@
     let (_, actions) = router.accept(0, request(3, 1_000 * MS));
     assert!(actions.requests.is_empty(), "{actions:?}");
     // No more than there is credit for; the rest is held, and goes as room comes.
-    let mut crossed = 1;
+    let mut forwarded = 1;
     for _ in 0..20 {
-        crossed += router.accept(0, request(1, 1_000 * MS)).1.requests.len();
+        forwarded += router.accept(0, request(1, 1_000 * MS)).1.requests.len();
     }
-    assert_eq!(crossed, 9);
-    assert_eq!(router.capacity_announced(0, GATEWAY, vec![12; 4], &[(GROUP, true)], false).requests.len(), 3);
+    assert_eq!(forwarded, 9);
+    assert_eq!(
+        router.capacity_announced(0, PEER_GATEWAY, vec![12; 4], &[(GROUP, true)], false).requests.len(),
+        3
+    );
     // Over a long line more may be out than it takes at once: most of them are on the way.
-    let out: Vec<u64> = (1..=12).collect();
-    out.iter().for_each(|&number| drop(router.answered(310 * MS, number, PeerAnswer::Served)));
-    let mut crossed = Vec::new();
+    let in_flight: Vec<u64> = (1..=12).collect();
+    in_flight.iter().for_each(|&number| drop(router.answered(310 * MS, number, PeerAnswer::Served)));
+    let mut forwarded = Vec::new();
     for number in 13..60 {
         let (_, actions) = router.accept(310 * MS, request(1, 1_000 * MS));
-        crossed.extend(actions.requests);
+        forwarded.extend(actions.requests);
         drop(router.answered(620 * MS, number, PeerAnswer::Served));
     }
-    assert!(crossed.len() > 40, "{}", crossed.len());
-    let more =
+    assert!(forwarded.len() > 40, "{}", forwarded.len());
+    let additional =
         (0..60).map(|_| router.accept(620 * MS, request(1, 1_000 * MS)).1.requests.len()).sum::<usize>();
-    assert!(more > 12, "{more}");
+    assert!(additional > 12, "{additional}");
     // Nothing goes to one that drains.
-    router.capacity_announced(0, GATEWAY, vec![50; 4], &[(GROUP, true)], true);
+    router.capacity_announced(0, PEER_GATEWAY, vec![50; 4], &[(GROUP, true)], true);
     assert!(router.accept(0, request(1, 1_000 * MS)).1.requests.is_empty());
 }
 
 #[test]
 fn a_stall_of_this_process_blacklists_no_peer_gateway() {
-    let blacklisted = |told: bool| {
+    let blacklisted = |stall_reported: bool| {
         let mut router = SiteRouter::new(config(), 1, 0);
-        router.links_changed(0, GATEWAY, FAR_SITE, 1, true);
-        router.capacity_announced(0, GATEWAY, vec![50; 4], &[(GROUP, true)], false);
+        router.links_changed(0, PEER_GATEWAY, REMOTE_SITE, 1, true);
+        router.capacity_announced(0, PEER_GATEWAY, vec![50; 4], &[(GROUP, true)], false);
         for _ in 0..9 {
             router.accept(
                 0,
@@ -67,36 +75,36 @@
         }
         // Their answers came meanwhile, and nobody read them before their time was over.
         let now = 3_000 * MS;
-        if told {
+        if stall_reported {
             router.stall_ended(now);
         }
         let actions = router.wake(now);
-        let ended = actions.requests.iter().filter(|(_, step)| matches!(step, Action::Fail)).count();
-        assert_eq!(ended, 9, "{actions:?}");
-        router.gateway_view(now, GATEWAY).blacklisted
+        let failed = actions.requests.iter().filter(|(_, action)| matches!(action, Action::Fail)).count();
+        assert_eq!(failed, 9, "{actions:?}");
+        router.gateway_view(now, PEER_GATEWAY).blacklisted
     };
     assert!(!blacklisted(true));
     assert!(blacklisted(false), "gateways that lose tasks are blacklisted");
 }
 
 #[test]
-fn a_request_is_never_sent_back_where_it_came_from() {
+fn a_request_is_never_forwarded_back_to_its_sender() {
     let mut router = SiteRouter::new(config(), 1, 0);
     router.groups_listed(0, &[(GROUP, 2)]);
-    router.links_changed(0, GATEWAY, FAR_SITE, 1, true);
-    router.capacity_announced(0, GATEWAY, vec![9; 4], &[(GROUP, true)], false);
+    router.links_changed(0, PEER_GATEWAY, REMOTE_SITE, 1, true);
+    router.capacity_announced(0, PEER_GATEWAY, vec![9; 4], &[(GROUP, true)], false);
     // Each believes the other to be home: the one that was asked says so, and nothing goes in a circle.
     let (handle, actions) = router.accept(
         0,
-        Request { class: 1, group: GROUP, timeout: 900 * MS, visited: vec![FAR_SITE], session: None },
+        Request { class: 1, group: GROUP, timeout: 900 * MS, visited: vec![REMOTE_SITE], session: None },
     );
     assert!(matches!(actions.requests[..], [(_, Action::ServeLocally { .. })]), "{actions:?}");
-    let mut last = Actions::default();
+    let mut last_actions = Actions::default();
     for _ in 0..2 {
-        last = router.local_not_primary(10 * MS, handle);
+        last_actions = router.local_not_primary(10 * MS, handle);
     }
     assert_eq!(
-        last.requests,
+        last_actions.requests,
         [(handle, Action::Withdraw), (handle, Action::ReportNotPrimary { hint: None })]
     );
     assert_eq!(router.handle_by_forward_number(1), None);
@@ -106,20 +114,20 @@
 #[test]
 fn a_request_that_may_have_run_is_neither_withdrawn_nor_rejected() {
     let classes = || {
-        let receipted = Effect::Deduplicated { window: 2_000 * MS, within_site: false };
-        vec![RequestClass { effect: receipted, ..config().classes[1] }]
+        let deduplicated = Effect::Deduplicated { window: 2_000 * MS, within_site: false };
+        vec![RequestClass { effect: deduplicated, ..config().classes[1] }]
     };
-    let start = || {
+    let new_router = || {
         let mut router = SiteRouter::new(SiteRouterConfig { classes: classes(), ..config() }, 1, 0);
         router.groups_listed(0, &[(GROUP, 2)]);
-        router.links_changed(0, GATEWAY, FAR_SITE, 1, true);
-        router.capacity_announced(0, GATEWAY, vec![9], &[(GROUP, false)], false);
+        router.links_changed(0, PEER_GATEWAY, REMOTE_SITE, 1, true);
+        router.capacity_announced(0, PEER_GATEWAY, vec![9], &[(GROUP, false)], false);
         router
     };
     let request = |visited| Request { class: 0, group: GROUP, timeout: TIMEOUT, visited, session: None };
     // Its attempt was failed, and then all members here said that they are not the primary.
-    for visited in [vec![], vec![FAR_SITE]] {
-        let mut router = start();
+    for visited in [vec![], vec![REMOTE_SITE]] {
+        let mut router = new_router();
         let (handle, _) = router.accept(0, request(visited));
         router.local_may_have_run(handle, 0);
         for _ in 0..6 {
@@ -130,8 +138,8 @@
         assert_eq!(actions.requests, [(handle, Action::Fail)]);
     }
     // It crossed, and nobody can say what became of it there; the module here knows nothing of that.
-    let mut router = start();
-    router.capacity_announced(0, GATEWAY, vec![9], &[(GROUP, true)], false);
+    let mut router = new_router();
+    router.capacity_announced(0, PEER_GATEWAY, vec![9], &[(GROUP, true)], false);
     let (handle, actions) = router.accept(0, request(vec![]));
     let Action::Forward { number, .. } = actions.requests[0].1 else { panic!("{actions:?}") };
     let actions = router.outcome_received::<()>(MS, number, &Outcome::Unknown);
