--- a/crates/site-routing/tests/draining_site.rs
+++ b/crates/site-routing/tests/draining_site.rs
@@ -1,4 +1,4 @@
-//! A gateway of three router while one of them hands its sessions on.
+//! Routing at one gateway in a fleet of three sites while one of the sites drains.
 
 use std::collections::BTreeMap;
 
@@ -8,17 +8,23 @@
     SiteRouterConfig,
 };
 
+/// One millisecond in microseconds.
 const MS: Micros = 1_000;
 const GROUP: u64 = 1;
+/// Class of idempotent requests that any member can serve.
 const READ: usize = 0;
+/// Class of non-idempotent requests that only the primary can serve.
 const WRITE: usize = 1;
+/// Timeout of every request, in microseconds.
 const TIMEOUT: Micros = 1_000 * MS;
 
+/// Returns the names of the sites by their index; "a" is the local site.
 fn site_names() -> Vec<String> {
     ["a", "b", "c"].map(str::to_owned).to_vec()
 }
 
-/// A gateway of site a, with links to one gateway of b and one of c; all have members of the group.
+/// Creates the router of a gateway at site a that is linked to one gateway at b and one at c. All three sites
+/// have members of the group, and b announces that it has the primary.
 fn router_at_site_a() -> SiteRouter {
     let class = |effect, need| RequestClass {
         effect,
@@ -39,13 +45,16 @@
     router
 }
 
+/// Creates the plan for draining `site`, whose sessions move to the two other sites in equal shares. `weight`
+/// is the part of its sessions that the site still has, in thousandths.
 fn plan(site: &str, stage: Stage, weight: u32) -> Plan {
     let operator_command = OperatorCommand { site: site.to_owned(), number: 1, order: Order::Run, by_ms: 0 };
     let shares = site_names().into_iter().filter(|name| name != site).map(|name| (name, 1000)).collect();
     Plan { command: operator_command, stage, weight, shares, waits: None }
 }
 
-/// The site that the request goes to at once; `None` where it waits. It is answered there.
+/// Routes a request and reports it as served by the chosen site. Returns that site, or `None` if the request
+/// is queued.
 fn route_and_answer(router: &mut SiteRouter, session: &str, class: usize) -> Option<usize> {
     let session = Some(session.to_owned());
     let request = Request { class, group: GROUP, timeout: TIMEOUT, visited: Vec::new(), session };
@@ -81,13 +90,16 @@
             }
         }
         let remaining = site_by_session.values().filter(|site| **site == LOCAL_SITE).count() as u32;
-        assert!(remaining.abs_diff(weight * 3 / 10) <= 30, "{remaining} at {weight}");
+        assert!(
+            remaining.abs_diff(weight * 3 / 10) <= 30,
+            "{remaining} of 300 sessions stay at weight {weight}"
+        );
     }
     assert!(
         moves_by_session.len() == 300 && moves_by_session.values().all(|count| *count == 1),
         "{moves_by_session:?}"
     );
-    // b is lost: its sessions alone are bound anew.
+    // Site b is lost: its sessions move to c, and the sessions at c stay there.
     router.links_changed(0, 0, 1, 0, true);
     for session in &sessions {
         assert_eq!(route_and_answer(&mut router, session, READ), Some(2));
@@ -106,11 +118,12 @@
     assert_eq!(route_and_answer(&mut router, "s", READ), Some(LOCAL_SITE));
     router.assign_sessions(0, &site_names(), vec![plan("a", Stage::Emptied, 0)]);
     assert_eq!(route_and_answer(&mut router, "s", READ), None);
-    // It is rejected by half of its time, not at the end of it.
+    // A queued read is rejected after half of its timeout, not at its deadline.
     assert!(router.wake(TIMEOUT / 2 - MS).requests.is_empty());
     let actions = router.wake(TIMEOUT / 2 + 20 * MS).requests;
     assert!(matches!(actions[..], [(_, Action::Reject { .. })]), "{actions:?}");
-    // Remote requests of gateways that have not heard of it are answered until it is retired.
+    // Gateways that do not know of the drain yet still forward requests here. Those are served until the site
+    // is drained.
     let accept_remote_request = |router: &mut SiteRouter, class| {
         let request = Request { class, group: GROUP, timeout: TIMEOUT, visited: vec![1], session: None };
         router.accept(0, request).1.requests[0].1
@@ -133,14 +146,18 @@
 #[test]
 fn other_sites_send_no_reads_to_an_emptied_site_and_no_writes_to_a_drained_one() {
     let mut router = router_at_site_a();
-    // No members here: reads go to the nearest, writes to b.
+    // The local site has no members: reads go to the nearest site and writes to b, which has the primary.
     router.groups_listed(0, &[]);
     router.round_trip_measured(0, 10 * MS);
     router.round_trip_measured(1, 40 * MS);
     assert_eq!(route_and_answer(&mut router, "s", READ), Some(1));
     router.assign_sessions(0, &site_names(), vec![plan("b", Stage::Emptied, 0)]);
     assert_eq!(route_and_answer(&mut router, "s", READ), Some(2));
-    assert_eq!(route_and_answer(&mut router, "s", WRITE), Some(1), "roles are not moved by anybody here");
+    assert_eq!(
+        route_and_answer(&mut router, "s", WRITE),
+        Some(1),
+        "the primary is still at b, as nothing here moves it"
+    );
     assert_eq!(router.open_work(0)["b"].requests, 0);
     router.assign_sessions(0, &site_names(), vec![plan("b", Stage::Drained, 0)]);
     assert_eq!(route_and_answer(&mut router, "s", WRITE), Some(2));
--- a/crates/site-routing/tests/previous_incarnations.rs
+++ b/crates/site-routing/tests/previous_incarnations.rs
@@ -1,4 +1,5 @@
-//! What an earlier start promised and kept.
+//! Recording promises and outcome records of previous incarnations, and the answers that a later incarnation
+//! derives from them.
 
 use aldermill_site_routing::records::{RecordKey, decode_key, decode_outcome, encode_key, encode_outcome};
 use aldermill_site_routing::{
@@ -6,6 +7,7 @@
     RecordingPromise, StoredPromises,
 };
 
+/// The sender of all requests.
 fn origin() -> Origin {
     Origin { site: "north".into(), instance: "n1".into(), incarnation: 9 }
 }
@@ -33,13 +35,13 @@
 fn a_promise_binds_until_its_end_even_if_its_write_was_never_confirmed() {
     let mut promise = RecordingPromise::new(PromiseScope::Timed);
     assert!(promise.permits_unrecorded(1));
-    let until = promise.renew(10).expect("due");
-    assert!(!promise.permits_unrecorded(11), "it may be on the disk already");
+    let until = promise.renew(10).expect("the first promise is due");
+    assert!(!promise.permits_unrecorded(11), "the pending promise may be on disk already");
     assert_eq!(promise.renew(11), None);
     promise.resolve_pending();
     assert_eq!(promise.renew(11), None);
     assert!(!promise.permits_unrecorded(until) && promise.permits_unrecorded(until + 1));
-    let next_until = promise.renew(until - 1).expect("due again");
+    let next_until = promise.renew(until - 1).expect("the promise is due for renewal");
     promise.resolve_pending();
     assert!(!promise.permits_unrecorded(next_until) && promise.permits_unrecorded(next_until + 1));
 }
@@ -77,22 +79,25 @@
     assert_eq!(previous.query(&origin(), 5, 7), Outcome::Unknown);
 }
 
-/// Without a clock that later incarnations read, the end of a promise cannot be told from the time before it: it was taken
-/// for whole by a start under a clock set back, which said "never accepted" of what had run.
+/// Guards against a promise being considered kept after it had ended. Without a clock that both incarnations
+/// share, a later incarnation cannot tell whether a promise ended before the earlier incarnation did. After
+/// the wall clock was set back, a later incarnation considered an ended promise kept, and answered "never
+/// accepted" about a request that had run.
 #[test]
 fn a_promise_without_a_shared_clock_binds_for_the_whole_incarnation() {
     let mut promise = RecordingPromise::default();
-    assert!(promise.permits_unrecorded(1), "none was given");
-    let until = promise.renew(10).expect("due");
+    assert!(promise.permits_unrecorded(1), "no promise was made yet");
+    let until = promise.renew(10).expect("the first promise is due");
     promise.resolve_pending();
     assert!(!promise.permits_unrecorded(until + 1) && !promise.permits_unrecorded(until + 3_600_000_000));
-    assert!(promise.renew(until - 1).is_some(), "due again");
+    assert!(promise.renew(until - 1).is_some(), "the promise is due for renewal");
 }
 
+/// One second in microseconds.
 const SECOND: i64 = 1_000_000;
 const BOOT: BootId = BootId([1; 16]);
 
-/// Whether a promise with these records, read at 100 s of this boot, counts as kept.
+/// Returns whether a promise with these records counts as kept when it is read 100 s after the boot [`BOOT`].
 fn is_kept(records: &[PromiseRecord]) -> bool {
     let mut promises = StoredPromises::default();
     records.iter().for_each(|&record| promises.add(7, record));
@@ -105,11 +110,20 @@
     let until = PromiseRecord::Until(SECOND);
     let end = |boot, at| PromiseRecord::End(PromiseEnd::After(BootInstant { boot, at }));
     assert!(is_kept(&[until, end(BOOT, 100 * SECOND)]) && is_kept(&[until, end(BOOT, 105 * SECOND)]));
-    assert!(!is_kept(&[until, end(BOOT, 100 * SECOND - 1)]), "it was over, whatever the wall clock shows");
-    assert!(!is_kept(&[until, end(BOOT, 105 * SECOND + 1)]), "no such promise can have been given");
-    assert!(!is_kept(&[until, end(BootId([2; 16]), 102 * SECOND)]), "another boot's clock");
+    assert!(
+        !is_kept(&[until, end(BOOT, 100 * SECOND - 1)]),
+        "the promise had ended, whatever the wall clock shows"
+    );
+    assert!(
+        !is_kept(&[until, end(BOOT, 105 * SECOND + 1)]),
+        "a promise lasts 5 s, so none can end this late"
+    );
+    assert!(
+        !is_kept(&[until, end(BootId([2; 16]), 102 * SECOND)]),
+        "clocks of different boots cannot be compared"
+    );
     assert!(is_kept(&[until, PromiseRecord::End(PromiseEnd::WithIncarnation)]));
-    assert!(!is_kept(&[until]), "stored by a version that breaks promises by the wall clock");
+    assert!(!is_kept(&[until]), "stored by a version that ends promises by the wall clock alone");
     assert!(!is_kept(&[end(BOOT, 102 * SECOND)]));
 }
 
--- a/crates/site-routing/tests/record_format.rs
+++ b/crates/site-routing/tests/record_format.rs
@@ -1,4 +1,4 @@
-//! The keys and values of the records of what became of requests, as the store holds them.
+//! Format of the outcome log's records: the bytes of their keys and values in the store must never change.
 
 use aldermill_site_routing::records::{
     RecordKey, decode_key, decode_outcome, decode_promise, encode_key, encode_outcome, encode_promise,
@@ -27,7 +27,11 @@
         assert_eq!(encode_outcome(&outcome), bytes);
         assert_eq!(decode_outcome(bytes), outcome.map(<[u8]>::to_vec));
     }
-    assert_eq!(encode_outcome(&Outcome::Unknown), b"B", "nothing of it is known, so it counts as failed");
+    assert_eq!(
+        encode_outcome(&Outcome::Unknown),
+        b"B",
+        "nothing is known about the request, so it counts as failed"
+    );
 }
 
 #[test]
