--- a/crates/site-routing/tests/failing_disk/simulation.rs
+++ b/crates/site-routing/tests/failing_disk/simulation.rs
@@ -109,7 +109,7 @@
     pub answers: [u32; 3],
 }
 
-/// The sender of all requests.
+/// Returns the sender of all requests.
 fn origin() -> Origin {
     Origin { site: "north".to_owned(), instance: "n1".to_owned(), incarnation: 9 }
 }
@@ -379,7 +379,7 @@
                 let TrackedRequest { incarnation, ran, outcome, confirmed, .. } = request;
                 let facts = format!("ran: {ran}, outcome: {outcome:?}, confirmed: {confirmed:?}");
                 return Err(format!(
-                    "incarnation {} answered {answer:?} about request {number} to incarnation {incarnation}: {facts}",
+                    "incarnation {} answered {answer:?} about request {number} to {incarnation}: {facts}",
                     process.incarnation
                 ));
             }
--- a/crates/site-routing/tests/forwarding_model/main.rs
+++ b/crates/site-routing/tests/forwarding_model/main.rs
@@ -1,5 +1,5 @@
-//! Model checking of one forwarded request: the sender's and the receiver's account of it with a network between them that
-//! loses, duplicates and delays frames as it likes, a receiver that restarts, and a sender that gives up.
+//! Model checking of forwarded requests: the states of a sender and a receiver, with a network between them
+//! that may lose, duplicate and delay any frame, a receiver that may restart, and a sender that may give up.
 
 mod protocol;
 mod state;
@@ -11,7 +11,7 @@
 #[test]
 fn no_request_runs_twice_although_frames_are_lost_duplicated_and_delayed() {
     let checked = Protocol { max_link_losses: 2, ..SINGLE_REQUEST }.checker().spawn_bfs().join();
-    println!("one number: {} states", checked.unique_state_count());
+    println!("one request: {} states", checked.unique_state_count());
     checked.assert_properties();
     assert!(checked.unique_state_count() > 500);
 }
@@ -21,13 +21,13 @@
     let checked =
         Protocol { max_restarts: 0, queries_fence: false, ..SINGLE_REQUEST }.checker().spawn_bfs().join();
     let discovery = checked.discovery("at most one side ever runs a request");
-    println!("{:?}", discovery.expect("a double").into_actions());
+    println!("{:?}", discovery.expect("a double execution").into_actions());
 }
 
 #[test]
 fn with_a_log_on_disk_no_request_runs_twice_and_previous_incarnations_are_answered_for() {
     let checked = Protocol { has_disk: true, ..SINGLE_REQUEST }.checker().spawn_bfs().join();
-    println!("one number with a disk: {} states", checked.unique_state_count());
+    println!("one request with a disk: {} states", checked.unique_state_count());
     checked.assert_properties();
 }
 
@@ -37,11 +37,13 @@
         Protocol { has_disk: true, keeps_promise: false, ..SINGLE_REQUEST }.checker().spawn_bfs().join();
     println!(
         "{:?}",
-        checked.discovery("at most one side ever runs a request").expect("a double").into_actions()
+        checked.discovery("at most one side ever runs a request").expect("a double execution").into_actions()
     );
 }
 
-/// Millions of states: `cargo test --release -p aldermill-site-routing -- --ignored --nocapture`.
+/// The model has millions of states. To run the test:
+///
+/// `cargo test --release -p aldermill-site-routing -- --ignored --nocapture`
 #[test]
 #[ignore = "minutes"]
 fn two_requests_with_a_growing_fenced_range_do_not_run_twice() {
--- a/crates/site-routing/tests/forwarding_model/protocol.rs
+++ b/crates/site-routing/tests/forwarding_model/protocol.rs
@@ -1,4 +1,5 @@
-//! What sender, receiver and network may do, and what must hold whatever they do.
+//! The steps that sender, receiver and network may take, and the properties that must hold after any sequence
+//! of steps.
 
 use std::collections::BTreeSet;
 
@@ -11,20 +12,23 @@
     Message, Phase, ReportedOutcome, State, Step, from_reported, new_outcome_table, origin, to_reported,
 };
 
-/// How much may happen, and what the receiver leaves out.
+/// The configuration of the model: how often steps may happen, and which safeguards the receiver omits.
 pub struct Protocol {
+    /// The number of requests that the sender forwards, numbered from 1.
     pub requests: u64,
+    /// How often the link may be lost.
     pub max_link_losses: u8,
+    /// How often the receiver may restart.
     pub max_restarts: u64,
-    /// Whether a query fences a number; left out to show that the model finds the fault.
+    /// Whether a query fences a number that was never accepted; false to show that the model finds the fault.
     pub queries_fence: bool,
-    /// Whether the receiver's log is on a disk.
+    /// Whether the receiver keeps an outcome log on disk.
     pub has_disk: bool,
-    /// Whether the receiver keeps its promise; broken to show that the model finds the fault.
+    /// Whether the receiver keeps its recording promise; false to show that the model finds the fault.
     pub keeps_promise: bool,
 }
 
-/// One request, one lost link, one restart, no disk.
+/// One request, at most one lost link and one restart, no disk, no safeguard omitted.
 pub const SINGLE_REQUEST: Protocol = Protocol {
     requests: 1,
     max_link_losses: 1,
@@ -35,6 +39,8 @@
 };
 
 impl Protocol {
+    /// Creates the promise state of a receiver that starts at `now`, in microseconds. With a disk the first
+    /// promise is made and stored at once.
     fn new_promise(&self, now: i64) -> RecordingPromise {
         let mut promise = RecordingPromise::new(PromiseScope::Timed);
         if self.has_disk {
@@ -44,11 +50,13 @@
         promise
     }
 
+    /// Changes the sender's phase of a request according to a conclusion.
     fn conclude(&self, state: &mut State, number: u64, conclusion: Conclusion) {
         let index = number as usize - 1;
         state.phases[index] = match conclusion {
             Conclusion::Open => return,
-            // Either may follow; a rejection promises more, and running it here shows a double.
+            // The sender may run the request elsewhere or reject it. Odd numbers run elsewhere, which exposes
+            // a double execution; even numbers are rejected, which is the stronger guarantee to the client.
             Conclusion::NeverRan if number % 2 == 1 => {
                 state.runs[index] += 1;
                 Phase::RanElsewhere
@@ -59,11 +67,13 @@
         };
     }
 
+    /// Delivers a frame to its receiver. The frame also stays in the network.
     fn deliver(&self, state: &mut State, message: Message) {
         match message {
             Message::Request { number, incarnation } if incarnation == state.incarnation => {
                 if state.outcomes.accept(0, &origin(), number, 10).is_ok() {
-                    // The record first; without one it is rejected while the promise holds.
+                    // The record is written before the request counts as accepted. If the disk is full, the
+                    // request is rejected while a promise is in force.
                     if self.has_disk && !state.disk_full {
                         state.previous.add_record(incarnation, origin(), number, Outcome::InFlight);
                     }
@@ -77,7 +87,7 @@
                     state.accepted.insert(number);
                 }
             }
-            // Meant for an earlier incarnation: nothing is said of it.
+            // The request was sent to an earlier incarnation and is ignored.
             Message::Request { .. } => {}
             Message::OutcomeQuery { number, incarnation } => {
                 let mut table = state.outcomes.clone();
@@ -115,6 +125,7 @@
         }
     }
 
+    /// The receiver ends a request with an outcome: it records the outcome and answers the sender.
     fn finish(&self, state: &mut State, number: u64, outcome: Outcome<()>) {
         state.accepted.remove(&number);
         if self.has_disk && !state.disk_full {
@@ -124,7 +135,7 @@
         state.outcomes.record(&origin(), number, outcome);
     }
 
-    /// The receiver's process ends, and the next one reads what is on the disk.
+    /// The receiver restarts. The next incarnation reads what is on the disk, and the disk has space again.
     fn restart(&self, state: &mut State) {
         let until = if state.promise.permits_unrecorded(state.now) { state.now - 1 } else { state.now };
         state.previous.add_promise(state.now, state.incarnation, until);
@@ -136,7 +147,8 @@
     }
 }
 
-/// The sender learns that what it sent to an earlier incarnation is not under way any more.
+/// The sender learns that the receiver has restarted. Requests sent to an earlier incarnation are no longer
+/// in flight.
 fn notice_restart(state: &mut State) {
     for (phase, &incarnation) in state.phases.iter_mut().zip(&state.receiver_incarnations) {
         if let Phase::Forwarded(forward) = phase
@@ -174,7 +186,7 @@
         let is_open = |phase: &Phase| matches!(phase, Phase::New | Phase::Forwarded(_));
         for (number, phase) in (1..).zip(&state.phases) {
             match phase {
-                // In the order of their numbers, as the sender gives them out.
+                // Requests are sent in the order of their numbers, as the sender assigns them.
                 Phase::New if number == 1 || state.phases[number as usize - 2] != Phase::New => {
                     steps.push(Step::Send(number))
                 }
@@ -211,7 +223,8 @@
             steps.push(Step::NoticeRestart);
         }
         steps.push(Step::Confirm);
-        // Time limits are long over for the sender before the receiver forgets.
+        // The receiver drops its records long after the deadlines of the requests, so the sender has none
+        // open by then.
         if !state.expired && !state.phases.iter().any(is_open) {
             steps.push(Step::Expire);
         }
@@ -253,7 +266,7 @@
             }
             Step::Reject(number) => self.finish(&mut state, number, Outcome::Rejected { retry_after: 0 }),
             Step::Fail(number) => {
-                // It ran, and the answer was lost.
+                // The request ran, but its response was lost.
                 state.runs[number as usize - 1] += 1;
                 self.finish(&mut state, number, Outcome::Failed);
             }
--- a/crates/site-routing/tests/previous_incarnations.rs
+++ b/crates/site-routing/tests/previous_incarnations.rs
@@ -7,7 +7,7 @@
     RecordingPromise, StoredPromises,
 };
 
-/// The sender of all requests.
+/// Returns the sender of all requests.
 fn origin() -> Origin {
     Origin { site: "north".into(), instance: "n1".into(), incarnation: 9 }
 }
--- a/crates/site-routing/tests/two_sites/event_handling.rs
+++ b/crates/site-routing/tests/two_sites/event_handling.rs
@@ -1,4 +1,5 @@
-//! What the two sides do with requests: the local router's answers, frames that arrive, and the one answer of each.
+//! Event handling of the simulation: actions of the site routers, results of the local routers, frames that
+//! arrive, and the answer to each request.
 
 use aldermill_site_routing::{
     Action, Actions, LocalResult, Micros, Outcome, PeerAnswer, Request, RequestHandle,
@@ -9,6 +10,7 @@
 use crate::simulation::Simulation;
 
 impl Simulation {
+    /// Carries out the actions that a gateway's site router asks for.
     pub fn execute(&mut self, gateway: usize, actions: Actions) {
         for (handle, action) in actions.requests {
             match action {
@@ -22,10 +24,10 @@
                     self.gateways[gateway]
                         .at_local_router
                         .remove(&handle)
-                        .expect("taken back from where it is");
+                        .expect("a withdrawn request is at the local router");
                 }
                 Action::Forward { number, timeout: remaining, .. } => {
-                    assert!(remaining > 0, "sent with no time left");
+                    assert!(remaining > 0, "forwarded after its deadline");
                     let (request, incarnation) = (
                         self.gateways[gateway].client_requests[&handle],
                         self.gateways[1 - gateway].incarnation,
@@ -56,7 +58,8 @@
         }
     }
 
-    /// The one answer to a client, or to the other side.
+    /// Answers a request to its client or to the gateway that forwarded it, and checks the answer to a
+    /// client.
     pub fn answer(&mut self, gateway: usize, handle: RequestHandle, answer: PeerAnswer) {
         if let Some(request) = self.gateways[gateway].client_requests.remove(&handle) {
             let now = self.now;
@@ -68,13 +71,20 @@
                 PeerAnswer::Served => "served",
                 PeerAnswer::Rejected { .. } => "rejected",
                 PeerAnswer::Failed => "failed",
-                _ => panic!("no answer for a client: {answer:?}"),
+                _ => panic!("not an answer to a client: {answer:?}"),
             };
-            assert_eq!(request.answer.replace(label), None, "answered twice");
-            assert!(now <= request.deadline, "{} too late", now - request.deadline);
+            assert_eq!(request.answer.replace(label), None, "a request was answered twice");
+            assert!(
+                now <= request.deadline,
+                "answered {} microseconds after the deadline",
+                now - request.deadline
+            );
             let non_idempotent = request.class == 1;
-            assert!(label != "rejected" || !non_idempotent || request.runs == 0, "rejected, and it ran");
-            assert!(label != "served" || request.runs > 0, "served, and it never ran");
+            assert!(
+                label != "rejected" || !non_idempotent || request.runs == 0,
+                "a rejected non-idempotent request ran"
+            );
+            assert!(label != "served" || request.runs > 0, "a served request never ran");
         } else if let Some((number, class)) = self.gateways[gateway].remote_requests.remove(&handle) {
             let sender = origin(1 - gateway, self.gateways[1 - gateway].incarnation);
             if class == 1 {
@@ -91,7 +101,9 @@
         }
     }
 
-    /// The module at a side is done with a request.
+    /// Ends an attempt at a gateway's local router. If the request needs the primary and the site does not
+    /// have it, the site router is told so and the attempt is repeated after 30 ms, unless the site router
+    /// withdraws the request. Less than 60 ms before the deadline the request is rejected instead.
     pub fn finish_local(&mut self, gateway: usize, handle: RequestHandle, deadline: Micros) {
         let gateway_state = &mut self.gateways[gateway];
         let request =
@@ -125,11 +137,11 @@
                 let request_state = &self.requests[request];
                 assert!(
                     request_state.class != 1 || request_state.runs == 1,
-                    "an effectful request ran twice"
+                    "a non-idempotent request ran twice"
                 );
                 assert!(
                     request_state.class != 1 || request_state.answer != Some("rejected"),
-                    "it ran after a denial"
+                    "a non-idempotent request ran after it was rejected"
                 );
             }
             gateway_state.router.local_finished(self.now, handle, result)
@@ -137,13 +149,15 @@
         self.execute(gateway, actions);
     }
 
+    /// Handles a frame that arrives at a gateway.
     pub fn receive(&mut self, gateway: usize, frame: Frame) {
         let sender = origin(1 - gateway, self.gateways[1 - gateway].incarnation);
         let (now, own_incarnation) = (self.now, self.gateways[gateway].incarnation);
         match frame {
             Frame::Request { incarnation, .. } if incarnation != own_incarnation => {}
             Frame::Request { number, class, remaining, .. } => {
-                // Whatever its effect, a number is taken once: a doubled frame is no second request.
+                // A number is accepted once, also for idempotent requests: a duplicate frame is not a second
+                // request.
                 if self.gateways[gateway].outcomes.accept(now, &sender, number, remaining).is_err() {
                     return;
                 }
@@ -176,7 +190,7 @@
                 let remote =
                     self.gateways[gateway].remote_requests.iter().find(|(_, remote)| remote.0 == number);
                 if let Some((&handle, _)) = remote {
-                    // What the module has begun goes on there.
+                    // An attempt that the local router has begun is not cancelled.
                     if !self.gateways[gateway].at_local_router.contains_key(&handle) {
                         let actions = self.gateways[gateway].router.abandon(now, handle);
                         self.execute(gateway, actions);
--- a/crates/site-routing/tests/two_sites/main.rs
+++ b/crates/site-routing/tests/two_sites/main.rs
@@ -1,4 +1,9 @@
-//! Two site routers joined by a simulated link that delays, breaks and restarts; the invariants are checked at every step.
+//! Two gateways at different sites, joined by a simulated link that delays frames and breaks, while their
+//! processes restart. The invariants are checked throughout:
+//!
+//! - each client that waits gets exactly one answer, by the request's deadline;
+//! - a request that was served has run;
+//! - a non-idempotent request runs at most once, and never if it was rejected.
 
 mod event_handling;
 mod gateway;
@@ -26,7 +31,7 @@
             steps.iter().for_each(|&(kind, parameter)| simulation.step(kind, parameter));
             simulation.advance(2 * TIMEOUT);
             for request in &simulation.requests {
-                *counts.borrow_mut().entry(request.answer.unwrap_or("left")).or_default() += 1;
+                *counts.borrow_mut().entry(request.answer.unwrap_or("abandoned")).or_default() += 1;
             }
             Ok(())
         })
--- a/crates/site-routing/tests/two_sites/simulation.rs
+++ b/crates/site-routing/tests/two_sites/simulation.rs
@@ -1,4 +1,5 @@
-//! Two gateways, and a link between them that delays, breaks and comes back.
+//! Simulation of two gateways, one at each of two sites, and of the link between them, which delays frames,
+//! breaks and is restored.
 
 use std::collections::HashMap;
 
@@ -11,20 +12,31 @@
     origin,
 };
 
+/// The state of both gateways, the link between them, and all requests of clients.
 pub struct Simulation {
+    /// The time since the start, in microseconds.
     pub now: Micros,
+    /// The source of all random choices.
     pub rng: Pcg64Mcg,
+    /// The gateways of sites a and b, at index 0 and 1.
     pub gateways: [SimulatedGateway; 2],
+    /// The index of the gateway whose site has the group's primary.
     pub primary_site: usize,
+    /// Whether the link is up.
     pub is_linked: bool,
+    /// The minimum delay of a frame, in microseconds; the maximum is twice as long.
     pub delay: Micros,
-    /// In flight: when it arrives, to whom.
+    /// Frames in flight: when each arrives, and the gateway that it arrives at.
     pub network: Vec<(Micros, usize, Frame)>,
+    /// All requests of clients, in the order of submission.
     pub requests: Vec<ClientRequest>,
+    /// The index in `requests` of each forwarded request. The key is twice its number, plus the index of the
+    /// gateway that forwarded it.
     pub forwarded_requests: HashMap<usize, u32>,
 }
 
 impl Simulation {
+    /// Creates two gateways with a link between them.
     pub fn new(seed: u64) -> Simulation {
         let mut simulation = Simulation {
             now: 0,
@@ -41,6 +53,7 @@
         simulation
     }
 
+    /// Sets up the link: each gateway registers the other one's incarnation and learns its capacity.
     pub fn connect(&mut self) {
         self.is_linked = true;
         for gateway in 0..2 {
@@ -61,7 +74,7 @@
         }
     }
 
-    /// The link breaks; what is in flight is lost, or comes late all the same.
+    /// Breaks the link. Each frame in flight is either lost or arrives within 400 ms all the same.
     pub fn lose_link(&mut self) {
         self.is_linked = false;
         for gateway in 0..2 {
@@ -77,14 +90,14 @@
         self.network.iter_mut().for_each(|delivery| delivery.0 = now + rng.random_range(0..400 * MS));
     }
 
-    /// The process at a side dies and starts again: all that it held is gone.
+    /// Restarts a gateway's process, which loses all of its state.
     pub fn restart(&mut self, gateway: usize) {
         if self.is_linked {
             self.lose_link();
         }
         let incarnation = self.gateways[gateway].incarnation + 1;
         for (_, request) in std::mem::take(&mut self.gateways[gateway].client_requests) {
-            // Its clients went with it.
+            // Clients of the process lose their connection, and get no answer.
             self.requests[request].abandoned = true;
         }
         self.gateways[gateway] = new_gateway(incarnation * 77 + gateway as u64, self.now, incarnation);
@@ -97,6 +110,8 @@
             .register_incarnation(&origin(1 - gateway, self.gateways[1 - gateway].incarnation), false);
     }
 
+    /// Sends a frame to the other gateway. It is lost if the link is down. With a probability of 2% a copy
+    /// follows 50 ms later.
     pub fn send(&mut self, from: usize, frame: Frame) {
         if self.is_linked {
             let arrives_at = self.now + self.delay + self.rng.random_range(0..self.delay + 1);
@@ -107,6 +122,7 @@
         }
     }
 
+    /// A client submits a request of a class at a gateway.
     pub fn submit_request(&mut self, gateway: usize, class: usize) {
         let request = self.requests.len();
         self.requests.push(ClientRequest {
@@ -124,6 +140,9 @@
         self.execute(gateway, actions);
     }
 
+    /// Advances the time by `time` microseconds, in steps of at most 5 ms. In each step it delivers frames,
+    /// ends attempts at the local routers, wakes the site routers, and checks that no request is past its
+    /// deadline without an answer.
     pub fn advance(&mut self, time: Micros) {
         let end = self.now + time;
         while self.now < end {
@@ -148,12 +167,14 @@
             for request in &self.requests {
                 assert!(
                     request.answer.is_some() || request.abandoned || now < request.deadline,
-                    "no answer in time: {request:?}"
+                    "no answer by the deadline: {request:?}"
                 );
             }
         }
     }
 
+    /// Takes one step. `kind` selects an event, and `parameter` its details; a kind whose precondition does
+    /// not hold, or that has no event, lets time pass.
     pub fn step(&mut self, kind: u8, parameter: u64) {
         match kind {
             0..=5 => self.submit_request((parameter % 2) as usize, (parameter / 2 % 4) as usize),
@@ -170,7 +191,7 @@
                         .iter()
                         .find(|(_, client_request)| **client_request == request)
                         .map(|(&handle, _)| handle);
-                    // What the module here has begun is left to it, as by the driver.
+                    // As in the proxy, an attempt that the local router has begun goes on.
                     if let Some(handle) = handle_at_gateway
                         .filter(|handle| !self.gateways[gateway].at_local_router.contains_key(handle))
                     {
--- a/crates/site-routing/tests/two_sites/single_gateway.rs
+++ b/crates/site-routing/tests/two_sites/single_gateway.rs
@@ -1,4 +1,4 @@
-//! One gateway by itself: what it sends, holds, and gives up.
+//! One site router by itself: which requests it forwards, queues, rejects and fails.
 
 use aldermill_site_routing::{
     Action, Actions, Effect, LOCAL_SITE, LocalResult, Outcome, PeerAnswer, Request, RequestClass, SiteRouter,
@@ -30,10 +30,11 @@
         matches!(actions.requests[..], [(_, Action::Forward { timeout, .. })] if timeout <= 850 * MS),
         "{actions:?}"
     );
-    // A read whose bound is shorter than the way waits for nothing there.
+    // A read of data no older than 10 ms is not forwarded over a link whose one-way delay is longer than
+    // that; it is queued.
     let (_, actions) = router.accept(0, request(3, 1_000 * MS));
     assert!(actions.requests.is_empty(), "{actions:?}");
-    // No more than there is credit for; the rest is held, and goes as room comes.
+    // Requests beyond the credit are queued, and are forwarded when the credit grows.
     let mut forwarded = 1;
     for _ in 0..20 {
         forwarded += router.accept(0, request(1, 1_000 * MS)).1.requests.len();
@@ -43,7 +44,8 @@
         router.capacity_announced(0, PEER_GATEWAY, vec![12; 4], &[(GROUP, true)], false).requests.len(),
         3
     );
-    // Over a long line more may be out than it takes at once: most of them are on the way.
+    // Over a link with a long round trip, more requests may be in flight than the credit allows to run at
+    // once, as most of them are in transit.
     let in_flight: Vec<u64> = (1..=12).collect();
     in_flight.iter().for_each(|&number| drop(router.answered(310 * MS, number, PeerAnswer::Served)));
     let mut forwarded = Vec::new();
@@ -56,7 +58,7 @@
     let additional =
         (0..60).map(|_| router.accept(620 * MS, request(1, 1_000 * MS)).1.requests.len()).sum::<usize>();
     assert!(additional > 12, "{additional}");
-    // Nothing goes to one that drains.
+    // Nothing is forwarded to a gateway that drains.
     router.capacity_announced(0, PEER_GATEWAY, vec![50; 4], &[(GROUP, true)], true);
     assert!(router.accept(0, request(1, 1_000 * MS)).1.requests.is_empty());
 }
@@ -73,7 +75,7 @@
                 Request { class: 1, group: GROUP, timeout: 1_000 * MS, visited: Vec::new(), session: None },
             );
         }
-        // Their answers came meanwhile, and nobody read them before their time was over.
+        // The answers arrived during the stall, but were not read before the deadlines of the requests.
         let now = 3_000 * MS;
         if stall_reported {
             router.stall_ended(now);
@@ -84,7 +86,7 @@
         router.gateway_view(now, PEER_GATEWAY).blacklisted
     };
     assert!(!blacklisted(true));
-    assert!(blacklisted(false), "gateways that lose tasks are blacklisted");
+    assert!(blacklisted(false), "a gateway that loses requests is blacklisted");
 }
 
 #[test]
@@ -93,7 +95,8 @@
     router.groups_listed(0, &[(GROUP, 2)]);
     router.links_changed(0, PEER_GATEWAY, REMOTE_SITE, 1, true);
     router.capacity_announced(0, PEER_GATEWAY, vec![9; 4], &[(GROUP, true)], false);
-    // Each believes the other to be home: the one that was asked says so, and nothing goes in a circle.
+    // Each gateway believes that the other site has the primary. The one that was asked reports that it does
+    // not have the primary, and the request does not go back and forth.
     let (handle, actions) = router.accept(
         0,
         Request { class: 1, group: GROUP, timeout: 900 * MS, visited: vec![REMOTE_SITE], session: None },
@@ -125,7 +128,8 @@
         router
     };
     let request = |visited| Request { class: 0, group: GROUP, timeout: TIMEOUT, visited, session: None };
-    // Its attempt was failed, and then all members here said that they are not the primary.
+    // An attempt at the local site may have run, and then all members there answered that they are not the
+    // primary.
     for visited in [vec![], vec![REMOTE_SITE]] {
         let mut router = new_router();
         let (handle, _) = router.accept(0, request(visited));
@@ -137,7 +141,8 @@
         let actions = router.local_finished(2 * MS, handle, LocalResult::Failed);
         assert_eq!(actions.requests, [(handle, Action::Fail)]);
     }
-    // It crossed, and nobody can say what became of it there; the module here knows nothing of that.
+    // The request was forwarded and its outcome there is unknown. The local router does not know of that
+    // attempt, so its rejection must become a failure.
     let mut router = new_router();
     router.capacity_announced(0, PEER_GATEWAY, vec![9], &[(GROUP, true)], false);
     let (handle, actions) = router.accept(0, request(vec![]));
