--- a/crates/flow-control/src/actions.rs
+++ b/crates/flow-control/src/actions.rs
@@ -38,7 +38,7 @@
     BufferSpace,
     /// Another client needs its connection slot.
     ConnectionSlot,
-    /// It was behind for longer than [`FlowLimits::max_time_behind`](crate::FlowLimits::max_time_behind).
+    /// It was behind for longer than [`FlowLimits::max_slow_time`](crate::FlowLimits::max_slow_time).
     TooSlow,
     /// The proxy is shutting down, and it is behind or has used up
     /// [`FlowLimits::shutdown_grace`](crate::FlowLimits::shutdown_grace).
--- a/crates/flow-control/src/addresses.rs
+++ b/crates/flow-control/src/addresses.rs
@@ -10,7 +10,7 @@
 const MAX_IDLE_ADDRESSES: usize = 1024;
 
 /// Up to this many addresses nothing is pruned, as a pass over all of them is not worth while.
-const PRUNE_ABOVE: usize = MAX_IDLE_ADDRESSES / 8;
+const PRUNE_THRESHOLD: usize = MAX_IDLE_ADDRESSES / 8;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct AddressUsage {
@@ -18,7 +18,7 @@
     /// Bytes reserved by all its connections.
     reserved: u64,
     /// Until when it counts as one whose client was just disconnected.
-    disconnected_until: Option<Micros>,
+    recent_disconnect_until: Option<Micros>,
 }
 
 impl AddressUsage {
@@ -26,8 +26,8 @@
         self.connections == 0 && self.reserved == 0
     }
 
-    fn was_disconnected(&self, now: Micros) -> bool {
-        self.disconnected_until.is_some_and(|until| now < until)
+    fn has_recent_disconnect(&self, now: Micros) -> bool {
+        self.recent_disconnect_until.is_some_and(|until| now < until)
     }
 }
 
@@ -72,20 +72,20 @@
 
     /// One of its clients was disconnected; that counts until then.
     pub(crate) fn record_disconnect(&mut self, address: IpAddr, until: Micros) {
-        self.usage.entry(address).or_default().disconnected_until = Some(until);
+        self.usage.entry(address).or_default().recent_disconnect_until = Some(until);
     }
 
-    pub(crate) fn recently_disconnected(&self, now: Micros, address: IpAddr) -> bool {
-        self.usage.get(&address).is_some_and(|usage| usage.was_disconnected(now))
+    pub(crate) fn has_recent_disconnect(&self, now: Micros, address: IpAddr) -> bool {
+        self.usage.get(&address).is_some_and(|usage| usage.has_recent_disconnect(now))
     }
 
     /// Forgets idle addresses of which no disconnect counts, and of the others the oldest beyond
     /// [`MAX_IDLE_ADDRESSES`].
     fn prune(&mut self, now: Micros) {
-        if self.usage.len() <= PRUNE_ABOVE {
+        if self.usage.len() <= PRUNE_THRESHOLD {
             return;
         }
-        self.usage.retain(|_, usage| !usage.is_idle() || usage.was_disconnected(now));
+        self.usage.retain(|_, usage| !usage.is_idle() || usage.has_recent_disconnect(now));
         while self.usage.len() > MAX_IDLE_ADDRESSES {
             let Some(oldest) = self.oldest_idle() else { return };
             self.usage.remove(&oldest);
@@ -95,6 +95,7 @@
     /// The idle address whose disconnect ceases to count first.
     fn oldest_idle(&self) -> Option<IpAddr> {
         let idle = self.usage.iter().filter(|(_, usage)| usage.is_idle());
-        idle.min_by_key(|(address, usage)| (usage.disconnected_until, **address)).map(|(&address, _)| address)
+        idle.min_by_key(|(address, usage)| (usage.recent_disconnect_until, **address))
+            .map(|(&address, _)| address)
     }
 }
--- a/crates/flow-control/src/admission.rs
+++ b/crates/flow-control/src/admission.rs
@@ -13,27 +13,27 @@
 
 impl Admission<'_> {
     /// Whether it can be granted now.
-    pub(crate) fn fits(&self, reservation: &Reservation) -> bool {
-        self.used_with(reservation) <= self.limits.available_to(reservation.priority())
-            && self.is_held_up_by_others(reservation)
+    pub(crate) fn can_grant_now(&self, reservation: &Reservation) -> bool {
+        self.used_if_granted(reservation) <= self.limits.available_to(reservation.priority())
+            && self.is_eligible(reservation)
     }
 
     /// Whether nothing but the space that others hold keeps it from being granted.
-    pub(crate) fn is_held_up_by_others(&self, reservation: &Reservation) -> bool {
-        self.is_within_peer_limits(reservation) && self.is_fair(reservation)
+    pub(crate) fn is_eligible(&self, reservation: &Reservation) -> bool {
+        self.is_within_peer_limits(reservation) && self.is_within_fair_share(reservation)
     }
 
     /// Whether it could be granted if nobody else held anything.
-    pub(crate) fn could_ever_fit(&self, reservation: &Reservation) -> bool {
+    pub(crate) fn can_ever_grant(&self, reservation: &Reservation) -> bool {
         let available = self.limits.available_to(reservation.priority());
         reservation.bytes() <= available.min(self.limits.per_connection)
     }
 
     /// Whether its peer is connected, and stays within what one connection and one address may reserve.
     pub(crate) fn is_within_peer_limits(&self, reservation: &Reservation) -> bool {
-        let by_peer = self.peers.reserved(reservation.peer()) + reservation.bytes();
+        let reserved_if_granted = self.peers.reserved(reservation.peer()) + reservation.bytes();
         self.peers.is_connected(reservation.peer())
-            && by_peer <= self.limits.per_connection
+            && reserved_if_granted <= self.limits.per_connection
             && self.is_within_address_limit(reservation)
     }
 
@@ -46,17 +46,17 @@
     /// While space is short, a peer that has something already gets no more than an equal share of the budget: without that
     /// one connection with many statements in flight takes what many others need. The cost: a single peer with many large
     /// responses in flight is held up while most others want little.
-    fn is_fair(&self, reservation: &Reservation) -> bool {
+    fn is_within_fair_share(&self, reservation: &Reservation) -> bool {
         let reserved = self.peers.reserved(reservation.peer());
-        let is_short = self.used_with(reservation) > self.limits.pressure.enter;
-        if reserved == 0 || reservation.priority() == Priority::Highest || !is_short {
+        let above_threshold = self.used_if_granted(reservation) > self.limits.pressure.enter;
+        if reserved == 0 || reservation.priority() == Priority::Highest || !above_threshold {
             return true;
         }
-        let equal_share = self.limits.budget / self.peers.holders().max(1);
+        let equal_share = self.limits.budget / self.peers.holder_count().max(1);
         reserved + reservation.bytes() <= equal_share
     }
 
-    fn used_with(&self, reservation: &Reservation) -> u64 {
+    fn used_if_granted(&self, reservation: &Reservation) -> u64 {
         self.budget.used() + reservation.bytes()
     }
 }
--- a/crates/flow-control/src/buffer_budget.rs
+++ b/crates/flow-control/src/buffer_budget.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::net::IpAddr;
 
-use crate::meter::time_at_rate;
+use crate::meter::transfer_time;
 use crate::{Micros, PeerId, Priority, ReservationId, ReservationRequest};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
     priority: Reverse<Priority>,
-    considered_from: Micros,
+    virtual_arrival: Micros,
     id: ReservationId,
 }
 
@@ -98,7 +98,7 @@
         self.next_id += 1;
         let position = QueuePosition {
             priority: Reverse(request.owner.priority),
-            considered_from: now.saturating_add(time_at_rate(request.bytes, bytes_per_second)),
+            virtual_arrival: now.saturating_add(transfer_time(request.bytes, bytes_per_second)),
             id,
         };
         let reservation = Reservation { address, request, state: ReservationState::Waiting, position };
@@ -166,8 +166,8 @@
 
     /// The next deadline of a waiting reservation, or end of a lingering one.
     pub(crate) fn next_deadline(&self) -> Option<Micros> {
-        let gives_up = self.waiting().map(|(_, reservation)| reservation.request.deadline).min();
-        let discarded = self.lingering.first().map(|&(until, _)| until);
-        gives_up.into_iter().chain(discarded).min()
+        let waiting_deadline = self.waiting().map(|(_, reservation)| reservation.request.deadline).min();
+        let linger_end = self.lingering.first().map(|&(until, _)| until);
+        waiting_deadline.into_iter().chain(linger_end).min()
     }
 }
--- a/crates/flow-control/src/controller.rs
+++ b/crates/flow-control/src/controller.rs
@@ -22,7 +22,7 @@
     peers: PeerTable,
     pressure: Pressure,
     /// Set once the proxy shuts down: until when responses may still be read.
-    shutdown_at: Option<Micros>,
+    shutdown_deadline: Option<Micros>,
 }
 
 /// Bytes that wait for nothing but that others free space.
@@ -43,7 +43,7 @@
             budget: BufferBudget::default(),
             peers: PeerTable::default(),
             pressure: Pressure::new(limits.budget),
-            shutdown_at: None,
+            shutdown_deadline: None,
         }
     }
 
@@ -90,7 +90,7 @@
     /// [`FlowController::linger`].
     pub fn unregister(&mut self, now: Micros, peer: PeerId) -> Actions {
         self.peers.unregister(now, peer);
-        self.settle(now)
+        self.evaluate(now)
     }
 
     /// Asks for buffer space. The reservation is among the granted or rejected ones of these or later actions, at the latest
@@ -101,7 +101,7 @@
         let address = self.peers.address(request.owner.peer);
         let rate = self.limits.to_client.bytes_per_second;
         let reservation = self.budget.enqueue(now, address, request, rate);
-        (reservation, self.settle(now))
+        (reservation, self.evaluate(now))
     }
 
     /// No more than `bytes` of a granted reservation are needed from now on.
@@ -112,7 +112,7 @@
         if let Some(before) = before {
             self.peers.refund(now, &before, freed);
         }
-        self.settle(now)
+        self.evaluate(now)
     }
 
     /// A reservation is needed no longer, granted or waiting.
@@ -122,17 +122,17 @@
             self.pressure.record_freed(now, removed.bytes());
             self.peers.refund(now, &removed, removed.bytes());
         }
-        self.settle(now)
+        self.evaluate(now)
     }
 
     /// The connection of a granted reservation is closed, and the system may hold its bytes unread for
-    /// [`FlowLimits::linger`]: they stay in use for that long, though no peer is charged for them.
+    /// [`FlowLimits::linger_timeout`]: they stay in use for that long, though no peer is charged for them.
     pub fn linger(&mut self, now: Micros, reservation: ReservationId) -> Actions {
-        let until = now + self.limits.linger;
+        let until = now + self.limits.linger_timeout;
         if let Some(left) = self.budget.linger(reservation, until) {
             self.peers.refund(now, &left, left.bytes());
         }
-        self.settle(now)
+        self.evaluate(now)
     }
 
     /// The peer is waited for from now on, and measured against the minimum rate of this transfer.
@@ -145,7 +145,7 @@
             }
             account.meter.start(now);
         }
-        self.settle(now)
+        self.evaluate(now)
     }
 
     /// The peer read or sent this many bytes. Never a reason to act: whoever waits is woken when the peer would have fallen
@@ -165,45 +165,45 @@
 
     /// A new client found no connection slot: disconnects the peer behind its rate that has most reserved, if there is one.
     pub fn shed_one_connection(&mut self, now: Micros) -> Actions {
-        let mut actions = self.settle(now);
-        if let Some(behind) = self.peers.behind(now).first() {
-            self.disconnect(now, behind.peer, DisconnectReason::ConnectionSlot, &mut actions);
+        let mut actions = self.evaluate(now);
+        if let Some(slow_peer) = self.peers.slow_peers(now).first() {
+            self.disconnect(now, slow_peer.peer, DisconnectReason::ConnectionSlot, &mut actions);
         }
         actions
     }
 
     /// Does what is due; to be called at [`Actions::wake_at`].
     pub fn wake(&mut self, now: Micros) -> Actions {
-        self.settle(now)
+        self.evaluate(now)
     }
 
     /// Puts other limits in force. What was granted beyond them stays until it is released; peers behind their rate are
     /// disconnected for it.
     pub fn update_limits(&mut self, now: Micros, limits: FlowLimits) -> Actions {
         self.limits = limits;
-        for account in self.peers.all_mut() {
+        for account in self.peers.accounts_mut() {
             let transfer = account.transfer.unwrap_or(Transfer::FromPeer);
             account.meter.set_minimum_rate(now, limits.minimum_rate(transfer));
         }
-        self.settle(now)
+        self.evaluate(now)
     }
 
     /// The proxy shuts down: peers behind their rate are disconnected at once, and all that are waited for after
     /// [`FlowLimits::shutdown_grace`].
     pub fn shut_down(&mut self, now: Micros) -> Actions {
-        self.shutdown_at.get_or_insert(now + self.limits.shutdown_grace);
-        self.settle(now)
+        self.shutdown_deadline.get_or_insert(now + self.limits.shutdown_grace);
+        self.evaluate(now)
     }
 
     /// Decides all that follows from the state at `now`. The order matters: what expired is freed before anything is granted,
     /// and peers are disconnected only for space that is still lacking then.
-    fn settle(&mut self, now: Micros) -> Actions {
+    fn evaluate(&mut self, now: Micros) -> Actions {
         let mut actions = Actions::default();
         self.budget.expire_lingering(now);
         let demand = self.process_queue(now, &mut actions);
-        let lacking = self.lacking(demand);
-        let lacking = self.disconnect_for_space(now, lacking, &mut actions);
-        self.reject_hopeless(now, lacking, &mut actions);
+        let shortfall = self.shortfall(demand);
+        let shortfall = self.disconnect_for_space(now, shortfall, &mut actions);
+        self.reject_expected_timeouts(now, shortfall, &mut actions);
         self.disconnect_overdue(now, &mut actions);
         actions.pressure = self.pressure.update(now, &self.limits, &self.budget);
         actions.wake_at = self.next_wake(now);
@@ -216,14 +216,14 @@
         let waiting: Vec<(ReservationId, Reservation)> =
             self.budget.waiting().map(|(id, reservation)| (id, *reservation)).collect();
         for (id, reservation) in waiting {
-            if self.admission().fits(&reservation) {
+            if self.admission().can_grant_now(&reservation) {
                 self.budget.grant(id);
                 self.peers.charge(&reservation);
                 actions.granted.push(id);
             } else if self.must_reject(now, &reservation) {
                 self.budget.remove(id);
                 actions.rejected.push(id);
-            } else if self.admission().is_held_up_by_others(&reservation) {
+            } else if self.admission().is_eligible(&reservation) {
                 demand.add(&reservation);
             }
         }
@@ -233,59 +233,59 @@
     fn must_reject(&self, now: Micros, reservation: &Reservation) -> bool {
         !self.peers.is_connected(reservation.peer())
             || reservation.address.is_some_and(|address| self.is_penalized(now, address))
-            || !self.admission().could_ever_fit(reservation)
+            || !self.admission().can_ever_grant(reservation)
             || now >= reservation.request.deadline
     }
 
     /// Whether a client of this address was just disconnected, which counts only while space is short.
     fn is_penalized(&self, now: Micros, address: IpAddr) -> bool {
-        self.pressure.is_active() && self.peers.addresses.recently_disconnected(now, address)
+        self.pressure.is_active() && self.peers.addresses.has_recent_disconnect(now, address)
     }
 
     /// Bytes that must be freed to grant what is demanded; also what exceeds limits that were lowered.
-    fn lacking(&self, demand: Demand) -> u64 {
+    fn shortfall(&self, demand: Demand) -> u64 {
         let used = self.budget.used();
-        let in_all = (used + demand.total).saturating_sub(self.limits.budget);
+        let total_shortfall = (used + demand.total).saturating_sub(self.limits.budget);
         if demand.normal == 0 {
-            return in_all;
+            return total_shortfall;
         }
         let available = self.limits.available_to(Priority::Normal);
-        in_all.max((used + demand.normal).saturating_sub(available))
+        total_shortfall.max((used + demand.normal).saturating_sub(available))
     }
 
     /// Disconnects peers behind their rate until enough is freed, those with most reserved first; returns how much is
     /// lacking even so. What peers hold that are being disconnected already is about to come back, and is counted first.
-    fn disconnect_for_space(&mut self, now: Micros, lacking: u64, actions: &mut Actions) -> u64 {
-        let mut lacking = lacking.saturating_sub(self.peers.returning());
-        if lacking == 0 {
+    fn disconnect_for_space(&mut self, now: Micros, shortfall: u64, actions: &mut Actions) -> u64 {
+        let mut shortfall = shortfall.saturating_sub(self.peers.reserved_by_disconnecting());
+        if shortfall == 0 {
             return 0;
         }
-        for behind in self.peers.behind(now) {
-            if lacking == 0 || behind.reserved == 0 {
+        for slow_peer in self.peers.slow_peers(now) {
+            if shortfall == 0 || slow_peer.reserved == 0 {
                 break;
             }
-            self.disconnect(now, behind.peer, DisconnectReason::BufferSpace, actions);
-            lacking = lacking.saturating_sub(behind.reserved);
+            self.disconnect(now, slow_peer.peer, DisconnectReason::BufferSpace, actions);
+            shortfall = shortfall.saturating_sub(slow_peer.reserved);
         }
-        lacking
+        shortfall
     }
 
     /// Rejects at once what will not be granted in time at the rate at which space is freed, last in the queue first.
     ///
     /// An attempt that waits for space holds a slot at its member, which other requests need: without this a flood of large
     /// responses takes all of them. The cost: a large response is rejected just before many readers go on.
-    fn reject_hopeless(&mut self, now: Micros, lacking: u64, actions: &mut Actions) {
-        let mut lacking = lacking;
-        while lacking > 0 && self.pressure.time_to_free(now, lacking) > self.limits.reservation_timeout {
-            let Some((id, reservation)) = self.last_waiting() else { return };
+    fn reject_expected_timeouts(&mut self, now: Micros, shortfall: u64, actions: &mut Actions) {
+        let mut shortfall = shortfall;
+        while shortfall > 0 && self.pressure.time_to_free(now, shortfall) > self.limits.reservation_timeout {
+            let Some((id, reservation)) = self.last_within_peer_limits() else { return };
             self.budget.remove(id);
             actions.rejected.push(id);
-            lacking = lacking.saturating_sub(reservation.bytes());
+            shortfall = shortfall.saturating_sub(reservation.bytes());
         }
     }
 
     /// The last reservation of the queue that its peer's limits would allow.
-    fn last_waiting(&self) -> Option<(ReservationId, Reservation)> {
+    fn last_within_peer_limits(&self) -> Option<(ReservationId, Reservation)> {
         let admission = self.admission();
         let waiting =
             self.budget.waiting().filter(|(_, reservation)| admission.is_within_peer_limits(reservation));
@@ -307,35 +307,35 @@
 
     /// Why a peer is to be disconnected even if nobody needs what it holds; `None` where it is not.
     fn overdue(&self, now: Micros, account: &PeerAccount) -> Option<DisconnectReason> {
-        let behind_since = account.meter.behind_since(now);
-        if let Some(shutdown_at) = self.shutdown_at {
-            let out_of_grace = now >= shutdown_at && account.meter.is_running();
-            if behind_since.is_some() || out_of_grace {
+        let slow_since = account.meter.slow_since(now);
+        if let Some(shutdown_deadline) = self.shutdown_deadline {
+            let grace_is_over = now >= shutdown_deadline && account.meter.is_running();
+            if slow_since.is_some() || grace_is_over {
                 return Some(DisconnectReason::Shutdown);
             }
         }
-        let too_slow = now - behind_since? >= self.limits.max_time_behind;
+        let too_slow = now - slow_since? >= self.limits.max_slow_time;
         too_slow.then_some(DisconnectReason::TooSlow)
     }
 
     fn disconnect(&mut self, now: Micros, peer: PeerId, reason: DisconnectReason, actions: &mut Actions) {
-        self.peers.disconnect(peer, now + self.limits.max_time_behind);
+        self.peers.mark_disconnecting(peer, now + self.limits.max_slow_time);
         actions.disconnect.push(Disconnect { peer, reason });
     }
 
     fn next_wake(&self, now: Micros) -> Option<Micros> {
-        let overdue = self.peers.connected().filter_map(|(_, account)| self.next_check(now, account));
-        let shutdown = self.shutdown_at.filter(|&at| at > now);
-        overdue.chain(self.budget.next_deadline()).chain(shutdown).min()
+        let peer_checks = self.peers.connected().filter_map(|(_, account)| self.next_check(now, account));
+        let shutdown = self.shutdown_deadline.filter(|&at| at > now);
+        peer_checks.chain(self.budget.next_deadline()).chain(shutdown).min()
     }
 
     /// When to look at a peer again: one that falls behind may be disconnected at once where others wait for what it holds,
     /// or at shutdown. Of one that was spared though it is behind, the next to happen is that it is overdue.
     fn next_check(&self, now: Micros, account: &PeerAccount) -> Option<Micros> {
-        let falls_behind = account.meter.deadline()?;
-        let is_wanted = self.budget.has_waiting() && account.reserved > 0;
-        let at_once = (is_wanted || self.shutdown_at.is_some()) && falls_behind >= now;
-        Some(if at_once { falls_behind + 1 } else { falls_behind + self.limits.max_time_behind })
+        let deadline = account.meter.deadline()?;
+        let space_is_needed = self.budget.has_waiting() && account.reserved > 0;
+        let may_disconnect_at_once = (space_is_needed || self.shutdown_deadline.is_some()) && deadline >= now;
+        Some(if may_disconnect_at_once { deadline + 1 } else { deadline + self.limits.max_slow_time })
     }
 
     fn admission(&self) -> Admission<'_> {
--- a/crates/flow-control/src/lib.rs
+++ b/crates/flow-control/src/lib.rs
@@ -13,7 +13,7 @@
 //!
 //! Two rules hold throughout. A peer that keeps up with its [`MinimumRate`] is never disconnected, but for the end of the
 //! proxy. One that falls behind is disconnected once somebody needs what it holds, or when it has been behind for
-//! [`FlowLimits::max_time_behind`].
+//! [`FlowLimits::max_slow_time`].
 //!
 //! Nothing here does I/O or has a clock. `now` never goes back, and leaves out time in which the process was stalled: peers
 //! are not blamed for a pause of the proxy. The same calls in the same order have the same outcome.
--- a/crates/flow-control/src/limits.rs
+++ b/crates/flow-control/src/limits.rs
@@ -3,7 +3,7 @@
 use crate::{Micros, Priority, Transfer};
 
 const KIB: u64 = 1024;
-const MS: Micros = 1_000;
+const MILLISECOND: Micros = 1_000;
 
 /// The least that a peer must move while it is waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,9 +59,9 @@
     /// A reservation waits no longer than this: meanwhile its attempt holds a slot at a member.
     pub reservation_timeout: Micros,
     /// A peer that has been behind its rate for this long is disconnected even if nobody needs what it holds.
-    pub max_time_behind: Micros,
+    pub max_slow_time: Micros,
     /// How long the system keeps what a closed connection left unread; it stays in use meanwhile.
-    pub linger: Micros,
+    pub linger_timeout: Micros,
     /// How long responses may still be read once the proxy shuts down.
     pub shutdown_grace: Micros,
 }
@@ -74,31 +74,40 @@
 const PRIORITY_RESERVE_DIVISOR: u64 = 8;
 
 /// Buffers on the way to a client empty in steps of some 10 KiB, 1.3 s at this rate: both allowances are longer.
-const TO_CLIENT: MinimumRate =
-    MinimumRate { bytes_per_second: 8 * KIB, start_allowance: 2_000 * MS, pause_allowance: 4_000 * MS };
+const TO_CLIENT: MinimumRate = MinimumRate {
+    bytes_per_second: 8 * KIB,
+    start_allowance: 2_000 * MILLISECOND,
+    pause_allowance: 4_000 * MILLISECOND,
+};
 
 /// Statements are small. Their first bytes are due in 2.5 s by `limits.stalled` as well.
-const FROM_CLIENT: MinimumRate =
-    MinimumRate { bytes_per_second: KIB, start_allowance: 2_500 * MS, pause_allowance: 4_000 * MS };
+const FROM_CLIENT: MinimumRate = MinimumRate {
+    bytes_per_second: KIB,
+    start_allowance: 2_500 * MILLISECOND,
+    pause_allowance: 4_000 * MILLISECOND,
+};
 
 /// A sound member sends 60 KB at twice this rate. A response that trickles ends after 0.3 s, which leaves time for another
 /// member.
-const FROM_MEMBER: MinimumRate =
-    MinimumRate { bytes_per_second: 32 * KIB, start_allowance: 300 * MS, pause_allowance: 300 * MS };
+const FROM_MEMBER: MinimumRate = MinimumRate {
+    bytes_per_second: 32 * KIB,
+    start_allowance: 300 * MILLISECOND,
+    pause_allowance: 300 * MILLISECOND,
+};
 
 /// As for responses, but a member may pause for longer before it reads: that is not its end.
 const TO_MEMBER: MinimumRate =
-    MinimumRate { start_allowance: 1_000 * MS, pause_allowance: 1_000 * MS, ..FROM_MEMBER };
+    MinimumRate { start_allowance: 1_000 * MILLISECOND, pause_allowance: 1_000 * MILLISECOND, ..FROM_MEMBER };
 
 /// An attempt that waits for space holds a slot at its member: waiting up to the deadline left usual clients 0.208 of their
 /// requests in time (docs/slow-peers.md).
-const RESERVATION_TIMEOUT: Micros = 250 * MS;
+const RESERVATION_TIMEOUT: Micros = 250 * MILLISECOND;
 /// With the start allowance of a client that makes 8 s without progress.
-const MAX_TIME_BEHIND: Micros = 6_000 * MS;
+const MAX_SLOW_TIME: Micros = 6_000 * MILLISECOND;
 /// The time-out that the system is given for what a closed connection left.
-const LINGER: Micros = 5_000 * MS;
+const LINGER_TIMEOUT: Micros = 5_000 * MILLISECOND;
 /// After SIGTERM, how long responses may still be read.
-const SHUTDOWN_GRACE: Micros = 5_000 * MS;
+const SHUTDOWN_GRACE: Micros = 5_000 * MILLISECOND;
 
 impl FlowLimits {
     /// The defaults for a proxy that may use this many bytes of memory, sound from 32 MB on.
@@ -116,8 +125,8 @@
             from_member: FROM_MEMBER,
             to_member: TO_MEMBER,
             reservation_timeout: RESERVATION_TIMEOUT,
-            max_time_behind: MAX_TIME_BEHIND,
-            linger: LINGER,
+            max_slow_time: MAX_SLOW_TIME,
+            linger_timeout: LINGER_TIMEOUT,
             shutdown_grace: SHUTDOWN_GRACE,
         }
     }
@@ -134,15 +143,15 @@
     ///
     /// The first limit that is too small, and the least that would do.
     pub fn validate(&self, statement: u64, response: u64) -> Result<(), FlowLimitsError> {
-        let both = statement + response;
+        let total = statement + response;
         if self.budget < self.minimum_budget(statement, response) {
             return Err(FlowLimitsError::Budget { minimum: self.minimum_budget(statement, response) });
         }
-        if self.per_connection < both {
-            return Err(FlowLimitsError::PerConnection { minimum: both });
+        if self.per_connection < total {
+            return Err(FlowLimitsError::PerConnection { minimum: total });
         }
         match self.per_address {
-            Some(address) if address.budget < both => Err(FlowLimitsError::PerAddress { minimum: both }),
+            Some(address) if address.budget < total => Err(FlowLimitsError::PerAddress { minimum: total }),
             Some(AddressLimits { connections: 0, .. }) => {
                 Err(FlowLimitsError::ConnectionsPerAddress { minimum: 1 })
             }
--- a/crates/flow-control/src/meter.rs
+++ b/crates/flow-control/src/meter.rs
@@ -26,7 +26,7 @@
     updated_at: Micros,
     /// Whether the peer is waited for.
     running: bool,
-    behind_since: Option<Micros>,
+    slow_since: Option<Micros>,
 }
 
 impl ProgressMeter {
@@ -38,7 +38,7 @@
             credit: minimum.start_allowance,
             updated_at: now,
             running: false,
-            behind_since: None,
+            slow_since: None,
         }
     }
 
@@ -46,8 +46,8 @@
     pub fn set_minimum_rate(&mut self, now: Micros, minimum: MinimumRate) {
         self.update(now);
         if self.minimum != minimum {
-            let most = minimum.pause_allowance.max(minimum.start_allowance);
-            self.credit = self.credit.clamp(-minimum.pause_allowance, most);
+            let max_credit = minimum.pause_allowance.max(minimum.start_allowance);
+            self.credit = self.credit.clamp(-minimum.pause_allowance, max_credit);
             self.minimum = minimum;
         }
     }
@@ -61,11 +61,11 @@
     /// The peer read or sent this many bytes.
     pub fn record_progress(&mut self, now: Micros, bytes: u64) {
         self.update(now);
-        let earned = time_at_rate(bytes, self.minimum.bytes_per_second);
-        let most = self.minimum.pause_allowance.max(self.credit);
-        self.credit = self.credit.saturating_add(earned).min(most);
+        let earned = transfer_time(bytes, self.minimum.bytes_per_second);
+        let max_credit = self.minimum.pause_allowance.max(self.credit);
+        self.credit = self.credit.saturating_add(earned).min(max_credit);
         if self.credit >= 0 {
-            self.behind_since = None;
+            self.slow_since = None;
         }
     }
 
@@ -83,35 +83,35 @@
 
     /// Since when the peer has been behind its minimum rate; `None` while it keeps up.
     #[must_use]
-    pub fn behind_since(&self, now: Micros) -> Option<Micros> {
-        let falls_behind = self.deadline().filter(|&deadline| deadline < now);
-        self.behind_since.or(falls_behind)
+    pub fn slow_since(&self, now: Micros) -> Option<Micros> {
+        let passed_deadline = self.deadline().filter(|&deadline| deadline < now);
+        self.slow_since.or(passed_deadline)
     }
 
     /// When the peer falls behind if it moves nothing until then, or when it fell behind; `None` while the meter is stopped.
     #[must_use]
     pub fn deadline(&self) -> Option<Micros> {
-        let credit_ends = self.updated_at.saturating_add(self.credit);
-        self.running.then_some(self.behind_since.unwrap_or(credit_ends))
+        let credit_exhausted_at = self.updated_at.saturating_add(self.credit);
+        self.running.then_some(self.slow_since.unwrap_or(credit_exhausted_at))
     }
 
     /// Brings the credit up to date. A running meter spends it; a stopped one earns the start allowance back.
     fn update(&mut self, now: Micros) {
         let elapsed = (now - self.updated_at).max(0);
         if self.running {
-            self.behind_since = self.behind_since(now);
+            self.slow_since = self.slow_since(now);
             self.credit = (self.credit - elapsed).max(-self.minimum.pause_allowance);
         } else {
             let recovered = self.credit.saturating_add(elapsed).min(self.minimum.start_allowance);
             self.credit = self.credit.max(recovered);
-            self.behind_since = None;
+            self.slow_since = None;
         }
         self.updated_at = self.updated_at.max(now);
     }
 }
 
 /// How long this many bytes take at a rate in bytes a second; a rate of zero counts as one.
-pub(crate) fn time_at_rate(bytes: u64, bytes_per_second: u64) -> Micros {
+pub(crate) fn transfer_time(bytes: u64, bytes_per_second: u64) -> Micros {
     let micros = bytes.saturating_mul(SECOND as u64) / bytes_per_second.max(1);
     Micros::try_from(micros).unwrap_or(Micros::MAX)
 }
--- a/crates/flow-control/src/peers.rs
+++ b/crates/flow-control/src/peers.rs
@@ -24,7 +24,7 @@
 
 /// A peer behind its minimum rate.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct BehindPeer {
+pub(crate) struct SlowPeer {
     pub(crate) peer: PeerId,
     /// Bytes of its granted reservations.
     pub(crate) reserved: u64,
@@ -70,7 +70,7 @@
     }
 
     /// All peers, those that are being disconnected included.
-    pub(crate) fn all_mut(&mut self) -> impl Iterator<Item = &mut PeerAccount> {
+    pub(crate) fn accounts_mut(&mut self) -> impl Iterator<Item = &mut PeerAccount> {
         self.accounts.values_mut()
     }
 
@@ -94,34 +94,34 @@
     }
 
     /// How many peers have anything reserved.
-    pub(crate) fn holders(&self) -> u64 {
+    pub(crate) fn holder_count(&self) -> u64 {
         self.accounts.values().filter(|account| account.reserved > 0).count() as u64
     }
 
     /// Bytes that come back once the peers that are being disconnected are gone.
-    pub(crate) fn returning(&self) -> u64 {
+    pub(crate) fn reserved_by_disconnecting(&self) -> u64 {
         let disconnecting = self.accounts.values().filter(|account| account.disconnecting);
         disconnecting.map(|account| account.reserved).sum()
     }
 
     /// Peers behind their minimum rate: those with most reserved first, among equals those behind for longest.
-    pub(crate) fn behind(&self, now: Micros) -> Vec<BehindPeer> {
-        let mut behind: Vec<(Reverse<u64>, Micros, PeerId)> = self
+    pub(crate) fn slow_peers(&self, now: Micros) -> Vec<SlowPeer> {
+        let mut slow_peers: Vec<(Reverse<u64>, Micros, PeerId)> = self
             .connected()
             .filter_map(|(peer, account)| {
-                Some((Reverse(account.reserved), account.meter.behind_since(now)?, peer))
+                Some((Reverse(account.reserved), account.meter.slow_since(now)?, peer))
             })
             .collect();
-        behind.sort_unstable();
-        behind.into_iter().map(|(Reverse(reserved), _, peer)| BehindPeer { peer, reserved }).collect()
+        slow_peers.sort_unstable();
+        slow_peers.into_iter().map(|(Reverse(reserved), _, peer)| SlowPeer { peer, reserved }).collect()
     }
 
     /// Marks a peer as being disconnected, and its address as one whose client was, until then.
-    pub(crate) fn disconnect(&mut self, peer: PeerId, counts_until: Micros) {
+    pub(crate) fn mark_disconnecting(&mut self, peer: PeerId, recent_disconnect_until: Micros) {
         let Some(account) = self.accounts.get_mut(&peer) else { return };
         account.disconnecting = true;
         if let Some(address) = account.address {
-            self.addresses.record_disconnect(address, counts_until);
+            self.addresses.record_disconnect(address, recent_disconnect_until);
         }
     }
 
--- a/crates/flow-control/tests/common/mod.rs
+++ b/crates/flow-control/tests/common/mod.rs
@@ -7,14 +7,17 @@
     ReservationRequest,
 };
 
-pub const S: Micros = 1_000_000;
+pub const SECOND: Micros = 1_000_000;
 pub const KIB: u64 = 1024;
 pub const TO_CLIENT: MinimumRate =
-    MinimumRate { bytes_per_second: 8 * KIB, start_allowance: 2 * S, pause_allowance: 4 * S };
+    MinimumRate { bytes_per_second: 8 * KIB, start_allowance: 2 * SECOND, pause_allowance: 4 * SECOND };
 
 pub fn limits() -> FlowLimits {
-    let member =
-        MinimumRate { bytes_per_second: 32 * KIB, start_allowance: 3 * S / 10, pause_allowance: 3 * S / 10 };
+    let member = MinimumRate {
+        bytes_per_second: 32 * KIB,
+        start_allowance: 3 * SECOND / 10,
+        pause_allowance: 3 * SECOND / 10,
+    };
     FlowLimits {
         budget: 1024 * KIB,
         per_connection: 256 * KIB,
@@ -22,25 +25,29 @@
         priority_reserve: 128 * KIB,
         pressure: PressureThresholds { enter: 768 * KIB, leave: 512 * KIB },
         to_client: TO_CLIENT,
-        from_client: MinimumRate { bytes_per_second: KIB, start_allowance: 2 * S, pause_allowance: 4 * S },
+        from_client: MinimumRate {
+            bytes_per_second: KIB,
+            start_allowance: 2 * SECOND,
+            pause_allowance: 4 * SECOND,
+        },
         from_member: member,
         to_member: member,
-        reservation_timeout: 60 * S,
-        max_time_behind: 6 * S,
-        linger: 5 * S,
-        shutdown_grace: 5 * S,
+        reservation_timeout: 60 * SECOND,
+        max_slow_time: 6 * SECOND,
+        linger_timeout: 5 * SECOND,
+        shutdown_grace: 5 * SECOND,
     }
 }
 
-pub fn address(last: u8) -> IpAddr {
-    Ipv4Addr::new(127, 0, 0, last).into()
+pub fn address(last_octet: u8) -> IpAddr {
+    Ipv4Addr::new(127, 0, 0, last_octet).into()
 }
 
 pub fn request(peer: PeerId, bytes: u64, deadline: Micros) -> ReservationRequest {
     ReservationRequest { owner: ReservationOwner { peer, priority: Priority::Normal }, bytes, deadline }
 }
 
-pub fn with_priority(request: ReservationRequest) -> ReservationRequest {
+pub fn with_highest_priority(request: ReservationRequest) -> ReservationRequest {
     let owner = ReservationOwner { priority: Priority::Highest, ..request.owner };
     ReservationRequest { owner, ..request }
 }
--- a/crates/flow-control/tests/random_runs.rs
+++ b/crates/flow-control/tests/random_runs.rs
@@ -11,39 +11,40 @@
 use proptest::collection::vec;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-use common::{KIB, S, TO_CLIENT, address, limits, request, with_priority};
+use common::{KIB, SECOND, TO_CLIENT, address, limits, request, with_highest_priority};
 
 struct Simulation {
     controller: FlowController,
     now: Micros,
     peers: HashMap<PeerId, PeerModel>,
-    order: Vec<PeerId>,
-    reservations: HashMap<ReservationId, (PeerId, u64, bool)>,
+    registered: Vec<PeerId>,
+    granted: HashMap<ReservationId, (PeerId, u64, bool)>,
     waiting: HashMap<ReservationId, ReservationRequest>,
 }
 
 #[derive(Default)]
 struct PeerModel {
-    waited_for_since: Option<Micros>,
+    metering_since: Option<Micros>,
     /// How long it was waited for before that.
-    metered: Micros,
+    metered_before: Micros,
     /// At how much of that time it moved how many bytes.
-    moved: Vec<(Micros, u64)>,
+    transfers: Vec<(Micros, u64)>,
     disconnected: bool,
 }
 
 impl PeerModel {
-    fn metered(&self, now: Micros) -> Micros {
-        self.metered + self.waited_for_since.map_or(0, |since| now - since)
+    fn metered_time(&self, now: Micros) -> Micros {
+        self.metered_before + self.metering_since.map_or(0, |since| now - since)
     }
 
     /// Whether over some part of the time that it was waited for it moved less than the rate and the allowance ask for.
     fn was_slow(&self, now: Micros, rate: u64, allowance: Micros) -> bool {
-        let end = self.metered(now);
-        let starts = self.moved.iter().map(|&(at, _)| at).chain([0]);
+        let end = self.metered_time(now);
+        let starts = self.transfers.iter().map(|&(at, _)| at).chain([0]);
         starts.into_iter().any(|start| {
-            let bytes: u64 = self.moved.iter().filter(|&&(at, _)| at > start).map(|&(_, bytes)| bytes).sum();
-            let needed = (end - start - allowance).max(0) as f64 * rate as f64 / S as f64;
+            let bytes: u64 =
+                self.transfers.iter().filter(|&&(at, _)| at > start).map(|&(_, bytes)| bytes).sum();
+            let needed = (end - start - allowance).max(0) as f64 * rate as f64 / SECOND as f64;
             (bytes as f64) < needed + 1.0
         })
     }
@@ -54,7 +55,7 @@
         for reservation in actions.granted {
             let request = self.waiting.remove(&reservation).expect("granted once, and asked for before");
             let ReservationOwner { peer, priority } = request.owner;
-            self.reservations.insert(reservation, (peer, request.bytes, priority.is_highest()));
+            self.granted.insert(reservation, (peer, request.bytes, priority.is_highest()));
         }
         for reservation in actions.rejected {
             self.waiting.remove(&reservation).expect("rejected once, and not after it was granted");
@@ -69,16 +70,21 @@
                 "a quick peer was disconnected: {reason:?}"
             );
         }
-        let granted: u64 = self.reservations.values().map(|&(_, bytes, _)| bytes).sum();
+        let total_granted: u64 = self.granted.values().map(|&(_, bytes, _)| bytes).sum();
         assert!(
-            granted <= self.controller.used() && self.controller.used() <= self.controller.limits().budget
+            total_granted <= self.controller.used()
+                && self.controller.used() <= self.controller.limits().budget
         );
-        let plain: u64 =
-            self.reservations.values().filter(|&&(_, _, best)| !best).map(|&(_, bytes, _)| bytes).sum();
-        assert!(plain <= self.controller.limits().budget - self.controller.limits().priority_reserve);
+        let total_normal: u64 = self
+            .granted
+            .values()
+            .filter(|&&(_, _, is_highest)| !is_highest)
+            .map(|&(_, bytes, _)| bytes)
+            .sum();
+        assert!(total_normal <= self.controller.limits().budget - self.controller.limits().priority_reserve);
         // Nothing small waits while there is space for it.
         let held = |peer: PeerId| {
-            self.reservations
+            self.granted
                 .values()
                 .filter(|reservation| reservation.0 == peer)
                 .map(|reservation| reservation.1)
@@ -87,87 +93,90 @@
         for request in self.waiting.values() {
             let peer = request.owner.peer;
             let held: u64 = held(peer);
-            let open = self.controller.limits().budget - self.controller.limits().priority_reserve;
+            let available_to_normal =
+                self.controller.limits().budget - self.controller.limits().priority_reserve;
             assert!(
-                held > 0 || self.peers[&peer].disconnected || self.controller.used() + request.bytes > open,
+                held > 0
+                    || self.peers[&peer].disconnected
+                    || self.controller.used() + request.bytes > available_to_normal,
                 "{request:?} starves"
             );
         }
     }
 
     #[allow(clippy::too_many_lines, reason = "one history, step by step")]
-    fn step(&mut self, kind: u8, a: usize, b: u64) {
-        let peer = self.order.get(a % self.order.len().max(1)).copied();
-        let reservation = self.reservations.keys().min_by_key(|reservation| {
+    fn step(&mut self, kind: u8, choice: usize, value: u64) {
+        let peer = self.registered.get(choice % self.registered.len().max(1)).copied();
+        let reservation = self.granted.keys().min_by_key(|reservation| {
             // Any one, the same in every run.
-            (format!("{reservation:?}").len() + a) % 7
+            (format!("{reservation:?}").len() + choice) % 7
         });
         let reservation =
-            reservation.copied().filter(|_| a.is_multiple_of(2)).or(self.reservations.keys().min().copied());
+            reservation.copied().filter(|_| choice.is_multiple_of(2)).or(self.granted.keys().min().copied());
         match (kind, peer, reservation) {
             (0 | 1, _, _) => {
-                let peer = self.controller.register(self.now, address(a as u8)).unwrap();
+                let peer = self.controller.register(self.now, address(choice as u8)).unwrap();
                 self.peers.insert(peer, PeerModel::default());
-                self.order.push(peer);
+                self.registered.push(peer);
             }
             (2..=4, Some(peer), _) if !self.peers[&peer].disconnected => {
-                let until = self.now + (b % 7) as Micros * S;
-                let plain = request(peer, 1 + b % (250 * KIB), until);
-                let request = if b.is_multiple_of(5) { with_priority(plain) } else { plain };
+                let until = self.now + (value % 7) as Micros * SECOND;
+                let normal = request(peer, 1 + value % (250 * KIB), until);
+                let request = if value.is_multiple_of(5) { with_highest_priority(normal) } else { normal };
                 let (reservation, actions) = self.controller.reserve(self.now, request);
                 self.waiting.insert(reservation, request);
                 self.apply(actions);
             }
             (5, _, Some(reservation)) => {
-                self.reservations.remove(&reservation);
+                self.granted.remove(&reservation);
                 let actions = self.controller.release(self.now, reservation);
                 self.apply(actions);
             }
             (6, _, Some(reservation)) => {
-                let kept = self.reservations.get_mut(&reservation).unwrap();
-                kept.1 = kept.1.min(b % (64 * KIB));
-                let actions = self.controller.shrink(self.now, reservation, kept.1);
+                let model = self.granted.get_mut(&reservation).unwrap();
+                model.1 = model.1.min(value % (64 * KIB));
+                let actions = self.controller.shrink(self.now, reservation, model.1);
                 self.apply(actions);
             }
             (7, _, Some(reservation)) => {
-                self.reservations.remove(&reservation);
+                self.granted.remove(&reservation);
                 let actions = self.controller.linger(self.now, reservation);
                 self.apply(actions);
             }
             (8 | 9, Some(peer), _) => {
                 let model = self.peers.get_mut(&peer).unwrap();
-                model.waited_for_since.get_or_insert(self.now);
+                model.metering_since.get_or_insert(self.now);
                 let actions = self.controller.start_metering(self.now, peer, Transfer::ToPeer);
                 self.apply(actions);
             }
-            (10..=12, Some(peer), _) if self.peers[&peer].waited_for_since.is_some() => {
+            (10..=12, Some(peer), _) if self.peers[&peer].metering_since.is_some() => {
                 let model = self.peers.get_mut(&peer).unwrap();
-                let at = model.metered(self.now);
-                model.moved.push((at, b % (32 * KIB)));
-                self.controller.record_progress(self.now, peer, b % (32 * KIB));
+                let at = model.metered_time(self.now);
+                model.transfers.push((at, value % (32 * KIB)));
+                self.controller.record_progress(self.now, peer, value % (32 * KIB));
             }
             (13, Some(peer), _) => {
                 // It is closed, and all that is kept for it with it.
-                self.order.retain(|&other| other != peer);
-                let of_peer = |waiting: &HashMap<ReservationId, ReservationRequest>| {
+                self.registered.retain(|&other| other != peer);
+                let first_of_peer = |waiting: &HashMap<ReservationId, ReservationRequest>| {
                     waiting
                         .iter()
                         .filter(|(_, other)| other.owner.peer == peer)
                         .map(|(&reservation, _)| reservation)
                         .min()
                 };
-                while let Some(reservation) = of_peer(&self.waiting) {
+                while let Some(reservation) = first_of_peer(&self.waiting) {
                     self.waiting.remove(&reservation);
                     let actions = self.controller.release(self.now, reservation);
                     self.apply(actions);
                 }
                 let held = self
-                    .reservations
+                    .granted
                     .iter()
                     .filter(|(_, held)| held.0 == peer)
                     .map(|(&reservation, _)| reservation);
                 for reservation in held.collect::<Vec<_>>() {
-                    self.reservations.remove(&reservation);
+                    self.granted.remove(&reservation);
                     let actions = self.controller.release(self.now, reservation);
                     self.apply(actions);
                 }
@@ -175,7 +184,7 @@
                 self.apply(actions);
             }
             _ => {
-                self.now += 1 + (b % (700 * 1000)) as Micros;
+                self.now += 1 + (value % (700 * 1000)) as Micros;
                 let actions = self.controller.wake(self.now);
                 self.apply(actions);
             }
@@ -185,7 +194,7 @@
 
 /// Whatever the order of events: the budget is kept, nothing small starves, no quick peer is disconnected, all is freed.
 #[test]
-fn the_invariants_hold_after_every_step_of_random_runs() {
+fn invariants_hold_after_every_step_of_random_runs() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]);
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let steps = vec((0u8..18, 0usize..64, 0u64..1 << 40), 1..250);
@@ -195,17 +204,17 @@
                 controller: FlowController::new(limits()),
                 now: 0,
                 peers: HashMap::new(),
-                order: Vec::new(),
-                reservations: HashMap::new(),
+                registered: Vec::new(),
+                granted: HashMap::new(),
                 waiting: HashMap::new(),
             };
-            steps.iter().for_each(|&(kind, a, b)| simulation.step(kind, a, b));
+            steps.iter().for_each(|&(kind, choice, value)| simulation.step(kind, choice, value));
             // All is given back, whatever happened.
-            while let Some(peer) = simulation.order.first().copied() {
+            while let Some(peer) = simulation.registered.first().copied() {
                 simulation.step(13, 0, 0);
-                assert!(!simulation.order.contains(&peer));
+                assert!(!simulation.registered.contains(&peer));
             }
-            let _ = simulation.controller.wake(simulation.now + 60 * S);
+            let _ = simulation.controller.wake(simulation.now + 60 * SECOND);
             assert_eq!(simulation.controller.used(), 0);
             Ok(())
         })
--- a/crates/proxy/src/flow_control/connection_guard.rs
+++ b/crates/proxy/src/flow_control/connection_guard.rs
@@ -102,7 +102,7 @@
 
     /// How long the system may keep what a closed connection left unread.
     pub fn linger_timeout(&self) -> Duration {
-        duration(self.flow_control.limits().linger)
+        duration(self.flow_control.limits().linger_timeout)
     }
 }
 
--- a/crates/proxy/src/lifecycle/flow_limits.rs
+++ b/crates/proxy/src/lifecycle/flow_limits.rs
@@ -44,8 +44,8 @@
         from_member: minimum_rate(usual.from_member, wanted.answering),
         to_member: minimum_rate(usual.to_member, wanted.taking),
         reservation_timeout: wanted.patience_ms.map_or(usual.reservation_timeout, micros),
-        max_time_behind: wanted.overdue_ms.map_or(usual.max_time_behind, micros),
-        linger: wanted.lingering_ms.map_or(usual.linger, micros),
+        max_slow_time: wanted.overdue_ms.map_or(usual.max_slow_time, micros),
+        linger_timeout: wanted.lingering_ms.map_or(usual.linger_timeout, micros),
         shutdown_grace: wanted.stopping_ms.map_or(usual.shutdown_grace, micros),
     }
 }
