--- a/crates/flow-control/src/actions.rs
+++ b/crates/flow-control/src/actions.rs
@@ -1,46 +1,48 @@
-//! What the controller returns: what its caller is to do, and why a connection was not accepted.
+//! Results of controller calls: the actions that the caller must carry out, and the reasons for rejecting a
+//! connection.
 
 use crate::{Micros, PeerId, ReservationId};
 
-/// What the caller is to do now, and when to call [`FlowController::wake`](crate::FlowController::wake) next.
+/// Actions for the caller to carry out now, and the time of the next call of
+/// [`FlowController::wake`](crate::FlowController::wake).
 ///
-/// A result that is dropped leaves clients waiting for reservations that were granted already.
+/// Dropping the result leaves clients waiting for reservations that were already granted.
 #[derive(Debug, Default, PartialEq, Eq)]
-#[must_use = "actions are to be carried out"]
+#[must_use = "the caller must carry out these actions"]
 pub struct Actions {
-    /// Reservations that waited and are granted now, in the order of their queue.
+    /// Reservations that are granted by this call, in queue order.
     pub granted: Vec<ReservationId>,
-    /// Reservations that waited and never will be granted.
+    /// Reservations that are rejected by this call and will never be granted.
     pub rejected: Vec<ReservationId>,
-    /// Peers to disconnect without another byte; [`FlowController::unregister`](crate::FlowController::unregister) is due
-    /// once that is done.
+    /// Peers to disconnect without sending another byte. The caller must call
+    /// [`FlowController::unregister`](crate::FlowController::unregister) after closing each connection.
     pub disconnect: Vec<Disconnect>,
-    /// Set when buffer space became short, or ceased to be.
+    /// Set when buffer space became short or stopped being short; `None` if that did not change.
     pub pressure: Option<PressureChange>,
-    /// When to wake the controller, unless another call comes first; `None` where nothing is due.
+    /// When to call `wake` if no other call comes first; `None` if nothing is scheduled.
     pub wake_at: Option<Micros>,
 }
 
-/// A peer to disconnect.
+/// A peer to disconnect, and the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Disconnect {
-    /// Whom.
+    /// The peer.
     pub peer: PeerId,
-    /// Why.
+    /// Why the peer is disconnected.
     pub reason: DisconnectReason,
 }
 
-/// Why a peer is disconnected. It was behind its minimum rate, whatever the reason, but for
-/// [`DisconnectReason::Shutdown`].
+/// Why a peer is disconnected. For every reason except [`DisconnectReason::Shutdown`] the peer was slow, i.e. behind
+/// its minimum rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DisconnectReason {
-    /// Others need the buffer space that it holds.
+    /// Other peers need the buffer space that the peer holds.
     BufferSpace,
-    /// Another client needs its connection slot.
+    /// A new client needs the peer's connection slot.
     ConnectionSlot,
-    /// It was behind for longer than [`FlowLimits::max_slow_time`](crate::FlowLimits::max_slow_time).
+    /// The peer was slow for [`FlowLimits::max_slow_time`](crate::FlowLimits::max_slow_time).
     TooSlow,
-    /// The proxy is shutting down, and it is behind or has used up
+    /// The proxy is shutting down, and the peer is slow or did not finish within
     /// [`FlowLimits::shutdown_grace`](crate::FlowLimits::shutdown_grace).
     Shutdown,
 }
@@ -48,25 +50,25 @@
 /// Why a connection is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectionLimitReached {
-    /// The client's address has as many connections as one address may have.
+    /// The client's address already has as many connections as [`AddressLimits`](crate::AddressLimits) allows.
     #[error(
         "connection limit of the client's address reached; raise per_address.connections if it is a load balancer"
     )]
     PerAddress,
-    /// A client of this address was disconnected a moment ago, and buffer space is short.
+    /// A client of the same address was disconnected a moment ago, and buffer space is short.
     #[error(
         "a slow client of the same address was just disconnected and buffer space is short; it may retry shortly"
     )]
     RecentlyDisconnected,
 }
 
-/// Buffer space became short, or ceased to be.
+/// Reports that buffer space became short, or stopped being short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PressureChange {
     /// Whether buffer space is short from now on.
     pub under_pressure: bool,
-    /// Bytes in use, what closed connections left included.
+    /// Bytes of the budget in use, including what closed connections left in the kernel.
     pub used: u64,
-    /// How many reservations wait.
+    /// Number of waiting reservations.
     pub waiting: usize,
 }
--- a/crates/flow-control/src/buffer_budget.rs
+++ b/crates/flow-control/src/buffer_budget.rs
@@ -1,4 +1,4 @@
-//! The buffer budget: which reservations are granted, which wait, and what closed connections left behind.
+//! The buffer budget: waiting and granted reservations, and what closed connections left in the kernel.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
@@ -7,47 +7,54 @@
 use crate::meter::transfer_time;
 use crate::{Micros, PeerId, Priority, ReservationId, ReservationRequest};
 
+/// Where a reservation is in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReservationState {
     Waiting,
     Granted,
-    /// Its connection is closed; the system discards what it left by then.
+    /// The connection is closed, and the kernel discards the unread bytes at `until`.
     Lingering {
         until: Micros,
     },
 }
 
-/// One reservation.
+/// One reservation and its state.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Reservation {
-    /// Of its owner, where addresses tell clients apart.
+    /// The client address of the owner; `None` if [`FlowLimits::per_address`](crate::FlowLimits::per_address) was not
+    /// set when the owner connected, or if the owner was gone when the request was made.
     pub(crate) address: Option<IpAddr>,
-    /// What was asked for, with the size that it has now.
+    /// The request, with `bytes` reduced to the present size of the reservation.
     pub(crate) request: ReservationRequest,
     state: ReservationState,
     position: QueuePosition,
 }
 
 impl Reservation {
+    /// Whether the reservation is granted; false once it lingers.
     pub(crate) fn is_granted(&self) -> bool {
         self.state == ReservationState::Granted
     }
 
+    /// The connection that the reservation is charged to.
     pub(crate) fn peer(&self) -> PeerId {
         self.request.owner.peer
     }
 
+    /// The priority of the request that the space is for.
     pub(crate) fn priority(&self) -> Priority {
         self.request.owner.priority
     }
 
+    /// The present size of the reservation in bytes.
     pub(crate) fn bytes(&self) -> u64 {
         self.request.bytes
     }
 }
 
-/// The order in which waiting reservations are considered: by priority, then by arrival, a larger one later by the time that
-/// its size takes at the clients' minimum rate. So no small one waits behind a large one that came just before.
+/// Sort key of waiting reservations: priority first, then virtual arrival time. The virtual arrival time is the
+/// arrival plus the time that the reservation's bytes take at the clients' minimum rate, so that a small reservation
+/// does not wait behind a large one that arrived just before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
     priority: Reverse<Priority>,
@@ -60,33 +67,36 @@
 pub(crate) struct BufferBudget {
     reservations: HashMap<ReservationId, Reservation>,
     waiting: BTreeSet<QueuePosition>,
-    /// By when the system discards them.
+    /// Lingering reservations, by the time at which the kernel discards their bytes.
     lingering: BTreeSet<(Micros, ReservationId)>,
-    /// Bytes granted and lingering.
+    /// Bytes of granted and lingering reservations.
     used: u64,
     next_id: u64,
 }
 
 impl BufferBudget {
-    /// Bytes granted, and bytes that closed connections left with the system.
+    /// Bytes of granted reservations, and of those that closed connections left in the kernel.
     pub(crate) fn used(&self) -> u64 {
         self.used
     }
 
+    /// The reservation with this id, in any state.
     pub(crate) fn get(&self, id: ReservationId) -> Option<&Reservation> {
         self.reservations.get(&id)
     }
 
-    /// Waiting reservations, in the order of the queue.
+    /// Waiting reservations in queue order.
     pub(crate) fn waiting(&self) -> impl Iterator<Item = (ReservationId, &Reservation)> {
         self.waiting.iter().filter_map(|position| Some((position.id, self.reservations.get(&position.id)?)))
     }
 
+    /// Whether any reservation waits.
     pub(crate) fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// Puts a request into the queue. `bytes_per_second` is the rate by which larger ones are considered later.
+    /// Adds a request to the queue. `bytes_per_second` is the rate that determines how much later larger requests are
+    /// considered.
     pub(crate) fn enqueue(
         &mut self,
         now: Micros,
@@ -107,7 +117,7 @@
         id
     }
 
-    /// Grants a waiting reservation; any other stays as it is.
+    /// Grants a waiting reservation. A reservation in any other state is left unchanged.
     pub(crate) fn grant(&mut self, id: ReservationId) {
         let Some(reservation) = self.reservations.get_mut(&id) else { return };
         if reservation.state == ReservationState::Waiting {
@@ -117,7 +127,7 @@
         }
     }
 
-    /// Makes a granted reservation no larger than `bytes`; returns how much that frees.
+    /// Reduces a granted reservation to at most `bytes` and returns the number of bytes freed.
     pub(crate) fn shrink(&mut self, id: ReservationId, bytes: u64) -> u64 {
         let Some(reservation) = self.reservations.get_mut(&id).filter(|reservation| reservation.is_granted())
         else {
@@ -129,7 +139,8 @@
         freed
     }
 
-    /// Takes a granted reservation from its peer, and keeps it in use until then.
+    /// Makes a granted reservation linger: no peer holds it any more, but its bytes stay in use until `until`.
+    /// Returns `None` if it is not granted.
     pub(crate) fn linger(&mut self, id: ReservationId, until: Micros) -> Option<Reservation> {
         let reservation = self.reservations.get_mut(&id).filter(|reservation| reservation.is_granted())?;
         reservation.state = ReservationState::Lingering { until };
@@ -137,7 +148,7 @@
         Some(*reservation)
     }
 
-    /// Removes a reservation and frees what it used; returns it in the state that it had.
+    /// Removes a reservation, frees the bytes that it used, and returns it in its last state.
     pub(crate) fn remove(&mut self, id: ReservationId) -> Option<Reservation> {
         let reservation = self.reservations.remove(&id)?;
         match reservation.state {
@@ -153,7 +164,7 @@
         Some(reservation)
     }
 
-    /// Frees what the system has discarded of closed connections.
+    /// Removes lingering reservations whose bytes the kernel has discarded.
     pub(crate) fn expire_lingering(&mut self, now: Micros) {
         while let Some(&(until, id)) = self.lingering.first() {
             if until > now {
@@ -164,7 +175,7 @@
         }
     }
 
-    /// The next deadline of a waiting reservation, or end of a lingering one.
+    /// The earliest deadline of a waiting reservation or end of a lingering one.
     pub(crate) fn next_deadline(&self) -> Option<Micros> {
         let waiting_deadline = self.waiting().map(|(_, reservation)| reservation.request.deadline).min();
         let linger_end = self.lingering.first().map(|&(until, _)| until);
--- a/crates/flow-control/src/lib.rs
+++ b/crates/flow-control/src/lib.rs
@@ -1,22 +1,24 @@
-//! Flow control: how much buffer space slow peers may hold, and which of them are disconnected when it runs out.
+//! Flow control: limits the buffer space that slow peers may hold, and chooses which of them to disconnect when it
+//! runs out.
 //!
-//! A client that reads its response slowly, or sends its statement slowly, holds memory and a connection that others need.
-//! [`FlowController`] accounts for all that is buffered for a peer: statements not yet complete, responses not yet read,
-//! what the system's socket buffers may still hold of either, and what closed connections left there.
+//! A client that reads its response slowly, or sends its statement slowly, holds memory and a connection that others
+//! need. [`FlowController`] accounts for everything that is buffered for a peer: incomplete statements, unread
+//! responses, the part of either that may still be in the kernel's socket buffers, and what closed connections left
+//! there.
 //!
-//! - **Inputs**: connections that come and go, requests for buffer space ([`ReservationRequest`]), the bytes that each peer
-//!   moved, the operator's limits ([`FlowLimits`]). Every call brings `now`.
-//! - **Outputs**: [`Actions`]: reservations granted or rejected, peers to disconnect, and when to call
-//!   [`FlowController::wake`].
-//! - **Caller**: the proxy's `flow_control` module, which shares one controller among all its actors. Connections to members
-//!   use a [`ProgressMeter`] by themselves: one that is too slow fails its attempt.
+//! - **Inputs**: opened and closed connections, requests for buffer space ([`ReservationRequest`]), the bytes that
+//!   each peer read or sent, the operator's limits ([`FlowLimits`]). Every call takes the current time `now`.
+//! - **Outputs**: [`Actions`]: reservations granted or rejected, peers to disconnect, and the time of the next call
+//!   of [`FlowController::wake`].
+//! - **Caller**: the proxy's `flow_control` module, which shares one controller among all its actors. Connections to
+//!   members use a [`ProgressMeter`] on their own: an attempt fails if its member is too slow.
 //!
-//! Two rules hold throughout. A peer that keeps up with its [`MinimumRate`] is never disconnected, but for the end of the
-//! proxy. One that falls behind is disconnected once somebody needs what it holds, or when it has been behind for
-//! [`FlowLimits::max_slow_time`].
+//! A peer is *slow* while it is behind its [`MinimumRate`]. Two rules always hold. A peer that is not slow is never
+//! disconnected, except at shutdown. A slow peer is disconnected once another peer needs what it holds, or when it
+//! has been slow for [`FlowLimits::max_slow_time`].
 //!
-//! Nothing here does I/O or has a clock. `now` never goes back, and leaves out time in which the process was stalled: peers
-//! are not blamed for a pause of the proxy. The same calls in the same order have the same outcome.
+//! The crate does no I/O and has no clock. `now` never goes back, and excludes time in which the process was stalled,
+//! so that peers are not blamed for a pause of the proxy. The same calls in the same order have the same results.
 //!
 //! ```
 //! use std::net::{IpAddr, Ipv4Addr};
@@ -29,13 +31,13 @@
 //! let mut controller = FlowController::new(limits);
 //! let client = controller.register(0, IpAddr::V4(Ipv4Addr::LOCALHOST)).unwrap();
 //!
-//! // Space for a response of 1 MiB, now or not at all.
+//! // Reserve space for a response of 1 MiB. With a deadline of `now` the request never waits.
 //! let owner = ReservationOwner { peer: client, priority: Priority::Normal };
 //! let request = ReservationRequest { owner, bytes: 1 << 20, deadline: 0 };
 //! let (reservation, actions) = controller.reserve(0, request);
 //! assert_eq!(actions.granted, [reservation]);
 //!
-//! // The response is written, and the client reads nothing of it.
+//! // The response is written, but the client reads nothing.
 //! let actions = controller.start_metering(0, client, Transfer::ToPeer);
 //! let actions = controller.wake(actions.wake_at.unwrap());
 //! assert_eq!(actions.disconnect[0].peer, client);
@@ -62,7 +64,7 @@
 pub use meter::{ProgressMeter, Transfer};
 pub use reservation::{PeerId, Priority, ReservationId, ReservationOwner, ReservationRequest};
 
-/// Whole microseconds: an instant on the caller's clock, or a span.
+/// A time on the caller's clock, or a duration, in whole microseconds.
 pub type Micros = i64;
 
 /// One second, in microseconds.
