--- a/crates/flow-control/src/buffer_budget.rs
+++ b/crates/flow-control/src/buffer_budget.rs
@@ -7,7 +7,7 @@
 use crate::meter::transfer_time;
 use crate::{Micros, PeerId, Priority, ReservationId, ReservationRequest};
 
-/// Where a reservation is in its life.
+/// Whether a reservation waits, is granted, or lingers after its connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReservationState {
     Waiting,
--- a/crates/flow-control/src/controller.rs
+++ b/crates/flow-control/src/controller.rs
@@ -1,4 +1,5 @@
-//! The controller: accounts for peers and reservations, and decides after each event who is served and who gives way.
+//! The controller: keeps accounts of peers and reservations, and decides after each event which reservations to grant
+//! or reject and which peers to disconnect.
 
 use std::net::IpAddr;
 
@@ -13,29 +14,29 @@
 
 /// Shares the buffer budget among peers, and disconnects slow ones when others need it.
 ///
-/// Every method that changes something may grant, reject or disconnect, and returns that as [`Actions`]. An id of a peer or
-/// reservation that is gone is ignored: a late call does no harm.
+/// Every method that returns [`Actions`] may grant, reject or disconnect. Calls with the id of a peer or reservation
+/// that no longer exists have no effect, so late calls are harmless.
 #[derive(Debug)]
 pub struct FlowController {
     limits: FlowLimits,
     budget: BufferBudget,
     peers: PeerTable,
     pressure: Pressure,
-    /// Set once the proxy shuts down: until when responses may still be read.
+    /// End of the grace period for reading responses; `None` until the proxy shuts down.
     shutdown_deadline: Option<Micros>,
 }
 
-/// Bytes that wait for nothing but that others free space.
+/// Bytes that eligible waiting reservations ask for but that the budget cannot grant now.
 #[derive(Clone, Copy, Debug, Default)]
 struct Demand {
-    /// Of all priorities.
+    /// Bytes of reservations of all priorities.
     total: u64,
-    /// Of those that may not use the priority reserve.
+    /// Bytes of reservations that may not use the priority reserve.
     normal: u64,
 }
 
 impl FlowController {
-    /// A controller without peers.
+    /// Creates a controller without peers.
     #[must_use]
     pub fn new(limits: FlowLimits) -> FlowController {
         FlowController {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Bytes of the budget in use: what is granted, and what closed connections left with the system.
+    /// Bytes of the budget in use: granted reservations, and what closed connections left in the kernel.
     #[must_use]
     pub fn used(&self) -> u64 {
         self.budget.used()
@@ -59,8 +60,8 @@
         &self.limits
     }
 
-    /// How long a client is to wait before it retries what was rejected for lack of buffer space: those who hold it have
-    /// freed it by then, or are behind and can be disconnected.
+    /// Time that a client should wait before it retries a request that was rejected for lack of buffer space. By then
+    /// the peers that hold the space have freed it, or are slow and can be disconnected.
     #[must_use]
     pub fn retry_after(&self) -> Micros {
         self.limits.to_client.start_allowance
@@ -70,9 +71,10 @@
     ///
     /// # Errors
     ///
-    /// Where [`FlowLimits::per_address`] is set: the address has all its connections, or one of its clients was just
-    /// disconnected and space is short. The second keeps a client from returning at once after it was disconnected; the cost
-    /// is borne by a quick client that shares the address of a slow one.
+    /// Only if [`FlowLimits::per_address`] is set: the address has reached its connection limit, or one of its
+    /// clients was disconnected recently and buffer space is short. The second rule keeps a disconnected client from
+    /// reconnecting at once. The cost is that a fast client that shares the address with a slow one is rejected as
+    /// well.
     pub fn register(&mut self, now: Micros, address: IpAddr) -> Result<PeerId, ConnectionLimitReached> {
         let Some(per_address) = self.limits.per_address else {
             return Ok(self.peers.register(now, None, self.limits.from_client));
@@ -86,15 +88,15 @@
         Ok(self.peers.register(now, Some(address), self.limits.from_client))
     }
 
-    /// The connection is closed. Its reservations are released on their own, by [`FlowController::release`] or
-    /// [`FlowController::linger`].
+    /// Removes a peer whose connection is closed. Its reservations are not released by this; call
+    /// [`FlowController::release`] or [`FlowController::linger`] for each of them.
     pub fn unregister(&mut self, now: Micros, peer: PeerId) -> Actions {
         self.peers.unregister(now, peer);
         self.evaluate(now)
     }
 
-    /// Asks for buffer space. The reservation is among the granted or rejected ones of these or later actions, at the latest
-    /// after [`FlowLimits::reservation_timeout`].
+    /// Requests buffer space. The reservation is granted or rejected by the returned actions or by later ones, at the
+    /// latest after [`FlowLimits::reservation_timeout`].
     pub fn reserve(&mut self, now: Micros, request: ReservationRequest) -> (ReservationId, Actions) {
         let deadline = request.deadline.min(now + self.limits.reservation_timeout);
         let request = ReservationRequest { deadline, ..request };
@@ -104,7 +106,7 @@
         (reservation, self.evaluate(now))
     }
 
-    /// No more than `bytes` of a granted reservation are needed from now on.
+    /// Reduces a granted reservation to at most `bytes`.
     pub fn shrink(&mut self, now: Micros, reservation: ReservationId, bytes: u64) -> Actions {
         let before = self.budget.get(reservation).copied();
         let freed = self.budget.shrink(reservation, bytes);
@@ -115,7 +117,7 @@
         self.evaluate(now)
     }
 
-    /// A reservation is needed no longer, granted or waiting.
+    /// Releases a reservation, whether it waits or is granted.
     pub fn release(&mut self, now: Micros, reservation: ReservationId) -> Actions {
         let removed = self.budget.remove(reservation);
         if let Some(removed) = removed.filter(Reservation::is_granted) {
@@ -125,8 +127,8 @@
         self.evaluate(now)
     }
 
-    /// The connection of a granted reservation is closed, and the system may hold its bytes unread for
-    /// [`FlowLimits::linger_timeout`]: they stay in use for that long, though no peer is charged for them.
+    /// Keeps the bytes of a granted reservation in use for [`FlowLimits::linger_timeout`] after its connection was
+    /// closed, because the kernel may hold them unread for that long. They are no longer charged to a peer.
     pub fn linger(&mut self, now: Micros, reservation: ReservationId) -> Actions {
         let until = now + self.limits.linger_timeout;
         if let Some(left) = self.budget.linger(reservation, until) {
@@ -135,7 +137,7 @@
         self.evaluate(now)
     }
 
-    /// The peer is waited for from now on, and measured against the minimum rate of this transfer.
+    /// Starts to measure a peer against the minimum rate of this transfer, because the proxy is waiting for it.
     pub fn start_metering(&mut self, now: Micros, peer: PeerId, transfer: Transfer) -> Actions {
         let minimum = self.limits.minimum_rate(transfer);
         if let Some(account) = self.peers.get_mut(peer) {
@@ -148,22 +150,23 @@
         self.evaluate(now)
     }
 
-    /// The peer read or sent this many bytes. Never a reason to act: whoever waits is woken when the peer would have fallen
-    /// behind without them.
+    /// Records that the peer read or sent this many bytes. Progress never requires actions: the wake-up that is
+    /// already scheduled is for the time at which the peer would have become slow without it.
     pub fn record_progress(&mut self, now: Micros, peer: PeerId, bytes: u64) {
         if let Some(account) = self.peers.get_mut(peer) {
             account.meter.record_progress(now, bytes);
         }
     }
 
-    /// The peer is waited for no longer.
+    /// Stops measuring a peer, because the proxy is no longer waiting for it.
     pub fn stop_metering(&mut self, now: Micros, peer: PeerId) {
         if let Some(account) = self.peers.get_mut(peer) {
             account.meter.stop(now);
         }
     }
 
-    /// A new client found no connection slot: disconnects the peer behind its rate that has most reserved, if there is one.
+    /// Frees a connection slot for a new client: disconnects the slow peer with the most bytes reserved, if any peer
+    /// is slow.
     pub fn shed_one_connection(&mut self, now: Micros) -> Actions {
         let mut actions = self.evaluate(now);
         if let Some(slow_peer) = self.peers.slow_peers(now).first() {
@@ -172,13 +175,13 @@
         actions
     }
 
-    /// Does what is due; to be called at [`Actions::wake_at`].
+    /// Carries out what is due at `now`. Call it at [`Actions::wake_at`].
     pub fn wake(&mut self, now: Micros) -> Actions {
         self.evaluate(now)
     }
 
-    /// Puts other limits in force. What was granted beyond them stays until it is released; peers behind their rate are
-    /// disconnected for it.
+    /// Replaces the limits. Reservations that exceed the new ones stay granted until they are released, but slow
+    /// peers are disconnected to free the excess.
     pub fn update_limits(&mut self, now: Micros, limits: FlowLimits) -> Actions {
         self.limits = limits;
         for account in self.peers.accounts_mut() {
@@ -188,15 +191,15 @@
         self.evaluate(now)
     }
 
-    /// The proxy shuts down: peers behind their rate are disconnected at once, and all that are waited for after
-    /// [`FlowLimits::shutdown_grace`].
+    /// Starts the shutdown. Slow peers are disconnected at once, and after [`FlowLimits::shutdown_grace`] every peer
+    /// that is being measured.
     pub fn shut_down(&mut self, now: Micros) -> Actions {
         self.shutdown_deadline.get_or_insert(now + self.limits.shutdown_grace);
         self.evaluate(now)
     }
 
-    /// Decides all that follows from the state at `now`. The order matters: what expired is freed before anything is granted,
-    /// and peers are disconnected only for space that is still lacking then.
+    /// Applies all rules to the state at `now`. The order matters: expired lingering reservations are freed before
+    /// anything is granted, and peers are disconnected only for the space that is still missing after that.
     fn evaluate(&mut self, now: Micros) -> Actions {
         let mut actions = Actions::default();
         self.budget.expire_lingering(now);
@@ -210,7 +213,8 @@
         actions
     }
 
-    /// Grants what fits and rejects what cannot be waited for; returns what the rest lacks.
+    /// Grants the reservations that fit and rejects those that must not wait. Returns the demand of the eligible ones
+    /// that keep waiting.
     fn process_queue(&mut self, now: Micros, actions: &mut Actions) -> Demand {
         let mut demand = Demand::default();
         let waiting: Vec<(ReservationId, Reservation)> =
@@ -230,6 +234,8 @@
         demand
     }
 
+    /// Whether a reservation that cannot be granted now must not wait: its peer is gone or being disconnected, its
+    /// address is penalized, it can never be granted, or its deadline has passed.
     fn must_reject(&self, now: Micros, reservation: &Reservation) -> bool {
         !self.peers.is_connected(reservation.peer())
             || reservation.address.is_some_and(|address| self.is_penalized(now, address))
@@ -237,12 +243,13 @@
             || now >= reservation.request.deadline
     }
 
-    /// Whether a client of this address was just disconnected, which counts only while space is short.
+    /// Whether a client of this address was disconnected recently while buffer space is short. Without a shortage a
+    /// recent disconnect has no consequences.
     fn is_penalized(&self, now: Micros, address: IpAddr) -> bool {
         self.pressure.is_active() && self.peers.addresses.has_recent_disconnect(now, address)
     }
 
-    /// Bytes that must be freed to grant what is demanded; also what exceeds limits that were lowered.
+    /// Bytes that must be freed to satisfy the demand, including what is in use beyond limits that were lowered.
     fn shortfall(&self, demand: Demand) -> u64 {
         let used = self.budget.used();
         let total_shortfall = (used + demand.total).saturating_sub(self.limits.budget);
@@ -253,8 +260,9 @@
         total_shortfall.max((used + demand.normal).saturating_sub(available))
     }
 
-    /// Disconnects peers behind their rate until enough is freed, those with most reserved first; returns how much is
-    /// lacking even so. What peers hold that are being disconnected already is about to come back, and is counted first.
+    /// Disconnects slow peers, those with the most bytes reserved first, until enough space will be freed. Returns
+    /// the bytes that are still missing. Bytes of peers that are already being disconnected will be freed soon and
+    /// are subtracted first.
     fn disconnect_for_space(&mut self, now: Micros, shortfall: u64, actions: &mut Actions) -> u64 {
         let mut shortfall = shortfall.saturating_sub(self.peers.reserved_by_disconnecting());
         if shortfall == 0 {
@@ -270,10 +278,12 @@
         shortfall
     }
 
-    /// Rejects at once what will not be granted in time at the rate at which space is freed, last in the queue first.
+    /// Rejects reservations, from the end of the queue, that cannot be granted within
+    /// [`FlowLimits::reservation_timeout`] at the rate at which space is being freed.
     ///
-    /// An attempt that waits for space holds a slot at its member, which other requests need: without this a flood of large
-    /// responses takes all of them. The cost: a large response is rejected just before many readers go on.
+    /// An attempt that waits for space holds a slot at its member, which other requests need. Without this rule a
+    /// flood of large responses takes all slots. The cost is that a large response may be rejected just before many
+    /// clients continue reading.
     fn reject_expected_timeouts(&mut self, now: Micros, shortfall: u64, actions: &mut Actions) {
         let mut shortfall = shortfall;
         while shortfall > 0 && self.pressure.time_to_free(now, shortfall) > self.limits.reservation_timeout {
@@ -284,7 +294,7 @@
         }
     }
 
-    /// The last reservation of the queue that its peer's limits would allow.
+    /// The last reservation in the queue that its peer's own limits allow.
     fn last_within_peer_limits(&self) -> Option<(ReservationId, Reservation)> {
         let admission = self.admission();
         let waiting =
@@ -292,8 +302,8 @@
         waiting.last().map(|(id, reservation)| (id, *reservation))
     }
 
-    /// Disconnects peers that have been behind for too long though nobody needs what they hold: machines that vanished would
-    /// stay for ever otherwise. A peer that caught up in between is spared.
+    /// Disconnects peers that have been slow for too long although nobody needs what they hold. Otherwise the
+    /// connections of machines that vanished would stay forever. A peer that catches up before that is kept.
     fn disconnect_overdue(&mut self, now: Micros, actions: &mut Actions) {
         let overdue: Vec<Disconnect> = self
             .peers
@@ -305,7 +315,7 @@
         }
     }
 
-    /// Why a peer is to be disconnected even if nobody needs what it holds; `None` where it is not.
+    /// Why a peer must be disconnected even if nobody needs what it holds; `None` if it may stay.
     fn overdue(&self, now: Micros, account: &PeerAccount) -> Option<DisconnectReason> {
         let slow_since = account.meter.slow_since(now);
         if let Some(shutdown_deadline) = self.shutdown_deadline {
@@ -318,19 +328,24 @@
         too_slow.then_some(DisconnectReason::TooSlow)
     }
 
+    /// Marks a peer as being disconnected and adds it to the actions. Its address counts as recently disconnected for
+    /// [`FlowLimits::max_slow_time`].
     fn disconnect(&mut self, now: Micros, peer: PeerId, reason: DisconnectReason, actions: &mut Actions) {
         self.peers.mark_disconnecting(peer, now + self.limits.max_slow_time);
         actions.disconnect.push(Disconnect { peer, reason });
     }
 
+    /// The next time at which a rule may apply without another event; `None` if there is none.
     fn next_wake(&self, now: Micros) -> Option<Micros> {
         let peer_checks = self.peers.connected().filter_map(|(_, account)| self.next_check(now, account));
         let shutdown = self.shutdown_deadline.filter(|&at| at > now);
         peer_checks.chain(self.budget.next_deadline()).chain(shutdown).min()
     }
 
-    /// When to look at a peer again: one that falls behind may be disconnected at once where others wait for what it holds,
-    /// or at shutdown. Of one that was spared though it is behind, the next to happen is that it is overdue.
+    /// When to check a peer again. If others wait for the bytes that it holds, or at shutdown, that is just after it
+    /// becomes slow, as it may then be disconnected at once. Otherwise, also for a peer that is slow already and was
+    /// kept, it is when the peer has been slow for [`FlowLimits::max_slow_time`]. `None` while the peer is not being
+    /// measured.
     fn next_check(&self, now: Micros, account: &PeerAccount) -> Option<Micros> {
         let deadline = account.meter.deadline()?;
         let space_is_needed = self.budget.has_waiting() && account.reserved > 0;
@@ -338,12 +353,14 @@
         Some(if may_disconnect_at_once { deadline + 1 } else { deadline + self.limits.max_slow_time })
     }
 
+    /// The admission rules over the present state.
     fn admission(&self) -> Admission<'_> {
         Admission { limits: &self.limits, budget: &self.budget, peers: &self.peers }
     }
 }
 
 impl Demand {
+    /// Adds the bytes of a waiting reservation.
     fn add(&mut self, reservation: &Reservation) {
         self.total += reservation.bytes();
         if reservation.priority() == Priority::Normal {
--- a/crates/flow-control/src/limits.rs
+++ b/crates/flow-control/src/limits.rs
@@ -1,116 +1,122 @@
-//! The operator's limits, their defaults, and the check that they can hold one request.
+//! The operator's limits, their defaults, and a check that they allow at least one full-size request.
 
 use crate::{Micros, Priority, Transfer};
 
 const KIB: u64 = 1024;
 const MILLISECOND: Micros = 1_000;
 
-/// The least that a peer must move while it is waited for.
+/// The slowest transfer allowed to a peer while the proxy waits for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MinimumRate {
-    /// Bytes a second.
+    /// Bytes per second.
     pub bytes_per_second: u64,
-    /// How long the first bytes may take.
+    /// Time that the first bytes may take, in microseconds.
     pub start_allowance: Micros,
-    /// How long a peer may pause that was quick before. Must be longer than the bytes that a buffer on the way passes on at a
-    /// time take at this rate.
+    /// Time that a peer may pause after transferring faster than the rate, in microseconds. It must be longer than
+    /// this rate takes to transfer what a buffer on the way passes on at once.
     pub pause_allowance: Micros,
 }
 
-/// What the clients of one address may have together.
+/// What the clients of one address may use together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AddressLimits {
-    /// Connections.
+    /// Maximum number of connections.
     pub connections: usize,
-    /// Bytes of buffer space.
+    /// Maximum buffer space in bytes.
     pub budget: u64,
 }
 
-/// Levels of use between which buffer space counts as short, in bytes.
+/// Bytes in use at which buffer space starts and stops being short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PressureThresholds {
-    /// Above it, buffer space is short.
+    /// Buffer space becomes short when more than this is in use.
     pub enter: u64,
-    /// Below it, and with nothing waiting, it no longer is.
+    /// Buffer space stops being short when less than this is in use and no reservation waits.
     pub leave: u64,
 }
 
-/// The operator's limits on slow peers. Sizes in bytes, spans in microseconds.
+/// The operator's limits on slow peers. Sizes are in bytes, durations in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FlowLimits {
-    /// All buffer space, in the proxy and in the system's socket buffers.
+    /// Total buffer space, in the proxy and in the kernel's socket buffers.
     pub budget: u64,
-    /// What one connection may reserve of it.
+    /// The part of the budget that one connection may reserve.
     pub per_connection: u64,
-    /// What one address may have; `None` where a load balancer stands before the proxy and all clients have its address.
+    /// What the clients of one address may use; `None` if addresses are not limited, as behind a load balancer whose
+    /// address all clients share.
     pub per_address: Option<AddressLimits>,
-    /// What only [`Priority::Highest`] may use of the budget.
+    /// The part of the budget that only [`Priority::Highest`] may use.
     pub priority_reserve: u64,
     /// When buffer space counts as short.
     pub pressure: PressureThresholds,
-    /// For clients that read a response.
+    /// Minimum rate of clients that read a response.
     pub to_client: MinimumRate,
-    /// For clients that send the rest of a statement.
+    /// Minimum rate of clients that send the rest of a statement.
     pub from_client: MinimumRate,
-    /// For members that have begun a response.
+    /// Minimum rate of members that have begun a response.
     pub from_member: MinimumRate,
-    /// For members that read a statement.
+    /// Minimum rate of members that read a statement.
     pub to_member: MinimumRate,
-    /// A reservation waits no longer than this: meanwhile its attempt holds a slot at a member.
+    /// Longest time that a reservation waits. A waiting reservation's attempt holds a slot at a member.
     pub reservation_timeout: Micros,
-    /// A peer that has been behind its rate for this long is disconnected even if nobody needs what it holds.
+    /// Time after which a slow peer is disconnected even if nobody needs what it holds.
     pub max_slow_time: Micros,
-    /// How long the system keeps what a closed connection left unread; it stays in use meanwhile.
+    /// Time that the kernel keeps what a closed connection left unread. The bytes stay in use until then.
     pub linger_timeout: Micros,
-    /// How long responses may still be read once the proxy shuts down.
+    /// Time that clients have to read their responses once the proxy shuts down.
     pub shutdown_grace: Micros,
 }
 
-/// Half of the memory is for buffers; the rest is for connections, small messages and the program.
+/// Half of the memory is for buffers. The rest is for connections, small messages and the program.
 const BUDGET_DIVISOR: u64 = 2;
-/// One connection may hold a quarter of the budget: room for one statement and one response of full size from 32 MB on.
+/// One connection may hold a quarter of the budget. From 32 MB of memory on, that has room for one full-size
+/// statement and one full-size response.
 const CONNECTION_DIVISOR: u64 = 4;
-/// An eighth of the budget is reserved for the best paid requests.
+/// An eighth of the budget is reserved for requests of [`Priority::Highest`].
 const PRIORITY_RESERVE_DIVISOR: u64 = 8;
 
-/// Buffers on the way to a client empty in steps of some 10 KiB, 1.3 s at this rate: both allowances are longer.
+/// Buffers on the way to a client empty in steps of about 10 KiB, which take 1.3 s at this rate. Both allowances are
+/// longer than that.
 const TO_CLIENT: MinimumRate = MinimumRate {
     bytes_per_second: 8 * KIB,
     start_allowance: 2_000 * MILLISECOND,
     pause_allowance: 4_000 * MILLISECOND,
 };
 
-/// Statements are small. Their first bytes are due in 2.5 s by `limits.stalled` as well.
+/// Statements are small. The start allowance equals the 2.5 s after which the proxy closes a connection that is
+/// silent within a message (`ClientLimits::stall_timeout`).
 const FROM_CLIENT: MinimumRate = MinimumRate {
     bytes_per_second: KIB,
     start_allowance: 2_500 * MILLISECOND,
     pause_allowance: 4_000 * MILLISECOND,
 };
 
-/// A sound member sends 60 KB at twice this rate. A response that trickles ends after 0.3 s, which leaves time for another
-/// member.
+/// A healthy member sends 60 KB at twice this rate. A response that only trickles in fails after 0.3 s, which leaves
+/// time to try another member.
 const FROM_MEMBER: MinimumRate = MinimumRate {
     bytes_per_second: 32 * KIB,
     start_allowance: 300 * MILLISECOND,
     pause_allowance: 300 * MILLISECOND,
 };
 
-/// As for responses, but a member may pause for longer before it reads: that is not its end.
+/// The same rate as for responses. A member may pause for longer before it reads, as such a pause does not mean that
+/// it has failed.
 const TO_MEMBER: MinimumRate =
     MinimumRate { start_allowance: 1_000 * MILLISECOND, pause_allowance: 1_000 * MILLISECOND, ..FROM_MEMBER };
 
-/// An attempt that waits for space holds a slot at its member: waiting up to the deadline left usual clients 0.208 of their
-/// requests in time (docs/slow-peers.md).
+/// A reservation's attempt holds a slot at its member while it waits. When reservations waited until the request's
+/// deadline, only 0.208 of the requests of ordinary clients were answered in time (docs/slow-peers.md).
 const RESERVATION_TIMEOUT: Micros = 250 * MILLISECOND;
-/// With the start allowance of a client that makes 8 s without progress.
+/// Together with the start allowance of a client that reads, this allows 8 s without progress.
 const MAX_SLOW_TIME: Micros = 6_000 * MILLISECOND;
-/// The time-out that the system is given for what a closed connection left.
+/// The timeout that the kernel is given for what a closed connection left unread.
 const LINGER_TIMEOUT: Micros = 5_000 * MILLISECOND;
-/// After SIGTERM, how long responses may still be read.
+/// Time to read responses after SIGTERM.
 const SHUTDOWN_GRACE: Micros = 5_000 * MILLISECOND;
 
 impl FlowLimits {
-    /// The defaults for a proxy that may use this many bytes of memory, sound from 32 MB on.
+    /// The default limits for a proxy that may use this many bytes of memory. They allow a full-size request
+    /// from 32 MB on.
     #[must_use]
     pub fn for_memory(memory: u64) -> FlowLimits {
         let budget = memory / BUDGET_DIVISOR;
@@ -131,17 +137,18 @@
         }
     }
 
-    /// The least budget in which a statement and a response of full size fit beside the priority reserve. Bytes.
+    /// The smallest budget, in bytes, in which a full-size statement and response fit beside the priority reserve.
     #[must_use]
     pub fn minimum_budget(&self, statement: u64, response: u64) -> u64 {
         statement + response + self.priority_reserve
     }
 
-    /// Whether a statement and a response of full size, in bytes, can be granted at all.
+    /// Checks that a full-size statement and a full-size response, whose sizes are given in bytes, can be granted
+    /// together.
     ///
     /// # Errors
     ///
-    /// The first limit that is too small, and the least that would do.
+    /// The first limit that is too small, with the smallest value that would suffice.
     pub fn validate(&self, statement: u64, response: u64) -> Result<(), FlowLimitsError> {
         let total = statement + response;
         if self.budget < self.minimum_budget(statement, response) {
@@ -159,7 +166,7 @@
         }
     }
 
-    /// What a client must move in this direction.
+    /// The minimum rate of a client in this direction.
     #[must_use]
     pub fn minimum_rate(&self, transfer: Transfer) -> MinimumRate {
         match transfer {
@@ -168,7 +175,7 @@
         }
     }
 
-    /// How much of the budget reservations of this priority may use in all, in bytes.
+    /// Bytes of the budget that reservations of this priority may use.
     pub(crate) fn available_to(&self, priority: Priority) -> u64 {
         match priority {
             Priority::Highest => self.budget,
@@ -177,37 +184,36 @@
     }
 }
 
-/// A limit too small for one statement and one response of full size: such a request could never be served.
+/// A limit that is too small for one full-size statement and one full-size response. Such a request could never be
+/// served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FlowLimitsError {
-    /// [`FlowLimits::budget`], beside [`FlowLimits::priority_reserve`].
+    /// [`FlowLimits::budget`] is too small for one full-size request beside [`FlowLimits::priority_reserve`].
     #[error(
-        "buffer budget too small for one request of full size; allow at least {minimum} bytes, or more memory"
+        "buffer budget is too small for one full-size request; set at least {minimum} bytes or allow more memory"
     )]
     Budget {
-        /// The least that would do, in bytes.
+        /// The smallest budget that would suffice, in bytes.
         minimum: u64,
     },
-    /// [`FlowLimits::per_connection`].
+    /// [`FlowLimits::per_connection`] is too small for one full-size request.
     #[error(
-        "buffer space of one connection too small for one request of full size; allow at least {minimum} bytes"
+        "buffer space per connection is too small for one full-size request; set at least {minimum} bytes"
     )]
     PerConnection {
-        /// The least that would do, in bytes.
+        /// The smallest value that would suffice, in bytes.
         minimum: u64,
     },
-    /// [`AddressLimits::budget`].
-    #[error(
-        "buffer space of one address too small for one request of full size; allow at least {minimum} bytes"
-    )]
+    /// [`AddressLimits::budget`] is too small for one full-size request.
+    #[error("buffer space per address is too small for one full-size request; set at least {minimum} bytes")]
     PerAddress {
-        /// The least that would do, in bytes.
+        /// The smallest value that would suffice, in bytes.
         minimum: u64,
     },
-    /// [`AddressLimits::connections`].
-    #[error("an address may have no connection; allow at least {minimum}")]
+    /// [`AddressLimits::connections`] is zero.
+    #[error("connection limit per address is zero; set at least {minimum}")]
     ConnectionsPerAddress {
-        /// The least that would do.
+        /// The smallest number of connections that would suffice.
         minimum: u64,
     },
 }
--- a/crates/flow-control/src/peers.rs
+++ b/crates/flow-control/src/peers.rs
@@ -8,39 +8,43 @@
 use crate::buffer_budget::Reservation;
 use crate::{Micros, MinimumRate, PeerId, ProgressMeter, Transfer};
 
-/// One connection.
+/// The account of one connection.
 #[derive(Debug)]
 pub(crate) struct PeerAccount {
-    /// Its address, where addresses tell clients apart.
+    /// The client address; `None` if [`FlowLimits::per_address`](crate::FlowLimits::per_address) was not set when the
+    /// peer connected.
     pub(crate) address: Option<IpAddr>,
-    /// Bytes of its granted reservations.
+    /// Bytes of the peer's granted reservations.
     pub(crate) reserved: u64,
+    /// Measures the peer against its minimum rate.
     pub(crate) meter: ProgressMeter,
-    /// What the meter measures; `None` until it was first started.
+    /// The transfer that the meter measures; `None` until the meter is first started.
     pub(crate) transfer: Option<Transfer>,
-    /// The caller was told to disconnect it and has not unregistered it yet.
+    /// Whether the caller was told to disconnect the peer and has not unregistered it yet.
     disconnecting: bool,
 }
 
 /// A peer behind its minimum rate.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlowPeer {
+    /// The peer.
     pub(crate) peer: PeerId,
-    /// Bytes of its granted reservations.
+    /// Bytes of the peer's granted reservations.
     pub(crate) reserved: u64,
 }
 
-/// All peers, and what those of one address have together.
+/// The accounts of all peers, and the usage of each client address.
 #[derive(Debug, Default)]
 pub(crate) struct PeerTable {
-    /// Ordered by arrival, so that the same events have the same outcome.
+    /// Ordered by id, i.e. by time of registration, so that the same events have the same results.
     accounts: BTreeMap<PeerId, PeerAccount>,
+    /// What the peers of each client address use together.
     pub(crate) addresses: AddressTable,
     next_id: u64,
 }
 
 impl PeerTable {
-    /// Adds a peer. `address` is set where addresses tell clients apart.
+    /// Adds a peer. `address` is set only if [`FlowLimits::per_address`](crate::FlowLimits::per_address) is.
     pub(crate) fn register(&mut self, now: Micros, address: Option<IpAddr>, minimum: MinimumRate) -> PeerId {
         if let Some(address) = address {
             self.addresses.register(address);
@@ -58,6 +62,7 @@
         peer
     }
 
+    /// Removes a peer, and its connection from the usage of its address.
     pub(crate) fn unregister(&mut self, now: Micros, peer: PeerId) {
         let address = self.accounts.remove(&peer).and_then(|account| account.address);
         if let Some(address) = address {
@@ -65,46 +70,50 @@
         }
     }
 
+    /// The account of a peer; `None` if the peer is unknown.
     pub(crate) fn get_mut(&mut self, peer: PeerId) -> Option<&mut PeerAccount> {
         self.accounts.get_mut(&peer)
     }
 
-    /// All peers, those that are being disconnected included.
+    /// The accounts of all peers, including those that are being disconnected.
     pub(crate) fn accounts_mut(&mut self) -> impl Iterator<Item = &mut PeerAccount> {
         self.accounts.values_mut()
     }
 
-    /// Peers that are not being disconnected, in the order in which they came.
+    /// Peers that are not being disconnected, in order of registration.
     pub(crate) fn connected(&self) -> impl Iterator<Item = (PeerId, &PeerAccount)> {
         let connected = self.accounts.iter().filter(|(_, account)| !account.disconnecting);
         connected.map(|(&peer, account)| (peer, account))
     }
 
+    /// Whether the peer is registered and is not being disconnected.
     pub(crate) fn is_connected(&self, peer: PeerId) -> bool {
         self.accounts.get(&peer).is_some_and(|account| !account.disconnecting)
     }
 
+    /// The address of a peer; `None` if the peer is unknown or its address was not recorded.
     pub(crate) fn address(&self, peer: PeerId) -> Option<IpAddr> {
         self.accounts.get(&peer)?.address
     }
 
-    /// Bytes of the peer's granted reservations; none of one that is unknown.
+    /// Bytes of the peer's granted reservations; zero if the peer is unknown.
     pub(crate) fn reserved(&self, peer: PeerId) -> u64 {
         self.accounts.get(&peer).map_or(0, |account| account.reserved)
     }
 
-    /// How many peers have anything reserved.
+    /// Number of peers that have any bytes reserved.
     pub(crate) fn holder_count(&self) -> u64 {
         self.accounts.values().filter(|account| account.reserved > 0).count() as u64
     }
 
-    /// Bytes that come back once the peers that are being disconnected are gone.
+    /// Bytes that will be freed when the peers that are being disconnected are gone.
     pub(crate) fn reserved_by_disconnecting(&self) -> u64 {
         let disconnecting = self.accounts.values().filter(|account| account.disconnecting);
         disconnecting.map(|account| account.reserved).sum()
     }
 
-    /// Peers behind their minimum rate: those with most reserved first, among equals those behind for longest.
+    /// Peers behind their minimum rate. Those with the most bytes reserved come first, and among equals those that
+    /// have been slow for longest.
     pub(crate) fn slow_peers(&self, now: Micros) -> Vec<SlowPeer> {
         let mut slow_peers: Vec<(Reverse<u64>, Micros, PeerId)> = self
             .connected()
@@ -116,7 +125,8 @@
         slow_peers.into_iter().map(|(Reverse(reserved), _, peer)| SlowPeer { peer, reserved }).collect()
     }
 
-    /// Marks a peer as being disconnected, and its address as one whose client was, until then.
+    /// Marks a peer as being disconnected. Before `recent_disconnect_until` this counts as a recent disconnect of its
+    /// address.
     pub(crate) fn mark_disconnecting(&mut self, peer: PeerId, recent_disconnect_until: Micros) {
         let Some(account) = self.accounts.get_mut(&peer) else { return };
         account.disconnecting = true;
@@ -125,7 +135,7 @@
         }
     }
 
-    /// Counts a reservation that was granted.
+    /// Charges a granted reservation to its peer and address.
     pub(crate) fn charge(&mut self, reservation: &Reservation) {
         if let Some(account) = self.accounts.get_mut(&reservation.peer()) {
             account.reserved += reservation.bytes();
@@ -135,7 +145,7 @@
         }
     }
 
-    /// Takes back this much of a reservation that was charged.
+    /// Takes `bytes` of a charged reservation back from its peer and address.
     pub(crate) fn refund(&mut self, now: Micros, reservation: &Reservation, bytes: u64) {
         if let Some(account) = self.accounts.get_mut(&reservation.peer()) {
             account.reserved -= bytes;
--- a/crates/flow-control/src/pressure.rs
+++ b/crates/flow-control/src/pressure.rs
@@ -1,10 +1,11 @@
-//! Whether buffer space is short, and how quickly it is freed while it is.
+//! Tracks whether buffer space is short, and how quickly it is freed while it is.
 
 use crate::buffer_budget::BufferBudget;
 use crate::drain_rate::DrainRate;
 use crate::{FlowLimits, Micros, PressureChange};
 
-/// The overload state of the buffer budget. It has one level to enter and a lower one to leave, so that it does not flap.
+/// Whether the buffer budget is under pressure, i.e. buffer space is short. Pressure ends at a lower threshold than
+/// the one at which it starts, to avoid flapping.
 #[derive(Debug)]
 pub(crate) struct Pressure {
     active: bool,
@@ -12,27 +13,30 @@
 }
 
 impl Pressure {
-    /// Not under pressure. Until it is measured, the whole budget is assumed to be freed within a second.
+    /// Creates a state without pressure. Until the drain rate is measured, the whole budget is assumed to be freed
+    /// within a second.
     pub(crate) fn new(budget: u64) -> Pressure {
         Pressure { active: false, drain_rate: DrainRate::assumed(budget, 0) }
     }
 
+    /// Whether buffer space is short.
     pub(crate) fn is_active(&self) -> bool {
         self.active
     }
 
-    /// Counts bytes of a reservation that was released, or made smaller.
+    /// Records bytes that were freed by releasing or shrinking a reservation.
     pub(crate) fn record_freed(&mut self, now: Micros, bytes: u64) {
         self.drain_rate.record_freed(now, bytes);
     }
 
-    /// How long it takes to free this many bytes at the rate that was measured.
+    /// Time that it takes to free this many bytes at the measured rate.
     pub(crate) fn time_to_free(&self, now: Micros, bytes: u64) -> Micros {
         self.drain_rate.time_to_free(now, bytes)
     }
 
-    /// Enters or leaves the state; returns the change. What is freed without pressure says nothing of the rate under it,
-    /// so the rate is assumed anew there.
+    /// Starts or ends the pressure state and returns the change, if any. The rate at which space is freed without
+    /// pressure says nothing about the rate under pressure, so without pressure the drain rate is reset to the
+    /// assumed one.
     pub(crate) fn update(
         &mut self,
         now: Micros,
