--- a/crates/flow-control/tests/common/mod.rs
+++ b/crates/flow-control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Limits and requests that the cases and the random runs share.
+//! Limits and requests that the controller tests and the random runs share.
 
 use std::net::{IpAddr, Ipv4Addr};
 
--- a/crates/flow-control/tests/controller.rs
+++ b/crates/flow-control/tests/controller.rs
@@ -1,4 +1,4 @@
-//! Who gets buffer space and who is disconnected.
+//! Tests of which reservations are granted and which peers are disconnected.
 
 mod common;
 
@@ -9,7 +9,8 @@
 
 use common::{KIB, SECOND, TO_CLIENT, address, limits, request, with_highest_priority};
 
-/// A peer that moves single bytes so as to look alive falls behind; one that was quick may pause for what it earned.
+/// A peer that sends single bytes to look alive becomes slow; one that transferred fast may pause for the credit it
+/// earned.
 #[test]
 fn fast_peer_may_pause_and_single_bytes_do_not_count_as_progress() {
     let mut fast = ProgressMeter::new(0, TO_CLIENT);
@@ -28,7 +29,7 @@
     assert_eq!(at_minimum_rate.slow_since(60 * SECOND), None);
     assert!(single_bytes.slow_since(60 * SECOND).is_some_and(|since| since <= 21 * SECOND / 10));
     assert!(at_half_rate.slow_since(60 * SECOND).is_some_and(|since| since <= 5 * SECOND));
-    // Behind for long, it catches up once it is quick again, and rests cost nothing.
+    // A peer that was slow for long catches up once it is fast again, and idle time costs no credit.
     at_half_rate.record_progress(60 * SECOND, 64 * KIB);
     assert_eq!(at_half_rate.slow_since(60 * SECOND), None);
     at_half_rate.stop(61 * SECOND);
@@ -37,7 +38,8 @@
     assert!(at_half_rate.deadline().unwrap() >= 602 * SECOND);
 }
 
-/// Released space must not lie idle while somebody waits for it, and nobody waits for what can never be granted.
+/// Released space must not stay unused while a reservation waits for it, and a reservation that can never be granted
+/// must not wait.
 #[test]
 fn released_space_is_granted_to_waiting_reservations_at_once() {
     let mut controller = FlowController::new(limits());
@@ -49,7 +51,7 @@
         assert_eq!(actions.granted, [reservation]);
         reservations.push(reservation);
     }
-    // The part of the best paid is theirs alone.
+    // Only the highest priority may use the priority reserve.
     let (normal, actions) = controller.reserve(0, request(peers[3], 256 * KIB, SECOND));
     assert_eq!((actions.granted, actions.disconnect), (vec![], vec![]));
     let (small, actions) = controller.reserve(1, request(peers[4], 20 * KIB, SECOND));
@@ -58,7 +60,7 @@
     assert_eq!(actions.granted, [highest]);
     assert_eq!(controller.release(2, reservations[0]).granted, []);
     assert_eq!(controller.release(3, highest).granted, [normal]);
-    // What has waited until its deadline is rejected, and what could never fit at once.
+    // A reservation is rejected at its deadline, and one that could never be granted is rejected at once.
     let (timed_out, _) = controller.reserve(4, request(peers[0], 200 * KIB, SECOND));
     let (too_large, actions) = controller.reserve(4, request(peers[0], 257 * KIB, SECOND));
     assert_eq!(actions.rejected, [too_large]);
@@ -69,7 +71,8 @@
     assert_eq!(controller.used(), 0);
 }
 
-/// Slow peers cost nothing until their space is needed; then as few as possible are disconnected, and never a quick one.
+/// Slow peers are not disconnected until their space is needed. Then as few as possible are, and never one that keeps
+/// its minimum rate.
 #[test]
 fn slow_peer_with_most_reserved_is_disconnected_first_and_only_when_space_is_needed() {
     let mut controller = FlowController::new(limits());
@@ -86,7 +89,8 @@
     assert_eq!(controller.wake(3 * SECOND).disconnect, []);
     let (reservation, actions) = controller.reserve(3 * SECOND, request(peers[4], 100 * KIB, 9 * SECOND));
     assert_eq!(actions.disconnect, [Disconnect { peer: peers[1], reason: DisconnectReason::BufferSpace }]);
-    // Nothing more until that one is gone; what the system may hold of it counts for a while.
+    // No other peer is disconnected until this one is gone. What the kernel may hold of it stays in use for the
+    // linger timeout.
     assert_eq!(controller.wake(3 * SECOND + 1).disconnect, []);
     assert_eq!(controller.shrink(3 * SECOND + 2, held[1], 32 * KIB).granted, [reservation]);
     let _ = controller.linger(3 * SECOND + 3, held[1]);
@@ -94,7 +98,8 @@
     let _ = controller.unregister(3 * SECOND + 4, peers[1]);
     assert_eq!(before, controller.used());
     controller.record_progress(4 * SECOND, peers[fast], 64 * KIB);
-    // A place that is wanted costs the next; nobody asks for the last one, which is overdue in the end.
+    // A request for a connection slot disconnects the next slow peer. The last one is disconnected only when it has
+    // been slow for too long, as nobody needs what it holds.
     assert_eq!(
         controller.shed_one_connection(7 * SECOND).disconnect,
         [Disconnect { peer: peers[0], reason: DisconnectReason::ConnectionSlot }]
@@ -107,7 +112,8 @@
     assert_eq!(controller.used(), before - 32 * KIB);
 }
 
-/// A reservation that waits holds a slot at a member: where space is not freed quickly enough it must not wait.
+/// A waiting reservation's attempt holds a slot at a member, so a reservation must not wait if space is freed too
+/// slowly.
 #[test]
 fn reservation_that_cannot_be_granted_in_time_is_rejected_at_once() {
     let mut controller = FlowController::new(FlowLimits { reservation_timeout: SECOND / 4, ..limits() });
@@ -115,13 +121,14 @@
         (0..12).map(|last_octet| controller.register(0, address(last_octet)).unwrap()).collect();
     let held: Vec<ReservationId> =
         peers[..4].iter().map(|&peer| controller.reserve(0, request(peer, 220 * KIB, 0)).0).collect();
-    // At first it is taken to come free within a second: a little may wait, much may not.
+    // Initially the whole budget is assumed to be freed within a second, so a small shortfall may wait and a large
+    // one may not.
     let (small, actions) = controller.reserve(0, request(peers[4], 200 * KIB, 9 * SECOND));
     assert_eq!((actions.granted, actions.rejected), (vec![], vec![]));
     let (large, actions) = controller.reserve(0, request(peers[5], 250 * KIB, 9 * SECOND));
     assert_eq!(actions.rejected, [large]);
     assert_eq!(controller.wake(SECOND / 4).rejected, [small]);
-    // Nothing came free for seconds: not even a little may wait. Where it does, it may.
+    // No space was freed for seconds, so even a small shortfall must not wait. Once space is freed again, it may.
     let (rejected_at_once, actions) =
         controller.reserve(9 * SECOND, request(peers[6], 200 * KIB, 19 * SECOND));
     assert_eq!(actions.rejected, [rejected_at_once]);
@@ -134,7 +141,7 @@
     assert_eq!(controller.wake(10 * SECOND).rejected, [small_again]);
 }
 
-/// One address must not take what others need by many connections, or by reconnecting as soon as it was disconnected.
+/// An address must not take what others need by opening many connections or by reconnecting right after a disconnect.
 #[test]
 fn address_limits_hold_and_reconnecting_right_after_a_disconnect_is_rejected() {
     let per_address = Some(AddressLimits { connections: 2, budget: 300 * KIB });
@@ -164,7 +171,8 @@
     assert!(controller.register(4 * SECOND, address(1)).is_ok());
 }
 
-/// Lowered limits and shutdown are not held up by slow peers; a quick one is spared until the grace ends.
+/// Slow peers must not delay lowered limits or shutdown. A peer that keeps its minimum rate stays connected until the
+/// shutdown grace ends.
 #[test]
 fn lowered_limits_and_shutdown_disconnect_slow_peers() {
     let mut controller = FlowController::new(limits());
@@ -191,7 +199,8 @@
     );
 }
 
-/// Limits under which a request of full size could never be served are refused before the start.
+/// Limits that could never serve a full-size request are rejected before the proxy starts, and the error names the
+/// smallest value that suffices.
 #[test]
 fn limits_too_small_for_one_request_report_the_required_minimum() {
     assert_eq!(limits().validate(KIB, 255 * KIB), Ok(()));
--- a/crates/flow-control/tests/random_runs.rs
+++ b/crates/flow-control/tests/random_runs.rs
@@ -1,4 +1,4 @@
-//! Seeded random runs that check the invariants of flow control after every step, against a model of their own.
+//! Seeded random runs that check the invariants of flow control after every step against a separate model.
 
 mod common;
 
@@ -13,21 +13,27 @@
 
 use common::{KIB, SECOND, TO_CLIENT, address, limits, request, with_highest_priority};
 
+/// The controller under test and a model of what it should have granted and disconnected.
 struct Simulation {
     controller: FlowController,
     now: Micros,
     peers: HashMap<PeerId, PeerModel>,
+    /// Peers whose connections are not closed yet, in order of registration.
     registered: Vec<PeerId>,
+    /// Granted reservations: the peer, the bytes, and whether the priority is the highest.
     granted: HashMap<ReservationId, (PeerId, u64, bool)>,
+    /// Reservations that are neither granted nor rejected yet.
     waiting: HashMap<ReservationId, ReservationRequest>,
 }
 
+/// What the model knows of one peer.
 #[derive(Default)]
 struct PeerModel {
+    /// Since when the peer is being measured; `None` if it never was.
     metering_since: Option<Micros>,
-    /// How long it was waited for before that.
+    /// Time for which the peer was measured before `metering_since`.
     metered_before: Micros,
-    /// At how much of that time it moved how many bytes.
+    /// The measured time at each transfer, and the bytes transferred.
     transfers: Vec<(Micros, u64)>,
     disconnected: bool,
 }
@@ -37,7 +43,8 @@
         self.metered_before + self.metering_since.map_or(0, |since| now - since)
     }
 
-    /// Whether over some part of the time that it was waited for it moved less than the rate and the allowance ask for.
+    /// Whether in some interval up to `now` the peer transferred less than the minimum rate requires after the
+    /// allowance. Only time in which the peer was measured counts.
     fn was_slow(&self, now: Micros, rate: u64, allowance: Micros) -> bool {
         let end = self.metered_time(now);
         let starts = self.transfers.iter().map(|&(at, _)| at).chain([0]);
@@ -53,21 +60,22 @@
 impl Simulation {
     fn apply(&mut self, actions: Actions) {
         for reservation in actions.granted {
-            let request = self.waiting.remove(&reservation).expect("granted once, and asked for before");
+            let request =
+                self.waiting.remove(&reservation).expect("a granted reservation must have been waiting");
             let ReservationOwner { peer, priority } = request.owner;
             self.granted.insert(reservation, (peer, request.bytes, priority.is_highest()));
         }
         for reservation in actions.rejected {
-            self.waiting.remove(&reservation).expect("rejected once, and not after it was granted");
+            self.waiting.remove(&reservation).expect("a rejected reservation must have been waiting");
         }
         for Disconnect { peer, reason } in actions.disconnect {
             let now = self.now;
-            let model = self.peers.get_mut(&peer).expect("a peer that is there");
-            assert!(!std::mem::replace(&mut model.disconnected, true), "disconnected twice");
+            let model = self.peers.get_mut(&peer).expect("a disconnected peer must be registered");
+            assert!(!std::mem::replace(&mut model.disconnected, true), "a peer was disconnected twice");
             assert_ne!(reason, DisconnectReason::Shutdown);
             assert!(
                 model.was_slow(now, TO_CLIENT.bytes_per_second, TO_CLIENT.start_allowance),
-                "a quick peer was disconnected: {reason:?}"
+                "a peer that kept its minimum rate was disconnected: {reason:?}"
             );
         }
         let total_granted: u64 = self.granted.values().map(|&(_, bytes, _)| bytes).sum();
@@ -82,7 +90,7 @@
             .map(|&(_, bytes, _)| bytes)
             .sum();
         assert!(total_normal <= self.controller.limits().budget - self.controller.limits().priority_reserve);
-        // Nothing small waits while there is space for it.
+        // A connected peer that holds nothing must not wait while the budget has space for its request.
         let held = |peer: PeerId| {
             self.granted
                 .values()
@@ -99,16 +107,17 @@
                 held > 0
                     || self.peers[&peer].disconnected
                     || self.controller.used() + request.bytes > available_to_normal,
-                "{request:?} starves"
+                "{request:?} waits although space is available"
             );
         }
     }
 
-    #[allow(clippy::too_many_lines, reason = "one history, step by step")]
+    #[allow(clippy::too_many_lines, reason = "one match arm per kind of step")]
     fn step(&mut self, kind: u8, choice: usize, value: u64) {
         let peer = self.registered.get(choice % self.registered.len().max(1)).copied();
         let reservation = self.granted.keys().min_by_key(|reservation| {
-            // Any one, the same in every run.
+            // Picks a reservation by the length of its printed id. Among equals the map's iteration order decides,
+            // which differs between runs.
             (format!("{reservation:?}").len() + choice) % 7
         });
         let reservation =
@@ -156,7 +165,7 @@
                 self.controller.record_progress(self.now, peer, value % (32 * KIB));
             }
             (13, Some(peer), _) => {
-                // It is closed, and all that is kept for it with it.
+                // Closes the connection and releases everything that was reserved for it.
                 self.registered.retain(|&other| other != peer);
                 let first_of_peer = |waiting: &HashMap<ReservationId, ReservationRequest>| {
                     waiting
@@ -192,7 +201,8 @@
     }
 }
 
-/// Whatever the order of events: the budget is kept, nothing small starves, no quick peer is disconnected, all is freed.
+/// For any order of events: the budget is never exceeded, a peer that holds nothing does not wait while space is
+/// available, no peer that keeps its minimum rate is disconnected, and all space is freed in the end.
 #[test]
 fn invariants_hold_after_every_step_of_random_runs() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]);
@@ -209,7 +219,7 @@
                 waiting: HashMap::new(),
             };
             steps.iter().for_each(|&(kind, choice, value)| simulation.step(kind, choice, value));
-            // All is given back, whatever happened.
+            // Once every connection is closed, no space may stay in use.
             while let Some(peer) = simulation.registered.first().copied() {
                 simulation.step(13, 0, 0);
                 assert!(!simulation.registered.contains(&peer));
