--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -121,7 +121,7 @@
             let is_forgotten = router.forget(now, id);
             if is_forgotten {
                 members[id] = None;
-                clock_offset.forget(id);
+                clock_offset.discard_samples(id);
             }
             !is_forgotten
         });
--- a/crates/proxy/src/lifecycle/clock.rs
+++ b/crates/proxy/src/lifecycle/clock.rs
@@ -158,7 +158,7 @@
     /// All time stalled until now, in microseconds.
     pub fn stalled_for(&self) -> Micros {
         self.observe();
-        self.detector.borrow().stalled_for()
+        self.detector.borrow().total_stalled_time()
     }
 
     /// The time now, less all time stalled.
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -92,9 +92,16 @@
             sessions: Sessions::default(),
             clock_offset: 0,
             // Until attempts tell better, most are taken to last half of the latency objective.
-            durations: terms.classes.iter().map(|class| Histogram::of(class.objective / 2, 4)).collect(),
+            durations: terms
+                .classes
+                .iter()
+                .map(|class| Histogram::from_estimate(class.objective / 2, 4))
+                .collect(),
             zone_round_trips: BTreeMap::new(),
-            all_durations: Histogram::of(terms.classes.iter().map(|o| o.objective / 2).min().unwrap_or(0), 4),
+            all_durations: Histogram::from_estimate(
+                terms.classes.iter().map(|o| o.objective / 2).min().unwrap_or(0),
+                4,
+            ),
             retry_detectors: vec![RetryDetector::default(); terms.classes.len()],
             warm_load: 0.0,
             mean_size: 1.0,
@@ -125,7 +132,7 @@
             }
         }
         for (took, &(usual, _)) in self.durations.iter_mut().zip(&learnt.took).filter(|(_, of)| of.0 > 0) {
-            *took = Histogram::of(usual, 8);
+            *took = Histogram::from_estimate(usual, 8);
         }
         for &(id, power) in &learnt.windows {
             let member = &mut self.members[id];
--- a/crates/site-routing/src/peer_gateway.rs
+++ b/crates/site-routing/src/peer_gateway.rs
@@ -60,13 +60,13 @@
 impl PeerGateway {
     pub(crate) fn new(site: SiteId, classes: &[RequestClass]) -> PeerGateway {
         let assumed = |class: &RequestClass| {
-            Histogram::of(class.objective / ASSUMED_PART_OF_OBJECTIVE, ASSUMED_SAMPLES)
+            Histogram::from_estimate(class.objective / ASSUMED_PART_OF_OBJECTIVE, ASSUMED_SAMPLES)
         };
         PeerGateway {
             site,
             links: 0,
             last_link_lost_at: NEVER,
-            round_trip: RoundTripEstimate::assumed(INITIAL_ROUND_TRIP),
+            round_trip: RoundTripEstimate::with_initial_mean(INITIAL_ROUND_TRIP),
             credits: vec![0; classes.len()],
             draining: false,
             blacklist: FailureBlacklist::default(),
@@ -148,7 +148,7 @@
 
     /// One way to it, with a margin, in microseconds.
     pub(crate) fn one_way_delay(&self) -> Micros {
-        self.round_trip.one_way()
+        self.round_trip.one_way_delay()
     }
 
     /// How long a request of that class usually takes from here, in microseconds.
--- a/crates/stall-detection/src/lib.rs
+++ b/crates/stall-detection/src/lib.rs
@@ -22,7 +22,7 @@
 //! detector.observe(20_000);
 //! // The process is stopped for two seconds.
 //! detector.observe(2_020_000);
-//! assert_eq!(detector.stalled_for(), 2_000_000);
+//! assert_eq!(detector.total_stalled_time(), 2_000_000);
 //! assert_eq!(detector.unstalled_time(10_000, 2_030_000), 20_000);
 //! ```
 
--- a/crates/stall-detection/tests/stall_detection.rs
+++ b/crates/stall-detection/tests/stall_detection.rs
@@ -23,7 +23,11 @@
     let mut detector = StallDetector::new(0);
     (0..1000).for_each(|step| detector.observe(step * 20 * MS));
     assert_eq!(
-        (detector.stalled_for(), detector.stalled_since(0), detector.receipt_bounds(20_000 * MS, 0, None)),
+        (
+            detector.total_stalled_time(),
+            detector.stalled_since(0),
+            detector.receipt_bounds(20_000 * MS, 0, None)
+        ),
         (0, false, None)
     );
 }
@@ -32,7 +36,7 @@
 #[test]
 fn unstalled_time_leaves_out_the_stall() {
     let detector = stalled_from_100_to_2600_ms();
-    assert_eq!(detector.stalled_for(), 2_500 * MS);
+    assert_eq!(detector.total_stalled_time(), 2_500 * MS);
     assert_eq!(detector.unstalled_time(50 * MS, 2_700 * MS), 150 * MS);
     assert_eq!(detector.unstalled_time(1_000 * MS, 2_000 * MS), 0);
     assert_eq!(detector.unstalled_time(2_600 * MS, 2_700 * MS), 100 * MS);
@@ -86,12 +90,13 @@
 fn of_28_processes_out_of_40_few_start_in_any_100_ms_and_all_within_the_grace() {
     for seed in 0..300 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let of = rand::seq::index::sample(&mut rng, 40, 28);
-        let waits: Vec<Micros> =
-            of.iter().map(|of| start_delay(&format!("n{of}"), 40, 500 * MS, &mut rng)).collect();
-        let near = |&from: &Micros| waits.iter().filter(|&&at| (from..from + 100 * MS).contains(&at)).count();
-        let most = waits.iter().map(near).max().unwrap();
-        assert!(most <= 13, "{most} of 28 with seed {seed}");
+        let sampled = rand::seq::index::sample(&mut rng, 40, 28);
+        let delays: Vec<Micros> =
+            sampled.iter().map(|number| start_delay(&format!("n{number}"), 40, 500 * MS, &mut rng)).collect();
+        let near =
+            |&from: &Micros| delays.iter().filter(|&&at| (from..from + 100 * MS).contains(&at)).count();
+        let max_starts = delays.iter().map(near).max().unwrap();
+        assert!(max_starts <= 13, "{max_starts} of 28 with seed {seed}");
     }
 }
 
@@ -102,12 +107,12 @@
     assert_eq!(start_delay("n0", 1, 500 * MS, &mut rng), 0);
     for name in ["", "gate", "n4294967296", "n7", "ü9"] {
         for processes in [2, 40, 300] {
-            let waits = start_delay(name, processes, 500 * MS, &mut rng);
-            assert!((0..=30 * MS * (processes as Micros - 1)).contains(&waits) && waits <= 350 * MS);
+            let delay = start_delay(name, processes, 500 * MS, &mut rng);
+            assert!((0..=30 * MS * (processes as Micros - 1)).contains(&delay) && delay <= 350 * MS);
         }
     }
-    let tried: Vec<Micros> = (0..100).map(|_| retry_delay(1_000, &mut rng)).collect();
-    assert!(tried.iter().all(|&wait| (500..=1_000).contains(&wait)));
+    let retry_delays: Vec<Micros> = (0..100).map(|_| retry_delay(1_000, &mut rng)).collect();
+    assert!(retry_delays.iter().all(|&delay| (500..=1_000).contains(&delay)));
 }
 
 proptest! {
@@ -116,22 +121,22 @@
     /// Whatever the steps of the loop: time is stalled or unstalled, and no receipt is dated into the future, before the loop
     /// last ran, or at all without a stall.
     #[test]
-    fn time_is_stalled_or_unstalled_and_no_receipt_is_in_the_future(steps in vec(MS..400 * MS, 1..60), last in 0usize..60, age in proptest::option::of(0..9_000 * MS)) {
-        let (mut detector, mut now, mut steps_at, mut stalled) = (StallDetector::new(0), 0, vec![0], 0);
-        for &step in &steps {
-            now += step;
-            stalled += if step > STALL_THRESHOLD { step } else { 0 };
+    fn time_is_stalled_or_unstalled_and_no_receipt_is_in_the_future(intervals in vec(MS..400 * MS, 1..60), last_read_index in 0usize..60, age in proptest::option::of(0..9_000 * MS)) {
+        let (mut detector, mut now, mut observed_at, mut stalled) = (StallDetector::new(0), 0, vec![0], 0);
+        for &interval in &intervals {
+            now += interval;
+            stalled += if interval > STALL_THRESHOLD { interval } else { 0 };
             detector.observe(now);
-            steps_at.push(now);
+            observed_at.push(now);
         }
-        prop_assert_eq!(detector.stalled_for(), stalled);
-        let recent = steps_at[steps_at.len().saturating_sub(20)];
-        let unstalled = detector.unstalled_time(recent, now);
-        prop_assert!((0..=now - recent).contains(&unstalled));
-        let read = steps_at[last.min(steps_at.len() - 1)];
-        if let Some(ReceiptBounds { earliest, latest }) = detector.receipt_bounds(now, read, age) {
-            prop_assert!(steps_at.contains(&earliest) && earliest <= latest);
-            prop_assert!(latest <= now && detector.stalled_since(read));
+        prop_assert_eq!(detector.total_stalled_time(), stalled);
+        let since = observed_at[observed_at.len().saturating_sub(20)];
+        let unstalled = detector.unstalled_time(since, now);
+        prop_assert!((0..=now - since).contains(&unstalled));
+        let last_read_at = observed_at[last_read_index.min(observed_at.len() - 1)];
+        if let Some(ReceiptBounds { earliest, latest }) = detector.receipt_bounds(now, last_read_at, age) {
+            prop_assert!(observed_at.contains(&earliest) && earliest <= latest);
+            prop_assert!(latest <= now && detector.stalled_since(last_read_at));
             prop_assert!(age.is_none_or(|age| latest >= now - age), "never older than the system says");
         }
     }
--- a/crates/statistics/src/clock_offset.rs
+++ b/crates/statistics/src/clock_offset.rs
@@ -21,9 +21,9 @@
 /// to have been up for longer.
 #[derive(Clone, Debug, Default)]
 pub struct ClockOffset {
-    machines: HashMap<usize, OffsetSamples>,
+    samples: HashMap<usize, OffsetSamples>,
     /// The machines that were furthest ahead, in that order.
-    furthest: Vec<LowerBound>,
+    highest_lower_bounds: Vec<LowerBound>,
     /// The least bound that commits gave.
     upper_bound: Option<Micros>,
 }
@@ -55,53 +55,53 @@
     }
 
     /// All of them, once there are as many as must agree.
-    fn all(&self) -> Option<[Micros; AGREEING_SAMPLES]> {
+    fn complete(&self) -> Option<[Micros; AGREEING_SAMPLES]> {
         self.0.iter().copied().collect::<Option<Vec<_>>>()?.try_into().ok()
     }
 
-    fn least(&self) -> Option<Micros> {
-        self.all()?.into_iter().min()
+    fn min(&self) -> Option<Micros> {
+        self.complete()?.into_iter().min()
     }
 
-    fn greatest(&self) -> Option<Micros> {
-        self.all()?.into_iter().max()
+    fn max(&self) -> Option<Micros> {
+        self.complete()?.into_iter().max()
     }
 }
 
 impl ClockOffset {
-    /// A time by the machine's clock that had passed when it reported it; received at `received` by this process's clock.
-    pub fn record_report(&mut self, machine: usize, time: Micros, received: Micros) {
-        let reports = &mut self.machines.entry(machine).or_default().reports;
-        reports.add(time.saturating_sub(received));
-        let Some(offset) = reports.least() else { return };
-        match self.furthest.iter_mut().find(|bound| bound.machine == machine) {
+    /// A time by the machine's clock that had passed when it reported it; received at `received_at` by this process's clock.
+    pub fn record_report(&mut self, machine: usize, reported_time: Micros, received_at: Micros) {
+        let reports = &mut self.samples.entry(machine).or_default().reports;
+        reports.add(reported_time.saturating_sub(received_at));
+        let Some(offset) = reports.min() else { return };
+        match self.highest_lower_bounds.iter_mut().find(|bound| bound.machine == machine) {
             Some(bound) => bound.offset = bound.offset.max(offset),
-            None => self.furthest.push(LowerBound { machine, offset }),
+            None => self.highest_lower_bounds.push(LowerBound { machine, offset }),
         }
-        self.furthest.sort_by_key(|bound| Reverse(bound.offset));
-        self.furthest.truncate(AGREEING_MACHINES);
+        self.highest_lower_bounds.sort_by_key(|bound| Reverse(bound.offset));
+        self.highest_lower_bounds.truncate(AGREEING_MACHINES);
     }
 
-    /// When, by its own clock, a machine committed a write that this process sent at `sent`, and that had not been committed
+    /// When, by its own clock, a machine committed a write that this process sent at `sent_at`, and that had not been committed
     /// before.
-    pub fn record_commit(&mut self, machine: usize, time: Micros, sent: Micros) {
-        let commits = &mut self.machines.entry(machine).or_default().commits;
-        commits.add(time.saturating_sub(sent));
-        let bound = commits.greatest();
+    pub fn record_commit(&mut self, machine: usize, committed_at: Micros, sent_at: Micros) {
+        let commits = &mut self.samples.entry(machine).or_default().commits;
+        commits.add(committed_at.saturating_sub(sent_at));
+        let bound = commits.max();
         self.upper_bound = [self.upper_bound, bound].into_iter().flatten().min();
     }
 
     /// Forgets the samples of a machine that is gone; the bounds that they gave stay.
-    pub fn forget(&mut self, machine: usize) {
-        self.machines.remove(&machine);
+    pub fn discard_samples(&mut self, machine: usize) {
+        self.samples.remove(&machine);
     }
 
     /// What to add to this process's clock so that it is at least the other machines', as far as is known. Zero as long as
     /// nothing shows that they differ.
     #[must_use]
     pub fn offset(&self) -> Micros {
-        let lower_bound = match self.furthest.last() {
-            Some(bound) if self.furthest.len() == AGREEING_MACHINES => bound.offset,
+        let lower_bound = match self.highest_lower_bounds.last() {
+            Some(bound) if self.highest_lower_bounds.len() == AGREEING_MACHINES => bound.offset,
             _ => Micros::MIN,
         };
         let offset = lower_bound.max(self.upper_bound.unwrap_or(0));
--- a/crates/statistics/src/lib.rs
+++ b/crates/statistics/src/lib.rs
@@ -19,7 +19,7 @@
 //! let median = service_times.quantile(0.5).unwrap();
 //! assert!((37_000..68_000).contains(&median));
 //!
-//! let mut round_trip = RoundTripEstimate::assumed(50_000);
+//! let mut round_trip = RoundTripEstimate::with_initial_mean(50_000);
 //! round_trip.record(10_000);
 //! assert_eq!(round_trip.mean(), 10_000);
 //! ```
--- a/crates/statistics/src/round_trip.rs
+++ b/crates/statistics/src/round_trip.rs
@@ -3,7 +3,7 @@
 use crate::Micros;
 
 /// How much the first sample is assumed to vary: half of itself (RFC 6298, 2.2).
-const FIRST_VARIATION_DIVISOR: Micros = 2;
+const INITIAL_VARIATION_DIVISOR: Micros = 2;
 /// A later sample moves the variation by a quarter of the difference (RFC 6298, 2.3).
 const VARIATION_DIVISOR: Micros = 4;
 /// A later sample moves the mean by an eighth of the difference (RFC 6298, 2.3).
@@ -15,23 +15,23 @@
     mean: Micros,
     variation: Micros,
     /// Whether a sample has replaced what was assumed.
-    measured: bool,
+    has_sample: bool,
 }
 
 impl RoundTripEstimate {
     /// Assumes this mean until there is a sample.
     #[must_use]
-    pub fn assumed(mean: Micros) -> RoundTripEstimate {
-        RoundTripEstimate { mean, variation: mean / FIRST_VARIATION_DIVISOR, measured: false }
+    pub fn with_initial_mean(mean: Micros) -> RoundTripEstimate {
+        RoundTripEstimate { mean, variation: mean / INITIAL_VARIATION_DIVISOR, has_sample: false }
     }
 
     /// Takes in one round trip. One below zero counts as zero.
     pub fn record(&mut self, sample: Micros) {
         let sample = sample.max(0);
-        if !self.measured {
-            self.measured = true;
+        if !self.has_sample {
+            self.has_sample = true;
             self.mean = sample;
-            self.variation = sample / FIRST_VARIATION_DIVISOR;
+            self.variation = sample / INITIAL_VARIATION_DIVISOR;
             return;
         }
         let deviation = (self.mean - sample).abs();
@@ -47,7 +47,7 @@
 
     /// Half a round trip, and twice the variation as a margin: most messages take less one way.
     #[must_use]
-    pub fn one_way(&self) -> Micros {
+    pub fn one_way_delay(&self) -> Micros {
         self.mean / 2 + 2 * self.variation
     }
 }
--- a/crates/statistics/tests/clock_offset.rs
+++ b/crates/statistics/tests/clock_offset.rs
@@ -6,7 +6,7 @@
 const HOUR: i64 = 3_600 * SECOND;
 
 /// Reports of replicas that lag by 0.1 s and of a primary, and its commits, by a clock that is ahead by `ahead`.
-fn samples(offset: &mut ClockOffset, ahead: i64, rounds: i64) {
+fn record_rounds(offset: &mut ClockOffset, ahead: i64, rounds: i64) {
     for now in (1..=rounds).map(|round| 10 * HOUR + round * SECOND) {
         offset.record_report(0, now + ahead - 100_000, now);
         offset.record_report(1, now + ahead - 100_000, now);
@@ -20,11 +20,11 @@
 fn a_wrong_wall_clock_is_detected_in_either_direction_and_a_right_one_is_left_alone() {
     for ahead in [-HOUR, -2 * SECOND, 0, 2 * SECOND, HOUR] {
         let mut offset = ClockOffset::default();
-        samples(&mut offset, ahead, 2);
+        record_rounds(&mut offset, ahead, 2);
         assert_eq!(offset.offset(), 0, "too few samples");
-        samples(&mut offset, ahead, 4);
-        let found = offset.offset();
-        assert!((0..=5_000).contains(&(found - ahead)), "{found} for {ahead}: never less than it is");
+        record_rounds(&mut offset, ahead, 4);
+        let estimated = offset.offset();
+        assert!((0..=5_000).contains(&(estimated - ahead)), "{estimated} for {ahead}: never less than it is");
     }
 }
 
@@ -32,7 +32,7 @@
 #[test]
 fn one_machine_or_stray_samples_change_nothing() {
     let mut offset = ClockOffset::default();
-    samples(&mut offset, 0, 5);
+    record_rounds(&mut offset, 0, 5);
     for now in (1..9).map(|round| 11 * HOUR + round * SECOND) {
         offset.record_report(7, now + HOUR, now);
         offset.record_commit(8, now - HOUR, now);
@@ -41,7 +41,7 @@
     for machine in 0..3 {
         offset.record_report(machine, 99 * HOUR, 12 * HOUR);
         offset.record_commit(machine, 0, 12 * HOUR);
-        samples(&mut offset, 0, 1);
+        record_rounds(&mut offset, 0, 1);
     }
     assert_eq!(offset.offset(), 0, "stray samples");
 }
--- a/crates/statistics/tests/histogram.rs
+++ b/crates/statistics/tests/histogram.rs
@@ -5,6 +5,6 @@
 /// Slow responses must not all fall into the last bin.
 #[test]
 fn quantiles_distinguish_durations_of_seconds() {
-    let of = |took| Histogram::of(took, 4).quantile(0.5).unwrap();
-    assert!(of(1_500_000) > 1_100_000 && of(6_000_000) > 4_400_000);
+    let median = |duration| Histogram::from_estimate(duration, 4).quantile(0.5).unwrap();
+    assert!(median(1_500_000) > 1_100_000 && median(6_000_000) > 4_400_000);
 }
--- a/crates/warm-start/src/lib.rs
+++ b/crates/warm-start/src/lib.rs
@@ -40,7 +40,7 @@
 mod saved_state;
 mod snapshot;
 
-pub use records::FORMAT;
+pub use records::FORMAT_VERSION;
 pub use restore::{RestoreError, RestoredState, restore};
 pub use saved_state::{Change, SavedState};
 pub use snapshot::{KnownPrimary, ServiceTime, StateSnapshot};
--- a/crates/warm-start/src/records.rs
+++ b/crates/warm-start/src/records.rs
@@ -8,17 +8,17 @@
 use crate::{Micros, ServiceTime};
 
 /// The version of the records' form. Records of a later one are left alone.
-pub const FORMAT: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 
 /// The key of a record that a namespace has only once.
-pub(crate) const SINGLE_KEY: &[u8] = b"";
+pub(crate) const SINGLE_RECORD_KEY: &[u8] = b"";
 
 /// Whose records they are.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Identity {
     /// The proxy's name.
     pub name: String,
-    /// The [`FORMAT`] of all records.
+    /// The [`FORMAT_VERSION`] of all records.
     pub format: u32,
 }
 
@@ -26,7 +26,8 @@
 #[derive(Serialize, Deserialize)]
 pub(crate) struct ServiceTimes {
     /// When it was written.
-    pub at: Micros,
+    #[serde(rename = "at")]
+    pub written_at: Micros,
     /// By the request class's name.
     #[serde(rename = "paces")]
     pub service_times: BTreeMap<String, ServiceTime>,
@@ -36,12 +37,12 @@
 }
 
 /// The key of a group's record.
-pub(crate) fn group_key(group: &u64) -> Vec<u8> {
+pub(crate) fn encode_group_key(group: &u64) -> Vec<u8> {
     group.to_string().into_bytes()
 }
 
 /// The group that a key names, if it names one.
-pub(crate) fn read_group_key(key: &[u8]) -> Option<u64> {
+pub(crate) fn decode_group_key(key: &[u8]) -> Option<u64> {
     std::str::from_utf8(key).ok()?.parse().ok()
 }
 
--- a/crates/warm-start/src/restore.rs
+++ b/crates/warm-start/src/restore.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-use crate::records::{FORMAT, Identity, SINGLE_KEY, ServiceTimes, decode, read_group_key};
+use crate::records::{FORMAT_VERSION, Identity, SINGLE_RECORD_KEY, ServiceTimes, decode, decode_group_key};
 use crate::{KnownPrimary, Micros, StateSnapshot, namespace};
 
 /// A primary that was confirmed longer ago is not used. A wrong one costs a proxy one attempt for its group, so that
@@ -64,7 +64,7 @@
     check_identity(name, &records)?;
     let mut restored = RestoredState::default();
     for record in records {
-        if !restored.use_record(now, record) {
+        if !restored.apply_record(now, record) {
             restored.unusable_records += 1;
         }
     }
@@ -76,11 +76,11 @@
 
 fn check_identity(name: &str, records: &[Record<'_>]) -> Result<(), RestoreError> {
     let is_identity =
-        |(namespace, key, _): &&Record<'_>| *namespace == namespace::IDENTITY && *key == SINGLE_KEY;
+        |(namespace, key, _): &&Record<'_>| *namespace == namespace::IDENTITY && *key == SINGLE_RECORD_KEY;
     let identity = records.iter().find(is_identity).and_then(|(_, _, value)| decode::<Identity>(value));
     match identity {
         None => Err(RestoreError::NoIdentity),
-        Some(identity) if identity.format > FORMAT => Err(RestoreError::NewerFormat(identity.format)),
+        Some(identity) if identity.format > FORMAT_VERSION => Err(RestoreError::NewerFormat(identity.format)),
         Some(identity) if identity.name != name => Err(RestoreError::OtherOwner(identity.name)),
         Some(_) => Ok(()),
     }
@@ -92,7 +92,7 @@
 
 impl RestoredState {
     /// Takes a record in; whether it can be read and used, or is another module's.
-    fn use_record(&mut self, now: Micros, (namespace, key, value): Record<'_>) -> bool {
+    fn apply_record(&mut self, now: Micros, (namespace, key, value): Record<'_>) -> bool {
         match namespace {
             namespace::IDENTITY
             | namespace::OUTCOME_LOG
@@ -100,27 +100,27 @@
             | namespace::GRANTED_TERMS
             | namespace::ACCEPTED_TERMS
             | namespace::SITE_DRAINS => true,
-            namespace::ENDPOINT_LIST if key == SINGLE_KEY => {
+            namespace::ENDPOINT_LIST if key == SINGLE_RECORD_KEY => {
                 self.snapshot.revision = decode(value);
                 self.snapshot.revision.is_some()
             }
-            namespace::ENDPOINT_LIST => self.use_endpoint(key, value).is_some(),
-            namespace::PRIMARIES => self.use_primary(now, key, value).is_some(),
-            namespace::HOME_SITES => self.use_home_site(key, value).is_some(),
-            namespace::SERVICE_TIMES => self.use_service_times(now, value).is_some(),
+            namespace::ENDPOINT_LIST => self.apply_endpoint(key, value).is_some(),
+            namespace::PRIMARIES => self.apply_primary(now, key, value).is_some(),
+            namespace::HOME_SITES => self.apply_home_site(key, value).is_some(),
+            namespace::SERVICE_TIMES => self.apply_service_times(now, value).is_some(),
             _ => false,
         }
     }
 
-    fn use_endpoint(&mut self, key: &[u8], value: &[u8]) -> Option<()> {
+    fn apply_endpoint(&mut self, key: &[u8], value: &[u8]) -> Option<()> {
         let name = String::from_utf8(key.to_vec()).ok()?;
         let entry = String::from_utf8(value.to_vec()).ok()?;
         self.snapshot.members.insert(name, entry);
         Some(())
     }
 
-    fn use_primary(&mut self, now: Micros, key: &[u8], value: &[u8]) -> Option<()> {
-        let group = read_group_key(key)?;
+    fn apply_primary(&mut self, now: Micros, key: &[u8], value: &[u8]) -> Option<()> {
+        let group = decode_group_key(key)?;
         let primary: KnownPrimary = decode(value)?;
         if !is_fresh(now, primary.confirmed_at, PRIMARY_MAX_AGE) {
             return None;
@@ -129,15 +129,15 @@
         Some(())
     }
 
-    fn use_home_site(&mut self, key: &[u8], value: &[u8]) -> Option<()> {
-        let group = read_group_key(key)?;
+    fn apply_home_site(&mut self, key: &[u8], value: &[u8]) -> Option<()> {
+        let group = decode_group_key(key)?;
         self.snapshot.home_sites.insert(group, decode(value)?);
         Some(())
     }
 
-    fn use_service_times(&mut self, now: Micros, value: &[u8]) -> Option<()> {
+    fn apply_service_times(&mut self, now: Micros, value: &[u8]) -> Option<()> {
         let record: ServiceTimes = decode(value)?;
-        if !is_fresh(now, record.at, SERVICE_TIMES_MAX_AGE) {
+        if !is_fresh(now, record.written_at, SERVICE_TIMES_MAX_AGE) {
             return None;
         }
         self.snapshot.service_times = record.service_times;
--- a/crates/warm-start/src/saved_state.rs
+++ b/crates/warm-start/src/saved_state.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::records::{FORMAT, Identity, SINGLE_KEY, ServiceTimes, encode, group_key};
+use crate::records::{FORMAT_VERSION, Identity, SINGLE_RECORD_KEY, ServiceTimes, encode, encode_group_key};
 use crate::{Micros, StateSnapshot, namespace};
 
 /// Service times change with every attempt; they are written at most this often.
@@ -29,13 +29,13 @@
     /// The name of this proxy.
     name: String,
     /// What was handed to the disk last; `None` while it is not known what the disk holds.
-    last: Option<StateSnapshot>,
+    last_snapshot: Option<StateSnapshot>,
     /// Records that the disk may hold although the next snapshot may not have them.
     possibly_stored: BTreeSet<RecordKey>,
     /// Records whose removal is not yet confirmed.
     unconfirmed_removals: BTreeSet<RecordKey>,
     /// When service times were handed to the disk last.
-    service_times_at: Option<Micros>,
+    service_times_submitted_at: Option<Micros>,
 }
 
 impl SavedState {
@@ -47,23 +47,26 @@
             |(namespace, _): &RecordKey| (namespace::IDENTITY..=namespace::SERVICE_TIMES).contains(namespace);
         SavedState {
             name: name.to_owned(),
-            last: None,
+            last_snapshot: None,
             possibly_stored: stored.into_iter().filter(is_own).collect(),
             unconfirmed_removals: BTreeSet::new(),
-            service_times_at: None,
+            service_times_submitted_at: None,
         }
     }
 
     /// A write was not confirmed. The disk may hold any record that it was ever given, so the next changes write the
     /// whole snapshot.
     pub fn write_failed(&mut self) {
-        let last = self.last.take().unwrap_or_default();
-        let members = last.members.into_keys().map(|name| (namespace::ENDPOINT_LIST, name.into_bytes()));
-        let primaries = last.primaries.keys().map(|group| (namespace::PRIMARIES, group_key(group)));
-        let home_sites = last.home_sites.keys().map(|group| (namespace::HOME_SITES, group_key(group)));
+        let last_snapshot = self.last_snapshot.take().unwrap_or_default();
+        let members =
+            last_snapshot.members.into_keys().map(|name| (namespace::ENDPOINT_LIST, name.into_bytes()));
+        let primaries =
+            last_snapshot.primaries.keys().map(|group| (namespace::PRIMARIES, encode_group_key(group)));
+        let home_sites =
+            last_snapshot.home_sites.keys().map(|group| (namespace::HOME_SITES, encode_group_key(group)));
         self.possibly_stored.extend(members.chain(primaries).chain(home_sites));
         self.possibly_stored.append(&mut self.unconfirmed_removals);
-        self.service_times_at = None;
+        self.service_times_submitted_at = None;
     }
 
     /// All changes that were returned are on the disk.
@@ -74,25 +77,26 @@
     /// What is to be written, together, so that the disk holds this snapshot; nothing if it does already.
     pub fn changes(&mut self, now: Micros, snapshot: StateSnapshot) -> Vec<Change> {
         let mut changes = Vec::new();
-        if self.last.is_none() {
-            let identity = Identity { name: self.name.clone(), format: FORMAT };
-            changes.push(put_single(namespace::IDENTITY, &identity));
+        if self.last_snapshot.is_none() {
+            let identity = Identity { name: self.name.clone(), format: FORMAT_VERSION };
+            changes.push(put_single_record(namespace::IDENTITY, &identity));
         }
-        let before = self.last.take().unwrap_or_default();
-        add_tables(&mut changes, &before, &snapshot);
-        let service_times_due = self.service_times_at.is_none_or(|at| now - at >= SERVICE_TIMES_INTERVAL);
-        if service_times_due && has_new_service_times(&before, &snapshot) {
+        let previous = self.last_snapshot.take().unwrap_or_default();
+        add_collection_changes(&mut changes, &previous, &snapshot);
+        let service_times_due =
+            self.service_times_submitted_at.is_none_or(|at| now - at >= SERVICE_TIMES_INTERVAL);
+        if service_times_due && service_times_changed(&previous, &snapshot) {
             changes.push(put_service_times(now, &snapshot));
-            self.service_times_at = Some(now);
+            self.service_times_submitted_at = Some(now);
         }
         self.add_removals(&mut changes);
-        self.last = Some(if service_times_due {
+        self.last_snapshot = Some(if service_times_due {
             snapshot
         } else {
             // The disk still holds the former ones, and the next snapshot is compared with those.
             StateSnapshot {
-                service_times: before.service_times,
-                concurrency_limits: before.concurrency_limits,
+                service_times: previous.service_times,
+                concurrency_limits: previous.concurrency_limits,
                 ..snapshot
             }
         });
@@ -112,64 +116,72 @@
 }
 
 /// The changes to the endpoint list, the primaries and the home sites.
-fn add_tables(changes: &mut Vec<Change>, before: &StateSnapshot, snapshot: &StateSnapshot) {
-    if snapshot.revision != before.revision
+fn add_collection_changes(changes: &mut Vec<Change>, previous: &StateSnapshot, snapshot: &StateSnapshot) {
+    if snapshot.revision != previous.revision
         && let Some(revision) = snapshot.revision
     {
-        changes.push(put_single(namespace::ENDPOINT_LIST, &revision));
+        changes.push(put_single_record(namespace::ENDPOINT_LIST, &revision));
     }
-    let name_key = |name: &String| name.clone().into_bytes();
-    let entry_value = |entry: &String| entry.clone().into_bytes();
+    let encode_name = |name: &String| name.clone().into_bytes();
+    let encode_entry = |entry: &String| entry.clone().into_bytes();
     add_differences(
         changes,
         namespace::ENDPOINT_LIST,
-        &before.members,
+        &previous.members,
         &snapshot.members,
-        name_key,
-        entry_value,
+        encode_name,
+        encode_entry,
+    );
+    add_differences(
+        changes,
+        namespace::PRIMARIES,
+        &previous.primaries,
+        &snapshot.primaries,
+        encode_group_key,
+        encode,
     );
-    add_differences(changes, namespace::PRIMARIES, &before.primaries, &snapshot.primaries, group_key, encode);
     add_differences(
         changes,
         namespace::HOME_SITES,
-        &before.home_sites,
+        &previous.home_sites,
         &snapshot.home_sites,
-        group_key,
+        encode_group_key,
         encode,
     );
 }
 
-fn has_new_service_times(before: &StateSnapshot, snapshot: &StateSnapshot) -> bool {
-    snapshot.service_times != before.service_times || snapshot.concurrency_limits != before.concurrency_limits
+fn service_times_changed(previous: &StateSnapshot, snapshot: &StateSnapshot) -> bool {
+    snapshot.service_times != previous.service_times
+        || snapshot.concurrency_limits != previous.concurrency_limits
 }
 
 fn put_service_times(now: Micros, snapshot: &StateSnapshot) -> Change {
     let service_times = ServiceTimes {
-        at: now,
+        written_at: now,
         service_times: snapshot.service_times.clone(),
         concurrency_limits: snapshot.concurrency_limits.clone(),
     };
-    put_single(namespace::SERVICE_TIMES, &service_times)
+    put_single_record(namespace::SERVICE_TIMES, &service_times)
 }
 
 /// Writes the record that its namespace has only once.
-fn put_single<T: Serialize>(namespace: u32, value: &T) -> Change {
-    Change { namespace, key: SINGLE_KEY.to_vec(), value: Some(encode(value)) }
+fn put_single_record<T: Serialize>(namespace: u32, value: &T) -> Change {
+    Change { namespace, key: SINGLE_RECORD_KEY.to_vec(), value: Some(encode(value)) }
 }
 
-/// Writes what is new or other in `now`, then removes what only `before` has.
+/// Writes what is new or other in `current`, then removes what only `previous` has.
 fn add_differences<K: Ord, V: PartialEq>(
     changes: &mut Vec<Change>,
     namespace: u32,
-    before: &BTreeMap<K, V>,
-    now: &BTreeMap<K, V>,
+    previous: &BTreeMap<K, V>,
+    current: &BTreeMap<K, V>,
     encode_key: impl Fn(&K) -> Vec<u8>,
     encode_value: impl Fn(&V) -> Vec<u8>,
 ) {
-    for (key, value) in now.iter().filter(|(key, value)| before.get(key) != Some(value)) {
+    for (key, value) in current.iter().filter(|(key, value)| previous.get(key) != Some(value)) {
         changes.push(Change { namespace, key: encode_key(key), value: Some(encode_value(value)) });
     }
-    for key in before.keys().filter(|key| !now.contains_key(key)) {
+    for key in previous.keys().filter(|key| !current.contains_key(key)) {
         changes.push(Change { namespace, key: encode_key(key), value: None });
     }
 }
--- a/crates/warm-start/tests/pinned_records.rs
+++ b/crates/warm-start/tests/pinned_records.rs
@@ -1,7 +1,7 @@
 //! The records in the store, as programs of other versions wrote and read them.
 
 use aldermill_warm_start::{
-    Change, FORMAT, KnownPrimary, SavedState, ServiceTime, StateSnapshot, namespace, restore,
+    Change, FORMAT_VERSION, KnownPrimary, SavedState, ServiceTime, StateSnapshot, namespace, restore,
 };
 
 const NOW: i64 = 1_800_000_000_000_000;
@@ -77,5 +77,5 @@
         namespace::SITE_DRAINS,
     ];
     assert_eq!(others, [6, 7, 8, 9, 10]);
-    assert_eq!(FORMAT, 1);
+    assert_eq!(FORMAT_VERSION, 1);
 }
