--- a/crates/stall-detection/src/detector.rs
+++ b/crates/stall-detection/src/detector.rs
@@ -1,59 +1,65 @@
-//! The detector: notices stalls by when the loop last ran, and dates what was received meanwhile.
+//! Detects stalls from the gaps between runs of the event loop, and estimates when data that was
+//! read after a stall had been received.
 
 use std::collections::VecDeque;
 
 use crate::Micros;
 
-/// A loop that wakes every 20 ms at least and did nothing for longer than this has stalled.
+/// Gap between two calls of [`StallDetector::observe`], in microseconds (60 ms), above which the
+/// loop counts as stalled. The loop wakes at least every 20 ms.
 ///
-/// Shorter, and scheduling on a busy machine would count; longer, and members would be blamed for pauses of this process. The
-/// cost: a loop that is only busy loses some milliseconds of measured time.
+/// With a lower threshold, scheduling delays on a busy machine would count as stalls; with a higher
+/// one, members would be blamed for pauses of this process. The trade-off is that a loop that is
+/// merely busy loses some milliseconds of measured time.
 pub const STALL_THRESHOLD: Micros = 60_000;
 
-/// Stalls remembered. What is asked of lies in the last seconds; older ones no longer count in
-/// [`StallDetector::unstalled_time`].
+/// Maximum number of stalls that are retained. Queries concern only the last seconds; stalls that
+/// have been discarded are no longer subtracted by [`StallDetector::unstalled_time`].
 const MAX_RETAINED_STALLS: usize = 32;
 
-/// How long after a stall something that is read may have been received in it, where the system does not say when it was.
+/// Time after a stall, in microseconds (250 ms), during which data that is read may have been
+/// received before the stall ended, unless the system reports when it was received. It is also the
+/// period in which stalls count as consecutive.
 const MAX_READ_LAG: Micros = 250_000;
 
-/// One stall.
+/// A gap between two runs of the loop that exceeds [`STALL_THRESHOLD`].
 #[derive(Clone, Copy, Debug)]
 struct Stall {
-    /// When the loop last ran before it.
+    /// Instant at which the loop last ran before the stall.
     start: Micros,
-    /// When the loop ran again.
+    /// Instant at which the loop ran again.
     end: Micros,
 }
 
-/// When bytes were received that were read only later.
+/// Bounds on when bytes were received that were read only after a stall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReceiptBounds {
-    /// None of them was received before this instant.
+    /// No byte was received before this instant.
     pub earliest: Micros,
-    /// The last of them was received at this instant, as far as is known.
+    /// The last byte was received at this instant, as far as is known.
     pub latest: Micros,
 }
 
-/// Notices the stalls of one process.
+/// Detects the stalls of one process.
 #[derive(Clone, Debug)]
 pub struct StallDetector {
     last_observed_at: Micros,
-    /// The newest last.
+    /// The most recent stalls, oldest first; at most [`MAX_RETAINED_STALLS`].
     stalls: VecDeque<Stall>,
-    /// All time stalled, that of stalls no longer remembered included.
+    /// Total stalled time, including stalls that are no longer retained.
     total_stalled: Micros,
 }
 
 impl StallDetector {
-    /// A detector for a loop that runs from now on.
+    /// Creates a detector for a loop that starts running at `now`.
     #[must_use]
     pub fn new(now: Micros) -> StallDetector {
         StallDetector { last_observed_at: now, stalls: VecDeque::new(), total_stalled: 0 }
     }
 
-    /// To be called at the beginning of all that the loop does: a step that begins long after the last one began has a stall
-    /// before it.
+    /// Records that the loop runs at `now`. The loop must call this at the beginning of every step:
+    /// a step that begins more than [`STALL_THRESHOLD`] after the previous call was preceded by a
+    /// stall.
     pub fn observe(&mut self, now: Micros) {
         if now - self.last_observed_at > STALL_THRESHOLD {
             self.record(Stall { start: self.last_observed_at, end: now });
@@ -69,30 +75,35 @@
         }
     }
 
-    /// All time stalled since the start.
+    /// Returns the total stalled time since the detector was created, in microseconds.
     #[must_use]
     pub fn total_stalled_time(&self) -> Micros {
         self.total_stalled
     }
 
-    /// Whether any stall ended after that instant.
+    /// Returns whether any stall ended after `since`.
     #[must_use]
     pub fn stalled_since(&self, since: Micros) -> bool {
         self.stalls.back().is_some_and(|stall| stall.end > since)
     }
 
-    /// How much of the time from one instant to another the process was not stalled.
+    /// Returns how much of the time between `from` and `to` the process was not stalled, in
+    /// microseconds. Only the retained stalls are subtracted.
     #[must_use]
     pub fn unstalled_time(&self, from: Micros, to: Micros) -> Micros {
         let overlap = |stall: &Stall| (stall.end.min(to) - stall.start.max(from)).max(0);
         to - from - self.stalls.iter().map(overlap).sum::<Micros>()
     }
 
-    /// When the bytes were received that are read at `now` from a connection that was last read at `last_read_at`. `last_byte_age` is how
-    /// long ago the system received the last of them, where it says so. `None` means now, as far as anybody can tell.
+    /// Returns bounds on when bytes were received that are read at `now` from a connection that was
+    /// last read at `last_read_at`. `last_byte_age` is the time since the system received the last
+    /// of these bytes, or `None` where the system does not report it. The result is `None` if, as
+    /// far as can be known, the bytes were received just now.
     ///
-    /// Without this a client that has left would be served, and a member would get requests that nobody waits for any more.
-    /// The cost: where the system does not say, what arrives just after a stall is taken to be as old as the stall.
+    /// Without these bounds, the proxy would serve clients that have already left, and send members
+    /// requests that nobody waits for any more. The trade-off is that, where the system does not
+    /// report the time of receipt, bytes that arrive just after a stall are treated as if they were
+    /// as old as the stall.
     #[must_use]
     pub fn receipt_bounds(
         &self,
@@ -110,8 +121,10 @@
         }
     }
 
-    /// The first of the stalls that followed each other so closely that nothing may have been read in between. What was there
-    /// when the loop last ran before it has been read by now.
+    /// Returns the first of the consecutive stalls that ended after the last read and less than
+    /// [`MAX_READ_LAG`] ago, counted back from the latest one. They followed each other so closely
+    /// that possibly nothing was read between them. Data that was available when the loop last ran
+    /// before the first of them has been read by now.
     fn first_of_consecutive_stalls(&self, now: Micros, last_read_at: Micros) -> Option<&Stall> {
         let is_recent = |stall: &&Stall| now - stall.end < MAX_READ_LAG && stall.end > last_read_at;
         self.stalls.iter().rev().take_while(is_recent).last()
--- a/crates/stall-detection/src/lib.rs
+++ b/crates/stall-detection/src/lib.rs
@@ -1,19 +1,25 @@
-//! Stall detection: what a process knows of its own pauses, and how processes that start together keep apart.
+//! Detects pauses of the process itself, and spreads work that many processes would otherwise start
+//! at the same time.
 //!
-//! A process may be stopped at any instruction, for milliseconds or minutes, by a scheduler, a hypervisor or a suspended
-//! machine, and nobody tells it. Then all its timers are due at once, and what others sent meanwhile looks as if it had just
-//! arrived.
+//! A scheduler, a hypervisor or the suspension of the machine may stop a process at any
+//! instruction, for milliseconds or minutes, without notice. Afterwards all its timers are due at
+//! once, and data that others sent during the pause looks as if it had just arrived.
 //!
-//! - [`StallDetector`] notices by when its loop last ran. It tells stalled time from unstalled time, in which others are
-//!   measured, and says when bytes were received that were read only after a stall.
-//! - [`start_jitter`] spreads what all processes do at their start, and retries of what failed for all at once.
+//! - [`StallDetector`] detects stalls from the gaps between runs of the event loop. It separates
+//!   stalled time from unstalled time, which is the basis for measuring others, and bounds when
+//!   data was received that was read only after a stall.
+//! - [`start_jitter`] spreads the work that all processes do at their start, and retries of
+//!   operations that failed for all of them at once.
 //!
-//! **Inputs**: `now` of a clock that never goes back and counts suspension, at each step of the loop; for receipt, how long
-//! ago the system received the last byte. **Outputs**: spans and bounds, in microseconds. **Caller**: the proxy's
-//! `UnstalledClock`, its start and its discovery watch. Nothing here does I/O or has a clock; randomness is the caller's.
+//! **Inputs**: at each step of the loop, `now` from a clock that never goes backwards and that
+//! counts suspension; for bounds on receipt, the time since the system received the last byte.
+//! **Outputs**: durations, instants and bounds, in microseconds. **Callers**: the proxy's
+//! `UnstalledClock`, its startup and its discovery watch. This crate does no I/O and has no clock;
+//! the caller supplies the random number generator.
 //!
-//! The loop must run at least every 20 ms when nothing happens. One that is busy for longer than [`STALL_THRESHOLD`] is taken
-//! for stalled: for those who wait for it that is the same.
+//! An idle loop must still run at least every 20 ms. A loop that is busy for longer than
+//! [`STALL_THRESHOLD`] counts as stalled, because whoever waits for the process cannot tell the
+//! difference.
 //!
 //! ```
 //! use aldermill_stall_detection::StallDetector;
@@ -33,5 +39,5 @@
 
 pub use detector::{ReceiptBounds, STALL_THRESHOLD, StallDetector};
 
-/// Whole microseconds: an instant on the caller's clock, or a span.
+/// A number of microseconds: an instant on the caller's clock, or a duration.
 pub type Micros = i64;
--- a/crates/stall-detection/tests/stall_detection.rs
+++ b/crates/stall-detection/tests/stall_detection.rs
@@ -1,4 +1,5 @@
-//! Stalls are noticed, bytes received meanwhile are dated, and starts are spread.
+//! Tests that stalls are detected, that the receipt of data read after a stall is bounded, and that
+//! starts are spread over time.
 
 use aldermill_stall_detection::start_jitter::{retry_delay, start_delay};
 use aldermill_stall_detection::{Micros, ReceiptBounds, STALL_THRESHOLD, StallDetector};
@@ -17,7 +18,8 @@
     detector
 }
 
-/// A process that runs must not throw away what it measures.
+/// Guards against false positives: they would discard the measurements of a process that runs
+/// normally.
 #[test]
 fn a_running_loop_is_never_taken_for_stalled() {
     let mut detector = StallDetector::new(0);
@@ -32,7 +34,7 @@
     );
 }
 
-/// Others must not be blamed for a pause of this process.
+/// Guards against blaming other processes for a pause of this one.
 #[test]
 fn unstalled_time_leaves_out_the_stall() {
     let detector = stalled_from_100_to_2600_ms();
@@ -42,7 +44,7 @@
     assert_eq!(detector.unstalled_time(2_600 * MS, 2_700 * MS), 100 * MS);
 }
 
-/// What arrived during a stall must not pass for new.
+/// Guards against treating data that was received during a stall as new.
 #[test]
 fn bytes_read_after_a_stall_are_dated_by_the_system_or_else_by_the_last_step() {
     let detector = stalled_from_100_to_2600_ms();
@@ -51,30 +53,34 @@
         detector.receipt_bounds(now, 90 * MS, Some(1_000 * MS)),
         Some(ReceiptBounds { earliest: 100 * MS, latest: 1_610 * MS })
     );
-    assert_eq!(detector.receipt_bounds(now, 90 * MS, Some(5 * MS)), None, "it came after waking");
+    assert_eq!(detector.receipt_bounds(now, 90 * MS, Some(5 * MS)), None, "received after the stall ended");
     assert_eq!(
         detector.receipt_bounds(now, 90 * MS, Some(9_000 * MS)),
         Some(ReceiptBounds { earliest: 100 * MS, latest: 100 * MS }),
-        "no older than the last step"
+        "not received before the last step"
     );
     assert_eq!(
         detector.receipt_bounds(now, 90 * MS, None),
         Some(ReceiptBounds { earliest: 100 * MS, latest: 100 * MS })
     );
-    assert_eq!(detector.receipt_bounds(now, 2_605 * MS, None), None, "it was read since");
+    assert_eq!(
+        detector.receipt_bounds(now, 2_605 * MS, None),
+        None,
+        "the connection was read after the stall"
+    );
     assert_eq!(
         detector.receipt_bounds(9_000 * MS, 90 * MS, None),
         None,
-        "all that came meanwhile has long been read"
+        "data received during the stall must have been read long ago"
     );
     assert_eq!(
         detector.receipt_bounds(9_000 * MS, 90 * MS, Some(7_000 * MS)),
         Some(ReceiptBounds { earliest: 100 * MS, latest: 2_000 * MS }),
-        "but for what has not"
+        "the system reports data from the stall that was not read"
     );
 }
 
-/// A short run between two stalls must not make older bytes look newer.
+/// Guards against dating older bytes too late because the loop ran briefly between two stalls.
 #[test]
 fn stalls_in_a_row_are_dated_from_the_first() {
     let mut detector = stalled_from_100_to_2600_ms();
@@ -85,7 +91,7 @@
     );
 }
 
-/// A fleet that restarts together must not overload what all of them ask.
+/// Guards against overloading discovery when a whole fleet restarts at once.
 #[test]
 fn of_28_processes_out_of_40_few_start_in_any_100_ms_and_all_within_the_grace() {
     for seed in 0..300 {
@@ -96,11 +102,12 @@
         let near =
             |&from: &Micros| delays.iter().filter(|&&at| (from..from + 100 * MS).contains(&at)).count();
         let max_starts = delays.iter().map(near).max().unwrap();
-        assert!(max_starts <= 13, "{max_starts} of 28 with seed {seed}");
+        assert!(max_starts <= 13, "{max_starts} of 28 processes start within 100 ms, seed {seed}");
     }
 }
 
-/// A delay helps nobody where there is nobody to avoid, and is bounded for any name.
+/// Guards against a needless delay for a single process, and against delays beyond the limit for
+/// any form of name.
 #[test]
 fn a_single_process_does_not_wait_and_no_delay_exceeds_its_window() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
@@ -118,8 +125,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(41), ..ProptestConfig::default() })]
 
-    /// Whatever the steps of the loop: time is stalled or unstalled, and no receipt is dated into the future, before the loop
-    /// last ran, or at all without a stall.
+    /// Checks, for random intervals between runs of the loop, that all time is either stalled or
+    /// unstalled, and that no bytes are dated into the future or before the loop last ran, and none
+    /// at all without a stall.
     #[test]
     fn time_is_stalled_or_unstalled_and_no_receipt_is_in_the_future(intervals in vec(MS..400 * MS, 1..60), last_read_index in 0usize..60, age in proptest::option::of(0..9_000 * MS)) {
         let (mut detector, mut now, mut observed_at, mut stalled) = (StallDetector::new(0), 0, vec![0], 0);
@@ -137,7 +145,7 @@
         if let Some(ReceiptBounds { earliest, latest }) = detector.receipt_bounds(now, last_read_at, age) {
             prop_assert!(observed_at.contains(&earliest) && earliest <= latest);
             prop_assert!(latest <= now && detector.stalled_since(last_read_at));
-            prop_assert!(age.is_none_or(|age| latest >= now - age), "never older than the system says");
+            prop_assert!(age.is_none_or(|age| latest >= now - age), "not dated before the time reported by the system");
         }
     }
 }
