--- a/crates/statistics/src/clock_offset.rs
+++ b/crates/statistics/src/clock_offset.rs
@@ -1,50 +1,54 @@
-//! How far the other machines' wall clock is ahead of this process's clock, by the times that they report.
+//! Estimates how far the wall clock of other machines is ahead of this process's clock, from the
+//! times that they report.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
 use crate::Micros;
 
-/// This many samples of one machine in a row must agree, so that a stray one changes nothing.
+/// Number of consecutive samples of one machine that must agree, so that a single outlier has no
+/// effect.
 const AGREEING_SAMPLES: usize = 3;
-/// This many machines must be ahead, so that one whose own clock is wrong changes nothing.
+/// Number of machines that must be ahead, so that one machine with a wrong clock has no effect.
 const AGREEING_MACHINES: usize = 2;
-/// Clocks that differ by no more than 50 ms count as the same.
+/// Clocks that differ by no more than this, in microseconds (50 ms), count as equal.
 const TOLERANCE: Micros = 50_000;
 
-/// Bounds on the offset between two clocks of the same rate, from events whose order is certain: a time that a machine
-/// reports had passed there when the report was received here, which bounds the offset from below; a write was committed
-/// after it was sent, which bounds it from above.
+/// An estimate of the offset between other machines' clocks and this process's clock, which run at
+/// the same rate. It is bounded by events whose order is certain. A time that a machine reports had
+/// passed there when the report was received here, which gives a lower bound. A write was committed
+/// after it was sent, which gives an upper bound.
 ///
-/// A process that was started under a wrong wall clock would take fresh data for stale, and members for started long ago or
-/// not yet. The cost: where several machines' clocks are ahead of all others', data looks older than it is, and members seem
-/// to have been up for longer.
+/// Without this estimate, a process started with a wrong wall clock would treat fresh data as
+/// stale, and would conclude that members started long ago or have not started yet. The trade-off
+/// is that, if the clocks of several machines are ahead of all others, data looks older than it is,
+/// and members seem to have been up for longer.
 #[derive(Clone, Debug, Default)]
 pub struct ClockOffset {
     samples: HashMap<usize, OffsetSamples>,
-    /// The machines that were furthest ahead, in that order.
+    /// The machines with the highest lower bounds, highest first; at most [`AGREEING_MACHINES`].
     highest_lower_bounds: Vec<LowerBound>,
-    /// The least bound that commits gave.
+    /// The lowest upper bound so far; `None` while there are too few commits.
     upper_bound: Option<Micros>,
 }
 
-/// By how much a machine was ahead at least, at some time.
+/// A lower bound on the offset of one machine's clock, in microseconds.
 #[derive(Clone, Copy, Debug)]
 struct LowerBound {
     machine: usize,
     offset: Micros,
 }
 
-/// The last samples of one machine.
+/// The last samples from the reports and the commits of one machine, in microseconds.
 #[derive(Clone, Debug, Default)]
 struct OffsetSamples {
-    /// Reported times, less when they were received.
+    /// Reported times minus the times at which they were received.
     reports: RecentSamples,
-    /// Commit times, less when the write was sent.
+    /// Commit times minus the times at which the writes were sent.
     commits: RecentSamples,
 }
 
-/// The last samples, the newest at the end.
+/// The last [`AGREEING_SAMPLES`] samples, oldest first; `None` for those that are still missing.
 #[derive(Clone, Debug, Default)]
 struct RecentSamples([Option<Micros>; AGREEING_SAMPLES]);
 
@@ -54,7 +58,7 @@
         self.0[AGREEING_SAMPLES - 1] = Some(offset);
     }
 
-    /// All of them, once there are as many as must agree.
+    /// Returns all samples, or `None` while there are fewer than must agree.
     fn complete(&self) -> Option<[Micros; AGREEING_SAMPLES]> {
         self.0.iter().copied().collect::<Option<Vec<_>>>()?.try_into().ok()
     }
@@ -69,7 +73,9 @@
 }
 
 impl ClockOffset {
-    /// A time by the machine's clock that had passed when it reported it; received at `received_at` by this process's clock.
+    /// Records a time on the machine's clock that had passed when the machine reported it. The
+    /// report was received at `received_at` on this process's clock. Both times are in
+    /// microseconds.
     pub fn record_report(&mut self, machine: usize, reported_time: Micros, received_at: Micros) {
         let reports = &mut self.samples.entry(machine).or_default().reports;
         reports.add(reported_time.saturating_sub(received_at));
@@ -82,8 +88,9 @@
         self.highest_lower_bounds.truncate(AGREEING_MACHINES);
     }
 
-    /// When, by its own clock, a machine committed a write that this process sent at `sent_at`, and that had not been committed
-    /// before.
+    /// Records when, on its own clock, a machine committed a write that this process sent at
+    /// `sent_at`. The write must not have been committed before it was sent. Both times are in
+    /// microseconds.
     pub fn record_commit(&mut self, machine: usize, committed_at: Micros, sent_at: Micros) {
         let commits = &mut self.samples.entry(machine).or_default().commits;
         commits.add(committed_at.saturating_sub(sent_at));
@@ -91,13 +98,14 @@
         self.upper_bound = [self.upper_bound, bound].into_iter().flatten().min();
     }
 
-    /// Forgets the samples of a machine that is gone; the bounds that they gave stay.
+    /// Discards the samples of a machine that is gone. The bounds derived from them stay in force.
     pub fn discard_samples(&mut self, machine: usize) {
         self.samples.remove(&machine);
     }
 
-    /// What to add to this process's clock so that it is at least the other machines', as far as is known. Zero as long as
-    /// nothing shows that they differ.
+    /// Returns what to add to this process's clock, in microseconds, so that it is not behind the
+    /// other machines' clocks, as far as is known. The result is zero unless the samples show a
+    /// difference of more than 50 ms.
     #[must_use]
     pub fn offset(&self) -> Micros {
         let lower_bound = match self.highest_lower_bounds.last() {
--- a/crates/statistics/src/histogram.rs
+++ b/crates/statistics/src/histogram.rs
@@ -1,16 +1,18 @@
-//! Quantiles of durations, in a fixed amount of memory.
+//! Estimates quantiles of durations in a fixed amount of memory.
 
 use crate::Micros;
 
-/// Bins of a histogram. The last one ends at 11 s, and holds all that is longer as well.
+/// Number of bins. The last one ends at 11 s and also counts all longer durations.
 const BIN_COUNT: usize = 32;
-/// The upper end of the first bin, in microseconds: 1 ms.
+/// Upper end of the first bin, in microseconds (1 ms).
 const FIRST_BIN_END: f64 = 1_000.0;
-/// How many times as far the next bin reaches: an estimate is wrong by that factor at most.
+/// Ratio between the upper ends of two adjacent bins. For durations from 1 ms to 11 s, it also
+/// bounds the error factor of an estimate.
 const BIN_GROWTH: f64 = 1.35;
 
-/// Counts of durations, in bins that each end 1.35 times as far as the one before. All counts are halved when there are
-/// enough, so that old durations count less.
+/// A histogram of durations with exponential bins: each bin ends at 1.35 times the end of the
+/// previous one. All counts are halved whenever their total reaches a limit, so that older
+/// durations carry less weight.
 #[derive(Clone, Debug, Default)]
 pub struct Histogram {
     counts: [u32; BIN_COUNT],
@@ -18,7 +20,8 @@
 }
 
 impl Histogram {
-    /// A histogram that holds one duration, `count` times: an estimate until there are samples.
+    /// Creates a histogram that contains one duration, in microseconds, `count` times, as an
+    /// estimate until there are samples.
     #[must_use]
     pub fn from_estimate(duration: Micros, count: u32) -> Histogram {
         let mut histogram = Histogram::default();
@@ -28,7 +31,8 @@
         histogram
     }
 
-    /// Counts one duration. Once `halve_at` are counted, all counts are halved.
+    /// Adds one duration, in microseconds. Once the total count reaches `halve_at`, all counts are
+    /// halved.
     pub fn add(&mut self, duration: Micros, halve_at: u32) {
         self.counts[bin_index(duration)] += 1;
         self.total_count += 1;
@@ -38,8 +42,9 @@
         }
     }
 
-    /// The duration that this fraction of all, from 0 to 1, does not exceed. Durations are taken to be spread evenly within
-    /// a bin, by the logarithm. `None` while nothing is counted.
+    /// Returns the duration, in microseconds, that the given fraction of all durations, from 0 to
+    /// 1, does not exceed, or `None` while the histogram is empty. Within a bin, durations are
+    /// assumed to be spread evenly on a logarithmic scale.
     #[must_use]
     pub fn quantile(&self, fraction: f64) -> Option<Micros> {
         let target_count = fraction * f64::from(self.total_count);
--- a/crates/statistics/src/lib.rs
+++ b/crates/statistics/src/lib.rs
@@ -1,12 +1,14 @@
-//! What decisions estimate from samples: quantiles of durations, round-trip times, and the offset of other machines' clocks.
+//! Estimators for routing decisions: quantiles of durations, round-trip times, and the offset of
+//! other machines' clocks.
 //!
-//! - [`Histogram`]: quantiles of durations, of which recent ones count more.
-//! - [`RoundTripEstimate`]: the mean and variation of a round trip, as in RFC 6298.
-//! - [`ClockOffset`]: how far the other machines' wall clock is ahead of this process's clock.
+//! - [`Histogram`]: quantiles of durations, weighted towards recent ones.
+//! - [`RoundTripEstimate`]: mean and variation of a round-trip time, as in RFC 6298.
+//! - [`ClockOffset`]: how far other machines' wall clock is ahead of this process's clock.
 //!
-//! **Inputs**: samples, in microseconds, of the caller's clock. **Outputs**: estimates; `None` or a neutral value as long as
-//! there are too few samples. **Callers**: `routing`, `site-routing` and the proxy's dispatcher. Each type takes a fixed or
-//! bounded amount of memory, and a sample takes constant time. Nothing here does I/O or has a clock.
+//! **Inputs**: samples, in microseconds, on the caller's clock. **Outputs**: estimates, which are
+//! `None` or a neutral value while there are too few samples. **Callers**: `routing`,
+//! `site-routing` and the proxy's dispatcher. Each type uses a fixed or bounded amount of memory,
+//! and recording a sample takes constant time. This crate does no I/O and has no clock.
 //!
 //! ```
 //! use aldermill_statistics::{Histogram, RoundTripEstimate};
@@ -15,7 +17,7 @@
 //! for milliseconds in 1..=100 {
 //!     service_times.add(milliseconds * 1_000, 1_000);
 //! }
-//! // Bins are 1.35 times as wide as the one before: estimates are within that.
+//! // Each bin ends at 1.35 times the end of the previous one, which bounds the error factor.
 //! let median = service_times.quantile(0.5).unwrap();
 //! assert!((37_000..68_000).contains(&median));
 //!
@@ -34,5 +36,5 @@
 pub use histogram::Histogram;
 pub use round_trip::RoundTripEstimate;
 
-/// Whole microseconds: an instant on the caller's clock, or a span.
+/// A number of microseconds: an instant on the caller's clock, or a duration.
 pub type Micros = i64;
--- a/crates/statistics/src/round_trip.rs
+++ b/crates/statistics/src/round_trip.rs
@@ -1,31 +1,33 @@
-//! Round-trip times.
+//! Estimates round-trip times.
 
 use crate::Micros;
 
-/// How much the first sample is assumed to vary: half of itself (RFC 6298, 2.2).
+/// The initial variation is the assumed mean, or the first sample, divided by this (RFC 6298,
+/// section 2.2).
 const INITIAL_VARIATION_DIVISOR: Micros = 2;
-/// A later sample moves the variation by a quarter of the difference (RFC 6298, 2.3).
+/// A later sample changes the variation by the difference divided by this (RFC 6298, section 2.3).
 const VARIATION_DIVISOR: Micros = 4;
-/// A later sample moves the mean by an eighth of the difference (RFC 6298, 2.3).
+/// A later sample changes the mean by the difference divided by this (RFC 6298, section 2.3).
 const MEAN_DIVISOR: Micros = 8;
 
-/// The mean of a round trip and its variation, each a moving mean as in RFC 6298.
+/// The mean and the variation of a round-trip time in microseconds, each an exponentially weighted
+/// moving average as in RFC 6298.
 #[derive(Clone, Copy, Debug)]
 pub struct RoundTripEstimate {
     mean: Micros,
     variation: Micros,
-    /// Whether a sample has replaced what was assumed.
+    /// Whether a sample has replaced the initial values.
     has_sample: bool,
 }
 
 impl RoundTripEstimate {
-    /// Assumes this mean until there is a sample.
+    /// Creates an estimate with a mean, in microseconds, that is assumed until the first sample.
     #[must_use]
     pub fn with_initial_mean(mean: Micros) -> RoundTripEstimate {
         RoundTripEstimate { mean, variation: mean / INITIAL_VARIATION_DIVISOR, has_sample: false }
     }
 
-    /// Takes in one round trip. One below zero counts as zero.
+    /// Records one round-trip time, in microseconds. A negative value counts as zero.
     pub fn record(&mut self, sample: Micros) {
         let sample = sample.max(0);
         if !self.has_sample {
@@ -39,13 +41,14 @@
         self.mean += (sample - self.mean) / MEAN_DIVISOR;
     }
 
-    /// The mean round trip.
+    /// Returns the mean round-trip time, in microseconds.
     #[must_use]
     pub fn mean(&self) -> Micros {
         self.mean
     }
 
-    /// Half a round trip, and twice the variation as a margin: most messages take less one way.
+    /// Returns half the mean round-trip time plus twice the variation as a margin, in microseconds.
+    /// Most messages take less time than this in one direction.
     #[must_use]
     pub fn one_way_delay(&self) -> Micros {
         self.mean / 2 + 2 * self.variation
--- a/crates/statistics/tests/clock_offset.rs
+++ b/crates/statistics/tests/clock_offset.rs
@@ -1,11 +1,12 @@
-//! The offset of other machines' clocks, from their reports and commits.
+//! Tests of the clock offset estimated from the reports and commits of other machines.
 
 use aldermill_statistics::ClockOffset;
 
 const SECOND: i64 = 1_000_000;
 const HOUR: i64 = 3_600 * SECOND;
 
-/// Reports of replicas that lag by 0.1 s and of a primary, and its commits, by a clock that is ahead by `ahead`.
+/// Records reports of two replicas that lag by 0.1 s, and reports and commits of a primary, all
+/// from a clock that is ahead by `ahead` microseconds.
 fn record_rounds(offset: &mut ClockOffset, ahead: i64, rounds: i64) {
     for now in (1..=rounds).map(|round| 10 * HOUR + round * SECOND) {
         offset.record_report(0, now + ahead - 100_000, now);
@@ -15,7 +16,8 @@
     }
 }
 
-/// A process started under a wrong wall clock must not misjudge the age of data; one under a right clock is left alone.
+/// Guards against misjudging the age of data in a process that started with a wrong wall clock, and
+/// against correcting a clock that is right.
 #[test]
 fn a_wrong_wall_clock_is_detected_in_either_direction_and_a_right_one_is_left_alone() {
     for ahead in [-HOUR, -2 * SECOND, 0, 2 * SECOND, HOUR] {
@@ -24,11 +26,14 @@
         assert_eq!(offset.offset(), 0, "too few samples");
         record_rounds(&mut offset, ahead, 4);
         let estimated = offset.offset();
-        assert!((0..=5_000).contains(&(estimated - ahead)), "{estimated} for {ahead}: never less than it is");
+        assert!(
+            (0..=5_000).contains(&(estimated - ahead)),
+            "estimated {estimated} for {ahead}: must be 0 to 5 ms above"
+        );
     }
 }
 
-/// A single machine with a wrong clock must not move everybody else's.
+/// Guards against one machine with a wrong clock, or single outliers, changing the estimate.
 #[test]
 fn one_machine_or_stray_samples_change_nothing() {
     let mut offset = ClockOffset::default();
@@ -37,16 +42,16 @@
         offset.record_report(7, now + HOUR, now);
         offset.record_commit(8, now - HOUR, now);
     }
-    assert_eq!(offset.offset(), 0, "one machine's own clock is wrong");
+    assert_eq!(offset.offset(), 0, "only one machine's clock is wrong");
     for machine in 0..3 {
         offset.record_report(machine, 99 * HOUR, 12 * HOUR);
         offset.record_commit(machine, 0, 12 * HOUR);
         record_rounds(&mut offset, 0, 1);
     }
-    assert_eq!(offset.offset(), 0, "stray samples");
+    assert_eq!(offset.offset(), 0, "single outliers");
 }
 
-/// Replicas that lag look like machines with a slow clock.
+/// Guards against treating lagging replicas as machines whose clock is behind.
 #[test]
 fn stale_data_is_not_mistaken_for_a_slow_clock() {
     let mut offset = ClockOffset::default();
--- a/crates/statistics/tests/histogram.rs
+++ b/crates/statistics/tests/histogram.rs
@@ -1,8 +1,8 @@
-//! Quantiles of durations.
+//! Tests of duration quantiles.
 
 use aldermill_statistics::Histogram;
 
-/// Slow responses must not all fall into the last bin.
+/// Guards against bins so narrow that responses of several seconds all fall into the last one.
 #[test]
 fn quantiles_distinguish_durations_of_seconds() {
     let median = |duration| Histogram::from_estimate(duration, 4).quantile(0.5).unwrap();
