--- a/crates/warm-start/src/lib.rs
+++ b/crates/warm-start/src/lib.rs
@@ -1,18 +1,20 @@
-//! What a proxy saves for its next start, and what of it is used after a restart.
+//! Decides which state of a proxy is saved for its next start, and which saved state is used after a
+//! restart.
 //!
-//! - **Job:** decides which records to write so that the disk holds the newest [`StateSnapshot`], and which of the
-//!   records that a former start wrote may still be used.
+//! - **Purpose:** decides which records to write so that the disk holds the newest
+//!   [`StateSnapshot`], and which records of an earlier start may still be used.
 //! - **Inputs:** [`SavedState::changes`] takes a snapshot; the outcome of each write is reported by
-//!   [`SavedState::writes_confirmed`] or [`SavedState::write_failed`]. [`restore`] takes the records of the data
-//!   directory.
-//! - **Outputs:** [`Change`]s to be written together, and a [`RestoredState`] or the reason why there is none, a
-//!   [`RestoreError`].
-//! - **Caller:** the `persistence` module of the proxy, which does the I/O by the `store` package.
-//! - **Assumptions:** changes take effect together or not at all, and in the order in which they were returned. `now` is
-//!   the Unix time; it may differ between starts by what a wall clock is off.
+//!   [`SavedState::writes_confirmed`] or [`SavedState::write_failed`]. [`restore`] takes the
+//!   records of the data directory.
+//! - **Outputs:** [`Change`]s, which must be written together, and a [`RestoredState`], or a
+//!   [`RestoreError`] that says why nothing is restored.
+//! - **Caller:** the `persistence` module of the proxy, which does the I/O through the `store` crate.
+//! - **Assumptions:** changes take effect together or not at all, and in the order in which they
+//!   were returned. `now` is the Unix time; it may jump between starts by the error of a wall
+//!   clock.
 //!
-//! A restored value is old: it has an age, and is used only where being wrong costs no more than not knowing. Nothing
-//! here does I/O or has a clock.
+//! Restored values are old: their age is known, and they are used only where a wrong value costs no
+//! more than a missing one. This crate does no I/O and has no clock.
 //!
 //! ```
 //! use aldermill_warm_start::{KnownPrimary, SavedState, StateSnapshot, restore};
@@ -45,5 +47,5 @@
 pub use saved_state::{Change, SavedState};
 pub use snapshot::{KnownPrimary, ServiceTime, StateSnapshot};
 
-/// Whole microseconds: an instant since 1970, or a span.
+/// A number of microseconds: an instant since the Unix epoch, or a duration.
 pub type Micros = i64;
--- a/crates/warm-start/src/namespace.rs
+++ b/crates/warm-start/src/namespace.rs
@@ -1,22 +1,28 @@
-//! The namespaces of the store. The numbers are part of the stored format and never change.
+//! Namespaces of the records in the store. The numbers are part of the stored format and must never
+//! change.
 
-/// Whose data directory it is; one record.
+/// The identity of the proxy that owns the data directory, in a single record.
 pub const IDENTITY: u32 = 1;
-/// The endpoint list: its revision under the empty key, each entry under the member's name.
+/// The endpoint list: its revision under the empty key, and each entry under the member's name.
 pub const ENDPOINT_LIST: u32 = 2;
-/// The primary of each group, by the group's number.
+/// The primary of each group, keyed by group number.
 pub const PRIMARIES: u32 = 3;
-/// The site of each group's primary, by the group's number.
+/// The site of each group's primary, keyed by group number.
 pub const HOME_SITES: u32 = 4;
-/// Service times of request classes and concurrency limits of members; one record.
+/// Service times of request classes and concurrency limits of members, in a single record.
 pub const SERVICE_TIMES: u32 = 5;
-/// Outcomes of remote requests. Written and read by the dispatcher's outcome log, in a format of its own.
+/// Outcomes of remote requests. The dispatcher's outcome log writes and reads these records, in a
+/// format of its own.
 pub const OUTCOME_LOG: u32 = 6;
-/// Until when the outcome log promises that no remote request runs without a record; format as for [`OUTCOME_LOG`].
+/// The time until which the outcome log promises that no remote request runs without a record. The
+/// format is that of [`OUTCOME_LOG`].
 pub const OUTCOME_LOG_PROMISES: u32 = 7;
-/// The highest term that this voter granted, by lease. Written and read by the proxy's coordination.
+/// The highest term granted by this voter, keyed by lease name. The proxy's coordination writes and
+/// reads these records.
 pub const GRANTED_TERMS: u32 = 8;
-/// The highest term of which a directive was accepted, by lease. Written and read by the proxy's coordination.
+/// The highest term under which a directive was accepted, keyed by lease name. The proxy's
+/// coordination writes and reads these records.
 pub const ACCEPTED_TERMS: u32 = 9;
-/// The plan for each site that is drained, by its name. Written and read by the proxy's coordination.
+/// The plan for each site that is drained, keyed by the site's name. The proxy's coordination
+/// writes and reads these records.
 pub const SITE_DRAINS: u32 = 10;
--- a/crates/warm-start/src/records.rs
+++ b/crates/warm-start/src/records.rs
@@ -1,4 +1,4 @@
-//! The form of the records that this package writes, as JSON, and of their keys.
+//! JSON format of the records that this crate writes, and format of their keys.
 
 use std::collections::BTreeMap;
 
@@ -7,51 +7,51 @@
 
 use crate::{Micros, ServiceTime};
 
-/// The version of the records' form. Records of a later one are left alone.
+/// Version of the record format. Records of a later version are not used and are left as they are.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// The key of a record that a namespace has only once.
+/// The empty key, used for a record that exists only once in its namespace.
 pub(crate) const SINGLE_RECORD_KEY: &[u8] = b"";
 
-/// Whose records they are.
+/// Identifies the proxy that owns the records.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Identity {
-    /// The proxy's name.
+    /// Name of the proxy.
     pub name: String,
     /// The [`FORMAT_VERSION`] of all records.
     pub format: u32,
 }
 
-/// All service times and concurrency limits; one record, as they change together.
+/// All service times and concurrency limits, in a single record because they change together.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct ServiceTimes {
-    /// When it was written.
+    /// When the record was written, as Unix time in microseconds.
     #[serde(rename = "at")]
     pub written_at: Micros,
-    /// By the request class's name.
+    /// Service times, keyed by the request class's name.
     #[serde(rename = "paces")]
     pub service_times: BTreeMap<String, ServiceTime>,
-    /// By the member's name, as a base-two logarithm.
+    /// Base-2 logarithms of the concurrency limits, keyed by the member's name.
     #[serde(rename = "windows")]
     pub concurrency_limits: BTreeMap<String, i32>,
 }
 
-/// The key of a group's record.
+/// Returns the key of a group's record: the group's number in decimal.
 pub(crate) fn encode_group_key(group: &u64) -> Vec<u8> {
     group.to_string().into_bytes()
 }
 
-/// The group that a key names, if it names one.
+/// Returns the group that a key names, or `None` if the key is not a group's number in decimal.
 pub(crate) fn decode_group_key(key: &[u8]) -> Option<u64> {
     std::str::from_utf8(key).ok()?.parse().ok()
 }
 
-/// A record's value.
+/// Serializes a record's value as JSON. A value that cannot be serialized becomes an empty record.
 pub(crate) fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     serde_json::to_vec(value).unwrap_or_default()
 }
 
-/// What a record's value says, if it can be read.
+/// Deserializes a record's value, or returns `None` if it is not valid.
 pub(crate) fn decode<T: DeserializeOwned>(value: &[u8]) -> Option<T> {
     serde_json::from_slice(value).ok()
 }
--- a/crates/warm-start/src/restore.rs
+++ b/crates/warm-start/src/restore.rs
@@ -1,57 +1,69 @@
-//! Reading the records of a former start.
+//! Restores state from the records of an earlier start.
 
 use thiserror::Error;
 
 use crate::records::{FORMAT_VERSION, Identity, SINGLE_RECORD_KEY, ServiceTimes, decode, decode_group_key};
 use crate::{KnownPrimary, Micros, StateSnapshot, namespace};
 
-/// A primary that was confirmed longer ago is not used. A wrong one costs a proxy one attempt for its group, so that
-/// even a guess of a day ago is cheaper than a search.
+/// A primary that was confirmed longer ago than this, in microseconds (24 h), is not used. A wrong
+/// primary costs a proxy one attempt for its group, so even a guess that is a day old is cheaper
+/// than a primary search.
 const PRIMARY_MAX_AGE: Micros = 24 * 3_600_000_000;
-/// Service times that were written longer ago are not used: those of another hour mislead.
+/// Service times that were written longer ago than this, in microseconds (10 min), are not used,
+/// because those of another hour are misleading.
 const SERVICE_TIMES_MAX_AGE: Micros = 600_000_000;
-/// How far ahead of the clock a record's time may be: clocks of machines differ, and may be stepped between two starts.
+/// How far a record's time may be ahead of the clock, in microseconds (1 s). The clocks of
+/// different machines differ, and a clock may be stepped between two starts.
 const MAX_CLOCK_AHEAD: Micros = 1_000_000;
 
-/// A record: its namespace, its key and its value.
+/// A record's namespace, key and value.
 type Record<'a> = (u32, &'a [u8], &'a [u8]);
 
-/// What is used of a former start.
+/// State that is restored from an earlier start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RestoredState {
-    /// What that start knew, without what is too old.
+    /// The state that the earlier start saved, without values that are too old.
     pub snapshot: StateSnapshot,
-    /// How long ago the newest of the primaries was confirmed; `None` without primaries.
+    /// Time since the newest confirmation of a primary, in microseconds and never negative; `None`
+    /// if no primary is restored.
     pub newest_confirmation_age: Option<Micros>,
-    /// Records that cannot be read, or are too old, or from the future.
+    /// Number of records that are not used: unreadable, of an unknown namespace, too old, dated in
+    /// the future, or endpoints without the revision of their list.
     pub unusable_records: usize,
 }
 
-/// Why nothing of a data directory is used.
+/// The reason why no record of a data directory is used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RestoreError {
-    /// Another proxy, of this name, wrote the records.
-    #[error("the data directory belongs to proxy {0}; give each proxy a directory of its own")]
+    /// The records were written by another proxy, whose name is given.
+    #[error("the data directory belongs to proxy {0}; configure a separate directory for each proxy")]
     OtherOwner(String),
-    /// A later version, with this record format, wrote the records.
+    /// The records were written by a later version of the program, in the given format version.
     #[error(
-        "the records have format {0}, which is newer than this program; run the newer version or name another directory"
+        "the records have format version {0}, which this version cannot read; run a newer version or configure another directory"
     )]
     NewerFormat(u32),
-    /// There are records, and none says whose they are.
-    #[error("the records do not name their owner; name an empty directory or one that this program wrote")]
+    /// There are records, but none of them identifies the owner.
+    #[error(
+        "the records do not identify their owner; configure an empty directory or one written by this program"
+    )]
     NoIdentity,
 }
 
-/// Reads the records of a data directory: namespace, key and value of each. No record at all is a new directory.
+/// Restores state from the records of a data directory, each given as namespace, key and value. A
+/// directory without records counts as new and restores an empty state.
+///
+/// `name` is the name of this proxy, and `now` is the Unix time in microseconds.
 ///
-/// Without it, a restarted proxy would search for every primary, try members that are gone, and reject clients until
-/// the endpoint list comes. The cost: where something has changed meanwhile, the first attempt for a group may go to a
-/// former primary.
+/// Without restored state, a restarted proxy would search for every primary, try members that are
+/// gone, and reject clients until the endpoint list arrives. The trade-off is that, if the primary
+/// of a group has changed in the meantime, the first attempt for this group may go to the former
+/// primary.
 ///
 /// # Errors
 ///
-/// The records are not this proxy's, which is called `name`, or not of a format that it can read.
+/// Returns a [`RestoreError`] if the records belong to another proxy, do not identify their owner,
+/// or have a format that this version cannot read.
 pub fn restore<'a>(
     name: &str,
     now: Micros,
@@ -91,7 +103,8 @@
 }
 
 impl RestoredState {
-    /// Takes a record in; whether it can be read and used, or is another module's.
+    /// Adds a record to the restored state. Returns `true` if the record was used, or if it is the
+    /// identity record or belongs to another module; `false` if it is unusable.
     fn apply_record(&mut self, now: Micros, (namespace, key, value): Record<'_>) -> bool {
         match namespace {
             namespace::IDENTITY
@@ -145,7 +158,8 @@
         Some(())
     }
 
-    /// Entries without a revision cannot be compared with a later list, and a revision without entries is no list.
+    /// Drops endpoints without a revision, which cannot be compared with a later list, and a
+    /// revision without endpoints, which is not a list.
     fn drop_incomplete_endpoint_list(&mut self) {
         if self.snapshot.revision.is_none() {
             self.unusable_records += self.snapshot.members.len();
--- a/crates/warm-start/src/saved_state.rs
+++ b/crates/warm-start/src/saved_state.rs
@@ -1,4 +1,5 @@
-//! What the disk holds of the snapshots handed to it, and what has to be written for the next one.
+//! Tracks which state the disk holds, and derives the changes that have to be written for the next
+//! snapshot.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,42 +8,46 @@
 use crate::records::{FORMAT_VERSION, Identity, SINGLE_RECORD_KEY, ServiceTimes, encode, encode_group_key};
 use crate::{Micros, StateSnapshot, namespace};
 
-/// Service times change with every attempt; they are written at most this often.
+/// Minimum time between two writes of service times, in microseconds (10 s). Service times change
+/// with every attempt.
 const SERVICE_TIMES_INTERVAL: Micros = 10_000_000;
 
-/// A record to be written or removed.
+/// A record to write or to remove.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// One of the numbers in [`namespace`].
+    /// The record's namespace, one of the numbers in [`namespace`].
     pub namespace: u32,
-    /// The record's key in its namespace.
+    /// The record's key within its namespace.
     pub key: Vec<u8>,
-    /// The value to be written; `None` removes the record.
+    /// The value to write; `None` removes the record.
     pub value: Option<Vec<u8>>,
 }
 
-/// Names a record: its namespace, and its key there.
+/// A record's namespace, and its key within the namespace.
 type RecordKey = (u32, Vec<u8>);
 
-/// What the disk holds, as far as it is known.
+/// The state that the disk holds, as far as is known.
 pub struct SavedState {
-    /// The name of this proxy.
+    /// Name of this proxy.
     name: String,
-    /// What was handed to the disk last; `None` while it is not known what the disk holds.
+    /// The snapshot that the disk was last given, with the service times and concurrency limits
+    /// that were last written; `None` while it is not known what the disk holds.
     last_snapshot: Option<StateSnapshot>,
-    /// Records that the disk may hold although the next snapshot may not have them.
+    /// Records that the disk may hold and that the next snapshot may not contain.
     possibly_stored: BTreeSet<RecordKey>,
     /// Records whose removal is not yet confirmed.
     unconfirmed_removals: BTreeSet<RecordKey>,
-    /// When service times were handed to the disk last.
+    /// When the disk was last given service times, as Unix time in microseconds; `None` before the
+    /// first time and after a failed write.
     service_times_submitted_at: Option<Micros>,
 }
 
 impl SavedState {
-    /// For a data directory with records of these keys. The first changes write the whole snapshot, and remove what the
-    /// snapshot does not have.
+    /// Creates the saved state of the proxy called `name` for a data directory that holds records
+    /// with the namespaces and keys `stored`. The first call of [`SavedState::changes`] writes the
+    /// whole snapshot, and removes all records of this crate that the snapshot does not contain.
     pub fn new(name: &str, stored: impl IntoIterator<Item = (u32, Vec<u8>)>) -> SavedState {
-        // Others, such as the outcome log, look after their own records.
+        // Other modules, such as the outcome log, maintain their own records.
         let is_own =
             |(namespace, _): &RecordKey| (namespace::IDENTITY..=namespace::SERVICE_TIMES).contains(namespace);
         SavedState {
@@ -54,8 +59,8 @@
         }
     }
 
-    /// A write was not confirmed. The disk may hold any record that it was ever given, so the next changes write the
-    /// whole snapshot.
+    /// Reports that a write was not confirmed. The disk may hold any record that it was ever given,
+    /// so the next call of [`SavedState::changes`] writes the whole snapshot.
     pub fn write_failed(&mut self) {
         let last_snapshot = self.last_snapshot.take().unwrap_or_default();
         let members =
@@ -69,12 +74,14 @@
         self.service_times_submitted_at = None;
     }
 
-    /// All changes that were returned are on the disk.
+    /// Reports that all changes returned so far are on the disk.
     pub fn writes_confirmed(&mut self) {
         self.unconfirmed_removals.clear();
     }
 
-    /// What is to be written, together, so that the disk holds this snapshot; nothing if it does already.
+    /// Returns the changes that must be written together so that the disk holds this snapshot;
+    /// empty if it already does. `now` is the Unix time in microseconds. Service times and
+    /// concurrency limits are left out if they were written less than 10 s ago.
     pub fn changes(&mut self, now: Micros, snapshot: StateSnapshot) -> Vec<Change> {
         let mut changes = Vec::new();
         if self.last_snapshot.is_none() {
@@ -93,7 +100,8 @@
         self.last_snapshot = Some(if service_times_due {
             snapshot
         } else {
-            // The disk still holds the former ones, and the next snapshot is compared with those.
+            // The disk still holds the previous values, and the next snapshot is compared with
+            // those.
             StateSnapshot {
                 service_times: previous.service_times,
                 concurrency_limits: previous.concurrency_limits,
@@ -103,7 +111,7 @@
         changes
     }
 
-    /// Removes records that the disk may hold and that are not written anew.
+    /// Adds removals of the records that the disk may hold and that `changes` does not write again.
     fn add_removals(&mut self, changes: &mut Vec<Change>) {
         for (namespace, key) in std::mem::take(&mut self.possibly_stored) {
             if !changes.iter().any(|change| change.namespace == namespace && change.key == key) {
@@ -115,7 +123,7 @@
     }
 }
 
-/// The changes to the endpoint list, the primaries and the home sites.
+/// Adds the changes to the endpoint list, the primaries and the home sites.
 fn add_collection_changes(changes: &mut Vec<Change>, previous: &StateSnapshot, snapshot: &StateSnapshot) {
     if snapshot.revision != previous.revision
         && let Some(revision) = snapshot.revision
@@ -164,12 +172,13 @@
     put_single_record(namespace::SERVICE_TIMES, &service_times)
 }
 
-/// Writes the record that its namespace has only once.
+/// Returns the change that writes the only record of its namespace with the empty key.
 fn put_single_record<T: Serialize>(namespace: u32, value: &T) -> Change {
     Change { namespace, key: SINGLE_RECORD_KEY.to_vec(), value: Some(encode(value)) }
 }
 
-/// Writes what is new or other in `current`, then removes what only `previous` has.
+/// Adds writes of the entries that are new or different in `current`, then removals of those that
+/// only `previous` contains.
 fn add_differences<K: Ord, V: PartialEq>(
     changes: &mut Vec<Change>,
     namespace: u32,
--- a/crates/warm-start/src/snapshot.rs
+++ b/crates/warm-start/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a proxy knows at one moment and saves.
+//! State of a proxy at one moment, as it is saved.
 
 use std::collections::BTreeMap;
 
@@ -6,40 +6,43 @@
 
 use crate::Micros;
 
-/// What a proxy knows at one moment, as far as its next start can use it.
+/// The state of a proxy at one moment, as far as its next start can use it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StateSnapshot {
-    /// The endpoint list's revision; `None` before there is a list.
+    /// The revision of the endpoint list; `None` before the first list.
     pub revision: Option<u64>,
-    /// The endpoint list's entries by the member's name, each as the JSON that discovery sent.
+    /// The entries of the endpoint list, keyed by the member's name. Each is the JSON that
+    /// discovery sent.
     pub members: BTreeMap<String, String>,
-    /// By the group's number.
+    /// The primary of each group, keyed by the group's number.
     pub primaries: BTreeMap<u64, KnownPrimary>,
-    /// The name of the site that has a group's primary, by the group's number.
+    /// The name of the site that has the group's primary, keyed by the group's number.
     pub home_sites: BTreeMap<u64, String>,
-    /// By the request class's name.
+    /// Service times, keyed by the request class's name.
     pub service_times: BTreeMap<String, ServiceTime>,
-    /// By the member's name: the base-two logarithm of the requests that may be in flight at it.
+    /// The base-2 logarithm of the number of requests that may be in flight at a member, keyed by
+    /// the member's name.
     pub concurrency_limits: BTreeMap<String, i32>,
 }
 
-/// The member that was a group's primary.
+/// The last known primary of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownPrimary {
     /// The member's name.
     pub member: String,
-    /// When its last answer or load report as primary was received, as a Unix time.
+    /// When the member's last response or load report as primary was received, as Unix time in
+    /// microseconds.
     #[serde(rename = "word")]
     pub confirmed_at: Micros,
 }
 
-/// How long attempts of a request class took.
+/// Quantiles of how long the attempts of a request class took.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceTime {
-    /// Half of the attempts took no longer.
+    /// The duration, in microseconds, that half of the attempts did not exceed.
     #[serde(rename = "usual")]
     pub median: Micros,
-    /// Nine tenths of the attempts took no longer.
+    /// The duration, in microseconds, that nine tenths of the attempts did not exceed.
     #[serde(rename = "slow")]
     pub p90: Micros,
 }
--- a/crates/warm-start/tests/pinned_records.rs
+++ b/crates/warm-start/tests/pinned_records.rs
@@ -1,4 +1,4 @@
-//! The records in the store, as programs of other versions wrote and read them.
+//! Tests that the stored records keep the format that other versions of the program write and read.
 
 use aldermill_warm_start::{
     Change, FORMAT_VERSION, KnownPrimary, SavedState, ServiceTime, StateSnapshot, namespace, restore,
@@ -6,7 +6,7 @@
 
 const NOW: i64 = 1_800_000_000_000_000;
 
-/// The namespace, the key and the value of each record.
+/// Namespace, key and value of each record.
 const RECORDS: [(u32, &str, &str); 8] = [
     (1, "", r#"{"name":"n1","format":1}"#),
     (2, "", "41"),
--- a/crates/warm-start/tests/restore.rs
+++ b/crates/warm-start/tests/restore.rs
@@ -1,4 +1,4 @@
-//! What was saved is restored as it was, with its age, or not at all.
+//! Tests that saved state is restored unchanged and with its age, or not at all.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 const SECOND: i64 = 1_000_000;
 const NOW: i64 = 1_800_000_000 * SECOND;
 
-/// What the disk holds, by namespace and key.
+/// The records on the disk, keyed by namespace and key.
 type StoredRecords = BTreeMap<(u32, Vec<u8>), Vec<u8>>;
 
 fn write_changes(
@@ -58,7 +58,11 @@
         (restored.snapshot, restored.newest_confirmation_age, restored.unusable_records),
         (snapshot(), Some(6 * SECOND), 0)
     );
-    assert_eq!(restore_from(&StoredRecords::new(), "n1", NOW), Ok(RestoredState::default()), "a new folder");
+    assert_eq!(
+        restore_from(&StoredRecords::new(), "n1", NOW),
+        Ok(RestoredState::default()),
+        "an empty data directory"
+    );
 }
 
 #[test]
@@ -85,11 +89,11 @@
     assert_eq!(later.snapshot.primaries.len(), 1);
     assert!(restore_from(&stored, "n1", NOW + 90_000 * SECOND).unwrap().snapshot.primaries.is_empty());
     let from_future = restore_from(&stored, "n1", NOW - 60 * SECOND).unwrap();
-    assert!(from_future.snapshot.primaries.is_empty(), "saved by a clock that was ahead");
+    assert!(from_future.snapshot.primaries.is_empty(), "saved under a clock that was ahead");
     stored.remove(&(namespace::ENDPOINT_LIST, vec![]));
     assert!(
         restore_from(&stored, "n1", NOW).unwrap().snapshot.members.is_empty(),
-        "no list without its revision"
+        "endpoints without a revision are not restored"
     );
 }
 
@@ -102,7 +106,8 @@
     saved.write_failed();
     write_changes(&mut stored, &mut saved, NOW + SECOND, &reduced);
     assert_eq!(restore_from(&stored, "n1", NOW + SECOND).unwrap().snapshot, reduced);
-    // A removal that never reached the disk is repeated, and a start removes records that it has no use for.
+    // A removal that never reached the disk is repeated, and a new start removes records that it
+    // does not need.
     reduced.members.clear();
     saved.changes(NOW + SECOND, reduced.clone());
     saved.write_failed();
@@ -145,7 +150,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(41), ..ProptestConfig::default() })]
 
-    /// Whatever snapshots follow each other, with failed writes in between: the disk holds the last one.
+    /// Checks, for random sequences of snapshots and failed writes, that the disk holds the last
+    /// snapshot that was written.
     #[test]
     fn the_disk_holds_the_last_snapshot_whichever_writes_fail(steps in vec((arbitrary_snapshot(), 0i64..30, any::<bool>()), 1..12)) {
         let (mut stored, mut saved, mut now) = (StoredRecords::new(), SavedState::new("n1", []), NOW);
@@ -171,7 +177,8 @@
         }
     }
 
-    /// Arbitrary bytes are used, left out or refused, and never end the program.
+    /// Checks that records of arbitrary bytes are used, ignored or rejected, and never cause a
+    /// panic.
     #[test]
     fn restoring_arbitrary_bytes_never_panics(records in vec((0u32..7, vec(any::<u8>(), 0..9), vec(any::<u8>(), 0..40)), 0..20)) {
         let identity = (namespace::IDENTITY, vec![], br#"{"name":"n1","format":1}"#.to_vec());
