--- a/crates/stall-detection/tests/stall_detection.rs
+++ b/crates/stall-detection/tests/stall_detection.rs
@@ -1,4 +1,5 @@
-//! Stalls are noticed, bytes received meanwhile are dated, and starts are spread.
+//! Tests that stalls are detected, that the receipt of data read after a stall is bounded, and that
+//! starts are spread over time.
 
 use aldermill_stall_detection::start_jitter::{retry_delay, start_delay};
 use aldermill_stall_detection::{Micros, ReceiptBounds, STALL_THRESHOLD, StallDetector};
@@ -17,28 +18,33 @@
     detector
 }
 
-/// A process that runs must not throw away what it measures.
+/// Guards against false positives: they would discard the measurements of a process that runs
+/// normally.
 #[test]
 fn a_running_loop_is_never_taken_for_stalled() {
     let mut detector = StallDetector::new(0);
     (0..1000).for_each(|step| detector.observe(step * 20 * MS));
     assert_eq!(
-        (detector.stalled_for(), detector.stalled_since(0), detector.receipt_bounds(20_000 * MS, 0, None)),
+        (
+            detector.total_stalled_time(),
+            detector.stalled_since(0),
+            detector.receipt_bounds(20_000 * MS, 0, None)
+        ),
         (0, false, None)
     );
 }
 
-/// Others must not be blamed for a pause of this process.
+/// Guards against blaming other processes for a pause of this one.
 #[test]
 fn unstalled_time_leaves_out_the_stall() {
     let detector = stalled_from_100_to_2600_ms();
-    assert_eq!(detector.stalled_for(), 2_500 * MS);
+    assert_eq!(detector.total_stalled_time(), 2_500 * MS);
     assert_eq!(detector.unstalled_time(50 * MS, 2_700 * MS), 150 * MS);
     assert_eq!(detector.unstalled_time(1_000 * MS, 2_000 * MS), 0);
     assert_eq!(detector.unstalled_time(2_600 * MS, 2_700 * MS), 100 * MS);
 }
 
-/// What arrived during a stall must not pass for new.
+/// Guards against treating data that was received during a stall as new.
 #[test]
 fn bytes_read_after_a_stall_are_dated_by_the_system_or_else_by_the_last_step() {
     let detector = stalled_from_100_to_2600_ms();
@@ -47,30 +53,34 @@
         detector.receipt_bounds(now, 90 * MS, Some(1_000 * MS)),
         Some(ReceiptBounds { earliest: 100 * MS, latest: 1_610 * MS })
     );
-    assert_eq!(detector.receipt_bounds(now, 90 * MS, Some(5 * MS)), None, "it came after waking");
+    assert_eq!(detector.receipt_bounds(now, 90 * MS, Some(5 * MS)), None, "received after the stall ended");
     assert_eq!(
         detector.receipt_bounds(now, 90 * MS, Some(9_000 * MS)),
         Some(ReceiptBounds { earliest: 100 * MS, latest: 100 * MS }),
-        "no older than the last step"
+        "not received before the last step"
     );
     assert_eq!(
         detector.receipt_bounds(now, 90 * MS, None),
         Some(ReceiptBounds { earliest: 100 * MS, latest: 100 * MS })
     );
-    assert_eq!(detector.receipt_bounds(now, 2_605 * MS, None), None, "it was read since");
+    assert_eq!(
+        detector.receipt_bounds(now, 2_605 * MS, None),
+        None,
+        "the connection was read after the stall"
+    );
     assert_eq!(
         detector.receipt_bounds(9_000 * MS, 90 * MS, None),
         None,
-        "all that came meanwhile has long been read"
+        "data received during the stall must have been read long ago"
     );
     assert_eq!(
         detector.receipt_bounds(9_000 * MS, 90 * MS, Some(7_000 * MS)),
         Some(ReceiptBounds { earliest: 100 * MS, latest: 2_000 * MS }),
-        "but for what has not"
+        "the system reports data from the stall that was not read"
     );
 }
 
-/// A short run between two stalls must not make older bytes look newer.
+/// Guards against dating older bytes too late because the loop ran briefly between two stalls.
 #[test]
 fn stalls_in_a_row_are_dated_from_the_first() {
     let mut detector = stalled_from_100_to_2600_ms();
@@ -81,58 +91,61 @@
     );
 }
 
-/// A fleet that restarts together must not overload what all of them ask.
+/// Guards against overloading discovery when a whole fleet restarts at once.
 #[test]
 fn of_28_processes_out_of_40_few_start_in_any_100_ms_and_all_within_the_grace() {
     for seed in 0..300 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let of = rand::seq::index::sample(&mut rng, 40, 28);
-        let waits: Vec<Micros> =
-            of.iter().map(|of| start_delay(&format!("n{of}"), 40, 500 * MS, &mut rng)).collect();
-        let near = |&from: &Micros| waits.iter().filter(|&&at| (from..from + 100 * MS).contains(&at)).count();
-        let most = waits.iter().map(near).max().unwrap();
-        assert!(most <= 13, "{most} of 28 with seed {seed}");
+        let sampled = rand::seq::index::sample(&mut rng, 40, 28);
+        let delays: Vec<Micros> =
+            sampled.iter().map(|number| start_delay(&format!("n{number}"), 40, 500 * MS, &mut rng)).collect();
+        let near =
+            |&from: &Micros| delays.iter().filter(|&&at| (from..from + 100 * MS).contains(&at)).count();
+        let max_starts = delays.iter().map(near).max().unwrap();
+        assert!(max_starts <= 13, "{max_starts} of 28 processes start within 100 ms, seed {seed}");
     }
 }
 
-/// A delay helps nobody where there is nobody to avoid, and is bounded for any name.
+/// Guards against a needless delay for a single process, and against delays beyond the limit for
+/// any form of name.
 #[test]
 fn a_single_process_does_not_wait_and_no_delay_exceeds_its_window() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     assert_eq!(start_delay("n0", 1, 500 * MS, &mut rng), 0);
     for name in ["", "gate", "n4294967296", "n7", "ü9"] {
         for processes in [2, 40, 300] {
-            let waits = start_delay(name, processes, 500 * MS, &mut rng);
-            assert!((0..=30 * MS * (processes as Micros - 1)).contains(&waits) && waits <= 350 * MS);
+            let delay = start_delay(name, processes, 500 * MS, &mut rng);
+            assert!((0..=30 * MS * (processes as Micros - 1)).contains(&delay) && delay <= 350 * MS);
         }
     }
-    let tried: Vec<Micros> = (0..100).map(|_| retry_delay(1_000, &mut rng)).collect();
-    assert!(tried.iter().all(|&wait| (500..=1_000).contains(&wait)));
+    let retry_delays: Vec<Micros> = (0..100).map(|_| retry_delay(1_000, &mut rng)).collect();
+    assert!(retry_delays.iter().all(|&delay| (500..=1_000).contains(&delay)));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(41), ..ProptestConfig::default() })]
 
-    /// Whatever the steps of the loop: time is stalled or unstalled, and no receipt is dated into the future, before the loop
-    /// last ran, or at all without a stall.
+    /// Checks, for random intervals between runs of the loop, that all time is either stalled or
+    /// unstalled, and that no bytes are dated into the future or before the loop last ran, and none
+    /// at all without a stall.
     #[test]
-    fn time_is_stalled_or_unstalled_and_no_receipt_is_in_the_future(steps in vec(MS..400 * MS, 1..60), last in 0usize..60, age in proptest::option::of(0..9_000 * MS)) {
-        let (mut detector, mut now, mut steps_at, mut stalled) = (StallDetector::new(0), 0, vec![0], 0);
-        for &step in &steps {
-            now += step;
-            stalled += if step > STALL_THRESHOLD { step } else { 0 };
+    fn time_is_stalled_or_unstalled_and_no_receipt_is_in_the_future(intervals in vec(MS..400 * MS, 1..60), last_read_index in 0usize..60, age in proptest::option::of(0..9_000 * MS)) {
+        let (mut detector, mut now, mut observed_at, mut stalled) = (StallDetector::new(0), 0, vec![0], 0);
+        for &interval in &intervals {
+            now += interval;
+            stalled += if interval > STALL_THRESHOLD { interval } else { 0 };
             detector.observe(now);
-            steps_at.push(now);
+            observed_at.push(now);
         }
-        prop_assert_eq!(detector.stalled_for(), stalled);
-        let recent = steps_at[steps_at.len().saturating_sub(20)];
-        let unstalled = detector.unstalled_time(recent, now);
-        prop_assert!((0..=now - recent).contains(&unstalled));
-        let read = steps_at[last.min(steps_at.len() - 1)];
-        if let Some(ReceiptBounds { earliest, latest }) = detector.receipt_bounds(now, read, age) {
-            prop_assert!(steps_at.contains(&earliest) && earliest <= latest);
-            prop_assert!(latest <= now && detector.stalled_since(read));
-            prop_assert!(age.is_none_or(|age| latest >= now - age), "never older than the system says");
+        prop_assert_eq!(detector.total_stalled_time(), stalled);
+        let since = observed_at[observed_at.len().saturating_sub(20)];
+        let unstalled = detector.unstalled_time(since, now);
+        prop_assert!((0..=now - since).contains(&unstalled));
+        let last_read_at = observed_at[last_read_index.min(observed_at.len() - 1)];
+        if let Some(ReceiptBounds { earliest, latest }) = detector.receipt_bounds(now, last_read_at, age) {
+            prop_assert!(observed_at.contains(&earliest) && earliest <= latest);
+            prop_assert!(latest <= now && detector.stalled_since(last_read_at));
+            prop_assert!(age.is_none_or(|age| latest >= now - age), "not dated before the time reported by the system");
         }
     }
 }
--- a/crates/warm-start/tests/pinned_records.rs
+++ b/crates/warm-start/tests/pinned_records.rs
@@ -1,12 +1,12 @@
-//! The records in the store, as programs of other versions wrote and read them.
+//! Tests that the stored records keep the format that other versions of the program write and read.
 
 use aldermill_warm_start::{
-    Change, FORMAT, KnownPrimary, SavedState, ServiceTime, StateSnapshot, namespace, restore,
+    Change, FORMAT_VERSION, KnownPrimary, SavedState, ServiceTime, StateSnapshot, namespace, restore,
 };
 
 const NOW: i64 = 1_800_000_000_000_000;
 
-/// The namespace, the key and the value of each record.
+/// Namespace, key and value of each record.
 const RECORDS: [(u32, &str, &str); 8] = [
     (1, "", r#"{"name":"n1","format":1}"#),
     (2, "", "41"),
@@ -77,5 +77,5 @@
         namespace::SITE_DRAINS,
     ];
     assert_eq!(others, [6, 7, 8, 9, 10]);
-    assert_eq!(FORMAT, 1);
+    assert_eq!(FORMAT_VERSION, 1);
 }
