--- a/crates/membership/src/actions.rs
+++ b/crates/membership/src/actions.rs
@@ -71,7 +71,7 @@
 }
 
 impl DroppedDatagrams {
-    pub(crate) fn count(&mut self, reason: RejectReason) {
+    pub(crate) fn increment(&mut self, reason: RejectReason) {
         let counter = match reason {
             RejectReason::NotMembership => &mut self.not_membership,
             RejectReason::UnsupportedVersion => &mut self.unsupported_version,
--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -38,15 +38,15 @@
 
 /// A message could not be read, or does not fit where it is written to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Malformed;
+pub struct CodecError;
 
-impl fmt::Display for Malformed {
+impl fmt::Display for CodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("malformed datagram")
     }
 }
 
-impl std::error::Error for Malformed {}
+impl std::error::Error for CodecError {}
 
 /// Reads and writes SWIM's messages. Clones share what they know: who listens here, and whether this name was seen with a
 /// later start.
@@ -85,9 +85,9 @@
 }
 
 impl foca::Codec<Peer> for GossipCodec {
-    type Error = Malformed;
+    type Error = CodecError;
 
-    fn encode_header(&mut self, header: &Header<Peer>, mut buf: impl BufMut) -> Result<(), Malformed> {
+    fn encode_header(&mut self, header: &Header<Peer>, mut buf: impl BufMut) -> Result<(), CodecError> {
         put_peer(&header.src, &mut buf)?;
         require_space(&buf, 2)?;
         buf.put_u16(header.src_incarnation);
@@ -96,7 +96,7 @@
         put_message(&header.message, &mut buf)
     }
 
-    fn decode_header(&mut self, mut buf: impl Buf) -> Result<Header<Peer>, Malformed> {
+    fn decode_header(&mut self, mut buf: impl Buf) -> Result<Header<Peer>, CodecError> {
         let src = get_peer(&mut buf)?;
         require_bytes(&buf, 2)?;
         let src_incarnation = buf.get_u16();
@@ -109,7 +109,7 @@
         Ok(Header { src, src_incarnation, dst, message })
     }
 
-    fn encode_member(&mut self, member: &Member<Peer>, mut buf: impl BufMut) -> Result<(), Malformed> {
+    fn encode_member(&mut self, member: &Member<Peer>, mut buf: impl BufMut) -> Result<(), CodecError> {
         put_peer(member.id(), &mut buf)?;
         require_space(&buf, 3)?;
         buf.put_u16(member.incarnation());
@@ -121,7 +121,7 @@
         Ok(())
     }
 
-    fn decode_member(&mut self, mut buf: impl Buf) -> Result<Member<Peer>, Malformed> {
+    fn decode_member(&mut self, mut buf: impl Buf) -> Result<Member<Peer>, CodecError> {
         let peer = get_peer(&mut buf)?;
         require_bytes(&buf, 3)?;
         let incarnation = buf.get_u16();
@@ -129,28 +129,28 @@
             state::ALIVE => State::Alive,
             state::SUSPECT => State::Suspect,
             state::DOWN => State::Down,
-            _ => return Err(Malformed),
+            _ => return Err(CodecError),
         };
         if peer.name.is_empty() {
-            return Err(Malformed);
+            return Err(CodecError);
         }
         self.note_later_start(&peer);
         Ok(Member::new(peer, incarnation, state))
     }
 }
 
-fn require_bytes(buf: &impl Buf, bytes: usize) -> Result<(), Malformed> {
-    if buf.remaining() < bytes { Err(Malformed) } else { Ok(()) }
+fn require_bytes(buf: &impl Buf, bytes: usize) -> Result<(), CodecError> {
+    if buf.remaining() < bytes { Err(CodecError) } else { Ok(()) }
 }
 
-fn require_space(buf: &impl BufMut, bytes: usize) -> Result<(), Malformed> {
-    if buf.remaining_mut() < bytes { Err(Malformed) } else { Ok(()) }
+fn require_space(buf: &impl BufMut, bytes: usize) -> Result<(), CodecError> {
+    if buf.remaining_mut() < bytes { Err(CodecError) } else { Ok(()) }
 }
 
-pub(crate) fn put_peer(peer: &Peer, buf: &mut impl BufMut) -> Result<(), Malformed> {
+pub(crate) fn put_peer(peer: &Peer, buf: &mut impl BufMut) -> Result<(), CodecError> {
     let name = peer.name.as_bytes();
     if name.len() > MAX_NAME_BYTES {
-        return Err(Malformed);
+        return Err(CodecError);
     }
     // The lengths of the name, its length, the start, the rejoins, the address's length, the longest address and the port.
     require_space(buf, 1 + name.len() + 8 + 2 + 1 + 16 + 2)?;
@@ -172,15 +172,15 @@
     Ok(())
 }
 
-pub(crate) fn get_peer(buf: &mut impl Buf) -> Result<Peer, Malformed> {
+pub(crate) fn get_peer(buf: &mut impl Buf) -> Result<Peer, CodecError> {
     require_bytes(buf, 1)?;
     let name_length = usize::from(buf.get_u8());
     // The start, the rejoins and the address's length.
     require_bytes(buf, name_length + 8 + 2 + 1)?;
     let mut name = [0; MAX_NAME_BYTES];
-    let name = name.get_mut(..name_length).ok_or(Malformed)?;
+    let name = name.get_mut(..name_length).ok_or(CodecError)?;
     buf.copy_to_slice(name);
-    let name = std::str::from_utf8(name).map_err(|_| Malformed)?;
+    let name = std::str::from_utf8(name).map_err(|_| CodecError)?;
     let start = buf.get_u64();
     let rejoins = buf.get_u16();
     let address_length = buf.get_u8();
@@ -188,27 +188,27 @@
     let ip: IpAddr = match address_length {
         IPV4_BYTES => buf.get_u32().to_be_bytes().into(),
         IPV6_BYTES => buf.get_u128().to_be_bytes().into(),
-        _ => return Err(Malformed),
+        _ => return Err(CodecError),
     };
     let address = SocketAddr::new(ip, buf.get_u16());
     Ok(Peer { name: name.into(), start, rejoins, address })
 }
 
-fn put_message(message: &Message<Peer>, buf: &mut impl BufMut) -> Result<(), Malformed> {
+fn put_message(message: &Message<Peer>, buf: &mut impl BufMut) -> Result<(), CodecError> {
     match message {
-        Message::Ping(probe_number) => put_numbered(kind::PING, *probe_number, buf),
-        Message::Ack(probe_number) => put_numbered(kind::ACK, *probe_number, buf),
+        Message::Ping(probe_number) => put_probe(kind::PING, *probe_number, buf),
+        Message::Ack(probe_number) => put_probe(kind::ACK, *probe_number, buf),
         Message::PingReq { target, probe_number } => {
-            put_relayed(kind::PING_REQUEST, *probe_number, target, buf)?;
+            put_relayed_probe(kind::PING_REQUEST, *probe_number, target, buf)?;
         }
         Message::IndirectPing { origin, probe_number } => {
-            put_relayed(kind::INDIRECT_PING, *probe_number, origin, buf)?;
+            put_relayed_probe(kind::INDIRECT_PING, *probe_number, origin, buf)?;
         }
         Message::IndirectAck { target, probe_number } => {
-            put_relayed(kind::INDIRECT_ACK, *probe_number, target, buf)?;
+            put_relayed_probe(kind::INDIRECT_ACK, *probe_number, target, buf)?;
         }
         Message::ForwardedAck { origin, probe_number } => {
-            put_relayed(kind::FORWARDED_ACK, *probe_number, origin, buf)?;
+            put_relayed_probe(kind::FORWARDED_ACK, *probe_number, origin, buf)?;
         }
         Message::Announce => buf.put_u8(kind::ANNOUNCE),
         Message::Feed => buf.put_u8(kind::FEED),
@@ -219,19 +219,24 @@
     Ok(())
 }
 
-fn put_numbered(kind: u8, probe_number: u8, buf: &mut impl BufMut) {
+fn put_probe(kind: u8, probe_number: u8, buf: &mut impl BufMut) {
     buf.put_u8(kind);
     buf.put_u8(probe_number);
 }
 
 /// A probe that another proxy relays: `peer` is whom it is for, or whom it comes from.
-fn put_relayed(kind: u8, probe_number: u8, peer: &Peer, buf: &mut impl BufMut) -> Result<(), Malformed> {
+fn put_relayed_probe(
+    kind: u8,
+    probe_number: u8,
+    peer: &Peer,
+    buf: &mut impl BufMut,
+) -> Result<(), CodecError> {
     require_space(buf, 2)?;
-    put_numbered(kind, probe_number, buf);
+    put_probe(kind, probe_number, buf);
     put_peer(peer, buf)
 }
 
-fn get_message(buf: &mut impl Buf) -> Result<Message<Peer>, Malformed> {
+fn get_message(buf: &mut impl Buf) -> Result<Message<Peer>, CodecError> {
     require_bytes(buf, 1)?;
     let kind = buf.get_u8();
     match kind {
@@ -241,7 +246,7 @@
         kind::BROADCAST => return Ok(Message::Broadcast),
         kind::TURN_UNDEAD => return Ok(Message::TurnUndead),
         kind::PING..=kind::FORWARDED_ACK => {}
-        _ => return Err(Malformed),
+        _ => return Err(CodecError),
     }
     require_bytes(buf, 1)?;
     let probe_number = buf.get_u8();
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -45,7 +45,7 @@
     /// Periods for a fleet of that size on one site: a suspicion needs about the logarithm of the size, in rounds, to reach
     /// everybody.
     #[must_use]
-    pub fn for_fleet_of(size: usize) -> ProtocolPeriods {
+    pub fn for_fleet_size(size: usize) -> ProtocolPeriods {
         let rounds = (size.max(2) as f64).log10().max(1.0);
         let suspicion_timeout = Self::SUSPICION_FACTOR * rounds * Self::PROBE_INTERVAL as f64;
         ProtocolPeriods {
--- a/crates/membership/src/frame.rs
+++ b/crates/membership/src/frame.rs
@@ -37,7 +37,7 @@
 pub const HEADER_BYTES: usize = 12;
 const MAGIC: u16 = 0xA1DF;
 /// Space for a peer and what surrounds it; only a hint for the allocation.
-const PEER_CAPACITY: usize = 128;
+const PEER_CAPACITY_HINT: usize = 128;
 
 const GOSSIP: u8 = 0;
 const LATER_START: u8 = 1;
@@ -96,7 +96,7 @@
     LaterStart(Peer),
 }
 
-fn header(fleet_tag: u64, kind: u8, content_capacity: usize) -> Vec<u8> {
+fn encode_header(fleet_tag: u64, kind: u8, content_capacity: usize) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_BYTES + content_capacity);
     bytes.put_u16(MAGIC);
     bytes.put_u8(VERSION);
@@ -108,7 +108,7 @@
 /// The datagram of a SWIM message.
 #[must_use]
 pub fn encode_gossip(fleet_tag: u64, message: &[u8]) -> Vec<u8> {
-    let mut bytes = header(fleet_tag, GOSSIP, message.len());
+    let mut bytes = encode_header(fleet_tag, GOSSIP, message.len());
     bytes.extend_from_slice(message);
     bytes
 }
@@ -116,7 +116,7 @@
 /// The datagram of another package's payload.
 #[must_use]
 pub fn encode_payload(fleet_tag: u64, sender: &Peer, payload: &[u8]) -> Vec<u8> {
-    let mut bytes = header(fleet_tag, PAYLOAD, PEER_CAPACITY + payload.len());
+    let mut bytes = encode_header(fleet_tag, PAYLOAD, PEER_CAPACITY_HINT + payload.len());
     // A vector takes everything but a name that is too long, which the operator's file does not allow.
     let _ = put_peer(sender, &mut bytes);
     bytes.extend_from_slice(payload);
@@ -126,7 +126,7 @@
 /// The datagram that tells a process that its name has this later start.
 #[must_use]
 pub fn encode_later_start(fleet_tag: u64, later: &Peer) -> Vec<u8> {
-    let mut bytes = header(fleet_tag, LATER_START, PEER_CAPACITY);
+    let mut bytes = encode_header(fleet_tag, LATER_START, PEER_CAPACITY_HINT);
     // A vector takes everything but a name that is too long, and such a one was never read.
     let _ = put_peer(later, &mut bytes);
     bytes
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -25,7 +25,7 @@
 //!     },
 //!     seeds: vec![SeedAddress { name: None, address: "10.0.0.2:7946".parse()? }],
 //!     networks: vec!["10.0.0.0/8".parse()?],
-//!     periods: ProtocolPeriods::for_fleet_of(2),
+//!     periods: ProtocolPeriods::for_fleet_size(2),
 //!     fleet_size: 2,
 //! };
 //! let (membership, actions) = Membership::start(0, config, 7);
@@ -51,7 +51,7 @@
 mod timer_queue;
 
 pub use actions::{Actions, Change, DroppedDatagrams, OutgoingDatagram, ReceivedPayload};
-pub use codec::{GossipCodec, Malformed};
+pub use codec::{CodecError, GossipCodec};
 pub use config::{Config, LocalPeer, ProtocolPeriods, SeedAddress};
 pub use membership::Membership;
 pub use peer::Peer;
--- a/crates/membership/src/live_count.rs
+++ b/crates/membership/src/live_count.rs
@@ -5,7 +5,7 @@
 use crate::{Micros, Snapshot};
 
 /// How long a higher number of live proxies is remembered, to tell whether this may be the smaller part of a divided fleet.
-const PEAK_MEMORY: Micros = 600_000_000;
+const PEAK_RETENTION: Micros = 600_000_000;
 /// How long after a stall, or the start, silence of others proves nothing: what is read first may have waited since before.
 const SETTLING_TIME: Micros = 2_000_000;
 
@@ -58,7 +58,7 @@
     }
 
     pub(crate) fn snapshot(&self, now: Micros) -> Snapshot {
-        let recent = self.peaks.iter().filter(|peak| now - peak.ended_at <= PEAK_MEMORY);
+        let recent = self.peaks.iter().filter(|peak| now - peak.ended_at <= PEAK_RETENTION);
         let recent_peak = recent.map(|peak| peak.alive).max().unwrap_or(0).max(self.alive);
         Snapshot {
             alive: self.alive,
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -18,7 +18,7 @@
 use crate::live_count::LiveCount;
 use crate::local_health::LocalHealth;
 use crate::seeds::Seeds;
-use crate::start_number::StartNumber;
+use crate::start_number::StartNumberAssigner;
 use crate::timer_queue::TimerQueue;
 use crate::{Micros, Peer, Snapshot};
 
@@ -32,9 +32,9 @@
 const MIN_TRANSMISSIONS: f64 = 2.0;
 const MAX_TRANSMISSIONS: f64 = 40.0;
 /// How often a random live proxy is asked whom it knows, which heals what gossip has missed.
-const MEMBER_REQUEST_INTERVAL: Duration = Duration::from_secs(20);
+const PEER_LIST_REQUEST_INTERVAL: Duration = Duration::from_secs(20);
 /// How long a proxy that was declared dead is remembered, so that old gossip does not revive it.
-const DOWN_MEMORY: Duration = Duration::from_secs(3600);
+const DOWN_RETENTION: Duration = Duration::from_secs(3600);
 
 type Swim = Foca<Peer, GossipCodec, Pcg64Mcg, NoCustomBroadcast>;
 
@@ -52,10 +52,10 @@
     dropped: DroppedDatagrams,
     timers: TimerQueue,
     catch_up: CatchUp,
-    start_number: StartNumber,
+    start_number_assigner: StartNumberAssigner,
     rng: Pcg64Mcg,
     /// It has left, or a later start has its name: it neither sends nor takes anything.
-    is_silent: bool,
+    is_stopped: bool,
     /// What the running call returns in the end.
     actions: Actions,
 }
@@ -63,31 +63,31 @@
 impl Membership {
     /// Joins the fleet: the first actions announce this proxy to some of the seeds. Equal seeds of the random numbers give
     /// equal runs.
-    pub fn start(now: Micros, config: Config, seed: u64) -> (Membership, Actions) {
+    pub fn start(now: Micros, config: Config, rng_seed: u64) -> (Membership, Actions) {
         let Config { local, seeds, networks, periods, fleet_size } = config;
         let LocalPeer { fleet, name, address, start } = local;
         let peer = Peer { name: name.as_str().into(), start, rejoins: 0, address };
         let codec = GossipCodec::new(peer.clone());
         let swim_config = swim_config(periods, fleet_size);
-        let swim = Foca::new(peer, swim_config, Pcg64Mcg::seed_from_u64(seed), codec.clone());
+        let swim = Foca::new(peer, swim_config, Pcg64Mcg::seed_from_u64(rng_seed), codec.clone());
         let named = |seed: &SeedAddress| Some((seed.name.clone()?, seed.address));
         let named_addresses = seeds.iter().filter_map(named).collect();
-        let others = seeds.into_iter().filter(|seed| seed.name.as_deref() != Some(&name)).collect();
+        let other_seeds = seeds.into_iter().filter(|seed| seed.name.as_deref() != Some(&name)).collect();
         let mut membership = Membership {
             swim,
             codec,
             fleet_tag: frame::fleet_tag(&fleet),
             networks,
-            seeds: Seeds::start(now, others),
+            seeds: Seeds::start(now, other_seeds),
             named_addresses,
             local_health: LocalHealth::default(),
             live_count: LiveCount::start(now),
             dropped: DroppedDatagrams::default(),
             timers: TimerQueue::default(),
             catch_up: CatchUp::start(now),
-            start_number: StartNumber::at(now),
-            rng: Pcg64Mcg::seed_from_u64(seed.rotate_left(17)),
-            is_silent: false,
+            start_number_assigner: StartNumberAssigner::new(now),
+            rng: Pcg64Mcg::seed_from_u64(rng_seed.rotate_left(17)),
+            is_stopped: false,
             actions: Actions::default(),
         };
         let actions = membership.wake(now);
@@ -121,7 +121,7 @@
     /// its address is not known, or this proxy is silent. As any datagram it may be lost.
     #[must_use]
     pub fn encode_payload(&self, to: &str, payload: &[u8]) -> Option<OutgoingDatagram> {
-        if self.is_silent {
+        if self.is_stopped {
             return None;
         }
         let announced = || self.alive().find(|peer| *peer.name == *to).map(|peer| peer.address);
@@ -131,7 +131,7 @@
 
     /// Takes a datagram that came from this address. One that is malformed or not for this proxy is counted and dropped.
     pub fn receive(&mut self, now: Micros, from: IpAddr, datagram: &[u8]) -> Actions {
-        if self.is_silent {
+        if self.is_stopped {
             return Actions::default();
         }
         if !self.networks.iter().any(|network| network.contains(&from)) {
@@ -139,7 +139,7 @@
             return self.take_actions(now);
         }
         match frame::decode(self.fleet_tag, datagram) {
-            Err(reason) => self.dropped.count(reason),
+            Err(reason) => self.dropped.increment(reason),
             Ok(Content::LaterStart(peer)) => self.receive_later_start(now, peer),
             Ok(Content::Payload { sender, payload }) => {
                 if !self.reject_earlier_start(&sender) {
@@ -159,7 +159,7 @@
     fn receive_later_start(&mut self, now: Micros, later: Peer) {
         let local = self.swim.identity();
         if later.name == local.name && later.start > local.start {
-            self.yield_or_supersede(now, later);
+            self.resolve_name_conflict(now, later);
         } else {
             self.dropped.unusable += 1;
         }
@@ -185,54 +185,54 @@
         }
         self.apply(now, effects);
         if let Some(later) = self.codec.take_later_start() {
-            self.yield_or_supersede(now, later);
+            self.resolve_name_conflict(now, later);
         }
     }
 
     /// A start of this name has a higher number. It is a later one, or an earlier one that a wall clock numbered which has
     /// been set back since.
-    fn yield_or_supersede(&mut self, now: Micros, other: Peer) {
-        match self.start_number.above_earlier(now, self.swim.identity(), &other) {
-            Some(start) => self.supersede(now, start),
-            None => self.fall_silent(other),
+    fn resolve_name_conflict(&mut self, now: Micros, other: Peer) {
+        match self.start_number_assigner.number_above(now, self.swim.identity(), &other) {
+            Some(start) => self.renumber(now, start),
+            None => self.stop_as_superseded(other),
         }
     }
 
     /// Goes on under another number, by which the others take this start for the latest of its name.
-    fn supersede(&mut self, now: Micros, start: u64) {
+    fn renumber(&mut self, now: Micros, start: u64) {
         let local = Peer { start, rejoins: 0, ..self.swim.identity().clone() };
         let mut effects = AccumulatingRuntime::new();
         // Fails for the present identity only, which has a lower number.
         if self.swim.change_identity(local.clone(), &mut effects).is_err() {
             return;
         }
-        self.rejoin(now, local.clone());
+        self.adopt_identity(now, local.clone());
         self.apply(now, effects);
-        self.seeds.hurry(now);
+        self.seeds.make_due(now);
         self.actions.changes.push(Change::Renumbered(local));
     }
 
     /// Two processes of one name would declare each other dead without end, so the earlier start falls silent. The cost: if
     /// an operator gave one name twice, the older process is out of the fleet, and says so.
-    fn fall_silent(&mut self, later: Peer) {
-        self.is_silent = true;
+    fn stop_as_superseded(&mut self, later: Peer) {
+        self.is_stopped = true;
         self.actions.changes.push(Change::Superseded(later));
     }
 
     /// To be called at [`Actions::wake_at`], after all datagrams that are there.
     pub fn wake(&mut self, now: Micros) -> Actions {
-        if self.is_silent {
+        if self.is_stopped {
             return Actions::default();
         }
         self.announce_to_seeds(now);
-        self.request_members(now);
+        self.request_peer_list(now);
         for timer in self.timers.take_due(now) {
-            self.fire(now, timer);
+            self.fire_timer(now, timer);
         }
         self.take_actions(now)
     }
 
-    fn fire(&mut self, now: Micros, timer: Timer<Peer>) {
+    fn fire_timer(&mut self, now: Micros, timer: Timer<Peer>) {
         let ends_probe_round = matches!(timer, Timer::ProbeRandomMember(_));
         let mut effects = AccumulatingRuntime::new();
         // A timer that fails concerns a peer that is gone.
@@ -242,9 +242,9 @@
         if ends_probe_round && fired.is_ok() {
             let is_suspicion = |(_, timer): &_| matches!(timer, Timer::ChangeSuspectToDown { .. });
             if timers.iter().any(is_suspicion) {
-                self.local_health.probe_unanswered();
+                self.local_health.record_probe_failure();
             } else {
-                self.local_health.probe_answered();
+                self.local_health.record_probe_success();
             }
         }
         self.schedule(now, timers, health_before);
@@ -254,19 +254,19 @@
     /// This process was stalled for a time that `now` does not count.
     pub fn resume_after_stall(&mut self, now: Micros) {
         self.live_count.mark_uncertain(now);
-        self.local_health.was_absent();
-        self.seeds.hurry(now);
+        self.local_health.record_absence();
+        self.seeds.make_due(now);
         self.catch_up = CatchUp::start(now);
     }
 
     /// Tells the others that this proxy leaves; it is silent afterwards.
     pub fn leave(&mut self) -> Actions {
         let mut effects = AccumulatingRuntime::new();
-        if !self.is_silent && self.swim.leave_cluster(&mut effects).is_ok() {
+        if !self.is_stopped && self.swim.leave_cluster(&mut effects).is_ok() {
             // No timer fires any more, so the time does not matter.
             self.apply(0, effects);
         }
-        self.is_silent = true;
+        self.is_stopped = true;
         let mut actions = std::mem::take(&mut self.actions);
         actions.changes.clear();
         actions
@@ -287,7 +287,7 @@
     }
 
     /// Asks a random live proxy whom it knows, if this one is new here and that is due.
-    fn request_members(&mut self, now: Micros) {
+    fn request_peer_list(&mut self, now: Micros) {
         if !self.catch_up.take_due(now) {
             return;
         }
@@ -318,9 +318,9 @@
             let change = match notification {
                 OwnedNotification::MemberUp(peer) => Change::Up(peer),
                 OwnedNotification::MemberDown(peer) => Change::Down(peer),
-                OwnedNotification::Rename(_, after) => Change::Restarted(after),
+                OwnedNotification::Rename(_, restarted) => Change::Restarted(restarted),
                 OwnedNotification::Rejoin(local) => {
-                    self.rejoin(now, local);
+                    self.adopt_identity(now, local);
                     Change::Rejoined
                 }
                 _ => continue,
@@ -330,9 +330,9 @@
     }
 
     /// The others had declared this proxy dead, and it goes on as another identity.
-    fn rejoin(&mut self, now: Micros, local: Peer) {
+    fn adopt_identity(&mut self, now: Micros, local: Peer) {
         self.codec.set_local(local);
-        self.local_health.was_absent();
+        self.local_health.record_absence();
         self.live_count.mark_uncertain(now);
         self.catch_up = CatchUp::start(now);
     }
@@ -346,7 +346,7 @@
         timers: impl IntoIterator<Item = (Duration, Timer<Peer>)>,
         suspicion_health: LocalHealth,
     ) {
-        for (after, timer) in timers {
+        for (delay, timer) in timers {
             let factor = match timer {
                 Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. } => {
                     self.local_health.timeout_factor()
@@ -354,15 +354,15 @@
                 Timer::ChangeSuspectToDown { .. } => suspicion_health.timeout_factor(),
                 _ => 1,
             };
-            let after = after.as_micros() as Micros * Micros::from(factor);
-            self.timers.insert(now + after, timer);
+            let delay = delay.as_micros() as Micros * Micros::from(factor);
+            self.timers.insert(now + delay, timer);
         }
     }
 
     /// Ends a call: what the caller is to do, and when to call again.
     fn take_actions(&mut self, now: Micros) -> Actions {
         self.live_count.set_alive(now, self.swim.num_members() + 1);
-        if !self.is_silent {
+        if !self.is_stopped {
             let announce_at = Some(self.seeds.announce_at());
             let due = [self.timers.next_due_at(), announce_at, self.catch_up.next_due_at(now)];
             self.actions.wake_at = due.into_iter().flatten().min();
@@ -372,23 +372,23 @@
 }
 
 fn swim_config(periods: ProtocolPeriods, fleet_size: usize) -> foca::Config {
-    let span = |micros: Micros| Duration::from_micros(micros.max(1) as u64);
-    let count = |count| NonZeroUsize::new(count).expect("not zero");
-    let periodic = |frequency, members| Some(PeriodicParams { frequency, num_members: count(members) });
+    let duration = |micros: Micros| Duration::from_micros(micros.max(1) as u64);
+    let non_zero = |count| NonZeroUsize::new(count).expect("not zero");
+    let periodic = |frequency, members| Some(PeriodicParams { frequency, num_members: non_zero(members) });
     let transmissions = (TRANSMISSIONS_PER_DECADE * (fleet_size as f64 + 1.0).log10()).ceil();
     let transmissions = transmissions.clamp(MIN_TRANSMISSIONS, MAX_TRANSMISSIONS) as u8;
     foca::Config {
-        probe_period: span(periods.probe_interval),
-        probe_rtt: span(periods.probe_timeout),
-        num_indirect_probes: count(INDIRECT_PROBES),
+        probe_period: duration(periods.probe_interval),
+        probe_rtt: duration(periods.probe_timeout),
+        num_indirect_probes: non_zero(INDIRECT_PROBES),
         max_transmissions: NonZeroU8::new(transmissions).expect("not zero"),
-        suspect_to_down_after: span(periods.suspicion_timeout),
-        remove_down_after: DOWN_MEMORY,
-        max_packet_size: count(frame::MAX_DATAGRAM_BYTES - frame::HEADER_BYTES),
+        suspect_to_down_after: duration(periods.suspicion_timeout),
+        remove_down_after: DOWN_RETENTION,
+        max_packet_size: non_zero(frame::MAX_DATAGRAM_BYTES - frame::HEADER_BYTES),
         notify_down_members: true,
-        periodic_announce: periodic(MEMBER_REQUEST_INTERVAL, 1),
+        periodic_announce: periodic(PEER_LIST_REQUEST_INTERVAL, 1),
         // Proxies that were declared dead by mistake, or were cut off, find back by this.
-        periodic_announce_to_down_members: periodic(span(periods.suspicion_timeout), 1),
-        periodic_gossip: periodic(span(periods.gossip_interval), GOSSIP_FANOUT),
+        periodic_announce_to_down_members: periodic(duration(periods.suspicion_timeout), 1),
+        periodic_gossip: periodic(duration(periods.gossip_interval), GOSSIP_FANOUT),
     }
 }
--- a/crates/membership/src/seeds.rs
+++ b/crates/membership/src/seeds.rs
@@ -12,13 +12,13 @@
 /// finds the others.
 const ANNOUNCE_INTERVAL: Micros = 2_000_000;
 /// One that is new and alone announces itself that many times as often.
-const HURRY: Micros = 8;
+const NEW_AND_ALONE_DIVISOR: Micros = 8;
 /// The interval is longer by a random part of up to one in this many, so that proxies don't announce themselves in step.
-const JITTER_PARTS: Micros = 4;
+const JITTER_DIVISOR: Micros = 4;
 /// Seeds tried each time.
-const ANNOUNCEMENTS: usize = 2;
+const SEEDS_PER_ANNOUNCEMENT: usize = 2;
 /// Seeds tried each time by a proxy that knows nobody alive.
-const ANNOUNCEMENTS_ALONE: usize = 8;
+const SEEDS_PER_ANNOUNCEMENT_ALONE: usize = 8;
 
 /// The operator's seed addresses, and when this proxy next announces itself to some of them.
 pub(crate) struct Seeds {
@@ -32,7 +32,7 @@
     }
 
     /// The next announcement is due now.
-    pub(crate) fn hurry(&mut self, now: Micros) {
+    pub(crate) fn make_due(&mut self, now: Micros) {
         self.announce_at = now;
     }
 
@@ -55,12 +55,13 @@
         rng: &mut Pcg64Mcg,
     ) -> Vec<SocketAddr> {
         let is_alone = members.is_empty();
-        let interval = if is_alone && is_new { ANNOUNCE_INTERVAL / HURRY } else { ANNOUNCE_INTERVAL };
-        self.announce_at = now + interval + rng.random_range(0..interval / JITTER_PARTS);
+        let interval =
+            if is_alone && is_new { ANNOUNCE_INTERVAL / NEW_AND_ALONE_DIVISOR } else { ANNOUNCE_INTERVAL };
+        self.announce_at = now + interval + rng.random_range(0..interval / JITTER_DIVISOR);
         let is_unknown = |seed: &&SeedAddress| seed.address != local && !is_alive(seed, members);
         let unknown: Vec<SocketAddr> =
             self.addresses.iter().filter(is_unknown).map(|seed| seed.address).collect();
-        let wanted = if is_alone { ANNOUNCEMENTS_ALONE } else { ANNOUNCEMENTS };
+        let wanted = if is_alone { SEEDS_PER_ANNOUNCEMENT_ALONE } else { SEEDS_PER_ANNOUNCEMENT };
         let picked = rand::seq::index::sample(rng, unknown.len(), wanted.min(unknown.len()));
         picked.into_iter().map(|index| unknown[index]).collect()
     }
--- a/crates/membership/src/start_number.rs
+++ b/crates/membership/src/start_number.rs
@@ -13,15 +13,15 @@
 
 /// Decides whether a start of the same name with a higher number is an earlier one all the same.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct StartNumber {
+pub(crate) struct StartNumberAssigner {
     started_at: Micros,
     raises: u32,
 }
 
-impl StartNumber {
+impl StartNumberAssigner {
     /// This process starts now.
-    pub(crate) fn at(now: Micros) -> StartNumber {
-        StartNumber { started_at: now, raises: 0 }
+    pub(crate) fn new(now: Micros) -> StartNumberAssigner {
+        StartNumberAssigner { started_at: now, raises: 0 }
     }
 
     /// A number above that of `other`, a start of the same name, if it is an earlier start than this one; `None` if it is a
@@ -29,7 +29,7 @@
     ///
     /// Nobody else can listen at this process's own address, so whoever announced it has ended. At another address the
     /// process that has started just now is the later one, whatever the clocks say that numbered both.
-    pub(crate) fn above_earlier(&mut self, now: Micros, local: &Peer, other: &Peer) -> Option<u64> {
+    pub(crate) fn number_above(&mut self, now: Micros, local: &Peer, other: &Peer) -> Option<u64> {
         let is_joining = now - self.started_at < JOINING_TIME;
         if self.raises == MAX_RAISES || !(is_joining || other.address == local.address) {
             return None;
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -99,7 +99,7 @@
             nodes: (0..count).map(|_| Node::new()).collect(),
             loss: 0.0,
             connects: Box::new(|_, _| true),
-            periods: ProtocolPeriods::for_fleet_of(count),
+            periods: ProtocolPeriods::for_fleet_size(count),
             wall_clock_step: 0,
             fleets: vec!["f".to_owned(); count],
             queue: BinaryHeap::new(),
--- a/crates/membership/tests/gossip.rs
+++ b/crates/membership/tests/gossip.rs
@@ -190,7 +190,7 @@
 fn traffic_per_proxy_does_not_grow_with_the_fleet() {
     let sent = |count: usize| {
         let mut simulation = Simulation::new(count, 12);
-        simulation.periods = ProtocolPeriods::for_fleet_of(300);
+        simulation.periods = ProtocolPeriods::for_fleet_size(300);
         simulation.start_all();
         simulation.run_for(60 * SECOND);
         let before: u64 = simulation.nodes.iter().map(|node| node.bytes_sent).sum();
--- a/crates/membership/tests/pinned_exchange.rs
+++ b/crates/membership/tests/pinned_exchange.rs
@@ -139,7 +139,8 @@
     let local =
         LocalPeer { fleet: "alder".to_owned(), name: name.to_owned(), address: address(port), start: 1000 };
     let networks = vec!["127.0.0.0/8".parse().unwrap()];
-    let config = Config { local, seeds, networks, periods: ProtocolPeriods::for_fleet_of(2), fleet_size: 2 };
+    let config =
+        Config { local, seeds, networks, periods: ProtocolPeriods::for_fleet_size(2), fleet_size: 2 };
     Membership::start(0, config, seed)
 }
 
--- a/crates/proxy/src/membership/start.rs
+++ b/crates/proxy/src/membership/start.rs
@@ -77,7 +77,7 @@
             local,
             seeds: seeds.map(|peer| SeedAddress { name: peer.name, address: peer.address }).collect(),
             networks: config.networks,
-            periods: ProtocolPeriods::for_fleet_of(configured_fleet_size),
+            periods: ProtocolPeriods::for_fleet_size(configured_fleet_size),
             fleet_size: configured_fleet_size,
         };
         let (membership, actions) = Membership::start(now, membership_config, seed);
