--- a/crates/membership/src/actions.rs
+++ b/crates/membership/src/actions.rs
@@ -1,76 +1,78 @@
-//! What the caller is to do after a call, and what it may tell the operator.
+//! Results that calls of [`crate::Membership`] return to the caller: datagrams, changes, payloads and drop counters.
 
 use std::net::SocketAddr;
 
 use crate::frame::RejectReason;
 use crate::{Micros, Peer};
 
-/// What the caller is to do now, and when to call [`crate::Membership::wake`].
+/// Work for the caller after a call, and the time of the next call of [`crate::Membership::wake`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[must_use]
 pub struct Actions {
-    /// Datagrams to send, in this order.
+    /// Datagrams to send, in order.
     pub send: Vec<OutgoingDatagram>,
-    /// What changed, in the order in which it was learnt.
+    /// Membership changes, in the order in which this proxy learnt of them.
     pub changes: Vec<Change>,
-    /// Payloads of other packages that arrived.
+    /// Payloads of other crates that were received.
     pub payloads: Vec<ReceivedPayload>,
-    /// When to call next, at the latest; `None` once this proxy is silent.
+    /// Latest time of the next call of [`crate::Membership::wake`]; `None` once this proxy has left the fleet or been
+    /// superseded.
     pub wake_at: Option<Micros>,
 }
 
-/// A datagram to send.
+/// A datagram to send, with its destination.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// Where it goes.
+    /// Destination address.
     pub to: SocketAddr,
-    /// All of it.
+    /// Complete content of the datagram, header included.
     pub bytes: Vec<u8>,
 }
 
-/// What another proxy sent with [`crate::Membership::encode_payload`].
+/// A payload that another proxy sent with [`crate::Membership::encode_payload`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedPayload {
-    /// Who sent it, by its own word.
+    /// Sender as stated in the datagram, which is not authenticated.
     pub sender: Peer,
-    /// What the sender handed over.
+    /// Bytes that the sender passed to [`crate::Membership::encode_payload`].
     pub payload: Vec<u8>,
 }
 
-/// A change of the membership, as this proxy learnt of it.
+/// A change of the fleet's membership that this proxy learnt of.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A proxy is alive that was not known to be.
+    /// A proxy is alive that was not known to be alive before.
     Up(Peer),
-    /// A proxy has left, or was declared dead.
+    /// A proxy has left the fleet or was declared dead.
     Down(Peer),
-    /// A proxy has started again; its earlier start is gone.
+    /// A proxy has restarted: this instance replaces an earlier one of the same name.
     Restarted(Peer),
-    /// The others had declared this proxy dead; it has rejoined.
+    /// This proxy was declared dead by the others and has rejoined.
     Rejoined,
-    /// This proxy's name belongs to a later start, so that this one sends nothing from now on.
+    /// This later instance has taken over the local proxy's name. The local instance sends nothing from now on.
     Superseded(Peer),
-    /// An earlier start of this name had a higher number, as the wall clock was set back since: this proxy goes on as this
-    /// peer, which the others take for the latest.
+    /// The wall clock was set back, so that an earlier instance of the local proxy's name had a higher start number. The
+    /// local proxy continues under this identity, which the others accept as the latest.
     Renumbered(Peer),
 }
 
-/// How many datagrams were dropped, by reason.
+/// Counts of dropped datagrams, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DroppedDatagrams {
-    /// From an address in none of the operator's networks.
+    /// Datagrams from an address outside all configured networks.
     pub unknown_network: u64,
-    /// Not a datagram of this protocol.
+    /// Datagrams that are not in the format of this protocol.
     pub not_membership: u64,
-    /// Of another version of the protocol.
+    /// Datagrams of another version of the protocol.
     pub unsupported_version: u64,
-    /// Of another fleet.
+    /// Datagrams of another fleet.
     pub unknown_fleet: u64,
-    /// Of this fleet, but malformed, or meant for another start.
+    /// Datagrams of this fleet that are malformed or meant for another instance.
     pub unusable: u64,
 }
 
 impl DroppedDatagrams {
+    /// Increments the counter of the given reason.
     pub(crate) fn increment(&mut self, reason: RejectReason) {
         let counter = match reason {
             RejectReason::NotMembership => &mut self.not_membership,
--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -1,4 +1,4 @@
-//! How SWIM's messages are read and written; [`crate::frame`] describes the form.
+//! Encoding and decoding of SWIM messages in the format that [`crate::frame`] describes.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -10,11 +10,14 @@
 
 use crate::Peer;
 
+/// Longest accepted proxy name, in bytes of UTF-8.
 const MAX_NAME_BYTES: usize = 64;
+/// Encoded address length that marks an IPv4 address.
 const IPV4_BYTES: u8 = 4;
+/// Encoded address length that marks an IPv6 address.
 const IPV6_BYTES: u8 = 16;
 
-/// Kinds of messages.
+/// Codes of the message kinds on the wire.
 mod kind {
     pub(super) const PING: u8 = 1;
     pub(super) const ACK: u8 = 2;
@@ -29,51 +32,57 @@
     pub(super) const TURN_UNDEAD: u8 = 11;
 }
 
-/// States of members.
+/// Codes of the peer states on the wire.
 mod state {
     pub(super) const ALIVE: u8 = 1;
     pub(super) const SUSPECT: u8 = 2;
     pub(super) const DOWN: u8 = 3;
 }
 
-/// A message could not be read, or does not fit where it is written to.
+/// A message could not be decoded, a peer's name is too long to encode, or the output buffer is too small.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CodecError;
 
 impl fmt::Display for CodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("malformed datagram")
+        f.write_str("malformed datagram, name too long, or output buffer too small")
     }
 }
 
 impl std::error::Error for CodecError {}
 
-/// Reads and writes SWIM's messages. Clones share what they know: who listens here, and whether this name was seen with a
-/// later start.
+/// Encodes and decodes SWIM messages.
+///
+/// All clones share the local peer and the latest instance of the local name that was seen in a message.
 #[derive(Clone, Debug)]
 pub struct GossipCodec {
-    /// This proxy, to whom messages without a receiver's name are addressed.
+    /// Local peer; substituted as the receiver of messages whose receiver name is empty.
     local: Rc<RefCell<Peer>>,
-    /// The latest start of this proxy's name that a message named, if it is later than this one.
+    /// Latest instance of the local proxy's name seen in a message; `None` if none has a higher start number than the
+    /// local one.
     later_start: Rc<RefCell<Option<Peer>>>,
 }
 
 impl GossipCodec {
-    /// The codec of this proxy.
+    /// Creates the codec of the given local peer.
     #[must_use]
     pub fn new(local: Peer) -> GossipCodec {
         GossipCodec { local: Rc::new(RefCell::new(local)), later_start: Rc::default() }
     }
 
+    /// Replaces the local peer after a rejoin or a renumbering, in all clones.
     pub(crate) fn set_local(&self, local: Peer) {
         *self.local.borrow_mut() = local;
     }
 
-    /// Removes and returns the latest start of this proxy's name that a message named, if it is later than this one.
+    /// Removes and returns the latest instance of the local proxy's name seen in a message; `None` if none has a higher
+    /// start number than the local one.
     pub(crate) fn take_later_start(&self) -> Option<Peer> {
         self.later_start.borrow_mut().take()
     }
 
+    /// Remembers `peer` if it is an instance of the local proxy's name with a higher start number than the local one and
+    /// any remembered before.
     fn note_later_start(&self, peer: &Peer) {
         let local = self.local.borrow();
         let mut latest = self.later_start.borrow_mut();
@@ -139,20 +148,23 @@
     }
 }
 
+/// Fails if fewer than `bytes` bytes are left to read.
 fn require_bytes(buf: &impl Buf, bytes: usize) -> Result<(), CodecError> {
     if buf.remaining() < bytes { Err(CodecError) } else { Ok(()) }
 }
 
+/// Fails if fewer than `bytes` bytes can still be written.
 fn require_space(buf: &impl BufMut, bytes: usize) -> Result<(), CodecError> {
     if buf.remaining_mut() < bytes { Err(CodecError) } else { Ok(()) }
 }
 
+/// Encodes a peer; fails if its name is too long or the buffer too small.
 pub(crate) fn put_peer(peer: &Peer, buf: &mut impl BufMut) -> Result<(), CodecError> {
     let name = peer.name.as_bytes();
     if name.len() > MAX_NAME_BYTES {
         return Err(CodecError);
     }
-    // The lengths of the name, its length, the start, the rejoins, the address's length, the longest address and the port.
+    // Name length, name, start number, rejoin count, address length, longest address, port.
     require_space(buf, 1 + name.len() + 8 + 2 + 1 + 16 + 2)?;
     buf.put_u8(name.len() as u8);
     buf.put_slice(name);
@@ -172,10 +184,11 @@
     Ok(())
 }
 
+/// Decodes a peer; its name may be empty.
 pub(crate) fn get_peer(buf: &mut impl Buf) -> Result<Peer, CodecError> {
     require_bytes(buf, 1)?;
     let name_length = usize::from(buf.get_u8());
-    // The start, the rejoins and the address's length.
+    // Name, start number, rejoin count, address length.
     require_bytes(buf, name_length + 8 + 2 + 1)?;
     let mut name = [0; MAX_NAME_BYTES];
     let name = name.get_mut(..name_length).ok_or(CodecError)?;
@@ -194,6 +207,7 @@
     Ok(Peer { name: name.into(), start, rejoins, address })
 }
 
+/// Encodes a message's kind and its fields. The caller ensures space for the kind and a probe number.
 fn put_message(message: &Message<Peer>, buf: &mut impl BufMut) -> Result<(), CodecError> {
     match message {
         Message::Ping(probe_number) => put_probe(kind::PING, *probe_number, buf),
@@ -219,12 +233,13 @@
     Ok(())
 }
 
+/// Encodes a message kind and a probe number without checking the space.
 fn put_probe(kind: u8, probe_number: u8, buf: &mut impl BufMut) {
     buf.put_u8(kind);
     buf.put_u8(probe_number);
 }
 
-/// A probe that another proxy relays: `peer` is whom it is for, or whom it comes from.
+/// Encodes a message of an indirect probe, where `peer` is the probed proxy or the proxy that requested the probe.
 fn put_relayed_probe(
     kind: u8,
     probe_number: u8,
@@ -236,6 +251,7 @@
     put_peer(peer, buf)
 }
 
+/// Decodes a message's kind and its fields.
 fn get_message(buf: &mut impl Buf) -> Result<Message<Peer>, CodecError> {
     require_bytes(buf, 1)?;
     let kind = buf.get_u8();
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,4 +1,4 @@
-//! What a proxy's part in the fleet starts with.
+//! Configuration of a proxy's membership in its fleet.
 
 use std::net::SocketAddr;
 
@@ -6,44 +6,46 @@
 
 use crate::Micros;
 
-/// What a proxy's part in the fleet starts with.
+/// Configuration of a proxy's membership in its fleet.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// This proxy.
+    /// Identity of this proxy.
     pub local: LocalPeer,
-    /// Where others may be found at first.
+    /// Addresses at which this proxy first looks for others.
     pub seeds: Vec<SeedAddress>,
-    /// The networks that others may send from.
+    /// Networks from which datagrams are accepted.
     pub networks: Vec<IpNet>,
-    /// How often the protocol acts, and how long it waits.
+    /// Intervals and timeouts of the protocol.
     pub periods: ProtocolPeriods,
-    /// How many proxies the fleet is meant to have.
+    /// Intended number of proxies in the fleet, this one included.
     pub fleet_size: usize,
 }
 
-/// Periods and timeouts of the protocol, in microseconds.
+/// Intervals and timeouts of the protocol, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProtocolPeriods {
-    /// How often one other proxy is probed.
+    /// Time between two probes, each of one other proxy.
     pub probe_interval: Micros,
-    /// How long an answer to a probe may take before others are asked to probe in its place.
+    /// Time to wait for the answer to a direct probe before other proxies are asked to probe indirectly.
     pub probe_timeout: Micros,
-    /// How long a suspected proxy may take to object before it is declared dead.
+    /// Time that a suspected proxy has to refute the suspicion before it is declared dead.
     pub suspicion_timeout: Micros,
-    /// How often changes are gossiped, while there are any.
+    /// Time between two rounds of gossip while there are changes to pass on.
     pub gossip_interval: Micros,
 }
 
 impl ProtocolPeriods {
     const PROBE_INTERVAL: Micros = 1_000_000;
-    /// Far above a round trip within a site.
+    /// Well above the round-trip time within a site.
     const PROBE_TIMEOUT: Micros = 300_000;
     const GOSSIP_INTERVAL: Micros = 200_000;
-    /// Probe intervals for each decade of the fleet's size that a suspected proxy has to object.
+    /// Suspicion timeout in probe intervals, for each factor of ten in the fleet size.
     const SUSPICION_FACTOR: f64 = 3.0;
 
-    /// Periods for a fleet of that size on one site: a suspicion needs about the logarithm of the size, in rounds, to reach
-    /// everybody.
+    /// Intervals and timeouts for a fleet of `size` proxies at one site.
+    ///
+    /// The suspicion timeout grows with the logarithm of the size, as a suspicion needs about that many rounds to
+    /// reach every proxy.
     #[must_use]
     pub fn for_fleet_size(size: usize) -> ProtocolPeriods {
         let rounds = (size.max(2) as f64).log10().max(1.0);
@@ -57,24 +59,26 @@
     }
 }
 
-/// This proxy, as it introduces itself to the others.
+/// Identity under which this proxy joins the fleet.
 #[derive(Clone, Debug)]
 pub struct LocalPeer {
-    /// The fleet's name. Datagrams of other fleets are dropped.
+    /// Name of the fleet. Datagrams of other fleets are dropped.
     pub fleet: String,
-    /// This proxy's name, unique in the fleet; 64 bytes at most.
+    /// Name of this proxy, unique in the fleet; at most 64 bytes.
     pub name: String,
-    /// Where the others reach it.
+    /// Address at which the other proxies reach this one.
     pub address: SocketAddr,
-    /// When it started, in microseconds of Unix time: later than any earlier start under this name.
+    /// Start number of this instance: its start time in microseconds since the Unix epoch, meant to be above that of any
+    /// earlier instance of the name. [`crate::Change::Renumbered`] covers a wall clock that was set back.
     pub start: u64,
 }
 
-/// Another proxy that the operator names, or only an address where one may be.
+/// A configured address at which another proxy may be found, with or without the name of that proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeedAddress {
-    /// Its name. A proxy that is named is always sent to at this address, whatever it says of itself.
+    /// Name of the proxy, or `None` if only the address is known. Datagrams to a named proxy always go to the configured
+    /// address, whatever address it announces.
     pub name: Option<String>,
-    /// Where it listens.
+    /// Address at which the proxy listens.
     pub address: SocketAddr,
 }
--- a/crates/membership/src/frame.rs
+++ b/crates/membership/src/frame.rs
@@ -1,24 +1,26 @@
-//! The form of a datagram, version 1. All numbers are big-endian.
+//! Datagram format, version 1. All numbers are big-endian.
 //!
 //! | bytes | content |
 //! | --- | --- |
 //! | 2 | `0xA1DF` |
 //! | 1 | version |
-//! | 8 | the fleet: a hash of its name ([`fleet_tag`]) |
-//! | 1 | 0 for gossip, 1 for notice of a later start, 2 for a payload of another package |
+//! | 8 | fleet tag: a hash of the fleet's name ([`fleet_tag`]) |
+//! | 1 | kind: 0 for gossip, 1 for a later start notice, 2 for a payload of another crate |
 //!
-//! A payload is the sender, a peer, and the bytes of the other package. Notice of a later start is one peer: of the
-//! receiver's name, and started later than the receiver. Gossip is:
+//! A payload datagram continues with the sender as a peer and the bytes of the other crate. A later start notice
+//! continues with one peer, which has the receiver's name and a higher start number than the receiver. A gossip datagram
+//! continues with:
 //!
 //! | bytes | content |
 //! | --- | --- |
-//! | | the sender, 2 bytes of its SWIM incarnation, the receiver |
-//! | 1 | the message's kind, and what that kind carries (a number of 1 byte, a peer, or both) |
-//! | | where the kind carries them: 2 bytes of a count, and members |
+//! | | sender as a peer, 2 bytes of its SWIM incarnation, receiver as a peer |
+//! | 1 | message kind, followed by the fields of that kind (a probe number of 1 byte, a peer, or both) |
+//! | | for kinds that carry peer states: 2 bytes of their count, then the peer states |
 //!
-//! A peer is 1 byte of length and its name, 8 bytes of its start, 2 of its count of rejoins, 1 of the address's length (4
-//! or 16), the address and 2 bytes of the port. A member is a peer, 2 bytes of its SWIM incarnation and 1 of its state. A
-//! receiver whose name is empty is whoever listens there, as when only a seed's address is known.
+//! A peer is encoded as 1 byte of name length, the name, 8 bytes of start number, 2 bytes of rejoin count, 1 byte of
+//! address length (4 or 16), the address, and 2 bytes of port. A peer state (`Member` in `foca`) is a peer, 2 bytes of
+//! its SWIM incarnation and 1 byte of state. An empty receiver name addresses any proxy that listens at the destination;
+//! it is used when only the address of a seed is known.
 
 use std::fmt;
 use std::hash::Hasher;
@@ -29,28 +31,32 @@
 use crate::Peer;
 use crate::codec::{get_peer, put_peer};
 
-/// The version of the form that this package reads and writes.
+/// Version of the datagram format that this crate reads and writes.
 pub const VERSION: u8 = 1;
-/// The longest datagram, in bytes: below what any network path carries in one piece.
+/// Longest datagram, in bytes. Any network path carries this size without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// The length of what comes before the content, in bytes.
+/// Length of the header that precedes the content, in bytes.
 pub const HEADER_BYTES: usize = 12;
+/// First two bytes of every datagram of this protocol.
 const MAGIC: u16 = 0xA1DF;
-/// Space for a peer and what surrounds it; only a hint for the allocation.
+/// Initial capacity for a peer and the bytes around it; only an allocation hint.
 const PEER_CAPACITY_HINT: usize = 128;
 
+/// Kind code of a SWIM message.
 const GOSSIP: u8 = 0;
+/// Kind code of a later start notice.
 const LATER_START: u8 = 1;
+/// Kind code of a payload of another crate.
 const PAYLOAD: u8 = 2;
 
-/// Why a datagram is none of this fleet.
+/// Reason why a datagram is rejected before its message is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RejectReason {
-    /// It does not have the form of this protocol.
+    /// The datagram is not in the format of this protocol.
     NotMembership,
-    /// It is of another version of the protocol.
+    /// The datagram has another version of the protocol.
     UnsupportedVersion,
-    /// It is of another fleet.
+    /// The datagram belongs to another fleet.
     UnknownFleet,
 }
 
@@ -58,16 +64,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             RejectReason::NotMembership => "not a datagram of the membership protocol",
-            RejectReason::UnsupportedVersion => "another version of the membership protocol",
-            RejectReason::UnknownFleet => "a datagram of another fleet",
+            RejectReason::UnsupportedVersion => "unsupported version of the membership protocol",
+            RejectReason::UnknownFleet => "datagram of another fleet",
         })
     }
 }
 
 impl std::error::Error for RejectReason {}
 
-/// The fleet's name as it stands in datagrams: its FNV-1a hash. It tells fleets apart that were given each other's
-/// addresses by mistake; it does not authenticate anybody.
+/// Returns the tag that identifies a fleet in datagrams: the FNV-1a hash of the fleet's name.
+///
+/// The tag separates fleets that were given each other's addresses by mistake. It does not authenticate the sender.
 #[must_use]
 pub fn fleet_tag(fleet: &str) -> u64 {
     let mut hasher = FnvHasher::default();
@@ -75,27 +82,28 @@
     hasher.finish()
 }
 
-/// What a datagram holds.
+/// Decoded content of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Content<'a> {
-    /// A message of SWIM, for [`crate::GossipCodec`].
+    /// A SWIM message, to be decoded with [`crate::GossipCodec`].
     Gossip {
-        /// Who sent it.
+        /// Proxy that sent the message.
         sender: Peer,
-        /// All of the message; the sender stands in it once more.
+        /// Complete message, which begins with the sender.
         message: &'a [u8],
     },
-    /// What another package's counterpart sent.
+    /// A payload of another crate, from the same crate at the sender.
     Payload {
-        /// Who sent it.
+        /// Proxy that sent the payload.
         sender: Peer,
-        /// The other package's bytes.
+        /// Bytes of the other crate.
         payload: &'a [u8],
     },
-    /// The receiver's name has this later start.
+    /// A later start notice: this instance of the receiver's name has a higher start number than the receiver.
     LaterStart(Peer),
 }
 
+/// Creates a datagram that holds the header only, with capacity for the content.
 fn encode_header(fleet_tag: u64, kind: u8, content_capacity: usize) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_BYTES + content_capacity);
     bytes.put_u16(MAGIC);
@@ -105,7 +113,7 @@
     bytes
 }
 
-/// The datagram of a SWIM message.
+/// Encodes a datagram with a SWIM message.
 #[must_use]
 pub fn encode_gossip(fleet_tag: u64, message: &[u8]) -> Vec<u8> {
     let mut bytes = encode_header(fleet_tag, GOSSIP, message.len());
@@ -113,30 +121,30 @@
     bytes
 }
 
-/// The datagram of another package's payload.
+/// Encodes a datagram with a payload of another crate.
 #[must_use]
 pub fn encode_payload(fleet_tag: u64, sender: &Peer, payload: &[u8]) -> Vec<u8> {
     let mut bytes = encode_header(fleet_tag, PAYLOAD, PEER_CAPACITY_HINT + payload.len());
-    // A vector takes everything but a name that is too long, which the operator's file does not allow.
+    // Writing to a vector fails only for a name that is too long, which the operator's configuration does not allow.
     let _ = put_peer(sender, &mut bytes);
     bytes.extend_from_slice(payload);
     bytes
 }
 
-/// The datagram that tells a process that its name has this later start.
+/// Encodes a later start notice, which tells a process that `later` is an instance of its name with a higher start number.
 #[must_use]
 pub fn encode_later_start(fleet_tag: u64, later: &Peer) -> Vec<u8> {
     let mut bytes = encode_header(fleet_tag, LATER_START, PEER_CAPACITY_HINT);
-    // A vector takes everything but a name that is too long, and such a one was never read.
+    // Writing to a vector fails only for a name that is too long, and decoding never accepts such a name.
     let _ = put_peer(later, &mut bytes);
     bytes
 }
 
-/// Reads a datagram's header and the peer that its content begins with.
+/// Decodes a datagram's header and the peer at the start of its content.
 ///
 /// # Errors
 ///
-/// The datagram is none of this fleet, or malformed.
+/// Fails if the datagram has another version, belongs to another fleet, or is malformed.
 pub fn decode(fleet_tag: u64, mut bytes: &[u8]) -> Result<Content<'_>, RejectReason> {
     if bytes.len() < HEADER_BYTES || bytes.get_u16() != MAGIC {
         return Err(RejectReason::NotMembership);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,17 +1,22 @@
-//! Which proxies of a fleet are alive, as each of them learns by gossip with the others.
+//! Gossip-based membership: each proxy of a fleet learns from the others which proxies are alive.
 //!
-//! The protocol is SWIM with Lifeguard's local health, by the `foca` crate. This package adds who a proxy is ([`Peer`]),
-//! the form of the datagrams ([`frame`]), how an isolated or new proxy finds the others, and what a proxy may conclude
-//! from what it knows ([`Snapshot`]).
+//! The protocol is SWIM with the local health extension of Lifeguard, on top of the `foca` crate. This crate adds the
+//! identity of a proxy ([`Peer`]), the datagram format ([`frame`]), the way a new or isolated proxy discovers the
+//! others, and the conclusions that a proxy may draw from what it knows ([`Snapshot`]).
+//!
+//! An *instance* is one run of the proxy process under a name. Instances of one name are ordered by their *start
+//! number* ([`Peer::start`]).
 //!
 //! - Input: datagrams ([`Membership::receive`]), the passing of time ([`Membership::wake`]), and the end of a stall
 //!   ([`Membership::resume_after_stall`]).
-//! - Output: [`Actions`], which are datagrams to send, changes of the membership, payloads of other packages, and when to
-//!   call again.
-//! - Caller: the proxy's membership actor, which owns the socket and the clock. Nothing here does I/O or reads a clock.
-//! - Assumptions: `now` never steps back and does not count time in which the process was stalled or suspended, so that a
-//!   proxy which did not run accuses nobody for that time. Datagrams may be lost, duplicated, reordered or forged; a
-//!   forged one of the right fleet and network can mislead, as there is no authentication.
+//! - Output: [`Actions`], which hold datagrams to send, membership changes, payloads of other crates, and the time of
+//!   the next call.
+//! - Caller: the membership actor of the proxy, which owns the socket and the clock. This crate does no I/O and reads no
+//!   clock.
+//! - Assumptions: `now` never steps back and excludes time in which the process was stalled or suspended, so that a
+//!   proxy which did not run suspects nobody because of that time. Datagrams may be lost, duplicated, reordered or
+//!   forged. There is no authentication, so a forged datagram with the right fleet tag and source network can mislead a
+//!   proxy.
 //!
 //! ```
 //! use aldermill_membership::{Config, LocalPeer, Membership, ProtocolPeriods, SeedAddress};
@@ -57,5 +62,5 @@
 pub use peer::Peer;
 pub use snapshot::Snapshot;
 
-/// Whole microseconds: an instant on the caller's clock, or a span.
+/// A point in time on the caller's clock, or a duration, in whole microseconds.
 pub type Micros = i64;
--- a/crates/membership/src/live_count.rs
+++ b/crates/membership/src/live_count.rs
@@ -1,39 +1,44 @@
-//! The number of live proxies over time.
+//! Number of live proxies over time.
 
 use std::collections::VecDeque;
 
 use crate::{Micros, Snapshot};
 
-/// How long a higher number of live proxies is remembered, to tell whether this may be the smaller part of a divided fleet.
+/// Time for which a former, higher number of live proxies is taken into account. It serves to detect that this proxy may
+/// be in the smaller part of a divided fleet.
 const PEAK_RETENTION: Micros = 600_000_000;
-/// How long after a stall, or the start, silence of others proves nothing: what is read first may have waited since before.
+/// Time after the start or a stall during which the count stays uncertain. Silence of the others proves nothing then, as
+/// the datagrams read first may have been queued since before.
 const SETTLING_TIME: Micros = 2_000_000;
 
-/// A number of live proxies that was higher than all later ones.
+/// A former number of live proxies that is higher than all later ones.
 #[derive(Clone, Copy, Debug)]
 struct Peak {
+    /// Time at which the number fell.
     ended_at: Micros,
     alive: usize,
 }
 
-/// The number of live proxies over time.
+/// Tracks the number of live proxies, its recent peaks, and whether it is certain.
 #[derive(Clone, Debug)]
 pub(crate) struct LiveCount {
+    /// Current number of live proxies, this one included.
     alive: usize,
+    /// Highest number of live proxies since the start.
     most_alive: usize,
-    /// Falling, the oldest first: no more entries than the highest number.
+    /// Former numbers in strictly falling order, oldest first. There are never more entries than the highest number.
     peaks: VecDeque<Peak>,
-    /// Since when nothing was heard that proves the count; `None` while it is certain.
+    /// Time since which no message has confirmed the count; `None` while the count is certain.
     uncertain_since: Option<Micros>,
 }
 
 impl LiveCount {
-    /// This proxy alone.
+    /// Creates an uncertain count of one: this proxy alone.
     pub(crate) fn start(now: Micros) -> LiveCount {
         LiveCount { alive: 1, most_alive: 1, peaks: VecDeque::new(), uncertain_since: Some(now) }
     }
 
-    /// So many are alive now, this proxy among them.
+    /// Sets the current number of live proxies, this one included.
     pub(crate) fn set_alive(&mut self, now: Micros, alive: usize) {
         if alive < self.alive {
             while self.peaks.back().is_some_and(|peak| peak.alive <= self.alive) {
@@ -45,18 +50,19 @@
         self.most_alive = self.most_alive.max(alive);
     }
 
-    /// Another proxy was heard.
+    /// Records a message from another proxy, which makes the count certain once the settling time has passed.
     pub(crate) fn record_contact(&mut self, now: Micros) {
         if self.uncertain_since.is_some_and(|since| now - since >= SETTLING_TIME) {
             self.uncertain_since = None;
         }
     }
 
-    /// This process was stalled, or the others had declared it dead.
+    /// Marks the count as uncertain, after a stall or a change of this proxy's identity.
     pub(crate) fn mark_uncertain(&mut self, now: Micros) {
         self.uncertain_since = Some(now);
     }
 
+    /// Returns what this proxy may conclude from the count at `now`.
     pub(crate) fn snapshot(&self, now: Micros) -> Snapshot {
         let recent = self.peaks.iter().filter(|peak| now - peak.ended_at <= PEAK_RETENTION);
         let recent_peak = recent.map(|peak| peak.alive).max().unwrap_or(0).max(self.alive);
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,34 +1,37 @@
-//! Lifeguard's local health: how far this proxy doubts its own view of the others.
+//! Local health score of Lifeguard, which lengthens timeouts while this proxy may itself be impaired.
 
-/// How far this proxy doubts its own view of the others. Zero is healthy.
+/// Local health score, from 0 (healthy) to [`LocalHealth::MAX_SCORE`].
 ///
-/// A proxy that hears no answers, or was stalled, may itself be the one that is slow or cut off. It waits longer before it
-/// accuses others, so that they aren't declared dead for its fault. The cost: while it is in doubt it finds a real death up
-/// to [`LocalHealth::MAX_SCORE`] times later; healthy proxies find it meanwhile.
+/// A proxy that receives no answers, or was stalled, may itself be slow or cut off. It then waits longer before it
+/// suspects others, so that they are not declared dead because of its own fault. The cost is that an impaired proxy
+/// detects a real death later, by up to [`LocalHealth::MAX_SCORE`] times the usual time; healthy proxies detect it in the
+/// meantime.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LocalHealth(u8);
 
 impl LocalHealth {
+    /// Highest, least healthy score.
     const MAX_SCORE: u8 = 7;
-    /// What a stall, or being declared dead, adds: it says more than one probe without an answer.
+    /// Increase of the score after a stall or after this proxy was declared dead. Either is stronger evidence than a
+    /// single unanswered probe, which adds 1.
     const ABSENCE_PENALTY: u8 = 2;
 
-    /// A probe was answered, by the probed proxy itself or through others.
+    /// Lowers the score by 1 after a probe was answered, directly or through other proxies.
     pub(crate) fn record_probe_success(&mut self) {
         self.0 = self.0.saturating_sub(1);
     }
 
-    /// A probe was not answered, not through others either.
+    /// Raises the score by 1 after a probe was answered neither directly nor through other proxies.
     pub(crate) fn record_probe_failure(&mut self) {
         self.0 = (self.0 + 1).min(Self::MAX_SCORE);
     }
 
-    /// This process was stalled, or the others had declared it dead.
+    /// Raises the score after a stall, or after this proxy changed its identity.
     pub(crate) fn record_absence(&mut self) {
         self.0 = (self.0 + Self::ABSENCE_PENALTY).min(Self::MAX_SCORE);
     }
 
-    /// The factor by which timeouts are longer than for a healthy proxy.
+    /// Factor by which timeouts are longer than those of a healthy proxy: 1 if healthy.
     pub(crate) fn timeout_factor(self) -> u32 {
         u32::from(self.0) + 1
     }
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -1,20 +1,22 @@
-//! Who a proxy is.
+//! Identity of a proxy in the membership protocol.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A proxy of the fleet: its name, and which start of it. A restarted proxy is another peer, and its earlier start is gone.
+/// Identity of one instance of a proxy. After a restart the proxy is another peer, which replaces the earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Peer {
-    /// The name in its configuration, unique in the fleet. Empty for whoever listens at an address that a seed gave.
+    /// Name from the proxy's configuration, unique in the fleet. Empty for an unknown proxy that listens at the address of
+    /// a seed.
     pub name: Rc<str>,
-    /// When it started, in microseconds of Unix time, or a number above that of an earlier start whose clock was ahead. Of
-    /// two starts of one name the one with the higher number counts.
+    /// Start number of the instance: its start time in microseconds since the Unix epoch, or a number above that of an
+    /// earlier instance whose clock was ahead. Of two instances of one name, the one with the higher number is valid.
     pub start: u64,
-    /// How often it has rejoined, in this start, after the others had declared it dead. This is not SWIM's incarnation
-    /// number, which refutes a suspicion before anybody is declared dead, and stands beside the peer in a datagram.
+    /// Number of times that this instance has rejoined after the others had declared it dead. The SWIM incarnation number
+    /// is separate: it refutes a suspicion before the proxy is declared dead, and is encoded next to the peer in a
+    /// datagram.
     pub rejoins: u16,
-    /// Where it says that it listens.
+    /// Address at which the proxy claims to listen.
     pub address: SocketAddr,
 }
 
--- a/crates/membership/src/seeds.rs
+++ b/crates/membership/src/seeds.rs
@@ -1,4 +1,4 @@
-//! To which of the operator's seed addresses this proxy announces itself, and when.
+//! Selection of the configured seed addresses to which this proxy announces itself, and the schedule for it.
 
 use std::net::SocketAddr;
 
@@ -8,44 +8,49 @@
 
 use crate::{Micros, Peer, SeedAddress};
 
-/// How often seeds that are not known to be alive are tried, so that a divided fleet heals and a proxy that started alone
-/// finds the others.
+/// Base time between announcements to seeds that are not known to be alive. They reunite a divided fleet,
+/// and let a proxy that started alone discover the others.
 const ANNOUNCE_INTERVAL: Micros = 2_000_000;
-/// One that is new and alone announces itself that many times as often.
+/// Divisor of the announcement interval for a new proxy that knows no other live proxy.
 const NEW_AND_ALONE_DIVISOR: Micros = 8;
-/// The interval is longer by a random part of up to one in this many, so that proxies don't announce themselves in step.
+/// Divisor of the interval that gives the upper bound of the random delay added to it. The delay keeps proxies from
+/// announcing themselves in lockstep.
 const JITTER_DIVISOR: Micros = 4;
-/// Seeds tried each time.
+/// Number of seeds per announcement.
 const SEEDS_PER_ANNOUNCEMENT: usize = 2;
-/// Seeds tried each time by a proxy that knows nobody alive.
+/// Number of seeds per announcement of a proxy that knows no other live proxy.
 const SEEDS_PER_ANNOUNCEMENT_ALONE: usize = 8;
 
-/// The operator's seed addresses, and when this proxy next announces itself to some of them.
+/// Configured seed addresses, with the time of the next announcement to some of them.
 pub(crate) struct Seeds {
     addresses: Vec<SeedAddress>,
     announce_at: Micros,
 }
 
 impl Seeds {
+    /// Creates the schedule; the first announcement is due at once.
     pub(crate) fn start(now: Micros, addresses: Vec<SeedAddress>) -> Seeds {
         Seeds { addresses, announce_at: now }
     }
 
-    /// The next announcement is due now.
+    /// Makes the next announcement due now.
     pub(crate) fn make_due(&mut self, now: Micros) {
         self.announce_at = now;
     }
 
+    /// Time at which the next announcement is due.
     pub(crate) fn announce_at(&self) -> Micros {
         self.announce_at
     }
 
+    /// Returns whether an announcement is due at `now`.
     pub(crate) fn is_due(&self, now: Micros) -> bool {
         now >= self.announce_at
     }
 
-    /// Picks seeds to announce to, some of those that are not among the live members, and sets the next time. `is_new` is
-    /// whether this proxy has started, or come back, lately.
+    /// Picks random seeds for an announcement among those that are not known to be alive, and schedules the next one.
+    /// `is_new` tells whether this proxy started or came back recently; `members` are the live proxies other than this
+    /// one.
     pub(crate) fn pick(
         &mut self,
         now: Micros,
@@ -67,7 +72,7 @@
     }
 }
 
-/// Whether a live member has the seed's name, or its address where the operator gave no name.
+/// Returns whether one of the live proxies has the seed's name, or the seed's address if it is configured without a name.
 fn is_alive(seed: &SeedAddress, members: &[&Member<Peer>]) -> bool {
     match &seed.name {
         Some(name) => members.iter().any(|member| *member.id().name == **name),
--- a/crates/membership/src/snapshot.rs
+++ b/crates/membership/src/snapshot.rs
@@ -1,30 +1,33 @@
-//! What one proxy may conclude on the fleet.
+//! Conclusions that a proxy may draw about its fleet.
 
-/// What one proxy may conclude on the fleet.
+/// Conclusions of one proxy about its fleet at one point in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Proxies known to be alive, this one among them.
+    /// Number of proxies known to be alive, this one included.
     pub alive: usize,
-    /// The most that were ever known to be alive at one time.
+    /// Highest number of proxies known to be alive at one time since this proxy started.
     pub most_alive: usize,
-    /// Another proxy was heard lately, and this process was not stalled just before.
+    /// Whether the number of live proxies is certain: another proxy is alive, and a message from another proxy was
+    /// received some time after the latest start, stall or change of identity of this one.
     pub is_certain: bool,
-    /// As many proxies are gone as are left, or more: this may be the smaller part of a divided fleet.
+    /// Whether at least as many proxies have disappeared recently as are left, so that this proxy may be in the smaller
+    /// part of a divided fleet.
     pub may_be_minority: bool,
 }
 
 impl Snapshot {
-    /// By how many proxies a member's capacity is divided; `configured` is the fleet size in the settings.
+    /// Returns the number of proxies that share a member's capacity; `configured` is the fleet size in the settings.
     ///
-    /// While in doubt a proxy takes over no quota of others, as those may be alive. In a divided fleet both parts take over
-    /// the other's quota; members then answer more slowly, which lowers the concurrency limits, and members that warm up
-    /// are spared by [`Snapshot::warm_up_quota_divisor`].
+    /// While the number of live proxies is uncertain, a proxy takes over no quota of others, as they may be alive. In a
+    /// divided fleet, each part takes over the quota of the other. Members then answer more slowly, which lowers the
+    /// concurrency limits; [`Snapshot::warm_up_quota_divisor`] protects members that are warming up.
     #[must_use]
     pub fn quota_divisor(&self, configured: usize) -> usize {
         if self.is_certain { self.alive } else { configured.max(self.alive) }
     }
 
-    /// The same at a member that warms up: every proxy counts that may be there.
+    /// Returns the number of proxies that share the capacity of a member that is warming up: all that may exist, whether
+    /// or not they are known to be alive. `configured` is the fleet size in the settings.
     #[must_use]
     pub fn warm_up_quota_divisor(&self, configured: usize) -> usize {
         configured.max(self.most_alive)
