--- a/crates/membership/examples/gossip.rs
+++ b/crates/membership/examples/gossip.rs
@@ -1,5 +1,7 @@
-//! Measures, in virtual time, what membership costs and how soon deaths are known:
-//! `cargo run --release -p aldermill-membership --example gossip [proxies] [seconds] [loss]`.
+//! Measures the traffic of the membership protocol and its failure detection time, in virtual time.
+//!
+//! Usage: `cargo run --release -p aldermill-membership --example gossip [proxies] [seconds] [loss]`,
+//! where `seconds` is the length of the steady state and `loss` the share of datagrams that are lost, from 0 to 1.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -11,12 +13,14 @@
 
 const DEFAULT_PROXIES: i64 = 300;
 const DEFAULT_SECONDS: i64 = 120;
+/// Shares of lost datagrams that are measured one after the other if none is given.
 const DEFAULT_LOSSES: [f64; 4] = [0.0, 0.01, 0.05, 0.2];
 const SECONDS_PER_DAY: f64 = 86_400.0;
-/// Proxies that are killed one after the other, at most.
+/// Maximum number of proxies that are killed, one after the other.
 const MAX_KILLS: usize = 10;
-/// How long a death is followed.
+/// Time to wait until all running proxies know a death.
 const DETECTION_TIMEOUT: Micros = 60 * SECOND;
+/// Virtual time between two checks of which proxies know a death, and thus the resolution of the detection times.
 const POLL_INTERVAL: Micros = 50 * MILLISECOND;
 
 fn main() {
@@ -30,7 +34,7 @@
     }
 }
 
-/// Starts a fleet on a network that loses this share of datagrams, and prints one line of figures.
+/// Simulates a fleet on a network that loses the share `loss` of all datagrams, and prints one line of results.
 fn measure(proxies: usize, seconds: i64, loss: f64) {
     let mut simulation = Simulation::new(proxies, 7);
     simulation.loss = loss;
@@ -42,9 +46,9 @@
     let detection_times = measure_detection_times(&mut simulation);
     let proxy_seconds = (proxies as i64 * seconds) as f64;
     println!(
-        "{proxies} proxies, loss {loss}: all found after {:?} ms; a second a proxy {:.1} datagrams, {:.0} bytes; \
-         falsely dead {} in {seconds} s ({} notices of it), {:.1} a day for one proxy; a death known to half after {} ms, \
-         to all after {} ms (worst in brackets)",
+        "{proxies} proxies, loss {loss}: complete discovery after {:?} ms; per proxy and second {:.1} datagrams, {:.0} bytes; \
+         {} falsely declared dead in {seconds} s ({} reports of it), {:.1} per proxy and day; \
+         death known to half after {} ms, to all after {} ms (median, worst in parentheses)",
         discovery_time.map(|span| span / MILLISECOND),
         steady.datagrams as f64 / proxy_seconds,
         steady.bytes as f64 / proxy_seconds,
@@ -56,16 +60,19 @@
     );
 }
 
-/// What happened while no proxy died.
+/// Traffic and false detections while no proxy died.
 struct SteadyState {
+    /// Datagrams sent by all proxies.
     datagrams: u64,
+    /// Bytes sent by all proxies.
     bytes: u64,
-    /// Proxies that were declared dead.
+    /// Number of proxies that were declared dead, counted again after each rejoin.
     falsely_declared_dead: usize,
-    /// Changes by which proxies learnt of that.
+    /// Number of changes by which proxies learnt of these false deaths.
     false_death_reports: usize,
 }
 
+/// Runs the fleet for `seconds` without killing a proxy.
 fn measure_steady_state(simulation: &mut Simulation, seconds: i64) -> SteadyState {
     let datagrams =
         |simulation: &Simulation| simulation.nodes.iter().map(|node| node.datagrams_sent).sum::<u64>();
@@ -90,14 +97,16 @@
     }
 }
 
-/// How long deaths took to be known, in milliseconds, one entry a death that was.
+/// Times from a death until proxies knew of it, in milliseconds, with one entry for each death that became known.
 #[derive(Default)]
 struct DetectionTimes {
+    /// Times until at least half of the running proxies knew.
     known_to_half_ms: Vec<i64>,
+    /// Times until all running proxies knew.
     known_to_all_ms: Vec<i64>,
 }
 
-/// Kills some proxies, one after the other.
+/// Kills some proxies, one after the other, and measures how soon the others know.
 fn measure_detection_times(simulation: &mut Simulation) -> DetectionTimes {
     let mut detection_times = DetectionTimes::default();
     for index in 0..MAX_KILLS.min(simulation.nodes.len() / 4) {
@@ -124,10 +133,12 @@
     detection_times
 }
 
+/// Returns whether a running proxy no longer takes the proxy named `name` for alive.
 fn knows_death(node: &Node, name: &str) -> bool {
     node.membership.as_ref().is_some_and(|membership| membership.alive().all(|peer| *peer.name != *name))
 }
 
+/// Formats the median and, in parentheses, the highest of the times; -1 stands for no entries.
 fn median_and_worst(mut times_ms: Vec<i64>) -> String {
     times_ms.sort_unstable();
     let median = times_ms.get(times_ms.len() / 2).copied().unwrap_or(-1);
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The fleet as one proxy knows it: takes datagrams, fires timers, and keeps the count of live proxies.
+//! State machine of the membership protocol: handles datagrams and timers, and tracks the number of live proxies.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -22,30 +22,33 @@
 use crate::timer_queue::TimerQueue;
 use crate::{Micros, Peer, Snapshot};
 
-/// Other proxies that probe in this one's place when a probe has no answer.
+/// Number of other proxies that are asked to probe indirectly after an unanswered direct probe.
 const INDIRECT_PROBES: usize = 3;
-/// Proxies that a change is gossiped to at a time.
+/// Number of proxies to which a change is gossiped per round.
 const GOSSIP_FANOUT: usize = 3;
-/// How often a change is passed on by each proxy, for each decade of the fleet's size: with this it reaches all with near
-/// certainty.
+/// Number of times that each proxy passes on a change, for each factor of ten in the fleet size. With this number a change
+/// reaches all proxies almost certainly.
 const TRANSMISSIONS_PER_DECADE: f64 = 4.0;
+/// Lower bound of the number of times that each proxy passes on a change.
 const MIN_TRANSMISSIONS: f64 = 2.0;
+/// Upper bound of the number of times that each proxy passes on a change.
 const MAX_TRANSMISSIONS: f64 = 40.0;
-/// How often a random live proxy is asked whom it knows, which heals what gossip has missed.
+/// Time between two requests for the peer list of a random live proxy, which repair what gossip has missed.
 const PEER_LIST_REQUEST_INTERVAL: Duration = Duration::from_secs(20);
-/// How long a proxy that was declared dead is remembered, so that old gossip does not revive it.
+/// Time for which a proxy that was declared dead is remembered, so that outdated gossip does not revive it.
 const DOWN_RETENTION: Duration = Duration::from_secs(3600);
 
+/// SWIM protocol state with the identity, codec and random number generator of this crate.
 type Swim = Foca<Peer, GossipCodec, Pcg64Mcg, NoCustomBroadcast>;
 
-/// The fleet as one proxy knows it.
+/// One proxy's view of its fleet, and its part in the membership protocol.
 pub struct Membership {
     swim: Swim,
     codec: GossipCodec,
     fleet_tag: u64,
     networks: Vec<IpNet>,
     seeds: Seeds,
-    /// Where proxies listen that the operator names.
+    /// Configured addresses by proxy name. They take precedence over announced addresses.
     named_addresses: HashMap<String, SocketAddr>,
     local_health: LocalHealth,
     live_count: LiveCount,
@@ -54,15 +57,17 @@
     catch_up: CatchUp,
     start_number_assigner: StartNumberAssigner,
     rng: Pcg64Mcg,
-    /// It has left, or a later start has its name: it neither sends nor takes anything.
+    /// Whether this proxy has left the fleet or been superseded by a later instance of its name. A stopped proxy neither
+    /// sends nor accepts datagrams.
     is_stopped: bool,
-    /// What the running call returns in the end.
+    /// Actions collected during the current call, to be returned at its end.
     actions: Actions,
 }
 
 impl Membership {
-    /// Joins the fleet: the first actions announce this proxy to some of the seeds. Equal seeds of the random numbers give
-    /// equal runs.
+    /// Joins the fleet: the returned actions announce this proxy to some of the seeds.
+    ///
+    /// `rng_seed` seeds the random number generators. Equal values with equal inputs give equal runs.
     pub fn start(now: Micros, config: Config, rng_seed: u64) -> (Membership, Actions) {
         let Config { local, seeds, networks, periods, fleet_size } = config;
         let LocalPeer { fleet, name, address, start } = local;
@@ -94,31 +99,33 @@
         (membership, actions)
     }
 
-    /// What this proxy may conclude on the fleet now.
+    /// Returns what this proxy may conclude about the fleet at `now`.
     #[must_use]
     pub fn snapshot(&self, now: Micros) -> Snapshot {
         self.live_count.snapshot(now)
     }
 
-    /// How many datagrams were dropped since the start, by reason.
+    /// Returns the counts of datagrams dropped since the start, by reason.
     #[must_use]
     pub fn dropped(&self) -> DroppedDatagrams {
         self.dropped
     }
 
-    /// This proxy, as the others know it now.
+    /// Returns the current identity of this proxy, by which the others know it.
     #[must_use]
     pub fn local(&self) -> &Peer {
         self.swim.identity()
     }
 
-    /// The other proxies that are known to be alive.
+    /// Iterates over the other proxies that are known to be alive.
     pub fn alive(&self) -> impl Iterator<Item = &Peer> {
         self.swim.iter_members().map(foca::Member::id)
     }
 
-    /// The datagram that brings a payload of another package, of 1000 bytes at most, to the proxy of that name. `None` if
-    /// its address is not known, or this proxy is silent. As any datagram it may be lost.
+    /// Encodes a datagram that carries a payload of another crate, of at most 1000 bytes, to the proxy named `to`.
+    ///
+    /// Returns `None` if the address of that proxy is unknown, or if this proxy has left the fleet or been superseded.
+    /// Like any datagram, it may be lost.
     #[must_use]
     pub fn encode_payload(&self, to: &str, payload: &[u8]) -> Option<OutgoingDatagram> {
         if self.is_stopped {
@@ -129,7 +136,8 @@
         Some(OutgoingDatagram { to, bytes: frame::encode_payload(self.fleet_tag, self.local(), payload) })
     }
 
-    /// Takes a datagram that came from this address. One that is malformed or not for this proxy is counted and dropped.
+    /// Handles a datagram received from the address `from`. A malformed datagram, or one that is not meant for this proxy,
+    /// is counted and dropped.
     pub fn receive(&mut self, now: Micros, from: IpAddr, datagram: &[u8]) -> Actions {
         if self.is_stopped {
             return Actions::default();
@@ -155,7 +163,7 @@
         self.take_actions(now)
     }
 
-    /// Another proxy says that this name has a later start.
+    /// Handles a later start notice: another proxy knows an instance of this proxy's name with a higher start number.
     fn receive_later_start(&mut self, now: Micros, later: Peer) {
         let local = self.swim.identity();
         if later.name == local.name && later.start > local.start {
@@ -165,9 +173,12 @@
         }
     }
 
-    /// Tells a sender whose name has a start with a higher number so, instead of taking what it sent. If SWIM took it, the
-    /// sender would be told that it is dead, rejoin, and so on without end. One that is dead counts as well: SWIM remembers
-    /// it for an hour, and takes no lower number meanwhile.
+    /// Answers a sender with a later start notice if a higher start number is known for its name, and returns whether it
+    /// did so. The caller then ignores the datagram.
+    ///
+    /// If SWIM handled the datagram, the sender would be told that it is dead, rejoin, and so on without end. Instances
+    /// that were declared dead count as well: SWIM remembers them for an hour, and accepts no lower start number during
+    /// that time.
     fn reject_earlier_start(&mut self, sender: &Peer) -> bool {
         let is_later = |peer: &&Peer| peer.name == sender.name && peer.start > sender.start;
         let mut known = self.swim.iter_membership_state().map(foca::Member::id);
@@ -177,6 +188,7 @@
         true
     }
 
+    /// Handles a SWIM message, and resolves a name conflict if the message names a later instance of this proxy.
     fn receive_gossip(&mut self, now: Micros, message: &[u8]) {
         let mut effects = AccumulatingRuntime::new();
         match self.swim.handle_data(message, &mut effects) {
@@ -189,8 +201,8 @@
         }
     }
 
-    /// A start of this name has a higher number. It is a later one, or an earlier one that a wall clock numbered which has
-    /// been set back since.
+    /// Resolves the conflict with `other`, an instance of the same name with a higher start number. It is either a later
+    /// instance, or an earlier one whose number was taken from a wall clock that has been set back since.
     fn resolve_name_conflict(&mut self, now: Micros, other: Peer) {
         match self.start_number_assigner.number_above(now, self.swim.identity(), &other) {
             Some(start) => self.renumber(now, start),
@@ -198,11 +210,11 @@
         }
     }
 
-    /// Goes on under another number, by which the others take this start for the latest of its name.
+    /// Continues under the start number `start`, by which the others accept this instance as the latest of its name.
     fn renumber(&mut self, now: Micros, start: u64) {
         let local = Peer { start, rejoins: 0, ..self.swim.identity().clone() };
         let mut effects = AccumulatingRuntime::new();
-        // Fails for the present identity only, which has a lower number.
+        // Fails only if the identity is unchanged, and the current one has a lower start number.
         if self.swim.change_identity(local.clone(), &mut effects).is_err() {
             return;
         }
@@ -212,14 +224,17 @@
         self.actions.changes.push(Change::Renumbered(local));
     }
 
-    /// Two processes of one name would declare each other dead without end, so the earlier start falls silent. The cost: if
-    /// an operator gave one name twice, the older process is out of the fleet, and says so.
+    /// Stops this instance because `later` has taken over its name, and reports it as [`Change::Superseded`].
+    ///
+    /// Two running processes of one name would otherwise declare each other dead without end. The cost is that if an
+    /// operator gave one name to two proxies, the older process drops out of the fleet.
     fn stop_as_superseded(&mut self, later: Peer) {
         self.is_stopped = true;
         self.actions.changes.push(Change::Superseded(later));
     }
 
-    /// To be called at [`Actions::wake_at`], after all datagrams that are there.
+    /// Does the work that is due. To be called at [`Actions::wake_at`], after all datagrams that have already arrived were
+    /// passed to [`Membership::receive`].
     pub fn wake(&mut self, now: Micros) -> Actions {
         if self.is_stopped {
             return Actions::default();
@@ -232,10 +247,11 @@
         self.take_actions(now)
     }
 
+    /// Handles a due timer of SWIM, and adjusts the local health at the end of a probe round.
     fn fire_timer(&mut self, now: Micros, timer: Timer<Peer>) {
         let ends_probe_round = matches!(timer, Timer::ProbeRandomMember(_));
         let mut effects = AccumulatingRuntime::new();
-        // A timer that fails concerns a peer that is gone.
+        // A timer fails if its peer no longer exists.
         let fired = self.swim.handle_timer(timer, &mut effects);
         let timers: Vec<(Duration, Timer<Peer>)> = std::iter::from_fn(|| effects.to_schedule()).collect();
         let health_before = self.local_health;
@@ -251,7 +267,7 @@
         self.apply(now, effects);
     }
 
-    /// This process was stalled for a time that `now` does not count.
+    /// Handles the end of a stall of this process. `now` does not include the time of the stall.
     pub fn resume_after_stall(&mut self, now: Micros) {
         self.live_count.mark_uncertain(now);
         self.local_health.record_absence();
@@ -259,11 +275,11 @@
         self.catch_up = CatchUp::start(now);
     }
 
-    /// Tells the others that this proxy leaves; it is silent afterwards.
+    /// Leaves the fleet: the returned actions tell the others. This proxy sends and accepts nothing afterwards.
     pub fn leave(&mut self) -> Actions {
         let mut effects = AccumulatingRuntime::new();
         if !self.is_stopped && self.swim.leave_cluster(&mut effects).is_ok() {
-            // No timer fires any more, so the time does not matter.
+            // The time is irrelevant, as no timer fires after this call.
             self.apply(0, effects);
         }
         self.is_stopped = true;
@@ -272,7 +288,7 @@
         actions
     }
 
-    /// Announces this proxy to some of the seeds that are not known to be alive, if that is due.
+    /// Announces this proxy to some of the seeds that are not known to be alive, if an announcement is due.
     fn announce_to_seeds(&mut self, now: Micros) {
         if !self.seeds.is_due(now) {
             return;
@@ -286,7 +302,7 @@
         }
     }
 
-    /// Asks a random live proxy whom it knows, if this one is new here and that is due.
+    /// Requests the peer list of a random live proxy, if this proxy is new or was absent and a request is due.
     fn request_peer_list(&mut self, now: Micros) {
         if !self.catch_up.take_due(now) {
             return;
@@ -298,7 +314,7 @@
         }
     }
 
-    /// Announces this proxy to another, which answers with some of those that it knows.
+    /// Announces this proxy to another, which answers with some of the peers that it knows.
     fn announce(&mut self, now: Micros, to: Peer) {
         let mut effects = AccumulatingRuntime::new();
         if self.swim.announce(to, &mut effects).is_ok() {
@@ -306,7 +322,7 @@
         }
     }
 
-    /// Turns what SWIM wants into actions and timers.
+    /// Converts the effects of a SWIM call into actions and timers.
     fn apply(&mut self, now: Micros, mut effects: AccumulatingRuntime<Peer>) {
         while let Some((to, message)) = effects.to_send() {
             let to = self.named_addresses.get(&*to.name).copied().unwrap_or(to.address);
@@ -329,7 +345,7 @@
         }
     }
 
-    /// The others had declared this proxy dead, and it goes on as another identity.
+    /// Continues under the identity `local`, after the others had declared this proxy dead or its start number was raised.
     fn adopt_identity(&mut self, now: Micros, local: Peer) {
         self.codec.set_local(local);
         self.local_health.record_absence();
@@ -337,9 +353,11 @@
         self.catch_up = CatchUp::start(now);
     }
 
-    /// Doubt about this proxy's own health makes probes rarer and their timeouts longer, as a probe must fit in its round,
-    /// and suspicions last longer. `suspicion_health` is the health before the probe that raised a suspicion: its outcome
-    /// does not lengthen its own suspicion.
+    /// Schedules timers, with delays that depend on the local health.
+    ///
+    /// While the local health is impaired, probe timeouts are longer, probes are rarer because a probe must fit in its
+    /// round, and suspicions last longer. `suspicion_health` applies to suspicions. It is the health before the probe that
+    /// raised the suspicion, so that the outcome of a probe does not lengthen the suspicion that it raises.
     fn schedule(
         &mut self,
         now: Micros,
@@ -359,7 +377,7 @@
         }
     }
 
-    /// Ends a call: what the caller is to do, and when to call again.
+    /// Updates the number of live proxies and returns the collected actions, with the time of the next call.
     fn take_actions(&mut self, now: Micros) -> Actions {
         self.live_count.set_alive(now, self.swim.num_members() + 1);
         if !self.is_stopped {
@@ -371,9 +389,10 @@
     }
 }
 
+/// Converts the settings of this crate into a `foca` configuration.
 fn swim_config(periods: ProtocolPeriods, fleet_size: usize) -> foca::Config {
     let duration = |micros: Micros| Duration::from_micros(micros.max(1) as u64);
-    let non_zero = |count| NonZeroUsize::new(count).expect("not zero");
+    let non_zero = |count| NonZeroUsize::new(count).expect("the count is a non-zero constant");
     let periodic = |frequency, members| Some(PeriodicParams { frequency, num_members: non_zero(members) });
     let transmissions = (TRANSMISSIONS_PER_DECADE * (fleet_size as f64 + 1.0).log10()).ceil();
     let transmissions = transmissions.clamp(MIN_TRANSMISSIONS, MAX_TRANSMISSIONS) as u8;
@@ -381,13 +400,13 @@
         probe_period: duration(periods.probe_interval),
         probe_rtt: duration(periods.probe_timeout),
         num_indirect_probes: non_zero(INDIRECT_PROBES),
-        max_transmissions: NonZeroU8::new(transmissions).expect("not zero"),
+        max_transmissions: NonZeroU8::new(transmissions).expect("MIN_TRANSMISSIONS is above zero"),
         suspect_to_down_after: duration(periods.suspicion_timeout),
         remove_down_after: DOWN_RETENTION,
         max_packet_size: non_zero(frame::MAX_DATAGRAM_BYTES - frame::HEADER_BYTES),
         notify_down_members: true,
         periodic_announce: periodic(PEER_LIST_REQUEST_INTERVAL, 1),
-        // Proxies that were declared dead by mistake, or were cut off, find back by this.
+        // Lets proxies that were declared dead by mistake, or were cut off, return to the fleet.
         periodic_announce_to_down_members: periodic(duration(periods.suspicion_timeout), 1),
         periodic_gossip: periodic(duration(periods.gossip_interval), GOSSIP_FANOUT),
     }
