--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -60,14 +60,14 @@
     local: Rc<RefCell<Peer>>,
     /// Latest instance of the local proxy's name seen in a message; `None` if none has a higher start number than the
     /// local one.
-    later_start: Rc<RefCell<Option<Peer>>>,
+    later_instance: Rc<RefCell<Option<Peer>>>,
 }
 
 impl GossipCodec {
     /// Creates the codec of the given local peer.
     #[must_use]
     pub fn new(local: Peer) -> GossipCodec {
-        GossipCodec { local: Rc::new(RefCell::new(local)), later_start: Rc::default() }
+        GossipCodec { local: Rc::new(RefCell::new(local)), later_instance: Rc::default() }
     }
 
     /// Replaces the local peer after a rejoin or a renumbering, in all clones.
@@ -77,15 +77,15 @@
 
     /// Removes and returns the latest instance of the local proxy's name seen in a message; `None` if none has a higher
     /// start number than the local one.
-    pub(crate) fn take_later_start(&self) -> Option<Peer> {
-        self.later_start.borrow_mut().take()
+    pub(crate) fn take_later_instance(&self) -> Option<Peer> {
+        self.later_instance.borrow_mut().take()
     }
 
     /// Remembers `peer` if it is an instance of the local proxy's name with a higher start number than the local one and
     /// any remembered before.
-    fn note_later_start(&self, peer: &Peer) {
+    fn note_later_instance(&self, peer: &Peer) {
         let local = self.local.borrow();
-        let mut latest = self.later_start.borrow_mut();
+        let mut latest = self.later_instance.borrow_mut();
         let known_start = latest.as_ref().map_or(local.start, |latest| latest.start);
         if peer.name == local.name && peer.start > known_start {
             *latest = Some(peer.clone());
@@ -114,7 +114,7 @@
         if dst.name.is_empty() {
             dst = self.local.borrow().clone();
         }
-        self.note_later_start(&src);
+        self.note_later_instance(&src);
         Ok(Header { src, src_incarnation, dst, message })
     }
 
@@ -143,7 +143,7 @@
         if peer.name.is_empty() {
             return Err(CodecError);
         }
-        self.note_later_start(&peer);
+        self.note_later_instance(&peer);
         Ok(Member::new(peer, incarnation, state))
     }
 }
--- a/crates/membership/src/frame.rs
+++ b/crates/membership/src/frame.rs
@@ -45,7 +45,7 @@
 /// Kind code of a SWIM message.
 const GOSSIP: u8 = 0;
 /// Kind code of a later start notice.
-const LATER_START: u8 = 1;
+const LATER_INSTANCE: u8 = 1;
 /// Kind code of a payload of another crate.
 const PAYLOAD: u8 = 2;
 
@@ -100,7 +100,7 @@
         payload: &'a [u8],
     },
     /// A later start notice: this instance of the receiver's name has a higher start number than the receiver.
-    LaterStart(Peer),
+    LaterInstance(Peer),
 }
 
 /// Creates a datagram that holds the header only, with capacity for the content.
@@ -133,8 +133,8 @@
 
 /// Encodes a later start notice, which tells a process that `later` is an instance of its name with a higher start number.
 #[must_use]
-pub fn encode_later_start(fleet_tag: u64, later: &Peer) -> Vec<u8> {
-    let mut bytes = encode_header(fleet_tag, LATER_START, PEER_CAPACITY_HINT);
+pub fn encode_later_instance(fleet_tag: u64, later: &Peer) -> Vec<u8> {
+    let mut bytes = encode_header(fleet_tag, LATER_INSTANCE, PEER_CAPACITY_HINT);
     // Writing to a vector fails only for a name that is too long, and decoding never accepts such a name.
     let _ = put_peer(later, &mut bytes);
     bytes
@@ -161,7 +161,7 @@
     match kind {
         GOSSIP => Ok(Content::Gossip { sender: peer, message: bytes }),
         PAYLOAD => Ok(Content::Payload { sender: peer, payload: rest }),
-        LATER_START => Ok(Content::LaterStart(peer)),
+        LATER_INSTANCE => Ok(Content::LaterInstance(peer)),
         _ => Err(RejectReason::NotMembership),
     }
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -148,14 +148,14 @@
         }
         match frame::decode(self.fleet_tag, datagram) {
             Err(reason) => self.dropped.increment(reason),
-            Ok(Content::LaterStart(peer)) => self.receive_later_start(now, peer),
+            Ok(Content::LaterInstance(peer)) => self.receive_later_instance(now, peer),
             Ok(Content::Payload { sender, payload }) => {
-                if !self.reject_earlier_start(&sender) {
+                if !self.reject_earlier_instance(&sender) {
                     self.actions.payloads.push(ReceivedPayload { sender, payload: payload.to_vec() });
                 }
             }
             Ok(Content::Gossip { sender, message }) => {
-                if !self.reject_earlier_start(&sender) {
+                if !self.reject_earlier_instance(&sender) {
                     self.receive_gossip(now, message);
                 }
             }
@@ -164,7 +164,7 @@
     }
 
     /// Handles a later start notice: another proxy knows an instance of this proxy's name with a higher start number.
-    fn receive_later_start(&mut self, now: Micros, later: Peer) {
+    fn receive_later_instance(&mut self, now: Micros, later: Peer) {
         let local = self.swim.identity();
         if later.name == local.name && later.start > local.start {
             self.resolve_name_conflict(now, later);
@@ -179,11 +179,11 @@
     /// If SWIM handled the datagram, the sender would be told that it is dead, rejoin, and so on without end. Instances
     /// that were declared dead count as well: SWIM remembers them for an hour, and accepts no lower start number during
     /// that time.
-    fn reject_earlier_start(&mut self, sender: &Peer) -> bool {
+    fn reject_earlier_instance(&mut self, sender: &Peer) -> bool {
         let is_later = |peer: &&Peer| peer.name == sender.name && peer.start > sender.start;
         let mut known = self.swim.iter_membership_state().map(foca::Member::id);
         let Some(later) = known.find(is_later) else { return false };
-        let bytes = frame::encode_later_start(self.fleet_tag, later);
+        let bytes = frame::encode_later_instance(self.fleet_tag, later);
         self.actions.send.push(OutgoingDatagram { to: sender.address, bytes });
         true
     }
@@ -196,7 +196,7 @@
             Err(_) => self.dropped.unusable += 1,
         }
         self.apply(now, effects);
-        if let Some(later) = self.codec.take_later_start() {
+        if let Some(later) = self.codec.take_later_instance() {
             self.resolve_name_conflict(now, later);
         }
     }
@@ -293,10 +293,10 @@
         if !self.seeds.is_due(now) {
             return;
         }
-        let members: Vec<&foca::Member<Peer>> = self.swim.iter_members().collect();
+        let live_peers: Vec<&foca::Member<Peer>> = self.swim.iter_members().collect();
         let is_new = self.catch_up.is_new(now);
         let local = self.swim.identity().address;
-        for address in self.seeds.pick(now, is_new, local, &members, &mut self.rng) {
+        for address in self.seeds.pick(now, is_new, local, &live_peers, &mut self.rng) {
             let unnamed = Peer { name: "".into(), start: 0, rejoins: 0, address };
             self.announce(now, unnamed);
         }
@@ -393,7 +393,7 @@
 fn swim_config(periods: ProtocolPeriods, fleet_size: usize) -> foca::Config {
     let duration = |micros: Micros| Duration::from_micros(micros.max(1) as u64);
     let non_zero = |count| NonZeroUsize::new(count).expect("the count is a non-zero constant");
-    let periodic = |frequency, members| Some(PeriodicParams { frequency, num_members: non_zero(members) });
+    let periodic = |frequency, peers| Some(PeriodicParams { frequency, num_members: non_zero(peers) });
     let transmissions = (TRANSMISSIONS_PER_DECADE * (fleet_size as f64 + 1.0).log10()).ceil();
     let transmissions = transmissions.clamp(MIN_TRANSMISSIONS, MAX_TRANSMISSIONS) as u8;
     foca::Config {
--- a/crates/membership/src/seeds.rs
+++ b/crates/membership/src/seeds.rs
@@ -49,21 +49,21 @@
     }
 
     /// Picks random seeds for an announcement among those that are not known to be alive, and schedules the next one.
-    /// `is_new` tells whether this proxy started or came back recently; `members` are the live proxies other than this
+    /// `is_new` tells whether this proxy started or came back recently; `live_peers` are the live proxies other than this
     /// one.
     pub(crate) fn pick(
         &mut self,
         now: Micros,
         is_new: bool,
         local: SocketAddr,
-        members: &[&Member<Peer>],
+        live_peers: &[&Member<Peer>],
         rng: &mut Pcg64Mcg,
     ) -> Vec<SocketAddr> {
-        let is_alone = members.is_empty();
+        let is_alone = live_peers.is_empty();
         let interval =
             if is_alone && is_new { ANNOUNCE_INTERVAL / NEW_AND_ALONE_DIVISOR } else { ANNOUNCE_INTERVAL };
         self.announce_at = now + interval + rng.random_range(0..interval / JITTER_DIVISOR);
-        let is_unknown = |seed: &&SeedAddress| seed.address != local && !is_alive(seed, members);
+        let is_unknown = |seed: &&SeedAddress| seed.address != local && !is_alive(seed, live_peers);
         let unknown: Vec<SocketAddr> =
             self.addresses.iter().filter(is_unknown).map(|seed| seed.address).collect();
         let wanted = if is_alone { SEEDS_PER_ANNOUNCEMENT_ALONE } else { SEEDS_PER_ANNOUNCEMENT };
@@ -73,9 +73,9 @@
 }
 
 /// Returns whether one of the live proxies has the seed's name, or the seed's address if it is configured without a name.
-fn is_alive(seed: &SeedAddress, members: &[&Member<Peer>]) -> bool {
+fn is_alive(seed: &SeedAddress, live_peers: &[&Member<Peer>]) -> bool {
     match &seed.name {
-        Some(name) => members.iter().any(|member| *member.id().name == **name),
-        None => members.iter().any(|member| member.id().address == seed.address),
+        Some(name) => live_peers.iter().any(|peer| *peer.id().name == **name),
+        None => live_peers.iter().any(|peer| peer.id().address == seed.address),
     }
 }
--- a/crates/membership/tests/pinned_datagrams.rs
+++ b/crates/membership/tests/pinned_datagrams.rs
@@ -205,8 +205,8 @@
 #[test]
 fn a_later_start_datagram_keeps_its_bytes() {
     let pinned = "a1df 01 0102030405060708 01 0770726f78792d63 2233445566778899 0e0f 04c00002031f0c";
-    assert_pinned(&frame::encode_later_start(FLEET, &third()), pinned);
-    assert_eq!(frame::decode(FLEET, &bytes(pinned)), Ok(Content::LaterStart(third())));
+    assert_pinned(&frame::encode_later_instance(FLEET, &third()), pinned);
+    assert_eq!(frame::decode(FLEET, &bytes(pinned)), Ok(Content::LaterInstance(third())));
 }
 
 #[test]
