--- a/crates/membership/src/frame.rs
+++ b/crates/membership/src/frame.rs
@@ -5,9 +5,9 @@
 //! | 2 | `0xA1DF` |
 //! | 1 | version |
 //! | 8 | fleet tag: a hash of the fleet's name ([`fleet_tag`]) |
-//! | 1 | kind: 0 for gossip, 1 for a later start notice, 2 for a payload of another crate |
+//! | 1 | kind: 0 for gossip, 1 for a later instance notice, 2 for a payload of another crate |
 //!
-//! A payload datagram continues with the sender as a peer and the bytes of the other crate. A later start notice
+//! A payload datagram continues with the sender as a peer and the bytes of the other crate. A later instance notice
 //! continues with one peer, which has the receiver's name and a higher start number than the receiver. A gossip datagram
 //! continues with:
 //!
@@ -44,7 +44,7 @@
 
 /// Kind code of a SWIM message.
 const GOSSIP: u8 = 0;
-/// Kind code of a later start notice.
+/// Kind code of a later instance notice.
 const LATER_INSTANCE: u8 = 1;
 /// Kind code of a payload of another crate.
 const PAYLOAD: u8 = 2;
@@ -99,7 +99,7 @@
         /// Bytes of the other crate.
         payload: &'a [u8],
     },
-    /// A later start notice: this instance of the receiver's name has a higher start number than the receiver.
+    /// A later instance notice: this instance of the receiver's name has a higher start number than the receiver.
     LaterInstance(Peer),
 }
 
@@ -131,7 +131,8 @@
     bytes
 }
 
-/// Encodes a later start notice, which tells a process that `later` is an instance of its name with a higher start number.
+/// Encodes a later instance notice, which tells a process that its name has the instance `later` with a higher start
+/// number.
 #[must_use]
 pub fn encode_later_instance(fleet_tag: u64, later: &Peer) -> Vec<u8> {
     let mut bytes = encode_header(fleet_tag, LATER_INSTANCE, PEER_CAPACITY_HINT);
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -163,7 +163,7 @@
         self.take_actions(now)
     }
 
-    /// Handles a later start notice: another proxy knows an instance of this proxy's name with a higher start number.
+    /// Handles a later instance notice: another proxy knows an instance of this proxy's name with a higher start number.
     fn receive_later_instance(&mut self, now: Micros, later: Peer) {
         let local = self.swim.identity();
         if later.name == local.name && later.start > local.start {
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Answers a sender with a later start notice if a higher start number is known for its name, and returns whether it
+    /// Answers a sender with a later instance notice if a higher start number is known for its name, and returns whether it
     /// did so. The caller then ignores the datagram.
     ///
     /// If SWIM handled the datagram, the sender would be told that it is dead, rejoin, and so on without end. Instances
@@ -188,7 +188,7 @@
         true
     }
 
-    /// Handles a SWIM message, and resolves a name conflict if the message names a later instance of this proxy.
+    /// Handles a SWIM message. Resolves the name conflict if the message holds a higher start number for this proxy's name.
     fn receive_gossip(&mut self, now: Micros, message: &[u8]) {
         let mut effects = AccumulatingRuntime::new();
         match self.swim.handle_data(message, &mut effects) {
@@ -357,7 +357,7 @@
     ///
     /// While the local health is impaired, probe timeouts are longer, probes are rarer because a probe must fit in its
     /// round, and suspicions last longer. `suspicion_health` applies to suspicions. It is the health before the probe that
-    /// raised the suspicion, so that the outcome of a probe does not lengthen the suspicion that it raises.
+    /// raised the suspicion, so that a failed probe does not lengthen the suspicion that it raises.
     fn schedule(
         &mut self,
         now: Micros,
--- a/crates/membership/src/seeds.rs
+++ b/crates/membership/src/seeds.rs
@@ -8,8 +8,8 @@
 
 use crate::{Micros, Peer, SeedAddress};
 
-/// Base time between announcements to seeds that are not known to be alive. They reunite a divided fleet,
-/// and let a proxy that started alone discover the others.
+/// Base time between announcements to seeds that are not known to be alive. The announcements reunite a divided fleet, and
+/// let a proxy that started alone discover the others.
 const ANNOUNCE_INTERVAL: Micros = 2_000_000;
 /// Divisor of the announcement interval for a new proxy that knows no other live proxy.
 const NEW_AND_ALONE_DIVISOR: Micros = 8;
@@ -49,8 +49,7 @@
     }
 
     /// Picks random seeds for an announcement among those that are not known to be alive, and schedules the next one.
-    /// `is_new` tells whether this proxy started or came back recently; `live_peers` are the live proxies other than this
-    /// one.
+    /// `is_new` tells whether this proxy started or came back recently. `live_peers` are the other live proxies.
     pub(crate) fn pick(
         &mut self,
         now: Micros,
--- a/crates/membership/src/snapshot.rs
+++ b/crates/membership/src/snapshot.rs
@@ -8,7 +8,7 @@
     /// Highest number of proxies known to be alive at one time since this proxy started.
     pub most_alive: usize,
     /// Whether the number of live proxies is certain: another proxy is alive, and a message from another proxy was
-    /// received some time after the latest start, stall or change of identity of this one.
+    /// received some time after the latest start, stall or change of identity of this proxy.
     pub is_certain: bool,
     /// Whether at least as many proxies have disappeared recently as are left, so that this proxy may be in the smaller
     /// part of a divided fleet.
