--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -1,4 +1,4 @@
-//! How SWIM's messages are read and written; [`crate::frame`] describes the form.
+//! Encoding and decoding of SWIM messages in the format that [`crate::frame`] describes.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -10,11 +10,14 @@
 
 use crate::Peer;
 
+/// Longest accepted proxy name, in bytes of UTF-8.
 const MAX_NAME_BYTES: usize = 64;
+/// Encoded address length that marks an IPv4 address.
 const IPV4_BYTES: u8 = 4;
+/// Encoded address length that marks an IPv6 address.
 const IPV6_BYTES: u8 = 16;
 
-/// Kinds of messages.
+/// Codes of the message kinds on the wire.
 mod kind {
     pub(super) const PING: u8 = 1;
     pub(super) const ACK: u8 = 2;
@@ -29,54 +32,60 @@
     pub(super) const TURN_UNDEAD: u8 = 11;
 }
 
-/// States of members.
+/// Codes of the peer states on the wire.
 mod state {
     pub(super) const ALIVE: u8 = 1;
     pub(super) const SUSPECT: u8 = 2;
     pub(super) const DOWN: u8 = 3;
 }
 
-/// A message could not be read, or does not fit where it is written to.
+/// A message could not be decoded, a peer's name is too long to encode, or the output buffer is too small.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Malformed;
+pub struct CodecError;
 
-impl fmt::Display for Malformed {
+impl fmt::Display for CodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("malformed datagram")
+        f.write_str("malformed datagram, name too long, or output buffer too small")
     }
 }
 
-impl std::error::Error for Malformed {}
+impl std::error::Error for CodecError {}
 
-/// Reads and writes SWIM's messages. Clones share what they know: who listens here, and whether this name was seen with a
-/// later start.
+/// Encodes and decodes SWIM messages.
+///
+/// All clones share the local peer and the latest instance of the local name that was seen in a message.
 #[derive(Clone, Debug)]
 pub struct GossipCodec {
-    /// This proxy, to whom messages without a receiver's name are addressed.
+    /// Local peer; substituted as the receiver of messages whose receiver name is empty.
     local: Rc<RefCell<Peer>>,
-    /// The latest start of this proxy's name that a message named, if it is later than this one.
-    later_start: Rc<RefCell<Option<Peer>>>,
+    /// Latest instance of the local proxy's name seen in a message; `None` if none has a higher start number than the
+    /// local one.
+    later_instance: Rc<RefCell<Option<Peer>>>,
 }
 
 impl GossipCodec {
-    /// The codec of this proxy.
+    /// Creates the codec of the given local peer.
     #[must_use]
     pub fn new(local: Peer) -> GossipCodec {
-        GossipCodec { local: Rc::new(RefCell::new(local)), later_start: Rc::default() }
+        GossipCodec { local: Rc::new(RefCell::new(local)), later_instance: Rc::default() }
     }
 
+    /// Replaces the local peer after a rejoin or a renumbering, in all clones.
     pub(crate) fn set_local(&self, local: Peer) {
         *self.local.borrow_mut() = local;
     }
 
-    /// Removes and returns the latest start of this proxy's name that a message named, if it is later than this one.
-    pub(crate) fn take_later_start(&self) -> Option<Peer> {
-        self.later_start.borrow_mut().take()
+    /// Removes and returns the latest instance of the local proxy's name seen in a message; `None` if none has a higher
+    /// start number than the local one.
+    pub(crate) fn take_later_instance(&self) -> Option<Peer> {
+        self.later_instance.borrow_mut().take()
     }
 
-    fn note_later_start(&self, peer: &Peer) {
+    /// Remembers `peer` if it is an instance of the local proxy's name with a higher start number than the local one and
+    /// any remembered before.
+    fn note_later_instance(&self, peer: &Peer) {
         let local = self.local.borrow();
-        let mut latest = self.later_start.borrow_mut();
+        let mut latest = self.later_instance.borrow_mut();
         let known_start = latest.as_ref().map_or(local.start, |latest| latest.start);
         if peer.name == local.name && peer.start > known_start {
             *latest = Some(peer.clone());
@@ -85,9 +94,9 @@
 }
 
 impl foca::Codec<Peer> for GossipCodec {
-    type Error = Malformed;
+    type Error = CodecError;
 
-    fn encode_header(&mut self, header: &Header<Peer>, mut buf: impl BufMut) -> Result<(), Malformed> {
+    fn encode_header(&mut self, header: &Header<Peer>, mut buf: impl BufMut) -> Result<(), CodecError> {
         put_peer(&header.src, &mut buf)?;
         require_space(&buf, 2)?;
         buf.put_u16(header.src_incarnation);
@@ -96,7 +105,7 @@
         put_message(&header.message, &mut buf)
     }
 
-    fn decode_header(&mut self, mut buf: impl Buf) -> Result<Header<Peer>, Malformed> {
+    fn decode_header(&mut self, mut buf: impl Buf) -> Result<Header<Peer>, CodecError> {
         let src = get_peer(&mut buf)?;
         require_bytes(&buf, 2)?;
         let src_incarnation = buf.get_u16();
@@ -105,11 +114,11 @@
         if dst.name.is_empty() {
             dst = self.local.borrow().clone();
         }
-        self.note_later_start(&src);
+        self.note_later_instance(&src);
         Ok(Header { src, src_incarnation, dst, message })
     }
 
-    fn encode_member(&mut self, member: &Member<Peer>, mut buf: impl BufMut) -> Result<(), Malformed> {
+    fn encode_member(&mut self, member: &Member<Peer>, mut buf: impl BufMut) -> Result<(), CodecError> {
         put_peer(member.id(), &mut buf)?;
         require_space(&buf, 3)?;
         buf.put_u16(member.incarnation());
@@ -121,7 +130,7 @@
         Ok(())
     }
 
-    fn decode_member(&mut self, mut buf: impl Buf) -> Result<Member<Peer>, Malformed> {
+    fn decode_member(&mut self, mut buf: impl Buf) -> Result<Member<Peer>, CodecError> {
         let peer = get_peer(&mut buf)?;
         require_bytes(&buf, 3)?;
         let incarnation = buf.get_u16();
@@ -129,30 +138,33 @@
             state::ALIVE => State::Alive,
             state::SUSPECT => State::Suspect,
             state::DOWN => State::Down,
-            _ => return Err(Malformed),
+            _ => return Err(CodecError),
         };
         if peer.name.is_empty() {
-            return Err(Malformed);
+            return Err(CodecError);
         }
-        self.note_later_start(&peer);
+        self.note_later_instance(&peer);
         Ok(Member::new(peer, incarnation, state))
     }
 }
 
-fn require_bytes(buf: &impl Buf, bytes: usize) -> Result<(), Malformed> {
-    if buf.remaining() < bytes { Err(Malformed) } else { Ok(()) }
+/// Fails if fewer than `bytes` bytes are left to read.
+fn require_bytes(buf: &impl Buf, bytes: usize) -> Result<(), CodecError> {
+    if buf.remaining() < bytes { Err(CodecError) } else { Ok(()) }
 }
 
-fn require_space(buf: &impl BufMut, bytes: usize) -> Result<(), Malformed> {
-    if buf.remaining_mut() < bytes { Err(Malformed) } else { Ok(()) }
+/// Fails if fewer than `bytes` bytes can still be written.
+fn require_space(buf: &impl BufMut, bytes: usize) -> Result<(), CodecError> {
+    if buf.remaining_mut() < bytes { Err(CodecError) } else { Ok(()) }
 }
 
-pub(crate) fn put_peer(peer: &Peer, buf: &mut impl BufMut) -> Result<(), Malformed> {
+/// Encodes a peer; fails if its name is too long or the buffer too small.
+pub(crate) fn put_peer(peer: &Peer, buf: &mut impl BufMut) -> Result<(), CodecError> {
     let name = peer.name.as_bytes();
     if name.len() > MAX_NAME_BYTES {
-        return Err(Malformed);
+        return Err(CodecError);
     }
-    // The lengths of the name, its length, the start, the rejoins, the address's length, the longest address and the port.
+    // Name length, name, start number, rejoin count, address length, longest address, port.
     require_space(buf, 1 + name.len() + 8 + 2 + 1 + 16 + 2)?;
     buf.put_u8(name.len() as u8);
     buf.put_slice(name);
@@ -172,15 +184,16 @@
     Ok(())
 }
 
-pub(crate) fn get_peer(buf: &mut impl Buf) -> Result<Peer, Malformed> {
+/// Decodes a peer; its name may be empty.
+pub(crate) fn get_peer(buf: &mut impl Buf) -> Result<Peer, CodecError> {
     require_bytes(buf, 1)?;
     let name_length = usize::from(buf.get_u8());
-    // The start, the rejoins and the address's length.
+    // Name, start number, rejoin count, address length.
     require_bytes(buf, name_length + 8 + 2 + 1)?;
     let mut name = [0; MAX_NAME_BYTES];
-    let name = name.get_mut(..name_length).ok_or(Malformed)?;
+    let name = name.get_mut(..name_length).ok_or(CodecError)?;
     buf.copy_to_slice(name);
-    let name = std::str::from_utf8(name).map_err(|_| Malformed)?;
+    let name = std::str::from_utf8(name).map_err(|_| CodecError)?;
     let start = buf.get_u64();
     let rejoins = buf.get_u16();
     let address_length = buf.get_u8();
@@ -188,27 +201,28 @@
     let ip: IpAddr = match address_length {
         IPV4_BYTES => buf.get_u32().to_be_bytes().into(),
         IPV6_BYTES => buf.get_u128().to_be_bytes().into(),
-        _ => return Err(Malformed),
+        _ => return Err(CodecError),
     };
     let address = SocketAddr::new(ip, buf.get_u16());
     Ok(Peer { name: name.into(), start, rejoins, address })
 }
 
-fn put_message(message: &Message<Peer>, buf: &mut impl BufMut) -> Result<(), Malformed> {
+/// Encodes a message's kind and its fields. The caller ensures space for the kind and a probe number.
+fn put_message(message: &Message<Peer>, buf: &mut impl BufMut) -> Result<(), CodecError> {
     match message {
-        Message::Ping(probe_number) => put_numbered(kind::PING, *probe_number, buf),
-        Message::Ack(probe_number) => put_numbered(kind::ACK, *probe_number, buf),
+        Message::Ping(probe_number) => put_probe(kind::PING, *probe_number, buf),
+        Message::Ack(probe_number) => put_probe(kind::ACK, *probe_number, buf),
         Message::PingReq { target, probe_number } => {
-            put_relayed(kind::PING_REQUEST, *probe_number, target, buf)?;
+            put_relayed_probe(kind::PING_REQUEST, *probe_number, target, buf)?;
         }
         Message::IndirectPing { origin, probe_number } => {
-            put_relayed(kind::INDIRECT_PING, *probe_number, origin, buf)?;
+            put_relayed_probe(kind::INDIRECT_PING, *probe_number, origin, buf)?;
         }
         Message::IndirectAck { target, probe_number } => {
-            put_relayed(kind::INDIRECT_ACK, *probe_number, target, buf)?;
+            put_relayed_probe(kind::INDIRECT_ACK, *probe_number, target, buf)?;
         }
         Message::ForwardedAck { origin, probe_number } => {
-            put_relayed(kind::FORWARDED_ACK, *probe_number, origin, buf)?;
+            put_relayed_probe(kind::FORWARDED_ACK, *probe_number, origin, buf)?;
         }
         Message::Announce => buf.put_u8(kind::ANNOUNCE),
         Message::Feed => buf.put_u8(kind::FEED),
@@ -219,19 +233,26 @@
     Ok(())
 }
 
-fn put_numbered(kind: u8, probe_number: u8, buf: &mut impl BufMut) {
+/// Encodes a message kind and a probe number without checking the space.
+fn put_probe(kind: u8, probe_number: u8, buf: &mut impl BufMut) {
     buf.put_u8(kind);
     buf.put_u8(probe_number);
 }
 
-/// A probe that another proxy relays: `peer` is whom it is for, or whom it comes from.
-fn put_relayed(kind: u8, probe_number: u8, peer: &Peer, buf: &mut impl BufMut) -> Result<(), Malformed> {
+/// Encodes a message of an indirect probe, where `peer` is the probed proxy or the proxy that requested the probe.
+fn put_relayed_probe(
+    kind: u8,
+    probe_number: u8,
+    peer: &Peer,
+    buf: &mut impl BufMut,
+) -> Result<(), CodecError> {
     require_space(buf, 2)?;
-    put_numbered(kind, probe_number, buf);
+    put_probe(kind, probe_number, buf);
     put_peer(peer, buf)
 }
 
-fn get_message(buf: &mut impl Buf) -> Result<Message<Peer>, Malformed> {
+/// Decodes a message's kind and its fields.
+fn get_message(buf: &mut impl Buf) -> Result<Message<Peer>, CodecError> {
     require_bytes(buf, 1)?;
     let kind = buf.get_u8();
     match kind {
@@ -241,7 +262,7 @@
         kind::BROADCAST => return Ok(Message::Broadcast),
         kind::TURN_UNDEAD => return Ok(Message::TurnUndead),
         kind::PING..=kind::FORWARDED_ACK => {}
-        _ => return Err(Malformed),
+        _ => return Err(CodecError),
     }
     require_bytes(buf, 1)?;
     let probe_number = buf.get_u8();
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The fleet as one proxy knows it: takes datagrams, fires timers, and keeps the count of live proxies.
+//! State machine of the membership protocol: handles datagrams and timers, and tracks the number of live proxies.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -18,110 +18,117 @@
 use crate::live_count::LiveCount;
 use crate::local_health::LocalHealth;
 use crate::seeds::Seeds;
-use crate::start_number::StartNumber;
+use crate::start_number::StartNumberAssigner;
 use crate::timer_queue::TimerQueue;
 use crate::{Micros, Peer, Snapshot};
 
-/// Other proxies that probe in this one's place when a probe has no answer.
+/// Number of other proxies that are asked to probe indirectly after an unanswered direct probe.
 const INDIRECT_PROBES: usize = 3;
-/// Proxies that a change is gossiped to at a time.
+/// Number of proxies to which a change is gossiped per round.
 const GOSSIP_FANOUT: usize = 3;
-/// How often a change is passed on by each proxy, for each decade of the fleet's size: with this it reaches all with near
-/// certainty.
+/// Number of times that each proxy passes on a change, for each factor of ten in the fleet size. With this number a change
+/// reaches all proxies almost certainly.
 const TRANSMISSIONS_PER_DECADE: f64 = 4.0;
+/// Lower bound of the number of times that each proxy passes on a change.
 const MIN_TRANSMISSIONS: f64 = 2.0;
+/// Upper bound of the number of times that each proxy passes on a change.
 const MAX_TRANSMISSIONS: f64 = 40.0;
-/// How often a random live proxy is asked whom it knows, which heals what gossip has missed.
-const MEMBER_REQUEST_INTERVAL: Duration = Duration::from_secs(20);
-/// How long a proxy that was declared dead is remembered, so that old gossip does not revive it.
-const DOWN_MEMORY: Duration = Duration::from_secs(3600);
+/// Time between two requests for the peer list of a random live proxy, which repair what gossip has missed.
+const PEER_LIST_REQUEST_INTERVAL: Duration = Duration::from_secs(20);
+/// Time for which a proxy that was declared dead is remembered, so that outdated gossip does not revive it.
+const DOWN_RETENTION: Duration = Duration::from_secs(3600);
 
+/// SWIM protocol state with the identity, codec and random number generator of this crate.
 type Swim = Foca<Peer, GossipCodec, Pcg64Mcg, NoCustomBroadcast>;
 
-/// The fleet as one proxy knows it.
+/// One proxy's view of its fleet, and its part in the membership protocol.
 pub struct Membership {
     swim: Swim,
     codec: GossipCodec,
     fleet_tag: u64,
     networks: Vec<IpNet>,
     seeds: Seeds,
-    /// Where proxies listen that the operator names.
+    /// Configured addresses by proxy name. They take precedence over announced addresses.
     named_addresses: HashMap<String, SocketAddr>,
     local_health: LocalHealth,
     live_count: LiveCount,
     dropped: DroppedDatagrams,
     timers: TimerQueue,
     catch_up: CatchUp,
-    start_number: StartNumber,
+    start_number_assigner: StartNumberAssigner,
     rng: Pcg64Mcg,
-    /// It has left, or a later start has its name: it neither sends nor takes anything.
-    is_silent: bool,
-    /// What the running call returns in the end.
+    /// Whether this proxy has left the fleet or been superseded by a later instance of its name. A stopped proxy neither
+    /// sends nor accepts datagrams.
+    is_stopped: bool,
+    /// Actions collected during the current call, to be returned at its end.
     actions: Actions,
 }
 
 impl Membership {
-    /// Joins the fleet: the first actions announce this proxy to some of the seeds. Equal seeds of the random numbers give
-    /// equal runs.
-    pub fn start(now: Micros, config: Config, seed: u64) -> (Membership, Actions) {
+    /// Joins the fleet: the returned actions announce this proxy to some of the seeds.
+    ///
+    /// `rng_seed` seeds the random number generators. Equal values with equal inputs give equal runs.
+    pub fn start(now: Micros, config: Config, rng_seed: u64) -> (Membership, Actions) {
         let Config { local, seeds, networks, periods, fleet_size } = config;
         let LocalPeer { fleet, name, address, start } = local;
         let peer = Peer { name: name.as_str().into(), start, rejoins: 0, address };
         let codec = GossipCodec::new(peer.clone());
         let swim_config = swim_config(periods, fleet_size);
-        let swim = Foca::new(peer, swim_config, Pcg64Mcg::seed_from_u64(seed), codec.clone());
+        let swim = Foca::new(peer, swim_config, Pcg64Mcg::seed_from_u64(rng_seed), codec.clone());
         let named = |seed: &SeedAddress| Some((seed.name.clone()?, seed.address));
         let named_addresses = seeds.iter().filter_map(named).collect();
-        let others = seeds.into_iter().filter(|seed| seed.name.as_deref() != Some(&name)).collect();
+        let other_seeds = seeds.into_iter().filter(|seed| seed.name.as_deref() != Some(&name)).collect();
         let mut membership = Membership {
             swim,
             codec,
             fleet_tag: frame::fleet_tag(&fleet),
             networks,
-            seeds: Seeds::start(now, others),
+            seeds: Seeds::start(now, other_seeds),
             named_addresses,
             local_health: LocalHealth::default(),
             live_count: LiveCount::start(now),
             dropped: DroppedDatagrams::default(),
             timers: TimerQueue::default(),
             catch_up: CatchUp::start(now),
-            start_number: StartNumber::at(now),
-            rng: Pcg64Mcg::seed_from_u64(seed.rotate_left(17)),
-            is_silent: false,
+            start_number_assigner: StartNumberAssigner::new(now),
+            rng: Pcg64Mcg::seed_from_u64(rng_seed.rotate_left(17)),
+            is_stopped: false,
             actions: Actions::default(),
         };
         let actions = membership.wake(now);
         (membership, actions)
     }
 
-    /// What this proxy may conclude on the fleet now.
+    /// Returns what this proxy may conclude about the fleet at `now`.
     #[must_use]
     pub fn snapshot(&self, now: Micros) -> Snapshot {
         self.live_count.snapshot(now)
     }
 
-    /// How many datagrams were dropped since the start, by reason.
+    /// Returns the counts of datagrams dropped since the start, by reason.
     #[must_use]
     pub fn dropped(&self) -> DroppedDatagrams {
         self.dropped
     }
 
-    /// This proxy, as the others know it now.
+    /// Returns the current identity of this proxy, by which the others know it.
     #[must_use]
     pub fn local(&self) -> &Peer {
         self.swim.identity()
     }
 
-    /// The other proxies that are known to be alive.
+    /// Iterates over the other proxies that are known to be alive.
     pub fn alive(&self) -> impl Iterator<Item = &Peer> {
         self.swim.iter_members().map(foca::Member::id)
     }
 
-    /// The datagram that brings a payload of another package, of 1000 bytes at most, to the proxy of that name. `None` if
-    /// its address is not known, or this proxy is silent. As any datagram it may be lost.
+    /// Encodes a datagram that carries a payload of another crate, of at most 1000 bytes, to the proxy named `to`.
+    ///
+    /// Returns `None` if the address of that proxy is unknown, or if this proxy has left the fleet or been superseded.
+    /// Like any datagram, it may be lost.
     #[must_use]
     pub fn encode_payload(&self, to: &str, payload: &[u8]) -> Option<OutgoingDatagram> {
-        if self.is_silent {
+        if self.is_stopped {
             return None;
         }
         let announced = || self.alive().find(|peer| *peer.name == *to).map(|peer| peer.address);
@@ -129,9 +136,10 @@
         Some(OutgoingDatagram { to, bytes: frame::encode_payload(self.fleet_tag, self.local(), payload) })
     }
 
-    /// Takes a datagram that came from this address. One that is malformed or not for this proxy is counted and dropped.
+    /// Handles a datagram received from the address `from`. A malformed datagram, or one that is not meant for this proxy,
+    /// is counted and dropped.
     pub fn receive(&mut self, now: Micros, from: IpAddr, datagram: &[u8]) -> Actions {
-        if self.is_silent {
+        if self.is_stopped {
             return Actions::default();
         }
         if !self.networks.iter().any(|network| network.contains(&from)) {
@@ -139,15 +147,15 @@
             return self.take_actions(now);
         }
         match frame::decode(self.fleet_tag, datagram) {
-            Err(reason) => self.dropped.count(reason),
-            Ok(Content::LaterStart(peer)) => self.receive_later_start(now, peer),
+            Err(reason) => self.dropped.increment(reason),
+            Ok(Content::LaterInstance(peer)) => self.receive_later_instance(now, peer),
             Ok(Content::Payload { sender, payload }) => {
-                if !self.reject_earlier_start(&sender) {
+                if !self.reject_earlier_instance(&sender) {
                     self.actions.payloads.push(ReceivedPayload { sender, payload: payload.to_vec() });
                 }
             }
             Ok(Content::Gossip { sender, message }) => {
-                if !self.reject_earlier_start(&sender) {
+                if !self.reject_earlier_instance(&sender) {
                     self.receive_gossip(now, message);
                 }
             }
@@ -155,28 +163,32 @@
         self.take_actions(now)
     }
 
-    /// Another proxy says that this name has a later start.
-    fn receive_later_start(&mut self, now: Micros, later: Peer) {
+    /// Handles a later instance notice: another proxy knows an instance of this proxy's name with a higher start number.
+    fn receive_later_instance(&mut self, now: Micros, later: Peer) {
         let local = self.swim.identity();
         if later.name == local.name && later.start > local.start {
-            self.yield_or_supersede(now, later);
+            self.resolve_name_conflict(now, later);
         } else {
             self.dropped.unusable += 1;
         }
     }
 
-    /// Tells a sender whose name has a start with a higher number so, instead of taking what it sent. If SWIM took it, the
-    /// sender would be told that it is dead, rejoin, and so on without end. One that is dead counts as well: SWIM remembers
-    /// it for an hour, and takes no lower number meanwhile.
-    fn reject_earlier_start(&mut self, sender: &Peer) -> bool {
+    /// Answers a sender with a later instance notice if a higher start number is known for its name, and returns whether it
+    /// did so. The caller then ignores the datagram.
+    ///
+    /// If SWIM handled the datagram, the sender would be told that it is dead, rejoin, and so on without end. Instances
+    /// that were declared dead count as well: SWIM remembers them for an hour, and accepts no lower start number during
+    /// that time.
+    fn reject_earlier_instance(&mut self, sender: &Peer) -> bool {
         let is_later = |peer: &&Peer| peer.name == sender.name && peer.start > sender.start;
         let mut known = self.swim.iter_membership_state().map(foca::Member::id);
         let Some(later) = known.find(is_later) else { return false };
-        let bytes = frame::encode_later_start(self.fleet_tag, later);
+        let bytes = frame::encode_later_instance(self.fleet_tag, later);
         self.actions.send.push(OutgoingDatagram { to: sender.address, bytes });
         true
     }
 
+    /// Handles a SWIM message. Resolves the name conflict if the message holds a higher start number for this proxy's name.
     fn receive_gossip(&mut self, now: Micros, message: &[u8]) {
         let mut effects = AccumulatingRuntime::new();
         match self.swim.handle_data(message, &mut effects) {
@@ -184,110 +196,114 @@
             Err(_) => self.dropped.unusable += 1,
         }
         self.apply(now, effects);
-        if let Some(later) = self.codec.take_later_start() {
-            self.yield_or_supersede(now, later);
+        if let Some(later) = self.codec.take_later_instance() {
+            self.resolve_name_conflict(now, later);
         }
     }
 
-    /// A start of this name has a higher number. It is a later one, or an earlier one that a wall clock numbered which has
-    /// been set back since.
-    fn yield_or_supersede(&mut self, now: Micros, other: Peer) {
-        match self.start_number.above_earlier(now, self.swim.identity(), &other) {
-            Some(start) => self.supersede(now, start),
-            None => self.fall_silent(other),
+    /// Resolves the conflict with `other`, an instance of the same name with a higher start number. It is either a later
+    /// instance, or an earlier one whose number was taken from a wall clock that has been set back since.
+    fn resolve_name_conflict(&mut self, now: Micros, other: Peer) {
+        match self.start_number_assigner.number_above(now, self.swim.identity(), &other) {
+            Some(start) => self.renumber(now, start),
+            None => self.stop_as_superseded(other),
         }
     }
 
-    /// Goes on under another number, by which the others take this start for the latest of its name.
-    fn supersede(&mut self, now: Micros, start: u64) {
+    /// Continues under the start number `start`, by which the others accept this instance as the latest of its name.
+    fn renumber(&mut self, now: Micros, start: u64) {
         let local = Peer { start, rejoins: 0, ..self.swim.identity().clone() };
         let mut effects = AccumulatingRuntime::new();
-        // Fails for the present identity only, which has a lower number.
+        // Fails only if the identity is unchanged, and the current one has a lower start number.
         if self.swim.change_identity(local.clone(), &mut effects).is_err() {
             return;
         }
-        self.rejoin(now, local.clone());
+        self.adopt_identity(now, local.clone());
         self.apply(now, effects);
-        self.seeds.hurry(now);
+        self.seeds.make_due(now);
         self.actions.changes.push(Change::Renumbered(local));
     }
 
-    /// Two processes of one name would declare each other dead without end, so the earlier start falls silent. The cost: if
-    /// an operator gave one name twice, the older process is out of the fleet, and says so.
-    fn fall_silent(&mut self, later: Peer) {
-        self.is_silent = true;
+    /// Stops this instance because `later` has taken over its name, and reports it as [`Change::Superseded`].
+    ///
+    /// Two running processes of one name would otherwise declare each other dead without end. The cost is that if an
+    /// operator gave one name to two proxies, the older process drops out of the fleet.
+    fn stop_as_superseded(&mut self, later: Peer) {
+        self.is_stopped = true;
         self.actions.changes.push(Change::Superseded(later));
     }
 
-    /// To be called at [`Actions::wake_at`], after all datagrams that are there.
+    /// Does the work that is due. To be called at [`Actions::wake_at`], after all datagrams that have already arrived were
+    /// passed to [`Membership::receive`].
     pub fn wake(&mut self, now: Micros) -> Actions {
-        if self.is_silent {
+        if self.is_stopped {
             return Actions::default();
         }
         self.announce_to_seeds(now);
-        self.request_members(now);
+        self.request_peer_list(now);
         for timer in self.timers.take_due(now) {
-            self.fire(now, timer);
+            self.fire_timer(now, timer);
         }
         self.take_actions(now)
     }
 
-    fn fire(&mut self, now: Micros, timer: Timer<Peer>) {
+    /// Handles a due timer of SWIM, and adjusts the local health at the end of a probe round.
+    fn fire_timer(&mut self, now: Micros, timer: Timer<Peer>) {
         let ends_probe_round = matches!(timer, Timer::ProbeRandomMember(_));
         let mut effects = AccumulatingRuntime::new();
-        // A timer that fails concerns a peer that is gone.
+        // A timer fails if its peer no longer exists.
         let fired = self.swim.handle_timer(timer, &mut effects);
         let timers: Vec<(Duration, Timer<Peer>)> = std::iter::from_fn(|| effects.to_schedule()).collect();
         let health_before = self.local_health;
         if ends_probe_round && fired.is_ok() {
             let is_suspicion = |(_, timer): &_| matches!(timer, Timer::ChangeSuspectToDown { .. });
             if timers.iter().any(is_suspicion) {
-                self.local_health.probe_unanswered();
+                self.local_health.record_probe_failure();
             } else {
-                self.local_health.probe_answered();
+                self.local_health.record_probe_success();
             }
         }
         self.schedule(now, timers, health_before);
         self.apply(now, effects);
     }
 
-    /// This process was stalled for a time that `now` does not count.
+    /// Handles the end of a stall of this process. `now` does not include the time of the stall.
     pub fn resume_after_stall(&mut self, now: Micros) {
         self.live_count.mark_uncertain(now);
-        self.local_health.was_absent();
-        self.seeds.hurry(now);
+        self.local_health.record_absence();
+        self.seeds.make_due(now);
         self.catch_up = CatchUp::start(now);
     }
 
-    /// Tells the others that this proxy leaves; it is silent afterwards.
+    /// Leaves the fleet: the returned actions tell the others. This proxy sends and accepts nothing afterwards.
     pub fn leave(&mut self) -> Actions {
         let mut effects = AccumulatingRuntime::new();
-        if !self.is_silent && self.swim.leave_cluster(&mut effects).is_ok() {
-            // No timer fires any more, so the time does not matter.
+        if !self.is_stopped && self.swim.leave_cluster(&mut effects).is_ok() {
+            // The time is irrelevant, as no timer fires after this call.
             self.apply(0, effects);
         }
-        self.is_silent = true;
+        self.is_stopped = true;
         let mut actions = std::mem::take(&mut self.actions);
         actions.changes.clear();
         actions
     }
 
-    /// Announces this proxy to some of the seeds that are not known to be alive, if that is due.
+    /// Announces this proxy to some of the seeds that are not known to be alive, if an announcement is due.
     fn announce_to_seeds(&mut self, now: Micros) {
         if !self.seeds.is_due(now) {
             return;
         }
-        let members: Vec<&foca::Member<Peer>> = self.swim.iter_members().collect();
+        let live_peers: Vec<&foca::Member<Peer>> = self.swim.iter_members().collect();
         let is_new = self.catch_up.is_new(now);
         let local = self.swim.identity().address;
-        for address in self.seeds.pick(now, is_new, local, &members, &mut self.rng) {
+        for address in self.seeds.pick(now, is_new, local, &live_peers, &mut self.rng) {
             let unnamed = Peer { name: "".into(), start: 0, rejoins: 0, address };
             self.announce(now, unnamed);
         }
     }
 
-    /// Asks a random live proxy whom it knows, if this one is new here and that is due.
-    fn request_members(&mut self, now: Micros) {
+    /// Requests the peer list of a random live proxy, if this proxy is new or was absent and a request is due.
+    fn request_peer_list(&mut self, now: Micros) {
         if !self.catch_up.take_due(now) {
             return;
         }
@@ -298,7 +314,7 @@
         }
     }
 
-    /// Announces this proxy to another, which answers with some of those that it knows.
+    /// Announces this proxy to another, which answers with some of the peers that it knows.
     fn announce(&mut self, now: Micros, to: Peer) {
         let mut effects = AccumulatingRuntime::new();
         if self.swim.announce(to, &mut effects).is_ok() {
@@ -306,7 +322,7 @@
         }
     }
 
-    /// Turns what SWIM wants into actions and timers.
+    /// Converts the effects of a SWIM call into actions and timers.
     fn apply(&mut self, now: Micros, mut effects: AccumulatingRuntime<Peer>) {
         while let Some((to, message)) = effects.to_send() {
             let to = self.named_addresses.get(&*to.name).copied().unwrap_or(to.address);
@@ -318,9 +334,9 @@
             let change = match notification {
                 OwnedNotification::MemberUp(peer) => Change::Up(peer),
                 OwnedNotification::MemberDown(peer) => Change::Down(peer),
-                OwnedNotification::Rename(_, after) => Change::Restarted(after),
+                OwnedNotification::Rename(_, restarted) => Change::Restarted(restarted),
                 OwnedNotification::Rejoin(local) => {
-                    self.rejoin(now, local);
+                    self.adopt_identity(now, local);
                     Change::Rejoined
                 }
                 _ => continue,
@@ -329,24 +345,26 @@
         }
     }
 
-    /// The others had declared this proxy dead, and it goes on as another identity.
-    fn rejoin(&mut self, now: Micros, local: Peer) {
+    /// Continues under the identity `local`, after the others had declared this proxy dead or its start number was raised.
+    fn adopt_identity(&mut self, now: Micros, local: Peer) {
         self.codec.set_local(local);
-        self.local_health.was_absent();
+        self.local_health.record_absence();
         self.live_count.mark_uncertain(now);
         self.catch_up = CatchUp::start(now);
     }
 
-    /// Doubt about this proxy's own health makes probes rarer and their timeouts longer, as a probe must fit in its round,
-    /// and suspicions last longer. `suspicion_health` is the health before the probe that raised a suspicion: its outcome
-    /// does not lengthen its own suspicion.
+    /// Schedules timers, with delays that depend on the local health.
+    ///
+    /// While the local health is impaired, probe timeouts are longer, probes are rarer because a probe must fit in its
+    /// round, and suspicions last longer. `suspicion_health` applies to suspicions. It is the health before the probe that
+    /// raised the suspicion, so that a failed probe does not lengthen the suspicion that it raises.
     fn schedule(
         &mut self,
         now: Micros,
         timers: impl IntoIterator<Item = (Duration, Timer<Peer>)>,
         suspicion_health: LocalHealth,
     ) {
-        for (after, timer) in timers {
+        for (delay, timer) in timers {
             let factor = match timer {
                 Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. } => {
                     self.local_health.timeout_factor()
@@ -354,15 +372,15 @@
                 Timer::ChangeSuspectToDown { .. } => suspicion_health.timeout_factor(),
                 _ => 1,
             };
-            let after = after.as_micros() as Micros * Micros::from(factor);
-            self.timers.insert(now + after, timer);
+            let delay = delay.as_micros() as Micros * Micros::from(factor);
+            self.timers.insert(now + delay, timer);
         }
     }
 
-    /// Ends a call: what the caller is to do, and when to call again.
+    /// Updates the number of live proxies and returns the collected actions, with the time of the next call.
     fn take_actions(&mut self, now: Micros) -> Actions {
         self.live_count.set_alive(now, self.swim.num_members() + 1);
-        if !self.is_silent {
+        if !self.is_stopped {
             let announce_at = Some(self.seeds.announce_at());
             let due = [self.timers.next_due_at(), announce_at, self.catch_up.next_due_at(now)];
             self.actions.wake_at = due.into_iter().flatten().min();
@@ -371,24 +389,25 @@
     }
 }
 
+/// Converts the settings of this crate into a `foca` configuration.
 fn swim_config(periods: ProtocolPeriods, fleet_size: usize) -> foca::Config {
-    let span = |micros: Micros| Duration::from_micros(micros.max(1) as u64);
-    let count = |count| NonZeroUsize::new(count).expect("not zero");
-    let periodic = |frequency, members| Some(PeriodicParams { frequency, num_members: count(members) });
+    let duration = |micros: Micros| Duration::from_micros(micros.max(1) as u64);
+    let non_zero = |count| NonZeroUsize::new(count).expect("the count is a non-zero constant");
+    let periodic = |frequency, peers| Some(PeriodicParams { frequency, num_members: non_zero(peers) });
     let transmissions = (TRANSMISSIONS_PER_DECADE * (fleet_size as f64 + 1.0).log10()).ceil();
     let transmissions = transmissions.clamp(MIN_TRANSMISSIONS, MAX_TRANSMISSIONS) as u8;
     foca::Config {
-        probe_period: span(periods.probe_interval),
-        probe_rtt: span(periods.probe_timeout),
-        num_indirect_probes: count(INDIRECT_PROBES),
-        max_transmissions: NonZeroU8::new(transmissions).expect("not zero"),
-        suspect_to_down_after: span(periods.suspicion_timeout),
-        remove_down_after: DOWN_MEMORY,
-        max_packet_size: count(frame::MAX_DATAGRAM_BYTES - frame::HEADER_BYTES),
+        probe_period: duration(periods.probe_interval),
+        probe_rtt: duration(periods.probe_timeout),
+        num_indirect_probes: non_zero(INDIRECT_PROBES),
+        max_transmissions: NonZeroU8::new(transmissions).expect("MIN_TRANSMISSIONS is above zero"),
+        suspect_to_down_after: duration(periods.suspicion_timeout),
+        remove_down_after: DOWN_RETENTION,
+        max_packet_size: non_zero(frame::MAX_DATAGRAM_BYTES - frame::HEADER_BYTES),
         notify_down_members: true,
-        periodic_announce: periodic(MEMBER_REQUEST_INTERVAL, 1),
-        // Proxies that were declared dead by mistake, or were cut off, find back by this.
-        periodic_announce_to_down_members: periodic(span(periods.suspicion_timeout), 1),
-        periodic_gossip: periodic(span(periods.gossip_interval), GOSSIP_FANOUT),
+        periodic_announce: periodic(PEER_LIST_REQUEST_INTERVAL, 1),
+        // Lets proxies that were declared dead by mistake, or were cut off, return to the fleet.
+        periodic_announce_to_down_members: periodic(duration(periods.suspicion_timeout), 1),
+        periodic_gossip: periodic(duration(periods.gossip_interval), GOSSIP_FANOUT),
     }
 }
