--- a/crates/leases/src/candidate.rs
+++ b/crates/leases/src/candidate.rs
@@ -7,8 +7,8 @@
 /// For how long an expiry under the holder's hands counts towards its backoff.
 const LOSS_WINDOW: Micros = 300_000_000;
 /// The backoff after the first loss; it doubles with each further one.
-const FIRST_BACKOFF: Micros = 1_000_000;
-const LONGEST_BACKOFF: Micros = 60_000_000;
+const INITIAL_BACKOFF: Micros = 1_000_000;
+const MAX_BACKOFF: Micros = 60_000_000;
 
 /// What a candidate is to do, in this order.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -54,34 +54,39 @@
 /// One process's part in who holds one lease: it gets the lease, renews it and releases it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Candidate {
-    own: Incarnation,
+    incarnation: Incarnation,
     majority: usize,
     duration: Micros,
     /// Whether this process can do what the lease is for.
-    able: bool,
+    is_eligible: bool,
     round: Round,
     holding: Option<Holding>,
     /// The highest number of a ballot that it knows of.
     ballot_number: u64,
     /// When it turns to the voters again, unless they answer before.
     next_round_at: Micros,
-    losses: VecDeque<Micros>,
+    loss_times: VecDeque<Micros>,
 }
 
 impl Candidate {
-    /// A candidate for a lease of `duration` that first turns to the `voters` (their number) at `first_round_at`.
+    /// A candidate for a lease of `duration` that first turns to the voters (`voter_count` of them) at `first_round_at`.
     #[must_use]
-    pub fn start(own: Incarnation, voters: usize, duration: Micros, first_round_at: Micros) -> Candidate {
+    pub fn start(
+        incarnation: Incarnation,
+        voter_count: usize,
+        duration: Micros,
+        first_round_at: Micros,
+    ) -> Candidate {
         Candidate {
-            own,
-            majority: voters / 2 + 1,
+            incarnation,
+            majority: voter_count / 2 + 1,
             duration,
-            able: true,
+            is_eligible: true,
             round: Round::Idle,
             holding: None,
             ballot_number: 0,
             next_round_at: first_round_at,
-            losses: VecDeque::new(),
+            loss_times: VecDeque::new(),
         }
     }
 
@@ -98,7 +103,7 @@
         self.next_round_at.min(expires_at)
     }
 
-    fn answer_timeout(&self) -> Micros {
+    fn reply_timeout(&self) -> Micros {
         self.duration / 20
     }
 
@@ -107,9 +112,9 @@
     /// Guards a lease from a process that takes it again and again and cannot keep it. Costs one that was unlucky a
     /// second; a lease that nobody else takes for its whole duration is sought all the same.
     fn backoff_until(&self, free_since: Micros) -> Micros {
-        let Some(&last_loss) = self.losses.back() else { return Micros::MIN };
-        let doublings = (self.losses.len() - 1).min(6);
-        let backoff = (FIRST_BACKOFF << doublings).min(LONGEST_BACKOFF);
+        let Some(&last_loss) = self.loss_times.back() else { return Micros::MIN };
+        let doublings = (self.loss_times.len() - 1).min(6);
+        let backoff = (INITIAL_BACKOFF << doublings).min(MAX_BACKOFF);
         (last_loss + backoff).min(free_since + self.duration)
     }
 
@@ -122,9 +127,9 @@
     }
 
     /// This process can do what the lease is for, or no longer.
-    pub fn set_able(&mut self, now: Micros, able: bool) -> Vec<CandidateAction> {
-        self.able = able;
-        if able { Vec::new() } else { self.release(now) }
+    pub fn set_eligible(&mut self, now: Micros, is_eligible: bool) -> Vec<CandidateAction> {
+        self.is_eligible = is_eligible;
+        if is_eligible { Vec::new() } else { self.release(now) }
     }
 
     /// Gives the lease up at once; whoever seeks it next need not wait until it expires.
@@ -138,24 +143,24 @@
 
     /// To be called at [`Candidate::wake_at`].
     ///
-    /// `held_elsewhere_until` is when the lease of another expires, as far as this process's own voter knows; `chance` is
+    /// `held_elsewhere_until` is when the lease of another expires, as far as this process's own voter knows; `jitter_fraction` is
     /// drawn from zero to one, so that two candidates do not keep outbidding each other.
     pub fn wake(
         &mut self,
         now: Micros,
         held_elsewhere_until: Option<Micros>,
-        chance: f64,
+        jitter_fraction: f64,
     ) -> Vec<CandidateAction> {
         let mut actions: Vec<CandidateAction> = self.expire(now).into_iter().collect();
-        if now < self.next_round_at || !self.able {
+        if now < self.next_round_at || !self.is_eligible {
             return actions;
         }
-        let jitter = (self.answer_timeout() as f64 * chance) as Micros;
+        let jitter = (self.reply_timeout() as f64 * jitter_fraction) as Micros;
         match (&self.holding, held_elsewhere_until, &self.round) {
-            (None, Some(until), _) => self.rest_until(until.max(now) + 1 + jitter),
+            (None, Some(until), _) => self.idle_until(until.max(now) + 1 + jitter),
             // Too few voters answered the last round.
             (None, None, Round::Preparing { .. } | Round::Proposing { .. }) => {
-                self.rest_until(now + self.answer_timeout() / 4 + jitter);
+                self.idle_until(now + self.reply_timeout() / 4 + jitter);
             }
             (Some(Holding { lease, ballot }), _, Round::Idle) => {
                 let (ballot, term) = (ballot.clone(), lease.term());
@@ -167,66 +172,79 @@
         actions
     }
 
-    fn rest_until(&mut self, at: Micros) {
+    fn idle_until(&mut self, at: Micros) {
         self.round = Round::Idle;
         self.next_round_at = at;
     }
 
     fn expire(&mut self, now: Micros) -> Option<CandidateAction> {
         let expired = self.holding.take_if(|holding| now >= holding.lease.expires_at())?;
-        self.losses.push_back(now);
-        self.losses.retain(|&at| now - at < LOSS_WINDOW);
-        self.rest_until(self.backoff_until(now));
+        self.loss_times.push_back(now);
+        self.loss_times.retain(|&at| now - at < LOSS_WINDOW);
+        self.idle_until(self.backoff_until(now));
         Some(CandidateAction::Lost(expired.lease.term()))
     }
 
     fn prepare(&mut self, now: Micros) -> CandidateAction {
         self.ballot_number += 1;
-        let ballot = Ballot { number: self.ballot_number, candidate: self.own.clone() };
+        let ballot = Ballot { number: self.ballot_number, candidate: self.incarnation.clone() };
         self.round = Round::Preparing {
             ballot: ballot.clone(),
             promised: BTreeSet::new(),
             highest_term: 0,
             held_elsewhere: BTreeMap::new(),
         };
-        self.next_round_at = now + self.answer_timeout();
+        self.next_round_at = now + self.reply_timeout();
         CandidateAction::Broadcast(Payload::Prepare { ballot })
     }
 
     fn propose(&mut self, now: Micros, ballot: Ballot, term: Term) -> CandidateAction {
         let payload = Payload::Propose { ballot: ballot.clone(), term, duration: self.duration };
         self.round = Round::Proposing { ballot, sent_at: now, term, granted: BTreeSet::new() };
-        self.next_round_at = now + self.answer_timeout();
+        self.next_round_at = now + self.reply_timeout();
         CandidateAction::Broadcast(payload)
     }
 
-    /// Takes a voter's answer. `wall` is the Unix time in milliseconds: no new term is lower.
-    pub fn receive(&mut self, now: Micros, wall: u64, from: &str, answer: &Payload) -> Vec<CandidateAction> {
-        let action = match answer {
+    /// Takes a voter's answer. `wall_clock_ms` is the Unix time in milliseconds: no new term is lower.
+    pub fn receive(
+        &mut self,
+        now: Micros,
+        wall_clock_ms: u64,
+        from: &str,
+        reply: &Payload,
+    ) -> Vec<CandidateAction> {
+        let action = match reply {
             Payload::Promise { ballot, term, outstanding } => {
-                let held_elsewhere = outstanding.as_ref().filter(|lease| lease.holder != self.own);
-                self.promised(now, wall, from, ballot, *term, held_elsewhere.map(|lease| lease.remaining))
+                let held_elsewhere = outstanding.as_ref().filter(|lease| lease.holder != self.incarnation);
+                self.on_promise(
+                    now,
+                    wall_clock_ms,
+                    from,
+                    ballot,
+                    *term,
+                    held_elsewhere.map(|lease| lease.remaining),
+                )
             }
-            Payload::Accept { ballot, term } => self.accepted(now, from, ballot, *term),
-            Payload::Reject { ballot, promised } => self.rejected(now, ballot, *promised),
+            Payload::Accept { ballot, term } => self.on_accept(now, from, ballot, *term),
+            Payload::Reject { ballot, promised } => self.on_reject(now, ballot, *promised),
             Payload::Prepare { .. } | Payload::Propose { .. } | Payload::Release { .. } => None,
         };
         action.into_iter().collect()
     }
 
-    fn promised(
+    fn on_promise(
         &mut self,
         now: Micros,
-        wall: u64,
+        wall_clock_ms: u64,
         from: &str,
-        answered: &Ballot,
+        reply_ballot: &Ballot,
         term: Term,
         other_lease_remaining: Option<Micros>,
     ) -> Option<CandidateAction> {
         let Round::Preparing { ballot, promised, highest_term, held_elsewhere } = &mut self.round else {
             return None;
         };
-        if answered != ballot {
+        if reply_ballot != ballot {
             return None;
         }
         *highest_term = term.max(*highest_term);
@@ -235,28 +253,28 @@
             None => drop(promised.insert(from.to_owned())),
         }
         if promised.len() >= self.majority {
-            let new_term = (*highest_term + 1).max(wall);
+            let new_term = (*highest_term + 1).max(wall_clock_ms);
             // The own term goes on as long as its lease has not expired.
             let term = self.may_act(now).unwrap_or(new_term);
-            return Some(self.propose(now, answered.clone(), term));
+            return Some(self.propose(now, reply_ballot.clone(), term));
         }
         // No majority can be had while these wait for another's lease to expire.
         if held_elsewhere.len() >= self.majority {
             let remaining = held_elsewhere.values().max().copied().unwrap_or(0);
-            self.rest_until(now + remaining);
+            self.idle_until(now + remaining);
         }
         None
     }
 
-    fn accepted(
+    fn on_accept(
         &mut self,
         now: Micros,
         from: &str,
-        answered: &Ballot,
-        answered_term: Term,
+        reply_ballot: &Ballot,
+        reply_term: Term,
     ) -> Option<CandidateAction> {
         let Round::Proposing { ballot, sent_at, term, granted } = &mut self.round else { return None };
-        if answered != ballot || answered_term != *term {
+        if reply_ballot != ballot || reply_term != *term {
             return None;
         }
         granted.insert(from.to_owned());
@@ -265,11 +283,11 @@
         }
         let sent_at = *sent_at;
         self.round = Round::Idle;
-        self.hold(now, answered.clone(), answered_term, sent_at)
+        self.renew_or_acquire(now, reply_ballot.clone(), reply_term, sent_at)
     }
 
     /// A majority granted the lease under this term: it is renewed, or acquired.
-    fn hold(
+    fn renew_or_acquire(
         &mut self,
         now: Micros,
         ballot: Ballot,
@@ -297,12 +315,12 @@
         action
     }
 
-    fn rejected(&mut self, now: Micros, answered: &Ballot, promised: u64) -> Option<CandidateAction> {
+    fn on_reject(&mut self, now: Micros, reply_ballot: &Ballot, promised: u64) -> Option<CandidateAction> {
         let ballot = match &self.round {
             Round::Preparing { ballot, .. } | Round::Proposing { ballot, .. } => ballot,
             Round::Idle => return None,
         };
-        if answered != ballot {
+        if reply_ballot != ballot {
             return None;
         }
         self.ballot_number = self.ballot_number.max(promised);
--- a/crates/leases/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -14,7 +14,7 @@
     /// Refuse it: a higher term was seen.
     Stale {
         /// The highest term seen.
-        highest: Term,
+        highest_term: Term,
     },
 }
 
@@ -24,9 +24,9 @@
 /// still holds the lease. A receiver with a store takes no act of a term that it could forget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fence {
-    seen: BTreeMap<String, Term>,
+    highest_seen: BTreeMap<String, Term>,
     /// The terms that are on the disk; `None` without a store.
-    persisted: Option<BTreeMap<String, Term>>,
+    persisted_terms: Option<BTreeMap<String, Term>>,
 }
 
 impl Fence {
@@ -37,22 +37,22 @@
     }
 
     /// A fence with a store, which held these terms by lease.
-    pub fn durable(records: impl IntoIterator<Item = (String, Term)>) -> Fence {
-        let persisted: BTreeMap<String, Term> = records.into_iter().collect();
-        Fence { seen: persisted.clone(), persisted: Some(persisted) }
+    pub fn durable(stored_terms: impl IntoIterator<Item = (String, Term)>) -> Fence {
+        let persisted_terms: BTreeMap<String, Term> = stored_terms.into_iter().collect();
+        Fence { highest_seen: persisted_terms.clone(), persisted_terms: Some(persisted_terms) }
     }
 
     /// Decides on an act of the lease under this term.
-    pub fn receive(&mut self, lease: &str, term: Term) -> FenceDecision {
-        let highest = self.seen.get(lease).copied().unwrap_or(0);
-        if term < highest {
-            return FenceDecision::Stale { highest };
+    pub fn admit(&mut self, lease: &str, term: Term) -> FenceDecision {
+        let highest_term = self.highest_seen.get(lease).copied().unwrap_or(0);
+        if term < highest_term {
+            return FenceDecision::Stale { highest_term };
         }
-        if term > highest {
-            self.seen.insert(lease.to_owned(), term);
+        if term > highest_term {
+            self.highest_seen.insert(lease.to_owned(), term);
         }
-        match &self.persisted {
-            Some(persisted) if persisted.get(lease).copied().unwrap_or(0) < term => {
+        match &self.persisted_terms {
+            Some(persisted_terms) if persisted_terms.get(lease).copied().unwrap_or(0) < term => {
                 FenceDecision::PersistFirst
             }
             _ => FenceDecision::Accept,
@@ -61,9 +61,9 @@
 
     /// The record of this term is on the disk.
     pub fn persisted(&mut self, lease: &str, term: Term) {
-        if let Some(persisted) = &mut self.persisted {
-            let highest = persisted.entry(lease.to_owned()).or_default();
-            *highest = term.max(*highest);
+        if let Some(persisted_terms) = &mut self.persisted_terms {
+            let highest_term = persisted_terms.entry(lease.to_owned()).or_default();
+            *highest_term = term.max(*highest_term);
         }
     }
 }
--- a/crates/leases/src/frame.rs
+++ b/crates/leases/src/frame.rs
@@ -8,9 +8,9 @@
 use crate::{Ballot, Incarnation, Message, Micros, OutstandingLease, Payload};
 
 /// The longest name, in bytes.
-const LONGEST_NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 /// The longest span that is taken, in microseconds: adding it to a clock cannot overflow.
-const LONGEST_SPAN: u64 = 1 << 50;
+const MAX_SPAN: u64 = 1 << 50;
 
 const PREPARE: u8 = 1;
 const PROMISE: u8 = 2;
@@ -33,26 +33,26 @@
     UnknownKind(u8),
 }
 
-fn put_name(name: &str, to: &mut Vec<u8>) {
-    let bytes = &name.as_bytes()[..name.len().min(LONGEST_NAME)];
-    to.put_u8(bytes.len() as u8);
-    to.put_slice(bytes);
+fn put_name(name: &str, out: &mut Vec<u8>) {
+    let bytes = &name.as_bytes()[..name.len().min(MAX_NAME_BYTES)];
+    out.put_u8(bytes.len() as u8);
+    out.put_slice(bytes);
 }
 
-fn put_incarnation(incarnation: &Incarnation, to: &mut Vec<u8>) {
-    to.put_u64(incarnation.start);
-    put_name(&incarnation.name, to);
+fn put_incarnation(incarnation: &Incarnation, out: &mut Vec<u8>) {
+    out.put_u64(incarnation.start);
+    put_name(&incarnation.name, out);
 }
 
-fn put_ballot(ballot: &Ballot, to: &mut Vec<u8>) {
-    to.put_u64(ballot.number);
-    put_incarnation(&ballot.candidate, to);
+fn put_ballot(ballot: &Ballot, out: &mut Vec<u8>) {
+    out.put_u64(ballot.number);
+    put_incarnation(&ballot.candidate, out);
 }
 
 /// The bytes of a message.
 #[must_use]
 pub fn encode(message: &Message) -> Vec<u8> {
-    let mut to = Vec::with_capacity(128);
+    let mut out = Vec::with_capacity(128);
     let kind = match message.payload {
         Payload::Prepare { .. } => PREPARE,
         Payload::Promise { .. } => PROMISE,
@@ -61,74 +61,74 @@
         Payload::Reject { .. } => REJECT,
         Payload::Release { .. } => RELEASE,
     };
-    to.put_u8(kind);
-    put_name(&message.lease, &mut to);
+    out.put_u8(kind);
+    put_name(&message.lease, &mut out);
     match &message.payload {
-        Payload::Prepare { ballot } => put_ballot(ballot, &mut to),
+        Payload::Prepare { ballot } => put_ballot(ballot, &mut out),
         Payload::Promise { ballot, term, outstanding } => {
-            put_ballot(ballot, &mut to);
-            to.put_u64(*term);
+            put_ballot(ballot, &mut out);
+            out.put_u64(*term);
             if let Some(lease) = outstanding {
-                to.put_i64(lease.remaining);
-                put_incarnation(&lease.holder, &mut to);
+                out.put_i64(lease.remaining);
+                put_incarnation(&lease.holder, &mut out);
             }
         }
         Payload::Propose { ballot, term, duration } => {
-            put_ballot(ballot, &mut to);
-            to.put_u64(*term);
-            to.put_i64(*duration);
+            put_ballot(ballot, &mut out);
+            out.put_u64(*term);
+            out.put_i64(*duration);
         }
         Payload::Accept { ballot, term } => {
-            put_ballot(ballot, &mut to);
-            to.put_u64(*term);
+            put_ballot(ballot, &mut out);
+            out.put_u64(*term);
         }
         Payload::Reject { ballot, promised } => {
-            put_ballot(ballot, &mut to);
-            to.put_u64(*promised);
+            put_ballot(ballot, &mut out);
+            out.put_u64(*promised);
         }
-        Payload::Release { term } => to.put_u64(*term),
+        Payload::Release { term } => out.put_u64(*term),
     }
-    to
+    out
 }
 
-fn byte(from: &mut &[u8]) -> Result<u8, DecodeError> {
-    from.try_get_u8().map_err(|_| DecodeError::Truncated)
+fn get_u8(input: &mut &[u8]) -> Result<u8, DecodeError> {
+    input.try_get_u8().map_err(|_| DecodeError::Truncated)
 }
 
-fn number(from: &mut &[u8]) -> Result<u64, DecodeError> {
-    from.try_get_u64().map_err(|_| DecodeError::Truncated)
+fn get_u64(input: &mut &[u8]) -> Result<u64, DecodeError> {
+    input.try_get_u64().map_err(|_| DecodeError::Truncated)
 }
 
-/// A span of time: never below zero, and never over [`LONGEST_SPAN`].
-fn span(from: &mut &[u8]) -> Result<Micros, DecodeError> {
-    Ok(number(from)?.min(LONGEST_SPAN) as Micros)
+/// A span of time: never below zero, and never over [`MAX_SPAN`].
+fn get_span(input: &mut &[u8]) -> Result<Micros, DecodeError> {
+    Ok(get_u64(input)?.min(MAX_SPAN) as Micros)
 }
 
-fn name(from: &mut &[u8]) -> Result<String, DecodeError> {
-    let length = usize::from(byte(from)?);
-    if length > LONGEST_NAME {
+fn get_name(input: &mut &[u8]) -> Result<String, DecodeError> {
+    let length = usize::from(get_u8(input)?);
+    if length > MAX_NAME_BYTES {
         return Err(DecodeError::NameTooLong(length));
     }
-    let bytes = from.get(..length).ok_or(DecodeError::Truncated)?;
+    let bytes = input.get(..length).ok_or(DecodeError::Truncated)?;
     let text = std::str::from_utf8(bytes).map_err(|_| DecodeError::Truncated)?;
     let name = text.to_owned();
-    from.advance(length);
+    input.advance(length);
     Ok(name)
 }
 
-fn incarnation(from: &mut &[u8]) -> Result<Incarnation, DecodeError> {
-    let start = number(from)?;
-    Ok(Incarnation { start, name: name(from)? })
+fn get_incarnation(input: &mut &[u8]) -> Result<Incarnation, DecodeError> {
+    let start = get_u64(input)?;
+    Ok(Incarnation { start, name: get_name(input)? })
 }
 
-fn ballot(from: &mut &[u8]) -> Result<Ballot, DecodeError> {
-    let number = number(from)?;
-    Ok(Ballot { number, candidate: incarnation(from)? })
+fn get_ballot(input: &mut &[u8]) -> Result<Ballot, DecodeError> {
+    let number = get_u64(input)?;
+    Ok(Ballot { number, candidate: get_incarnation(input)? })
 }
 
-fn outstanding(from: &mut &[u8]) -> Result<OutstandingLease, DecodeError> {
-    let remaining = span(from)?;
-    Ok(OutstandingLease { remaining, holder: incarnation(from)? })
+fn get_outstanding_lease(input: &mut &[u8]) -> Result<OutstandingLease, DecodeError> {
+    let remaining = get_span(input)?;
+    Ok(OutstandingLease { remaining, holder: get_incarnation(input)? })
 }
 
 /// Reads a message.
@@ -137,21 +137,23 @@
 ///
 /// The bytes are no message of this version.
 pub fn decode(mut bytes: &[u8]) -> Result<Message, DecodeError> {
-    let from = &mut bytes;
-    let kind = byte(from)?;
-    let lease = name(from)?;
+    let input = &mut bytes;
+    let kind = get_u8(input)?;
+    let lease = get_name(input)?;
     let payload = match kind {
-        PREPARE => Payload::Prepare { ballot: ballot(from)? },
+        PREPARE => Payload::Prepare { ballot: get_ballot(input)? },
         PROMISE => {
-            let ballot = ballot(from)?;
-            let term = number(from)?;
-            let outstanding = if from.is_empty() { None } else { Some(outstanding(from)?) };
+            let ballot = get_ballot(input)?;
+            let term = get_u64(input)?;
+            let outstanding = if input.is_empty() { None } else { Some(get_outstanding_lease(input)?) };
             Payload::Promise { ballot, term, outstanding }
         }
-        PROPOSE => Payload::Propose { ballot: ballot(from)?, term: number(from)?, duration: span(from)? },
-        ACCEPT => Payload::Accept { ballot: ballot(from)?, term: number(from)? },
-        REJECT => Payload::Reject { ballot: ballot(from)?, promised: number(from)? },
-        RELEASE => Payload::Release { term: number(from)? },
+        PROPOSE => {
+            Payload::Propose { ballot: get_ballot(input)?, term: get_u64(input)?, duration: get_span(input)? }
+        }
+        ACCEPT => Payload::Accept { ballot: get_ballot(input)?, term: get_u64(input)? },
+        REJECT => Payload::Reject { ballot: get_ballot(input)?, promised: get_u64(input)? },
+        RELEASE => Payload::Release { term: get_u64(input)? },
         kind => return Err(DecodeError::UnknownKind(kind)),
     };
     Ok(Message { lease, payload })
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -12,7 +12,7 @@
 //!
 //! Nothing here does I/O or has a clock. Each call brings `now` of a clock that counts stalls and suspension and never
 //! steps. Clocks of different machines are never compared for leases; their rates may differ by one part in
-//! [`CLOCK_DRIFT`]. Terms start no lower than the Unix time in milliseconds (`wall`), so that they rise even if all
+//! [`CLOCK_DRIFT_DIVISOR`]. Terms start no lower than the Unix time in milliseconds (`wall_clock_ms`), so that they rise even if all
 //! voters lost what they knew at once. If clocks went back between, whoever took acts of a higher term says so
 //! ([`Participant::observe_term`]).
 
@@ -41,12 +41,12 @@
 
 /// The rates of two clocks differ by at most one part in this many. Real clocks are a thousand times better; that of a
 /// virtual machine that was migrated is not.
-pub const CLOCK_DRIFT: Micros = 50;
+pub const CLOCK_DRIFT_DIVISOR: Micros = 50;
 
 /// How far two clocks may disagree on a span that long, in microseconds.
 ///
 /// Guards the next lease holder from one whose clock is slow; costs a lease that is shorter by as much.
 #[must_use]
 pub fn clock_margin(span: Micros) -> Micros {
-    span.div_euclid(CLOCK_DRIFT) + 1
+    span.div_euclid(CLOCK_DRIFT_DIVISOR) + 1
 }
--- a/crates/leases/src/participant.rs
+++ b/crates/leases/src/participant.rs
@@ -11,11 +11,11 @@
 use crate::{Candidate, CandidateAction, Incarnation, Message, Micros, Payload, Term, Voter};
 
 /// The shortest lease that may be configured.
-const SHORTEST_LEASE: Micros = 500_000;
+const MIN_LEASE_DURATION: Micros = 500_000;
 /// Candidates of adjacent rank turn to a free lease this fraction of its duration apart.
-const RANKS_A_LEASE: Micros = 60;
+const RANK_DELAY_DIVISOR: Micros = 60;
 /// The part of the duration over which candidates of one rank are spread by chance.
-const JITTERS_A_LEASE: Micros = 200;
+const RANK_JITTER_DIVISOR: Micros = 200;
 
 /// What the operator configures, the same at all voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -94,7 +94,7 @@
 
 /// One process's part in all leases.
 pub struct Participant {
-    own: Incarnation,
+    incarnation: Incarnation,
     voters: Vec<String>,
     least_term: Term,
     duration: Micros,
@@ -107,15 +107,15 @@
 }
 
 impl LeaseConfig {
-    fn check(&self) -> Result<(), ConfigError> {
+    fn validate(&self) -> Result<(), ConfigError> {
         if !matches!(self.voters.len(), 3 | 5 | 7) {
             return Err(ConfigError::VoterCount(self.voters.len()));
         }
-        let is_duplicate = |(at, name): &(usize, &String)| self.voters[..*at].contains(name);
+        let is_duplicate = |(index, name): &(usize, &String)| self.voters[..*index].contains(name);
         if let Some((_, name)) = self.voters.iter().enumerate().find(is_duplicate) {
             return Err(ConfigError::DuplicateVoter(name.clone()));
         }
-        if self.duration < SHORTEST_LEASE {
+        if self.duration < MIN_LEASE_DURATION {
             return Err(ConfigError::TooShort(self.duration));
         }
         Ok(())
@@ -123,7 +123,7 @@
 }
 
 impl Participant {
-    /// Starts the part of this process. `persisted` is what a voter's store held, by lease; `None` is a voter without a
+    /// Starts the part of this process. `stored_terms` is what a voter's store held, by lease; `None` is a voter without a
     /// store.
     ///
     /// # Errors
@@ -131,16 +131,16 @@
     /// The configuration cannot work.
     pub fn start(
         now: Micros,
-        own: Incarnation,
+        incarnation: Incarnation,
         config: &LeaseConfig,
-        persisted: Option<Vec<(String, Term)>>,
+        stored_terms: Option<Vec<(String, Term)>>,
         seed: u64,
     ) -> Result<Participant, ConfigError> {
-        config.check()?;
-        let votes = config.voters.contains(&own.name);
-        let voter = votes.then(|| Voter::start(now, config.duration, persisted));
+        config.validate()?;
+        let is_voter = config.voters.contains(&incarnation.name);
+        let voter = is_voter.then(|| Voter::start(now, config.duration, stored_terms));
         let mut participant = Participant {
-            own,
+            incarnation,
             voters: config.voters.clone(),
             least_term: config.least_term,
             duration: config.duration,
@@ -157,20 +157,20 @@
     fn start_candidates(&mut self, leases: &[String]) {
         let Some(silent_until) = self.voter.as_ref().map(Voter::silent_until) else { return };
         for lease in leases {
-            let first_round_at = silent_until + self.turn_delay(lease);
+            let first_round_at = silent_until + self.rank_delay(lease);
             let candidate =
-                Candidate::start(self.own.clone(), self.voters.len(), self.duration, first_round_at);
+                Candidate::start(self.incarnation.clone(), self.voters.len(), self.duration, first_round_at);
             self.candidates.insert(lease.clone(), candidate);
         }
     }
 
     /// How long after a lease has become free this process seeks it: by a rank that all compute alike, so that leases
     /// are spread over the voters.
-    fn turn_delay(&mut self, lease: &str) -> Micros {
-        let own = rank(lease, &self.own.name);
-        let before = self.voters.iter().filter(|name| rank(lease, name) < own).count() as Micros;
-        let jitter = self.rng.random_range(0..=self.duration / JITTERS_A_LEASE);
-        before * self.duration / RANKS_A_LEASE + jitter
+    fn rank_delay(&mut self, lease: &str) -> Micros {
+        let own_rank = rank(lease, &self.incarnation.name);
+        let lower_ranked = self.voters.iter().filter(|name| rank(lease, name) < own_rank).count() as Micros;
+        let jitter = self.rng.random_range(0..=self.duration / RANK_JITTER_DIVISOR);
+        lower_ranked * self.duration / RANK_DELAY_DIVISOR + jitter
     }
 
     /// Its voter has a store that cannot be read yet, and casts no vote before [`Participant::restore`].
@@ -181,9 +181,9 @@
     }
 
     /// What the voter's store held, by lease, once it has been read.
-    pub fn restore(&mut self, persisted: Vec<(String, Term)>) {
+    pub fn restore(&mut self, stored_terms: Vec<(String, Term)>) {
         if let Some(voter) = &mut self.voter {
-            voter.restore(persisted);
+            voter.restore(stored_terms);
         }
     }
 
@@ -199,13 +199,13 @@
         self.candidates.get(lease)?.may_act(now)
     }
 
-    /// To be called at [`Actions::wake_at`]. `wall` is the Unix time in milliseconds, here and below.
-    pub fn wake(&mut self, now: Micros, wall: u64) -> Actions {
+    /// To be called at [`Actions::wake_at`]. `wall_clock_ms` is the Unix time in milliseconds, here and below.
+    pub fn wake(&mut self, now: Micros, wall_clock_ms: u64) -> Actions {
         for lease in self.lease_names() {
             let held_elsewhere_until = self.held_elsewhere_until(now, &lease);
-            let chance = self.rng.random();
-            self.with_candidate(now, wall, &lease, |candidate| {
-                candidate.wake(now, held_elsewhere_until, chance)
+            let jitter_fraction = self.rng.random();
+            self.with_candidate(now, wall_clock_ms, &lease, |candidate| {
+                candidate.wake(now, held_elsewhere_until, jitter_fraction)
             });
         }
         self.take_actions()
@@ -217,34 +217,40 @@
 
     fn held_elsewhere_until(&self, now: Micros, lease: &str) -> Option<Micros> {
         let granted = self.voter.as_ref()?.granted(now, lease)?;
-        (granted.holder != self.own).then_some(granted.expires_at)
+        (granted.holder != self.incarnation).then_some(granted.expires_at)
     }
 
     /// Takes a message of another process. One that is not configured as a voter is ignored.
-    pub fn receive(&mut self, now: Micros, wall: u64, from: &Incarnation, message: &Message) -> Actions {
+    pub fn receive(
+        &mut self,
+        now: Micros,
+        wall_clock_ms: u64,
+        from: &Incarnation,
+        message: &Message,
+    ) -> Actions {
         if self.voters.contains(&from.name) {
-            self.dispatch(now, wall, from, message);
+            self.dispatch(now, wall_clock_ms, from, message);
         }
         self.take_actions()
     }
 
-    fn dispatch(&mut self, now: Micros, wall: u64, from: &Incarnation, message: &Message) {
+    fn dispatch(&mut self, now: Micros, wall_clock_ms: u64, from: &Incarnation, message: &Message) {
         if message.payload.is_for_voters() {
-            return self.vote(now, wall, from, message);
+            return self.vote(now, wall_clock_ms, from, message);
         }
-        let least_term = wall.max(self.least_term);
-        self.with_candidate(now, wall, &message.lease, |candidate| {
+        let least_term = wall_clock_ms.max(self.least_term);
+        self.with_candidate(now, wall_clock_ms, &message.lease, |candidate| {
             candidate.receive(now, least_term, &from.name, &message.payload)
         });
     }
 
-    fn vote(&mut self, now: Micros, wall: u64, from: &Incarnation, message: &Message) {
+    fn vote(&mut self, now: Micros, wall_clock_ms: u64, from: &Incarnation, message: &Message) {
         let Some(voter) = &mut self.voter else { return };
         let lease = &message.lease;
         let reply = voter.receive(now, from, message);
         let is_release = matches!(message.payload, Payload::Release { .. });
-        if is_release && voter.granted(now, lease).is_none() && from.name != self.own.name {
-            self.seek_released(now, lease);
+        if is_release && voter.granted(now, lease).is_none() && from.name != self.incarnation.name {
+            self.schedule_round_after_release(now, lease);
         }
         let Some(reply) = reply else { return };
         let message = Message { lease: lease.clone(), payload: reply.payload };
@@ -254,13 +260,13 @@
                 self.actions.persist.push((lease.clone(), term));
                 self.pending_votes.push(PendingVote { term, outgoing });
             }
-            None => self.send(now, wall, outgoing),
+            None => self.send(now, wall_clock_ms, outgoing),
         }
     }
 
-    fn seek_released(&mut self, now: Micros, lease: &str) {
-        let silence = self.voter.as_ref().map_or(0, |voter| (voter.silent_until() - now).max(0));
-        let delay = silence + self.turn_delay(lease);
+    fn schedule_round_after_release(&mut self, now: Micros, lease: &str) {
+        let remaining_silence = self.voter.as_ref().map_or(0, |voter| (voter.silent_until() - now).max(0));
+        let delay = remaining_silence + self.rank_delay(lease);
         if let Some(candidate) = self.candidates.get_mut(lease) {
             candidate.lease_freed(now, delay);
         }
@@ -271,11 +277,11 @@
     /// Guards a lease from terms that nobody takes: those of voters that all forgot, under clocks behind the ones by which
     /// earlier terms were made. A holder under a lower term releases the lease and seeks a term above. Costs nothing: the
     /// holder under a lower term has been superseded.
-    pub fn observe_term(&mut self, now: Micros, wall: u64, lease: &str, term: Term) -> Actions {
+    pub fn observe_term(&mut self, now: Micros, wall_clock_ms: u64, lease: &str, term: Term) -> Actions {
         let Some(voter) = &mut self.voter else { return Actions::default() };
         voter.observe_term(lease, term);
-        self.with_candidate(now, wall, lease, |candidate| {
-            if candidate.may_act(now).is_none_or(|own| own >= term) {
+        self.with_candidate(now, wall_clock_ms, lease, |candidate| {
+            if candidate.may_act(now).is_none_or(|own_term| own_term >= term) {
                 return Vec::new();
             }
             let actions = candidate.release(now);
@@ -286,7 +292,7 @@
     }
 
     /// The record of this term is on the disk: the votes that waited for it are sent.
-    pub fn persisted(&mut self, now: Micros, wall: u64, lease: &str, term: Term) -> Actions {
+    pub fn persisted(&mut self, now: Micros, wall_clock_ms: u64, lease: &str, term: Term) -> Actions {
         if let Some(voter) = &mut self.voter {
             voter.persisted(lease, term);
         }
@@ -295,7 +301,7 @@
             std::mem::take(&mut self.pending_votes).into_iter().partition(is_due);
         self.pending_votes = waiting;
         for vote in due {
-            self.send(now, wall, vote.outgoing);
+            self.send(now, wall_clock_ms, vote.outgoing);
         }
         self.take_actions()
     }
@@ -306,8 +312,8 @@
     }
 
     /// This process can do what the lease is for, or no longer.
-    pub fn set_able(&mut self, now: Micros, lease: &str, able: bool) -> Actions {
-        self.with_candidate(now, 0, lease, |candidate| candidate.set_able(now, able));
+    pub fn set_eligible(&mut self, now: Micros, lease: &str, is_eligible: bool) -> Actions {
+        self.with_candidate(now, 0, lease, |candidate| candidate.set_eligible(now, is_eligible));
         self.take_actions()
     }
 
@@ -327,7 +333,7 @@
         for lease in &leases {
             self.with_candidate(now, 0, lease, |candidate| candidate.release(now));
         }
-        self.own.start = start;
+        self.incarnation.start = start;
         self.start_candidates(&leases);
         self.take_actions()
     }
@@ -336,15 +342,17 @@
     fn with_candidate(
         &mut self,
         now: Micros,
-        wall: u64,
+        wall_clock_ms: u64,
         lease: &str,
-        ask: impl FnOnce(&mut Candidate) -> Vec<CandidateAction>,
+        operation: impl FnOnce(&mut Candidate) -> Vec<CandidateAction>,
     ) {
         let Some(candidate) = self.candidates.get_mut(lease) else { return };
-        for action in ask(candidate) {
+        for action in operation(candidate) {
             let lease = lease.to_owned();
             match action {
-                CandidateAction::Broadcast(payload) => self.broadcast(now, wall, Message { lease, payload }),
+                CandidateAction::Broadcast(payload) => {
+                    self.broadcast(now, wall_clock_ms, Message { lease, payload })
+                }
                 CandidateAction::Acquired(term) => {
                     self.actions.changes.push(LeaseChange::Acquired { lease, term });
                 }
@@ -353,20 +361,20 @@
         }
     }
 
-    fn broadcast(&mut self, now: Micros, wall: u64, message: Message) {
+    fn broadcast(&mut self, now: Micros, wall_clock_ms: u64, message: Message) {
         for to in self.voters.clone() {
-            self.send(now, wall, Outgoing { to, message: message.clone() });
+            self.send(now, wall_clock_ms, Outgoing { to, message: message.clone() });
         }
     }
 
     /// A message to itself is taken at once.
-    fn send(&mut self, now: Micros, wall: u64, outgoing: Outgoing) {
-        if outgoing.to != self.own.name {
+    fn send(&mut self, now: Micros, wall_clock_ms: u64, outgoing: Outgoing) {
+        if outgoing.to != self.incarnation.name {
             self.actions.send.push(outgoing);
             return;
         }
-        let own = self.own.clone();
-        self.dispatch(now, wall, &own, &outgoing.message);
+        let incarnation = self.incarnation.clone();
+        self.dispatch(now, wall_clock_ms, &incarnation, &outgoing.message);
     }
 
     fn take_actions(&mut self) -> Actions {
--- a/crates/leases/src/voter.rs
+++ b/crates/leases/src/voter.rs
@@ -17,12 +17,12 @@
 
 /// What one voter knows of one lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct LeaseRecord {
+struct LeaseState {
     promised: Option<Ballot>,
     /// The highest term granted.
-    term: Term,
+    highest_term: Term,
     /// The highest term that may be told at once; with a store, one that is on the disk.
-    persisted: Term,
+    persisted_term: Term,
     granted: Option<GrantedLease>,
 }
 
@@ -55,24 +55,25 @@
 pub struct Voter {
     silent_until: Micros,
     /// The longest lease that it grants; the same at all voters.
-    longest_lease: Micros,
+    max_lease_duration: Micros,
     storage: TermStorage,
-    records: BTreeMap<String, LeaseRecord>,
+    leases: BTreeMap<String, LeaseState>,
 }
 
 impl Voter {
-    /// A voter that starts now. `persisted` is what its store held, where it has one.
+    /// A voter that starts now. `stored_terms` is what its store held, where it has one.
     pub fn start(
         now: Micros,
-        longest_lease: Micros,
-        persisted: Option<impl IntoIterator<Item = (String, Term)>>,
+        max_lease_duration: Micros,
+        stored_terms: Option<impl IntoIterator<Item = (String, Term)>>,
     ) -> Voter {
-        let storage = if persisted.is_some() { TermStorage::Durable } else { TermStorage::Volatile };
-        let restored =
-            |(lease, term)| (lease, LeaseRecord { term, persisted: term, ..LeaseRecord::default() });
-        let records = persisted.into_iter().flatten().map(restored).collect();
-        let silent_until = now + longest_lease + clock_margin(longest_lease);
-        Voter { silent_until, longest_lease, storage, records }
+        let storage = if stored_terms.is_some() { TermStorage::Durable } else { TermStorage::Volatile };
+        let initial_state = |(lease, term)| {
+            (lease, LeaseState { highest_term: term, persisted_term: term, ..LeaseState::default() })
+        };
+        let leases = stored_terms.into_iter().flatten().map(initial_state).collect();
+        let silent_until = now + max_lease_duration + clock_margin(max_lease_duration);
+        Voter { silent_until, max_lease_duration, storage, leases }
     }
 
     /// Its store cannot be read yet: no vote is cast before [`Voter::restore`].
@@ -83,14 +84,14 @@
     }
 
     /// What its store held, once it has been read.
-    pub fn restore(&mut self, records: impl IntoIterator<Item = (String, Term)>) {
+    pub fn restore(&mut self, stored_terms: impl IntoIterator<Item = (String, Term)>) {
         if self.storage == TermStorage::Unread {
             self.storage = TermStorage::Durable;
         }
-        for (lease, term) in records {
-            let record = self.records.entry(lease).or_default();
+        for (lease, term) in stored_terms {
+            let state = self.leases.entry(lease).or_default();
             // Not as persisted: what was read and not written again may be in the system's memory only.
-            record.term = record.term.max(term);
+            state.highest_term = state.highest_term.max(term);
         }
     }
 
@@ -102,14 +103,14 @@
 
     /// The highest term of a lease that it knows to have been granted.
     #[must_use]
-    pub fn term(&self, lease: &str) -> Term {
-        self.records.get(lease).map_or(0, |record| record.term)
+    pub fn highest_term(&self, lease: &str) -> Term {
+        self.leases.get(lease).map_or(0, |state| state.highest_term)
     }
 
     /// A lease that this voter granted and that has not expired.
     #[must_use]
     pub fn granted(&self, now: Micros, lease: &str) -> Option<&GrantedLease> {
-        let granted = self.records.get(lease)?.granted.as_ref()?;
+        let granted = self.leases.get(lease)?.granted.as_ref()?;
         (now < granted.expires_at).then_some(granted)
     }
 
@@ -128,17 +129,17 @@
             }
             _ => return None,
         };
-        let record = self.records.entry(message.lease.clone()).or_default();
-        if let Some(promised) = record.promised.as_ref().filter(|promised| **promised > ballot) {
-            return Some(Reply::at_once(Payload::Reject { ballot, promised: promised.number }));
+        let state = self.leases.entry(message.lease.clone()).or_default();
+        if let Some(promised) = state.promised.as_ref().filter(|promised| **promised > ballot) {
+            return Some(Reply::immediate(Payload::Reject { ballot, promised: promised.number }));
         }
         match message.payload {
-            Payload::Prepare { .. } => Some(record.promise(now, ballot)),
+            Payload::Prepare { .. } => Some(state.promise(now, ballot)),
             // A lease longer than this voter's silence after a start: the candidate is configured otherwise than the rest.
-            Payload::Propose { duration, .. } if duration > self.longest_lease => None,
-            Payload::Propose { term, duration, .. } if term >= record.term && term > 0 => {
-                let durable = self.storage != TermStorage::Volatile;
-                Some(record.grant(ballot, term, now + duration, durable))
+            Payload::Propose { duration, .. } if duration > self.max_lease_duration => None,
+            Payload::Propose { term, duration, .. } if term >= state.highest_term && term > 0 => {
+                let is_durable = self.storage != TermStorage::Volatile;
+                Some(state.grant(ballot, term, now + duration, is_durable))
             }
             _ => None,
         }
@@ -146,27 +147,27 @@
 
     /// Only its holder releases a lease, and only under the term that it holds.
     fn release(&mut self, from: &Incarnation, lease: &str, term: Term) {
-        let Some(record) = self.records.get_mut(lease) else { return };
-        if record.granted.as_ref().is_some_and(|granted| granted.holder == *from && granted.term == term) {
-            record.granted = None;
+        let Some(state) = self.leases.get_mut(lease) else { return };
+        if state.granted.as_ref().is_some_and(|granted| granted.holder == *from && granted.term == term) {
+            state.granted = None;
         }
     }
 
     /// Others took acts of this term, whoever granted it: what is granted from now on is no lower.
     pub fn observe_term(&mut self, lease: &str, term: Term) {
-        let record = self.records.entry(lease.to_owned()).or_default();
-        record.term = record.term.max(term);
+        let state = self.leases.entry(lease.to_owned()).or_default();
+        state.highest_term = state.highest_term.max(term);
     }
 
     /// The record of this term is on the disk.
     pub fn persisted(&mut self, lease: &str, term: Term) {
-        if let Some(record) = self.records.get_mut(lease) {
-            record.persisted = record.persisted.max(term);
+        if let Some(state) = self.leases.get_mut(lease) {
+            state.persisted_term = state.persisted_term.max(term);
         }
     }
 }
 
-impl LeaseRecord {
+impl LeaseState {
     fn promise(&mut self, now: Micros, ballot: Ballot) -> Reply {
         self.promised = Some(ballot.clone());
         let granted = self.granted.as_ref().filter(|granted| now < granted.expires_at);
@@ -174,20 +175,20 @@
             holder: granted.holder.clone(),
             remaining: granted.expires_at - now,
         });
-        Reply::at_once(Payload::Promise { ballot, term: self.term, outstanding })
+        Reply::immediate(Payload::Promise { ballot, term: self.highest_term, outstanding })
     }
 
-    fn grant(&mut self, ballot: Ballot, term: Term, expires_at: Micros, durable: bool) -> Reply {
+    fn grant(&mut self, ballot: Ballot, term: Term, expires_at: Micros, is_durable: bool) -> Reply {
         self.promised = Some(ballot.clone());
-        self.term = term;
+        self.highest_term = term;
         self.granted = Some(GrantedLease { holder: ballot.candidate.clone(), term, expires_at });
-        let once_persisted = (durable && self.persisted < term).then_some(term);
+        let once_persisted = (is_durable && self.persisted_term < term).then_some(term);
         Reply { payload: Payload::Accept { ballot, term }, once_persisted }
     }
 }
 
 impl Reply {
-    fn at_once(payload: Payload) -> Reply {
+    fn immediate(payload: Payload) -> Reply {
         Reply { payload, once_persisted: None }
     }
 }
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -203,7 +203,7 @@
                 state.restarts += 1;
                 let began = if self.silent { state.now } else { state.now - 10 };
                 // LeaseConfig are the store's to keep, or the clock's.
-                let kept = vec![(LEASE.into(), state.voters[2].term(LEASE))];
+                let kept = vec![(LEASE.into(), state.voters[2].highest_term(LEASE))];
                 state.voters[2] = Voter::start(began, LASTS, Some(kept));
                 state.voters[2].persisted(LEASE, Term::MAX);
             }
--- a/crates/leases/tests/participants.rs
+++ b/crates/leases/tests/participants.rs
@@ -189,9 +189,9 @@
                         // It stands between look and act.
                         self.at(self.now + 100 * MS, Event::Act { by, term });
                     } else {
-                        match self.fence.receive(LEASE, term) {
+                        match self.fence.admit(LEASE, term) {
                             FenceDecision::Accept => self.taken.push(term),
-                            FenceDecision::Stale { highest } => self.overtaken(by, highest),
+                            FenceDecision::Stale { highest_term } => self.overtaken(by, highest_term),
                             FenceDecision::PersistFirst => {}
                         }
                     }
@@ -397,7 +397,7 @@
     assert!(world.held.0 * 1000 > world.held.1 * 999);
     let (holder, now) = (world.holder().unwrap(), world.now);
     let own = world.own(holder);
-    let actions = world.nodes[holder].participant.as_mut().unwrap().set_able(own, LEASE, false);
+    let actions = world.nodes[holder].participant.as_mut().unwrap().set_eligible(own, LEASE, false);
     world.carry_out(holder, actions);
     world.run(now + S);
     assert!(world.holder().is_some_and(|next| next != holder));
--- a/crates/leases/tests/renumber.rs
+++ b/crates/leases/tests/renumber.rs
@@ -24,22 +24,27 @@
             duration: 2 * SECOND,
             least_term: 0,
         };
-        let participant = |(number, name): (usize, &&str)| {
-            let own = Incarnation { name: (*name).to_owned(), start: 10 + number as u64 };
-            let participant = Participant::start(0, own.clone(), &config, None, number as u64).unwrap();
-            (own, participant)
+        let participant = |(index, name): (usize, &&str)| {
+            let incarnation = Incarnation { name: (*name).to_owned(), start: 10 + index as u64 };
+            let participant =
+                Participant::start(0, incarnation.clone(), &config, None, index as u64).unwrap();
+            (incarnation, participant)
         };
         let participants = names.iter().enumerate().map(participant).collect();
         Voters { now: 0, participants, changes: Vec::new() }
     }
 
-    fn carry_out(&mut self, by: usize, actions: Actions) {
-        self.changes.extend(actions.changes.into_iter().map(|change| (by, change)));
-        let from = self.participants[by].0.clone();
+    fn carry_out(&mut self, index: usize, actions: Actions) {
+        self.changes.extend(actions.changes.into_iter().map(|change| (index, change)));
+        let from = self.participants[index].0.clone();
         for outgoing in actions.send {
-            let to = self.participants.iter().position(|(own, _)| own.name == outgoing.to).unwrap();
-            let answer = self.participants[to].1.receive(self.now, WALL_MS, &from, &outgoing.message);
-            self.carry_out(to, answer);
+            let to = self
+                .participants
+                .iter()
+                .position(|(incarnation, _)| incarnation.name == outgoing.to)
+                .unwrap();
+            let reply_actions = self.participants[to].1.receive(self.now, WALL_MS, &from, &outgoing.message);
+            self.carry_out(to, reply_actions);
         }
     }
 
@@ -47,22 +52,22 @@
         let end = self.now + span;
         while self.now < end {
             self.now += STEP;
-            for number in 0..self.participants.len() {
-                let actions = self.participants[number].1.wake(self.now, WALL_MS);
-                self.carry_out(number, actions);
+            for index in 0..self.participants.len() {
+                let actions = self.participants[index].1.wake(self.now, WALL_MS);
+                self.carry_out(index, actions);
             }
         }
     }
 
-    fn renumber(&mut self, number: usize, start: u64) {
-        self.participants[number].0.start = start;
-        let actions = self.participants[number].1.renumber(self.now, start);
-        self.carry_out(number, actions);
+    fn renumber(&mut self, index: usize, start: u64) {
+        self.participants[index].0.start = start;
+        let actions = self.participants[index].1.renumber(self.now, start);
+        self.carry_out(index, actions);
     }
 
     fn holders(&self) -> Vec<(usize, Term)> {
-        let term = |(number, (_, participant)): (usize, &(_, Participant))| {
-            Some((number, participant.may_act(self.now, LEASE)?))
+        let term = |(index, (_, participant)): (usize, &(_, Participant))| {
+            Some((index, participant.may_act(self.now, LEASE)?))
         };
         self.participants.iter().enumerate().filter_map(term).collect()
     }
@@ -70,15 +75,15 @@
 
 /// The voters took no ballot of a process that signed it with its former number.
 #[test]
-fn a_renumbered_process_is_still_heard_by_the_voters() {
+fn voters_accept_ballots_of_renumbered_processes() {
     let mut voters = Voters::start();
-    (0..3).for_each(|number| voters.renumber(number, 100 + number as u64));
+    (0..3).for_each(|index| voters.renumber(index, 100 + index as u64));
     voters.run_for(10 * SECOND);
     assert_eq!(voters.holders().len(), 1, "{:?}", voters.changes);
 }
 
 #[test]
-fn a_renumbered_holder_gives_its_lease_up_and_none_is_held_twice() {
+fn a_renumbered_holder_gives_up_its_lease_and_two_never_hold_it_at_once() {
     let mut voters = Voters::start();
     voters.run_for(10 * SECOND);
     let [(holder, term)] = voters.holders()[..] else { panic!("no holder: {:?}", voters.changes) };
