--- a/crates/leases/src/candidate.rs
+++ b/crates/leases/src/candidate.rs
@@ -1,43 +1,45 @@
-//! How one process gets one lease, renews it and releases it.
+//! How one process acquires, renews and releases one lease.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::{Ballot, HeldLease, Incarnation, Micros, Payload, Term};
 
-/// For how long an expiry under the holder's hands counts towards its backoff.
+/// How long the expiry of a held lease counts towards the backoff of the process that lost it, in
+/// microseconds.
 const LOSS_WINDOW: Micros = 300_000_000;
-/// The backoff after the first loss; it doubles with each further one.
+/// The backoff after the first loss, in microseconds; it doubles with each further loss, up to
+/// [`MAX_BACKOFF`].
 const INITIAL_BACKOFF: Micros = 1_000_000;
 const MAX_BACKOFF: Micros = 60_000_000;
 
-/// What a candidate is to do, in this order.
+/// What the caller does for a candidate, in the order in which the actions were returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum CandidateAction {
-    /// Send it to all voters, itself among them.
+    /// Send the message to all voters, including this process.
     Broadcast(Payload),
-    /// It holds the lease from now on, under this term.
+    /// This process holds the lease from now on, under the given term.
     Acquired(Term),
-    /// It no longer holds the lease.
+    /// This process no longer holds the lease that it held under the given term.
     Lost(Term),
 }
 
-/// Which answers of the voters are awaited.
+/// The replies of voters that the candidate waits for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Round {
     Idle,
     Preparing {
         ballot: Ballot,
-        /// Voters that promised and know of no other lease holder.
+        /// Voters that have promised and know of no other holder.
         promised: BTreeSet<String>,
-        /// The highest term that the voters named.
+        /// The highest term that the voters have reported.
         highest_term: Term,
-        /// Voters that know of another lease holder, and for how long its lease runs.
+        /// Voters that know of another holder, with the remaining time of its lease in microseconds.
         held_elsewhere: BTreeMap<String, Micros>,
     },
     Proposing {
         ballot: Ballot,
-        /// The lease counts from here, by the candidate's clock.
+        /// When the proposal was sent, by the candidate's clock; the lease counts from here.
         sent_at: Micros,
         term: Term,
         granted: BTreeSet<String>,
@@ -51,25 +53,26 @@
     ballot: Ballot,
 }
 
-/// One process's part in who holds one lease: it gets the lease, renews it and releases it.
+/// Acquires, renews and releases one lease for one process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Candidate {
     incarnation: Incarnation,
     majority: usize,
     duration: Micros,
-    /// Whether this process can do what the lease is for.
+    /// Whether this process can do the work that the lease is for.
     is_eligible: bool,
     round: Round,
     holding: Option<Holding>,
-    /// The highest number of a ballot that it knows of.
+    /// The highest ballot number that this candidate knows of.
     ballot_number: u64,
-    /// When it turns to the voters again, unless they answer before.
+    /// When the next round starts, unless replies to the current one change that.
     next_round_at: Micros,
     loss_times: VecDeque<Micros>,
 }
 
 impl Candidate {
-    /// A candidate for a lease of `duration` that first turns to the voters (`voter_count` of them) at `first_round_at`.
+    /// Creates a candidate for a lease of `duration` that is granted by `voter_count` voters. Its first round
+    /// starts at `first_round_at`.
     #[must_use]
     pub fn start(
         incarnation: Incarnation,
@@ -90,13 +93,14 @@
         }
     }
 
-    /// The term to act under, while it holds the lease. To be asked immediately before each act.
+    /// Returns the term under which this process may act, or `None` if it does not hold the lease. To be
+    /// called immediately before each operation.
     #[must_use]
     pub fn may_act(&self, now: Micros) -> Option<Term> {
         self.holding.as_ref().and_then(|holding| holding.lease.may_act(now))
     }
 
-    /// When [`Candidate::wake`] is to be called.
+    /// Returns when [`Candidate::wake`] is to be called.
     #[must_use]
     pub fn wake_at(&self) -> Micros {
         let expires_at = self.holding.as_ref().map_or(Micros::MAX, |holding| holding.lease.expires_at());
@@ -107,10 +111,12 @@
         self.duration / 20
     }
 
-    /// Until when it leaves the lease to others after it lost it.
+    /// Returns until when this process leaves the lease to others after it has lost it, [`Micros::MIN`] if it
+    /// never has.
     ///
-    /// Guards a lease from a process that takes it again and again and cannot keep it. Costs one that was unlucky a
-    /// second; a lease that nobody else takes for its whole duration is sought all the same.
+    /// The backoff protects a lease from a process that acquires it again and again and cannot keep it. A
+    /// process that lost it once by chance waits a second. The wait ends at the latest one lease duration
+    /// after `free_since`, so that a process backing off still seeks a lease that nobody else takes.
     fn backoff_until(&self, free_since: Micros) -> Micros {
         let Some(&last_loss) = self.loss_times.back() else { return Micros::MIN };
         let doublings = (self.loss_times.len() - 1).min(6);
@@ -118,7 +124,8 @@
         (last_loss + backoff).min(free_since + self.duration)
     }
 
-    /// A lease that another held has expired or was released: it may be sought after `delay`.
+    /// Schedules a round after `delay`, or after the backoff if that is later, because the lease of another
+    /// holder has expired or was released. Has no effect while this process holds the lease.
     pub fn lease_freed(&mut self, now: Micros, delay: Micros) {
         if self.holding.is_none() {
             self.round = Round::Idle;
@@ -126,13 +133,14 @@
         }
     }
 
-    /// This process can do what the lease is for, or no longer.
+    /// Sets whether this process can do the work that the lease is for, and releases the lease if it cannot.
     pub fn set_eligible(&mut self, now: Micros, is_eligible: bool) -> Vec<CandidateAction> {
         self.is_eligible = is_eligible;
         if is_eligible { Vec::new() } else { self.release(now) }
     }
 
-    /// Gives the lease up at once; whoever seeks it next need not wait until it expires.
+    /// Gives the lease up at once, so that the next holder need not wait until it expires. This candidate
+    /// starts no round for one lease duration.
     pub fn release(&mut self, now: Micros) -> Vec<CandidateAction> {
         self.round = Round::Idle;
         self.next_round_at = now + self.duration;
@@ -141,10 +149,11 @@
         vec![CandidateAction::Lost(term), CandidateAction::Broadcast(Payload::Release { term })]
     }
 
-    /// To be called at [`Candidate::wake_at`].
+    /// Does what is due. To be called at [`Candidate::wake_at`].
     ///
-    /// `held_elsewhere_until` is when the lease of another expires, as far as this process's own voter knows; `jitter_fraction` is
-    /// drawn from zero to one, so that two candidates do not keep outbidding each other.
+    /// `held_elsewhere_until` is when the lease of another holder expires, as far as this process's own voter
+    /// knows. `jitter_fraction` is drawn at random between 0 and 1, so that two candidates do not keep
+    /// outbidding each other.
     pub fn wake(
         &mut self,
         now: Micros,
@@ -158,7 +167,7 @@
         let jitter = (self.reply_timeout() as f64 * jitter_fraction) as Micros;
         match (&self.holding, held_elsewhere_until, &self.round) {
             (None, Some(until), _) => self.idle_until(until.max(now) + 1 + jitter),
-            // Too few voters answered the last round.
+            // Too few voters replied to the last round.
             (None, None, Round::Preparing { .. } | Round::Proposing { .. }) => {
                 self.idle_until(now + self.reply_timeout() / 4 + jitter);
             }
@@ -166,7 +175,7 @@
                 let (ballot, term) = (ballot.clone(), lease.term());
                 actions.push(self.propose(now, ballot, term));
             }
-            // A renewal whose ballot was outbid, or that nothing came of, begins anew like a first round.
+            // The first round, or a renewal that was outbid or got too few replies: start with a new ballot.
             _ => actions.push(self.prepare(now)),
         }
         actions
@@ -205,7 +214,7 @@
         CandidateAction::Broadcast(payload)
     }
 
-    /// Takes a voter's answer. `wall_clock_ms` is the Unix time in milliseconds: no new term is lower.
+    /// Handles a voter's reply. `wall_clock_ms` is the Unix time in milliseconds; no new term is lower.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -254,11 +263,11 @@
         }
         if promised.len() >= self.majority {
             let new_term = (*highest_term + 1).max(wall_clock_ms);
-            // The own term goes on as long as its lease has not expired.
+            // The current term continues as long as its lease has not expired.
             let term = self.may_act(now).unwrap_or(new_term);
             return Some(self.propose(now, reply_ballot.clone(), term));
         }
-        // No majority can be had while these wait for another's lease to expire.
+        // No majority is possible until another holder's lease has expired at these voters.
         if held_elsewhere.len() >= self.majority {
             let remaining = held_elsewhere.values().max().copied().unwrap_or(0);
             self.idle_until(now + remaining);
@@ -286,7 +295,7 @@
         self.renew_or_acquire(now, reply_ballot.clone(), reply_term, sent_at)
     }
 
-    /// A majority granted the lease under this term: it is renewed, or acquired.
+    /// Renews or acquires the lease after a majority has granted it under this term.
     fn renew_or_acquire(
         &mut self,
         now: Micros,
@@ -303,7 +312,7 @@
             None => {
                 let lease = HeldLease::granted(term, requested_at, self.duration);
                 if lease.may_act(now).is_none() {
-                    // The answers came after it had expired.
+                    // The replies arrived after the lease had already expired.
                     self.next_round_at = now;
                     return None;
                 }
@@ -324,7 +333,7 @@
             return None;
         }
         self.ballot_number = self.ballot_number.max(promised);
-        // A challenger has learnt of the lease and waits, but its ballot is in the way of the renewal.
+        // A challenger has learned of the lease and waits, but its higher ballot blocks the renewal.
         self.holding.is_some().then(|| self.prepare(now))
     }
 }
--- a/crates/leases/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -1,48 +1,49 @@
-//! Fencing: a receiver of acts refuses those of a lease holder that has been superseded.
+//! Fencing: a receiver of operations rejects those of a holder that has been superseded.
 
 use std::collections::BTreeMap;
 
 use crate::Term;
 
-/// What to do with an act that arrived under a term.
+/// What a receiver does with an operation that arrived under a term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FenceDecision {
-    /// Take it.
+    /// Accept the operation.
     Accept,
-    /// Persist the term, call [`Fence::persisted`], then ask again.
+    /// Persist the term, call [`Fence::persisted`], then call [`Fence::admit`] again.
     PersistFirst,
-    /// Refuse it: a higher term was seen.
+    /// Reject the operation, because a higher term has been seen.
     Stale {
-        /// The highest term seen.
+        /// The highest term that has been seen.
         highest_term: Term,
     },
 }
 
-/// The highest term that a receiver of acts has seen, for each lease.
+/// The highest term that a receiver of operations has seen for each lease.
 ///
-/// Guards against a lease holder that was stopped between its check of the lease and its act; costs nothing to one that
-/// still holds the lease. A receiver with a store takes no act of a term that it could forget.
+/// Protects against a holder that was stopped between checking its lease and acting, at no cost to the
+/// current holder. A receiver with a store accepts no operation under a term that a restart could make it
+/// forget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fence {
     highest_seen: BTreeMap<String, Term>,
-    /// The terms that are on the disk; `None` without a store.
+    /// The highest term that is on disk, by lease; `None` without a store.
     persisted_terms: Option<BTreeMap<String, Term>>,
 }
 
 impl Fence {
-    /// A fence that forgets with its process.
+    /// Creates a fence without a store, whose terms are lost when the process ends.
     #[must_use]
     pub fn volatile() -> Fence {
         Fence::default()
     }
 
-    /// A fence with a store, which held these terms by lease.
+    /// Creates a fence with a store. `stored_terms` are the terms that the store contained, by lease.
     pub fn durable(stored_terms: impl IntoIterator<Item = (String, Term)>) -> Fence {
         let persisted_terms: BTreeMap<String, Term> = stored_terms.into_iter().collect();
         Fence { highest_seen: persisted_terms.clone(), persisted_terms: Some(persisted_terms) }
     }
 
-    /// Decides on an act of the lease under this term.
+    /// Decides whether to accept an operation on the lease under this term.
     pub fn admit(&mut self, lease: &str, term: Term) -> FenceDecision {
         let highest_term = self.highest_seen.get(lease).copied().unwrap_or(0);
         if term < highest_term {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The record of this term is on the disk.
+    /// Notes that this term is on disk.
     pub fn persisted(&mut self, lease: &str, term: Term) {
         if let Some(persisted_terms) = &mut self.persisted_terms {
             let highest_term = persisted_terms.entry(lease.to_owned()).or_default();
--- a/crates/leases/src/frame.rs
+++ b/crates/leases/src/frame.rs
@@ -1,15 +1,30 @@
-//! The encoding of one [`Message`], big-endian: a byte of its kind, the lease (a byte of length, and its name), the ballot
-//! where the kind has one (8 bytes of number, 8 of the candidate's start, its name), and the kind's numbers. Whoever
-//! receives a message that cannot be decoded drops it.
+//! The encoding of a [`Message`].
+//!
+//! A message starts with one byte that gives its kind, followed by the name of the lease and the fields of
+//! the kind:
+//!
+//! | kind | message | fields |
+//! | --- | --- | --- |
+//! | 1 | prepare | ballot |
+//! | 2 | promise | ballot, term; for an outstanding lease also its remaining time and its holder |
+//! | 3 | propose | ballot, term, duration |
+//! | 4 | accept | ballot, term |
+//! | 5 | reject | ballot, number of the promised ballot |
+//! | 6 | release | term |
+//!
+//! Numbers are 8 bytes, big-endian; times are in microseconds. A name is one byte of length and the name in
+//! UTF-8. An incarnation (a candidate or a holder) is its start number and its name, and a ballot is its
+//! number and its candidate. The receiver drops a message that cannot be decoded.
 
 use bytes::{Buf, BufMut};
 use thiserror::Error;
 
 use crate::{Ballot, Incarnation, Message, Micros, OutstandingLease, Payload};
 
-/// The longest name, in bytes.
+/// The maximum length of a name, in bytes.
 const MAX_NAME_BYTES: usize = 64;
-/// The longest span that is taken, in microseconds: adding it to a clock cannot overflow.
+/// The maximum time span, in microseconds: adding it to a clock cannot overflow. Longer spans are reduced to
+/// it.
 const MAX_SPAN: u64 = 1 << 50;
 
 const PREPARE: u8 = 1;
@@ -19,17 +34,23 @@
 const REJECT: u8 = 5;
 const RELEASE: u8 = 6;
 
-/// Bytes that are no message of this version. One such datagram is noise; many come from a proxy of another version.
+/// The reason why bytes are not a message of this version.
+///
+/// A single datagram of this sort is noise; if there are many, a proxy of another version sends them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
     /// The bytes end early, or a name is not UTF-8.
-    #[error("a message that is cut off; if many come, look for a proxy of another version")]
+    #[error(
+        "the message ends early or has a name that is not UTF-8; if many arrive, look for a proxy of another version"
+    )]
     Truncated,
-    /// A name longer than any proxy sends.
-    #[error("a name of {0} bytes, at most 64 are allowed; if many come, look for a proxy of another version")]
+    /// The name is longer than any that a proxy sends; the value is its length in bytes.
+    #[error(
+        "a name of {0} bytes is longer than the maximum of 64; if many arrive, look for a proxy of another version"
+    )]
     NameTooLong(usize),
-    /// A kind that this version does not know.
-    #[error("a message of unknown kind {0}; upgrade this proxy, or look for one of another version")]
+    /// This version does not know the kind of the message; the value is the byte that gives the kind.
+    #[error("unknown message kind {0}; upgrade this proxy, or look for a proxy of another version")]
     UnknownKind(u8),
 }
 
@@ -49,7 +70,7 @@
     put_incarnation(&ballot.candidate, out);
 }
 
-/// The bytes of a message.
+/// Encodes a message.
 #[must_use]
 pub fn encode(message: &Message) -> Vec<u8> {
     let mut out = Vec::with_capacity(128);
@@ -99,7 +120,7 @@
     input.try_get_u64().map_err(|_| DecodeError::Truncated)
 }
 
-/// A span of time: never below zero, and never over [`MAX_SPAN`].
+/// Reads a time span; the result is between 0 and [`MAX_SPAN`].
 fn get_span(input: &mut &[u8]) -> Result<Micros, DecodeError> {
     Ok(get_u64(input)?.min(MAX_SPAN) as Micros)
 }
@@ -131,11 +152,11 @@
     Ok(OutstandingLease { remaining, holder: get_incarnation(input)? })
 }
 
-/// Reads a message.
+/// Decodes a message.
 ///
 /// # Errors
 ///
-/// The bytes are no message of this version.
+/// Returns a [`DecodeError`] if the bytes are not a message of this version.
 pub fn decode(mut bytes: &[u8]) -> Result<Message, DecodeError> {
     let input = &mut bytes;
     let kind = get_u8(input)?;
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,20 +1,23 @@
-//! Leases: at most one process at a time holds each of them.
+//! Leases, each held by at most one process at a time.
 //!
-//! A lease has a name, a holder, a rising term and an expiry. Some named proxies, the voters, grant it to one of
-//! themselves for a while by a majority, without a log and without a leader: PaxosLease as published (Trencseni, Gazso,
-//! Reinhardt, 2012), with a term that a majority has seen.
+//! A lease has a name, a holder, a rising term and an expiry. Some named proxies, the voters, grant it for a
+//! limited time to one of themselves. A grant needs a majority of the voters, but no log and no leader: the
+//! protocol is PaxosLease as published (Trencseni, Gazso, Reinhardt, 2012), extended by a term that a
+//! majority has seen.
 //!
-//! - [`Voter`]: what one voter promised and granted.
-//! - [`Candidate`]: how one process gets a lease, renews it and releases it.
-//! - [`Participant`]: both of them, for all leases of a process.
-//! - [`HeldLease`]: whether its holder may act now.
-//! - [`Fence`]: whether a receiver takes an act.
+//! - [`Voter`]: keeps what one voter has promised and granted.
+//! - [`Candidate`]: acquires, renews and releases one lease for one process.
+//! - [`Participant`]: combines the voter and the candidates of one process for all leases.
+//! - [`HeldLease`]: tells the holder whether it may act now.
+//! - [`Fence`]: lets a receiver reject operations of a superseded holder.
 //!
-//! Nothing here does I/O or has a clock. Each call brings `now` of a clock that counts stalls and suspension and never
-//! steps. Clocks of different machines are never compared for leases; their rates may differ by one part in
-//! [`CLOCK_DRIFT_DIVISOR`]. Terms start no lower than the Unix time in milliseconds (`wall_clock_ms`), so that they rise even if all
-//! voters lost what they knew at once. If clocks went back between, whoever took acts of a higher term says so
-//! ([`Participant::observe_term`]).
+//! This crate does no I/O and reads no clock. Each call takes `now`, the time of a clock that never steps and
+//! that keeps counting while the process is stalled or the machine is suspended. The protocol never compares
+//! the clocks of different machines; it assumes only that their rates differ by at most one part in
+//! [`CLOCK_DRIFT_DIVISOR`]. A new term is never below the Unix time in milliseconds (`wall_clock_ms`), so
+//! that terms rise even if all voters lose their state at once. If the wall clocks have been set back in the
+//! meantime, the processes that accepted operations under a higher term report that term to
+//! [`Participant::observe_term`].
 
 #![warn(missing_docs)]
 
@@ -33,19 +36,21 @@
 pub use participant::{Actions, ConfigError, LeaseChange, LeaseConfig, Outgoing, Participant};
 pub use voter::{GrantedLease, Reply, Voter};
 
-/// Whole microseconds: an instant on the caller's clock, or a span.
+/// An instant on the caller's clock or a time span, in whole microseconds.
 pub type Micros = i64;
 
-/// Rises with every grant of a lease to another holder, and never falls.
+/// The term of a lease: a number that rises with every grant to another holder and never falls; 0 stands for
+/// none.
 pub type Term = u64;
 
-/// The rates of two clocks differ by at most one part in this many. Real clocks are a thousand times better; that of a
-/// virtual machine that was migrated is not.
+/// The rates of two clocks are assumed to differ by at most one part in this many. Physical clocks are a
+/// thousand times more accurate; the clock of a migrated virtual machine is not.
 pub const CLOCK_DRIFT_DIVISOR: Micros = 50;
 
-/// How far two clocks may disagree on a span that long, in microseconds.
+/// Returns by how much two clocks may disagree after a time span, in microseconds.
 ///
-/// Guards the next lease holder from one whose clock is slow; costs a lease that is shorter by as much.
+/// A holder subtracts this margin from its lease, and a voter adds it to its silence after a start. That
+/// protects the next holder from a holder whose clock is slow, and shortens every lease by as much.
 #[must_use]
 pub fn clock_margin(span: Micros) -> Micros {
     span.div_euclid(CLOCK_DRIFT_DIVISOR) + 1
--- a/crates/leases/src/message.rs
+++ b/crates/leases/src/message.rs
@@ -1,95 +1,99 @@
-//! What candidates, lease holders and voters say to each other, and the names in it.
+//! Messages between candidates, holders and voters, and the types that they contain.
 
 use crate::{Micros, Term};
 
-/// One start of a proxy. Another start of the same name is another incarnation: it knows nothing of the leases that the
-/// first one holds.
+/// One start of a proxy.
+///
+/// Another start of the same name is another incarnation, which knows nothing of the leases that the first
+/// one holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Incarnation {
-    /// The proxy's name, unique in its fleet.
+    /// The name of the proxy, unique in its fleet.
     pub name: String,
-    /// Tells the starts of one proxy apart; later ones are higher.
+    /// Distinguishes the starts of one proxy; a later start has a higher number.
     pub start: u64,
 }
 
-/// The number of one round of a candidate, unique among all candidates; the voters serve the highest.
+/// Identifies one round of a candidate, unique among all candidates. Voters serve the highest ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ballot {
-    /// Compared first.
+    /// The number of the round, compared before the candidate.
     pub number: u64,
-    /// Whose round it is; breaks ties.
+    /// The candidate whose round it is; breaks ties between equal numbers.
     pub candidate: Incarnation,
 }
 
-/// A lease that a voter granted and that has not expired by the voter's clock.
+/// A lease that a voter has granted and that has not expired by the voter's clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OutstandingLease {
-    /// The lease holder.
+    /// The process to which the lease was granted.
     pub holder: Incarnation,
-    /// Time until it expires, from when the voter said so.
+    /// The time until the lease expires, in microseconds, counted from when the voter sent the message.
     pub remaining: Micros,
 }
 
-/// What is said of a lease.
+/// The content of a message about a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Payload {
-    /// A candidate asks voters to grant nothing to lower ballots from now on, and to say what they know.
+    /// A candidate asks the voters to grant nothing to lower ballots from now on, and to report what they
+    /// have granted.
     Prepare {
         /// The candidate's round.
         ballot: Ballot,
     },
     /// A voter agrees to a [`Payload::Prepare`].
     Promise {
-        /// The round that it answers.
+        /// The round that the voter replies to.
         ballot: Ballot,
-        /// The highest term that the voter granted anybody.
+        /// The highest term that the voter knows to have been granted to any process, 0 if it knows of none.
         term: Term,
-        /// The lease that the voter granted, if one has not expired.
+        /// The lease that the voter has granted, `None` if there is none or it has expired.
         outstanding: Option<OutstandingLease>,
     },
-    /// A candidate that heard of no other lease holder from a majority asks for the lease; a lease holder renews it.
+    /// A candidate requests the lease after a majority has reported no other holder, or a holder renews its
+    /// lease.
     Propose {
-        /// The round that the voters promised.
+        /// The round that the voters have promised.
         ballot: Ballot,
         /// The term to grant.
         term: Term,
-        /// For how long, from when the voter receives this.
+        /// The duration of the lease in microseconds, counted from when the voter receives the message.
         duration: Micros,
     },
-    /// A voter grants what was proposed.
+    /// A voter grants a [`Payload::Propose`].
     Accept {
-        /// The round that it answers.
+        /// The round that the voter replies to.
         ballot: Ballot,
-        /// The term granted.
+        /// The term that was granted.
         term: Term,
     },
-    /// A voter has promised a higher ballot.
+    /// A voter refuses a ballot because it has promised a higher one.
     Reject {
-        /// The round that it answers.
+        /// The round that the voter replies to.
         ballot: Ballot,
-        /// The number of the ballot promised.
+        /// The number of the ballot that the voter has promised.
         promised: u64,
     },
-    /// The lease holder gives the lease up before it expires.
+    /// The holder gives the lease up before it expires.
     Release {
-        /// The term that it held.
+        /// The term under which the sender held the lease.
         term: Term,
     },
 }
 
 impl Payload {
-    /// Whether voters act on it; the rest are answers, which candidates act on.
+    /// Returns whether voters handle this message; candidates handle all others, which are replies of voters.
     #[must_use]
     pub fn is_for_voters(&self) -> bool {
         matches!(self, Payload::Prepare { .. } | Payload::Propose { .. } | Payload::Release { .. })
     }
 }
 
-/// One message between two proxies about one lease.
+/// A message between two proxies about one lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Message {
-    /// The lease's name.
+    /// The name of the lease.
     pub lease: String,
-    /// What is said of it.
+    /// The content of the message.
     pub payload: Payload,
 }
--- a/crates/leases/src/participant.rs
+++ b/crates/leases/src/participant.rs
@@ -1,4 +1,4 @@
-//! One process's part in all leases: its vote, if it is a voter, and its candidacies.
+//! The part of one process in all leases: its vote, if it is a voter, and its candidates.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -10,55 +10,60 @@
 
 use crate::{Candidate, CandidateAction, Incarnation, Message, Micros, Payload, Term, Voter};
 
-/// The shortest lease that may be configured.
+/// The shortest lease that may be configured, in microseconds.
 const MIN_LEASE_DURATION: Micros = 500_000;
-/// Candidates of adjacent rank turn to a free lease this fraction of its duration apart.
+/// Candidates of adjacent ranks seek a free lease this fraction of its duration (one part in this many)
+/// apart.
 const RANK_DELAY_DIVISOR: Micros = 60;
-/// The part of the duration over which candidates of one rank are spread by chance.
+/// Candidates of the same rank are spread at random over this fraction of the lease duration (one part in
+/// this many).
 const RANK_JITTER_DIVISOR: Micros = 200;
 
-/// What the operator configures, the same at all voters.
+/// The operator's configuration, which is the same at all voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseConfig {
-    /// The names of the processes that grant leases, and hold them: 3, 5 or 7.
+    /// The names of the processes that grant leases and can hold them: 3, 5 or 7.
     pub voters: Vec<String>,
     /// The names of the leases.
     pub leases: Vec<String>,
-    /// For how long a lease is granted at a time, in microseconds.
+    /// The duration for which a lease is granted, in microseconds.
     pub duration: Micros,
-    /// No term is lower. To be raised by an operator after terms were lost and clocks went back.
+    /// The lowest term that may be granted, 0 for no bound. An operator raises it after terms were lost and
+    /// the clocks were set back.
     pub least_term: Term,
 }
 
-/// A configuration that cannot work.
+/// The reason why a configuration cannot work.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// Their number allows ties, or is out of bounds.
-    #[error("voters: {0} are named; name 3, 5 or 7 proxies, so that a majority is clear")]
+    /// The number of voters allows ties or is out of bounds.
+    #[error("voters: {0} proxies are named; name 3, 5 or 7, so that votes cannot tie")]
     VoterCount(usize),
-    /// One proxy would vote twice.
-    #[error("voters: {0:?} is named twice; each voter has a name of its own")]
+    /// A voter is named twice and would have two votes.
+    #[error("voters: {0:?} is named twice; name each voter once")]
     DuplicateVoter(String),
-    /// The lease would expire before slow voters have answered.
-    #[error("lease: {0} us is too short; give at least half a second, or it expires under a slow answer")]
+    /// The lease would expire before slow voters have replied; the value is its duration in microseconds.
+    #[error(
+        "lease_ms: a lease of {0} us is too short; set at least 500 ms, or it expires before slow voters reply"
+    )]
     TooShort(Micros),
 }
 
-/// This process has got or lost a lease.
+/// A lease that this process has acquired or lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseChange {
-    /// It holds the lease from now on.
+    /// This process holds the lease from now on.
     Acquired {
-        /// The lease's name.
+        /// The name of the lease.
         lease: String,
-        /// Under which term.
+        /// The term under which this process holds the lease.
         term: Term,
     },
-    /// It no longer holds the lease.
+    /// This process no longer holds the lease.
     Lost {
-        /// The lease's name.
+        /// The name of the lease.
         lease: String,
-        /// Under which term it held it.
+        /// The term under which this process held the lease.
         term: Term,
     },
 }
@@ -66,39 +71,40 @@
 /// A message and its addressee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// The name of another voter.
+    /// The name of the addressee, which is another voter.
     pub to: String,
-    /// To be sent to it.
+    /// The message to send.
     pub message: Message,
 }
 
-/// What the caller is to do now.
+/// What the caller has to do now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[must_use]
 pub struct Actions {
     /// Messages to send.
     pub send: Vec<Outgoing>,
-    /// Terms, by lease, to write to the disk; [`Participant::persisted`] is to be called when they are there.
+    /// Terms to write to disk, with the names of their leases. Once they are on disk, the caller calls
+    /// [`Participant::persisted`].
     pub persist: Vec<(String, Term)>,
-    /// What this process has got or lost.
+    /// Leases that this process has acquired or lost.
     pub changes: Vec<LeaseChange>,
-    /// When to call [`Participant::wake`].
+    /// When to call [`Participant::wake`]; `None` if this process is no candidate for any lease.
     pub wake_at: Option<Micros>,
 }
 
-/// A vote that is sent once its term is on the disk.
+/// A vote that is sent once its term is on disk.
 struct PendingVote {
     term: Term,
     outgoing: Outgoing,
 }
 
-/// One process's part in all leases.
+/// The part of one process in all leases.
 pub struct Participant {
     incarnation: Incarnation,
     voters: Vec<String>,
     least_term: Term,
     duration: Micros,
-    /// `None` where this process is no voter; then it is no candidate either.
+    /// `None` if this process is not a voter; then it is not a candidate either.
     voter: Option<Voter>,
     candidates: BTreeMap<String, Candidate>,
     pending_votes: Vec<PendingVote>,
@@ -123,12 +129,12 @@
 }
 
 impl Participant {
-    /// Starts the part of this process. `stored_terms` is what a voter's store held, by lease; `None` is a voter without a
-    /// store.
+    /// Starts a process's part in the leases. `stored_terms` are the terms that the voter's store contained,
+    /// by lease; `None` stands for a voter without a store.
     ///
     /// # Errors
     ///
-    /// The configuration cannot work.
+    /// Returns a [`ConfigError`] if the configuration cannot work.
     pub fn start(
         now: Micros,
         incarnation: Incarnation,
@@ -164,8 +170,8 @@
         }
     }
 
-    /// How long after a lease has become free this process seeks it: by a rank that all compute alike, so that leases
-    /// are spread over the voters.
+    /// Returns how long after a lease becomes free this process seeks it. The delay depends on a rank that
+    /// all voters compute alike, so that the leases are spread over the voters.
     fn rank_delay(&mut self, lease: &str) -> Micros {
         let own_rank = rank(lease, &self.incarnation.name);
         let lower_ranked = self.voters.iter().filter(|name| rank(lease, name) < own_rank).count() as Micros;
@@ -173,33 +179,36 @@
         lower_ranked * self.duration / RANK_DELAY_DIVISOR + jitter
     }
 
-    /// Its voter has a store that cannot be read yet, and casts no vote before [`Participant::restore`].
+    /// Withholds all votes until [`Participant::restore`] is called, because the voter's store cannot be read
+    /// yet.
     pub fn withhold_votes(&mut self) {
         if let Some(voter) = &mut self.voter {
             voter.withhold_votes();
         }
     }
 
-    /// What the voter's store held, by lease, once it has been read.
+    /// Takes the terms that the voter's store contained, by lease, once the store has been read.
     pub fn restore(&mut self, stored_terms: Vec<(String, Term)>) {
         if let Some(voter) = &mut self.voter {
             voter.restore(stored_terms);
         }
     }
 
-    /// Whether this process is one of the voters.
+    /// Returns whether this process is one of the voters.
     #[must_use]
     pub fn is_voter(&self) -> bool {
         self.voter.is_some()
     }
 
-    /// The term to act under, while this process holds the lease. To be asked immediately before each act.
+    /// Returns the term under which this process may act, or `None` if it does not hold the lease. To be
+    /// called immediately before each operation.
     #[must_use]
     pub fn may_act(&self, now: Micros, lease: &str) -> Option<Term> {
         self.candidates.get(lease)?.may_act(now)
     }
 
-    /// To be called at [`Actions::wake_at`]. `wall_clock_ms` is the Unix time in milliseconds, here and below.
+    /// Does what is due. To be called at [`Actions::wake_at`]. `wall_clock_ms` is the Unix time in
+    /// milliseconds.
     pub fn wake(&mut self, now: Micros, wall_clock_ms: u64) -> Actions {
         for lease in self.lease_names() {
             let held_elsewhere_until = self.held_elsewhere_until(now, &lease);
@@ -220,7 +229,8 @@
         (granted.holder != self.incarnation).then_some(granted.expires_at)
     }
 
-    /// Takes a message of another process. One that is not configured as a voter is ignored.
+    /// Handles a message of another process. Messages of a process that is not configured as a voter are
+    /// ignored. `wall_clock_ms` is the Unix time in milliseconds.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -272,11 +282,13 @@
         }
     }
 
-    /// Others took acts of this term.
+    /// Notes that other processes have accepted operations under this term. `wall_clock_ms` is the Unix time
+    /// in milliseconds.
     ///
-    /// Guards a lease from terms that nobody takes: those of voters that all forgot, under clocks behind the ones by which
-    /// earlier terms were made. A holder under a lower term releases the lease and seeks a term above. Costs nothing: the
-    /// holder under a lower term has been superseded.
+    /// After all voters have lost their state and the wall clocks were set back, new terms may be lower than
+    /// earlier ones, and receivers reject every operation under them. A holder under a lower term therefore
+    /// releases the lease and seeks it under a higher one. Nothing is lost by that, as such a holder has been
+    /// superseded.
     pub fn observe_term(&mut self, now: Micros, wall_clock_ms: u64, lease: &str, term: Term) -> Actions {
         let Some(voter) = &mut self.voter else { return Actions::default() };
         voter.observe_term(lease, term);
@@ -291,7 +303,8 @@
         self.take_actions()
     }
 
-    /// The record of this term is on the disk: the votes that waited for it are sent.
+    /// Sends the votes that waited for this term to be on disk. `wall_clock_ms` is the Unix time in
+    /// milliseconds.
     pub fn persisted(&mut self, now: Micros, wall_clock_ms: u64, lease: &str, term: Term) -> Actions {
         if let Some(voter) = &mut self.voter {
             voter.persisted(lease, term);
@@ -306,18 +319,19 @@
         self.take_actions()
     }
 
-    /// The disk does not take them: no vote is cast that could be forgotten.
+    /// Drops the votes that wait for their terms, because the disk did not accept them: a vote that a restart
+    /// could forget is never cast.
     pub fn not_persisted(&mut self) {
         self.pending_votes.clear();
     }
 
-    /// This process can do what the lease is for, or no longer.
+    /// Sets whether this process can do the work that the lease is for, and releases the lease if it cannot.
     pub fn set_eligible(&mut self, now: Micros, lease: &str, is_eligible: bool) -> Actions {
         self.with_candidate(now, 0, lease, |candidate| candidate.set_eligible(now, is_eligible));
         self.take_actions()
     }
 
-    /// This process shuts down: it releases all leases, so that others need not wait until they expire.
+    /// Releases all leases because this process shuts down, so that others need not wait until they expire.
     pub fn release_all(&mut self, now: Micros) -> Actions {
         for lease in self.lease_names() {
             self.with_candidate(now, 0, &lease, |candidate| candidate.release(now));
@@ -326,8 +340,11 @@
         self.take_actions()
     }
 
-    /// The others know this process by another number from now on. What it held was granted under the former one, and no
-    /// other voter takes a release of it any more: it gives the leases up, and they expire.
+    /// Changes the start number of this process, which other processes use from now on, and gives up its
+    /// leases.
+    ///
+    /// The leases were granted under the former number, and the other voters no longer accept a release from
+    /// it, so they expire there.
     pub fn renumber(&mut self, now: Micros, start: u64) -> Actions {
         let leases = self.lease_names();
         for lease in &leases {
@@ -338,7 +355,8 @@
         self.take_actions()
     }
 
-    /// Asks the candidate for a lease, if this process is one, and carries out what it says.
+    /// Calls `operation` on the candidate for a lease, if this process has one, and carries out the resulting
+    /// actions.
     fn with_candidate(
         &mut self,
         now: Micros,
@@ -367,7 +385,7 @@
         }
     }
 
-    /// A message to itself is taken at once.
+    /// Sends a message; one to this process itself is handled at once.
     fn send(&mut self, now: Micros, wall_clock_ms: u64, outgoing: Outgoing) {
         if outgoing.to != self.incarnation.name {
             self.actions.send.push(outgoing);
@@ -383,7 +401,8 @@
     }
 }
 
-/// A hash of both names, mixed once more, so that names that differ in their last letter are far apart.
+/// Returns a hash of both names with an additional mixing step, so that the ranks of names that differ only
+/// in their last letter are far apart.
 fn rank(lease: &str, name: &str) -> u64 {
     let mut hasher = FnvHasher::default();
     for part in [lease.as_bytes(), &[0], name.as_bytes()] {
--- a/crates/leases/src/voter.rs
+++ b/crates/leases/src/voter.rs
@@ -1,17 +1,17 @@
-//! One voter: what it promised and granted of each lease.
+//! One voter: what it has promised and granted for each lease.
 
 use std::collections::BTreeMap;
 
 use crate::{Ballot, Incarnation, Message, Micros, OutstandingLease, Payload, Term, clock_margin};
 
-/// A lease as one voter granted it.
+/// A lease as one voter has granted it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct GrantedLease {
-    /// To whom.
+    /// The process to which the lease was granted.
     pub holder: Incarnation,
-    /// Under which term.
+    /// The term under which the lease was granted.
     pub term: Term,
-    /// When it expires, by the voter's clock.
+    /// When the lease expires, by the voter's clock.
     pub expires_at: Micros,
 }
 
@@ -19,26 +19,26 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct LeaseState {
     promised: Option<Ballot>,
-    /// The highest term granted.
+    /// The highest term that was granted, as far as this voter knows; 0 if none was.
     highest_term: Term,
-    /// The highest term that may be told at once; with a store, one that is on the disk.
+    /// The highest term that is on disk, so that a vote for it may be sent at once. Not used without a store.
     persisted_term: Term,
     granted: Option<GrantedLease>,
 }
 
-/// What a voter answers.
+/// The reply of a voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// To be sent to whoever asked.
+    /// The message to send back to the candidate.
     pub payload: Payload,
-    /// Send it only once this term is on the disk.
+    /// The term that must be on disk before the reply is sent; `None` if it can be sent at once.
     pub once_persisted: Option<Term>,
 }
 
-/// Where a voter keeps the terms that it granted.
+/// Where a voter keeps the terms that it knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum TermStorage {
-    /// Nowhere: they are forgotten with the process.
+    /// Only in memory: they are lost when the process ends.
     Volatile,
     /// In a store that has not been read yet: no vote is cast.
     Unread,
@@ -48,20 +48,22 @@
 
 /// One voter, for all leases.
 ///
-/// Promises and grants are forgotten with the process, so that a voter is silent for one lease after its start: whatever
-/// it granted before has expired then. Guards lease holders from a voter that forgot them and grants their lease to
-/// another; costs the fleet one voter for that long. Only terms are kept, where there is a store.
+/// Promises and grants are lost when the process ends; only terms are kept, if there is a store. A voter is
+/// therefore silent for one lease duration after its start, until everything that it granted before has
+/// expired. That protects holders from a voter that has forgotten their lease and grants it to another
+/// process, and costs the fleet one voter for that long.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
     silent_until: Micros,
-    /// The longest lease that it grants; the same at all voters.
+    /// The longest lease that this voter grants, in microseconds; the same at all voters.
     max_lease_duration: Micros,
     storage: TermStorage,
     leases: BTreeMap<String, LeaseState>,
 }
 
 impl Voter {
-    /// A voter that starts now. `stored_terms` is what its store held, where it has one.
+    /// Starts a voter at `now`. `stored_terms` are the terms that its store contained, by lease; `None`
+    /// stands for a voter without a store.
     pub fn start(
         now: Micros,
         max_lease_duration: Micros,
@@ -76,45 +78,47 @@
         Voter { silent_until, max_lease_duration, storage, leases }
     }
 
-    /// Its store cannot be read yet: no vote is cast before [`Voter::restore`].
+    /// Withholds all votes until [`Voter::restore`] is called, because the store cannot be read yet.
     ///
-    /// Guards terms from a voter that forgot which it granted; costs the fleet one voter for as long as that lasts.
+    /// This protects terms from a voter that has forgotten which ones it granted, and costs the fleet one
+    /// voter for as long as the store cannot be read.
     pub fn withhold_votes(&mut self) {
         self.storage = TermStorage::Unread;
     }
 
-    /// What its store held, once it has been read.
+    /// Takes the terms that the store contained, by lease, once it has been read.
     pub fn restore(&mut self, stored_terms: impl IntoIterator<Item = (String, Term)>) {
         if self.storage == TermStorage::Unread {
             self.storage = TermStorage::Durable;
         }
         for (lease, term) in stored_terms {
             let state = self.leases.entry(lease).or_default();
-            // Not as persisted: what was read and not written again may be in the system's memory only.
+            // The term does not count as persisted: what was read and not written again may be in the
+            // operating system's memory only.
             state.highest_term = state.highest_term.max(term);
         }
     }
 
-    /// Until when it casts no vote after its start.
+    /// Returns until when this voter casts no vote after its start.
     #[must_use]
     pub fn silent_until(&self) -> Micros {
         self.silent_until
     }
 
-    /// The highest term of a lease that it knows to have been granted.
+    /// Returns the highest term of a lease that this voter knows to have been granted, 0 if it knows of none.
     #[must_use]
     pub fn highest_term(&self, lease: &str) -> Term {
         self.leases.get(lease).map_or(0, |state| state.highest_term)
     }
 
-    /// A lease that this voter granted and that has not expired.
+    /// Returns the lease that this voter has granted, `None` if there is none or it has expired.
     #[must_use]
     pub fn granted(&self, now: Micros, lease: &str) -> Option<&GrantedLease> {
         let granted = self.leases.get(lease)?.granted.as_ref()?;
         (now < granted.expires_at).then_some(granted)
     }
 
-    /// Takes a message for voters, and answers it where there is something to say.
+    /// Handles a message for voters and returns the reply, if there is one.
     pub fn receive(&mut self, now: Micros, from: &Incarnation, message: &Message) -> Option<Reply> {
         if let Payload::Release { term } = message.payload {
             self.release(from, &message.lease, term);
@@ -135,7 +139,8 @@
         }
         match message.payload {
             Payload::Prepare { .. } => Some(state.promise(now, ballot)),
-            // A lease longer than this voter's silence after a start: the candidate is configured otherwise than the rest.
+            // The lease would outlast this voter's silence after a start: the candidate's configuration
+            // differs from the others'.
             Payload::Propose { duration, .. } if duration > self.max_lease_duration => None,
             Payload::Propose { term, duration, .. } if term >= state.highest_term && term > 0 => {
                 let is_durable = self.storage != TermStorage::Volatile;
@@ -145,7 +150,7 @@
         }
     }
 
-    /// Only its holder releases a lease, and only under the term that it holds.
+    /// Frees a lease. Only the holder can release it, and only under the term that it holds.
     fn release(&mut self, from: &Incarnation, lease: &str, term: Term) {
         let Some(state) = self.leases.get_mut(lease) else { return };
         if state.granted.as_ref().is_some_and(|granted| granted.holder == *from && granted.term == term) {
@@ -153,13 +158,14 @@
         }
     }
 
-    /// Others took acts of this term, whoever granted it: what is granted from now on is no lower.
+    /// Notes that other processes have accepted operations under this term, whoever granted it: this voter
+    /// grants no lower term from now on.
     pub fn observe_term(&mut self, lease: &str, term: Term) {
         let state = self.leases.entry(lease.to_owned()).or_default();
         state.highest_term = state.highest_term.max(term);
     }
 
-    /// The record of this term is on the disk.
+    /// Notes that this term is on disk.
     pub fn persisted(&mut self, lease: &str, term: Term) {
         if let Some(state) = self.leases.get_mut(lease) {
             state.persisted_term = state.persisted_term.max(term);
--- a/crates/leases/tests/parts.rs
+++ b/crates/leases/tests/parts.rs
@@ -1,4 +1,4 @@
-//! What each part decides, by itself.
+//! Tests of the individual parts: held leases, the fence, the voter, the configuration and the encoding.
 
 use aldermill_leases::{
     Ballot, CLOCK_DRIFT_DIVISOR, ConfigError, Fence, FenceDecision, HeldLease, Incarnation, LeaseConfig,
@@ -27,10 +27,11 @@
     assert!(lease.renew_at() < 12 * SECOND);
     lease.renew(11 * SECOND);
     assert_eq!(lease.may_act(13 * SECOND), Some(4));
-    // An answer that comes behind a later one changes nothing.
+    // A reply to an earlier request has no effect.
     lease.renew(10 * SECOND);
     assert_eq!(lease.may_act(13 * SECOND), Some(4));
-    // A clock that is slower by a fiftieth has not seen the end when others may, but for the margin.
+    // At the end of the lease by the voters' clock, a holder's clock that is slower by one part in
+    // `CLOCK_DRIFT_DIVISOR` has not reached it: only the margin makes the holder stop in time.
     let voters_clock = LEASE_DURATION;
     let holders_clock = voters_clock - voters_clock / CLOCK_DRIFT_DIVISOR;
     assert!(HeldLease::granted(1, 0, LEASE_DURATION).may_act(holders_clock).is_none());
@@ -42,7 +43,7 @@
     assert_eq!(fence.admit("d", 2), FenceDecision::Stale { highest_term: 3 });
     assert_eq!(fence.admit("d", 3), FenceDecision::Accept);
     assert_eq!(fence.admit("d", 5), FenceDecision::PersistFirst);
-    // Seen is enough to refuse what is lower; only kept is enough to take.
+    // A term that was only seen is enough to reject lower ones; a term is accepted only once it is persisted.
     assert_eq!(fence.admit("d", 3), FenceDecision::Stale { highest_term: 5 });
     fence.persisted("d", 5);
     assert_eq!(fence.admit("d", 5), FenceDecision::Accept);
@@ -74,7 +75,7 @@
         voter.receive(now, &b, &message(propose(1, &b, 9))).unwrap().payload,
         Payload::Reject { ballot: ballot(1, &b), promised: 2 }
     );
-    // Somebody else's ballot is nobody's to use.
+    // A ballot is valid only from the candidate that it names.
     assert_eq!(voter.receive(now, &b, &message(propose(2, &a, 9))), None);
     let granted = voter.receive(now, &a, &message(propose(2, &a, 9))).unwrap();
     assert_eq!(
@@ -86,7 +87,7 @@
         voter.receive(now + SECOND, &b, &prepare(3, &b)).unwrap().payload,
         promise(3, &b, 9, outstanding)
     );
-    // Another start of its holder's name is not its holder.
+    // A later start of the holder's name is not the holder, and cannot release its lease.
     let restarted = incarnation("a", 2);
     voter.receive(now + SECOND, &restarted, &message(Payload::Release { term: 9 }));
     assert!(voter.granted(now + SECOND, "d").is_some());
@@ -113,7 +114,7 @@
     assert_eq!(voter.receive(now, &a, &message(grant.clone())).unwrap().once_persisted, Some(8));
     voter.persisted("d", 8);
     assert_eq!(voter.receive(now, &a, &message(grant)).unwrap().once_persisted, None);
-    // Longer than it is silent after a start.
+    // A lease that is longer than the voter's silence after a start is refused.
     let ballot = Ballot { number: 2, candidate: a.clone() };
     assert!(
         voter
@@ -152,7 +153,7 @@
         let bytes = frame::encode(&message(payload.clone()));
         assert_eq!(frame::decode(&bytes), Ok(message(payload.clone())));
         for end in 0..bytes.len() {
-            // A promise without its holder is whole as well.
+            // A promise that ends after its term is complete: it has no outstanding lease.
             let decoded = frame::decode(&bytes[..end]);
             assert!(
                 decoded.is_err()
--- a/crates/leases/tests/pinned_frames.rs
+++ b/crates/leases/tests/pinned_frames.rs
@@ -1,4 +1,5 @@
-//! The bytes of each kind of message about a lease, as literals: proxies of other versions read and write the same ones.
+//! Pins the encoding of each kind of lease message to literal bytes, because proxies of different versions
+//! read each other's messages.
 
 use aldermill_leases::frame::{decode, encode};
 use aldermill_leases::{Ballot, Incarnation, Message, OutstandingLease, Payload};
--- a/crates/leases/tests/renumber.rs
+++ b/crates/leases/tests/renumber.rs
@@ -1,4 +1,5 @@
-//! A process whose wall clock was set back gets another number once it has heard of its earlier start.
+//! Renumbering of a process whose wall clock was set back, which happens once the process has learned of its
+//! earlier start.
 
 use aldermill_leases::{Actions, Incarnation, LeaseChange, LeaseConfig, Micros, Participant, Term};
 
@@ -7,11 +8,11 @@
 const LEASE: &str = "zones";
 const WALL_MS: u64 = 1_800_000_000_000;
 
-/// Three voters, and messages that arrive at once.
+/// Three voters whose messages arrive at once.
 struct Voters {
     now: Micros,
     participants: Vec<(Incarnation, Participant)>,
-    /// Who acquired the lease, or lost it, in order.
+    /// The voters that acquired or lost the lease, by index, in order.
     changes: Vec<(usize, LeaseChange)>,
 }
 
@@ -73,7 +74,8 @@
     }
 }
 
-/// The voters took no ballot of a process that signed it with its former number.
+/// Guards against ballots that a renumbered process signs with its former number: the voters accepted none of
+/// them.
 #[test]
 fn voters_accept_ballots_of_renumbered_processes() {
     let mut voters = Voters::start();
@@ -88,7 +90,7 @@
     voters.run_for(10 * SECOND);
     let [(holder, term)] = voters.holders()[..] else { panic!("no holder: {:?}", voters.changes) };
     voters.renumber(holder, 100);
-    assert!(voters.holders().is_empty(), "it acts no longer");
+    assert!(voters.holders().is_empty(), "a renumbered holder no longer acts");
     assert!(voters.changes.contains(&(holder, LeaseChange::Lost { lease: LEASE.to_owned(), term })));
     for _ in 0..500 {
         voters.run_for(STEP);
