--- a/crates/site-routing/src/router/local_events.rs
+++ b/crates/site-routing/src/router/local_events.rs
@@ -20,7 +20,7 @@
     /// Records that an attempt at the local site, which began at `started_at`, may have run.
     pub fn local_may_have_run(&mut self, handle: RequestHandle, started_at: Micros) {
         if let Some(pending) = self.pending.get_mut(handle).filter(|pending| pending.is_local()) {
-            pending.note_possible_execution(started_at, LOCAL_SITE);
+            pending.record_possible_execution(started_at, LOCAL_SITE);
         }
     }
 
