--- a/crates/site-routing/src/peer_gateway.rs
+++ b/crates/site-routing/src/peer_gateway.rs
@@ -61,13 +61,13 @@
 impl PeerGateway {
     pub(crate) fn new(site: SiteId, classes: &[RequestClass]) -> PeerGateway {
         let assumed = |class: &RequestClass| {
-            Histogram::of(class.objective / ASSUMED_OBJECTIVE_DIVISOR, ASSUMED_SAMPLES)
+            Histogram::from_estimate(class.objective / ASSUMED_OBJECTIVE_DIVISOR, ASSUMED_SAMPLES)
         };
         PeerGateway {
             site,
             link_count: 0,
             last_link_lost_at: NEVER,
-            round_trip: RoundTripEstimate::assumed(INITIAL_ROUND_TRIP),
+            round_trip: RoundTripEstimate::with_initial_mean(INITIAL_ROUND_TRIP),
             credits: vec![0; classes.len()],
             draining: false,
             blacklist: FailureBlacklist::default(),
@@ -150,7 +150,7 @@
 
     /// Estimated one-way delay to the gateway in microseconds, with a safety margin.
     pub(crate) fn one_way_delay(&self) -> Micros {
-        self.round_trip.one_way()
+        self.round_trip.one_way_delay()
     }
 
     /// Typical time in microseconds from sending a request of the class until its response arrives.
