--- a/crates/directives/src/directive.rs
+++ b/crates/directives/src/directive.rs
@@ -39,7 +39,7 @@
     pub issuer: String,
     /// For how long it stays in force.
     pub remaining: Micros,
-    /// What it says; opaque here, at most [`LONGEST_BODY`](crate::frame::LONGEST_BODY) bytes.
+    /// What it says; opaque here, at most [`MAX_BODY_BYTES`](crate::frame::MAX_BODY_BYTES) bytes.
     pub body: Vec<u8>,
 }
 
--- a/crates/directives/src/frame.rs
+++ b/crates/directives/src/frame.rs
@@ -14,30 +14,30 @@
 use crate::{DigestEntry, Directive, Micros, Report, Topic, Version};
 
 /// The longest message, in bytes; a datagram has room for its sender besides.
-pub const LONGEST_MESSAGE: usize = 1000;
+pub const MAX_MESSAGE_BYTES: usize = 1000;
 /// The longest body of a directive or report, in bytes.
-pub const LONGEST_BODY: usize = 900;
+pub const MAX_BODY_BYTES: usize = 900;
 /// The longest name, in bytes.
-const LONGEST_NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 /// The longest lifetime that is taken, in microseconds: adding it to a clock cannot overflow.
-const LONGEST_SPAN: u64 = 1 << 50;
+const MAX_DURATION: u64 = 1 << 50;
 
-const DIRECTIVES: u8 = 1;
-const DIGEST: u8 = 2;
-const DIGEST_ANSWER: u8 = 3;
-const REPORT: u8 = 4;
+const KIND_DIRECTIVES: u8 = 1;
+const KIND_DIGEST: u8 = 2;
+const KIND_DIGEST_ANSWER: u8 = 3;
+const KIND_REPORT: u8 = 4;
 
 /// Bytes that are no message of this version. One such datagram is noise; many come from a proxy of another version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
     /// The bytes end early, or a name is not UTF-8.
     #[error("a message that is cut off; if many come, look for a proxy of another version")]
-    Truncated,
+    Malformed,
     /// A name or body longer than any proxy sends.
     #[error(
         "a name or body of {0} bytes, more than allowed; if many come, look for a proxy of another version"
     )]
-    TooLong(usize),
+    FieldTooLong(usize),
     /// A kind that this version does not know.
     #[error("a message of unknown kind {0}; upgrade this proxy, or look for one of another version")]
     UnknownKind(u8),
@@ -59,71 +59,71 @@
     Report(Report),
 }
 
-fn put_name(name: &str, to: &mut Vec<u8>) {
-    let bytes = &name.as_bytes()[..name.len().min(LONGEST_NAME)];
-    to.put_u8(bytes.len() as u8);
-    to.put_slice(bytes);
+fn put_name(name: &str, buffer: &mut Vec<u8>) {
+    let bytes = &name.as_bytes()[..name.len().min(MAX_NAME_BYTES)];
+    buffer.put_u8(bytes.len() as u8);
+    buffer.put_slice(bytes);
 }
 
-fn put_body(body: &[u8], to: &mut Vec<u8>) {
-    let body = &body[..body.len().min(LONGEST_BODY)];
-    to.put_u16(body.len() as u16);
-    to.put_slice(body);
+fn put_body(body: &[u8], buffer: &mut Vec<u8>) {
+    let body = &body[..body.len().min(MAX_BODY_BYTES)];
+    buffer.put_u16(body.len() as u16);
+    buffer.put_slice(body);
 }
 
-fn put_topic(topic: &Topic, to: &mut Vec<u8>) {
-    put_name(&topic.lease, to);
-    put_name(&topic.subject, to);
+fn put_topic(topic: &Topic, buffer: &mut Vec<u8>) {
+    put_name(&topic.lease, buffer);
+    put_name(&topic.subject, buffer);
 }
 
-fn put_version(version: Version, to: &mut Vec<u8>) {
-    to.put_u64(version.term);
-    to.put_u64(version.number);
+fn put_version(version: Version, buffer: &mut Vec<u8>) {
+    buffer.put_u64(version.term);
+    buffer.put_u64(version.number);
 }
 
-fn put_directive(directive: &Directive, to: &mut Vec<u8>) {
-    put_topic(&directive.topic, to);
-    put_version(directive.version, to);
-    to.put_i64(directive.remaining);
-    put_name(&directive.issuer, to);
-    put_body(&directive.body, to);
+fn put_directive(directive: &Directive, buffer: &mut Vec<u8>) {
+    put_topic(&directive.topic, buffer);
+    put_version(directive.version, buffer);
+    buffer.put_i64(directive.remaining);
+    put_name(&directive.issuer, buffer);
+    put_body(&directive.body, buffer);
 }
 
-fn put_digest_entry(entry: &DigestEntry, to: &mut Vec<u8>) {
-    put_topic(&entry.topic, to);
-    put_version(entry.version, to);
+fn put_digest_entry(entry: &DigestEntry, buffer: &mut Vec<u8>) {
+    put_topic(&entry.topic, buffer);
+    put_version(entry.version, buffer);
 }
 
 /// The bytes of directives, in as many messages as they need.
 #[must_use]
 pub fn encode_directives(directives: &[Directive]) -> Vec<Vec<u8>> {
-    pack(DIRECTIVES, directives, put_directive)
+    pack_messages(KIND_DIRECTIVES, directives, put_directive)
 }
 
 /// The bytes of a digest, in as many messages as it needs; `is_answer` where it answers another's.
 #[must_use]
 pub fn encode_digest(entries: &[DigestEntry], is_answer: bool) -> Vec<Vec<u8>> {
-    pack(if is_answer { DIGEST_ANSWER } else { DIGEST }, entries, put_digest_entry)
+    pack_messages(if is_answer { KIND_DIGEST_ANSWER } else { KIND_DIGEST }, entries, put_digest_entry)
 }
 
 /// The bytes of a report.
 #[must_use]
 pub fn encode_report(report: &Report) -> Vec<u8> {
-    let mut to = vec![REPORT];
-    put_topic(&report.topic, &mut to);
-    to.put_u64(report.number);
-    put_body(&report.body, &mut to);
-    to
+    let mut buffer = vec![KIND_REPORT];
+    put_topic(&report.topic, &mut buffer);
+    buffer.put_u64(report.number);
+    put_body(&report.body, &mut buffer);
+    buffer
 }
 
-/// Fills messages of one kind, none longer than [`LONGEST_MESSAGE`] unless a single item is.
-fn pack<T>(kind: u8, items: &[T], put: impl Fn(&T, &mut Vec<u8>)) -> Vec<Vec<u8>> {
+/// Fills messages of one kind, none longer than [`MAX_MESSAGE_BYTES`] unless a single item is.
+fn pack_messages<T>(kind: u8, items: &[T], put: impl Fn(&T, &mut Vec<u8>)) -> Vec<Vec<u8>> {
     let mut messages = vec![vec![kind]];
     for item in items {
         let mut bytes = Vec::new();
         put(item, &mut bytes);
-        let last = messages.last().map_or(0, Vec::len);
-        if last > 1 && last + bytes.len() > LONGEST_MESSAGE {
+        let last_length = messages.last().map_or(0, Vec::len);
+        if last_length > 1 && last_length + bytes.len() > MAX_MESSAGE_BYTES {
             messages.push(vec![kind]);
         }
         if let Some(message) = messages.last_mut() {
@@ -133,68 +133,68 @@
     messages
 }
 
-fn number(from: &mut &[u8]) -> Result<u64, DecodeError> {
-    from.try_get_u64().map_err(|_| DecodeError::Truncated)
+fn read_u64(input: &mut &[u8]) -> Result<u64, DecodeError> {
+    input.try_get_u64().map_err(|_| DecodeError::Malformed)
 }
 
-fn piece<'a>(from: &mut &'a [u8], length: usize, most: usize) -> Result<&'a [u8], DecodeError> {
-    if length > most {
-        return Err(DecodeError::TooLong(length));
+fn read_bytes<'a>(input: &mut &'a [u8], length: usize, max_length: usize) -> Result<&'a [u8], DecodeError> {
+    if length > max_length {
+        return Err(DecodeError::FieldTooLong(length));
     }
-    let piece = from.get(..length).ok_or(DecodeError::Truncated)?;
-    from.advance(length);
-    Ok(piece)
+    let bytes = input.get(..length).ok_or(DecodeError::Malformed)?;
+    input.advance(length);
+    Ok(bytes)
 }
 
-fn name(from: &mut &[u8]) -> Result<String, DecodeError> {
-    let length = from.try_get_u8().map_err(|_| DecodeError::Truncated)?;
-    let bytes = piece(from, usize::from(length), LONGEST_NAME)?;
-    std::str::from_utf8(bytes).map(str::to_owned).map_err(|_| DecodeError::Truncated)
+fn read_name(input: &mut &[u8]) -> Result<String, DecodeError> {
+    let length = input.try_get_u8().map_err(|_| DecodeError::Malformed)?;
+    let bytes = read_bytes(input, usize::from(length), MAX_NAME_BYTES)?;
+    std::str::from_utf8(bytes).map(str::to_owned).map_err(|_| DecodeError::Malformed)
 }
 
-fn body(from: &mut &[u8]) -> Result<Vec<u8>, DecodeError> {
-    let length = from.try_get_u16().map_err(|_| DecodeError::Truncated)?;
-    piece(from, usize::from(length), LONGEST_BODY).map(<[u8]>::to_vec)
+fn read_body(input: &mut &[u8]) -> Result<Vec<u8>, DecodeError> {
+    let length = input.try_get_u16().map_err(|_| DecodeError::Malformed)?;
+    read_bytes(input, usize::from(length), MAX_BODY_BYTES).map(<[u8]>::to_vec)
 }
 
-fn topic(from: &mut &[u8]) -> Result<Topic, DecodeError> {
-    Ok(Topic { lease: name(from)?, subject: name(from)? })
+fn read_topic(input: &mut &[u8]) -> Result<Topic, DecodeError> {
+    Ok(Topic { lease: read_name(input)?, subject: read_name(input)? })
 }
 
-fn version(from: &mut &[u8]) -> Result<Version, DecodeError> {
-    Ok(Version { term: number(from)?, number: number(from)? })
+fn read_version(input: &mut &[u8]) -> Result<Version, DecodeError> {
+    Ok(Version { term: read_u64(input)?, number: read_u64(input)? })
 }
 
-/// A span of time: never below zero, and never over [`LONGEST_SPAN`].
-fn span(from: &mut &[u8]) -> Result<Micros, DecodeError> {
-    Ok(number(from)?.min(LONGEST_SPAN) as Micros)
+/// A span of time: never below zero, and never over [`MAX_DURATION`].
+fn read_duration(input: &mut &[u8]) -> Result<Micros, DecodeError> {
+    Ok(read_u64(input)?.min(MAX_DURATION) as Micros)
 }
 
-fn directive(from: &mut &[u8]) -> Result<Directive, DecodeError> {
+fn read_directive(input: &mut &[u8]) -> Result<Directive, DecodeError> {
     Ok(Directive {
-        topic: topic(from)?,
-        version: version(from)?,
-        remaining: span(from)?,
-        issuer: name(from)?,
-        body: body(from)?,
+        topic: read_topic(input)?,
+        version: read_version(input)?,
+        remaining: read_duration(input)?,
+        issuer: read_name(input)?,
+        body: read_body(input)?,
     })
 }
 
-fn digest_entry(from: &mut &[u8]) -> Result<DigestEntry, DecodeError> {
-    Ok(DigestEntry { topic: topic(from)?, version: version(from)? })
+fn read_digest_entry(input: &mut &[u8]) -> Result<DigestEntry, DecodeError> {
+    Ok(DigestEntry { topic: read_topic(input)?, version: read_version(input)? })
 }
 
-fn report(from: &mut &[u8]) -> Result<Report, DecodeError> {
-    Ok(Report { topic: topic(from)?, number: number(from)?, body: body(from)? })
+fn read_report(input: &mut &[u8]) -> Result<Report, DecodeError> {
+    Ok(Report { topic: read_topic(input)?, number: read_u64(input)?, body: read_body(input)? })
 }
 
-fn until_the_end<T>(
-    from: &mut &[u8],
+fn read_until_end<T>(
+    input: &mut &[u8],
     read: impl Fn(&mut &[u8]) -> Result<T, DecodeError>,
 ) -> Result<Vec<T>, DecodeError> {
     let mut items = Vec::new();
-    while !from.is_empty() {
-        items.push(read(from)?);
+    while !input.is_empty() {
+        items.push(read(input)?);
     }
     Ok(items)
 }
@@ -205,15 +205,15 @@
 ///
 /// The bytes are no message of this version.
 pub fn decode(mut bytes: &[u8]) -> Result<Message, DecodeError> {
-    let from = &mut bytes;
-    let kind = from.try_get_u8().map_err(|_| DecodeError::Truncated)?;
+    let input = &mut bytes;
+    let kind = input.try_get_u8().map_err(|_| DecodeError::Malformed)?;
     match kind {
-        DIRECTIVES => Ok(Message::Directives(until_the_end(from, directive)?)),
-        DIGEST | DIGEST_ANSWER => {
-            let entries = until_the_end(from, digest_entry)?;
-            Ok(Message::Digest { entries, is_answer: kind == DIGEST_ANSWER })
+        KIND_DIRECTIVES => Ok(Message::Directives(read_until_end(input, read_directive)?)),
+        KIND_DIGEST | KIND_DIGEST_ANSWER => {
+            let entries = read_until_end(input, read_digest_entry)?;
+            Ok(Message::Digest { entries, is_answer: kind == KIND_DIGEST_ANSWER })
         }
-        REPORT => Ok(Message::Report(report(from)?)),
+        KIND_REPORT => Ok(Message::Report(read_report(input)?)),
         kind => Err(DecodeError::UnknownKind(kind)),
     }
 }
--- a/crates/directives/src/lib.rs
+++ b/crates/directives/src/lib.rs
@@ -20,7 +20,7 @@
 pub use directive::{DigestEntry, Directive, Topic, Version};
 pub use reporter::{Report, Reporter};
 pub use reports::{ReceivedReport, Reports};
-pub use store::{Acceptance, DirectiveStore, KnownHolder};
+pub use store::{DirectiveStore, KnownHolder, ReceiveOutcome};
 
 /// Whole microseconds: an instant on the caller's clock, or a span.
 pub type Micros = i64;
@@ -31,8 +31,8 @@
 /// How often a lease holder renews its directives.
 pub const RENEWAL_INTERVAL: Micros = 2_000_000;
 /// For how long each of them is in force: two renewals may be lost.
-pub const LIFETIME: Micros = 3 * RENEWAL_INTERVAL;
+pub const DIRECTIVE_LIFETIME: Micros = 3 * RENEWAL_INTERVAL;
 /// How often a process compares what it knows with one other.
 pub const DIGEST_INTERVAL: Micros = 1_000_000;
 /// To how many others a new directive is forwarded.
-pub const FANOUT: usize = 3;
+pub const FORWARD_FANOUT: usize = 3;
--- a/crates/directives/src/reports.rs
+++ b/crates/directives/src/reports.rs
@@ -5,12 +5,12 @@
 use crate::{Micros, Report, Topic};
 
 /// Topics that are kept of one process.
-const MOST_TOPICS: usize = 64;
+const MAX_TOPICS_PER_REPORTER: usize = 64;
 /// Processes that reports are kept of.
-const MOST_REPORTERS: usize = 1024;
+const MAX_REPORTERS: usize = 1024;
 
 #[derive(Clone, Debug)]
-struct Stored {
+struct StoredReport {
     number: u64,
     received_at: Micros,
     body: Vec<u8>,
@@ -18,15 +18,15 @@
 
 /// What one process told.
 #[derive(Clone, Debug)]
-struct Reporting {
+struct ReporterState {
     /// Which start of the process.
-    start: u64,
-    reports: BTreeMap<Topic, Stored>,
+    incarnation: u64,
+    reports: BTreeMap<Topic, StoredReport>,
 }
 
-impl Reporting {
-    fn of(start: u64) -> Reporting {
-        Reporting { start, reports: BTreeMap::new() }
+impl ReporterState {
+    fn new(incarnation: u64) -> ReporterState {
+        ReporterState { incarnation, reports: BTreeMap::new() }
     }
 }
 
@@ -49,41 +49,49 @@
 /// was not heard is missing here; it never counts as one that has nothing to report.
 #[derive(Clone, Debug, Default)]
 pub struct Reports {
-    by_reporter: BTreeMap<String, Reporting>,
+    by_reporter: BTreeMap<String, ReporterState>,
 }
 
 impl Reports {
     /// Takes a report of this start of a process; `age` is how long it may have waited here unread. Says whether it is
     /// new.
-    pub fn receive(&mut self, now: Micros, age: Micros, from: &str, start: u64, report: Report) -> bool {
-        if !self.by_reporter.contains_key(from) && self.by_reporter.len() >= MOST_REPORTERS {
+    pub fn receive(
+        &mut self,
+        now: Micros,
+        age: Micros,
+        reporter: &str,
+        incarnation: u64,
+        report: Report,
+    ) -> bool {
+        if !self.by_reporter.contains_key(reporter) && self.by_reporter.len() >= MAX_REPORTERS {
             return false;
         }
-        let reporting = self.by_reporter.entry(from.to_owned()).or_insert_with(|| Reporting::of(start));
-        if start < reporting.start {
+        let state =
+            self.by_reporter.entry(reporter.to_owned()).or_insert_with(|| ReporterState::new(incarnation));
+        if incarnation < state.incarnation {
             return false;
         }
-        if start > reporting.start {
-            *reporting = Reporting::of(start);
+        if incarnation > state.incarnation {
+            *state = ReporterState::new(incarnation);
         }
         let Report { topic, number, body } = report;
-        let known = reporting.reports.get(&topic);
-        let has_capacity = known.is_some() || reporting.reports.len() < MOST_TOPICS;
+        let known = state.reports.get(&topic);
+        let has_capacity = known.is_some() || state.reports.len() < MAX_TOPICS_PER_REPORTER;
         let is_newer = known.is_none_or(|known| known.number < number);
         if is_newer && has_capacity {
-            reporting.reports.insert(topic, Stored { number, received_at: now - age, body });
+            state.reports.insert(topic, StoredReport { number, received_at: now - age, body });
         }
         is_newer && has_capacity
     }
 
     /// The start of a process that reported anything.
     #[must_use]
-    pub fn start_of(&self, reporter: &str) -> Option<u64> {
-        self.by_reporter.get(reporter).map(|reporting| reporting.start)
+    pub fn incarnation_of(&self, reporter: &str) -> Option<u64> {
+        self.by_reporter.get(reporter).map(|state| state.incarnation)
     }
 
     /// A process is gone, or has started again: what it reported counts no more.
-    pub fn forget(&mut self, reporter: &str) {
+    pub fn remove_reporter(&mut self, reporter: &str) {
         self.by_reporter.remove(reporter);
     }
 
@@ -91,13 +99,13 @@
     pub fn recent<'a>(
         &'a self,
         now: Micros,
-        within: Micros,
+        max_age: Micros,
         lease: &'a str,
     ) -> impl Iterator<Item = ReceivedReport<'a>> {
-        let all = self.by_reporter.iter().flat_map(|(reporter, reporting)| {
-            reporting.reports.iter().map(move |(topic, stored)| (reporter, topic, stored))
+        let all = self.by_reporter.iter().flat_map(|(reporter, state)| {
+            state.reports.iter().map(move |(topic, stored)| (reporter, topic, stored))
         });
-        all.filter(move |(_, topic, stored)| topic.lease == lease && now - stored.received_at <= within).map(
+        all.filter(move |(_, topic, stored)| topic.lease == lease && now - stored.received_at <= max_age).map(
             |(reporter, topic, stored)| ReceivedReport {
                 reporter,
                 subject: &topic.subject,
--- a/crates/directives/tests/pinned_frames.rs
+++ b/crates/directives/tests/pinned_frames.rs
@@ -5,20 +5,23 @@
 use aldermill_directives::{DigestEntry, Directive, Report, Topic, Version};
 
 const VERSION: Version = Version { term: 0x1112_1314_1516_1718, number: 0x0102_0304_0506_0708 };
-const LATER: Version = Version { term: 0x1112_1314_1516_1719, number: 1 };
+const LATER_VERSION: Version = Version { term: 0x1112_1314_1516_1719, number: 1 };
 
-fn hex(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes(pinned: &str) -> Vec<u8> {
+fn from_hex(pinned: &str) -> Vec<u8> {
     let digits: String = pinned.split_whitespace().collect();
-    (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
+    (0..digits.len())
+        .step_by(2)
+        .map(|index| u8::from_str_radix(&digits[index..index + 2], 16).unwrap())
+        .collect()
 }
 
-fn assert_keeps_its_bytes(encoded: &[Vec<u8>], message: Message, pinned: &str) {
-    let pinned = bytes(pinned);
-    assert_eq!(encoded.iter().map(|one| hex(one)).collect::<Vec<_>>(), [hex(&pinned)]);
+fn assert_pinned_bytes(encoded: &[Vec<u8>], message: Message, pinned: &str) {
+    let pinned = from_hex(pinned);
+    assert_eq!(encoded.iter().map(|message| to_hex(message)).collect::<Vec<_>>(), [to_hex(&pinned)]);
     assert_eq!(decode(&pinned), Ok(message));
 }
 
@@ -33,21 +36,21 @@
     vec![
         directive(Topic::new("site-drain", "site-1"), VERSION, b"body"),
         // Only says who holds the lease.
-        directive(Topic::new("zones", ""), LATER, b""),
+        directive(Topic::new("zones", ""), LATER_VERSION, b""),
     ]
 }
 
 fn digest() -> Vec<DigestEntry> {
     vec![
         DigestEntry { topic: Topic::new("site-drain", "site-1"), version: VERSION },
-        DigestEntry { topic: Topic::new("zones", ""), version: LATER },
+        DigestEntry { topic: Topic::new("zones", ""), version: LATER_VERSION },
     ]
 }
 
 #[test]
-fn a_message_of_directives_keeps_its_bytes() {
+fn directives_match_their_pinned_bytes() {
     let encoded = encode_directives(&directives());
-    assert_keeps_its_bytes(
+    assert_pinned_bytes(
         &encoded,
         Message::Directives(directives()),
         "01 0a736974652d647261696e 06736974652d31 1112131415161718 0102030405060708 \
@@ -57,9 +60,9 @@
 }
 
 #[test]
-fn a_digest_keeps_its_bytes() {
+fn a_digest_matches_its_pinned_bytes() {
     let message = Message::Digest { entries: digest(), is_answer: false };
-    assert_keeps_its_bytes(
+    assert_pinned_bytes(
         &encode_digest(&digest(), false),
         message,
         "02 0a736974652d647261696e 06736974652d31 1112131415161718 0102030405060708 057a6f6e6573 \
@@ -68,9 +71,9 @@
 }
 
 #[test]
-fn a_digest_that_answers_keeps_its_bytes() {
+fn an_answering_digest_matches_its_pinned_bytes() {
     let message = Message::Digest { entries: digest(), is_answer: true };
-    assert_keeps_its_bytes(
+    assert_pinned_bytes(
         &encode_digest(&digest(), true),
         message,
         "03 0a736974652d647261696e 06736974652d31 1112131415161718 0102030405060708 057a6f6e6573 \
@@ -79,16 +82,16 @@
 }
 
 #[test]
-fn an_empty_digest_keeps_its_bytes() {
+fn an_empty_digest_matches_its_pinned_bytes() {
     let message = Message::Digest { entries: Vec::new(), is_answer: false };
-    assert_keeps_its_bytes(&encode_digest(&[], false), message, "02");
+    assert_pinned_bytes(&encode_digest(&[], false), message, "02");
 }
 
 #[test]
-fn a_report_keeps_its_bytes() {
+fn a_report_matches_its_pinned_bytes() {
     let topic = Topic::new("site-drain", "site-1");
     let report = Report { topic, number: 0x2122_2324_2526_2728, body: b"report".to_vec() };
-    assert_keeps_its_bytes(
+    assert_pinned_bytes(
         &[encode_report(&report)],
         Message::Report(report),
         "04 0a736974652d647261696e 06736974652d31 2122232425262728 00067265706f7274",
--- a/crates/proxy/src/coordination/describe.rs
+++ b/crates/proxy/src/coordination/describe.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use aldermill_directives::{Directive, LIFETIME, Micros};
+use aldermill_directives::{DIRECTIVE_LIFETIME, Directive, Micros};
 use serde_json::{Value, json};
 
 use super::Coordination;
@@ -16,12 +16,12 @@
             "retire": self.work.describe_site_drain(),
             "aside": self.work.set_aside(),
             "duties": leases.collect::<Vec<_>>(),
-            "decrees": self.directives.all(now).map(describe_directive).collect::<Vec<_>>()})
+            "decrees": self.directives.all_in_force(now).map(describe_directive).collect::<Vec<_>>()})
     }
 
     fn describe_lease(&self, now: Micros, lease: &str) -> Value {
         let holder = self.directives.holder(now, lease);
-        let reports = self.reports.recent(now, LIFETIME, lease);
+        let reports = self.reports.recent(now, DIRECTIVE_LIFETIME, lease);
         let reporting: BTreeSet<&str> = reports.map(|report| report.reporter).collect();
         json!({"name": lease, "held_by": holder.map(|holder| holder.name),
             "term": holder.map(|holder| holder.term), "holds": self.participant.may_act(now, lease),
--- a/crates/proxy/src/coordination/issuing.rs
+++ b/crates/proxy/src/coordination/issuing.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use aldermill_directives::{LIFETIME, Micros, Topic};
+use aldermill_directives::{DIRECTIVE_LIFETIME, Micros, Topic};
 use aldermill_operator_config::CoordinationConfig;
 use aldermill_site_drain::Plan;
 use aldermill_zone_failover::ZoneDirective;
@@ -21,7 +21,7 @@
         for lease in &self.leases {
             let Some(term) = self.participant.may_act(now, lease) else { continue };
             let topic = Topic::new(lease, "");
-            match self.directives.issue(now, topic, term, &self.own.name, LIFETIME, Vec::new()) {
+            match self.directives.issue(now, topic, term, &self.own.name, DIRECTIVE_LIFETIME, Vec::new()) {
                 Some(directive) => issued.push(directive),
                 None => {
                     warn!(self.log, "lease superseded by a higher term"; "lease" => lease, "term" => term);
@@ -41,7 +41,14 @@
                     continue;
                 };
                 let topic = Topic::new(lease, &subject);
-                issued.extend(self.directives.issue(at.now, topic, term, &self.own.name, LIFETIME, body));
+                issued.extend(self.directives.issue(
+                    at.now,
+                    topic,
+                    term,
+                    &self.own.name,
+                    DIRECTIVE_LIFETIME,
+                    body,
+                ));
             }
         }
         self.forward(&issued, 0, others);
--- a/crates/proxy/src/coordination/mod.rs
+++ b/crates/proxy/src/coordination/mod.rs
@@ -25,7 +25,7 @@
 
 use aldermill_directives::frame;
 use aldermill_directives::{
-    DIGEST_INTERVAL, Directive, DirectiveStore, FANOUT, Micros, RENEWAL_INTERVAL, Reporter, Reports,
+    DIGEST_INTERVAL, Directive, DirectiveStore, FORWARD_FANOUT, Micros, RENEWAL_INTERVAL, Reporter, Reports,
 };
 use aldermill_leases::{Actions, ConfigError, Incarnation, LeaseChange, LeaseConfig, Outgoing, Participant};
 use aldermill_operator_config::CoordinationConfig;
@@ -166,7 +166,7 @@
         let aged =
             |directive: &Directive| Directive { remaining: directive.remaining - age, ..directive.clone() };
         let aged: Vec<Directive> = new.iter().map(aged).collect();
-        let to: Vec<Rc<str>> = others.iter().cloned().choose_multiple(&mut self.rng, FANOUT);
+        let to: Vec<Rc<str>> = others.iter().cloned().choose_multiple(&mut self.rng, FORWARD_FANOUT);
         for message in frame::encode_directives(&aged) {
             to.iter().for_each(|to| self.send(to, DIRECTIVE_MESSAGE, &message));
         }
@@ -247,7 +247,7 @@
 
     /// Another proxy is gone, or has started again.
     pub fn peer_gone(&mut self, now: Micros, name: &str) {
-        self.reports.forget(name);
+        self.reports.remove_reporter(name);
         self.work.peer_gone(now, name);
     }
 
--- a/crates/proxy/src/coordination/receiving.rs
+++ b/crates/proxy/src/coordination/receiving.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use aldermill_directives::frame::{self, Message};
-use aldermill_directives::{Acceptance, DigestEntry, Directive, Micros, Report};
+use aldermill_directives::{DigestEntry, Directive, Micros, ReceiveOutcome, Report};
 use aldermill_leases::Incarnation;
 use aldermill_membership::Peer;
 use slog::info;
@@ -85,7 +85,7 @@
         let lease = &directive.topic.lease;
         let term = directive.version.term;
         let known_term = self.directives.holder(now, lease).map(|holder| holder.term);
-        let is_new = self.directives.receive(now, age, directive.clone()) == Acceptance::New;
+        let is_new = self.directives.receive(now, age, directive.clone()) == ReceiveOutcome::New;
         if is_new && known_term != Some(term) {
             info!(self.log, "lease held by another"; "holder" => &directive.issuer, "term" => term, "lease" => lease);
             self.persist(Record::Accepted { lease: lease.clone(), term });
--- a/crates/proxy/src/coordination/site_drain.rs
+++ b/crates/proxy/src/coordination/site_drain.rs
@@ -3,7 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_directives::{DirectiveStore, LIFETIME, Micros, ReceivedReport as ReportFrame, Topic};
+use aldermill_directives::{
+    DIRECTIVE_LIFETIME, DirectiveStore, Micros, ReceivedReport as ReportFrame, Topic,
+};
 use aldermill_leases::Term;
 use aldermill_operator_config::{DrainOrder, SiteDrainConfig};
 use aldermill_site_drain::{
@@ -84,7 +86,7 @@
 
 fn in_force(directives: &DirectiveStore, now: Micros) -> Vec<InForce> {
     let read = |(site, body): (&str, &[u8])| {
-        let version = directives.version(&Topic::new(LEASE, site))?;
+        let version = directives.highest_version(&Topic::new(LEASE, site))?;
         let plan = Plan::decode(body).ok()?;
         Some(InForce { plan, version: DirectiveVersion { term: version.term, number: version.number } })
     };
@@ -101,7 +103,8 @@
         is_durable: bool,
         log: Logger,
     ) -> SiteDrainWork {
-        let longest_action = FollowedPlans::longest_autonomy(LIFETIME) + longest_timeout + QUERY_GRACE;
+        let longest_action =
+            FollowedPlans::longest_autonomy(DIRECTIVE_LIFETIME) + longest_timeout + QUERY_GRACE;
         SiteDrainWork {
             commands: commands(configured),
             followed: FollowedPlans::default(),
@@ -219,7 +222,7 @@
             return Vec::new();
         }
         let read = |frame: ReportFrame<'_>| {
-            let incarnation = reports.start_of(frame.reporter)?;
+            let incarnation = reports.incarnation_of(frame.reporter)?;
             let report = DrainReport::decode(frame.body).ok()?;
             let received = ReceivedReport { incarnation, received_at: frame.received_at, report };
             Some((frame.reporter.to_owned(), received))
