--- a/crates/directives/src/directive.rs
+++ b/crates/directives/src/directive.rs
@@ -1,53 +1,57 @@
-//! A directive, its topic and its version.
+//! The [`Directive`] type, with its topic, its version and the digest entry that summarizes it.
 
 use crate::{Micros, Term};
 
-/// What a directive or a report is about. The empty subject of a directive only says who holds the lease.
+/// The subject of a directive or a report, under the lease that covers it.
+///
+/// A directive with an empty subject carries no decision; it only names the lease holder.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Topic {
-    /// The lease's name.
+    /// Name of the lease.
     pub lease: String,
-    /// One of the subjects that are decided under the lease.
+    /// One of the subjects that the lease holder decides on; empty to only name the holder.
     pub subject: String,
 }
 
 impl Topic {
-    /// The topic of this subject under this lease.
+    /// Returns the topic `subject` under `lease`.
     #[must_use]
     pub fn new(lease: &str, subject: &str) -> Topic {
         Topic { lease: lease.to_owned(), subject: subject.to_owned() }
     }
 }
 
-/// A directive's place in the order of its topic: by term, then by number.
+/// Orders the directives on one topic: by term first, then by number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Version {
-    /// The term of the lease holder that issued it.
+    /// Term under which the issuer held the lease.
     pub term: Term,
-    /// Rises with each directive on the topic within the term; 0 is below all that are issued.
+    /// Number within the term, rising with each directive on the topic. Issued directives start at 1; 0 is below
+    /// all of them.
     pub number: u64,
 }
 
-/// What a lease holder announces to all processes.
+/// A decision that a lease holder announces to all proxies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Directive {
-    /// What it is about.
+    /// Topic that the directive decides on.
     pub topic: Topic,
-    /// Its place in the order of its topic.
+    /// Position in the order of the directives on its topic.
     pub version: Version,
-    /// The name of the lease holder.
+    /// Name of the lease holder that issued the directive.
     pub issuer: String,
-    /// For how long it stays in force.
+    /// Remaining lifetime, in microseconds.
     pub remaining: Micros,
-    /// What it says; opaque here, at most [`MAX_BODY_BYTES`](crate::frame::MAX_BODY_BYTES) bytes.
+    /// Content of the directive; opaque to this crate, at most
+    /// [`MAX_BODY_BYTES`](crate::frame::MAX_BODY_BYTES) bytes.
     pub body: Vec<u8>,
 }
 
-/// One topic of a digest: the version that the sender knows.
+/// One topic in a digest, with the version that the sender of the digest knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DigestEntry {
-    /// The topic.
+    /// Topic that the version belongs to.
     pub topic: Topic,
-    /// The highest version that the sender has in force.
+    /// Highest version that the sender has in force, or one with number 0 that only states the highest known term.
     pub version: Version,
 }
--- a/crates/directives/src/frame.rs
+++ b/crates/directives/src/frame.rs
@@ -1,25 +1,28 @@
-//! The encoding of what processes send each other about directives, big-endian. First a byte of the kind: 1 for directives,
-//! 2 for a digest that wants an answer, 3 for a digest that is an answer, 4 for a report. Then, until the end, for each: the
-//! lease and the subject (a byte of length, and the name), and
+//! The encoding of the messages that proxies exchange about directives and reports.
 //!
-//! | what | fields |
+//! All integers are big-endian. A message starts with one byte for its kind: 1 for directives, 2 for a digest that
+//! asks for an answer, 3 for a digest that answers another, 4 for a report. Items follow until the end of the
+//! message; a report is a single item. A name is one byte of length and that many bytes of UTF-8. Each item starts
+//! with the names of the lease and the subject, followed by these fields, with sizes in bytes:
+//!
+//! | item | fields |
 //! | --- | --- |
-//! | directive | 8 bytes of term, 8 of number, 8 of remaining lifetime in microseconds, its issuer, 2 of length, the body |
-//! | digest | 8 bytes of term, 8 of number |
-//! | report | 8 bytes of number, 2 of length, the body |
+//! | directive | term (8), number (8), remaining microseconds (8), issuer's name, body length (2), body |
+//! | digest entry | term (8), number (8) |
+//! | report | number (8), body length (2), body |
 
 use bytes::{Buf, BufMut};
 use thiserror::Error;
 
 use crate::{DigestEntry, Directive, Micros, Report, Topic, Version};
 
-/// The longest message, in bytes; a datagram has room for its sender besides.
+/// Maximum length of a message, in bytes; it leaves room in a datagram for the sender.
 pub const MAX_MESSAGE_BYTES: usize = 1000;
-/// The longest body of a directive or report, in bytes.
+/// Maximum length of the body of a directive or report, in bytes.
 pub const MAX_BODY_BYTES: usize = 900;
-/// The longest name, in bytes.
+/// Maximum length of a name, in bytes.
 const MAX_NAME_BYTES: usize = 64;
-/// The longest lifetime that is taken, in microseconds: adding it to a clock cannot overflow.
+/// Cap on a decoded lifetime, in microseconds; adding it to a clock cannot overflow.
 const MAX_DURATION: u64 = 1 << 50;
 
 const KIND_DIRECTIVES: u8 = 1;
@@ -27,44 +30,48 @@
 const KIND_DIGEST_ANSWER: u8 = 3;
 const KIND_REPORT: u8 = 4;
 
-/// Bytes that are no message of this version. One such datagram is noise; many come from a proxy of another version.
+/// Why bytes cannot be decoded. A single such datagram is noise; many come from a proxy of another version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// The bytes end early, or a name is not UTF-8.
-    #[error("a message that is cut off; if many come, look for a proxy of another version")]
+    /// The message is empty or ends early, or a name is not UTF-8.
+    #[error(
+        "message is truncated, or a name in it is not UTF-8; if frequent, check for a proxy of another version"
+    )]
     Malformed,
-    /// A name or body longer than any proxy sends.
+    /// A name or body is longer than any proxy sends; its length in bytes.
     #[error(
-        "a name or body of {0} bytes, more than allowed; if many come, look for a proxy of another version"
+        "name or body of {0} bytes exceeds the maximum length; if frequent, check for a proxy of another version"
     )]
     FieldTooLong(usize),
-    /// A kind that this version does not know.
-    #[error("a message of unknown kind {0}; upgrade this proxy, or look for one of another version")]
+    /// This version does not know the kind, whose byte is given.
+    #[error("unknown message kind {0}; upgrade this proxy, or check for a proxy of another version")]
     UnknownKind(u8),
 }
 
-/// One message between two processes.
+/// A message between two proxies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// Directives that the sender issued, or knows of.
+    /// Directives that the sender issued or accepted.
     Directives(Vec<Directive>),
-    /// The versions that the sender knows of.
+    /// Versions that the sender knows.
     Digest {
-        /// One for each topic.
+        /// One entry for each topic.
         entries: Vec<DigestEntry>,
-        /// Whether it answers a digest, and wants none in return.
+        /// Whether the digest answers another one, and no digest is wanted in return.
         is_answer: bool,
     },
     /// A report to a lease holder.
     Report(Report),
 }
 
+/// Appends a name, cut off after [`MAX_NAME_BYTES`].
 fn put_name(name: &str, buffer: &mut Vec<u8>) {
     let bytes = &name.as_bytes()[..name.len().min(MAX_NAME_BYTES)];
     buffer.put_u8(bytes.len() as u8);
     buffer.put_slice(bytes);
 }
 
+/// Appends a body, cut off after [`MAX_BODY_BYTES`].
 fn put_body(body: &[u8], buffer: &mut Vec<u8>) {
     let body = &body[..body.len().min(MAX_BODY_BYTES)];
     buffer.put_u16(body.len() as u16);
@@ -94,19 +101,20 @@
     put_version(entry.version, buffer);
 }
 
-/// The bytes of directives, in as many messages as they need.
+/// Encodes directives into as many messages as they need, at least one.
 #[must_use]
 pub fn encode_directives(directives: &[Directive]) -> Vec<Vec<u8>> {
     pack_messages(KIND_DIRECTIVES, directives, put_directive)
 }
 
-/// The bytes of a digest, in as many messages as it needs; `is_answer` where it answers another's.
+/// Encodes a digest into as many messages as it needs, at least one. `is_answer` tells whether it answers the
+/// digest of another proxy.
 #[must_use]
 pub fn encode_digest(entries: &[DigestEntry], is_answer: bool) -> Vec<Vec<u8>> {
     pack_messages(if is_answer { KIND_DIGEST_ANSWER } else { KIND_DIGEST }, entries, put_digest_entry)
 }
 
-/// The bytes of a report.
+/// Encodes a report into one message.
 #[must_use]
 pub fn encode_report(report: &Report) -> Vec<u8> {
     let mut buffer = vec![KIND_REPORT];
@@ -116,7 +124,8 @@
     buffer
 }
 
-/// Fills messages of one kind, none longer than [`MAX_MESSAGE_BYTES`] unless a single item is.
+/// Distributes items over messages of one kind, in order. A message exceeds [`MAX_MESSAGE_BYTES`] only if it holds a
+/// single item that is too long. Without items there is one message, which holds only the kind.
 fn pack_messages<T>(kind: u8, items: &[T], put: impl Fn(&T, &mut Vec<u8>)) -> Vec<Vec<u8>> {
     let mut messages = vec![vec![kind]];
     for item in items {
@@ -137,6 +146,7 @@
     input.try_get_u64().map_err(|_| DecodeError::Malformed)
 }
 
+/// Takes `length` bytes from the front of the input, or fails if `length` exceeds `max_length`.
 fn read_bytes<'a>(input: &mut &'a [u8], length: usize, max_length: usize) -> Result<&'a [u8], DecodeError> {
     if length > max_length {
         return Err(DecodeError::FieldTooLong(length));
@@ -165,7 +175,7 @@
     Ok(Version { term: read_u64(input)?, number: read_u64(input)? })
 }
 
-/// A span of time: never below zero, and never over [`MAX_DURATION`].
+/// Reads a duration in microseconds, capped at [`MAX_DURATION`]; the encoded value is read as unsigned.
 fn read_duration(input: &mut &[u8]) -> Result<Micros, DecodeError> {
     Ok(read_u64(input)?.min(MAX_DURATION) as Micros)
 }
@@ -188,6 +198,7 @@
     Ok(Report { topic: read_topic(input)?, number: read_u64(input)?, body: read_body(input)? })
 }
 
+/// Reads items until the input is empty.
 fn read_until_end<T>(
     input: &mut &[u8],
     read: impl Fn(&mut &[u8]) -> Result<T, DecodeError>,
@@ -199,11 +210,11 @@
     Ok(items)
 }
 
-/// Reads a message.
+/// Decodes a message. Bytes that follow a report are ignored.
 ///
 /// # Errors
 ///
-/// The bytes are no message of this version.
+/// Returns a [`DecodeError`] if the bytes are not a message of this version.
 pub fn decode(mut bytes: &[u8]) -> Result<Message, DecodeError> {
     let input = &mut bytes;
     let kind = input.try_get_u8().map_err(|_| DecodeError::Malformed)?;
--- a/crates/directives/src/lib.rs
+++ b/crates/directives/src/lib.rs
@@ -1,13 +1,15 @@
-//! Directives: what a lease holder announces to all processes, and the reports that they send to it.
+//! Directives that a lease holder announces to all proxies, and the reports that proxies send to a lease holder.
 //!
-//! A [`Directive`] has a topic (a lease, and a subject under it), a version (the term of the lease, and a number that
-//! rises within the term), a lifetime, and a body that this package does not look into. Each process keeps the highest
-//! version of each topic in its [`DirectiveStore`], forwards what is new to it, and fetches what it missed by comparing
-//! digests with others. What is not renewed expires. A [`Reporter`] paces what a process has to report; the lease holder
-//! keeps the newest report of each process in its [`Reports`].
+//! A [`Directive`] has a topic (a lease and a subject under it), a version (the term of the lease and a number that
+//! rises within the term), a lifetime, and a body that is opaque to this crate. Each proxy keeps the highest version
+//! of each topic in its [`DirectiveStore`], forwards directives that are new to it, and fetches those that it missed
+//! by exchanging digests with other proxies. Directives that are not renewed expire. A [`Reporter`] limits the rate
+//! at which a proxy sends reports; the lease holder keeps the newest report of each proxy on each topic in its
+//! [`Reports`].
 //!
-//! Nothing here does I/O or has a clock. `now` is the time of a clock that counts stalls. What is received just after a
-//! stall may be as old as the stall was long: the caller passes that as `age`.
+//! This crate does no I/O and reads no clock. Callers pass `now` from a clock that also advances while the process
+//! is stalled. A message that is read just after a stall may have waited for as long as the stall lasted; callers
+//! pass that time as `age`.
 
 #![warn(missing_docs)]
 
@@ -22,17 +24,17 @@
 pub use reports::{ReceivedReport, Reports};
 pub use store::{DirectiveStore, KnownHolder, ReceiveOutcome};
 
-/// Whole microseconds: an instant on the caller's clock, or a span.
+/// An instant on the caller's clock or a duration, in whole microseconds.
 pub type Micros = i64;
 
-/// Rises with every grant of a lease to another holder.
+/// Term of a lease, which rises each time the lease is granted to another holder.
 pub type Term = u64;
 
-/// How often a lease holder renews its directives.
+/// Interval at which a lease holder renews its directives.
 pub const RENEWAL_INTERVAL: Micros = 2_000_000;
-/// For how long each of them is in force: two renewals may be lost.
+/// How long an issued directive stays in force unless it is renewed; it survives the loss of two renewals.
 pub const DIRECTIVE_LIFETIME: Micros = 3 * RENEWAL_INTERVAL;
-/// How often a process compares what it knows with one other.
+/// Interval at which a proxy sends a digest of its directives to one other proxy.
 pub const DIGEST_INTERVAL: Micros = 1_000_000;
-/// To how many others a new directive is forwarded.
+/// Number of other proxies that a new directive is forwarded to.
 pub const FORWARD_FANOUT: usize = 3;
--- a/crates/directives/src/reporter.rs
+++ b/crates/directives/src/reporter.rs
@@ -1,43 +1,48 @@
-//! What a process sends to lease holders, and at what pace.
+//! The queue of reports that a proxy sends to lease holders, and the rate at which it sends them.
 
 use std::collections::BTreeMap;
 
 use crate::{Micros, Topic};
 
-/// A process sends one report in this time.
+/// Minimum interval between two reports of one proxy, over all leases together.
 const REPORT_INTERVAL: Micros = 1_000_000;
-/// Reports that wait to be sent; the one of the first topic is dropped for that of a new one.
+/// Maximum number of reports in the queue. When it is full, a report on a new topic replaces the one whose topic
+/// sorts first.
 const MAX_QUEUED_REPORTS: usize = 64;
 
-/// What a process tells the holder of a lease; of those on one topic the newest counts.
+/// What a proxy tells the holder of a lease about one topic; a newer report on the topic replaces it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// What it is about.
+    /// Topic that the report is about.
     pub topic: Topic,
-    /// Rises with each report of one start of a process.
+    /// Number of the report, rising with each report that one incarnation of a proxy sends; the first is 1.
     pub number: u64,
-    /// What it says; opaque here, at most [`MAX_BODY_BYTES`](crate::frame::MAX_BODY_BYTES) bytes.
+    /// Content of the report; opaque to this crate, at most
+    /// [`MAX_BODY_BYTES`](crate::frame::MAX_BODY_BYTES) bytes.
     pub body: Vec<u8>,
 }
 
-/// The last report that was sent to the holder of one lease.
+/// The last report sent to the holder of one lease.
 #[derive(Clone, Debug)]
 struct LastSent {
     number: u64,
     subject: String,
 }
 
-/// Sends what a process has to report, in turn, at a pace that does not grow with what there is to say.
+/// Queues the reports of a proxy and hands them out in turn, at a rate that does not grow with their number.
 #[derive(Clone, Debug, Default)]
 pub struct Reporter {
+    /// Bodies of the reports to be sent, at most [`MAX_QUEUED_REPORTS`].
     queued: BTreeMap<Topic, Vec<u8>>,
+    /// Keyed by lease; a lease without an entry has had no report yet.
     last_sent: BTreeMap<String, LastSent>,
+    /// Number of the last report over all leases; 0 before the first.
     last_number: u64,
     next_report_at: Micros,
 }
 
 impl Reporter {
-    /// What is to be reported on this topic from now on, in place of what waited.
+    /// Queues a report on `topic`, replacing one on the same topic that was not sent yet.
     pub fn put(&mut self, topic: Topic, body: Vec<u8>) {
         if self.queued.len() >= MAX_QUEUED_REPORTS && !self.queued.contains_key(&topic) {
             self.queued.pop_first();
@@ -45,7 +50,7 @@
         self.queued.insert(topic, body);
     }
 
-    /// The next report, if one is due.
+    /// Removes the next report from the queue. Returns `None` if the queue is empty or no report is due yet.
     pub fn next(&mut self, now: Micros) -> Option<Report> {
         if now < self.next_report_at {
             return None;
@@ -59,8 +64,8 @@
         Some(Report { topic, number: self.last_number, body })
     }
 
-    /// Of the lease whose turn was longest ago, the subject behind the last one: a lease with much to report does not keep
-    /// another waiting.
+    /// Picks the lease that was reported to least recently and, within it, the subject after the one sent last,
+    /// starting over after the last subject. A lease with many reports thus does not delay those of another.
     fn next_topic(&self) -> Option<Topic> {
         let last_sent_number =
             |topic: &&Topic| self.last_sent.get(&topic.lease).map_or(0, |last| last.number);
@@ -74,7 +79,7 @@
         following.or(first).cloned()
     }
 
-    /// When the next report is due, if one waits.
+    /// Returns when the next report is due, or `None` if the queue is empty.
     #[must_use]
     pub fn due_at(&self) -> Option<Micros> {
         (!self.queued.is_empty()).then_some(self.next_report_at)
--- a/crates/directives/src/reports.rs
+++ b/crates/directives/src/reports.rs
@@ -1,12 +1,12 @@
-//! What a lease holder was told.
+//! The reports that a lease holder received.
 
 use std::collections::BTreeMap;
 
 use crate::{Micros, Report, Topic};
 
-/// Topics that are kept of one process.
+/// Maximum number of topics kept for one reporter.
 const MAX_TOPICS_PER_REPORTER: usize = 64;
-/// Processes that reports are kept of.
+/// Maximum number of proxies whose reports are kept.
 const MAX_REPORTERS: usize = 1024;
 
 #[derive(Clone, Debug)]
@@ -16,10 +16,10 @@
     body: Vec<u8>,
 }
 
-/// What one process told.
+/// Reports of one incarnation of a proxy.
 #[derive(Clone, Debug)]
 struct ReporterState {
-    /// Which start of the process.
+    /// Incarnation of the proxy; a later one has a higher number.
     incarnation: u64,
     reports: BTreeMap<Topic, StoredReport>,
 }
@@ -30,31 +30,33 @@
     }
 }
 
-/// A report as a lease holder looks it up.
+/// A stored report, as [`Reports::recent`] returns it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReceivedReport<'a> {
-    /// The name of the process that sent it.
+    /// Name of the proxy that sent the report.
     pub reporter: &'a str,
-    /// What it is about, under the lease that was asked for.
+    /// Subject of the report under the requested lease.
     pub subject: &'a str,
-    /// When it arrived, by the lease holder's clock.
+    /// When the report arrived, by the lease holder's clock, less the time that it may have waited unread.
     pub received_at: Micros,
-    /// What it says.
+    /// Content of the report.
     pub body: &'a [u8],
 }
 
-/// What a lease holder was told: the newest report of each process on each topic.
+/// The newest report of each proxy on each topic, kept by a lease holder.
 ///
-/// A report counts once however often it arrives; one of an earlier start or with a lower number not at all. A process that
-/// was not heard is missing here; it never counts as one that has nothing to report.
+/// Duplicates, reports of an earlier incarnation and reports with a lower number are rejected. A proxy that has not
+/// been heard from is absent; absence never means that the proxy has nothing to report.
 #[derive(Clone, Debug, Default)]
 pub struct Reports {
     by_reporter: BTreeMap<String, ReporterState>,
 }
 
 impl Reports {
-    /// Takes a report of this start of a process; `age` is how long it may have waited here unread. Says whether it is
-    /// new.
+    /// Stores a report that `incarnation` of `reporter` sent, and returns whether it was new and there was capacity
+    /// for it. `age` is how long the report may have waited unread, in microseconds.
+    ///
+    /// A report of a later incarnation discards those of the earlier one.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -84,18 +86,19 @@
         is_newer && has_capacity
     }
 
-    /// The start of a process that reported anything.
+    /// Returns the incarnation that `reporter` last reported under, or `None` if no report of it is known.
     #[must_use]
     pub fn incarnation_of(&self, reporter: &str) -> Option<u64> {
         self.by_reporter.get(reporter).map(|state| state.incarnation)
     }
 
-    /// A process is gone, or has started again: what it reported counts no more.
+    /// Discards all reports of a proxy that is gone or has restarted.
     pub fn remove_reporter(&mut self, reporter: &str) {
         self.by_reporter.remove(reporter);
     }
 
-    /// What was reported to the holder of a lease within that time, by reporter and subject.
+    /// Returns the reports under `lease` that arrived at most `max_age` microseconds ago, ordered by reporter, then
+    /// by subject.
     pub fn recent<'a>(
         &'a self,
         now: Micros,
--- a/crates/directives/src/store.rs
+++ b/crates/directives/src/store.rs
@@ -1,44 +1,46 @@
-//! The directives that a process knows of.
+//! The store of directives that a proxy has accepted.
 
 use std::collections::BTreeMap;
 
 use crate::frame::MAX_BODY_BYTES;
 use crate::{DigestEntry, Directive, Micros, Term, Topic, Version};
 
-/// Topics of all leases together. With [`MAX_BODY_BYTES`] it bounds what a process keeps to under 100 KB.
+/// Maximum number of topics with a directive, over all leases together. With [`MAX_BODY_BYTES`] it keeps what a
+/// proxy stores below 100 KB.
 const MAX_TOPICS: usize = 96;
-/// Topics whose last version is remembered after the directive has expired.
+/// Number of topics whose highest version is remembered, also after the directive has expired. Above it, the versions
+/// of topics without a directive are dropped.
 const MAX_REMEMBERED_VERSIONS: usize = 4 * MAX_TOPICS;
-/// No directive is in force for longer, whatever it says.
+/// Maximum time that a directive stays in force, whatever lifetime it states.
 const MAX_LIFETIME: Micros = 60_000_000;
-/// A directive that expires within this time is not worth sending.
+/// Directives with no more than this remaining lifetime are not worth sending.
 const MIN_REMAINING_TO_SEND: Micros = 100_000;
 
-/// What became of a directive that was received.
+/// Whether a received directive was accepted, and if not, why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReceiveOutcome {
-    /// It is in force, and new: forward it.
+    /// The directive is new and now in force; it is to be forwarded.
     New,
-    /// This version is known, or a higher one.
+    /// The same or a higher version on the topic is known.
     AlreadyKnown,
-    /// A lease holder under a higher term is known.
+    /// A higher term of the lease is known.
     Superseded,
-    /// Its lifetime was over when it arrived.
+    /// The lifetime of the directive had ended before it was read.
     Expired,
-    /// Its body is too long, or there are too many topics.
+    /// The body is too long, or the store has too many topics.
     NoCapacity,
 }
 
-/// Who holds a lease, as far as a process knows.
+/// The holder of a lease, as far as a proxy knows from directives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownHolder<'a> {
-    /// The lease holder's name.
+    /// Name of the lease holder.
     pub name: &'a str,
-    /// The term under which it holds the lease.
+    /// Term under which the holder has the lease.
     pub term: Term,
 }
 
-/// A directive as it is stored: its topic is the key.
+/// A directive as the store keeps it, keyed by its topic.
 #[derive(Clone, Debug)]
 struct StoredDirective {
     version: Version,
@@ -47,18 +49,19 @@
     body: Vec<u8>,
 }
 
-/// The directives that a process knows of, the highest version of each topic.
+/// The directives that a proxy knows of: the highest version of each topic.
 #[derive(Clone, Debug, Default)]
 pub struct DirectiveStore {
     directives: BTreeMap<Topic, StoredDirective>,
-    /// The highest term that was heard of for each lease: nothing lower is accepted.
+    /// Highest known term of each lease; directives with a lower one are rejected.
     highest_terms: BTreeMap<String, Term>,
-    /// The highest version that was ever accepted of each topic, also by an earlier start: nothing lower is accepted.
+    /// Highest version accepted on each topic, also by an earlier incarnation; this version and lower ones are
+    /// rejected.
     highest_versions: BTreeMap<Topic, Version>,
 }
 
 impl DirectiveStore {
-    /// A store that begins with the versions that an earlier start accepted.
+    /// Creates a store that starts from the versions that an earlier incarnation accepted.
     #[must_use]
     pub fn restored(accepted: impl IntoIterator<Item = (Topic, Version)>) -> DirectiveStore {
         let mut store = DirectiveStore::default();
@@ -66,8 +69,8 @@
         store
     }
 
-    /// The versions that an earlier start accepted, where they could be read only now: nothing lower is accepted from
-    /// here on.
+    /// Takes over the versions that an earlier incarnation accepted, for a caller that can read them only after the
+    /// store was created. From then on, these and lower versions are rejected.
     pub fn restore(&mut self, accepted: impl IntoIterator<Item = (Topic, Version)>) {
         for (topic, version) in accepted {
             let highest_term = self.highest_terms.entry(topic.lease.clone()).or_default();
@@ -77,9 +80,10 @@
         }
     }
 
-    /// Issues a directive of this process, which holds the lease under `term`.
+    /// Issues a directive of this proxy, which holds the lease under `term`. `lifetime` is in microseconds.
     ///
-    /// `None` if there is no capacity, or if a higher term is known: then it no longer holds the lease.
+    /// Returns `None` if the store has no capacity for it, or if a higher term is known and this proxy thus no longer
+    /// holds the lease.
     pub fn issue(
         &mut self,
         now: Micros,
@@ -96,10 +100,10 @@
         (self.receive(now, 0, directive.clone()) == ReceiveOutcome::New).then_some(directive)
     }
 
-    /// Takes a directive; `age` is how long it may have waited here unread.
+    /// Accepts or rejects a directive. `age` is how long it may have waited unread, in microseconds.
     ///
-    /// Guards against what a superseded or stalled lease holder says, and against directives that arrive late, twice or
-    /// out of order. Costs nothing: what is refused is renewed as long as it holds.
+    /// Rejects directives of superseded or stalled lease holders, and those that arrive late, twice or out of order.
+    /// A rejection loses nothing, as a directive is renewed for as long as it applies.
     pub fn receive(&mut self, now: Micros, age: Micros, directive: Directive) -> ReceiveOutcome {
         let Directive { topic, version, issuer, remaining, body } = directive;
         let highest_term = self.highest_term(&topic.lease);
@@ -129,41 +133,42 @@
         self.directives.len() < MAX_TOPICS || self.directives.contains_key(topic)
     }
 
-    /// The highest term that was heard of for a lease, 0 if none was.
+    /// Returns the highest known term of a lease, or 0 if none is known.
     #[must_use]
     pub fn highest_term(&self, lease: &str) -> Term {
         self.highest_terms.get(lease).copied().unwrap_or(0)
     }
 
-    /// The highest version that was ever accepted of this topic.
+    /// Returns the highest version ever accepted on a topic, in force or not, or `None` if none is remembered.
     #[must_use]
     pub fn highest_version(&self, topic: &Topic) -> Option<Version> {
         let stored = self.directives.get(topic).map(|stored| stored.version);
         stored.max(self.highest_versions.get(topic).copied())
     }
 
-    /// Drops the directives that have expired.
+    /// Drops expired directives, and also the versions of topics without a directive if too many are remembered.
     pub fn expire(&mut self, now: Micros) {
         self.directives.retain(|_, stored| now < stored.expires_at);
         if self.highest_versions.len() > MAX_REMEMBERED_VERSIONS {
-            // Topics that are no longer decided on; the terms of their leases stay.
+            // Topics without a directive are no longer decided on. The highest terms of their leases are kept.
             let directives = &self.directives;
             self.highest_versions.retain(|topic, _| directives.contains_key(topic));
         }
     }
 
-    /// The body of the directive in force on this topic.
+    /// Returns the body of the directive in force on a topic, or `None` if there is none.
     #[must_use]
     pub fn in_force(&self, now: Micros, topic: &Topic) -> Option<&[u8]> {
         let stored = self.directives.get(topic).filter(|stored| now < stored.expires_at);
         stored.map(|stored| &stored.body[..])
     }
 
+    /// Returns the stored directives that have not expired.
     fn stored_in_force(&self, now: Micros) -> impl Iterator<Item = (&Topic, &StoredDirective)> {
         self.directives.iter().filter(move |(_, stored)| now < stored.expires_at)
     }
 
-    /// The subjects and bodies of all directives in force under a lease, without the one that only names its holder.
+    /// Returns subject and body of the directives in force under a lease, except the one that only names its holder.
     pub fn in_force_under<'a>(
         &'a self,
         now: Micros,
@@ -176,7 +181,8 @@
             .map(|(topic, stored)| (topic.subject.as_str(), &stored.body[..]))
     }
 
-    /// Who holds a lease: whoever issued what is in force under its highest term.
+    /// Returns the holder of a lease: the issuer of the directive in force with the highest term. Returns `None` if
+    /// no directive under the lease is in force.
     #[must_use]
     pub fn holder(&self, now: Micros, lease: &str) -> Option<KnownHolder<'_>> {
         let under_lease = self.stored_in_force(now).filter(|(topic, _)| topic.lease == lease);
@@ -184,7 +190,7 @@
         Some(KnownHolder { name: &newest.issuer, term: newest.version.term })
     }
 
-    /// All directives in force.
+    /// Returns all directives in force, with the lifetime that remains at `now`.
     pub fn all_in_force(&self, now: Micros) -> impl Iterator<Item = Directive> {
         self.stored_in_force(now).map(move |(topic, stored)| Directive {
             topic: topic.clone(),
@@ -195,7 +201,7 @@
         })
     }
 
-    /// The versions of all directives in force.
+    /// Returns the versions of all directives in force, to be sent to another proxy.
     #[must_use]
     pub fn digest(&self, now: Micros) -> Vec<DigestEntry> {
         let entry = |(topic, stored): (&Topic, &StoredDirective)| DigestEntry {
@@ -205,7 +211,8 @@
         self.stored_in_force(now).map(entry).collect()
     }
 
-    /// The directives that the sender of this digest lacks.
+    /// Returns the directives in force that the sender of `digest` lacks or knows only in a lower version, without
+    /// those that are about to expire.
     #[must_use]
     pub fn missing_from(&self, now: Micros, digest: &[DigestEntry]) -> Vec<Directive> {
         let sender_versions: BTreeMap<&Topic, Version> =
@@ -219,7 +226,7 @@
             .collect()
     }
 
-    /// Whether the sender of this digest knows of a version that this store would accept.
+    /// Returns whether the sender of `digest` knows a version that this store would accept.
     #[must_use]
     pub fn is_behind(&self, digest: &[DigestEntry]) -> bool {
         digest.iter().any(|entry| {
--- a/crates/directives/tests/directives.rs
+++ b/crates/directives/tests/directives.rs
@@ -1,4 +1,5 @@
-//! Directives and reports among many processes in virtual time, over a network that delays, loses, doubles and reorders.
+//! Tests of directives and reports. The last runs a fleet of proxies in virtual time, over a network that delays,
+//! loses, duplicates and reorders datagrams.
 
 use aldermill_directives::frame::{self, Message};
 use aldermill_directives::{
@@ -30,16 +31,16 @@
     assert_eq!(store.receive(0, 0, test_directive(2, 3, 6 * SECOND)), ReceiveOutcome::AlreadyKnown);
     assert_eq!(store.receive(0, 0, test_directive(2, 1, 6 * SECOND)), ReceiveOutcome::AlreadyKnown);
     assert_eq!(store.receive(0, 0, test_directive(1, 9, 6 * SECOND)), ReceiveOutcome::Superseded);
-    // One that lay unread while the process stood still.
+    // This directive waited unread for longer than its lifetime, as after a stall of the process.
     assert_eq!(store.receive(0, 7 * SECOND, test_directive(2, 4, 6 * SECOND)), ReceiveOutcome::Expired);
     assert_eq!(store.receive(0, 0, test_directive(3, 1, SECOND)), ReceiveOutcome::New);
     assert_eq!(store.holder(0, "d"), Some(KnownHolder { name: "n3", term: 3 }));
     assert_eq!(store.in_force(0, &Topic::new("d", "g")), Some(&[1][..]));
-    // It runs out, and an old one does not come back in its place.
+    // Once it has expired, neither an older directive nor the same one takes its place.
     assert_eq!(store.in_force(SECOND, &Topic::new("d", "g")), None);
     assert_eq!(store.receive(2 * SECOND, 0, test_directive(2, 8, 60 * SECOND)), ReceiveOutcome::Superseded);
     assert_eq!(store.receive(2 * SECOND, 0, test_directive(3, 1, 60 * SECOND)), ReceiveOutcome::AlreadyKnown);
-    // A subject that it has nothing on is bound by the duty's term all the same.
+    // The highest term of the lease also applies to a subject without any directive.
     let other_topic = Directive { topic: Topic::new("d", "h"), ..test_directive(2, 1, SECOND) };
     assert_eq!(store.receive(2 * SECOND, 0, other_topic), ReceiveOutcome::Superseded);
     assert!(store.issue(2 * SECOND, Topic::new("d", "g"), 2, "x", SECOND, vec![]).is_none());
@@ -78,7 +79,7 @@
     let mut reporter = Reporter::default();
     (0..300).for_each(|index| reporter.put(topic(index), vec![0]));
     let sent: Vec<Report> = (0..1000).filter_map(|tenth| reporter.next(tenth * SECOND / 10)).collect();
-    assert_eq!(sent.len(), 64, "one a second, each once");
+    assert_eq!(sent.len(), 64, "one report per second, each sent once");
 }
 
 #[test]
@@ -103,12 +104,12 @@
     assert!(reports.receive(0, 0, "a", 5, report(2, 20)));
     assert!(!reports.receive(0, 0, "a", 5, report(2, 20)) && !reports.receive(0, 0, "a", 5, report(1, 10)));
     assert!(!reports.receive(0, 0, "a", 4, report(9, 90)));
-    assert!(reports.receive(SECOND, 0, "a", 6, report(1, 30)), "a new start counts anew");
+    assert!(reports.receive(SECOND, 0, "a", 6, report(1, 30)), "the numbers of a new incarnation start over");
     let recent_bodies = |reports: &Reports, now| -> Vec<u8> {
         reports.recent(now, 2 * SECOND, "d").map(|report| report.body[0]).collect()
     };
     assert_eq!(recent_bodies(&reports, 2 * SECOND), [30]);
-    assert!(recent_bodies(&reports, 4 * SECOND).is_empty(), "who is not heard is missing");
+    assert!(recent_bodies(&reports, 4 * SECOND).is_empty(), "a reporter without recent reports is missing");
     reports.remove_reporter("a");
     assert!(recent_bodies(&reports, SECOND).is_empty());
 }
@@ -124,7 +125,7 @@
         .iter()
         .flat_map(|message| match frame::decode(message) {
             Ok(Message::Directives(directives)) => directives,
-            other => panic!("{other:?}"),
+            other => panic!("expected directives, got {other:?}"),
         })
         .collect();
     assert_eq!(decoded, directives);
@@ -148,8 +149,11 @@
         .unwrap();
 }
 
-/// Forty drivers, news passed on to three, digests compared with one each second; some are cut off for a while. Each takes
-/// what it takes in order, and all have the last one within seconds of the cut's end.
+/// Guards against proxies that accept directives out of order or never learn of a new lease holder.
+///
+/// Each of 40 proxies forwards new directives to three others and sends a digest to another one each second. Some are
+/// partitioned from the rest from 5 s to 11 s, and the run ends at 20 s. Each must accept versions in rising order,
+/// and all must have the latest term at the end, 4 s after the last directive was issued.
 #[test]
 #[allow(clippy::too_many_lines, reason = "one history of a superseded holder, step by step")]
 fn proxies_converge_in_version_order_despite_lost_datagrams() {
@@ -170,7 +174,7 @@
                 if rng.random_bool(0.3) {
                     (term, holder) = (term + 1, rng.random_range(0..PROXIES));
                 }
-                // One that was overtaken, and has not heard of it, goes on for a while.
+                // A superseded lease holder that has not heard of the new term may go on issuing for a while.
                 for (from, term) in [(holder, term), (rng.random_range(0..PROXIES), term - 1)] {
                     let issued = (term > 0)
                         .then(|| stores[from].issue(now, topic.clone(), term, "n", 6 * SECOND, vec![]));
@@ -234,13 +238,20 @@
             }
         }
         for (proxy, accepted) in accepted.iter().enumerate() {
-            assert!(accepted.windows(2).all(|pair| pair[0] < pair[1]), "n{proxy}: {accepted:?}");
+            assert!(
+                accepted.windows(2).all(|pair| pair[0] < pair[1]),
+                "proxy {proxy} accepted versions out of order: {accepted:?}"
+            );
         }
         let last = accepted.iter().flatten().max().unwrap();
         let converged = accepted
             .iter()
             .filter(|accepted| accepted.last().is_some_and(|version| version.term == last.term))
             .count();
-        assert!(converged == PROXIES, "{converged} of {PROXIES} know of term {}, seed {seed}", last.term);
+        assert!(
+            converged == PROXIES,
+            "{converged} of {PROXIES} proxies accepted term {}, seed {seed}",
+            last.term
+        );
     }
 }
--- a/crates/directives/tests/pinned_frames.rs
+++ b/crates/directives/tests/pinned_frames.rs
@@ -1,5 +1,5 @@
-//! The bytes of each kind of message about directives, as literals: proxies of other versions read and write the same
-//! ones.
+//! Pins the encoding of each kind of message about directives and reports, because proxies of other versions read and
+//! write the same bytes.
 
 use aldermill_directives::frame::{Message, decode, encode_digest, encode_directives, encode_report};
 use aldermill_directives::{DigestEntry, Directive, Report, Topic, Version};
@@ -19,6 +19,8 @@
         .collect()
 }
 
+/// Asserts that `encoded` is a single message with the bytes in `pinned`, a hexadecimal text, and that these bytes
+/// decode to `message`.
 fn assert_pinned_bytes(encoded: &[Vec<u8>], message: Message, pinned: &str) {
     let pinned = from_hex(pinned);
     assert_eq!(encoded.iter().map(|message| to_hex(message)).collect::<Vec<_>>(), [to_hex(&pinned)]);
@@ -35,7 +37,7 @@
     };
     vec![
         directive(Topic::new("site-drain", "site-1"), VERSION, b"body"),
-        // Only says who holds the lease.
+        // An empty subject only names the lease holder.
         directive(Topic::new("zones", ""), LATER_VERSION, b""),
     ]
 }
