--- a/crates/bench-adapter/src/endpoint_list.rs
+++ b/crates/bench-adapter/src/endpoint_list.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use aldermill_routing::{Micros, Standing};
+use aldermill_routing::{MemberStatus, Micros};
 
 use crate::error::MessageError;
 use crate::fields::Fields;
@@ -19,7 +19,7 @@
     /// Its number in the list, a size or a load, or nothing of use (`powerHint`).
     pub weight: f64,
     /// Whether it takes requests (`condition`).
-    pub standing: Standing,
+    pub standing: MemberStatus,
     /// Its name (`member`).
     pub name: String,
     /// The name of its group (`cluster`).
--- a/crates/bench-adapter/src/fields.rs
+++ b/crates/bench-adapter/src/fields.rs
@@ -2,7 +2,7 @@
 
 use std::str::{FromStr, Split};
 
-use aldermill_routing::{Micros, Standing, Verdict};
+use aldermill_routing::{MemberStatus, Micros, Verdict};
 use aldermill_settings::micros_from_millis;
 
 use crate::error::MessageError;
@@ -98,11 +98,11 @@
     }
 
     /// Whether a listed member takes requests.
-    pub fn standing(&mut self, field: &'static str) -> Result<Standing, MessageError> {
+    pub fn standing(&mut self, field: &'static str) -> Result<MemberStatus, MessageError> {
         match self.text(field)? {
-            "ready" => Ok(Standing::Ready),
-            "draining" => Ok(Standing::Draining),
-            "gone" => Ok(Standing::Gone),
+            "ready" => Ok(MemberStatus::Ready),
+            "draining" => Ok(MemberStatus::Draining),
+            "gone" => Ok(MemberStatus::Unlisted),
             other => Err(MessageError::UnknownCondition { field, text: other.to_owned() }),
         }
     }
--- a/crates/bench-adapter/src/router_instance.rs
+++ b/crates/bench-adapter/src/router_instance.rs
@@ -82,7 +82,7 @@
             _ => return Err(MessageError::UnknownUpdate),
         };
         let members = self.listed_members(lists.get(list_number)?);
-        let actions = self.router.list(now, is_full, members);
+        let actions = self.router.update_endpoint_list(now, is_full, members);
         self.carry_out(now, actions, reply);
         Ok(())
     }
@@ -96,7 +96,7 @@
     ) -> Result<(), MessageError> {
         let ticket = fields.integer("ticket")?;
         let request = self.parse_request(fields)?;
-        let (handle, actions) = self.router.take(now, request);
+        let (handle, actions) = self.router.accept_request(now, request);
         self.handles.insert(ticket, handle);
         self.tickets.insert(handle, ticket);
         self.carry_out(now, actions, reply);
@@ -120,8 +120,8 @@
         let load_report = fields.optional_text("load")?;
         let report = self.member_report(stand, load_report)?;
         let Some(&handle) = self.handles.get(&ticket) else { return Ok(()) };
-        let outcome = Outcome { verdict, took, report, closed };
-        let actions = handle.ended(&mut self.router, now, outcome);
+        let outcome = Outcome { verdict, duration: took, report, request_closed: closed };
+        let actions = handle.attempt_ended(&mut self.router, now, outcome);
         self.carry_out(now, actions, reply);
         self.forget_if_over(handle);
         Ok(())
@@ -136,7 +136,7 @@
     ) -> Result<(), MessageError> {
         let ticket = fields.integer("ticket")?;
         let Some(&handle) = self.handles.get(&ticket) else { return Ok(()) };
-        let actions = handle.left(&mut self.router, now);
+        let actions = handle.client_left(&mut self.router, now);
         self.carry_out(now, actions, reply);
         self.forget_if_over(handle);
         Ok(())
@@ -185,7 +185,15 @@
         let last_write = fields.optional_time("lastWriteMs")?.filter(|&ago| ago > 0);
         let options = fields.optional_integer("options")?.unwrap_or(0);
         let repeat = options & RETRY_OPTION != 0;
-        Ok(Request { class, group, ttl, waited: 0, session, last_write, repeat })
+        Ok(Request {
+            class,
+            group,
+            ttl,
+            waited: 0,
+            session,
+            last_write_age: last_write,
+            marked_retry: repeat,
+        })
     }
 
     /// What a response's stand and a load report say of their member; the newer position of the two.
@@ -217,10 +225,10 @@
             name: endpoint.name.clone(),
             group: endpoint.group,
             zone: self.settings.zone_index(&endpoint.zone),
-            standing: endpoint.standing,
-            since: endpoint.started_at,
+            status: endpoint.standing,
+            started_at: endpoint.started_at,
             size: self.settings.member_size(endpoint.weight),
-            primary: endpoint.primary,
+            is_primary: endpoint.primary,
         };
         endpoints.iter().map(listed).collect()
     }
@@ -244,7 +252,7 @@
         for member in actions.health_checks {
             reply.health_check(self.number, &self.member_names[member]);
         }
-        for member in actions.shut {
+        for member in actions.close_idle {
             reply.close_idle_connections(self.number, &self.member_names[member]);
         }
         if actions.subscribe {
@@ -258,7 +266,7 @@
     fn carry_out_for_request(&mut self, handle: RequestHandle, action: Action, reply: &mut Reply) {
         let Some(&ticket) = self.tickets.get(&handle) else { return };
         match action {
-            Action::Attempt { member, timeout, afresh, .. } => {
+            Action::Attempt { member, timeout, on_new_connection: afresh, .. } => {
                 let member = &self.member_names[member];
                 if afresh {
                     reply.close_idle_connections(self.number, member);
@@ -284,7 +292,7 @@
 
     /// Drops the bench's name of a request that the router knows no longer.
     fn forget_if_over(&mut self, handle: RequestHandle) {
-        if self.router.knows(handle) {
+        if self.router.is_pending(handle) {
             return;
         }
         if let Some(ticket) = self.tickets.remove(&handle) {
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list in discovery's form, which is also the form in which it is saved over a restart.
 
-use aldermill_routing::Standing;
+use aldermill_routing::MemberStatus;
 use aldermill_warm_start::StateSnapshot;
 use serde::{Deserialize, Serialize};
 
@@ -52,11 +52,11 @@
     }
 
     /// Whether it may be sent requests, in the router's terms: ready, draining or gone.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> MemberStatus {
         match self.phase {
-            Phase::InService => Standing::Ready,
-            Phase::Terminating => Standing::Draining,
-            Phase::Terminated => Standing::Gone,
+            Phase::InService => MemberStatus::Ready,
+            Phase::Terminating => MemberStatus::Draining,
+            Phase::Terminated => MemberStatus::Unlisted,
         }
     }
 }
--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -41,7 +41,7 @@
         for member in actions.health_checks {
             self.send_health_check(member);
         }
-        for member in actions.shut {
+        for member in actions.close_idle {
             self.close_idle_connections(member);
         }
         if actions.subscribe {
@@ -54,7 +54,7 @@
 
     fn carry_out_for_request(&mut self, handle: RequestHandle, action: Action) {
         match action {
-            Action::Attempt { member, timeout, afresh, validity } => {
+            Action::Attempt { member, timeout, on_new_connection: afresh, validity } => {
                 self.send_attempt(DecidedAttempt { handle, member, timeout, afresh, validity })
             }
             Action::Reject { retry_after } => self.answer(handle, Answer::Rejected { retry_after }),
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use aldermill_routing::{Actions, ListedMember, MemberId, Micros, Standing};
+use aldermill_routing::{Actions, ListedMember, MemberId, MemberStatus, Micros};
 use slog::{info, warn};
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
@@ -97,7 +97,8 @@
         info!(self.context.log, "endpoint list received"; "revision" => list.revision,
             "complete" => list.complete, "endpoints" => list.endpoints.len());
         let listed = self.listed_members(list);
-        let ((), actions) = self.decide(|router| ((), router.list(now, list.complete, listed.clone())));
+        let ((), actions) =
+            self.decide(|router| ((), router.update_endpoint_list(now, list.complete, listed.clone())));
         self.use_restored_state(list);
         actions
     }
@@ -118,7 +119,7 @@
     fn forget_gone_members(&mut self, now: Micros) {
         let Dispatcher { router, members, member_ids, clock_offset, .. } = self;
         member_ids.retain(|_, &mut id| {
-            let is_forgotten = router.forget(now, id);
+            let is_forgotten = router.forget_member(now, id);
             if is_forgotten {
                 members[id] = None;
                 clock_offset.forget(id);
@@ -138,7 +139,7 @@
     /// Members that a complete list does not name are gone.
     fn stop_using_unlisted(&mut self, list: &EndpointList) {
         let listed: HashSet<&str> = list.endpoints.iter().map(|endpoint| endpoint.id.as_str()).collect();
-        let accepts_requests = self.accepts_requests(Standing::Gone);
+        let accepts_requests = self.accepts_requests(MemberStatus::Unlisted);
         for (_, &id) in self.member_ids.iter().filter(|(name, _)| !listed.contains(name.as_str())) {
             if let Some(known) = &mut self.members[id] {
                 known.accepts_requests.send_replace(accepts_requests);
@@ -148,11 +149,11 @@
     }
 
     /// Whether a member may be sent anything new. One that is gone may, where the settings bind only draining members.
-    fn accepts_requests(&self, standing: Standing) -> bool {
+    fn accepts_requests(&self, standing: MemberStatus) -> bool {
         match standing {
-            Standing::Ready => true,
-            Standing::Draining => false,
-            Standing::Gone => self.decoded.router_config.only_draining_binds,
+            MemberStatus::Ready => true,
+            MemberStatus::Draining => false,
+            MemberStatus::Unlisted => self.decoded.router_config.unlisted_members_usable,
         }
     }
 
@@ -166,7 +167,7 @@
         let standing = endpoint.standing();
         let member = match self.member_ids.get(&endpoint.id) {
             Some(&member) => member,
-            None if standing == Standing::Gone => return None,
+            None if standing == MemberStatus::Unlisted => return None,
             None => self.start_member(endpoint, address),
         };
         self.update_member(member, endpoint, address);
@@ -177,10 +178,10 @@
             name: endpoint.id.clone(),
             group: endpoint.group,
             zone: self.decoded.zone_index(&endpoint.zone),
-            standing,
-            since,
+            status: standing,
+            started_at: since,
             size: self.decoded.member_size(endpoint.size),
-            primary: endpoint.is_primary(),
+            is_primary: endpoint.is_primary(),
         })
     }
 
@@ -194,7 +195,7 @@
         let was_accepting = known.accepts_requests.send_replace(accepts_requests);
         known.group = endpoint.group;
         known.zone = self.decoded.zone_index(&endpoint.zone);
-        known.ready = standing == Standing::Ready;
+        known.ready = standing == MemberStatus::Ready;
         let restarted = known.ready && known.up_since_ms != endpoint.up_since_ms;
         if restarted {
             known.record_restart(endpoint.up_since_ms, was_accepting, clock, offset);
--- a/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
@@ -84,7 +84,7 @@
         forwarded.local = None;
         let class = &self.decoded.router_config.classes[forwarded.class];
         let in_time = served && now - forwarded.request.received_at <= class.objective;
-        let reads = matches!(class.need, Need::Loose | Need::Recent(_));
+        let reads = matches!(class.need, Need::Any | Need::Recent(_));
         let from_client = matches!(forwarded.requester, Requester::Client(_));
         gateway_part.ended.all += 1;
         gateway_part.ended.in_time += u32::from(in_time);
--- a/crates/proxy/src/dispatcher/gateway/start.rs
+++ b/crates/proxy/src/dispatcher/gateway/start.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use aldermill_routing::{Effect as RouterEffect, Micros, Need as RouterNeed, Scope};
+use aldermill_routing::{DeduplicationScope, Effect as RouterEffect, Micros, Need as RouterNeed};
 use aldermill_settings::Settings;
 use aldermill_site_link::Identity;
 use aldermill_site_routing::{Effect, Need, OutcomeTable, RequestClass, SiteRouter, SiteRouterConfig};
@@ -104,7 +104,7 @@
     match effect {
         RouterEffect::Idempotent => Effect::Idempotent,
         RouterEffect::Deduplicated { scope, window } => {
-            Effect::Deduplicated { window, within_site: scope == Scope::Zone }
+            Effect::Deduplicated { window, within_site: scope == DeduplicationScope::Zone }
         }
         RouterEffect::NonIdempotent => Effect::NonIdempotent,
     }
@@ -114,6 +114,6 @@
     match need {
         RouterNeed::Write | RouterNeed::Latest | RouterNeed::OwnWrites => Need::Primary,
         RouterNeed::Recent(bound) => Need::Recent(bound),
-        RouterNeed::Loose => Need::Any,
+        RouterNeed::Any => Need::Any,
     }
 }
--- a/crates/proxy/src/dispatcher/members_clock.rs
+++ b/crates/proxy/src/dispatcher/members_clock.rs
@@ -54,6 +54,6 @@
                 starts.push((id, entry.started_at));
             }
         }
-        let _ = self.decide(|router| (router.members_clock(offset, &starts), Default::default()));
+        let _ = self.decide(|router| (router.set_members_clock(offset, &starts), Default::default()));
     }
 }
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -283,8 +283,9 @@
     }
 
     fn fleet_size(&mut self, size: &FleetSize) {
-        let ((), actions) = self
-            .decide(|router| (router.fleet(size.sharing_warm, size.sharing_warming_up), Actions::default()));
+        let ((), actions) = self.decide(|router| {
+            (router.set_fleet_size(size.sharing_warm, size.sharing_warming_up), Actions::default())
+        });
         self.carry_out(actions);
     }
 
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -156,8 +156,8 @@
 
 fn read_shift(shift: &TrafficShift) -> ReadShift {
     ReadShift {
-        away: fraction(shift.away),
-        to_zones: shift.to.iter().map(|part| (part.zone, fraction(part.share))).collect(),
+        remote_share: fraction(shift.away),
+        zone_weights: shift.to.iter().map(|part| (part.zone, fraction(part.share))).collect(),
     }
 }
 
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -92,7 +92,7 @@
         let Handover { request, class, deadline, via } = handover;
         let now = self.context.clock.now();
         let routed = self.routed_request(&request, class, deadline, now);
-        let (handle, actions) = self.decide(|router| router.take(now, routed.clone()));
+        let (handle, actions) = self.decide(|router| router.accept_request(now, routed.clone()));
         let open = OpenRequest {
             via,
             priority: self.context.priority(&request.comment.class),
@@ -122,8 +122,8 @@
             ttl: deadline - now,
             waited: now - request.received_at,
             session,
-            last_write: request.last_write(now),
-            repeat: comment.client_retry,
+            last_write_age: request.last_write(now),
+            marked_retry: comment.client_retry,
         }
     }
 
@@ -148,9 +148,9 @@
         let miss = self.gateway_part_hears(via, verdict, elapsed);
         let no_longer_awaited = self.open_requests.get(&handle).is_none_or(|open| open.client.is_none());
         let closed = miss.taken_back || no_longer_awaited;
-        let outcome = Outcome { verdict, took: elapsed, report, closed };
+        let outcome = Outcome { verdict, duration: elapsed, report, request_closed: closed };
         let now = self.context.clock.now();
-        let ((), actions) = self.decide(|router| ((), handle.ended(router, now, outcome)));
+        let ((), actions) = self.decide(|router| ((), handle.attempt_ended(router, now, outcome)));
         self.carry_out(actions);
         self.release(handle);
         if let Some(actions) = miss.actions {
@@ -211,14 +211,14 @@
             open.withdraw();
         }
         let now = self.context.clock.now();
-        let ((), actions) = self.decide(|router| ((), handle.left(router, now)));
+        let ((), actions) = self.decide(|router| ((), handle.client_left(router, now)));
         self.carry_out(actions);
         self.release(handle);
     }
 
     /// Drops what is kept for a request that the router has finished with.
     pub(super) fn release(&mut self, handle: RequestHandle) {
-        if self.router.knows(handle) {
+        if self.router.is_pending(handle) {
             return;
         }
         let Some(open) = self.open_requests.remove(&handle) else { return };
--- a/crates/proxy/src/dispatcher/warm_state.rs
+++ b/crates/proxy/src/dispatcher/warm_state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use aldermill_routing::{Learnt, Micros, Standing};
+use aldermill_routing::{LearnedState, MemberStatus, Micros};
 use aldermill_warm_start::{KnownPrimary, ServiceTime, StateSnapshot};
 use tokio::sync::watch;
 
@@ -37,7 +37,7 @@
         }
         for endpoint in &list.endpoints {
             match serde_json::to_string(endpoint) {
-                Ok(text) if endpoint.standing() != Standing::Gone => {
+                Ok(text) if endpoint.standing() != MemberStatus::Unlisted => {
                     self.endpoints.insert(endpoint.id.clone(), text);
                 }
                 _ => {
@@ -58,21 +58,23 @@
         let restored = std::mem::take(&mut self.warm_state.restored);
         if restored != StateSnapshot::default() {
             let learnt = self.learnt_by_former_start(&restored);
-            self.router.recall(&learnt);
+            self.router.restore_learned_state(&learnt);
         }
     }
 
     /// What a former start learned of the members that are listed now.
-    fn learnt_by_former_start(&self, restored: &StateSnapshot) -> Learnt {
+    fn learnt_by_former_start(&self, restored: &StateSnapshot) -> LearnedState {
         let id = |name: &String| self.member_ids.get(name).copied();
         let primary = |primary: &KnownPrimary| Some((id(&primary.member)?, primary.confirmed_at));
         let service_time =
             |name: &String| restored.service_times.get(name).map_or((0, 0), |time| (time.median, time.p90));
         let concurrency_limits = restored.concurrency_limits.iter();
-        Learnt {
+        LearnedState {
             primaries: restored.primaries.values().filter_map(primary).collect(),
-            took: self.decoded.class_names().iter().map(service_time).collect(),
-            windows: concurrency_limits.filter_map(|(name, &power)| Some((id(name)?, power))).collect(),
+            durations: self.decoded.class_names().iter().map(service_time).collect(),
+            concurrency_limits: concurrency_limits
+                .filter_map(|(name, &power)| Some((id(name)?, power)))
+                .collect(),
         }
     }
 
@@ -88,7 +90,7 @@
     }
 
     fn snapshot(&self) -> StateSnapshot {
-        let learnt = self.router.learnt();
+        let learnt = self.router.learned_state();
         let names: BTreeMap<usize, &String> = self.member_ids.iter().map(|(name, &id)| (id, name)).collect();
         let name = |id: usize| names.get(&id).map(|&name| name.clone());
         let group = |id: usize| self.members.get(id).and_then(Option::as_ref).map(|entry| entry.group);
@@ -96,7 +98,7 @@
             Some((group(id)?, KnownPrimary { member: name(id)?, confirmed_at }))
         };
         let service_times =
-            self.decoded.class_names().into_iter().zip(&learnt.took).filter(|(_, took)| took.0 > 0);
+            self.decoded.class_names().into_iter().zip(&learnt.durations).filter(|(_, took)| took.0 > 0);
         let home_sites = self.gateway_part.as_ref().map(GatewayPart::homes);
         StateSnapshot {
             revision: self.last_endpoint_list.revision,
@@ -107,7 +109,7 @@
                 .map(|(name, &(median, p90))| (name, ServiceTime { median, p90 }))
                 .collect(),
             concurrency_limits: learnt
-                .windows
+                .concurrency_limits
                 .iter()
                 .filter_map(|&(id, power)| Some((name(id)?, power)))
                 .collect(),
--- a/crates/proxy/src/lifecycle/startup/actors.rs
+++ b/crates/proxy/src/lifecycle/startup/actors.rs
@@ -178,7 +178,7 @@
     let start = MembershipStart {
         config,
         name: configuration.name.clone(),
-        configured_fleet_size: configuration.settings.router_config.drivers,
+        configured_fleet_size: configuration.settings.router_config.routers,
         spans_sites: is_gateway,
         coordination,
         seed: configuration.seed.rotate_left(MEMBERSHIP_SEED_ROTATION),
@@ -234,7 +234,7 @@
     channels: DiscoveryChannels,
     revision: Option<u64>,
 ) -> Watch {
-    let fleet_size = configuration.settings.router_config.drivers;
+    let fleet_size = configuration.settings.router_config.routers;
     let drain_grace = configuration.settings.drain_grace;
     let mut rng = Pcg64Mcg::seed_from_u64(configuration.seed.rotate_left(DISCOVERY_SEED_ROTATION));
     let delay = start_jitter::start_delay(&configuration.name, fleet_size, drain_grace, &mut rng);
--- a/crates/proxy/src/lifecycle/startup/resources.rs
+++ b/crates/proxy/src/lifecycle/startup/resources.rs
@@ -135,7 +135,7 @@
     let (list_updates, received_list_updates) = mpsc::channel(queues.list_updates);
     let (has_list, ready) = watch::channel(false);
     let (stop, stopping) = watch::channel(None);
-    let on_request = configuration.settings.router_config.list_on_request;
+    let on_request = configuration.settings.router_config.list_requires_subscription;
     let (list_requests, received_list_requests) = mpsc::channel(1);
     let channels = Channels {
         reload: ReloadChannels { discovery: discovery_changes, coordination: coordination_changes },
--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -185,7 +185,7 @@
     }
 
     fn is_valid(&self, attempt: &Attempt) -> bool {
-        let Validity { until, while_primary } = attempt.validity;
+        let Validity { expires_at: until, requires_primary: while_primary } = attempt.validity;
         let is_still_primary = self.conditions.replica_reports.get() == attempt.replica_reports;
         !attempt.cancellation.is_cancelled()
             && self.context.clock.now() < until
--- a/crates/proxy/src/shadow/difference.rs
+++ b/crates/proxy/src/shadow/difference.rs
@@ -90,7 +90,7 @@
     for _ in missing_from(&shadow.health_checks, &made.health_checks) {
         found.push(Difference::NotHealthChecked);
     }
-    if made.shut != shadow.shut {
+    if made.close_idle != shadow.close_idle {
         found.push(Difference::ConnectionsClosed);
     }
     if made.subscribe != shadow.subscribe {
--- a/crates/proxy/src/shadow/mod.rs
+++ b/crates/proxy/src/shadow/mod.rs
@@ -77,7 +77,7 @@
         decision: impl Fn(&mut Router) -> (T, Actions),
     ) -> (T, Actions) {
         // Copied first: the copy is to decide from the same state.
-        let copy = self.is_sampled().then(|| router.under(&self.settings));
+        let copy = self.is_sampled().then(|| router.with_config(&self.settings));
         let (made, actions) = decision(router);
         if let Some(mut copy) = copy {
             let (_, shadow_actions) = decision(&mut copy);
--- a/crates/proxy/tests/shadow.rs
+++ b/crates/proxy/tests/shadow.rs
@@ -6,7 +6,7 @@
 
 use aldermill_operator_config::ShadowConfig;
 use aldermill_routing::{
-    Action, Actions, ListedMember, MemberReport, Outcome, Request, Role, Router, Standing, Verdict,
+    Action, Actions, ListedMember, MemberReport, MemberStatus, Outcome, Request, Role, Router, Verdict,
 };
 use aldermill_settings::Settings;
 use aldermill_test_support::{TERMS, file};
@@ -39,25 +39,25 @@
         name: format!("m{member}"),
         group: 1,
         zone: 0,
-        standing: Standing::Ready,
-        since: None,
+        status: MemberStatus::Ready,
+        started_at: None,
         size: 1.0,
-        primary: false,
+        is_primary: false,
     };
-    ask(&mut router, &|router| router.list(0, true, (0..4).map(line).collect()));
+    ask(&mut router, &|router| router.update_endpoint_list(0, true, (0..4).map(line).collect()));
     for at in (1..400).map(|step| step * 40_000) {
         let class = (at / 40_000 % 3 / 2) as usize;
         let ttl = if at % 7 == 0 { 5_000 } else { 900_000 };
         let request = Request { class, group: 1, ttl, ..Request::default() };
-        let actions = ask(&mut router, &|router| router.take(at, request.clone()).1);
+        let actions = ask(&mut router, &|router| router.accept_request(at, request.clone()).1);
         for (handle, step) in actions.requests {
             let Action::Attempt { member, .. } = step else { continue };
             let role = Some(if member == 2 { Role::Primary } else { Role::Replica });
             let verdict = if member == 2 || class == 0 { Verdict::Served } else { Verdict::NotPrimary };
             let report = MemberReport { role, position: Some(at), age: 0 };
             let closed = verdict == Verdict::Served;
-            let outcome = Outcome { verdict, took: 30_000, report, closed };
-            ask(&mut router, &|router| handle.ended(router, at + 30_000, outcome));
+            let outcome = Outcome { verdict, duration: 30_000, report, request_closed: closed };
+            ask(&mut router, &|router| handle.attempt_ended(router, at + 30_000, outcome));
         }
         ask(&mut router, &|router| router.wake(at + 35_000));
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -22,7 +22,7 @@
 
 /// How far members know each other's deduplicated requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DeduplicationScope {
     /// All members drop a repeat of what one of them did.
     All,
     /// Those of the same zone do.
@@ -39,7 +39,7 @@
     /// Nothing while members remember the request's idempotency key.
     Deduplicated {
         /// Which members remember it.
-        scope: Scope,
+        scope: DeduplicationScope,
         /// For how long after the first attempt.
         window: Micros,
     },
@@ -59,7 +59,7 @@
     /// All commits but those of the last microseconds, this many.
     Recent(Micros),
     /// Any age will do.
-    Loose,
+    Any,
 }
 
 /// What is alike in all requests of a class.
@@ -83,11 +83,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedRoles {
     /// They follow changes, late.
-    Late,
+    Delayed,
     /// They are true when the caller starts.
-    AtStart,
+    Initial,
     /// The list says nothing of roles.
-    Never,
+    Absent,
 }
 
 /// The terms of one router, from the settings. Other routers of its fleet are started with the same ones.
@@ -96,7 +96,7 @@
     /// The request classes, by the index that requests name.
     pub classes: Vec<RequestClass>,
     /// How many routers share the members.
-    pub drivers: usize,
+    pub routers: usize,
     /// How many routers share members that are warming up.
     pub routers_sharing_warm_up: usize,
     /// Clients mark their retries.
@@ -114,23 +114,23 @@
     /// How far the list's roles are to be believed.
     pub listed_roles: ListedRoles,
     /// Members reject reads for which they are too far behind.
-    pub members_check: bool,
+    pub members_check_freshness: bool,
     /// The router itself remembers what each session wrote.
-    pub remember_sessions: bool,
+    pub track_sessions: bool,
     /// The list comes only when it is subscribed to.
-    pub list_on_request: bool,
+    pub list_requires_subscription: bool,
     /// A member that left the list may still be sent requests; only one that is listed as draining may not.
-    pub only_draining_binds: bool,
+    pub unlisted_members_usable: bool,
     /// The part of its capacity that a member has when it starts, from 0 to 1.
-    pub cold_from: f64,
+    pub slow_start_capacity: f64,
     /// How long after its start a member is warm at the latest.
-    pub warm_within: Micros,
+    pub slow_start_duration: Micros,
     /// How far a member that is warming up may be sent more than its part of a warm member's load: a factor.
     pub overload_factor: f64,
     /// The window over which that is measured.
     pub overload_window: Micros,
     /// What a request that crosses to another zone costs; zero where it costs nothing.
-    pub crossing_price: f64,
+    pub cross_zone_cost: f64,
 }
 
 /// A client's request.
@@ -147,21 +147,21 @@
     /// The session that it belongs to.
     pub session: Option<String>,
     /// How long ago the session's last write was committed, where the client says so.
-    pub last_write: Option<Micros>,
+    pub last_write_age: Option<Micros>,
     /// The client says that it has tried before.
-    pub repeat: bool,
+    pub marked_retry: bool,
 }
 
 /// Whether a member takes requests, as the list says.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum MemberStatus {
     /// It takes requests.
     Ready,
     /// It shuts down gracefully, and is to get nothing new.
     Draining,
     /// It has left the list.
     #[default]
-    Gone,
+    Unlisted,
 }
 
 /// One line of the endpoint list.
@@ -176,13 +176,13 @@
     /// Its zone.
     pub zone: usize,
     /// Whether it takes requests.
-    pub standing: Standing,
+    pub status: MemberStatus,
     /// When the member last started; `None` is long ago.
-    pub since: Option<Micros>,
+    pub started_at: Option<Micros>,
     /// Its size compared with other members', as far as the list says sizes.
     pub size: f64,
     /// The list says that it is its group's primary.
-    pub primary: bool,
+    pub is_primary: bool,
 }
 
 /// A member's part in its group.
@@ -249,7 +249,7 @@
     }
 
     /// The member's process was heard.
-    pub fn heard(self) -> bool {
+    pub fn proves_process_alive(self) -> bool {
         use Verdict::*;
         matches!(self, Served | Error | Overloaded | NotPrimary | Malformed | ConnectionLost)
     }
@@ -261,31 +261,31 @@
     /// How it ended.
     pub verdict: Verdict,
     /// How long it took.
-    pub took: Micros,
+    pub duration: Micros,
     /// What the member said of itself.
     pub report: MemberReport,
     /// The request is over, by this outcome or before it.
-    pub closed: bool,
+    pub request_closed: bool,
 }
 
 /// What a router has learnt that may be kept over a restart, in coarse form.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Learnt {
+pub struct LearnedState {
     /// Believed primaries, each with the time of the newest report of it.
     pub primaries: Vec<(MemberId, Micros)>,
     /// By request class: what half of its attempts take at most, and nine tenths.
-    pub took: Vec<(Micros, Micros)>,
+    pub durations: Vec<(Micros, Micros)>,
     /// Attempts that may be out at a member, in powers of two.
-    pub windows: Vec<(MemberId, i32)>,
+    pub concurrency_limits: Vec<(MemberId, i32)>,
 }
 
 /// What a zone-wide directive asks of a group's reads in this zone.
 #[derive(Clone, Debug, Default)]
 pub struct ReadShift {
     /// The part of the reads that goes to other zones, from 0 to 1.
-    pub away: f64,
+    pub remote_share: f64,
     /// How that part is shared out, by zone; a zone that is not named gets none.
-    pub to_zones: BTreeMap<usize, f64>,
+    pub zone_weights: BTreeMap<usize, f64>,
 }
 
 /// What must still hold when an attempt's last byte leaves, however long it waited for a connection; where it
@@ -295,14 +295,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Validity {
     /// On the router's clock; `Micros::MAX` where nothing runs out.
-    pub until: Micros,
+    pub expires_at: Micros,
     /// The member must not have said since that it is a replica.
-    pub while_primary: bool,
+    pub requires_primary: bool,
 }
 
 impl Validity {
     /// Nothing runs out.
-    pub const LASTING: Validity = Validity { until: Micros::MAX, while_primary: false };
+    pub const UNLIMITED: Validity = Validity { expires_at: Micros::MAX, requires_primary: false };
 }
 
 /// What is to be done for one request.
@@ -315,7 +315,7 @@
         /// How long its answer may take.
         timeout: Micros,
         /// On a new connection, the idle ones being closed.
-        afresh: bool,
+        on_new_connection: bool,
         /// What must hold when it is sent.
         validity: Validity,
     },
@@ -336,7 +336,7 @@
     /// Members that a health check is to be sent to.
     pub health_checks: Vec<MemberId>,
     /// Members whose idle connections are to be closed.
-    pub shut: Vec<MemberId>,
+    pub close_idle: Vec<MemberId>,
     /// The endpoint list is to be subscribed to.
     pub subscribe: bool,
     /// When the router is to be woken next, whatever else happens.
--- a/crates/routing/src/policy/admission.rs
+++ b/crates/routing/src/policy/admission.rs
@@ -3,7 +3,7 @@
 use super::TICK;
 use super::retry_detection::ClientAttempt;
 use crate::state::{PendingRequest, RequestHandle, Router};
-use crate::{Action, Actions, Effect, Micros, Request, RequestClass, Scope};
+use crate::{Action, Actions, DeduplicationScope, Effect, Micros, Request, RequestClass};
 
 /// The instants that bound what is done for a request.
 pub(super) struct RequestDeadlines {
@@ -16,7 +16,7 @@
 /// Before half of the client's time is over, less what a beat and the way to the client take.
 fn shed_at(pending: &PendingRequest) -> Micros {
     let half = (pending.request.ttl - pending.request.waited) / 2;
-    (pending.arrived + half - 2 * TICK).max(pending.arrived + 1)
+    (pending.arrived_at + half - 2 * TICK).max(pending.arrived_at + 1)
 }
 
 impl Router {
@@ -24,19 +24,19 @@
     ///
     /// The caller carries out the returned actions in order. A request that cannot be served in time is
     /// rejected or failed among them at once.
-    pub fn take(&mut self, now: Micros, request: Request) -> (RequestHandle, Actions) {
+    pub fn accept_request(&mut self, now: Micros, request: Request) -> (RequestHandle, Actions) {
         let handle = RequestHandle(self.next_handle);
         self.next_handle += 1;
-        let group = self.group(request.group);
+        let group = self.group_index(request.group);
         self.health_check_budget.earn_for_request(self.members.len());
-        let kind = self.client_attempt(&request);
-        let objective_at = self.objective_at(now, &request, kind);
+        let client_attempt = self.client_attempt(&request);
+        let objective_at = self.objective_at(now, &request, client_attempt);
         let pending = PendingRequest {
             request,
             group,
-            arrived: now,
+            arrived_at: now,
             objective_at,
-            is_retry: kind != ClientAttempt::First,
+            is_retry: client_attempt != ClientAttempt::First,
             ..PendingRequest::default()
         };
         self.pending_requests.insert(handle, pending);
@@ -46,29 +46,30 @@
 
     /// What the request is to its client; where clients do not mark retries, by how long they wait.
     fn client_attempt(&mut self, request: &Request) -> ClientAttempt {
-        let guess = self.retry_detectors[request.class].classify(request.ttl + request.waited);
-        match request.repeat {
+        let inferred = self.retry_detectors[request.class].classify(request.ttl + request.waited);
+        match request.marked_retry {
             true => ClientAttempt::Retry,
-            false if self.terms.client_retries_marked => ClientAttempt::First,
-            false => guess,
+            false if self.config.client_retries_marked => ClientAttempt::First,
+            false => inferred,
         }
     }
 
     /// When the answer is due: of a retry's timeout, what is missing from its wait has gone by already.
-    fn objective_at(&self, now: Micros, request: &Request, kind: ClientAttempt) -> Micros {
-        let RequestClass { timeout, objective, .. } = self.terms.classes[request.class];
+    fn objective_at(&self, now: Micros, request: &Request, client_attempt: ClientAttempt) -> Micros {
+        let RequestClass { timeout, objective, .. } = self.config.classes[request.class];
         let missing = (timeout - request.ttl - request.waited).max(0);
-        let gone_by = if kind == ClientAttempt::Retry { missing } else { 0 };
-        now - request.waited + objective - gone_by
+        let elapsed = if client_attempt == ClientAttempt::Retry { missing } else { 0 };
+        now - request.waited + objective - elapsed
     }
 
     /// When the request is to be given up, and until when an answer is worth anything.
     pub(super) fn deadlines(&self, now: Micros, pending: &PendingRequest) -> RequestDeadlines {
-        let end = pending.arrived + pending.request.ttl;
-        let late_weight = self.terms.classes[pending.request.class].late_priority_weight;
-        let useful_until = if late_weight > 0.0 { end } else { end.min(pending.objective_at) };
+        let client_deadline = pending.arrived_at + pending.request.ttl;
+        let late_weight = self.config.classes[pending.request.class].late_priority_weight;
+        let useful_until =
+            if late_weight > 0.0 { client_deadline } else { client_deadline.min(pending.objective_at) };
         // A router among many cannot see the crowd: it attempts nothing that would be worth little by then.
-        let worthwhile_until = if self.is_one_of_many() && late_weight < 0.5 {
+        let worthwhile_until = if self.in_large_fleet() && late_weight < 0.5 {
             useful_until.min(pending.objective_at)
         } else {
             useful_until
@@ -84,9 +85,10 @@
     /// waited.
     fn expected_duration(&self, now: Micros, pending: &PendingRequest) -> Micros {
         // What waited for a replica's report alone has not waited for capacity.
-        let arrives = now == pending.arrived || pending.awaited_report && now - pending.arrived <= 2 * TICK;
-        let share = if arrives { 0.5 } else { 0.85 };
-        self.durations[pending.request.class].quantile(share).unwrap_or(0)
+        let just_arrived =
+            now == pending.arrived_at || pending.awaited_report && now - pending.arrived_at <= 2 * TICK;
+        let quantile = if just_arrived { 0.5 } else { 0.85 };
+        self.durations[pending.request.class].quantile(quantile).unwrap_or(0)
     }
 
     /// Whether the request is given up before half of its client's time is over.
@@ -95,22 +97,23 @@
     /// attempted and is worth little when late is not held for longer. Costs a request that would have found
     /// capacity later.
     fn shed_early(&self, now: Micros, pending: &PendingRequest) -> bool {
-        let late_weight = self.terms.classes[pending.request.class].late_priority_weight;
+        let late_weight = self.config.classes[pending.request.class].late_priority_weight;
         let waits_for_capacity = pending.attempts == 0 && !self.backs_off(now);
-        waits_for_capacity && (late_weight < 0.5 || self.is_one_of_many())
+        waits_for_capacity && (late_weight < 0.5 || self.in_large_fleet())
     }
 
     /// Rejects the request where that is true to say, else fails it.
     pub(super) fn give_up(&mut self, handle: RequestHandle) {
         let pending = &self.pending_requests[&handle];
-        let rejectable = match self.terms.classes[pending.request.class].effect {
-            Effect::Idempotent | Effect::Deduplicated { scope: Scope::All, .. } => true,
+        let rejectable = match self.config.classes[pending.request.class].effect {
+            Effect::Idempotent | Effect::Deduplicated { scope: DeduplicationScope::All, .. } => true,
             _ => pending.may_have_run.is_none() && pending.in_flight.is_none(),
         };
         // What is rejected for want of capacity has missed its latency objective: a client that comes back
         // sooner only adds to the crowd.
-        let retry_after = self.terms.classes[pending.request.class].objective.min(self.terms.max_retry_after);
-        let rejected = rejectable && !self.at_fault(pending);
+        let retry_after =
+            self.config.classes[pending.request.class].objective.min(self.config.max_retry_after);
+        let rejected = rejectable && !self.request_causes_errors(pending);
         let action = if rejected { Action::Reject { retry_after } } else { Action::Fail };
         self.actions.requests.push((handle, action));
         self.close(handle);
@@ -119,9 +122,10 @@
     /// How many attempts a request of the class may use: the class with the highest priority weight all of
     /// them, others at least half.
     pub(super) fn attempts_allowed(&self, class: &RequestClass) -> u32 {
-        let best = self.terms.classes.iter().map(|o| o.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
-        let most = f64::from(self.terms.max_attempts);
-        (most * (class.priority_weight / best).max(0.5)).ceil().min(most) as u32
+        let highest_weight =
+            self.config.classes.iter().map(|other| other.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
+        let max_attempts = f64::from(self.config.max_attempts);
+        (max_attempts * (class.priority_weight / highest_weight).max(0.5)).ceil().min(max_attempts) as u32
     }
 
     /// Whether the request itself causes the errors that answer it: two members failed it alike, or one three
@@ -129,7 +133,7 @@
     ///
     /// Guards members against being blacklisted, and attempts against being used up, for statements that
     /// every member rejects; costs a request its last attempts when it met two faulty members.
-    pub(super) fn at_fault(&self, pending: &PendingRequest) -> bool {
+    pub(super) fn request_causes_errors(&self, pending: &PendingRequest) -> bool {
         pending.errored_members.len() > 2
             || pending.errored_members.iter().any(|id| *id != pending.errored_members[0])
     }
--- a/crates/routing/src/policy/blacklist.rs
+++ b/crates/routing/src/policy/blacklist.rs
@@ -23,8 +23,8 @@
 
 /// How many failures within [`FAILURE_WINDOW`] blacklist a member where `routers` share its answers.
 pub(super) fn failure_threshold(routers: usize) -> f64 {
-    let full = FAILURE_THRESHOLD as f64;
-    (full * ROUTERS_AT_FULL_THRESHOLD / routers as f64).min(full)
+    let full_threshold = FAILURE_THRESHOLD as f64;
+    (full_threshold * ROUTERS_AT_FULL_THRESHOLD / routers as f64).min(full_threshold)
 }
 
 /// What one member has failed at of late, and until when it is avoided for that.
--- a/crates/routing/src/policy/dispatch.rs
+++ b/crates/routing/src/policy/dispatch.rs
@@ -10,8 +10,8 @@
     match (effect, pending.may_have_run) {
         (_, None) | (Effect::Idempotent, _) => true,
         (Effect::NonIdempotent, Some(_)) => false,
-        (Effect::Deduplicated { window, .. }, Some(first)) => {
-            now < first.sent_at + window - SEND_DELAY_MARGIN
+        (Effect::Deduplicated { window, .. }, Some(first_run)) => {
+            now < first_run.sent_at + window - SEND_DELAY_MARGIN
         }
     }
 }
@@ -20,10 +20,10 @@
     /// Sends an attempt of the request, holds the request, or gives it up.
     pub(super) fn route(&mut self, now: Micros, handle: RequestHandle) {
         let pending = &self.pending_requests[&handle];
-        let class = &self.terms.classes[pending.request.class];
+        let class = &self.config.classes[pending.request.class];
         let deadlines = self.deadlines(now, pending);
         if !may_run_again(now, class.effect, pending)
-            || self.at_fault(pending)
+            || self.request_causes_errors(pending)
             || now >= deadlines.give_up_at
             || pending.attempts - pending.local_failures >= self.attempts_allowed(class)
         {
@@ -46,26 +46,27 @@
 
     /// Sends an attempt to the member, which ends at `useful_until` at the latest.
     fn send_attempt(&mut self, now: Micros, handle: RequestHandle, id: MemberId, useful_until: Micros) {
-        let rested = self.rest_class_of(now, id);
+        let rest_class = self.rest_class_of(now, id);
         let validity = self.validity(&self.pending_requests[&handle], id);
         let tries_connection = self.claim_connection(now, id);
-        let kept = self.members[id].known_idle_connections.is_some();
-        let afresh = !kept && rested.is_some_and(|rest| self.rested_connections.are_dropped_after(rest));
+        let idle_connections_known = self.members[id].known_idle_connections.is_some();
+        let on_new_connection = !idle_connections_known
+            && rest_class.is_some_and(|class| self.rested_connections.are_dropped_after(class));
         let member = &mut self.members[id];
         member.in_flight.push(handle);
         member.sent_recently.push_back(now);
         let pending = self.pending_requests.get_mut(&handle).expect("held by its handle");
         pending.attempts += 1;
-        pending.rest_class = rested.filter(|_| !afresh);
+        pending.rest_class = rest_class.filter(|_| !on_new_connection);
         pending.tries_connection = tries_connection;
         pending.in_flight = Some(InFlight { member: id, sent_at: now });
         pending.waiting_since = now;
         self.stall_pacing.record_attempt();
-        if let Some(session) = self.session(handle) {
+        if let Some(session) = self.tracked_session(handle) {
             session.write_started();
         }
         let timeout = useful_until - now;
-        let action = Action::Attempt { member: id, timeout, afresh, validity };
+        let action = Action::Attempt { member: id, timeout, on_new_connection, validity };
         self.actions.requests.push((handle, action));
     }
 
@@ -73,7 +74,7 @@
     pub(super) fn close(&mut self, handle: RequestHandle) {
         let Some(pending) = self.pending_requests.get_mut(&handle) else { return };
         pending.is_closed = true;
-        self.groups[pending.group].queued.retain(|&held| held != handle);
+        self.groups[pending.group].queued.retain(|&queued| queued != handle);
         if pending.in_flight.is_none() {
             self.pending_requests.remove(&handle);
         }
@@ -89,14 +90,14 @@
         if self.groups[group].queued.is_empty() {
             return;
         }
-        let mut held = std::mem::take(&mut self.groups[group].queued);
+        let mut queued = std::mem::take(&mut self.groups[group].queued);
         let weight = |handle: &RequestHandle| {
             let pending = &self.pending_requests[handle];
-            let class = &self.terms.classes[pending.request.class];
-            let late = now > pending.objective_at || pending.is_retry;
-            class.priority_weight * if late { class.late_priority_weight } else { 1.0 }
+            let class = &self.config.classes[pending.request.class];
+            let is_late = now > pending.objective_at || pending.is_retry;
+            class.priority_weight * if is_late { class.late_priority_weight } else { 1.0 }
         };
-        held.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then(b.cmp(a)));
-        held.into_iter().for_each(|handle| self.route(now, handle));
+        queued.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then(b.cmp(a)));
+        queued.into_iter().for_each(|handle| self.route(now, handle));
     }
 }
--- a/crates/routing/src/policy/health_checks.rs
+++ b/crates/routing/src/policy/health_checks.rs
@@ -3,7 +3,7 @@
 use super::blacklist::BLACKLIST_DURATION;
 use super::{MS, WRITE_HOLD};
 use crate::state::{RoundTrip, Router};
-use crate::{Actions, MemberId, MemberReport, Micros, Standing, Verdict};
+use crate::{Actions, MemberId, MemberReport, MemberStatus, Micros, Verdict};
 
 /// How often a member that is not heard otherwise is checked where credit is left over.
 pub(super) const HEALTH_CHECK_EVERY: Micros = 1_000 * MS;
@@ -26,7 +26,7 @@
     /// Checks members of a group in which requests are held, where that may set them free.
     pub(super) fn health_check_for_held(&mut self, now: Micros, group: usize) {
         let sought = !self.is_wide(&self.groups[group]) && self.lacks_primary(now, &self.groups[group]);
-        let gap = if self.is_one_of_many() { WRITE_HOLD } else { HEALTH_CHECK_NEEDED };
+        let gap = if self.in_large_fleet() { WRITE_HOLD } else { HEALTH_CHECK_NEEDED };
         for at in 0..self.groups[group].members.len() {
             let id = self.groups[group].members[at];
             if sought || now < self.members[id].unreachable_until {
@@ -117,8 +117,8 @@
     pub(super) fn health_check(&mut self, now: Micros, id: MemberId, gap: Micros) {
         let member = &mut self.members[id];
         let early = member.health_check_in_flight || now - member.last_health_check_at < gap;
-        let allowed = self.terms.health_checks_allowed && self.health_check_budget.affords_one();
-        if allowed && member.standing == Standing::Ready && !early {
+        let allowed = self.config.health_checks_allowed && self.health_check_budget.affords_one();
+        if allowed && member.status == MemberStatus::Ready && !early {
             self.health_check_budget.spend_one();
             member.health_check_in_flight = true;
             member.last_health_check_at = now;
--- a/crates/routing/src/policy/idle_connections.rs
+++ b/crates/routing/src/policy/idle_connections.rs
@@ -22,7 +22,7 @@
     pub(super) fn record_refusal(&mut self, now: Micros, id: MemberId) {
         if now >= self.connections_scarce_until {
             let idle = (0..self.members.len()).filter(|&id| self.members[id].in_flight.is_empty());
-            self.actions.shut.extend(idle);
+            self.actions.close_idle.extend(idle);
         }
         self.connections_scarce_until = now + FAILURE_WINDOW;
         self.health_check(now, id, HEALTH_CHECK_NEEDED);
@@ -33,7 +33,7 @@
         if refused {
             self.record_refusal(now, id);
         } else if now < self.connections_scarce_until && self.members[id].in_flight.is_empty() {
-            self.actions.shut.push(id);
+            self.actions.close_idle.push(id);
         }
     }
 }
--- a/crates/routing/src/policy/local_failures.rs
+++ b/crates/routing/src/policy/local_failures.rs
@@ -113,7 +113,7 @@
             // Nobody was asked whether it is the primary.
             self.groups[group].search_after = now;
         }
-        self.session(handle).into_iter().for_each(|session| session.write_ended(0));
+        self.tracked_session(handle).into_iter().for_each(|session| session.write_ended(0));
         if over {
             self.close(handle);
         } else {
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -1,7 +1,7 @@
 //! Every decision of the router.
 //!
 //! A caller starts one [`Router`] with its terms and a seed, hands it lists and answers of health checks, and
-//! wakes it at the time last asked for. `take` gives a [`RequestHandle`] for a request; what happens to the request
+//! wakes it at the time last asked for. `accept_request` gives a [`RequestHandle`] for a request; what happens to the request
 //! later is a call on that handle. Each call brings `now` and returns [`Actions`]. The interface types are in
 //! `lib.rs`. A request's way: `admission`, `dispatch`, `read_routing` or `write_routing`, `retry`.
 
@@ -12,7 +12,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::state::{RequestHandle, Router};
-use crate::{Actions, Learnt, Micros, Outcome, RouterConfig, Standing};
+use crate::{Actions, LearnedState, MemberStatus, Micros, Outcome, RouterConfig};
 
 mod admission;
 mod availability;
@@ -63,13 +63,13 @@
 
 impl RequestHandle {
     /// The request's attempt has ended.
-    pub fn ended(self, router: &mut Router, now: Micros, outcome: Outcome) -> Actions {
+    pub fn attempt_ended(self, router: &mut Router, now: Micros, outcome: Outcome) -> Actions {
         router.attempt_ended(now, self, outcome);
         router.take_actions()
     }
 
     /// The client has left; nothing more is owed.
-    pub fn left(self, router: &mut Router, now: Micros) -> Actions {
+    pub fn client_left(self, router: &mut Router, now: Micros) -> Actions {
         router.close(self);
         router.route_all_queued(now);
         router.take_actions()
@@ -78,9 +78,9 @@
 
 impl Router {
     /// A router with its terms and a seed for its chance, before its first list.
-    pub fn start(terms: RouterConfig, seed: u64, now: Micros) -> Router {
+    pub fn start(config: RouterConfig, seed: u64, now: Micros) -> Router {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let list_subscription = ListSubscription::start(now, terms.drivers, &mut rng);
+        let list_subscription = ListSubscription::start(now, config.routers, &mut rng);
         Router {
             salt: salt(seed),
             rng,
@@ -92,10 +92,13 @@
             sessions: Sessions::default(),
             clock_offset: 0,
             // Until attempts tell better, most are taken to last half of the latency objective.
-            durations: terms.classes.iter().map(|class| Histogram::of(class.objective / 2, 4)).collect(),
+            durations: config.classes.iter().map(|class| Histogram::of(class.objective / 2, 4)).collect(),
             zone_round_trips: BTreeMap::new(),
-            all_durations: Histogram::of(terms.classes.iter().map(|o| o.objective / 2).min().unwrap_or(0), 4),
-            retry_detectors: vec![RetryDetector::default(); terms.classes.len()],
+            all_durations: Histogram::of(
+                config.classes.iter().map(|class| class.objective / 2).min().unwrap_or(0),
+                4,
+            ),
+            retry_detectors: vec![RetryDetector::default(); config.classes.len()],
             warm_load: 0.0,
             mean_size: 1.0,
             health_check_budget: HealthCheckBudget::at_start(),
@@ -107,7 +110,7 @@
             stall_pacing: StallPacing::start(now, replica_subset::at_start()),
             list_subscription,
             actions: Actions::default(),
-            terms,
+            config,
         }
     }
 
@@ -116,22 +119,24 @@
     ///
     /// Guards members against the searches and bursts of routers that come back; costs a miss when a primary
     /// moved.
-    pub fn recall(&mut self, learnt: &Learnt) {
-        for &(id, reported_at) in &learnt.primaries {
+    pub fn restore_learned_state(&mut self, learned: &LearnedState) {
+        for &(id, reported_at) in &learned.primaries {
             let group = &mut self.groups[self.members[id].group];
-            if self.members[id].standing == Standing::Ready && group.primary.is_none() {
+            if self.members[id].status == MemberStatus::Ready && group.primary.is_none() {
                 group.primary = Some(id);
                 group.primary_reported_at = reported_at;
             }
         }
-        for (took, &(usual, _)) in self.durations.iter_mut().zip(&learnt.took).filter(|(_, of)| of.0 > 0) {
-            *took = Histogram::of(usual, 8);
+        for (histogram, &(median, _)) in
+            self.durations.iter_mut().zip(&learned.durations).filter(|(_, quantiles)| quantiles.0 > 0)
+        {
+            *histogram = Histogram::of(median, 8);
         }
-        for &(id, power) in &learnt.windows {
+        for &(id, log2_limit) in &learned.concurrency_limits {
             let member = &mut self.members[id];
             member.concurrency_limit = member
                 .concurrency_limit
-                .min(2f64.powi(power).max(GUARANTEED_FLEET_LIMIT / self.terms.drivers as f64));
+                .min(2f64.powi(log2_limit).max(GUARANTEED_FLEET_LIMIT / self.config.routers as f64));
         }
     }
 
@@ -145,8 +150,8 @@
     }
 
     /// Whether there are so many routers that this one is not due one attempt at a time at each member.
-    fn is_one_of_many(&self) -> bool {
-        self.terms.drivers as f64 > 1.5 * INITIAL_FLEET_LIMIT
+    fn in_large_fleet(&self) -> bool {
+        self.config.routers as f64 > 1.5 * INITIAL_FLEET_LIMIT
     }
 
     /// What is due each [`TICK`].
@@ -162,12 +167,12 @@
                 self.health_check_for_held(now, group);
             }
         }
-        if !self.is_one_of_many() && !self.uses_subset() {
+        if !self.in_large_fleet() && !self.uses_subset() {
             (0..self.members.len()).for_each(|id| self.health_check_to_spare(now, id));
         }
         let members_now = self.members_now(now);
         self.sessions.forget_old(members_now);
-        if self.terms.list_on_request && self.list_subscription.is_due(now) {
+        if self.config.list_requires_subscription && self.list_subscription.is_due(now) {
             self.actions.subscribe = true;
         }
         self.route_all_queued(now);
--- a/crates/routing/src/policy/primary_search.rs
+++ b/crates/routing/src/policy/primary_search.rs
@@ -3,7 +3,7 @@
 
 use super::{MS, TICK};
 use crate::state::{Group, Member, Router};
-use crate::{MemberId, Micros, Standing};
+use crate::{MemberId, MemberStatus, Micros};
 
 /// Health checks that one member gets from the searches of all routers together, in a second at the most.
 const SEARCH_CHECKS_PER_SECOND: f64 = 60.0;
@@ -20,12 +20,12 @@
 impl Router {
     /// One round of misses reaches only a part of the group.
     pub(super) fn is_wide(&self, group: &Group) -> bool {
-        group.members.len() > self.terms.max_attempts as usize
+        group.members.len() > self.config.max_attempts as usize
     }
 
     /// No primary is believed, or it cannot be reached.
     pub(super) fn lacks_primary(&self, now: Micros, group: &Group) -> bool {
-        group.primary.is_none_or(|id| self.is_silent(now, id))
+        group.primary.is_none_or(|id| self.is_unresponsive(now, id))
     }
 
     /// The order in which the members of a group are asked: by name, in a wide group by this router's
@@ -40,7 +40,7 @@
     /// is found only in the next round.
     pub(super) fn may_be_primary(&self, now: Micros, group: &Group, id: MemberId) -> bool {
         let heard = group.primary.map_or(Micros::MIN, |primary| self.members[primary].last_heard_at);
-        self.members[id].not_primary_at <= group.search.round_started_at.max(heard) && self.usable(now, id)
+        self.members[id].not_primary_at <= group.search.round_started_at.max(heard) && self.is_usable(now, id)
     }
 
     /// Looks on for the primary of a group in which requests are held: the members that may be it are asked
@@ -58,7 +58,7 @@
             search.round_started_at = now;
             search.next_position = 0;
         }
-        if self.terms.health_checks_allowed && self.is_wide(&self.groups[group]) {
+        if self.config.health_checks_allowed && self.is_wide(&self.groups[group]) {
             self.check_candidates(now, group);
         }
     }
@@ -84,7 +84,7 @@
         let slots = self.search_slots(now, group) as f64;
         let count = self.groups[group].members.len();
         let checks_per_member =
-            SEARCH_CHECKS_PER_SECOND * SEARCH_ROUND as f64 / (1_000 * MS) as f64 / self.terms.drivers as f64;
+            SEARCH_CHECKS_PER_SECOND * SEARCH_ROUND as f64 / (1_000 * MS) as f64 / self.config.routers as f64;
         let due = count as f64 * checks_per_member.min(1.0) * TICK as f64 / SEARCH_ROUND as f64;
         let search = &mut self.groups[group].search;
         search.saved_health_checks = (search.saved_health_checks + due).min(due.max(1.0)).min(slots);
@@ -102,9 +102,9 @@
     fn check_candidate(&mut self, now: Micros, group: usize, at: usize) {
         let searched = &self.groups[group];
         let id = self.search_order(searched)[at];
-        let Member { standing, health_check_in_flight, last_health_check_at, .. } = self.members[id];
+        let Member { status: standing, health_check_in_flight, last_health_check_at, .. } = self.members[id];
         let early = health_check_in_flight || now - last_health_check_at < SEARCH_ROUND;
-        if standing != Standing::Ready || early || !self.may_be_primary(now, searched, id) {
+        if standing != MemberStatus::Ready || early || !self.may_be_primary(now, searched, id) {
             return;
         }
         let searched = &mut self.groups[group];
--- a/crates/routing/src/policy/read_routing.rs
+++ b/crates/routing/src/policy/read_routing.rs
@@ -10,7 +10,7 @@
 use super::concurrency_limit::MAX_FLEET_LIMIT;
 use super::health_checks::HEALTH_CHECK_NEEDED;
 use crate::state::{Member, PendingRequest, RequestHandle, Router};
-use crate::{Effect, MemberId, Micros, Need, ReadShift, RequestClass, Scope};
+use crate::{DeduplicationScope, Effect, MemberId, Micros, Need, ReadShift, RequestClass};
 
 /// A member that a read may go to, and the attempts that it has room for.
 #[derive(Clone, Copy)]
@@ -56,7 +56,7 @@
         let pending = &self.pending_requests[&handle];
         let asked = pending.awaited_report;
         let floor = self.position_floor(now, pending, need);
-        let long = need == Need::Loose && self.is_long_read(pending.request.class);
+        let long = need == Need::Any && self.is_long_read(pending.request.class);
         let choice = self.read_choice(now, pending, floor, long);
         if long {
             // All routers alike: the last replica by name that has room.
@@ -65,7 +65,7 @@
         }
         let mut proven = choice.candidates.clone();
         proven.retain(|candidate| self.is_fresh(&choice, candidate.member));
-        let drawn = if self.is_one_of_many() && !asked { self.draw(&choice.candidates) } else { None };
+        let drawn = if self.in_large_fleet() && !asked { self.draw(&choice.candidates) } else { None };
         let fresh_drawn = drawn.filter(|&id| self.is_fresh(&choice, id));
         let target = fresh_drawn.or_else(|| self.draw(&proven));
         let resort = self.last_resort(now, &choice);
@@ -95,7 +95,7 @@
         let group = &self.groups[pending.group];
         let primary = group.primary;
         let confirmed_primary = primary.filter(|id| open.contains(id) && self.members[*id].confirmed_primary);
-        let owed_primary = confirmed_primary.filter(|_| self.is_one_of_many() && group.primary_deficit > 0.0);
+        let owed_primary = confirmed_primary.filter(|_| self.in_large_fleet() && group.primary_deficit > 0.0);
         let replicas: Vec<MemberId> = open.into_iter().filter(|&id| Some(id) != primary).collect();
         let drawable = replicas.iter().copied().chain(owed_primary);
         let candidates =
@@ -117,17 +117,18 @@
     fn last_resort(&self, now: Micros, choice: &ReadChoice) -> Option<MemberId> {
         let uncrowded = |id: MemberId| {
             let window = self.members[id].concurrency_limit;
-            let most = MAX_FLEET_LIMIT / self.terms.drivers as f64;
+            let most = MAX_FLEET_LIMIT / self.config.routers as f64;
             self.available_capacity(now, id) > window.floor() * 0.3
-                && (!self.is_one_of_many() || window * 3.0 > most)
+                && (!self.in_large_fleet() || window * 3.0 > most)
         };
         let primary = choice.confirmed_primary.filter(|&id| uncrowded(id));
-        if !self.terms.members_check || primary.is_some() {
+        if !self.config.members_check_freshness || primary.is_some() {
             return primary;
         }
         // Not one that has just said how far behind it is: it would reject the read, or hold it for nothing.
-        let may_be_fresh =
-            |id: MemberId| now - self.members[id].last_heard_at >= self.time_to_catch_up(id, choice.floor);
+        let may_be_fresh = |id: MemberId| {
+            now - self.members[id].last_heard_at >= self.catch_up_check_interval(id, choice.floor)
+        };
         let usable = |&id: &MemberId| may_be_fresh(id) && self.available_capacity(now, id) > 0.0;
         choice.replicas.iter().copied().filter(usable).max_by_key(|&id| self.members[id].position)
     }
@@ -137,8 +138,9 @@
         if self.awaits_report(now, stale) {
             return;
         }
-        let due =
-            |id: &MemberId| now - self.members[*id].last_health_check_at >= self.time_to_catch_up(*id, floor);
+        let due = |id: &MemberId| {
+            now - self.members[*id].last_health_check_at >= self.catch_up_check_interval(*id, floor)
+        };
         let due: Vec<MemberId> = stale.iter().copied().filter(due).collect();
         let checked = drawn.filter(|id| due.contains(id)).or_else(|| due.choose(&mut self.rng).copied());
         if let Some(id) = checked {
@@ -161,9 +163,9 @@
     pub(super) fn is_long_read(&self, class: usize) -> bool {
         let usual = |class: usize| self.durations[class].quantile(0.5).unwrap_or(0);
         let bound = |o: &RequestClass| if let Need::Recent(bound) = o.need { Some(bound) } else { None };
-        let bound = self.terms.classes.iter().filter_map(bound).min();
+        let bound = self.config.classes.iter().filter_map(bound).min();
         let least = (0..self.durations.len()).map(usual).min().unwrap_or(0);
-        let row = if self.is_one_of_many() { 1 } else { 3 };
+        let row = if self.in_large_fleet() { 1 } else { 3 };
         bound.is_some_and(|bound| usual(class) > (bound / row).max(3 * least))
     }
 
@@ -176,11 +178,11 @@
         let zone = self.members[id].zone;
         let usual = self.durations[class].quantile(0.5).unwrap_or(0);
         let mut way = self.round_trip_to(now, id);
-        if zone != self.terms.zone {
+        if zone != self.config.zone {
             let to_zone = self.zone_round_trips.get(&zone).copied().unwrap_or_default();
             way = way.max(to_zone.of_late(now));
         }
-        way + usual > self.terms.classes[class].objective / 2
+        way + usual > self.config.classes[class].objective / 2
     }
 
     /// A member drawn by its room.
@@ -189,17 +191,17 @@
     /// zone's members carry if all zones send alike.
     fn draw(&mut self, candidates: &[Candidate]) -> Option<MemberId> {
         let (near, far): (Vec<Candidate>, Vec<Candidate>) =
-            candidates.iter().partition(|candidate| self.members[candidate.member].zone == self.terms.zone);
+            candidates.iter().partition(|candidate| self.members[candidate.member].zone == self.config.zone);
         if let Some(id) = self.draw_shifted(candidates, &far) {
             return Some(id);
         }
         let room = |of: &[Candidate]| of.iter().map(|candidate| candidate.room).sum::<f64>();
-        let stays = if self.is_one_of_many() {
-            room(&near) / room(candidates) * self.terms.zones as f64
+        let stays = if self.in_large_fleet() {
+            room(&near) / room(candidates) * self.config.zones as f64
         } else {
             1.0
         };
-        let priced = self.terms.crossing_price > 0.0 && !near.is_empty() && !far.is_empty();
+        let priced = self.config.cross_zone_cost > 0.0 && !near.is_empty() && !far.is_empty();
         let drawn_from = if priced && self.rng.random::<f64>() < stays { &near } else { candidates };
         choose(&mut self.rng, drawn_from)
     }
@@ -208,11 +210,11 @@
     fn draw_shifted(&mut self, candidates: &[Candidate], far: &[Candidate]) -> Option<MemberId> {
         let group = self.members[candidates.first()?.member].group;
         let shift = &self.groups[group].read_shift;
-        if shift.away <= 0.0 || self.rng.random::<f64>() >= shift.away {
+        if shift.remote_share <= 0.0 || self.rng.random::<f64>() >= shift.remote_share {
             return None;
         }
         let weighed = |candidate: &Candidate| {
-            let weight = shift.to_zones.get(&self.members[candidate.member].zone).copied().unwrap_or(0.0);
+            let weight = shift.zone_weights.get(&self.members[candidate.member].zone).copied().unwrap_or(0.0);
             Candidate { room: candidate.room * weight, ..*candidate }
         };
         let weighed: Vec<Candidate> = far.iter().map(weighed).collect();
@@ -222,9 +224,9 @@
     /// Whether a read may go to this member at all; one that may have run stays where its repeats are
     /// deduplicated.
     pub(super) fn may_read_from(&self, now: Micros, pending: &PendingRequest, id: MemberId) -> bool {
-        let scope = self.terms.classes[pending.request.class].effect;
-        let zoned = matches!(scope, Effect::Deduplicated { scope: Scope::Zone, .. });
+        let scope = self.config.classes[pending.request.class].effect;
+        let zoned = matches!(scope, Effect::Deduplicated { scope: DeduplicationScope::Zone, .. });
         let kept = pending.may_have_run.is_none_or(|first| !zoned || first.zone == self.members[id].zone);
-        kept && self.usable(now, id)
+        kept && self.is_usable(now, id)
     }
 }
--- a/crates/routing/src/policy/replica_subset.rs
+++ b/crates/routing/src/policy/replica_subset.rs
@@ -90,7 +90,7 @@
             |id: &MemberId| self.members[*id].blacklist.allows(now) && Some(*id) != pending.last_member;
         let behind = |id: MemberId| {
             let Member { position, last_heard_at, .. } = self.members[id];
-            position < floor && now - last_heard_at < self.time_to_catch_up(id, floor)
+            position < floor && now - last_heard_at < self.catch_up_check_interval(id, floor)
         };
         let takes = |id: &MemberId| {
             Some(*id) != group.primary
@@ -113,7 +113,7 @@
         let group = &self.groups[member.group];
         let mut kept = group.preferred.iter().take(self.subset_size(group)).chain(&group.primary);
         if member.in_flight.is_empty() && !kept.any(|&kept| kept == id) {
-            self.actions.shut.push(id);
+            self.actions.close_idle.push(id);
         }
     }
 }
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -1,7 +1,7 @@
 //! What follows from an attempt's end: what it says of the member, and whether the request is tried again.
 
 use super::blacklist::failure_threshold;
-use super::concurrency_limit::EndedLoad;
+use super::concurrency_limit::LoadSample;
 use super::health_checks::HEALTH_CHECK_NEEDED;
 use super::{HISTOGRAM_MEMORY, WRITE_HOLD};
 use crate::state::{FirstRun, RequestHandle, Router};
@@ -37,12 +37,14 @@
                 return self.not_sent(now, handle, id, ended.sent, ended.request_closed);
             }
             Verdict::NotSent => {}
-            verdict => self.connection_worked(now, id, ended.tried_connection, verdict.heard()),
+            verdict => {
+                self.connection_worked(now, id, ended.tried_connection, verdict.proves_process_alive())
+            }
         }
         self.release_attempt(handle, &ended);
         self.learn_of_rested_connection(&ended);
         let refused = self.learn_of_reachability(now, &ended, slow_start_credit);
-        let load = EndedLoad { member: id, class: ended.class, reaped: ended.reaped, outcome };
+        let load = LoadSample { member: id, class: ended.class, connection_dropped: ended.reaped, outcome };
         self.adapt_concurrency_limit(now, &load);
         self.record_verdict(now, handle, &ended);
         self.end_session_write(now, handle, &outcome);
@@ -74,10 +76,10 @@
             waiting_since: pending.waiting_since,
             rested: pending.rest_class,
             tried_connection: pending.tries_connection,
-            mute: self.leaves_unanswered(now, attempt.member),
+            mute: self.leaves_attempts_unanswered(now, attempt.member),
             reaped: timed_out
                 && pending.rest_class.is_some_and(|rest| self.rested_connections.are_dropped_after(rest)),
-            request_closed: outcome.closed || pending.is_closed,
+            request_closed: outcome.request_closed || pending.is_closed,
         };
         self.pending_requests.get_mut(&handle)?.in_flight = None;
         Some(ended)
@@ -96,17 +98,17 @@
     fn learn_of_rested_connection(&mut self, ended: &EndedAttempt) {
         let verdict = ended.outcome.verdict;
         let Some(rest) = ended.rested else { return };
-        if verdict.heard() || verdict == Verdict::TimedOut {
-            self.rested_connections.record(rest, verdict.heard());
+        if verdict.proves_process_alive() || verdict == Verdict::TimedOut {
+            self.rested_connections.record(rest, verdict.proves_process_alive());
         }
     }
 
     /// Says whether the member refused a connection at once, as seen by a router among many.
     fn learn_of_reachability(&mut self, now: Micros, ended: &EndedAttempt, slow_start_credit: f64) -> bool {
-        let many_routers = self.is_one_of_many();
+        let many_routers = self.in_large_fleet();
         let verdict = ended.outcome.verdict;
         let member = &mut self.members[ended.member];
-        if verdict.heard() {
+        if verdict.proves_process_alive() {
             member.last_answered_at = now;
             member.newest_answered_sent = member.newest_answered_sent.max(ended.waiting_since);
             member.record_heard(now, slow_start_credit);
@@ -115,7 +117,7 @@
         if !matches!(verdict, Verdict::Unconnected | Verdict::Unreachable | Verdict::Reset) {
             return false;
         }
-        let refused = verdict == Verdict::Unconnected && ended.outcome.took < HEALTH_CHECK_NEEDED;
+        let refused = verdict == Verdict::Unconnected && ended.outcome.duration < HEALTH_CHECK_NEEDED;
         member.unreachable_until = now + 2 * WRITE_HOLD;
         if verdict == Verdict::Reset || refused {
             member.down_since.get_or_insert(now);
@@ -126,18 +128,18 @@
     /// Enters what the verdict says for or against the member.
     fn record_verdict(&mut self, now: Micros, handle: RequestHandle, ended: &EndedAttempt) {
         let id = ended.member;
-        let took = ended.outcome.took;
+        let took = ended.outcome.duration;
         match ended.outcome.verdict {
             Verdict::Served => self.attempt_served(now, handle, ended),
             // Nobody's fault as yet: whoever serves the request proves that the member failed it.
             Verdict::Error => {
                 self.pending_requests.get_mut(&handle).expect("not yet closed").errored_members.push(id);
-                self.give_back_quick_error(now, id, ended.class, took);
+                self.refund_quick_error(now, id, ended.class, took);
             }
             Verdict::Overloaded => self.shrink_concurrency_limit(now, id),
             Verdict::NotPrimary | Verdict::NotSent | Verdict::Unobserved => {}
             Verdict::Malformed | Verdict::ConnectionLost => {
-                let threshold = failure_threshold(self.terms.drivers);
+                let threshold = failure_threshold(self.config.routers);
                 self.members[id].blacklist.record_malformed(now, threshold);
             }
             // An attempt that outlasted its limit at a member that answers others met a crowd, not a fault.
@@ -148,13 +150,13 @@
 
     /// A failure that is the member's own.
     fn record_failure(&mut self, now: Micros, id: MemberId) {
-        let threshold = failure_threshold(self.terms.drivers);
+        let threshold = failure_threshold(self.config.routers);
         self.members[id].blacklist.record_failure(now, threshold);
     }
 
     fn attempt_served(&mut self, now: Micros, handle: RequestHandle, ended: &EndedAttempt) {
-        self.durations[ended.class].add(ended.outcome.took, HISTOGRAM_MEMORY * 4);
-        self.all_durations.add(ended.outcome.took, HISTOGRAM_MEMORY * 4);
+        self.durations[ended.class].add(ended.outcome.duration, HISTOGRAM_MEMORY * 4);
+        self.all_durations.add(ended.outcome.duration, HISTOGRAM_MEMORY * 4);
         let member = &mut self.members[ended.member];
         member.served_load += 0.1;
         member.blacklist.record_served();
@@ -166,7 +168,7 @@
 
     /// A write that met a replica: after a round of misses the group's writes wait for a while.
     fn count_miss(&mut self, now: Micros, handle: RequestHandle, ended: &EndedAttempt) {
-        let round = self.groups[ended.group].members.len().min(self.terms.max_attempts as usize / 2);
+        let round = self.groups[ended.group].members.len().min(self.config.max_attempts as usize / 2);
         let hold = self.search_hold();
         let pending = self.pending_requests.get_mut(&handle).expect("not yet closed");
         pending.not_primary_answers += 1;
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -5,7 +5,7 @@
 use super::concurrency_limit::GUARANTEED_FLEET_LIMIT;
 use super::{TICK, WRITE_HOLD};
 use crate::state::{Member, Router};
-use crate::{MemberId, Micros, Standing};
+use crate::{MemberId, MemberStatus, Micros};
 
 /// How often all members are looked at where a router keeps to some of them.
 const SWEEP_INTERVAL: Micros = 10 * TICK;
@@ -38,26 +38,27 @@
     pub(super) fn slow_start_allowance(&self, now: Micros, id: MemberId) -> f64 {
         let member = &self.members[id];
         let age = member.started_at.map_or(Micros::MAX, |since| now - since);
-        if age >= self.terms.warm_within {
+        if age >= self.config.slow_start_duration {
             return f64::INFINITY;
         }
         // The capacity at the middle of the window that ends now: it grows about evenly.
-        let age = (age - self.terms.overload_window / 2).max(0) as f64 / self.terms.warm_within as f64;
-        let capacity = self.terms.cold_from + (1.0 - self.terms.cold_from) * age;
-        let load = self.warm_load.max(GUARANTEED_FLEET_LIMIT / self.terms.routers_sharing_warm_up as f64);
-        self.terms.overload_factor * capacity * load * member.size
+        let age =
+            (age - self.config.overload_window / 2).max(0) as f64 / self.config.slow_start_duration as f64;
+        let capacity = self.config.slow_start_capacity + (1.0 - self.config.slow_start_capacity) * age;
+        let load = self.warm_load.max(GUARANTEED_FLEET_LIMIT / self.config.routers_sharing_warm_up as f64);
+        self.config.overload_factor * capacity * load * member.size
     }
 
     /// Saving up for a member that warms up begins at a random credit, so that not all routers come at once.
     pub(super) fn initial_saved_attempts(&mut self) -> f64 {
-        self.rng.random::<f64>() + GUARANTEED_FLEET_LIMIT / self.terms.routers_sharing_warm_up as f64
+        self.rng.random::<f64>() + GUARANTEED_FLEET_LIMIT / self.config.routers_sharing_warm_up as f64
     }
 
     /// Lets fade what is remembered of each member, and measures what warm members carry. Where there are
     /// many members this is done less often.
     pub(super) fn sweep_members(&mut self, now: Micros) {
         // Only what was served counts as a warm member's load: misses and rejected attempts are no work.
-        let window = self.terms.overload_window;
+        let window = self.config.overload_window;
         let mut load = 0.0;
         let mut warm = 0.0;
         let passed = if self.uses_subset() { SWEEP_INTERVAL } else { TICK };
@@ -65,8 +66,8 @@
         let fading = passed as f64 / window as f64;
         for member in &mut self.members {
             member.sent_recently.retain(|&at| at > now - window);
-            let warming_up = member.is_warming_up(now, self.terms.warm_within);
-            if member.standing == Standing::Ready && !warming_up {
+            let warming_up = member.is_warming_up(now, self.config.slow_start_duration);
+            if member.status == MemberStatus::Ready && !warming_up {
                 load += member.served_load;
                 warm += member.size;
             }
--- a/crates/routing/src/policy/write_routing.rs
+++ b/crates/routing/src/policy/write_routing.rs
@@ -9,7 +9,7 @@
     pub(super) fn write_target(&self, now: Micros, pending: &PendingRequest) -> Option<MemberId> {
         let group = &self.groups[pending.group];
         let target = match group.primary {
-            Some(primary) => Some(primary).filter(|&id| self.usable(now, id)),
+            Some(primary) => Some(primary).filter(|&id| self.is_usable(now, id)),
             None if pending.not_primary_answers == 0 && now < group.search_after => None,
             None => self.next_candidate(now, pending),
         };
@@ -34,6 +34,6 @@
     /// Guards members, those that warm up most, against searches of many routers at once; costs a router
     /// among many time to find a new primary when health checks do not tell it.
     pub(super) fn search_hold(&self) -> Micros {
-        WRITE_HOLD.max(WRITE_HOLD * self.terms.drivers as Micros * 2 / 50)
+        WRITE_HOLD.max(WRITE_HOLD * self.config.routers as Micros * 2 / 50)
     }
 }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -9,7 +9,7 @@
     Backoff, Blacklist, HealthCheckBudget, ListSubscription, RestedConnections, RetryDetector, Sessions,
     StallPacing,
 };
-use crate::{Actions, Learnt, MemberId, Micros, ReadShift, Request, RouterConfig, Standing};
+use crate::{Actions, LearnedState, MemberId, MemberStatus, Micros, ReadShift, Request, RouterConfig};
 
 /// A request that a router has taken, until it knows it no more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -41,7 +41,7 @@
 pub(crate) struct PendingRequest {
     pub(crate) request: Request,
     pub(crate) group: usize,
-    pub(crate) arrived: Micros,
+    pub(crate) arrived_at: Micros,
     pub(crate) objective_at: Micros,
     /// Its client has tried before, or is taken to have.
     pub(crate) is_retry: bool,
@@ -74,7 +74,7 @@
     pub(crate) name: String,
     pub(crate) group: usize,
     pub(crate) zone: usize,
-    pub(crate) standing: Standing,
+    pub(crate) status: MemberStatus,
     /// When it started; none is long ago.
     pub(crate) started_at: Option<Micros>,
     pub(crate) size: f64,
@@ -156,7 +156,7 @@
 /// never go back, and returns what to do.
 #[derive(Clone)]
 pub struct Router {
-    pub(crate) terms: RouterConfig,
+    pub(crate) config: RouterConfig,
     pub(crate) rng: Pcg64Mcg,
     /// Sets this router's choices apart from those of others.
     pub(crate) salt: u64,
@@ -194,24 +194,26 @@
 
 impl Router {
     /// A copy that goes on under other terms, to see how it would decide.
-    pub fn under(&self, terms: &RouterConfig) -> Router {
-        Router { terms: terms.clone(), ..self.clone() }
+    pub fn with_config(&self, config: &RouterConfig) -> Router {
+        Router { config: config.clone(), ..self.clone() }
     }
 
     /// Whether the request has an attempt in flight or no final answer yet.
-    pub fn knows(&self, handle: RequestHandle) -> bool {
+    pub fn is_pending(&self, handle: RequestHandle) -> bool {
         self.pending_requests.contains_key(&handle)
     }
 
     /// What may be kept over a restart.
-    pub fn learnt(&self) -> Learnt {
+    pub fn learned_state(&self) -> LearnedState {
         let primary = |group: &Group| group.primary.map(|id| (id, group.primary_reported_at));
-        let took = |of: &Histogram| (of.quantile(0.5).unwrap_or(0), of.quantile(0.9).unwrap_or(0));
-        let window = |id: MemberId| (id, self.members[id].concurrency_limit.log2().floor() as i32);
-        Learnt {
+        let quantiles = |histogram: &Histogram| {
+            (histogram.quantile(0.5).unwrap_or(0), histogram.quantile(0.9).unwrap_or(0))
+        };
+        let log2_limit = |id: MemberId| (id, self.members[id].concurrency_limit.log2().floor() as i32);
+        LearnedState {
             primaries: self.groups.iter().filter_map(primary).collect(),
-            took: self.durations.iter().map(took).collect(),
-            windows: (0..self.members.len()).map(window).collect(),
+            durations: self.durations.iter().map(quantiles).collect(),
+            concurrency_limits: (0..self.members.len()).map(log2_limit).collect(),
         }
     }
 
@@ -225,7 +227,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    pub(crate) fn group(&mut self, name: u64) -> usize {
+    pub(crate) fn group_index(&mut self, name: u64) -> usize {
         *self.group_ids.entry(name).or_insert_with(|| {
             self.groups.push(Group {
                 primary_reported_at: Micros::MIN / 2,
--- a/crates/routing/tests/router/among_many.rs
+++ b/crates/routing/tests/router/among_many.rs
@@ -1,12 +1,12 @@
 //! A driver among many, which meets each member seldom.
 
 use crate::world::{LOOSE, MS, READ, WRITE, World, heard, line, many, target, terms};
-use aldermill_routing::{ListedMember, RequestHandle, Standing, Verdict};
+use aldermill_routing::{ListedMember, MemberStatus, RequestHandle, Verdict};
 
 #[test]
 fn health_checks_are_paid_for_by_requests() {
     let mut world = heard(many());
-    world.relist(0, Standing::Gone, None);
+    world.relist(0, MemberStatus::Unlisted, None);
     world.primary = 9;
     world.positions.resize(10, 0);
     world.health_checks.clear();
@@ -36,7 +36,7 @@
 #[test]
 fn what_the_list_tells_all_drivers_sets_off_no_walk_at_once() {
     let mut world = heard(many());
-    world.relist(0, Standing::Gone, None);
+    world.relist(0, MemberStatus::Unlisted, None);
     world.take(WRITE, 2_000 * MS);
     assert!(world.out().is_empty());
 }
@@ -46,7 +46,7 @@
     let mut world = heard(many());
     for id in 0..4 {
         let since = world.now;
-        world.relist(id, Standing::Ready, Some(since));
+        world.relist(id, MemberStatus::Ready, Some(since));
     }
     for _ in 0..100 {
         world.pass(30 * MS);
@@ -98,7 +98,7 @@
     let mut world = heard(many());
     world.grow(6);
     for id in [4, 5] {
-        world.relist_as(ListedMember { zone: 1, ..line(id, Standing::Ready, None) });
+        world.relist_as(ListedMember { zone: 1, ..line(id, MemberStatus::Ready, None) });
     }
     let met = |world: &mut World| {
         let met = (0..40).filter(|_| {
@@ -139,7 +139,7 @@
     let mut world = heard(many());
     // How many attempts are out at once of what many requests want, with so many drivers alive.
     let mut at_once = |living: usize| {
-        world.router.fleet(living, 150);
+        world.router.set_fleet_size(living, 150);
         world.pass(1_500 * MS);
         world.hear_all();
         let requests: Vec<RequestHandle> = (0..60).map(|_| world.take(LOOSE, 1_500 * MS)).collect();
@@ -158,8 +158,8 @@
     assert!(at_once(150) <= all + 1, "given back at once");
     let cold = |living: usize| {
         let mut world = heard(many());
-        world.router.fleet(living, 150);
-        world.relist(3, Standing::Ready, Some(world.now));
+        world.router.set_fleet_size(living, 150);
+        world.relist(3, MemberStatus::Ready, Some(world.now));
         for _ in 0..50 {
             let request = world.take(LOOSE, 1_500 * MS);
             if target(&world, request).is_some() {
@@ -239,7 +239,7 @@
 
 /// So many in ten requests end with a quick error wherever they go.
 fn hold_to_what_a_cold_member_bears(bad: usize) {
-    let terms = aldermill_routing::RouterConfig { drivers: 30, routers_sharing_warm_up: 30, ..terms() };
+    let terms = aldermill_routing::RouterConfig { routers: 30, routers_sharing_warm_up: 30, ..terms() };
     let mut worlds: Vec<World> = (0..30).map(|seed| World::seeded(terms.clone(), 4, seed)).collect();
     worlds.iter_mut().for_each(World::hear_all);
     let mut at_cold: Vec<i64> = Vec::new();
@@ -248,7 +248,7 @@
     for step in 0..1_300 {
         for (index, world) in worlds.iter_mut().enumerate() {
             if step == 500 {
-                world.relist(3, Standing::Ready, Some(world.now));
+                world.relist(3, MemberStatus::Ready, Some(world.now));
             }
             // Ten requests a second at each driver, each at its own moments.
             if (step + index) % 10 == 0 {
--- a/crates/routing/tests/router/cases.rs
+++ b/crates/routing/tests/router/cases.rs
@@ -1,7 +1,7 @@
 //! Plain cases of the design's path and of each failure found.
 
 use crate::world::{BOUND, LOOSE, MS, OWN, READ, REPORT, WRITE, World, heard, line, target, terms};
-use aldermill_routing::{Request, RequestHandle, RouterConfig, Standing, Verdict};
+use aldermill_routing::{MemberStatus, Request, RequestHandle, RouterConfig, Verdict};
 
 #[test]
 fn a_write_goes_to_the_primary_and_a_read_to_a_fresh_replica() {
@@ -64,9 +64,9 @@
     }
     assert_eq!(met[1], 5);
     for id in [2, 3] {
-        world.relist(id, Standing::Gone, None);
+        world.relist(id, MemberStatus::Unlisted, None);
     }
-    world.relist(0, Standing::Draining, None);
+    world.relist(0, MemberStatus::Draining, None);
     let read = world.take(LOOSE, 1_000 * MS);
     assert_eq!(target(&world, read), Some(1));
 }
@@ -74,7 +74,7 @@
 #[test]
 fn a_time_out_in_a_crowd_is_no_failure() {
     let mut world = heard(terms());
-    [2, 3].into_iter().for_each(|id| world.relist(id, Standing::Gone, None));
+    [2, 3].into_iter().for_each(|id| world.relist(id, MemberStatus::Unlisted, None));
     for _ in 0..8 {
         let (slow, quick) = (world.take(LOOSE, 1_000 * MS), world.take(LOOSE, 1_000 * MS));
         assert_eq!((target(&world, slow), target(&world, quick)), (Some(1), Some(1)));
@@ -163,7 +163,7 @@
 fn a_cold_member_is_sent_its_part_only() {
     let mut world = heard(terms());
     let since = world.now;
-    world.relist(3, Standing::Ready, Some(since));
+    world.relist(3, MemberStatus::Ready, Some(since));
     for _ in 0..300 {
         world.pass(10 * MS);
         let read = world.take(LOOSE, 1_000 * MS);
@@ -178,7 +178,7 @@
 #[test]
 fn attempts_turned_away_do_not_widen_the_part_of_a_cold_member() {
     let mut world = heard(terms());
-    world.relist(3, Standing::Gone, None);
+    world.relist(3, MemberStatus::Unlisted, None);
     for _ in 0..1_000 {
         world.pass(2 * MS);
         let read = world.take(LOOSE, 1_000 * MS);
@@ -188,7 +188,7 @@
     }
     world.pass(1_100 * MS);
     let since = world.now;
-    world.relist(3, Standing::Ready, Some(since));
+    world.relist(3, MemberStatus::Ready, Some(since));
     world.move_primary(3);
     world.hear_all();
     for _ in 0..20 {
@@ -201,7 +201,7 @@
 #[test]
 fn what_can_no_longer_be_in_time_is_given_its_answer_at_once() {
     let mut world = heard(terms());
-    (0..4).for_each(|id| world.relist(id, Standing::Gone, None));
+    (0..4).for_each(|id| world.relist(id, MemberStatus::Unlisted, None));
     let read = world.take(READ, 2_000 * MS);
     let write = world.take(WRITE, 2_000 * MS);
     world.pass(600 * MS);
@@ -247,19 +247,19 @@
     let mut world = heard(terms());
     let late = world.take(LOOSE, 60_000 * MS);
     let id = target(&world, late).unwrap();
-    world.relist(id, Standing::Gone, None);
+    world.relist(id, MemberStatus::Unlisted, None);
     world.pass(11_000 * MS);
-    assert!(!world.router.forget(world.now, id), "its attempt is out");
+    assert!(!world.router.forget_member(world.now, id), "its attempt is out");
     world.end(late, Verdict::Served);
-    assert!(!world.router.forget(world.now, id), "it was heard just now");
+    assert!(!world.router.forget_member(world.now, id), "it was heard just now");
     world.pass(11_000 * MS);
     world.hear_all();
-    assert!(!world.router.forget(world.now, 0), "the primary is in service");
-    world.relist(id, Standing::Gone, None);
+    assert!(!world.router.forget_member(world.now, 0), "the primary is in service");
+    world.relist(id, MemberStatus::Unlisted, None);
     world.pass(11_000 * MS);
-    assert!(world.router.forget(world.now, id));
+    assert!(world.router.forget_member(world.now, id));
     // Another one under the same index starts from nothing.
-    world.relist(id, Standing::Ready, None);
+    world.relist(id, MemberStatus::Ready, None);
     world.hear_all();
     let met = (0..30).filter(|_| {
         let read = world.take(LOOSE, 1_000 * MS);
@@ -273,8 +273,8 @@
 #[test]
 fn a_primary_missing_from_a_whole_list_is_looked_for_elsewhere() {
     let mut world = heard(terms());
-    let others = (1..4).map(|id| line(id, Standing::Ready, None)).collect();
-    drop(world.router.list(world.now, true, others));
+    let others = (1..4).map(|id| line(id, MemberStatus::Ready, None)).collect();
+    drop(world.router.update_endpoint_list(world.now, true, others));
     world.primary = 2;
     world.pass(600 * MS);
     let write = world.take(WRITE, 4_000 * MS);
@@ -289,7 +289,7 @@
 #[test]
 fn a_member_is_mute_by_the_pace_of_what_is_out_there() {
     let mut world = heard(terms());
-    (1..3).for_each(|id| world.relist(id, Standing::Gone, None));
+    (1..3).for_each(|id| world.relist(id, MemberStatus::Unlisted, None));
     let report = world.take(REPORT, 12_000 * MS);
     assert_eq!(target(&world, report), Some(3));
     world.pass(2_000 * MS);
@@ -307,7 +307,7 @@
         let report = world.take(REPORT, 12_000 * MS);
         assert_eq!(target(&world, report), Some(expected));
         if world.attempted.len() == 3 {
-            world.relist(3, Standing::Draining, None);
+            world.relist(3, MemberStatus::Draining, None);
         }
     }
 }
@@ -356,7 +356,7 @@
 
 #[test]
 fn what_was_never_attempted_among_many_is_rejected_before_half_of_its_time_is_over() {
-    let mut world = World::new(RouterConfig { drivers: 40, routers_sharing_warm_up: 40, ..terms() }, 4);
+    let mut world = World::new(RouterConfig { routers: 40, routers_sharing_warm_up: 40, ..terms() }, 4);
     world.primary = 9;
     world.positions.resize(10, 0);
     (0..4).for_each(|id| world.health_check_answer(id, true));
@@ -375,7 +375,7 @@
 
 #[test]
 fn a_read_that_waited_for_a_replicas_word_is_held_to_the_standard_of_an_arrival() {
-    let mut terms = RouterConfig { drivers: 40, routers_sharing_warm_up: 40, ..terms() };
+    let mut terms = RouterConfig { routers: 40, routers_sharing_warm_up: 40, ..terms() };
     // Attempts are taken to last 30 ms: half come in time after a wait of 6 ms, 85 of a hundred do not.
     terms.classes[READ].objective = 60 * MS;
     let mut world = World::new(terms, 2);
--- a/crates/routing/tests/router/fresh.rs
+++ b/crates/routing/tests/router/fresh.rs
@@ -1,7 +1,7 @@
 //! What makes a read's member fresh enough, where no position proves it.
 
 use crate::world::{BOUND, MS, OWN, READ, RECEIPTED, WRITE, World, heard, line, many, target, terms};
-use aldermill_routing::{ListedMember, ListedRoles, MemberReport, Role, RouterConfig, Standing, Verdict};
+use aldermill_routing::{ListedMember, ListedRoles, MemberReport, MemberStatus, Role, RouterConfig, Verdict};
 
 #[test]
 fn sessions_forgotten_leave_a_bound_on_what_they_may_have_written() {
@@ -31,12 +31,12 @@
 
 #[test]
 fn where_members_check_and_no_primary_is_left_a_read_goes_to_the_least_behind_replica() {
-    let mut world = heard(RouterConfig { members_check: true, ..terms() });
+    let mut world = heard(RouterConfig { members_check_freshness: true, ..terms() });
     world.positions[2] = world.now + 200 * MS;
     world.pass(200 * MS);
     world.health_check_answer(2, true);
     world.pass(BOUND + 20 * MS);
-    world.relist(0, Standing::Draining, None);
+    world.relist(0, MemberStatus::Draining, None);
     world.health_checks.clear();
     let read = world.take(READ, 1_000 * MS);
     while let Some(asked) = world.health_checks.pop() {
@@ -139,10 +139,10 @@
 
 #[test]
 fn a_primary_that_started_again_counts_as_none_until_it_says_so() {
-    let mut world = heard(RouterConfig { listed_roles: ListedRoles::Late, ..terms() });
+    let mut world = heard(RouterConfig { listed_roles: ListedRoles::Delayed, ..terms() });
     let since = Some(world.now - 20_000 * MS);
-    world.relist(0, Standing::Gone, None);
-    world.relist_as(ListedMember { primary: true, ..line(0, Standing::Ready, since) });
+    world.relist(0, MemberStatus::Unlisted, None);
+    world.relist_as(ListedMember { is_primary: true, ..line(0, MemberStatus::Ready, since) });
     assert_eq!(resort(&mut world), None, "the list's word alone proves nothing");
     world.health_check_answer(0, true);
     assert_eq!(resort(&mut world), Some(0));
--- a/crates/routing/tests/router/givens.rs
+++ b/crates/routing/tests/router/givens.rs
@@ -23,21 +23,21 @@
         priority_weight,
         late_priority_weight,
     };
-    let receipted = Effect::Deduplicated { scope: Scope::Group, window: 2_000 * MS };
+    let receipted = Effect::Deduplicated { scope: DeduplicationScope::Group, window: 2_000 * MS };
     RouterConfig {
         classes: vec![
             class(Effect::Idempotent, Need::Recent(BOUND), 1.0, 0.0),
-            class(Effect::Idempotent, Need::Loose, 2.0, 0.2),
+            class(Effect::Idempotent, Need::Any, 2.0, 0.2),
             class(Effect::NonIdempotent, Need::Write, 6.0, 0.5),
             class(receipted, Need::Write, 3.0, 0.5),
             class(Effect::Idempotent, Need::OwnWrites, 1.0, 0.0),
             RequestClass {
                 objective: 6_000 * MS,
                 timeout: 12_000 * MS,
-                ..class(Effect::Idempotent, Need::Loose, 4.0, 0.0)
+                ..class(Effect::Idempotent, Need::Any, 4.0, 0.0)
             },
         ],
-        drivers: 2,
+        routers: 2,
         routers_sharing_warm_up: 2,
         client_retries_marked: true,
         zone: 0,
@@ -45,29 +45,29 @@
         max_attempts: 8,
         health_checks_allowed: true,
         max_retry_after: 1_000 * MS,
-        listed_roles: ListedRoles::Never,
-        members_check: false,
-        remember_sessions: true,
-        list_on_request: true,
-        only_draining_binds: false,
-        cold_from: 0.2,
-        warm_within: 10_000 * MS,
+        listed_roles: ListedRoles::Absent,
+        members_check_freshness: false,
+        track_sessions: true,
+        list_requires_subscription: true,
+        unlisted_members_usable: false,
+        slow_start_capacity: 0.2,
+        slow_start_duration: 10_000 * MS,
         overload_factor: 2.5,
         overload_window: 1_000 * MS,
-        crossing_price: 0.0,
+        cross_zone_cost: 0.0,
     }
 }
 
-pub fn line(member: MemberId, standing: Standing, since: Option<Micros>) -> ListedMember {
+pub fn line(member: MemberId, standing: MemberStatus, since: Option<Micros>) -> ListedMember {
     ListedMember {
         member,
         name: format!("m{member}"),
         group: 7,
         zone: 0,
-        standing,
-        since,
+        status: standing,
+        started_at: since,
         size: 1.0,
-        primary: false,
+        is_primary: false,
     }
 }
 
@@ -82,5 +82,5 @@
 }
 
 pub fn many() -> RouterConfig {
-    RouterConfig { drivers: 150, routers_sharing_warm_up: 150, list_on_request: false, ..terms() }
+    RouterConfig { routers: 150, routers_sharing_warm_up: 150, list_requires_subscription: false, ..terms() }
 }
--- a/crates/routing/tests/router/in_time.rs
+++ b/crates/routing/tests/router/in_time.rs
@@ -1,7 +1,7 @@
 //! What is late, may have run, or fell into a standstill.
 
 use crate::world::{BOUND, LOOSE, MS, READ, RECEIPTED, WRITE, World, heard, many, target, terms};
-use aldermill_routing::{MemberReport, Role, Standing, Verdict};
+use aldermill_routing::{MemberReport, MemberStatus, Role, Verdict};
 
 #[test]
 fn what_may_have_run_is_failed_or_repeated_within_its_receipt() {
@@ -45,7 +45,7 @@
 #[test]
 fn what_was_never_attempted_and_pays_little_when_late_is_rejected_by_half_of_its_time() {
     let mut world = heard(terms());
-    (0..4).for_each(|id| world.relist(id, Standing::Gone, None));
+    (0..4).for_each(|id| world.relist(id, MemberStatus::Unlisted, None));
     let (read, write) = (world.take(LOOSE, 1_600 * MS), world.take(WRITE, 1_600 * MS));
     world.pass(700 * MS);
     assert!(world.rejected.is_empty());
--- a/crates/routing/tests/router/rules.rs
+++ b/crates/routing/tests/router/rules.rs
@@ -1,7 +1,7 @@
 //! Seeded random runs; `World` checks the five rules at every step.
 
 use crate::world::{MS, World, terms};
-use aldermill_routing::{ListedRoles, Standing, Verdict};
+use aldermill_routing::{ListedRoles, MemberStatus, Verdict};
 use proptest::collection::vec;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -37,7 +37,7 @@
         // The driver stands still, for a moment or for longer than any request lasts.
         12 if b % 4 == 0 => world.stand((1 + (a as i64 * b as i64) % 4_000) * MS),
         // Others are taken for dead, rightly or not, and are back.
-        12 if b % 4 == 1 => world.router.fleet(1 + a % world.terms.drivers, world.terms.drivers),
+        12 if b % 4 == 1 => world.router.set_fleet_size(1 + a % world.terms.routers, world.terms.routers),
         12 => world.pass((1 + b as i64 % 400) * MS),
         13 => world.pass((1 + b as i64 % 15) * MS),
         14 => world.positions[id] = world.positions[id].max(world.now - (b as i64 % 2) * 100 * MS),
@@ -49,7 +49,7 @@
         },
         16 => world.move_primary(id),
         17 => {
-            let standing = [Standing::Ready, Standing::Draining, Standing::Gone][b % 3];
+            let standing = [MemberStatus::Ready, MemberStatus::Draining, MemberStatus::Unlisted][b % 3];
             let started = world.now - (b as i64 % 3_000) * MS;
             let since = if b % 2 == 0 { Some(started) } else { world.since[id] };
             world.relist(id, standing, since);
@@ -59,7 +59,7 @@
         18 => {
             let (now, grown) = (world.now, members + usize::from(members < 12));
             world.grow(grown);
-            (a % grown..grown).for_each(|id| world.relist(id, Standing::Ready, Some(now)));
+            (a % grown..grown).for_each(|id| world.relist(id, MemberStatus::Ready, Some(now)));
         }
         _ => {
             if let Some(&(handle, _)) = world.out().first() {
@@ -79,9 +79,9 @@
     runner
         .run(&(script, roles, drivers), |(script, roles, drivers)| {
             let mut terms = terms();
-            terms.drivers = [2, 30, 150][drivers];
-            terms.routers_sharing_warm_up = terms.drivers;
-            terms.listed_roles = [ListedRoles::Never, ListedRoles::Late, ListedRoles::AtStart][roles];
+            terms.routers = [2, 30, 150][drivers];
+            terms.routers_sharing_warm_up = terms.routers;
+            terms.listed_roles = [ListedRoles::Absent, ListedRoles::Delayed, ListedRoles::Initial][roles];
             let mut world = World::new(terms, if drivers == 2 { 9 } else { 4 });
             for (kind, a, b) in script {
                 step(&mut world, kind, a, b);
--- a/crates/routing/tests/router/wide_fleets.rs
+++ b/crates/routing/tests/router/wide_fleets.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use aldermill_routing::{ListedMember, MemberId, Request, RouterConfig, Standing, Verdict};
+use aldermill_routing::{ListedMember, MemberId, MemberStatus, Request, RouterConfig, Verdict};
 
 use crate::world::{LOOSE, MS, READ, World, line, many, target, terms};
 
@@ -22,7 +22,7 @@
 
 /// After this the router knows how few requests it gets.
 fn settled(members: usize, drivers: usize, seed: u64) -> World {
-    let terms = RouterConfig { drivers, routers_sharing_warm_up: drivers, ..many() };
+    let terms = RouterConfig { routers: drivers, routers_sharing_warm_up: drivers, ..many() };
     let mut world = World::seeded(terms, members, seed);
     used(&mut world, 60);
     world
@@ -61,7 +61,7 @@
     let mut world = settled(320, 1, 4);
     let before = used(&mut world, 200);
     let gone: Vec<MemberId> = before.iter().copied().take(5).collect();
-    gone.iter().for_each(|&id| world.relist(id, Standing::Draining, None));
+    gone.iter().for_each(|&id| world.relist(id, MemberStatus::Draining, None));
     let after = used(&mut world, 200);
     assert!(gone.iter().all(|id| !after.contains(id)));
     let kept = before.intersection(&after).count();
@@ -80,7 +80,7 @@
 
 #[test]
 fn members_of_a_wide_fleet_that_are_not_used_are_not_checked() {
-    let mut world = World::seeded(RouterConfig { drivers: 1, ..terms() }, 320, 4);
+    let mut world = World::seeded(RouterConfig { routers: 1, ..terms() }, 320, 4);
     let mut checks = Vec::new();
     for _ in 0..100 {
         world.pass(100 * MS);
@@ -115,7 +115,7 @@
 
 #[test]
 fn a_router_that_has_just_started_keeps_to_few_members_too() {
-    let mut world = World::seeded(RouterConfig { drivers: 1, routers_sharing_warm_up: 1, ..many() }, 320, 4);
+    let mut world = World::seeded(RouterConfig { routers: 1, routers_sharing_warm_up: 1, ..many() }, 320, 4);
     let used = used(&mut world, 300);
     assert!(used.len() <= 40, "{} members", used.len());
 }
@@ -126,12 +126,12 @@
 /// The reads that each member of wide groups got from one of thirty routers, which gets 45 reads a second: the first
 /// 300 tell it how many requests it gets, the next 300 count.
 fn reads_by_member(seed: u64) -> Vec<usize> {
-    let terms = RouterConfig { drivers: 30, routers_sharing_warm_up: 30, ..many() };
+    let terms = RouterConfig { routers: 30, routers_sharing_warm_up: 30, ..many() };
     let mut world = World::seeded(terms, WIDE_GROUP, seed);
     world.grow(WIDE_GROUP * WIDE_GROUPS);
     for id in WIDE_GROUP..WIDE_GROUP * WIDE_GROUPS {
         let group = 100 + (id / WIDE_GROUP) as u64;
-        world.relist_as(ListedMember { group, ..line(id, Standing::Ready, None) });
+        world.relist_as(ListedMember { group, ..line(id, MemberStatus::Ready, None) });
     }
     let mut reads = vec![0; WIDE_GROUP * WIDE_GROUPS];
     for turn in 0..600 {
--- a/crates/routing/tests/router/wide_groups.rs
+++ b/crates/routing/tests/router/wide_groups.rs
@@ -1,6 +1,8 @@
 //! Groups of so many members that a walk by misses does not reach the primary in the time of a write.
 
-use aldermill_routing::{ListedMember, MemberId, Request, RequestHandle, RouterConfig, Standing, Verdict};
+use aldermill_routing::{
+    ListedMember, MemberId, MemberStatus, Request, RequestHandle, RouterConfig, Verdict,
+};
 
 use crate::world::{LOOSE, MS, WRITE, World, line, many, target, terms};
 
@@ -24,9 +26,12 @@
 }
 
 fn wide(drivers: usize, members: usize, seed: u64) -> World {
-    let few = RouterConfig { list_on_request: false, max_attempts: 8, ..terms() };
-    let mut world =
-        World::seeded(RouterConfig { drivers, routers_sharing_warm_up: drivers, ..few }, members, seed);
+    let few = RouterConfig { list_requires_subscription: false, max_attempts: 8, ..terms() };
+    let mut world = World::seeded(
+        RouterConfig { routers: drivers, routers_sharing_warm_up: drivers, ..few },
+        members,
+        seed,
+    );
     world.primary = members * 2 / 3;
     world
 }
@@ -53,7 +58,7 @@
         world.pass(10_000 * MS);
         let old = world.primary;
         world.move_primary((old + 17) % 80);
-        world.relist(old, Standing::Gone, None);
+        world.relist(old, MemberStatus::Unlisted, None);
         let write = world.take(WRITE, 2_400 * MS);
         let (took, _) = until_served(&mut world, write).expect("served in its time");
         assert!(took <= 1_000 * MS, "{took} us, seed {seed}");
@@ -79,7 +84,7 @@
 #[test]
 fn the_search_of_many_routers_is_paced_by_what_a_member_bears() {
     let mut world =
-        World::seeded(RouterConfig { drivers: 900, routers_sharing_warm_up: 900, ..many() }, 800, 3);
+        World::seeded(RouterConfig { routers: 900, routers_sharing_warm_up: 900, ..many() }, 800, 3);
     world.primary = 1_000;
     world.positions.resize(1_001, 0);
     let write = world.take(WRITE, 20_000 * MS);
@@ -97,7 +102,7 @@
     world.positions.resize(2_001, 0);
     for id in 80..1_920 {
         let group = 100 + (id / 80) as u64;
-        world.relist_as(ListedMember { group, ..line(id, Standing::Ready, None) });
+        world.relist_as(ListedMember { group, ..line(id, MemberStatus::Ready, None) });
     }
     for group in 101..124 {
         world.take_request(Request { class: WRITE, group, ttl: 20_000 * MS, ..Request::default() });
@@ -181,6 +186,6 @@
     world.primary = 80;
     world.grow(81);
     let write = world.take(WRITE, 4_000 * MS);
-    world.relist_as(line(80, Standing::Ready, None));
+    world.relist_as(line(80, MemberStatus::Ready, None));
     assert!(until_served(&mut world, write).is_some());
 }
--- a/crates/routing/tests/router/world.rs
+++ b/crates/routing/tests/router/world.rs
@@ -31,7 +31,7 @@
     /// True positions; the primary's is the present.
     pub positions: Vec<Micros>,
     excused: Vec<bool>,
-    standing: Vec<(Standing, Micros)>,
+    standing: Vec<(MemberStatus, Micros)>,
     pub since: Vec<Option<Micros>>,
     sent: Vec<VecDeque<Micros>>,
     served: Vec<VecDeque<Micros>>,
@@ -63,7 +63,7 @@
             primary: 0,
             positions: vec![now; members],
             excused: vec![false; members],
-            standing: vec![(Standing::Ready, now); members],
+            standing: vec![(MemberStatus::Ready, now); members],
             since: vec![None; members],
             sent: vec![VecDeque::new(); members],
             served: vec![VecDeque::new(); members],
@@ -81,8 +81,8 @@
             session_floor: Micros::MIN,
         };
         world.excused[0] = true;
-        let lines = (0..members).map(|id| line(id, Standing::Ready, None)).collect();
-        let actions = world.router.list(now, true, lines);
+        let lines = (0..members).map(|id| line(id, MemberStatus::Ready, None)).collect();
+        let actions = world.router.update_endpoint_list(now, true, lines);
         world.carry_out(actions);
         world
     }
@@ -141,12 +141,19 @@
 
     fn take_whole(&mut self, class: usize, ttl: Micros, repeat: bool, session: &str) -> RequestHandle {
         let session = Some(session.to_owned());
-        self.take_request(Request { class, group: 7, ttl, session, repeat, ..Request::default() })
+        self.take_request(Request {
+            class,
+            group: 7,
+            ttl,
+            session,
+            marked_retry: repeat,
+            ..Request::default()
+        })
     }
 
     pub fn take_request(&mut self, request: Request) -> RequestHandle {
         let (class, ttl) = (request.class, request.ttl);
-        let (handle, actions) = self.router.take(self.now, request);
+        let (handle, actions) = self.router.accept_request(self.now, request);
         let flight = Flight {
             class,
             end: self.now + ttl,
@@ -251,7 +258,7 @@
             let done = &mut self.served[id];
             done.push_back(self.now);
             done.retain(|&at| at > self.now - self.terms.overload_window);
-            if self.since[id].is_none_or(|since| self.now - since >= self.terms.warm_within) {
+            if self.since[id].is_none_or(|since| self.now - since >= self.terms.slow_start_duration) {
                 self.most_warm = self.most_warm.max(done.len());
             }
         }
@@ -260,7 +267,11 @@
         }
         let most = if verdict == Verdict::Error { MS } else { 50 * MS };
         let took = (deadline - self.now).clamp(MS, most);
-        let actions = handle.ended(&mut self.router, self.now, Outcome { verdict, took, report, closed });
+        let actions = handle.attempt_ended(
+            &mut self.router,
+            self.now,
+            Outcome { verdict, duration: took, report, request_closed: closed },
+        );
         self.carry_out(actions);
     }
 
@@ -268,22 +279,22 @@
         let flight = self.flights.get_mut(&handle).expect("taken");
         if flight.out.is_some() || !flight.over {
             flight.over = true;
-            let actions = handle.left(&mut self.router, self.now);
+            let actions = handle.client_left(&mut self.router, self.now);
             self.carry_out(actions);
         }
     }
 
-    pub fn relist(&mut self, id: MemberId, standing: Standing, since: Option<Micros>) {
+    pub fn relist(&mut self, id: MemberId, standing: MemberStatus, since: Option<Micros>) {
         self.relist_as(line(id, standing, since));
     }
 
     pub fn relist_as(&mut self, line: ListedMember) {
-        let ListedMember { member: id, standing, since, .. } = line;
+        let ListedMember { member: id, status: standing, started_at: since, .. } = line;
         if self.standing[id].0 != standing {
             self.standing[id] = (standing, self.now);
         }
         self.since[id] = since;
-        let actions = self.router.list(self.now, false, vec![line]);
+        let actions = self.router.update_endpoint_list(self.now, false, vec![line]);
         self.carry_out(actions);
     }
 
@@ -292,7 +303,7 @@
         let old = self.now - 5_000 * MS;
         self.positions.resize(members, old);
         self.excused.resize(members, false);
-        self.standing.resize(members, (Standing::Gone, old));
+        self.standing.resize(members, (MemberStatus::Unlisted, old));
         self.since.resize(members, None);
         self.sent.resize(members, VecDeque::new());
         self.served.resize(members, VecDeque::new());
@@ -314,10 +325,10 @@
         self.wake_at = actions.wake_at.expect("a router always wants waking").max(self.now + 1);
         self.asked += usize::from(actions.subscribe);
         self.health_checks.extend(actions.health_checks);
-        self.shut.extend(actions.shut);
+        self.shut.extend(actions.close_idle);
         for (handle, step) in actions.requests {
             match step {
-                Action::Attempt { member, timeout, afresh, validity } => {
+                Action::Attempt { member, timeout, on_new_connection: afresh, validity } => {
                     self.afresh.extend(afresh.then_some(member));
                     self.check_attempt(handle, member, timeout, validity);
                 }
@@ -349,25 +360,26 @@
             Effect::NonIdempotent => assert!(flight.may_have_run.is_none(), "rule 2: attempted again"),
             Effect::Deduplicated { window, .. } => {
                 let forgotten = flight.may_have_run.map_or(Micros::MAX, |at| at + window - HELD_UP);
-                assert!(now < forgotten && validity.until <= forgotten, "rule 2: repeats forgotten")
+                assert!(now < forgotten && validity.expires_at <= forgotten, "rule 2: repeats forgotten")
             }
             Effect::Idempotent => {}
         }
         let (standing, at) = self.standing[id];
-        assert!(standing == Standing::Ready || now == at, "rule 3: attempted at a drain");
+        assert!(standing == MemberStatus::Ready || now == at, "rule 3: attempted at a drain");
         let floor = match class.need {
             Need::Recent(bound) => now - bound + HELD_UP,
             Need::OwnWrites => flight.floor,
             _ => Micros::MIN,
         };
         // Where members check, they turn away what they are too far behind for.
-        let proven = self.terms.members_check || self.positions[id] >= floor || self.excused[id];
+        let proven = self.terms.members_check_freshness || self.positions[id] >= floor || self.excused[id];
         assert!(proven, "rule 5: a read at data that is too old");
         // For as long as it says: an attempt may leave late.
         let lasts = match class.need {
-            _ if validity.while_primary => self.excused[id],
+            _ if validity.requires_primary => self.excused[id],
             Need::Recent(bound) => {
-                self.terms.members_check || validity.until <= self.positions[id] + bound - HELD_UP
+                self.terms.members_check_freshness
+                    || validity.expires_at <= self.positions[id] + bound - HELD_UP
             }
             _ => true,
         };
@@ -385,13 +397,14 @@
         sent.push_back(now);
         sent.retain(|&at| at > now - window);
         let sent = sent.len();
-        let age = self.since[id].map_or(1.0, |since| (now - since) as f64 / self.terms.warm_within as f64);
+        let age =
+            self.since[id].map_or(1.0, |since| (now - since) as f64 / self.terms.slow_start_duration as f64);
         if age >= 1.0 {
             return;
         }
-        let part = self.terms.cold_from + (1.0 - self.terms.cold_from) * age;
+        let part = self.terms.slow_start_capacity + (1.0 - self.terms.slow_start_capacity) * age;
         // What one of many has saved up may come at once: over all of them it evens out.
-        let saved = if self.terms.drivers > 15 { 1.0 } else { 0.0 };
+        let saved = if self.terms.routers > 15 { 1.0 } else { 0.0 };
         let budget = (self.terms.overload_factor * part * self.most_warm as f64).max(1.0) + saved;
         assert!(sent as f64 <= budget, "rule 4: {sent} attempts at a cold member that bears {budget}");
     }
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -18,7 +18,7 @@
 fn terms(processes: usize) -> RouterConfig {
     let class = RequestClass {
         effect: Effect::Idempotent,
-        need: Need::Loose,
+        need: Need::Any,
         objective: 500 * MS,
         timeout: 1_000 * MS,
         priority_weight: 1.0,
@@ -26,7 +26,7 @@
     };
     RouterConfig {
         classes: vec![class],
-        drivers: processes,
+        routers: processes,
         routers_sharing_warm_up: processes,
         client_retries_marked: true,
         zone: 0,
@@ -34,16 +34,16 @@
         max_attempts: 4,
         health_checks_allowed: true,
         max_retry_after: 500 * MS,
-        listed_roles: ListedRoles::Never,
-        members_check: false,
-        remember_sessions: false,
-        list_on_request: false,
-        only_draining_binds: false,
-        cold_from: 0.2,
-        warm_within: 10_000 * MS,
+        listed_roles: ListedRoles::Absent,
+        members_check_freshness: false,
+        track_sessions: false,
+        list_requires_subscription: false,
+        unlisted_members_usable: false,
+        slow_start_capacity: 0.2,
+        slow_start_duration: 10_000 * MS,
         overload_factor: 2.5,
         overload_window: 1_500 * MS,
-        crossing_price: 0.0,
+        cross_zone_cost: 0.0,
     }
 }
 
@@ -53,10 +53,10 @@
         name: format!("m{member}"),
         group: 0,
         zone: 0,
-        standing: Standing::Ready,
-        since,
+        status: MemberStatus::Ready,
+        started_at: since,
         size: 1.0,
-        primary: false,
+        is_primary: false,
     }
 }
 
@@ -89,7 +89,7 @@
         let all: f64 = parts.iter().sum();
         let start = |(number, part): (usize, &f64)| {
             let mut router = Router::start(terms.clone(), seed * 1_000 + number as u64, now);
-            let _ = router.list(now, true, (0..MEMBERS).map(|id| line(id, None)).collect());
+            let _ = router.update_endpoint_list(now, true, (0..MEMBERS).map(|id| line(id, None)).collect());
             Process { router, part: part / all, out: VecDeque::new(), told_at: Micros::MAX, wake_at: now }
         };
         let processes = parts.iter().enumerate().map(start).collect();
@@ -114,25 +114,25 @@
         let process = &mut self.processes[number];
         if now >= process.told_at {
             process.told_at = Micros::MAX;
-            let actions = process.router.list(now, false, vec![line(COLD, self.started)]);
+            let actions = process.router.update_endpoint_list(now, false, vec![line(COLD, self.started)]);
             self.carry_out(number, actions);
         }
         while let Some(&(at, handle)) = self.processes[number].out.front().filter(|&&(at, _)| at <= now) {
             self.processes[number].out.pop_front();
             let outcome = Outcome {
                 verdict: Verdict::Served,
-                took: WORK + now - at,
+                duration: WORK + now - at,
                 report: MemberReport::default(),
-                closed: true,
+                request_closed: true,
             };
-            let actions = handle.ended(&mut self.processes[number].router, now, outcome);
+            let actions = handle.attempt_ended(&mut self.processes[number].router, now, outcome);
             self.carry_out(number, actions);
         }
         let due = each_step * self.processes[number].part;
         let count = due.floor() as usize + usize::from(self.rng.random::<f64>() < due.fract());
         for _ in 0..count {
             let request = Request { ttl: 1_000 * MS, ..Request::default() };
-            let (_, actions) = self.processes[number].router.take(now, request);
+            let (_, actions) = self.processes[number].router.accept_request(now, request);
             self.carry_out(number, actions);
         }
         if now >= self.processes[number].wake_at {
@@ -172,11 +172,11 @@
     fn check(&self) {
         let Some(started) = self.started else { return };
         let window = self.terms.overload_window;
-        let age = (self.now - started) as f64 / self.terms.warm_within as f64;
+        let age = (self.now - started) as f64 / self.terms.slow_start_duration as f64;
         if age >= 1.0 || self.processes.iter().any(|process| process.told_at != Micros::MAX) {
             return;
         }
-        let part = self.terms.cold_from + (1.0 - self.terms.cold_from) * age;
+        let part = self.terms.slow_start_capacity + (1.0 - self.terms.slow_start_capacity) * age;
         let allowed = self.terms.overload_factor * part * CAPACITY;
         let slack = if allowed < 30.0 { 3.0 * allowed.sqrt() + 3.0 } else { 2.0 * allowed.sqrt() + 2.0 };
         let sent = self.sent.iter().filter(|&&at| at > self.now - window).count() as f64;
--- a/crates/settings/src/router_config.rs
+++ b/crates/settings/src/router_config.rs
@@ -1,6 +1,6 @@
 //! The sections' words and numbers as the router's configuration.
 
-use aldermill_routing::{Effect, ListedRoles, Micros, Need, RequestClass, RouterConfig, Scope};
+use aldermill_routing::{DeduplicationScope, Effect, ListedRoles, Micros, Need, RequestClass, RouterConfig};
 
 use crate::SettingsError;
 use crate::sections::{
@@ -33,7 +33,7 @@
         classes: request_classes(document)?,
         // Evaluated in this order: the first field that cannot be used is the one that the error names.
         listed_roles: listed_roles(&document.replication.listed_roles)?,
-        drivers: document.routers,
+        routers: document.routers,
         routers_sharing_warm_up: document.routers,
         client_retries_marked: document.clients.mark_retries,
         zone: local_zone(document),
@@ -41,15 +41,15 @@
         max_attempts: limits.max_attempts,
         health_checks_allowed: limits.health_checks_allowed,
         max_retry_after: max_retry_after(limits)?,
-        members_check: document.replication.stale_read_handling != "off",
-        remember_sessions: document.replication.session_positions == "router",
-        list_on_request: document.discovery_mode == "subscribe",
-        only_draining_binds: rules.only_draining_binds,
-        cold_from: non_negative("rules.coldFrom", rules.slow_start_capacity)?,
-        warm_within: span("rules.warmWithinMs", rules.slow_start_ms)?,
+        members_check_freshness: document.replication.stale_read_handling != "off",
+        track_sessions: document.replication.session_positions == "router",
+        list_requires_subscription: document.discovery_mode == "subscribe",
+        unlisted_members_usable: rules.only_draining_binds,
+        slow_start_capacity: non_negative("rules.coldFrom", rules.slow_start_capacity)?,
+        slow_start_duration: span("rules.warmWithinMs", rules.slow_start_ms)?,
         overload_factor: non_negative("rules.overloadFactor", rules.overload_factor)?,
         overload_window: span("rules.fallMs", rules.overload_window_ms)?,
-        crossing_price: non_negative("deductions.crossZone", document.costs.cross_zone)?,
+        cross_zone_cost: non_negative("deductions.crossZone", document.costs.cross_zone)?,
     })
 }
 
@@ -78,9 +78,9 @@
 fn effect(section: &RequestClassSection) -> Result<Effect, SettingsError> {
     let window = span("windowMs", section.deduplication_window_ms)?;
     let scope = match section.deduplication_scope.as_str() {
-        "all" => Scope::All,
-        "zone" => Scope::Zone,
-        "cell" => Scope::Group,
+        "all" => DeduplicationScope::All,
+        "zone" => DeduplicationScope::Zone,
+        "cell" => DeduplicationScope::Group,
         other => return unknown("dedupScope", other),
     };
     match section.effect.as_str() {
@@ -93,7 +93,7 @@
 
 /// How new the data for the class with that index must be; a class beyond the list's end takes data of any age.
 fn need(index: usize, replication: &ReplicationSection) -> Result<Need, SettingsError> {
-    let Some(freshness) = replication.needs_by_class.get(index) else { return Ok(Need::Loose) };
+    let Some(freshness) = replication.needs_by_class.get(index) else { return Ok(Need::Any) };
     match freshness.as_str() {
         "update" => Ok(Need::Write),
         "latest" => Ok(Need::Latest),
@@ -102,16 +102,16 @@
             let max_age_ms = replication.max_age_ms.get(index).copied().unwrap_or(0.0);
             Ok(Need::Recent(micros_from_millis(max_age_ms)))
         }
-        "loose" => Ok(Need::Loose),
+        "loose" => Ok(Need::Any),
         other => unknown("needsByClass", other),
     }
 }
 
 fn listed_roles(accuracy: &str) -> Result<ListedRoles, SettingsError> {
     match accuracy {
-        "delayed" => Ok(ListedRoles::Late),
-        "initial" => Ok(ListedRoles::AtStart),
-        "off" => Ok(ListedRoles::Never),
+        "delayed" => Ok(ListedRoles::Delayed),
+        "initial" => Ok(ListedRoles::Initial),
+        "off" => Ok(ListedRoles::Absent),
         other => unknown("roleListed", other),
     }
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings that are absent, usable and unusable, each by its field.
 
-use aldermill_routing::{Effect, Scope};
+use aldermill_routing::{DeduplicationScope, Effect};
 use aldermill_settings::Settings;
 use aldermill_test_support::TERMS;
 use serde_json::{Value, json};
@@ -68,9 +68,12 @@
 fn absent_keys_have_their_default_and_unknown_keys_are_ignored() {
     let without_accounts = with_value("/tenants", None).unwrap();
     assert!(without_accounts.check_account("0").is_ok() && without_accounts.check_account("north").is_err());
-    assert!(!with_value("/rules/onlyDrainingBinds", None).unwrap().router_config.only_draining_binds);
+    assert!(!with_value("/rules/onlyDrainingBinds", None).unwrap().router_config.unlisted_members_usable);
     assert!(
-        with_value("/rules/onlyDrainingBinds", Some(json!(true))).unwrap().router_config.only_draining_binds
+        with_value("/rules/onlyDrainingBinds", Some(json!(true)))
+            .unwrap()
+            .router_config
+            .unlisted_members_usable
     );
     assert!(rejection("/rules/onlyDrainingBinds", json!("yes")).contains("expected a boolean"));
     assert!(with_value("/somethingNew", Some(json!({"a": [1]}))).is_ok());
@@ -88,7 +91,11 @@
 
 #[test]
 fn deduplication_reaches_as_far_as_its_scope() {
-    for (word, scope) in [("all", Scope::All), ("zone", Scope::Zone), ("cell", Scope::Group)] {
+    for (word, scope) in [
+        ("all", DeduplicationScope::All),
+        ("zone", DeduplicationScope::Zone),
+        ("cell", DeduplicationScope::Group),
+    ] {
         let category = json!({"name": "order", "effect": "token", "dedupScope": word, "windowMs": 1200,
             "targetMs": 750, "deadlineMs": 2000, "worth": 3, "lateWorth": 0.7});
         let decoded = with_value("/categories", Some(json!([category]))).unwrap();
