--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,10 +1,10 @@
-//! The routing decisions of aldermill and the types they are asked and answered in.
+//! Routing decisions of aldermill, and the types of their inputs and results.
 //!
-//! [`Router`] in `policy` makes every decision. This file holds the interface: the terms that a router is
-//! started with ([`RouterConfig`]), what it takes ([`Request`]), what it hears ([`ListedMember`], [`Outcome`],
-//! [`MemberReport`]) and what its caller is to do next ([`Actions`]).
+//! [`Router`] makes every decision; its rules are in `policy`. This file holds the interface: the
+//! configuration of a router ([`RouterConfig`]), its inputs ([`Request`], [`ListedMember`], [`Outcome`],
+//! [`MemberReport`]) and what its caller must do next ([`Actions`]).
 
-#![allow(clippy::enum_glob_use, reason = "what a verdict means reads by the names of the verdicts alone")]
+#![allow(clippy::enum_glob_use, reason = "the methods of `Verdict` list many of its variants")]
 #![warn(missing_docs)]
 
 use std::collections::BTreeMap;
@@ -14,232 +14,243 @@
 
 pub use state::{RequestHandle, Router};
 
-/// Whole microseconds, on the caller's clock.
+/// A time or a duration in whole microseconds. Times are on the caller's clock.
 pub type Micros = i64;
 
-/// A member, as a small index that the caller gives out.
+/// Index of a member. The caller assigns the indices and keeps them small.
 pub type MemberId = usize;
 
-/// How far members know each other's deduplicated requests.
+/// Set of members that share the memory of deduplicated requests: each drops a repeat of what one of them
+/// did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All members drop a repeat of what one of them did.
+    /// All members.
     All,
-    /// Those of the same zone do.
+    /// The members of the same zone.
     Zone,
-    /// Those of the same group do.
+    /// The members of the same group.
     Group,
 }
 
-/// What a repeat of a request does.
+/// Effect of repeating a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: the request is idempotent.
+    /// None: the request is idempotent.
     Idempotent,
-    /// Nothing while members remember the request's idempotency key.
+    /// None, as long as members remember the request's idempotency key.
     Deduplicated {
-        /// Which members remember it.
+        /// Members that remember the key.
         scope: DeduplicationScope,
-        /// For how long after the first attempt.
+        /// Time for which members remember the key after the first attempt, in microseconds.
         window: Micros,
     },
-    /// It takes effect again: the request is not idempotent.
+    /// The request takes effect again: it is not idempotent.
     NonIdempotent,
 }
 
-/// How new the data behind an answer must be.
+/// Required freshness of the data behind an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
-    /// A write: it goes to the primary.
+    /// A write, which goes to the primary.
     Write,
-    /// All that was committed before the request came.
+    /// Every commit made before the request arrived.
     Latest,
-    /// What the request's session has written.
+    /// Every write of the request's session.
     OwnWrites,
-    /// All commits but those of the last microseconds, this many.
+    /// Every commit older than this number of microseconds.
     Recent(Micros),
-    /// Any age will do.
+    /// Data of any age.
     Any,
 }
 
-/// What is alike in all requests of a class.
+/// Properties that all requests of a class share.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// What a repeat does.
+    /// Effect of a repeat.
     pub effect: Effect,
-    /// How new the data must be.
+    /// Required freshness of the data.
     pub need: Need,
-    /// The latency objective.
+    /// Latency objective, in microseconds.
     pub objective: Micros,
-    /// How long a client waits for all its attempts together.
+    /// Time that a client waits for all its attempts together, in microseconds.
     pub timeout: Micros,
-    /// What an answer within the objective is worth, compared with other classes.
+    /// Value of an answer within the latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// The part of the priority weight that an answer after the latency objective still earns.
+    /// Fraction of the priority weight that an answer after the latency objective still earns; zero if such
+    /// an answer is worthless.
     pub late_priority_weight: f64,
 }
 
-/// How far the roles in the endpoint list are to be believed.
+/// Trust in the roles of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedRoles {
-    /// They follow changes, late.
+    /// Listed roles follow changes with a delay.
     Delayed,
-    /// They are true when the caller starts.
+    /// Listed roles are correct when the caller starts.
     Initial,
-    /// The list says nothing of roles.
+    /// The list states no roles.
     Absent,
 }
 
-/// The terms of one router, from the settings. Other routers of its fleet are started with the same ones.
+/// Configuration of a router, taken from the settings. The other routers of its fleet are started with the
+/// same values.
 #[derive(Clone, Debug)]
 pub struct RouterConfig {
-    /// The request classes, by the index that requests name.
+    /// Request classes, indexed by [`Request::class`].
     pub classes: Vec<RequestClass>,
-    /// How many routers share the members.
+    /// Number of routers that share the members; [`Router::set_fleet_size`] changes it.
     pub routers: usize,
-    /// How many routers share members that are warming up.
+    /// Number of routers that share members that are warming up; [`Router::set_fleet_size`] changes it.
     pub routers_sharing_warm_up: usize,
-    /// Clients mark their retries.
+    /// Whether clients mark their retries.
     pub client_retries_marked: bool,
-    /// The zone that this router is in.
+    /// Index of the zone that the router is in.
     pub zone: usize,
-    /// How many zones there are.
+    /// Number of zones.
     pub zones: usize,
-    /// The most attempts that a request may use.
+    /// Maximum number of attempts for a request.
     pub max_attempts: u32,
-    /// Health checks may be sent.
+    /// Whether health checks may be sent.
     pub health_checks_allowed: bool,
-    /// The longest retry-after that clients may be given.
+    /// Longest retry-after that clients may be given, in microseconds; zero if they may be given none.
     pub max_retry_after: Micros,
-    /// How far the list's roles are to be believed.
+    /// Trust in the roles of the endpoint list.
     pub listed_roles: ListedRoles,
-    /// Members reject reads for which they are too far behind.
+    /// Whether members check reads themselves, and reject or hold those for which they lag too far behind.
     pub members_check_freshness: bool,
-    /// The router itself remembers what each session wrote.
+    /// Whether the router itself remembers what each session wrote.
     pub track_sessions: bool,
-    /// The list comes only when it is subscribed to.
+    /// Whether the endpoint list is sent only to subscribers.
     pub list_requires_subscription: bool,
-    /// A member that left the list may still be sent requests; only one that is listed as draining may not.
+    /// Whether a member that has left the list may still be sent requests. One that is listed as draining
+    /// never may.
     pub unlisted_members_usable: bool,
-    /// The part of its capacity that a member has when it starts, from 0 to 1.
+    /// Fraction of its capacity that a member has when it starts, from 0 to 1.
     pub slow_start_capacity: f64,
-    /// How long after its start a member is warm at the latest.
+    /// Time from its start after which a member is warm at the latest, in microseconds.
     pub slow_start_duration: Micros,
-    /// How far a member that is warming up may be sent more than its part of a warm member's load: a factor.
+    /// Factor by which the load of a member that is warming up may exceed its share of a warm member's load.
     pub overload_factor: f64,
-    /// The window over which that is measured.
+    /// Window over which the load of a member that is warming up is measured, in microseconds.
     pub overload_window: Micros,
-    /// What a request that crosses to another zone costs; zero where it costs nothing.
+    /// Cost of sending a request to another zone; zero if there is none.
     pub cross_zone_cost: f64,
 }
 
 /// A client's request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// The index of its class in [`RouterConfig::classes`].
+    /// Index of the request's class in [`RouterConfig::classes`].
     pub class: usize,
-    /// The name of the group that it is for.
+    /// Number that names the group of the request.
     pub group: u64,
-    /// How long the client still waits for this attempt; below zero where the process stalled for longer.
+    /// Time that the client still waits for this attempt, in microseconds; negative if the process stalled
+    /// for longer.
     pub ttl: Micros,
-    /// How long the client has waited for this attempt.
+    /// Time that the client has already waited for this attempt, in microseconds.
     pub waited: Micros,
-    /// The session that it belongs to.
+    /// Session that the request belongs to; `None` if it has none.
     pub session: Option<String>,
-    /// How long ago the session's last write was committed, where the client says so.
+    /// Time since the session's last write was committed, in microseconds; `None` if the client does not
+    /// state it.
     pub last_write_age: Option<Micros>,
-    /// The client says that it has tried before.
+    /// Whether the client marked the request as a retry.
     pub marked_retry: bool,
 }
 
-/// Whether a member takes requests, as the list says.
+/// Whether a member takes requests, according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum MemberStatus {
-    /// It takes requests.
+    /// The member takes requests.
     Ready,
-    /// It shuts down gracefully, and is to get nothing new.
+    /// The member is shutting down gracefully and must get nothing new.
     Draining,
-    /// It has left the list.
+    /// The member has left the list.
     #[default]
     Unlisted,
 }
 
-/// One line of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListedMember {
-    /// The index that the caller gave the member.
+    /// Index that the caller assigned to the member.
     pub member: MemberId,
-    /// Its name, the same for as long as it lives.
+    /// Name of the member, unchanged for its lifetime.
     pub name: String,
-    /// The name of its group.
+    /// Number that names the member's group.
     pub group: u64,
-    /// Its zone.
+    /// Index of the member's zone.
     pub zone: usize,
-    /// Whether it takes requests.
+    /// Whether the member takes requests.
     pub status: MemberStatus,
-    /// When the member last started; `None` is long ago.
+    /// Time of the member's last start; `None` if that was long ago.
     pub started_at: Option<Micros>,
-    /// Its size compared with other members', as far as the list says sizes.
+    /// Size of the member relative to others, as far as the list states sizes.
     pub size: f64,
-    /// The list says that it is its group's primary.
+    /// Whether the list names the member as its group's primary.
     pub is_primary: bool,
 }
 
-/// A member's part in its group.
+/// Role of a member in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It takes the group's writes.
+    /// Takes the group's writes.
     Primary,
-    /// It applies what the primary committed.
+    /// Applies what the primary has committed.
     Replica,
 }
 
-/// What a member says of itself: its role, and the time up to which it has applied all commits.
+/// Role and replication position that a member reports of itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MemberReport {
-    /// Its role, where it says so.
+    /// Reported role; `None` if none was reported.
     pub role: Option<Role>,
-    /// The time, by the members' clock, up to which it has applied all commits.
+    /// Time on the members' clock up to which the member has applied all commits; `None` if none was
+    /// reported.
     pub position: Option<Micros>,
-    /// How long ago it said so, at the most, where the process stalled meanwhile.
+    /// Maximum age of the report, in microseconds, as the process may have stalled since it arrived.
     pub age: Micros,
 }
 
-/// How an attempt or a health check ended.
+/// Result of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It was answered as asked.
+    /// The member answered as requested.
     Served,
-    /// It was answered with an error of the member's or of the request's own.
+    /// The member answered with an error, caused by itself or by the request.
     Error,
-    /// The member rejected it for load: it never ran.
+    /// The member rejected the attempt because of its load; the attempt never ran.
     Overloaded,
     /// No answer came in time.
     TimedOut,
-    /// No process took the connection: it never ran.
+    /// No process accepted the connection; the attempt never ran.
     Unconnected,
-    /// No path leads to it (ETIMEDOUT, EHOSTUNREACH): never sent whole, and its process may well live.
+    /// No network path leads to the member (ETIMEDOUT, EHOSTUNREACH). The attempt was never sent in full, and
+    /// the member's process may well be alive.
     Unreachable,
-    /// This machine could open no connection for it: never sent, and nothing was learnt of the member.
+    /// This machine could not open a connection. The attempt was never sent, and nothing was learned about
+    /// the member.
     LocalFailure,
-    /// The member's process closed the connection before it answered: it may have run.
+    /// The member's process closed the connection before it answered; the attempt may have run.
     Reset,
-    /// What came back is of no use, or its connection alone broke: it may have run, and the member stands.
+    /// The response is unusable, or only the connection broke. The attempt may have run, and the member is
+    /// alive.
     Malformed,
-    /// Its connection broke before it was written whole, though the member stands.
+    /// The connection broke before the attempt was written in full, though the member is alive.
     ConnectionLost,
-    /// It was abandoned, as its client left or was answered otherwise.
+    /// The attempt was abandoned, as its client left or was answered otherwise.
     Cancelled,
-    /// Its deadline passed while the process stalled: it may have run, and nothing was seen of the member.
+    /// The deadline passed while the process stalled. The attempt may have run, and nothing was observed of
+    /// the member.
     Unobserved,
-    /// Its [`Validity`] ended before it was sent.
+    /// The attempt's [`Validity`] ended before it was sent.
     NotSent,
-    /// The member answered that it is not the primary: it never ran.
+    /// The member answered that it is not the primary; the attempt never ran.
     NotPrimary,
 }
 
 impl Verdict {
-    /// The attempt is known never to have run.
+    /// Whether the attempt is known never to have run.
     pub fn never_ran(self) -> bool {
         use Verdict::*;
         matches!(
@@ -248,97 +259,101 @@
         )
     }
 
-    /// The member's process was heard.
+    /// Whether the verdict proves that the member's process is alive.
     pub fn proves_process_alive(self) -> bool {
         use Verdict::*;
         matches!(self, Served | Error | Overloaded | NotPrimary | Malformed | ConnectionLost)
     }
 }
 
-/// The end of an attempt.
+/// End of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
-    /// How it ended.
+    /// Result of the attempt.
     pub verdict: Verdict,
-    /// How long it took.
+    /// Duration of the attempt, in microseconds.
     pub duration: Micros,
-    /// What the member said of itself.
+    /// Report of the member on itself.
     pub report: MemberReport,
-    /// The request is over, by this outcome or before it.
+    /// Whether the request is over, by this outcome or before it.
     pub request_closed: bool,
 }
 
-/// What a router has learnt that may be kept over a restart, in coarse form.
+/// State that a router has learned and that may be kept across a restart, in coarse form.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
     /// Believed primaries, each with the time of the newest report of it.
     pub primaries: Vec<(MemberId, Micros)>,
-    /// By request class: what half of its attempts take at most, and nine tenths.
+    /// Median and 90th percentile of the duration of attempts, in microseconds, by request class; zero if
+    /// unknown.
     pub durations: Vec<(Micros, Micros)>,
-    /// Attempts that may be out at a member, in powers of two.
+    /// Concurrency limits of members, as exponents of two, rounded down.
     pub concurrency_limits: Vec<(MemberId, i32)>,
 }
 
-/// What a zone-wide directive asks of a group's reads in this zone.
+/// Redirection of a group's reads from this zone to others, as a zone-wide directive asks for it.
 #[derive(Clone, Debug, Default)]
 pub struct ReadShift {
-    /// The part of the reads that goes to other zones, from 0 to 1.
+    /// Fraction of the reads that goes to other zones, from 0 to 1.
     pub remote_share: f64,
-    /// How that part is shared out, by zone; a zone that is not named gets none.
+    /// Weights by which the reads sent away are divided among zones; a zone that is absent gets none.
     pub zone_weights: BTreeMap<usize, f64>,
 }
 
-/// What must still hold when an attempt's last byte leaves, however long it waited for a connection; where it
-/// does not, the attempt is not sent, and ends as `NotSent`. Sources: the rule on stale reads, by which a
-/// bound counts from the send, not from the decision; the rule on effects, by which a repeat stays within its
-/// window.
+/// Conditions under which an attempt may be sent.
+///
+/// They must hold when the last byte of the attempt leaves, however long it waited for a connection. Where
+/// they do not, the attempt is not sent and ends as [`Verdict::NotSent`]. They follow from two rules: the
+/// staleness bound of a read counts from the send, not from the decision, and a repeat of a deduplicated
+/// request must stay within its window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Validity {
-    /// On the router's clock; `Micros::MAX` where nothing runs out.
+    /// Time on the router's clock from which the attempt must not be sent; `Micros::MAX` if there is none.
     pub expires_at: Micros,
-    /// The member must not have said since that it is a replica.
+    /// Whether the attempt must not be sent once the member has reported after the decision that it is a
+    /// replica.
     pub requires_primary: bool,
 }
 
 impl Validity {
-    /// Nothing runs out.
+    /// Validity without conditions.
     pub const UNLIMITED: Validity = Validity { expires_at: Micros::MAX, requires_primary: false };
 }
 
-/// What is to be done for one request.
+/// Action to take for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send an attempt.
     Attempt {
-        /// Where it goes.
+        /// Member to send the attempt to.
         member: MemberId,
-        /// How long its answer may take.
+        /// Time that the answer may take, in microseconds.
         timeout: Micros,
-        /// On a new connection, the idle ones being closed.
+        /// Whether to open a new connection and close the idle ones.
         on_new_connection: bool,
-        /// What must hold when it is sent.
+        /// Conditions that must hold when the attempt is sent.
         validity: Validity,
     },
-    /// Answer the client that its request was rejected, and took no effect.
+    /// Tell the client that its request was rejected and had no effect.
     Reject {
-        /// The retry-after that the client is given.
+        /// Retry-after for the client, in microseconds.
         retry_after: Micros,
     },
-    /// Answer the client that its request failed, and may have taken effect.
+    /// Tell the client that its request failed and may have taken effect.
     Fail,
 }
 
-/// What the caller is to do now, in this order, and when to wake the router again.
+/// Actions that the caller must carry out now, in the order of the fields, and the time of the next wake-up.
 #[derive(Clone, Debug, Default)]
 pub struct Actions {
-    /// What is to be done for each request.
+    /// Requests, each with the action to take for it.
     pub requests: Vec<(RequestHandle, Action)>,
-    /// Members that a health check is to be sent to.
+    /// Members to send a health check to.
     pub health_checks: Vec<MemberId>,
-    /// Members whose idle connections are to be closed.
+    /// Members whose idle connections must be closed.
     pub close_idle: Vec<MemberId>,
-    /// The endpoint list is to be subscribed to.
+    /// Whether to subscribe to the endpoint list.
     pub subscribe: bool,
-    /// When the router is to be woken next, whatever else happens.
+    /// Time at which to call [`Router::wake`] next, whatever else happens.
     pub wake_at: Option<Micros>,
 }
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -1,9 +1,10 @@
-//! Every decision of the router.
+//! Rules by which the router decides.
 //!
-//! A caller starts one [`Router`] with its terms and a seed, hands it lists and answers of health checks, and
-//! wakes it at the time last asked for. `accept_request` gives a [`RequestHandle`] for a request; what happens to the request
-//! later is a call on that handle. Each call brings `now` and returns [`Actions`]. The interface types are in
-//! `lib.rs`. A request's way: `admission`, `dispatch`, `read_routing` or `write_routing`, `retry`.
+//! A caller starts a [`Router`] with its configuration and a seed, passes it endpoint lists and the results
+//! of health checks, and wakes it at the time it last asked for. [`Router::accept_request`] returns a
+//! [`RequestHandle`]; later events of the request are calls on that handle. Each call brings `now` and
+//! returns [`Actions`]. The types of the interface are in `lib.rs`. A request passes through `admission`,
+//! `dispatch`, `read_routing` or `write_routing`, and `retry`.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -50,25 +51,27 @@
 pub(crate) use sessions::Sessions;
 pub(crate) use stall_pacing::StallPacing;
 
-/// A millisecond, in microseconds.
+/// One millisecond, in microseconds.
 const MS: Micros = 1_000;
-/// How often the router does what no event brings about, in microseconds.
+/// Interval of the work that no event triggers, in microseconds.
 const TICK: Micros = 20 * MS;
-/// How long the process may be held up between a decision and the write that follows from it, in microseconds.
+/// Time for which the process may be held up between a decision and the write that follows from it, in
+/// microseconds.
 const SEND_DELAY_MARGIN: Micros = 150 * MS;
-/// How long a write waits after a round of members that are not the primary, in microseconds, as the design says.
+/// Time for which a write waits after a round of members that are not the primary, in microseconds; the
+/// design specifies it.
 const WRITE_HOLD: Micros = 500 * MS;
-/// Attempts that a histogram of durations remembers.
+/// Number of attempts that a histogram of durations remembers; users take a multiple or a fraction of it.
 const HISTOGRAM_MEMORY: u32 = 32;
 
 impl RequestHandle {
-    /// The request's attempt has ended.
+    /// Handles the end of the request's attempt.
     pub fn attempt_ended(self, router: &mut Router, now: Micros, outcome: Outcome) -> Actions {
         router.attempt_ended(now, self, outcome);
         router.take_actions()
     }
 
-    /// The client has left; nothing more is owed.
+    /// Handles the departure of the client, which needs no answer any more.
     pub fn client_left(self, router: &mut Router, now: Micros) -> Actions {
         router.close(self);
         router.route_all_queued(now);
@@ -77,7 +80,8 @@
 }
 
 impl Router {
-    /// A router with its terms and a seed for its chance, before its first list.
+    /// Creates a router with its configuration and a seed for its random choices, before its first endpoint
+    /// list.
     pub fn start(config: RouterConfig, seed: u64, now: Micros) -> Router {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let list_subscription = ListSubscription::start(now, config.routers, &mut rng);
@@ -91,7 +95,7 @@
             next_handle: 0,
             sessions: Sessions::default(),
             clock_offset: 0,
-            // Until attempts tell better, most are taken to last half of the latency objective.
+            // Until attempts are measured, most are assumed to take half of the latency objective.
             durations: config.classes.iter().map(|class| Histogram::of(class.objective / 2, 4)).collect(),
             zone_round_trips: BTreeMap::new(),
             all_durations: Histogram::of(
@@ -114,11 +118,11 @@
         }
     }
 
-    /// Takes in what an earlier start learnt: primaries are guesses, as the list's are, and windows are
-    /// narrowed.
+    /// Restores what an earlier start learned. Primaries count as guesses, like those in the endpoint list,
+    /// and concurrency limits are only lowered.
     ///
-    /// Guards members against the searches and bursts of routers that come back; costs a miss when a primary
-    /// moved.
+    /// This protects members from the searches and bursts of routers that restart. The cost: a write is sent
+    /// to a replica if the primary has moved.
     pub fn restore_learned_state(&mut self, learned: &LearnedState) {
         for &(id, reported_at) in &learned.primaries {
             let group = &mut self.groups[self.members[id].group];
@@ -140,7 +144,7 @@
         }
     }
 
-    /// Does what is due by now; the caller wakes the router at [`Actions::wake_at`].
+    /// Does the work that is due at `now`. The caller calls it at [`Actions::wake_at`].
     pub fn wake(&mut self, now: Micros) -> Actions {
         if now >= self.next_tick {
             self.next_tick = now + TICK;
@@ -149,12 +153,13 @@
         self.take_actions()
     }
 
-    /// Whether there are so many routers that this one is not due one attempt at a time at each member.
+    /// Whether there are so many routers that the share of this one at a member is below one attempt at a
+    /// time.
     fn in_large_fleet(&self) -> bool {
         self.config.routers as f64 > 1.5 * INITIAL_FLEET_LIMIT
     }
 
-    /// What is due each [`TICK`].
+    /// Does the work that is due every [`TICK`].
     fn tick(&mut self, now: Micros) {
         self.rested_connections.fade();
         self.stall_pacing.tick(now);
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -1,4 +1,4 @@
-//! What a router holds: plain state, and what is read of it. Nothing is decided here.
+//! State of a router, and access to it. Decisions are made in `policy`.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -11,7 +11,7 @@
 };
 use crate::{Actions, LearnedState, MemberId, MemberStatus, Micros, ReadShift, Request, RouterConfig};
 
-/// A request that a router has taken, until it knows it no more.
+/// Handle of a request that a router has accepted. It is valid until the router forgets the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestHandle(pub(crate) u64);
 
@@ -29,136 +29,143 @@
     pub(crate) zone: usize,
 }
 
-/// How long the way to a member or a zone and back takes, by health checks of late.
+/// Round-trip time to a member or a zone, measured by recent health checks.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct RoundTrip {
     pub(crate) estimate: Micros,
     pub(crate) measured_at: Micros,
 }
 
-/// A request that has no final answer yet, or an attempt in flight still.
+/// A request that has no final answer yet, or still has an attempt in flight.
 #[derive(Clone, Default)]
 pub(crate) struct PendingRequest {
     pub(crate) request: Request,
     pub(crate) group: usize,
     pub(crate) arrived_at: Micros,
     pub(crate) objective_at: Micros,
-    /// Its client has tried before, or is taken to have.
+    /// Whether the request is a retry by its client, or is taken for one.
     pub(crate) is_retry: bool,
     pub(crate) attempts: u32,
-    /// Of these, those that could not leave this machine.
+    /// Attempts, included in `attempts`, that could not leave this machine.
     pub(crate) local_failures: u32,
-    /// Its attempt is on a new connection where these failed.
+    /// Whether the attempt tries a new connection after new connections failed on this machine.
     pub(crate) tries_connection: bool,
     pub(crate) in_flight: Option<InFlight>,
-    /// When its attempt was sent, without the time in which the process stalled.
+    /// Time at which the attempt was sent, moved later by the length of every stall of the process since.
     pub(crate) waiting_since: Micros,
     pub(crate) may_have_run: Option<FirstRun>,
-    /// Members in this round that answered that they are not the primary.
+    /// Number of members that have answered in this round that they are not the primary.
     pub(crate) not_primary_answers: usize,
-    /// How long its attempt's connection had rested, as a power of two; none where it is new.
+    /// Idle time of the attempt's connection before the attempt, as a power of two; `None` if the connection
+    /// is new or that time is not known.
     pub(crate) rest_class: Option<usize>,
-    /// Members that answered it with an error.
+    /// Members that answered the request with an error, one entry for each answer.
     pub(crate) errored_members: Vec<MemberId>,
-    /// It has waited for a replica's report.
+    /// Whether the request has waited for a replica's report.
     pub(crate) awaited_report: bool,
-    /// Where its newest attempt that ended was.
+    /// Member of the newest attempt that has ended.
     pub(crate) last_member: Option<MemberId>,
-    /// It has its final answer.
+    /// Whether the request is over: it has its final answer, or its client needs none.
     pub(crate) is_closed: bool,
 }
 
-/// What is believed of a member.
+/// Knowledge and beliefs about a member.
 #[derive(Clone, Default)]
 pub(crate) struct Member {
     pub(crate) name: String,
     pub(crate) group: usize,
     pub(crate) zone: usize,
     pub(crate) status: MemberStatus,
-    /// When it started; none is long ago.
+    /// Time at which the member started; `None` if that was long ago.
     pub(crate) started_at: Option<Micros>,
     pub(crate) size: f64,
-    /// The newest that it reported, by the members' clock.
+    /// Newest position that the member reported, on the members' clock; `Micros::MIN` before the first
+    /// report.
     pub(crate) position: Micros,
-    /// It reported itself primary, and not since replica.
+    /// Whether the member reported itself primary, and has not reported itself replica since.
     pub(crate) confirmed_primary: bool,
-    /// The time of its newest report that it is a replica.
+    /// Time of the newest report that the member is a replica.
     pub(crate) replica_since: Micros,
-    /// When such a report was last heard.
+    /// Time at which a report that the member is a replica was last received.
     pub(crate) replica_report_received_at: Micros,
-    /// The newest time at which it was known not to be the primary.
+    /// Latest time at which the member was known not to be the primary; `Micros::MIN` if there is none.
     pub(crate) not_primary_at: Micros,
-    /// The newest position that it reported as primary, or zero.
+    /// Newest position that the member reported as primary, or zero.
     pub(crate) primary_position: Micros,
     pub(crate) last_heard_at: Micros,
-    /// When it last answered an attempt.
+    /// Time at which the member last answered an attempt.
     pub(crate) last_answered_at: Micros,
-    /// When the newest attempt that it answered was sent.
+    /// Time at which the newest attempt that the member answered was sent.
     pub(crate) newest_answered_sent: Micros,
-    /// It could not be reached; believed until then, or until it is heard.
+    /// Time until which the member counts as unreachable, unless it is heard from earlier.
     pub(crate) unreachable_until: Micros,
-    /// Since when its process seems dead; taken for warming up when it is heard again.
+    /// Time since which the member's process seems dead; `None` if it does not. If that is long ago, the
+    /// member is taken to be warming up once it is heard from again.
     pub(crate) down_since: Option<Micros>,
     pub(crate) blacklist: Blacklist,
-    /// Connections known to be idle, since new ones to it failed here.
+    /// Number of connections to the member known to be idle, counted since new ones to it failed on this
+    /// machine; else `None`.
     pub(crate) known_idle_connections: Option<u32>,
     pub(crate) health_check_in_flight: bool,
-    /// When the last health check was sent.
+    /// Time at which the last health check was sent.
     pub(crate) last_health_check_at: Micros,
-    /// By its own health checks.
+    /// Round-trip time measured by the member's own health checks.
     pub(crate) round_trip: RoundTrip,
-    /// Requests with an attempt in flight there.
+    /// Requests with an attempt in flight at the member.
     pub(crate) in_flight: Vec<RequestHandle>,
-    /// Attempts that may be in flight at once; below one, the part of the time that one may be.
+    /// Number of attempts that may be in flight at once. Below one, it is the fraction of the time in which
+    /// one may be.
     pub(crate) concurrency_limit: f64,
-    /// Attempts saved up at `saved_at`, where the window or a slow-start allowance is below one.
+    /// Attempts saved up at `saved_at`, where the concurrency limit or a slow-start allowance is below one.
     pub(crate) saved_attempts: f64,
     pub(crate) saved_at: Micros,
     pub(crate) durations: Histogram,
-    /// When attempts were sent to it, in the last window of the overload rule.
+    /// Times at which attempts were sent to the member, within the last window of the overload rule.
     pub(crate) sent_recently: VecDeque<Micros>,
-    /// Attempts served in one window of the overload rule, as of late.
+    /// Recent number of attempts served in one window of the overload rule.
     pub(crate) served_load: f64,
 }
 
-/// What is believed of a group.
+/// Knowledge and beliefs about a group.
 #[derive(Clone, Default)]
 pub(crate) struct Group {
-    /// By name.
+    /// Members of the group, in the order of their names.
     pub(crate) members: Vec<MemberId>,
-    /// The same, in the order in which this router prefers them.
+    /// Members of the group, in this router's order of preference.
     pub(crate) preferred: Vec<MemberId>,
-    /// The believed primary.
+    /// Believed primary of the group.
     pub(crate) primary: Option<MemberId>,
-    /// The time of the newest report of the primary.
+    /// Time of the newest report of the primary.
     pub(crate) primary_reported_at: Micros,
-    /// The primary by the list.
+    /// Primary according to the endpoint list.
     pub(crate) listed_primary: Option<MemberId>,
-    /// Until then no write looks for the primary by itself.
+    /// Time before which no write starts to look for the primary by itself.
     pub(crate) search_after: Micros,
     pub(crate) search: PrimarySearch,
-    /// Attempts due to the primary by its size and window, beyond those it had.
+    /// Attempts due to the primary by its size and concurrency limit, beyond those that it got.
     pub(crate) primary_deficit: f64,
     /// Requests that wait for a member.
     pub(crate) queued: Vec<RequestHandle>,
     pub(crate) read_shift: ReadShift,
 }
 
-/// The search for the primary of a group.
+/// Progress of the search for a group's primary.
 #[derive(Clone, Default)]
 pub(crate) struct PrimarySearch {
-    pub(crate) round_started_at: Micros, // what members said of their role before this round does not count
-    pub(crate) next_position: usize,     // the position of the member that is asked next
-    pub(crate) saved_health_checks: f64, // health checks due
+    pub(crate) round_started_at: Micros, // roles reported before this round are ignored
+    pub(crate) next_position: usize,     // index of the member that is asked next
+    pub(crate) saved_health_checks: f64, // health checks that are due
 }
 
-/// Decides where requests go. It does no I/O and has no clock: each call brings `now`, in microseconds that
-/// never go back, and returns what to do.
+/// Decides where requests go.
+///
+/// A router does no I/O and reads no clock: each call brings `now`, in microseconds that never go back, and
+/// returns what to do.
 #[derive(Clone)]
 pub struct Router {
     pub(crate) config: RouterConfig,
     pub(crate) rng: Pcg64Mcg,
-    /// Sets this router's choices apart from those of others.
+    /// Value that sets this router's preferences apart from those of other routers.
     pub(crate) salt: u64,
     pub(crate) members: Vec<Member>,
     pub(crate) groups: Vec<Group>,
@@ -166,26 +173,26 @@
     pub(crate) pending_requests: HashMap<RequestHandle, PendingRequest>,
     pub(crate) next_handle: u64,
     pub(crate) sessions: Sessions,
-    /// How far the members' clock, by which positions are reported, is ahead of this one.
+    /// Lead of the members' clock, on which positions are reported, over this router's, in microseconds.
     pub(crate) clock_offset: Micros,
-    /// How long attempts take, by request class.
+    /// Durations of attempts, by request class.
     pub(crate) durations: Vec<Histogram>,
     pub(crate) zone_round_trips: BTreeMap<usize, RoundTrip>,
-    /// How long attempts of all request classes together take.
+    /// Durations of the attempts of all request classes together.
     pub(crate) all_durations: Histogram,
-    /// By request class.
+    /// Detectors of client retries, by request class.
     pub(crate) retry_detectors: Vec<RetryDetector>,
     /// Attempts that a warm member of size one serves in one window of the overload rule.
     pub(crate) warm_load: f64,
     pub(crate) mean_size: f64,
     pub(crate) health_check_budget: HealthCheckBudget,
     pub(crate) rested_connections: RestedConnections,
-    /// A member lately had no connection to spare.
+    /// Time until which connections count as scarce, because a member had none to spare.
     pub(crate) connections_scarce_until: Micros,
-    /// Of new connections that fail here.
+    /// Backoff of new connections that fail on this machine.
     pub(crate) backoff: Backoff,
     pub(crate) next_tick: Micros,
-    /// When all members are looked at again.
+    /// Time at which all members are examined next.
     pub(crate) next_sweep: Micros,
     pub(crate) stall_pacing: StallPacing,
     pub(crate) list_subscription: ListSubscription,
@@ -193,7 +200,7 @@
 }
 
 impl Router {
-    /// A copy that goes on under other terms, to see how it would decide.
+    /// Copies the router with another configuration, to see how it would decide.
     pub fn with_config(&self, config: &RouterConfig) -> Router {
         Router { config: config.clone(), ..self.clone() }
     }
@@ -203,7 +210,7 @@
         self.pending_requests.contains_key(&handle)
     }
 
-    /// What may be kept over a restart.
+    /// Returns the state that may be kept across a restart.
     pub fn learned_state(&self) -> LearnedState {
         let primary = |group: &Group| group.primary.map(|id| (id, group.primary_reported_at));
         let quantiles = |histogram: &Histogram| {
@@ -217,7 +224,8 @@
         }
     }
 
-    /// Now by the members' clock: no position that is reported later than this is older.
+    /// Time on the members' clock at `now`. A reported position that is later covers every commit up to
+    /// `now`.
     pub(crate) fn members_now(&self, now: Micros) -> Micros {
         now + self.clock_offset
     }
