--- a/crates/routing/src/policy/admission.rs
+++ b/crates/routing/src/policy/admission.rs
@@ -1,19 +1,20 @@
-//! Admission: accepting a request, and shedding one that cannot be served in time.
+//! Admission: accepts requests, and sheds those that cannot be served in time.
 
 use super::TICK;
 use super::retry_detection::ClientAttempt;
 use crate::state::{PendingRequest, RequestHandle, Router};
 use crate::{Action, Actions, DeduplicationScope, Effect, Micros, Request, RequestClass};
 
-/// The instants that bound what is done for a request.
+/// Times that bound the handling of a request.
 pub(super) struct RequestDeadlines {
-    /// From then on an attempt would most likely end too late.
+    /// Time from which an attempt would most likely end too late.
     pub(super) give_up_at: Micros,
-    /// From then on an answer is worth nothing.
+    /// Time from which an answer is worth nothing.
     pub(super) useful_until: Micros,
 }
 
-/// Before half of the client's time is over, less what a beat and the way to the client take.
+/// Time at which the request is shed early: when half of the client's time has passed, less two ticks, which
+/// cover one tick of delay and the way to the client.
 fn shed_at(pending: &PendingRequest) -> Micros {
     let half = (pending.request.ttl - pending.request.waited) / 2;
     (pending.arrived_at + half - 2 * TICK).max(pending.arrived_at + 1)
@@ -44,7 +45,8 @@
         (handle, self.take_actions())
     }
 
-    /// What the request is to its client; where clients do not mark retries, by how long they wait.
+    /// Classifies the request as a first attempt or a retry of its client. Where clients do not mark retries,
+    /// the time that the client waits decides.
     fn client_attempt(&mut self, request: &Request) -> ClientAttempt {
         let inferred = self.retry_detectors[request.class].classify(request.ttl + request.waited);
         match request.marked_retry {
@@ -54,7 +56,8 @@
         }
     }
 
-    /// When the answer is due: of a retry's timeout, what is missing from its wait has gone by already.
+    /// Time at which the answer is due. A retry brings less time than the timeout of its class; the
+    /// difference has already passed and is subtracted.
     fn objective_at(&self, now: Micros, request: &Request, client_attempt: ClientAttempt) -> Micros {
         let RequestClass { timeout, objective, .. } = self.config.classes[request.class];
         let missing = (timeout - request.ttl - request.waited).max(0);
@@ -62,13 +65,14 @@
         now - request.waited + objective - elapsed
     }
 
-    /// When the request is to be given up, and until when an answer is worth anything.
+    /// Times from which the request is given up, and from which an answer is worth nothing.
     pub(super) fn deadlines(&self, now: Micros, pending: &PendingRequest) -> RequestDeadlines {
         let client_deadline = pending.arrived_at + pending.request.ttl;
         let late_weight = self.config.classes[pending.request.class].late_priority_weight;
         let useful_until =
             if late_weight > 0.0 { client_deadline } else { client_deadline.min(pending.objective_at) };
-        // A router among many cannot see the crowd: it attempts nothing that would be worth little by then.
+        // In a large fleet, a router cannot see the load that the others cause, so it makes no attempt whose
+        // answer would be late and then worth little.
         let worthwhile_until = if self.in_large_fleet() && late_weight < 0.5 {
             useful_until.min(pending.objective_at)
         } else {
@@ -81,36 +85,37 @@
         RequestDeadlines { give_up_at, useful_until }
     }
 
-    /// How long an attempt of the request takes: a typical time as it arrives, a cautious one once it has
-    /// waited.
+    /// Expected duration of an attempt of the request, in microseconds: a typical one when it has just
+    /// arrived, a cautious one once it has waited; zero if unknown.
     fn expected_duration(&self, now: Micros, pending: &PendingRequest) -> Micros {
-        // What waited for a replica's report alone has not waited for capacity.
+        // A request that has only waited for a replica's report has not waited for capacity.
         let just_arrived =
             now == pending.arrived_at || pending.awaited_report && now - pending.arrived_at <= 2 * TICK;
         let quantile = if just_arrived { 0.5 } else { 0.85 };
         self.durations[pending.request.class].quantile(quantile).unwrap_or(0)
     }
 
-    /// Whether the request is given up before half of its client's time is over.
+    /// Whether the request is given up before half of its client's time has passed.
     ///
-    /// Guards clients against a long wait for nothing, in groups without members too: what was never
-    /// attempted and is worth little when late is not held for longer. Costs a request that would have found
-    /// capacity later.
+    /// That holds for requests that were never attempted and are worth little when late, also in groups
+    /// without members, and protects clients from a long wait in vain. The cost: some of these requests would
+    /// have found capacity later.
     fn shed_early(&self, now: Micros, pending: &PendingRequest) -> bool {
         let late_weight = self.config.classes[pending.request.class].late_priority_weight;
         let waits_for_capacity = pending.attempts == 0 && !self.backs_off(now);
         waits_for_capacity && (late_weight < 0.5 || self.in_large_fleet())
     }
 
-    /// Rejects the request where that is true to say, else fails it.
+    /// Rejects the request if it had no effect or if a repeat has none. Fails it otherwise, and if the
+    /// request itself causes the errors that answer it.
     pub(super) fn give_up(&mut self, handle: RequestHandle) {
         let pending = &self.pending_requests[&handle];
         let rejectable = match self.config.classes[pending.request.class].effect {
             Effect::Idempotent | Effect::Deduplicated { scope: DeduplicationScope::All, .. } => true,
             _ => pending.may_have_run.is_none() && pending.in_flight.is_none(),
         };
-        // What is rejected for want of capacity has missed its latency objective: a client that comes back
-        // sooner only adds to the crowd.
+        // A request that is rejected for lack of capacity has missed its latency objective. A client that
+        // retries sooner only adds to the load.
         let retry_after =
             self.config.classes[pending.request.class].objective.min(self.config.max_retry_after);
         let rejected = rejectable && !self.request_causes_errors(pending);
@@ -119,8 +124,8 @@
         self.close(handle);
     }
 
-    /// How many attempts a request of the class may use: the class with the highest priority weight all of
-    /// them, others at least half.
+    /// Number of attempts that a request of the class may use: all of them for the class with the highest
+    /// priority weight, at least half of them for the others.
     pub(super) fn attempts_allowed(&self, class: &RequestClass) -> u32 {
         let highest_weight =
             self.config.classes.iter().map(|other| other.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
@@ -128,11 +133,11 @@
         (max_attempts * (class.priority_weight / highest_weight).max(0.5)).ceil().min(max_attempts) as u32
     }
 
-    /// Whether the request itself causes the errors that answer it: two members failed it alike, or one three
-    /// times.
+    /// Whether the request itself causes the errors that answer it: two members answered it with an error, or
+    /// one did three times.
     ///
-    /// Guards members against being blacklisted, and attempts against being used up, for statements that
-    /// every member rejects; costs a request its last attempts when it met two faulty members.
+    /// This protects members from being blacklisted, and attempts from being used up, for statements that
+    /// every member rejects. The cost: a request that met two faulty members loses its remaining attempts.
     pub(super) fn request_causes_errors(&self, pending: &PendingRequest) -> bool {
         pending.errored_members.len() > 2
             || pending.errored_members.iter().any(|id| *id != pending.errored_members[0])
--- a/crates/routing/src/policy/concurrency_limit.rs
+++ b/crates/routing/src/policy/concurrency_limit.rs
@@ -1,31 +1,32 @@
-//! How many attempts this router may have in flight at a member.
+//! Concurrency limits: how many attempts this router may have in flight at a member.
 
 use super::availability::SentAttempt;
 use super::{HISTOGRAM_MEMORY, MS};
 use crate::state::{Member, Router};
 use crate::{MemberId, MemberStatus, Micros, Outcome, Verdict};
 
-/// Attempts at a member that all routers together start with.
+/// Attempts that all routers together may have in flight at a member at first.
 pub(super) const INITIAL_FLEET_LIMIT: f64 = 10.0;
-/// Attempts at a member that all routers together may always have in flight.
+/// Attempts that all routers together may always have in flight at a member.
 pub(super) const GUARANTEED_FLEET_LIMIT: f64 = 4.0;
-/// Attempts at a member of usual size that all routers together may have in flight at most.
+/// Maximum number of attempts that all routers together may have in flight at a member of usual size.
 pub(super) const MAX_FLEET_LIMIT: f64 = 100.0;
 
-/// An attempt that has ended, as far as it tells of its member's load.
+/// An ended attempt, as a sample of its member's load.
 pub(super) struct LoadSample {
     pub(super) member: MemberId,
     pub(super) class: usize,
-    /// Its connection had most likely been dropped on the way while it rested.
+    /// Whether the connection had most likely been dropped on the network path while it was idle.
     pub(super) connection_dropped: bool,
     pub(super) outcome: Outcome,
 }
 
 impl Router {
-    /// Sets how many routers live: the capacity of dead ones is taken over, or given back, at once. Members
-    /// that warm up are shared by `routers_sharing_warm_up`, whoever may come back.
+    /// Sets the number of live routers. The capacity of dead ones is taken over, or given back, at once.
+    /// Members that are warming up are shared by `routers_sharing_warm_up` routers, a number that includes
+    /// dead ones that may come back.
     ///
-    /// Costs members a crowd when routers that live are taken for dead.
+    /// The cost: members are overloaded if live routers are taken for dead.
     pub fn set_fleet_size(&mut self, live_routers: usize, routers_sharing_warm_up: usize) {
         let ratio = self.config.routers as f64 / live_routers as f64;
         self.config.routers = live_routers;
@@ -36,15 +37,16 @@
             .for_each(|member| member.concurrency_limit = (member.concurrency_limit * ratio).max(min_limit));
     }
 
-    /// How many more attempts this router may have in flight at the member: its window and, while the member
-    /// warms up, its slow-start allowance. Where less than one attempt is due, attempts are saved up for.
+    /// Number of further attempts that this router may have in flight at the member, by its concurrency limit
+    /// and, while the member warms up, its slow-start allowance. Where less than one attempt is due, attempts
+    /// are saved up.
     pub(super) fn available_capacity(&self, now: Micros, id: MemberId) -> f64 {
         if !self.may_connect(now, id) {
             return 0.0;
         }
         let member = &self.members[id];
-        // Attempts that stay in flight for long while later ones are answered are taken for lost: they hold
-        // no place.
+        // Attempts that stay in flight for long while later ones are answered are taken for lost and use no
+        // capacity.
         let overdue = |attempt: &SentAttempt| {
             attempt.sent_at < member.newest_answered_sent
                 && now - attempt.sent_at > self.longest_expected_duration(attempt.class)
@@ -56,7 +58,8 @@
         let recently_sent =
             member.sent_recently.iter().filter(|&&at| at > now - self.config.overload_window).count() as f64;
         if self.in_large_fleet() {
-            // None of a slow-start allowance is lost to whole numbers: many routers' attempts add up to it.
+            // The slow-start allowance is not rounded down here, as the attempts of many routers add up to
+            // it.
             let is_available =
                 in_flight < 1.0 && self.saved_attempts(now, id) >= 1.0 && recently_sent <= allowance;
             return if is_available { member.concurrency_limit } else { 0.0 };
@@ -69,7 +72,8 @@
         capacity.min(allowance.max(1.0).floor() - recently_sent)
     }
 
-    /// Attempts saved up: at most two at a warm member and one at a member that is warming up.
+    /// Attempts saved up for the member: at most two if it is warm, and half of its slow-start allowance, but
+    /// from one to two, while it warms up.
     pub(super) fn saved_attempts(&self, now: Micros, id: MemberId) -> f64 {
         let member = &self.members[id];
         let allowance = self.slow_start_allowance(now, id);
@@ -80,7 +84,8 @@
         (member.saved_attempts + (now - member.saved_at) as f64 * rate).min(max_saved)
     }
 
-    /// An attempt uses up what was saved for its member, and counts against its group's primary or search.
+    /// Charges an attempt to what was saved for its member, and to the primary deficit or the search of its
+    /// group.
     pub(super) fn charge_attempt(&mut self, now: Micros, id: MemberId, is_write: bool) {
         let saved_attempts = self.saved_attempts(now, id) - 1.0;
         let member = &mut self.members[id];
@@ -94,7 +99,8 @@
         }
     }
 
-    /// The primary is owed its quota, by size and window, of each attempt that its group's members get.
+    /// Adds to the primary's deficit its share, by size and concurrency limit, of an attempt that a member of
+    /// its group gets.
     fn record_primary_deficit(&mut self, now: Micros, id: MemberId, primary: MemberId) {
         let weight = |&id: &MemberId| {
             let Member { status, size, concurrency_limit, unreachable_until, .. } = self.members[id];
@@ -110,8 +116,8 @@
         group.primary_deficit = (group.primary_deficit + deficit_change).clamp(-3.0, 3.0);
     }
 
-    /// Widens or narrows the window by how long the attempt took, where that says something of the member's
-    /// load.
+    /// Raises or lowers the concurrency limit by the duration of an attempt, where that indicates the
+    /// member's load.
     pub(super) fn adapt_concurrency_limit(&mut self, now: Micros, sample: &LoadSample) {
         let many_routers = self.in_large_fleet();
         let routers = self.config.routers as f64;
@@ -151,7 +157,8 @@
         }
     }
 
-    /// The member rejected an attempt as overloaded: its window narrows, and nothing is saved up for it.
+    /// Lowers the concurrency limit after the member rejected an attempt as overloaded, and discards what was
+    /// saved for it.
     pub(super) fn shrink_concurrency_limit(&mut self, now: Micros, id: MemberId) {
         let decrease_factor = self.decrease_factor();
         let min_limit = self.min_concurrency_limit();
@@ -162,8 +169,8 @@
         member.saved_at = now;
     }
 
-    /// A quick error was no work and gives its attempt back, but not at a member that is warming up: the
-    /// overload rule counts what that one is sent.
+    /// Gives back the attempt of a quick error, which caused no work. A member that is warming up gets none
+    /// back, as the overload rule counts what it is sent.
     pub(super) fn refund_quick_error(&mut self, now: Micros, id: MemberId, class: usize, duration: Micros) {
         let typical_duration = self.durations[class].quantile(0.5).unwrap_or(0);
         let slow_start_duration = self.config.slow_start_duration;
@@ -173,17 +180,18 @@
         }
     }
 
-    /// A router among many gets few of a member's answers: each then counts for more.
+    /// Weight of one answer. In a large fleet, a router gets few of a member's answers, so each counts for
+    /// more.
     fn answer_weight(&self) -> f64 {
         if self.in_large_fleet() { (self.config.routers as f64 / 4.0).min(16.0) } else { 1.0 }
     }
 
-    /// The factor by which one slow answer narrows a window.
+    /// Factor by which one slow answer lowers a concurrency limit.
     fn decrease_factor(&self) -> f64 {
         0.92f64.powf(self.answer_weight())
     }
 
-    /// What slow answers narrow a window to at the most.
+    /// Limit below which slow answers do not lower a concurrency limit.
     fn min_concurrency_limit(&self) -> f64 {
         let guaranteed_limit = GUARANTEED_FLEET_LIMIT / self.config.routers as f64;
         if self.in_large_fleet() { guaranteed_limit } else { guaranteed_limit.max(1.0) }
--- a/crates/routing/src/policy/dispatch.rs
+++ b/crates/routing/src/policy/dispatch.rs
@@ -1,11 +1,11 @@
-//! A request's way: to a member, among the queued requests, or to its end.
+//! Dispatch of requests: to a member, to the queue, or to their end.
 
 use super::SEND_DELAY_MARGIN;
 use crate::state::{InFlight, PendingRequest, RequestHandle, Router};
 use crate::{Action, Effect, MemberId, Micros, Need};
 
-/// Whether another attempt may have an effect: of what may have run never for a non-idempotent request, and
-/// for a deduplicated one only within its window.
+/// Whether the request may be attempted again. Once it may have run, a non-idempotent request never may, and
+/// a deduplicated one only within its window.
 fn may_run_again(now: Micros, effect: Effect, pending: &PendingRequest) -> bool {
     match (effect, pending.may_have_run) {
         (_, None) | (Effect::Idempotent, _) => true,
@@ -17,7 +17,7 @@
 }
 
 impl Router {
-    /// Sends an attempt of the request, holds the request, or gives it up.
+    /// Sends an attempt of the request, queues the request, or gives it up.
     pub(super) fn route(&mut self, now: Micros, handle: RequestHandle) {
         let pending = &self.pending_requests[&handle];
         let class = &self.config.classes[pending.request.class];
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Sends an attempt to the member, which ends at `useful_until` at the latest.
+    /// Sends an attempt to the member. The attempt ends at `useful_until` at the latest.
     fn send_attempt(&mut self, now: Micros, handle: RequestHandle, id: MemberId, useful_until: Micros) {
         let rest_class = self.rest_class_of(now, id);
         let validity = self.validity(&self.pending_requests[&handle], id);
@@ -55,7 +55,7 @@
         let member = &mut self.members[id];
         member.in_flight.push(handle);
         member.sent_recently.push_back(now);
-        let pending = self.pending_requests.get_mut(&handle).expect("held by its handle");
+        let pending = self.pending_requests.get_mut(&handle).expect("the request is pending");
         pending.attempts += 1;
         pending.rest_class = rest_class.filter(|_| !on_new_connection);
         pending.tries_connection = tries_connection;
@@ -70,7 +70,7 @@
         self.actions.requests.push((handle, action));
     }
 
-    /// The request is over; it is forgotten once no attempt of it is in flight.
+    /// Ends the request, and forgets it once no attempt of it is in flight.
     pub(super) fn close(&mut self, handle: RequestHandle) {
         let Some(pending) = self.pending_requests.get_mut(&handle) else { return };
         pending.is_closed = true;
@@ -80,12 +80,13 @@
         }
     }
 
-    /// Places the held requests of all groups again.
+    /// Routes the queued requests of all groups again.
     pub(super) fn route_all_queued(&mut self, now: Micros) {
         (0..self.groups.len()).for_each(|group| self.route_queued(now, group));
     }
 
-    /// Places the held requests of a group again: by priority weight, then the newest first.
+    /// Routes the queued requests of a group again, in the order of their priority weight and then the newest
+    /// first.
     pub(super) fn route_queued(&mut self, now: Micros, group: usize) {
         if self.groups[group].queued.is_empty() {
             return;
--- a/crates/routing/src/policy/endpoint_list.rs
+++ b/crates/routing/src/policy/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: members that come, change, drain and go.
+//! Updates from the endpoint list: members that are added, change, drain and leave.
 
 use std::collections::HashSet;
 
@@ -11,19 +11,20 @@
 use crate::state::{Member, Router};
 use crate::{Actions, ListedMember, ListedRoles, MemberId, MemberStatus, Micros};
 
-/// A primary reported longer ago than that is overruled by a list whose roles follow changes late.
+/// Age from which a report of a primary is overruled by a list whose roles follow changes with a delay, in
+/// microseconds.
 const LISTED_ROLES_LAG: Micros = 1_000 * MS;
 
 impl Router {
-    /// Takes in an endpoint list, or with `is_full` unset an update of one: members that it does not name are
-    /// gone only where it is full.
+    /// Applies an endpoint list, or an update of one if `is_full` is false. Members that it does not name
+    /// have left only if it is full.
     pub fn update_endpoint_list(
         &mut self,
         now: Micros,
         is_full: bool,
         entries: Vec<ListedMember>,
     ) -> Actions {
-        // The list held at the start is no answer to a request.
+        // The list held at the start is not the answer to a request.
         if !self.members.is_empty() {
             self.list_subscription.received();
         }
@@ -46,7 +47,7 @@
         self.take_actions()
     }
 
-    /// Takes in one line: a new member, or what changed of a known one.
+    /// Applies one entry: adds a new member, or updates a known one.
     fn apply_list_entry(&mut self, now: Micros, entry: ListedMember) {
         let group = self.group_index(entry.group);
         let slow_start_credit = self.initial_saved_attempts() + f64::from(entry.started_at.is_none());
@@ -96,7 +97,7 @@
         self.add_to_group(group, entry.member);
     }
 
-    /// The list says that the member is its group's primary, which is believed as far as the list is.
+    /// Believes the list that the member is its group's primary, as far as listed roles are trusted.
     fn learn_listed_primary(&mut self, now: Micros, group: usize, id: MemberId) {
         let group = &mut self.groups[group];
         if group.listed_primary == Some(id) {
@@ -113,22 +114,23 @@
         }
     }
 
-    /// Sets whether a member is ready, draining or gone; a primary that is not ready is no longer believed.
+    /// Sets the status of a member. A primary that is not ready is no longer believed to be one.
     pub(super) fn set_status(&mut self, now: Micros, id: MemberId, status: MemberStatus) {
         self.members[id].status = status;
         self.members[id].confirmed_primary &= status == MemberStatus::Ready;
         let search_hold = self.search_hold();
         let group = &mut self.groups[self.members[id].group];
         if status != MemberStatus::Ready && group.primary == Some(id) {
-            // All routers are notified at once, but their searches are not to begin at once.
+            // All routers are notified at once, so a random delay keeps their searches from starting at once.
             group.primary = None;
             group.search_after = now + self.rng.random_range(0..search_hold);
             group.search.round_started_at = now;
         }
     }
 
-    /// Forgets a member that is gone, once nothing of it is in flight and it was not heard for long, and says
-    /// whether it did: its index may then be given out anew, and one that comes back is another member.
+    /// Forgets a member that has left the list, once nothing is in flight at it and it was not heard from for
+    /// long. Returns whether it did so: the member's index may then be assigned again, and a member that
+    /// comes back counts as another one.
     pub fn forget_member(&mut self, now: Micros, id: MemberId) -> bool {
         let member = &self.members[id];
         let is_idle = member.in_flight.is_empty()
@@ -145,7 +147,7 @@
         is_forgotten
     }
 
-    /// Discovery did not answer: the list is asked for again after a backoff.
+    /// Handles a failure of discovery: the list is requested again after a backoff.
     pub fn list_unavailable(&mut self, now: Micros) -> Actions {
         self.list_subscription.failed(now, &mut self.rng);
         self.take_actions()
--- a/crates/routing/src/policy/freshness.rs
+++ b/crates/routing/src/policy/freshness.rs
@@ -1,4 +1,5 @@
-//! How new the data of members is: positions, roles, sessions, and for how long a proof of freshness holds.
+//! Freshness of the data at members: positions, roles, writes of sessions, and how long a proof of freshness
+//! holds.
 
 use super::SEND_DELAY_MARGIN;
 use super::health_checks::{HEALTH_CHECK_EVERY, HEALTH_CHECK_NEEDED};
@@ -7,11 +8,11 @@
 use crate::{Effect, MemberId, MemberReport, MemberStatus, Micros, Need, Outcome, Role, Validity, Verdict};
 
 impl Router {
-    /// Sets by how many microseconds the members' clock is ahead of this one, and when members started by
-    /// this one.
+    /// Sets the lead of the members' clock over this router's, in microseconds, and the start times of
+    /// members on this router's clock; `None` if a member started long ago.
     ///
-    /// Guards bounded reads and slow start against a process whose wall clock is wrong; costs both when the
-    /// caller's estimate is.
+    /// This protects reads with a staleness bound, and slow start, from a wrong wall clock of the process.
+    /// The cost: both suffer if the caller's estimate is wrong.
     pub fn set_members_clock(&mut self, offset: Micros, start_times: &[(MemberId, Option<Micros>)]) {
         self.clock_offset = offset;
         for &(id, started_at) in start_times {
@@ -21,22 +22,22 @@
         }
     }
 
-    /// The least time between two health checks of a member that is behind: half of what it lacks, as it may
-    /// catch up at twice the pace of time.
+    /// Minimum time between two health checks of a member that lags behind `floor`, in microseconds: half of
+    /// its lag, as it may catch up at twice the pace of time.
     ///
-    /// Guards the budget of health checks and the time of writes; costs up to a second when a member catches
-    /// up faster.
+    /// This protects the health check budget and the time that writes have. The cost: up to a second of delay
+    /// if a member catches up faster.
     pub(super) fn catch_up_check_interval(&self, id: MemberId, floor: Micros) -> Micros {
         let position = self.members[id].position;
         let lag = if position == Micros::MIN { 0 } else { floor.saturating_sub(position) };
         (lag / 2).clamp(HEALTH_CHECK_NEEDED, HEALTH_CHECK_EVERY)
     }
 
-    /// What must still hold when the attempt leaves.
+    /// Conditions that must still hold when the attempt is sent.
     ///
-    /// Guards reads and repeats against what comes between the decision and the last byte: a connection that
-    /// comes up late, a primary that steps down, a window of repeats that ends, a process that is held up.
-    /// Costs reads as much proof of freshness as [`SEND_DELAY_MARGIN`].
+    /// They protect reads and repeats from what happens between the decision and the last byte: a connection
+    /// that is established late, a primary that steps down, a deduplication window that ends, a process that
+    /// is held up. The cost: a proof of freshness is shorter by [`SEND_DELAY_MARGIN`] for reads.
     pub(super) fn validity(&self, pending: &PendingRequest, id: MemberId) -> Validity {
         let effect = self.config.classes[pending.request.class].effect;
         let repeats_until = match (effect, pending.may_have_run) {
@@ -49,7 +50,7 @@
         Validity { expires_at: repeats_until.min(freshness.expires_at), ..freshness }
     }
 
-    /// For how long the member is proven fresh enough for the request.
+    /// Validity for which the member is proven fresh enough for the request.
     fn freshness_validity(&self, pending: &PendingRequest, id: MemberId) -> Validity {
         let member = &self.members[id];
         let is_confirmed_primary = self.groups[pending.group].primary == Some(id) && member.confirmed_primary;
@@ -65,10 +66,11 @@
         }
     }
 
-    /// The session that a request writes to, where it is to be remembered.
+    /// Session in which the request's write is tracked; `None` if the request is no write, has no session, or
+    /// the router tracks none.
     ///
-    /// Guards its reads against a write whose answer was lost or is on its way; costs the primary these reads
-    /// while such a write is in flight.
+    /// Tracking protects reads of the session from missing a write whose answer was lost or is still on its
+    /// way. The cost: these reads go to the primary while such a write is in flight.
     pub(super) fn tracked_session(&mut self, handle: RequestHandle) -> Option<&mut Session> {
         let request = &self.pending_requests[&handle].request;
         let is_tracked_write =
@@ -80,12 +82,13 @@
         Some(self.sessions.entry(name))
     }
 
-    /// Takes in what a member reports of itself: true at `valid_at`, and asked for no earlier than `requested_at`.
+    /// Records what a member reports of itself. The report was true at `valid_at`, and was requested no
+    /// earlier than `requested_at`.
     ///
-    /// Guards against reports that come late or out of order: an older one never beats a newer one, and reads
-    /// take a member for primary only by a report asked for after it was last heard to be a replica, which
-    /// holds unless provably older, as positions never go back. Costs reads without a fresh replica a wait
-    /// just after a failover.
+    /// Reports may arrive late or out of order, so an older one never overrides a newer one. Reads take a
+    /// member for the primary only by a report that was requested after the member was last heard to be a
+    /// replica. A report that a member is a replica holds unless it is provably older, as positions never go
+    /// back. The cost: just after a failover, reads without a fresh replica wait.
     pub(super) fn record_report(
         &mut self,
         now: Micros,
@@ -143,7 +146,8 @@
         }
     }
 
-    /// A write of a session has ended: it was committed when its answer says, else by now if at all.
+    /// Records the end of a session's write. It was committed at the time that its answer states, else by
+    /// now, if at all.
     pub(super) fn end_session_write(&mut self, now: Micros, handle: RequestHandle, outcome: &Outcome) {
         let verdict = outcome.verdict;
         let reported = outcome.report.position.filter(|_| verdict == Verdict::Served);
@@ -153,7 +157,8 @@
         }
     }
 
-    /// The position, by the members' clock, that a replica must have reached to serve the read.
+    /// Position on the members' clock that a replica must have reached to serve the read; `Micros::MIN` if
+    /// any will do.
     pub(super) fn position_floor(&self, now: Micros, pending: &PendingRequest, need: Need) -> Micros {
         match need {
             Need::Latest => self.members_now(pending.arrived_at),
@@ -163,7 +168,8 @@
         }
     }
 
-    /// The newest write of the read's session, as far as the client says or this router remembers.
+    /// Position of the newest write of the read's session, as far as the client states it or this router
+    /// remembers it; `Micros::MIN` if neither does.
     fn session_floor(&self, now: Micros, pending: &PendingRequest) -> Micros {
         let client_reported = pending.request.last_write_age.map(|ago| pending.arrived_at - ago);
         let session = pending.request.session.as_ref();
