--- a/crates/routing/src/policy/health_checks.rs
+++ b/crates/routing/src/policy/health_checks.rs
@@ -3,7 +3,7 @@
 use super::blacklist::BLACKLIST_DURATION;
 use super::{MS, WRITE_HOLD};
 use crate::state::{RoundTrip, Router};
-use crate::{Actions, MemberId, MemberReport, Micros, Standing, Verdict};
+use crate::{Actions, MemberId, MemberReport, MemberStatus, Micros, Verdict};
 
 /// Interval, in microseconds, at which a member that is not heard from otherwise is checked while the budget
 /// has spare credit.
@@ -31,7 +31,7 @@
     pub(super) fn health_check_for_queued(&mut self, now: Micros, group: usize) {
         let searches_primary =
             !self.is_large_group(&self.groups[group]) && self.lacks_primary(now, &self.groups[group]);
-        let min_interval = if self.is_one_of_many() { WRITE_HOLD } else { URGENT_HEALTH_CHECK_INTERVAL };
+        let min_interval = if self.in_large_fleet() { WRITE_HOLD } else { URGENT_HEALTH_CHECK_INTERVAL };
         for index in 0..self.groups[group].members.len() {
             let id = self.groups[group].members[index];
             if searches_primary || now < self.members[id].unreachable_until {
@@ -128,8 +128,8 @@
     pub(super) fn try_health_check(&mut self, now: Micros, id: MemberId, min_interval: Micros) {
         let member = &mut self.members[id];
         let too_early = member.health_check_in_flight || now - member.last_health_check_at < min_interval;
-        let allowed = self.terms.health_checks_allowed && self.health_check_budget.affords_one();
-        if allowed && member.standing == Standing::Ready && !too_early {
+        let allowed = self.config.health_checks_allowed && self.health_check_budget.affords_one();
+        if allowed && member.status == MemberStatus::Ready && !too_early {
             self.health_check_budget.spend_one();
             member.health_check_in_flight = true;
             member.last_health_check_at = now;
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -1,9 +1,10 @@
-//! Every decision of the router.
+//! Rules by which the router decides.
 //!
-//! A caller starts one [`Router`] with its terms and a seed, hands it lists and answers of health checks, and
-//! wakes it at the time last asked for. `take` gives a [`RequestHandle`] for a request; what happens to the request
-//! later is a call on that handle. Each call brings `now` and returns [`Actions`]. The interface types are in
-//! `lib.rs`. A request's way: `admission`, `dispatch`, `read_routing` or `write_routing`, `retry`.
+//! A caller starts a [`Router`] with its configuration and a seed, passes it endpoint lists and the results
+//! of health checks, and wakes it at the time it last asked for. [`Router::accept_request`] returns a
+//! [`RequestHandle`]; later events of the request are calls on that handle. Each call brings `now` and
+//! returns [`Actions`]. The types of the interface are in `lib.rs`. A request passes through `admission`,
+//! `dispatch`, `read_routing` or `write_routing`, and `retry`.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,7 +13,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::state::{RequestHandle, Router};
-use crate::{Actions, Learnt, Micros, Outcome, RouterConfig, Standing};
+use crate::{Actions, LearnedState, MemberStatus, Micros, Outcome, RouterConfig};
 
 mod admission;
 mod availability;
@@ -50,26 +51,28 @@
 pub(crate) use sessions::Sessions;
 pub(crate) use stall_pacing::StallPacing;
 
-/// A millisecond, in microseconds.
+/// One millisecond, in microseconds.
 const MS: Micros = 1_000;
-/// How often the router does what no event brings about, in microseconds.
+/// Interval of the work that no event triggers, in microseconds.
 const TICK: Micros = 20 * MS;
-/// How long the process may be held up between a decision and the write that follows from it, in microseconds.
+/// Time for which the process may be held up between a decision and the write that follows from it, in
+/// microseconds.
 const SEND_DELAY_MARGIN: Micros = 150 * MS;
-/// How long a write waits after a round of members that are not the primary, in microseconds, as the design says.
+/// Time for which a write waits after a round of members that are not the primary, in microseconds; the
+/// design specifies it.
 const WRITE_HOLD: Micros = 500 * MS;
-/// Attempts that a histogram of durations remembers.
+/// Number of attempts that a histogram of durations remembers; users take a multiple or a fraction of it.
 const HISTOGRAM_MEMORY: u32 = 32;
 
 impl RequestHandle {
-    /// The request's attempt has ended.
-    pub fn ended(self, router: &mut Router, now: Micros, outcome: Outcome) -> Actions {
+    /// Handles the end of the request's attempt.
+    pub fn attempt_ended(self, router: &mut Router, now: Micros, outcome: Outcome) -> Actions {
         router.attempt_ended(now, self, outcome);
         router.take_actions()
     }
 
-    /// The client has left; nothing more is owed.
-    pub fn left(self, router: &mut Router, now: Micros) -> Actions {
+    /// Handles the departure of the client, which needs no answer any more.
+    pub fn client_left(self, router: &mut Router, now: Micros) -> Actions {
         router.close(self);
         router.route_all_queued(now);
         router.take_actions()
@@ -77,10 +80,11 @@
 }
 
 impl Router {
-    /// A router with its terms and a seed for its chance, before its first list.
-    pub fn start(terms: RouterConfig, seed: u64, now: Micros) -> Router {
+    /// Creates a router with its configuration and a seed for its random choices, before its first endpoint
+    /// list.
+    pub fn start(config: RouterConfig, seed: u64, now: Micros) -> Router {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let list_subscription = ListSubscription::new(now, terms.drivers, &mut rng);
+        let list_subscription = ListSubscription::new(now, config.routers, &mut rng);
         Router {
             salt: scramble_seed(seed),
             rng,
@@ -91,11 +95,14 @@
             next_handle: 0,
             sessions: Sessions::default(),
             clock_offset: 0,
-            // Until attempts tell better, most are taken to last half of the latency objective.
-            durations: terms.classes.iter().map(|class| Histogram::of(class.objective / 2, 4)).collect(),
+            // Until attempts are measured, most are assumed to take half of the latency objective.
+            durations: config.classes.iter().map(|class| Histogram::of(class.objective / 2, 4)).collect(),
             zone_round_trips: BTreeMap::new(),
-            all_durations: Histogram::of(terms.classes.iter().map(|o| o.objective / 2).min().unwrap_or(0), 4),
-            retry_detectors: vec![RetryDetector::default(); terms.classes.len()],
+            all_durations: Histogram::of(
+                config.classes.iter().map(|class| class.objective / 2).min().unwrap_or(0),
+                4,
+            ),
+            retry_detectors: vec![RetryDetector::default(); config.classes.len()],
             warm_load: 0.0,
             mean_size: 1.0,
             health_check_budget: HealthCheckBudget::new(),
@@ -107,35 +114,37 @@
             stall_pacing: StallPacing::new(now, replica_subset::initial_attempts_per_tick()),
             list_subscription,
             actions: Actions::default(),
-            terms,
+            config,
         }
     }
 
-    /// Takes in what an earlier start learnt: primaries are guesses, as the list's are, and windows are
-    /// narrowed.
+    /// Restores what an earlier start learned. Primaries count as guesses, like those in the endpoint list,
+    /// and concurrency limits are only lowered.
     ///
-    /// Guards members against the searches and bursts of routers that come back; costs a miss when a primary
-    /// moved.
-    pub fn recall(&mut self, learnt: &Learnt) {
-        for &(id, reported_at) in &learnt.primaries {
+    /// This protects members from the searches and bursts of routers that restart. The cost: a write is sent
+    /// to a replica if the primary has moved.
+    pub fn restore_learned_state(&mut self, learned: &LearnedState) {
+        for &(id, reported_at) in &learned.primaries {
             let group = &mut self.groups[self.members[id].group];
-            if self.members[id].standing == Standing::Ready && group.primary.is_none() {
+            if self.members[id].status == MemberStatus::Ready && group.primary.is_none() {
                 group.primary = Some(id);
                 group.primary_reported_at = reported_at;
             }
         }
-        for (took, &(usual, _)) in self.durations.iter_mut().zip(&learnt.took).filter(|(_, of)| of.0 > 0) {
-            *took = Histogram::of(usual, 8);
+        for (histogram, &(median, _)) in
+            self.durations.iter_mut().zip(&learned.durations).filter(|(_, quantiles)| quantiles.0 > 0)
+        {
+            *histogram = Histogram::of(median, 8);
         }
-        for &(id, power) in &learnt.windows {
+        for &(id, log2_limit) in &learned.concurrency_limits {
             let member = &mut self.members[id];
             member.concurrency_limit = member
                 .concurrency_limit
-                .min(2f64.powi(power).max(GUARANTEED_FLEET_LIMIT / self.terms.drivers as f64));
+                .min(2f64.powi(log2_limit).max(GUARANTEED_FLEET_LIMIT / self.config.routers as f64));
         }
     }
 
-    /// Does what is due by now; the caller wakes the router at [`Actions::wake_at`].
+    /// Does the work that is due at `now`. The caller calls it at [`Actions::wake_at`].
     pub fn wake(&mut self, now: Micros) -> Actions {
         if now >= self.next_tick {
             self.next_tick = now + TICK;
@@ -144,12 +153,13 @@
         self.take_actions()
     }
 
-    /// Whether there are so many routers that this one is not due one attempt at a time at each member.
-    fn is_one_of_many(&self) -> bool {
-        self.terms.drivers as f64 > 1.5 * INITIAL_FLEET_LIMIT
+    /// Whether there are so many routers that the share of this one at a member is below one attempt at a
+    /// time.
+    fn in_large_fleet(&self) -> bool {
+        self.config.routers as f64 > 1.5 * INITIAL_FLEET_LIMIT
     }
 
-    /// What is due each [`TICK`].
+    /// Does the work that is due every [`TICK`].
     fn tick(&mut self, now: Micros) {
         self.rested_connections.fade();
         self.stall_pacing.tick(now);
@@ -162,12 +172,12 @@
                 self.health_check_for_queued(now, group);
             }
         }
-        if !self.is_one_of_many() && !self.uses_subset() {
+        if !self.in_large_fleet() && !self.uses_subset() {
             (0..self.members.len()).for_each(|id| self.background_health_check(now, id));
         }
         let members_now = self.members_now(now);
         self.sessions.forget_old(members_now);
-        if self.terms.list_on_request && self.list_subscription.is_due(now) {
+        if self.config.list_requires_subscription && self.list_subscription.is_due(now) {
             self.actions.subscribe = true;
         }
         self.route_all_queued(now);
--- a/crates/routing/src/policy/primary_search.rs
+++ b/crates/routing/src/policy/primary_search.rs
@@ -3,7 +3,7 @@
 
 use super::{MS, TICK};
 use crate::state::{Group, Member, Router};
-use crate::{MemberId, Micros, Standing};
+use crate::{MemberId, MemberStatus, Micros};
 
 /// Maximum number of health checks that one member gets in a second from the searches of all routers
 /// together.
@@ -23,13 +23,13 @@
     /// Returns whether the group is large: it has more members than a request has attempts, so one round of
     /// attempts that reach replicas covers only a part of it.
     pub(super) fn is_large_group(&self, group: &Group) -> bool {
-        group.members.len() > self.terms.max_attempts as usize
+        group.members.len() > self.config.max_attempts as usize
     }
 
     /// Returns whether the group has no believed primary, or has one that cannot be reached or does not
     /// answer.
     pub(super) fn lacks_primary(&self, now: Micros, group: &Group) -> bool {
-        group.primary.is_none_or(|id| self.is_silent(now, id))
+        group.primary.is_none_or(|id| self.is_unresponsive(now, id))
     }
 
     /// Returns the order in which the members of a group are asked whether they are the primary: by name, or
@@ -49,7 +49,7 @@
         let primary_heard_at =
             group.primary.map_or(Micros::MIN, |primary| self.members[primary].last_heard_at);
         self.members[id].not_primary_at <= group.search.round_started_at.max(primary_heard_at)
-            && self.usable(now, id)
+            && self.is_usable(now, id)
     }
 
     /// Continues the search for the primary of a group with queued requests. Members that may be the primary
@@ -69,7 +69,7 @@
             search.round_started_at = now;
             search.next_position = 0;
         }
-        if self.terms.health_checks_allowed && self.is_large_group(&self.groups[group]) {
+        if self.config.health_checks_allowed && self.is_large_group(&self.groups[group]) {
             self.check_candidates(now, group);
         }
     }
@@ -98,7 +98,7 @@
         let count = self.groups[group].members.len();
         let checks_per_member = MEMBER_SEARCH_CHECKS_PER_SECOND * MIN_SEARCH_ROUND as f64
             / (1_000 * MS) as f64
-            / self.terms.drivers as f64;
+            / self.config.routers as f64;
         let due = count as f64 * checks_per_member.min(1.0) * TICK as f64 / MIN_SEARCH_ROUND as f64;
         let search = &mut self.groups[group].search;
         search.saved_health_checks = (search.saved_health_checks + due).min(due.max(1.0)).min(slots);
@@ -118,9 +118,9 @@
     fn check_candidate(&mut self, now: Micros, group: usize, index: usize) {
         let searched = &self.groups[group];
         let id = self.search_order(searched)[index];
-        let Member { standing, health_check_in_flight, last_health_check_at, .. } = self.members[id];
+        let Member { status: standing, health_check_in_flight, last_health_check_at, .. } = self.members[id];
         let too_early = health_check_in_flight || now - last_health_check_at < MIN_SEARCH_ROUND;
-        if standing != Standing::Ready || too_early || !self.may_be_primary(now, searched, id) {
+        if standing != MemberStatus::Ready || too_early || !self.may_be_primary(now, searched, id) {
             return;
         }
         let searched = &mut self.groups[group];
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -5,7 +5,7 @@
 use super::concurrency_limit::GUARANTEED_FLEET_LIMIT;
 use super::{TICK, WRITE_HOLD};
 use crate::state::{Member, Router};
-use crate::{MemberId, Micros, Standing};
+use crate::{MemberId, MemberStatus, Micros};
 
 /// Interval, in microseconds, at which a router that uses a subset of the members sweeps all of them.
 const SWEEP_INTERVAL: Micros = 10 * TICK;
@@ -40,20 +40,21 @@
     pub(super) fn slow_start_allowance(&self, now: Micros, id: MemberId) -> f64 {
         let member = &self.members[id];
         let age = member.started_at.map_or(Micros::MAX, |since| now - since);
-        if age >= self.terms.warm_within {
+        if age >= self.config.slow_start_duration {
             return f64::INFINITY;
         }
         // The capacity at the middle of the window that ends now, as capacity grows about linearly.
-        let age = (age - self.terms.overload_window / 2).max(0) as f64 / self.terms.warm_within as f64;
-        let capacity = self.terms.cold_from + (1.0 - self.terms.cold_from) * age;
-        let load = self.warm_load.max(GUARANTEED_FLEET_LIMIT / self.terms.routers_sharing_warm_up as f64);
-        self.terms.overload_factor * capacity * load * member.size
+        let age =
+            (age - self.config.overload_window / 2).max(0) as f64 / self.config.slow_start_duration as f64;
+        let capacity = self.config.slow_start_capacity + (1.0 - self.config.slow_start_capacity) * age;
+        let load = self.warm_load.max(GUARANTEED_FLEET_LIMIT / self.config.routers_sharing_warm_up as f64);
+        self.config.overload_factor * capacity * load * member.size
     }
 
     /// Returns the saved attempts with which a member starts to warm up. They are random, so that not all
     /// routers send to it at once.
     pub(super) fn initial_saved_attempts(&mut self) -> f64 {
-        self.rng.random::<f64>() + GUARANTEED_FLEET_LIMIT / self.terms.routers_sharing_warm_up as f64
+        self.rng.random::<f64>() + GUARANTEED_FLEET_LIMIT / self.config.routers_sharing_warm_up as f64
     }
 
     /// Lets what is remembered about each member decay, and measures the load of warm members. With many
@@ -61,7 +62,7 @@
     pub(super) fn sweep_members(&mut self, now: Micros) {
         // Only served attempts count as a warm member's load: rejected attempts, and those that reached a
         // replica instead of the primary, are no work.
-        let window = self.terms.overload_window;
+        let window = self.config.overload_window;
         let mut total_load = 0.0;
         let mut warm_size = 0.0;
         let interval = if self.uses_subset() { SWEEP_INTERVAL } else { TICK };
@@ -69,8 +70,8 @@
         let window_fraction = interval as f64 / window as f64;
         for member in &mut self.members {
             member.sent_recently.retain(|&at| at > now - window);
-            let warming_up = member.is_warming_up(now, self.terms.warm_within);
-            if member.standing == Standing::Ready && !warming_up {
+            let warming_up = member.is_warming_up(now, self.config.slow_start_duration);
+            if member.status == MemberStatus::Ready && !warming_up {
                 total_load += member.served_load;
                 warm_size += member.size;
             }
