--- a/crates/bench-adapter/src/router_instance.rs
+++ b/crates/bench-adapter/src/router_instance.rs
@@ -266,9 +266,9 @@
     fn carry_out_for_request(&mut self, handle: RequestHandle, action: Action, reply: &mut Reply) {
         let Some(&ticket) = self.tickets.get(&handle) else { return };
         match action {
-            Action::Attempt { member, timeout, on_new_connection: afresh, .. } => {
+            Action::Attempt { member, timeout, on_new_connection, .. } => {
                 let member = &self.member_names[member];
-                if afresh {
+                if on_new_connection {
                     reply.close_idle_connections(self.number, member);
                 }
                 reply.attempt(self.number, ticket, member, timeout);
--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -54,8 +54,14 @@
 
     fn carry_out_for_request(&mut self, handle: RequestHandle, action: Action) {
         match action {
-            Action::Attempt { member, timeout, on_new_connection: afresh, validity } => {
-                self.send_attempt(DecidedAttempt { handle, member, timeout, afresh, validity })
+            Action::Attempt { member, timeout, on_new_connection, validity } => {
+                self.send_attempt(DecidedAttempt {
+                    handle,
+                    member,
+                    timeout,
+                    afresh: on_new_connection,
+                    validity,
+                })
             }
             Action::Reject { retry_after } => self.answer(handle, Answer::Rejected { retry_after }),
             Action::Fail => self.answer(handle, Answer::Failed),
--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -185,11 +185,11 @@
     }
 
     fn is_valid(&self, attempt: &Attempt) -> bool {
-        let Validity { expires_at: until, requires_primary: while_primary } = attempt.validity;
+        let Validity { expires_at, requires_primary } = attempt.validity;
         let is_still_primary = self.conditions.replica_reports.get() == attempt.replica_reports;
         !attempt.cancellation.is_cancelled()
-            && self.context.clock.now() < until
-            && (is_still_primary || !while_primary)
+            && self.context.clock.now() < expires_at
+            && (is_still_primary || !requires_primary)
     }
 
     /// The query's bytes. An attempt tells the member how much time the client has left now, less the margin, in whole
--- a/crates/routing/src/policy/availability.rs
+++ b/crates/routing/src/policy/availability.rs
@@ -8,7 +8,7 @@
 /// An attempt in flight at a member.
 pub(super) struct SentAttempt {
     /// Time at which the attempt was sent, moved later by the length of every stall of the process since.
-    pub(super) sent_at: Micros,
+    pub(super) waiting_since: Micros,
     /// Index of the request's class.
     pub(super) class: usize,
 }
@@ -39,10 +39,12 @@
     /// nothing answered meanwhile.
     pub(super) fn leaves_attempts_unanswered(&self, now: Micros, id: MemberId) -> bool {
         let member = &self.members[id];
-        let mut waiting =
-            self.attempts_in_flight(id).filter(|sent| sent.sent_at >= member.newest_answered_sent);
-        waiting.any(|sent| {
-            now - sent.sent_at.max(member.last_answered_at) > self.longest_expected_duration(sent.class)
+        let mut waiting = self
+            .attempts_in_flight(id)
+            .filter(|attempt| attempt.waiting_since >= member.newest_answered_sent_at);
+        waiting.any(|attempt| {
+            now - attempt.waiting_since.max(member.last_answered_at)
+                > self.longest_expected_duration(attempt.class)
         })
     }
 
@@ -50,7 +52,8 @@
     pub(super) fn attempts_in_flight(&self, id: MemberId) -> impl Iterator<Item = SentAttempt> {
         let requests = self.members[id].in_flight.iter().map(|handle| &self.pending_requests[handle]);
         let in_flight = requests.filter(|pending| pending.in_flight.is_some());
-        in_flight.map(|pending| SentAttempt { sent_at: pending.waiting_since, class: pending.request.class })
+        in_flight
+            .map(|pending| SentAttempt { waiting_since: pending.waiting_since, class: pending.request.class })
     }
 
     /// Duration that nearly all attempts of the request class stay below, in microseconds.
--- a/crates/routing/src/policy/concurrency_limit.rs
+++ b/crates/routing/src/policy/concurrency_limit.rs
@@ -48,8 +48,8 @@
         // Attempts that stay in flight for long while later ones are answered are taken for lost and use no
         // capacity.
         let overdue = |attempt: &SentAttempt| {
-            attempt.sent_at < member.newest_answered_sent
-                && now - attempt.sent_at > self.longest_expected_duration(attempt.class)
+            attempt.waiting_since < member.newest_answered_sent_at
+                && now - attempt.waiting_since > self.longest_expected_duration(attempt.class)
         };
         let lost = self.attempts_in_flight(id).filter(overdue).count();
         let in_flight = (member.in_flight.len() - lost) as f64;
@@ -119,7 +119,7 @@
     /// Raises or lowers the concurrency limit by the duration of an attempt, where that indicates the
     /// member's load.
     pub(super) fn adapt_concurrency_limit(&mut self, now: Micros, sample: &LoadSample) {
-        let many_routers = self.in_large_fleet();
+        let in_large_fleet = self.in_large_fleet();
         let routers = self.config.routers as f64;
         let verdict = sample.outcome.verdict;
         let timed_out_early = verdict == Verdict::TimedOut
@@ -128,7 +128,7 @@
             && !sample.connection_dropped
             && verdict != Verdict::Unobserved
             && verdict != Verdict::Error;
-        if verdict != Verdict::Served && !timed_out_early && !(many_routers && is_observed) {
+        if verdict != Verdict::Served && !timed_out_early && !(in_large_fleet && is_observed) {
             return;
         }
         let round_trip = self.round_trip_to(now, sample.member);
@@ -140,7 +140,7 @@
         member.durations.add(sample.outcome.duration, HISTOGRAM_MEMORY / 4);
         let typical_duration = member.durations.quantile(0.6).unwrap_or(0);
         let is_answered = matches!(verdict, Verdict::Served | Verdict::Malformed);
-        let slow = if many_routers {
+        let slow = if in_large_fleet {
             let service_time = if is_answered { sample.outcome.duration - round_trip } else { Micros::MAX };
             service_time > objective * 70 / 100
         } else {
@@ -148,7 +148,7 @@
         };
         if slow {
             member.concurrency_limit = (member.concurrency_limit * decrease_factor).max(min_limit);
-        } else if many_routers {
+        } else if in_large_fleet {
             let max_limit = MAX_FLEET_LIMIT / routers * member.size;
             member.concurrency_limit =
                 (member.concurrency_limit / decrease_factor.powf(answer_weight / 16.0)).min(max_limit);
--- a/crates/routing/src/policy/dispatch.rs
+++ b/crates/routing/src/policy/dispatch.rs
@@ -46,18 +46,18 @@
 
     /// Sends an attempt to the member. The attempt ends at `useful_until` at the latest.
     fn send_attempt(&mut self, now: Micros, handle: RequestHandle, id: MemberId, useful_until: Micros) {
-        let rest_class = self.idle_class_of(now, id);
+        let idle_class = self.idle_class_of(now, id);
         let validity = self.validity(&self.pending_requests[&handle], id);
         let tries_connection = self.claim_connection(now, id);
         let idle_connections_known = self.members[id].known_idle_connections.is_some();
         let on_new_connection = !idle_connections_known
-            && rest_class.is_some_and(|class| self.rested_connections.likely_dropped(class));
+            && idle_class.is_some_and(|class| self.idle_drop_detector.likely_dropped(class));
         let member = &mut self.members[id];
         member.in_flight.push(handle);
         member.sent_recently.push_back(now);
         let pending = self.pending_requests.get_mut(&handle).expect("the request is pending");
         pending.attempts += 1;
-        pending.rest_class = rest_class.filter(|_| !on_new_connection);
+        pending.idle_class = idle_class.filter(|_| !on_new_connection);
         pending.tries_connection = tries_connection;
         pending.in_flight = Some(InFlight { member: id, sent_at: now });
         pending.waiting_since = now;
--- a/crates/routing/src/policy/endpoint_list.rs
+++ b/crates/routing/src/policy/endpoint_list.rs
@@ -50,7 +50,7 @@
     /// Applies one entry: adds a new member, or updates a known one.
     fn apply_list_entry(&mut self, now: Micros, entry: ListedMember) {
         let group = self.group_index(entry.group);
-        let slow_start_credit = self.initial_saved_attempts() + f64::from(entry.started_at.is_none());
+        let initial_saved_attempts = self.initial_saved_attempts() + f64::from(entry.started_at.is_none());
         let id = entry.member;
         let is_known = self.members[id].group == group && self.members[id].name == entry.name;
         if !is_known {
@@ -61,7 +61,7 @@
             member.blacklist.lift(now);
             member.confirmed_primary = false;
             member.started_at = entry.started_at;
-            member.saved_attempts = slow_start_credit;
+            member.saved_attempts = initial_saved_attempts;
             member.saved_at = now;
         }
         self.set_status(now, id, entry.status);
@@ -140,7 +140,7 @@
         if is_forgotten {
             let group = &mut self.groups[member.group];
             group.members.retain(|&member| member != id);
-            group.preferred.retain(|&member| member != id);
+            group.by_preference.retain(|&member| member != id);
             group.listed_primary = group.listed_primary.filter(|&listed| listed != id);
             self.members[id] = Member::default();
         }
--- a/crates/routing/src/policy/health_checks.rs
+++ b/crates/routing/src/policy/health_checks.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Records the result of a health check that took `took` microseconds, and routes the queued requests of
+    /// Records the result of a health check that took `duration` microseconds, and routes the queued requests of
     /// the member's group again.
     ///
     /// A member that is too overloaded to report has answered nevertheless. The result is ignored if the
@@ -58,19 +58,19 @@
         now: Micros,
         id: MemberId,
         verdict: Verdict,
-        took: Micros,
+        duration: Micros,
         report: MemberReport,
     ) -> Actions {
-        let slow_start_credit = self.initial_saved_attempts();
+        let initial_saved_attempts = self.initial_saved_attempts();
         let Some(member) = self.members.get_mut(id) else { return self.take_actions() };
         let group = member.group;
         member.health_check_in_flight = false;
-        self.measure_round_trip(now, id, verdict, took);
+        self.measure_round_trip(now, id, verdict, duration);
         match verdict {
             // The member was not asked, or its answer was not observed.
             Verdict::NotSent | Verdict::Unobserved | Verdict::LocalFailure => {}
             Verdict::Served | Verdict::Overloaded | Verdict::Malformed | Verdict::ConnectionLost => {
-                self.health_check_answered(now, id, report, slow_start_credit);
+                self.health_check_answered(now, id, report, initial_saved_attempts);
             }
             _ => self.health_check_missed(now, id, verdict),
         }
@@ -82,16 +82,16 @@
     /// Updates the round-trip estimates of the member and its zone. An answer moves both estimates half of
     /// the way to the measured time. A timeout moves only the zone's estimate, by a quarter, because the
     /// cause may be that this one member is dead.
-    fn measure_round_trip(&mut self, now: Micros, id: MemberId, verdict: Verdict, took: Micros) {
+    fn measure_round_trip(&mut self, now: Micros, id: MemberId, verdict: Verdict, duration: Micros) {
         let member = &mut self.members[id];
         let unmeasured = RoundTrip { estimate: 0, measured_at: now };
         let zone = self.zone_round_trips.entry(member.zone).or_insert(unmeasured);
         match verdict {
             Verdict::Served => {
-                zone.record((zone.estimate + took) / 2, now);
-                member.round_trip.record((member.round_trip.estimate + took) / 2, now);
+                zone.record((zone.estimate + duration) / 2, now);
+                member.round_trip.record((member.round_trip.estimate + duration) / 2, now);
             }
-            Verdict::TimedOut => zone.record(zone.estimate + (took - zone.estimate) / 4, now),
+            Verdict::TimedOut => zone.record(zone.estimate + (duration - zone.estimate) / 4, now),
             _ => {}
         }
     }
@@ -102,11 +102,11 @@
         now: Micros,
         id: MemberId,
         report: MemberReport,
-        slow_start_credit: f64,
+        initial_saved_attempts: f64,
     ) {
         let member = &mut self.members[id];
         member.blacklist.record_answered_health_check(now);
-        member.record_heard(now, slow_start_credit);
+        member.record_heard(now, initial_saved_attempts);
         let position_at = report.position.map(|position| position.saturating_sub(self.clock_offset));
         let reported_at = position_at.unwrap_or(now - WRITE_HOLD - report.age);
         self.record_report(now, id, report, reported_at, reported_at);
--- a/crates/routing/src/policy/idle_connections.rs
+++ b/crates/routing/src/policy/idle_connections.rs
@@ -10,8 +10,8 @@
     /// Returns the idle class of the connection that the next attempt at the member would reuse. `None` if no
     /// connection is known to be idle, or if it has been idle for too long to be classified.
     pub(super) fn idle_class_of(&self, now: Micros, id: MemberId) -> Option<IdleClass> {
-        let Member { in_flight, newest_answered_sent, last_answered_at, .. } = &self.members[id];
-        let has_idle_connection = in_flight.is_empty() && *newest_answered_sent > 0;
+        let Member { in_flight, newest_answered_sent_at, last_answered_at, .. } = &self.members[id];
+        let has_idle_connection = in_flight.is_empty() && *newest_answered_sent_at > 0;
         idle_class(now - last_answered_at).filter(|_| has_idle_connection)
     }
 
@@ -32,7 +32,7 @@
 
     /// Closes idle connections after an attempt while members accept few connections. A `refused` attempt
     /// starts or prolongs that time.
-    pub(super) fn release_idle_connections(&mut self, now: Micros, id: MemberId, refused: bool) {
+    pub(super) fn close_idle_if_scarce(&mut self, now: Micros, id: MemberId, refused: bool) {
         if refused {
             self.record_connection_refused(now, id);
         } else if now < self.connections_scarce_until && self.members[id].in_flight.is_empty() {
--- a/crates/routing/src/policy/idle_drop_detection.rs
+++ b/crates/routing/src/policy/idle_drop_detection.rs
@@ -56,8 +56,8 @@
     }
 
     /// Lets the recorded shares decay by one tick.
-    pub(super) fn fade(&mut self) {
-        let faded = 1.0 - TICK as f64 / (3 * FAILURE_WINDOW) as f64;
-        self.unanswered_share.iter_mut().for_each(|share| *share *= faded);
+    pub(super) fn decay(&mut self) {
+        let decay_factor = 1.0 - TICK as f64 / (3 * FAILURE_WINDOW) as f64;
+        self.unanswered_share.iter_mut().for_each(|share| *share *= decay_factor);
     }
 }
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -106,7 +106,7 @@
             warm_load: 0.0,
             mean_size: 1.0,
             health_check_budget: HealthCheckBudget::new(),
-            rested_connections: IdleDropDetector::default(),
+            idle_drop_detector: IdleDropDetector::default(),
             connections_scarce_until: now,
             backoff: ConnectionBackoff::inactive(now),
             next_tick: now,
@@ -161,7 +161,7 @@
 
     /// Does the work that is due every [`TICK`].
     fn tick(&mut self, now: Micros) {
-        self.rested_connections.fade();
+        self.idle_drop_detector.decay();
         self.stall_pacing.tick(now);
         if now >= self.next_sweep {
             self.sweep_members(now);
--- a/crates/routing/src/policy/primary_search.rs
+++ b/crates/routing/src/policy/primary_search.rs
@@ -38,7 +38,7 @@
     /// By name alone, all routers would ask the first members of a large group at once, and would not start
     /// with the members that they have connections to.
     pub(super) fn search_order<'a>(&self, group: &'a Group) -> &'a [MemberId] {
-        if self.is_large_group(group) { &group.preferred } else { &group.members }
+        if self.is_large_group(group) { &group.by_preference } else { &group.members }
     }
 
     /// Returns whether the member is usable and is not known to be a replica since the primary was lost.
@@ -67,7 +67,7 @@
         if !searched.members.iter().any(is_candidate) {
             let search = &mut self.groups[group].search;
             search.round_started_at = now;
-            search.next_position = 0;
+            search.next_index = 0;
         }
         if self.config.health_checks_allowed && self.is_large_group(&self.groups[group]) {
             self.check_candidates(now, group);
@@ -107,8 +107,8 @@
             if searched.search.saved_health_checks < 1.0 {
                 return;
             }
-            let index = searched.search.next_position % count;
-            self.groups[group].search.next_position = index + 1;
+            let index = searched.search.next_index % count;
+            self.groups[group].search.next_index = index + 1;
             self.check_candidate(now, group, index);
         }
     }
@@ -118,9 +118,9 @@
     fn check_candidate(&mut self, now: Micros, group: usize, index: usize) {
         let searched = &self.groups[group];
         let id = self.search_order(searched)[index];
-        let Member { status: standing, health_check_in_flight, last_health_check_at, .. } = self.members[id];
+        let Member { status, health_check_in_flight, last_health_check_at, .. } = self.members[id];
         let too_early = health_check_in_flight || now - last_health_check_at < MIN_SEARCH_ROUND;
-        if standing != MemberStatus::Ready || too_early || !self.may_be_primary(now, searched, id) {
+        if status != MemberStatus::Ready || too_early || !self.may_be_primary(now, searched, id) {
             return;
         }
         let searched = &mut self.groups[group];
--- a/crates/routing/src/policy/read_routing.rs
+++ b/crates/routing/src/policy/read_routing.rs
@@ -106,10 +106,10 @@
         is_long: bool,
     ) -> ReadOptions {
         let mut allowed = self.read_subset(now, pending, floor, is_long);
-        let is_preferred =
+        let is_not_avoided =
             |id: MemberId| self.members[id].blacklist.allows(now) && Some(id) != pending.last_member;
-        if allowed.iter().any(|&id| is_preferred(id)) {
-            allowed.retain(|&id| is_preferred(id));
+        if allowed.iter().any(|&id| is_not_avoided(id)) {
+            allowed.retain(|&id| is_not_avoided(id));
         }
         let group = &self.groups[pending.group];
         let primary = group.primary;
@@ -156,8 +156,8 @@
         let may_be_fresh = |id: MemberId| {
             now - self.members[id].last_heard_at >= self.catch_up_check_interval(id, options.floor)
         };
-        let usable = |&id: &MemberId| may_be_fresh(id) && self.available_capacity(now, id) > 0.0;
-        options.replicas.iter().copied().filter(usable).max_by_key(|&id| self.members[id].position)
+        let can_take = |&id: &MemberId| may_be_fresh(id) && self.available_capacity(now, id) > 0.0;
+        options.replicas.iter().copied().filter(can_take).max_by_key(|&id| self.members[id].position)
     }
 
     /// Sends a health check to one stale replica at a time: to the drawn one if it is due, otherwise to a
@@ -193,13 +193,15 @@
     /// slow, and are confined to it even if they delay nothing. A router among many cannot see how crowded
     /// that replica is, so it applies the whole bound to a single read.
     pub(super) fn is_long_read(&self, class: usize) -> bool {
-        let usual = |class: usize| self.durations[class].quantile(0.5).unwrap_or(0);
+        let typical_duration = |class: usize| self.durations[class].quantile(0.5).unwrap_or(0);
         let recent_bound =
             |class: &RequestClass| if let Need::Recent(bound) = class.need { Some(bound) } else { None };
         let bound = self.config.classes.iter().filter_map(recent_bound).min();
-        let shortest_usual = (0..self.durations.len()).map(usual).min().unwrap_or(0);
+        let shortest_typical_duration = (0..self.durations.len()).map(typical_duration).min().unwrap_or(0);
         let consecutive_reads = if self.in_large_fleet() { 1 } else { 3 };
-        bound.is_some_and(|bound| usual(class) > (bound / consecutive_reads).max(3 * shortest_usual))
+        bound.is_some_and(|bound| {
+            typical_duration(class) > (bound / consecutive_reads).max(3 * shortest_typical_duration)
+        })
     }
 
     /// Returns whether, by recent health checks, the round trip to the member is so long that answers would
@@ -209,13 +211,13 @@
     /// checked just as a neighbouring member dies.
     pub(super) fn is_round_trip_too_long(&self, now: Micros, id: MemberId, class: usize) -> bool {
         let zone = self.members[id].zone;
-        let usual = self.durations[class].quantile(0.5).unwrap_or(0);
+        let typical_duration = self.durations[class].quantile(0.5).unwrap_or(0);
         let mut round_trip = self.round_trip_to(now, id);
         if zone != self.config.zone {
             let to_zone = self.zone_round_trips.get(&zone).copied().unwrap_or_default();
             round_trip = round_trip.max(to_zone.recent_estimate(now));
         }
-        round_trip + usual > self.config.classes[class].objective / 2
+        round_trip + typical_duration > self.config.classes[class].objective / 2
     }
 
     /// Draws a member at random, weighted by capacity.
--- a/crates/routing/src/policy/replica_subset.rs
+++ b/crates/routing/src/policy/replica_subset.rs
@@ -55,12 +55,12 @@
         let salt = self.salt;
         let all_members = &self.members;
         let name = |id: MemberId| all_members[id].name.as_str();
-        let Group { members, preferred, .. } = &mut self.groups[group];
+        let Group { members, by_preference, .. } = &mut self.groups[group];
         let at = members.partition_point(|&other| name(other) <= name(id));
         members.insert(at, id);
         let key = |id: MemberId| (preference(salt, name(id)), name(id));
-        let at = preferred.partition_point(|&other| key(other) <= key(id));
-        preferred.insert(at, id);
+        let at = by_preference.partition_point(|&other| key(other) <= key(id));
+        by_preference.insert(at, id);
     }
 
     /// Returns how many members of the group this router uses: as many as its requests reuse connections to,
@@ -94,7 +94,7 @@
         if ignore_subset || subset_size >= group.members.len() {
             return group.members.iter().copied().filter(is_allowed).collect();
         }
-        let is_preferred =
+        let is_not_avoided =
             |id: &MemberId| self.members[*id].blacklist.allows(now) && Some(*id) != pending.last_member;
         let is_behind = |id: MemberId| {
             let Member { position, last_heard_at, .. } = self.members[id];
@@ -102,11 +102,12 @@
         };
         let can_take = |id: &MemberId| {
             Some(*id) != group.primary
-                && is_preferred(id)
+                && is_not_avoided(id)
                 && !is_behind(*id)
                 && self.available_capacity(now, *id) > 0.0
         };
-        let chosen = group.preferred.iter().copied().filter(is_allowed).filter(can_take).take(subset_size);
+        let chosen =
+            group.by_preference.iter().copied().filter(is_allowed).filter(can_take).take(subset_size);
         let mut chosen: Vec<MemberId> = chosen.chain(group.primary.filter(is_allowed)).collect();
         if chosen.is_empty() {
             chosen = group.members.iter().copied().filter(is_allowed).collect();
@@ -120,7 +121,7 @@
     pub(super) fn close_if_outside_subset(&mut self, id: MemberId) {
         let Some(member) = self.members.get(id).filter(|_| self.uses_subset()) else { return };
         let group = &self.groups[member.group];
-        let mut kept = group.preferred.iter().take(self.subset_size(group)).chain(&group.primary);
+        let mut kept = group.by_preference.iter().take(self.subset_size(group)).chain(&group.primary);
         if member.in_flight.is_empty() && !kept.any(|&kept| kept == id) {
             self.actions.close_idle.push(id);
         }
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -20,7 +20,7 @@
     idle_class: Option<usize>,
     tried_connection: bool,
     /// The member had left attempts unanswered for too long.
-    member_unresponsive: bool,
+    left_attempts_unanswered: bool,
     /// The attempt's connection had most likely been dropped on the path while it was idle.
     connection_dropped: bool,
     request_closed: bool,
@@ -29,7 +29,7 @@
 impl Router {
     /// Records the end of an attempt, and closes its request or routes it again.
     pub(super) fn attempt_ended(&mut self, now: Micros, handle: RequestHandle, outcome: Outcome) {
-        let slow_start_credit = self.initial_saved_attempts();
+        let initial_saved_attempts = self.initial_saved_attempts();
         let Some(ended) = self.take_ended_attempt(now, handle, outcome) else { return };
         let id = ended.member;
         match outcome.verdict {
@@ -46,21 +46,21 @@
         }
         self.release_attempt(handle, &ended);
         self.record_idle_outcome(&ended);
-        let refused = self.record_reachability(now, &ended, slow_start_credit);
-        let load = LoadSample {
+        let refused = self.record_reachability(now, &ended, initial_saved_attempts);
+        let sample = LoadSample {
             member: id,
             class: ended.class,
             connection_dropped: ended.connection_dropped,
             outcome,
         };
-        self.adapt_concurrency_limit(now, &load);
+        self.adapt_concurrency_limit(now, &sample);
         self.record_verdict(now, handle, &ended);
         self.end_session_write(now, handle, &outcome);
         self.pending_requests
             .get_mut(&handle)
             .expect("a request is pending until it is closed")
             .last_member = Some(id);
-        self.release_idle_connections(now, id, refused);
+        self.close_idle_if_scarce(now, id, refused);
         self.record_report(now, id, outcome.report, ended.sent_at, now - outcome.report.age);
         if outcome.verdict == Verdict::NotPrimary && self.groups[ended.group].primary.is_none() {
             self.count_not_primary_answer(now, handle, &ended);
@@ -90,13 +90,13 @@
             class: pending.request.class,
             sent_at: attempt.sent_at,
             waiting_since: pending.waiting_since,
-            idle_class: pending.rest_class,
+            idle_class: pending.idle_class,
             tried_connection: pending.tries_connection,
-            member_unresponsive: self.leaves_attempts_unanswered(now, attempt.member),
+            left_attempts_unanswered: self.leaves_attempts_unanswered(now, attempt.member),
             connection_dropped: timed_out
                 && pending
-                    .rest_class
-                    .is_some_and(|idle_class| self.rested_connections.likely_dropped(idle_class)),
+                    .idle_class
+                    .is_some_and(|idle_class| self.idle_drop_detector.likely_dropped(idle_class)),
             request_closed: outcome.request_closed || pending.is_closed,
         };
         self.pending_requests.get_mut(&handle)?.in_flight = None;
@@ -120,20 +120,25 @@
         let verdict = ended.outcome.verdict;
         let Some(idle_class) = ended.idle_class else { return };
         if verdict.proves_process_alive() || verdict == Verdict::TimedOut {
-            self.rested_connections.record(idle_class, verdict.proves_process_alive());
+            self.idle_drop_detector.record(idle_class, verdict.proves_process_alive());
         }
     }
 
     /// Records what the attempt says about the member's reachability. Returns whether the member refused the
     /// connection at once; always `false` unless this router is one of many.
-    fn record_reachability(&mut self, now: Micros, ended: &EndedAttempt, slow_start_credit: f64) -> bool {
-        let many_routers = self.in_large_fleet();
+    fn record_reachability(
+        &mut self,
+        now: Micros,
+        ended: &EndedAttempt,
+        initial_saved_attempts: f64,
+    ) -> bool {
+        let in_large_fleet = self.in_large_fleet();
         let verdict = ended.outcome.verdict;
         let member = &mut self.members[ended.member];
         if verdict.proves_process_alive() {
             member.last_answered_at = now;
-            member.newest_answered_sent = member.newest_answered_sent.max(ended.waiting_since);
-            member.record_heard(now, slow_start_credit);
+            member.newest_answered_sent_at = member.newest_answered_sent_at.max(ended.waiting_since);
+            member.record_heard(now, initial_saved_attempts);
             return false;
         }
         if !matches!(verdict, Verdict::Unconnected | Verdict::Unreachable | Verdict::Reset) {
@@ -145,13 +150,13 @@
         if verdict == Verdict::Reset || refused {
             member.down_since.get_or_insert(now);
         }
-        refused && many_routers
+        refused && in_large_fleet
     }
 
     /// Records what the verdict says for or against the member.
     fn record_verdict(&mut self, now: Micros, handle: RequestHandle, ended: &EndedAttempt) {
         let id = ended.member;
-        let took = ended.outcome.duration;
+        let duration = ended.outcome.duration;
         match ended.outcome.verdict {
             Verdict::Served => self.attempt_served(now, handle, ended),
             // Not a failure of the member yet: that is proven only when another attempt of the request is
@@ -162,7 +167,7 @@
                     .expect("a request is pending until it is closed")
                     .errored_members
                     .push(id);
-                self.refund_quick_error(now, id, ended.class, took);
+                self.refund_quick_error(now, id, ended.class, duration);
             }
             Verdict::Overloaded => self.shrink_concurrency_limit(now, id),
             Verdict::NotPrimary | Verdict::NotSent | Verdict::Unobserved => {}
@@ -172,7 +177,7 @@
             }
             // A timeout at a member that answers other attempts is a sign of overload, not of a fault.
             Verdict::TimedOut | Verdict::Cancelled
-                if !ended.member_unresponsive || ended.connection_dropped => {}
+                if !ended.left_attempts_unanswered || ended.connection_dropped => {}
             _ => self.record_failure(now, id),
         }
     }
@@ -202,13 +207,13 @@
     fn count_not_primary_answer(&mut self, now: Micros, handle: RequestHandle, ended: &EndedAttempt) {
         let answers_per_round =
             self.groups[ended.group].members.len().min(self.config.max_attempts as usize / 2);
-        let hold = self.search_hold();
+        let search_hold = self.search_hold();
         let pending =
             self.pending_requests.get_mut(&handle).expect("a request is pending until it is closed");
         pending.not_primary_answers += 1;
         if pending.not_primary_answers >= answers_per_round {
             pending.not_primary_answers = 0;
-            self.groups[ended.group].search_after = now + hold;
+            self.groups[ended.group].search_after = now + search_hold;
         }
         let member = &mut self.members[ended.member];
         member.not_primary_at = member.not_primary_at.max(now - ended.outcome.report.age);
--- a/crates/routing/src/policy/sessions.rs
+++ b/crates/routing/src/policy/sessions.rs
@@ -16,7 +16,7 @@
 pub(crate) struct Session {
     /// Latest time, by the members' clock, at which the session's last write that ran or may have run was
     /// committed; zero if there is none.
-    last_commit: Micros,
+    last_committed_at: Micros,
     /// Number of writes in flight. Each of these may have been committed by now.
     writes_in_flight: u32,
 }
@@ -24,7 +24,7 @@
 impl Session {
     /// Returns the position that a read of the session must see. `now` is by the members' clock.
     fn floor(&self, now: Micros) -> Micros {
-        if self.writes_in_flight > 0 { now } else { self.last_commit }
+        if self.writes_in_flight > 0 { now } else { self.last_committed_at }
     }
 
     /// Records that a write was sent.
@@ -32,11 +32,11 @@
         self.writes_in_flight += 1;
     }
 
-    /// Records that a write has ended. `commit` is the latest time at which the write was committed, or zero
+    /// Records that a write has ended. `committed_at` is the latest time at which the write was committed, or zero
     /// if it never ran.
-    pub(super) fn write_ended(&mut self, commit: Micros) {
+    pub(super) fn write_ended(&mut self, committed_at: Micros) {
         self.writes_in_flight -= 1;
-        self.last_commit = self.last_commit.max(commit);
+        self.last_committed_at = self.last_committed_at.max(committed_at);
     }
 }
 
@@ -69,7 +69,8 @@
         }
         let forgotten_until = Some(now - FORGET_AFTER);
         self.forgotten_until = forgotten_until;
-        self.by_name
-            .retain(|_, session| session.writes_in_flight > 0 || Some(session.last_commit) > forgotten_until);
+        self.by_name.retain(|_, session| {
+            session.writes_in_flight > 0 || Some(session.last_committed_at) > forgotten_until
+        });
     }
 }
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -11,24 +11,24 @@
 const SWEEP_INTERVAL: Micros = 10 * TICK;
 
 impl Member {
-    /// Returns whether the member started less than `warm_within` microseconds ago and is to be sent few
+    /// Returns whether the member started less than `slow_start_duration` microseconds ago and is to be sent few
     /// attempts.
-    pub(super) fn is_warming_up(&self, now: Micros, warm_within: Micros) -> bool {
-        self.started_at.is_some_and(|since| now - since < warm_within)
+    pub(super) fn is_warming_up(&self, now: Micros, slow_start_duration: Micros) -> bool {
+        self.started_at.is_some_and(|started_at| now - started_at < slow_start_duration)
     }
 
     /// Records that the member's process was heard from. A process that seemed dead for more than four write
-    /// holds is taken to have started now, with `credit` as its saved attempts.
+    /// holds is taken to have started now, with `saved_attempts` as its saved attempts.
     ///
     /// This protects a process that died and came back from all the requests that wait for it, if no list
     /// tells when it started. The cost: a member that only refused connections gets a slow-start allowance,
     /// unless it is heard from sooner than any process could restart.
-    pub(super) fn record_heard(&mut self, now: Micros, credit: f64) {
+    pub(super) fn record_heard(&mut self, now: Micros, saved_attempts: f64) {
         self.last_heard_at = now;
         self.unreachable_until = now;
         if self.down_since.take().is_some_and(|at| now - at > 4 * WRITE_HOLD) {
             self.started_at = Some(now);
-            self.saved_attempts = credit;
+            self.saved_attempts = saved_attempts;
             self.saved_at = now;
         }
     }
@@ -39,7 +39,7 @@
     /// the overload rule. It is infinite once the member is warm.
     pub(super) fn slow_start_allowance(&self, now: Micros, id: MemberId) -> f64 {
         let member = &self.members[id];
-        let age = member.started_at.map_or(Micros::MAX, |since| now - since);
+        let age = member.started_at.map_or(Micros::MAX, |started_at| now - started_at);
         if age >= self.config.slow_start_duration {
             return f64::INFINITY;
         }
@@ -79,7 +79,7 @@
         }
         // The load that members can carry does not shrink when they are sent less, so their recent maximum
         // counts.
-        let faded_load = self.warm_load * (1.0 - 0.02 * window_fraction);
-        self.warm_load = faded_load.max(if warm_size > 0.0 { total_load / warm_size } else { 0.0 });
+        let decayed_load = self.warm_load * (1.0 - 0.02 * window_fraction);
+        self.warm_load = decayed_load.max(if warm_size > 0.0 { total_load / warm_size } else { 0.0 });
     }
 }
--- a/crates/routing/src/policy/stalls.rs
+++ b/crates/routing/src/policy/stalls.rs
@@ -13,12 +13,13 @@
             let Member {
                 last_heard_at,
                 last_answered_at,
-                newest_answered_sent,
+                newest_answered_sent_at,
                 last_health_check_at,
                 saved_at,
                 ..
             } = member;
-            for at in [last_heard_at, last_answered_at, newest_answered_sent, last_health_check_at, saved_at]
+            for at in
+                [last_heard_at, last_answered_at, newest_answered_sent_at, last_health_check_at, saved_at]
             {
                 *at = (*at + duration).min(now);
             }
--- a/crates/routing/src/policy/write_routing.rs
+++ b/crates/routing/src/policy/write_routing.rs
@@ -23,7 +23,7 @@
         let group = &self.groups[pending.group];
         let order = self.search_order(group);
         let asked = pending.last_member.and_then(|last| order.iter().position(|&id| id == last));
-        let start = asked.map_or(0, |position| position + 1);
+        let start = asked.map_or(0, |index| index + 1);
         let rotation = (0..order.len()).map(|step| order[(start + step) % order.len()]);
         let mut candidates = rotation.filter(|&id| self.may_be_primary(now, group, id));
         let first = candidates.clone().next();
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -58,7 +58,7 @@
     pub(crate) not_primary_answers: usize,
     /// Idle time of the attempt's connection before the attempt, as a power of two; `None` if the connection
     /// is new or that time is not known.
-    pub(crate) rest_class: Option<usize>,
+    pub(crate) idle_class: Option<usize>,
     /// Members that answered the request with an error, one entry for each answer.
     pub(crate) errored_members: Vec<MemberId>,
     /// Whether the request has waited for a replica's report.
@@ -96,7 +96,7 @@
     /// Time at which the member last answered an attempt.
     pub(crate) last_answered_at: Micros,
     /// Time at which the newest attempt that the member answered was sent.
-    pub(crate) newest_answered_sent: Micros,
+    pub(crate) newest_answered_sent_at: Micros,
     /// Time until which the member counts as unreachable, unless it is heard from earlier.
     pub(crate) unreachable_until: Micros,
     /// Time since which the member's process seems dead; `None` if it does not. If that is long ago, the
@@ -132,7 +132,7 @@
     /// Members of the group, in the order of their names.
     pub(crate) members: Vec<MemberId>,
     /// Members of the group, in this router's order of preference.
-    pub(crate) preferred: Vec<MemberId>,
+    pub(crate) by_preference: Vec<MemberId>,
     /// Believed primary of the group.
     pub(crate) primary: Option<MemberId>,
     /// Time of the newest report of the primary.
@@ -153,7 +153,7 @@
 #[derive(Clone, Default)]
 pub(crate) struct PrimarySearch {
     pub(crate) round_started_at: Micros, // roles reported before this round are ignored
-    pub(crate) next_position: usize,     // index of the member that is asked next
+    pub(crate) next_index: usize,        // index of the member that is asked next
     pub(crate) saved_health_checks: f64, // health checks that are due
 }
 
@@ -186,7 +186,7 @@
     pub(crate) warm_load: f64,
     pub(crate) mean_size: f64,
     pub(crate) health_check_budget: HealthCheckBudget,
-    pub(crate) rested_connections: IdleDropDetector,
+    pub(crate) idle_drop_detector: IdleDropDetector,
     /// Time until which connections count as scarce, because a member had none to spare.
     pub(crate) connections_scarce_until: Micros,
     /// Backoff of new connections that fail on this machine.
