--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -20,8 +20,8 @@
 /// Index of a member. The caller assigns the indices and keeps them small.
 pub type MemberId = usize;
 
-/// Set of members that share the memory of deduplicated requests: each drops a repeat of what one of them
-/// did.
+/// Set of members that share the memory of deduplicated requests: each of them drops a repeat of a request
+/// that another has executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All members.
@@ -250,7 +250,7 @@
 }
 
 impl Verdict {
-    /// Whether the attempt is known never to have run.
+    /// Returns whether the attempt is known never to have run.
     pub fn never_ran(self) -> bool {
         use Verdict::*;
         matches!(
@@ -259,7 +259,7 @@
         )
     }
 
-    /// Whether the verdict proves that the member's process is alive.
+    /// Returns whether the verdict proves that the member's process is alive.
     pub fn proves_process_alive(self) -> bool {
         use Verdict::*;
         matches!(self, Served | Error | Overloaded | NotPrimary | Malformed | ConnectionLost)
@@ -308,7 +308,7 @@
 /// request must stay within its window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Validity {
-    /// Time on the router's clock from which the attempt must not be sent; `Micros::MAX` if there is none.
+    /// Time on the caller's clock from which the attempt must not be sent; `Micros::MAX` if there is none.
     pub expires_at: Micros,
     /// Whether the attempt must not be sent once the member has reported after the decision that it is a
     /// replica.
--- a/crates/routing/src/policy/admission.rs
+++ b/crates/routing/src/policy/admission.rs
@@ -13,8 +13,8 @@
     pub(super) useful_until: Micros,
 }
 
-/// Time at which the request is shed early: when half of the client's time has passed, less two ticks, which
-/// cover one tick of delay and the way to the client.
+/// Returns the time at which the request is shed early: when half of the client's time has passed, less two
+/// ticks, which cover one tick of delay and the way to the client.
 fn shed_at(pending: &PendingRequest) -> Micros {
     let half = (pending.request.ttl - pending.request.waited) / 2;
     (pending.arrived_at + half - 2 * TICK).max(pending.arrived_at + 1)
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Time at which the answer is due. A retry brings less time than the timeout of its class; the
-    /// difference has already passed and is subtracted.
+    /// Returns the time at which the answer is due. A retry brings less time than the timeout of its class;
+    /// the difference has already passed and is subtracted.
     fn objective_at(&self, now: Micros, request: &Request, client_attempt: ClientAttempt) -> Micros {
         let RequestClass { timeout, objective, .. } = self.config.classes[request.class];
         let missing = (timeout - request.ttl - request.waited).max(0);
@@ -65,7 +65,7 @@
         now - request.waited + objective - elapsed
     }
 
-    /// Times from which the request is given up, and from which an answer is worth nothing.
+    /// Returns the times from which the request is given up, and from which an answer is worth nothing.
     pub(super) fn deadlines(&self, now: Micros, pending: &PendingRequest) -> RequestDeadlines {
         let client_deadline = pending.arrived_at + pending.request.ttl;
         let late_weight = self.config.classes[pending.request.class].late_priority_weight;
@@ -85,8 +85,8 @@
         RequestDeadlines { give_up_at, useful_until }
     }
 
-    /// Expected duration of an attempt of the request, in microseconds: a typical one when it has just
-    /// arrived, a cautious one once it has waited; zero if unknown.
+    /// Returns the expected duration of an attempt of the request, in microseconds: a typical one when it has
+    /// just arrived, a cautious one once it has waited; zero if unknown.
     fn expected_duration(&self, now: Micros, pending: &PendingRequest) -> Micros {
         // A request that has only waited for a replica's report has not waited for capacity.
         let just_arrived =
@@ -95,11 +95,11 @@
         self.durations[pending.request.class].quantile(quantile).unwrap_or(0)
     }
 
-    /// Whether the request is given up before half of its client's time has passed.
+    /// Returns whether the request is given up before half of its client's time has passed.
     ///
-    /// That holds for requests that were never attempted and are worth little when late, also in groups
-    /// without members, and protects clients from a long wait in vain. The cost: some of these requests would
-    /// have found capacity later.
+    /// This concerns requests that were never attempted and are worth little when late, also in groups
+    /// without members; in a large fleet, it concerns all requests that were never attempted. It protects
+    /// clients from a long wait in vain. The cost: some of these requests would have found capacity later.
     fn shed_early(&self, now: Micros, pending: &PendingRequest) -> bool {
         let late_weight = self.config.classes[pending.request.class].late_priority_weight;
         let waits_for_capacity = pending.attempts == 0 && !self.is_backing_off(now);
@@ -124,8 +124,8 @@
         self.close(handle);
     }
 
-    /// Number of attempts that a request of the class may use: all of them for the class with the highest
-    /// priority weight, at least half of them for the others.
+    /// Returns the number of attempts that a request of the class may use: all of them for the class with the
+    /// highest priority weight, at least half of them for the others.
     pub(super) fn attempts_allowed(&self, class: &RequestClass) -> u32 {
         let highest_weight =
             self.config.classes.iter().map(|other| other.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
@@ -133,8 +133,8 @@
         (max_attempts * (class.priority_weight / highest_weight).max(0.5)).ceil().min(max_attempts) as u32
     }
 
-    /// Whether the request itself causes the errors that answer it: two members answered it with an error, or
-    /// one did three times.
+    /// Returns whether the request itself causes the errors that answer it: two members answered it with an
+    /// error, or one did three times.
     ///
     /// This protects members from being blacklisted, and attempts from being used up, for statements that
     /// every member rejects. The cost: a request that met two faulty members loses its remaining attempts.
--- a/crates/routing/src/policy/availability.rs
+++ b/crates/routing/src/policy/availability.rs
@@ -14,16 +14,16 @@
 }
 
 impl Router {
-    /// Whether anything may be sent to the member: it is not draining, it is listed or need not be, and it
-    /// responds.
+    /// Returns whether anything may be sent to the member: it is not draining, it is listed or need not be,
+    /// and it responds.
     pub(super) fn is_usable(&self, now: Micros, id: MemberId) -> bool {
         let status = self.members[id].status;
         let usable_unlisted = status == MemberStatus::Unlisted && self.config.unlisted_members_usable;
         (status == MemberStatus::Ready || usable_unlisted) && !self.is_unresponsive(now, id)
     }
 
-    /// Whether the member was unreachable a short time ago, or takes attempts and answers none. One attempt a
-    /// second tries it again.
+    /// Returns whether the member was unreachable a short time ago, or takes attempts and answers none. One
+    /// attempt a second tries it again.
     ///
     /// This protects attempts from a hang, a cut link, a long pause and a crash without a reset. The cost: a
     /// member whose few attempts in flight are all long ones is passed over for a second, or until it answers
@@ -35,8 +35,8 @@
         now < member.unreachable_until || recently_tried && self.leaves_attempts_unanswered(now, id)
     }
 
-    /// Whether attempts sent after the newest answered one have waited far longer than attempts take, with
-    /// nothing answered meanwhile.
+    /// Returns whether attempts sent after the newest answered one have waited far longer than attempts take,
+    /// with nothing answered meanwhile.
     pub(super) fn leaves_attempts_unanswered(&self, now: Micros, id: MemberId) -> bool {
         let member = &self.members[id];
         let mut waiting = self
@@ -48,7 +48,7 @@
         })
     }
 
-    /// Attempts in flight at the member.
+    /// Returns the attempts in flight at the member.
     pub(super) fn attempts_in_flight(&self, id: MemberId) -> impl Iterator<Item = SentAttempt> {
         let requests = self.members[id].in_flight.iter().map(|handle| &self.pending_requests[handle]);
         let in_flight = requests.filter(|pending| pending.in_flight.is_some());
@@ -56,7 +56,7 @@
             .map(|pending| SentAttempt { waiting_since: pending.waiting_since, class: pending.request.class })
     }
 
-    /// Duration that nearly all attempts of the request class stay below, in microseconds.
+    /// Returns the duration that nearly all attempts of the request class stay below, in microseconds.
     pub(super) fn longest_expected_duration(&self, class: usize) -> Micros {
         let objective = self.config.classes[class].objective;
         self.durations[class].quantile(0.9).unwrap_or(200 * MS).min(objective).max(100 * MS) * 2
--- a/crates/routing/src/policy/blacklist.rs
+++ b/crates/routing/src/policy/blacklist.rs
@@ -2,15 +2,16 @@
 //! checks unanswered.
 //!
 //! Together with the draining members of the endpoint list, this makes up the three redundant filters of the
-//! design. Blacklisting for failures and for unanswered health checks expires by itself, so a wrong entry
-//! costs no more than its duration.
+//! design. Blacklisting for failures and for missed health checks expires by itself, so a wrong entry costs
+//! no more than its duration.
 
 use std::collections::VecDeque;
 
 use super::MS;
 use crate::Micros;
 
-/// Time for which a member stays blacklisted, in microseconds. The design's default is 20 s, see docs/design.md.
+/// Time for which a member stays blacklisted, in microseconds. The design's default is 20 s, see
+/// docs/design.md.
 pub(super) const BLACKLIST_DURATION: Micros = 5_000 * MS;
 /// Time for which a failure counts, in microseconds; the design specifies it.
 pub(super) const FAILURE_WINDOW: Micros = 10_000 * MS;
@@ -21,10 +22,11 @@
 const ROUTERS_AT_FULL_THRESHOLD: f64 = 25.0;
 /// Malformed responses in a row that do not yet count as failures.
 const TOLERATED_MALFORMED: usize = 5;
-/// Unanswered health checks in a row that blacklist a member; the design specifies them.
+/// Missed health checks in a row that blacklist a member; the design specifies them.
 const MISSED_HEALTH_CHECKS: u32 = 3;
 
-/// Number of failures within [`FAILURE_WINDOW`] that blacklist a member if `routers` share its answers.
+/// Returns the number of failures within [`FAILURE_WINDOW`] that blacklist a member if `routers` share its
+/// answers.
 pub(super) fn failure_threshold(routers: usize) -> f64 {
     let full_threshold = FAILURE_THRESHOLD as f64;
     (full_threshold * ROUTERS_AT_FULL_THRESHOLD / routers as f64).min(full_threshold)
@@ -42,7 +44,7 @@
 }
 
 impl Blacklist {
-    /// Whether the member is not blacklisted.
+    /// Returns whether the member is not blacklisted.
     pub(super) fn allows(&self, now: Micros) -> bool {
         now >= self.blacklisted_until
     }
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Records an answered health check, and lifts a blacklisting for unanswered ones.
+    /// Records an answered health check, and lifts a blacklisting for missed ones.
     pub(super) fn record_answered_health_check(&mut self, now: Micros) {
         if self.missed_health_checks >= MISSED_HEALTH_CHECKS {
             self.blacklisted_until = now;
--- a/crates/routing/src/policy/concurrency_limit.rs
+++ b/crates/routing/src/policy/concurrency_limit.rs
@@ -5,11 +5,12 @@
 use crate::state::{Member, Router};
 use crate::{MemberId, MemberStatus, Micros, Outcome, Verdict};
 
-/// Attempts that all routers together may have in flight at a member at first.
+/// Attempts that all routers together may have in flight at a newly listed member, if their fleet is not
+/// large.
 pub(super) const INITIAL_FLEET_LIMIT: f64 = 10.0;
 /// Attempts that all routers together may always have in flight at a member.
 pub(super) const GUARANTEED_FLEET_LIMIT: f64 = 4.0;
-/// Maximum number of attempts that all routers together may have in flight at a member of usual size.
+/// Maximum number of attempts that all routers together may have in flight at a member of size one.
 pub(super) const MAX_FLEET_LIMIT: f64 = 100.0;
 
 /// An ended attempt, as a sample of its member's load.
@@ -37,9 +38,9 @@
             .for_each(|member| member.concurrency_limit = (member.concurrency_limit * ratio).max(min_limit));
     }
 
-    /// Number of further attempts that this router may have in flight at the member, by its concurrency limit
-    /// and, while the member warms up, its slow-start allowance. Where less than one attempt is due, attempts
-    /// are saved up.
+    /// Returns the number of further attempts that this router may have in flight at the member, by its
+    /// concurrency limit and, while the member warms up, its slow-start allowance. Where less than one
+    /// attempt is due, attempts are saved up.
     pub(super) fn available_capacity(&self, now: Micros, id: MemberId) -> f64 {
         if !self.may_connect(now, id) {
             return 0.0;
@@ -72,8 +73,8 @@
         capacity.min(allowance.max(1.0).floor() - recently_sent)
     }
 
-    /// Attempts saved up for the member: at most two if it is warm, and half of its slow-start allowance, but
-    /// from one to two, while it warms up.
+    /// Returns the attempts saved up for the member: at most two if it is warm, and half of its slow-start
+    /// allowance, but from one to two, while it warms up.
     pub(super) fn saved_attempts(&self, now: Micros, id: MemberId) -> f64 {
         let member = &self.members[id];
         let allowance = self.slow_start_allowance(now, id);
@@ -180,18 +181,18 @@
         }
     }
 
-    /// Weight of one answer. In a large fleet, a router gets few of a member's answers, so each counts for
-    /// more.
+    /// Returns the weight of one answer. In a large fleet, a router gets few of a member's answers, so each
+    /// counts for more.
     fn answer_weight(&self) -> f64 {
         if self.in_large_fleet() { (self.config.routers as f64 / 4.0).min(16.0) } else { 1.0 }
     }
 
-    /// Factor by which one slow answer lowers a concurrency limit.
+    /// Returns the factor by which one slow answer lowers a concurrency limit.
     fn decrease_factor(&self) -> f64 {
         0.92f64.powf(self.answer_weight())
     }
 
-    /// Limit below which slow answers do not lower a concurrency limit.
+    /// Returns the limit below which slow answers do not lower a concurrency limit.
     fn min_concurrency_limit(&self) -> f64 {
         let guaranteed_limit = GUARANTEED_FLEET_LIMIT / self.config.routers as f64;
         if self.in_large_fleet() { guaranteed_limit } else { guaranteed_limit.max(1.0) }
--- a/crates/routing/src/policy/dispatch.rs
+++ b/crates/routing/src/policy/dispatch.rs
@@ -4,8 +4,8 @@
 use crate::state::{InFlight, PendingRequest, RequestHandle, Router};
 use crate::{Action, Effect, MemberId, Micros, Need};
 
-/// Whether the request may be attempted again. Once it may have run, a non-idempotent request never may, and
-/// a deduplicated one only within its window.
+/// Returns whether the request may be attempted again. Once it may have run, a non-idempotent request never
+/// may, and a deduplicated one only within its window.
 fn may_run_again(now: Micros, effect: Effect, pending: &PendingRequest) -> bool {
     match (effect, pending.may_have_run) {
         (_, None) | (Effect::Idempotent, _) => true,
@@ -55,7 +55,8 @@
         let member = &mut self.members[id];
         member.in_flight.push(handle);
         member.sent_recently.push_back(now);
-        let pending = self.pending_requests.get_mut(&handle).expect("the request is pending");
+        let pending =
+            self.pending_requests.get_mut(&handle).expect("a request is pending while it is routed");
         pending.attempts += 1;
         pending.idle_class = idle_class.filter(|_| !on_new_connection);
         pending.tries_connection = tries_connection;
--- a/crates/routing/src/policy/endpoint_list.rs
+++ b/crates/routing/src/policy/endpoint_list.rs
@@ -24,7 +24,7 @@
         is_full: bool,
         entries: Vec<ListedMember>,
     ) -> Actions {
-        // The list held at the start is not the answer to a request.
+        // The list held at the start is not the answer to a subscription.
         if !self.members.is_empty() {
             self.list_subscription.received();
         }
@@ -74,6 +74,7 @@
         }
     }
 
+    /// Adds a member to the group, and replaces any state that was kept under the member's index.
     fn add_member(&mut self, now: Micros, group: usize, entry: &ListedMember) {
         let routers = self.config.routers as f64;
         let size = entry.size / self.mean_size;
@@ -97,7 +98,8 @@
         self.add_to_group(group, entry.member);
     }
 
-    /// Believes the list that the member is its group's primary, as far as listed roles are trusted.
+    /// Takes a member that the list names as its group's primary for the primary, as far as listed roles are
+    /// trusted.
     fn learn_listed_primary(&mut self, now: Micros, group: usize, id: MemberId) {
         let group = &mut self.groups[group];
         if group.listed_primary == Some(id) {
@@ -121,7 +123,8 @@
         let search_hold = self.search_hold();
         let group = &mut self.groups[self.members[id].group];
         if status != MemberStatus::Ready && group.primary == Some(id) {
-            // All routers are notified at once, so a random delay keeps their searches from starting at once.
+            // All routers are notified at once, so a random delay keeps their searches from starting at the
+            // same time.
             group.primary = None;
             group.search_after = now + self.rng.random_range(0..search_hold);
             group.search.round_started_at = now;
@@ -147,7 +150,7 @@
         is_forgotten
     }
 
-    /// Handles a failure of discovery: the list is requested again after a backoff.
+    /// Handles a failure of discovery: the next subscription to the list is due after a backoff.
     pub fn list_unavailable(&mut self, now: Micros) -> Actions {
         self.list_subscription.failed(now, &mut self.rng);
         self.take_actions()
--- a/crates/routing/src/policy/freshness.rs
+++ b/crates/routing/src/policy/freshness.rs
@@ -8,8 +8,8 @@
 use crate::{Effect, MemberId, MemberReport, MemberStatus, Micros, Need, Outcome, Role, Validity, Verdict};
 
 impl Router {
-    /// Sets the lead of the members' clock over this router's, in microseconds, and the start times of
-    /// members on this router's clock; `None` if a member started long ago.
+    /// Sets the lead of the members' clock over the caller's, in microseconds, and the start times of members
+    /// on the caller's clock; `None` if a member started long ago.
     ///
     /// This protects reads with a staleness bound, and slow start, from a wrong wall clock of the process.
     /// The cost: both suffer if the caller's estimate is wrong.
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Minimum time between two health checks of a member that lags behind `floor`, in microseconds: half of
-    /// its lag, as it may catch up at twice the pace of time.
+    /// Returns the minimum time between two health checks of a member that lags behind `floor`, in
+    /// microseconds: half of its lag, as it may catch up at twice the pace of time.
     ///
     /// This protects the health check budget and the time that writes have. The cost: up to a second of delay
     /// if a member catches up faster.
@@ -33,7 +33,7 @@
         (lag / 2).clamp(URGENT_HEALTH_CHECK_INTERVAL, HEALTH_CHECK_INTERVAL)
     }
 
-    /// Conditions that must still hold when the attempt is sent.
+    /// Returns the conditions that must still hold when the attempt is sent.
     ///
     /// They protect reads and repeats from what happens between the decision and the last byte: a connection
     /// that is established late, a primary that steps down, a deduplication window that ends, a process that
@@ -50,7 +50,7 @@
         Validity { expires_at: repeats_until.min(freshness.expires_at), ..freshness }
     }
 
-    /// Validity for which the member is proven fresh enough for the request.
+    /// Returns the conditions under which the member is proven fresh enough for the request.
     fn freshness_validity(&self, pending: &PendingRequest, id: MemberId) -> Validity {
         let member = &self.members[id];
         let is_confirmed_primary = self.groups[pending.group].primary == Some(id) && member.confirmed_primary;
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Session in which the request's write is tracked; `None` if the request is no write, has no session, or
-    /// the router tracks none.
+    /// Returns the session in which the request's write is tracked; `None` if the request is no write, has no
+    /// session, or the router tracks none.
     ///
     /// Tracking protects reads of the session from missing a write whose answer was lost or is still on its
     /// way. The cost: these reads go to the primary while such a write is in flight.
@@ -82,7 +82,7 @@
         Some(self.sessions.entry(name))
     }
 
-    /// Records what a member reports of itself. The report was true at `valid_at`, and was requested no
+    /// Records the report of a member on itself. The report was true at `valid_at`, and was requested no
     /// earlier than `requested_at`.
     ///
     /// Reports may arrive late or out of order, so an older one never overrides a newer one. Reads take a
@@ -112,6 +112,7 @@
         }
     }
 
+    /// Records a report that the member is the primary.
     fn record_primary_report(
         &mut self,
         id: MemberId,
@@ -130,6 +131,7 @@
         }
     }
 
+    /// Records a report that the member is a replica.
     fn record_replica_report(&mut self, now: Micros, id: MemberId, position: Micros, valid_at: Micros) {
         let member = &mut self.members[id];
         let group = &mut self.groups[member.group];
@@ -157,8 +159,8 @@
         }
     }
 
-    /// Position on the members' clock that a replica must have reached to serve the read; `Micros::MIN` if
-    /// any will do.
+    /// Returns the position on the members' clock that a replica must have reached to serve the read;
+    /// `Micros::MIN` if any will do.
     pub(super) fn position_floor(&self, now: Micros, pending: &PendingRequest, need: Need) -> Micros {
         match need {
             Need::Latest => self.members_now(pending.arrived_at),
@@ -168,8 +170,8 @@
         }
     }
 
-    /// Position of the newest write of the read's session, as far as the client states it or this router
-    /// remembers it; `Micros::MIN` if neither does.
+    /// Returns the position of the newest write of the read's session, as far as the client states it or this
+    /// router remembers it; `Micros::MIN` if neither does.
     fn session_floor(&self, now: Micros, pending: &PendingRequest) -> Micros {
         let client_reported = pending.request.last_write_age.map(|ago| pending.arrived_at - ago);
         let session = pending.request.session.as_ref();
--- a/crates/routing/src/policy/health_check_budget.rs
+++ b/crates/routing/src/policy/health_check_budget.rs
@@ -1,9 +1,9 @@
-//! The health check budget: admitted requests earn the credit that health checks spend, so the rate of health
+//! The health check budget: accepted requests earn the credit that health checks spend, so the rate of health
 //! checks follows the traffic.
 
-/// Credit that each admitted request earns, in health checks.
+/// Credit that each accepted request earns, in health checks.
 const CREDIT_PER_REQUEST: f64 = 0.7;
-/// Credit of a router that has not admitted any request yet, in health checks.
+/// Credit of a router that has not accepted any request yet, in health checks.
 const INITIAL_CREDIT: f64 = 4.0;
 /// Credit that a newly listed member adds, in health checks: one to check it and one in reserve.
 const CREDIT_PER_NEW_MEMBER: f64 = 2.0;
@@ -17,12 +17,12 @@
 }
 
 impl HealthCheckBudget {
-    /// Creates the budget of a router that has not admitted any request yet.
+    /// Creates the budget of a router that has not accepted any request yet.
     pub(super) fn new() -> HealthCheckBudget {
         HealthCheckBudget { credit: INITIAL_CREDIT }
     }
 
-    /// Adds the credit for an admitted request. The total is capped at one health check for each of
+    /// Adds the credit for an accepted request. The total is capped at one health check for each of
     /// `members`.
     pub(super) fn earn_for_request(&mut self, members: usize) {
         self.credit = (self.credit + CREDIT_PER_REQUEST).min(members as f64);
--- a/crates/routing/src/policy/health_checks.rs
+++ b/crates/routing/src/policy/health_checks.rs
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Records the result of a health check that took `duration` microseconds, and routes the queued requests of
-    /// the member's group again.
+    /// Records the result of a health check that took `duration` microseconds, and routes the queued requests
+    /// of the member's group again.
     ///
     /// A member that is too overloaded to report has answered nevertheless. The result is ignored if the
     /// member is not known.
--- a/crates/routing/src/policy/idle_connections.rs
+++ b/crates/routing/src/policy/idle_connections.rs
@@ -15,9 +15,9 @@
         idle_class(now - last_answered_at).filter(|_| has_idle_connection)
     }
 
-    /// Handles a refused connection in a router among many: closes all idle connections on the first refusal
-    /// and, for [`FAILURE_WINDOW`] after the last one, each connection once it is idle again. A health check
-    /// of the member tells whether its process is dead.
+    /// Handles a refused connection in a large fleet: closes all idle connections on the first refusal and,
+    /// for [`FAILURE_WINDOW`] after the last one, each connection once it is idle again. A health check of
+    /// the member tells whether its process is dead.
     ///
     /// This keeps the idle connections of routers from using up those of members that accept only a few. The
     /// cost is a handshake for each attempt.
@@ -30,7 +30,7 @@
         self.try_health_check(now, id, URGENT_HEALTH_CHECK_INTERVAL);
     }
 
-    /// Closes idle connections after an attempt while members accept few connections. A `refused` attempt
+    /// Closes idle connections after an attempt while connections to members are scarce. A `refused` attempt
     /// starts or prolongs that time.
     pub(super) fn close_idle_if_scarce(&mut self, now: Micros, id: MemberId, refused: bool) {
         if refused {
--- a/crates/routing/src/policy/idle_drop_detection.rs
+++ b/crates/routing/src/policy/idle_drop_detection.rs
@@ -1,4 +1,4 @@
-//! Detection of connections that something on the path silently dropped while they were idle.
+//! Detection of connections that were silently dropped on the network path while they were idle.
 
 use super::blacklist::FAILURE_WINDOW;
 use super::{MS, TICK};
@@ -17,8 +17,8 @@
 /// Share of unanswered attempts below which connections of an idle class are taken to be intact.
 const HEALTHY_BELOW: f64 = 0.25;
 
-/// How long a connection was idle, on a logarithmic scale: class 0 is less than 250 ms, and class `n` starts
-/// at 2^(`n` - 1) times 250 ms.
+/// Class of a connection's idle time, on a logarithmic scale: class 0 is less than 250 ms, and class `n`
+/// starts at 2^(`n` - 1) times 250 ms.
 pub(crate) type IdleClass = usize;
 
 /// Returns the class of an idle time in microseconds, or `None` for [`MAX_IDLE_MULTIPLE`] units and longer.
@@ -35,11 +35,11 @@
 }
 
 impl IdleDropDetector {
-    /// Returns whether a connection of this idle class has most likely been dropped on the path.
+    /// Returns whether a connection of this idle class has most likely been dropped on the network path.
     ///
-    /// Without this check, attempts time out on connections that something on the path silently dropped, even
-    /// within the idle limits of the settings. The decision needs evidence from both sides: connections that
-    /// were idle for long are mostly not answered, and those that were idle for less time are. The cost:
+    /// Without this check, attempts time out on connections that were silently dropped on the network path,
+    /// even within the idle limits of the settings. The decision needs evidence from both sides: connections
+    /// that were idle for long are mostly not answered, and those that were idle for less time are. The cost:
     /// unnecessary handshakes if members stop answering at random.
     pub(super) fn likely_dropped(&self, class: IdleClass) -> bool {
         let shortest_dropped =
--- a/crates/routing/src/policy/local_failures.rs
+++ b/crates/routing/src/policy/local_failures.rs
@@ -14,9 +14,9 @@
 const MIN_BACKOFF: Micros = 20 * MS;
 /// Maximum delay, in microseconds, between two tries of a new connection to any member after one failed.
 const MAX_BACKOFF: Micros = 80 * MS;
-/// How long the backoff lasts after a failure, in microseconds. Until then, new connections are tried one at
-/// a time, and no request that was never sent is shed early, because such a request has not waited for member
-/// capacity.
+/// Time for which the backoff stays active after a failure, in microseconds. Until then, new connections are
+/// tried one at a time, and no request that was never sent is shed early, because such a request has not
+/// waited for member capacity.
 const BACKOFF_EXPIRY: Micros = 1_000 * MS;
 
 /// Backoff for new connections after one could not be opened on this machine. One new connection is tried
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -61,7 +61,7 @@
 /// Time for which a write waits after a round of members that are not the primary, in microseconds; the
 /// design specifies it.
 const WRITE_HOLD: Micros = 500 * MS;
-/// Number of attempts that a histogram of durations remembers; users take a multiple or a fraction of it.
+/// Number of attempts that a histogram of durations remembers; its uses take a multiple or a fraction of it.
 const HISTOGRAM_MEMORY: u32 = 32;
 
 impl RequestHandle {
@@ -153,8 +153,8 @@
         self.take_actions()
     }
 
-    /// Whether there are so many routers that the share of this one at a member is below one attempt at a
-    /// time.
+    /// Returns whether the fleet is large: there are so many routers that the share of this one at a member
+    /// is below one attempt at a time.
     fn in_large_fleet(&self) -> bool {
         self.config.routers as f64 > 1.5 * INITIAL_FLEET_LIMIT
     }
--- a/crates/routing/src/policy/primary_search.rs
+++ b/crates/routing/src/policy/primary_search.rs
@@ -14,7 +14,7 @@
 /// together. It is less than half of the about 87 connections to members that the lowest usual descriptor
 /// limit (256) allows.
 const MAX_SEARCH_CHECKS_IN_FLIGHT: usize = 32;
-/// How long a search waits for the answer to a health check, in microseconds. It is far longer than an
+/// Time for which a search waits for the answer to a health check, in microseconds. It is far longer than an
 /// overloaded member takes, as checks that are sent before then only add to its load. The cost: in a search
 /// of many groups, each member that has vanished may delay its group for this long.
 const SEARCH_CHECK_TIMEOUT: Micros = 1_000 * MS;
--- a/crates/routing/src/policy/read_routing.rs
+++ b/crates/routing/src/policy/read_routing.rs
@@ -22,14 +22,14 @@
 
 /// The members that a read may be sent to.
 struct ReadOptions {
-    /// The position that a member must have reached, by the members' clock; `Micros::MIN` if any will do.
+    /// The position on the members' clock that a member must have reached; `Micros::MIN` if any will do.
     floor: Micros,
     /// The believed primary.
     primary: Option<MemberId>,
     /// The primary, if the read may go to it and it has itself reported that it is the primary.
     confirmed_primary: Option<MemberId>,
-    /// The confirmed primary, if it is owed attempts beyond those that it had. `None` unless this router is
-    /// one of many.
+    /// The confirmed primary, if it is owed attempts beyond those that it had. `None` unless the fleet is
+    /// large.
     deficit_primary: Option<MemberId>,
     /// The other members that the read may go to.
     replicas: Vec<MemberId>,
@@ -57,7 +57,7 @@
     }
 
     /// Returns a random replica that is proven fresh enough, otherwise a fallback such as the primary. `None`
-    /// if the read has to wait. A router among many draws a replica first, then checks its freshness.
+    /// if the read has to wait. In a large fleet, the replica is drawn first, then its freshness is checked.
     pub(super) fn read_target(&mut self, now: Micros, handle: RequestHandle, need: Need) -> Option<MemberId> {
         let pending = &self.pending_requests[&handle];
         let awaited_report_before = pending.awaited_report;
@@ -190,8 +190,8 @@
     ///
     /// This protects the freshness of the other replicas: a few long reads in a row delay a replica's log for
     /// longer than reads with a staleness bound tolerate. The cost: long reads take longer if that replica is
-    /// slow, and are confined to it even if they delay nothing. A router among many cannot see how crowded
-    /// that replica is, so it applies the whole bound to a single read.
+    /// slow, and are confined to it even if they delay nothing. In a large fleet, a router cannot see how
+    /// loaded that replica is, so it applies the whole bound to a single read.
     pub(super) fn is_long_read(&self, class: usize) -> bool {
         let typical_duration = |class: usize| self.durations[class].quantile(0.5).unwrap_or(0);
         let recent_bound =
@@ -222,8 +222,8 @@
 
     /// Draws a member at random, weighted by capacity.
     ///
-    /// If crossing zones has a price, the own zone is preferred. A router among many prefers it only to the
-    /// extent that the zone's members can carry if all zones send alike.
+    /// If crossing zones has a cost, the own zone is preferred: in a large fleet, only to the extent that the
+    /// zone's members can carry if all zones send alike.
     fn draw_member(&mut self, candidates: &[Candidate]) -> Option<MemberId> {
         let (own_zone, other_zones): (Vec<Candidate>, Vec<Candidate>) =
             candidates.iter().partition(|candidate| self.members[candidate.member].zone == self.config.zone);
--- a/crates/routing/src/policy/replica_subset.rs
+++ b/crates/routing/src/policy/replica_subset.rs
@@ -7,8 +7,8 @@
 use crate::state::{Group, Member, PendingRequest, Router};
 use crate::{MemberId, Micros};
 
-/// Number of members up to which a router uses all of them alike. It lies between the largest usual fleet
-/// (120 members) and the smallest one that was measured with descriptors or connections beyond their limits
+/// Number of members up to which a router uses all of them alike. It lies between the largest usual number of
+/// members (120) and the smallest one that was measured with descriptors or connections beyond their limits
 /// (320).
 ///
 /// The value is not derived. The actual limit is the number of descriptors that a process has for members
--- a/crates/routing/src/policy/retry.rs
+++ b/crates/routing/src/policy/retry.rs
@@ -1,4 +1,4 @@
-//! Handles the end of an attempt: what it says about the member, and whether the request is tried again.
+//! Handling of the end of an attempt: what it says about the member, and whether the request is tried again.
 
 use super::blacklist::failure_threshold;
 use super::concurrency_limit::LoadSample;
@@ -14,14 +14,15 @@
     group: usize,
     class: usize,
     sent_at: Micros,
-    /// When the attempt was sent, without the time for which the process was stalled.
+    /// Time at which the attempt was sent, moved later by the length of every stall of the process since.
     waiting_since: Micros,
-    /// Idle class of the attempt's connection; `None` if the connection was new or not classified.
+    /// Idle class of the attempt's connection; `None` if the connection was new or its idle time was not
+    /// known or not classified.
     idle_class: Option<usize>,
     tried_connection: bool,
-    /// The member had left attempts unanswered for too long.
+    /// Whether the member had left attempts unanswered for too long.
     left_attempts_unanswered: bool,
-    /// The attempt's connection had most likely been dropped on the path while it was idle.
+    /// Whether the attempt's connection had most likely been dropped on the network path while it was idle.
     connection_dropped: bool,
     request_closed: bool,
 }
@@ -125,7 +126,7 @@
     }
 
     /// Records what the attempt says about the member's reachability. Returns whether the member refused the
-    /// connection at once; always `false` unless this router is one of many.
+    /// connection at once; always `false` unless the fleet is large.
     fn record_reachability(
         &mut self,
         now: Micros,
--- a/crates/routing/src/policy/retry_detection.rs
+++ b/crates/routing/src/policy/retry_detection.rs
@@ -1,4 +1,4 @@
-//! Distinguishes client retries from first attempts if clients do not mark them.
+//! Detection of client retries, for clients that do not mark them.
 
 use crate::Micros;
 
@@ -33,8 +33,8 @@
 }
 
 impl RetryDetector {
-    /// Records the whole wait of a request that is not marked, in microseconds, and returns what the request
-    /// is.
+    /// Records the whole wait of a request, in microseconds, and returns what the request is if it is not
+    /// marked.
     pub(crate) fn classify(&mut self, wait: Micros) -> ClientAttempt {
         let is_usual = (wait - self.usual_wait).abs() <= self.usual_wait / 64;
         self.update_majority(wait, is_usual);
--- a/crates/routing/src/policy/sessions.rs
+++ b/crates/routing/src/policy/sessions.rs
@@ -1,4 +1,5 @@
-//! What this router's own attempts wrote in each session, for reads that must see their session's writes.
+//! Writes that this router's own attempts made in each session, for reads that must see their session's
+//! writes.
 
 use std::collections::HashMap;
 
@@ -11,10 +12,10 @@
 /// more than [`MAX_SESSIONS`].
 const FORGET_AFTER: Micros = FAILURE_WINDOW;
 
-/// What this router's own attempts wrote in one session.
+/// Writes that this router's own attempts made in one session.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Session {
-    /// Latest time, by the members' clock, at which the session's last write that ran or may have run was
+    /// Latest time on the members' clock at which the session's last write that ran or may have run was
     /// committed; zero if there is none.
     last_committed_at: Micros,
     /// Number of writes in flight. Each of these may have been committed by now.
@@ -22,7 +23,7 @@
 }
 
 impl Session {
-    /// Returns the position that a read of the session must see. `now` is by the members' clock.
+    /// Returns the position that a read of the session must see. `now` is on the members' clock.
     fn floor(&self, now: Micros) -> Micros {
         if self.writes_in_flight > 0 { now } else { self.last_committed_at }
     }
@@ -32,8 +33,8 @@
         self.writes_in_flight += 1;
     }
 
-    /// Records that a write has ended. `committed_at` is the latest time at which the write was committed, or zero
-    /// if it never ran.
+    /// Records that a write has ended. `committed_at` is the latest time at which the write was committed, or
+    /// zero if it never ran.
     pub(super) fn write_ended(&mut self, committed_at: Micros) {
         self.writes_in_flight -= 1;
         self.last_committed_at = self.last_committed_at.max(committed_at);
@@ -44,7 +45,7 @@
 #[derive(Clone, Default)]
 pub(crate) struct Sessions {
     by_name: HashMap<String, Session>,
-    /// Latest commit time that a forgotten session may have, by the members' clock; `None` if none was
+    /// Latest commit time that a forgotten session may have, on the members' clock; `None` if none was
     /// forgotten.
     forgotten_until: Option<Micros>,
 }
@@ -55,13 +56,13 @@
         self.by_name.entry(name).or_default()
     }
 
-    /// Returns the position that a read of the session must see, or `None` if nothing bounds it. `now` is by
+    /// Returns the position that a read of the session must see, or `None` if nothing bounds it. `now` is on
     /// the members' clock.
     pub(super) fn floor(&self, name: &str, now: Micros) -> Option<Micros> {
         self.by_name.get(name).map(|session| session.floor(now)).or(self.forgotten_until)
     }
 
-    /// Forgets sessions that wrote long ago if there are more than [`MAX_SESSIONS`]. `now` is by the members'
+    /// Forgets sessions that wrote long ago if there are more than [`MAX_SESSIONS`]. `now` is on the members'
     /// clock.
     pub(super) fn forget_old(&mut self, now: Micros) {
         if self.by_name.len() <= MAX_SESSIONS {
--- a/crates/routing/src/policy/slow_start.rs
+++ b/crates/routing/src/policy/slow_start.rs
@@ -11,8 +11,8 @@
 const SWEEP_INTERVAL: Micros = 10 * TICK;
 
 impl Member {
-    /// Returns whether the member started less than `slow_start_duration` microseconds ago and is to be sent few
-    /// attempts.
+    /// Returns whether the member started less than `slow_start_duration` microseconds ago and is to be sent
+    /// few attempts.
     pub(super) fn is_warming_up(&self, now: Micros, slow_start_duration: Micros) -> bool {
         self.started_at.is_some_and(|started_at| now - started_at < slow_start_duration)
     }
@@ -57,8 +57,8 @@
         self.rng.random::<f64>() + GUARANTEED_FLEET_LIMIT / self.config.routers_sharing_warm_up as f64
     }
 
-    /// Lets what is remembered about each member decay, and measures the load of warm members. With many
-    /// members, this is done less often.
+    /// Lets what is remembered about each member decay, and measures the load of warm members. A router that
+    /// uses a subset of the members does this less often.
     pub(super) fn sweep_members(&mut self, now: Micros) {
         // Only served attempts count as a warm member's load: rejected attempts, and those that reached a
         // replica instead of the primary, are no work.
--- a/crates/routing/src/policy/stall_pacing.rs
+++ b/crates/routing/src/policy/stall_pacing.rs
@@ -4,7 +4,7 @@
 use super::{MS, TICK};
 use crate::Micros;
 
-/// How long attempts are paced after a stall, in microseconds.
+/// Time for which attempts are paced after a stall, in microseconds.
 const PACING_DURATION: Micros = 2_000 * MS;
 /// Longest stall, in microseconds, that neither starts nor prolongs pacing.
 const MAX_UNPACED_STALL: Micros = 10 * TICK;
--- a/crates/routing/src/policy/write_routing.rs
+++ b/crates/routing/src/policy/write_routing.rs
@@ -33,7 +33,8 @@
     /// Returns how long writes wait between rounds of attempts that reached only replicas, in microseconds.
     ///
     /// This protects members, above all those that are warming up, from the searches of many routers at once.
-    /// The cost: a router among many takes longer to find a new primary if health checks do not reveal it.
+    /// The cost: in a large fleet, a router takes longer to find a new primary if health checks do not reveal
+    /// it.
     pub(super) fn search_hold(&self) -> Micros {
         WRITE_HOLD.max(WRITE_HOLD * self.config.routers as Micros * 2 / 50)
     }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -46,7 +46,7 @@
     /// Whether the request is a retry by its client, or is taken for one.
     pub(crate) is_retry: bool,
     pub(crate) attempts: u32,
-    /// Attempts, included in `attempts`, that could not leave this machine.
+    /// Attempts, included in `attempts`, that could not be sent from this machine.
     pub(crate) local_failures: u32,
     /// Whether the attempt tries a new connection after new connections failed on this machine.
     pub(crate) tries_connection: bool,
@@ -56,8 +56,8 @@
     pub(crate) may_have_run: Option<FirstRun>,
     /// Number of members that have answered in this round that they are not the primary.
     pub(crate) not_primary_answers: usize,
-    /// Idle time of the attempt's connection before the attempt, as a power of two; `None` if the connection
-    /// is new or that time is not known.
+    /// Idle class of the attempt's connection; `None` if the connection is new or its idle time is not known
+    /// or not classified.
     pub(crate) idle_class: Option<usize>,
     /// Members that answered the request with an error, one entry for each answer.
     pub(crate) errored_members: Vec<MemberId>,
@@ -78,6 +78,7 @@
     pub(crate) status: MemberStatus,
     /// Time at which the member started; `None` if that was long ago.
     pub(crate) started_at: Option<Micros>,
+    /// Size of the member, relative to the mean size in the first endpoint list.
     pub(crate) size: f64,
     /// Newest position that the member reported, on the members' clock; `Micros::MIN` before the first
     /// report.
@@ -92,6 +93,8 @@
     pub(crate) not_primary_at: Micros,
     /// Newest position that the member reported as primary, or zero.
     pub(crate) primary_position: Micros,
+    /// Time at which the member was last heard from, which proves that its process was alive, or at which it
+    /// was added.
     pub(crate) last_heard_at: Micros,
     /// Time at which the member last answered an attempt.
     pub(crate) last_answered_at: Micros,
@@ -139,10 +142,10 @@
     pub(crate) primary_reported_at: Micros,
     /// Primary according to the endpoint list.
     pub(crate) listed_primary: Option<MemberId>,
-    /// Time before which no write starts to look for the primary by itself.
+    /// Time before which no write starts to search for the primary by itself.
     pub(crate) search_after: Micros,
     pub(crate) search: PrimarySearch,
-    /// Attempts due to the primary by its size and concurrency limit, beyond those that it got.
+    /// Attempts owed to the primary by its size and concurrency limit, beyond those that it got.
     pub(crate) primary_deficit: f64,
     /// Requests that wait for a member.
     pub(crate) queued: Vec<RequestHandle>,
@@ -152,9 +155,12 @@
 /// Progress of the search for a group's primary.
 #[derive(Clone, Default)]
 pub(crate) struct PrimarySearch {
-    pub(crate) round_started_at: Micros, // roles reported before this round are ignored
-    pub(crate) next_index: usize,        // index of the member that is asked next
-    pub(crate) saved_health_checks: f64, // health checks that are due
+    /// Time at which the current round started. Roles reported before then are ignored.
+    pub(crate) round_started_at: Micros,
+    /// Index in the search order of the member that is asked next.
+    pub(crate) next_index: usize,
+    /// Health checks that are due and not sent yet.
+    pub(crate) saved_health_checks: f64,
 }
 
 /// Decides where requests go.
@@ -173,7 +179,7 @@
     pub(crate) pending_requests: HashMap<RequestHandle, PendingRequest>,
     pub(crate) next_handle: u64,
     pub(crate) sessions: Sessions,
-    /// Lead of the members' clock, on which positions are reported, over this router's, in microseconds.
+    /// Lead of the members' clock, on which positions are reported, over the caller's, in microseconds.
     pub(crate) clock_offset: Micros,
     /// Durations of attempts, by request class.
     pub(crate) durations: Vec<Histogram>,
@@ -184,15 +190,17 @@
     pub(crate) retry_detectors: Vec<RetryDetector>,
     /// Attempts that a warm member of size one serves in one window of the overload rule.
     pub(crate) warm_load: f64,
+    /// Mean of the sizes that the first endpoint list states.
     pub(crate) mean_size: f64,
     pub(crate) health_check_budget: HealthCheckBudget,
     pub(crate) idle_drop_detector: IdleDropDetector,
-    /// Time until which connections count as scarce, because a member had none to spare.
+    /// Time until which connections to members count as scarce, because one was refused by a member that
+    /// seems to have none to spare.
     pub(crate) connections_scarce_until: Micros,
     /// Backoff of new connections that fail on this machine.
     pub(crate) backoff: ConnectionBackoff,
     pub(crate) next_tick: Micros,
-    /// Time at which all members are examined next.
+    /// Time of the next sweep over all members.
     pub(crate) next_sweep: Micros,
     pub(crate) stall_pacing: StallPacing,
     pub(crate) list_subscription: ListSubscription,
@@ -205,7 +213,7 @@
         Router { config: config.clone(), ..self.clone() }
     }
 
-    /// Whether the request has an attempt in flight or no final answer yet.
+    /// Returns whether the request has an attempt in flight or no final answer yet.
     pub fn is_pending(&self, handle: RequestHandle) -> bool {
         self.pending_requests.contains_key(&handle)
     }
@@ -224,17 +232,19 @@
         }
     }
 
-    /// Time on the members' clock at `now`. A reported position that is later covers every commit up to
-    /// `now`.
+    /// Returns the time on the members' clock at `now`. A reported position that is later covers every commit
+    /// up to `now`.
     pub(crate) fn members_now(&self, now: Micros) -> Micros {
         now + self.clock_offset
     }
 
+    /// Returns the actions decided since the last call, and the time of the next wake-up.
     pub(crate) fn take_actions(&mut self) -> Actions {
         self.actions.wake_at = Some(self.next_tick);
         std::mem::take(&mut self.actions)
     }
 
+    /// Returns the index of the group that the number names, and adds the group if it is not known.
     pub(crate) fn group_index(&mut self, name: u64) -> usize {
         *self.group_ids.entry(name).or_insert_with(|| {
             self.groups.push(Group {
