--- a/crates/leases/src/frame.rs
+++ b/crates/leases/src/frame.rs
@@ -1,16 +1,31 @@
-//! The encoding of one [`Message`], big-endian: a byte of its kind, the lease (a byte of length, and its name), the ballot
-//! where the kind has one (8 bytes of number, 8 of the candidate's start, its name), and the kind's numbers. Whoever
-//! receives a message that cannot be decoded drops it.
+//! The encoding of a [`Message`].
+//!
+//! A message starts with one byte that gives its kind, followed by the name of the lease and the fields of
+//! the kind:
+//!
+//! | kind | message | fields |
+//! | --- | --- | --- |
+//! | 1 | prepare | ballot |
+//! | 2 | promise | ballot, term; for an outstanding lease also its remaining time and its holder |
+//! | 3 | propose | ballot, term, duration |
+//! | 4 | accept | ballot, term |
+//! | 5 | reject | ballot, number of the promised ballot |
+//! | 6 | release | term |
+//!
+//! Numbers are 8 bytes, big-endian; times are in microseconds. A name is one byte of length and the name in
+//! UTF-8. An incarnation (a candidate or a holder) is its start number and its name, and a ballot is its
+//! number and its candidate. The receiver drops a message that cannot be decoded.
 
 use bytes::{Buf, BufMut};
 use thiserror::Error;
 
 use crate::{Ballot, Incarnation, Message, Micros, OutstandingLease, Payload};
 
-/// The longest name, in bytes.
-const LONGEST_NAME: usize = 64;
-/// The longest span that is taken, in microseconds: adding it to a clock cannot overflow.
-const LONGEST_SPAN: u64 = 1 << 50;
+/// The maximum length of a name, in bytes.
+const MAX_NAME_BYTES: usize = 64;
+/// The maximum time span, in microseconds: adding it to a clock cannot overflow. Longer spans are reduced to
+/// it.
+const MAX_SPAN: u64 = 1 << 50;
 
 const PREPARE: u8 = 1;
 const PROMISE: u8 = 2;
@@ -19,40 +34,46 @@
 const REJECT: u8 = 5;
 const RELEASE: u8 = 6;
 
-/// Bytes that are no message of this version. One such datagram is noise; many come from a proxy of another version.
+/// The reason why bytes are not a message of this version.
+///
+/// A single datagram of this sort is noise; if there are many, a proxy of another version sends them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
     /// The bytes end early, or a name is not UTF-8.
-    #[error("a message that is cut off; if many come, look for a proxy of another version")]
+    #[error(
+        "the message ends early or has a name that is not UTF-8; if many arrive, look for a proxy of another version"
+    )]
     Truncated,
-    /// A name longer than any proxy sends.
-    #[error("a name of {0} bytes, at most 64 are allowed; if many come, look for a proxy of another version")]
+    /// The name is longer than any that a proxy sends; the value is its length in bytes.
+    #[error(
+        "a name of {0} bytes is longer than the maximum of 64; if many arrive, look for a proxy of another version"
+    )]
     NameTooLong(usize),
-    /// A kind that this version does not know.
-    #[error("a message of unknown kind {0}; upgrade this proxy, or look for one of another version")]
+    /// This version does not know the kind of the message; the value is the byte that gives the kind.
+    #[error("unknown message kind {0}; upgrade this proxy, or look for a proxy of another version")]
     UnknownKind(u8),
 }
 
-fn put_name(name: &str, to: &mut Vec<u8>) {
-    let bytes = &name.as_bytes()[..name.len().min(LONGEST_NAME)];
-    to.put_u8(bytes.len() as u8);
-    to.put_slice(bytes);
+fn put_name(name: &str, out: &mut Vec<u8>) {
+    let bytes = &name.as_bytes()[..name.len().min(MAX_NAME_BYTES)];
+    out.put_u8(bytes.len() as u8);
+    out.put_slice(bytes);
 }
 
-fn put_incarnation(incarnation: &Incarnation, to: &mut Vec<u8>) {
-    to.put_u64(incarnation.start);
-    put_name(&incarnation.name, to);
+fn put_incarnation(incarnation: &Incarnation, out: &mut Vec<u8>) {
+    out.put_u64(incarnation.start);
+    put_name(&incarnation.name, out);
 }
 
-fn put_ballot(ballot: &Ballot, to: &mut Vec<u8>) {
-    to.put_u64(ballot.number);
-    put_incarnation(&ballot.candidate, to);
+fn put_ballot(ballot: &Ballot, out: &mut Vec<u8>) {
+    out.put_u64(ballot.number);
+    put_incarnation(&ballot.candidate, out);
 }
 
-/// The bytes of a message.
+/// Encodes a message.
 #[must_use]
 pub fn encode(message: &Message) -> Vec<u8> {
-    let mut to = Vec::with_capacity(128);
+    let mut out = Vec::with_capacity(128);
     let kind = match message.payload {
         Payload::Prepare { .. } => PREPARE,
         Payload::Promise { .. } => PROMISE,
@@ -61,97 +82,99 @@
         Payload::Reject { .. } => REJECT,
         Payload::Release { .. } => RELEASE,
     };
-    to.put_u8(kind);
-    put_name(&message.lease, &mut to);
+    out.put_u8(kind);
+    put_name(&message.lease, &mut out);
     match &message.payload {
-        Payload::Prepare { ballot } => put_ballot(ballot, &mut to),
+        Payload::Prepare { ballot } => put_ballot(ballot, &mut out),
         Payload::Promise { ballot, term, outstanding } => {
-            put_ballot(ballot, &mut to);
-            to.put_u64(*term);
+            put_ballot(ballot, &mut out);
+            out.put_u64(*term);
             if let Some(lease) = outstanding {
-                to.put_i64(lease.remaining);
-                put_incarnation(&lease.holder, &mut to);
+                out.put_i64(lease.remaining);
+                put_incarnation(&lease.holder, &mut out);
             }
         }
         Payload::Propose { ballot, term, duration } => {
-            put_ballot(ballot, &mut to);
-            to.put_u64(*term);
-            to.put_i64(*duration);
+            put_ballot(ballot, &mut out);
+            out.put_u64(*term);
+            out.put_i64(*duration);
         }
         Payload::Accept { ballot, term } => {
-            put_ballot(ballot, &mut to);
-            to.put_u64(*term);
+            put_ballot(ballot, &mut out);
+            out.put_u64(*term);
         }
         Payload::Reject { ballot, promised } => {
-            put_ballot(ballot, &mut to);
-            to.put_u64(*promised);
+            put_ballot(ballot, &mut out);
+            out.put_u64(*promised);
         }
-        Payload::Release { term } => to.put_u64(*term),
+        Payload::Release { term } => out.put_u64(*term),
     }
-    to
+    out
 }
 
-fn byte(from: &mut &[u8]) -> Result<u8, DecodeError> {
-    from.try_get_u8().map_err(|_| DecodeError::Truncated)
+fn get_u8(input: &mut &[u8]) -> Result<u8, DecodeError> {
+    input.try_get_u8().map_err(|_| DecodeError::Truncated)
 }
 
-fn number(from: &mut &[u8]) -> Result<u64, DecodeError> {
-    from.try_get_u64().map_err(|_| DecodeError::Truncated)
+fn get_u64(input: &mut &[u8]) -> Result<u64, DecodeError> {
+    input.try_get_u64().map_err(|_| DecodeError::Truncated)
 }
 
-/// A span of time: never below zero, and never over [`LONGEST_SPAN`].
-fn span(from: &mut &[u8]) -> Result<Micros, DecodeError> {
-    Ok(number(from)?.min(LONGEST_SPAN) as Micros)
+/// Reads a time span; the result is between 0 and [`MAX_SPAN`].
+fn get_span(input: &mut &[u8]) -> Result<Micros, DecodeError> {
+    Ok(get_u64(input)?.min(MAX_SPAN) as Micros)
 }
 
-fn name(from: &mut &[u8]) -> Result<String, DecodeError> {
-    let length = usize::from(byte(from)?);
-    if length > LONGEST_NAME {
+fn get_name(input: &mut &[u8]) -> Result<String, DecodeError> {
+    let length = usize::from(get_u8(input)?);
+    if length > MAX_NAME_BYTES {
         return Err(DecodeError::NameTooLong(length));
     }
-    let bytes = from.get(..length).ok_or(DecodeError::Truncated)?;
+    let bytes = input.get(..length).ok_or(DecodeError::Truncated)?;
     let text = std::str::from_utf8(bytes).map_err(|_| DecodeError::Truncated)?;
     let name = text.to_owned();
-    from.advance(length);
+    input.advance(length);
     Ok(name)
 }
 
-fn incarnation(from: &mut &[u8]) -> Result<Incarnation, DecodeError> {
-    let start = number(from)?;
-    Ok(Incarnation { start, name: name(from)? })
+fn get_incarnation(input: &mut &[u8]) -> Result<Incarnation, DecodeError> {
+    let start = get_u64(input)?;
+    Ok(Incarnation { start, name: get_name(input)? })
 }
 
-fn ballot(from: &mut &[u8]) -> Result<Ballot, DecodeError> {
-    let number = number(from)?;
-    Ok(Ballot { number, candidate: incarnation(from)? })
+fn get_ballot(input: &mut &[u8]) -> Result<Ballot, DecodeError> {
+    let number = get_u64(input)?;
+    Ok(Ballot { number, candidate: get_incarnation(input)? })
 }
 
-fn outstanding(from: &mut &[u8]) -> Result<OutstandingLease, DecodeError> {
-    let remaining = span(from)?;
-    Ok(OutstandingLease { remaining, holder: incarnation(from)? })
+fn get_outstanding_lease(input: &mut &[u8]) -> Result<OutstandingLease, DecodeError> {
+    let remaining = get_span(input)?;
+    Ok(OutstandingLease { remaining, holder: get_incarnation(input)? })
 }
 
-/// Reads a message.
+/// Decodes a message.
 ///
 /// # Errors
 ///
-/// The bytes are no message of this version.
+/// Returns a [`DecodeError`] if the bytes are not a message of this version.
 pub fn decode(mut bytes: &[u8]) -> Result<Message, DecodeError> {
-    let from = &mut bytes;
-    let kind = byte(from)?;
-    let lease = name(from)?;
+    let input = &mut bytes;
+    let kind = get_u8(input)?;
+    let lease = get_name(input)?;
     let payload = match kind {
-        PREPARE => Payload::Prepare { ballot: ballot(from)? },
+        PREPARE => Payload::Prepare { ballot: get_ballot(input)? },
         PROMISE => {
-            let ballot = ballot(from)?;
-            let term = number(from)?;
-            let outstanding = if from.is_empty() { None } else { Some(outstanding(from)?) };
+            let ballot = get_ballot(input)?;
+            let term = get_u64(input)?;
+            let outstanding = if input.is_empty() { None } else { Some(get_outstanding_lease(input)?) };
             Payload::Promise { ballot, term, outstanding }
         }
-        PROPOSE => Payload::Propose { ballot: ballot(from)?, term: number(from)?, duration: span(from)? },
-        ACCEPT => Payload::Accept { ballot: ballot(from)?, term: number(from)? },
-        REJECT => Payload::Reject { ballot: ballot(from)?, promised: number(from)? },
-        RELEASE => Payload::Release { term: number(from)? },
+        PROPOSE => {
+            Payload::Propose { ballot: get_ballot(input)?, term: get_u64(input)?, duration: get_span(input)? }
+        }
+        ACCEPT => Payload::Accept { ballot: get_ballot(input)?, term: get_u64(input)? },
+        REJECT => Payload::Reject { ballot: get_ballot(input)?, promised: get_u64(input)? },
+        RELEASE => Payload::Release { term: get_u64(input)? },
         kind => return Err(DecodeError::UnknownKind(kind)),
     };
     Ok(Message { lease, payload })
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -122,7 +122,7 @@
             let is_forgotten = router.forget_member(now, id);
             if is_forgotten {
                 members[id] = None;
-                clock_offset.forget(id);
+                clock_offset.discard_samples(id);
             }
             !is_forgotten
         });
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -96,9 +96,13 @@
             sessions: Sessions::default(),
             clock_offset: 0,
             // Until attempts are measured, most are assumed to take half of the latency objective.
-            durations: config.classes.iter().map(|class| Histogram::of(class.objective / 2, 4)).collect(),
+            durations: config
+                .classes
+                .iter()
+                .map(|class| Histogram::from_estimate(class.objective / 2, 4))
+                .collect(),
             zone_round_trips: BTreeMap::new(),
-            all_durations: Histogram::of(
+            all_durations: Histogram::from_estimate(
                 config.classes.iter().map(|class| class.objective / 2).min().unwrap_or(0),
                 4,
             ),
@@ -134,7 +138,7 @@
         for (histogram, &(median, _)) in
             self.durations.iter_mut().zip(&learned.durations).filter(|(_, quantiles)| quantiles.0 > 0)
         {
-            *histogram = Histogram::of(median, 8);
+            *histogram = Histogram::from_estimate(median, 8);
         }
         for &(id, log2_limit) in &learned.concurrency_limits {
             let member = &mut self.members[id];
