--- a/crates/routing/src/policy/read_routing.rs
+++ b/crates/routing/src/policy/read_routing.rs
@@ -11,7 +11,7 @@
 use super::concurrency_limit::MAX_FLEET_LIMIT;
 use super::health_checks::URGENT_HEALTH_CHECK_INTERVAL;
 use crate::state::{Member, PendingRequest, RequestHandle, Router};
-use crate::{Effect, MemberId, Micros, Need, ReadShift, RequestClass, Scope};
+use crate::{DeduplicationScope, Effect, MemberId, Micros, Need, ReadShift, RequestClass};
 
 /// A member that a read may go to, and the number of attempts that it has capacity for.
 #[derive(Clone, Copy)]
@@ -22,14 +22,14 @@
 
 /// The members that a read may be sent to.
 struct ReadOptions {
-    /// The position that a member must have reached, by the members' clock; `Micros::MIN` if any will do.
+    /// The position on the members' clock that a member must have reached; `Micros::MIN` if any will do.
     floor: Micros,
     /// The believed primary.
     primary: Option<MemberId>,
     /// The primary, if the read may go to it and it has itself reported that it is the primary.
     confirmed_primary: Option<MemberId>,
-    /// The confirmed primary, if it is owed attempts beyond those that it had. `None` unless this router is
-    /// one of many.
+    /// The confirmed primary, if it is owed attempts beyond those that it had. `None` unless the fleet is
+    /// large.
     deficit_primary: Option<MemberId>,
     /// The other members that the read may go to.
     replicas: Vec<MemberId>,
@@ -57,12 +57,12 @@
     }
 
     /// Returns a random replica that is proven fresh enough, otherwise a fallback such as the primary. `None`
-    /// if the read has to wait. A router among many draws a replica first, then checks its freshness.
+    /// if the read has to wait. In a large fleet, the replica is drawn first, then its freshness is checked.
     pub(super) fn read_target(&mut self, now: Micros, handle: RequestHandle, need: Need) -> Option<MemberId> {
         let pending = &self.pending_requests[&handle];
         let awaited_report_before = pending.awaited_report;
         let floor = self.position_floor(now, pending, need);
-        let is_long = need == Need::Loose && self.is_long_read(pending.request.class);
+        let is_long = need == Need::Any && self.is_long_read(pending.request.class);
         let options = self.read_options(now, pending, floor, is_long);
         if is_long {
             // All routers choose the same replica: the last one by name that has capacity.
@@ -71,7 +71,7 @@
         }
         let mut fresh = options.candidates.clone();
         fresh.retain(|candidate| self.is_fresh(&options, candidate.member));
-        let drawn = if self.is_one_of_many() && !awaited_report_before {
+        let drawn = if self.in_large_fleet() && !awaited_report_before {
             self.draw_member(&options.candidates)
         } else {
             None
@@ -106,17 +106,17 @@
         is_long: bool,
     ) -> ReadOptions {
         let mut allowed = self.read_subset(now, pending, floor, is_long);
-        let is_preferred =
+        let is_not_avoided =
             |id: MemberId| self.members[id].blacklist.allows(now) && Some(id) != pending.last_member;
-        if allowed.iter().any(|&id| is_preferred(id)) {
-            allowed.retain(|&id| is_preferred(id));
+        if allowed.iter().any(|&id| is_not_avoided(id)) {
+            allowed.retain(|&id| is_not_avoided(id));
         }
         let group = &self.groups[pending.group];
         let primary = group.primary;
         let confirmed_primary =
             primary.filter(|id| allowed.contains(id) && self.members[*id].confirmed_primary);
         let deficit_primary =
-            confirmed_primary.filter(|_| self.is_one_of_many() && group.primary_deficit > 0.0);
+            confirmed_primary.filter(|_| self.in_large_fleet() && group.primary_deficit > 0.0);
         let replicas: Vec<MemberId> = allowed.into_iter().filter(|&id| Some(id) != primary).collect();
         let drawable = replicas.iter().copied().chain(deficit_primary);
         let candidates =
@@ -143,20 +143,21 @@
     fn fallback_target(&self, now: Micros, options: &ReadOptions) -> Option<MemberId> {
         let has_spare_capacity = |id: MemberId| {
             let limit = self.members[id].concurrency_limit;
-            let max_limit = MAX_FLEET_LIMIT / self.terms.drivers as f64;
+            let max_limit = MAX_FLEET_LIMIT / self.config.routers as f64;
             self.available_capacity(now, id) > limit.floor() * 0.3
-                && (!self.is_one_of_many() || limit * 3.0 > max_limit)
+                && (!self.in_large_fleet() || limit * 3.0 > max_limit)
         };
         let primary = options.confirmed_primary.filter(|&id| has_spare_capacity(id));
-        if !self.terms.members_check || primary.is_some() {
+        if !self.config.members_check_freshness || primary.is_some() {
             return primary;
         }
         // A replica that has just reported how far behind it is would reject the read, or hold it for
         // nothing.
-        let may_be_fresh =
-            |id: MemberId| now - self.members[id].last_heard_at >= self.time_to_catch_up(id, options.floor);
-        let usable = |&id: &MemberId| may_be_fresh(id) && self.available_capacity(now, id) > 0.0;
-        options.replicas.iter().copied().filter(usable).max_by_key(|&id| self.members[id].position)
+        let may_be_fresh = |id: MemberId| {
+            now - self.members[id].last_heard_at >= self.catch_up_check_interval(id, options.floor)
+        };
+        let can_take = |&id: &MemberId| may_be_fresh(id) && self.available_capacity(now, id) > 0.0;
+        options.replicas.iter().copied().filter(can_take).max_by_key(|&id| self.members[id].position)
     }
 
     /// Sends a health check to one stale replica at a time: to the drawn one if it is due, otherwise to a
@@ -165,8 +166,9 @@
         if self.awaits_report(now, stale) {
             return;
         }
-        let is_due =
-            |id: &MemberId| now - self.members[*id].last_health_check_at >= self.time_to_catch_up(*id, floor);
+        let is_due = |id: &MemberId| {
+            now - self.members[*id].last_health_check_at >= self.catch_up_check_interval(*id, floor)
+        };
         let due_members: Vec<MemberId> = stale.iter().copied().filter(is_due).collect();
         let checked = drawn
             .filter(|id| due_members.contains(id))
@@ -188,16 +190,18 @@
     ///
     /// This protects the freshness of the other replicas: a few long reads in a row delay a replica's log for
     /// longer than reads with a staleness bound tolerate. The cost: long reads take longer if that replica is
-    /// slow, and are confined to it even if they delay nothing. A router among many cannot see how crowded
-    /// that replica is, so it applies the whole bound to a single read.
+    /// slow, and are confined to it even if they delay nothing. In a large fleet, a router cannot see how
+    /// loaded that replica is, so it applies the whole bound to a single read.
     pub(super) fn is_long_read(&self, class: usize) -> bool {
-        let usual = |class: usize| self.durations[class].quantile(0.5).unwrap_or(0);
+        let typical_duration = |class: usize| self.durations[class].quantile(0.5).unwrap_or(0);
         let recent_bound =
             |class: &RequestClass| if let Need::Recent(bound) = class.need { Some(bound) } else { None };
-        let bound = self.terms.classes.iter().filter_map(recent_bound).min();
-        let shortest_usual = (0..self.durations.len()).map(usual).min().unwrap_or(0);
-        let consecutive_reads = if self.is_one_of_many() { 1 } else { 3 };
-        bound.is_some_and(|bound| usual(class) > (bound / consecutive_reads).max(3 * shortest_usual))
+        let bound = self.config.classes.iter().filter_map(recent_bound).min();
+        let shortest_typical_duration = (0..self.durations.len()).map(typical_duration).min().unwrap_or(0);
+        let consecutive_reads = if self.in_large_fleet() { 1 } else { 3 };
+        bound.is_some_and(|bound| {
+            typical_duration(class) > (bound / consecutive_reads).max(3 * shortest_typical_duration)
+        })
     }
 
     /// Returns whether, by recent health checks, the round trip to the member is so long that answers would
@@ -207,33 +211,33 @@
     /// checked just as a neighbouring member dies.
     pub(super) fn is_round_trip_too_long(&self, now: Micros, id: MemberId, class: usize) -> bool {
         let zone = self.members[id].zone;
-        let usual = self.durations[class].quantile(0.5).unwrap_or(0);
+        let typical_duration = self.durations[class].quantile(0.5).unwrap_or(0);
         let mut round_trip = self.round_trip_to(now, id);
-        if zone != self.terms.zone {
+        if zone != self.config.zone {
             let to_zone = self.zone_round_trips.get(&zone).copied().unwrap_or_default();
             round_trip = round_trip.max(to_zone.recent_estimate(now));
         }
-        round_trip + usual > self.terms.classes[class].objective / 2
+        round_trip + typical_duration > self.config.classes[class].objective / 2
     }
 
     /// Draws a member at random, weighted by capacity.
     ///
-    /// If crossing zones has a price, the own zone is preferred. A router among many prefers it only to the
-    /// extent that the zone's members can carry if all zones send alike.
+    /// If crossing zones has a cost, the own zone is preferred: in a large fleet, only to the extent that the
+    /// zone's members can carry if all zones send alike.
     fn draw_member(&mut self, candidates: &[Candidate]) -> Option<MemberId> {
         let (own_zone, other_zones): (Vec<Candidate>, Vec<Candidate>) =
-            candidates.iter().partition(|candidate| self.members[candidate.member].zone == self.terms.zone);
+            candidates.iter().partition(|candidate| self.members[candidate.member].zone == self.config.zone);
         if let Some(id) = self.draw_by_read_shift(candidates, &other_zones) {
             return Some(id);
         }
         let total_capacity = |of: &[Candidate]| of.iter().map(|candidate| candidate.capacity).sum::<f64>();
-        let own_zone_probability = if self.is_one_of_many() {
-            total_capacity(&own_zone) / total_capacity(candidates) * self.terms.zones as f64
+        let own_zone_probability = if self.in_large_fleet() {
+            total_capacity(&own_zone) / total_capacity(candidates) * self.config.zones as f64
         } else {
             1.0
         };
         let prefers_own_zone =
-            self.terms.crossing_price > 0.0 && !own_zone.is_empty() && !other_zones.is_empty();
+            self.config.cross_zone_cost > 0.0 && !own_zone.is_empty() && !other_zones.is_empty();
         let pool = if prefers_own_zone && self.rng.random::<f64>() < own_zone_probability {
             &own_zone
         } else {
@@ -251,12 +255,12 @@
     ) -> Option<MemberId> {
         let group = self.members[candidates.first()?.member].group;
         let read_shift = &self.groups[group].read_shift;
-        if read_shift.away <= 0.0 || self.rng.random::<f64>() >= read_shift.away {
+        if read_shift.remote_share <= 0.0 || self.rng.random::<f64>() >= read_shift.remote_share {
             return None;
         }
         let weighted = |candidate: &Candidate| {
             let weight =
-                read_shift.to_zones.get(&self.members[candidate.member].zone).copied().unwrap_or(0.0);
+                read_shift.zone_weights.get(&self.members[candidate.member].zone).copied().unwrap_or(0.0);
             Candidate { capacity: candidate.capacity * weight, ..*candidate }
         };
         let weighted: Vec<Candidate> = other_zones.iter().map(weighted).collect();
@@ -266,11 +270,11 @@
     /// Returns whether a read may go to the member at all. A read that may have run stays in the zone of its
     /// first run if only that zone deduplicates repeats of it.
     pub(super) fn may_read_from(&self, now: Micros, pending: &PendingRequest, id: MemberId) -> bool {
-        let effect = self.terms.classes[pending.request.class].effect;
-        let is_zone_scoped = matches!(effect, Effect::Deduplicated { scope: Scope::Zone, .. });
+        let effect = self.config.classes[pending.request.class].effect;
+        let is_zone_scoped = matches!(effect, Effect::Deduplicated { scope: DeduplicationScope::Zone, .. });
         let zone_allowed = pending
             .may_have_run
             .is_none_or(|first_run| !is_zone_scoped || first_run.zone == self.members[id].zone);
-        zone_allowed && self.usable(now, id)
+        zone_allowed && self.is_usable(now, id)
     }
 }
--- a/crates/routing/src/policy/sessions.rs
+++ b/crates/routing/src/policy/sessions.rs
@@ -1,4 +1,5 @@
-//! What this router's own attempts wrote in each session, for reads that must see their session's writes.
+//! Writes that this router's own attempts made in each session, for reads that must see their session's
+//! writes.
 
 use std::collections::HashMap;
 
@@ -11,20 +12,20 @@
 /// more than [`MAX_SESSIONS`].
 const FORGET_AFTER: Micros = FAILURE_WINDOW;
 
-/// What this router's own attempts wrote in one session.
+/// Writes that this router's own attempts made in one session.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Session {
-    /// Latest time, by the members' clock, at which the session's last write that ran or may have run was
+    /// Latest time on the members' clock at which the session's last write that ran or may have run was
     /// committed; zero if there is none.
-    last_commit: Micros,
+    last_committed_at: Micros,
     /// Number of writes in flight. Each of these may have been committed by now.
     writes_in_flight: u32,
 }
 
 impl Session {
-    /// Returns the position that a read of the session must see. `now` is by the members' clock.
+    /// Returns the position that a read of the session must see. `now` is on the members' clock.
     fn floor(&self, now: Micros) -> Micros {
-        if self.writes_in_flight > 0 { now } else { self.last_commit }
+        if self.writes_in_flight > 0 { now } else { self.last_committed_at }
     }
 
     /// Records that a write was sent.
@@ -32,11 +33,11 @@
         self.writes_in_flight += 1;
     }
 
-    /// Records that a write has ended. `commit` is the latest time at which the write was committed, or zero
-    /// if it never ran.
-    pub(super) fn write_ended(&mut self, commit: Micros) {
+    /// Records that a write has ended. `committed_at` is the latest time at which the write was committed, or
+    /// zero if it never ran.
+    pub(super) fn write_ended(&mut self, committed_at: Micros) {
         self.writes_in_flight -= 1;
-        self.last_commit = self.last_commit.max(commit);
+        self.last_committed_at = self.last_committed_at.max(committed_at);
     }
 }
 
@@ -44,7 +45,7 @@
 #[derive(Clone, Default)]
 pub(crate) struct Sessions {
     by_name: HashMap<String, Session>,
-    /// Latest commit time that a forgotten session may have, by the members' clock; `None` if none was
+    /// Latest commit time that a forgotten session may have, on the members' clock; `None` if none was
     /// forgotten.
     forgotten_until: Option<Micros>,
 }
@@ -55,13 +56,13 @@
         self.by_name.entry(name).or_default()
     }
 
-    /// Returns the position that a read of the session must see, or `None` if nothing bounds it. `now` is by
+    /// Returns the position that a read of the session must see, or `None` if nothing bounds it. `now` is on
     /// the members' clock.
     pub(super) fn floor(&self, name: &str, now: Micros) -> Option<Micros> {
         self.by_name.get(name).map(|session| session.floor(now)).or(self.forgotten_until)
     }
 
-    /// Forgets sessions that wrote long ago if there are more than [`MAX_SESSIONS`]. `now` is by the members'
+    /// Forgets sessions that wrote long ago if there are more than [`MAX_SESSIONS`]. `now` is on the members'
     /// clock.
     pub(super) fn forget_old(&mut self, now: Micros) {
         if self.by_name.len() <= MAX_SESSIONS {
@@ -69,7 +70,8 @@
         }
         let forgotten_until = Some(now - FORGET_AFTER);
         self.forgotten_until = forgotten_until;
-        self.by_name
-            .retain(|_, session| session.writes_in_flight > 0 || Some(session.last_commit) > forgotten_until);
+        self.by_name.retain(|_, session| {
+            session.writes_in_flight > 0 || Some(session.last_committed_at) > forgotten_until
+        });
     }
 }
--- a/crates/routing/src/policy/write_routing.rs
+++ b/crates/routing/src/policy/write_routing.rs
@@ -10,7 +10,7 @@
     pub(super) fn write_target(&self, now: Micros, pending: &PendingRequest) -> Option<MemberId> {
         let group = &self.groups[pending.group];
         let target = match group.primary {
-            Some(primary) => Some(primary).filter(|&id| self.usable(now, id)),
+            Some(primary) => Some(primary).filter(|&id| self.is_usable(now, id)),
             None if pending.not_primary_answers == 0 && now < group.search_after => None,
             None => self.next_candidate(now, pending),
         };
@@ -23,7 +23,7 @@
         let group = &self.groups[pending.group];
         let order = self.search_order(group);
         let asked = pending.last_member.and_then(|last| order.iter().position(|&id| id == last));
-        let start = asked.map_or(0, |position| position + 1);
+        let start = asked.map_or(0, |index| index + 1);
         let rotation = (0..order.len()).map(|step| order[(start + step) % order.len()]);
         let mut candidates = rotation.filter(|&id| self.may_be_primary(now, group, id));
         let first = candidates.clone().next();
@@ -33,8 +33,9 @@
     /// Returns how long writes wait between rounds of attempts that reached only replicas, in microseconds.
     ///
     /// This protects members, above all those that are warming up, from the searches of many routers at once.
-    /// The cost: a router among many takes longer to find a new primary if health checks do not reveal it.
+    /// The cost: in a large fleet, a router takes longer to find a new primary if health checks do not reveal
+    /// it.
     pub(super) fn search_hold(&self) -> Micros {
-        WRITE_HOLD.max(WRITE_HOLD * self.terms.drivers as Micros * 2 / 50)
+        WRITE_HOLD.max(WRITE_HOLD * self.config.routers as Micros * 2 / 50)
     }
 }
