--- a/crates/routing/tests/router/givens.rs
+++ b/crates/routing/tests/router/fixtures.rs
@@ -2,19 +2,19 @@
 
 use aldermill_routing::*;
 
-use crate::world::World;
+use crate::simulation::Simulation;
 
 pub const MS: Micros = 1_000;
-pub const BOUND: Micros = 300 * MS;
+pub const STALENESS_BOUND: Micros = 300 * MS;
 /// Request classes by number.
-pub const READ: usize = 0;
-pub const LOOSE: usize = 1;
+pub const RECENT_READ: usize = 0;
+pub const ANY_AGE_READ: usize = 1;
 pub const WRITE: usize = 2;
-pub const RECEIPTED: usize = 3;
-pub const OWN: usize = 4;
-pub const REPORT: usize = 5;
+pub const DEDUPLICATED_WRITE: usize = 3;
+pub const OWN_WRITES_READ: usize = 4;
+pub const LONG_READ: usize = 5;
 
-pub fn terms() -> RouterConfig {
+pub fn router_config() -> RouterConfig {
     let class = |effect, need, priority_weight, late_priority_weight| RequestClass {
         effect,
         need,
@@ -26,7 +26,7 @@
     let receipted = Effect::Deduplicated { scope: DeduplicationScope::Group, window: 2_000 * MS };
     RouterConfig {
         classes: vec![
-            class(Effect::Idempotent, Need::Recent(BOUND), 1.0, 0.0),
+            class(Effect::Idempotent, Need::Recent(STALENESS_BOUND), 1.0, 0.0),
             class(Effect::Idempotent, Need::Any, 2.0, 0.2),
             class(Effect::NonIdempotent, Need::Write, 6.0, 0.5),
             class(receipted, Need::Write, 3.0, 0.5),
@@ -58,7 +58,7 @@
     }
 }
 
-pub fn line(member: MemberId, standing: MemberStatus, since: Option<Micros>) -> ListedMember {
+pub fn list_entry(member: MemberId, standing: MemberStatus, since: Option<Micros>) -> ListedMember {
     ListedMember {
         member,
         name: format!("m{member}"),
@@ -71,16 +71,21 @@
     }
 }
 
-pub fn heard(terms: RouterConfig) -> World {
-    let mut world = World::new(terms, 4);
-    world.hear_all();
+pub fn checked_simulation(terms: RouterConfig) -> Simulation {
+    let mut world = Simulation::new(terms, 4);
+    world.answer_all_health_checks();
     world
 }
 
-pub fn target(world: &World, handle: RequestHandle) -> Option<MemberId> {
-    world.out().into_iter().find(|&(out, _)| out == handle).map(|(_, id)| id)
+pub fn target(world: &Simulation, handle: RequestHandle) -> Option<MemberId> {
+    world.in_flight().into_iter().find(|&(out, _)| out == handle).map(|(_, id)| id)
 }
 
-pub fn many() -> RouterConfig {
-    RouterConfig { routers: 150, routers_sharing_warm_up: 150, list_requires_subscription: false, ..terms() }
+pub fn large_fleet_config() -> RouterConfig {
+    RouterConfig {
+        routers: 150,
+        routers_sharing_warm_up: 150,
+        list_requires_subscription: false,
+        ..router_config()
+    }
 }
--- a/crates/routing/tests/router/main.rs
+++ b/crates/routing/tests/router/main.rs
@@ -1,12 +1,12 @@
 //! Cases of every decision of the router, with the router as its callers have it.
 
 mod among_many;
-mod cases;
-mod fresh;
-mod givens;
+mod basic_routing;
+mod fixtures;
+mod freshness;
 mod in_time;
 mod local;
-mod rules;
+mod random_runs;
+mod simulation;
 mod wide_fleets;
 mod wide_groups;
-mod world;
--- a/crates/routing/tests/router/rules.rs
+++ b/crates/routing/tests/router/random_runs.rs
@@ -1,6 +1,6 @@
-//! Seeded random runs; `World` checks the five rules at every step.
+//! Seeded random runs; `Simulation` checks the five rules at every step.
 
-use crate::world::{MS, World, terms};
+use crate::simulation::{MS, Simulation, router_config};
 use aldermill_routing::{ListedRoles, MemberStatus, Verdict};
 use proptest::collection::vec;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -22,48 +22,48 @@
     Verdict::NotPrimary,
 ];
 
-fn step(world: &mut World, kind: u8, a: u16, b: u16) {
+fn step(world: &mut Simulation, kind: u8, a: u16, b: u16) {
     let (a, b) = (usize::from(a), usize::from(b));
     let members = world.positions.len();
     let id = a % members;
     match kind {
-        0..=5 => drop(world.take(b % 6, (100 + 30 * a as i64 % 3_000) * MS)),
+        0..=5 => drop(world.submit(b % 6, (100 + 30 * a as i64 % 3_000) * MS)),
         6..=11 => {
-            let out = world.out();
+            let out = world.in_flight();
             if let Some(&(handle, _)) = out.get(a % out.len().max(1)) {
-                world.end(handle, VERDICTS[b % VERDICTS.len()]);
+                world.end_attempt(handle, VERDICTS[b % VERDICTS.len()]);
             }
         }
         // The driver stands still, for a moment or for longer than any request lasts.
-        12 if b % 4 == 0 => world.stand((1 + (a as i64 * b as i64) % 4_000) * MS),
+        12 if b % 4 == 0 => world.stall((1 + (a as i64 * b as i64) % 4_000) * MS),
         // Others are taken for dead, rightly or not, and are back.
-        12 if b % 4 == 1 => world.router.set_fleet_size(1 + a % world.terms.routers, world.terms.routers),
-        12 => world.pass((1 + b as i64 % 400) * MS),
-        13 => world.pass((1 + b as i64 % 15) * MS),
+        12 if b % 4 == 1 => world.router.set_fleet_size(1 + a % world.config.routers, world.config.routers),
+        12 => world.advance((1 + b as i64 % 400) * MS),
+        13 => world.advance((1 + b as i64 % 15) * MS),
         14 => world.positions[id] = world.positions[id].max(world.now - (b as i64 % 2) * 100 * MS),
         15 => match b % 5 {
-            0 => world.health_check_answer(id, false),
-            1 => world.report(id),
-            2 => world.late_report(id),
-            _ => world.health_check_answer(id, true),
+            0 => world.end_health_check(id, false),
+            1 => world.save_report(id),
+            2 => world.deliver_saved_report(id),
+            _ => world.end_health_check(id, true),
         },
         16 => world.move_primary(id),
         17 => {
             let standing = [MemberStatus::Ready, MemberStatus::Draining, MemberStatus::Unlisted][b % 3];
             let started = world.now - (b as i64 % 3_000) * MS;
-            let since = if b % 2 == 0 { Some(started) } else { world.since[id] };
-            world.relist(id, standing, since);
+            let since = if b % 2 == 0 { Some(started) } else { world.started_at[id] };
+            world.update_list_entry(id, standing, since);
         }
-        18 if b % 2 == 0 => world.list_fails(),
+        18 if b % 2 == 0 => world.list_unavailable(),
         // Many members start cold at once, new ones among them.
         18 => {
             let (now, grown) = (world.now, members + usize::from(members < 12));
-            world.grow(grown);
-            (a % grown..grown).for_each(|id| world.relist(id, MemberStatus::Ready, Some(now)));
+            world.grow_to(grown);
+            (a % grown..grown).for_each(|id| world.update_list_entry(id, MemberStatus::Ready, Some(now)));
         }
         _ => {
-            if let Some(&(handle, _)) = world.out().first() {
-                world.leave(handle);
+            if let Some(&(handle, _)) = world.in_flight().first() {
+                world.disconnect_client(handle);
             }
         }
     }
@@ -78,15 +78,15 @@
     let (roles, drivers) = (0usize..3, 0usize..3);
     runner
         .run(&(script, roles, drivers), |(script, roles, drivers)| {
-            let mut terms = terms();
+            let mut terms = router_config();
             terms.routers = [2, 30, 150][drivers];
             terms.routers_sharing_warm_up = terms.routers;
             terms.listed_roles = [ListedRoles::Absent, ListedRoles::Delayed, ListedRoles::Initial][roles];
-            let mut world = World::new(terms, if drivers == 2 { 9 } else { 4 });
+            let mut world = Simulation::new(terms, if drivers == 2 { 9 } else { 4 });
             for (kind, a, b) in script {
                 step(&mut world, kind, a, b);
             }
-            world.pass(10_000 * MS);
+            world.advance(10_000 * MS);
             Ok(())
         })
         .unwrap();
--- a/crates/routing/tests/router/wide_fleets.rs
+++ b/crates/routing/tests/router/wide_fleets.rs
@@ -4,26 +4,28 @@
 
 use aldermill_routing::{ListedMember, MemberId, MemberStatus, Request, RouterConfig, Verdict};
 
-use crate::world::{LOOSE, MS, READ, World, line, many, target, terms};
+use crate::simulation::{
+    ANY_AGE_READ, MS, RECENT_READ, Simulation, large_fleet_config, list_entry, router_config, target,
+};
 
 /// A router that gets ten requests a second, and the members that served its reads.
-fn used(world: &mut World, reads: usize) -> BTreeSet<MemberId> {
+fn used(world: &mut Simulation, reads: usize) -> BTreeSet<MemberId> {
     let mut used = BTreeSet::new();
     for _ in 0..reads {
-        world.pass(100 * MS);
-        let read = world.take(LOOSE, 1_000 * MS);
+        world.advance(100 * MS);
+        let read = world.submit(ANY_AGE_READ, 1_000 * MS);
         if let Some(id) = target(world, read) {
             used.insert(id);
-            world.end(read, Verdict::Served);
+            world.end_attempt(read, Verdict::Served);
         }
     }
     used
 }
 
 /// After this the router knows how few requests it gets.
-fn settled(members: usize, drivers: usize, seed: u64) -> World {
-    let terms = RouterConfig { routers: drivers, routers_sharing_warm_up: drivers, ..many() };
-    let mut world = World::seeded(terms, members, seed);
+fn settled(members: usize, drivers: usize, seed: u64) -> Simulation {
+    let terms = RouterConfig { routers: drivers, routers_sharing_warm_up: drivers, ..large_fleet_config() };
+    let mut world = Simulation::with_seed(terms, members, seed);
     used(&mut world, 60);
     world
 }
@@ -61,7 +63,7 @@
     let mut world = settled(320, 1, 4);
     let before = used(&mut world, 200);
     let gone: Vec<MemberId> = before.iter().copied().take(5).collect();
-    gone.iter().for_each(|&id| world.relist(id, MemberStatus::Draining, None));
+    gone.iter().for_each(|&id| world.update_list_entry(id, MemberStatus::Draining, None));
     let after = used(&mut world, 200);
     assert!(gone.iter().all(|id| !after.contains(id)));
     let kept = before.intersection(&after).count();
@@ -72,7 +74,7 @@
 #[test]
 fn a_full_subset_is_left_for_members_with_room() {
     let mut world = settled(320, 1, 4);
-    let out: Vec<_> = (0..400).map(|_| world.take(LOOSE, 1_000 * MS)).collect();
+    let out: Vec<_> = (0..400).map(|_| world.submit(ANY_AGE_READ, 1_000 * MS)).collect();
     let placed: BTreeSet<MemberId> = out.iter().filter_map(|&read| target(&world, read)).collect();
     assert_eq!(out.iter().filter(|&&read| target(&world, read).is_some()).count(), 400, "none is held");
     assert!(placed.len() > 20, "{} members for 400 reads at once", placed.len());
@@ -80,19 +82,19 @@
 
 #[test]
 fn members_of_a_wide_fleet_that_are_not_used_are_not_checked() {
-    let mut world = World::seeded(RouterConfig { routers: 1, ..terms() }, 320, 4);
+    let mut world = Simulation::with_seed(RouterConfig { routers: 1, ..router_config() }, 320, 4);
     let mut checks = Vec::new();
     for _ in 0..100 {
-        world.pass(100 * MS);
-        let read = world.take(READ, 1_000 * MS);
+        world.advance(100 * MS);
+        let read = world.submit(RECENT_READ, 1_000 * MS);
         let asked = std::mem::take(&mut world.health_checks);
         for &id in &asked {
             world.positions[id] = world.now;
-            world.health_check_answer(id, true);
+            world.end_health_check(id, true);
         }
         checks.extend(asked);
         if target(&world, read).is_some() {
-            world.end(read, Verdict::Served);
+            world.end_attempt(read, Verdict::Served);
         }
     }
     assert!(checks.len() <= 150, "{} health checks for 100 reads", checks.len());
@@ -103,19 +105,23 @@
 #[test]
 fn connections_of_a_search_are_closed_and_those_of_members_in_use_are_kept() {
     let mut world = settled(320, 1, 4);
-    world.shut.clear();
+    world.idle_closed.clear();
     let kept = used(&mut world, 100);
-    assert!(world.shut.is_empty(), "closed after reads: {:?}", world.shut);
+    assert!(world.idle_closed.is_empty(), "closed after reads: {:?}", world.idle_closed);
     let other = (0..320).find(|id| !kept.contains(id) && *id != world.primary).expect("not all are used");
-    world.health_check_answer(other, true);
+    world.end_health_check(other, true);
     let in_use = *kept.iter().find(|id| **id != world.primary).expect("some are used");
-    world.health_check_answer(in_use, true);
-    assert_eq!(world.shut, [other]);
+    world.end_health_check(in_use, true);
+    assert_eq!(world.idle_closed, [other]);
 }
 
 #[test]
 fn a_router_that_has_just_started_keeps_to_few_members_too() {
-    let mut world = World::seeded(RouterConfig { routers: 1, routers_sharing_warm_up: 1, ..many() }, 320, 4);
+    let mut world = Simulation::with_seed(
+        RouterConfig { routers: 1, routers_sharing_warm_up: 1, ..large_fleet_config() },
+        320,
+        4,
+    );
     let used = used(&mut world, 300);
     assert!(used.len() <= 40, "{} members", used.len());
 }
@@ -126,22 +132,22 @@
 /// The reads that each member of wide groups got from one of thirty routers, which gets 45 reads a second: the first
 /// 300 tell it how many requests it gets, the next 300 count.
 fn reads_by_member(seed: u64) -> Vec<usize> {
-    let terms = RouterConfig { routers: 30, routers_sharing_warm_up: 30, ..many() };
-    let mut world = World::seeded(terms, WIDE_GROUP, seed);
-    world.grow(WIDE_GROUP * WIDE_GROUPS);
+    let terms = RouterConfig { routers: 30, routers_sharing_warm_up: 30, ..large_fleet_config() };
+    let mut world = Simulation::with_seed(terms, WIDE_GROUP, seed);
+    world.grow_to(WIDE_GROUP * WIDE_GROUPS);
     for id in WIDE_GROUP..WIDE_GROUP * WIDE_GROUPS {
         let group = 100 + (id / WIDE_GROUP) as u64;
-        world.relist_as(ListedMember { group, ..line(id, MemberStatus::Ready, None) });
+        world.apply_list_entry(ListedMember { group, ..list_entry(id, MemberStatus::Ready, None) });
     }
     let mut reads = vec![0; WIDE_GROUP * WIDE_GROUPS];
     for turn in 0..600 {
-        world.pass(22 * MS);
+        world.advance(22 * MS);
         let group = if turn % WIDE_GROUPS == 0 { 7 } else { 100 + (turn % WIDE_GROUPS) as u64 };
         let ttl = 1_000 * MS;
-        let read = world.take_request(Request { class: LOOSE, group, ttl, ..Request::default() });
+        let read = world.submit_request(Request { class: ANY_AGE_READ, group, ttl, ..Request::default() });
         let id = target(&world, read).expect("placed at once");
         reads[id] += usize::from(turn >= 300);
-        world.end(read, Verdict::Served);
+        world.end_attempt(read, Verdict::Served);
     }
     reads
 }
