--- a/crates/routing/tests/router/fixtures.rs
+++ b/crates/routing/tests/router/fixtures.rs
@@ -23,13 +23,13 @@
         priority_weight,
         late_priority_weight,
     };
-    let receipted = Effect::Deduplicated { scope: DeduplicationScope::Group, window: 2_000 * MS };
+    let deduplicated = Effect::Deduplicated { scope: DeduplicationScope::Group, window: 2_000 * MS };
     RouterConfig {
         classes: vec![
             class(Effect::Idempotent, Need::Recent(STALENESS_BOUND), 1.0, 0.0),
             class(Effect::Idempotent, Need::Any, 2.0, 0.2),
             class(Effect::NonIdempotent, Need::Write, 6.0, 0.5),
-            class(receipted, Need::Write, 3.0, 0.5),
+            class(deduplicated, Need::Write, 3.0, 0.5),
             class(Effect::Idempotent, Need::OwnWrites, 1.0, 0.0),
             RequestClass {
                 objective: 6_000 * MS,
@@ -58,27 +58,27 @@
     }
 }
 
-pub fn list_entry(member: MemberId, standing: MemberStatus, since: Option<Micros>) -> ListedMember {
+pub fn list_entry(member: MemberId, member_status: MemberStatus, start_time: Option<Micros>) -> ListedMember {
     ListedMember {
         member,
         name: format!("m{member}"),
         group: 7,
         zone: 0,
-        status: standing,
-        started_at: since,
+        status: member_status,
+        started_at: start_time,
         size: 1.0,
         is_primary: false,
     }
 }
 
-pub fn checked_simulation(terms: RouterConfig) -> Simulation {
-    let mut world = Simulation::new(terms, 4);
-    world.answer_all_health_checks();
-    world
+pub fn checked_simulation(config: RouterConfig) -> Simulation {
+    let mut simulation = Simulation::new(config, 4);
+    simulation.answer_all_health_checks();
+    simulation
 }
 
-pub fn target(world: &Simulation, handle: RequestHandle) -> Option<MemberId> {
-    world.in_flight().into_iter().find(|&(out, _)| out == handle).map(|(_, id)| id)
+pub fn target(simulation: &Simulation, handle: RequestHandle) -> Option<MemberId> {
+    simulation.in_flight().into_iter().find(|&(request, _)| request == handle).map(|(_, id)| id)
 }
 
 pub fn large_fleet_config() -> RouterConfig {
--- a/crates/routing/tests/router/freshness.rs
+++ b/crates/routing/tests/router/freshness.rs
@@ -7,218 +7,234 @@
 use aldermill_routing::{ListedMember, ListedRoles, MemberReport, MemberStatus, Role, RouterConfig, Verdict};
 
 #[test]
-fn sessions_forgotten_leave_a_bound_on_what_they_may_have_written() {
-    let mut world = checked_simulation(router_config());
-    let writes = |world: &mut Simulation, from: u32| {
+fn forgotten_sessions_leave_a_bound_on_their_writes() {
+    let mut simulation = checked_simulation(router_config());
+    let run_writes = |simulation: &mut Simulation, from: u32| {
         for number in from..from + 10_100 {
-            let write = world.submit_in_session(WRITE, 1_000 * MS, &number.to_string());
-            world.end_attempt(write, Verdict::Served);
+            let write = simulation.submit_in_session(WRITE, 1_000 * MS, &number.to_string());
+            simulation.end_attempt(write, Verdict::Served);
         }
     };
-    writes(&mut world, 0);
-    let first = world.now;
-    world.advance(10_500 * MS);
-    world.answer_all_health_checks();
+    run_writes(&mut simulation, 0);
+    let first_writes_at = simulation.now;
+    simulation.advance(10_500 * MS);
+    simulation.answer_all_health_checks();
     // Positions from before those writes do not do for a session that may have been one of them.
-    world.positions.iter_mut().for_each(|position| *position = first - 50 * MS);
-    world.health_checks.clear();
-    let read = world.submit_in_session(OWN_WRITES_READ, 1_000 * MS, "17");
-    for asked in 0.. {
-        if target(&world, read).is_some() {
+    simulation.positions.iter_mut().for_each(|position| *position = first_writes_at - 50 * MS);
+    simulation.health_checks.clear();
+    let read = simulation.submit_in_session(OWN_WRITES_READ, 1_000 * MS, "17");
+    for checked in 0.. {
+        if target(&simulation, read).is_some() {
             break;
         }
-        world.end_health_check(world.health_checks[asked], true);
+        simulation.end_health_check(simulation.health_checks[checked], true);
     }
-    assert_eq!(target(&world, read), Some(0));
+    assert_eq!(target(&simulation, read), Some(0));
 }
 
 #[test]
-fn where_members_check_and_no_primary_is_left_a_read_goes_to_the_least_behind_replica() {
-    let mut world = checked_simulation(RouterConfig { members_check_freshness: true, ..router_config() });
-    world.positions[2] = world.now + 200 * MS;
-    world.advance(200 * MS);
-    world.end_health_check(2, true);
-    world.advance(STALENESS_BOUND + 20 * MS);
-    world.update_list_entry(0, MemberStatus::Draining, None);
-    world.health_checks.clear();
-    let read = world.submit(RECENT_READ, 1_000 * MS);
-    while let Some(asked) = world.health_checks.pop() {
-        world.end_health_check(asked, true);
+fn without_a_primary_a_read_goes_to_the_newest_replica_where_members_check_freshness() {
+    let mut simulation =
+        checked_simulation(RouterConfig { members_check_freshness: true, ..router_config() });
+    simulation.positions[2] = simulation.now + 200 * MS;
+    simulation.advance(200 * MS);
+    simulation.end_health_check(2, true);
+    simulation.advance(STALENESS_BOUND + 20 * MS);
+    simulation.update_list_entry(0, MemberStatus::Draining, None);
+    simulation.health_checks.clear();
+    let read = simulation.submit(RECENT_READ, 1_000 * MS);
+    while let Some(checked) = simulation.health_checks.pop() {
+        simulation.end_health_check(checked, true);
     }
     // All have just said how far behind they are, and would turn it away.
-    assert_eq!(target(&world, read), None);
-    world.advance(240 * MS);
-    assert_eq!(target(&world, read), Some(2));
+    assert_eq!(target(&simulation, read), None);
+    simulation.advance(240 * MS);
+    assert_eq!(target(&simulation, read), Some(2));
 }
 
 #[test]
-fn reads_keep_off_a_crowded_primary_and_writes_do_not() {
-    let mut world = checked_simulation(large_fleet_config());
-    let resort = |world: &mut Simulation| {
-        world.advance(STALENESS_BOUND + 3_000 * MS);
-        world.end_health_check(0, true);
-        world.health_checks.clear();
-        let read = world.submit(RECENT_READ, 1_000 * MS);
-        for asked in 0..3 {
-            if let Some(&id) = world.health_checks.get(asked) {
-                world.end_health_check(id, true);
+fn reads_avoid_an_overloaded_primary_and_writes_do_not() {
+    let mut simulation = checked_simulation(large_fleet_config());
+    let fallback_target = |simulation: &mut Simulation| {
+        simulation.advance(STALENESS_BOUND + 3_000 * MS);
+        simulation.end_health_check(0, true);
+        simulation.health_checks.clear();
+        let read = simulation.submit(RECENT_READ, 1_000 * MS);
+        for checked in 0..3 {
+            if let Some(&id) = simulation.health_checks.get(checked) {
+                simulation.end_health_check(id, true);
             }
         }
-        let met = target(world, read);
-        world.disconnect_client(read);
-        met
+        let target_member = target(simulation, read);
+        simulation.disconnect_client(read);
+        target_member
     };
-    assert_eq!(resort(&mut world), Some(0));
+    assert_eq!(fallback_target(&mut simulation), Some(0));
     // A write that times out shrinks its window; what it was blacklisted for is over when the next read
     // comes.
-    world.advance(2_000 * MS);
-    let write = world.submit(DEDUPLICATED_WRITE, 600 * MS);
-    assert_eq!(target(&world, write), Some(0));
-    world.advance(6_000 * MS);
-    assert_eq!(resort(&mut world), None);
-    let write = world.submit(WRITE, 2_000 * MS);
-    world.advance(100 * MS);
-    assert_eq!(target(&world, write), Some(0));
+    simulation.advance(2_000 * MS);
+    let write = simulation.submit(DEDUPLICATED_WRITE, 600 * MS);
+    assert_eq!(target(&simulation, write), Some(0));
+    simulation.advance(6_000 * MS);
+    assert_eq!(fallback_target(&mut simulation), None);
+    let write = simulation.submit(WRITE, 2_000 * MS);
+    simulation.advance(100 * MS);
+    assert_eq!(target(&simulation, write), Some(0));
 }
 
 /// What member 0, which was primary until now, says of itself from now on.
-fn steps_down(world: &mut Simulation) -> MemberReport {
-    world.move_primary(1);
-    MemberReport { role: Some(Role::Replica), position: Some(world.now), age: 0 }
+fn step_down(simulation: &mut Simulation) -> MemberReport {
+    simulation.move_primary(1);
+    MemberReport { role: Some(Role::Replica), position: Some(simulation.now), age: 0 }
 }
 
 /// Where a read goes that only a primary is fresh enough for, as long as no other member was heard.
-fn resort(world: &mut Simulation) -> Option<usize> {
-    world.advance(STALENESS_BOUND + 50 * MS);
-    world.health_checks.clear();
-    let read = world.submit(RECENT_READ, 1_000 * MS);
-    while let Some(asked) = world.health_checks.pop() {
-        world.end_health_check(asked, false);
+fn fallback_target(simulation: &mut Simulation) -> Option<usize> {
+    simulation.advance(STALENESS_BOUND + 50 * MS);
+    simulation.health_checks.clear();
+    let read = simulation.submit(RECENT_READ, 1_000 * MS);
+    while let Some(checked) = simulation.health_checks.pop() {
+        simulation.end_health_check(checked, false);
     }
-    let met = target(world, read);
-    world.disconnect_client(read);
-    met
+    let target_member = target(simulation, read);
+    simulation.disconnect_client(read);
+    target_member
 }
 
 #[test]
-fn a_primary_that_says_it_is_a_replica_is_believed_though_its_position_stands_still() {
-    let mut world = checked_simulation(router_config());
-    let write = world.submit(WRITE, 1_000 * MS);
-    world.end_attempt(write, Verdict::Served);
-    assert_eq!(resort(&mut world), Some(0), "a read that lacks a fresh replica goes to the primary");
-    let word = steps_down(&mut world);
+fn a_primary_that_reports_itself_a_replica_is_believed_even_at_an_unchanged_position() {
+    let mut simulation = checked_simulation(router_config());
+    let write = simulation.submit(WRITE, 1_000 * MS);
+    simulation.end_attempt(write, Verdict::Served);
+    assert_eq!(
+        fallback_target(&mut simulation),
+        Some(0),
+        "a read that lacks a fresh replica goes to the primary"
+    );
+    let report = step_down(&mut simulation);
     // A write's answer from before that, heard now, dates the group's word later than the position told below.
-    world.advance(30 * MS);
-    let write = world.submit(WRITE, 1_000 * MS);
-    world.end_attempt_with_report(write, Verdict::Served, MemberReport { role: Some(Role::Primary), ..word });
-    world.answer_health_check_with(0, word);
-    assert_eq!(resort(&mut world), None, "rule 5: by its own word it is no primary any more");
+    simulation.advance(30 * MS);
+    let write = simulation.submit(WRITE, 1_000 * MS);
+    simulation.end_attempt_with_report(
+        write,
+        Verdict::Served,
+        MemberReport { role: Some(Role::Primary), ..report },
+    );
+    simulation.answer_health_check_with(0, report);
+    assert_eq!(fallback_target(&mut simulation), None, "rule 5: by its own word it is no primary any more");
 }
 
 #[test]
-fn an_answer_asked_for_before_a_member_said_it_is_a_replica_makes_it_no_primary() {
-    let mut world = checked_simulation(router_config());
-    let (first, second) = (world.submit(WRITE, 1_000 * MS), world.submit(WRITE, 1_000 * MS));
-    world.advance(10 * MS);
-    let word = steps_down(&mut world);
+fn an_answer_requested_before_a_replica_report_does_not_confirm_a_primary() {
+    let mut simulation = checked_simulation(router_config());
+    let (first, second) = (simulation.submit(WRITE, 1_000 * MS), simulation.submit(WRITE, 1_000 * MS));
+    simulation.advance(10 * MS);
+    let report = step_down(&mut simulation);
     // Both answers are there at once, and the newer one is heard first.
-    world.end_attempt_with_report(second, Verdict::NotPrimary, word);
-    world.end_attempt_with_report(first, Verdict::Served, MemberReport { role: Some(Role::Primary), ..word });
-    assert_eq!(resort(&mut world), None, "rule 5: the older word comes second");
+    simulation.end_attempt_with_report(second, Verdict::NotPrimary, report);
+    simulation.end_attempt_with_report(
+        first,
+        Verdict::Served,
+        MemberReport { role: Some(Role::Primary), ..report },
+    );
+    assert_eq!(fallback_target(&mut simulation), None, "rule 5: the older word comes second");
 }
 
 #[test]
-fn a_report_from_before_a_member_became_primary_does_not_unseat_it() {
-    let mut world = checked_simulation(router_config());
-    world.move_primary(2);
-    world.save_report(0);
-    world.move_primary(0);
-    world.advance(100 * MS);
-    let write = world.submit(WRITE, 1_000 * MS);
-    world.end_attempt(write, Verdict::Served);
-    world.deliver_saved_report(0);
-    assert_eq!(resort(&mut world), Some(0));
+fn a_replica_report_from_before_a_promotion_does_not_demote_the_primary() {
+    let mut simulation = checked_simulation(router_config());
+    simulation.move_primary(2);
+    simulation.save_report(0);
+    simulation.move_primary(0);
+    simulation.advance(100 * MS);
+    let write = simulation.submit(WRITE, 1_000 * MS);
+    simulation.end_attempt(write, Verdict::Served);
+    simulation.deliver_saved_report(0);
+    assert_eq!(fallback_target(&mut simulation), Some(0));
 }
 
 #[test]
-fn a_primary_that_started_again_counts_as_none_until_it_says_so() {
-    let mut world =
+fn a_restarted_primary_is_unconfirmed_until_it_reports_its_role() {
+    let mut simulation =
         checked_simulation(RouterConfig { listed_roles: ListedRoles::Delayed, ..router_config() });
-    let since = Some(world.now - 20_000 * MS);
-    world.update_list_entry(0, MemberStatus::Unlisted, None);
-    world.apply_list_entry(ListedMember { is_primary: true, ..list_entry(0, MemberStatus::Ready, since) });
-    assert_eq!(resort(&mut world), None, "the list's word alone proves nothing");
-    world.end_health_check(0, true);
-    assert_eq!(resort(&mut world), Some(0));
+    let started_at = Some(simulation.now - 20_000 * MS);
+    simulation.update_list_entry(0, MemberStatus::Unlisted, None);
+    simulation.apply_list_entry(ListedMember {
+        is_primary: true,
+        ..list_entry(0, MemberStatus::Ready, started_at)
+    });
+    assert_eq!(fallback_target(&mut simulation), None, "the list's word alone proves nothing");
+    simulation.end_health_check(0, true);
+    assert_eq!(fallback_target(&mut simulation), Some(0));
 }
 
 #[test]
-fn a_write_whose_answer_does_not_tell_its_commit_counts_as_committed_by_then() {
-    let mut world = checked_simulation(router_config());
-    world.advance(500 * MS);
-    let write = world.submit_in_session(WRITE, 1_000 * MS, "17");
-    world.end_attempt_with_report(write, Verdict::Served, MemberReport::default());
+fn a_write_whose_answer_states_no_commit_time_counts_as_committed_by_then() {
+    let mut simulation = checked_simulation(router_config());
+    simulation.advance(500 * MS);
+    let write = simulation.submit_in_session(WRITE, 1_000 * MS, "17");
+    simulation.end_attempt_with_report(write, Verdict::Served, MemberReport::default());
     // The replicas were last heard before that.
-    let read = world.submit_in_session(OWN_WRITES_READ, 1_000 * MS, "17");
-    while let Some(asked) = world.health_checks.pop() {
-        world.end_health_check(asked, false);
+    let read = simulation.submit_in_session(OWN_WRITES_READ, 1_000 * MS, "17");
+    while let Some(checked) = simulation.health_checks.pop() {
+        simulation.end_health_check(checked, false);
     }
-    assert_eq!(target(&world, read), Some(0), "rule 5: a read that does not see its session's write");
+    assert_eq!(target(&simulation, read), Some(0), "rule 5: a read that does not see its session's write");
 }
 
 #[test]
 fn a_write_that_may_have_run_counts_as_written_by_its_session() {
     for verdict in [Verdict::Malformed, Verdict::Reset, Verdict::TimedOut, Verdict::Error] {
-        let mut world = checked_simulation(router_config());
-        let write = world.submit_in_session(WRITE, 1_000 * MS, "17");
-        world.advance(300 * MS);
-        world.answer_all_health_checks();
+        let mut simulation = checked_simulation(router_config());
+        let write = simulation.submit_in_session(WRITE, 1_000 * MS, "17");
+        simulation.advance(300 * MS);
+        simulation.answer_all_health_checks();
         // Its answer may be lost on the way: while it is out no replica is sure to have it.
-        let read = world.submit_in_session(OWN_WRITES_READ, 1_000 * MS, "17");
-        assert!([None, Some(0)].contains(&target(&world, read)), "{verdict:?}: rule 5, while it is out");
-        world.disconnect_client(read);
-        world.advance(100 * MS);
-        world.end_attempt_with_report(write, verdict, MemberReport::default());
-        let read = world.submit_in_session(OWN_WRITES_READ, 1_000 * MS, "17");
-        assert!([None, Some(0)].contains(&target(&world, read)), "{verdict:?}: rule 5, once it ended");
+        let read = simulation.submit_in_session(OWN_WRITES_READ, 1_000 * MS, "17");
+        assert!([None, Some(0)].contains(&target(&simulation, read)), "{verdict:?}: rule 5, while it is out");
+        simulation.disconnect_client(read);
+        simulation.advance(100 * MS);
+        simulation.end_attempt_with_report(write, verdict, MemberReport::default());
+        let read = simulation.submit_in_session(OWN_WRITES_READ, 1_000 * MS, "17");
+        assert!([None, Some(0)].contains(&target(&simulation, read)), "{verdict:?}: rule 5, once it ended");
     }
 }
 
 #[test]
-fn a_write_that_never_ran_leaves_its_session_as_it_was() {
-    let mut world = checked_simulation(router_config());
-    let write = world.submit_in_session(WRITE, 1_000 * MS, "17");
-    world.end_attempt_with_report(write, Verdict::NotSent, MemberReport::default());
-    world.disconnect_client(write);
-    world.in_flight().into_iter().for_each(|(again, _)| {
-        world.end_attempt_with_report(again, Verdict::NotSent, MemberReport::default())
+fn a_write_that_never_ran_does_not_change_its_session() {
+    let mut simulation = checked_simulation(router_config());
+    let write = simulation.submit_in_session(WRITE, 1_000 * MS, "17");
+    simulation.end_attempt_with_report(write, Verdict::NotSent, MemberReport::default());
+    simulation.disconnect_client(write);
+    simulation.in_flight().into_iter().for_each(|(retry, _)| {
+        simulation.end_attempt_with_report(retry, Verdict::NotSent, MemberReport::default())
     });
-    let read = world.submit_in_session(OWN_WRITES_READ, 1_000 * MS, "17");
-    assert!(target(&world, read).is_some_and(|id| id != 0));
+    let read = simulation.submit_in_session(OWN_WRITES_READ, 1_000 * MS, "17");
+    assert!(target(&simulation, read).is_some_and(|id| id != 0));
 }
 
 #[test]
-fn a_proof_that_would_run_out_while_the_process_is_held_up_is_none() {
-    let mut world = checked_simulation(router_config());
-    world.positions[2] = world.now;
-    world.end_health_check(2, true);
-    world.advance(STALENESS_BOUND - 100 * MS);
-    world.health_checks.clear();
-    let read = world.submit(RECENT_READ, 1_000 * MS);
+fn a_freshness_proof_that_may_expire_before_the_send_does_not_count() {
+    let mut simulation = checked_simulation(router_config());
+    simulation.positions[2] = simulation.now;
+    simulation.end_health_check(2, true);
+    simulation.advance(STALENESS_BOUND - 100 * MS);
+    simulation.health_checks.clear();
+    let read = simulation.submit(RECENT_READ, 1_000 * MS);
     assert_ne!(
-        target(&world, read),
+        target(&simulation, read),
         Some(2),
         "rule 5: 100 ms of proof are left, and it may be written 150 ms later"
     );
 }
 
 #[test]
-fn a_retry_that_could_leave_past_its_window_is_none() {
-    let mut world = checked_simulation(router_config());
-    let write = world.submit(DEDUPLICATED_WRITE, 3_000 * MS);
-    assert_eq!(target(&world, write), Some(0));
-    world.advance(1_900 * MS);
-    world.end_attempt(write, Verdict::Error);
-    assert_eq!(target(&world, write), None, "rule 2: 100 ms are left of its window");
-    assert_eq!(world.failed, [write]);
+fn a_retry_that_may_be_sent_after_its_deduplication_window_is_not_made() {
+    let mut simulation = checked_simulation(router_config());
+    let write = simulation.submit(DEDUPLICATED_WRITE, 3_000 * MS);
+    assert_eq!(target(&simulation, write), Some(0));
+    simulation.advance(1_900 * MS);
+    simulation.end_attempt(write, Verdict::Error);
+    assert_eq!(target(&simulation, write), None, "rule 2: 100 ms are left of its window");
+    assert_eq!(simulation.failed, [write]);
 }
--- a/crates/routing/tests/router/random_runs.rs
+++ b/crates/routing/tests/router/random_runs.rs
@@ -22,71 +22,79 @@
     Verdict::NotPrimary,
 ];
 
-fn step(world: &mut Simulation, kind: u8, a: u16, b: u16) {
-    let (a, b) = (usize::from(a), usize::from(b));
-    let members = world.positions.len();
-    let id = a % members;
+fn apply_step(simulation: &mut Simulation, kind: u8, first: u16, second: u16) {
+    let (first, second) = (usize::from(first), usize::from(second));
+    let members = simulation.positions.len();
+    let id = first % members;
     match kind {
-        0..=5 => drop(world.submit(b % 6, (100 + 30 * a as i64 % 3_000) * MS)),
+        0..=5 => drop(simulation.submit(second % 6, (100 + 30 * first as i64 % 3_000) * MS)),
         6..=11 => {
-            let out = world.in_flight();
-            if let Some(&(handle, _)) = out.get(a % out.len().max(1)) {
-                world.end_attempt(handle, VERDICTS[b % VERDICTS.len()]);
+            let in_flight = simulation.in_flight();
+            if let Some(&(handle, _)) = in_flight.get(first % in_flight.len().max(1)) {
+                simulation.end_attempt(handle, VERDICTS[second % VERDICTS.len()]);
             }
         }
         // The driver stands still, for a moment or for longer than any request lasts.
-        12 if b % 4 == 0 => world.stall((1 + (a as i64 * b as i64) % 4_000) * MS),
+        12 if second % 4 == 0 => simulation.stall((1 + (first as i64 * second as i64) % 4_000) * MS),
         // Others are taken for dead, rightly or not, and are back.
-        12 if b % 4 == 1 => world.router.set_fleet_size(1 + a % world.config.routers, world.config.routers),
-        12 => world.advance((1 + b as i64 % 400) * MS),
-        13 => world.advance((1 + b as i64 % 15) * MS),
-        14 => world.positions[id] = world.positions[id].max(world.now - (b as i64 % 2) * 100 * MS),
-        15 => match b % 5 {
-            0 => world.end_health_check(id, false),
-            1 => world.save_report(id),
-            2 => world.deliver_saved_report(id),
-            _ => world.end_health_check(id, true),
+        12 if second % 4 == 1 => {
+            simulation.router.set_fleet_size(1 + first % simulation.config.routers, simulation.config.routers)
+        }
+        12 => simulation.advance((1 + second as i64 % 400) * MS),
+        13 => simulation.advance((1 + second as i64 % 15) * MS),
+        14 => {
+            simulation.positions[id] =
+                simulation.positions[id].max(simulation.now - (second as i64 % 2) * 100 * MS)
+        }
+        15 => match second % 5 {
+            0 => simulation.end_health_check(id, false),
+            1 => simulation.save_report(id),
+            2 => simulation.deliver_saved_report(id),
+            _ => simulation.end_health_check(id, true),
         },
-        16 => world.move_primary(id),
+        16 => simulation.move_primary(id),
         17 => {
-            let standing = [MemberStatus::Ready, MemberStatus::Draining, MemberStatus::Unlisted][b % 3];
-            let started = world.now - (b as i64 % 3_000) * MS;
-            let since = if b % 2 == 0 { Some(started) } else { world.started_at[id] };
-            world.update_list_entry(id, standing, since);
+            let member_status =
+                [MemberStatus::Ready, MemberStatus::Draining, MemberStatus::Unlisted][second % 3];
+            let recent_start = simulation.now - (second as i64 % 3_000) * MS;
+            let start_time = if second % 2 == 0 { Some(recent_start) } else { simulation.started_at[id] };
+            simulation.update_list_entry(id, member_status, start_time);
         }
-        18 if b % 2 == 0 => world.list_unavailable(),
+        18 if second % 2 == 0 => simulation.list_unavailable(),
         // Many members start cold at once, new ones among them.
         18 => {
-            let (now, grown) = (world.now, members + usize::from(members < 12));
-            world.grow_to(grown);
-            (a % grown..grown).for_each(|id| world.update_list_entry(id, MemberStatus::Ready, Some(now)));
+            let (now, member_count) = (simulation.now, members + usize::from(members < 12));
+            simulation.grow_to(member_count);
+            (first % member_count..member_count)
+                .for_each(|id| simulation.update_list_entry(id, MemberStatus::Ready, Some(now)));
         }
         _ => {
-            if let Some(&(handle, _)) = world.in_flight().first() {
-                world.disconnect_client(handle);
+            if let Some(&(handle, _)) = simulation.in_flight().first() {
+                simulation.disconnect_client(handle);
             }
         }
     }
 }
 
 #[test]
-fn the_rules_hold_whatever_happens() {
-    let config = Config { cases: 250, failure_persistence: None, ..Config::default() };
+fn the_five_rules_hold_in_random_runs() {
+    let runner_config = Config { cases: 250, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[41; 32]);
-    let mut runner = TestRunner::new_with_rng(config, rng);
-    let script = vec((0u8..20, 0u16..1000, 0u16..1000), 1..400);
-    let (roles, drivers) = (0usize..3, 0usize..3);
+    let mut runner = TestRunner::new_with_rng(runner_config, rng);
+    let steps = vec((0u8..20, 0u16..1000, 0u16..1000), 1..400);
+    let (roles_index, fleet_index) = (0usize..3, 0usize..3);
     runner
-        .run(&(script, roles, drivers), |(script, roles, drivers)| {
-            let mut terms = router_config();
-            terms.routers = [2, 30, 150][drivers];
-            terms.routers_sharing_warm_up = terms.routers;
-            terms.listed_roles = [ListedRoles::Absent, ListedRoles::Delayed, ListedRoles::Initial][roles];
-            let mut world = Simulation::new(terms, if drivers == 2 { 9 } else { 4 });
-            for (kind, a, b) in script {
-                step(&mut world, kind, a, b);
+        .run(&(steps, roles_index, fleet_index), |(steps, roles_index, fleet_index)| {
+            let mut config = router_config();
+            config.routers = [2, 30, 150][fleet_index];
+            config.routers_sharing_warm_up = config.routers;
+            config.listed_roles =
+                [ListedRoles::Absent, ListedRoles::Delayed, ListedRoles::Initial][roles_index];
+            let mut simulation = Simulation::new(config, if fleet_index == 2 { 9 } else { 4 });
+            for (kind, first, second) in steps {
+                apply_step(&mut simulation, kind, first, second);
             }
-            world.advance(10_000 * MS);
+            simulation.advance(10_000 * MS);
             Ok(())
         })
         .unwrap();
--- a/crates/routing/tests/router/simulation.rs
+++ b/crates/routing/tests/router/simulation.rs
@@ -81,14 +81,14 @@
             session_floor: Micros::MIN,
         };
         simulation.freshness_exempt[0] = true;
-        let lines = (0..members).map(|id| list_entry(id, MemberStatus::Ready, None)).collect();
-        let actions = simulation.router.update_endpoint_list(now, true, lines);
+        let entries = (0..members).map(|id| list_entry(id, MemberStatus::Ready, None)).collect();
+        let actions = simulation.router.update_endpoint_list(now, true, entries);
         simulation.carry_out(actions);
         simulation
     }
 
-    pub fn advance(&mut self, time: Micros) {
-        let until = self.now + time;
+    pub fn advance(&mut self, duration: Micros) {
+        let until = self.now + duration;
         while self.wake_at <= until {
             self.now = self.wake_at.max(self.now);
             self.time_out_attempts();
@@ -100,13 +100,14 @@
     }
 
     /// The driver stands still for so long and goes on: what ran out meanwhile was seen by nobody.
-    pub fn stall(&mut self, long: Micros) {
-        self.now += long;
-        self.router.stall_ended(self.now, long);
-        let over = |f: &TrackedRequest| f.in_flight.is_some_and(|(_, deadline)| deadline <= self.now);
-        let ends: Vec<RequestHandle> =
-            self.requests.iter().filter(|(_, f)| over(f)).map(|(&handle, _)| handle).collect();
-        ends.into_iter().for_each(|handle| self.end_attempt(handle, Verdict::Unobserved));
+    pub fn stall(&mut self, duration: Micros) {
+        self.now += duration;
+        self.router.stall_ended(self.now, duration);
+        let is_due =
+            |request: &TrackedRequest| request.in_flight.is_some_and(|(_, deadline)| deadline <= self.now);
+        let due_requests: Vec<RequestHandle> =
+            self.requests.iter().filter(|(_, request)| is_due(request)).map(|(&handle, _)| handle).collect();
+        due_requests.into_iter().for_each(|handle| self.end_attempt(handle, Verdict::Unobserved));
         let actions = self.router.wake(self.now);
         self.carry_out(actions);
         self.time_out_attempts();
@@ -114,15 +115,18 @@
 
     /// Attempts whose limit has passed end as timed out; no request outlives its end.
     fn time_out_attempts(&mut self) {
-        let due = |f: &TrackedRequest| f.in_flight.is_some_and(|(_, deadline)| deadline <= self.now);
-        let ends: Vec<RequestHandle> =
-            self.requests.iter().filter(|(_, f)| due(f)).map(|(&handle, _)| handle).collect();
-        for handle in ends {
+        let is_due =
+            |request: &TrackedRequest| request.in_flight.is_some_and(|(_, deadline)| deadline <= self.now);
+        let due_requests: Vec<RequestHandle> =
+            self.requests.iter().filter(|(_, request)| is_due(request)).map(|(&handle, _)| handle).collect();
+        for handle in due_requests {
             self.end_attempt(handle, Verdict::TimedOut);
         }
         let slack = 20 * MS;
         assert!(
-            self.requests.values().all(|f| f.is_closed || self.now <= f.client_deadline + slack),
+            self.requests
+                .values()
+                .all(|request| request.is_closed || self.now <= request.client_deadline + slack),
             "rule 1: no answer in time"
         );
     }
@@ -135,15 +139,15 @@
         self.submit_marked_in_session(class, ttl, false, session)
     }
 
-    pub fn submit_marked(&mut self, class: usize, ttl: Micros, repeat: bool) -> RequestHandle {
-        self.submit_marked_in_session(class, ttl, repeat, "s")
+    pub fn submit_marked(&mut self, class: usize, ttl: Micros, is_retry: bool) -> RequestHandle {
+        self.submit_marked_in_session(class, ttl, is_retry, "s")
     }
 
     fn submit_marked_in_session(
         &mut self,
         class: usize,
         ttl: Micros,
-        repeat: bool,
+        is_retry: bool,
         session: &str,
     ) -> RequestHandle {
         let session = Some(session.to_owned());
@@ -152,7 +156,7 @@
             group: 7,
             ttl,
             session,
-            marked_retry: repeat,
+            marked_retry: is_retry,
             ..Request::default()
         })
     }
@@ -195,8 +199,9 @@
     }
 
     /// It answers a health check, after so long.
-    pub fn answer_health_check_after(&mut self, id: MemberId, took: Micros) {
-        let actions = self.router.health_checked(self.now, id, Verdict::Served, took, self.member_report(id));
+    pub fn answer_health_check_after(&mut self, id: MemberId, duration: Micros) {
+        let actions =
+            self.router.health_checked(self.now, id, Verdict::Served, duration, self.member_report(id));
         self.carry_out(actions);
     }
 
@@ -207,10 +212,10 @@
     }
 
     pub fn end_health_check_with_verdict(&mut self, id: MemberId, verdict: Verdict) {
-        let took = if verdict == Verdict::TimedOut { 250 * MS } else { MS };
+        let duration = if verdict == Verdict::TimedOut { 250 * MS } else { MS };
         let report =
             if verdict == Verdict::Served { self.member_report(id) } else { MemberReport::default() };
-        let actions = self.router.health_checked(self.now, id, verdict, took, report);
+        let actions = self.router.health_checked(self.now, id, verdict, duration, report);
         self.carry_out(actions);
     }
 
@@ -220,23 +225,26 @@
     }
 
     pub fn in_flight(&self) -> Vec<(RequestHandle, MemberId)> {
-        self.requests.iter().filter_map(|(&handle, f)| f.in_flight.map(|(id, _)| (handle, id))).collect()
+        self.requests
+            .iter()
+            .filter_map(|(&handle, request)| request.in_flight.map(|(id, _)| (handle, id)))
+            .collect()
     }
 
     /// An attempt ends in a way that its member's role allows.
     pub fn end_attempt(&mut self, handle: RequestHandle, verdict: Verdict) {
-        let flight = &self.requests[&handle];
-        let (id, _) = flight.in_flight.expect("out");
-        let write = self.config.classes[flight.class].need == Need::Write;
+        let request = &self.requests[&handle];
+        let (id, _) = request.in_flight.expect("out");
+        let is_write = self.config.classes[request.class].need == Need::Write;
         let verdict = match verdict {
-            Verdict::Served if write && id != self.primary => Verdict::NotPrimary,
-            Verdict::NotPrimary if !write => Verdict::Overloaded,
+            Verdict::Served if is_write && id != self.primary => Verdict::NotPrimary,
+            Verdict::NotPrimary if !is_write => Verdict::Overloaded,
             verdict => verdict,
         };
-        let answers =
+        let is_answered =
             matches!(verdict, Verdict::Served | Verdict::Error | Verdict::Overloaded | Verdict::NotPrimary);
-        let report = if answers { self.member_report(id) } else { MemberReport::default() };
-        if answers && id != self.primary {
+        let report = if is_answered { self.member_report(id) } else { MemberReport::default() };
+        if is_answered && id != self.primary {
             self.freshness_exempt[id] = false;
         }
         self.end_attempt_with_report(handle, verdict, report);
@@ -244,72 +252,79 @@
 
     /// An attempt ends, and its member says this of itself.
     pub fn end_attempt_with_report(&mut self, handle: RequestHandle, verdict: Verdict, report: MemberReport) {
-        let flight = self.requests.get_mut(&handle).expect("taken");
-        let (id, deadline) = flight.in_flight.take().expect("out");
-        let write = self.config.classes[flight.class].need == Need::Write;
+        let request = self.requests.get_mut(&handle).expect("taken");
+        let (id, deadline) = request.in_flight.take().expect("out");
+        let is_write = self.config.classes[request.class].need == Need::Write;
         if !verdict.never_ran() {
-            flight.may_have_run.get_or_insert(flight.attempted_at);
+            request.may_have_run.get_or_insert(request.attempted_at);
         }
         if verdict == Verdict::LocalFailure {
             // Nothing came to the member, and the request has its attempts still.
-            flight.attempts -= 1;
-            let sent = &mut self.sent_times[id];
-            let at = sent.iter().rposition(|&at| at == flight.attempted_at);
-            at.map(|at| sent.remove(at));
+            request.attempts -= 1;
+            let sent_times = &mut self.sent_times[id];
+            let index = sent_times.iter().rposition(|&at| at == request.attempted_at);
+            index.map(|index| sent_times.remove(index));
         }
-        let served = verdict == Verdict::Served;
-        flight.is_closed |= served;
-        let closed = flight.is_closed;
-        if served {
-            let done = &mut self.served_times[id];
-            done.push_back(self.now);
-            done.retain(|&at| at > self.now - self.config.overload_window);
-            if self.started_at[id].is_none_or(|since| self.now - since >= self.config.slow_start_duration) {
-                self.max_warm_load = self.max_warm_load.max(done.len());
+        let is_served = verdict == Verdict::Served;
+        request.is_closed |= is_served;
+        let is_closed = request.is_closed;
+        if is_served {
+            let served_times = &mut self.served_times[id];
+            served_times.push_back(self.now);
+            served_times.retain(|&at| at > self.now - self.config.overload_window);
+            if self.started_at[id]
+                .is_none_or(|start_time| self.now - start_time >= self.config.slow_start_duration)
+            {
+                self.max_warm_load = self.max_warm_load.max(served_times.len());
             }
         }
-        if write && !verdict.never_ran() {
+        if is_write && !verdict.never_ran() {
             self.session_floor = self.now;
         }
-        let most = if verdict == Verdict::Error { MS } else { 50 * MS };
-        let took = (deadline - self.now).clamp(MS, most);
+        let max_duration = if verdict == Verdict::Error { MS } else { 50 * MS };
+        let attempt_duration = (deadline - self.now).clamp(MS, max_duration);
         let actions = handle.attempt_ended(
             &mut self.router,
             self.now,
-            Outcome { verdict, duration: took, report, request_closed: closed },
+            Outcome { verdict, duration: attempt_duration, report, request_closed: is_closed },
         );
         self.carry_out(actions);
     }
 
     pub fn disconnect_client(&mut self, handle: RequestHandle) {
-        let flight = self.requests.get_mut(&handle).expect("taken");
-        if flight.in_flight.is_some() || !flight.is_closed {
-            flight.is_closed = true;
+        let request = self.requests.get_mut(&handle).expect("taken");
+        if request.in_flight.is_some() || !request.is_closed {
+            request.is_closed = true;
             let actions = handle.client_left(&mut self.router, self.now);
             self.carry_out(actions);
         }
     }
 
-    pub fn update_list_entry(&mut self, id: MemberId, standing: MemberStatus, since: Option<Micros>) {
-        self.apply_list_entry(list_entry(id, standing, since));
+    pub fn update_list_entry(
+        &mut self,
+        id: MemberId,
+        member_status: MemberStatus,
+        start_time: Option<Micros>,
+    ) {
+        self.apply_list_entry(list_entry(id, member_status, start_time));
     }
 
-    pub fn apply_list_entry(&mut self, line: ListedMember) {
-        let ListedMember { member: id, status: standing, started_at: since, .. } = line;
-        if self.statuses[id].0 != standing {
-            self.statuses[id] = (standing, self.now);
+    pub fn apply_list_entry(&mut self, entry: ListedMember) {
+        let ListedMember { member: id, status: member_status, started_at: start_time, .. } = entry;
+        if self.statuses[id].0 != member_status {
+            self.statuses[id] = (member_status, self.now);
         }
-        self.started_at[id] = since;
-        let actions = self.router.update_endpoint_list(self.now, false, vec![line]);
+        self.started_at[id] = start_time;
+        let actions = self.router.update_endpoint_list(self.now, false, vec![entry]);
         self.carry_out(actions);
     }
 
     /// The fleet grows to so many members; they are still to be listed.
     pub fn grow_to(&mut self, members: usize) {
-        let old = self.now - 5_000 * MS;
-        self.positions.resize(members, old);
+        let long_ago = self.now - 5_000 * MS;
+        self.positions.resize(members, long_ago);
         self.freshness_exempt.resize(members, false);
-        self.statuses.resize(members, (MemberStatus::Unlisted, old));
+        self.statuses.resize(members, (MemberStatus::Unlisted, long_ago));
         self.started_at.resize(members, None);
         self.sent_times.resize(members, VecDeque::new());
         self.served_times.resize(members, VecDeque::new());
@@ -332,25 +347,25 @@
         self.subscriptions += usize::from(actions.subscribe);
         self.health_checks.extend(actions.health_checks);
         self.idle_closed.extend(actions.close_idle);
-        for (handle, step) in actions.requests {
-            match step {
-                Action::Attempt { member, timeout, on_new_connection: afresh, validity } => {
-                    self.new_connections.extend(afresh.then_some(member));
+        for (handle, action) in actions.requests {
+            match action {
+                Action::Attempt { member, timeout, on_new_connection: opens_connection, validity } => {
+                    self.new_connections.extend(opens_connection.then_some(member));
                     self.check_attempt(handle, member, timeout, validity);
                 }
                 Action::Reject { .. } => {
-                    let flight = self.requests.get_mut(&handle).expect("taken");
-                    let pure = self.config.classes[flight.class].effect == Effect::Idempotent;
+                    let request = self.requests.get_mut(&handle).expect("taken");
+                    let is_idempotent = self.config.classes[request.class].effect == Effect::Idempotent;
                     assert!(
-                        pure || flight.may_have_run.is_none() && flight.in_flight.is_none(),
+                        is_idempotent || request.may_have_run.is_none() && request.in_flight.is_none(),
                         "rule 2: denied"
                     );
-                    assert!(!std::mem::replace(&mut flight.is_closed, true), "rule 1: a second answer");
+                    assert!(!std::mem::replace(&mut request.is_closed, true), "rule 1: a second answer");
                     self.rejected.push(handle);
                 }
                 Action::Fail => {
-                    let flight = self.requests.get_mut(&handle).expect("taken");
-                    assert!(!std::mem::replace(&mut flight.is_closed, true), "rule 1: a second answer");
+                    let request = self.requests.get_mut(&handle).expect("taken");
+                    assert!(!std::mem::replace(&mut request.is_closed, true), "rule 1: a second answer");
                     self.failed.push(handle);
                 }
             }
@@ -359,33 +374,38 @@
 
     fn check_attempt(&mut self, handle: RequestHandle, id: MemberId, timeout: Micros, validity: Validity) {
         let now = self.now;
-        let flight = self.requests.get_mut(&handle).expect("taken");
-        let class = &self.config.classes[flight.class];
-        assert!(!flight.is_closed, "rule 1: attempted after its answer");
-        assert!(flight.in_flight.is_none(), "rule 2: two attempts out at once");
-        assert!(flight.attempts < self.config.max_attempts && timeout > 0);
-        assert!(now < flight.client_deadline, "attempted when its client has gone");
+        let request = self.requests.get_mut(&handle).expect("taken");
+        let class = &self.config.classes[request.class];
+        assert!(!request.is_closed, "rule 1: attempted after its answer");
+        assert!(request.in_flight.is_none(), "rule 2: two attempts out at once");
+        assert!(request.attempts < self.config.max_attempts && timeout > 0);
+        assert!(now < request.client_deadline, "attempted when its client has gone");
         match class.effect {
-            Effect::NonIdempotent => assert!(flight.may_have_run.is_none(), "rule 2: attempted again"),
+            Effect::NonIdempotent => assert!(request.may_have_run.is_none(), "rule 2: attempted again"),
             Effect::Deduplicated { window, .. } => {
-                let forgotten = flight.may_have_run.map_or(Micros::MAX, |at| at + window - SEND_DELAY_MARGIN);
-                assert!(now < forgotten && validity.expires_at <= forgotten, "rule 2: repeats forgotten")
+                let repeatable_until =
+                    request.may_have_run.map_or(Micros::MAX, |at| at + window - SEND_DELAY_MARGIN);
+                assert!(
+                    now < repeatable_until && validity.expires_at <= repeatable_until,
+                    "rule 2: repeats forgotten"
+                )
             }
             Effect::Idempotent => {}
         }
-        let (standing, at) = self.statuses[id];
-        assert!(standing == MemberStatus::Ready || now == at, "rule 3: attempted at a drain");
-        let floor = match class.need {
+        let (member_status, changed_at) = self.statuses[id];
+        assert!(member_status == MemberStatus::Ready || now == changed_at, "rule 3: attempted at a drain");
+        let position_floor = match class.need {
             Need::Recent(bound) => now - bound + SEND_DELAY_MARGIN,
-            Need::OwnWrites => flight.position_floor,
+            Need::OwnWrites => request.position_floor,
             _ => Micros::MIN,
         };
         // Where members check, they turn away what they are too far behind for.
-        let proven =
-            self.config.members_check_freshness || self.positions[id] >= floor || self.freshness_exempt[id];
-        assert!(proven, "rule 5: a read at data that is too old");
+        let is_fresh_enough = self.config.members_check_freshness
+            || self.positions[id] >= position_floor
+            || self.freshness_exempt[id];
+        assert!(is_fresh_enough, "rule 5: a read at data that is too old");
         // For as long as it says: an attempt may leave late.
-        let lasts = match class.need {
+        let proof_holds = match class.need {
             _ if validity.requires_primary => self.freshness_exempt[id],
             Need::Recent(bound) => {
                 self.config.members_check_freshness
@@ -393,10 +413,10 @@
             }
             _ => true,
         };
-        assert!(lasts, "rule 5: proven for longer than it is");
-        flight.attempts += 1;
-        flight.attempted_at = now;
-        flight.in_flight = Some((id, (now + timeout).min(flight.client_deadline)));
+        assert!(proof_holds, "rule 5: proven for longer than it is");
+        request.attempts += 1;
+        request.attempted_at = now;
+        request.in_flight = Some((id, (now + timeout).min(request.client_deadline)));
         self.attempted.push((handle, id));
         self.check_slow_start(id);
     }
@@ -408,14 +428,15 @@
         sent.retain(|&at| at > now - window);
         let sent = sent.len();
         let age = self.started_at[id]
-            .map_or(1.0, |since| (now - since) as f64 / self.config.slow_start_duration as f64);
+            .map_or(1.0, |start_time| (now - start_time) as f64 / self.config.slow_start_duration as f64);
         if age >= 1.0 {
             return;
         }
-        let part = self.config.slow_start_capacity + (1.0 - self.config.slow_start_capacity) * age;
+        let capacity = self.config.slow_start_capacity + (1.0 - self.config.slow_start_capacity) * age;
         // What one of many has saved up may come at once: over all of them it evens out.
-        let saved = if self.config.routers > 15 { 1.0 } else { 0.0 };
-        let budget = (self.config.overload_factor * part * self.max_warm_load as f64).max(1.0) + saved;
-        assert!(sent as f64 <= budget, "rule 4: {sent} attempts at a cold member that bears {budget}");
+        let saved_attempts = if self.config.routers > 15 { 1.0 } else { 0.0 };
+        let allowance =
+            (self.config.overload_factor * capacity * self.max_warm_load as f64).max(1.0) + saved_attempts;
+        assert!(sent as f64 <= allowance, "rule 4: {sent} attempts at a cold member that bears {allowance}");
     }
 }
