--- a/crates/routing/tests/router/basic_routing.rs
+++ b/crates/routing/tests/router/basic_routing.rs
@@ -1,4 +1,4 @@
-//! Plain cases of the design's path and of each failure found.
+//! Basic routing as designed, and a regression test for each failure that was found.
 
 use crate::simulation::{
     ANY_AGE_READ, LONG_READ, MS, OWN_WRITES_READ, RECENT_READ, STALENESS_BOUND, Simulation, WRITE,
@@ -15,7 +15,8 @@
     simulation.advance(50 * MS);
     simulation.end_health_check(2, true);
     simulation.advance(STALENESS_BOUND - 170 * MS);
-    // Members 1 and 3 were heard too long ago to be proven fresh, for a process that is held up for 150 ms.
+    // The reports of members 1 and 3 are too old to prove them fresh, as the process may be held up for
+    // 150 ms before it sends an attempt.
     for _ in 0..3 {
         let read = simulation.submit(RECENT_READ, 1_000 * MS);
         assert_eq!(target(&simulation, read), Some(2));
@@ -85,7 +86,7 @@
         simulation.advance(MS);
         simulation.end_attempt(quick, Verdict::Served);
         simulation.end_attempt(slow, Verdict::TimedOut);
-        assert_eq!(target(&simulation, slow), Some(0), "another member is tried");
+        assert_eq!(target(&simulation, slow), Some(0), "the read is attempted at another member");
         simulation.end_attempt(slow, Verdict::Served);
     }
 }
@@ -105,7 +106,11 @@
     }
     simulation.advance(990 * MS);
     simulation.end_health_check(0, true);
-    assert_eq!(simulation.in_flight().len(), 1, "what came back is taken for cold");
+    assert_eq!(
+        simulation.in_flight().len(),
+        1,
+        "a primary that was down for long is in slow start once it answers"
+    );
 }
 
 #[test]
@@ -123,17 +128,17 @@
     let mut simulation = checked_simulation(router_config());
     let writes: Vec<RequestHandle> = (0..40).map(|_| simulation.submit(WRITE, 60_000 * MS)).collect();
     let queued = writes.iter().filter(|&&write| target(&simulation, write).is_none()).count();
-    assert!(queued > 0, "the window is full");
+    assert!(queued > 0, "the concurrency limit is reached");
     for _ in 0..3 {
         simulation.advance(1_100 * MS);
         let newest =
-            simulation.in_flight().into_iter().map(|(handle, _)| handle).max().expect("one is tried");
+            simulation.in_flight().into_iter().map(|(handle, _)| handle).max().expect("a write is in flight");
         simulation.end_attempt(newest, Verdict::Served);
     }
     let (sent_at_first, in_flight) = (writes.len() - queued, simulation.in_flight().len());
     assert!(
         2 * sent_at_first <= in_flight,
-        "{in_flight} out, {sent_at_first} at first: lost attempts hold up the held ones"
+        "{in_flight} in flight, {sent_at_first} at first: lost attempts hold up queued writes"
     );
 }
 
@@ -180,7 +185,7 @@
         }
     }
     let attempts = simulation.attempted.iter().filter(|&&(_, id)| id == 3).count();
-    assert!(attempts > 0 && attempts < 75, "{attempts} of 300 at the cold member");
+    assert!(attempts > 0 && attempts < 75, "{attempts} of 300 reads at the member in slow start");
 }
 
 #[test]
@@ -203,7 +208,7 @@
         simulation.submit(WRITE, 2_000 * MS);
     }
     let attempts = simulation.in_flight().iter().filter(|&&(_, id)| id == 3).count();
-    assert!(attempts <= 1, "nothing is known of what a warm member can take");
+    assert!(attempts <= 1, "{attempts} attempts, though the load that a warm member can carry is not known");
 }
 
 #[test]
@@ -221,7 +226,7 @@
 #[test]
 fn a_request_with_little_time_is_attempted_where_there_is_capacity() {
     let mut simulation = checked_simulation(router_config());
-    // Three attempts in ten take 50 ms, the others 10 ms.
+    // Three in ten attempts take 50 ms, the others 10 ms.
     for (ttl, duration) in (0..40).map(|i| if i < 12 { (1_000 * MS, 0) } else { (600 * MS, 590 * MS) }) {
         let read = simulation.submit(ANY_AGE_READ, ttl);
         simulation.advance(duration);
@@ -261,16 +266,16 @@
     let id = target(&simulation, slow_read).unwrap();
     simulation.update_list_entry(id, MemberStatus::Unlisted, None);
     simulation.advance(11_000 * MS);
-    assert!(!simulation.router.forget_member(simulation.now, id), "its attempt is out");
+    assert!(!simulation.router.forget_member(simulation.now, id), "its attempt is in flight");
     simulation.end_attempt(slow_read, Verdict::Served);
-    assert!(!simulation.router.forget_member(simulation.now, id), "it was heard just now");
+    assert!(!simulation.router.forget_member(simulation.now, id), "it was heard from just now");
     simulation.advance(11_000 * MS);
     simulation.answer_all_health_checks();
-    assert!(!simulation.router.forget_member(simulation.now, 0), "the primary is in service");
+    assert!(!simulation.router.forget_member(simulation.now, 0), "the primary is listed as ready");
     simulation.update_list_entry(id, MemberStatus::Unlisted, None);
     simulation.advance(11_000 * MS);
     assert!(simulation.router.forget_member(simulation.now, id));
-    // Another one under the same index starts from nothing.
+    // Another member with the same index starts without the history of the forgotten one.
     simulation.update_list_entry(id, MemberStatus::Ready, None);
     simulation.answer_all_health_checks();
     let reads_at_member = (0..30).filter(|_| {
@@ -306,10 +311,14 @@
     assert_eq!(target(&simulation, long_read), Some(3));
     simulation.advance(2_000 * MS);
     let read = simulation.submit(ANY_AGE_READ, 1_000 * MS);
-    assert_eq!(target(&simulation, read), Some(3), "a report out for two seconds tells nothing");
+    assert_eq!(
+        target(&simulation, read),
+        Some(3),
+        "a long read in flight for two seconds says nothing against its member"
+    );
     simulation.advance(900 * MS);
     let other = simulation.submit(ANY_AGE_READ, 1_000 * MS);
-    assert_ne!(target(&simulation, other), Some(3), "a read out for so long does");
+    assert_ne!(target(&simulation, other), Some(3), "a read in flight for 900 ms does");
 }
 
 #[test]
@@ -326,7 +335,8 @@
 
 #[test]
 fn reads_of_which_three_in_a_row_exceed_the_bound_are_long_except_in_a_large_fleet() {
-    // A report is taken to last half of its latency objective: under the bound, and over a third of it.
+    // Until attempts are measured, a long read is expected to take half of its latency objective: less than
+    // the bound, but more than a third of it.
     let reads_at_last_replica = |config: RouterConfig| {
         let expected_duration = config.classes[LONG_READ].objective / 2;
         let mut config = config;
@@ -352,7 +362,7 @@
         simulation.end_attempt(read, Verdict::Served);
         simulation.answer_all_health_checks();
     }
-    // Of two seconds in all 1.3 s have gone by: its latency objective of half a second as well.
+    // Of the timeout of 2 s, 1.3 s have passed, and with them the latency objective of 0.5 s.
     let retry = simulation.submit(RECENT_READ, 700 * MS);
     assert_eq!(simulation.rejected, [retry]);
 }
@@ -373,7 +383,7 @@
     simulation.primary = 9;
     simulation.positions.resize(10, 0);
     (0..4).for_each(|id| simulation.end_health_check(id, true));
-    // No member is primary: some writes walk, those behind them wait.
+    // No member is the primary: some writes search for it, and the others are queued behind them.
     let requests: Vec<RequestHandle> = (0..6).map(|_| simulation.submit(WRITE, 2_000 * MS)).collect();
     (0..99).for_each(|_| simulation.advance(10 * MS));
     let was_queued =
@@ -389,7 +399,8 @@
 #[test]
 fn a_read_that_waited_for_a_report_is_admitted_like_a_new_one() {
     let mut config = RouterConfig { routers: 40, routers_sharing_warm_up: 40, ..router_config() };
-    // Attempts are taken to last 30 ms: half come in time after a wait of 6 ms, 85 of a hundred do not.
+    // Attempts are expected to take 30 ms. After a wait of 6 ms, an attempt of median duration still ends
+    // in time, but one at the 85th percentile does not.
     config.classes[RECENT_READ].objective = 60 * MS;
     let mut simulation = Simulation::new(config, 2);
     simulation.end_health_check(0, true);
--- a/crates/routing/tests/router/fixtures.rs
+++ b/crates/routing/tests/router/fixtures.rs
@@ -1,19 +1,27 @@
-//! What cases start from.
+//! Configurations and simulations that the tests start from.
 
 use aldermill_routing::*;
 
 use crate::simulation::Simulation;
 
+/// One millisecond, in microseconds.
 pub const MS: Micros = 1_000;
+/// Staleness bound of [`RECENT_READ`], in microseconds.
 pub const STALENESS_BOUND: Micros = 300 * MS;
-/// Request classes by number.
+/// Request class of reads with a staleness bound.
 pub const RECENT_READ: usize = 0;
+/// Request class of reads that accept data of any age.
 pub const ANY_AGE_READ: usize = 1;
+/// Request class of writes that are not idempotent.
 pub const WRITE: usize = 2;
+/// Request class of writes that the members of a group deduplicate.
 pub const DEDUPLICATED_WRITE: usize = 3;
+/// Request class of reads that must see every write of their session.
 pub const OWN_WRITES_READ: usize = 4;
+/// Request class of reads that take long and accept data of any age.
 pub const LONG_READ: usize = 5;
 
+/// Returns the configuration of a router in a fleet of two, with the request classes above.
 pub fn router_config() -> RouterConfig {
     let class = |effect, need, priority_weight, late_priority_weight| RequestClass {
         effect,
@@ -58,6 +66,8 @@
     }
 }
 
+/// Returns an endpoint list entry of a member in the default group and zone. `start_time` is `None` if the
+/// member started long ago.
 pub fn list_entry(member: MemberId, member_status: MemberStatus, start_time: Option<Micros>) -> ListedMember {
     ListedMember {
         member,
@@ -71,16 +81,20 @@
     }
 }
 
+/// Returns a simulation of four members that have all answered a health check.
 pub fn checked_simulation(config: RouterConfig) -> Simulation {
     let mut simulation = Simulation::new(config, 4);
     simulation.answer_all_health_checks();
     simulation
 }
 
+/// Returns the member that the request has an attempt in flight at; `None` if it has none.
 pub fn target(simulation: &Simulation, handle: RequestHandle) -> Option<MemberId> {
     simulation.in_flight().into_iter().find(|&(request, _)| request == handle).map(|(_, id)| id)
 }
 
+/// Returns the configuration of a router in a fleet of 150, with which the fleet counts as large. The
+/// endpoint list needs no subscription.
 pub fn large_fleet_config() -> RouterConfig {
     RouterConfig {
         routers: 150,
--- a/crates/routing/tests/router/freshness.rs
+++ b/crates/routing/tests/router/freshness.rs
@@ -1,4 +1,5 @@
-//! What makes a read's member fresh enough, where no position proves it.
+//! Freshness of members for reads, where no reported position proves it by itself: writes of sessions,
+//! reported roles, and the time for which a proof holds.
 
 use crate::simulation::{
     DEDUPLICATED_WRITE, MS, OWN_WRITES_READ, RECENT_READ, STALENESS_BOUND, Simulation, WRITE,
@@ -19,7 +20,7 @@
     let first_writes_at = simulation.now;
     simulation.advance(10_500 * MS);
     simulation.answer_all_health_checks();
-    // Positions from before those writes do not do for a session that may have been one of them.
+    // Positions from before those writes are too old for a session that may have made one of them.
     simulation.positions.iter_mut().for_each(|position| *position = first_writes_at - 50 * MS);
     simulation.health_checks.clear();
     let read = simulation.submit_in_session(OWN_WRITES_READ, 1_000 * MS, "17");
@@ -46,7 +47,7 @@
     while let Some(checked) = simulation.health_checks.pop() {
         simulation.end_health_check(checked, true);
     }
-    // All have just said how far behind they are, and would turn it away.
+    // All replicas have just reported how far behind they are, and would reject the read.
     assert_eq!(target(&simulation, read), None);
     simulation.advance(240 * MS);
     assert_eq!(target(&simulation, read), Some(2));
@@ -70,8 +71,8 @@
         target_member
     };
     assert_eq!(fallback_target(&mut simulation), Some(0));
-    // A write that times out shrinks its window; what it was blacklisted for is over when the next read
-    // comes.
+    // A write that times out lowers the primary's concurrency limit. Any blacklisting for it has expired
+    // when the next read arrives.
     simulation.advance(2_000 * MS);
     let write = simulation.submit(DEDUPLICATED_WRITE, 600 * MS);
     assert_eq!(target(&simulation, write), Some(0));
@@ -82,13 +83,14 @@
     assert_eq!(target(&simulation, write), Some(0));
 }
 
-/// What member 0, which was primary until now, says of itself from now on.
+/// Makes member 1 the primary in place of member 0, and returns the report of member 0 from then on.
 fn step_down(simulation: &mut Simulation) -> MemberReport {
     simulation.move_primary(1);
     MemberReport { role: Some(Role::Replica), position: Some(simulation.now), age: 0 }
 }
 
-/// Where a read goes that only a primary is fresh enough for, as long as no other member was heard.
+/// Returns the member that a read goes to when only a primary is fresh enough for it, as no health check is
+/// answered; `None` if the read waits.
 fn fallback_target(simulation: &mut Simulation) -> Option<usize> {
     simulation.advance(STALENESS_BOUND + 50 * MS);
     simulation.health_checks.clear();
@@ -112,7 +114,8 @@
         "a read that lacks a fresh replica goes to the primary"
     );
     let report = step_down(&mut simulation);
-    // A write's answer from before that, heard now, dates the group's word later than the position told below.
+    // An answer to a write from before that arrives only now. It dates the newest report of the group's
+    // primary later than the position that is reported below.
     simulation.advance(30 * MS);
     let write = simulation.submit(WRITE, 1_000 * MS);
     simulation.end_attempt_with_report(
@@ -121,7 +124,11 @@
         MemberReport { role: Some(Role::Primary), ..report },
     );
     simulation.answer_health_check_with(0, report);
-    assert_eq!(fallback_target(&mut simulation), None, "rule 5: by its own word it is no primary any more");
+    assert_eq!(
+        fallback_target(&mut simulation),
+        None,
+        "rule 5: it has reported that it is no primary any more"
+    );
 }
 
 #[test]
@@ -130,14 +137,14 @@
     let (first, second) = (simulation.submit(WRITE, 1_000 * MS), simulation.submit(WRITE, 1_000 * MS));
     simulation.advance(10 * MS);
     let report = step_down(&mut simulation);
-    // Both answers are there at once, and the newer one is heard first.
+    // Both answers arrive at once, and the newer one is handled first.
     simulation.end_attempt_with_report(second, Verdict::NotPrimary, report);
     simulation.end_attempt_with_report(
         first,
         Verdict::Served,
         MemberReport { role: Some(Role::Primary), ..report },
     );
-    assert_eq!(fallback_target(&mut simulation), None, "rule 5: the older word comes second");
+    assert_eq!(fallback_target(&mut simulation), None, "rule 5: the older report is handled second");
 }
 
 #[test]
@@ -163,7 +170,7 @@
         is_primary: true,
         ..list_entry(0, MemberStatus::Ready, started_at)
     });
-    assert_eq!(fallback_target(&mut simulation), None, "the list's word alone proves nothing");
+    assert_eq!(fallback_target(&mut simulation), None, "the endpoint list alone confirms no primary");
     simulation.end_health_check(0, true);
     assert_eq!(fallback_target(&mut simulation), Some(0));
 }
@@ -174,7 +181,7 @@
     simulation.advance(500 * MS);
     let write = simulation.submit_in_session(WRITE, 1_000 * MS, "17");
     simulation.end_attempt_with_report(write, Verdict::Served, MemberReport::default());
-    // The replicas were last heard before that.
+    // The replicas were last heard from before that write.
     let read = simulation.submit_in_session(OWN_WRITES_READ, 1_000 * MS, "17");
     while let Some(checked) = simulation.health_checks.pop() {
         simulation.end_health_check(checked, false);
@@ -189,9 +196,13 @@
         let write = simulation.submit_in_session(WRITE, 1_000 * MS, "17");
         simulation.advance(300 * MS);
         simulation.answer_all_health_checks();
-        // Its answer may be lost on the way: while it is out no replica is sure to have it.
+        // The write's answer may be lost on the way. While it is in flight, no replica is certain to have
+        // the write.
         let read = simulation.submit_in_session(OWN_WRITES_READ, 1_000 * MS, "17");
-        assert!([None, Some(0)].contains(&target(&simulation, read)), "{verdict:?}: rule 5, while it is out");
+        assert!(
+            [None, Some(0)].contains(&target(&simulation, read)),
+            "{verdict:?}: rule 5, while it is in flight"
+        );
         simulation.disconnect_client(read);
         simulation.advance(100 * MS);
         simulation.end_attempt_with_report(write, verdict, MemberReport::default());
@@ -224,7 +235,7 @@
     assert_ne!(
         target(&simulation, read),
         Some(2),
-        "rule 5: 100 ms of proof are left, and it may be written 150 ms later"
+        "rule 5: the proof holds for another 100 ms, and the attempt may be sent 150 ms later"
     );
 }
 
@@ -235,6 +246,6 @@
     assert_eq!(target(&simulation, write), Some(0));
     simulation.advance(1_900 * MS);
     simulation.end_attempt(write, Verdict::Error);
-    assert_eq!(target(&simulation, write), None, "rule 2: 100 ms are left of its window");
+    assert_eq!(target(&simulation, write), None, "rule 2: 100 ms are left of its deduplication window");
     assert_eq!(simulation.failed, [write]);
 }
--- a/crates/routing/tests/router/main.rs
+++ b/crates/routing/tests/router/main.rs
@@ -1,4 +1,4 @@
-//! Cases of every decision of the router, with the router as its callers have it.
+//! Tests of the router's decisions through its public interface.
 
 mod among_many;
 mod basic_routing;
--- a/crates/routing/tests/router/random_runs.rs
+++ b/crates/routing/tests/router/random_runs.rs
@@ -1,10 +1,11 @@
-//! Seeded random runs; `Simulation` checks the five rules at every step.
+//! Random runs with a fixed seed, in which [`Simulation`] checks the five rules at every step.
 
 use crate::simulation::{MS, Simulation, router_config};
 use aldermill_routing::{ListedRoles, MemberStatus, Verdict};
 use proptest::collection::vec;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
+/// Verdicts that attempts end with. `Served` occurs twice, so that it is drawn more often.
 const VERDICTS: [Verdict; 14] = [
     Verdict::Unobserved,
     Verdict::Served,
@@ -22,6 +23,7 @@
     Verdict::NotPrimary,
 ];
 
+/// Applies one step of a random run: `kind` selects what happens, `first` and `second` select the details.
 fn apply_step(simulation: &mut Simulation, kind: u8, first: u16, second: u16) {
     let (first, second) = (usize::from(first), usize::from(second));
     let members = simulation.positions.len();
@@ -34,9 +36,9 @@
                 simulation.end_attempt(handle, VERDICTS[second % VERDICTS.len()]);
             }
         }
-        // The driver stands still, for a moment or for longer than any request lasts.
+        // The router's process stalls, for a moment or for longer than any request lasts.
         12 if second % 4 == 0 => simulation.stall((1 + (first as i64 * second as i64) % 4_000) * MS),
-        // Others are taken for dead, rightly or not, and are back.
+        // Other routers are taken for dead, rightly or wrongly, or are back.
         12 if second % 4 == 1 => {
             simulation.router.set_fleet_size(1 + first % simulation.config.routers, simulation.config.routers)
         }
@@ -61,7 +63,7 @@
             simulation.update_list_entry(id, member_status, start_time);
         }
         18 if second % 2 == 0 => simulation.list_unavailable(),
-        // Many members start cold at once, new ones among them.
+        // Many members, new ones among them, start at once and are in slow start.
         18 => {
             let (now, member_count) = (simulation.now, members + usize::from(members < 12));
             simulation.grow_to(member_count);
