--- a/crates/leases/tests/participants.rs
+++ b/crates/leases/tests/participants.rs
@@ -11,39 +11,39 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const MS: Micros = 1_000;
-const S: Micros = 1_000_000;
-const LASTS: Micros = 2 * S;
+const MILLISECOND: Micros = 1_000;
+const SECOND: Micros = 1_000_000;
+const LEASE_DURATION: Micros = 2 * SECOND;
 const LEASE: &str = "d";
 
 #[derive(Clone, Debug)]
 enum Event {
     Wake(usize, u64),
-    Comes {
+    Arrival {
         to: usize,
         from: Incarnation,
         message: Message,
     },
-    Kept {
+    Persisted {
         node: usize,
         start: u64,
         term: Term,
     },
     /// An act that was decided on before, and left only now.
-    Act {
-        by: usize,
+    Operation {
+        sender: usize,
         term: Term,
     },
-    Does(Fault),
+    Fault(Fault),
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Kill(usize),
     Start(usize),
-    Stop(usize),
-    GoOn(usize),
-    Cut(u8),
+    Stall(usize),
+    Resume(usize),
+    Partition(u8),
     Leave(usize),
 }
 
@@ -51,179 +51,187 @@
 struct Node {
     participant: Option<Participant>,
     start: u64,
-    stands: bool,
-    inbox: Vec<(Incarnation, Message)>,
-    disk: Option<BTreeMap<String, Term>>,
+    is_stalled: bool,
+    queued_messages: Vec<(Incarnation, Message)>,
+    persisted_terms: Option<BTreeMap<String, Term>>,
     /// Its clock runs faster or slower by so much, and its wall clock is off by so many milliseconds.
-    pace: f64,
-    wall: i64,
+    rate: f64,
+    wall_clock_offset_ms: i64,
 }
 
-struct World {
+struct Simulation {
     now: Micros,
     nodes: Vec<Node>,
     config: LeaseConfig,
     /// Those on one side of a cut.
-    cut: u8,
+    partition_mask: u8,
     loss: f64,
-    events: BinaryHeap<Reverse<(Micros, u64)>>,
-    what: BTreeMap<u64, Event>,
-    next: u64,
-    starts: u64,
+    queue: BinaryHeap<Reverse<(Micros, u64)>>,
+    events: BTreeMap<u64, Event>,
+    next_event_number: u64,
+    start_count: u64,
     rng: Pcg64Mcg,
     fence: Fence,
-    taken: Vec<Term>,
-    got: Vec<(Micros, usize, Term)>,
+    accepted_terms: Vec<Term>,
+    acquisitions: Vec<(Micros, usize, Term)>,
     /// How long it was held, and how long a majority lived that was joined, from 10 s on.
-    held: (Micros, Micros),
+    availability: (Micros, Micros),
 }
 
-impl World {
-    fn new(voters: usize, seed: u64, durable: bool) -> World {
+impl Simulation {
+    fn new(voters: usize, seed: u64, durable: bool) -> Simulation {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let names = (0..voters).map(|at| format!("n{at}")).collect();
         let node = |_| Node {
-            disk: durable.then(BTreeMap::new),
-            pace: 1.0 + rng.random_range(-0.004..0.004),
-            wall: rng.random_range(-500..500),
+            persisted_terms: durable.then(BTreeMap::new),
+            rate: 1.0 + rng.random_range(-0.004..0.004),
+            wall_clock_offset_ms: rng.random_range(-500..500),
             ..Node::default()
         };
         let nodes = (0..voters).map(node).collect();
-        let config =
-            LeaseConfig { voters: names, leases: vec![LEASE.to_owned()], duration: LASTS, least_term: 0 };
-        let mut world = World {
+        let config = LeaseConfig {
+            voters: names,
+            leases: vec![LEASE.to_owned()],
+            duration: LEASE_DURATION,
+            least_term: 0,
+        };
+        let mut simulation = Simulation {
             now: 0,
             nodes,
             config,
-            cut: 0,
+            partition_mask: 0,
             loss: 0.0,
-            events: BinaryHeap::new(),
-            what: BTreeMap::new(),
-            next: 0,
-            starts: 0,
+            queue: BinaryHeap::new(),
+            events: BTreeMap::new(),
+            next_event_number: 0,
+            start_count: 0,
             rng,
             fence: Fence::volatile(),
-            taken: Vec::new(),
-            got: Vec::new(),
-            held: (0, 0),
+            accepted_terms: Vec::new(),
+            acquisitions: Vec::new(),
+            availability: (0, 0),
         };
-        (0..voters).for_each(|at| world.does(Fault::Start(at)));
-        world
+        (0..voters).for_each(|at| simulation.inject(Fault::Start(at)));
+        simulation
     }
 
-    fn at(&mut self, at: Micros, event: Event) {
-        self.events.push(Reverse((at, self.next)));
-        self.what.insert(self.next, event);
-        self.next += 1;
+    fn schedule(&mut self, at: Micros, event: Event) {
+        self.queue.push(Reverse((at, self.next_event_number)));
+        self.events.insert(self.next_event_number, event);
+        self.next_event_number += 1;
     }
 
-    fn own(&self, node: usize) -> Micros {
-        (self.now as f64 * self.nodes[node].pace) as Micros
+    fn local_time(&self, node: usize) -> Micros {
+        (self.now as f64 * self.nodes[node].rate) as Micros
     }
 
-    fn wall(&self, node: usize) -> u64 {
-        (1_000_000 + self.now / 1000 + self.nodes[node].wall) as u64
+    fn wall_clock_ms(&self, node: usize) -> u64 {
+        (1_000_000 + self.now / 1000 + self.nodes[node].wall_clock_offset_ms) as u64
     }
 
     fn holder(&self) -> Option<usize> {
-        let may = |at: &usize| {
-            let node = &self.nodes[*at];
-            node.participant.as_ref().is_some_and(|of| of.may_act(self.own(*at), LEASE).is_some())
+        let may_act = |index: &usize| {
+            let node = &self.nodes[*index];
+            node.participant
+                .as_ref()
+                .is_some_and(|participant| participant.may_act(self.local_time(*index), LEASE).is_some())
         };
-        let holders: Vec<usize> = (0..self.nodes.len()).filter(may).collect();
+        let holders: Vec<usize> = (0..self.nodes.len()).filter(may_act).collect();
         assert!(holders.len() < 2, "{holders:?} hold it at {}", self.now);
-        holders.first().copied().filter(|&at| !self.nodes[at].stands)
+        holders.first().copied().filter(|&index| !self.nodes[index].is_stalled)
     }
 
     /// Whether a majority lives, goes on, and is joined.
-    fn majority(&self) -> bool {
-        let side = |which: bool| {
-            let live = |at: &usize| {
-                let node = &self.nodes[*at];
-                node.participant.is_some() && !node.stands && (self.cut >> at & 1 == 1) == which
+    fn has_connected_majority(&self) -> bool {
+        let running_on_side = |in_mask: bool| {
+            let is_connected = |index: &usize| {
+                let node = &self.nodes[*index];
+                node.participant.is_some()
+                    && !node.is_stalled
+                    && (self.partition_mask >> index & 1 == 1) == in_mask
             };
-            (0..self.nodes.len()).filter(live).count()
+            (0..self.nodes.len()).filter(is_connected).count()
         };
-        side(true).max(side(false)) > self.nodes.len() / 2
+        running_on_side(true).max(running_on_side(false)) > self.nodes.len() / 2
     }
 
-    fn run(&mut self, until: Micros) {
-        while let Some(&Reverse((at, key))) = self.events.peek()
+    fn run_until(&mut self, until: Micros) {
+        while let Some(&Reverse((at, event_number))) = self.queue.peek()
             && at <= until
         {
-            self.events.pop();
-            let (before, majority) = (self.holder(), self.majority());
-            if self.now > 10 * S && majority {
-                self.held.1 += at - self.now;
-                self.held.0 += if before.is_some() { at - self.now } else { 0 };
+            self.queue.pop();
+            let (holder_before, has_connected_majority) = (self.holder(), self.has_connected_majority());
+            if self.now > 10 * SECOND && has_connected_majority {
+                self.availability.1 += at - self.now;
+                self.availability.0 += if holder_before.is_some() { at - self.now } else { 0 };
             }
             self.now = at;
-            match self.what.remove(&key).unwrap() {
+            match self.events.remove(&event_number).unwrap() {
                 Event::Wake(node, start) => self.wake(node, start),
-                Event::Comes { to, from, message } => {
-                    let (now, wall) = (self.own(to), self.wall(to));
+                Event::Arrival { to, from, message } => {
+                    let (now, wall_clock_ms) = (self.local_time(to), self.wall_clock_ms(to));
                     let state = &mut self.nodes[to];
                     match &mut state.participant {
-                        Some(_) if state.stands => state.inbox.push((from, message)),
+                        Some(_) if state.is_stalled => state.queued_messages.push((from, message)),
                         Some(participant) => {
-                            let actions = participant.receive(now, wall, &from, &message);
+                            let actions = participant.receive(now, wall_clock_ms, &from, &message);
                             self.carry_out(to, actions);
                         }
                         None => {}
                     }
                 }
-                Event::Kept { node, start, term } => {
-                    let (now, wall) = (self.own(node), self.wall(node));
+                Event::Persisted { node, start, term } => {
+                    let (now, wall_clock_ms) = (self.local_time(node), self.wall_clock_ms(node));
                     let state = &mut self.nodes[node];
                     // It is on the disk although its process may be gone.
-                    state.disk.as_mut().unwrap().insert(LEASE.to_owned(), term);
+                    state.persisted_terms.as_mut().unwrap().insert(LEASE.to_owned(), term);
                     if state.start == start
                         && let Some(participant) = &mut state.participant
                     {
-                        let actions = participant.persisted(now, wall, LEASE, term);
+                        let actions = participant.persisted(now, wall_clock_ms, LEASE, term);
                         self.carry_out(node, actions);
                     }
                 }
-                Event::Act { by, term } => {
-                    if self.nodes[by].stands {
+                Event::Operation { sender, term } => {
+                    if self.nodes[sender].is_stalled {
                         // It stands between look and act.
-                        self.at(self.now + 100 * MS, Event::Act { by, term });
+                        self.schedule(self.now + 100 * MILLISECOND, Event::Operation { sender, term });
                     } else {
                         match self.fence.admit(LEASE, term) {
-                            FenceDecision::Accept => self.taken.push(term),
-                            FenceDecision::Stale { highest_term } => self.overtaken(by, highest_term),
+                            FenceDecision::Accept => self.accepted_terms.push(term),
+                            FenceDecision::Stale { highest_term } => self.observe_term(sender, highest_term),
                             FenceDecision::PersistFirst => {}
                         }
                     }
                 }
-                Event::Does(fault) => self.does(fault),
+                Event::Fault(fault) => self.inject(fault),
             }
         }
         self.now = until;
     }
 
     /// Whoever refused an act says which term it knows of.
-    fn overtaken(&mut self, node: usize, term: Term) {
-        let (now, wall) = (self.own(node), self.wall(node));
+    fn observe_term(&mut self, node: usize, term: Term) {
+        let (now, wall_clock_ms) = (self.local_time(node), self.wall_clock_ms(node));
         if let Some(participant) = &mut self.nodes[node].participant {
-            let actions = participant.observe_term(now, wall, LEASE, term);
+            let actions = participant.observe_term(now, wall_clock_ms, LEASE, term);
             self.carry_out(node, actions);
         }
     }
 
     fn wake(&mut self, node: usize, start: u64) {
-        let (now, wall) = (self.own(node), self.wall(node));
+        let (now, wall_clock_ms) = (self.local_time(node), self.wall_clock_ms(node));
         let state = &mut self.nodes[node];
-        if state.start != start || state.stands {
+        if state.start != start || state.is_stalled {
             return;
         }
         let Some(participant) = &mut state.participant else { return };
-        let actions = participant.wake(now, wall);
-        let acts = participant.may_act(now, LEASE);
+        let actions = participant.wake(now, wall_clock_ms);
+        let held_term = participant.may_act(now, LEASE);
         self.carry_out(node, actions);
-        if let Some(term) = acts {
-            let late = self.rng.random_range(0..5 * MS);
-            self.at(self.now + late, Event::Act { by: node, term });
+        if let Some(term) = held_term {
+            let delay = self.rng.random_range(0..5 * MILLISECOND);
+            self.schedule(self.now + delay, Event::Operation { sender: node, term });
         }
     }
 
@@ -231,63 +239,71 @@
         let from = Incarnation { name: format!("n{node}"), start: self.nodes[node].start };
         for Outgoing { to, message } in actions.send {
             let to: usize = to[1..].parse().unwrap();
-            let joined = self.cut >> node & 1 == self.cut >> to & 1;
+            let is_connected = self.partition_mask >> node & 1 == self.partition_mask >> to & 1;
             for _ in 0..1 + usize::from(self.rng.random_bool(0.05)) {
-                if joined && !self.rng.random_bool(self.loss) {
-                    let late = if self.rng.random_bool(0.02) { 700 * MS } else { 2 * MS };
-                    let way = self.rng.random_range(100..late);
-                    self.at(
-                        self.now + way,
-                        Event::Comes { to, from: from.clone(), message: message.clone() },
+                if is_connected && !self.rng.random_bool(self.loss) {
+                    let max_delay =
+                        if self.rng.random_bool(0.02) { 700 * MILLISECOND } else { 2 * MILLISECOND };
+                    let delay = self.rng.random_range(100..max_delay);
+                    self.schedule(
+                        self.now + delay,
+                        Event::Arrival { to, from: from.clone(), message: message.clone() },
                     );
                 }
             }
         }
         for (_, term) in actions.persist {
-            let wait = self.rng.random_range(MS..20 * MS);
-            self.at(self.now + wait, Event::Kept { node, start: self.nodes[node].start, term });
+            let delay = self.rng.random_range(MILLISECOND..20 * MILLISECOND);
+            self.schedule(self.now + delay, Event::Persisted { node, start: self.nodes[node].start, term });
         }
         for change in actions.changes {
             if let LeaseChange::Acquired { term, .. } = change {
-                self.got.push((self.now, node, term));
+                self.acquisitions.push((self.now, node, term));
             }
         }
-        let wake = actions
+        let wake_at = actions
             .wake_at
-            .map_or(self.now + 100 * MS, |at| (at as f64 / self.nodes[node].pace) as Micros + 1);
-        self.at(wake.clamp(self.now + MS, self.now + 100 * MS), Event::Wake(node, self.nodes[node].start));
+            .map_or(self.now + 100 * MILLISECOND, |at| (at as f64 / self.nodes[node].rate) as Micros + 1);
+        self.schedule(
+            wake_at.clamp(self.now + MILLISECOND, self.now + 100 * MILLISECOND),
+            Event::Wake(node, self.nodes[node].start),
+        );
     }
 
-    fn does(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         match fault {
             Fault::Kill(node) => self.nodes[node].participant = None,
             Fault::Start(node) if self.nodes[node].participant.is_none() => {
-                self.starts += 1;
-                let (now, start, seed) = (self.own(node), self.starts, self.rng.random());
-                let own = Incarnation { name: format!("n{node}"), start };
-                let kept = self.nodes[node].disk.clone().map(|disk| disk.into_iter().collect());
-                let participant = Participant::start(now, own, &self.config, kept, seed).unwrap();
+                self.start_count += 1;
+                let (now, start, seed) = (self.local_time(node), self.start_count, self.rng.random());
+                let incarnation = Incarnation { name: format!("n{node}"), start };
+                let stored_terms = self.nodes[node]
+                    .persisted_terms
+                    .clone()
+                    .map(|persisted_terms| persisted_terms.into_iter().collect());
+                let participant =
+                    Participant::start(now, incarnation, &self.config, stored_terms, seed).unwrap();
                 let state = &mut self.nodes[node];
-                (state.start, state.stands) = (start, false);
-                state.inbox.clear();
+                (state.start, state.is_stalled) = (start, false);
+                state.queued_messages.clear();
                 state.participant = Some(participant);
                 self.wake(node, start);
             }
-            Fault::Stop(node) => self.nodes[node].stands = true,
-            Fault::GoOn(node) => {
-                let (now, wall) = (self.own(node), self.wall(node));
-                self.nodes[node].stands = false;
-                for (from, message) in std::mem::take(&mut self.nodes[node].inbox) {
+            Fault::Stall(node) => self.nodes[node].is_stalled = true,
+            Fault::Resume(node) => {
+                let (now, wall_clock_ms) = (self.local_time(node), self.wall_clock_ms(node));
+                self.nodes[node].is_stalled = false;
+                for (from, message) in std::mem::take(&mut self.nodes[node].queued_messages) {
                     if let Some(participant) = &mut self.nodes[node].participant {
-                        let actions = participant.receive(now, wall, &from, &message);
+                        let actions = participant.receive(now, wall_clock_ms, &from, &message);
                         self.carry_out(node, actions);
                     }
                 }
                 self.wake(node, self.nodes[node].start);
             }
-            Fault::Cut(side) => self.cut = side,
+            Fault::Partition(mask) => self.partition_mask = mask,
             Fault::Leave(node) => {
-                let now = self.own(node);
+                let now = self.local_time(node);
                 if let Some(mut participant) = self.nodes[node].participant.take() {
                     let actions = participant.release_all(now);
                     self.carry_out(node, actions);
@@ -297,137 +313,160 @@
         }
     }
 
-    fn check(&self) {
-        assert!(self.taken.windows(2).all(|pair| pair[0] <= pair[1]), "{:?}", self.taken);
+    fn assert_invariants(&self) {
+        assert!(self.accepted_terms.windows(2).all(|pair| pair[0] <= pair[1]), "{:?}", self.accepted_terms);
         let mut by_term = BTreeMap::new();
-        for &(_, node, term) in &self.got {
-            assert!(by_term.insert(term, node).is_none(), "term {term} was granted twice: {:?}", self.got);
+        for &(_, node, term) in &self.acquisitions {
+            assert!(
+                by_term.insert(term, node).is_none(),
+                "term {term} was granted twice: {:?}",
+                self.acquisitions
+            );
         }
-        assert!(self.got.windows(2).all(|pair| pair[0].2 < pair[1].2), "terms rise: {:?}", self.got);
+        assert!(
+            self.acquisitions.windows(2).all(|pair| pair[0].2 < pair[1].2),
+            "terms rise: {:?}",
+            self.acquisitions
+        );
     }
 }
 
 /// Faults of all kinds, on 3, 5 or 7 voters with and without disks; the ledger takes no act out of order.
 #[test]
-fn whatever_fails_no_two_hold_it_and_terms_rise() {
-    let (mut least, mut held, mut joined) = (1.0, 0, 0);
+fn at_most_one_process_holds_the_lease_and_terms_rise_under_random_faults() {
+    let (mut lowest_share, mut total_held, mut total_connected) = (1.0, 0, 0);
     for seed in 0..100 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xd_07);
         let voters = [3, 5, 7][rng.random_range(0..3)];
-        let mut world = World::new(voters, seed, rng.random_bool(0.5));
-        world.loss = if rng.random_bool(0.3) { 0.1 } else { 0.0 };
+        let mut simulation = Simulation::new(voters, seed, rng.random_bool(0.5));
+        simulation.loss = if rng.random_bool(0.3) { 0.1 } else { 0.0 };
         for _ in 0..rng.random_range(1..5) {
-            let (at, long) = (rng.random_range(8 * S..25 * S), rng.random_range(S / 10..6 * S));
-            let holder = rng.random_bool(0.5);
+            let (fault_at, fault_duration) =
+                (rng.random_range(8 * SECOND..25 * SECOND), rng.random_range(SECOND / 10..6 * SECOND));
+            let targets_holder = rng.random_bool(0.5);
             let node = rng.random_range(0..voters);
-            world.run(at.max(world.now));
-            let node = if holder { world.holder().unwrap_or(node) } else { node };
-            let (does, undoes) = match rng.random_range(0..5) {
+            simulation.run_until(fault_at.max(simulation.now));
+            let node = if targets_holder { simulation.holder().unwrap_or(node) } else { node };
+            let (fault, repair) = match rng.random_range(0..5) {
                 0 => (Fault::Kill(node), Fault::Start(node)),
-                1 => (Fault::Stop(node), Fault::GoOn(node)),
+                1 => (Fault::Stall(node), Fault::Resume(node)),
                 2 => (Fault::Leave(node), Fault::Start(node)),
-                3 => (Fault::Cut(1 << node), Fault::Cut(0)),
-                _ => (Fault::Cut(rng.random_range(0..1 << voters) as u8), Fault::Cut(0)),
+                3 => (Fault::Partition(1 << node), Fault::Partition(0)),
+                _ => (Fault::Partition(rng.random_range(0..1 << voters) as u8), Fault::Partition(0)),
             };
-            world.does(does);
-            let end = world.now + long;
-            world.at(end, Event::Does(undoes));
+            simulation.inject(fault);
+            let end = simulation.now + fault_duration;
+            simulation.schedule(end, Event::Fault(repair));
         }
         if rng.random_bool(0.1) {
             // The power goes, at all of them; what no disk has is forgotten.
-            (0..voters).for_each(|node| world.does(Fault::Kill(node)));
-            let on = world.now + 2 * S;
-            (0..voters).for_each(|node| world.at(on, Event::Does(Fault::Start(node))));
+            (0..voters).for_each(|node| simulation.inject(Fault::Kill(node)));
+            let restart_at = simulation.now + 2 * SECOND;
+            (0..voters).for_each(|node| simulation.schedule(restart_at, Event::Fault(Fault::Start(node))));
         }
-        let end = world.now + 20 * S;
-        world.run(end);
-        world.check();
-        assert!(world.holder().is_some(), "held again at the end, seed {seed}");
-        let share = world.held.0 as f64 / world.held.1.max(1) as f64;
-        least = f64::min(least, share);
-        (held, joined) = (held + world.held.0, joined + world.held.1);
+        let end = simulation.now + 20 * SECOND;
+        simulation.run_until(end);
+        simulation.assert_invariants();
+        assert!(simulation.holder().is_some(), "held again at the end, seed {seed}");
+        let share = simulation.availability.0 as f64 / simulation.availability.1.max(1) as f64;
+        lowest_share = f64::min(lowest_share, share);
+        (total_held, total_connected) =
+            (total_held + simulation.availability.0, total_connected + simulation.availability.1);
     }
     eprintln!(
-        "held {:.4} of the time in which a majority was joined, least {least:.3}",
-        held as f64 / joined as f64
+        "held {:.4} of the time in which a majority was joined, least {lowest_share:.3}",
+        total_held as f64 / total_connected as f64
     );
 }
 
 /// From a fault that ends a holder until the next one, over 50 seeds each.
-fn handover(fault: impl Fn(usize) -> Fault) -> Vec<Micros> {
-    let mut took: Vec<Micros> = (0..50)
+fn handover_times(fault: impl Fn(usize) -> Fault) -> Vec<Micros> {
+    let mut times: Vec<Micros> = (0..50)
         .map(|seed| {
-            let mut world = World::new(5, seed, seed % 2 == 0);
-            world.run(10 * S + seed as Micros * 37 * MS);
-            let holder = world.holder().expect("held in calm times");
-            let at = world.now;
-            world.does(fault(holder));
-            world.run(at + 3 * LASTS);
-            world.check();
-            world.got.iter().find(|got| got.0 > at).expect("it passes on").0 - at
+            let mut simulation = Simulation::new(5, seed, seed % 2 == 0);
+            simulation.run_until(10 * SECOND + seed as Micros * 37 * MILLISECOND);
+            let holder = simulation.holder().expect("held in calm times");
+            let faulted_at = simulation.now;
+            simulation.inject(fault(holder));
+            simulation.run_until(faulted_at + 3 * LEASE_DURATION);
+            simulation.assert_invariants();
+            simulation
+                .acquisitions
+                .iter()
+                .find(|acquisition| acquisition.0 > faulted_at)
+                .expect("it passes on")
+                .0
+                - faulted_at
         })
         .collect();
-    took.sort_unstable();
-    took
+    times.sort_unstable();
+    times
 }
 
 #[test]
-fn a_lease_passes_on_at_once_when_it_is_laid_down_and_within_two_leases_when_not() {
-    let report = |name: &str, took: &[Micros]| {
-        eprintln!("{name}: median {} ms, worst {} ms", took[25] / MS, took[49] / MS);
+fn a_released_lease_passes_on_at_once_and_any_other_within_two_lease_durations() {
+    let report = |name: &str, times: &[Micros]| {
+        eprintln!("{name}: median {} ms, worst {} ms", times[25] / MILLISECOND, times[49] / MILLISECOND);
     };
-    let left = handover(Fault::Leave);
-    report("left", &left);
-    assert!(left[48] < 300 * MS, "{left:?}");
-    for (name, took) in [
-        ("killed", handover(Fault::Kill)),
-        ("stopped", handover(Fault::Stop)),
-        ("cut off", handover(|holder| Fault::Cut(1 << holder))),
+    let after_release = handover_times(Fault::Leave);
+    report("left", &after_release);
+    assert!(after_release[48] < 300 * MILLISECOND, "{after_release:?}");
+    for (name, times) in [
+        ("killed", handover_times(Fault::Kill)),
+        ("stopped", handover_times(Fault::Stall)),
+        ("cut off", handover_times(|holder| Fault::Partition(1 << holder))),
     ] {
-        report(name, &took);
-        assert!(took[49] < 2 * LASTS, "{name}: {took:?}");
+        report(name, &times);
+        assert!(times[49] < 2 * LEASE_DURATION, "{name}: {times:?}");
     }
 }
 
 #[test]
-fn a_calm_lease_stays_where_it_is_and_one_that_is_unable_gives_it_up() {
-    let mut world = World::new(3, 5, false);
-    world.run(60 * S);
-    assert_eq!(world.got.len(), 1);
-    assert!(world.held.0 * 1000 > world.held.1 * 999);
-    let (holder, now) = (world.holder().unwrap(), world.now);
-    let own = world.own(holder);
-    let actions = world.nodes[holder].participant.as_mut().unwrap().set_eligible(own, LEASE, false);
-    world.carry_out(holder, actions);
-    world.run(now + S);
-    assert!(world.holder().is_some_and(|next| next != holder));
-    world.check();
+fn a_lease_stays_with_its_holder_until_the_holder_becomes_ineligible() {
+    let mut simulation = Simulation::new(3, 5, false);
+    simulation.run_until(60 * SECOND);
+    assert_eq!(simulation.acquisitions.len(), 1);
+    assert!(simulation.availability.0 * 1000 > simulation.availability.1 * 999);
+    let (holder, now) = (simulation.holder().unwrap(), simulation.now);
+    let local_time = simulation.local_time(holder);
+    let actions =
+        simulation.nodes[holder].participant.as_mut().unwrap().set_eligible(local_time, LEASE, false);
+    simulation.carry_out(holder, actions);
+    simulation.run_until(now + SECOND);
+    assert!(simulation.holder().is_some_and(|next_holder| next_holder != holder));
+    simulation.assert_invariants();
 }
 
 /// An hour's step of all wall clocks, either way, while elections go on, and one undone over a loss of all that voters knew.
 #[test]
-fn steps_of_the_wall_clock_stop_no_election_and_make_no_term_that_cannot_be_passed() {
+fn wall_clock_steps_neither_block_elections_nor_leave_terms_that_cannot_be_exceeded() {
     const HOUR: i64 = 3_600_000;
-    for (seed, step) in [HOUR, -HOUR, 2_000, -2_000].into_iter().cycle().take(20).enumerate() {
-        let mut world = World::new(5, seed as u64, false);
-        for (at, step) in [step, 0, -step].into_iter().enumerate() {
-            world.nodes.iter_mut().for_each(|node| node.wall = step);
-            let holder = world.holder().unwrap_or(at);
-            world.does(Fault::Kill(holder));
-            let end = world.now + 6 * S;
-            world.run(end);
-            assert!(world.holder().is_some_and(|next| next != holder), "nobody after {step}");
-            world.does(Fault::Start(holder));
+    for (seed, offset_ms) in [HOUR, -HOUR, 2_000, -2_000].into_iter().cycle().take(20).enumerate() {
+        let mut simulation = Simulation::new(5, seed as u64, false);
+        for (index, offset_ms) in [offset_ms, 0, -offset_ms].into_iter().enumerate() {
+            simulation.nodes.iter_mut().for_each(|node| node.wall_clock_offset_ms = offset_ms);
+            let holder = simulation.holder().unwrap_or(index);
+            simulation.inject(Fault::Kill(holder));
+            let end = simulation.now + 6 * SECOND;
+            simulation.run_until(end);
+            assert!(
+                simulation.holder().is_some_and(|next_holder| next_holder != holder),
+                "nobody after {offset_ms}"
+            );
+            simulation.inject(Fault::Start(holder));
         }
-        world.check();
+        simulation.assert_invariants();
         // Voters without disks all start again, under clocks behind those of before.
-        (0..5).for_each(|node| world.does(Fault::Kill(node)));
-        world.nodes.iter_mut().for_each(|node| node.wall = -2 * HOUR);
-        (0..5).for_each(|node| world.does(Fault::Start(node)));
-        let before = world.taken.len();
-        let end = world.now + 8 * S;
-        world.run(end);
-        assert!(world.taken.len() > before + 5, "no act is taken any more, seed {seed}");
-        assert!(world.taken.windows(2).all(|pair| pair[0] <= pair[1]));
+        (0..5).for_each(|node| simulation.inject(Fault::Kill(node)));
+        simulation.nodes.iter_mut().for_each(|node| node.wall_clock_offset_ms = -2 * HOUR);
+        (0..5).for_each(|node| simulation.inject(Fault::Start(node)));
+        let accepted_before = simulation.accepted_terms.len();
+        let end = simulation.now + 8 * SECOND;
+        simulation.run_until(end);
+        assert!(
+            simulation.accepted_terms.len() > accepted_before + 5,
+            "no act is taken any more, seed {seed}"
+        );
+        assert!(simulation.accepted_terms.windows(2).all(|pair| pair[0] <= pair[1]));
     }
 }
--- a/crates/membership/examples/gossip.rs
+++ b/crates/membership/examples/gossip.rs
@@ -93,7 +93,7 @@
         datagrams: datagrams(simulation) - datagrams_before,
         bytes: bytes(simulation) - bytes_before,
         falsely_declared_dead: falsely_declared_dead.len(),
-        false_death_reports: simulation.false_deaths(started_at, |_| true),
+        false_death_reports: simulation.false_death_reports(started_at, |_| true),
     }
 }
 
--- a/crates/membership/tests/clock_set_back.rs
+++ b/crates/membership/tests/clock_set_back.rs
@@ -12,11 +12,11 @@
 const HOUR: i64 = 3_600 * SECOND;
 const FLEET_SIZE: usize = 6;
 /// All but the last run from the start on.
-const SPARE: usize = FLEET_SIZE - 1;
+const SPARE_NODE: usize = FLEET_SIZE - 1;
 
-fn settled(seed: u64) -> Simulation {
+fn settled_simulation(seed: u64) -> Simulation {
     let mut simulation = Simulation::new(FLEET_SIZE, seed);
-    (0..SPARE).for_each(|node| simulation.start(node));
+    (0..SPARE_NODE).for_each(|node| simulation.start(node));
     simulation.run_for(20 * SECOND);
     simulation
 }
@@ -26,14 +26,14 @@
 }
 
 /// How the others know the proxy of that name, once all know the same.
-fn known_as(simulation: &Simulation, name: &str, others: &[usize]) -> Peer {
-    let known = |&node: &usize| {
+fn agreed_peer(simulation: &Simulation, name: &str, observers: &[usize]) -> Peer {
+    let known_peer = |&node: &usize| {
         let membership = simulation.nodes[node].membership.as_ref().unwrap();
         membership.alive().find(|peer| &*peer.name == name).cloned()
     };
-    let all: Vec<Option<Peer>> = others.iter().map(known).collect();
-    assert!(all.windows(2).all(|pair| pair[0] == pair[1]), "{all:?}");
-    all[0].clone().expect("known to the others")
+    let known_peers: Vec<Option<Peer>> = observers.iter().map(known_peer).collect();
+    assert!(known_peers.windows(2).all(|pair| pair[0] == pair[1]), "{known_peers:?}");
+    known_peers[0].clone().expect("known to the others")
 }
 
 fn was_superseded(simulation: &Simulation, node: usize) -> bool {
@@ -41,74 +41,77 @@
 }
 
 /// Proxy 4 starts again, so long after its end, under a clock set back by so much; the others know that start.
-fn assert_heard_after_restart(seed: u64, down_for: i64, step: i64) {
-    let mut simulation = settled(seed);
+fn assert_accepted_after_restart(seed: u64, downtime: i64, set_back_by: i64) {
+    let mut simulation = settled_simulation(seed);
     simulation.kill(4);
-    simulation.run_for(down_for);
-    simulation.wall_clock_step = -step;
+    simulation.run_for(downtime);
+    simulation.wall_clock_offset = -set_back_by;
     simulation.start(4);
     simulation.run_for(20 * SECOND);
     let local = simulation.nodes[4].membership.as_ref().unwrap().local().clone();
-    assert_eq!(known_as(&simulation, "n4", &[0, 1, 2, 3]), local, "down {down_for}, step {step}");
+    assert_eq!(agreed_peer(&simulation, "n4", &[0, 1, 2, 3]), local, "down {downtime}, step {set_back_by}");
     assert!(!was_superseded(&simulation, 4));
-    assert_eq!((0..SPARE).map(|node| simulation.alive(node)).collect::<Vec<_>>(), [SPARE; SPARE]);
+    assert_eq!(
+        (0..SPARE_NODE).map(|node| simulation.alive_count(node)).collect::<Vec<_>>(),
+        [SPARE_NODE; SPARE_NODE]
+    );
 }
 
 #[test]
-fn a_restarted_proxy_is_heard_whether_its_death_was_noticed_or_not() {
-    for (seed, down_for) in (0..).zip([MILLISECOND, 100 * MILLISECOND, 5 * SECOND, 10 * SECOND, 40 * SECOND])
+fn a_restarted_proxy_is_accepted_whether_its_death_was_noticed_or_not() {
+    for (seed, downtime) in (0..).zip([MILLISECOND, 100 * MILLISECOND, 5 * SECOND, 10 * SECOND, 40 * SECOND])
     {
-        for step in [2 * SECOND, 60 * SECOND, HOUR] {
-            assert_heard_after_restart(seed, down_for, step);
+        for set_back_by in [2 * SECOND, 60 * SECOND, HOUR] {
+            assert_accepted_after_restart(seed, downtime, set_back_by);
         }
     }
 }
 
 #[test]
-fn a_proxy_that_restarts_again_and_again_under_a_clock_set_back_is_heard_each_time() {
-    let mut simulation = settled(1);
+fn a_proxy_is_accepted_after_repeated_restarts_under_a_clock_set_back_further_each_time() {
+    let mut simulation = settled_simulation(1);
     for _ in 0..4 {
-        simulation.wall_clock_step -= HOUR;
+        simulation.wall_clock_offset -= HOUR;
         simulation.kill(4);
         simulation.start(4);
         simulation.run_for(3 * SECOND);
     }
     simulation.run_for(20 * SECOND);
     let local = simulation.nodes[4].membership.as_ref().unwrap().local().clone();
-    assert_eq!(known_as(&simulation, "n4", &[0, 1, 2, 3]), local);
+    assert_eq!(agreed_peer(&simulation, "n4", &[0, 1, 2, 3]), local);
 }
 
 #[test]
-fn a_proxy_moved_to_another_address_under_a_clock_set_back_is_heard() {
-    let mut simulation = settled(2);
+fn a_proxy_moved_to_another_address_under_a_clock_set_back_is_accepted() {
+    let mut simulation = settled_simulation(2);
     simulation.kill(4);
-    simulation.wall_clock_step = -HOUR;
-    simulation.start_as(SPARE, "n4", seeds());
+    simulation.wall_clock_offset = -HOUR;
+    simulation.start_as(SPARE_NODE, "n4", seeds());
     simulation.run_for(20 * SECOND);
-    assert_eq!(known_as(&simulation, "n4", &[0, 1, 2, 3]).address, address(SPARE));
+    assert_eq!(agreed_peer(&simulation, "n4", &[0, 1, 2, 3]).address, address(SPARE_NODE));
 }
 
 #[test]
-fn of_two_running_proxies_with_one_name_the_earlier_falls_silent_though_the_clock_was_set_back() {
-    let mut simulation = settled(3);
-    simulation.wall_clock_step = -HOUR;
-    simulation.start_as(SPARE, "n4", seeds());
+fn of_two_running_instances_of_one_name_the_earlier_is_superseded_although_the_clock_was_set_back() {
+    let mut simulation = settled_simulation(3);
+    simulation.wall_clock_offset = -HOUR;
+    simulation.start_as(SPARE_NODE, "n4", seeds());
     simulation.run_for(20 * SECOND);
-    assert_eq!(known_as(&simulation, "n4", &[0, 1, 2, 3]).address, address(SPARE));
-    assert!(was_superseded(&simulation, 4) && !was_superseded(&simulation, SPARE));
+    assert_eq!(agreed_peer(&simulation, "n4", &[0, 1, 2, 3]).address, address(SPARE_NODE));
+    assert!(was_superseded(&simulation, 4) && !was_superseded(&simulation, SPARE_NODE));
 }
 
 #[test]
-fn of_two_proxies_with_one_name_that_start_together_one_falls_silent() {
+fn of_two_instances_of_one_name_that_start_together_one_is_superseded() {
     let mut simulation = Simulation::new(FLEET_SIZE, 4);
-    (0..SPARE).for_each(|node| simulation.start(node));
-    simulation.start_as(SPARE, "n4", seeds());
+    (0..SPARE_NODE).for_each(|node| simulation.start(node));
+    simulation.start_as(SPARE_NODE, "n4", seeds());
     simulation.run_for(30 * SECOND);
-    let silent = [4, SPARE].map(|node| was_superseded(&simulation, node));
-    assert!(silent[0] != silent[1], "{silent:?}");
-    let renumbered = |node: usize| {
+    let superseded = [4, SPARE_NODE].map(|node| was_superseded(&simulation, node));
+    assert!(superseded[0] != superseded[1], "{superseded:?}");
+    let renumber_count = |node: usize| {
         let changes = simulation.nodes[node].changes.iter();
         changes.filter(|learnt| matches!(learnt.change, Change::Renumbered(_))).count()
     };
-    assert!(renumbered(4) + renumbered(SPARE) <= 8, "it ends");
+    assert!(renumber_count(4) + renumber_count(SPARE_NODE) <= 8, "it ends");
 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -15,9 +15,9 @@
 pub const MILLISECOND: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 /// Datagrams that wait for a stalled process; more are lost, as by a socket's buffer.
-const SOCKET_BUFFER: usize = 500;
+const SOCKET_BUFFER_DATAGRAMS: usize = 500;
 /// Proxies that each proxy's configuration names as seeds.
-const SEEDS: usize = 5;
+const SEED_COUNT: usize = 5;
 const LOCALHOST: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 const FIRST_PORT: u16 = 10_000;
 const WALL_CLOCK_AT_START: Micros = 1_800_000_000 * SECOND;
@@ -31,12 +31,12 @@
 pub struct Node {
     /// `None` while the process does not run.
     pub membership: Option<Membership>,
-    pub starts: u64,
+    pub instance_number: u64,
     /// How long this start was stalled so far.
-    stalled_for: Micros,
+    total_stall_time: Micros,
     /// Since when it is stalled now.
     stalled_since: Option<Micros>,
-    inbox: Vec<Vec<u8>>,
+    buffered_datagrams: Vec<Vec<u8>>,
     /// The only wake that counts.
     wake_at: Option<Micros>,
     pub datagrams_sent: u64,
@@ -48,10 +48,10 @@
     fn new() -> Node {
         Node {
             membership: None,
-            starts: 0,
-            stalled_for: 0,
+            instance_number: 0,
+            total_stall_time: 0,
             stalled_since: None,
-            inbox: Vec::new(),
+            buffered_datagrams: Vec::new(),
             wake_at: None,
             datagrams_sent: 0,
             bytes_sent: 0,
@@ -61,7 +61,7 @@
 }
 
 enum Event {
-    Wake { node: usize, start: u64 },
+    Wake { node: usize, instance_number: u64 },
     Arrival { to: SocketAddr, from: usize, bytes: Vec<u8> },
 }
 
@@ -71,15 +71,15 @@
     /// The share of datagrams that are lost.
     pub loss: f64,
     /// Whether the network carries anything from one node to another.
-    pub connects: Box<dyn Fn(usize, usize) -> bool>,
+    pub can_reach: Box<dyn Fn(usize, usize) -> bool>,
     pub periods: ProtocolPeriods,
     /// By how much the wall clock is off that numbers starts.
-    pub wall_clock_step: Micros,
-    fleets: Vec<String>,
+    pub wall_clock_offset: Micros,
+    fleet_names: Vec<String>,
     /// By time and number.
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     events: HashMap<u64, Event>,
-    next_event: u64,
+    next_event_number: u64,
     pub rng: Pcg64Mcg,
 }
 
@@ -93,50 +93,50 @@
 
 impl Simulation {
     /// So many proxies, none of them started.
-    pub fn new(count: usize, seed: u64) -> Simulation {
+    pub fn new(node_count: usize, seed: u64) -> Simulation {
         Simulation {
             now: 0,
-            nodes: (0..count).map(|_| Node::new()).collect(),
+            nodes: (0..node_count).map(|_| Node::new()).collect(),
             loss: 0.0,
-            connects: Box::new(|_, _| true),
-            periods: ProtocolPeriods::for_fleet_size(count),
-            wall_clock_step: 0,
-            fleets: vec!["f".to_owned(); count],
+            can_reach: Box::new(|_, _| true),
+            periods: ProtocolPeriods::for_fleet_size(node_count),
+            wall_clock_offset: 0,
+            fleet_names: vec!["f".to_owned(); node_count],
             queue: BinaryHeap::new(),
             events: HashMap::new(),
-            next_event: 0,
+            next_event_number: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
     pub fn set_fleet(&mut self, node: usize, fleet: &str) {
-        self.fleets[node] = fleet.to_owned();
+        self.fleet_names[node] = fleet.to_owned();
     }
 
     /// Starts a proxy whose seeds are the first few.
     pub fn start(&mut self, node: usize) {
         let seed = |node| SeedAddress { name: None, address: address(node) };
-        let seeds = (0..self.nodes.len().min(SEEDS)).map(seed).collect();
+        let seeds = (0..self.nodes.len().min(SEED_COUNT)).map(seed).collect();
         self.start_as(node, &format!("n{node}"), seeds);
     }
 
     pub fn start_as(&mut self, node: usize, name: &str, seeds: Vec<SeedAddress>) {
         let fleet_size = self.nodes.len();
         let local = LocalPeer {
-            fleet: self.fleets[node].clone(),
+            fleet: self.fleet_names[node].clone(),
             name: name.to_owned(),
             address: address(node),
-            start: (WALL_CLOCK_AT_START + self.now + self.wall_clock_step) as u64 + node as u64,
+            start: (WALL_CLOCK_AT_START + self.now + self.wall_clock_offset) as u64 + node as u64,
         };
         let networks = vec!["127.0.0.0/8".parse().unwrap()];
         let config = Config { local, seeds, networks, periods: self.periods, fleet_size };
         let seed = self.rng.random();
         let state = &mut self.nodes[node];
-        state.stalled_for = 0;
+        state.total_stall_time = 0;
         state.stalled_since = None;
-        state.starts += 1;
+        state.instance_number += 1;
         state.wake_at = None;
-        state.inbox.clear();
+        state.buffered_datagrams.clear();
         let (membership, actions) = Membership::start(self.now, config, seed);
         state.membership = Some(membership);
         self.carry_out(node, actions);
@@ -165,21 +165,23 @@
     pub fn resume(&mut self, node: usize) {
         let state = &mut self.nodes[node];
         let Some(since) = state.stalled_since.take() else { return };
-        state.stalled_for += self.now - since;
-        let unstalled = self.now - state.stalled_for;
-        let inbox = std::mem::take(&mut state.inbox);
+        state.total_stall_time += self.now - since;
+        let process_time = self.now - state.total_stall_time;
+        let buffered_datagrams = std::mem::take(&mut state.buffered_datagrams);
         let Some(membership) = state.membership.as_mut() else { return };
-        membership.resume_after_stall(unstalled);
-        let mut all: Vec<Actions> =
-            inbox.iter().map(|bytes| membership.receive(unstalled, LOCALHOST, bytes)).collect();
-        all.push(membership.wake(unstalled));
-        all.into_iter().for_each(|actions| self.carry_out(node, actions));
+        membership.resume_after_stall(process_time);
+        let mut collected_actions: Vec<Actions> = buffered_datagrams
+            .iter()
+            .map(|bytes| membership.receive(process_time, LOCALHOST, bytes))
+            .collect();
+        collected_actions.push(membership.wake(process_time));
+        collected_actions.into_iter().for_each(|actions| self.carry_out(node, actions));
     }
 
     fn schedule(&mut self, at: Micros, event: Event) {
-        self.queue.push(Reverse((at, self.next_event)));
-        self.events.insert(self.next_event, event);
-        self.next_event += 1;
+        self.queue.push(Reverse((at, self.next_event_number)));
+        self.events.insert(self.next_event_number, event);
+        self.next_event_number += 1;
     }
 
     fn carry_out(&mut self, node: usize, actions: Actions) {
@@ -187,7 +189,7 @@
             self.nodes[node].datagrams_sent += 1;
             self.nodes[node].bytes_sent += datagram.bytes.len() as u64;
             let target = node_at(datagram.to);
-            let is_lost = self.rng.random::<f64>() < self.loss || !(self.connects)(node, target);
+            let is_lost = self.rng.random::<f64>() < self.loss || !(self.can_reach)(node, target);
             if !is_lost && target < self.nodes.len() {
                 let at = self.now + self.rng.random_range(200..3_000);
                 self.schedule(at, Event::Arrival { to: datagram.to, from: node, bytes: datagram.bytes });
@@ -197,25 +199,25 @@
         let learnt = actions.changes.into_iter().map(|change| LearntChange { at: now, change });
         self.nodes[node].changes.extend(learnt);
         if let Some(at) = actions.wake_at {
-            let at = (at + self.nodes[node].stalled_for).max(now);
+            let at = (at + self.nodes[node].total_stall_time).max(now);
             if self.nodes[node].wake_at != Some(at) {
                 self.nodes[node].wake_at = Some(at);
-                let start = self.nodes[node].starts;
-                self.schedule(at, Event::Wake { node, start });
+                let instance_number = self.nodes[node].instance_number;
+                self.schedule(at, Event::Wake { node, instance_number });
             }
         }
     }
 
     pub fn run_for(&mut self, span: Micros) {
         let end = self.now + span;
-        while let Some(&Reverse((at, number))) = self.queue.peek() {
+        while let Some(&Reverse((at, event_number))) = self.queue.peek() {
             if at > end {
                 break;
             }
             self.queue.pop();
             self.now = self.now.max(at);
-            match self.events.remove(&number) {
-                Some(Event::Wake { node, start }) => self.wake(at, node, start),
+            match self.events.remove(&event_number) {
+                Some(Event::Wake { node, instance_number }) => self.wake(at, node, instance_number),
                 Some(Event::Arrival { to, from, bytes }) => self.deliver(node_at(to), from, bytes),
                 None => {}
             }
@@ -223,34 +225,37 @@
         self.now = end;
     }
 
-    fn wake(&mut self, at: Micros, node: usize, start: u64) {
+    fn wake(&mut self, at: Micros, node: usize, instance_number: u64) {
         let state = &mut self.nodes[node];
-        if state.starts != start || state.stalled_since.is_some() || state.wake_at != Some(at) {
+        if state.instance_number != instance_number
+            || state.stalled_since.is_some()
+            || state.wake_at != Some(at)
+        {
             return;
         }
         state.wake_at = None;
         let Some(membership) = state.membership.as_mut() else { return };
-        let actions = membership.wake(self.now - state.stalled_for);
+        let actions = membership.wake(self.now - state.total_stall_time);
         self.carry_out(node, actions);
     }
 
     fn deliver(&mut self, node: usize, from: usize, bytes: Vec<u8>) {
-        if !(self.connects)(from, node) {
+        if !(self.can_reach)(from, node) {
             return;
         }
         let state = &mut self.nodes[node];
         if state.stalled_since.is_some() {
-            if state.inbox.len() < SOCKET_BUFFER {
-                state.inbox.push(bytes);
+            if state.buffered_datagrams.len() < SOCKET_BUFFER_DATAGRAMS {
+                state.buffered_datagrams.push(bytes);
             }
             return;
         }
         let Some(membership) = state.membership.as_mut() else { return };
-        let actions = membership.receive(self.now - state.stalled_for, LOCALHOST, &bytes);
+        let actions = membership.receive(self.now - state.total_stall_time, LOCALHOST, &bytes);
         self.carry_out(node, actions);
     }
 
-    pub fn alive(&self, node: usize) -> usize {
+    pub fn alive_count(&self, node: usize) -> usize {
         let is_running = self.nodes[node].membership.is_some();
         if is_running { self.snapshot(node).alive } else { 0 }
     }
@@ -258,15 +263,20 @@
     /// What a running proxy concludes.
     pub fn snapshot(&self, node: usize) -> Snapshot {
         let state = &self.nodes[node];
-        state.membership.as_ref().expect("it runs").snapshot(self.now - state.stalled_for)
+        state.membership.as_ref().expect("it runs").snapshot(self.now - state.total_stall_time)
     }
 
     /// Runs until all of these see so many alive; how long it took, or `None` after `timeout`.
-    pub fn run_until_all_see(&mut self, nodes: &[usize], count: usize, timeout: Micros) -> Option<Micros> {
-        let begin = self.now;
-        while self.now - begin < timeout {
-            if nodes.iter().all(|&node| self.alive(node) == count) {
-                return Some(self.now - begin);
+    pub fn run_until_all_see(
+        &mut self,
+        nodes: &[usize],
+        expected_count: usize,
+        timeout: Micros,
+    ) -> Option<Micros> {
+        let started_at = self.now;
+        while self.now - started_at < timeout {
+            if nodes.iter().all(|&node| self.alive_count(node) == expected_count) {
+                return Some(self.now - started_at);
             }
             self.run_for(50 * MILLISECOND);
         }
@@ -274,7 +284,7 @@
     }
 
     /// How often any proxy learnt since then of a death that `is_alive` contradicts.
-    pub fn false_deaths(&self, since: Micros, is_alive: impl Fn(&str) -> bool) -> usize {
+    pub fn false_death_reports(&self, since: Micros, is_alive: impl Fn(&str) -> bool) -> usize {
         let learnt = self.nodes.iter().flat_map(|node| &node.changes).filter(|learnt| learnt.at >= since);
         learnt.filter(|learnt| matches!(&learnt.change, Change::Down(peer) if is_alive(&peer.name))).count()
     }
--- a/crates/membership/tests/gossip.rs
+++ b/crates/membership/tests/gossip.rs
@@ -9,27 +9,31 @@
 
 const FLEET_SIZE: usize = 20;
 
-fn all() -> Vec<usize> {
+fn all_nodes() -> Vec<usize> {
     (0..FLEET_SIZE).collect()
 }
 
 /// Twenty proxies that know of one another.
-fn settled(seed: u64) -> Simulation {
+fn settled_simulation(seed: u64) -> Simulation {
     let mut simulation = Simulation::new(FLEET_SIZE, seed);
     simulation.start_all();
-    assert!(simulation.run_until_all_see(&all(), FLEET_SIZE, 20 * SECOND).is_some(), "they find each other");
+    assert!(
+        simulation.run_until_all_see(&all_nodes(), FLEET_SIZE, 20 * SECOND).is_some(),
+        "they find each other"
+    );
     simulation.run_for(10 * SECOND);
     simulation
 }
 
 #[test]
-fn proxies_started_together_find_each_other_without_false_deaths() {
+fn proxies_started_together_discover_each_other_without_false_deaths() {
     let mut simulation = Simulation::new(FLEET_SIZE, 1);
     simulation.start_all();
-    let took = simulation.run_until_all_see(&all(), FLEET_SIZE, 20 * SECOND).expect("they find each other");
-    assert!(took < 5 * SECOND, "{took}");
+    let elapsed =
+        simulation.run_until_all_see(&all_nodes(), FLEET_SIZE, 20 * SECOND).expect("they find each other");
+    assert!(elapsed < 5 * SECOND, "{elapsed}");
     simulation.run_for(120 * SECOND);
-    assert_eq!(simulation.false_deaths(0, |_| true), 0);
+    assert_eq!(simulation.false_death_reports(0, |_| true), 0);
     let snapshot = simulation.snapshot(3);
     assert_eq!(
         snapshot,
@@ -39,108 +43,111 @@
 }
 
 #[test]
-fn a_death_reaches_all_and_a_restart_replaces_the_earlier_start() {
-    let mut simulation = settled(2);
+fn a_death_reaches_all_and_a_restart_replaces_the_earlier_instance() {
+    let mut simulation = settled_simulation(2);
     simulation.kill(7);
-    let rest: Vec<usize> = all().into_iter().filter(|&node| node != 7).collect();
-    let took = simulation.run_until_all_see(&rest, FLEET_SIZE - 1, 30 * SECOND).expect("all know");
-    assert!(took < 12 * SECOND, "{took}");
-    assert_eq!(simulation.false_deaths(0, |name| name != "n7"), 0);
+    let remaining: Vec<usize> = all_nodes().into_iter().filter(|&node| node != 7).collect();
+    let elapsed = simulation.run_until_all_see(&remaining, FLEET_SIZE - 1, 30 * SECOND).expect("all know");
+    assert!(elapsed < 12 * SECOND, "{elapsed}");
+    assert_eq!(simulation.false_death_reports(0, |name| name != "n7"), 0);
     simulation.start(7);
-    assert!(simulation.run_until_all_see(&all(), FLEET_SIZE, 10 * SECOND).is_some());
+    assert!(simulation.run_until_all_see(&all_nodes(), FLEET_SIZE, 10 * SECOND).is_some());
     // A proxy that restarts before anybody noticed its death is another peer all the same.
     let since = simulation.now;
     simulation.kill(8);
     simulation.start(8);
     simulation.run_for(5 * SECOND);
-    let heard_of = |node: usize| {
+    let learnt_of_restart = |node: usize| {
         let is_restart = |change: &Change| matches!(change, Change::Restarted(peer) | Change::Up(peer) if &*peer.name == "n8");
         simulation.nodes[node].changes.iter().any(|learnt| learnt.at >= since && is_restart(&learnt.change))
     };
-    assert!(all().into_iter().filter(|&node| node != 8).all(heard_of));
-    assert_eq!(simulation.alive(0), FLEET_SIZE);
+    assert!(all_nodes().into_iter().filter(|&node| node != 8).all(learnt_of_restart));
+    assert_eq!(simulation.alive_count(0), FLEET_SIZE);
 }
 
 #[test]
-fn a_leaving_proxy_is_gone_within_two_seconds() {
-    let mut simulation = settled(3);
+fn a_departure_reaches_all_within_two_seconds() {
+    let mut simulation = settled_simulation(3);
     simulation.leave(4);
-    let rest: Vec<usize> = all().into_iter().filter(|&node| node != 4).collect();
-    let took = simulation.run_until_all_see(&rest, FLEET_SIZE - 1, 10 * SECOND).expect("all know");
-    assert!(took <= 2 * SECOND, "{took}");
+    let remaining: Vec<usize> = all_nodes().into_iter().filter(|&node| node != 4).collect();
+    let elapsed = simulation.run_until_all_see(&remaining, FLEET_SIZE - 1, 10 * SECOND).expect("all know");
+    assert!(elapsed <= 2 * SECOND, "{elapsed}");
 }
 
 #[test]
-fn stalled_proxies_accuse_no_running_one_and_come_back() {
-    for (seed, span) in [(4, 500 * MILLISECOND), (5, 3 * SECOND), (6, 30 * SECOND)] {
-        let mut simulation = settled(seed);
+fn no_running_proxy_is_declared_dead_while_others_stall_and_return() {
+    for (seed, stall_time) in [(4, 500 * MILLISECOND), (5, 3 * SECOND), (6, 30 * SECOND)] {
+        let mut simulation = settled_simulation(seed);
         let since = simulation.now;
         (0..14).for_each(|node| simulation.stall(node));
-        simulation.run_for(span);
+        simulation.run_for(stall_time);
         let resumed_at = simulation.now;
         (0..14).for_each(|node| simulation.resume(node));
         assert!(!simulation.snapshot(0).is_certain, "uncertain until others are heard again");
         assert_eq!(simulation.snapshot(0).quota_divisor(40), 40);
-        let took = simulation.run_until_all_see(&all(), FLEET_SIZE, 30 * SECOND);
-        assert!(took.is_some_and(|took| took < 15 * SECOND), "{span}: {took:?}");
+        let elapsed = simulation.run_until_all_see(&all_nodes(), FLEET_SIZE, 30 * SECOND);
+        assert!(elapsed.is_some_and(|elapsed| elapsed < 15 * SECOND), "{stall_time}: {elapsed:?}");
         simulation.run_for(30 * SECOND);
         // Proxies that ran are right to declare the stalled ones dead. No running one may be declared dead.
         let was_running = |name: &str| name[1..].parse::<usize>().unwrap() >= 14;
-        assert_eq!(simulation.false_deaths(since, was_running), 0, "{span}");
-        let learnt_by_resumed = simulation.nodes[..14].iter().flat_map(|node| &node.changes);
-        let accused = learnt_by_resumed
+        assert_eq!(simulation.false_death_reports(since, was_running), 0, "{stall_time}");
+        let changes_at_resumed = simulation.nodes[..14].iter().flat_map(|node| &node.changes);
+        let down_reports = changes_at_resumed
             .filter(|learnt| learnt.at >= resumed_at && matches!(learnt.change, Change::Down(_)));
         // Other stalled ones, which the running ones had declared dead, until they are heard again.
-        assert!(accused.count() <= 14 * 14);
+        assert!(down_reports.count() <= 14 * 14);
         assert!(
-            all()
-                .into_iter()
-                .all(|node| simulation.snapshot(node).is_certain && simulation.alive(node) == FLEET_SIZE)
+            all_nodes().into_iter().all(
+                |node| simulation.snapshot(node).is_certain && simulation.alive_count(node) == FLEET_SIZE
+            )
         );
     }
 }
 
 #[test]
-fn a_partitioned_minority_knows_that_it_may_be_one_and_the_fleet_heals() {
-    let mut simulation = settled(7);
-    simulation.connects = Box::new(|from, to| (from < 8) == (to < 8));
+fn a_partitioned_minority_detects_that_it_may_be_one_and_the_fleet_reunites() {
+    let mut simulation = settled_simulation(7);
+    simulation.can_reach = Box::new(|from, to| (from < 8) == (to < 8));
     simulation.run_for(60 * SECOND);
-    for node in all() {
+    for node in all_nodes() {
         let snapshot = simulation.snapshot(node);
-        let left = if node < 8 { 8 } else { 12 };
+        let part_size = if node < 8 { 8 } else { 12 };
         assert_eq!(
             (snapshot.alive, snapshot.most_alive, snapshot.may_be_minority),
-            (left, FLEET_SIZE, node < 8)
+            (part_size, FLEET_SIZE, node < 8)
         );
         assert_eq!(snapshot.warm_up_quota_divisor(FLEET_SIZE), FLEET_SIZE);
     }
-    simulation.connects = Box::new(|_, _| true);
-    let took = simulation.run_until_all_see(&all(), FLEET_SIZE, 60 * SECOND).expect("they find together");
-    assert!(took < 30 * SECOND, "{took}");
+    simulation.can_reach = Box::new(|_, _| true);
+    let elapsed =
+        simulation.run_until_all_see(&all_nodes(), FLEET_SIZE, 60 * SECOND).expect("they find together");
+    assert!(elapsed < 30 * SECOND, "{elapsed}");
 }
 
 #[test]
-fn a_lost_path_between_two_proxies_is_no_death() {
+fn a_lost_path_between_two_proxies_causes_no_false_death() {
     for one_way in [true, false] {
-        let mut simulation = settled(8);
+        let mut simulation = settled_simulation(8);
         let since = simulation.now;
-        simulation.connects =
+        simulation.can_reach =
             Box::new(move |from, to| !(from == 1 && to == 2 || !one_way && from == 2 && to == 1));
         simulation.run_for(300 * SECOND);
-        assert_eq!(simulation.false_deaths(since, |_| true), 0);
+        assert_eq!(simulation.false_death_reports(since, |_| true), 0);
     }
 }
 
 #[test]
-fn a_proxy_that_nobody_hears_is_declared_dead_and_rejoins() {
-    let mut simulation = settled(9);
-    simulation.connects = Box::new(|from, to| from != 3 || to == 3);
+fn a_proxy_whose_datagrams_are_lost_is_declared_dead_and_rejoins() {
+    let mut simulation = settled_simulation(9);
+    simulation.can_reach = Box::new(|from, to| from != 3 || to == 3);
     simulation.run_for(60 * SECOND);
-    assert!((0..FLEET_SIZE).filter(|&node| node != 3).all(|node| simulation.alive(node) == FLEET_SIZE - 1));
+    assert!(
+        (0..FLEET_SIZE).filter(|&node| node != 3).all(|node| simulation.alive_count(node) == FLEET_SIZE - 1)
+    );
     assert!(simulation.nodes[3].changes.iter().any(|learnt| learnt.change == Change::Rejoined));
     // Meanwhile it hears the others, so it declares hardly anybody dead.
-    simulation.connects = Box::new(|_, _| true);
-    assert!(simulation.run_until_all_see(&all(), FLEET_SIZE, 60 * SECOND).is_some());
+    simulation.can_reach = Box::new(|_, _| true);
+    assert!(simulation.run_until_all_see(&all_nodes(), FLEET_SIZE, 60 * SECOND).is_some());
 }
 
 #[test]
@@ -149,78 +156,84 @@
     (3..6).for_each(|node| simulation.set_fleet(node, "another"));
     simulation.start_all();
     simulation.run_for(30 * SECOND);
-    assert!((0..6).all(|node| simulation.alive(node) == 3), "each fleet by itself");
+    assert!((0..6).all(|node| simulation.alive_count(node) == 3), "each fleet by itself");
     assert!(simulation.nodes[0].membership.as_ref().unwrap().dropped().unknown_fleet > 0);
     let membership = simulation.nodes[0].membership.as_mut().unwrap();
-    let home = "127.0.0.1".parse().unwrap();
-    let away = "10.1.1.1".parse().unwrap();
-    let before = membership.dropped();
-    let _ = membership.receive(0, away, b"whatever");
-    let _ = membership.receive(0, home, b"whatever it may be");
-    let _ = membership.receive(0, home, &[0xa1, 0xdf, 2, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
-    let now = membership.dropped();
-    assert_eq!(now.unknown_network - before.unknown_network, 1);
+    let loopback = "127.0.0.1".parse().unwrap();
+    let outside_address = "10.1.1.1".parse().unwrap();
+    let dropped_before = membership.dropped();
+    let _ = membership.receive(0, outside_address, b"whatever");
+    let _ = membership.receive(0, loopback, b"whatever it may be");
+    let _ = membership.receive(0, loopback, &[0xa1, 0xdf, 2, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
+    let dropped_after = membership.dropped();
+    assert_eq!(dropped_after.unknown_network - dropped_before.unknown_network, 1);
     assert_eq!(
-        (now.not_membership - before.not_membership, now.unsupported_version - before.unsupported_version),
+        (
+            dropped_after.not_membership - dropped_before.not_membership,
+            dropped_after.unsupported_version - dropped_before.unsupported_version
+        ),
         (1, 1)
     );
 }
 
 #[test]
-fn of_two_proxies_with_one_name_the_earlier_falls_silent() {
+fn of_two_instances_of_one_name_the_earlier_is_superseded() {
     let mut simulation = Simulation::new(6, 11);
-    let peers = || {
+    let seeds = || {
         vec![SeedAddress { name: None, address: address(0) }, SeedAddress { name: None, address: address(1) }]
     };
     (0..5).for_each(|node| simulation.start(node));
     simulation.run_for(10 * SECOND);
-    simulation.start_as(5, "n4", peers());
+    simulation.start_as(5, "n4", seeds());
     simulation.run_for(20 * SECOND);
-    let displaced = |node: usize| {
-        let mut heard = simulation.nodes[node].changes.iter();
-        heard.any(|learnt| matches!(&learnt.change, Change::Superseded(by) if by.address == address(5)))
+    let was_superseded = |node: usize| {
+        let mut changes = simulation.nodes[node].changes.iter();
+        changes.any(|learnt| matches!(&learnt.change, Change::Superseded(by) if by.address == address(5)))
     };
-    assert!(displaced(4) && !displaced(5));
-    assert_eq!(simulation.alive(0), 5);
-    let known = simulation.nodes[0].membership.as_ref().unwrap();
-    assert!(known.alive().any(|peer| &*peer.name == "n4" && peer.address == address(5)));
+    assert!(was_superseded(4) && !was_superseded(5));
+    assert_eq!(simulation.alive_count(0), 5);
+    let membership = simulation.nodes[0].membership.as_ref().unwrap();
+    assert!(membership.alive().any(|peer| &*peer.name == "n4" && peer.address == address(5)));
 }
 
 #[test]
 fn traffic_per_proxy_does_not_grow_with_the_fleet() {
-    let sent = |count: usize| {
-        let mut simulation = Simulation::new(count, 12);
+    let bytes_per_proxy_and_second = |fleet_size: usize| {
+        let mut simulation = Simulation::new(fleet_size, 12);
         simulation.periods = ProtocolPeriods::for_fleet_size(300);
         simulation.start_all();
         simulation.run_for(60 * SECOND);
-        let before: u64 = simulation.nodes.iter().map(|node| node.bytes_sent).sum();
+        let bytes_before: u64 = simulation.nodes.iter().map(|node| node.bytes_sent).sum();
         simulation.run_for(60 * SECOND);
-        let after: u64 = simulation.nodes.iter().map(|node| node.bytes_sent).sum();
-        (after - before) as f64 / count as f64 / 60.0
+        let bytes_after: u64 = simulation.nodes.iter().map(|node| node.bytes_sent).sum();
+        (bytes_after - bytes_before) as f64 / fleet_size as f64 / 60.0
     };
-    let (few, many) = (sent(10), sent(100));
-    assert!(many < 1.5 * few && many < 2_000.0, "{few} {many} bytes a second a proxy");
+    let (small_fleet, large_fleet) = (bytes_per_proxy_and_second(10), bytes_per_proxy_and_second(100));
+    assert!(
+        large_fleet < 1.5 * small_fleet && large_fleet < 2_000.0,
+        "{small_fleet} {large_fleet} bytes a second a proxy"
+    );
 }
 
 #[test]
 fn random_datagrams_do_not_disturb_the_membership() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
-    let limits = Config { cases: 300, failure_persistence: None, ..Config::default() };
-    let bytes = vec(vec(0u8.., 0..200), 1..20);
-    TestRunner::new_with_rng(limits, rng)
-        .run(&(bytes, 0u64..1 << 30), |(datagrams, seed)| {
+    let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
+    let datagram_lists = vec(vec(0u8.., 0..200), 1..20);
+    TestRunner::new_with_rng(config, rng)
+        .run(&(datagram_lists, 0u64..1 << 30), |(datagrams, seed)| {
             let mut simulation = Simulation::new(3, seed);
             simulation.start_all();
             simulation.run_for(5 * SECOND);
-            for (at, datagram) in datagrams.into_iter().enumerate() {
-                let inner = frame::encode_gossip(frame::fleet_tag("f"), &datagram);
-                let whole = if at % 2 == 0 { inner } else { datagram };
-                let home = "127.0.0.1".parse().unwrap();
+            for (index, datagram) in datagrams.into_iter().enumerate() {
+                let framed = frame::encode_gossip(frame::fleet_tag("f"), &datagram);
+                let bytes = if index % 2 == 0 { framed } else { datagram };
+                let loopback = "127.0.0.1".parse().unwrap();
                 let now = simulation.now;
-                let _ = simulation.nodes[0].membership.as_mut().unwrap().receive(now, home, &whole);
+                let _ = simulation.nodes[0].membership.as_mut().unwrap().receive(now, loopback, &bytes);
             }
             simulation.run_for(20 * SECOND);
-            assert_eq!(simulation.alive(0), 3);
+            assert_eq!(simulation.alive_count(0), 3);
             Ok(())
         })
         .unwrap();
@@ -229,40 +242,40 @@
 #[test]
 fn live_proxies_agree_after_any_sequence_of_faults() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[6; 32]);
-    let limits = Config { cases: 40, failure_persistence: None, ..Config::default() };
+    let config = Config { cases: 40, failure_persistence: None, ..Config::default() };
     let steps = vec((0u8..8, 0usize..8, 0i64..8_000), 5..40);
-    TestRunner::new_with_rng(limits, rng)
+    TestRunner::new_with_rng(config, rng)
         .run(&(steps, 0u64..1 << 30), |(steps, seed)| {
             let mut simulation = Simulation::new(8, seed);
             simulation.start_all();
-            for (kind, node, time) in steps {
+            for (kind, node, time_ms) in steps {
                 match kind {
                     0 => simulation.kill(node),
                     1 if simulation.nodes[node].membership.is_none() => simulation.start(node),
                     2 => simulation.stall(node),
                     3 => simulation.resume(node),
                     4 => {
-                        let cut = node;
-                        simulation.connects = Box::new(move |from, to| (from < cut) == (to < cut));
+                        let boundary = node;
+                        simulation.can_reach = Box::new(move |from, to| (from < boundary) == (to < boundary));
                     }
-                    5 => simulation.connects = Box::new(|_, _| true),
+                    5 => simulation.can_reach = Box::new(|_, _| true),
                     6 => simulation.loss = node as f64 / 20.0,
-                    _ => simulation.run_for(time * MILLISECOND),
+                    _ => simulation.run_for(time_ms * MILLISECOND),
                 }
                 let running = (0..8).filter(|&node| simulation.nodes[node].membership.is_some());
-                assert!(running.into_iter().all(|node| simulation.alive(node) <= 8));
+                assert!(running.into_iter().all(|node| simulation.alive_count(node) <= 8));
             }
             (0..8).for_each(|node| simulation.resume(node));
-            simulation.connects = Box::new(|_, _| true);
+            simulation.can_reach = Box::new(|_, _| true);
             simulation.loss = 0.0;
-            let living: Vec<usize> =
+            let running_nodes: Vec<usize> =
                 (0..8).filter(|&node| simulation.nodes[node].membership.is_some()).collect();
             simulation.run_for(60 * SECOND);
-            let took = simulation.run_until_all_see(&living, living.len(), 120 * SECOND);
+            let elapsed = simulation.run_until_all_see(&running_nodes, running_nodes.len(), 120 * SECOND);
             assert!(
-                took.is_some(),
+                elapsed.is_some(),
                 "{:?}",
-                living.iter().map(|&node| simulation.alive(node)).collect::<Vec<_>>()
+                running_nodes.iter().map(|&node| simulation.alive_count(node)).collect::<Vec<_>>()
             );
             Ok(())
         })
--- a/crates/membership/tests/pinned_exchange.rs
+++ b/crates/membership/tests/pinned_exchange.rs
@@ -4,10 +4,10 @@
 
 use aldermill_membership::{Actions, Config, LocalPeer, Membership, Micros, ProtocolPeriods, SeedAddress};
 
-const HOME: IpAddr = IpAddr::V4(std::net::Ipv4Addr::LOCALHOST);
-const UNTIL: Micros = 1_500_000;
+const LOCALHOST: IpAddr = IpAddr::V4(std::net::Ipv4Addr::LOCALHOST);
+const END_TIME: Micros = 1_500_000;
 
-const PINNED: &[(&str, &str)] = &[
+const PINNED_DATAGRAMS: &[(&str, &str)] = &[
     (
         "a",
         "a1df 01 253b4cbb4d17757b 00 016100000000000003e8 0000 047f0000011b59 \
@@ -132,7 +132,7 @@
 ];
 
 fn address(port: u16) -> SocketAddr {
-    SocketAddr::new(HOME, port)
+    SocketAddr::new(LOCALHOST, port)
 }
 
 fn start(name: &str, port: u16, seeds: Vec<SeedAddress>, seed: u64) -> (Membership, Actions) {
@@ -148,49 +148,50 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn sent_by(proxy: usize, actions: Actions) -> impl Iterator<Item = (usize, Vec<u8>)> {
+fn datagrams_of(proxy: usize, actions: Actions) -> impl Iterator<Item = (usize, Vec<u8>)> {
     actions.send.into_iter().map(move |datagram| (proxy, datagram.bytes))
 }
 
 /// Carries each datagram at once, and wakes whoever wants it first; returns the sender's name and the datagram.
 fn exchange() -> Vec<(&'static str, String)> {
     let seeds = vec![SeedAddress { name: None, address: address(7002) }];
-    let (a, first) = start("a", 7001, seeds, 1);
-    let (b, second) = start("b", 7002, Vec::new(), 2);
+    let (a, actions_of_a) = start("a", 7001, seeds, 1);
+    let (b, actions_of_b) = start("b", 7002, Vec::new(), 2);
     let mut proxies = [a, b];
-    let mut wake_at = [first.wake_at, second.wake_at];
+    let mut wake_at = [actions_of_a.wake_at, actions_of_b.wake_at];
     let mut sent = Vec::new();
-    let mut in_flight: Vec<(usize, Vec<u8>)> = sent_by(0, first).collect();
+    let mut in_flight: Vec<(usize, Vec<u8>)> = datagrams_of(0, actions_of_a).collect();
     let mut now = 0;
     loop {
         while !in_flight.is_empty() {
             let (from, bytes) = in_flight.remove(0);
             let to = 1 - from;
             sent.push((["a", "b"][from], hex(&bytes)));
-            let actions = proxies[to].receive(now, HOME, &bytes);
+            let actions = proxies[to].receive(now, LOCALHOST, &bytes);
             wake_at[to] = actions.wake_at;
-            in_flight.extend(sent_by(to, actions));
+            in_flight.extend(datagrams_of(to, actions));
         }
-        let next = if wake_at[0] <= wake_at[1] { 0 } else { 1 };
-        now = wake_at[next].expect("both live");
-        if now > UNTIL {
+        let next_to_wake = if wake_at[0] <= wake_at[1] { 0 } else { 1 };
+        now = wake_at[next_to_wake].expect("both live");
+        if now > END_TIME {
             break;
         }
-        let actions = proxies[next].wake(now);
-        wake_at[next] = actions.wake_at;
-        in_flight.extend(sent_by(next, actions));
+        let actions = proxies[next_to_wake].wake(now);
+        wake_at[next_to_wake] = actions.wake_at;
+        in_flight.extend(datagrams_of(next_to_wake, actions));
     }
     let bytes = proxies[0].encode_payload("b", b"payload").expect("a knows b").bytes;
     sent.push(("a", hex(&bytes)));
-    assert_eq!(proxies[1].receive(now, HOME, &bytes).payloads[0].payload, b"payload");
-    let farewell = proxies[0].leave();
-    sent.extend(sent_by(0, farewell).map(|(_, bytes)| ("a", hex(&bytes))));
+    assert_eq!(proxies[1].receive(now, LOCALHOST, &bytes).payloads[0].payload, b"payload");
+    let leave_actions = proxies[0].leave();
+    sent.extend(datagrams_of(0, leave_actions).map(|(_, bytes)| ("a", hex(&bytes))));
     sent
 }
 
 #[test]
 fn an_exchange_of_two_proxies_keeps_its_datagrams() {
     let sent = exchange();
-    let pinned: Vec<_> = PINNED.iter().map(|&(from, datagram)| (from, datagram.replace(' ', ""))).collect();
+    let pinned: Vec<_> =
+        PINNED_DATAGRAMS.iter().map(|&(from, datagram)| (from, datagram.replace(' ', ""))).collect();
     assert_eq!(sent, pinned);
 }
