--- a/crates/membership/tests/clock_set_back.rs
+++ b/crates/membership/tests/clock_set_back.rs
@@ -1,8 +1,10 @@
-//! A proxy starts again under a wall clock that was set back, so that its start has a lower number than the one before.
+//! Restarts of a proxy under a wall clock that was set back, so that the new instance has a lower start
+//! number than the earlier one.
 //!
-//! Others took it for the earlier start: they answered with notice of a later one, and it fell silent for its whole life,
-//! so that capacity was divided by a fleet without it and it could hold no lease. The log had `superseded by a later start`
-//! whose address was its own.
+//! The tests guard against others that take the new instance for an earlier one. They would answer with a
+//! later instance notice, so that the proxy would send nothing for the rest of its run: the fleet would
+//! divide capacity without counting it, it could hold no lease, and its log would report that an instance at
+//! its own address had superseded it.
 
 mod common;
 
@@ -11,9 +13,10 @@
 
 const HOUR: i64 = 3_600 * SECOND;
 const FLEET_SIZE: usize = 6;
-/// All but the last run from the start on.
+/// Node that does not run at first; all the others do.
 const SPARE_NODE: usize = FLEET_SIZE - 1;
 
+/// Returns a simulation in which all nodes but the spare one have run for 20 s.
 fn settled_simulation(seed: u64) -> Simulation {
     let mut simulation = Simulation::new(FLEET_SIZE, seed);
     (0..SPARE_NODE).for_each(|node| simulation.start(node));
@@ -21,11 +24,13 @@
     simulation
 }
 
+/// Returns the addresses of the first two nodes as seeds.
 fn seeds() -> Vec<SeedAddress> {
     (0..2).map(|node| SeedAddress { name: None, address: address(node) }).collect()
 }
 
-/// How the others know the proxy of that name, once all know the same.
+/// Returns the identity under which all observers know the live proxy named `name`. Panics if they disagree
+/// or do not know it.
 fn agreed_peer(simulation: &Simulation, name: &str, observers: &[usize]) -> Peer {
     let known_peer = |&node: &usize| {
         let membership = simulation.nodes[node].membership.as_ref().unwrap();
@@ -33,14 +38,16 @@
     };
     let known_peers: Vec<Option<Peer>> = observers.iter().map(known_peer).collect();
     assert!(known_peers.windows(2).all(|pair| pair[0] == pair[1]), "{known_peers:?}");
-    known_peers[0].clone().expect("known to the others")
+    known_peers[0].clone().expect("the observers know the proxy")
 }
 
+/// Returns whether a proxy on this node was superseded by a later instance of its name.
 fn was_superseded(simulation: &Simulation, node: usize) -> bool {
     simulation.nodes[node].changes.iter().any(|learnt| matches!(learnt.change, Change::Superseded(_)))
 }
 
-/// Proxy 4 starts again, so long after its end, under a clock set back by so much; the others know that start.
+/// Kills node 4 and restarts it after `downtime` under a wall clock set back by `set_back_by`, both in
+/// microseconds. Checks that the others accept the new instance.
 fn assert_accepted_after_restart(seed: u64, downtime: i64, set_back_by: i64) {
     let mut simulation = settled_simulation(seed);
     simulation.kill(4);
@@ -49,7 +56,11 @@
     simulation.start(4);
     simulation.run_for(20 * SECOND);
     let local = simulation.nodes[4].membership.as_ref().unwrap().local().clone();
-    assert_eq!(agreed_peer(&simulation, "n4", &[0, 1, 2, 3]), local, "down {downtime}, step {set_back_by}");
+    assert_eq!(
+        agreed_peer(&simulation, "n4", &[0, 1, 2, 3]),
+        local,
+        "down for {downtime} us, clock set back by {set_back_by} us"
+    );
     assert!(!was_superseded(&simulation, 4));
     assert_eq!(
         (0..SPARE_NODE).map(|node| simulation.alive_count(node)).collect::<Vec<_>>(),
@@ -113,5 +124,8 @@
         let changes = simulation.nodes[node].changes.iter();
         changes.filter(|learnt| matches!(learnt.change, Change::Renumbered(_))).count()
     };
-    assert!(renumber_count(4) + renumber_count(SPARE_NODE) <= 8, "it ends");
+    assert!(
+        renumber_count(4) + renumber_count(SPARE_NODE) <= 8,
+        "the instances stop raising their start numbers"
+    );
 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Many proxies in virtual time, and a network between them that delays, loses and partitions.
+//! Simulation of many proxies in virtual time, on a network that delays and loses datagrams and can be
+//! partitioned.
 
 #![allow(dead_code, reason = "tests and the measurement use different parts")]
 
@@ -12,35 +13,49 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+/// One millisecond.
 pub const MILLISECOND: Micros = 1_000;
+/// One second.
 pub const SECOND: Micros = 1_000_000;
-/// Datagrams that wait for a stalled process; more are lost, as by a socket's buffer.
+/// Maximum number of datagrams that wait for a stalled process. Further ones are lost, as if its socket's
+/// receive buffer were full.
 const SOCKET_BUFFER_DATAGRAMS: usize = 500;
-/// Proxies that each proxy's configuration names as seeds.
+/// Number of proxies that each proxy's configuration names as seeds.
 const SEED_COUNT: usize = 5;
 const LOCALHOST: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
+/// Port of the first node; the other nodes have the ports after it.
 const FIRST_PORT: u16 = 10_000;
+/// Unix time at the start of the simulation.
 const WALL_CLOCK_AT_START: Micros = 1_800_000_000 * SECOND;
 
 /// A change that a proxy learnt of.
 pub struct LearntChange {
+    /// Virtual time at which the proxy learnt of the change.
     pub at: Micros,
+    /// Change as the proxy reported it.
     pub change: Change,
 }
 
+/// A node of the simulation, which runs at most one proxy process at a time.
 pub struct Node {
-    /// `None` while the process does not run.
+    /// Membership of the running process; `None` while no process runs.
     pub membership: Option<Membership>,
+    /// Number of processes started on this node so far, which identifies the latest one.
     pub instance_number: u64,
-    /// How long this start was stalled so far.
+    /// Time for which the current process was stalled, without a stall that still lasts.
     total_stall_time: Micros,
-    /// Since when it is stalled now.
+    /// Time at which the current stall began; `None` while the process is not stalled.
     stalled_since: Option<Micros>,
+    /// Datagrams that arrived during the current stall.
     buffered_datagrams: Vec<Vec<u8>>,
-    /// The only wake that counts.
+    /// Virtual time of the next wake; wakes scheduled for other times are ignored. `None` if no wake is
+    /// scheduled.
     wake_at: Option<Micros>,
+    /// Number of datagrams sent from this node.
     pub datagrams_sent: u64,
+    /// Number of bytes sent from this node.
     pub bytes_sent: u64,
+    /// Changes that the processes of this node learnt of, oldest first.
     pub changes: Vec<LearntChange>,
 }
 
@@ -60,39 +75,53 @@
     }
 }
 
+/// An event that happens at a scheduled time.
 enum Event {
+    /// A process is woken, unless another one runs on its node by then.
     Wake { node: usize, instance_number: u64 },
+    /// A datagram reaches its destination.
     Arrival { to: SocketAddr, from: usize, bytes: Vec<u8> },
 }
 
+/// Nodes, and the network between them, in virtual time. Nodes are referred to by their index.
 pub struct Simulation {
+    /// Virtual time since the start of the simulation.
     pub now: Micros,
+    /// All nodes, whether or not a process runs on them.
     pub nodes: Vec<Node>,
-    /// The share of datagrams that are lost.
+    /// Share of datagrams that are lost, from 0 to 1.
     pub loss: f64,
-    /// Whether the network carries anything from one node to another.
+    /// Whether the network carries datagrams from the first node to the second. Asked when a datagram is sent
+    /// and when it arrives.
     pub can_reach: Box<dyn Fn(usize, usize) -> bool>,
+    /// Intervals and timeouts of the processes that are started from now on.
     pub periods: ProtocolPeriods,
-    /// By how much the wall clock is off that numbers starts.
+    /// Offset of the wall clock from which start numbers are taken; negative if the clock was set back.
     pub wall_clock_offset: Micros,
+    /// Name of each node's fleet.
     fleet_names: Vec<String>,
-    /// By time and number.
+    /// Times and numbers of the pending events, earliest first.
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
+    /// Pending events by number.
     events: HashMap<u64, Event>,
     next_event_number: u64,
+    /// Source of all randomness in the simulation, seeded by its creator.
     pub rng: Pcg64Mcg,
 }
 
+/// Returns the address of a node.
 pub fn address(node: usize) -> SocketAddr {
     SocketAddr::new(LOCALHOST, FIRST_PORT + node as u16)
 }
 
+/// Returns the node with this address, or an index without a node if there is none.
 fn node_at(address: SocketAddr) -> usize {
     usize::from(address.port()).wrapping_sub(usize::from(FIRST_PORT))
 }
 
 impl Simulation {
-    /// So many proxies, none of them started.
+    /// Creates a simulation of `node_count` nodes of one fleet, on none of which a process runs. Equal seeds
+    /// with equal calls give equal runs.
     pub fn new(node_count: usize, seed: u64) -> Simulation {
         Simulation {
             now: 0,
@@ -109,17 +138,19 @@
         }
     }
 
+    /// Sets the fleet that the next process of a node joins.
     pub fn set_fleet(&mut self, node: usize, fleet: &str) {
         self.fleet_names[node] = fleet.to_owned();
     }
 
-    /// Starts a proxy whose seeds are the first few.
+    /// Starts a proxy on a node, with a name of the node's own and the first nodes as seeds.
     pub fn start(&mut self, node: usize) {
         let seed = |node| SeedAddress { name: None, address: address(node) };
         let seeds = (0..self.nodes.len().min(SEED_COUNT)).map(seed).collect();
         self.start_as(node, &format!("n{node}"), seeds);
     }
 
+    /// Starts a proxy on a node, with this name and these seeds.
     pub fn start_as(&mut self, node: usize, name: &str, seeds: Vec<SeedAddress>) {
         let fleet_size = self.nodes.len();
         let local = LocalPeer {
@@ -142,14 +173,17 @@
         self.carry_out(node, actions);
     }
 
+    /// Starts a proxy on each node.
     pub fn start_all(&mut self) {
         (0..self.nodes.len()).for_each(|node| self.start(node));
     }
 
+    /// Ends a node's process without notice to the others.
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].membership = None;
     }
 
+    /// Ends a node's process after it has left the fleet.
     pub fn leave(&mut self, node: usize) {
         if let Some(mut membership) = self.nodes[node].membership.take() {
             let actions = membership.leave();
@@ -157,11 +191,13 @@
         }
     }
 
+    /// Stalls a node's process. Has no effect if it is stalled already.
     pub fn stall(&mut self, node: usize) {
         self.nodes[node].stalled_since.get_or_insert(self.now);
     }
 
-    /// A stalled process goes on: it reads what waits, and wakes.
+    /// Ends a stall: the process handles the datagrams that arrived in the meantime, then wakes. Has no
+    /// effect if the process is not stalled.
     pub fn resume(&mut self, node: usize) {
         let state = &mut self.nodes[node];
         let Some(since) = state.stalled_since.take() else { return };
@@ -178,12 +214,14 @@
         collected_actions.into_iter().for_each(|actions| self.carry_out(node, actions));
     }
 
+    /// Schedules an event at a virtual time.
     fn schedule(&mut self, at: Micros, event: Event) {
         self.queue.push(Reverse((at, self.next_event_number)));
         self.events.insert(self.next_event_number, event);
         self.next_event_number += 1;
     }
 
+    /// Sends a process's datagrams, records the changes it learnt of and schedules its next wake.
     fn carry_out(&mut self, node: usize, actions: Actions) {
         for datagram in actions.send {
             self.nodes[node].datagrams_sent += 1;
@@ -208,6 +246,7 @@
         }
     }
 
+    /// Runs the simulation for a span of virtual time.
     pub fn run_for(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some(&Reverse((at, event_number))) = self.queue.peek() {
@@ -225,6 +264,7 @@
         self.now = end;
     }
 
+    /// Wakes a process, unless it has ended, is stalled or was rescheduled to another time.
     fn wake(&mut self, at: Micros, node: usize, instance_number: u64) {
         let state = &mut self.nodes[node];
         if state.instance_number != instance_number
@@ -239,6 +279,7 @@
         self.carry_out(node, actions);
     }
 
+    /// Delivers a datagram to the process of a node, or buffers it if the process is stalled.
     fn deliver(&mut self, node: usize, from: usize, bytes: Vec<u8>) {
         if !(self.can_reach)(from, node) {
             return;
@@ -255,18 +296,25 @@
         self.carry_out(node, actions);
     }
 
+    /// Returns the number of proxies that a node's process knows to be alive, itself included; 0 if no
+    /// process runs.
     pub fn alive_count(&self, node: usize) -> usize {
         let is_running = self.nodes[node].membership.is_some();
         if is_running { self.snapshot(node).alive } else { 0 }
     }
 
-    /// What a running proxy concludes.
+    /// Returns what a node's process concludes about its fleet. Panics if no process runs.
     pub fn snapshot(&self, node: usize) -> Snapshot {
         let state = &self.nodes[node];
-        state.membership.as_ref().expect("it runs").snapshot(self.now - state.total_stall_time)
+        state
+            .membership
+            .as_ref()
+            .expect("a process runs on the node")
+            .snapshot(self.now - state.total_stall_time)
     }
 
-    /// Runs until all of these see so many alive; how long it took, or `None` after `timeout`.
+    /// Runs until all of the given nodes know `expected_count` proxies to be alive. Returns the virtual time that
+    /// this took, or `None` if `timeout` has passed before.
     pub fn run_until_all_see(
         &mut self,
         nodes: &[usize],
@@ -283,7 +331,8 @@
         None
     }
 
-    /// How often any proxy learnt since then of a death that `is_alive` contradicts.
+    /// Counts how often since the time `since` a proxy learnt of the death of a proxy whose name satisfies
+    /// `is_alive`. A false death counts once for each proxy that learnt of it.
     pub fn false_death_reports(&self, since: Micros, is_alive: impl Fn(&str) -> bool) -> usize {
         let learnt = self.nodes.iter().flat_map(|node| &node.changes).filter(|learnt| learnt.at >= since);
         learnt.filter(|learnt| matches!(&learnt.change, Change::Down(peer) if is_alive(&peer.name))).count()
--- a/crates/membership/tests/gossip.rs
+++ b/crates/membership/tests/gossip.rs
@@ -1,4 +1,5 @@
-//! A fleet in virtual time: proxies are started, killed, stalled, partitioned and given wrong names.
+//! A fleet in virtual time, whose proxies are started, killed, stalled, partitioned and configured with
+//! duplicate names.
 
 mod common;
 
@@ -9,17 +10,18 @@
 
 const FLEET_SIZE: usize = 20;
 
+/// Returns the indices of all nodes.
 fn all_nodes() -> Vec<usize> {
     (0..FLEET_SIZE).collect()
 }
 
-/// Twenty proxies that know of one another.
+/// Returns a simulation of a fleet whose proxies all know each other.
 fn settled_simulation(seed: u64) -> Simulation {
     let mut simulation = Simulation::new(FLEET_SIZE, seed);
     simulation.start_all();
     assert!(
         simulation.run_until_all_see(&all_nodes(), FLEET_SIZE, 20 * SECOND).is_some(),
-        "they find each other"
+        "the proxies discover each other"
     );
     simulation.run_for(10 * SECOND);
     simulation
@@ -29,8 +31,9 @@
 fn proxies_started_together_discover_each_other_without_false_deaths() {
     let mut simulation = Simulation::new(FLEET_SIZE, 1);
     simulation.start_all();
-    let elapsed =
-        simulation.run_until_all_see(&all_nodes(), FLEET_SIZE, 20 * SECOND).expect("they find each other");
+    let elapsed = simulation
+        .run_until_all_see(&all_nodes(), FLEET_SIZE, 20 * SECOND)
+        .expect("the proxies discover each other");
     assert!(elapsed < 5 * SECOND, "{elapsed}");
     simulation.run_for(120 * SECOND);
     assert_eq!(simulation.false_death_reports(0, |_| true), 0);
@@ -47,12 +50,14 @@
     let mut simulation = settled_simulation(2);
     simulation.kill(7);
     let remaining: Vec<usize> = all_nodes().into_iter().filter(|&node| node != 7).collect();
-    let elapsed = simulation.run_until_all_see(&remaining, FLEET_SIZE - 1, 30 * SECOND).expect("all know");
+    let elapsed = simulation
+        .run_until_all_see(&remaining, FLEET_SIZE - 1, 30 * SECOND)
+        .expect("all remaining proxies learn of it");
     assert!(elapsed < 12 * SECOND, "{elapsed}");
     assert_eq!(simulation.false_death_reports(0, |name| name != "n7"), 0);
     simulation.start(7);
     assert!(simulation.run_until_all_see(&all_nodes(), FLEET_SIZE, 10 * SECOND).is_some());
-    // A proxy that restarts before anybody noticed its death is another peer all the same.
+    // A proxy that restarts before its death was noticed is announced as a new instance all the same.
     let since = simulation.now;
     simulation.kill(8);
     simulation.start(8);
@@ -70,7 +75,9 @@
     let mut simulation = settled_simulation(3);
     simulation.leave(4);
     let remaining: Vec<usize> = all_nodes().into_iter().filter(|&node| node != 4).collect();
-    let elapsed = simulation.run_until_all_see(&remaining, FLEET_SIZE - 1, 10 * SECOND).expect("all know");
+    let elapsed = simulation
+        .run_until_all_see(&remaining, FLEET_SIZE - 1, 10 * SECOND)
+        .expect("all remaining proxies learn of it");
     assert!(elapsed <= 2 * SECOND, "{elapsed}");
 }
 
@@ -83,18 +90,19 @@
         simulation.run_for(stall_time);
         let resumed_at = simulation.now;
         (0..14).for_each(|node| simulation.resume(node));
-        assert!(!simulation.snapshot(0).is_certain, "uncertain until others are heard again");
+        assert!(!simulation.snapshot(0).is_certain, "the count is uncertain right after a stall");
         assert_eq!(simulation.snapshot(0).quota_divisor(40), 40);
         let elapsed = simulation.run_until_all_see(&all_nodes(), FLEET_SIZE, 30 * SECOND);
         assert!(elapsed.is_some_and(|elapsed| elapsed < 15 * SECOND), "{stall_time}: {elapsed:?}");
         simulation.run_for(30 * SECOND);
-        // Proxies that ran are right to declare the stalled ones dead. No running one may be declared dead.
+        // The running proxies may declare the stalled ones dead, but nobody may declare a running one dead.
         let was_running = |name: &str| name[1..].parse::<usize>().unwrap() >= 14;
         assert_eq!(simulation.false_death_reports(since, was_running), 0, "{stall_time}");
         let changes_at_resumed = simulation.nodes[..14].iter().flat_map(|node| &node.changes);
         let down_reports = changes_at_resumed
             .filter(|learnt| learnt.at >= resumed_at && matches!(learnt.change, Change::Down(_)));
-        // Other stalled ones, which the running ones had declared dead, until they are heard again.
+        // The resumed proxies may learn of each other's death, which the running ones had declared, until
+        // they hear from each other again.
         assert!(down_reports.count() <= 14 * 14);
         assert!(
             all_nodes().into_iter().all(
@@ -120,7 +128,7 @@
     }
     simulation.can_reach = Box::new(|_, _| true);
     let elapsed =
-        simulation.run_until_all_see(&all_nodes(), FLEET_SIZE, 60 * SECOND).expect("they find together");
+        simulation.run_until_all_see(&all_nodes(), FLEET_SIZE, 60 * SECOND).expect("the parts reunite");
     assert!(elapsed < 30 * SECOND, "{elapsed}");
 }
 
@@ -145,7 +153,7 @@
         (0..FLEET_SIZE).filter(|&node| node != 3).all(|node| simulation.alive_count(node) == FLEET_SIZE - 1)
     );
     assert!(simulation.nodes[3].changes.iter().any(|learnt| learnt.change == Change::Rejoined));
-    // Meanwhile it hears the others, so it declares hardly anybody dead.
+    // Node 3 has received the others' datagrams all the time, so it declares hardly any of them dead.
     simulation.can_reach = Box::new(|_, _| true);
     assert!(simulation.run_until_all_see(&all_nodes(), FLEET_SIZE, 60 * SECOND).is_some());
 }
@@ -156,7 +164,7 @@
     (3..6).for_each(|node| simulation.set_fleet(node, "another"));
     simulation.start_all();
     simulation.run_for(30 * SECOND);
-    assert!((0..6).all(|node| simulation.alive_count(node) == 3), "each fleet by itself");
+    assert!((0..6).all(|node| simulation.alive_count(node) == 3), "each proxy knows its own fleet only");
     assert!(simulation.nodes[0].membership.as_ref().unwrap().dropped().unknown_fleet > 0);
     let membership = simulation.nodes[0].membership.as_mut().unwrap();
     let loopback = "127.0.0.1".parse().unwrap();
@@ -211,7 +219,7 @@
     let (small_fleet, large_fleet) = (bytes_per_proxy_and_second(10), bytes_per_proxy_and_second(100));
     assert!(
         large_fleet < 1.5 * small_fleet && large_fleet < 2_000.0,
-        "{small_fleet} {large_fleet} bytes a second a proxy"
+        "{small_fleet} and {large_fleet} bytes per second and proxy"
     );
 }
 
--- a/crates/membership/tests/pinned_datagrams.rs
+++ b/crates/membership/tests/pinned_datagrams.rs
@@ -1,4 +1,5 @@
-//! The bytes of each kind of datagram, as literals: proxies of other versions read and write the same ones.
+//! Pins the encoding of each kind of datagram to literal bytes, because proxies of different versions read
+//! each other's datagrams.
 
 use std::net::SocketAddr;
 
@@ -21,29 +22,34 @@
     peer("proxy-b", 0x1122_3344_5566_7788, 0x0c0d, "[2001:db8::2]:7947")
 }
 
+/// Target or origin of an indirect probe, or a peer whose state is encoded.
 fn third_peer() -> Peer {
     peer("proxy-c", 0x2233_4455_6677_8899, 0x0e0f, "192.0.2.3:7948")
 }
 
-/// The receiver's codec.
+/// Creates the receiver's codec.
 fn codec() -> GossipCodec {
     GossipCodec::new(receiver())
 }
 
+/// Formats bytes as hexadecimal digits without spaces.
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
+/// Parses hexadecimal digits, between which white space is ignored.
 fn parse_hex(pinned: &str) -> Vec<u8> {
     let digits: String = pinned.split_whitespace().collect();
     (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
 }
 
+/// Checks encoded bytes against the pinned hexadecimal digits.
 fn assert_pinned(encoded: &[u8], pinned: &str) {
     assert_eq!(hex(encoded), hex(&parse_hex(pinned)));
 }
 
-/// A gossip datagram of this message and without members, both ways.
+/// Checks that a gossip datagram with this message and without peer states is encoded as the pinned bytes and
+/// decoded from them.
 fn assert_message_keeps_its_bytes(message: Message<Peer>, pinned: &str) {
     let header = Header { src: sender(), src_incarnation: 0x1a1b, dst: receiver(), message };
     let mut encoded = Vec::new();
@@ -53,14 +59,14 @@
     let datagram = parse_hex(pinned);
     let Ok(Content::Gossip { sender: decoded_sender, mut message }) = frame::decode(FLEET_TAG, &datagram)
     else {
-        panic!("no gossip")
+        panic!("the datagram does not decode as gossip")
     };
     assert_eq!(decoded_sender, sender());
     assert_eq!(codec().decode_header(&mut message).unwrap(), header);
     assert!(message.is_empty());
 }
 
-/// A member as it follows a header, both ways.
+/// Checks that a peer state, as it follows a message, is encoded as the pinned bytes and decoded from them.
 fn assert_peer_state_keeps_its_bytes(peer_state: Member<Peer>, pinned: &str) {
     let mut encoded = Vec::new();
     codec().encode_member(&peer_state, &mut encoded).unwrap();
--- a/crates/membership/tests/pinned_exchange.rs
+++ b/crates/membership/tests/pinned_exchange.rs
@@ -1,12 +1,16 @@
-//! The datagrams that two proxies with fixed seeds exchange from the first announcement to a departure, as literals.
+//! Pins the datagrams that two proxies with fixed random seeds exchange, from the first announcement until
+//! one of them leaves, to literal bytes.
 
 use std::net::{IpAddr, SocketAddr};
 
 use aldermill_membership::{Actions, Config, LocalPeer, Membership, Micros, ProtocolPeriods, SeedAddress};
 
 const LOCALHOST: IpAddr = IpAddr::V4(std::net::Ipv4Addr::LOCALHOST);
+/// Virtual time after which the proxies are no longer woken.
 const END_TIME: Micros = 1_500_000;
 
+/// Sender's name and hexadecimal digits of each datagram, in order. The last two datagrams are a payload and
+/// the notice that the proxy `a` leaves.
 const PINNED_DATAGRAMS: &[(&str, &str)] = &[
     (
         "a",
@@ -135,6 +139,7 @@
     SocketAddr::new(LOCALHOST, port)
 }
 
+/// Starts a proxy of a fleet of two with a fixed start number. `seed` seeds its random number generators.
 fn start(name: &str, port: u16, seeds: Vec<SeedAddress>, seed: u64) -> (Membership, Actions) {
     let local =
         LocalPeer { fleet: "alder".to_owned(), name: name.to_owned(), address: address(port), start: 1000 };
@@ -144,15 +149,18 @@
     Membership::start(0, config, seed)
 }
 
+/// Formats bytes as hexadecimal digits without spaces.
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
+/// Returns the datagrams to send, each with the index of the sending proxy.
 fn datagrams_of(proxy: usize, actions: Actions) -> impl Iterator<Item = (usize, Vec<u8>)> {
     actions.send.into_iter().map(move |datagram| (proxy, datagram.bytes))
 }
 
-/// Carries each datagram at once, and wakes whoever wants it first; returns the sender's name and the datagram.
+/// Runs two proxies, with datagrams delivered at once and the proxy whose wake is due first woken next.
+/// Returns the sender's name and the hexadecimal digits of each datagram, in order.
 fn exchange() -> Vec<(&'static str, String)> {
     let seeds = vec![SeedAddress { name: None, address: address(7002) }];
     let (a, actions_of_a) = start("a", 7001, seeds, 1);
@@ -172,7 +180,7 @@
             in_flight.extend(datagrams_of(to, actions));
         }
         let next_to_wake = if wake_at[0] <= wake_at[1] { 0 } else { 1 };
-        now = wake_at[next_to_wake].expect("both live");
+        now = wake_at[next_to_wake].expect("neither proxy has stopped");
         if now > END_TIME {
             break;
         }
@@ -180,7 +188,8 @@
         wake_at[next_to_wake] = actions.wake_at;
         in_flight.extend(datagrams_of(next_to_wake, actions));
     }
-    let bytes = proxies[0].encode_payload("b", b"payload").expect("a knows b").bytes;
+    let bytes =
+        proxies[0].encode_payload("b", b"payload").expect("proxy a knows the address of proxy b").bytes;
     sent.push(("a", hex(&bytes)));
     assert_eq!(proxies[1].receive(now, LOCALHOST, &bytes).payloads[0].payload, b"payload");
     let leave_actions = proxies[0].leave();
