--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,5 +1,5 @@
-//! Model checking of a lease that one of three voters holds and another seeks: messages that are late, doubled and lost, clocks
-//! that run apart, a voter that starts anew and has forgotten what it granted.
+//! Model checking of a lease that one of three voters holds and another seeks. Messages are delayed,
+//! duplicated and lost, clocks drift apart, and a voter restarts that has forgotten what it granted.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,35 +10,46 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const LEASE: &str = "d";
-/// In ticks; the margin is one.
+/// Duration of the lease in ticks. The clock margin of this duration is one tick.
 const LEASE_DURATION: i64 = 3;
+/// Time in ticks at which the clocks stop.
 const END_TIME: i64 = 5;
+/// Maximum depth of the search.
 const MAX_DEPTH: usize = 11;
-/// How often the holder and the other turn to the voters.
+/// Maximum number of wakes in which the holder and the other candidate send a message to the voters, after
+/// the initial state.
 const MAX_ROUNDS: [u8; 2] = [1, 2];
+/// Names of the voters. The first two are also the candidates: the initial holder, and the other.
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
 fn incarnation(index: usize, start: u64) -> Incarnation {
     Incarnation { name: NAMES[index].into(), start }
 }
 
+/// State of all processes and of the network.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
+    /// Time in ticks, by the voters' clocks.
     now: i64,
-    /// Both candidates' own clocks, one of which may be slower by a tick a lease.
+    /// Clocks of the two candidates, in ticks. One of them may fall behind by one tick, which models a clock
+    /// that loses a tick per lease.
     clocks: [i64; 2],
+    /// Whether one of the candidates' clocks has fallen behind.
     had_slow_tick: bool,
     candidates: [Candidate; 2],
     voters: [Voter; 3],
+    /// Number of restarts of a voter, at most one.
     restarts: u8,
-    /// How often each has turned to the voters.
+    /// Number of wakes in which each candidate has sent a message to the voters.
     rounds_started: [u8; 2],
-    /// Words under way: from, to, what. A word stays, so that it may come again; those lost never come.
+    /// Messages in flight: index of the sender, index of the recipient, message. Some stay after their
+    /// delivery, so that they may be delivered again. A lost message is one that is never delivered.
     in_flight: BTreeSet<(usize, usize, Arc<OrderedMessage>)>,
+    /// Terms that were acquired, each with the index of the candidate that acquired it.
     acquired: BTreeSet<(Term, usize)>,
 }
 
-/// A word in an order.
+/// A message, ordered by its encoding.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct OrderedMessage(Message);
 
@@ -54,27 +65,36 @@
     }
 }
 
+/// A step from one state to the next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
+    /// All clocks advance by a tick.
     Tick,
+    /// All clocks advance by a tick, except that of the candidate with this index.
     SlowTick(usize),
+    /// The candidate with this index is woken.
     Wake(usize),
+    /// A message is delivered: index of the sender, index of the recipient, message.
     Deliver(usize, usize, Arc<OrderedMessage>),
+    /// The third voter restarts.
     Restart,
 }
 
+/// The protocol, from which safeguards can be left out.
 #[derive(Clone, Copy)]
 struct Protocol {
-    /// Whether a lease ends earlier at its holder.
+    /// Whether a lease expires earlier at its holder than at the voters, by the clock margin.
     has_clock_margin: bool,
-    /// Whether a voter that starts is silent for one lease.
+    /// Whether a voter is silent for one lease duration after a restart.
     has_restart_silence: bool,
 }
 
+/// The protocol with all safeguards.
 const COMPLETE_PROTOCOL: Protocol = Protocol { has_clock_margin: true, has_restart_silence: true };
 
 impl Protocol {
-    /// What a candidate says to its own voter is heard at once, and so is the answer.
+    /// Carries out a candidate's actions. Messages to its own voter, and the replies to them, are delivered
+    /// at once.
     fn send(&self, state: &mut State, from: usize, actions: Vec<CandidateAction>) {
         for action in actions {
             match action {
@@ -101,6 +121,7 @@
         }
     }
 
+    /// Delivers a message to a voter, whose reply is then in flight, or a reply to a candidate.
     fn deliver(&self, state: &mut State, from: usize, to: usize, message: &Message) {
         match &message.payload {
             Payload::Prepare { .. } | Payload::Propose { .. } | Payload::Release { .. } => {
@@ -117,7 +138,7 @@
         }
     }
 
-    /// Whether this one may act now, by its own clock.
+    /// Returns the term under which a candidate may act now by its own clock, or `None` if it may not.
     fn may_act(&self, state: &State, index: usize) -> Option<Term> {
         let omitted_margin = if self.has_clock_margin { 0 } else { clock_margin(LEASE_DURATION) };
         state.candidates[index].may_act(state.clocks[index] - omitted_margin)
@@ -141,7 +162,8 @@
             in_flight: BTreeSet::new(),
             acquired: BTreeSet::new(),
         };
-        // One holds it, by its own vote and the third's; the other has heard of nothing yet.
+        // The first candidate holds the lease by its own vote and that of the third voter. The other
+        // candidate has received nothing yet.
         let actions = state.candidates[0].wake(0, None, 0.0);
         self.send(&mut state, 0, actions);
         while state.acquired.is_empty() {
@@ -197,7 +219,8 @@
                 self.send(&mut state, index, actions);
             }
             Step::Deliver(from, to, message) => {
-                // A grant may come twice; what else comes again says nothing new.
+                // Proposals and grants may be delivered repeatedly; a repetition of any other message tells
+                // nothing new.
                 let is_repeatable =
                     matches!(message.0.payload, Payload::Propose { .. } | Payload::Accept { .. });
                 if !is_repeatable {
@@ -208,13 +231,13 @@
             Step::Restart => {
                 state.restarts += 1;
                 let started_at = if self.has_restart_silence { state.now } else { state.now - 10 };
-                // LeaseConfig are the store's to keep, or the clock's.
+                // Terms outlast a restart, as they are in the store or follow the wall clock.
                 let stored_terms = vec![(LEASE.into(), state.voters[2].highest_term(LEASE))];
                 state.voters[2] = Voter::start(started_at, LEASE_DURATION, Some(stored_terms));
                 state.voters[2].persisted(LEASE, Term::MAX);
             }
         }
-        // An answer to what is asked no longer changes nothing, and need not be remembered.
+        // A reply to a request that is no longer pending changes nothing, and need not be kept.
         let is_stale = |(_, to, message): &(usize, usize, Arc<OrderedMessage>)| {
             let mut candidate = state.candidates.get(*to).cloned();
             let receive =
@@ -242,7 +265,7 @@
                     .zip(state.acquired.iter().skip(1))
                     .all(|(previous, next)| previous.0 != next.0)
             }),
-            Property::<Self>::always("never two may act at one time", |protocol, state| {
+            Property::<Self>::always("at most one process may act at a time", |protocol, state| {
                 !(protocol.may_act(state, 0).is_some() && protocol.may_act(state, 1).is_some())
             }),
             Property::<Self>::sometimes("the lease is held", |_, state| !state.acquired.is_empty()),
@@ -250,7 +273,8 @@
     }
 }
 
-/// Which properties are found broken, the first of them.
+/// Searches the states up to a depth for violated properties and returns their names. The search ends at the
+/// first one.
 fn violated_properties(protocol: Protocol, depth: usize) -> Vec<&'static str> {
     let checker = protocol.checker().threads(4).target_max_depth(depth);
     let checker = checker.finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
@@ -270,11 +294,11 @@
 fn the_checker_detects_a_missing_clock_margin_and_a_missing_restart_silence() {
     assert!(
         !violated_properties(Protocol { has_clock_margin: false, ..COMPLETE_PROTOCOL }, MAX_DEPTH).is_empty(),
-        "the margin"
+        "a protocol without the clock margin is not found to be unsafe"
     );
     assert!(
         !violated_properties(Protocol { has_restart_silence: false, ..COMPLETE_PROTOCOL }, MAX_DEPTH)
             .is_empty(),
-        "a new voter's silence"
+        "a protocol without the silence after a restart is not found to be unsafe"
     );
 }
--- a/crates/leases/tests/participants.rs
+++ b/crates/leases/tests/participants.rs
@@ -1,5 +1,6 @@
-//! Voters in virtual time, with a network that delays, loses, doubles and cuts, processes that die, stand still and come
-//! back, disks that take a while; and a ledger that takes acts as their receiver would.
+//! Simulation of voters in virtual time. The network delays, loses and duplicates messages and can be
+//! partitioned, processes are killed, stalled and restarted, writes to disk take a while, and a fence accepts
+//! or rejects operations as their receiver does.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -16,69 +17,87 @@
 const LEASE_DURATION: Micros = 2 * SECOND;
 const LEASE: &str = "d";
 
+/// An event that happens at a scheduled time.
 #[derive(Clone, Debug)]
 enum Event {
+    /// The process of a node is woken, unless it is no longer the one with this start number.
     Wake(usize, u64),
-    Arrival {
-        to: usize,
-        from: Incarnation,
-        message: Message,
-    },
-    Persisted {
-        node: usize,
-        start: u64,
-        term: Term,
-    },
-    /// An act that was decided on before, and left only now.
-    Operation {
-        sender: usize,
-        term: Term,
-    },
+    /// A message reaches its recipient.
+    Arrival { to: usize, from: Incarnation, message: Message },
+    /// A term is on a node's disk; `start` is the start number of the process that wrote it.
+    Persisted { node: usize, start: u64, term: Term },
+    /// An operation leaves its sender, which checked its lease some time before.
+    Operation { sender: usize, term: Term },
+    /// A fault happens or ends.
     Fault(Fault),
 }
 
+/// A fault, or its end. Nodes are given by their index.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
+    /// The process ends without notice.
     Kill(usize),
+    /// A process starts, unless one is running on the node.
     Start(usize),
+    /// The process stalls.
     Stall(usize),
+    /// The stall ends, and the process handles the messages that arrived in the meantime.
     Resume(usize),
+    /// The network is divided into the nodes whose bits are set and the others; 0 ends the partition.
     Partition(u8),
+    /// The process releases its leases and ends.
     Leave(usize),
 }
 
+/// A node of the simulation, which runs at most one process at a time.
 #[derive(Default)]
 struct Node {
+    /// `None` while no process runs.
     participant: Option<Participant>,
+    /// Start number of the latest process.
     start: u64,
     is_stalled: bool,
+    /// Messages that arrived during a stall, with their senders.
     queued_messages: Vec<(Incarnation, Message)>,
+    /// Terms on the node's disk, by lease; `None` for a node without a disk.
     persisted_terms: Option<BTreeMap<String, Term>>,
-    /// Its clock runs faster or slower by so much, and its wall clock is off by so many milliseconds.
+    /// Rate of the node's clock relative to virtual time: above 1 if the clock runs fast.
     rate: f64,
+    /// Offset of the node's wall clock, in milliseconds; negative if it is behind.
     wall_clock_offset_ms: i64,
 }
 
+/// Nodes, the network between them and the receiver of their operations, in virtual time.
 struct Simulation {
+    /// Virtual time since the start of the simulation.
     now: Micros,
     nodes: Vec<Node>,
     config: LeaseConfig,
-    /// Those on one side of a cut.
+    /// Bit mask of the nodes on one side of a partition; 0 if there is none.
     partition_mask: u8,
+    /// Probability with which a message is lost.
     loss: f64,
+    /// Times and numbers of the pending events, earliest first.
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
+    /// Pending events by number.
     events: BTreeMap<u64, Event>,
     next_event_number: u64,
+    /// Number of processes started so far on all nodes, which gives the next start number.
     start_count: u64,
     rng: Pcg64Mcg,
+    /// Fence of the receiver of operations.
     fence: Fence,
+    /// Terms of the accepted operations, in the order of their acceptance.
     accepted_terms: Vec<Term>,
+    /// Time, node and term of each acquisition of the lease, in order.
     acquisitions: Vec<(Micros, usize, Term)>,
-    /// How long it was held, and how long a majority lived that was joined, from 10 s on.
+    /// From 10 s on: time for which the lease was held while a connected majority was running, and time for
+    /// which a connected majority was running.
     availability: (Micros, Micros),
 }
 
 impl Simulation {
+    /// Creates a simulation and starts a process on each node. The nodes have disks if `durable` is set.
     fn new(voters: usize, seed: u64, durable: bool) -> Simulation {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let names = (0..voters).map(|at| format!("n{at}")).collect();
@@ -115,20 +134,25 @@
         simulation
     }
 
+    /// Schedules an event at a virtual time.
     fn schedule(&mut self, at: Micros, event: Event) {
         self.queue.push(Reverse((at, self.next_event_number)));
         self.events.insert(self.next_event_number, event);
         self.next_event_number += 1;
     }
 
+    /// Returns the time by a node's own clock.
     fn local_time(&self, node: usize) -> Micros {
         (self.now as f64 * self.nodes[node].rate) as Micros
     }
 
+    /// Returns the Unix time by a node's wall clock, in milliseconds.
     fn wall_clock_ms(&self, node: usize) -> u64 {
         (1_000_000 + self.now / 1000 + self.nodes[node].wall_clock_offset_ms) as u64
     }
 
+    /// Returns the node that may act on the lease; `None` if there is none or it is stalled. Panics if
+    /// several nodes may act.
     fn holder(&self) -> Option<usize> {
         let may_act = |index: &usize| {
             let node = &self.nodes[*index];
@@ -137,11 +161,12 @@
                 .is_some_and(|participant| participant.may_act(self.local_time(*index), LEASE).is_some())
         };
         let holders: Vec<usize> = (0..self.nodes.len()).filter(may_act).collect();
-        assert!(holders.len() < 2, "{holders:?} hold it at {}", self.now);
+        assert!(holders.len() < 2, "nodes {holders:?} hold the lease at {} us", self.now);
         holders.first().copied().filter(|&index| !self.nodes[index].is_stalled)
     }
 
-    /// Whether a majority lives, goes on, and is joined.
+    /// Returns whether a majority of the nodes has running processes that are not stalled and are on the same
+    /// side of a partition.
     fn has_connected_majority(&self) -> bool {
         let running_on_side = |in_mask: bool| {
             let is_connected = |index: &usize| {
@@ -155,6 +180,7 @@
         running_on_side(true).max(running_on_side(false)) > self.nodes.len() / 2
     }
 
+    /// Handles the events up to a virtual time.
     fn run_until(&mut self, until: Micros) {
         while let Some(&Reverse((at, event_number))) = self.queue.peek()
             && at <= until
@@ -183,7 +209,7 @@
                 Event::Persisted { node, start, term } => {
                     let (now, wall_clock_ms) = (self.local_time(node), self.wall_clock_ms(node));
                     let state = &mut self.nodes[node];
-                    // It is on the disk although its process may be gone.
+                    // The term is on the disk even if the process that wrote it has ended since.
                     state.persisted_terms.as_mut().unwrap().insert(LEASE.to_owned(), term);
                     if state.start == start
                         && let Some(participant) = &mut state.participant
@@ -194,7 +220,7 @@
                 }
                 Event::Operation { sender, term } => {
                     if self.nodes[sender].is_stalled {
-                        // It stands between look and act.
+                        // The sender is stalled between checking its lease and acting.
                         self.schedule(self.now + 100 * MILLISECOND, Event::Operation { sender, term });
                     } else {
                         match self.fence.admit(LEASE, term) {
@@ -210,7 +236,7 @@
         self.now = until;
     }
 
-    /// Whoever refused an act says which term it knows of.
+    /// Tells a node the highest term known to the receiver that has rejected the node's operation.
     fn observe_term(&mut self, node: usize, term: Term) {
         let (now, wall_clock_ms) = (self.local_time(node), self.wall_clock_ms(node));
         if let Some(participant) = &mut self.nodes[node].participant {
@@ -219,6 +245,8 @@
         }
     }
 
+    /// Wakes a process, unless it has ended or is stalled. If it may act, it sends an operation a little
+    /// later.
     fn wake(&mut self, node: usize, start: u64) {
         let (now, wall_clock_ms) = (self.local_time(node), self.wall_clock_ms(node));
         let state = &mut self.nodes[node];
@@ -235,6 +263,8 @@
         }
     }
 
+    /// Carries out a process's actions: sends messages, starts writes to disk, records acquisitions and
+    /// schedules the next wake.
     fn carry_out(&mut self, node: usize, actions: Actions) {
         let from = Incarnation { name: format!("n{node}"), start: self.nodes[node].start };
         for Outgoing { to, message } in actions.send {
@@ -270,6 +300,7 @@
         );
     }
 
+    /// Applies a fault, or its end.
     fn inject(&mut self, fault: Fault) {
         match fault {
             Fault::Kill(node) => self.nodes[node].participant = None,
@@ -313,6 +344,8 @@
         }
     }
 
+    /// Checks that the terms of accepted operations never fall, that no term was granted twice, and that
+    /// terms rise with each acquisition.
     fn assert_invariants(&self) {
         assert!(self.accepted_terms.windows(2).all(|pair| pair[0] <= pair[1]), "{:?}", self.accepted_terms);
         let mut by_term = BTreeMap::new();
@@ -325,13 +358,14 @@
         }
         assert!(
             self.acquisitions.windows(2).all(|pair| pair[0].2 < pair[1].2),
-            "terms rise: {:?}",
+            "terms do not rise: {:?}",
             self.acquisitions
         );
     }
 }
 
-/// Faults of all kinds, on 3, 5 or 7 voters with and without disks; the ledger takes no act out of order.
+/// Faults of all kinds, on 3, 5 or 7 voters with and without disks. The fence accepts no operation under a
+/// lower term than an earlier one.
 #[test]
 fn at_most_one_process_holds_the_lease_and_terms_rise_under_random_faults() {
     let (mut lowest_share, mut total_held, mut total_connected) = (1.0, 0, 0);
@@ -359,7 +393,7 @@
             simulation.schedule(end, Event::Fault(repair));
         }
         if rng.random_bool(0.1) {
-            // The power goes, at all of them; what no disk has is forgotten.
+            // All nodes lose power, and with it everything that is not on a disk.
             (0..voters).for_each(|node| simulation.inject(Fault::Kill(node)));
             let restart_at = simulation.now + 2 * SECOND;
             (0..voters).for_each(|node| simulation.schedule(restart_at, Event::Fault(Fault::Start(node))));
@@ -367,25 +401,25 @@
         let end = simulation.now + 20 * SECOND;
         simulation.run_until(end);
         simulation.assert_invariants();
-        assert!(simulation.holder().is_some(), "held again at the end, seed {seed}");
+        assert!(simulation.holder().is_some(), "nobody holds the lease at the end, seed {seed}");
         let share = simulation.availability.0 as f64 / simulation.availability.1.max(1) as f64;
         lowest_share = f64::min(lowest_share, share);
         (total_held, total_connected) =
             (total_held + simulation.availability.0, total_connected + simulation.availability.1);
     }
     eprintln!(
-        "held {:.4} of the time in which a majority was joined, least {lowest_share:.3}",
+        "lease held for {:.4} of the time with a connected majority, lowest share {lowest_share:.3}",
         total_held as f64 / total_connected as f64
     );
 }
 
-/// From a fault that ends a holder until the next one, over 50 seeds each.
+/// Returns the times from a fault of the holder until the next acquisition, for 50 seeds, shortest first.
 fn handover_times(fault: impl Fn(usize) -> Fault) -> Vec<Micros> {
     let mut times: Vec<Micros> = (0..50)
         .map(|seed| {
             let mut simulation = Simulation::new(5, seed, seed % 2 == 0);
             simulation.run_until(10 * SECOND + seed as Micros * 37 * MILLISECOND);
-            let holder = simulation.holder().expect("held in calm times");
+            let holder = simulation.holder().expect("the lease is held while there are no faults");
             let faulted_at = simulation.now;
             simulation.inject(fault(holder));
             simulation.run_until(faulted_at + 3 * LEASE_DURATION);
@@ -394,7 +428,7 @@
                 .acquisitions
                 .iter()
                 .find(|acquisition| acquisition.0 > faulted_at)
-                .expect("it passes on")
+                .expect("the lease is acquired after the fault")
                 .0
                 - faulted_at
         })
@@ -409,12 +443,12 @@
         eprintln!("{name}: median {} ms, worst {} ms", times[25] / MILLISECOND, times[49] / MILLISECOND);
     };
     let after_release = handover_times(Fault::Leave);
-    report("left", &after_release);
+    report("released", &after_release);
     assert!(after_release[48] < 300 * MILLISECOND, "{after_release:?}");
     for (name, times) in [
         ("killed", handover_times(Fault::Kill)),
-        ("stopped", handover_times(Fault::Stall)),
-        ("cut off", handover_times(|holder| Fault::Partition(1 << holder))),
+        ("stalled", handover_times(Fault::Stall)),
+        ("partitioned", handover_times(|holder| Fault::Partition(1 << holder))),
     ] {
         report(name, &times);
         assert!(times[49] < 2 * LEASE_DURATION, "{name}: {times:?}");
@@ -437,7 +471,9 @@
     simulation.assert_invariants();
 }
 
-/// An hour's step of all wall clocks, either way, while elections go on, and one undone over a loss of all that voters knew.
+/// All wall clocks step by an hour or by 2 s, forward or back, during elections. Then all voters lose their
+/// state, and the wall clocks are set back: new terms start below those that the fence has accepted, and have
+/// to rise above them.
 #[test]
 fn wall_clock_steps_neither_block_elections_nor_leave_terms_that_cannot_be_exceeded() {
     const HOUR: i64 = 3_600_000;
@@ -451,12 +487,12 @@
             simulation.run_until(end);
             assert!(
                 simulation.holder().is_some_and(|next_holder| next_holder != holder),
-                "nobody after {offset_ms}"
+                "no new holder at a wall clock offset of {offset_ms} ms"
             );
             simulation.inject(Fault::Start(holder));
         }
         simulation.assert_invariants();
-        // Voters without disks all start again, under clocks behind those of before.
+        // All voters, which have no disks, restart under wall clocks that are behind the earlier ones.
         (0..5).for_each(|node| simulation.inject(Fault::Kill(node)));
         simulation.nodes.iter_mut().for_each(|node| node.wall_clock_offset_ms = -2 * HOUR);
         (0..5).for_each(|node| simulation.inject(Fault::Start(node)));
@@ -465,7 +501,7 @@
         simulation.run_until(end);
         assert!(
             simulation.accepted_terms.len() > accepted_before + 5,
-            "no act is taken any more, seed {seed}"
+            "operations are no longer accepted, seed {seed}"
         );
         assert!(simulation.accepted_terms.windows(2).all(|pair| pair[0] <= pair[1]));
     }
--- a/crates/leases/tests/voter_disk_faults.rs
+++ b/crates/leases/tests/voter_disk_faults.rs
@@ -1,5 +1,8 @@
-//! Drawn histories of a voter over a folder whose calls fail for a while and whose process is killed at any byte: what it
-//! said of a term it never goes back behind, whatever it could not read or write.
+//! Random histories of a voter whose store is on a disk that fails for a while, and whose process is killed
+//! at any byte.
+//!
+//! The tests guard against a voter that announces a lower term than one it has granted, because it could not
+//! read or write its store.
 
 #[path = "../../store/tests/power/mod.rs"]
 mod power;
@@ -9,34 +12,42 @@
 use power::{Dice, FailingDisk};
 
 const LEASE_DURATION: Micros = 3_000_000;
+/// Namespace of the store that holds the granted terms.
 const TERM_NAMESPACE: u32 = 8;
+/// Number of histories, each drawn from another seed.
 const HISTORIES: u64 = 500;
 const LIMITS: Limits =
     Limits { max_segment_bytes: 300, max_batch_bytes: 10_000, max_live_bytes: 100_000, max_log_ratio: 2 };
 
-/// What the voter does with a folder that it cannot read.
+/// What the voter does while it cannot read its store.
 #[derive(Clone, Copy, PartialEq)]
 enum UnreadStorePolicy {
+    /// It casts no vote.
     WithholdVotes,
-    /// As one without a folder: to show that the judge bites.
+    /// It votes like a voter without a store. Shows that the checker detects lower terms.
     VoteAnyway,
 }
 
+/// A history of a voter's processes and their disk, with the state of the checker.
 struct History {
     disk: FailingDisk,
     rng: Dice,
     unread_store_policy: UnreadStorePolicy,
     now: Micros,
+    /// Number of the latest ballot; each message has a new one.
     ballot_number: u64,
-    /// The judge's: the highest term that this voter ever said it granted.
+    /// Checker state: the term of the latest grant that was announced, and so the highest one; 0 before the
+    /// first grant.
     highest_announced_term: Term,
-    /// How many grants were said, and how many drawn terms it did not say.
+    /// Number of grants that were announced, and number of replies that were not sent because their term was
+    /// not persisted or the process was killed.
     vote_counts: (u32, u32),
 }
 
-/// One life of the voter's process.
+/// One run of the voter's process.
 struct Process {
     voter: Voter,
+    /// `None` until the store could be opened.
     store: Option<Store<FailingDisk>>,
 }
 
@@ -54,6 +65,7 @@
         }
     }
 
+    /// Starts a process, which tries to open its store.
     fn start(&mut self) -> Process {
         let mut voter = Voter::start(self.now, LEASE_DURATION, None::<Vec<(String, Term)>>);
         if self.unread_store_policy == UnreadStorePolicy::WithholdVotes {
@@ -64,7 +76,8 @@
         process
     }
 
-    /// Reading may do where writing does not.
+    /// Opens the store and restores the voter's terms. A disk that cannot be written may still be readable,
+    /// so if the store cannot be opened, it is only read.
     fn open(&mut self, process: &mut Process) {
         let opened = Store::open(self.disk.clone(), LIMITS, self.now);
         let snapshot = match opened {
@@ -84,7 +97,8 @@
         }
     }
 
-    /// As the committer does: after a failure all is written anew first.
+    /// Persists a term, and returns whether that succeeded. As in the committer of the store, everything is
+    /// written anew first after a failure.
     fn persist(&self, process: &mut Process, term: Term) -> bool {
         let Some(store) = &mut process.store else { return false };
         if store.has_failed() && store.heal().is_err() {
@@ -94,12 +108,14 @@
         batch.put(TERM_NAMESPACE, b"d", &term.to_be_bytes(), None);
         let is_persisted = store.commit(self.now, vec![batch]).is_ok();
         if is_persisted && store.wants_compaction() {
-            // It failing is known by the next write.
+            // If the compaction fails, the next write reports it.
             let _ = store.compact();
         }
         is_persisted
     }
 
+    /// Delivers a message with a new ballot to the voter, and checks its reply. Fails if the reply announces
+    /// a lower term than one that was granted.
     fn deliver(
         &mut self,
         process: &mut Process,
@@ -112,7 +128,7 @@
         let Some(reply) = reply else { return Ok(()) };
         if let Some(term) = reply.once_persisted {
             let is_persisted = self.persist(process, term);
-            // A process that is killed says nothing more, whatever it had learnt.
+            // A killed process sends nothing, even if the term was persisted.
             if !is_persisted || self.disk.state().left == Some(0) {
                 self.vote_counts.1 += 1;
                 return Ok(());
@@ -124,7 +140,7 @@
         };
         if term < self.highest_announced_term {
             return Err(format!(
-                "said {:?} after a grant of term {}",
+                "replied with {:?} after a grant of term {}",
                 reply.payload, self.highest_announced_term
             ));
         }
@@ -135,6 +151,8 @@
         Ok(())
     }
 
+    /// Advances the time, and draws a disk fault, a kill or a message to the voter. A killed process is
+    /// started again; other processes are restarted now and then.
     fn step(&mut self, process: &mut Process) -> Result<(), String> {
         self.now += self.rng.below(2_000_000) as Micros;
         match self.rng.below(16) {
@@ -149,7 +167,8 @@
             2 => self.disk.state().left = Some(self.rng.below(300) as usize),
             3 | 4 => {}
             5..10 => self.deliver(process, |ballot| Payload::Prepare { ballot })?,
-            // A holder that lost its memory seeks with a low term, others above all that was granted.
+            // A candidate that has lost its state proposes a low term, others propose one above all granted
+            // terms.
             _ => {
                 let term = (self.highest_announced_term + 2).saturating_sub(self.rng.below(4)).max(1);
                 self.deliver(process, |ballot| Payload::Propose { ballot, term, duration: LEASE_DURATION })?;
@@ -167,6 +186,7 @@
     }
 }
 
+/// Runs one history and returns its vote counts; fails if the checker finds a lower term.
 fn run_history(seed: u64, unread_store_policy: UnreadStorePolicy) -> Result<(u32, u32), String> {
     let mut history = History::new(seed, unread_store_policy);
     let mut process = history.start();
@@ -184,7 +204,7 @@
             .unwrap_or_else(|error| panic!("history {seed}: {error}"));
         (announced, unpersisted) = (announced + vote_counts.0, unpersisted + vote_counts.1);
     }
-    println!("{announced} grants said, {unpersisted} not kept and not said");
+    println!("{announced} grants announced, {unpersisted} replies not persisted and not sent");
     assert!(announced > 3_000 && unpersisted > 300, "{announced} {unpersisted}");
 }
 
@@ -205,6 +225,6 @@
     };
     assert_eq!(voter.receive(now, &from, &prepare(1)), None);
     voter.restore([("d".to_owned(), 7)]);
-    let reply = voter.receive(now, &from, &prepare(2)).expect("it votes");
+    let reply = voter.receive(now, &from, &prepare(2)).expect("the voter replies once its store was read");
     assert!(matches!(reply.payload, Payload::Promise { term: 7, .. }));
 }
