--- a/crates/proxy/src/coordination/zone_failover.rs
+++ b/crates/proxy/src/coordination/zone_failover.rs
@@ -90,9 +90,9 @@
         evidence.evaluate(&recent_reports(now, inputs.reports));
         let mut decisions = Vec::new();
         for ZoneDirective { group, zone, shift } in planner.decide(now, evidence) {
-            if shift.short {
+            if shift.insufficient_capacity {
                 info!(self.log, "zone failover: not enough capacity elsewhere";
-                    "zone" => zone, "group" => group, "away" => shift.away);
+                    "zone" => zone, "group" => group, "away" => shift.shifted_share);
             }
             decisions.push(Decision { subject: subject(group, zone), body: shift.encode() });
         }
@@ -102,7 +102,7 @@
     /// The directives for this proxy's own zone that shift reads, if they have changed since this was last asked.
     pub fn obey(&mut self, now: Micros, directives: &DirectiveStore) -> Option<Vec<ZoneDirective>> {
         let shifts_own =
-            |directive: &ZoneDirective| directive.zone == self.own_zone && directive.shift.away > 0;
+            |directive: &ZoneDirective| directive.zone == self.own_zone && directive.shift.shifted_share > 0;
         let own: Vec<ZoneDirective> = in_force(directives, now).filter(shifts_own).collect();
         if own == self.obeyed {
             return None;
@@ -115,7 +115,7 @@
     fn log_own_zone(&self, own: &[ZoneDirective]) {
         for ZoneDirective { group, shift, .. } in own {
             info!(self.log, "zone failover: own zone";
-                "away" => shift.away, "level" => ?shift.level, "group" => group);
+                "away" => shift.shifted_share, "level" => ?shift.level, "group" => group);
         }
         if own.is_empty() {
             info!(self.log, "zone failover: own zone"; "level" => ?FailoverLevel::Local);
@@ -136,11 +136,11 @@
     json!({
         "group": key.group,
         "zone": key.zone,
-        "finding": view.verdict.status_word(),
-        "level": level.map(FailoverLevel::status_word),
+        "finding": view.health.status_value(),
+        "level": level.map(FailoverLevel::status_value),
         "asked": view.demand,
         "sent": view.load,
-        "served": view.in_time,
+        "served": view.in_time_rate,
         "bears": view.capacity,
         "drivers": view.reporters,
     })
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -103,7 +103,7 @@
     }
 
     fn summary(&mut self, now: Micros, site: Option<SiteObservations>) -> ObservationSummary {
-        let RecentReads { span, rows } = self.zone_history.take(now);
+        let RecentReads { span, rows } = self.zone_history.end_interval(now);
         let encoded = |(&group, sketch): (&u64, &mut KeySketch)| (group, sketch.encode_summary(now));
         let keys = self.keys.iter_mut().flatten().map(encoded).collect();
         ObservationSummary { span, rows, keys, site }
@@ -156,8 +156,8 @@
 
 fn read_shift(shift: &TrafficShift) -> ReadShift {
     ReadShift {
-        away: fraction(shift.away),
-        to_zones: shift.to.iter().map(|part| (part.zone, fraction(part.share))).collect(),
+        away: fraction(shift.shifted_share),
+        to_zones: shift.targets.iter().map(|part| (part.zone, fraction(part.share))).collect(),
     }
 }
 
--- a/crates/proxy/tests/status_json.rs
+++ b/crates/proxy/tests/status_json.rs
@@ -8,7 +8,7 @@
 
 use aldermill_store::{Batch, Disk, Limits, Store};
 use aldermill_test_support::*;
-use aldermill_zone_failover::{FailoverLevel, ZoneVerdict};
+use aldermill_zone_failover::{FailoverLevel, ZoneHealth};
 use serde_json::{Value, json};
 
 /// Adds the paths of all keys under `value`, which stands at `path`; `[]` stands for each item of an array,
@@ -306,15 +306,15 @@
 #[test]
 fn renamed_verdicts_and_levels_keep_their_words_in_the_status() {
     let verdicts = [
-        ZoneVerdict::Unknown,
-        ZoneVerdict::Healthy,
-        ZoneVerdict::Marginal,
-        ZoneVerdict::Unreachable,
-        ZoneVerdict::Partitioned,
-        ZoneVerdict::Overloaded,
-        ZoneVerdict::PartlyServed,
+        ZoneHealth::Unknown,
+        ZoneHealth::Healthy,
+        ZoneHealth::Marginal,
+        ZoneHealth::Unreachable,
+        ZoneHealth::Partitioned,
+        ZoneHealth::Overloaded,
+        ZoneHealth::PartlyServed,
     ];
-    let shown = verdicts.map(ZoneVerdict::status_word);
+    let shown = verdicts.map(ZoneHealth::status_value);
     assert_eq!(shown, ["Unknown", "Well", "Between", "Lost", "CutOff", "Crowded", "Some"]);
     let levels = [
         FailoverLevel::Local,
@@ -322,5 +322,5 @@
         FailoverLevel::FailedOver,
         FailoverLevel::FailingBack,
     ];
-    assert_eq!(levels.map(FailoverLevel::status_word), ["Near", "Leaning", "Left", "Coming"]);
+    assert_eq!(levels.map(FailoverLevel::status_value), ["Near", "Leaning", "Left", "Coming"]);
 }
--- a/crates/zone-failover/src/directive.rs
+++ b/crates/zone-failover/src/directive.rs
@@ -5,8 +5,8 @@
 
 use bytes::{Buf, BufMut};
 
-use crate::report::{put_zone, take_zone};
-use crate::{ALL_TRAFFIC, Group, GroupZone, Malformed, Zone};
+use crate::report::{get_zone, put_zone};
+use crate::{ALL_TRAFFIC, DecodeError, Group, GroupZone, Zone};
 
 /// How far a zone's traffic has failed over (docs/zones.md, "Levels").
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 
 impl FailoverLevel {
     /// The word in the status JSON, which programs of the users read. It never changes.
-    pub fn status_word(self) -> &'static str {
+    pub fn status_value(self) -> &'static str {
         match self {
             FailoverLevel::Local => "Near",
             FailoverLevel::Spillover => "Leaning",
@@ -41,13 +41,13 @@
         }
     }
 
-    fn from_byte(byte: u8) -> Result<FailoverLevel, Malformed> {
+    fn from_byte(byte: u8) -> Result<FailoverLevel, DecodeError> {
         match byte {
             0 => Ok(FailoverLevel::Local),
             1 => Ok(FailoverLevel::Spillover),
             2 => Ok(FailoverLevel::FailedOver),
             3 => Ok(FailoverLevel::FailingBack),
-            unknown => Err(Malformed::Level(unknown)),
+            unknown => Err(DecodeError::UnknownLevel(unknown)),
         }
     }
 }
@@ -67,11 +67,11 @@
     /// The level that the shift follows from.
     pub level: FailoverLevel,
     /// How much goes to other zones, in thousandths of what could stay.
-    pub away: u16,
+    pub shifted_share: u16,
     /// How that is divided among other zones.
-    pub to: Vec<ZoneShare>,
+    pub targets: Vec<ZoneShare>,
     /// The other zones were not measured to bear all that should go there, so that less is shifted.
-    pub short: bool,
+    pub insufficient_capacity: bool,
 }
 
 /// A shift, and for whom it is.
@@ -95,16 +95,21 @@
 impl TrafficShift {
     /// No reads are shifted.
     pub(crate) fn none() -> TrafficShift {
-        TrafficShift { level: FailoverLevel::Local, away: 0, to: Vec::new(), short: false }
+        TrafficShift {
+            level: FailoverLevel::Local,
+            shifted_share: 0,
+            targets: Vec::new(),
+            insufficient_capacity: false,
+        }
     }
 
     /// The body of a directive.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         bytes.put_u8(self.level.to_byte());
-        bytes.put_u16(self.away);
-        bytes.put_u8(u8::from(self.short));
-        for part in &self.to {
+        bytes.put_u16(self.shifted_share);
+        bytes.put_u8(u8::from(self.insufficient_capacity));
+        for part in &self.targets {
             put_zone(&mut bytes, part.zone);
             bytes.put_u16(part.share);
         }
@@ -112,23 +117,23 @@
     }
 
     /// Reads the body of a directive; fails on an unknown level, a share above the whole, or an end within a field.
-    pub fn decode(mut bytes: &[u8]) -> Result<TrafficShift, Malformed> {
-        let level = FailoverLevel::from_byte(bytes.try_get_u8().map_err(|_| Malformed::Short)?)?;
-        let away = take_share(&mut bytes)?;
-        let short = bytes.try_get_u8().map_err(|_| Malformed::Short)? != 0;
-        let mut to = Vec::new();
+    pub fn decode(mut bytes: &[u8]) -> Result<TrafficShift, DecodeError> {
+        let level = FailoverLevel::from_byte(bytes.try_get_u8().map_err(|_| DecodeError::Truncated)?)?;
+        let shifted_share = get_share(&mut bytes)?;
+        let insufficient_capacity = bytes.try_get_u8().map_err(|_| DecodeError::Truncated)? != 0;
+        let mut targets = Vec::new();
         while !bytes.is_empty() {
-            let zone = take_zone(&mut bytes)?;
-            let share = take_share(&mut bytes)?;
-            to.push(ZoneShare { zone, share });
+            let zone = get_zone(&mut bytes)?;
+            let share = get_share(&mut bytes)?;
+            targets.push(ZoneShare { zone, share });
         }
-        Ok(TrafficShift { level, away, to, short })
+        Ok(TrafficShift { level, shifted_share, targets, insufficient_capacity })
     }
 }
 
-fn take_share(bytes: &mut &[u8]) -> Result<u16, Malformed> {
-    match bytes.try_get_u16().map_err(|_| Malformed::Short)? {
+fn get_share(bytes: &mut &[u8]) -> Result<u16, DecodeError> {
+    match bytes.try_get_u16().map_err(|_| DecodeError::Truncated)? {
         share if share <= ALL_TRAFFIC => Ok(share),
-        share => Err(Malformed::Share(share)),
+        share => Err(DecodeError::ShareTooLarge(share)),
     }
 }
--- a/crates/zone-failover/src/error.rs
+++ b/crates/zone-failover/src/error.rs
@@ -5,16 +5,16 @@
 /// A payload that is not well-formed. The receiver skips it; where it is seen again and again, a proxy of another version
 /// is at work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Malformed {
+pub enum DecodeError {
     /// It ends in the middle of a field.
     #[error(
         "a zone report or directive is truncated; check that all proxies run versions that know each other"
     )]
-    Short,
+    Truncated,
     /// The byte for the level has this value.
     #[error("level {0} is unknown to this version; check whether the lease holder runs a newer one")]
-    Level(u8),
+    UnknownLevel(u8),
     /// A share has this value, in thousandths.
     #[error("a share of {0} thousandths exceeds the whole; check the version of the lease holder")]
-    Share(u16),
+    ShareTooLarge(u16),
 }
--- a/crates/zone-failover/src/evidence.rs
+++ b/crates/zone-failover/src/evidence.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::outliers::unhealthy_reporters;
-use crate::{Group, GroupZone, Micros, OutcomeCounts, Zone, ZoneReport, ZoneRow, ZoneVerdict};
+use crate::{Group, GroupZone, Micros, OutcomeCounts, Zone, ZoneHealth, ZoneReport, ZoneRow};
 
 /// The share of a measured capacity that is kept at each evaluation, once a second: after 5.8 minutes half is forgotten,
 /// unless it is served again. Members may have become fewer or slower since.
-const CAPACITY_KEPT: f64 = 0.998;
+const CAPACITY_DECAY: f64 = 0.998;
 /// While a zone is overloaded or unreachable, its capacity moves at each evaluation by this share of the way to what it
 /// serves now, whatever it once did.
 const CAPACITY_CORRECTION: f64 = 0.2;
@@ -18,13 +18,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneView {
     /// What is wrong, if anything.
-    pub verdict: ZoneVerdict,
+    pub health: ZoneHealth,
     /// Attempts a second of the zone's own proxies, at whatever zone.
     pub demand: f64,
     /// Attempts a second of all proxies at this zone.
     pub load: f64,
     /// Those of them that were served in time, a second.
-    pub in_time: f64,
+    pub in_time_rate: f64,
     /// The most that it served in time of late, a second; decays.
     pub capacity: f64,
     /// Reported rows behind this; each proxy sends one for each zone that it tried.
@@ -36,9 +36,9 @@
 pub(crate) struct RouteRate {
     pub(crate) counts: OutcomeCounts,
     /// Attempts a second.
-    pub(crate) attempts: f64,
+    pub(crate) attempt_rate: f64,
     /// Served in time, a second.
-    pub(crate) in_time: f64,
+    pub(crate) in_time_rate: f64,
     /// Reported rows behind this.
     pub(crate) reporters: usize,
 }
@@ -46,15 +46,15 @@
 impl RouteRate {
     fn add_row(&mut self, row: &ZoneRow, seconds: f64) {
         self.counts.add(&row.counts);
-        self.attempts += f64::from(row.counts.attempts) / seconds;
-        self.in_time += f64::from(row.counts.in_time) / seconds;
+        self.attempt_rate += f64::from(row.counts.attempts) / seconds;
+        self.in_time_rate += f64::from(row.counts.in_time) / seconds;
         self.reporters += 1;
     }
 
     fn add(&mut self, other: &RouteRate) {
         self.counts.add(&other.counts);
-        self.attempts += other.attempts;
-        self.in_time += other.in_time;
+        self.attempt_rate += other.attempt_rate;
+        self.in_time_rate += other.in_time_rate;
         self.reporters += other.reporters;
     }
 }
@@ -74,11 +74,11 @@
 struct CombinedReports {
     rates: BTreeMap<Route, RouteRate>,
     /// How each proxy fared in its own zone.
-    own_zone: BTreeMap<GroupZone, Vec<OutcomeCounts>>,
+    own_zone_counts: BTreeMap<GroupZone, Vec<OutcomeCounts>>,
 }
 
 impl CombinedReports {
-    fn of<'a>(reports: impl Iterator<Item = &'a ZoneReport>) -> CombinedReports {
+    fn from_reports<'a>(reports: impl Iterator<Item = &'a ZoneReport>) -> CombinedReports {
         let mut combined = CombinedReports::default();
         for report in reports {
             let seconds = span_seconds(report.span);
@@ -93,7 +93,7 @@
         let ZoneRow { group, zone, counts } = *row;
         self.rates.entry(Route { group, from, to: zone }).or_default().add_row(row, seconds);
         if from == zone && counts.attempts > 0 {
-            self.own_zone.entry(GroupZone { group, zone }).or_default().push(counts);
+            self.own_zone_counts.entry(GroupZone { group, zone }).or_default().push(counts);
         }
     }
 
@@ -146,9 +146,9 @@
     pub fn evaluate(&mut self, reports: &BTreeMap<String, Vec<ZoneReport>>) {
         self.unhealthy = unhealthy_reporters(reports);
         let healthy = reports.iter().filter(|(reporter, _)| !self.unhealthy.contains(*reporter));
-        let combined = CombinedReports::of(healthy.flat_map(|(_, parts)| parts));
+        let combined = CombinedReports::from_reports(healthy.flat_map(|(_, parts)| parts));
         for capacity in self.capacities.values_mut() {
-            *capacity *= CAPACITY_KEPT;
+            *capacity *= CAPACITY_DECAY;
         }
         self.views.clear();
         for key in combined.keys() {
@@ -161,24 +161,24 @@
         let GroupZone { group, zone } = key;
         let own = combined.sum(group, |route| route.from == zone && route.to == zone);
         let others = combined.sum(group, |route| route.from != zone && route.to == zone);
-        let own_proxies = combined.own_zone.get(&key).map_or(&[][..], Vec::as_slice);
-        let verdict = ZoneVerdict::of(&own, &others, own_proxies);
-        let in_time = own.in_time + others.in_time;
+        let own_proxies = combined.own_zone_counts.get(&key).map_or(&[][..], Vec::as_slice);
+        let health = ZoneHealth::classify(&own, &others, own_proxies);
+        let in_time_rate = own.in_time_rate + others.in_time_rate;
         ZoneView {
-            verdict,
-            demand: combined.sum(group, |route| route.from == zone).attempts,
-            load: own.attempts + others.attempts,
-            in_time,
-            capacity: self.measure_capacity(key, in_time, verdict),
+            health,
+            demand: combined.sum(group, |route| route.from == zone).attempt_rate,
+            load: own.attempt_rate + others.attempt_rate,
+            in_time_rate,
+            capacity: self.measure_capacity(key, in_time_rate, health),
             reporters: own.reporters + others.reporters,
         }
     }
 
-    fn measure_capacity(&mut self, key: GroupZone, in_time: f64, verdict: ZoneVerdict) -> f64 {
+    fn measure_capacity(&mut self, key: GroupZone, in_time_rate: f64, health: ZoneHealth) -> f64 {
         let capacity = self.capacities.entry(key).or_default();
-        *capacity = capacity.max(in_time);
-        if matches!(verdict, ZoneVerdict::Overloaded | ZoneVerdict::Unreachable) {
-            *capacity += (in_time - *capacity) * CAPACITY_CORRECTION;
+        *capacity = capacity.max(in_time_rate);
+        if matches!(health, ZoneHealth::Overloaded | ZoneHealth::Unreachable) {
+            *capacity += (in_time_rate - *capacity) * CAPACITY_CORRECTION;
         }
         *capacity
     }
--- a/crates/zone-failover/src/verdict.rs
+++ b/crates/zone-failover/src/health.rs
@@ -8,7 +8,7 @@
 const MIN_ATTEMPTS: u32 = 12;
 /// Proxies that have to stand behind a verdict, so that a single one's network never moves traffic.
 const MIN_REPORTERS: usize = 2;
-/// Unanswered attempts that are enough for [`ZoneVerdict::Unreachable`]. Fewer than [`MIN_ATTEMPTS`], since proxies soon
+/// Unanswered attempts that are enough for [`ZoneHealth::Unreachable`]. Fewer than [`MIN_ATTEMPTS`], since proxies soon
 /// blacklist members that don't answer and stop trying.
 const MIN_UNANSWERED: u32 = 4;
 /// From this share in time on a zone is healthy.
@@ -17,16 +17,16 @@
 /// all stays as it is.
 const MIN_SHARE_IN_TIME: f64 = 0.85;
 /// From this share of unanswered attempts on nobody seems to be there.
-const UNREACHABLE_SHARE: f64 = 0.5;
+const UNREACHABLE_SHARE_UNANSWERED: f64 = 0.5;
 /// An unreachable zone serves less than this share in time. In an overloaded one attempts run out of time too, but more
 /// of them are served.
-const UNREACHABLE_MAX_IN_TIME: f64 = 0.1;
+const UNREACHABLE_MAX_SHARE_IN_TIME: f64 = 0.1;
 /// Where at least one in three of a zone's own proxies is served well, the trouble lies with the paths of the others.
 const PARTLY_SERVED_ONE_IN: usize = 3;
 
 /// What is wrong with one group's members in one zone, if anything (docs/zones.md, "Evidence").
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ZoneVerdict {
+pub enum ZoneHealth {
     /// Too few attempts, or reporters, to say.
     Unknown,
     /// Its own proxies are served in time.
@@ -43,55 +43,55 @@
     PartlyServed,
 }
 
-impl ZoneVerdict {
+impl ZoneHealth {
     /// The word in the status JSON, which programs of the users read. It never changes.
-    pub fn status_word(self) -> &'static str {
+    pub fn status_value(self) -> &'static str {
         match self {
-            ZoneVerdict::Unknown => "Unknown",
-            ZoneVerdict::Healthy => "Well",
-            ZoneVerdict::Marginal => "Between",
-            ZoneVerdict::Unreachable => "Lost",
-            ZoneVerdict::Partitioned => "CutOff",
-            ZoneVerdict::Overloaded => "Crowded",
-            ZoneVerdict::PartlyServed => "Some",
+            ZoneHealth::Unknown => "Unknown",
+            ZoneHealth::Healthy => "Well",
+            ZoneHealth::Marginal => "Between",
+            ZoneHealth::Unreachable => "Lost",
+            ZoneHealth::Partitioned => "CutOff",
+            ZoneHealth::Overloaded => "Crowded",
+            ZoneHealth::PartlyServed => "Some",
         }
     }
 
     /// The verdict on a zone: `own` and `others` are the reads of its own proxies and of all others there, `own_proxies` how each
     /// of its own fared.
-    pub(crate) fn of(own: &RouteRate, others: &RouteRate, own_proxies: &[OutcomeCounts]) -> ZoneVerdict {
+    pub(crate) fn classify(own: &RouteRate, others: &RouteRate, own_proxies: &[OutcomeCounts]) -> ZoneHealth {
         if is_unreachable(own) {
-            return ZoneVerdict::Unreachable;
+            return ZoneHealth::Unreachable;
         }
         if own.counts.attempts < MIN_ATTEMPTS || own.reporters < MIN_REPORTERS {
             // Its own proxies say nothing. That others get no answer shows at least that nobody is there.
-            return if is_unreachable(others) { ZoneVerdict::Unreachable } else { ZoneVerdict::Unknown };
+            return if is_unreachable(others) { ZoneHealth::Unreachable } else { ZoneHealth::Unknown };
         }
-        let in_time = own.counts.share_in_time();
-        if in_time < MIN_SHARE_IN_TIME {
-            return verdict_when_slow(own_proxies);
+        let share_in_time = own.counts.share_in_time();
+        if share_in_time < MIN_SHARE_IN_TIME {
+            return classify_slow(own_proxies);
         }
         if is_unreachable(others) {
-            return ZoneVerdict::Partitioned;
+            return ZoneHealth::Partitioned;
         }
-        if in_time >= HEALTHY_SHARE_IN_TIME { ZoneVerdict::Healthy } else { ZoneVerdict::Marginal }
+        if share_in_time >= HEALTHY_SHARE_IN_TIME { ZoneHealth::Healthy } else { ZoneHealth::Marginal }
     }
 }
 
 fn is_unreachable(rate: &RouteRate) -> bool {
-    let mostly_unanswered = rate.counts.share_unanswered() >= UNREACHABLE_SHARE;
-    let hardly_served = rate.counts.share_in_time() < UNREACHABLE_MAX_IN_TIME;
+    let mostly_unanswered = rate.counts.share_unanswered() >= UNREACHABLE_SHARE_UNANSWERED;
+    let hardly_served = rate.counts.share_in_time() < UNREACHABLE_MAX_SHARE_IN_TIME;
     let enough = rate.counts.unanswered >= MIN_UNANSWERED && rate.reporters >= MIN_REPORTERS;
     mostly_unanswered && hardly_served && enough
 }
 
 /// Where some proxies are served as ever, what is wrong is not the zone's.
-fn verdict_when_slow(own_proxies: &[OutcomeCounts]) -> ZoneVerdict {
+fn classify_slow(own_proxies: &[OutcomeCounts]) -> ZoneHealth {
     let is_served_well = |counts: &&OutcomeCounts| counts.share_in_time() >= HEALTHY_SHARE_IN_TIME;
     let served_well = own_proxies.iter().filter(is_served_well).count();
     if served_well * PARTLY_SERVED_ONE_IN >= own_proxies.len() {
-        ZoneVerdict::PartlyServed
+        ZoneHealth::PartlyServed
     } else {
-        ZoneVerdict::Overloaded
+        ZoneHealth::Overloaded
     }
 }
--- a/crates/zone-failover/src/history.rs
+++ b/crates/zone-failover/src/history.rs
@@ -54,13 +54,13 @@
                 counts.served_ms = counts.served_ms.saturating_add(elapsed_ms);
             }
             ReadOutcome::Rejected => counts.rejected += 1,
-            ReadOutcome::Failed => counts.errors += 1,
+            ReadOutcome::Failed => counts.failed += 1,
             ReadOutcome::Unanswered => counts.unanswered += 1,
         }
     }
 
     /// Ends the reporting interval, and returns what the last ones counted. Called once a second.
-    pub fn take(&mut self, now: Micros) -> RecentReads {
+    pub fn end_interval(&mut self, now: Micros) -> RecentReads {
         let span = now - self.current_since;
         let counts = std::mem::take(&mut self.current);
         self.current_since = now;
--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -8,7 +8,7 @@
 //! 1. *Report.* Each proxy counts how its reads ended by group and zone ([`ZoneHistory`]) and sends a [`ZoneReport`].
 //! 2. *Evidence.* The lease holder combines the reports of all proxies into a [`ZoneView`] of each group in each zone
 //!    ([`Evidence`]), without those of proxies that are unhealthy themselves.
-//! 3. *Verdict.* Each view carries a [`ZoneVerdict`]: what is wrong with the zone, if anything.
+//! 3. *Verdict.* Each view carries a [`ZoneHealth`]: what is wrong with the zone, if anything.
 //! 4. *Directive.* The [`FailoverPlanner`] keeps a [`FailoverLevel`] for each group in each zone, and returns the
 //!    [`ZoneDirective`]s to be issued. A proxy weights by the [`TrafficShift`] the members that its own rules leave open,
 //!    and nothing else.
@@ -27,7 +27,7 @@
 //! // At each proxy: count, and report once a second.
 //! let mut history = ZoneHistory::start(0);
 //! history.record(7, 1, ReadOutcome::Served { in_time: true }, 20_000);
-//! let recent = history.take(1_000_000);
+//! let recent = history.end_interval(1_000_000);
 //! let report = ZoneReport { zone: 1, span: recent.span, rows: recent.rows };
 //!
 //! // At the lease holder: evaluate what was received.
@@ -36,26 +36,26 @@
 //! evidence.evaluate(&BTreeMap::from([("n0".to_owned(), vec![received])]));
 //! let directives = FailoverPlanner::default().decide(1_000_000, &evidence);
 //! assert!(directives.is_empty(), "one read proves nothing");
-//! # Ok::<(), aldermill_zone_failover::Malformed>(())
+//! # Ok::<(), aldermill_zone_failover::DecodeError>(())
 //! ```
 
 mod directive;
 mod error;
 mod evidence;
+mod health;
 mod history;
 mod outliers;
 mod planner;
 mod report;
-mod verdict;
 mod zone_state;
 
 pub use directive::{FailoverLevel, TrafficShift, ZoneDirective, ZoneShare};
-pub use error::Malformed;
+pub use error::DecodeError;
 pub use evidence::{Evidence, ZoneView};
+pub use health::ZoneHealth;
 pub use history::{RecentReads, ZoneHistory};
 pub use planner::FailoverPlanner;
 pub use report::{MAX_ROWS, OutcomeCounts, ReadOutcome, ZoneReport, ZoneRow};
-pub use verdict::ZoneVerdict;
 
 /// Whole microseconds: an instant on the caller's clock, or a span.
 pub type Micros = i64;
--- a/crates/zone-failover/src/outliers.rs
+++ b/crates/zone-failover/src/outliers.rs
@@ -13,7 +13,7 @@
 /// How well one proxy fares in the zone that serves it best.
 struct BestShare<'a> {
     reporter: &'a String,
-    in_time: f64,
+    share_in_time: f64,
 }
 
 /// Proxies that are served badly wherever they ask, while others of their zone are not.
@@ -26,9 +26,9 @@
         if proxies.len() < MIN_PROXIES_FOR_MEDIAN {
             continue;
         }
-        proxies.sort_by(|a, b| a.in_time.total_cmp(&b.in_time));
-        let median = proxies[proxies.len() / 2].in_time;
-        let is_outlier = |proxy: &&BestShare| proxy.in_time < median - MAX_BELOW_MEDIAN;
+        proxies.sort_by(|a, b| a.share_in_time.total_cmp(&b.share_in_time));
+        let median = proxies[proxies.len() / 2].share_in_time;
+        let is_outlier = |proxy: &&BestShare| proxy.share_in_time < median - MAX_BELOW_MEDIAN;
         unhealthy.extend(proxies.iter().filter(is_outlier).map(|proxy| proxy.reporter.clone()));
     }
     unhealthy
@@ -38,8 +38,8 @@
 fn best_shares_by_zone(reports: &BTreeMap<String, Vec<ZoneReport>>) -> BTreeMap<Zone, Vec<BestShare<'_>>> {
     let mut by_zone: BTreeMap<Zone, Vec<BestShare<'_>>> = BTreeMap::new();
     for (reporter, parts) in reports {
-        if let (Some(first), Some(in_time)) = (parts.first(), best_share_in_time(parts)) {
-            by_zone.entry(first.zone).or_default().push(BestShare { reporter, in_time });
+        if let (Some(first), Some(share_in_time)) = (parts.first(), best_share_in_time(parts)) {
+            by_zone.entry(first.zone).or_default().push(BestShare { reporter, share_in_time });
         }
     }
     by_zone
--- a/crates/zone-failover/src/planner.rs
+++ b/crates/zone-failover/src/planner.rs
@@ -5,16 +5,16 @@
 use crate::zone_state::ZoneState;
 use crate::{
     ALL_TRAFFIC, Evidence, FailoverLevel, Group, GroupZone, Micros, TrafficShift, Zone, ZoneDirective,
-    ZoneShare, ZoneVerdict, ZoneView,
+    ZoneHealth, ZoneShare, ZoneView,
 };
 
 /// The most that a zone is sent, as a multiple of its measured capacity: only load beyond it shows that it bears more.
 const CAPACITY_OVERSHOOT: f64 = 1.1;
 /// Of a zone's spare capacity this share is given out; the rest is reserved for a further failure.
-const SPARE_GIVEN_OUT: f64 = 0.9;
+const ALLOCATABLE_SHARE: f64 = 0.9;
 /// For how long after its return a zone's directive says that nothing is shifted any more, in microseconds. It
 /// is said at several evaluations, as one directive may be lost on its way.
-const ANNOUNCE_RETURN_FOR: Micros = 3_000_000;
+const RETURN_ANNOUNCE_PERIOD: Micros = 3_000_000;
 /// Missing capacity that is not yet reported as short, in reads a second: rounding to whole thousandths is no shortage.
 const SHORTAGE_TOLERANCE: f64 = 0.5;
 
@@ -32,9 +32,9 @@
     /// The shifted traffic, divided in proportion to what is left.
     fn shares(&self) -> Vec<ZoneShare> {
         let total = self.total();
-        let share = |spare: f64| if total > 0.0 { thousandths(spare / total) } else { 0 };
-        let takers = self.by_zone.iter().filter(|(_, spare)| **spare > 0.0);
-        takers.map(|(&zone, &spare)| ZoneShare { zone, share: share(spare) }).collect()
+        let share = |spare: f64| if total > 0.0 { to_thousandths(spare / total) } else { 0 };
+        let targets = self.by_zone.iter().filter(|(_, spare)| **spare > 0.0);
+        targets.map(|(&zone, &spare)| ZoneShare { zone, share: share(spare) }).collect()
     }
 
     /// Reserves `rate` in the same proportion.
@@ -48,16 +48,16 @@
     }
 }
 
-fn thousandths(share: f64) -> u16 {
+fn to_thousandths(share: f64) -> u16 {
     (share * f64::from(ALL_TRAFFIC)) as u16
 }
 
 /// What a zone may be sent on top of its load, in reads a second; nothing unless it serves well.
 fn spare_capacity(view: &ZoneView) -> f64 {
-    if !matches!(view.verdict, ZoneVerdict::Healthy | ZoneVerdict::Marginal) {
+    if !matches!(view.health, ZoneHealth::Healthy | ZoneHealth::Marginal) {
         return 0.0;
     }
-    (view.capacity * CAPACITY_OVERSHOOT - view.load).max(0.0) * SPARE_GIVEN_OUT
+    (view.capacity * CAPACITY_OVERSHOOT - view.load).max(0.0) * ALLOCATABLE_SHARE
 }
 
 /// Keeps the failover levels of all groups and zones, at the holder of the lease `zones`.
@@ -70,7 +70,7 @@
     /// Continues a directive of an earlier lease holder. Called before the first decision.
     pub fn resume(&mut self, now: Micros, directive: &ZoneDirective) {
         let shift = &directive.shift;
-        self.states.insert(directive.key(), ZoneState::resume(now, shift.level, shift.away));
+        self.states.insert(directive.key(), ZoneState::resume(now, shift.level, shift.shifted_share));
     }
 
     /// The level of a group in a zone; `None` where nothing was ever reported of it.
@@ -84,17 +84,17 @@
     pub fn decide(&mut self, now: Micros, evidence: &Evidence) -> Vec<ZoneDirective> {
         for (&key, view) in evidence.views() {
             let state = self.states.entry(key).or_insert_with(|| ZoneState::start(now));
-            state.observe(now, view.verdict);
+            state.observe(now, view.health);
             state.step(now);
         }
         let mut groups: Vec<Group> = self.states.keys().map(|key| key.group).collect();
         groups.dedup();
-        groups.into_iter().flat_map(|group| self.direct_group(now, group, evidence.views())).collect()
+        groups.into_iter().flat_map(|group| self.group_directives(now, group, evidence.views())).collect()
     }
 
     /// Divides a group's shifted traffic among the zones where spare capacity was measured. A zone that shifts traffic
     /// itself takes none, so that no two send to each other.
-    fn direct_group(
+    fn group_directives(
         &self,
         now: Micros,
         group: Group,
@@ -102,27 +102,27 @@
     ) -> Vec<ZoneDirective> {
         let mut spare = self.spare_capacity(group, views);
         let mut directives = Vec::new();
-        for (zone, state) in self.zones(group) {
+        for (zone, state) in self.zone_states(group) {
             let demand = views.get(&GroupZone { group, zone }).map_or(0.0, |view| view.demand);
             let shift = match state.level {
-                FailoverLevel::Local if state.changed_within(now, ANNOUNCE_RETURN_FOR) => {
+                FailoverLevel::Local if state.changed_within(now, RETURN_ANNOUNCE_PERIOD) => {
                     TrafficShift::none()
                 }
                 FailoverLevel::Local => continue,
-                level => shift_traffic(level, state.away, demand, &mut spare),
+                level => shift_traffic(level, state.shifted_share, demand, &mut spare),
             };
             directives.push(ZoneDirective { group, zone, shift });
         }
         directives
     }
 
-    fn zones(&self, group: Group) -> impl Iterator<Item = (Zone, &ZoneState)> {
+    fn zone_states(&self, group: Group) -> impl Iterator<Item = (Zone, &ZoneState)> {
         let of_group = self.states.iter().filter(move |(key, _)| key.group == group);
         of_group.map(|(key, state)| (key.zone, state))
     }
 
     fn spare_capacity(&self, group: Group, views: &BTreeMap<GroupZone, ZoneView>) -> SpareCapacity {
-        let local = self.zones(group).filter(|(_, state)| state.level == FailoverLevel::Local);
+        let local = self.zone_states(group).filter(|(_, state)| state.level == FailoverLevel::Local);
         let spare = |zone| views.get(&GroupZone { group, zone }).map_or(0.0, spare_capacity);
         SpareCapacity { by_zone: local.map(|(zone, _)| (zone, spare(zone))).collect() }
     }
@@ -132,13 +132,13 @@
 fn shift_traffic(level: FailoverLevel, wanted: u16, demand: f64, spare: &mut SpareCapacity) -> TrafficShift {
     let wanted_rate = demand * f64::from(wanted) / f64::from(ALL_TRAFFIC);
     let rate = wanted_rate.min(spare.total());
-    let possible = if demand > 0.0 { thousandths(rate / demand) } else { 0 };
-    let to = spare.shares();
+    let possible = if demand > 0.0 { to_thousandths(rate / demand) } else { 0 };
+    let targets = spare.shares();
     spare.reserve(rate);
     TrafficShift {
         level,
-        away: if to.is_empty() { 0 } else { possible.min(wanted) },
-        to,
-        short: rate + SHORTAGE_TOLERANCE < wanted_rate,
+        shifted_share: if targets.is_empty() { 0 } else { possible.min(wanted) },
+        targets,
+        insufficient_capacity: rate + SHORTAGE_TOLERANCE < wanted_rate,
     }
 }
--- a/crates/zone-failover/src/report.rs
+++ b/crates/zone-failover/src/report.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Buf, BufMut};
 
-use crate::{Group, Malformed, Micros, Zone};
+use crate::{DecodeError, Group, Micros, Zone};
 
 /// Rows in one report, so that it fits into a datagram; more go into another report.
 pub const MAX_ROWS: usize = 26;
@@ -41,7 +41,7 @@
     /// Rejected for overload.
     pub rejected: u32,
     /// Answered with an error.
-    pub errors: u32,
+    pub failed: u32,
     /// Without an answer.
     pub unanswered: u32,
     /// Time that all served ones took together, in milliseconds.
@@ -54,24 +54,24 @@
         self.attempts = self.attempts.saturating_add(other.attempts);
         self.in_time = self.in_time.saturating_add(other.in_time);
         self.rejected = self.rejected.saturating_add(other.rejected);
-        self.errors = self.errors.saturating_add(other.errors);
+        self.failed = self.failed.saturating_add(other.failed);
         self.unanswered = self.unanswered.saturating_add(other.unanswered);
         self.served_ms = self.served_ms.saturating_add(other.served_ms);
     }
 
     /// Attempts that say something of the zone: an error may be the request's own. At least 1, as it divides.
-    fn conclusive(&self) -> f64 {
-        f64::from((self.attempts - self.errors.min(self.attempts)).max(1))
+    fn conclusive_attempts(&self) -> f64 {
+        f64::from((self.attempts - self.failed.min(self.attempts)).max(1))
     }
 
     /// The share of conclusive attempts that were served in time.
     pub fn share_in_time(&self) -> f64 {
-        f64::from(self.in_time) / self.conclusive()
+        f64::from(self.in_time) / self.conclusive_attempts()
     }
 
     /// The share of conclusive attempts without an answer.
     pub fn share_unanswered(&self) -> f64 {
-        f64::from(self.unanswered) / self.conclusive()
+        f64::from(self.unanswered) / self.conclusive_attempts()
     }
 }
 
@@ -110,9 +110,9 @@
     }
 
     /// Reads a report; fails where it ends within a field.
-    pub fn decode(mut bytes: &[u8]) -> Result<ZoneReport, Malformed> {
-        let zone = take_zone(&mut bytes)?;
-        let span_ms = take_u32(&mut bytes)?;
+    pub fn decode(mut bytes: &[u8]) -> Result<ZoneReport, DecodeError> {
+        let zone = get_zone(&mut bytes)?;
+        let span_ms = get_u32(&mut bytes)?;
         let mut rows = Vec::new();
         while !bytes.is_empty() {
             rows.push(ZoneRow::decode(&mut bytes)?);
@@ -128,21 +128,21 @@
         bytes.put_u32(self.counts.attempts);
         bytes.put_u32(self.counts.in_time);
         bytes.put_u32(self.counts.rejected);
-        bytes.put_u32(self.counts.errors);
+        bytes.put_u32(self.counts.failed);
         bytes.put_u32(self.counts.unanswered);
         bytes.put_u32(self.counts.served_ms);
     }
 
-    fn decode(bytes: &mut &[u8]) -> Result<ZoneRow, Malformed> {
-        let group = bytes.try_get_u64().map_err(|_| Malformed::Short)?;
-        let zone = take_zone(bytes)?;
+    fn decode(bytes: &mut &[u8]) -> Result<ZoneRow, DecodeError> {
+        let group = bytes.try_get_u64().map_err(|_| DecodeError::Truncated)?;
+        let zone = get_zone(bytes)?;
         let counts = OutcomeCounts {
-            attempts: take_u32(bytes)?,
-            in_time: take_u32(bytes)?,
-            rejected: take_u32(bytes)?,
-            errors: take_u32(bytes)?,
-            unanswered: take_u32(bytes)?,
-            served_ms: take_u32(bytes)?,
+            attempts: get_u32(bytes)?,
+            in_time: get_u32(bytes)?,
+            rejected: get_u32(bytes)?,
+            failed: get_u32(bytes)?,
+            unanswered: get_u32(bytes)?,
+            served_ms: get_u32(bytes)?,
         };
         Ok(ZoneRow { group, zone, counts })
     }
@@ -153,10 +153,10 @@
     bytes.put_u8(zone.min(255) as u8);
 }
 
-pub(crate) fn take_zone(bytes: &mut &[u8]) -> Result<Zone, Malformed> {
-    bytes.try_get_u8().map(Zone::from).map_err(|_| Malformed::Short)
+pub(crate) fn get_zone(bytes: &mut &[u8]) -> Result<Zone, DecodeError> {
+    bytes.try_get_u8().map(Zone::from).map_err(|_| DecodeError::Truncated)
 }
 
-fn take_u32(bytes: &mut &[u8]) -> Result<u32, Malformed> {
-    bytes.try_get_u32().map_err(|_| Malformed::Short)
+fn get_u32(bytes: &mut &[u8]) -> Result<u32, DecodeError> {
+    bytes.try_get_u32().map_err(|_| DecodeError::Truncated)
 }
--- a/crates/zone-failover/src/zone_state.rs
+++ b/crates/zone-failover/src/zone_state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::{FailoverLevel, Micros, ZoneVerdict};
+use crate::{FailoverLevel, Micros, ZoneHealth};
 
 /// How often the level may change within [`CHANGE_WINDOW`]: once to fail over, once to start back.
 const MAX_CHANGES: usize = 2;
@@ -10,11 +10,11 @@
 const CHANGE_WINDOW: Micros = 60_000_000;
 /// For how long a zone has to be unreachable before it is failed over, in microseconds: two evaluations, as this is plain
 /// at once.
-const UNREACHABLE_FOR: Micros = 1_000_000;
+const FAILOVER_DELAY: Micros = 1_000_000;
 /// For how long a zone has to be overloaded before a part spills over, in microseconds: a short burst moves nothing.
-const OVERLOADED_FOR: Micros = 3_000_000;
+const SPILLOVER_DELAY: Micros = 3_000_000;
 /// For how long a zone has to answer again before it takes traffic back, in microseconds: it shows that it stays.
-const BACK_FOR: Micros = 2_000_000;
+const FAILBACK_DELAY: Micros = 2_000_000;
 /// How long a step of spilling over waits for what was served to confirm it, in microseconds: the span of a report.
 const SPILLOVER_STEP_INTERVAL: Micros = 2_000_000;
 /// The same for a step of failing back, in microseconds. Shorter, as the traffic returns to where it belongs.
@@ -35,10 +35,10 @@
 pub(crate) struct ZoneState {
     pub(crate) level: FailoverLevel,
     /// How much should go to other zones, in thousandths.
-    pub(crate) away: u16,
-    /// The last verdict that was not [`ZoneVerdict::Unknown`].
-    verdict: ZoneVerdict,
-    verdict_since: Micros,
+    pub(crate) shifted_share: u16,
+    /// The last verdict that was not [`ZoneHealth::Unknown`].
+    health: ZoneHealth,
+    health_since: Micros,
     last_step: Micros,
     /// When the level changed within the last minute, oldest first.
     changes: VecDeque<Micros>,
@@ -48,9 +48,9 @@
     pub(crate) fn start(now: Micros) -> ZoneState {
         ZoneState {
             level: FailoverLevel::Local,
-            away: 0,
-            verdict: ZoneVerdict::Unknown,
-            verdict_since: now,
+            shifted_share: 0,
+            health: ZoneHealth::Unknown,
+            health_since: now,
             last_step: now,
             changes: VecDeque::new(),
         }
@@ -58,8 +58,8 @@
 
     /// Continues what an earlier lease holder directed, as if the level had just changed: that holder's changes are not
     /// known.
-    pub(crate) fn resume(now: Micros, level: FailoverLevel, away: u16) -> ZoneState {
-        let mut state = ZoneState { level, away, ..ZoneState::start(now) };
+    pub(crate) fn resume(now: Micros, level: FailoverLevel, shifted_share: u16) -> ZoneState {
+        let mut state = ZoneState { level, shifted_share, ..ZoneState::start(now) };
         state.changes.push_back(now);
         state
     }
@@ -70,56 +70,53 @@
     }
 
     /// Takes in a verdict. An unknown one changes nothing: nobody tries a zone where nobody answers.
-    pub(crate) fn observe(&mut self, now: Micros, verdict: ZoneVerdict) {
-        if verdict != self.verdict && verdict != ZoneVerdict::Unknown {
-            self.verdict = verdict;
-            self.verdict_since = now;
+    pub(crate) fn observe(&mut self, now: Micros, health: ZoneHealth) {
+        if health != self.health && health != ZoneHealth::Unknown {
+            self.health = health;
+            self.health_since = now;
         }
     }
 
     /// Applies the table of levels once (docs/zones.md).
     pub(crate) fn step(&mut self, now: Micros) {
-        let stands_for = now - self.verdict_since;
-        if self.verdict == ZoneVerdict::Unreachable {
-            if self.level != FailoverLevel::FailedOver && stands_for >= UNREACHABLE_FOR {
+        let stable_for = now - self.health_since;
+        if self.health == ZoneHealth::Unreachable {
+            if self.level != FailoverLevel::FailedOver && stable_for >= FAILOVER_DELAY {
                 self.change_level(now, FailoverLevel::FailedOver, FAILED_OVER_SHIFT);
             }
             return;
         }
         match self.level {
-            FailoverLevel::Local => self.step_local(now, stands_for),
-            FailoverLevel::Spillover => self.step_spillover(now, stands_for),
-            FailoverLevel::FailedOver => self.step_failed_over(now, stands_for),
+            FailoverLevel::Local => self.step_local(now, stable_for),
+            FailoverLevel::Spillover => self.step_spillover(now, stable_for),
+            FailoverLevel::FailedOver => self.step_failed_over(now, stable_for),
             FailoverLevel::FailingBack => self.step_failing_back(now),
         }
     }
 
-    fn step_local(&mut self, now: Micros, stands_for: Micros) {
-        if self.verdict == ZoneVerdict::Overloaded && stands_for >= OVERLOADED_FOR {
+    fn step_local(&mut self, now: Micros, stable_for: Micros) {
+        if self.health == ZoneHealth::Overloaded && stable_for >= SPILLOVER_DELAY {
             self.change_level(now, FailoverLevel::Spillover, SHIFT_STEP);
         }
     }
 
-    fn step_spillover(&mut self, now: Micros, stands_for: Micros) {
+    fn step_spillover(&mut self, now: Micros, stable_for: Micros) {
         if now - self.last_step < SPILLOVER_STEP_INTERVAL {
             return;
         }
-        match self.verdict {
-            ZoneVerdict::Overloaded => self.shift_more(now, MAX_SPILLOVER),
-            ZoneVerdict::Healthy if stands_for >= SPILLOVER_STEP_INTERVAL => self.take_back(now, SHIFT_STEP),
+        match self.health {
+            ZoneHealth::Overloaded => self.shift_more(now, MAX_SPILLOVER),
+            ZoneHealth::Healthy if stable_for >= SPILLOVER_STEP_INTERVAL => self.shift_less(now, SHIFT_STEP),
             _ => {}
         }
     }
 
-    fn step_failed_over(&mut self, now: Micros, stands_for: Micros) {
-        let answers = matches!(
-            self.verdict,
-            ZoneVerdict::Healthy
-                | ZoneVerdict::Marginal
-                | ZoneVerdict::Overloaded
-                | ZoneVerdict::PartlyServed
+    fn step_failed_over(&mut self, now: Micros, stable_for: Micros) {
+        let answering = matches!(
+            self.health,
+            ZoneHealth::Healthy | ZoneHealth::Marginal | ZoneHealth::Overloaded | ZoneHealth::PartlyServed
         );
-        if answers && stands_for >= BACK_FOR {
+        if answering && stable_for >= FAILBACK_DELAY {
             self.change_level(now, FailoverLevel::FailingBack, FAILED_OVER_SHIFT - FAILBACK_STEP);
         }
     }
@@ -128,26 +125,26 @@
         if now - self.last_step < FAILBACK_STEP_INTERVAL {
             return;
         }
-        match self.verdict {
-            ZoneVerdict::Healthy | ZoneVerdict::Marginal => self.take_back(now, FAILBACK_STEP),
-            ZoneVerdict::Overloaded => self.shift_more(now, FAILED_OVER_SHIFT),
+        match self.health {
+            ZoneHealth::Healthy | ZoneHealth::Marginal => self.shift_less(now, FAILBACK_STEP),
+            ZoneHealth::Overloaded => self.shift_more(now, FAILED_OVER_SHIFT),
             _ => {}
         }
     }
 
-    fn shift_more(&mut self, now: Micros, most: u16) {
-        self.away = (self.away + SHIFT_STEP).min(most);
+    fn shift_more(&mut self, now: Micros, limit: u16) {
+        self.shifted_share = (self.shifted_share + SHIFT_STEP).min(limit);
         self.last_step = now;
     }
 
     /// Returns traffic to the zone. Once all of it is back the zone is local again; where the level may not change yet,
     /// nothing is shifted all the same.
-    fn take_back(&mut self, now: Micros, step: u16) {
+    fn shift_less(&mut self, now: Micros, step: u16) {
         self.last_step = now;
-        if self.away > step {
-            self.away -= step;
+        if self.shifted_share > step {
+            self.shifted_share -= step;
         } else {
-            self.away = 0;
+            self.shifted_share = 0;
             self.change_level(now, FailoverLevel::Local, 0);
         }
     }
@@ -156,12 +153,12 @@
     ///
     /// Without the limit traffic would follow a flapping zone, and each turn would overload members and fail clients. The
     /// cost: a zone that is lost again within the minute is not failed over; its proxies then go by what each observes.
-    fn change_level(&mut self, now: Micros, level: FailoverLevel, away: u16) {
+    fn change_level(&mut self, now: Micros, level: FailoverLevel, shifted_share: u16) {
         self.changes.retain(|&at| now - at < CHANGE_WINDOW);
         if self.changes.len() < MAX_CHANGES {
             self.changes.push_back(now);
             self.level = level;
-            self.away = away;
+            self.shifted_share = shifted_share;
             self.last_step = now;
         }
     }
--- a/crates/zone-failover/tests/zones.rs
+++ b/crates/zone-failover/tests/zones.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use aldermill_zone_failover::{
-    Evidence, FailoverLevel, FailoverPlanner, GroupZone, Malformed, Micros, OutcomeCounts, ReadOutcome,
-    TrafficShift, Zone, ZoneDirective, ZoneHistory, ZoneReport, ZoneRow, ZoneShare, ZoneVerdict,
+    DecodeError, Evidence, FailoverLevel, FailoverPlanner, GroupZone, Micros, OutcomeCounts, ReadOutcome,
+    TrafficShift, Zone, ZoneDirective, ZoneHealth, ZoneHistory, ZoneReport, ZoneRow, ZoneShare,
 };
 use proptest::collection::vec;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -14,17 +14,17 @@
 
 /// How one proxy's reads end in one zone.
 #[derive(Clone, Copy)]
-struct Shares {
+struct OutcomeShares {
     in_time: f64,
     unanswered: f64,
 }
 
-const SERVED: Shares = Shares { in_time: 1.0, unanswered: 0.0 };
-const UNANSWERED: Shares = Shares { in_time: 0.0, unanswered: 1.0 };
+const SERVED: OutcomeShares = OutcomeShares { in_time: 1.0, unanswered: 0.0 };
+const UNANSWERED: OutcomeShares = OutcomeShares { in_time: 0.0, unanswered: 1.0 };
 
 /// Served in time so far; the rest is served late.
-fn served_in_time(in_time: f64) -> Shares {
-    Shares { in_time, unanswered: 0.0 }
+fn served_in_time(in_time: f64) -> OutcomeShares {
+    OutcomeShares { in_time, unanswered: 0.0 }
 }
 
 /// Three zones of four proxies; each proxy sends 20 reads a second to its own zone, and 2 to each other.
@@ -33,7 +33,7 @@
     evidence: Evidence,
     planner: FailoverPlanner,
     /// By the proxy's number and the zone that it reads from.
-    reads_end: Box<dyn Fn(usize, Zone) -> Shares>,
+    outcome_shares: Box<dyn Fn(usize, Zone) -> OutcomeShares>,
     directives: Vec<ZoneDirective>,
 }
 
@@ -44,33 +44,33 @@
             now: 0,
             evidence: Evidence::default(),
             planner: FailoverPlanner::default(),
-            reads_end: Box::new(|_, _| SERVED),
+            outcome_shares: Box::new(|_, _| SERVED),
             directives: vec![],
         };
-        fleet.pass(5);
+        fleet.advance(5);
         fleet
     }
 
     /// Every proxy reports and the lease holder decides, once a second.
-    fn pass(&mut self, seconds: i64) {
+    fn advance(&mut self, seconds: i64) {
         for _ in 0..seconds {
             self.now += SECOND;
-            let reports = (0..12).map(|proxy| (format!("n{proxy}"), vec![self.report_of(proxy)]));
+            let reports = (0..12).map(|proxy| (format!("n{proxy}"), vec![self.report(proxy)]));
             self.evidence.evaluate(&reports.collect());
             self.directives = self.planner.decide(self.now, &self.evidence);
         }
     }
 
-    fn report_of(&self, proxy: usize) -> ZoneReport {
+    fn report(&self, proxy: usize) -> ZoneReport {
         let own_zone = proxy % 3;
         let rows = (0..3).map(|zone| {
             let attempts = if zone == own_zone { 20 } else { 2 };
-            let Shares { in_time, unanswered } = (self.reads_end)(proxy, zone);
-            let part = |share: f64| (f64::from(attempts) * share).round() as u32;
+            let OutcomeShares { in_time, unanswered } = (self.outcome_shares)(proxy, zone);
+            let count = |share: f64| (f64::from(attempts) * share).round() as u32;
             let counts = OutcomeCounts {
                 attempts,
-                in_time: part(in_time),
-                unanswered: part(unanswered),
+                in_time: count(in_time),
+                unanswered: count(unanswered),
                 ..OutcomeCounts::default()
             };
             ZoneRow { group: GROUP, zone, counts }
@@ -86,72 +86,72 @@
         self.directives.iter().find(|directive| directive.zone == zone).map(|directive| &directive.shift)
     }
 
-    fn verdict(&self, zone: Zone) -> ZoneVerdict {
-        self.evidence.views()[&GroupZone { group: GROUP, zone }].verdict
+    fn health(&self, zone: Zone) -> ZoneHealth {
+        self.evidence.views()[&GroupZone { group: GROUP, zone }].health
     }
 }
 
 #[test]
 fn healthy_zones_get_no_directive() {
     let mut fleet = Fleet::healthy();
-    fleet.pass(30);
+    fleet.advance(30);
     assert!(fleet.directives.is_empty() && (0..3).all(|zone| fleet.level(zone) == FailoverLevel::Local));
 }
 
 #[test]
 fn unreachable_zone_fails_over_within_seconds_and_fails_back_in_steps() {
     let mut fleet = Fleet::healthy();
-    fleet.reads_end = Box::new(|_, zone| if zone == 0 { UNANSWERED } else { SERVED });
-    fleet.pass(2);
-    assert_eq!((fleet.verdict(0), fleet.level(0)), (ZoneVerdict::Unreachable, FailoverLevel::FailedOver));
+    fleet.outcome_shares = Box::new(|_, zone| if zone == 0 { UNANSWERED } else { SERVED });
+    fleet.advance(2);
+    assert_eq!((fleet.health(0), fleet.level(0)), (ZoneHealth::Unreachable, FailoverLevel::FailedOver));
     let shift = fleet.shift(0).unwrap();
-    assert!(shift.short, "the others were never measured to bear so much more: {shift:?}");
-    assert!(shift.to.iter().all(|part| part.zone != 0));
-    fleet.reads_end = Box::new(|_, _| SERVED);
-    fleet.pass(2);
+    assert!(shift.insufficient_capacity, "the others were never measured to bear so much more: {shift:?}");
+    assert!(shift.targets.iter().all(|part| part.zone != 0));
+    fleet.outcome_shares = Box::new(|_, _| SERVED);
+    fleet.advance(2);
     assert_eq!(fleet.level(0), FailoverLevel::FailedOver, "it has to show that it stays");
-    fleet.pass(1);
+    fleet.advance(1);
     assert_eq!(fleet.level(0), FailoverLevel::FailingBack);
-    let mut away = Vec::new();
+    let mut shifted_shares = Vec::new();
     for _ in 0..10 {
-        away.extend(fleet.shift(0).map(|shift| shift.away));
-        fleet.pass(1);
+        shifted_shares.extend(fleet.shift(0).map(|shift| shift.shifted_share));
+        fleet.advance(1);
     }
-    assert!(away.windows(2).all(|pair| pair[1] <= pair[0]), "{away:?}");
-    assert_eq!(fleet.shift(0).map_or(0, |shift| shift.away), 0);
+    assert!(shifted_shares.windows(2).all(|pair| pair[1] <= pair[0]), "{shifted_shares:?}");
+    assert_eq!(fleet.shift(0).map_or(0, |shift| shift.shifted_share), 0);
 }
 
 #[test]
 fn partitioned_zone_keeps_its_own_clients() {
     let mut fleet = Fleet::healthy();
-    fleet.reads_end =
+    fleet.outcome_shares =
         Box::new(|proxy, zone| if (proxy % 3 == 0) != (zone == 0) { UNANSWERED } else { SERVED });
-    fleet.pass(10);
-    assert_eq!((fleet.verdict(0), fleet.level(0)), (ZoneVerdict::Partitioned, FailoverLevel::Local));
+    fleet.advance(10);
+    assert_eq!((fleet.health(0), fleet.level(0)), (ZoneHealth::Partitioned, FailoverLevel::Local));
     assert!((1..3).all(|zone| fleet.level(zone) == FailoverLevel::Local), "the others still have each other");
 }
 
 #[test]
 fn overloaded_zone_spills_over_in_steps_and_slow_paths_of_some_proxies_shift_nothing() {
     let mut fleet = Fleet::healthy();
-    fleet.reads_end = Box::new(|_, zone| if zone == 1 { served_in_time(0.6) } else { SERVED });
-    fleet.pass(2);
+    fleet.outcome_shares = Box::new(|_, zone| if zone == 1 { served_in_time(0.6) } else { SERVED });
+    fleet.advance(2);
     assert_eq!(fleet.level(1), FailoverLevel::Local);
-    fleet.pass(3);
-    assert_eq!((fleet.verdict(1), fleet.level(1)), (ZoneVerdict::Overloaded, FailoverLevel::Spillover));
-    assert!(fleet.shift(1).unwrap().away <= 200, "{:?}", fleet.shift(1));
+    fleet.advance(3);
+    assert_eq!((fleet.health(1), fleet.level(1)), (ZoneHealth::Overloaded, FailoverLevel::Spillover));
+    assert!(fleet.shift(1).unwrap().shifted_share <= 200, "{:?}", fleet.shift(1));
     let mut fleet = Fleet::healthy();
-    fleet.reads_end =
+    fleet.outcome_shares =
         Box::new(|proxy, zone| if zone == 1 && proxy % 6 == 1 { served_in_time(0.5) } else { SERVED });
-    fleet.pass(20);
-    assert_eq!((fleet.verdict(1), fleet.level(1)), (ZoneVerdict::PartlyServed, FailoverLevel::Local));
+    fleet.advance(20);
+    assert_eq!((fleet.health(1), fleet.level(1)), (ZoneHealth::PartlyServed, FailoverLevel::Local));
 }
 
 #[test]
 fn one_unhealthy_proxy_shifts_nothing() {
     let mut fleet = Fleet::healthy();
-    fleet.reads_end = Box::new(|proxy, _| if proxy == 4 { UNANSWERED } else { SERVED });
-    fleet.pass(20);
+    fleet.outcome_shares = Box::new(|proxy, _| if proxy == 4 { UNANSWERED } else { SERVED });
+    fleet.advance(20);
     assert!((0..3).all(|zone| fleet.level(zone) == FailoverLevel::Local));
     assert_eq!(fleet.evidence.unhealthy_reporters().iter().collect::<Vec<_>>(), ["n4"]);
 }
@@ -163,8 +163,8 @@
     let mut last = FailoverLevel::Local;
     for second in 0..240 {
         let down = second / 4 % 2 == 0;
-        fleet.reads_end = Box::new(move |_, zone| if zone == 0 && down { UNANSWERED } else { SERVED });
-        fleet.pass(1);
+        fleet.outcome_shares = Box::new(move |_, zone| if zone == 0 && down { UNANSWERED } else { SERVED });
+        fleet.advance(1);
         if std::mem::replace(&mut last, fleet.level(0)) != last {
             changes.push(second);
         }
@@ -178,27 +178,27 @@
 #[test]
 fn new_lease_holder_resumes_the_failover() {
     let mut fleet = Fleet::healthy();
-    fleet.reads_end = Box::new(|_, zone| if zone == 0 { UNANSWERED } else { SERVED });
-    fleet.pass(3);
+    fleet.outcome_shares = Box::new(|_, zone| if zone == 0 { UNANSWERED } else { SERVED });
+    fleet.advance(3);
     let shift = fleet.shift(0).unwrap().clone();
     let directive = ZoneDirective { group: GROUP, zone: 0, shift };
     fleet.planner = FailoverPlanner::default();
     fleet.planner.resume(fleet.now, &directive);
-    fleet.pass(1);
+    fleet.advance(1);
     assert_eq!(fleet.level(0), FailoverLevel::FailedOver);
 }
 
 /// One proxy's report as the generator draws it: its zone, the span, and for each row the group, the zone, attempts, and the
 /// shares served in time and unanswered.
-type DrawnReport = (Zone, Micros, Vec<(u64, Zone, u32, f64, f64)>);
+type GeneratedReport = (Zone, Micros, Vec<(u64, Zone, u32, f64, f64)>);
 
-fn report_of((zone, span, rows): DrawnReport) -> ZoneReport {
+fn build_report((zone, span, rows): GeneratedReport) -> ZoneReport {
     let rows = rows.into_iter().map(|(group, zone, attempts, in_time, unanswered)| {
-        let part = |share: f64| (f64::from(attempts) * share) as u32;
+        let count = |share: f64| (f64::from(attempts) * share) as u32;
         let counts = OutcomeCounts {
             attempts,
-            in_time: part(in_time),
-            unanswered: part(unanswered),
+            in_time: count(in_time),
+            unanswered: count(unanswered),
             ..OutcomeCounts::default()
         };
         ZoneRow { group, zone, counts }
@@ -206,39 +206,42 @@
     ZoneReport { zone, span, rows: rows.collect() }
 }
 
-/// Shares are at most the whole, no two zones send to each other, and none is sent more than it was measured to bear.
+/// OutcomeShares are at most the whole, no two zones send to each other, and none is sent more than it was measured to bear.
 fn check_directives(evidence: &Evidence, directives: &[ZoneDirective]) {
     let mut sent: BTreeMap<GroupZone, f64> = BTreeMap::new();
     for ZoneDirective { group, zone, shift } in directives {
-        assert!(shift.away <= 1000 && shift.to.iter().map(|part| u32::from(part.share)).sum::<u32>() <= 1000);
-        for &ZoneShare { zone: to, share } in &shift.to {
+        assert!(
+            shift.shifted_share <= 1000
+                && shift.targets.iter().map(|part| u32::from(part.share)).sum::<u32>() <= 1000
+        );
+        for &ZoneShare { zone: to, share } in &shift.targets {
             let sends_back =
-                |other: &&ZoneDirective| other.group == *group && other.zone == to && other.shift.away > 0;
+                |d: &&ZoneDirective| d.group == *group && d.zone == to && d.shift.shifted_share > 0;
             assert!(directives.iter().find(sends_back).is_none(), "{zone} and {to} send to each other");
             let key = GroupZone { group: *group, zone: *zone };
-            let goes = evidence.views()[&key].demand * f64::from(shift.away) / 1000.0;
+            let shifted_rate = evidence.views()[&key].demand * f64::from(shift.shifted_share) / 1000.0;
             *sent.entry(GroupZone { group: *group, zone: to }).or_default() +=
-                goes * f64::from(share) / 1000.0;
+                shifted_rate * f64::from(share) / 1000.0;
         }
     }
-    for (key, goes) in sent {
+    for (key, rate) in sent {
         let view = evidence.views()[&key];
-        let room = (view.capacity * 1.1 - view.load).max(0.0);
-        assert!(goes <= room + 1e-6, "{goes} to {key:?}, which has room for {room}");
+        let spare = (view.capacity * 1.1 - view.load).max(0.0);
+        assert!(rate <= spare + 1e-6, "{rate} to {key:?}, which has room for {spare}");
     }
 }
 
 /// Feeds reports second by second, and checks directives and how often levels change.
-fn check_history(seconds: Vec<Vec<(usize, DrawnReport)>>) {
+fn check_history(seconds: Vec<Vec<(usize, GeneratedReport)>>) {
     let mut evidence = Evidence::default();
     let mut planner = FailoverPlanner::default();
     let mut reports: BTreeMap<String, Vec<ZoneReport>> = BTreeMap::new();
     let mut changes: BTreeMap<GroupZone, Vec<Micros>> = BTreeMap::new();
     let mut levels: BTreeMap<GroupZone, FailoverLevel> = BTreeMap::new();
-    for (second, drawn) in seconds.into_iter().enumerate() {
+    for (second, generated) in seconds.into_iter().enumerate() {
         let now = second as i64 * SECOND;
-        for (proxy, report) in drawn {
-            reports.insert(format!("n{proxy}"), vec![report_of(report)]);
+        for (proxy, report) in generated {
+            reports.insert(format!("n{proxy}"), vec![build_report(report)]);
         }
         evidence.evaluate(&reports);
         check_directives(&evidence, &planner.decide(now, &evidence));
@@ -250,19 +253,19 @@
         }
     }
     for changes in changes.values() {
-        assert!(changes.windows(3).all(|three| three[2] - three[0] >= 60 * SECOND), "{changes:?}");
+        assert!(changes.windows(3).all(|triple| triple[2] - triple[0] >= 60 * SECOND), "{changes:?}");
     }
 }
 
 /// Whatever is reported, in whatever order, late, doubled or never.
 #[test]
-fn no_reports_make_zones_send_to_each_other_or_beyond_measured_capacity() {
+fn arbitrary_reports_never_cause_mutual_shifts_or_exceed_measured_capacity() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]);
-    let limits = Config { cases: 300, failure_persistence: None, ..Config::default() };
+    let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let row = (0u64..2, 0usize..4, 0u32..60, 0.0..1.0f64, 0.0..1.0f64);
     let report = (0usize..4, 200_000i64..3_000_000, vec(row, 0..8));
     let seconds = vec(vec((0usize..9, report), 0..12), 1..40);
-    let mut runner = TestRunner::new_with_rng(limits, rng);
+    let mut runner = TestRunner::new_with_rng(config, rng);
     let check = |seconds| {
         check_history(seconds);
         Ok(())
@@ -271,7 +274,7 @@
 }
 
 /// Two served reads and one unanswered in zone 1, one rejected and one failed in zone 2.
-fn five_reads() -> ZoneHistory {
+fn history_of_five_reads() -> ZoneHistory {
     let mut history = ZoneHistory::start(0);
     history.record(GROUP, 1, ReadOutcome::Served { in_time: true }, 20_000);
     history.record(GROUP, 1, ReadOutcome::Served { in_time: false }, 600_000);
@@ -283,23 +286,28 @@
 
 #[test]
 fn history_counts_each_read_once_and_covers_two_intervals() {
-    let mut history = five_reads();
-    let recent = history.take(SECOND);
+    let mut history = history_of_five_reads();
+    let recent = history.end_interval(SECOND);
     let first = &recent.rows[0].counts;
     assert_eq!((recent.span, recent.rows.len(), first.attempts, first.served_ms), (SECOND, 2, 3, 620));
-    assert_eq!(history.take(2 * SECOND).rows[0].counts.attempts, 3, "told of the last two seconds");
-    assert!(history.take(3 * SECOND).rows.is_empty());
+    assert_eq!(history.end_interval(2 * SECOND).rows[0].counts.attempts, 3, "told of the last two seconds");
+    assert!(history.end_interval(3 * SECOND).rows.is_empty());
 }
 
 #[test]
-fn payloads_are_read_as_written_and_bad_ones_are_refused() {
-    let recent = five_reads().take(SECOND);
+fn payloads_round_trip_and_invalid_ones_are_rejected() {
+    let recent = history_of_five_reads().end_interval(SECOND);
     let report = ZoneReport { zone: 1, span: recent.span, rows: recent.rows };
     assert_eq!(ZoneReport::decode(&report.encode()), Ok(report));
-    let to = vec![ZoneShare { zone: 0, share: 400 }, ZoneShare { zone: 2, share: 600 }];
-    let shift = TrafficShift { level: FailoverLevel::FailingBack, away: 300, to, short: true };
+    let targets = vec![ZoneShare { zone: 0, share: 400 }, ZoneShare { zone: 2, share: 600 }];
+    let shift = TrafficShift {
+        level: FailoverLevel::FailingBack,
+        shifted_share: 300,
+        targets,
+        insufficient_capacity: true,
+    };
     assert_eq!(TrafficShift::decode(&shift.encode()), Ok(shift));
-    assert_eq!(TrafficShift::decode(&[1, 9, 9, 0]), Err(Malformed::Share(0x909)));
-    assert_eq!(TrafficShift::decode(&[9, 0, 0, 0]), Err(Malformed::Level(9)));
+    assert_eq!(TrafficShift::decode(&[1, 9, 9, 0]), Err(DecodeError::ShareTooLarge(0x909)));
+    assert_eq!(TrafficShift::decode(&[9, 0, 0, 0]), Err(DecodeError::UnknownLevel(9)));
     assert!(ZoneReport::decode(&[1, 0]).is_err());
 }
