--- a/crates/zone-failover/src/directive.rs
+++ b/crates/zone-failover/src/directive.rs
@@ -1,28 +1,40 @@
-//! What the lease holder directs: how much of a zone's reads goes to which other zones.
+//! Directives of the lease holder, which say how many of a zone's reads go to which other zones.
 //!
-//! Bytes of a directive's body, big-endian: 1 of the level, 2 of the thousandths that go elsewhere, 1 that says whether
-//! capacity is short, then for each other zone 1 of the zone and 2 of its thousandths of what goes elsewhere.
+//! The body of a directive is big-endian:
+//!
+//! | Bytes | Field |
+//! |---|---|
+//! | 1 | level, 0 to 3 |
+//! | 2 | share of the reads that is shifted to other zones, in thousandths |
+//! | 1 | nonzero if the other zones have insufficient capacity |
+//!
+//! It ends with one entry for each target zone:
+//!
+//! | Bytes | Field |
+//! |---|---|
+//! | 1 | zone |
+//! | 2 | share of the shifted reads that goes to this zone, in thousandths |
 
 use bytes::{Buf, BufMut};
 
 use crate::report::{get_zone, put_zone};
 use crate::{ALL_TRAFFIC, DecodeError, Group, GroupZone, Zone};
 
-/// How far a zone's traffic has failed over (docs/zones.md, "Levels").
+/// The state of failover of one group in one zone (`docs/zones.md`, "Levels").
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailoverLevel {
-    /// All reads stay with what each proxy chooses; usually its own zone.
+    /// Reads go where each proxy's own routing sends them, which is usually its own zone.
     Local,
-    /// The zone does not serve all in time: a part spills over to other zones.
+    /// The zone does not serve all reads in time, and a share of them spills over to other zones.
     Spillover,
-    /// Nobody answers there: traffic has failed over.
+    /// The zone is unreachable, and traffic has failed over to other zones.
     FailedOver,
-    /// The zone answers again, and takes its traffic back in steps.
+    /// The zone answers again, and its traffic returns in steps.
     FailingBack,
 }
 
 impl FailoverLevel {
-    /// The word in the status JSON, which programs of the users read. It never changes.
+    /// Returns the value in the status JSON. Users' programs read it, so it must never change.
     pub fn status_value(self) -> &'static str {
         match self {
             FailoverLevel::Local => "Near",
@@ -52,48 +64,48 @@
     }
 }
 
-/// Where a part of the shifted reads goes.
+/// The share of the shifted reads that goes to one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneShare {
-    /// The zone that takes it.
+    /// The zone that receives the reads.
     pub zone: Zone,
-    /// Its part of what is shifted, in thousandths.
+    /// The share of the shifted reads that goes to this zone, in thousandths.
     pub share: u16,
 }
 
-/// What the proxies of one zone do with their reads of one group.
+/// How the proxies of one zone distribute their reads of one group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TrafficShift {
-    /// The level that the shift follows from.
+    /// The failover level that the shift results from.
     pub level: FailoverLevel,
-    /// How much goes to other zones, in thousandths of what could stay.
+    /// The share that goes to other zones, in thousandths of the reads that could stay in the zone.
     pub shifted_share: u16,
-    /// How that is divided among other zones.
+    /// The zones that the shifted reads are divided among.
     pub targets: Vec<ZoneShare>,
-    /// The other zones were not measured to bear all that should go there, so that less is shifted.
+    /// Whether less is shifted than intended because the measured capacity of the other zones does not suffice.
     pub insufficient_capacity: bool,
 }
 
-/// A shift, and for whom it is.
+/// A traffic shift together with the group and the zone that it applies to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneDirective {
     /// The group whose reads are shifted.
     pub group: Group,
-    /// The zone whose proxies shift them.
+    /// The zone whose proxies shift their reads.
     pub zone: Zone,
-    /// What they do.
+    /// The shift that the proxies apply.
     pub shift: TrafficShift,
 }
 
 impl ZoneDirective {
-    /// What the directive is about.
+    /// Returns the group and the zone that the directive applies to.
     pub fn key(&self) -> GroupZone {
         GroupZone { group: self.group, zone: self.zone }
     }
 }
 
 impl TrafficShift {
-    /// No reads are shifted.
+    /// Returns a shift that leaves all reads where they are.
     pub(crate) fn none() -> TrafficShift {
         TrafficShift {
             level: FailoverLevel::Local,
@@ -103,7 +115,7 @@
         }
     }
 
-    /// The body of a directive.
+    /// Encodes the shift as the body of a directive.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         bytes.put_u8(self.level.to_byte());
@@ -116,7 +128,9 @@
         bytes
     }
 
-    /// Reads the body of a directive; fails on an unknown level, a share above the whole, or an end within a field.
+    /// Decodes the body of a directive.
+    ///
+    /// Fails on an unknown level, a share above [`ALL_TRAFFIC`], or a body that ends within a field.
     pub fn decode(mut bytes: &[u8]) -> Result<TrafficShift, DecodeError> {
         let level = FailoverLevel::from_byte(bytes.try_get_u8().map_err(|_| DecodeError::Truncated)?)?;
         let shifted_share = get_share(&mut bytes)?;
--- a/crates/zone-failover/src/error.rs
+++ b/crates/zone-failover/src/error.rs
@@ -1,20 +1,19 @@
-//! Why a received report or directive can't be read.
+//! The error of decoding a received report or directive.
 
 use thiserror::Error;
 
-/// A payload that is not well-formed. The receiver skips it; where it is seen again and again, a proxy of another version
-/// is at work.
+/// The reason why a payload cannot be decoded.
+///
+/// The receiver skips the payload. If the error recurs, a proxy of another version is probably running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// It ends in the middle of a field.
-    #[error(
-        "a zone report or directive is truncated; check that all proxies run versions that know each other"
-    )]
+    /// The payload ends within a field.
+    #[error("zone report or directive is truncated; check that all proxies run compatible versions")]
     Truncated,
-    /// The byte for the level has this value.
-    #[error("level {0} is unknown to this version; check whether the lease holder runs a newer one")]
+    /// The level byte has a value that this version does not know.
+    #[error("unknown failover level {0}; check whether the lease holder runs a newer version")]
     UnknownLevel(u8),
-    /// A share has this value, in thousandths.
-    #[error("a share of {0} thousandths exceeds the whole; check the version of the lease holder")]
+    /// A share exceeds the whole; the value is in thousandths.
+    #[error("share of {0} thousandths exceeds the maximum of 1000; check the version of the lease holder")]
     ShareTooLarge(u16),
 }
--- a/crates/zone-failover/src/evidence.rs
+++ b/crates/zone-failover/src/evidence.rs
@@ -1,45 +1,47 @@
-//! All proxies' reports, combined into one view of each group in each zone.
+//! Evaluation of the reports of all proxies, combined into one view of each group in each zone.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::outliers::unhealthy_reporters;
 use crate::{Group, GroupZone, Micros, OutcomeCounts, Zone, ZoneHealth, ZoneReport, ZoneRow};
 
-/// The share of a measured capacity that is kept at each evaluation, once a second: after 5.8 minutes half is forgotten,
-/// unless it is served again. Members may have become fewer or slower since.
+/// The factor by which a measured capacity decays at each evaluation, once a second. It halves in 5.8 minutes unless
+/// that much is served again, because members may have become fewer or slower since the measurement.
 const CAPACITY_DECAY: f64 = 0.998;
-/// While a zone is overloaded or unreachable, its capacity moves at each evaluation by this share of the way to what it
-/// serves now, whatever it once did.
+/// While a zone is overloaded or unreachable, each evaluation moves its measured capacity by this fraction of the
+/// difference towards the rate that it currently serves in time, regardless of what it served before.
 const CAPACITY_CORRECTION: f64 = 0.2;
-/// The shortest span that rates are taken over, in seconds: a very short report must not turn a few reads into a huge rate.
+/// The shortest span that rates are computed over, in seconds. A few reads in a very short report must not result in a
+/// huge rate.
 const MIN_SPAN_SECONDS: f64 = 0.2;
 
-/// What is known of one group's members in one zone.
+/// The observed state of one group's members in one zone. All rates are in attempts per second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneView {
-    /// What is wrong, if anything.
+    /// The health of the members, which says what is wrong, if anything.
     pub health: ZoneHealth,
-    /// Attempts a second of the zone's own proxies, at whatever zone.
+    /// Rate of attempts of the zone's own proxies, at any zone.
     pub demand: f64,
-    /// Attempts a second of all proxies at this zone.
+    /// Rate of attempts of all proxies at this zone.
     pub load: f64,
-    /// Those of them that were served in time, a second.
+    /// Rate of the attempts in `load` that were served in time.
     pub in_time_rate: f64,
-    /// The most that it served in time of late, a second; decays.
+    /// The highest recent rate of attempts that this zone served in time. It decays over time.
     pub capacity: f64,
-    /// Reported rows behind this; each proxy sends one for each zone that it tried.
+    /// The number of reported rows of attempts at this zone; each proxy sends one for each group and zone that it
+    /// tried.
     pub reporters: usize,
 }
 
-/// Reads of proxies of one zone at another, or the same.
+/// The reads that the proxies of one zone sent to the same or another zone.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RouteRate {
     pub(crate) counts: OutcomeCounts,
-    /// Attempts a second.
+    /// Attempts per second.
     pub(crate) attempt_rate: f64,
-    /// Served in time, a second.
+    /// Attempts served in time, per second.
     pub(crate) in_time_rate: f64,
-    /// Reported rows behind this.
+    /// The number of reported rows that were added up.
     pub(crate) reporters: usize,
 }
 
@@ -59,21 +61,21 @@
     }
 }
 
-/// Which reads a rate is about.
+/// The group and the two zones that a rate applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Route {
     group: Group,
-    /// The proxies' zone.
+    /// The zone of the proxies.
     from: Zone,
-    /// The members' zone.
+    /// The zone of the members.
     to: Zone,
 }
 
-/// The rows of all healthy reporters, added up by route.
+/// The rows of all healthy reporters, summed by route.
 #[derive(Debug, Default)]
 struct CombinedReports {
     rates: BTreeMap<Route, RouteRate>,
-    /// How each proxy fared in its own zone.
+    /// The outcomes of each proxy's attempts in its own zone; proxies without any attempt there are omitted.
     own_zone_counts: BTreeMap<GroupZone, Vec<OutcomeCounts>>,
 }
 
@@ -97,7 +99,7 @@
         }
     }
 
-    /// The sum over the group's routes that are wanted.
+    /// Sums the rates of the group's routes that satisfy `wanted`.
     fn sum(&self, group: Group, wanted: impl Fn(&Route) -> bool) -> RouteRate {
         let mut sum = RouteRate::default();
         for (route, rate) in &self.rates {
@@ -108,7 +110,7 @@
         sum
     }
 
-    /// Each group that was read from with each zone that any proxy is in or has tried.
+    /// Returns every combination of a group that was read from and a zone that any proxy is in or has tried.
     fn keys(&self) -> Vec<GroupZone> {
         let groups: BTreeSet<Group> = self.rates.keys().map(|route| route.group).collect();
         let zones: BTreeSet<Zone> = self.rates.keys().flat_map(|route| [route.from, route.to]).collect();
@@ -121,28 +123,29 @@
     (span as f64 / 1e6).max(MIN_SPAN_SECONDS)
 }
 
-/// What the lease holder knows of all zones. Proxies that are not heard are missing; they never count as having observed
-/// nothing.
+/// The lease holder's knowledge of all zones, derived from the reports of the proxies. Proxies whose reports do not
+/// arrive are left out; they never count as having observed nothing.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// The most that was served in time, a second.
+    /// The highest recent rate of attempts served in time, per second. It decays at each evaluation.
     capacities: BTreeMap<GroupZone, f64>,
     views: BTreeMap<GroupZone, ZoneView>,
     unhealthy: BTreeSet<String>,
 }
 
 impl Evidence {
-    /// By group and zone, what the last evaluation concluded.
+    /// Returns the results of the last evaluation by group and zone.
     pub fn views(&self) -> &BTreeMap<GroupZone, ZoneView> {
         &self.views
     }
 
-    /// Names of the proxies whose reports were left out of the last evaluation, as they are unhealthy themselves.
+    /// Returns the names of the proxies whose reports the last evaluation excluded because the proxies are themselves
+    /// unhealthy.
     pub fn unhealthy_reporters(&self) -> &BTreeSet<String> {
         &self.unhealthy
     }
 
-    /// Concludes from the recent reports of all proxies, by the proxies' names. Called once a second.
+    /// Evaluates the recent reports of all proxies, which are keyed by the proxies' names. Called once a second.
     pub fn evaluate(&mut self, reports: &BTreeMap<String, Vec<ZoneReport>>) {
         self.unhealthy = unhealthy_reporters(reports);
         let healthy = reports.iter().filter(|(reporter, _)| !self.unhealthy.contains(*reporter));
--- a/crates/zone-failover/src/health.rs
+++ b/crates/zone-failover/src/health.rs
@@ -1,50 +1,55 @@
-//! What is wrong with a zone, by what its own proxies and the others observed.
+//! The health of a zone, determined from what its own proxies and those of other zones observed.
 
 use crate::OutcomeCounts;
 use crate::evidence::RouteRate;
 
-/// Attempts of all proxies together, in a report's span of about two seconds, under which shares mean nothing: one
-/// attempt more or less of 12 moves a share by 0.08, less than what lies between the thresholds below.
+/// The fewest attempts, summed over the proxies within a report's span of about two seconds, for which shares are
+/// meaningful. One attempt more or less out of 12 changes a share by 0.08, which is less than the distance between the
+/// thresholds below.
 const MIN_ATTEMPTS: u32 = 12;
-/// Proxies that have to stand behind a verdict, so that a single one's network never moves traffic.
+/// The fewest reporting proxies for any result other than [`ZoneHealth::Unknown`], so that the network of a single
+/// proxy never shifts traffic.
 const MIN_REPORTERS: usize = 2;
-/// Unanswered attempts that are enough for [`ZoneHealth::Unreachable`]. Fewer than [`MIN_ATTEMPTS`], since proxies soon
-/// blacklist members that don't answer and stop trying.
+/// The fewest unanswered attempts for [`ZoneHealth::Unreachable`]. This is lower than [`MIN_ATTEMPTS`], because proxies
+/// soon blacklist members that do not answer and stop trying them.
 const MIN_UNANSWERED: u32 = 4;
-/// From this share in time on a zone is healthy.
+/// The lowest share of attempts served in time at which a zone is healthy.
 const HEALTHY_SHARE_IN_TIME: f64 = 0.95;
-/// Under this share in time a zone does not serve well. The gap to [`HEALTHY_SHARE_IN_TIME`] is hysteresis: in between
-/// all stays as it is.
+/// The share of attempts served in time below which a zone is overloaded or partly served. The gap to
+/// [`HEALTHY_SHARE_IN_TIME`] is hysteresis: in between, nothing changes.
 const MIN_SHARE_IN_TIME: f64 = 0.85;
-/// From this share of unanswered attempts on nobody seems to be there.
+/// The lowest share of unanswered attempts at which a zone can be unreachable.
 const UNREACHABLE_SHARE_UNANSWERED: f64 = 0.5;
-/// An unreachable zone serves less than this share in time. In an overloaded one attempts run out of time too, but more
-/// of them are served.
+/// The share of attempts served in time below which a zone can be unreachable. Attempts at an overloaded zone time out
+/// as well, but more of them are served.
 const UNREACHABLE_MAX_SHARE_IN_TIME: f64 = 0.1;
-/// Where at least one in three of a zone's own proxies is served well, the trouble lies with the paths of the others.
+/// A zone is partly served if at least one in this many of its own proxies is served well: the problem then lies with
+/// the network paths of the others.
 const PARTLY_SERVED_ONE_IN: usize = 3;
 
-/// What is wrong with one group's members in one zone, if anything (docs/zones.md, "Evidence").
+/// The health of one group's members in one zone (`docs/zones.md`, "Evidence").
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneHealth {
-    /// Too few attempts, or reporters, to say.
+    /// There are too few attempts or reporters to determine the health.
     Unknown,
-    /// Its own proxies are served in time.
+    /// The zone's own proxies are served in time.
     Healthy,
-    /// It serves neither well enough to be healthy nor badly enough to act.
+    /// The zone serves its own proxies too badly to be healthy and too well to act on.
     Marginal,
-    /// Most attempts of its own proxies go unanswered; or those of others, where its own say nothing.
+    /// Most attempts of the zone's own proxies go unanswered, or those of other proxies if there is too little data
+    /// from its own.
     Unreachable,
-    /// Its own proxies are served, others get no answer: the network between the zones is partitioned.
+    /// The zone's own proxies are served but others get no answer, so the network between the zones is partitioned.
     Partitioned,
-    /// Its own proxies are answered, but not in time.
+    /// The zone's own proxies get answers, but not in time.
     Overloaded,
-    /// Some of its own proxies are served well and some are not: their network paths differ, and shifting all helps few.
+    /// Some of the zone's own proxies are served well and some are not. Their network paths differ, and shifting the
+    /// traffic of all of them would help only a few.
     PartlyServed,
 }
 
 impl ZoneHealth {
-    /// The word in the status JSON, which programs of the users read. It never changes.
+    /// Returns the value in the status JSON. Users' programs read it, so it must never change.
     pub fn status_value(self) -> &'static str {
         match self {
             ZoneHealth::Unknown => "Unknown",
@@ -57,14 +62,15 @@
         }
     }
 
-    /// The verdict on a zone: `own` and `others` are the reads of its own proxies and of all others there, `own_proxies` how each
-    /// of its own fared.
+    /// Determines the health of a zone. `own` and `others` are the reads there by its own proxies and by all others;
+    /// `own_proxies` has the counts of each of its own proxies.
     pub(crate) fn classify(own: &RouteRate, others: &RouteRate, own_proxies: &[OutcomeCounts]) -> ZoneHealth {
         if is_unreachable(own) {
             return ZoneHealth::Unreachable;
         }
         if own.counts.attempts < MIN_ATTEMPTS || own.reporters < MIN_REPORTERS {
-            // Its own proxies say nothing. That others get no answer shows at least that nobody is there.
+            // There is too little data from the own proxies, but others getting no answer still shows that the zone is
+            // unreachable.
             return if is_unreachable(others) { ZoneHealth::Unreachable } else { ZoneHealth::Unknown };
         }
         let share_in_time = own.counts.share_in_time();
@@ -85,7 +91,8 @@
     mostly_unanswered && hardly_served && enough
 }
 
-/// Where some proxies are served as ever, what is wrong is not the zone's.
+/// Distinguishes an overloaded zone from one that still serves some of its own proxies well, in which case the problem
+/// is not in the zone.
 fn classify_slow(own_proxies: &[OutcomeCounts]) -> ZoneHealth {
     let is_served_well = |counts: &&OutcomeCounts| counts.share_in_time() >= HEALTHY_SHARE_IN_TIME;
     let served_well = own_proxies.iter().filter(is_served_well).count();
--- a/crates/zone-failover/src/history.rs
+++ b/crates/zone-failover/src/history.rs
@@ -1,49 +1,50 @@
-//! What a proxy counts of its own reads until it reports them.
+//! Counts of a proxy's own reads over the last two reporting intervals.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::{Group, GroupZone, Micros, OutcomeCounts, ReadOutcome, Zone, ZoneRow};
 
-/// How many reporting intervals a report covers. A proxy that reaches nobody in a zone soon blacklists its members and
-/// stops trying, so that one second alone may hold too few attempts for a verdict.
+/// The number of reporting intervals that a report covers. A proxy that gets no answers from a zone soon blacklists its
+/// members and stops trying, so a single second may hold too few attempts to determine the zone's health.
 const INTERVALS_REPORTED: usize = 2;
-/// The longest time that one served read adds, in milliseconds (about 17 minutes).
+/// The most that one served read adds to the total time, in milliseconds (about 17 minutes).
 const MAX_READ_MS: Micros = 1 << 20;
 
 type CountsByZone = BTreeMap<GroupZone, OutcomeCounts>;
 
-/// One reporting interval that has ended.
+/// The counts of one reporting interval that has ended.
 #[derive(Clone, Debug)]
 struct Interval {
     span: Micros,
     counts: CountsByZone,
 }
 
-/// Reads of the last reporting intervals.
+/// The reads of the last two reporting intervals.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecentReads {
-    /// How long the intervals were together, in microseconds.
+    /// The total length of the intervals, in microseconds.
     pub span: Micros,
-    /// How the reads ended, in order of group and zone.
+    /// The outcomes of the reads, sorted by group and zone.
     pub rows: Vec<ZoneRow>,
 }
 
-/// Counts how this proxy's reads ended, by group and zone, over the last two reporting intervals.
+/// A sliding window over the last two reporting intervals that counts the outcomes of this proxy's reads by group and
+/// zone.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneHistory {
     current: CountsByZone,
     current_since: Micros,
-    /// Oldest first.
+    /// Ended intervals, oldest first; at most [`INTERVALS_REPORTED`].
     recent: VecDeque<Interval>,
 }
 
 impl ZoneHistory {
-    /// Counts from `now` on.
+    /// Creates an empty history whose first interval begins at `now`.
     pub fn start(now: Micros) -> ZoneHistory {
         ZoneHistory { current_since: now, ..ZoneHistory::default() }
     }
 
-    /// An attempt at a read ended after `elapsed` microseconds.
+    /// Records a read attempt that ended after `elapsed` microseconds.
     pub fn record(&mut self, group: Group, zone: Zone, outcome: ReadOutcome, elapsed: Micros) {
         let counts = self.current.entry(GroupZone { group, zone }).or_default();
         counts.attempts += 1;
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Ends the reporting interval, and returns what the last ones counted. Called once a second.
+    /// Ends the current reporting interval and returns the counts of the last two. Called once a second.
     pub fn end_interval(&mut self, now: Micros) -> RecentReads {
         let span = now - self.current_since;
         let counts = std::mem::take(&mut self.current);
@@ -71,7 +72,7 @@
         RecentReads { span: self.recent.iter().map(|interval| interval.span).sum(), rows: self.rows() }
     }
 
-    /// The last intervals added up.
+    /// Sums the counts of the last intervals.
     fn rows(&self) -> Vec<ZoneRow> {
         let mut totals = CountsByZone::new();
         for (key, counts) in self.recent.iter().flat_map(|interval| &interval.counts) {
--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -1,41 +1,47 @@
 //! Failover of reads between zones, decided for the whole fleet.
 //!
-//! **Job.** Reads stay in the proxy's own zone while that zone serves them in time. They are shifted to other zones in
-//! steps, never by more than those were measured to bear, and no two zones are sent to each other at once.
+//! Reads stay in the proxy's own zone while that zone serves them in time. Otherwise they are shifted to other zones in
+//! steps, limited by the capacity measured there, and two zones never shift reads to each other at the same time.
 //!
-//! **Steps**, each in the module of that name:
+//! # Steps
 //!
 //! 1. *Report.* Each proxy counts how its reads ended by group and zone ([`ZoneHistory`]) and sends a [`ZoneReport`].
 //! 2. *Evidence.* The lease holder combines the reports of all proxies into a [`ZoneView`] of each group in each zone
-//!    ([`Evidence`]), without those of proxies that are unhealthy themselves.
-//! 3. *Verdict.* Each view carries a [`ZoneHealth`]: what is wrong with the zone, if anything.
-//! 4. *Directive.* The [`FailoverPlanner`] keeps a [`FailoverLevel`] for each group in each zone, and returns the
-//!    [`ZoneDirective`]s to be issued. A proxy weights by the [`TrafficShift`] the members that its own rules leave open,
-//!    and nothing else.
+//!    ([`Evidence`]). Reports of proxies that are themselves unhealthy are excluded.
+//! 3. *Health.* Each view carries a [`ZoneHealth`], which says what is wrong with the zone, if anything.
+//! 4. *Directive.* The [`FailoverPlanner`] keeps a [`FailoverLevel`] for each group in each zone and returns the
+//!    [`ZoneDirective`]s to issue. A proxy uses the [`TrafficShift`] only to weight the members that its own rules
+//!    allow; the shift has no other effect.
 //!
-//! **Caller.** The proxy's `coordination::zone_failover` sends the reports, runs steps 2 to 4 once a second while it holds
-//! the lease `zones`, and issues and obeys the directives. `docs/zones.md` has the tables of verdicts and levels.
+//! # Callers
 //!
-//! **Assumptions.** `now` never goes back, comes from one clock for each object, and is in whole microseconds. Evaluation
-//! happens about once a second: the decay of measured capacities is counted in evaluations. Nothing here does I/O, has a
-//! clock or keeps globals.
+//! The proxy's `coordination::zone_failover` sends the reports, runs steps 2 to 4 once a second while it holds the
+//! lease `zones`, and issues and applies the directives. `docs/zones.md` has the tables of health states and levels.
+//!
+//! # Assumptions
+//!
+//! `now` is in whole microseconds, never decreases, and comes from a single clock for each object. Evaluation happens
+//! about once a second, because the decay of measured capacities is counted in evaluations. The crate does no I/O,
+//! reads no clock and has no global state.
+//!
+//! # Example
 //!
 //! ```
 //! use std::collections::BTreeMap;
 //! use aldermill_zone_failover::{Evidence, FailoverPlanner, ReadOutcome, ZoneHistory, ZoneReport};
 //!
-//! // At each proxy: count, and report once a second.
+//! // Each proxy counts its reads and reports once a second.
 //! let mut history = ZoneHistory::start(0);
 //! history.record(7, 1, ReadOutcome::Served { in_time: true }, 20_000);
 //! let recent = history.end_interval(1_000_000);
 //! let report = ZoneReport { zone: 1, span: recent.span, rows: recent.rows };
 //!
-//! // At the lease holder: evaluate what was received.
+//! // The lease holder evaluates the received reports.
 //! let received = ZoneReport::decode(&report.encode())?;
 //! let mut evidence = Evidence::default();
 //! evidence.evaluate(&BTreeMap::from([("n0".to_owned(), vec![received])]));
 //! let directives = FailoverPlanner::default().decide(1_000_000, &evidence);
-//! assert!(directives.is_empty(), "one read proves nothing");
+//! assert!(directives.is_empty(), "one read is not enough to act on");
 //! # Ok::<(), aldermill_zone_failover::DecodeError>(())
 //! ```
 
@@ -57,16 +63,16 @@
 pub use planner::FailoverPlanner;
 pub use report::{MAX_ROWS, OutcomeCounts, ReadOutcome, ZoneReport, ZoneRow};
 
-/// Whole microseconds: an instant on the caller's clock, or a span.
+/// An instant on the caller's clock, or a duration, in whole microseconds.
 pub type Micros = i64;
 
-/// A group of members, by the number that statements and the endpoint list name it by.
+/// The number that identifies a group of members in statements and in the endpoint list.
 pub type Group = u64;
 
-/// A zone, by its place in the settings' list.
+/// The index of a zone in the list of zones in the settings.
 pub type Zone = usize;
 
-/// One group's members in one zone: what a view, a verdict and a directive are about.
+/// The members of one group in one zone, which is what a view, a health state and a directive apply to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GroupZone {
     /// The group.
@@ -75,5 +81,5 @@
     pub zone: Zone,
 }
 
-/// Shares of traffic are in thousandths; this many are all of it.
+/// All of the traffic, in thousandths. Shares of traffic are integers from 0 to this value.
 pub const ALL_TRAFFIC: u16 = 1000;
--- a/crates/zone-failover/src/outliers.rs
+++ b/crates/zone-failover/src/outliers.rs
@@ -1,25 +1,28 @@
-//! Which reporters are unhealthy themselves, so that their reports say nothing of zones.
+//! Detection of proxies that are themselves unhealthy, so that their reports say nothing about zones.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{OutcomeCounts, Zone, ZoneReport};
 
-/// A proxy whose best share in time lies further under the median of its zone's proxies is unhealthy itself. Verdicts
-/// turn at 0.85 of 1; 0.3 is twice that distance, so that a proxy next to a zone which really suffers is not mistaken.
+/// A proxy is unhealthy if its best share in time is further than this below the median of the proxies of its zone. A
+/// zone counts as badly served below a share of 0.85, which is 0.15 below the whole; 0.3 is twice that distance, so
+/// that a proxy next to a zone with real problems is not mistaken for an unhealthy one.
 const MAX_BELOW_MEDIAN: f64 = 0.3;
-/// With fewer proxies in a zone their median says nothing of a single one.
+/// The fewest proxies in a zone whose median can be compared with a single proxy.
 const MIN_PROXIES_FOR_MEDIAN: usize = 3;
 
-/// How well one proxy fares in the zone that serves it best.
+/// One proxy's share of reads served in time in the zone that serves it best.
 struct BestShare<'a> {
     reporter: &'a String,
     share_in_time: f64,
 }
 
-/// Proxies that are served badly wherever they ask, while others of their zone are not.
+/// Returns the proxies that are served badly by every zone that they try, while other proxies of their own zone are
+/// not.
 ///
-/// Without this a single proxy with a broken network would count as evidence against every zone. The cost: where most
-/// proxies of a zone are unhealthy they are the median, and the healthy ones stand alone; none is excluded then.
+/// Without this check, a single proxy with a broken network would count as evidence against every zone. The cost is
+/// that none is excluded where most proxies of a zone are unhealthy: they determine the median, and the healthy proxies
+/// are the exception.
 pub(crate) fn unhealthy_reporters(reports: &BTreeMap<String, Vec<ZoneReport>>) -> BTreeSet<String> {
     let mut unhealthy = BTreeSet::new();
     for mut proxies in best_shares_by_zone(reports).into_values() {
@@ -34,7 +37,7 @@
     unhealthy
 }
 
-/// By the proxies' own zone; proxies without an attempt are missing.
+/// Returns the best shares by the proxies' own zone. Proxies without any attempt are omitted.
 fn best_shares_by_zone(reports: &BTreeMap<String, Vec<ZoneReport>>) -> BTreeMap<Zone, Vec<BestShare<'_>>> {
     let mut by_zone: BTreeMap<Zone, Vec<BestShare<'_>>> = BTreeMap::new();
     for (reporter, parts) in reports {
--- a/crates/zone-failover/src/planner.rs
+++ b/crates/zone-failover/src/planner.rs
@@ -1,4 +1,4 @@
-//! Which traffic is shifted where, for all groups and zones.
+//! Planning of the traffic shifts of all groups and zones.
 
 use std::collections::BTreeMap;
 
@@ -8,17 +8,20 @@
     ZoneHealth, ZoneShare, ZoneView,
 };
 
-/// The most that a zone is sent, as a multiple of its measured capacity: only load beyond it shows that it bears more.
+/// The most load that a zone is given, as a multiple of its measured capacity. Only load beyond the measured capacity
+/// can show that the zone handles more.
 const CAPACITY_OVERSHOOT: f64 = 1.1;
-/// Of a zone's spare capacity this share is given out; the rest is reserved for a further failure.
+/// The share of a zone's spare capacity that is allocated to shifted traffic. The rest is reserved for a further
+/// failure.
 const ALLOCATABLE_SHARE: f64 = 0.9;
-/// For how long after its return a zone's directive says that nothing is shifted any more, in microseconds. It
-/// is said at several evaluations, as one directive may be lost on its way.
+/// How long after a zone becomes local again its directive announces that nothing is shifted any more, in microseconds.
+/// The period covers several evaluations, because a single directive may be lost in transit.
 const RETURN_ANNOUNCE_PERIOD: Micros = 3_000_000;
-/// Missing capacity that is not yet reported as short, in reads a second: rounding to whole thousandths is no shortage.
+/// The largest lack of capacity that is not yet reported as insufficient, in reads per second. Rounding to whole
+/// thousandths must not be reported as a shortage.
 const SHORTAGE_TOLERANCE: f64 = 0.5;
 
-/// Capacity that one group has left in the zones that take traffic, in reads a second.
+/// The capacity that one group has left in the zones that may receive traffic, in reads per second.
 #[derive(Debug)]
 struct SpareCapacity {
     by_zone: BTreeMap<Zone, f64>,
@@ -29,7 +32,7 @@
         self.by_zone.values().sum()
     }
 
-    /// The shifted traffic, divided in proportion to what is left.
+    /// Divides the shifted traffic among the zones in proportion to their spare capacity.
     fn shares(&self) -> Vec<ZoneShare> {
         let total = self.total();
         let share = |spare: f64| if total > 0.0 { to_thousandths(spare / total) } else { 0 };
@@ -37,7 +40,7 @@
         targets.map(|(&zone, &spare)| ZoneShare { zone, share: share(spare) }).collect()
     }
 
-    /// Reserves `rate` in the same proportion.
+    /// Reserves `rate` (reads per second) in proportion to the zones' spare capacity.
     fn reserve(&mut self, rate: f64) {
         let total = self.total();
         if total > 0.0 {
@@ -52,7 +55,8 @@
     (share * f64::from(ALL_TRAFFIC)) as u16
 }
 
-/// What a zone may be sent on top of its load, in reads a second; nothing unless it serves well.
+/// Returns the load that a zone may receive on top of its present load, in reads per second. It is 0 unless the zone is
+/// healthy or marginal.
 fn spare_capacity(view: &ZoneView) -> f64 {
     if !matches!(view.health, ZoneHealth::Healthy | ZoneHealth::Marginal) {
         return 0.0;
@@ -60,27 +64,28 @@
     (view.capacity * CAPACITY_OVERSHOOT - view.load).max(0.0) * ALLOCATABLE_SHARE
 }
 
-/// Keeps the failover levels of all groups and zones, at the holder of the lease `zones`.
+/// Keeps the failover levels of all groups and zones, on the holder of the lease `zones`.
 #[derive(Clone, Debug, Default)]
 pub struct FailoverPlanner {
     states: BTreeMap<GroupZone, ZoneState>,
 }
 
 impl FailoverPlanner {
-    /// Continues a directive of an earlier lease holder. Called before the first decision.
+    /// Takes over a directive of an earlier lease holder. Called before the first decision.
     pub fn resume(&mut self, now: Micros, directive: &ZoneDirective) {
         let shift = &directive.shift;
         self.states.insert(directive.key(), ZoneState::resume(now, shift.level, shift.shifted_share));
     }
 
-    /// The level of a group in a zone; `None` where nothing was ever reported of it.
+    /// Returns the failover level of a group in a zone, or `None` if nothing was ever reported or resumed for it.
     pub fn level(&self, key: GroupZone) -> Option<FailoverLevel> {
         self.states.get(&key).map(|state| state.level)
     }
 
-    /// Decides once a second, and returns a directive for each zone that is not local or has just become so.
+    /// Updates all levels and returns a directive for each zone that is not local or has recently become local. Called
+    /// once a second.
     ///
-    /// A zone that is not reported any more keeps its level; as no demand of it is known, its directive shifts nothing.
+    /// A zone that is no longer reported keeps its level. Its directive shifts nothing, because its demand is unknown.
     pub fn decide(&mut self, now: Micros, evidence: &Evidence) -> Vec<ZoneDirective> {
         for (&key, view) in evidence.views() {
             let state = self.states.entry(key).or_insert_with(|| ZoneState::start(now));
@@ -92,8 +97,8 @@
         groups.into_iter().flat_map(|group| self.group_directives(now, group, evidence.views())).collect()
     }
 
-    /// Divides a group's shifted traffic among the zones where spare capacity was measured. A zone that shifts traffic
-    /// itself takes none, so that no two send to each other.
+    /// Divides a group's shifted traffic among the zones with measured spare capacity. A zone that itself shifts
+    /// traffic receives none, so that no two zones shift reads to each other.
     fn group_directives(
         &self,
         now: Micros,
@@ -128,7 +133,8 @@
     }
 }
 
-/// Shifts `wanted` thousandths of `demand` (reads a second), or as much of it as there is capacity for, and reserves that.
+/// Shifts `wanted` thousandths of `demand` (reads per second), or as much of it as there is spare capacity for, and
+/// reserves that capacity.
 fn shift_traffic(level: FailoverLevel, wanted: u16, demand: f64, spare: &mut SpareCapacity) -> TrafficShift {
     let wanted_rate = demand * f64::from(wanted) / f64::from(ALL_TRAFFIC);
     let rate = wanted_rate.min(spare.total());
--- a/crates/zone-failover/src/report.rs
+++ b/crates/zone-failover/src/report.rs
@@ -1,13 +1,30 @@
-//! What a proxy reports: how its reads ended, by group and zone of the member.
+//! Reports of the proxies, which count how reads ended by group and zone of the member.
 //!
-//! Bytes of a report, big-endian: 1 of the proxy's zone, 4 of the span in milliseconds, then for each row 8 of the group,
-//! 1 of the zone, and 4 each of attempts, in time, rejected, errors, unanswered, and milliseconds that served ones took.
+//! A report is big-endian. Its header is:
+//!
+//! | Bytes | Field |
+//! |---|---|
+//! | 1 | zone of the proxy |
+//! | 4 | span that the rows cover, in milliseconds |
+//!
+//! One row for each group and zone follows:
+//!
+//! | Bytes | Field |
+//! |---|---|
+//! | 8 | group |
+//! | 1 | zone of the members |
+//! | 4 | attempts |
+//! | 4 | attempts served in time |
+//! | 4 | rejected attempts |
+//! | 4 | attempts answered with an error |
+//! | 4 | unanswered attempts |
+//! | 4 | total time of the served attempts, in milliseconds |
 
 use bytes::{Buf, BufMut};
 
 use crate::{DecodeError, Group, Micros, Zone};
 
-/// Rows in one report, so that it fits into a datagram; more go into another report.
+/// The most rows in one report, so that the report fits into a datagram. Further rows go into another report.
 pub const MAX_ROWS: usize = 26;
 
 const HEADER_BYTES: usize = 5;
@@ -15,41 +32,41 @@
 /// The longest span that is reported, in milliseconds (about 12 days).
 const MAX_SPAN_MS: Micros = 1 << 30;
 
-/// How an attempt at a read ended, as far as the member's zone is concerned.
+/// The outcome of a read attempt, as far as it says something about the member's zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
     /// The member answered.
     Served {
-        /// Within the latency objective of the request's class.
+        /// Whether the answer came within the latency objective of the request's class.
         in_time: bool,
     },
-    /// The member rejected it for overload.
+    /// The member rejected the attempt because it was overloaded.
     Rejected,
-    /// The member answered with an error, which may be the request's own fault.
+    /// The member answered with an error, which may be caused by the request itself.
     Failed,
-    /// No answer came, or the member could not be reached.
+    /// The member did not answer or could not be reached.
     Unanswered,
 }
 
-/// How attempts of one group at one zone ended. All counts saturate.
+/// Counts of the outcomes of read attempts at one group in one zone. Sums saturate at `u32::MAX`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// All attempts that ended.
+    /// Attempts that ended, with any outcome.
     pub attempts: u32,
-    /// Served within their latency objective.
+    /// Attempts served within their latency objective.
     pub in_time: u32,
-    /// Rejected for overload.
+    /// Attempts rejected because the member was overloaded.
     pub rejected: u32,
-    /// Answered with an error.
+    /// Attempts answered with an error.
     pub failed: u32,
-    /// Without an answer.
+    /// Attempts without an answer.
     pub unanswered: u32,
-    /// Time that all served ones took together, in milliseconds.
+    /// Total time of all served attempts, in milliseconds.
     pub served_ms: u32,
 }
 
 impl OutcomeCounts {
-    /// Adds the other's counts.
+    /// Adds the counts of `other`.
     pub fn add(&mut self, other: &OutcomeCounts) {
         self.attempts = self.attempts.saturating_add(other.attempts);
         self.in_time = self.in_time.saturating_add(other.in_time);
@@ -59,46 +76,47 @@
         self.served_ms = self.served_ms.saturating_add(other.served_ms);
     }
 
-    /// Attempts that say something of the zone: an error may be the request's own. At least 1, as it divides.
+    /// Returns the number of attempts that say something about the zone. Errors are excluded, because they may be
+    /// caused by the request itself. The result is at least 1, because it is used as a divisor.
     fn conclusive_attempts(&self) -> f64 {
         f64::from((self.attempts - self.failed.min(self.attempts)).max(1))
     }
 
-    /// The share of conclusive attempts that were served in time.
+    /// Returns the share of conclusive attempts that were served in time, as a fraction.
     pub fn share_in_time(&self) -> f64 {
         f64::from(self.in_time) / self.conclusive_attempts()
     }
 
-    /// The share of conclusive attempts without an answer.
+    /// Returns the share of conclusive attempts without an answer, as a fraction.
     pub fn share_unanswered(&self) -> f64 {
         f64::from(self.unanswered) / self.conclusive_attempts()
     }
 }
 
-/// How reads of one group ended in one zone.
+/// The outcomes of one proxy's reads of one group in one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneRow {
-    /// The group read from.
+    /// The group that was read from.
     pub group: Group,
     /// The zone of the members that were tried.
     pub zone: Zone,
-    /// How the attempts ended.
+    /// The outcomes of the attempts.
     pub counts: OutcomeCounts,
 }
 
-/// What one proxy reports once a second.
+/// The report that each proxy sends once a second.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneReport {
     /// The proxy's own zone.
     pub zone: Zone,
-    /// The span that the rows were counted over, in microseconds; whole milliseconds are sent.
+    /// The span that the rows cover, in microseconds. It is encoded in whole milliseconds.
     pub span: Micros,
-    /// One for each group and zone that was tried.
+    /// The rows, one for each group and zone that was tried.
     pub rows: Vec<ZoneRow>,
 }
 
 impl ZoneReport {
-    /// The bytes of the report. Rows after [`MAX_ROWS`] are left out.
+    /// Encodes the report. Rows beyond [`MAX_ROWS`] are dropped.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(HEADER_BYTES + self.rows.len() * ROW_BYTES);
         put_zone(&mut bytes, self.zone);
@@ -109,7 +127,7 @@
         bytes
     }
 
-    /// Reads a report; fails where it ends within a field.
+    /// Decodes a report; fails if it ends within a field.
     pub fn decode(mut bytes: &[u8]) -> Result<ZoneReport, DecodeError> {
         let zone = get_zone(&mut bytes)?;
         let span_ms = get_u32(&mut bytes)?;
@@ -148,7 +166,7 @@
     }
 }
 
-/// A zone is one byte on the wire; settings have fewer than 256 of them.
+/// Writes a zone as one byte, which suffices because settings have fewer than 256 zones.
 pub(crate) fn put_zone(bytes: &mut Vec<u8>, zone: Zone) {
     bytes.put_u8(zone.min(255) as u8);
 }
--- a/crates/zone-failover/src/zone_state.rs
+++ b/crates/zone-failover/src/zone_state.rs
@@ -1,46 +1,51 @@
-//! The failover level of one group in one zone, and when it may change.
+//! The failover level of one group in one zone and the rules for changing it.
 
 use std::collections::VecDeque;
 
 use crate::{FailoverLevel, Micros, ZoneHealth};
 
-/// How often the level may change within [`CHANGE_WINDOW`]: once to fail over, once to start back.
+/// The most changes of the level within [`CHANGE_WINDOW`]: one to fail over and one to begin failing back.
 const MAX_CHANGES: usize = 2;
-/// The span that changes are limited in, in microseconds.
+/// The window over which level changes are limited, in microseconds.
 const CHANGE_WINDOW: Micros = 60_000_000;
-/// For how long a zone has to be unreachable before it is failed over, in microseconds: two evaluations, as this is plain
-/// at once.
+/// How long a zone must be unreachable before it fails over, in microseconds. This is only two evaluations, because an
+/// unreachable zone is recognized unambiguously at once.
 const FAILOVER_DELAY: Micros = 1_000_000;
-/// For how long a zone has to be overloaded before a part spills over, in microseconds: a short burst moves nothing.
+/// How long a zone must be overloaded before traffic spills over, in microseconds, so that a short burst shifts
+/// nothing.
 const SPILLOVER_DELAY: Micros = 3_000_000;
-/// For how long a zone has to answer again before it takes traffic back, in microseconds: it shows that it stays.
+/// How long a zone must answer again before it fails back, in microseconds, to show that it remains reachable.
 const FAILBACK_DELAY: Micros = 2_000_000;
-/// How long a step of spilling over waits for what was served to confirm it, in microseconds: the span of a report.
+/// The shortest time between steps of a spillover, in microseconds. It is the span of a report, so that the reads
+/// served after a step confirm it before the next.
 const SPILLOVER_STEP_INTERVAL: Micros = 2_000_000;
-/// The same for a step of failing back, in microseconds. Shorter, as the traffic returns to where it belongs.
+/// The shortest time between steps of failing back, in microseconds. It is shorter than [`SPILLOVER_STEP_INTERVAL`],
+/// because the traffic returns to the zone that it belongs to.
 const FAILBACK_STEP_INTERVAL: Micros = 1_000_000;
-/// By how much traffic is shifted at a time, in thousandths.
+/// The share of traffic that one step shifts to other zones or returns from a spillover, in thousandths.
 const SHIFT_STEP: u16 = 100;
-/// By how much traffic is taken back at a time while failing back, in thousandths.
+/// The share of traffic that one step of failing back returns, in thousandths.
 const FAILBACK_STEP: u16 = 200;
-/// What is shifted from a failed zone, in thousandths. A read that is not shifted finds nobody there, and its proxy retries
-/// elsewhere by itself. When the zone is back, slow start spares its cold members while the others are overloaded: 950 was
-/// measured to be worse than no directive at all (docs/zones.md, "What was tried and did not help").
+/// The share of traffic that is shifted away from an unreachable zone, in thousandths. A read that is not shifted gets
+/// no answer there, and its proxy retries it elsewhere. When the zone returns, slow start limits the load on its cold
+/// members while the other zones are overloaded; 950 was measured to be worse than no directive at all
+/// (`docs/zones.md`, "What was tried and did not help").
 const FAILED_OVER_SHIFT: u16 = 500;
-/// The most that an overloaded zone shifts, in thousandths.
+/// The largest share of traffic that an overloaded zone shifts to other zones, in thousandths.
 const MAX_SPILLOVER: u16 = 500;
 
-/// The level of one group in one zone, and what it follows from.
+/// The failover level of one group in one zone and the observations that it depends on.
 #[derive(Clone, Debug)]
 pub(crate) struct ZoneState {
     pub(crate) level: FailoverLevel,
-    /// How much should go to other zones, in thousandths.
+    /// The share of traffic that should go to other zones, in thousandths.
     pub(crate) shifted_share: u16,
-    /// The last verdict that was not [`ZoneHealth::Unknown`].
+    /// The last health other than [`ZoneHealth::Unknown`]; `Unknown` only before the first.
     health: ZoneHealth,
     health_since: Micros,
     last_step: Micros,
-    /// When the level changed within the last minute, oldest first.
+    /// Times of the level changes within [`CHANGE_WINDOW`], oldest first. Older entries are removed at the next attempt
+    /// to change the level.
     changes: VecDeque<Micros>,
 }
 
@@ -56,20 +61,21 @@
         }
     }
 
-    /// Continues what an earlier lease holder directed, as if the level had just changed: that holder's changes are not
-    /// known.
+    /// Takes over the level and share that an earlier lease holder directed. This counts as a level change at `now`,
+    /// because the changes under that holder are unknown.
     pub(crate) fn resume(now: Micros, level: FailoverLevel, shifted_share: u16) -> ZoneState {
         let mut state = ZoneState { level, shifted_share, ..ZoneState::start(now) };
         state.changes.push_back(now);
         state
     }
 
-    /// Whether the level changed within this span.
+    /// Returns whether the level changed within the last `span` microseconds.
     pub(crate) fn changed_within(&self, now: Micros, span: Micros) -> bool {
         self.changes.back().is_some_and(|&at| now - at <= span)
     }
 
-    /// Takes in a verdict. An unknown one changes nothing: nobody tries a zone where nobody answers.
+    /// Records the observed health. [`ZoneHealth::Unknown`] changes nothing, because proxies stop trying a zone where
+    /// no member answers.
     pub(crate) fn observe(&mut self, now: Micros, health: ZoneHealth) {
         if health != self.health && health != ZoneHealth::Unknown {
             self.health = health;
@@ -77,7 +83,7 @@
         }
     }
 
-    /// Applies the table of levels once (docs/zones.md).
+    /// Applies the table of levels once (`docs/zones.md`).
     pub(crate) fn step(&mut self, now: Micros) {
         let stable_for = now - self.health_since;
         if self.health == ZoneHealth::Unreachable {
@@ -137,8 +143,8 @@
         self.last_step = now;
     }
 
-    /// Returns traffic to the zone. Once all of it is back the zone is local again; where the level may not change yet,
-    /// nothing is shifted all the same.
+    /// Returns up to `step` thousandths of the traffic to the zone. Once all of it has returned, the zone is local
+    /// again. If the level may not change yet, nothing is shifted regardless.
     fn shift_less(&mut self, now: Micros, step: u16) {
         self.last_step = now;
         if self.shifted_share > step {
@@ -149,10 +155,11 @@
         }
     }
 
-    /// Changes the level, unless it changed too often of late.
+    /// Changes the level unless it has changed [`MAX_CHANGES`] times within [`CHANGE_WINDOW`].
     ///
-    /// Without the limit traffic would follow a flapping zone, and each turn would overload members and fail clients. The
-    /// cost: a zone that is lost again within the minute is not failed over; its proxies then go by what each observes.
+    /// Without this limit, traffic would follow a flapping zone, and each change would overload members and fail
+    /// requests of clients. The cost is that a zone that becomes unreachable again within the minute does not fail
+    /// over; each of its proxies then relies on its own observations.
     fn change_level(&mut self, now: Micros, level: FailoverLevel, shifted_share: u16) {
         self.changes.retain(|&at| now - at < CHANGE_WINDOW);
         if self.changes.len() < MAX_CHANGES {
--- a/crates/zone-failover/tests/pinned_payloads.rs
+++ b/crates/zone-failover/tests/pinned_payloads.rs
@@ -1,4 +1,4 @@
-//! The bytes of reports and of directives' bodies, as proxies of other versions send and read them.
+//! Byte-exact tests of reports and directive bodies, which must stay compatible with proxies of other versions.
 
 use aldermill_zone_failover::{FailoverLevel, OutcomeCounts, TrafficShift, ZoneReport, ZoneRow, ZoneShare};
 
--- a/crates/zone-failover/tests/zones.rs
+++ b/crates/zone-failover/tests/zones.rs
@@ -1,4 +1,5 @@
-//! Zones that are unreachable, partitioned, overloaded or flapping, and what holds whatever is reported.
+//! Tests of failover for unreachable, partitioned, overloaded and flapping zones, and of invariants under arbitrary
+//! reports.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +13,7 @@
 const SECOND: Micros = 1_000_000;
 const GROUP: u64 = 7;
 
-/// How one proxy's reads end in one zone.
+/// The outcomes of one proxy's reads in one zone, as fractions of its attempts. The remaining attempts are served late.
 #[derive(Clone, Copy)]
 struct OutcomeShares {
     in_time: f64,
@@ -22,23 +23,24 @@
 const SERVED: OutcomeShares = OutcomeShares { in_time: 1.0, unanswered: 0.0 };
 const UNANSWERED: OutcomeShares = OutcomeShares { in_time: 0.0, unanswered: 1.0 };
 
-/// Served in time so far; the rest is served late.
+/// Outcomes where this fraction is served in time and the rest is served late.
 fn served_in_time(in_time: f64) -> OutcomeShares {
     OutcomeShares { in_time, unanswered: 0.0 }
 }
 
-/// Three zones of four proxies; each proxy sends 20 reads a second to its own zone, and 2 to each other.
+/// A fleet of twelve proxies, four in each of three zones. Each proxy sends 20 reads per second to its own zone and 2
+/// to each of the others. Proxy `n` is in zone `n % 3`.
 struct Fleet {
     now: Micros,
     evidence: Evidence,
     planner: FailoverPlanner,
-    /// By the proxy's number and the zone that it reads from.
+    /// Returns the outcomes for the number of a proxy and the zone that it reads from.
     outcome_shares: Box<dyn Fn(usize, Zone) -> OutcomeShares>,
     directives: Vec<ZoneDirective>,
 }
 
 impl Fleet {
-    /// All zones are healthy for five seconds.
+    /// Creates a fleet whose zones have all been healthy for five seconds.
     fn healthy() -> Fleet {
         let mut fleet = Fleet {
             now: 0,
@@ -51,7 +53,7 @@
         fleet
     }
 
-    /// Every proxy reports and the lease holder decides, once a second.
+    /// Runs the fleet for this many seconds; in each, every proxy reports and the lease holder decides.
     fn advance(&mut self, seconds: i64) {
         for _ in 0..seconds {
             self.now += SECOND;
@@ -105,11 +107,15 @@
     fleet.advance(2);
     assert_eq!((fleet.health(0), fleet.level(0)), (ZoneHealth::Unreachable, FailoverLevel::FailedOver));
     let shift = fleet.shift(0).unwrap();
-    assert!(shift.insufficient_capacity, "the others were never measured to bear so much more: {shift:?}");
+    assert!(shift.insufficient_capacity, "the other zones lack measured capacity for this load: {shift:?}");
     assert!(shift.targets.iter().all(|part| part.zone != 0));
     fleet.outcome_shares = Box::new(|_, _| SERVED);
     fleet.advance(2);
-    assert_eq!(fleet.level(0), FailoverLevel::FailedOver, "it has to show that it stays");
+    assert_eq!(
+        fleet.level(0),
+        FailoverLevel::FailedOver,
+        "the zone must answer for longer before it fails back"
+    );
     fleet.advance(1);
     assert_eq!(fleet.level(0), FailoverLevel::FailingBack);
     let mut shifted_shares = Vec::new();
@@ -128,7 +134,10 @@
         Box::new(|proxy, zone| if (proxy % 3 == 0) != (zone == 0) { UNANSWERED } else { SERVED });
     fleet.advance(10);
     assert_eq!((fleet.health(0), fleet.level(0)), (ZoneHealth::Partitioned, FailoverLevel::Local));
-    assert!((1..3).all(|zone| fleet.level(zone) == FailoverLevel::Local), "the others still have each other");
+    assert!(
+        (1..3).all(|zone| fleet.level(zone) == FailoverLevel::Local),
+        "the other zones can still reach each other"
+    );
 }
 
 #[test]
@@ -188,8 +197,8 @@
     assert_eq!(fleet.level(0), FailoverLevel::FailedOver);
 }
 
-/// One proxy's report as the generator draws it: its zone, the span, and for each row the group, the zone, attempts, and the
-/// shares served in time and unanswered.
+/// One proxy's report as generated: the proxy's zone, the span in microseconds, and for each row the group, the zone,
+/// the number of attempts, and the fractions served in time and unanswered.
 type GeneratedReport = (Zone, Micros, Vec<(u64, Zone, u32, f64, f64)>);
 
 fn build_report((zone, span, rows): GeneratedReport) -> ZoneReport {
@@ -206,7 +215,8 @@
     ZoneReport { zone, span, rows: rows.collect() }
 }
 
-/// OutcomeShares are at most the whole, no two zones send to each other, and none is sent more than it was measured to bear.
+/// Checks that shares do not exceed the whole, that no two zones shift reads to each other, and that no zone receives
+/// more than 1.1 times its measured capacity less its load.
 fn check_directives(evidence: &Evidence, directives: &[ZoneDirective]) {
     let mut sent: BTreeMap<GroupZone, f64> = BTreeMap::new();
     for ZoneDirective { group, zone, shift } in directives {
@@ -217,7 +227,10 @@
         for &ZoneShare { zone: to, share } in &shift.targets {
             let sends_back =
                 |d: &&ZoneDirective| d.group == *group && d.zone == to && d.shift.shifted_share > 0;
-            assert!(directives.iter().find(sends_back).is_none(), "{zone} and {to} send to each other");
+            assert!(
+                directives.iter().find(sends_back).is_none(),
+                "zones {zone} and {to} shift reads to each other"
+            );
             let key = GroupZone { group: *group, zone: *zone };
             let shifted_rate = evidence.views()[&key].demand * f64::from(shift.shifted_share) / 1000.0;
             *sent.entry(GroupZone { group: *group, zone: to }).or_default() +=
@@ -227,11 +240,12 @@
     for (key, rate) in sent {
         let view = evidence.views()[&key];
         let spare = (view.capacity * 1.1 - view.load).max(0.0);
-        assert!(rate <= spare + 1e-6, "{rate} to {key:?}, which has room for {spare}");
+        assert!(rate <= spare + 1e-6, "{rate} reads/s shifted to {key:?}, whose spare capacity is {spare}");
     }
 }
 
-/// Feeds reports second by second, and checks directives and how often levels change.
+/// Evaluates generated reports second by second, and checks the directives and that levels change at most twice a
+/// minute.
 fn check_history(seconds: Vec<Vec<(usize, GeneratedReport)>>) {
     let mut evidence = Evidence::default();
     let mut planner = FailoverPlanner::default();
@@ -257,7 +271,7 @@
     }
 }
 
-/// Whatever is reported, in whatever order, late, doubled or never.
+/// Checks the invariants for arbitrary reports, including reports that arrive in any order, late, repeatedly or never.
 #[test]
 fn arbitrary_reports_never_cause_mutual_shifts_or_exceed_measured_capacity() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]);
@@ -273,7 +287,8 @@
     runner.run(&seconds, check).unwrap();
 }
 
-/// Two served reads and one unanswered in zone 1, one rejected and one failed in zone 2.
+/// Returns a history of two served reads and one unanswered read in zone 1, and one rejected and one failed read in
+/// zone 2.
 fn history_of_five_reads() -> ZoneHistory {
     let mut history = ZoneHistory::start(0);
     history.record(GROUP, 1, ReadOutcome::Served { in_time: true }, 20_000);
@@ -290,7 +305,11 @@
     let recent = history.end_interval(SECOND);
     let first = &recent.rows[0].counts;
     assert_eq!((recent.span, recent.rows.len(), first.attempts, first.served_ms), (SECOND, 2, 3, 620));
-    assert_eq!(history.end_interval(2 * SECOND).rows[0].counts.attempts, 3, "told of the last two seconds");
+    assert_eq!(
+        history.end_interval(2 * SECOND).rows[0].counts.attempts,
+        3,
+        "a report covers the last two intervals"
+    );
     assert!(history.end_interval(3 * SECOND).rows.is_empty());
 }
 
