--- a/crates/leases/src/participant.rs
+++ b/crates/leases/src/participant.rs
@@ -1,4 +1,4 @@
-//! One process's part in all leases: its vote, if it is a voter, and its candidacies.
+//! The part of one process in all leases: its vote, if it is a voter, and its candidates.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -10,55 +10,60 @@
 
 use crate::{Candidate, CandidateAction, Incarnation, Message, Micros, Payload, Term, Voter};
 
-/// The shortest lease that may be configured.
-const SHORTEST_LEASE: Micros = 500_000;
-/// Candidates of adjacent rank turn to a free lease this fraction of its duration apart.
-const RANKS_A_LEASE: Micros = 60;
-/// The part of the duration over which candidates of one rank are spread by chance.
-const JITTERS_A_LEASE: Micros = 200;
+/// The shortest lease that may be configured, in microseconds.
+const MIN_LEASE_DURATION: Micros = 500_000;
+/// Candidates of adjacent ranks seek a free lease this fraction of its duration (one part in this many)
+/// apart.
+const RANK_DELAY_DIVISOR: Micros = 60;
+/// Candidates of the same rank are spread at random over this fraction of the lease duration (one part in
+/// this many).
+const RANK_JITTER_DIVISOR: Micros = 200;
 
-/// What the operator configures, the same at all voters.
+/// The operator's configuration, which is the same at all voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseConfig {
-    /// The names of the processes that grant leases, and hold them: 3, 5 or 7.
+    /// The names of the processes that grant leases and can hold them: 3, 5 or 7.
     pub voters: Vec<String>,
     /// The names of the leases.
     pub leases: Vec<String>,
-    /// For how long a lease is granted at a time, in microseconds.
+    /// The duration for which a lease is granted, in microseconds.
     pub duration: Micros,
-    /// No term is lower. To be raised by an operator after terms were lost and clocks went back.
+    /// The lowest term that may be granted, 0 for no bound. An operator raises it after terms were lost and
+    /// the clocks were set back.
     pub least_term: Term,
 }
 
-/// A configuration that cannot work.
+/// The reason why a configuration cannot work.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// Their number allows ties, or is out of bounds.
-    #[error("voters: {0} are named; name 3, 5 or 7 proxies, so that a majority is clear")]
+    /// The number of voters allows ties or is out of bounds.
+    #[error("voters: {0} proxies are named; name 3, 5 or 7, so that votes cannot tie")]
     VoterCount(usize),
-    /// One proxy would vote twice.
-    #[error("voters: {0:?} is named twice; each voter has a name of its own")]
+    /// A voter is named twice and would have two votes.
+    #[error("voters: {0:?} is named twice; name each voter once")]
     DuplicateVoter(String),
-    /// The lease would expire before slow voters have answered.
-    #[error("lease: {0} us is too short; give at least half a second, or it expires under a slow answer")]
+    /// The lease would expire before slow voters have replied; the value is its duration in microseconds.
+    #[error(
+        "lease_ms: a lease of {0} us is too short; set at least 500 ms, or it expires before slow voters reply"
+    )]
     TooShort(Micros),
 }
 
-/// This process has got or lost a lease.
+/// A lease that this process has acquired or lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseChange {
-    /// It holds the lease from now on.
+    /// This process holds the lease from now on.
     Acquired {
-        /// The lease's name.
+        /// The name of the lease.
         lease: String,
-        /// Under which term.
+        /// The term under which this process holds the lease.
         term: Term,
     },
-    /// It no longer holds the lease.
+    /// This process no longer holds the lease.
     Lost {
-        /// The lease's name.
+        /// The name of the lease.
         lease: String,
-        /// Under which term it held it.
+        /// The term under which this process held the lease.
         term: Term,
     },
 }
@@ -66,39 +71,40 @@
 /// A message and its addressee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// The name of another voter.
+    /// The name of the addressee, which is another voter.
     pub to: String,
-    /// To be sent to it.
+    /// The message to send.
     pub message: Message,
 }
 
-/// What the caller is to do now.
+/// What the caller has to do now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[must_use]
 pub struct Actions {
     /// Messages to send.
     pub send: Vec<Outgoing>,
-    /// Terms, by lease, to write to the disk; [`Participant::persisted`] is to be called when they are there.
+    /// Terms to write to disk, with the names of their leases. Once they are on disk, the caller calls
+    /// [`Participant::persisted`].
     pub persist: Vec<(String, Term)>,
-    /// What this process has got or lost.
+    /// Leases that this process has acquired or lost.
     pub changes: Vec<LeaseChange>,
-    /// When to call [`Participant::wake`].
+    /// When to call [`Participant::wake`]; `None` if this process is no candidate for any lease.
     pub wake_at: Option<Micros>,
 }
 
-/// A vote that is sent once its term is on the disk.
+/// A vote that is sent once its term is on disk.
 struct PendingVote {
     term: Term,
     outgoing: Outgoing,
 }
 
-/// One process's part in all leases.
+/// The part of one process in all leases.
 pub struct Participant {
-    own: Incarnation,
+    incarnation: Incarnation,
     voters: Vec<String>,
     least_term: Term,
     duration: Micros,
-    /// `None` where this process is no voter; then it is no candidate either.
+    /// `None` if this process is not a voter; then it is not a candidate either.
     voter: Option<Voter>,
     candidates: BTreeMap<String, Candidate>,
     pending_votes: Vec<PendingVote>,
@@ -107,15 +113,15 @@
 }
 
 impl LeaseConfig {
-    fn check(&self) -> Result<(), ConfigError> {
+    fn validate(&self) -> Result<(), ConfigError> {
         if !matches!(self.voters.len(), 3 | 5 | 7) {
             return Err(ConfigError::VoterCount(self.voters.len()));
         }
-        let is_duplicate = |(at, name): &(usize, &String)| self.voters[..*at].contains(name);
+        let is_duplicate = |(index, name): &(usize, &String)| self.voters[..*index].contains(name);
         if let Some((_, name)) = self.voters.iter().enumerate().find(is_duplicate) {
             return Err(ConfigError::DuplicateVoter(name.clone()));
         }
-        if self.duration < SHORTEST_LEASE {
+        if self.duration < MIN_LEASE_DURATION {
             return Err(ConfigError::TooShort(self.duration));
         }
         Ok(())
@@ -123,24 +129,24 @@
 }
 
 impl Participant {
-    /// Starts the part of this process. `persisted` is what a voter's store held, by lease; `None` is a voter without a
-    /// store.
+    /// Starts a process's part in the leases. `stored_terms` are the terms that the voter's store contained,
+    /// by lease; `None` stands for a voter without a store.
     ///
     /// # Errors
     ///
-    /// The configuration cannot work.
+    /// Returns a [`ConfigError`] if the configuration cannot work.
     pub fn start(
         now: Micros,
-        own: Incarnation,
+        incarnation: Incarnation,
         config: &LeaseConfig,
-        persisted: Option<Vec<(String, Term)>>,
+        stored_terms: Option<Vec<(String, Term)>>,
         seed: u64,
     ) -> Result<Participant, ConfigError> {
-        config.check()?;
-        let votes = config.voters.contains(&own.name);
-        let voter = votes.then(|| Voter::start(now, config.duration, persisted));
+        config.validate()?;
+        let is_voter = config.voters.contains(&incarnation.name);
+        let voter = is_voter.then(|| Voter::start(now, config.duration, stored_terms));
         let mut participant = Participant {
-            own,
+            incarnation,
             voters: config.voters.clone(),
             least_term: config.least_term,
             duration: config.duration,
@@ -157,55 +163,58 @@
     fn start_candidates(&mut self, leases: &[String]) {
         let Some(silent_until) = self.voter.as_ref().map(Voter::silent_until) else { return };
         for lease in leases {
-            let first_round_at = silent_until + self.turn_delay(lease);
+            let first_round_at = silent_until + self.rank_delay(lease);
             let candidate =
-                Candidate::start(self.own.clone(), self.voters.len(), self.duration, first_round_at);
+                Candidate::start(self.incarnation.clone(), self.voters.len(), self.duration, first_round_at);
             self.candidates.insert(lease.clone(), candidate);
         }
     }
 
-    /// How long after a lease has become free this process seeks it: by a rank that all compute alike, so that leases
-    /// are spread over the voters.
-    fn turn_delay(&mut self, lease: &str) -> Micros {
-        let own = rank(lease, &self.own.name);
-        let before = self.voters.iter().filter(|name| rank(lease, name) < own).count() as Micros;
-        let jitter = self.rng.random_range(0..=self.duration / JITTERS_A_LEASE);
-        before * self.duration / RANKS_A_LEASE + jitter
+    /// Returns how long after a lease becomes free this process seeks it. The delay depends on a rank that
+    /// all voters compute alike, so that the leases are spread over the voters.
+    fn rank_delay(&mut self, lease: &str) -> Micros {
+        let own_rank = rank(lease, &self.incarnation.name);
+        let lower_ranked = self.voters.iter().filter(|name| rank(lease, name) < own_rank).count() as Micros;
+        let jitter = self.rng.random_range(0..=self.duration / RANK_JITTER_DIVISOR);
+        lower_ranked * self.duration / RANK_DELAY_DIVISOR + jitter
     }
 
-    /// Its voter has a store that cannot be read yet, and casts no vote before [`Participant::restore`].
+    /// Withholds all votes until [`Participant::restore`] is called, because the voter's store cannot be read
+    /// yet.
     pub fn withhold_votes(&mut self) {
         if let Some(voter) = &mut self.voter {
             voter.withhold_votes();
         }
     }
 
-    /// What the voter's store held, by lease, once it has been read.
-    pub fn restore(&mut self, persisted: Vec<(String, Term)>) {
+    /// Takes the terms that the voter's store contained, by lease, once the store has been read.
+    pub fn restore(&mut self, stored_terms: Vec<(String, Term)>) {
         if let Some(voter) = &mut self.voter {
-            voter.restore(persisted);
+            voter.restore(stored_terms);
         }
     }
 
-    /// Whether this process is one of the voters.
+    /// Returns whether this process is one of the voters.
     #[must_use]
     pub fn is_voter(&self) -> bool {
         self.voter.is_some()
     }
 
-    /// The term to act under, while this process holds the lease. To be asked immediately before each act.
+    /// Returns the term under which this process may act, or `None` if it does not hold the lease. To be
+    /// called immediately before each operation.
     #[must_use]
     pub fn may_act(&self, now: Micros, lease: &str) -> Option<Term> {
         self.candidates.get(lease)?.may_act(now)
     }
 
-    /// To be called at [`Actions::wake_at`]. `wall` is the Unix time in milliseconds, here and below.
-    pub fn wake(&mut self, now: Micros, wall: u64) -> Actions {
+    /// Does what is due. To be called at [`Actions::wake_at`]. `wall_clock_ms` is the Unix time in
+    /// milliseconds.
+    pub fn wake(&mut self, now: Micros, wall_clock_ms: u64) -> Actions {
         for lease in self.lease_names() {
             let held_elsewhere_until = self.held_elsewhere_until(now, &lease);
-            let chance = self.rng.random();
-            self.with_candidate(now, wall, &lease, |candidate| {
-                candidate.wake(now, held_elsewhere_until, chance)
+            let jitter_fraction = self.rng.random();
+            self.with_candidate(now, wall_clock_ms, &lease, |candidate| {
+                candidate.wake(now, held_elsewhere_until, jitter_fraction)
             });
         }
         self.take_actions()
@@ -217,34 +226,41 @@
 
     fn held_elsewhere_until(&self, now: Micros, lease: &str) -> Option<Micros> {
         let granted = self.voter.as_ref()?.granted(now, lease)?;
-        (granted.holder != self.own).then_some(granted.expires_at)
+        (granted.holder != self.incarnation).then_some(granted.expires_at)
     }
 
-    /// Takes a message of another process. One that is not configured as a voter is ignored.
-    pub fn receive(&mut self, now: Micros, wall: u64, from: &Incarnation, message: &Message) -> Actions {
+    /// Handles a message of another process. Messages of a process that is not configured as a voter are
+    /// ignored. `wall_clock_ms` is the Unix time in milliseconds.
+    pub fn receive(
+        &mut self,
+        now: Micros,
+        wall_clock_ms: u64,
+        from: &Incarnation,
+        message: &Message,
+    ) -> Actions {
         if self.voters.contains(&from.name) {
-            self.dispatch(now, wall, from, message);
+            self.dispatch(now, wall_clock_ms, from, message);
         }
         self.take_actions()
     }
 
-    fn dispatch(&mut self, now: Micros, wall: u64, from: &Incarnation, message: &Message) {
+    fn dispatch(&mut self, now: Micros, wall_clock_ms: u64, from: &Incarnation, message: &Message) {
         if message.payload.is_for_voters() {
-            return self.vote(now, wall, from, message);
+            return self.vote(now, wall_clock_ms, from, message);
         }
-        let least_term = wall.max(self.least_term);
-        self.with_candidate(now, wall, &message.lease, |candidate| {
+        let least_term = wall_clock_ms.max(self.least_term);
+        self.with_candidate(now, wall_clock_ms, &message.lease, |candidate| {
             candidate.receive(now, least_term, &from.name, &message.payload)
         });
     }
 
-    fn vote(&mut self, now: Micros, wall: u64, from: &Incarnation, message: &Message) {
+    fn vote(&mut self, now: Micros, wall_clock_ms: u64, from: &Incarnation, message: &Message) {
         let Some(voter) = &mut self.voter else { return };
         let lease = &message.lease;
         let reply = voter.receive(now, from, message);
         let is_release = matches!(message.payload, Payload::Release { .. });
-        if is_release && voter.granted(now, lease).is_none() && from.name != self.own.name {
-            self.seek_released(now, lease);
+        if is_release && voter.granted(now, lease).is_none() && from.name != self.incarnation.name {
+            self.schedule_round_after_release(now, lease);
         }
         let Some(reply) = reply else { return };
         let message = Message { lease: lease.clone(), payload: reply.payload };
@@ -254,28 +270,30 @@
                 self.actions.persist.push((lease.clone(), term));
                 self.pending_votes.push(PendingVote { term, outgoing });
             }
-            None => self.send(now, wall, outgoing),
+            None => self.send(now, wall_clock_ms, outgoing),
         }
     }
 
-    fn seek_released(&mut self, now: Micros, lease: &str) {
-        let silence = self.voter.as_ref().map_or(0, |voter| (voter.silent_until() - now).max(0));
-        let delay = silence + self.turn_delay(lease);
+    fn schedule_round_after_release(&mut self, now: Micros, lease: &str) {
+        let remaining_silence = self.voter.as_ref().map_or(0, |voter| (voter.silent_until() - now).max(0));
+        let delay = remaining_silence + self.rank_delay(lease);
         if let Some(candidate) = self.candidates.get_mut(lease) {
             candidate.lease_freed(now, delay);
         }
     }
 
-    /// Others took acts of this term.
+    /// Notes that other processes have accepted operations under this term. `wall_clock_ms` is the Unix time
+    /// in milliseconds.
     ///
-    /// Guards a lease from terms that nobody takes: those of voters that all forgot, under clocks behind the ones by which
-    /// earlier terms were made. A holder under a lower term releases the lease and seeks a term above. Costs nothing: the
-    /// holder under a lower term has been superseded.
-    pub fn observe_term(&mut self, now: Micros, wall: u64, lease: &str, term: Term) -> Actions {
+    /// After all voters have lost their state and the wall clocks were set back, new terms may be lower than
+    /// earlier ones, and receivers reject every operation under them. A holder under a lower term therefore
+    /// releases the lease and seeks it under a higher one. Nothing is lost by that, as such a holder has been
+    /// superseded.
+    pub fn observe_term(&mut self, now: Micros, wall_clock_ms: u64, lease: &str, term: Term) -> Actions {
         let Some(voter) = &mut self.voter else { return Actions::default() };
         voter.observe_term(lease, term);
-        self.with_candidate(now, wall, lease, |candidate| {
-            if candidate.may_act(now).is_none_or(|own| own >= term) {
+        self.with_candidate(now, wall_clock_ms, lease, |candidate| {
+            if candidate.may_act(now).is_none_or(|own_term| own_term >= term) {
                 return Vec::new();
             }
             let actions = candidate.release(now);
@@ -285,8 +303,9 @@
         self.take_actions()
     }
 
-    /// The record of this term is on the disk: the votes that waited for it are sent.
-    pub fn persisted(&mut self, now: Micros, wall: u64, lease: &str, term: Term) -> Actions {
+    /// Sends the votes that waited for this term to be on disk. `wall_clock_ms` is the Unix time in
+    /// milliseconds.
+    pub fn persisted(&mut self, now: Micros, wall_clock_ms: u64, lease: &str, term: Term) -> Actions {
         if let Some(voter) = &mut self.voter {
             voter.persisted(lease, term);
         }
@@ -295,23 +314,24 @@
             std::mem::take(&mut self.pending_votes).into_iter().partition(is_due);
         self.pending_votes = waiting;
         for vote in due {
-            self.send(now, wall, vote.outgoing);
+            self.send(now, wall_clock_ms, vote.outgoing);
         }
         self.take_actions()
     }
 
-    /// The disk does not take them: no vote is cast that could be forgotten.
+    /// Drops the votes that wait for their terms, because the disk did not accept them: a vote that a restart
+    /// could forget is never cast.
     pub fn not_persisted(&mut self) {
         self.pending_votes.clear();
     }
 
-    /// This process can do what the lease is for, or no longer.
-    pub fn set_able(&mut self, now: Micros, lease: &str, able: bool) -> Actions {
-        self.with_candidate(now, 0, lease, |candidate| candidate.set_able(now, able));
+    /// Sets whether this process can do the work that the lease is for, and releases the lease if it cannot.
+    pub fn set_eligible(&mut self, now: Micros, lease: &str, is_eligible: bool) -> Actions {
+        self.with_candidate(now, 0, lease, |candidate| candidate.set_eligible(now, is_eligible));
         self.take_actions()
     }
 
-    /// This process shuts down: it releases all leases, so that others need not wait until they expire.
+    /// Releases all leases because this process shuts down, so that others need not wait until they expire.
     pub fn release_all(&mut self, now: Micros) -> Actions {
         for lease in self.lease_names() {
             self.with_candidate(now, 0, &lease, |candidate| candidate.release(now));
@@ -320,31 +340,37 @@
         self.take_actions()
     }
 
-    /// The others know this process by another number from now on. What it held was granted under the former one, and no
-    /// other voter takes a release of it any more: it gives the leases up, and they expire.
+    /// Changes the start number of this process, which other processes use from now on, and gives up its
+    /// leases.
+    ///
+    /// The leases were granted under the former number, and the other voters no longer accept a release from
+    /// it, so they expire there.
     pub fn renumber(&mut self, now: Micros, start: u64) -> Actions {
         let leases = self.lease_names();
         for lease in &leases {
             self.with_candidate(now, 0, lease, |candidate| candidate.release(now));
         }
-        self.own.start = start;
+        self.incarnation.start = start;
         self.start_candidates(&leases);
         self.take_actions()
     }
 
-    /// Asks the candidate for a lease, if this process is one, and carries out what it says.
+    /// Calls `operation` on the candidate for a lease, if this process has one, and carries out the resulting
+    /// actions.
     fn with_candidate(
         &mut self,
         now: Micros,
-        wall: u64,
+        wall_clock_ms: u64,
         lease: &str,
-        ask: impl FnOnce(&mut Candidate) -> Vec<CandidateAction>,
+        operation: impl FnOnce(&mut Candidate) -> Vec<CandidateAction>,
     ) {
         let Some(candidate) = self.candidates.get_mut(lease) else { return };
-        for action in ask(candidate) {
+        for action in operation(candidate) {
             let lease = lease.to_owned();
             match action {
-                CandidateAction::Broadcast(payload) => self.broadcast(now, wall, Message { lease, payload }),
+                CandidateAction::Broadcast(payload) => {
+                    self.broadcast(now, wall_clock_ms, Message { lease, payload })
+                }
                 CandidateAction::Acquired(term) => {
                     self.actions.changes.push(LeaseChange::Acquired { lease, term });
                 }
@@ -353,20 +379,20 @@
         }
     }
 
-    fn broadcast(&mut self, now: Micros, wall: u64, message: Message) {
+    fn broadcast(&mut self, now: Micros, wall_clock_ms: u64, message: Message) {
         for to in self.voters.clone() {
-            self.send(now, wall, Outgoing { to, message: message.clone() });
+            self.send(now, wall_clock_ms, Outgoing { to, message: message.clone() });
         }
     }
 
-    /// A message to itself is taken at once.
-    fn send(&mut self, now: Micros, wall: u64, outgoing: Outgoing) {
-        if outgoing.to != self.own.name {
+    /// Sends a message; one to this process itself is handled at once.
+    fn send(&mut self, now: Micros, wall_clock_ms: u64, outgoing: Outgoing) {
+        if outgoing.to != self.incarnation.name {
             self.actions.send.push(outgoing);
             return;
         }
-        let own = self.own.clone();
-        self.dispatch(now, wall, &own, &outgoing.message);
+        let incarnation = self.incarnation.clone();
+        self.dispatch(now, wall_clock_ms, &incarnation, &outgoing.message);
     }
 
     fn take_actions(&mut self) -> Actions {
@@ -375,7 +401,8 @@
     }
 }
 
-/// A hash of both names, mixed once more, so that names that differ in their last letter are far apart.
+/// Returns a hash of both names with an additional mixing step, so that the ranks of names that differ only
+/// in their last letter are far apart.
 fn rank(lease: &str, name: &str) -> u64 {
     let mut hasher = FnvHasher::default();
     for part in [lease.as_bytes(), &[0], name.as_bytes()] {
