--- a/crates/proxy/src/coordination/split_points.rs
+++ b/crates/proxy/src/coordination/split_points.rs
@@ -105,8 +105,8 @@
     match assessment {
         SplitAssessment::Balanced => json!({"why": "none too large among its group's ranges"}),
         SplitAssessment::Unknown => json!({"why": "too little was seen"}),
-        SplitAssessment::LowCoverage { reporters, living } => {
-            json!({"why": "too few drivers are heard", "heard": reporters, "living": living})
+        SplitAssessment::LowCoverage { reporters, live_proxies } => {
+            json!({"why": "too few drivers are heard", "heard": reporters, "living": live_proxies})
         }
         SplitAssessment::Uniform => {
             json!({"why": "cost follows the number of keys, any cut by their number is as good"})
@@ -116,7 +116,7 @@
             "key": key_text(key),
             "share": rounded(*share),
         }),
-        SplitAssessment::MovingFront { from } => json!({
+        SplitAssessment::AscendingKeys { from } => json!({
             "why": "load is at ever new keys, give those from here on to a new range",
             "from": key_text(from),
         }),
@@ -192,7 +192,7 @@
         for group in distributions.keys() {
             groups.entry(*group).or_insert_with(|| {
                 let proposed = |from: &[u8]| proposed_split(inputs.directives, now, &subject(*group, from));
-                RangeSet::start(now, &splits_of(&self.splits, *group), proposed)
+                RangeSet::new(now, &splits_of(&self.splits, *group), proposed)
             });
         }
         let average_cost = average_range_cost(groups, &distributions);
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -97,7 +97,7 @@
             return;
         }
         let seed = self.seed ^ group;
-        let sketch = keys.entry(group).or_insert_with(|| KeySketch::start(now, seed));
+        let sketch = keys.entry(group).or_insert_with(|| KeySketch::new(now, seed));
         let cost_ms = elapsed as f64 / 1000.0;
         sketch.record(now, &attempt.key, attempt.write, cost_ms);
     }
--- a/crates/split-points/src/evidence.rs
+++ b/crates/split-points/src/distribution.rs
@@ -6,16 +6,16 @@
 
 /// The most that one proxy may report, as a multiple of the median cost: beyond it figures are wrong, or it alone has the load, and
 /// either way a single proxy is not to split a range.
-const MAX_TIMES_MEDIAN_COST: f64 = 50.0;
+const MAX_MEDIAN_COST_FACTOR: f64 = 50.0;
 /// With fewer proxies their median says nothing of a single one.
 const MIN_PROXIES_FOR_MEDIAN: usize = 3;
 /// The most that a summary's samples may stand for, as a multiple of its cost: a sum that is further off is not that of a
 /// priority sample.
-const MAX_TIMES_OWN_COST: f64 = 4.0;
+const MAX_SAMPLED_COST_FACTOR: f64 = 4.0;
 /// Added to the bound above, in units of cost, so that it means something for a cost near zero.
-const OWN_COST_ALLOWANCE: f64 = 1.0;
+const SAMPLED_COST_ALLOWANCE: f64 = 1.0;
 /// The width of a 95% interval of a normal distribution, in standard deviations to each side.
-const DEVIATIONS_AT_95_PERCENT: f64 = 1.96;
+const Z_SCORE_95_PERCENT: f64 = 1.96;
 /// The variance of a share that is one half, of one sample: the most that a share's variance can be.
 const MAX_SHARE_VARIANCE: f64 = 0.25;
 
@@ -49,7 +49,7 @@
         let mut distribution = KeyDistribution::default();
         for (reporter, summary) in summaries {
             if is_plausible(summary, max_cost) {
-                distribution.add(summary);
+                distribution.add_summary(summary);
             } else {
                 distribution.excluded.insert(reporter.clone());
             }
@@ -58,7 +58,7 @@
         distribution
     }
 
-    fn add(&mut self, summary: &KeySummary) {
+    fn add_summary(&mut self, summary: &KeySummary) {
         self.reporters += 1;
         self.cost += summary.cost;
         self.samples.extend(summary.samples.iter().cloned());
@@ -76,9 +76,9 @@
     /// well.
     pub fn between(&self, from: &[u8], to: Option<&[u8]>) -> KeyDistribution {
         let is_within = |key: &[u8]| key >= from && to.is_none_or(|to| key < to);
-        let within = self.samples.iter().filter(|sample| is_within(&sample.key));
-        let samples: Vec<AccessSample> = within.cloned().collect();
-        let share = total_weight(&samples) / self.weight().max(f64::EPSILON);
+        let samples_within = self.samples.iter().filter(|sample| is_within(&sample.key));
+        let samples: Vec<AccessSample> = samples_within.cloned().collect();
+        let share = total_weight(&samples) / self.total_weight().max(f64::EPSILON);
         let heavy_hitters = self.heavy_hitters.iter().filter(|(key, _)| is_within(key));
         KeyDistribution {
             samples,
@@ -90,29 +90,29 @@
     }
 
     /// The weight of all samples, an estimate of the cost.
-    pub(crate) fn weight(&self) -> f64 {
+    pub(crate) fn total_weight(&self) -> f64 {
         total_weight(&self.samples)
     }
 
     /// The share of all cost at keys below this one.
     pub fn share_below(&self, key: &[u8]) -> ShareEstimate {
-        let all = self.weight().max(f64::EPSILON);
+        let total_weight = self.total_weight().max(f64::EPSILON);
         let below = self.samples.iter().filter(|sample| *sample.key < *key).map(|sample| sample.weight);
-        ShareEstimate { share: below.sum::<f64>() / all, margin: self.margin() }
+        ShareEstimate { share: below.sum::<f64>() / total_weight, margin: self.margin() }
     }
 
     /// How far an estimated share may be off. Samples of unequal weight count as fewer ones of equal weight (the effective
     /// sample size by Kish).
     pub(crate) fn margin(&self) -> f64 {
-        let all = self.weight();
-        let squares: f64 = self.samples.iter().map(|sample| sample.weight * sample.weight).sum();
-        let effective_samples = all * all / squares.max(f64::EPSILON);
-        DEVIATIONS_AT_95_PERCENT * (MAX_SHARE_VARIANCE / effective_samples.max(1.0)).sqrt()
+        let total_weight = self.total_weight();
+        let sum_of_squares: f64 = self.samples.iter().map(|sample| sample.weight * sample.weight).sum();
+        let effective_samples = total_weight * total_weight / sum_of_squares.max(f64::EPSILON);
+        Z_SCORE_95_PERCENT * (MAX_SHARE_VARIANCE / effective_samples.max(1.0)).sqrt()
     }
 
     /// The key below which half of the cost lies; `None` without samples.
     pub fn median_key(&self) -> Option<&[u8]> {
-        let half = self.weight() / 2.0;
+        let half = self.total_weight() / 2.0;
         let mut sum = 0.0;
         let median = self.samples.iter().find(|sample| {
             sum += sample.weight;
@@ -134,11 +134,12 @@
         return f64::INFINITY;
     }
     costs.sort_by(f64::total_cmp);
-    MAX_TIMES_MEDIAN_COST * costs[costs.len() / 2]
+    MAX_MEDIAN_COST_FACTOR * costs[costs.len() / 2]
 }
 
 /// Whether the figures can be those of a priority sample, and of one proxy among others.
 fn is_plausible(summary: &KeySummary, max_cost: f64) -> bool {
-    let adds_up = total_weight(&summary.samples) <= MAX_TIMES_OWN_COST * summary.cost + OWN_COST_ALLOWANCE;
-    adds_up && summary.cost <= max_cost
+    let samples_match_cost =
+        total_weight(&summary.samples) <= MAX_SAMPLED_COST_FACTOR * summary.cost + SAMPLED_COST_ALLOWANCE;
+    samples_match_cost && summary.cost <= max_cost
 }
--- a/crates/split-points/src/lib.rs
+++ b/crates/split-points/src/lib.rs
@@ -31,35 +31,35 @@
 //! use aldermill_split_points::{KeyDistribution, KeySketch, KeySummary, SplitAdvisor, SplitAssessment};
 //!
 //! // At each proxy: record accesses, and report.
-//! let mut sketch = KeySketch::start(0, 7);
+//! let mut sketch = KeySketch::new(0, 7);
 //! sketch.record(0, b"k0815", false, 2.5);
-//! let report = sketch.encode_summary(0);
+//! let summary = sketch.encode_summary(0);
 //!
 //! // At the lease holder: combine what was received, and advise.
-//! let received = BTreeMap::from([("n0".to_owned(), KeySummary::decode(&report)?)]);
+//! let received = BTreeMap::from([("n0".to_owned(), KeySummary::decode(&summary)?)]);
 //! let distribution = KeyDistribution::combine(&received);
-//! let recommendation = SplitAdvisor::start(0, None).advise(0, distribution, 1);
+//! let recommendation = SplitAdvisor::new(0, None).advise(0, distribution, 1);
 //! assert_eq!(recommendation.assessment, SplitAssessment::Unknown, "one access proves nothing");
-//! # Ok::<(), aldermill_split_points::Malformed>(())
+//! # Ok::<(), aldermill_split_points::DecodeError>(())
 //! ```
 
 #![warn(missing_docs)]
 
+mod distribution;
 mod error;
-mod evidence;
 mod ranges;
 mod recommendation;
-mod report;
 mod shape;
 mod sketch;
+mod summary;
 
-pub use error::Malformed;
-pub use evidence::{KeyDistribution, ShareEstimate};
+pub use distribution::{KeyDistribution, ShareEstimate};
+pub use error::DecodeError;
 pub use ranges::{RangeRecommendation, RangeSet};
 pub use recommendation::{RecommendationState, SplitAdvisor, SplitAssessment, SplitRecommendation};
-pub use report::{AccessSample, HeavyHitter, KeySummary, MAX_SUMMARY_BYTES};
 pub use shape::{LoadShape, SplitPoint, WriteShares};
 pub use sketch::{KeySketch, MAX_KEY_BYTES};
+pub use summary::{AccessSample, HeavyHitter, KeySummary, MAX_SUMMARY_BYTES};
 
 /// Whole microseconds: an instant on the caller's clock, or a span.
 pub type Micros = i64;
@@ -68,7 +68,7 @@
 pub type Group = u64;
 
 /// Load is judged by windows of this span, in microseconds.
-const WINDOW: Micros = 10_000_000;
+const WINDOW_LENGTH: Micros = 10_000_000;
 /// In how many windows running something has to show before it is recommended: half a minute, so that nobody moves data for
 /// the load of some seconds.
-const WINDOWS_TO_HOLD: usize = 3;
+const REQUIRED_WINDOWS: usize = 3;
--- a/crates/split-points/src/ranges.rs
+++ b/crates/split-points/src/ranges.rs
@@ -1,15 +1,15 @@
 //! Recommendations for all ranges into which operators have split a group.
 
 use crate::{
-    KeyDistribution, Micros, RecommendationState, SplitAdvisor, SplitAssessment, SplitRecommendation, WINDOW,
-    WINDOWS_TO_HOLD,
+    KeyDistribution, Micros, REQUIRED_WINDOWS, RecommendationState, SplitAdvisor, SplitAssessment,
+    SplitRecommendation, WINDOW_LENGTH,
 };
 
 /// From which share of the group's cost on a range is considered for a split, as a multiple of its even share: a range that
 /// is none too large among its group's is left whole.
-const LARGE_TIMES_EVEN_SHARE: f64 = 1.25;
+const LARGE_RANGE_FACTOR: f64 = 1.25;
 /// Two neighbours that together cost under this part of an average range are better merged.
-const COLD_PAIR_COST: f64 = 0.3;
+const COLD_PAIR_FACTOR: f64 = 0.3;
 
 /// What is recommended for one range of a group.
 #[derive(Clone, Debug, PartialEq)]
@@ -54,9 +54,9 @@
 impl RangeSet {
     /// The group's ranges, which begin at `splits` and at the empty key. `proposed` returns what an earlier lease holder
     /// proposed for the range with that first key.
-    pub fn start(now: Micros, splits: &[Vec<u8>], proposed: impl Fn(&[u8]) -> Option<Vec<u8>>) -> RangeSet {
+    pub fn new(now: Micros, splits: &[Vec<u8>], proposed_key: impl Fn(&[u8]) -> Option<Vec<u8>>) -> RangeSet {
         let mut set = RangeSet { next_window: now, ranges: Vec::new() };
-        set.set_splits(now, splits, proposed);
+        set.set_splits(now, splits, proposed_key);
         set
     }
 
@@ -65,14 +65,14 @@
         &mut self,
         now: Micros,
         splits: &[Vec<u8>],
-        proposed: impl Fn(&[u8]) -> Option<Vec<u8>>,
+        proposed_key: impl Fn(&[u8]) -> Option<Vec<u8>>,
     ) {
-        let before = std::mem::take(&mut self.ranges);
+        let previous_ranges = std::mem::take(&mut self.ranges);
         for bounds in bounds_between(splits) {
-            let same = before.iter().find(|range| range.bounds == bounds);
-            let advisor = match same {
+            let unchanged = previous_ranges.iter().find(|range| range.bounds == bounds);
+            let advisor = match unchanged {
                 Some(range) => range.advisor.clone(),
-                None => SplitAdvisor::start(now, proposed(&bounds.from)),
+                None => SplitAdvisor::new(now, proposed_key(&bounds.from)),
             };
             self.ranges.push(KeyRange { bounds, advisor, windows_cold: 0 });
         }
@@ -98,12 +98,12 @@
         &mut self,
         now: Micros,
         group: &KeyDistribution,
-        living: usize,
+        live_proxies: usize,
         average_cost: f64,
     ) -> Vec<RangeRecommendation> {
         let window_ends = now >= self.next_window;
         if window_ends {
-            self.next_window = now + WINDOW;
+            self.next_window = now + WINDOW_LENGTH;
         }
         let count = self.ranges.len();
         let group_cost = group.cost().max(f64::EPSILON);
@@ -111,26 +111,29 @@
         let mut previous_cost = None;
         let mut recommendations = Vec::new();
         for range in &mut self.ranges {
-            let part = group.between(&range.bounds.from, range.bounds.to.as_deref());
-            let cost = part.cost();
+            let range_distribution = group.between(&range.bounds.from, range.bounds.to.as_deref());
+            let cost = range_distribution.cost();
             let share = cost / group_cost;
-            let mut split = range.advisor.advise(now, part, living);
-            let known = !matches!(split.assessment, SplitAssessment::LowCoverage { .. });
+            let mut split = range.advisor.advise(now, range_distribution, live_proxies);
+            let has_coverage = !matches!(split.assessment, SplitAssessment::LowCoverage { .. });
             if let Some(previous_cost) = previous_cost
-                && known
+                && has_coverage
                 && window_ends
             {
                 range.count_cold_window(previous_cost + cost + margin * group_cost, average_cost);
             }
             previous_cost = Some(cost);
-            if known && is_balanced(share - margin, count) && split.state != RecommendationState::Proposed {
+            if has_coverage
+                && is_balanced(share - margin, count)
+                && split.state != RecommendationState::Proposed
+            {
                 split.assessment = SplitAssessment::Balanced;
             }
             recommendations.push(RangeRecommendation {
                 from: range.bounds.from.clone(),
                 share,
                 margin,
-                merge_with_previous: range.windows_cold >= WINDOWS_TO_HOLD,
+                merge_with_previous: range.windows_cold >= REQUIRED_WINDOWS,
                 split,
             });
         }
@@ -141,14 +144,14 @@
 impl KeyRange {
     /// `pair_cost` is what this range and the one before may cost together at most.
     fn count_cold_window(&mut self, pair_cost: f64, average_cost: f64) {
-        let is_cold = pair_cost < COLD_PAIR_COST * average_cost;
+        let is_cold = pair_cost < COLD_PAIR_FACTOR * average_cost;
         self.windows_cold = if is_cold { self.windows_cold + 1 } else { 0 };
     }
 }
 
 /// Whether a range of several is left whole, whatever a split would do to it.
-fn is_balanced(least_share: f64, ranges: usize) -> bool {
-    ranges > 1 && least_share < LARGE_TIMES_EVEN_SHARE / ranges as f64
+fn is_balanced(min_share: f64, ranges: usize) -> bool {
+    ranges > 1 && min_share < LARGE_RANGE_FACTOR / ranges as f64
 }
 
 /// The ranges between splits, in order. A split named twice, or at the empty key, counts once.
--- a/crates/split-points/src/shape.rs
+++ b/crates/split-points/src/shape.rs
@@ -5,10 +5,10 @@
 /// Samples under which nothing is said: a share's 95% margin would be about 0.1 or more (0.98 / sqrt(samples)).
 const MIN_SAMPLES: usize = 100;
 /// A key with over this share of the cost can't be helped by a split: the side that it lies on keeps that load.
-const HOT_KEY_SHARE: f64 = 0.35;
+const MIN_HOT_KEY_SHARE: f64 = 0.35;
 /// Under this distance between the distributions of cost and of keys (Kolmogorov-Smirnov, from 0 to 1) cost follows the
 /// number of keys.
-const UNIFORM_DISTANCE: f64 = 0.08;
+const MAX_UNIFORM_DISTANCE: f64 = 0.08;
 
 /// What the cost over the keys of a range looks like.
 #[derive(Clone, Debug, PartialEq)]
@@ -66,16 +66,16 @@
             return hot_key;
         }
         let by_key = weights_by_key(&self.samples);
-        let all = self.weight();
-        if distance_from_uniform(&by_key, all) < UNIFORM_DISTANCE {
+        let total_weight = self.total_weight();
+        if distance_from_uniform(&by_key, total_weight) < MAX_UNIFORM_DISTANCE {
             return LoadShape::Uniform;
         }
-        LoadShape::Splittable(self.split_point(halving_key(&by_key, all)))
+        LoadShape::Splittable(self.split_point(halving_key(&by_key, total_weight)))
     }
 
     fn hot_key(&self) -> Option<LoadShape> {
         let (key, cost) = self.heavy_hitters.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
-        let is_hot = *cost > HOT_KEY_SHARE * self.cost;
+        let is_hot = *cost > MIN_HOT_KEY_SHARE * self.cost;
         is_hot.then(|| LoadShape::HotKey { key: key.clone(), share: cost / self.cost })
     }
 
@@ -101,35 +101,35 @@
 }
 
 /// The largest distance between the share of the cost and the share of the keys, at any key.
-fn distance_from_uniform(by_key: &[KeyWeight<'_>], all: f64) -> f64 {
+fn distance_from_uniform(by_key: &[KeyWeight<'_>], total_weight: f64) -> f64 {
     let mut sum = 0.0;
-    let mut largest = 0.0f64;
-    for (index, of_key) in by_key.iter().enumerate() {
-        sum += of_key.weight;
+    let mut largest_distance = 0.0f64;
+    for (index, key_weight) in by_key.iter().enumerate() {
+        sum += key_weight.weight;
         let share_of_keys = (index + 1) as f64 / by_key.len() as f64;
-        largest = largest.max((sum / all - share_of_keys).abs());
+        largest_distance = largest_distance.max((sum / total_weight - share_of_keys).abs());
     }
-    largest
+    largest_distance
 }
 
 /// The key below which the share of the cost is nearest to one half. There is at least one key.
-fn halving_key<'a>(by_key: &[KeyWeight<'a>], all: f64) -> &'a [u8] {
+fn halving_key<'a>(by_key: &[KeyWeight<'a>], total_weight: f64) -> &'a [u8] {
     let mut sum = 0.0;
     let mut least_distance = 1.0;
-    let mut nearest = by_key[0].key;
-    for of_key in by_key {
-        let distance = (sum / all - 0.5).abs();
+    let mut nearest_key = by_key[0].key;
+    for key_weight in by_key {
+        let distance = (sum / total_weight - 0.5).abs();
         if distance < least_distance {
             least_distance = distance;
-            nearest = of_key.key;
+            nearest_key = key_weight.key;
         }
-        sum += of_key.weight;
+        sum += key_weight.weight;
     }
-    nearest
+    nearest_key
 }
 
 /// The share of writes in the weight of these samples; 0 without any.
 fn write_share<'a>(side: impl Iterator<Item = &'a AccessSample> + Clone) -> f64 {
-    let writes: f64 = side.clone().filter(|sample| sample.write).map(|sample| sample.weight).sum();
+    let writes: f64 = side.clone().filter(|sample| sample.is_write).map(|sample| sample.weight).sum();
     writes / side.map(|sample| sample.weight).sum::<f64>().max(f64::EPSILON)
 }
--- a/crates/split-points/src/sketch.rs
+++ b/crates/split-points/src/sketch.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::report::samples_that_fit;
+use crate::summary::sample_capacity;
 use crate::{AccessSample, HeavyHitter, KeySummary, Micros};
 
 /// Samples kept of a group. With [`MAX_COUNTERS`] and [`MAX_KEY_BYTES`] this bounds a sketch to 64 KB, some 20 KB in
@@ -22,13 +22,13 @@
 const NEGLIGIBLE_COST: f64 = 1e-6;
 /// A key is reported as a heavy hitter where more than one part in twenty of all cost is certainly its own: the six that fit
 /// into a summary then seldom leave one out that matters.
-const HEAVY_HITTER_PARTS: f64 = 20.0;
+const HEAVY_HITTER_DIVISOR: f64 = 20.0;
 
 /// An access in the sample.
 #[derive(Clone, Debug)]
 struct SampledAccess {
     key: Vec<u8>,
-    write: bool,
+    is_write: bool,
     weight: f64,
     /// Its weight over a random number from (0, 1]; the highest ones stay in the sample.
     priority: f64,
@@ -58,7 +58,7 @@
 
 impl KeySketch {
     /// An empty sketch; `seed` determines its random draws.
-    pub fn start(now: Micros, seed: u64) -> KeySketch {
+    pub fn new(now: Micros, seed: u64) -> KeySketch {
         KeySketch {
             samples: Vec::new(),
             threshold: 0.0,
@@ -70,25 +70,25 @@
     }
 
     /// Records an access of that cost, in whatever unit all proxies count.
-    pub fn record(&mut self, now: Micros, key: &[u8], write: bool, cost: f64) {
-        self.age(now);
+    pub fn record(&mut self, now: Micros, key: &[u8], is_write: bool, cost: f64) {
+        self.decay(now);
         let key = &key[..key.len().min(MAX_KEY_BYTES)];
         self.cost += cost;
-        self.sample(key, write, cost);
+        self.sample(key, is_write, cost);
         self.count(key, cost);
     }
 
     /// Keeps the access in the sample where its priority is high enough.
-    fn sample(&mut self, key: &[u8], write: bool, cost: f64) {
+    fn sample(&mut self, key: &[u8], is_write: bool, cost: f64) {
         let priority = cost / (1.0 - self.rng.random::<f64>());
         if priority > self.threshold {
-            self.insert_sample(SampledAccess { key: key.to_vec(), write, weight: cost, priority });
+            self.insert_sample(SampledAccess { key: key.to_vec(), is_write, weight: cost, priority });
         }
     }
 
     fn insert_sample(&mut self, access: SampledAccess) {
-        let at = self.samples.partition_point(|sampled| sampled.priority >= access.priority);
-        self.samples.insert(at, access);
+        let position = self.samples.partition_point(|sampled| sampled.priority >= access.priority);
+        self.samples.insert(position, access);
         if self.samples.len() > MAX_SAMPLES
             && let Some(last) = self.samples.pop()
         {
@@ -102,20 +102,20 @@
             counter.cost += cost;
         } else if self.counters.len() < MAX_COUNTERS {
             self.counters.insert(key.to_vec(), Counter { cost, error: 0.0 });
-        } else if let Some((replaced, least)) = self.least_counter() {
-            self.counters.remove(&replaced);
-            let counter = Counter { cost: least.cost + cost, error: least.cost };
+        } else if let Some((replaced_key, minimum)) = self.minimum_counter() {
+            self.counters.remove(&replaced_key);
+            let counter = Counter { cost: minimum.cost + cost, error: minimum.cost };
             self.counters.insert(key.to_vec(), counter);
         }
     }
 
-    fn least_counter(&self) -> Option<(Vec<u8>, Counter)> {
-        let least = self.counters.iter().min_by(|a, b| a.1.cost.total_cmp(&b.1.cost));
-        least.map(|(key, counter)| (key.clone(), *counter))
+    fn minimum_counter(&self) -> Option<(Vec<u8>, Counter)> {
+        let minimum = self.counters.iter().min_by(|a, b| a.1.cost.total_cmp(&b.1.cost));
+        minimum.map(|(key, counter)| (key.clone(), *counter))
     }
 
     /// Halves all weights and priorities alike for each half-life that passed, so that the sample stays a priority sample.
-    fn age(&mut self, now: Micros) {
+    fn decay(&mut self, now: Micros) {
         while now - self.last_halved >= HALF_LIFE {
             self.last_halved += HALF_LIFE;
             self.halve();
@@ -149,8 +149,8 @@
     /// The bytes of the newest summary, with as many samples as fit into [`MAX_SUMMARY_BYTES`](crate::MAX_SUMMARY_BYTES).
     pub fn encode_summary(&mut self, now: Micros) -> Vec<u8> {
         let heavy_hitters = self.summary(now, 0).heavy_hitters;
-        let fit = samples_that_fit(&heavy_hitters, self.longest_key());
-        self.summary(now, fit).encode()
+        let max_samples = sample_capacity(&heavy_hitters, self.longest_key());
+        self.summary(now, max_samples).encode()
     }
 
     /// The length of the longest key of all samples, in bytes.
@@ -161,27 +161,28 @@
     /// A summary with at most `max_samples`, those of highest priority, which are a priority sample themselves; and with the
     /// keys that certainly have over a twentieth of the cost.
     pub fn summary(&mut self, now: Micros, max_samples: usize) -> KeySummary {
-        self.age(now);
-        let left_out = self.samples.get(max_samples).map_or(self.threshold, |sampled| sampled.priority);
+        self.decay(now);
+        let threshold = self.samples.get(max_samples).map_or(self.threshold, |sampled| sampled.priority);
         let samples = self.samples.iter().take(max_samples).map(|sampled| AccessSample {
             key: sampled.key.clone(),
-            write: sampled.write,
-            weight: sampled.weight.max(left_out),
+            is_write: sampled.is_write,
+            weight: sampled.weight.max(threshold),
         });
         KeySummary { cost: self.cost, samples: samples.collect(), heavy_hitters: self.heavy_hitters() }
     }
 
     /// The costliest first.
     fn heavy_hitters(&self) -> Vec<HeavyHitter> {
-        let least = self.cost / HEAVY_HITTER_PARTS;
-        let heavy = self.counters.iter().filter(|(_, counter)| counter.cost - counter.error > least);
-        let hitter = |(key, counter): (&Vec<u8>, &Counter)| HeavyHitter {
+        let min_cost = self.cost / HEAVY_HITTER_DIVISOR;
+        let heavy_counters =
+            self.counters.iter().filter(|(_, counter)| counter.cost - counter.error > min_cost);
+        let to_heavy_hitter = |(key, counter): (&Vec<u8>, &Counter)| HeavyHitter {
             key: key.clone(),
             cost: counter.cost,
             error: counter.error,
         };
-        let mut hitters: Vec<HeavyHitter> = heavy.map(hitter).collect();
-        hitters.sort_by(|a, b| b.cost.total_cmp(&a.cost));
-        hitters
+        let mut heavy_hitters: Vec<HeavyHitter> = heavy_counters.map(to_heavy_hitter).collect();
+        heavy_hitters.sort_by(|a, b| b.cost.total_cmp(&a.cost));
+        heavy_hitters
     }
 }
--- a/crates/split-points/src/report.rs
+++ b/crates/split-points/src/summary.rs
@@ -7,7 +7,7 @@
 
 use bytes::{Buf, BufMut};
 
-use crate::Malformed;
+use crate::DecodeError;
 use crate::sketch::MAX_KEY_BYTES;
 
 /// The longest summary, in bytes, so that it fits into a datagram with the header of a report.
@@ -29,7 +29,7 @@
     /// The key, up to its first 48 bytes.
     pub key: Vec<u8>,
     /// Whether it was a write.
-    pub write: bool,
+    pub is_write: bool,
     /// How much cost it stands for.
     pub weight: f64,
 }
@@ -57,10 +57,10 @@
 }
 
 /// How many samples fit into a summary next to these heavy hitters, with keys of at most `longest_key` bytes.
-pub(crate) fn samples_that_fit(heavy_hitters: &[HeavyHitter], longest_key: usize) -> usize {
+pub(crate) fn sample_capacity(heavy_hitters: &[HeavyHitter], longest_key: usize) -> usize {
     let reported = heavy_hitters.iter().take(MAX_HEAVY_HITTERS);
-    let heavy_bytes: usize = reported.map(|hitter| hitter.key.len() + HEAVY_HITTER_BYTES).sum();
-    (MAX_SUMMARY_BYTES - HEADER_BYTES - heavy_bytes) / (longest_key + SAMPLE_BYTES)
+    let heavy_hitter_bytes: usize = reported.map(|hitter| hitter.key.len() + HEAVY_HITTER_BYTES).sum();
+    (MAX_SUMMARY_BYTES - HEADER_BYTES - heavy_hitter_bytes) / (longest_key + SAMPLE_BYTES)
 }
 
 impl KeySummary {
@@ -76,8 +76,8 @@
             bytes.put_u8(key.len() as u8);
             bytes.put_slice(key);
         }
-        for AccessSample { key, write, weight } in &self.samples {
-            bytes.put_u8(key.len() as u8 | if *write { WRITE_FLAG } else { 0 });
+        for AccessSample { key, is_write, weight } in &self.samples {
+            bytes.put_u8(key.len() as u8 | if *is_write { WRITE_FLAG } else { 0 });
             bytes.put_f32(*weight as f32);
             bytes.put_slice(key);
         }
@@ -85,50 +85,50 @@
     }
 
     /// Reads a summary; fails where it ends within a field, or a key's length or a cost is out of bounds.
-    pub fn decode(mut bytes: &[u8]) -> Result<KeySummary, Malformed> {
-        let cost = take_cost(&mut bytes)?;
+    pub fn decode(mut bytes: &[u8]) -> Result<KeySummary, DecodeError> {
+        let cost = read_cost(&mut bytes)?;
         let mut heavy_hitters = Vec::new();
-        for _ in 0..take_byte(&mut bytes)? {
-            heavy_hitters.push(take_heavy_hitter(&mut bytes)?);
+        for _ in 0..read_byte(&mut bytes)? {
+            heavy_hitters.push(read_heavy_hitter(&mut bytes)?);
         }
         let mut samples = Vec::new();
         while !bytes.is_empty() {
-            samples.push(take_sample(&mut bytes)?);
+            samples.push(read_sample(&mut bytes)?);
         }
         Ok(KeySummary { cost, samples, heavy_hitters })
     }
 }
 
-fn take_heavy_hitter(bytes: &mut &[u8]) -> Result<HeavyHitter, Malformed> {
-    let cost = take_cost(bytes)?;
-    let error = take_cost(bytes)?;
-    let length = take_byte(bytes)?;
-    Ok(HeavyHitter { key: take_key(bytes, length)?, cost, error })
+fn read_heavy_hitter(bytes: &mut &[u8]) -> Result<HeavyHitter, DecodeError> {
+    let cost = read_cost(bytes)?;
+    let error = read_cost(bytes)?;
+    let length = read_byte(bytes)?;
+    Ok(HeavyHitter { key: read_key(bytes, length)?, cost, error })
 }
 
-fn take_sample(bytes: &mut &[u8]) -> Result<AccessSample, Malformed> {
-    let length_and_flag = take_byte(bytes)?;
-    let weight = take_cost(bytes)?;
-    let key = take_key(bytes, length_and_flag & !WRITE_FLAG)?;
-    Ok(AccessSample { key, write: length_and_flag & WRITE_FLAG != 0, weight })
+fn read_sample(bytes: &mut &[u8]) -> Result<AccessSample, DecodeError> {
+    let length_and_flag = read_byte(bytes)?;
+    let weight = read_cost(bytes)?;
+    let key = read_key(bytes, length_and_flag & !WRITE_FLAG)?;
+    Ok(AccessSample { key, is_write: length_and_flag & WRITE_FLAG != 0, weight })
 }
 
-fn take_byte(bytes: &mut &[u8]) -> Result<u8, Malformed> {
-    bytes.try_get_u8().map_err(|_| Malformed::Short)
+fn read_byte(bytes: &mut &[u8]) -> Result<u8, DecodeError> {
+    bytes.try_get_u8().map_err(|_| DecodeError::Truncated)
 }
 
 /// A cost, error or weight. Sums of them must stay numbers, so only finite ones that are not negative are read.
-fn take_cost(bytes: &mut &[u8]) -> Result<f64, Malformed> {
-    let cost = f64::from(bytes.try_get_f32().map_err(|_| Malformed::Short)?);
-    if cost.is_finite() && cost >= 0.0 { Ok(cost) } else { Err(Malformed::Cost) }
+fn read_cost(bytes: &mut &[u8]) -> Result<f64, DecodeError> {
+    let cost = f64::from(bytes.try_get_f32().map_err(|_| DecodeError::Truncated)?);
+    if cost.is_finite() && cost >= 0.0 { Ok(cost) } else { Err(DecodeError::InvalidCost) }
 }
 
-fn take_key(bytes: &mut &[u8], length: u8) -> Result<Vec<u8>, Malformed> {
+fn read_key(bytes: &mut &[u8], length: u8) -> Result<Vec<u8>, DecodeError> {
     let length = usize::from(length);
     if length > MAX_KEY_BYTES {
-        return Err(Malformed::Key(length));
+        return Err(DecodeError::KeyTooLong(length));
     }
-    let key = bytes.get(..length).ok_or(Malformed::Short)?.to_vec();
+    let key = bytes.get(..length).ok_or(DecodeError::Truncated)?.to_vec();
     bytes.advance(length);
     Ok(key)
 }
--- a/crates/split-points/tests/ranges.rs
+++ b/crates/split-points/tests/ranges.rs
@@ -9,14 +9,14 @@
 use rand_pcg::Pcg64Mcg;
 
 const SECOND: Micros = 1_000_000;
-const KEYS: usize = 2_000;
+const KEY_COUNT: usize = 2_000;
 
 fn numbered_key(number: usize) -> Vec<u8> {
     format!("k{number:06}").into_bytes()
 }
 
 /// Twenty proxies that read one group of keys, and the lease holder.
-struct Fleet {
+struct Simulation {
     now: Micros,
     sketches: Vec<KeySketch>,
     rng: Pcg64Mcg,
@@ -24,32 +24,32 @@
     /// Keys that 0.7 of the accesses go to; the others go to all keys.
     hot_keys: std::ops::Range<usize>,
     /// Accesses a second.
-    rate: usize,
+    accesses_per_second: usize,
 }
 
-impl Fleet {
-    fn new(splits: &[usize], hot: std::ops::Range<usize>) -> Fleet {
+impl Simulation {
+    fn new(splits: &[usize], hot_range: std::ops::Range<usize>) -> Simulation {
         let splits: Vec<Vec<u8>> = splits.iter().copied().map(numbered_key).collect();
-        Fleet {
+        Simulation {
             now: 0,
-            sketches: (0..20).map(|proxy| KeySketch::start(0, 7 + proxy)).collect(),
+            sketches: (0..20).map(|proxy| KeySketch::new(0, 7 + proxy)).collect(),
             rng: Pcg64Mcg::seed_from_u64(3),
-            ranges: RangeSet::start(0, &splits, |_| None),
-            hot_keys: hot,
-            rate: 400,
+            ranges: RangeSet::new(0, &splits, |_| None),
+            hot_keys: hot_range,
+            accesses_per_second: 400,
         }
     }
 
-    fn pass(&mut self, seconds: i64, average_cost: f64) -> Vec<RangeRecommendation> {
-        let mut last = Vec::new();
+    fn run(&mut self, seconds: i64, average_cost: f64) -> Vec<RangeRecommendation> {
+        let mut recommendations = Vec::new();
         for _ in 0..seconds {
             self.now += SECOND;
-            for _ in 0..self.rate {
-                let hot = self.rng.random_bool(0.7);
-                let number = if hot {
+            for _ in 0..self.accesses_per_second {
+                let is_hot = self.rng.random_bool(0.7);
+                let number = if is_hot {
                     self.rng.random_range(self.hot_keys.clone())
                 } else {
-                    self.rng.random_range(0..KEYS)
+                    self.rng.random_range(0..KEY_COUNT)
                 };
                 let proxy = self.rng.random_range(0..20);
                 self.sketches[proxy].record(self.now, &numbered_key(number), false, 10.0);
@@ -57,75 +57,104 @@
             let summaries: BTreeMap<String, _> = (self.sketches.iter_mut().enumerate())
                 .map(|(proxy, sketch)| (format!("n{proxy}"), sketch.summary(self.now, 60)))
                 .collect();
-            last = self.ranges.advise(self.now, &KeyDistribution::combine(&summaries), 20, average_cost);
+            recommendations =
+                self.ranges.advise(self.now, &KeyDistribution::combine(&summaries), 20, average_cost);
         }
-        last
+        recommendations
     }
 }
 
 #[test]
-fn only_the_large_one_of_several_ranges_is_split() {
-    let mut fleet = Fleet::new(&[1_000], 1_400..1_600);
-    let advice = fleet.pass(50, 1.0);
-    assert_eq!(advice.len(), 2);
-    assert_eq!(advice[0].split.assessment, SplitAssessment::Balanced, "{:?}", advice[0].split);
-    assert!((advice[1].share - 0.85).abs() < advice[1].margin + 0.02, "{}", advice[1].share);
-    let SplitAssessment::Split(split) = &advice[1].split.assessment else { panic!("{:?}", advice[1].split) };
-    assert_eq!(advice[1].split.state, RecommendationState::Proposed);
+fn only_the_large_range_of_several_is_split() {
+    let mut simulation = Simulation::new(&[1_000], 1_400..1_600);
+    let recommendations = simulation.run(50, 1.0);
+    assert_eq!(recommendations.len(), 2);
+    assert_eq!(
+        recommendations[0].split.assessment,
+        SplitAssessment::Balanced,
+        "{:?}",
+        recommendations[0].split
+    );
+    assert!(
+        (recommendations[1].share - 0.85).abs() < recommendations[1].margin + 0.02,
+        "{}",
+        recommendations[1].share
+    );
+    let SplitAssessment::Split(split) = &recommendations[1].split.assessment else {
+        panic!("{:?}", recommendations[1].split)
+    };
+    assert_eq!(recommendations[1].split.state, RecommendationState::Proposed);
     assert!(
         (numbered_key(1_450)..numbered_key(1_550)).contains(&split.key),
         "{}",
         String::from_utf8_lossy(&split.key)
     );
     // The operators split there: what is known of the first range stays, and the two new ones begin anew.
-    let at: usize = String::from_utf8_lossy(&split.key[1..]).parse().unwrap();
-    fleet.ranges.set_splits(fleet.now, &[numbered_key(1_000), numbered_key(at)], |_| None);
-    let advice = fleet.pass(50, 1.0);
-    let shares: Vec<f64> = advice.iter().map(|range| range.share).collect();
+    let split_key_number: usize = String::from_utf8_lossy(&split.key[1..]).parse().unwrap();
+    simulation.ranges.set_splits(
+        simulation.now,
+        &[numbered_key(1_000), numbered_key(split_key_number)],
+        |_| None,
+    );
+    let recommendations = simulation.run(50, 1.0);
+    let shares: Vec<f64> = recommendations.iter().map(|range| range.share).collect();
     assert!(shares.len() == 3 && shares[1] < 0.5 && shares[2] < 0.5, "{shares:?}");
     // One more halving of each helps, and no more than that is proposed.
-    assert!(advice.iter().all(|range| !range.merge_with_previous));
-    fleet.ranges.set_splits(
-        fleet.now,
-        &[numbered_key(400), numbered_key(1_000), numbered_key(1_450), numbered_key(at), numbered_key(1_550)],
+    assert!(recommendations.iter().all(|range| !range.merge_with_previous));
+    simulation.ranges.set_splits(
+        simulation.now,
+        &[
+            numbered_key(400),
+            numbered_key(1_000),
+            numbered_key(1_450),
+            numbered_key(split_key_number),
+            numbered_key(1_550),
+        ],
         |_| None,
     );
-    let advice = fleet.pass(50, 1.0);
+    let recommendations = simulation.run(50, 1.0);
     assert!(
-        advice.iter().filter(|range| range.split.state == RecommendationState::Proposed).count() <= 3,
-        "{advice:?}"
+        recommendations.iter().filter(|range| range.split.state == RecommendationState::Proposed).count()
+            <= 3,
+        "{recommendations:?}"
     );
 }
 
 #[test]
-fn neighbours_are_merged_once_they_have_been_cold_for_three_windows() {
-    let mut fleet = Fleet::new(&[1_000], 0..KEYS);
+fn neighbours_are_merged_after_three_cold_windows() {
+    let mut simulation = Simulation::new(&[1_000], 0..KEY_COUNT);
     let average_cost = 1e9;
-    let cost = fleet.pass(5, average_cost).iter().map(|range| range.split.cost).sum::<f64>();
+    let cost = simulation.run(5, average_cost).iter().map(|range| range.split.cost).sum::<f64>();
     assert!(
-        cost > 0.0 && fleet.pass(5, average_cost).iter().all(|range| !range.merge_with_previous),
+        cost > 0.0 && simulation.run(5, average_cost).iter().all(|range| !range.merge_with_previous),
         "it has not held for long enough"
     );
-    let advice = fleet.pass(30, average_cost);
-    assert_eq!(advice.iter().map(|range| range.merge_with_previous).collect::<Vec<_>>(), [false, true]);
+    let recommendations = simulation.run(30, average_cost);
+    assert_eq!(
+        recommendations.iter().map(|range| range.merge_with_previous).collect::<Vec<_>>(),
+        [false, true]
+    );
     // Their load is as large as that of others: it is not recommended any more at once, nor while too few are heard.
-    assert!(fleet.pass(20, cost).iter().all(|range| !range.merge_with_previous));
-    let before = fleet.ranges.len();
-    fleet.ranges.set_splits(fleet.now, &[], |_| None);
-    assert_eq!((before, fleet.ranges.len(), fleet.pass(1, average_cost).len()), (2, 1, 1));
+    assert!(simulation.run(20, cost).iter().all(|range| !range.merge_with_previous));
+    let ranges_before = simulation.ranges.len();
+    simulation.ranges.set_splits(simulation.now, &[], |_| None);
+    assert_eq!((ranges_before, simulation.ranges.len(), simulation.run(1, average_cost).len()), (2, 1, 1));
 }
 
 #[test]
 fn new_lease_holder_keeps_the_proposal_of_each_range() {
     let proposed = numbered_key(1_500);
-    let stands = |from: &[u8]| (from == numbered_key(1_000)).then(|| proposed.clone());
-    let mut fleet = Fleet::new(&[], 1_400..1_600);
-    fleet.ranges = RangeSet::start(0, &[numbered_key(1_000), Vec::new(), numbered_key(1_000)], stands);
-    let advice = fleet.pass(25, 1.0);
-    assert_eq!(advice.len(), 2, "a split named twice, or at the empty key, counts once");
+    let earlier_proposal = |from: &[u8]| (from == numbered_key(1_000)).then(|| proposed.clone());
+    let mut simulation = Simulation::new(&[], 1_400..1_600);
+    simulation.ranges =
+        RangeSet::new(0, &[numbered_key(1_000), Vec::new(), numbered_key(1_000)], earlier_proposal);
+    let recommendations = simulation.run(25, 1.0);
+    assert_eq!(recommendations.len(), 2, "a split named twice, or at the empty key, counts once");
     assert_eq!(
-        (advice[0].split.state, advice[1].split.state),
+        (recommendations[0].split.state, recommendations[1].split.state),
         (RecommendationState::Observing, RecommendationState::Proposed)
     );
-    assert!(matches!(&advice[1].split.assessment, SplitAssessment::Split(split) if split.key == proposed));
+    assert!(
+        matches!(&recommendations[1].split.assessment, SplitAssessment::Split(split) if split.key == proposed)
+    );
 }
