--- a/crates/split-points/src/distribution.rs
+++ b/crates/split-points/src/distribution.rs
@@ -1,49 +1,54 @@
-//! All proxies' summaries of one group, combined into a distribution of cost over its keys.
+//! Combines the summaries of all proxies for one group into a distribution of cost over its keys.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{AccessSample, KeySummary};
 
-/// The most that one proxy may report, as a multiple of the median cost: beyond it figures are wrong, or it alone has the load, and
-/// either way a single proxy is not to split a range.
+/// Upper bound for the cost that one proxy reports, as a multiple of the median of the proxies that report a
+/// cost above zero. A proxy above it either reports wrong figures or has almost all of the load, and a range
+/// must not be split because of a single proxy in either case.
 const MAX_MEDIAN_COST_FACTOR: f64 = 50.0;
-/// With fewer proxies their median says nothing of a single one.
+/// Minimum number of proxies for a meaningful median; with fewer, the cost of a proxy is not bounded.
 const MIN_PROXIES_FOR_MEDIAN: usize = 3;
-/// The most that a summary's samples may stand for, as a multiple of its cost: a sum that is further off is not that of a
-/// priority sample.
+/// Upper bound for the total weight of a summary's samples, as a multiple of the summary's cost. A larger
+/// total is not plausible for a priority sample.
 const MAX_SAMPLED_COST_FACTOR: f64 = 4.0;
-/// Added to the bound above, in units of cost, so that it means something for a cost near zero.
+/// Added to the bound given by [`MAX_SAMPLED_COST_FACTOR`], in units of cost, so that the bound is meaningful
+/// for a cost near zero.
 const SAMPLED_COST_ALLOWANCE: f64 = 1.0;
-/// The width of a 95% interval of a normal distribution, in standard deviations to each side.
+/// Half-width of the 95% confidence interval of a normal distribution, in standard deviations.
 const Z_SCORE_95_PERCENT: f64 = 1.96;
-/// The variance of a share that is one half, of one sample: the most that a share's variance can be.
+/// Variance of a share of one half for a single sample, p * (1 - p), which is the maximum over all shares.
 const MAX_SHARE_VARIANCE: f64 = 0.25;
 
-/// A share of the cost that was estimated from samples.
+/// A share of the cost, estimated from samples.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShareEstimate {
-    /// From 0 to 1.
+    /// The estimated share, from 0 to 1.
     pub share: f64,
-    /// How far it may be off to either side, in 95 of 100 cases.
+    /// Half-width of the 95% confidence interval of `share`.
     pub margin: f64,
 }
 
-/// The cost of one group's recent accesses over its keys, as all proxies together saw it.
+/// The cost of the recent accesses to one group by key, as observed by all proxies together.
 #[derive(Clone, Debug, Default)]
 pub struct KeyDistribution {
-    /// In order of their keys.
+    /// The samples of all proxies, in order of their keys.
     pub(crate) samples: Vec<AccessSample>,
+    /// The cost of all recent accesses, sampled or not; for a part of the keys, an estimate from the samples.
     pub(crate) cost: f64,
-    /// How many proxies stand behind it.
+    /// Number of proxies whose summaries are included.
     pub reporters: usize,
-    /// Names of proxies that were left out for implausible figures.
+    /// Names of the proxies whose summaries are not included because of implausible figures.
     pub excluded: BTreeSet<String>,
-    /// What heavy hitters certainly cost.
+    /// Lower bound of the cost of each heavy hitter, by key.
     pub(crate) heavy_hitters: BTreeMap<Vec<u8>, f64>,
 }
 
 impl KeyDistribution {
-    /// Combines the newest summaries, by the proxies' names.
+    /// Combines the latest summary of each proxy; `summaries` is keyed by proxy name. Summaries with
+    /// implausible figures are left out, and their proxies are listed in
+    /// [`excluded`](KeyDistribution::excluded).
     pub fn combine(summaries: &BTreeMap<String, KeySummary>) -> KeyDistribution {
         let max_cost = max_plausible_cost(summaries);
         let mut distribution = KeyDistribution::default();
@@ -67,13 +72,14 @@
         }
     }
 
-    /// The cost of all recent accesses.
+    /// Returns the cost of all recent accesses, in the unit of the summaries.
     pub fn cost(&self) -> f64 {
         self.cost
     }
 
-    /// The part of it from `from` on, below `to` if there is one. Proxies that saw none of these keys stand behind that as
-    /// well.
+    /// Returns the distribution over the keys from `from` (inclusive) to `to` (exclusive), or to the last key
+    /// if `to` is `None`. The number of reporters stays the same: proxies that observed no access to these
+    /// keys count as well.
     pub fn between(&self, from: &[u8], to: Option<&[u8]>) -> KeyDistribution {
         let is_within = |key: &[u8]| key >= from && to.is_none_or(|to| key < to);
         let samples_within = self.samples.iter().filter(|sample| is_within(&sample.key));
@@ -89,20 +95,20 @@
         }
     }
 
-    /// The weight of all samples, an estimate of the cost.
+    /// Returns the total weight of all samples, which is an estimate of the cost.
     pub(crate) fn total_weight(&self) -> f64 {
         total_weight(&self.samples)
     }
 
-    /// The share of all cost at keys below this one.
+    /// Estimates the share of the cost at keys below `key`.
     pub fn share_below(&self, key: &[u8]) -> ShareEstimate {
         let total_weight = self.total_weight().max(f64::EPSILON);
         let below = self.samples.iter().filter(|sample| *sample.key < *key).map(|sample| sample.weight);
         ShareEstimate { share: below.sum::<f64>() / total_weight, margin: self.margin() }
     }
 
-    /// How far an estimated share may be off. Samples of unequal weight count as fewer ones of equal weight (the effective
-    /// sample size by Kish).
+    /// Returns the half-width of the 95% confidence interval of an estimated share. Samples of unequal weight
+    /// are equivalent to a smaller number of samples of equal weight (Kish's effective sample size).
     pub(crate) fn margin(&self) -> f64 {
         let total_weight = self.total_weight();
         let sum_of_squares: f64 = self.samples.iter().map(|sample| sample.weight * sample.weight).sum();
@@ -110,7 +116,8 @@
         Z_SCORE_95_PERCENT * (MAX_SHARE_VARIANCE / effective_samples.max(1.0)).sqrt()
     }
 
-    /// The key below which half of the cost lies; `None` without samples.
+    /// Returns the key at which the cumulative cost first exceeds one half of the total; `None` if there are
+    /// no samples.
     pub fn median_key(&self) -> Option<&[u8]> {
         let half = self.total_weight() / 2.0;
         let mut sum = 0.0;
@@ -126,7 +133,8 @@
     samples.iter().map(|sample| sample.weight).sum()
 }
 
-/// What one proxy's cost may be at most; infinite where too few report any.
+/// Returns the highest plausible cost of a single proxy, or infinity if too few proxies report a cost above
+/// zero.
 fn max_plausible_cost(summaries: &BTreeMap<String, KeySummary>) -> f64 {
     let costs = summaries.values().map(|summary| summary.cost);
     let mut costs: Vec<f64> = costs.filter(|cost| *cost > 0.0).collect();
@@ -137,7 +145,8 @@
     MAX_MEDIAN_COST_FACTOR * costs[costs.len() / 2]
 }
 
-/// Whether the figures can be those of a priority sample, and of one proxy among others.
+/// Returns whether the weights of the samples are consistent with the summary's cost, and the cost is at most
+/// `max_cost`.
 fn is_plausible(summary: &KeySummary, max_cost: f64) -> bool {
     let samples_match_cost =
         total_weight(&summary.samples) <= MAX_SAMPLED_COST_FACTOR * summary.cost + SAMPLED_COST_ALLOWANCE;
--- a/crates/split-points/src/error.rs
+++ b/crates/split-points/src/error.rs
@@ -1,18 +1,18 @@
-//! Why a received summary can't be read.
+//! Errors from decoding a received key summary.
 
 use thiserror::Error;
 
-/// A summary that is not well-formed. The receiver skips it; where it is seen again and again, a proxy of another version is
-/// at work.
+/// The reason why a received key summary cannot be decoded. The receiver ignores such a summary. Repeated
+/// errors indicate that a proxy of a different version sends the summaries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// It ends in the middle of a field.
-    #[error("a key summary is truncated; check that all proxies run versions that know each other")]
+    /// The summary ends in the middle of a field.
+    #[error("a key summary is truncated; check that all proxies run compatible versions")]
     Truncated,
-    /// A key of this many bytes, more than [`MAX_KEY_BYTES`](crate::MAX_KEY_BYTES).
-    #[error("a key of {0} bytes exceeds the longest that is summarized; check the reporting proxy's version")]
+    /// A key has this length, in bytes, which exceeds [`MAX_KEY_BYTES`](crate::MAX_KEY_BYTES).
+    #[error("a key of {0} bytes exceeds the maximum length; check the reporting proxy's version")]
     KeyTooLong(usize),
-    /// A cost, error or weight that is not finite, or below zero.
-    #[error("a cost is not finite, or negative; check the reporting proxy's version")]
+    /// A cost, error or weight is negative, infinite or not a number.
+    #[error("a cost, error or weight is negative or not finite; check the reporting proxy's version")]
     InvalidCost,
 }
--- a/crates/split-points/src/ranges.rs
+++ b/crates/split-points/src/ranges.rs
@@ -1,66 +1,75 @@
-//! Recommendations for all ranges into which operators have split a group.
+//! Recommendations for all key ranges of a group that operators may have split.
 
 use crate::{
     KeyDistribution, Micros, REQUIRED_WINDOWS, RecommendationState, SplitAdvisor, SplitAssessment,
     SplitRecommendation, WINDOW_LENGTH,
 };
 
-/// From which share of the group's cost on a range is considered for a split, as a multiple of its even share: a range that
-/// is none too large among its group's is left whole.
+/// Minimum share of the group's cost for a range to be considered for a split, as a multiple of the share
+/// that it would have if all ranges cost the same. Ranges below it are not too large compared with the others
+/// and are left whole.
 const LARGE_RANGE_FACTOR: f64 = 1.25;
-/// Two neighbours that together cost under this part of an average range are better merged.
+/// Two adjacent ranges should be merged if their combined cost is below this fraction of the cost of an
+/// average range.
 const COLD_PAIR_FACTOR: f64 = 0.3;
 
-/// What is recommended for one range of a group.
+/// The recommendation for one key range of a group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RangeRecommendation {
-    /// The range's first key; empty for the group's first range.
+    /// First key of the range (inclusive); empty for the group's first range.
     pub from: Vec<u8>,
-    /// Its share of the group's cost, from 0 to 1.
+    /// The range's share of the group's cost, from 0 to 1.
     pub share: f64,
-    /// How far `share` may be off to either side, in 95 of 100 cases.
+    /// Half-width of the 95% confidence interval of `share`.
     pub margin: f64,
-    /// It and the range before it are better merged; then operators are told nothing else of it.
+    /// Whether the range should be merged with the one before it; always `false` for the first range. If so,
+    /// operators are shown this instead of the assessment in `split`.
     pub merge_with_previous: bool,
-    /// Whether it should be split.
+    /// Whether and where the range should be split.
     pub split: SplitRecommendation,
 }
 
-/// The keys of one range.
+/// The bounds of one key range.
 #[derive(Clone, Debug, PartialEq)]
 struct KeyBounds {
-    /// The first key; empty for the group's first range.
+    /// First key (inclusive); empty for the group's first range.
     from: Vec<u8>,
-    /// The first key of the next range, if there is one.
+    /// First key of the next range (exclusive); `None` for the group's last range.
     to: Option<Vec<u8>>,
 }
 
+/// A key range and the state of its recommendations.
 #[derive(Clone, Debug)]
 struct KeyRange {
     bounds: KeyBounds,
     advisor: SplitAdvisor,
-    /// For how many windows running it and the one before have been cold.
+    /// Number of consecutive windows in which this range and the one before it have been cold.
     windows_cold: usize,
 }
 
-/// Keeps the recommendations for one group, whose operators have split it into ranges or not.
+/// Tracks the recommendations for all key ranges of one group. A group that operators have not split has one
+/// range.
 #[derive(Clone, Debug)]
 pub struct RangeSet {
+    /// When the current window ends.
     next_window: Micros,
-    /// In order of their keys; at least one.
+    /// The ranges in order of their keys; at least one.
     ranges: Vec<KeyRange>,
 }
 
 impl RangeSet {
-    /// The group's ranges, which begin at `splits` and at the empty key. `proposed` returns what an earlier lease holder
-    /// proposed for the range with that first key.
+    /// Creates the ranges of a group, which start at the empty key and at each key of `splits`.
+    /// `proposed_key` takes the first key of a range and returns the split key that an earlier lease holder
+    /// proposed for that range, if any.
     pub fn new(now: Micros, splits: &[Vec<u8>], proposed_key: impl Fn(&[u8]) -> Option<Vec<u8>>) -> RangeSet {
         let mut set = RangeSet { next_window: now, ranges: Vec::new() };
         set.set_splits(now, splits, proposed_key);
         set
     }
 
-    /// The operators have split the group so. A range that is as it was keeps what is known of it.
+    /// Replaces the ranges after operators have changed the splits. A range whose bounds have not changed
+    /// keeps its advisor, including any proposal; `proposed_key` is called for the other ranges, as in
+    /// [`RangeSet::new`]. The counts of cold windows restart at zero for all ranges.
     pub fn set_splits(
         &mut self,
         now: Micros,
@@ -78,22 +87,23 @@
         }
     }
 
-    /// How many ranges there are; 1 for a group that was not split.
+    /// Returns the number of ranges; 1 for a group that has not been split.
     pub fn len(&self) -> usize {
         self.ranges.len()
     }
 
-    /// Never: a group that was not split is one range.
+    /// Always returns `false`, as a group that has not been split has one range.
     pub fn is_empty(&self) -> bool {
         self.ranges.is_empty()
     }
 
-    /// What is recommended now, in order of the ranges. `average_cost` is what a range costs on average over all groups,
-    /// `living` how many proxies there are.
+    /// Returns the current recommendations in order of the ranges. `group` is the group's latest
+    /// distribution, `live_proxies` the number of live proxies, and `average_cost` the average cost of a
+    /// range over all groups.
     ///
-    /// Without a look at all ranges together operators would split ranges that are not large among their group's, and be
-    /// left with many cold ones. The cost: a group that is cold for half a minute and then is not, once merged, has to be
-    /// split again.
+    /// The ranges are evaluated together because operators would otherwise split ranges that are not large
+    /// within their group, and end up with many cold ranges. The drawback is that a group that is cold for
+    /// half a minute, is merged and then becomes hot has to be split again.
     pub fn advise(
         &mut self,
         now: Micros,
@@ -142,19 +152,22 @@
 }
 
 impl KeyRange {
-    /// `pair_cost` is what this range and the one before may cost together at most.
+    /// Counts the window as cold, or resets the count. `pair_cost` is the upper bound of the combined cost of
+    /// this range and the one before it.
     fn count_cold_window(&mut self, pair_cost: f64, average_cost: f64) {
         let is_cold = pair_cost < COLD_PAIR_FACTOR * average_cost;
         self.windows_cold = if is_cold { self.windows_cold + 1 } else { 0 };
     }
 }
 
-/// Whether a range of several is left whole, whatever a split would do to it.
+/// Returns whether a range is left whole, regardless of the effect of a split, because it is one of several
+/// ranges and `min_share`, the lower bound of its share, is not large among them.
 fn is_balanced(min_share: f64, ranges: usize) -> bool {
     ranges > 1 && min_share < LARGE_RANGE_FACTOR / ranges as f64
 }
 
-/// The ranges between splits, in order. A split named twice, or at the empty key, counts once.
+/// Returns the bounds of the ranges between `splits`, in order. Duplicate splits, and splits at the empty
+/// key, are ignored.
 fn bounds_between(splits: &[Vec<u8>]) -> Vec<KeyBounds> {
     let mut starts: Vec<Vec<u8>> = splits.iter().filter(|split| !split.is_empty()).cloned().collect();
     starts.push(Vec::new());
--- a/crates/split-points/src/recommendation.rs
+++ b/crates/split-points/src/recommendation.rs
@@ -1,107 +1,115 @@
-//! What is recommended for one range: a split point that has held for some time, or why there is none.
+//! Recommendation for one key range: a split point that has been stable for some time, or the reason why
+//! there is none.
 
 use std::collections::VecDeque;
 
 use crate::{KeyDistribution, LoadShape, Micros, REQUIRED_WINDOWS, SplitPoint, WINDOW_LENGTH, WriteShares};
 
-/// A proposal is kept while its larger side certainly has no more than this share of the cost: moving data again has to be
-/// worth it.
+/// A proposal is kept until the lower bound of its larger side's share of the cost exceeds this value,
+/// because the gain from a different split has to justify moving data again.
 const MAX_LARGER_SIDE_SHARE: f64 = 0.62;
-/// The share of the living proxies that have to be heard, or nothing new is concluded.
+/// Minimum fraction of the live proxies that have to report. Below it, windows are not evaluated and
+/// proposals do not change.
 const MIN_COVERAGE: f64 = 0.6;
-/// Where keys are written in ascending order, the share of cost below a fixed key falls by over this with each window.
+/// If keys are accessed in ascending order, the share of the cost below a fixed key drops by more than this
+/// from each window to the next.
 const MIN_SHARE_DROP_PER_WINDOW: f64 = 0.05;
-/// How far from one half a split may be in an earlier window, at least, and still count as the same.
+/// Minimum tolerance for a split to count as halving the cost of a recent window: the distance of the left
+/// side's share from one half.
 const MIN_HALVING_TOLERANCE: f64 = 0.05;
 
-/// How far a recommendation has come.
+/// The state of the proposal for a range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecommendationState {
-    /// Nothing to propose, or not yet.
+    /// No split is proposed. After a withdrawal, this is the state only while too few proxies report.
     Observing,
     /// A split is proposed.
     Proposed,
-    /// A proposal was withdrawn, as it no longer helps, and none has followed.
+    /// A proposal was withdrawn because it no longer helps, and no other split has been proposed since.
     Withdrawn,
 }
 
-/// Which split is proposed, or why none is.
+/// The split that is proposed for a range, or the reason why none is.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SplitAssessment {
-    /// Too little is known.
+    /// There is too little data for an assessment.
     Unknown,
-    /// Too few proxies are heard to conclude anything.
+    /// Too few proxies report for an assessment.
     LowCoverage {
-        /// Proxies whose summaries stand behind this.
+        /// Number of proxies whose summaries are included.
         reporters: usize,
-        /// Proxies that live.
+        /// Number of live proxies.
         live_proxies: usize,
     },
-    /// Each key costs about the same.
+    /// All keys cost about the same, so a split by the number of keys is as good as any.
     Uniform,
-    /// One key has most of the cost, and a split does not help.
+    /// A single key has so much of the cost that a split does not help.
     HotKey {
-        /// The key, up to its first 48 bytes.
+        /// The key, truncated to its first 48 bytes.
         key: Vec<u8>,
-        /// Its share of the cost, at least.
+        /// Lower bound of the key's share of the cost, from 0 to 1.
         share: f64,
     },
-    /// Load is at ever new keys, and any split in their midst is soon behind them.
+    /// The load moves to ever higher keys, so that it soon leaves any split point behind.
     AscendingKeys {
-        /// From this key on they belong to a new range.
+        /// First key of the new range that operators should create for the keys to come.
         from: Vec<u8>,
     },
-    /// The range is one of several of its group, and none too large among them.
+    /// The range is one of several in its group and is not too large compared with the others.
     Balanced,
-    /// A split would help now, but has not for long enough.
+    /// A split would help now, but has not been stable for long enough to be proposed.
     Pending,
-    /// Split here.
+    /// The range should be split at this point.
     Split(SplitPoint),
 }
 
-/// What is recommended for one range.
+/// The recommendation for one range.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SplitRecommendation {
-    /// How far it has come.
+    /// The state of the proposal.
     pub state: RecommendationState,
-    /// The split, or why there is none.
+    /// The proposed split, or the reason why there is none.
     pub assessment: SplitAssessment,
-    /// How many proxies stand behind it.
+    /// Number of proxies whose summaries are included.
     pub reporters: usize,
-    /// The cost of the range's recent accesses.
+    /// The cost of the recent accesses to the range, in the unit of the summaries.
     pub cost: f64,
 }
 
-/// What was seen at the end of a window.
+/// The load of a range at the end of a window.
 #[derive(Clone, Debug)]
 struct Window {
     distribution: KeyDistribution,
     shape: LoadShape,
 }
 
-/// Keeps the recommendation for one range.
+/// Tracks the recommendation for one key range over several windows.
 #[derive(Clone, Debug)]
 pub struct SplitAdvisor {
+    /// When the current window ends.
     next_window: Micros,
     /// The last [`REQUIRED_WINDOWS`] windows, the newest last.
     windows: VecDeque<Window>,
-    /// The key that is proposed.
+    /// The proposed split key, if any.
     proposed_key: Option<Vec<u8>>,
-    /// For how many windows running the proposal has not been worth keeping.
+    /// Number of consecutive windows in which the proposed split has been too imbalanced.
     windows_imbalanced: usize,
 }
 
 impl SplitAdvisor {
-    /// `proposed` is the key that an earlier lease holder proposed.
+    /// Creates an advisor without any windows; `proposed_key` is the split key that an earlier lease holder
+    /// proposed, if any.
     pub fn new(now: Micros, proposed_key: Option<Vec<u8>>) -> SplitAdvisor {
         SplitAdvisor { next_window: now, windows: VecDeque::new(), proposed_key, windows_imbalanced: 0 }
     }
 
-    /// What is recommended now, from the range's newest distribution; `living` is how many proxies there are. Windows are
-    /// counted here, so it may be called at any interval that is shorter than one (10 s).
+    /// Returns the current recommendation, given the latest distribution of the range and the number of live
+    /// proxies. The method keeps track of the windows itself and may be called at any interval that is
+    /// shorter than a window (10 s).
     ///
-    /// Without windows and coverage operators would move data for the load of some seconds, or for what few proxies saw. The
-    /// cost: where load has just moved for good, the recommendation follows three windows later.
+    /// Recommendations depend on several windows and on a minimum coverage so that operators do not move data
+    /// because of a load of a few seconds, or because of what only a few proxies observed. The drawback is
+    /// that the recommendation follows a lasting shift of the load only three windows later.
     pub fn advise(
         &mut self,
         now: Micros,
@@ -127,7 +135,8 @@
         SplitRecommendation { state: self.state(), assessment, reporters, cost }
     }
 
-    /// A proposal stands where too few are heard: nothing is known against it.
+    /// Returns the state while too few proxies report. A proposal remains in force, as there is no evidence
+    /// against it.
     fn state_under_low_coverage(&self) -> RecommendationState {
         if self.proposed_key.is_some() {
             RecommendationState::Proposed
@@ -146,7 +155,7 @@
         }
     }
 
-    /// Where a window ends, takes it in and proposes, keeps or withdraws.
+    /// If the current window has ended, records it and updates the proposal.
     fn end_window(&mut self, now: Micros, distribution: &KeyDistribution) {
         if now < self.next_window {
             return;
@@ -160,7 +169,8 @@
         self.update_proposal(distribution);
     }
 
-    /// The proposed split under the newest load. Its writes are those of the split that would be best now.
+    /// Evaluates the split at `key` under the latest load. The shares of writes are those of the best split
+    /// for the latest window, or 0 if no split would help.
     fn measure_split(&self, key: &[u8], distribution: &KeyDistribution) -> SplitPoint {
         let left = distribution.share_below(key);
         let writes = match self.newest_shape() {
@@ -170,6 +180,7 @@
         SplitPoint { key: key.to_vec(), left_share: left.share, margin: left.margin, writes }
     }
 
+    /// Returns why no split is proposed, according to the latest window.
     fn reason_for_no_split(&self) -> SplitAssessment {
         match self.newest_shape() {
             None | Some(LoadShape::Unknown) => SplitAssessment::Unknown,
@@ -184,11 +195,12 @@
         }
     }
 
+    /// Returns the load shape of the latest window; `None` before the first one has ended.
     fn newest_shape(&self) -> Option<&LoadShape> {
         self.windows.back().map(|window| &window.shape)
     }
 
-    /// Once a window: whether a split is proposed, changed or withdrawn.
+    /// Proposes, keeps, replaces or withdraws a split. Called once per window.
     fn update_proposal(&mut self, distribution: &KeyDistribution) {
         if let Some(key) = &self.proposed_key {
             let imbalanced = self.is_imbalanced(key, distribution);
@@ -206,7 +218,8 @@
         }
     }
 
-    /// Whether the proposal's larger side is certainly too large now, and another split could help.
+    /// Returns whether the split at `key` is too imbalanced, allowing for its margin of error. Always `false`
+    /// if the latest window has a hot key, as no other split would help.
     fn is_imbalanced(&self, key: &[u8], distribution: &KeyDistribution) -> bool {
         let left = distribution.share_below(key);
         let min_larger_side_share = left.share.max(1.0 - left.share) - left.margin;
@@ -214,7 +227,8 @@
         min_larger_side_share > MAX_LARGER_SIDE_SHARE && !is_hot_key
     }
 
-    /// Whether the split would have halved each of the last windows as well.
+    /// Returns whether the split would have halved the cost of every recent window, within the margins of
+    /// error.
     fn halves_all_windows(&self, split: &SplitPoint) -> bool {
         self.windows.iter().all(|window| {
             let left = window.distribution.share_below(&split.key);
@@ -222,8 +236,8 @@
         })
     }
 
-    /// Where keys are used in ascending order, what lay below the first window's median has ever less of the load; returns
-    /// the newest median then.
+    /// Detects keys that are accessed in ascending order: the share of the cost below the median key of the
+    /// oldest window drops from each window to the next. Returns the median key of the latest window if so.
     fn ascending_keys_from(&self) -> Option<Vec<u8>> {
         let median = self.windows.front()?.distribution.median_key()?;
         let shares_below = self.windows.iter().map(|window| window.distribution.share_below(median));
--- a/crates/split-points/src/shape.rs
+++ b/crates/split-points/src/shape.rs
@@ -1,63 +1,66 @@
-//! What a distribution of cost over keys looks like, as far as a split is concerned.
+//! Classifies distributions of cost over keys by whether and where a split would help.
 
 use crate::{AccessSample, KeyDistribution};
 
-/// Samples under which nothing is said: a share's 95% margin would be about 0.1 or more (0.98 / sqrt(samples)).
+/// Minimum number of samples for an assessment. With fewer, the 95% margin of error of a share would be about
+/// 0.1 or more (0.98 / sqrt(samples)).
 const MIN_SAMPLES: usize = 100;
-/// A key with over this share of the cost can't be helped by a split: the side that it lies on keeps that load.
+/// A key with more than this share of the cost is hot: a split does not help, as one side keeps the whole
+/// load of the key.
 const MIN_HOT_KEY_SHARE: f64 = 0.35;
-/// Under this distance between the distributions of cost and of keys (Kolmogorov-Smirnov, from 0 to 1) cost follows the
-/// number of keys.
+/// The load is uniform if the Kolmogorov-Smirnov distance (from 0 to 1) between the distributions of cost and
+/// of keys is below this value.
 const MAX_UNIFORM_DISTANCE: f64 = 0.08;
 
-/// What the cost over the keys of a range looks like.
+/// The shape of the distribution of cost over the keys of a range.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LoadShape {
-    /// Too little is known.
+    /// There are too few samples to determine the shape.
     Unknown,
-    /// Each key costs about the same: a split by the number of keys is as good, and nothing is recommended.
+    /// All keys cost about the same. A split by the number of keys is as good as any, so no split is
+    /// recommended.
     Uniform,
-    /// One key has most of the cost.
+    /// A single key has so much of the cost that a split does not help.
     HotKey {
-        /// The key, up to its first 48 bytes.
+        /// The key, truncated to its first 48 bytes.
         key: Vec<u8>,
-        /// Its share of the cost, at least.
+        /// Lower bound of the key's share of the cost, from 0 to 1.
         share: f64,
     },
-    /// A split here halves the cost.
+    /// A split at this point divides the cost into halves that are as equal as possible.
     Splittable(SplitPoint),
 }
 
 /// A key at which a range may be split.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SplitPoint {
-    /// The first key of the right side.
+    /// The first key of the right side, truncated to its first 48 bytes.
     pub key: Vec<u8>,
-    /// The left side's share of all cost, from 0 to 1.
+    /// The left side's share of the cost, from 0 to 1.
     pub left_share: f64,
-    /// How far `left_share` may be off to either side, in 95 of 100 cases.
+    /// Half-width of the 95% confidence interval of `left_share`.
     pub margin: f64,
-    /// How much of each side's cost is writes.
+    /// The share of writes in the cost of each side.
     pub writes: WriteShares,
 }
 
-/// The share of writes in the cost on each side of a split, from 0 to 1.
+/// The share of writes in the cost on each side of a split, from 0 to 1; 0 for a side without samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WriteShares {
-    /// Below the split point.
+    /// The share of writes in the cost of the keys below the split point.
     pub left: f64,
-    /// From the split point on.
+    /// The share of writes in the cost of the keys from the split point on.
     pub right: f64,
 }
 
-/// The weight of all samples of one key.
+/// A key and the total weight of its samples.
 struct KeyWeight<'a> {
     key: &'a [u8],
     weight: f64,
 }
 
 impl KeyDistribution {
-    /// Whether, and where, a split would help now.
+    /// Determines whether and where a split would help under this distribution.
     pub fn shape(&self) -> LoadShape {
         if self.samples.len() < MIN_SAMPLES {
             return LoadShape::Unknown;
@@ -73,12 +76,15 @@
         LoadShape::Splittable(self.split_point(halving_key(&by_key, total_weight)))
     }
 
+    /// Returns [`LoadShape::HotKey`] with the costliest heavy hitter if its share of the cost is large
+    /// enough.
     fn hot_key(&self) -> Option<LoadShape> {
         let (key, cost) = self.heavy_hitters.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
         let is_hot = *cost > MIN_HOT_KEY_SHARE * self.cost;
         is_hot.then(|| LoadShape::HotKey { key: key.clone(), share: cost / self.cost })
     }
 
+    /// Evaluates a split at `key`.
     fn split_point(&self, key: &[u8]) -> SplitPoint {
         let left = self.share_below(key);
         let writes = WriteShares {
@@ -89,6 +95,7 @@
     }
 }
 
+/// Returns the total weight of each key, in order of the keys; `samples` are in that order as well.
 fn weights_by_key(samples: &[AccessSample]) -> Vec<KeyWeight<'_>> {
     let mut by_key: Vec<KeyWeight<'_>> = Vec::new();
     for sample in samples {
@@ -100,7 +107,8 @@
     by_key
 }
 
-/// The largest distance between the share of the cost and the share of the keys, at any key.
+/// Returns the largest difference, over all keys, between the share of the cost and the share of the keys up
+/// to that key.
 fn distance_from_uniform(by_key: &[KeyWeight<'_>], total_weight: f64) -> f64 {
     let mut sum = 0.0;
     let mut largest_distance = 0.0f64;
@@ -112,7 +120,7 @@
     largest_distance
 }
 
-/// The key below which the share of the cost is nearest to one half. There is at least one key.
+/// Returns the key for which the share of the cost below it is closest to one half. `by_key` is not empty.
 fn halving_key<'a>(by_key: &[KeyWeight<'a>], total_weight: f64) -> &'a [u8] {
     let mut sum = 0.0;
     let mut least_distance = 1.0;
@@ -128,7 +136,7 @@
     nearest_key
 }
 
-/// The share of writes in the weight of these samples; 0 without any.
+/// Returns the share of writes in the total weight of the samples; 0 if there are none.
 fn write_share<'a>(side: impl Iterator<Item = &'a AccessSample> + Clone) -> f64 {
     let writes: f64 = side.clone().filter(|sample| sample.is_write).map(|sample| sample.weight).sum();
     writes / side.map(|sample| sample.weight).sum::<f64>().max(f64::EPSILON)
--- a/crates/split-points/src/summary.rs
+++ b/crates/split-points/src/summary.rs
@@ -1,62 +1,70 @@
-//! What a proxy reports of one group: a summary of its sketch.
+//! The summary of a sketch that a proxy sends for one group, and its encoding.
 //!
-//! Bytes of a summary, big-endian: 4 of cost (a float), then heavy hitters (1 byte of their number; each 4 of cost, 4 of
-//! error, 1 of the key's length, the key), then samples until the end (1 byte whose highest bit marks a write and whose
-//! others are the key's length, 4 of weight, the key). A key is 48 bytes at most. What does not fit is left out, the
-//! lightest first.
+//! All numbers are big-endian, and costs, errors and weights are 32-bit floats. A summary consists of:
+//!
+//! 1. the cost (4 bytes);
+//! 2. the number of heavy hitters (1 byte), and for each of them its cost (4 bytes), its error (4 bytes), the
+//!    length of its key (1 byte) and the key;
+//! 3. samples up to the end of the summary. Each has 1 byte whose highest bit marks a write and whose other
+//!    bits are the length of the key, followed by the weight (4 bytes) and the key.
+//!
+//! Keys are at most 48 bytes long. Heavy hitters and samples that do not fit are omitted: the heavy hitters
+//! of lowest cost, and the samples of lowest priority.
 
 use bytes::{Buf, BufMut};
 
 use crate::DecodeError;
 use crate::sketch::MAX_KEY_BYTES;
 
-/// The longest summary, in bytes, so that it fits into a datagram with the header of a report.
+/// Maximum size of an encoded summary, in bytes, so that it fits into a datagram together with the header of
+/// a report.
 pub const MAX_SUMMARY_BYTES: usize = 900;
-/// Heavy hitters in a summary; the costliest ones.
+/// Maximum number of heavy hitters in an encoded summary; those of highest cost are included.
 const MAX_HEAVY_HITTERS: usize = 6;
-/// The cost, and the number of heavy hitters.
+/// Size of the cost and the number of heavy hitters, in bytes.
 const HEADER_BYTES: usize = 5;
-/// What a heavy hitter takes besides its key.
+/// Size of an encoded heavy hitter without its key, in bytes.
 const HEAVY_HITTER_BYTES: usize = 9;
-/// What a sample takes besides its key.
+/// Size of an encoded sample without its key, in bytes.
 const SAMPLE_BYTES: usize = 5;
-/// Marks a sample of a write, in the byte of its key's length.
+/// The bit that marks a sample as a write, in the byte that holds the length of its key.
 const WRITE_FLAG: u8 = 0x80;
 
-/// One access that stands for others like it.
+/// An access in the sample, which represents other accesses to nearby keys as well.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AccessSample {
-    /// The key, up to its first 48 bytes.
+    /// The key, truncated to its first 48 bytes.
     pub key: Vec<u8>,
-    /// Whether it was a write.
+    /// Whether the access was a write.
     pub is_write: bool,
-    /// How much cost it stands for.
+    /// The cost that the sample represents, in the caller's unit.
     pub weight: f64,
 }
 
-/// A key that alone has much of the cost.
+/// A key that has a large share of the cost by itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeavyHitter {
-    /// The key, up to its first 48 bytes.
+    /// The key, truncated to its first 48 bytes.
     pub key: Vec<u8>,
-    /// Its cost, which is never too low.
+    /// Upper bound of the key's cost.
     pub cost: f64,
-    /// By how much `cost` may be too high.
+    /// The most by which `cost` may exceed the true cost.
     pub error: f64,
 }
 
-/// What a proxy tells of one group's recent accesses.
+/// A proxy's summary of the recent accesses to one group.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct KeySummary {
     /// The cost of all recent accesses, sampled or not.
     pub cost: f64,
     /// A priority sample of the accesses.
     pub samples: Vec<AccessSample>,
-    /// The costliest first.
+    /// The heavy hitters in descending order of cost.
     pub heavy_hitters: Vec<HeavyHitter>,
 }
 
-/// How many samples fit into a summary next to these heavy hitters, with keys of at most `longest_key` bytes.
+/// Returns how many samples fit into an encoded summary together with these heavy hitters if the keys of the
+/// samples are at most `longest_key` bytes long.
 pub(crate) fn sample_capacity(heavy_hitters: &[HeavyHitter], longest_key: usize) -> usize {
     let reported = heavy_hitters.iter().take(MAX_HEAVY_HITTERS);
     let heavy_hitter_bytes: usize = reported.map(|hitter| hitter.key.len() + HEAVY_HITTER_BYTES).sum();
@@ -64,7 +72,7 @@
 }
 
 impl KeySummary {
-    /// The bytes of the summary, with the first six heavy hitters and all samples.
+    /// Encodes the summary with its first six heavy hitters and all of its samples.
     pub(crate) fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(MAX_SUMMARY_BYTES);
         bytes.put_f32(self.cost as f32);
@@ -84,7 +92,12 @@
         bytes
     }
 
-    /// Reads a summary; fails where it ends within a field, or a key's length or a cost is out of bounds.
+    /// Decodes a summary.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the summary ends within a field, a key is too long, or a cost, error or weight is negative or
+    /// not finite.
     pub fn decode(mut bytes: &[u8]) -> Result<KeySummary, DecodeError> {
         let cost = read_cost(&mut bytes)?;
         let mut heavy_hitters = Vec::new();
@@ -117,7 +130,8 @@
     bytes.try_get_u8().map_err(|_| DecodeError::Truncated)
 }
 
-/// A cost, error or weight. Sums of them must stay numbers, so only finite ones that are not negative are read.
+/// Reads a cost, error or weight. Negative and non-finite values are rejected, as sums of them might not be
+/// numbers.
 fn read_cost(bytes: &mut &[u8]) -> Result<f64, DecodeError> {
     let cost = f64::from(bytes.try_get_f32().map_err(|_| DecodeError::Truncated)?);
     if cost.is_finite() && cost >= 0.0 { Ok(cost) } else { Err(DecodeError::InvalidCost) }
--- a/crates/split-points/tests/pinned_payloads.rs
+++ b/crates/split-points/tests/pinned_payloads.rs
@@ -1,4 +1,4 @@
-//! The bytes of summaries, as proxies of other versions send and read them.
+//! Pins the encoding of summaries, so that proxies of different versions can decode each other's summaries.
 
 use aldermill_split_points::{AccessSample, HeavyHitter, KeySketch, KeySummary};
 
--- a/crates/split-points/tests/ranges.rs
+++ b/crates/split-points/tests/ranges.rs
@@ -1,4 +1,4 @@
-//! Groups that their operators have split into ranges.
+//! Recommendations for groups that operators have split into ranges.
 
 use std::collections::BTreeMap;
 
@@ -15,15 +15,16 @@
     format!("k{number:06}").into_bytes()
 }
 
-/// Twenty proxies that read one group of keys, and the lease holder.
+/// Twenty proxies that read the keys of one group, and the lease holder that evaluates their summaries once a
+/// second.
 struct Simulation {
     now: Micros,
     sketches: Vec<KeySketch>,
     rng: Pcg64Mcg,
     ranges: RangeSet,
-    /// Keys that 0.7 of the accesses go to; the others go to all keys.
+    /// Numbers of the keys from which 70% of the accesses are drawn; the others are drawn from all keys.
     hot_keys: std::ops::Range<usize>,
-    /// Accesses a second.
+    /// Accesses per second, over all proxies.
     accesses_per_second: usize,
 }
 
@@ -40,6 +41,7 @@
         }
     }
 
+    /// Simulates this many seconds and returns the last recommendations.
     fn run(&mut self, seconds: i64, average_cost: f64) -> Vec<RangeRecommendation> {
         let mut recommendations = Vec::new();
         for _ in 0..seconds {
@@ -89,7 +91,8 @@
         "{}",
         String::from_utf8_lossy(&split.key)
     );
-    // The operators split there: what is known of the first range stays, and the two new ones begin anew.
+    // Operators split the range at the recommended key. The first range keeps its advisor; the two new ranges
+    // start without any windows.
     let split_key_number: usize = String::from_utf8_lossy(&split.key[1..]).parse().unwrap();
     simulation.ranges.set_splits(
         simulation.now,
@@ -99,7 +102,8 @@
     let recommendations = simulation.run(50, 1.0);
     let shares: Vec<f64> = recommendations.iter().map(|range| range.share).collect();
     assert!(shares.len() == 3 && shares[1] < 0.5 && shares[2] < 0.5, "{shares:?}");
-    // One more halving of each helps, and no more than that is proposed.
+    // No merge is recommended. After further splits, at most three of the six ranges have a proposal, so that
+    // the number of ranges does not keep growing.
     assert!(recommendations.iter().all(|range| !range.merge_with_previous));
     simulation.ranges.set_splits(
         simulation.now,
@@ -127,14 +131,14 @@
     let cost = simulation.run(5, average_cost).iter().map(|range| range.split.cost).sum::<f64>();
     assert!(
         cost > 0.0 && simulation.run(5, average_cost).iter().all(|range| !range.merge_with_previous),
-        "it has not held for long enough"
+        "no cost recorded, or merged before the ranges were cold for long enough"
     );
     let recommendations = simulation.run(30, average_cost);
     assert_eq!(
         recommendations.iter().map(|range| range.merge_with_previous).collect::<Vec<_>>(),
         [false, true]
     );
-    // Their load is as large as that of others: it is not recommended any more at once, nor while too few are heard.
+    // Once the ranges cost as much as an average range, the merge is no longer recommended.
     assert!(simulation.run(20, cost).iter().all(|range| !range.merge_with_previous));
     let ranges_before = simulation.ranges.len();
     simulation.ranges.set_splits(simulation.now, &[], |_| None);
@@ -149,7 +153,7 @@
     simulation.ranges =
         RangeSet::new(0, &[numbered_key(1_000), Vec::new(), numbered_key(1_000)], earlier_proposal);
     let recommendations = simulation.run(25, 1.0);
-    assert_eq!(recommendations.len(), 2, "a split named twice, or at the empty key, counts once");
+    assert_eq!(recommendations.len(), 2, "duplicate splits and splits at the empty key are ignored");
     assert_eq!(
         (recommendations[0].split.state, recommendations[1].split.state),
         (RecommendationState::Observing, RecommendationState::Proposed)
--- a/crates/split-points/tests/splits.rs
+++ b/crates/split-points/tests/splits.rs
@@ -1,4 +1,4 @@
-//! Keys of known distributions, spread over proxies of which some are not heard.
+//! Recommendations under key distributions that are known, spread over proxies of which some may not report.
 
 use std::collections::BTreeMap;
 
@@ -19,16 +19,16 @@
     format!("k{number:06}").into_bytes()
 }
 
-/// Which key is accessed next.
+/// Returns the number of the key that is accessed next, given the current time.
 type KeyGenerator = Box<dyn Fn(&mut Pcg64Mcg, Micros) -> usize>;
 
-/// Twenty proxies, each with its own sight of the same load.
+/// Twenty proxies, each of which receives a random part of the same load, and an advisor for a single range.
 struct Simulation {
     now: Micros,
     sketches: Vec<KeySketch>,
-    /// Who is heard.
+    /// Whether each proxy reports.
     reporting: Vec<bool>,
-    /// The true cost of each key in the last window.
+    /// The true cost of each key in the latest window.
     true_costs: BTreeMap<Vec<u8>, f64>,
     advisor: SplitAdvisor,
     rng: Pcg64Mcg,
@@ -48,6 +48,7 @@
         }
     }
 
+    /// Simulates this many seconds with 400 accesses each and returns the last recommendation.
     fn run(&mut self, seconds: i64) -> SplitRecommendation {
         let mut recommendation = None;
         for second in 0..seconds {
@@ -67,6 +68,7 @@
         recommendation.unwrap()
     }
 
+    /// Combines the encoded summaries of the proxies that report, and returns the advisor's recommendation.
     fn advise(&mut self) -> SplitRecommendation {
         let mut summaries: BTreeMap<String, KeySummary> = BTreeMap::new();
         for (proxy, sketch) in
@@ -79,7 +81,8 @@
         self.advisor.advise(self.now, KeyDistribution::combine(&summaries), 20)
     }
 
-    /// The larger side's true share under that split, over the larger side's under the best one.
+    /// Returns the larger side's true share of the cost for a split at `split_key`, relative to that of the
+    /// best split.
     fn imbalance(&self, split_key: &[u8]) -> f64 {
         let total: f64 = self.true_costs.values().sum();
         let larger_side = |left: f64| (left / total).max(1.0 - left / total);
@@ -94,13 +97,14 @@
     }
 }
 
+/// Draws a key from a Zipf distribution with the exponent 1.1, by inversion. Keys are numbered by their rank.
 fn zipf_key(rng: &mut Pcg64Mcg) -> usize {
-    // By inversion, with the exponent 1.1; the keys in order of their rank.
     let u: f64 = rng.random();
     let mass_below_max = 1.0 - (KEY_COUNT as f64).powf(-0.1);
     (((1.0 - u * mass_below_max).powf(-10.0)) as usize).min(KEY_COUNT - 1)
 }
 
+/// Draws 70% of the keys from a tenth of all keys, and the others from all keys.
 fn hot_range_key(rng: &mut Pcg64Mcg) -> usize {
     if rng.random_bool(0.7) { rng.random_range(1_500..1_700) } else { rng.random_range(0..KEY_COUNT) }
 }
@@ -134,7 +138,7 @@
                 );
                 splits.push((split_key, simulation));
             }
-            // Each of them within the interval of the others.
+            // The splits agree with each other within their margins of error.
             let (left_shares, margin) = {
                 let summaries = |simulation: &mut Simulation| {
                     let sketches = simulation.sketches.iter_mut().enumerate();
@@ -210,9 +214,9 @@
     });
     let split_key = proposed_split(&simulation.run(40));
     for _ in 0..15 {
-        assert_eq!(proposed_split(&simulation.run(10)), split_key, "no other point without another load");
+        assert_eq!(proposed_split(&simulation.run(10)), split_key, "split key changed under steady load");
     }
-    // Proxies that die for a while withdraw nothing.
+    // A temporary outage of proxies does not withdraw the proposal.
     simulation.reporting[..9].fill(false);
     assert_eq!(simulation.run(5).state, RecommendationState::Proposed);
     simulation.reporting.fill(true);
@@ -223,7 +227,7 @@
         "{}",
         simulation.imbalance(&moved_split_key)
     );
-    // A new lease holder keeps it.
+    // A new lease holder keeps the proposal.
     simulation.advisor = SplitAdvisor::new(simulation.now, Some(moved_split_key.clone()));
     assert_eq!(proposed_split(&simulation.run(30)), moved_split_key);
 }
@@ -253,7 +257,7 @@
 
 #[test]
 fn samples_are_unbiased_and_arbitrary_bytes_do_not_panic() {
-    // The mean over many seeds of what is estimated of a range comes to the truth.
+    // The mean of the estimated share of a key range over many seeds is close to the true share.
     let mut mean_share = 0.0;
     for seed in 0..200 {
         let mut sketch = KeySketch::new(0, seed);
@@ -290,7 +294,8 @@
 fn summary_of_many_heavy_hitters_of_different_lengths_fits_and_is_decoded() {
     for seed in 0..20 {
         let mut sketch = KeySketch::new(0, seed);
-        // Six short ones first in their order, just heavy enough, and six long ones that cost most of it.
+        // Six short keys, which sort first and are barely heavy hitters, and six long keys with most of the
+        // cost. The summary has to contain the long keys and still fit.
         for _ in 0..200 {
             (0..6).for_each(|number| sketch.record(0, format!("a{number}").as_bytes(), false, 5.3));
             let long_key = |number| format!("b{number}{}", "x".repeat(46));
