--- a/crates/routing/src/policy/primary_search.rs
+++ b/crates/routing/src/policy/primary_search.rs
@@ -3,7 +3,7 @@
 
 use super::{MS, TICK};
 use crate::state::{Group, Member, Router};
-use crate::{MemberId, Micros, Standing};
+use crate::{MemberId, MemberStatus, Micros};
 
 /// Maximum number of health checks that one member gets in a second from the searches of all routers
 /// together.
@@ -14,7 +14,7 @@
 /// together. It is less than half of the about 87 connections to members that the lowest usual descriptor
 /// limit (256) allows.
 const MAX_SEARCH_CHECKS_IN_FLIGHT: usize = 32;
-/// How long a search waits for the answer to a health check, in microseconds. It is far longer than an
+/// Time for which a search waits for the answer to a health check, in microseconds. It is far longer than an
 /// overloaded member takes, as checks that are sent before then only add to its load. The cost: in a search
 /// of many groups, each member that has vanished may delay its group for this long.
 const SEARCH_CHECK_TIMEOUT: Micros = 1_000 * MS;
@@ -23,13 +23,13 @@
     /// Returns whether the group is large: it has more members than a request has attempts, so one round of
     /// attempts that reach replicas covers only a part of it.
     pub(super) fn is_large_group(&self, group: &Group) -> bool {
-        group.members.len() > self.terms.max_attempts as usize
+        group.members.len() > self.config.max_attempts as usize
     }
 
     /// Returns whether the group has no believed primary, or has one that cannot be reached or does not
     /// answer.
     pub(super) fn lacks_primary(&self, now: Micros, group: &Group) -> bool {
-        group.primary.is_none_or(|id| self.is_silent(now, id))
+        group.primary.is_none_or(|id| self.is_unresponsive(now, id))
     }
 
     /// Returns the order in which the members of a group are asked whether they are the primary: by name, or
@@ -38,7 +38,7 @@
     /// By name alone, all routers would ask the first members of a large group at once, and would not start
     /// with the members that they have connections to.
     pub(super) fn search_order<'a>(&self, group: &'a Group) -> &'a [MemberId] {
-        if self.is_large_group(group) { &group.preferred } else { &group.members }
+        if self.is_large_group(group) { &group.by_preference } else { &group.members }
     }
 
     /// Returns whether the member is usable and is not known to be a replica since the primary was lost.
@@ -49,7 +49,7 @@
         let primary_heard_at =
             group.primary.map_or(Micros::MIN, |primary| self.members[primary].last_heard_at);
         self.members[id].not_primary_at <= group.search.round_started_at.max(primary_heard_at)
-            && self.usable(now, id)
+            && self.is_usable(now, id)
     }
 
     /// Continues the search for the primary of a group with queued requests. Members that may be the primary
@@ -67,9 +67,9 @@
         if !searched.members.iter().any(is_candidate) {
             let search = &mut self.groups[group].search;
             search.round_started_at = now;
-            search.next_position = 0;
+            search.next_index = 0;
         }
-        if self.terms.health_checks_allowed && self.is_large_group(&self.groups[group]) {
+        if self.config.health_checks_allowed && self.is_large_group(&self.groups[group]) {
             self.check_candidates(now, group);
         }
     }
@@ -98,7 +98,7 @@
         let count = self.groups[group].members.len();
         let checks_per_member = MEMBER_SEARCH_CHECKS_PER_SECOND * MIN_SEARCH_ROUND as f64
             / (1_000 * MS) as f64
-            / self.terms.drivers as f64;
+            / self.config.routers as f64;
         let due = count as f64 * checks_per_member.min(1.0) * TICK as f64 / MIN_SEARCH_ROUND as f64;
         let search = &mut self.groups[group].search;
         search.saved_health_checks = (search.saved_health_checks + due).min(due.max(1.0)).min(slots);
@@ -107,8 +107,8 @@
             if searched.search.saved_health_checks < 1.0 {
                 return;
             }
-            let index = searched.search.next_position % count;
-            self.groups[group].search.next_position = index + 1;
+            let index = searched.search.next_index % count;
+            self.groups[group].search.next_index = index + 1;
             self.check_candidate(now, group, index);
         }
     }
@@ -118,9 +118,9 @@
     fn check_candidate(&mut self, now: Micros, group: usize, index: usize) {
         let searched = &self.groups[group];
         let id = self.search_order(searched)[index];
-        let Member { standing, health_check_in_flight, last_health_check_at, .. } = self.members[id];
+        let Member { status, health_check_in_flight, last_health_check_at, .. } = self.members[id];
         let too_early = health_check_in_flight || now - last_health_check_at < MIN_SEARCH_ROUND;
-        if standing != Standing::Ready || too_early || !self.may_be_primary(now, searched, id) {
+        if status != MemberStatus::Ready || too_early || !self.may_be_primary(now, searched, id) {
             return;
         }
         let searched = &mut self.groups[group];
