--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -97,13 +97,13 @@
             return;
         }
         let seed = self.seed ^ group;
-        let sketch = keys.entry(group).or_insert_with(|| KeySketch::start(now, seed));
+        let sketch = keys.entry(group).or_insert_with(|| KeySketch::new(now, seed));
         let cost_ms = elapsed as f64 / 1000.0;
         sketch.record(now, &attempt.key, attempt.write, cost_ms);
     }
 
     fn summary(&mut self, now: Micros, site: Option<SiteObservations>) -> ObservationSummary {
-        let RecentReads { span, rows } = self.zone_history.take(now);
+        let RecentReads { span, rows } = self.zone_history.end_interval(now);
         let encoded = |(&group, sketch): (&u64, &mut KeySketch)| (group, sketch.encode_summary(now));
         let keys = self.keys.iter_mut().flatten().map(encoded).collect();
         ObservationSummary { span, rows, keys, site }
@@ -156,8 +156,8 @@
 
 fn read_shift(shift: &TrafficShift) -> ReadShift {
     ReadShift {
-        remote_share: fraction(shift.away),
-        zone_weights: shift.to.iter().map(|part| (part.zone, fraction(part.share))).collect(),
+        remote_share: fraction(shift.shifted_share),
+        zone_weights: shift.targets.iter().map(|part| (part.zone, fraction(part.share))).collect(),
     }
 }
 
