--- a/crates/proxy/src/coordination/site_drain.rs
+++ b/crates/proxy/src/coordination/site_drain.rs
@@ -77,7 +77,7 @@
         site: drain.site.clone(),
         number: drain.number,
         order: order(drain.order),
-        by_ms: drain.by.saturating_mul(1000),
+        deadline_unix_ms: drain.by.saturating_mul(1000),
     };
     configured.iter().map(command).collect()
 }
@@ -101,7 +101,7 @@
         is_durable: bool,
         log: Logger,
     ) -> SiteDrainWork {
-        let longest_action = FollowedPlans::longest_autonomy(LIFETIME) + longest_timeout + QUERY_GRACE;
+        let longest_action = FollowedPlans::max_autonomy(LIFETIME) + longest_timeout + QUERY_GRACE;
         SiteDrainWork {
             commands: commands(configured),
             followed: FollowedPlans::default(),
@@ -163,7 +163,7 @@
 
     /// Another proxy is gone, or has started again.
     pub fn peer_gone(&mut self, now: Micros, name: &str) {
-        self.coordinator.proxy_departed(now, name);
+        self.coordinator.proxy_lost(now, name);
     }
 
     /// What is to be reported of what was observed.
@@ -173,7 +173,7 @@
         if let Some(site) = &observed.site {
             self.own_site.clone_from(&site.site);
             report.site.clone_from(&site.site);
-            report.over_ms = (site.span / 1000).clamp(1, MAX_REPORTED_MS) as u32;
+            report.interval_ms = (site.span / 1000).clamp(1, MAX_REPORTED_MS) as u32;
             report.ended = site.ended;
             report.within_objective = site.within_objective;
             report.session_reads = site.session_reads;
@@ -201,7 +201,7 @@
                 number: plan.command.number,
                 weight: plan.weight,
                 stage: plan.stage,
-                open,
+                open_work: open,
             };
             kept.insert(site.clone(), status);
         }
@@ -248,7 +248,7 @@
     pub fn obey(&mut self, now: Micros, directives: &DirectiveStore) -> PlanChanges {
         for InForce { plan, version } in in_force(directives, now) {
             let site = plan.command.site.clone();
-            let waits = plan.waits.clone();
+            let waits = plan.wait_text.clone();
             let is_new = self.followed.receive(now, plan, version);
             let Some(plan) = self.followed.plan(&site) else { continue };
             if is_new || self.logged_waits.get(&site) != Some(&waits) {
--- a/crates/proxy/tests/stored_data.rs
+++ b/crates/proxy/tests/stored_data.rs
@@ -108,9 +108,10 @@
 }
 
 fn plan(site: &str, order: Order, stage: Stage, waits: Option<&str>) -> Plan {
-    let word = OperatorCommand { site: site.to_owned(), number: 3, order, by_ms: 1_700_000_600_000 };
+    let word =
+        OperatorCommand { site: site.to_owned(), number: 3, order, deadline_unix_ms: 1_700_000_600_000 };
     let shares = [("site1".to_owned(), 400), ("site2".to_owned(), 600)].into();
-    Plan { command: word, stage, weight: 250, shares, waits: waits.map(str::to_owned) }
+    Plan { command: word, stage, weight: 250, shares, wait_text: waits.map(str::to_owned) }
 }
 
 /// The plans of sites that drain, with their stored form.
--- a/crates/site-drain/src/completion_check.rs
+++ b/crates/site-drain/src/completion_check.rs
@@ -6,11 +6,11 @@
 
 /// What is left at a draining site.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Remaining {
+pub enum RemainingWork {
     /// These proxies still have something there, or have not reported under the present plan that they have nothing.
     Proxies(Vec<String>),
     /// Proxies that are silent may still act, until then.
-    SilentUntil(Micros),
+    LostProxiesUntil(Micros),
     /// Nothing: the site is drained.
     Nothing,
 }
@@ -20,7 +20,7 @@
 struct LastReport {
     incarnation: u64,
     version: DirectiveVersion,
-    open: OpenWork,
+    open_work: OpenWork,
     received_at: Micros,
 }
 
@@ -32,15 +32,15 @@
 pub struct CompletionCheck {
     reports: BTreeMap<String, LastReport>,
     /// Proxies that are silent, and until when each may act.
-    silent_until: BTreeMap<String, Micros>,
-    longest_action: Micros,
+    lost_proxies_active_until: BTreeMap<String, Micros>,
+    max_lost_proxy_activity: Micros,
 }
 
 impl CompletionCheck {
-    /// `longest_action` is the longest for which a proxy that is cut off may act by what it knew, in microseconds: the
+    /// `max_lost_proxy_activity` is the longest for which a proxy that is cut off may act by what it knew, in microseconds: the
     /// life of a directive, the longest timeout of a request, and all that follows it.
-    pub fn new(longest_action: Micros) -> CompletionCheck {
-        CompletionCheck { longest_action, ..CompletionCheck::default() }
+    pub fn new(max_lost_proxy_activity: Micros) -> CompletionCheck {
+        CompletionCheck { max_lost_proxy_activity, ..CompletionCheck::default() }
     }
 
     /// A proxy reported what it has there, when it followed a plan of this version. Reports of an earlier incarnation or
@@ -51,49 +51,49 @@
         proxy: &str,
         incarnation: u64,
         version: DirectiveVersion,
-        open: OpenWork,
+        open_work: OpenWork,
     ) {
-        let known = self.reports.get(proxy).map(|report| (report.incarnation, report.version));
-        if known.is_none_or(|known| (incarnation, version) >= known) {
-            let report = LastReport { incarnation, version, open, received_at: now };
+        let last_known = self.reports.get(proxy).map(|report| (report.incarnation, report.version));
+        if last_known.is_none_or(|last_known| (incarnation, version) >= last_known) {
+            let report = LastReport { incarnation, version, open_work, received_at: now };
             self.reports.insert(proxy.to_owned(), report);
-            self.silent_until.remove(proxy);
+            self.lost_proxies_active_until.remove(proxy);
         }
     }
 
     /// A proxy is taken for dead, or was never heard. It may act until it is past all that it could do.
     pub fn proxy_lost(&mut self, now: Micros, proxy: &str) {
         let report = self.reports.remove(proxy);
-        let is_past = |report: &LastReport| now - report.received_at > self.longest_action;
-        if report.is_some_and(|report| report.open.is_nothing() && is_past(&report)) {
+        let is_activity_over = |report: &LastReport| now - report.received_at > self.max_lost_proxy_activity;
+        if report.is_some_and(|report| report.open_work.is_empty() && is_activity_over(&report)) {
             return;
         }
-        self.silent_until.entry(proxy.to_owned()).or_insert(now + self.longest_action);
+        self.lost_proxies_active_until.entry(proxy.to_owned()).or_insert(now + self.max_lost_proxy_activity);
     }
 
     /// What is left, where the plan of this version has emptied the site. Reports count for `report_lifetime`, in
     /// microseconds.
-    pub fn remaining<'a>(
+    pub fn remaining_work<'a>(
         &self,
         now: Micros,
         version: DirectiveVersion,
-        alive: impl IntoIterator<Item = &'a str>,
+        alive_proxies: impl IntoIterator<Item = &'a str>,
         report_lifetime: Micros,
-    ) -> Remaining {
-        let has_nothing = |report: &LastReport| {
+    ) -> RemainingWork {
+        let reported_no_open_work = |report: &LastReport| {
             report.version >= version
-                && report.open.is_nothing()
+                && report.open_work.is_empty()
                 && now - report.received_at <= report_lifetime
         };
-        let is_done = |proxy: &&str| self.reports.get(*proxy).is_some_and(has_nothing);
-        let open: Vec<String> =
-            alive.into_iter().filter(|proxy| !is_done(proxy)).map(str::to_owned).collect();
-        if !open.is_empty() {
-            return Remaining::Proxies(open);
+        let has_finished = |proxy: &&str| self.reports.get(*proxy).is_some_and(reported_no_open_work);
+        let unfinished: Vec<String> =
+            alive_proxies.into_iter().filter(|proxy| !has_finished(proxy)).map(str::to_owned).collect();
+        if !unfinished.is_empty() {
+            return RemainingWork::Proxies(unfinished);
         }
-        match self.silent_until.values().max() {
-            Some(&until) if now < until => Remaining::SilentUntil(until),
-            _ => Remaining::Nothing,
+        match self.lost_proxies_active_until.values().max() {
+            Some(&until) if now < until => RemainingWork::LostProxiesUntil(until),
+            _ => RemainingWork::Nothing,
         }
     }
 }
--- a/crates/site-drain/src/followed_plans.rs
+++ b/crates/site-drain/src/followed_plans.rs
@@ -6,7 +6,7 @@
 
 /// How long a proxy goes on by a plan after the directive has expired, in microseconds. Past it others count on the proxy to
 /// start nothing at its own site.
-const AUTONOMY: Micros = 15_000_000;
+const AUTONOMY_AFTER_EXPIRY: Micros = 15_000_000;
 
 /// A plan, the version of the directive that brought it, and when that was last received.
 #[derive(Clone, Debug)]
@@ -30,8 +30,8 @@
 impl FollowedPlans {
     /// Follows the plans that an earlier start stored, as if they had been received just now.
     pub fn new(now: Micros, stored: impl IntoIterator<Item = Plan>) -> FollowedPlans {
-        let followed = |plan| FollowedPlan { plan, version: DirectiveVersion::NONE, received_at: now };
-        let plans = stored.into_iter().map(|plan| (plan.command.site.clone(), followed(plan)));
+        let followed_plan = |plan| FollowedPlan { plan, version: DirectiveVersion::NONE, received_at: now };
+        let plans = stored.into_iter().map(|plan| (plan.command.site.clone(), followed_plan(plan)));
         FollowedPlans { plans: plans.collect() }
     }
 
@@ -49,14 +49,14 @@
 
     /// How long after a proxy was last heard it may start anything at its own site, in microseconds, where directives live
     /// for `directive_lifetime`.
-    pub fn longest_autonomy(directive_lifetime: Micros) -> Micros {
-        directive_lifetime + AUTONOMY
+    pub fn max_autonomy(directive_lifetime: Micros) -> Micros {
+        directive_lifetime + AUTONOMY_AFTER_EXPIRY
     }
 
     /// A directive in force. Returns whether anything has changed that is to be stored.
     pub fn receive(&mut self, now: Micros, plan: Plan, version: DirectiveVersion) -> bool {
         // What the next step waits for changes nothing here.
-        let plan = Plan { waits: None, ..plan };
+        let plan = Plan { wait_text: None, ..plan };
         let Some(known) = self.plans.get_mut(&plan.command.site) else {
             let site = plan.command.site.clone();
             self.plans.insert(site, FollowedPlan { plan, version, received_at: now });
@@ -71,7 +71,7 @@
         }
         known.version = version;
         known.received_at = now;
-        let next = known.plan.followed_by(plan);
+        let next = known.plan.updated_by(plan);
         let has_changed = known.plan != next;
         known.plan = next;
         has_changed
@@ -100,8 +100,8 @@
     pub fn effective_plans(&self, now: Micros, own_site: &str) -> Vec<Plan> {
         let effective = |followed: &FollowedPlan| {
             let plan = &followed.plan;
-            let is_cut_off = now - followed.received_at > AUTONOMY;
-            if plan.command.site == own_site && is_cut_off && plan.stage != Stage::Restored {
+            let is_isolated = now - followed.received_at > AUTONOMY_AFTER_EXPIRY;
+            if plan.command.site == own_site && is_isolated && plan.stage != Stage::Restored {
                 return Plan { weight: 0, stage: Stage::Drained, ..plan.clone() };
             }
             plan.clone()
--- a/crates/site-drain/src/lib.rs
+++ b/crates/site-drain/src/lib.rs
@@ -39,7 +39,7 @@
 mod site_weights;
 mod wait_texts;
 
-pub use completion_check::{CompletionCheck, Remaining};
+pub use completion_check::{CompletionCheck, RemainingWork};
 pub use coordinator::DrainCoordinator;
 pub use followed_plans::FollowedPlans;
 pub use observations::{FleetObservations, SiteLoad};
@@ -52,4 +52,4 @@
 pub type Micros = i64;
 
 /// The weight of a whole site. Weights and shares are in thousandths of it.
-pub const WHOLE: u32 = 1000;
+pub const FULL_WEIGHT: u32 = 1000;
--- a/crates/site-drain/src/observations.rs
+++ b/crates/site-drain/src/observations.rs
@@ -14,7 +14,7 @@
     /// The share that is served within its latency objective, from 0 to 1.
     pub served_share: f64,
     /// Whether a proxy of the site reports.
-    pub is_alive: bool,
+    pub is_reporting: bool,
 }
 
 /// What is known of the fleet.
@@ -23,7 +23,7 @@
     /// Each site that ever reported, by name.
     pub sites: BTreeMap<String, SiteLoad>,
     /// How many proxies have reported of late.
-    pub reporting: usize,
+    pub reporting_proxies: usize,
     /// How many proxies are alive.
-    pub alive: usize,
+    pub alive_proxies: usize,
 }
--- a/crates/site-drain/src/plan.rs
+++ b/crates/site-drain/src/plan.rs
@@ -8,8 +8,8 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::site_weights::hash_to_unit;
-use crate::{SiteWeights, WHOLE};
+use crate::site_weights::unit_hash;
+use crate::{FULL_WEIGHT, SiteWeights};
 
 /// The version of a directive: of two, the one of the higher term stands, and within a term that of the higher number. In
 /// JSON a list of both.
@@ -67,7 +67,8 @@
     /// What is wanted.
     pub order: Order,
     /// By when the site should be drained, in Unix milliseconds.
-    pub by_ms: u64,
+    #[serde(rename = "by_ms")]
+    pub deadline_unix_ms: u64,
 }
 
 /// How far the drain of a site has come.
@@ -101,8 +102,8 @@
     /// The weights by which the other sites take its sessions, by name in thousandths. They stay the same throughout.
     pub shares: BTreeMap<String, u32>,
     /// What the next step waits for, for people.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub waits: Option<String>,
+    #[serde(default, skip_serializing_if = "Option::is_none", rename = "waits")]
+    pub wait_text: Option<String>,
 }
 
 /// A directive's body or a report that cannot be read.
@@ -124,7 +125,7 @@
     ///
     /// A lease holder that was cut off may know less than others. Without this, sessions would return to the site that they
     /// left. It costs nothing: an operator's command brings them back.
-    pub(crate) fn followed_by(&self, next: Plan) -> Plan {
+    pub(crate) fn updated_by(&self, next: Plan) -> Plan {
         if [self.command.order, next.command.order].contains(&Order::Cancel) {
             return next;
         }
@@ -167,7 +168,7 @@
 
     /// Whether a session still belongs to the draining site.
     pub fn stays(&self, session: &str) -> bool {
-        hash_to_unit(session, &self.plan.command.site) * f64::from(WHOLE) < f64::from(self.plan.weight)
+        unit_hash(session, &self.plan.command.site) * f64::from(FULL_WEIGHT) < f64::from(self.plan.weight)
     }
 
     /// The site that a session which does not stay belongs to, among those that are reachable.
--- a/crates/site-drain/src/report.rs
+++ b/crates/site-drain/src/report.rs
@@ -25,7 +25,7 @@
 
 impl OpenWork {
     /// Whether nothing is left.
-    pub fn is_nothing(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         *self == OpenWork::default()
     }
 }
@@ -43,7 +43,8 @@
     /// The stage by that plan.
     pub stage: Stage,
     /// What it still has there.
-    pub open: OpenWork,
+    #[serde(rename = "open")]
+    pub open_work: OpenWork,
 }
 
 /// What a proxy reports to the lease holder about once a second.
@@ -52,7 +53,8 @@
     /// The proxy's site; empty if it is no gateway.
     pub site: String,
     /// The span that the counts are of, in milliseconds.
-    pub over_ms: u32,
+    #[serde(rename = "over_ms")]
+    pub interval_ms: u32,
     /// Requests that ended at members of its site.
     pub ended: u32,
     /// Those of them that were served within their latency objective.
--- a/crates/site-drain/src/site_drain.rs
+++ b/crates/site-drain/src/site_drain.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{FleetObservations, Micros, Order, SiteLoad, WHOLE};
+use crate::{FULL_WEIGHT, FleetObservations, Micros, Order, SiteLoad};
 
 /// How long each step waits for what is served to confirm it, in microseconds.
 const STEP_INTERVAL: Micros = 2_000_000;
@@ -11,13 +11,13 @@
 /// The least that is worth a step, in thousandths of the whole site.
 const MIN_STEP: u32 = 10;
 /// The part of the measured spare capacity that a step may use.
-const SPARE_USED: f64 = 0.9;
+const MAX_SPARE_SHARE: f64 = 0.9;
 /// The served share under which nothing moves.
-const POOR_SERVICE: f64 = 0.95;
+const POOR_SERVED_SHARE: f64 = 0.95;
 /// The served share that has to be reached again after that: above the other, so that the drain does not start and stop.
-const GOOD_SERVICE: f64 = 0.98;
+const GOOD_SERVED_SHARE: f64 = 0.98;
 /// The part of the living proxies that must report, so that the observations stand for the fleet.
-const MIN_REPORTING: f64 = 0.8;
+const MIN_REPORTING_SHARE: f64 = 0.8;
 
 /// What the next step waits for.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -27,9 +27,9 @@
     /// This site serves too little within the latency objective.
     PoorService(String),
     /// This site does not report.
-    SiteSilent(String),
+    SiteNotReporting(String),
     /// Too few proxies report.
-    FewReports,
+    TooFewReports,
     /// No other site was measured to bear more.
     NoCapacity,
     /// The operator paused the drain.
@@ -44,7 +44,7 @@
         /// The part of its sessions that is still assigned to the site, in thousandths.
         weight: u32,
         /// What the next step waits for.
-        waits: Option<WaitReason>,
+        wait_reason: Option<WaitReason>,
     },
     /// No session is assigned to the site any more; what is in flight there ends.
     Emptied,
@@ -62,20 +62,20 @@
     weight: u32,
     last_step_at: Micros,
     /// Service at another site was poor and is not good again.
-    service_is_poor: bool,
+    is_service_poor: bool,
 }
 
 impl SiteDrain {
     /// A drain that begins, or that an earlier lease holder began. `weight` is the site's by the directive in force, or
-    /// [`WHOLE`]; `deadline` is when it should be done.
+    /// [`FULL_WEIGHT`]; `deadline` is when it should be done.
     pub fn resume(now: Micros, site: &str, deadline: Micros, weight: u32) -> SiteDrain {
         SiteDrain {
             site: site.to_owned(),
             deadline,
             shares: BTreeMap::new(),
-            weight: weight.min(WHOLE),
+            weight: weight.min(FULL_WEIGHT),
             last_step_at: now,
-            service_is_poor: false,
+            is_service_poor: false,
         }
     }
 
@@ -97,13 +97,13 @@
     }
 
     /// An earlier lease holder had come this far.
-    pub(crate) fn advance_to(&mut self, weight: u32) {
+    pub(crate) fn lower_weight_to(&mut self, weight: u32) {
         self.weight = self.weight.min(weight);
     }
 
     /// Whether what is left cannot move by the operator's time, at the pace that capacity allows.
-    pub fn is_late(&self, now: Micros, fleet: &FleetObservations) -> bool {
-        let step = self.next_step(fleet);
+    pub fn misses_deadline(&self, now: Micros, fleet: &FleetObservations) -> bool {
+        let step = self.next_step_size(fleet);
         if step == 0 {
             return self.weight > 0 && now >= self.deadline;
         }
@@ -114,76 +114,80 @@
     /// Evaluates the drain, once a second, and takes the next step if nothing speaks against it.
     pub fn evaluate(&mut self, now: Micros, order: Order, fleet: &FleetObservations) -> DrainState {
         if order == Order::Cancel {
-            return self.bring_back(now);
+            return self.restore_step(now);
         }
         if self.weight == 0 {
             return DrainState::Emptied;
         }
-        let obstacle = self.obstacle(now, order, fleet);
-        let step = self.next_step(fleet);
-        let lacks_capacity = step < MIN_STEP.min(self.weight);
-        let waits = obstacle.or(lacks_capacity.then_some(WaitReason::NoCapacity));
-        if waits.is_none() {
+        let obstacle = self.reason_to_wait(now, order, fleet);
+        let step = self.next_step_size(fleet);
+        let lacks_spare_capacity = step < MIN_STEP.min(self.weight);
+        let wait_reason = obstacle.or(lacks_spare_capacity.then_some(WaitReason::NoCapacity));
+        if wait_reason.is_none() {
             self.weight -= step;
             self.last_step_at = now;
         }
         if self.weight == 0 {
             return DrainState::Emptied;
         }
-        DrainState::Moving { weight: self.weight, waits }
+        DrainState::Moving { weight: self.weight, wait_reason }
     }
 
     /// The drain was cancelled: its sessions come back in steps.
-    fn bring_back(&mut self, now: Micros) -> DrainState {
-        if self.weight < WHOLE && now - self.last_step_at >= STEP_INTERVAL {
-            self.weight = (self.weight + MAX_STEP).min(WHOLE);
+    fn restore_step(&mut self, now: Micros) -> DrainState {
+        if self.weight < FULL_WEIGHT && now - self.last_step_at >= STEP_INTERVAL {
+            self.weight = (self.weight + MAX_STEP).min(FULL_WEIGHT);
             self.last_step_at = now;
         }
-        if self.weight == WHOLE {
+        if self.weight == FULL_WEIGHT {
             return DrainState::Restored;
         }
-        DrainState::Moving { weight: self.weight, waits: Some(WaitReason::StepUnconfirmed) }
+        DrainState::Moving { weight: self.weight, wait_reason: Some(WaitReason::StepUnconfirmed) }
     }
 
     /// What speaks against a step now, capacity aside.
-    fn obstacle(&mut self, now: Micros, order: Order, fleet: &FleetObservations) -> Option<WaitReason> {
+    fn reason_to_wait(&mut self, now: Micros, order: Order, fleet: &FleetObservations) -> Option<WaitReason> {
         if order == Order::Pause {
             return Some(WaitReason::Paused);
         }
-        if (fleet.reporting as f64) < MIN_REPORTING * fleet.alive as f64 {
-            return Some(WaitReason::FewReports);
+        if (fleet.reporting_proxies as f64) < MIN_REPORTING_SHARE * fleet.alive_proxies as f64 {
+            return Some(WaitReason::TooFewReports);
         }
-        if let Some((name, _)) = self.other_sites(fleet).find(|(_, site)| !site.is_alive) {
-            return Some(WaitReason::SiteSilent(name.clone()));
+        if let Some((name, _)) = self.other_sites(fleet).find(|(_, site)| !site.is_reporting) {
+            return Some(WaitReason::SiteNotReporting(name.clone()));
         }
-        let wanted = if self.service_is_poor { GOOD_SERVICE } else { POOR_SERVICE };
-        let poor = self.other_sites(fleet).find(|(_, site)| site.served_share < wanted);
-        let poor = poor.map(|(name, _)| name.clone());
-        self.service_is_poor = poor.is_some();
-        if let Some(poor) = poor.filter(|_| order != Order::Expedite) {
-            return Some(WaitReason::PoorService(poor));
+        let required_share = if self.is_service_poor { GOOD_SERVED_SHARE } else { POOR_SERVED_SHARE };
+        let poor_site = self.other_sites(fleet).find(|(_, site)| site.served_share < required_share);
+        let poor_site = poor_site.map(|(name, _)| name.clone());
+        self.is_service_poor = poor_site.is_some();
+        if let Some(poor_site) = poor_site.filter(|_| order != Order::Expedite) {
+            return Some(WaitReason::PoorService(poor_site));
         }
         (now - self.last_step_at < STEP_INTERVAL).then_some(WaitReason::StepUnconfirmed)
     }
 
     /// How much may move now, in thousandths, by the spare capacity of the sites that are alive.
-    fn next_step(&self, fleet: &FleetObservations) -> u32 {
-        let own = fleet.sites.get(&self.site);
-        let Some(own) = own.filter(|own| own.is_alive && own.session_rate > 0.0 && self.weight > 0) else {
+    fn next_step_size(&self, fleet: &FleetObservations) -> u32 {
+        let draining_site = fleet.sites.get(&self.site);
+        let Some(draining_site) =
+            draining_site.filter(|site| site.is_reporting && site.session_rate > 0.0 && self.weight > 0)
+        else {
             // Nobody sends requests there, or nobody can.
             return MAX_STEP.min(self.weight);
         };
         // Its present weight stands for its session rate. Each other site takes its share of what moves, so the one with
         // the least spare capacity for its share bounds the step.
-        let share = |name: &String| f64::from(self.shares.get(name).copied().unwrap_or(WHOLE));
-        let takers = || self.other_sites(fleet).filter(|(_, site)| site.is_alive);
-        let total: f64 = takers().map(|(name, _)| share(name)).sum();
-        let bearable = takers().map(|(name, site)| site.spare_rate * total / share(name).max(1.0));
-        let part = bearable.fold(f64::INFINITY, f64::min) * SPARE_USED / own.session_rate;
-        if total == 0.0 {
+        let share = |name: &String| f64::from(self.shares.get(name).copied().unwrap_or(FULL_WEIGHT));
+        let successors = || self.other_sites(fleet).filter(|(_, site)| site.is_reporting);
+        let total_share: f64 = successors().map(|(name, _)| share(name)).sum();
+        let sustainable_rates =
+            successors().map(|(name, site)| site.spare_rate * total_share / share(name).max(1.0));
+        let movable_part =
+            sustainable_rates.fold(f64::INFINITY, f64::min) * MAX_SPARE_SHARE / draining_site.session_rate;
+        if total_share == 0.0 {
             return 0;
         }
-        ((part * f64::from(self.weight)) as u32).min(MAX_STEP).min(self.weight)
+        ((movable_part * f64::from(self.weight)) as u32).min(MAX_STEP).min(self.weight)
     }
 
     fn other_sites<'a>(
--- a/crates/site-drain/src/site_weights.rs
+++ b/crates/site-drain/src/site_weights.rs
@@ -6,7 +6,7 @@
 use fnv::FnvHasher;
 use thiserror::Error;
 
-use crate::WHOLE;
+use crate::FULL_WEIGHT;
 
 /// Weights that sessions cannot be assigned by.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -14,7 +14,7 @@
     /// All weights are zero.
     #[error("no site has any weight; leave at least one site whole")]
     NoWeight,
-    /// A weight is above [`WHOLE`].
+    /// A weight is above [`FULL_WEIGHT`].
     #[error("site {site:?} has a weight of {weight} thousandths; 1000 are the most")]
     TooHigh {
         /// The site's name.
@@ -40,10 +40,10 @@
     ///
     /// # Errors
     ///
-    /// If a weight is above [`WHOLE`], or none is above zero.
+    /// If a weight is above [`FULL_WEIGHT`], or none is above zero.
     pub fn new(weights: impl IntoIterator<Item = (String, u32)>) -> Result<SiteWeights, WeightsError> {
         let weights: BTreeMap<String, u32> = weights.into_iter().collect();
-        if let Some((site, weight)) = weights.iter().find(|(_, weight)| **weight > WHOLE) {
+        if let Some((site, weight)) = weights.iter().find(|(_, weight)| **weight > FULL_WEIGHT) {
             return Err(WeightsError::TooHigh { site: site.clone(), weight: *weight });
         }
         if weights.values().all(|weight| *weight == 0) {
@@ -60,15 +60,14 @@
     /// The site that a session belongs to, among those that are not `excluded`; `None` if none is left.
     pub fn site_for(&self, session: &str, excluded: impl Fn(&str) -> bool) -> Option<&str> {
         let candidates = self.weights.iter().filter(|(site, weight)| **weight > 0 && !excluded(site));
-        let score =
-            |(site, weight): &(&String, &u32)| f64::from(**weight) / -hash_to_unit(session, site).ln();
+        let score = |(site, weight): &(&String, &u32)| f64::from(**weight) / -unit_hash(session, site).ln();
         let best = candidates.max_by(|a, b| score(a).total_cmp(&score(b)));
         best.map(|(site, _)| site.as_str())
     }
 }
 
 /// Hashes both names to a number between zero and one, excluding both.
-pub(crate) fn hash_to_unit(session: &str, site: &str) -> f64 {
+pub(crate) fn unit_hash(session: &str, site: &str) -> f64 {
     let mut hasher = FnvHasher::default();
     for part in [session.as_bytes(), &[0], site.as_bytes()] {
         hasher.write(part);
--- a/crates/site-drain/tests/pinned_payloads.rs
+++ b/crates/site-drain/tests/pinned_payloads.rs
@@ -7,34 +7,34 @@
     ReceivedReport, Stage,
 };
 
-const S: i64 = 1_000_000;
+const SECOND: i64 = 1_000_000;
 
 fn command(order: Order) -> OperatorCommand {
-    OperatorCommand { site: "north".into(), number: 3, order, by_ms: 1_800_000_000_000 }
+    OperatorCommand { site: "north".into(), number: 3, order, deadline_unix_ms: 1_800_000_000_000 }
 }
 
-fn plan(order: Order, stage: Stage, waits: Option<&str>) -> Plan {
+fn plan(order: Order, stage: Stage, wait_text: Option<&str>) -> Plan {
     let shares = [("east".to_owned(), 1000), ("west".to_owned(), 250)].into();
-    Plan { command: command(order), stage, weight: 750, shares, waits: waits.map(str::to_owned) }
+    Plan { command: command(order), stage, weight: 750, shares, wait_text: wait_text.map(str::to_owned) }
 }
 
 #[track_caller]
-fn pinned_plan(plan: Plan, json: &str) {
+fn assert_plan_json(plan: Plan, json: &str) {
     assert_eq!(String::from_utf8(plan.encode()).unwrap(), json);
     assert_eq!(Plan::decode(json.as_bytes()).unwrap(), plan);
 }
 
 #[track_caller]
-fn pinned_report(told: DrainReport, json: &str) {
-    assert_eq!(String::from_utf8(told.encode()).unwrap(), json);
-    assert_eq!(DrainReport::decode(json.as_bytes()).unwrap(), told);
+fn assert_report_json(report: DrainReport, json: &str) {
+    assert_eq!(String::from_utf8(report.encode()).unwrap(), json);
+    assert_eq!(DrainReport::decode(json.as_bytes()).unwrap(), report);
 }
 
 #[test]
-fn directive_with_what_it_waits_for() {
-    let waits = Some("room elsewhere");
-    pinned_plan(
-        plan(Order::Run, Stage::Moving, waits),
+fn plan_with_wait_text() {
+    let wait_text = Some("room elsewhere");
+    assert_plan_json(
+        plan(Order::Run, Stage::Moving, wait_text),
         concat!(
             r#"{"site":"north","number":3,"order":"goes","by_ms":1800000000000,"stage":"moving","#,
             r#""weight":750,"shares":{"east":1000,"west":250},"waits":"room elsewhere"}"#
@@ -43,29 +43,29 @@
 }
 
 #[test]
-fn directive_of_each_order_and_stage() {
-    pinned_plan(
+fn plan_of_each_order_and_stage() {
+    assert_plan_json(
         plan(Order::Run, Stage::Moving, None),
         concat!(
             r#"{"site":"north","number":3,"order":"goes","by_ms":1800000000000,"stage":"moving","#,
             r#""weight":750,"shares":{"east":1000,"west":250}}"#
         ),
     );
-    pinned_plan(
+    assert_plan_json(
         plan(Order::Pause, Stage::Emptied, None),
         concat!(
             r#"{"site":"north","number":3,"order":"held","by_ms":1800000000000,"stage":"emptied","#,
             r#""weight":750,"shares":{"east":1000,"west":250}}"#
         ),
     );
-    pinned_plan(
+    assert_plan_json(
         plan(Order::Expedite, Stage::Drained, None),
         concat!(
             r#"{"site":"north","number":3,"order":"hurried","by_ms":1800000000000,"stage":"retired","#,
             r#""weight":750,"shares":{"east":1000,"west":250}}"#
         ),
     );
-    pinned_plan(
+    assert_plan_json(
         plan(Order::Cancel, Stage::Restored, None),
         concat!(
             r#"{"site":"north","number":3,"order":"taken_back","by_ms":1800000000000,"stage":"back","#,
@@ -76,20 +76,21 @@
 
 #[test]
 fn report_with_every_field() {
-    let open = OpenWork { sessions: 11, requests: 12, outcomes: 13, primaries: 14 };
-    let keeps = DrainStatus { version: (5, 6).into(), number: 3, weight: 750, stage: Stage::Moving, open };
-    let told = DrainReport {
+    let open_work = OpenWork { sessions: 11, requests: 12, outcomes: 13, primaries: 14 };
+    let status =
+        DrainStatus { version: (5, 6).into(), number: 3, weight: 750, stage: Stage::Moving, open_work };
+    let report = DrainReport {
         site: "east".into(),
-        over_ms: 1000,
+        interval_ms: 1000,
         ended: 200,
         within_objective: 190,
         session_reads: 150,
         round_trips_ms: [("north".to_owned(), 12), ("west".to_owned(), 30)].into(),
-        statuses: [("north".to_owned(), keeps)].into(),
+        statuses: [("north".to_owned(), status)].into(),
         commands: vec![command(Order::Run), command(Order::Cancel)],
     };
-    pinned_report(
-        told,
+    assert_report_json(
+        report,
         concat!(
             r#"{"site":"east","over_ms":1000,"ended":200,"in_time":190,"bound":150,"#,
             r#""trips":{"north":12,"west":30},"keeps":{"north":{"place":[5,6],"number":3,"#,
@@ -102,8 +103,8 @@
 }
 
 #[test]
-fn report_of_a_proxy_without_a_gateway() {
-    pinned_report(
+fn report_of_a_proxy_that_is_not_a_gateway() {
+    assert_report_json(
         DrainReport::default(),
         concat!(
             r#"{"site":"","over_ms":0,"ended":0,"in_time":0,"bound":0,"trips":{},"keeps":{},"#,
@@ -117,39 +118,44 @@
 }
 
 /// What a lease holder decides that has reports of one proxy of each site, whenever the stage or what it waits for changes.
-fn decisions(order: Order) -> Vec<String> {
-    let mut coordinator = DrainCoordinator::new(0, 10 * S);
-    let mut decided: Vec<Plan> = Vec::new();
+fn distinct_plans(order: Order) -> Vec<String> {
+    let mut coordinator = DrainCoordinator::new(0, 10 * SECOND);
+    let mut distinct: Vec<Plan> = Vec::new();
     let mut in_force: Vec<(Plan, DirectiveVersion)> = Vec::new();
     for second in 100..160 {
-        let now = second * S;
-        let open = OpenWork { sessions: u64::from(second < 150), ..OpenWork::default() };
-        let keeps = |(plan, version): &(Plan, DirectiveVersion)| {
-            let keeps =
-                DrainStatus { version: *version, number: 3, weight: plan.weight, stage: plan.stage, open };
-            (plan.command.site.clone(), keeps)
+        let now = second * SECOND;
+        let open_work = OpenWork { sessions: u64::from(second < 150), ..OpenWork::default() };
+        let status = |(plan, version): &(Plan, DirectiveVersion)| {
+            let status = DrainStatus {
+                version: *version,
+                number: 3,
+                weight: plan.weight,
+                stage: plan.stage,
+                open_work,
+            };
+            (plan.command.site.clone(), status)
         };
         let weight = in_force.first().map_or(1000, |(plan, _)| plan.weight);
-        let report = |site: &str, bound: u32| DrainReport {
+        let report = |site: &str, reads: u32| DrainReport {
             site: site.to_owned(),
-            over_ms: 1000,
+            interval_ms: 1000,
             ended: 1000,
             within_objective: 1000,
-            session_reads: bound,
-            statuses: in_force.iter().map(keeps).collect(),
+            session_reads: reads,
+            statuses: in_force.iter().map(status).collect(),
             commands: vec![command(order)],
             ..DrainReport::default()
         };
-        let heard: BTreeMap<String, ReceivedReport> = [
+        let reports: BTreeMap<String, ReceivedReport> = [
             ("d1".to_owned(), received(now, report("north", weight))),
             ("d2".to_owned(), received(now, report("east", 1000))),
         ]
         .into();
-        let plans = coordinator.decide(now, 1_700_000_000_000, &heard, &["d1", "d2"], &in_force);
+        let plans = coordinator.decide(now, 1_700_000_000_000, &reports, &["d1", "d2"], &in_force);
         for plan in &plans {
-            let last = decided.last();
-            if last.is_none_or(|last| (last.stage, &last.waits) != (plan.stage, &plan.waits)) {
-                decided.push(plan.clone());
+            let last = distinct.last();
+            if last.is_none_or(|last| (last.stage, &last.wait_text) != (plan.stage, &plan.wait_text)) {
+                distinct.push(plan.clone());
             }
         }
         in_force = plans
@@ -158,13 +164,13 @@
             .collect();
     }
     let json = |plan: &Plan| String::from_utf8(plan.encode()).unwrap();
-    decided.iter().map(json).collect()
+    distinct.iter().map(json).collect()
 }
 
 #[test]
-fn directives_that_a_lease_holder_issues_until_a_site_is_drained() {
+fn plans_decided_until_a_site_is_drained() {
     assert_eq!(
-        decisions(Order::Run),
+        distinct_plans(Order::Run),
         [
             concat!(
                 r#"{"site":"north","number":3,"order":"goes","by_ms":1800000000000,"#,
@@ -187,9 +193,9 @@
 }
 
 #[test]
-fn directive_that_waits_for_the_operator() {
+fn plan_of_a_paused_drain() {
     assert_eq!(
-        decisions(Order::Pause),
+        distinct_plans(Order::Pause),
         [concat!(
             r#"{"site":"north","number":3,"order":"held","by_ms":1800000000000,"#,
             r#""stage":"moving","weight":1000,"shares":{"east":1000},"waits":"the operator's word"}"#
--- a/crates/site-routing/tests/draining_site.rs
+++ b/crates/site-routing/tests/draining_site.rs
@@ -48,9 +48,10 @@
 /// Creates the plan for draining `site`, whose sessions move to the two other sites in equal shares. `weight`
 /// is the part of its sessions that the site still has, in thousandths.
 fn plan(site: &str, stage: Stage, weight: u32) -> Plan {
-    let operator_command = OperatorCommand { site: site.to_owned(), number: 1, order: Order::Run, by_ms: 0 };
+    let operator_command =
+        OperatorCommand { site: site.to_owned(), number: 1, order: Order::Run, deadline_unix_ms: 0 };
     let shares = site_names().into_iter().filter(|name| name != site).map(|name| (name, 1000)).collect();
-    Plan { command: operator_command, stage, weight, shares, waits: None }
+    Plan { command: operator_command, stage, weight, shares, wait_text: None }
 }
 
 /// Routes a request and reports it as served by the chosen site. Returns that site, or `None` if the request
