--- a/crates/site-drain/src/completion_check.rs
+++ b/crates/site-drain/src/completion_check.rs
@@ -1,21 +1,22 @@
-//! Whether anything is left at a site that drains.
+//! Decision on whether a draining site has any work left.
 
 use std::collections::BTreeMap;
 
 use crate::{DirectiveVersion, Micros, OpenWork};
 
-/// What is left at a draining site.
+/// Work that may remain at a draining site.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RemainingWork {
-    /// These proxies still have something there, or have not reported under the present plan that they have nothing.
+    /// Names of the proxies that are alive and still have work there, or have not reported under the current
+    /// plan that they have none.
     Proxies(Vec<String>),
-    /// Proxies that are silent may still act, until then.
+    /// Every proxy that is alive has finished, but lost proxies may still act until this instant.
     LostProxiesUntil(Micros),
-    /// Nothing: the site is drained.
+    /// No work remains: the site is drained.
     Nothing,
 }
 
-/// What a proxy last reported.
+/// The last report of one proxy on a draining site.
 #[derive(Clone, Debug)]
 struct LastReport {
     incarnation: u64,
@@ -24,27 +25,31 @@
     received_at: Micros,
 }
 
-/// Gathers what proxies report of a draining site, and decides when nothing is left there.
+/// Collects the reports of all proxies on one draining site and decides when no work is left there.
 ///
-/// Without it a site could be switched off while a proxy that nobody hears still sends requests there, and effects and
-/// sessions would be lost. The cost: an operator may have to wait for the longest time that such a proxy can act.
+/// Without this check a site could be switched off while an unreachable proxy still sends requests there, and
+/// effects and sessions would be lost. The cost: an operator may have to wait for as long as such a proxy can
+/// act.
 #[derive(Clone, Debug, Default)]
 pub struct CompletionCheck {
     reports: BTreeMap<String, LastReport>,
-    /// Proxies that are silent, and until when each may act.
+    /// For each lost proxy, the instant until which it may still act.
     lost_proxies_active_until: BTreeMap<String, Micros>,
     max_lost_proxy_activity: Micros,
 }
 
 impl CompletionCheck {
-    /// `max_lost_proxy_activity` is the longest for which a proxy that is cut off may act by what it knew, in microseconds: the
-    /// life of a directive, the longest timeout of a request, and all that follows it.
+    /// Creates a check that has received no report.
+    ///
+    /// `max_lost_proxy_activity` is the longest time for which an isolated proxy may act on outdated
+    /// knowledge, in microseconds: the lifetime of a directive, the longest timeout of a request, and
+    /// everything that follows the request.
     pub fn new(max_lost_proxy_activity: Micros) -> CompletionCheck {
         CompletionCheck { max_lost_proxy_activity, ..CompletionCheck::default() }
     }
 
-    /// A proxy reported what it has there, when it followed a plan of this version. Reports of an earlier incarnation or
-    /// version do not count.
+    /// Records the work that a proxy has at the site, as reported while it followed the plan of `version`.
+    /// Reports of an earlier incarnation or version are ignored.
     pub fn record_report(
         &mut self,
         now: Micros,
@@ -61,7 +66,8 @@
         }
     }
 
-    /// A proxy is taken for dead, or was never heard. It may act until it is past all that it could do.
+    /// Records that a proxy is considered dead or was never heard from. It may still act for the longest time
+    /// that a lost proxy can, unless it reported no work and that time has passed since.
     pub fn proxy_lost(&mut self, now: Micros, proxy: &str) {
         let report = self.reports.remove(proxy);
         let is_activity_over = |report: &LastReport| now - report.received_at > self.max_lost_proxy_activity;
@@ -71,8 +77,8 @@
         self.lost_proxies_active_until.entry(proxy.to_owned()).or_insert(now + self.max_lost_proxy_activity);
     }
 
-    /// What is left, where the plan of this version has emptied the site. Reports count for `report_lifetime`, in
-    /// microseconds.
+    /// Returns what remains at the site, where `version` is that of the plan that emptied it. A report counts
+    /// for `report_lifetime`, in microseconds.
     pub fn remaining_work<'a>(
         &self,
         now: Micros,
--- a/crates/site-drain/src/coordinator.rs
+++ b/crates/site-drain/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! What the lease holder decides about draining sites.
+//! Decisions of the lease holder on draining sites.
 
 use std::collections::BTreeMap;
 
@@ -9,51 +9,56 @@
     Order, Plan, ReceivedReport, RemainingWork, SiteDrain, Stage,
 };
 
-/// How long a report counts, in microseconds: a proxy reports under other leases in between.
+/// How long a report counts, in microseconds. It is longer than the reporting interval because a proxy
+/// reports under other leases in between.
 const REPORT_LIFETIME: Micros = 6_000_000;
-/// How many of the living proxies must report before a drain begins, in percent: shares stay the same for the whole drain.
+/// The part of the proxies that are alive that must report before a drain starts, in percent. The shares of
+/// the other sites are computed at the start and stay the same for the whole drain.
 const MIN_REPORTING_PERCENT_TO_START: usize = 80;
-/// The longest text on what a plan waits for, in characters.
+/// The maximum length of the text on what a plan waits for, in characters.
 const MAX_WAIT_TEXT_CHARS: usize = 200;
-/// Stands for all proxies that departed before this lease holder started.
+/// Stands for all proxies that were lost before this coordinator was created, as their names are not known.
 const UNKNOWN_LOST_PROXIES: &str = "";
 
-/// One site's drain, as this lease holder carries it on.
+/// The drain of one site under this lease holder.
 #[derive(Debug)]
 struct ActiveDrain {
     command: OperatorCommand,
     shares: BTreeMap<String, u32>,
     drain: SiteDrain,
     completion: CompletionCheck,
-    /// The first directive that said that no session is assigned to the site.
+    /// The version of the first directive by which no session is assigned to the site; `None` before that.
     emptied_version: Option<DirectiveVersion>,
     is_drained: bool,
 }
 
-/// What one evaluation depends on.
+/// Inputs of one evaluation, which are the same for all drains.
 struct EvaluationInputs<'a> {
     now: Micros,
-    /// Unix milliseconds.
+    /// The wall clock, in Unix milliseconds.
     wall_clock_ms: u64,
     reports: &'a BTreeMap<String, ReceivedReport>,
     alive_proxies: &'a [&'a str],
     fleet: FleetObservations,
 }
 
-/// Decides about all draining sites while this proxy holds the lease. A proxy that does not hold it only notes who departs.
+/// Decides on all draining sites while this proxy holds the lease. While it does not, the coordinator only
+/// records lost proxies.
 #[derive(Debug)]
 pub struct DrainCoordinator {
     max_lost_proxy_activity: Micros,
-    /// Proxies that departed, and when.
+    /// The instant at which each lost proxy was lost.
     lost_proxies: BTreeMap<String, Micros>,
     sites: BTreeMap<String, MeasuredSite>,
-    /// By the draining site's name.
+    /// The drains, by the name of the draining site.
     drains: BTreeMap<String, ActiveDrain>,
 }
 
 impl DrainCoordinator {
-    /// `max_lost_proxy_activity` is the longest for which a proxy that is not heard may act, in microseconds, a request's timeout
-    /// and all that follows it included.
+    /// Creates the coordinator of a proxy that starts at `now`.
+    ///
+    /// `max_lost_proxy_activity` is the longest time for which a proxy that is not heard from may act, in
+    /// microseconds, including the timeout of a request and everything that follows the request.
     pub fn new(now: Micros, max_lost_proxy_activity: Micros) -> DrainCoordinator {
         DrainCoordinator {
             max_lost_proxy_activity,
@@ -63,7 +68,7 @@
         }
     }
 
-    /// A proxy is taken for dead, or has left.
+    /// Records that a proxy is considered dead or has left the fleet.
     pub fn proxy_lost(&mut self, now: Micros, proxy: &str) {
         self.lost_proxies.insert(proxy.to_owned(), now);
         for drain in self.drains.values_mut() {
@@ -71,16 +76,18 @@
         }
     }
 
-    /// The lease is not held any more.
+    /// Discards all measurements and drains, as the lease is no longer held. Lost proxies stay recorded.
     pub fn step_down(&mut self) {
         self.sites.clear();
         self.drains.clear();
     }
 
-    /// Decides, once a second, the plan for each draining site.
+    /// Returns the plan for each draining site. The caller must call this once a second while it holds the
+    /// lease.
     ///
-    /// `reports` are those of late, by proxy; `alive_proxies` are the proxies that are alive; `in_force` are the plans of directives
-    /// in force, with their versions; `wall_clock_ms` is in Unix milliseconds.
+    /// `wall_clock_ms` is in Unix milliseconds. `reports` holds the recent reports by the name of the proxy,
+    /// and `alive_proxies` the names of the proxies that are alive. `in_force` holds the plans of the
+    /// directives in force with their versions.
     pub fn decide(
         &mut self,
         now: Micros,
@@ -116,7 +123,7 @@
         FleetObservations { sites, reporting_proxies, alive_proxies }
     }
 
-    /// Carries on the drains that an earlier lease holder began.
+    /// Resumes the drains that an earlier lease holder started.
     fn resume_drains(&mut self, now: Micros, in_force: &[(Plan, DirectiveVersion)]) {
         for (plan, _) in in_force {
             if !self.drains.contains_key(&plan.command.site) {
@@ -149,7 +156,8 @@
         self.drains.insert(site, drain);
     }
 
-    /// A lease holder that comes after another may have missed its last steps. Steps that proxies took are not undone.
+    /// Applies the progress that proxies report. A new lease holder may have missed the last steps of its
+    /// predecessor; steps that proxies have already taken are not undone.
     fn apply_reported_progress(&mut self, reports: &BTreeMap<String, ReceivedReport>) {
         for (site, status) in reports.values().flat_map(|received| &received.report.statuses) {
             let Some(active) = self.drains.get_mut(site) else { continue };
@@ -160,7 +168,8 @@
         }
     }
 
-    /// Takes the commands that operators gave to proxies.
+    /// Applies the commands that operators gave to proxies. A command replaces one of a lower number on the
+    /// same site, or starts a new drain if enough proxies report.
     fn apply_commands(
         &mut self,
         now: Micros,
@@ -187,7 +196,7 @@
         }
     }
 
-    /// Learns what each site serves, and how much more it was seen to bear.
+    /// Updates the measured load and capacity of each site.
     fn update_loads(&mut self, reports: &BTreeMap<String, ReceivedReport>) {
         let rates = rates_by_site(reports);
         for (name, site) in &mut self.sites {
@@ -199,9 +208,12 @@
         }
     }
 
-    /// The weights by which the other sites take the sessions of a draining one: as much as each has spare capacity, the
-    /// nearest first, until they have enough for all. Sites beyond those get a thousandth, so that somebody is left whichever
-    /// site dies.
+    /// Returns the weights by which the other sites take over the sessions of a draining site, in
+    /// thousandths.
+    ///
+    /// The weights are proportional to spare capacity. Sites are taken in order of round trip time until
+    /// their spare capacity covers the requests of all sessions. The remaining sites get one thousandth each,
+    /// so that a successor is left whichever site fails.
     fn successor_shares(
         &self,
         draining: &str,
@@ -226,7 +238,7 @@
         shares
     }
 
-    /// The sites that do not drain, the nearest to the draining one first.
+    /// Returns the sites that are not draining, in order of round trip time from the draining site.
     fn successors_by_round_trip(
         &self,
         draining: &str,
@@ -250,17 +262,19 @@
     }
 }
 
-/// A site that may take sessions of a draining one.
+/// A site that may take over sessions of a draining site.
 struct SuccessorSite<'a> {
     name: &'a String,
-    /// From the draining site, in milliseconds.
+    /// The shortest reported round trip from the draining site, in milliseconds; `u32::MAX` if none was
+    /// reported.
     round_trip_ms: u32,
-    /// Requests a second.
+    /// The spare capacity, in requests per second.
     spare_rate: f64,
 }
 
 impl ActiveDrain {
-    /// The plan to direct now. `emptied_version` is the directive in force that says that the site has no sessions, if any.
+    /// Returns the plan to issue now. `emptied_version` is the version of the directive in force by which the
+    /// site has no sessions, or `None` if there is none.
     fn evaluate(&mut self, inputs: &EvaluationInputs<'_>, emptied_version: Option<DirectiveVersion>) -> Plan {
         let now = inputs.now;
         let remaining_ms = (self.command.deadline_unix_ms as i64).saturating_sub(inputs.wall_clock_ms as i64);
@@ -280,7 +294,9 @@
         }
     }
 
-    /// A proxy that restarted and has not received the plan reports nothing that counts.
+    /// Passes the reports on to the completion check. A report without a status for this site has the version
+    /// [`DirectiveVersion::NONE`]: a proxy that restarted and has not received the plan cannot complete the
+    /// drain.
     fn record_reports(&mut self, inputs: &EvaluationInputs<'_>) {
         for (proxy, received) in inputs.reports {
             let status = received.report.statuses.get(&self.command.site).copied().unwrap_or_default();
@@ -289,13 +305,13 @@
         }
     }
 
-    /// The site has sessions, so whether anything else is left there is to be found out anew.
+    /// Resets the completion state, as the site has sessions and any earlier result is outdated.
     fn reset_completion(&mut self) {
         self.emptied_version = None;
         self.is_drained = false;
     }
 
-    /// The site has no sessions: it is drained once nothing else is left there.
+    /// Returns the plan for a site without sessions. The site is drained once no other work is left there.
     fn check_completion(
         &mut self,
         inputs: &EvaluationInputs<'_>,
--- a/crates/site-drain/src/lib.rs
+++ b/crates/site-drain/src/lib.rs
@@ -1,18 +1,26 @@
-//! Takes a site out of service without losing requests: its sessions move to other sites in steps, and it is said to be
-//! drained only when nothing of it is left anywhere.
+//! Takes a site out of service without losing requests.
 //!
-//! An operator's [`OperatorCommand`] starts it. Every proxy reports once a second what its site serves and what it still has
-//! of draining sites ([`DrainReport`]). The lease holder runs the [`DrainCoordinator`]: it lowers the weight of a draining
-//! site in steps that the other sites were measured to bear ([`SiteDrain`]), and says that the site is drained once every
-//! proxy that is alive has reported under the present plan that it has nothing left there, and those that are silent are
-//! past all that they could still do ([`CompletionCheck`]). Its directives carry a [`Plan`] for each draining site, which
-//! every proxy follows ([`FollowedPlans`]).
+//! The sessions of a draining site move to other sites in steps. The site counts as drained only when no
+//! proxy has any work left there.
 //!
-//! Sessions belong to sites by weighted rendezvous hashing ([`SiteWeights`], [`SessionPlacement`]): while the weight of one
-//! site falls, each of its sessions moves at most once, and none moves between the others.
+//! - [`OperatorCommand`]: starts, pauses, expedites or cancels the drain of a site.
+//! - [`DrainReport`]: tells the lease holder once a second what a proxy's site serves and what work the proxy
+//!   still has at draining sites.
+//! - [`DrainCoordinator`]: decides on all drains while its proxy holds the lease. It returns a
+//!   [`Plan`] for each draining site, which the proxy issues as a directive.
+//! - [`SiteDrain`]: lowers the weight of one draining site in steps that fit the measured spare capacity of
+//!   the other sites.
+//! - [`CompletionCheck`]: decides when a site is drained. Every proxy that is alive must have reported under
+//!   the current plan that it has no work left there, and every lost proxy must be past the time for which it
+//!   could still act.
+//! - [`FollowedPlans`]: keeps the plans that a proxy follows.
+//! - [`SiteWeights`] and [`SessionPlacement`]: assign sessions to sites by weighted rendezvous hashing. While
+//!   the weight of one site falls, each of its sessions moves at most once, and no session moves between
+//!   other sites.
 //!
-//! The proxy's coordination actor is the caller. Nothing here does I/O or has a clock: each call brings `now` in
-//! microseconds of one clock of the caller, and the lease holder is assumed to evaluate once a second.
+//! The caller is the coordination actor of the proxy. This crate does no I/O and reads no clock: each call
+//! takes `now`, the time of one clock of the caller in microseconds. The lease holder is expected to evaluate
+//! its drains once a second.
 //!
 //! # Example
 //!
@@ -22,7 +30,7 @@
 //! let weights = [("north", 1000), ("south", 1000)].map(|(site, weight)| (site.to_owned(), weight));
 //! let weights = SiteWeights::new(weights).unwrap();
 //! let site = weights.site_for("session 1", |_| false).unwrap();
-//! // Without that site the session belongs to the other one.
+//! // If that site is excluded, the session belongs to the other one.
 //! assert_ne!(weights.site_for("session 1", |name| name == site), Some(site));
 //! ```
 
@@ -48,8 +56,8 @@
 pub use site_drain::{DrainState, SiteDrain, WaitReason};
 pub use site_weights::{SiteWeights, WeightsError};
 
-/// Whole microseconds: an instant on the caller's clock, or a span.
+/// An instant on the caller's clock or a time span, in whole microseconds.
 pub type Micros = i64;
 
-/// The weight of a whole site. Weights and shares are in thousandths of it.
+/// The weight of a site that has all of its sessions. Weights and shares are in thousandths of it.
 pub const FULL_WEIGHT: u32 = 1000;
--- a/crates/site-drain/src/load_measurement.rs
+++ b/crates/site-drain/src/load_measurement.rs
@@ -1,32 +1,37 @@
-//! What each site serves, and how much more it was seen to bear.
+//! Measurement of the load that each site serves and of its spare capacity.
 
 use std::collections::BTreeMap;
 
 use crate::{ReceivedReport, SiteLoad};
 
-/// A site is expected to bear this many times what it was seen to serve.
+/// The expected capacity of a site, as a multiple of the rate that it was observed to serve.
 const EXPECTED_CAPACITY_FACTOR: f64 = 1.25;
-/// What is left after each evaluation, once a second, of the belief in what a site was seen to serve: half in six minutes.
+/// The factor by which the observed capacity of a site decays at each evaluation, once a second. It halves
+/// the capacity in about six minutes.
 const CAPACITY_DECAY: f64 = 0.998;
-/// The weight of a new figure in the smoothed load.
+/// The weight of a new value in the exponentially smoothed load, from 0 to 1.
 const SMOOTHING_FACTOR: f64 = 0.4;
-/// Requests a second from which on the share that is served says something.
+/// The minimum rate of requests at which the served share is meaningful, in requests per second.
 const MIN_RATE_FOR_SERVED_SHARE: f64 = 5.0;
-/// The served share under which a site does not bear what it was expected to.
+/// The served share below which a site counts as overloaded: it does not sustain its expected capacity.
 const OVERLOAD_SERVED_SHARE: f64 = 0.9;
-/// How fast the expectation then falls to what it serves, with each evaluation.
+/// The part of the difference between observed capacity and served rate by which the capacity of an
+/// overloaded site is lowered at each evaluation.
 const OVERLOAD_CORRECTION_FACTOR: f64 = 0.2;
-/// The shortest span that rates are computed over, in milliseconds, so that the division stays sound.
+/// The minimum interval over which rates are computed, in milliseconds. It prevents a division by zero or by
+/// a very small number.
 const MIN_INTERVAL_MS: u32 = 100;
 
-/// The smoothed load of a site, and the rate that it was seen to serve.
+/// The smoothed load of a site and the capacity that it was observed to have.
 #[derive(Debug)]
 pub(crate) struct MeasuredSite {
     pub(crate) load: SiteLoad,
+    /// The highest rate that the site was observed to serve within the latency objective, in requests per
+    /// second. It decays over time.
     proven_rate: f64,
 }
 
-/// Requests a second, summed over the proxies of one site.
+/// Rates of one site in requests per second, summed over its proxies.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Rates {
     ended: f64,
@@ -34,7 +39,8 @@
     session_reads: f64,
 }
 
-/// What the proxies of each site report, summed.
+/// Returns the rates of each site by its name, summed over the reports of its proxies. Proxies that are not
+/// gateways are left out.
 pub(crate) fn rates_by_site(reports: &BTreeMap<String, ReceivedReport>) -> BTreeMap<&str, Rates> {
     let mut sums: BTreeMap<&str, Rates> = BTreeMap::new();
     let reports = reports.values().map(|received| &received.report);
@@ -49,14 +55,16 @@
 }
 
 impl Rates {
-    /// The share that is served within its latency objective; all of it where too few requests end to tell.
+    /// Returns the share of requests that are served within their latency objective, from 0 to 1. It is 1 if
+    /// too few requests end for a meaningful value.
     fn served_share(&self) -> f64 {
         if self.ended >= MIN_RATE_FOR_SERVED_SHARE { self.within_objective / self.ended } else { 1.0 }
     }
 }
 
 impl MeasuredSite {
-    /// A site that reports for the first time.
+    /// Creates the measurements of a site that reports for the first time. Its spare capacity is zero until
+    /// the first update.
     pub(crate) fn new(rates: Rates) -> MeasuredSite {
         let load = SiteLoad {
             rate: rates.ended,
@@ -68,13 +76,14 @@
         MeasuredSite { load, proven_rate: rates.within_objective }
     }
 
-    /// Believes a little less in what the site was seen to serve; `is_reporting` says whether a proxy of it reports.
+    /// Lowers the observed capacity by one decay step. `is_reporting` tells whether a proxy of the site
+    /// reports.
     pub(crate) fn decay_capacity(&mut self, is_reporting: bool) {
         self.load.is_reporting = is_reporting;
         self.proven_rate *= CAPACITY_DECAY;
     }
 
-    /// Takes the rates of the last second.
+    /// Updates load and capacity by the rates that were last reported.
     pub(crate) fn update(&mut self, rates: Rates) {
         let load = &mut self.load;
         load.rate += (rates.ended - load.rate) * SMOOTHING_FACTOR;
--- a/crates/site-drain/src/observations.rs
+++ b/crates/site-drain/src/observations.rs
@@ -1,29 +1,29 @@
-//! What is known of the fleet when a drain is evaluated.
+//! Observations of the fleet that the evaluation of a drain uses.
 
 use std::collections::BTreeMap;
 
-/// What is known of a site's load.
+/// The measured load and spare capacity of one site.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SiteLoad {
-    /// Requests a second that end there.
+    /// The rate of requests that end at the site, in requests per second.
     pub rate: f64,
-    /// Those of them, a second, that would go elsewhere with their sessions.
+    /// The part of `rate` that moves to other sites when the sessions move, in requests per second.
     pub session_rate: f64,
-    /// How many requests a second more it was measured to bear.
+    /// The additional rate that the site can serve according to measurements, in requests per second.
     pub spare_rate: f64,
-    /// The share that is served within its latency objective, from 0 to 1.
+    /// The share of requests that are served within their latency objective, from 0 to 1.
     pub served_share: f64,
-    /// Whether a proxy of the site reports.
+    /// Whether at least one proxy of the site reports.
     pub is_reporting: bool,
 }
 
-/// What is known of the fleet.
+/// Loads of all sites, and how many proxies these observations stand for.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetObservations {
-    /// Each site that ever reported, by name.
+    /// The load of each site that has ever reported, by the site's name.
     pub sites: BTreeMap<String, SiteLoad>,
-    /// How many proxies have reported of late.
+    /// The number of proxies that have reported recently.
     pub reporting_proxies: usize,
-    /// How many proxies are alive.
+    /// The number of proxies that are alive.
     pub alive_proxies: usize,
 }
--- a/crates/site-drain/src/report.rs
+++ b/crates/site-drain/src/report.rs
@@ -1,4 +1,4 @@
-//! What proxies report to the lease holder, with its JSON form, which never changes.
+//! Reports of proxies to the lease holder. Their JSON representation never changes.
 
 use std::collections::BTreeMap;
 
@@ -7,84 +7,84 @@
 use crate::plan::{decode, encode};
 use crate::{DirectiveVersion, MalformedPayload, Micros, OperatorCommand, Stage};
 
-/// What a proxy still has of a draining site.
+/// Work that a proxy still has at a draining site.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenWork {
-    /// The part of its sessions that is still assigned to the site, in thousandths.
+    /// The part of the site's sessions that is still assigned to it, in thousandths.
     pub sessions: u64,
-    /// Requests in flight there.
+    /// The number of requests in flight there.
     #[serde(rename = "tasks")]
     pub requests: u64,
-    /// Outcomes of remote requests that may still be asked about, or that wait for the disk.
+    /// The number of outcomes of remote requests that may still be queried or that are waiting for the disk.
     #[serde(rename = "fates")]
     pub outcomes: u64,
-    /// Groups whose primary is believed to be there.
+    /// The number of groups whose primary is assumed to be there.
     #[serde(rename = "groups")]
     pub primaries: u64,
 }
 
 impl OpenWork {
-    /// Whether nothing is left.
+    /// Returns whether no work is left.
     pub fn is_empty(&self) -> bool {
         *self == OpenWork::default()
     }
 }
 
-/// Which plan for a draining site a proxy follows, and what it still has there.
+/// The plan that a proxy follows for a draining site, and the work that it still has there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainStatus {
-    /// The version of the directive that it follows.
+    /// The version of the directive that the proxy follows.
     #[serde(rename = "place")]
     pub version: DirectiveVersion,
     /// The number of the operator's command.
     pub number: u64,
-    /// The site's weight by that plan, in thousandths.
+    /// The weight of the site in the followed plan, in thousandths.
     pub weight: u32,
-    /// The stage by that plan.
+    /// The stage of the followed plan.
     pub stage: Stage,
-    /// What it still has there.
+    /// The work that the proxy still has at the site.
     #[serde(rename = "open")]
     pub open_work: OpenWork,
 }
 
-/// What a proxy reports to the lease holder about once a second.
+/// A proxy's report to the lease holder, sent about once a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DrainReport {
-    /// The proxy's site; empty if it is no gateway.
+    /// The site of the proxy; empty if the proxy is not a gateway.
     pub site: String,
-    /// The span that the counts are of, in milliseconds.
+    /// The length of the interval over which requests were counted, in milliseconds.
     #[serde(rename = "over_ms")]
     pub interval_ms: u32,
-    /// Requests that ended at members of its site.
+    /// The number of requests that ended at members of the proxy's site.
     pub ended: u32,
-    /// Those of them that were served within their latency objective.
+    /// The number of those requests that were served within their latency objective.
     #[serde(rename = "in_time")]
     pub within_objective: u32,
-    /// Those of them that would go elsewhere with their sessions.
+    /// The number of those requests that would move to another site with their sessions.
     #[serde(rename = "bound")]
     pub session_reads: u32,
-    /// The round trips to other sites, in milliseconds.
+    /// The round trip times to other sites, in milliseconds, by the site's name.
     #[serde(rename = "trips")]
     pub round_trips_ms: BTreeMap<String, u32>,
-    /// The plan that it follows for each draining site, and what it still has there.
+    /// The status of each draining site at the proxy, by the site's name.
     #[serde(rename = "keeps")]
     pub statuses: BTreeMap<String, DrainStatus>,
-    /// The commands that operators gave it.
+    /// The commands that operators gave to the proxy.
     #[serde(rename = "words")]
     pub commands: Vec<OperatorCommand>,
 }
 
 impl DrainReport {
-    /// Its JSON.
+    /// Returns the report as JSON.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Reads its JSON.
+    /// Parses a report from JSON.
     ///
     /// # Errors
     ///
-    /// If the bytes are not a report's JSON.
+    /// Returns an error if the bytes are not the JSON of a report.
     pub fn decode(bytes: &[u8]) -> Result<DrainReport, MalformedPayload> {
         decode(bytes)
     }
@@ -93,10 +93,10 @@
 /// A report as the lease holder received it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedReport {
-    /// The incarnation of the proxy that sent it.
+    /// The incarnation of the proxy that sent the report.
     pub incarnation: u64,
-    /// When it was received.
+    /// The instant at which the report was received.
     pub received_at: Micros,
-    /// What it says.
+    /// The report itself.
     pub report: DrainReport,
 }
--- a/crates/site-drain/src/site_drain.rs
+++ b/crates/site-drain/src/site_drain.rs
@@ -1,73 +1,79 @@
-//! The pace at which a site's sessions move away.
+//! The steps in which the sessions of a draining site move to other sites.
 
 use std::collections::BTreeMap;
 
 use crate::{FULL_WEIGHT, FleetObservations, Micros, Order, SiteLoad};
 
-/// How long each step waits for what is served to confirm it, in microseconds.
+/// The time after each step in which the service quality must confirm it, in microseconds. No further step is
+/// taken in this time.
 const STEP_INTERVAL: Micros = 2_000_000;
-/// The most that one step moves, in thousandths of the whole site.
+/// The maximum size of a step, in thousandths of all sessions of the site.
 const MAX_STEP: u32 = 250;
-/// The least that is worth a step, in thousandths of the whole site.
+/// The minimum size of a step, in thousandths of all sessions of the site. Only the last step may be smaller.
 const MIN_STEP: u32 = 10;
-/// The part of the measured spare capacity that a step may use.
+/// The part of the measured spare capacity that a step may use, from 0 to 1.
 const MAX_SPARE_SHARE: f64 = 0.9;
-/// The served share under which nothing moves.
+/// The served share of another site below which no session moves.
 const POOR_SERVED_SHARE: f64 = 0.95;
-/// The served share that has to be reached again after that: above the other, so that the drain does not start and stop.
+/// The served share that must be reached again after service was poor. It is higher than
+/// [`POOR_SERVED_SHARE`] so that the drain does not alternate between moving and waiting.
 const GOOD_SERVED_SHARE: f64 = 0.98;
-/// The part of the living proxies that must report, so that the observations stand for the fleet.
+/// The part of the proxies that are alive that must report, from 0 to 1, so that the observations represent
+/// the fleet.
 const MIN_REPORTING_SHARE: f64 = 0.8;
 
-/// What the next step waits for.
+/// The reason for which the next step waits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WaitReason {
-    /// The last step is not confirmed yet.
+    /// The last step has not been confirmed yet.
     StepUnconfirmed,
-    /// This site serves too little within the latency objective.
+    /// The named site serves too few requests within their latency objective.
     PoorService(String),
-    /// This site does not report.
+    /// No proxy of the named site reports.
     SiteNotReporting(String),
     /// Too few proxies report.
     TooFewReports,
-    /// No other site was measured to bear more.
+    /// The measured spare capacity of the other sites is too small for a step.
     NoCapacity,
     /// The operator paused the drain.
     Paused,
 }
 
-/// What an evaluation concludes.
+/// The result of an evaluation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DrainState {
-    /// Sessions are moving.
+    /// Sessions are moving to other sites, or back if the drain was cancelled.
     Moving {
-        /// The part of its sessions that is still assigned to the site, in thousandths.
+        /// The part of the site's sessions that is still assigned to it, in thousandths.
         weight: u32,
-        /// What the next step waits for.
+        /// The reason for which the next step waits; `None` if a step was just taken.
         wait_reason: Option<WaitReason>,
     },
-    /// No session is assigned to the site any more; what is in flight there ends.
+    /// No session is assigned to the site any more. Requests in flight there complete.
     Emptied,
-    /// The site is whole again.
+    /// The drain was cancelled and the site has all of its sessions again.
     Restored,
 }
 
-/// The drain of one site, as the lease holder carries it on.
+/// The drain of one site, as the lease holder controls it.
 #[derive(Clone, Debug)]
 pub struct SiteDrain {
     site: String,
     deadline: Micros,
-    /// How its sessions are shared among the others, in thousandths; those that are missing count as whole.
+    /// The weights by which the other sites take over the sessions, in thousandths. A missing site has
+    /// [`FULL_WEIGHT`].
     shares: BTreeMap<String, u32>,
     weight: u32,
     last_step_at: Micros,
-    /// Service at another site was poor and is not good again.
+    /// Whether service at another site was poor and has not become good again.
     is_service_poor: bool,
 }
 
 impl SiteDrain {
-    /// A drain that begins, or that an earlier lease holder began. `weight` is the site's by the directive in force, or
-    /// [`FULL_WEIGHT`]; `deadline` is when it should be done.
+    /// Starts a drain, or resumes one that an earlier lease holder started.
+    ///
+    /// `weight` is the site's weight by the directive in force, or [`FULL_WEIGHT`] for a new drain, in
+    /// thousandths. `deadline` is the time by which the site should be drained.
     pub fn resume(now: Micros, site: &str, deadline: Micros, weight: u32) -> SiteDrain {
         SiteDrain {
             site: site.to_owned(),
@@ -79,29 +85,32 @@
         }
     }
 
-    /// The same with the weights by which the other sites take its sessions, in thousandths.
+    /// Returns the drain with these weights, by which the other sites take over its sessions, in thousandths.
+    /// Without them every other site has [`FULL_WEIGHT`].
     #[must_use]
     pub fn with_shares(mut self, shares: BTreeMap<String, u32>) -> SiteDrain {
         self.shares = shares;
         self
     }
 
-    /// The operator named another time.
+    /// Sets the time by which the operator wants the site to be drained.
     pub fn set_deadline(&mut self, deadline: Micros) {
         self.deadline = deadline;
     }
 
-    /// The part of its sessions that is still assigned to the site, in thousandths.
+    /// Returns the part of the site's sessions that is still assigned to it, in thousandths.
     pub fn weight(&self) -> u32 {
         self.weight
     }
 
-    /// An earlier lease holder had come this far.
+    /// Lowers the weight to the one that an earlier lease holder had reached, in thousandths. A higher weight
+    /// has no effect.
     pub(crate) fn lower_weight_to(&mut self, weight: u32) {
         self.weight = self.weight.min(weight);
     }
 
-    /// Whether what is left cannot move by the operator's time, at the pace that capacity allows.
+    /// Returns whether the remaining sessions cannot be moved by the operator's deadline at the pace that the
+    /// spare capacity permits.
     pub fn misses_deadline(&self, now: Micros, fleet: &FleetObservations) -> bool {
         let step = self.next_step_size(fleet);
         if step == 0 {
@@ -111,7 +120,8 @@
         now + Micros::from(steps) * STEP_INTERVAL > self.deadline
     }
 
-    /// Evaluates the drain, once a second, and takes the next step if nothing speaks against it.
+    /// Evaluates the drain and takes the next step unless there is a reason to wait. The caller must call
+    /// this once a second.
     pub fn evaluate(&mut self, now: Micros, order: Order, fleet: &FleetObservations) -> DrainState {
         if order == Order::Cancel {
             return self.restore_step(now);
@@ -133,7 +143,7 @@
         DrainState::Moving { weight: self.weight, wait_reason }
     }
 
-    /// The drain was cancelled: its sessions come back in steps.
+    /// Moves sessions back to the site of a cancelled drain, step by step.
     fn restore_step(&mut self, now: Micros) -> DrainState {
         if self.weight < FULL_WEIGHT && now - self.last_step_at >= STEP_INTERVAL {
             self.weight = (self.weight + MAX_STEP).min(FULL_WEIGHT);
@@ -145,7 +155,8 @@
         DrainState::Moving { weight: self.weight, wait_reason: Some(WaitReason::StepUnconfirmed) }
     }
 
-    /// What speaks against a step now, capacity aside.
+    /// Returns the reason to wait with the next step, apart from a lack of spare capacity; `None` if there is
+    /// none.
     fn reason_to_wait(&mut self, now: Micros, order: Order, fleet: &FleetObservations) -> Option<WaitReason> {
         if order == Order::Pause {
             return Some(WaitReason::Paused);
@@ -166,17 +177,20 @@
         (now - self.last_step_at < STEP_INTERVAL).then_some(WaitReason::StepUnconfirmed)
     }
 
-    /// How much may move now, in thousandths, by the spare capacity of the sites that are alive.
+    /// Returns the part of the site's sessions that may move now, in thousandths, given the spare capacity of
+    /// the sites that report.
     fn next_step_size(&self, fleet: &FleetObservations) -> u32 {
         let draining_site = fleet.sites.get(&self.site);
         let Some(draining_site) =
             draining_site.filter(|site| site.is_reporting && site.session_rate > 0.0 && self.weight > 0)
         else {
-            // Nobody sends requests there, or nobody can.
+            // No session sends requests to the site, or none can because the site does not report, so spare
+            // capacity does not limit the step.
             return MAX_STEP.min(self.weight);
         };
-        // Its present weight stands for its session rate. Each other site takes its share of what moves, so the one with
-        // the least spare capacity for its share bounds the step.
+        // The current weight corresponds to the current session rate. Each other site takes its share of the
+        // sessions that move, so the site with the least spare capacity in relation to its share limits the
+        // step.
         let share = |name: &String| f64::from(self.shares.get(name).copied().unwrap_or(FULL_WEIGHT));
         let successors = || self.other_sites(fleet).filter(|(_, site)| site.is_reporting);
         let total_share: f64 = successors().map(|(name, _)| share(name)).sum();
--- a/crates/site-drain/src/wait_texts.rs
+++ b/crates/site-drain/src/wait_texts.rs
@@ -1,8 +1,10 @@
-//! What a plan waits for, for people. Users' programs read these texts, and other versions show them: they stay as they are.
+//! Texts for operators on what a plan waits for. They must not change, because programs of users read them
+//! and other versions display them.
 
 use crate::{RemainingWork, WaitReason};
 
-/// What the next step waits for. That the last one is to be confirmed is true of each, and not worth telling.
+/// Returns the text on what the next step waits for, and on a deadline that will be missed; `None` if there
+/// is neither. The confirmation of the last step is left out because every step waits for it.
 pub(crate) fn step_wait_text(wait_reason: Option<&WaitReason>, misses_deadline: bool) -> Option<String> {
     let wait_reason = wait_reason.filter(|reason| **reason != WaitReason::StepUnconfirmed).map(reason_text);
     let late = misses_deadline.then(|| "too late for the time named, at this pace".to_owned());
@@ -21,7 +23,8 @@
     }
 }
 
-/// What the end of the drain waits for; `None` is the directive that says that the site is emptied.
+/// Returns the text on what the completion of the drain waits for. `None` stands for the directive by which
+/// the site is emptied, which is not in force yet.
 pub(crate) fn completion_wait_text(remaining: Option<RemainingWork>) -> String {
     match remaining {
         Some(RemainingWork::Proxies(names)) => {
--- a/crates/site-drain/tests/coordinator.rs
+++ b/crates/site-drain/tests/coordinator.rs
@@ -1,4 +1,4 @@
-//! The lease holder and proxies that follow its plans, in virtual time.
+//! Drains of a site by a lease holder and the proxies that follow its plans, in simulated time.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,9 @@
     OpenWork, OperatorCommand, Order, Plan, ReceivedReport, Stage,
 };
 
+/// One second in microseconds.
 const SECOND: Micros = 1_000_000;
+/// The longest time for which a lost proxy may act, in microseconds.
 const MAX_ACTIVITY: Micros = 10 * SECOND;
 const SITES: [&str; 3] = ["a", "b", "c"];
 
@@ -19,7 +21,7 @@
     ReceivedReport { incarnation, received_at, report }
 }
 
-/// Six proxies, two at each site.
+/// A simulated fleet of six proxies, two at each of [`SITES`], in which operators drain site "c".
 struct Fleet {
     now: Micros,
     coordinator: DrainCoordinator,
@@ -28,7 +30,7 @@
     term: u64,
     directive_number: u64,
     commands: Vec<OperatorCommand>,
-    /// Requests a second that one proxy has of sessions of its site.
+    /// Rate of requests that one proxy receives from sessions of its site, in requests per second.
     rate_per_proxy: f64,
     in_force: Vec<(Plan, DirectiveVersion)>,
     open_work: OpenWork,
@@ -91,7 +93,8 @@
         }
     }
 
-    /// A second in which these proxys are heard, and hear; what was decreed.
+    /// Runs one second in which the given proxies send reports and receive the directive. Returns the issued
+    /// plan, or `None` if no site is draining.
     fn run_second(&mut self, connected: &[usize]) -> Option<Plan> {
         self.now += SECOND;
         let name = |proxy: usize| format!("n{proxy}");
@@ -124,14 +127,14 @@
 #[test]
 fn a_site_is_emptied_drained_and_restored_by_operator_commands() {
     let mut fleet = Fleet::new(100.0);
-    assert_eq!(fleet.run_second(&ALL_PROXIES), None, "nobody has said anything");
+    assert_eq!(fleet.run_second(&ALL_PROXIES), None, "no command has been given");
     fleet.commands = vec![command(1, Order::Run)];
     assert!(fleet.seconds_until(Stage::Emptied, 40, &ALL_PROXIES) < 20);
     fleet.open_work = OpenWork { primaries: 1, ..OpenWork::default() };
-    assert_eq!(fleet.seconds_until(Stage::Drained, 20, &ALL_PROXIES), 20, "a primary is there");
+    assert_eq!(fleet.seconds_until(Stage::Drained, 20, &ALL_PROXIES), 20, "a primary is still at the site");
     fleet.open_work = OpenWork::default();
     assert!(fleet.seconds_until(Stage::Drained, 20, &ALL_PROXIES) < 5);
-    // An older word is none, and a later one is.
+    // A command with an old number is ignored; one with a higher number applies.
     fleet.commands = vec![command(1, Order::Cancel)];
     assert_eq!(fleet.seconds_until(Stage::Restored, 20, &ALL_PROXIES), 20);
     fleet.commands = vec![command(2, Order::Cancel)];
@@ -152,20 +155,26 @@
     let weight = |fleet: &Fleet, proxy: usize| fleet.followed[proxy].plan("c").unwrap().weight;
     let weight_before = weight(&fleet, 4);
     assert!(weight_before < outdated_directives[0].0.weight);
-    // The next holder was cut off since: it begins with what it knows, and hears of all but two proxys.
+    // The next lease holder has been isolated since then: it starts with outdated directives and receives the
+    // reports of only three proxies.
     (fleet.in_force, fleet.term, fleet.directive_number) = (outdated_directives, 2, 0);
     fleet.coordinator = DrainCoordinator::new(fleet.now, MAX_ACTIVITY);
     fleet.run_second(&[0, 1, 4]);
     assert_eq!((weight(&fleet, 4), weight(&fleet, 5)), (weight_before, weight_before));
     assert!(fleet.in_force[0].0.weight <= weight_before);
-    // Driver 5 is never heard again, and was not taken for dead by this holder: it is waited for from the start of that.
+    // Proxy 5 is never heard from again, and this lease holder has not recorded it as lost. The maximum
+    // activity time of lost proxies counts from the start of this lease holder.
     assert!(fleet.seconds_until(Stage::Emptied, 40, &[0, 1, 2, 3, 4]) < 30);
     let effective_stage =
         |fleet: &Fleet, offset: Micros| fleet.followed[5].effective_plans(fleet.now + offset, "c")[0].stage;
     assert_eq!(effective_stage(&fleet, -8 * SECOND), Stage::Moving);
-    assert_eq!(effective_stage(&fleet, 15 * SECOND), Stage::Drained, "it starts nothing there any more");
+    assert_eq!(
+        effective_stage(&fleet, 15 * SECOND),
+        Stage::Drained,
+        "the isolated proxy starts no more requests there"
+    );
     assert!(fleet.seconds_until(Stage::Drained, 40, &[0, 1, 2, 3, 4]) < 20);
-    // Another start of proxy 4 that knows nothing says nothing that counts.
+    // After a restart proxy 4 does not know the plan, so its report does not complete the drain.
     let mut fleet = Fleet::new(100.0);
     fleet.commands = vec![command(1, Order::Run)];
     assert!(fleet.seconds_until(Stage::Emptied, 40, &ALL_PROXIES) < 20);
@@ -214,7 +223,7 @@
             let reports = reports.map(|(name, report)| (name.to_owned(), received(1, now, report)));
             coordinator.decide(now, 0, &reports.into_iter().collect(), &["n0", "n1", "n2"], &[])
         };
-        // The nearer one was once seen to bear that much.
+        // The nearer site was observed earlier to serve this rate.
         (0..5).for_each(|second| drop(run_second(second * SECOND, rate, vec![])));
         (5..15).for_each(|second| drop(run_second(second * SECOND, 100, vec![])));
         let plans = run_second(15 * SECOND, 100, vec![command(1, Order::Run)]);
--- a/crates/site-drain/tests/pinned_payloads.rs
+++ b/crates/site-drain/tests/pinned_payloads.rs
@@ -1,4 +1,4 @@
-//! The JSON of reports and plans, as proxies of other versions and the store hold it.
+//! The exact JSON of reports and plans, which proxies of other versions exchange and the store holds.
 
 use std::collections::BTreeMap;
 
@@ -7,6 +7,7 @@
     ReceivedReport, Stage,
 };
 
+/// One second in microseconds.
 const SECOND: i64 = 1_000_000;
 
 fn command(order: Order) -> OperatorCommand {
@@ -117,7 +118,8 @@
     ReceivedReport { incarnation: 1, received_at, report }
 }
 
-/// What a lease holder decides that has reports of one proxy of each site, whenever the stage or what it waits for changes.
+/// Returns the plans of a lease holder that receives reports of one proxy of each site. A plan is listed only
+/// if its stage or wait text differs from the plan before.
 fn distinct_plans(order: Order) -> Vec<String> {
     let mut coordinator = DrainCoordinator::new(0, 10 * SECOND);
     let mut distinct: Vec<Plan> = Vec::new();
--- a/crates/site-drain/tests/site_drain.rs
+++ b/crates/site-drain/tests/site_drain.rs
@@ -1,4 +1,5 @@
-//! Sessions move at most once, steps are such that the other sites bear them, and a site is never called drained too early.
+//! Guarantees of a drain: each session moves at most once, steps fit the spare capacity of the other sites,
+//! and a site is never declared drained too early.
 
 use std::collections::BTreeMap;
 
@@ -9,6 +10,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+/// One second in microseconds.
 const SECOND: Micros = 1_000_000;
 
 fn version(number: u64) -> DirectiveVersion {
@@ -30,7 +32,7 @@
             sessions.iter().map(|session| weights.site_for(session, |_| false).unwrap().to_owned()).collect();
         for (index, (old, new)) in sites_before.iter().zip(&sites).enumerate() {
             if old != new {
-                assert_eq!(old, "a", "{} went from {old} to {new}", sessions[index]);
+                assert_eq!(old, "a", "session {} moved from {old} to {new}", sessions[index]);
                 moves[index] += 1;
             }
         }
@@ -38,12 +40,12 @@
         let expected_share = f64::from(weight) / (f64::from(weight) + 2500.0);
         assert!(
             (share_of_a - expected_share).abs() < 0.015,
-            "{share_of_a} of the sessions at weight {weight}"
+            "a share of {share_of_a} of the sessions is at site a at weight {weight}"
         );
         sites_before = sites;
     }
     assert!(moves.iter().all(|&count| count <= 1));
-    // One that dies meanwhile: only its own are bound anew.
+    // If another site fails meanwhile, only its sessions move.
     let weights = site_weights(&[("a", 300), ("b", FULL_WEIGHT), ("c", FULL_WEIGHT)]);
     for session in &sessions {
         let (with_b, without_b) =
@@ -57,9 +59,11 @@
     );
 }
 
-/// Three sites that bear 100 a second each, of which one retires.
+/// Three sites with a capacity of 100 requests per second each, of which site "a" is draining.
 struct FleetModel {
+    /// The load of all sites as a part of their capacity, from 0 to 1.
     load_share: f64,
+    /// The weight of site "a", in thousandths.
     weight: u32,
     is_b_reporting: bool,
     reporting_proxies: usize,
@@ -122,7 +126,7 @@
         }
     }
     assert!(emptied_after.is_some_and(|seconds| seconds <= 12), "{emptied_after:?}");
-    // Two sites cannot bear what three do at 80%.
+    // Two sites cannot serve the load of three sites at 80% of their capacity.
     let mut fleet = self::fleet(0.8);
     let mut drain = SiteDrain::resume(0, "a", 60 * SECOND, FULL_WEIGHT);
     let mut last = DrainState::Restored;
@@ -171,8 +175,9 @@
     assert!(matches!(states[0], DrainState::Moving { weight: 550, .. }), "{:?}", states[0]);
 }
 
-/// Drivers with sessions and requests at a site, some of which die, stand still or are cut off; whoever holds
-/// the duty goes by what it is told. 'Nothing is left' is said only when it is true.
+/// Simulates proxies with sessions and requests at a draining site. Some proxies die, stall or are isolated,
+/// and the lease holder knows only what is reported to it. The site must be declared drained only when no
+/// work is left there.
 #[test]
 fn a_site_is_not_drained_while_any_work_remains() {
     const MAX_ACTIVITY: Micros = 6 * SECOND;
@@ -180,7 +185,8 @@
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut check = CompletionCheck::new(MAX_ACTIVITY);
-        // Until when each proxy has something open there, whether it is heard, and since when it is not.
+        // The instant until which each proxy has open work at the site. Proxies that are no longer heard from
+        // are in `silent_since` with the instant at which that began.
         let mut active_until: Vec<Micros> = (0..8).map(|_| rng.random_range(0..MAX_ACTIVITY / 2)).collect();
         let mut silent_since: BTreeMap<usize, Micros> = BTreeMap::new();
         let mut reported_lost = [false; 8];
@@ -189,12 +195,12 @@
         for tenth in 0..600 {
             let now = tenth * SECOND / 10;
             for proxy in 0..8 {
-                // The plan arrives at some time; from then on nothing new is opened there.
+                // The plan arrives at a random time. From then on the proxy starts no new work at the site.
                 if versions[proxy] == 0 && rng.random_bool(0.02) && !silent_since.contains_key(&proxy) {
                     versions[proxy] = 3;
                 }
                 let since = silent_since.get(&proxy).copied();
-                // One that hears nobody goes on by what it knew, until decrees run out.
+                // An isolated proxy without the plan continues to start work until its directives expire.
                 if versions[proxy] == 0
                     && since.is_none_or(|since| now - since < MAX_ACTIVITY / 2)
                     && rng.random_bool(0.1)
@@ -210,7 +216,7 @@
                     let open_work = OpenWork { sessions, ..OpenWork::default() };
                     check.record_report(now, &format!("n{proxy}"), 1, version(versions[proxy]), open_work);
                 }
-                // Its death is known after a while.
+                // The failure of a silent proxy is detected after two seconds.
                 if since.is_some_and(|since| now - since > 2 * SECOND) && !reported_lost[proxy] {
                     reported_lost[proxy] = true;
                     check.proxy_lost(now, &format!("n{proxy}"));
@@ -223,12 +229,12 @@
             if remaining_work == RemainingWork::Nothing {
                 drained_runs += 1;
                 let unfinished: Vec<usize> = (0..8).filter(|&proxy| active_until[proxy] > now).collect();
-                assert!(unfinished.is_empty(), "seed {seed} at {now}: {unfinished:?} still have something");
+                assert!(unfinished.is_empty(), "seed {seed} at {now}: {unfinished:?} still have open work");
                 break;
             }
         }
     }
-    assert!(drained_runs > 150, "{drained_runs} of 200 came to an end");
+    assert!(drained_runs > 150, "only {drained_runs} of 200 drains completed");
 }
 
 #[test]
@@ -240,12 +246,16 @@
     assert_eq!(
         remaining_work(&check, 0),
         RemainingWork::Proxies(vec!["a".to_owned()]),
-        "it had not heard of the last step"
+        "the proxy did not know the plan that emptied the site"
     );
     check.record_report(0, "a", 2, version(3), OpenWork::default());
     assert_eq!(remaining_work(&check, 0), RemainingWork::Nothing);
     check.record_report(SECOND, "a", 1, version(3), OpenWork { requests: 1, ..OpenWork::default() });
-    assert_eq!(remaining_work(&check, SECOND), RemainingWork::Nothing, "an earlier start");
+    assert_eq!(
+        remaining_work(&check, SECOND),
+        RemainingWork::Nothing,
+        "the report is from an earlier incarnation"
+    );
     check.record_report(SECOND, "a", 3, version(3), OpenWork { outcomes: 1, ..OpenWork::default() });
     assert_eq!(remaining_work(&check, SECOND), RemainingWork::Proxies(vec!["a".to_owned()]));
     check.proxy_lost(2 * SECOND, "a");
