--- a/crates/site-drain/src/completion_check.rs
+++ b/crates/site-drain/src/completion_check.rs
@@ -1,99 +1,105 @@
-//! Whether anything is left at a site that drains.
+//! Decision on whether a draining site has any work left.
 
 use std::collections::BTreeMap;
 
 use crate::{DirectiveVersion, Micros, OpenWork};
 
-/// What is left at a draining site.
+/// Work that may remain at a draining site.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Remaining {
-    /// These proxies still have something there, or have not reported under the present plan that they have nothing.
+pub enum RemainingWork {
+    /// Names of the proxies that are alive and still have work there, or have not reported under the current
+    /// plan that they have none.
     Proxies(Vec<String>),
-    /// Proxies that are silent may still act, until then.
-    SilentUntil(Micros),
-    /// Nothing: the site is drained.
+    /// Every proxy that is alive has finished, but lost proxies may still act until this instant.
+    LostProxiesUntil(Micros),
+    /// No work remains: the site is drained.
     Nothing,
 }
 
-/// What a proxy last reported.
+/// The last report of one proxy on a draining site.
 #[derive(Clone, Debug)]
 struct LastReport {
     incarnation: u64,
     version: DirectiveVersion,
-    open: OpenWork,
+    open_work: OpenWork,
     received_at: Micros,
 }
 
-/// Gathers what proxies report of a draining site, and decides when nothing is left there.
+/// Collects the reports of all proxies on one draining site and decides when no work is left there.
 ///
-/// Without it a site could be switched off while a proxy that nobody hears still sends requests there, and effects and
-/// sessions would be lost. The cost: an operator may have to wait for the longest time that such a proxy can act.
+/// Without this check a site could be switched off while an unreachable proxy still sends requests there, and
+/// effects and sessions would be lost. The cost: an operator may have to wait for as long as such a proxy can
+/// act.
 #[derive(Clone, Debug, Default)]
 pub struct CompletionCheck {
     reports: BTreeMap<String, LastReport>,
-    /// Proxies that are silent, and until when each may act.
-    silent_until: BTreeMap<String, Micros>,
-    longest_action: Micros,
+    /// For each lost proxy, the instant until which it may still act.
+    lost_proxies_active_until: BTreeMap<String, Micros>,
+    max_lost_proxy_activity: Micros,
 }
 
 impl CompletionCheck {
-    /// `longest_action` is the longest for which a proxy that is cut off may act by what it knew, in microseconds: the
-    /// life of a directive, the longest timeout of a request, and all that follows it.
-    pub fn new(longest_action: Micros) -> CompletionCheck {
-        CompletionCheck { longest_action, ..CompletionCheck::default() }
+    /// Creates a check that has received no report.
+    ///
+    /// `max_lost_proxy_activity` is the longest time for which an isolated proxy may act on outdated
+    /// knowledge, in microseconds: the lifetime of a directive, the longest timeout of a request, and
+    /// everything that follows the request.
+    pub fn new(max_lost_proxy_activity: Micros) -> CompletionCheck {
+        CompletionCheck { max_lost_proxy_activity, ..CompletionCheck::default() }
     }
 
-    /// A proxy reported what it has there, when it followed a plan of this version. Reports of an earlier incarnation or
-    /// version do not count.
+    /// Records the work that a proxy has at the site, as reported while it followed the plan of `version`.
+    /// Reports of an earlier incarnation or version are ignored.
     pub fn record_report(
         &mut self,
         now: Micros,
         proxy: &str,
         incarnation: u64,
         version: DirectiveVersion,
-        open: OpenWork,
+        open_work: OpenWork,
     ) {
-        let known = self.reports.get(proxy).map(|report| (report.incarnation, report.version));
-        if known.is_none_or(|known| (incarnation, version) >= known) {
-            let report = LastReport { incarnation, version, open, received_at: now };
+        let last_known = self.reports.get(proxy).map(|report| (report.incarnation, report.version));
+        if last_known.is_none_or(|last_known| (incarnation, version) >= last_known) {
+            let report = LastReport { incarnation, version, open_work, received_at: now };
             self.reports.insert(proxy.to_owned(), report);
-            self.silent_until.remove(proxy);
+            self.lost_proxies_active_until.remove(proxy);
         }
     }
 
-    /// A proxy is taken for dead, or was never heard. It may act until it is past all that it could do.
+    /// Records that a proxy is considered dead or was never heard from. It may still act for the longest time
+    /// that a lost proxy can, unless it reported no work and that time has passed since.
     pub fn proxy_lost(&mut self, now: Micros, proxy: &str) {
         let report = self.reports.remove(proxy);
-        let is_past = |report: &LastReport| now - report.received_at > self.longest_action;
-        if report.is_some_and(|report| report.open.is_nothing() && is_past(&report)) {
+        let is_activity_over = |report: &LastReport| now - report.received_at > self.max_lost_proxy_activity;
+        if report.is_some_and(|report| report.open_work.is_empty() && is_activity_over(&report)) {
             return;
         }
-        self.silent_until.entry(proxy.to_owned()).or_insert(now + self.longest_action);
+        self.lost_proxies_active_until.entry(proxy.to_owned()).or_insert(now + self.max_lost_proxy_activity);
     }
 
-    /// What is left, where the plan of this version has emptied the site. Reports count for `report_lifetime`, in
-    /// microseconds.
-    pub fn remaining<'a>(
+    /// Returns what remains at the site, where `version` is that of the plan that emptied it. A report counts
+    /// for `report_lifetime`, in microseconds.
+    pub fn remaining_work<'a>(
         &self,
         now: Micros,
         version: DirectiveVersion,
-        alive: impl IntoIterator<Item = &'a str>,
+        alive_proxies: impl IntoIterator<Item = &'a str>,
         report_lifetime: Micros,
-    ) -> Remaining {
-        let has_nothing = |report: &LastReport| {
+    ) -> RemainingWork {
+        let reported_no_open_work = |report: &LastReport| {
             report.version >= version
-                && report.open.is_nothing()
+                && report.open_work.is_empty()
                 && now - report.received_at <= report_lifetime
         };
-        let is_done = |proxy: &&str| self.reports.get(*proxy).is_some_and(has_nothing);
-        let open: Vec<String> =
-            alive.into_iter().filter(|proxy| !is_done(proxy)).map(str::to_owned).collect();
-        if !open.is_empty() {
-            return Remaining::Proxies(open);
+        let has_finished = |proxy: &&str| self.reports.get(*proxy).is_some_and(reported_no_open_work);
+        let unfinished: Vec<String> =
+            alive_proxies.into_iter().filter(|proxy| !has_finished(proxy)).map(str::to_owned).collect();
+        if !unfinished.is_empty() {
+            return RemainingWork::Proxies(unfinished);
         }
-        match self.silent_until.values().max() {
-            Some(&until) if now < until => Remaining::SilentUntil(until),
-            _ => Remaining::Nothing,
+        match self.lost_proxies_active_until.values().max() {
+            Some(&until) if now < until => RemainingWork::LostProxiesUntil(until),
+            _ => RemainingWork::Nothing,
         }
     }
 }
