--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -73,7 +73,7 @@
         let Some(open) = self.open_requests.get_mut(&handle) else { return };
         let Some(client) = open.client.take() else { return };
         if let Some(via) = open.via {
-            return self.answered_here(via, answer);
+            return self.local_request_answered(via, answer);
         }
         self.locations.remove(&client.id);
         client.answer(answer);
--- a/crates/proxy/src/dispatcher/gateway/announcements.rs
+++ b/crates/proxy/src/dispatcher/gateway/announcements.rs
@@ -8,12 +8,12 @@
 use aldermill_site_routing::PeerGatewayId;
 use serde_json::{Value, json};
 
-use super::{EndedCounts, GatewayPart, PeerGateway};
+use super::{EndedRequestCounts, GatewayPart, PeerGateway};
 use crate::dispatcher::Dispatcher;
 use crate::messages::SiteObservations;
 
 /// How often the capacity here is announced though nothing has changed, in microseconds.
-const ANNOUNCE_INTERVAL: Micros = 500_000;
+const ANNOUNCEMENT_INTERVAL: Micros = 500_000;
 
 impl GatewayPart {
     /// Tells all gateways the available capacity here.
@@ -33,7 +33,7 @@
 
     fn capacity_announcement(&mut self, gateway: PeerGatewayId) -> CapacityAnnouncement {
         let offer = self.site_router.offered_capacity(gateway);
-        let credits = self.classes.iter().zip(offer.credits);
+        let credits = self.class_names.iter().zip(offer.credits);
         CapacityAnnouncement {
             credits: credits.map(|(name, requests)| Credit { class: name.clone(), requests }).collect(),
             homes: offer
@@ -48,29 +48,30 @@
     /// Announces what is due, and forgets what nobody asks about any more.
     pub(super) fn do_periodic_work(&mut self, now: Micros) {
         self.outcomes.expire(now);
-        if now < self.announce_at {
+        if now < self.next_announcement_at {
             return;
         }
-        self.announce_at = now + ANNOUNCE_INTERVAL;
+        self.next_announcement_at = now + ANNOUNCEMENT_INTERVAL;
         self.announce_capacity();
         if let Some(outcome_log) = &mut self.outcome_log {
             outcome_log.renew_promise(now);
         }
         let site_router = &self.site_router;
-        self.sent.retain(|&number, _| site_router.handle_by_forward_number(number).is_some());
+        self.sent_requests.retain(|&number, _| site_router.handle_by_forward_number(number).is_some());
     }
 
     /// What this gateway saw of its site since it was last asked, and what it has of those that drain.
     pub(in crate::dispatcher) fn take_observations(&mut self, now: Micros) -> SiteObservations {
-        let fresh = EndedCounts { since: now, ..EndedCounts::default() };
-        let ended = std::mem::replace(&mut self.ended, fresh);
-        let outcomes = (self.outcomes.len() + self.arriving.len() + self.departing.len()) as u64;
+        let fresh = EndedRequestCounts { since: now, ..EndedRequestCounts::default() };
+        let ended = std::mem::replace(&mut self.ended_counts, fresh);
+        let outcomes =
+            (self.outcomes.len() + self.waiting_requests.len() + self.waiting_responses.len()) as u64;
         SiteObservations {
-            site: self.own.site.clone(),
+            site: self.identity.site.clone(),
             span: now - ended.since,
-            ended: ended.all,
-            within_objective: ended.in_time,
-            session_reads: ended.bound,
+            ended: ended.total,
+            within_objective: ended.within_objective,
+            session_reads: ended.session_reads,
             round_trips: self.round_trips(now),
             open: self.site_router.open_work(outcomes),
         }
@@ -82,7 +83,7 @@
         let linked = gateways.filter(|(_, peer)| !peer.links.is_empty());
         linked
             .map(|(id, peer)| {
-                (self.names[peer.site].clone(), self.site_router.gateway_view(now, id).round_trip)
+                (self.site_names[peer.site].clone(), self.site_router.gateway_view(now, id).round_trip)
             })
             .collect()
     }
@@ -92,8 +93,9 @@
         let gateways = self.peer_gateways.iter().enumerate();
         let gateways: Vec<Value> = gateways.map(|(id, peer)| self.describe_gateway(now, id, peer)).collect();
         let text = json!({
-            "site": self.own.site, "instance": self.own.instance, "start": self.own.incarnation, "draining": self.draining,
-            "gateways": gateways, "groups": self.describe_groups(), "tasks": self.forwarded.len(),
+            "site": self.identity.site, "instance": self.identity.instance,
+            "start": self.identity.incarnation, "draining": self.draining,
+            "gateways": gateways, "groups": self.describe_groups(), "tasks": self.pending_requests.len(),
             "guests": self.remote_requests.len(), "fates_kept": self.outcomes.len(), "book": self.describe_outcome_log(),
         });
         format!("{text:#}\n")
@@ -101,9 +103,9 @@
 
     fn describe_gateway(&self, now: Micros, id: PeerGatewayId, peer: &PeerGateway) -> Value {
         let view = self.site_router.gateway_view(now, id);
-        let credits: HashMap<_, _> = self.classes.iter().cloned().zip(view.credits).collect();
+        let credits: HashMap<_, _> = self.class_names.iter().cloned().zip(view.credits).collect();
         json!({
-            "site": self.names[peer.site], "instance": peer.origin.instance, "links": peer.links.len(),
+            "site": self.site_names[peer.site], "instance": peer.origin.instance, "links": peer.links.len(),
             "round_trip_us": view.round_trip, "draining": view.draining, "barred": view.blacklisted,
             "credits": credits, "under_way": view.in_flight,
         })
@@ -112,7 +114,7 @@
     fn describe_groups(&self) -> Vec<Value> {
         let mut groups = Vec::new();
         for view in self.site_router.home_sites() {
-            let home = view.home.map(|site| &self.names[site]);
+            let home = view.home.map(|site| &self.site_names[site]);
             groups.push(json!({"group": view.group, "home": home, "members_here": view.local_members}));
         }
         groups
@@ -120,7 +122,7 @@
 
     fn describe_outcome_log(&self) -> Option<Value> {
         let outcome_log = self.outcome_log.as_ref()?;
-        let restored = outcome_log.restored();
+        let restored = outcome_log.restored_counts();
         Some(json!({
             "disk": outcome_log.is_disk_available(),
             "earlier_records": restored.records,
@@ -131,7 +133,7 @@
 
 impl Dispatcher {
     /// The program stops: other gateways are told, once, that this one drains.
-    pub(in crate::dispatcher) fn drain_sites(&mut self) {
+    pub(in crate::dispatcher) fn announce_draining(&mut self) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let drained_before = std::mem::replace(&mut gateway_part.draining, true);
         if !drained_before {
--- a/crates/proxy/src/dispatcher/gateway/answers.rs
+++ b/crates/proxy/src/dispatcher/gateway/answers.rs
@@ -7,7 +7,7 @@
 use aldermill_site_routing::{Outcome, RequestHandle, SiteId};
 
 use super::{
-    DepartingOutcome, ForwardedRequest, GatewayPart, KeptValue, QUERY_GRACE, RemoteRequest, Requester,
+    GatewayPart, OutgoingResponse, PendingRequest, QUERY_GRACE, RemoteRequest, Requester, RetainedResponse,
 };
 use crate::dispatcher::Dispatcher;
 use crate::messages::{Answer, Rows};
@@ -35,8 +35,8 @@
 struct RemoteOutcome {
     kind: ResponseKind,
     /// What a later query is answered with.
-    outcome: Outcome<KeptValue>,
-    value: Rc<Vec<u8>>,
+    outcome: Outcome<RetainedResponse>,
+    data: Rc<Vec<u8>>,
     retry_after: Micros,
     hint: Option<SiteId>,
 }
@@ -61,49 +61,49 @@
     }
 
     fn served(rows: Rows) -> RemoteOutcome {
-        let value = Rc::new(rows.pieces.concat());
-        let kept = KeptValue { bytes: value.clone(), _reservation: rows.reservation.map(Rc::new) };
-        RemoteOutcome { value, ..RemoteOutcome::empty(ResponseKind::Served, Outcome::Served(kept)) }
+        let data = Rc::new(rows.pieces.concat());
+        let response = RetainedResponse { bytes: data.clone(), _reservation: rows.reservation.map(Rc::new) };
+        RemoteOutcome { data, ..RemoteOutcome::empty(ResponseKind::Served, Outcome::Served(response)) }
     }
 
-    fn empty(kind: ResponseKind, outcome: Outcome<KeptValue>) -> RemoteOutcome {
-        RemoteOutcome { kind, outcome, value: Rc::default(), retry_after: 0, hint: None }
+    fn empty(kind: ResponseKind, outcome: Outcome<RetainedResponse>) -> RemoteOutcome {
+        RemoteOutcome { kind, outcome, data: Rc::default(), retry_after: 0, hint: None }
     }
 }
 
 impl Dispatcher {
     /// Gives a forwarded request its one answer.
-    pub(super) fn answer_forwarded(&mut self, handle: RequestHandle, answer: FinalAnswer) {
-        let Some(forwarded) = self.forget_forwarded(handle) else { return };
-        match &forwarded.requester {
+    pub(super) fn answer_pending_request(&mut self, handle: RequestHandle, answer: FinalAnswer) {
+        let Some(pending) = self.remove_pending_request(handle) else { return };
+        match &pending.requester {
             Requester::Client(client) => client.answer(answer.for_client()),
-            Requester::Gateway(remote) => self.answer_remote(&forwarded, remote, answer),
+            Requester::Gateway(remote) => self.answer_remote(&pending, remote, answer),
         }
     }
 
     /// Remembers what a remote request came to, and sends that over its link; a non-idempotent one's once its record
     /// is written.
-    fn answer_remote(&mut self, forwarded: &ForwardedRequest, remote: &RemoteRequest, answer: FinalAnswer) {
+    fn answer_remote(&mut self, pending: &PendingRequest, remote: &RemoteRequest, answer: FinalAnswer) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let effect = self.decoded.router_config.classes[forwarded.class].effect;
-        let RemoteOutcome { kind, outcome, value, retry_after, hint } = RemoteOutcome::new(answer);
+        let effect = self.decoded.router_config.classes[pending.class].effect;
+        let RemoteOutcome { kind, outcome, data, retry_after, hint } = RemoteOutcome::new(answer);
         let frame = ResponseFrame {
             number: remote.number,
             kind: kind.into(),
             retry_after_us: retry_after.max(0) as u64,
-            hint: hint.map_or(String::new(), |site| gateway_part.names[site].clone()),
-            duration_us: (now - forwarded.request.received_at).max(0) as u64,
+            hint: hint.map_or(String::new(), |site| gateway_part.site_names[site].clone()),
+            duration_us: (now - pending.request.received_at).max(0) as u64,
             ..ResponseFrame::default()
         };
-        let timeout = Micros::from(forwarded.request.comment.timeout_ms) * 1000;
+        let timeout = Micros::from(pending.request.comment.timeout_ms) * 1000;
         let non_idempotent = matches!(effect, Effect::NonIdempotent);
         // Nobody asks about what may simply be sent again.
         let outcome = if non_idempotent { outcome } else { Outcome::Failed };
         let kept_until = non_idempotent.then_some(now + timeout + QUERY_GRACE);
-        gateway_part.record_and_send(now, remote, outcome, kept_until, frame, value);
+        gateway_part.record_and_send(now, remote, outcome, kept_until, frame, data);
         let rejected = kind == ResponseKind::Rejected;
-        if gateway_part.site_router.remote_request_ended(now, remote.gateway, forwarded.class, rejected) {
+        if gateway_part.site_router.remote_request_ended(now, remote.gateway, pending.class, rejected) {
             gateway_part.announce_capacity_to(remote.gateway);
         }
     }
@@ -115,15 +115,15 @@
         &mut self,
         now: Micros,
         remote: &RemoteRequest,
-        outcome: Outcome<KeptValue>,
+        outcome: Outcome<RetainedResponse>,
         kept_until: Option<Micros>,
         frame: ResponseFrame,
-        value: Rc<Vec<u8>>,
+        data: Rc<Vec<u8>>,
     ) {
-        let mut ticket = None;
+        let mut record_id = None;
         if let (Some(outcome_log), Some(until)) = (&mut self.outcome_log, kept_until) {
-            let bytes = outcome.as_ref().map(|kept| &kept.bytes[..]);
-            ticket = outcome_log.record_outcome(now, &remote.origin, remote.number, until, &bytes);
+            let bytes = outcome.as_ref().map(|response| &response.bytes[..]);
+            record_id = outcome_log.record_outcome(now, &remote.origin, remote.number, until, &bytes);
         }
         self.outcomes.record(&remote.origin, remote.number, outcome);
         // Over the link that it came by, or was last asked about on; where that broke, it will be asked about.
@@ -131,12 +131,12 @@
         if !self.peer_gateways[gateway].links.contains(&link) {
             return;
         }
-        let value = Rc::try_unwrap(value).unwrap_or_else(|shared| shared.to_vec());
-        match ticket {
-            Some(token) => {
-                drop(self.departing.insert(token, DepartingOutcome { gateway, link, frame, value }))
+        let data = Rc::try_unwrap(data).unwrap_or_else(|shared| shared.to_vec());
+        match record_id {
+            Some(id) => {
+                drop(self.waiting_responses.insert(id, OutgoingResponse { gateway, link, frame, data }))
             }
-            None => drop(self.send(gateway, Some(link), Outbound::Response(frame, value))),
+            None => drop(self.send(gateway, Some(link), Outbound::Response(frame, data))),
         }
     }
 }
--- a/crates/proxy/src/dispatcher/gateway/link_events.rs
+++ b/crates/proxy/src/dispatcher/gateway/inbound_messages.rs
@@ -9,20 +9,20 @@
 use aldermill_site_routing::{Outcome, PeerAnswer, PeerGatewayId};
 
 use super::site_actions::ReceivedAnswer;
-use super::{GatewayPart, KeptValue, Requester, received_span};
+use super::{GatewayPart, Requester, RetainedResponse, capped_micros};
 use crate::dispatcher::Dispatcher;
 use crate::messages::{Answer, LinkId, Rows};
 
 impl Dispatcher {
     /// Something was heard over a link whose other side has greeted.
-    pub(super) fn link_event(&mut self, link: LinkId, gateway: PeerGatewayId, event: Inbound) {
+    pub(super) fn handle_inbound(&mut self, link: LinkId, gateway: PeerGatewayId, event: Inbound) {
         match event {
             Inbound::Greeted(_) => {}
             Inbound::Request(frame, statement) => {
-                self.remote_request_arrived(link, gateway, frame, statement)
+                self.remote_request_received(link, gateway, frame, statement)
             }
-            Inbound::Response(response, value) => self.response_received(&response, value),
-            Inbound::OutcomeReply(reply, value) => self.outcome_reply_received(link, &reply, value),
+            Inbound::Response(response, data) => self.response_received(&response, data),
+            Inbound::OutcomeReply(reply, data) => self.outcome_reply_received(link, &reply, data),
             Inbound::Cancel(number) => self.remote_request_cancelled(gateway, number),
             Inbound::OutcomeQuery(query) => self.answer_outcome_query(link, gateway, &query),
             Inbound::Confirm(confirm) => {
@@ -40,24 +40,24 @@
     }
 
     /// Another gateway tells how a request ended that was sent there.
-    fn response_received(&mut self, response: &ResponseFrame, value: Vec<u8>) {
+    fn response_received(&mut self, response: &ResponseFrame, data: Vec<u8>) {
         let now = self.context.clock.now();
-        let received = self.received_answer(response.number, value);
+        let received = self.received_answer(response.number, data);
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let answer = gateway_part.peer_answer(response);
         let actions = gateway_part.site_router.answered(now, response.number, answer);
-        gateway_part.sent.remove(&response.number);
+        gateway_part.sent_requests.remove(&response.number);
         self.carry_out_site_actions(actions, received);
     }
 
     /// Another gateway tells, as it was asked, what became of a request that was sent there.
-    fn outcome_reply_received(&mut self, link: LinkId, frame: &OutcomeReply, value: Vec<u8>) {
+    fn outcome_reply_received(&mut self, link: LinkId, frame: &OutcomeReply, data: Vec<u8>) {
         let now = self.context.clock.now();
-        let outcome = outcome_of(frame);
-        let received = self.received_answer(frame.number, value);
+        let outcome = decode_outcome_reply(frame);
+        let received = self.received_answer(frame.number, data);
         let Some(gateway_part) = &mut self.gateway_part else { return };
         if frame.kind() == OutcomeReplyKind::InFlight
-            && let Some(sent) = gateway_part.sent.get_mut(&frame.number)
+            && let Some(sent) = gateway_part.sent_requests.get_mut(&frame.number)
         {
             // Its answer comes over the link that was asked on.
             sent.link = link;
@@ -70,10 +70,10 @@
     fn answer_outcome_query(&mut self, link: LinkId, gateway: PeerGatewayId, query: &OutcomeQuery) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let outcome = gateway_part.outcome_for(now, gateway, query);
-        gateway_part.move_to_link(gateway, query.number, link);
-        let (frame, value) = outcome_reply(query.number, outcome);
-        gateway_part.send(gateway, Some(link), Outbound::OutcomeReply(frame, value));
+        let outcome = gateway_part.look_up_outcome(now, gateway, query);
+        gateway_part.set_response_link(gateway, query.number, link);
+        let (frame, data) = encode_outcome_reply(query.number, outcome);
+        gateway_part.send(gateway, Some(link), Outbound::OutcomeReply(frame, data));
     }
 
     /// Another gateway tells what it takes, and where groups are.
@@ -82,7 +82,7 @@
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let credit = |name: &String| announcement.credits.iter().find(|credit| credit.class == *name);
         let requests = |name| credit(name).map_or(0, |credit| credit.requests);
-        let credits: Vec<u32> = gateway_part.classes.iter().map(requests).collect();
+        let credits: Vec<u32> = gateway_part.class_names.iter().map(requests).collect();
         let homes: Vec<(u64, bool)> =
             announcement.homes.iter().map(|home| (home.group, home.has_primary)).collect();
         let actions =
@@ -91,20 +91,20 @@
     }
 
     /// What another gateway sent for a request, with buffer space for it where it is large.
-    fn received_answer(&self, number: u64, value: Vec<u8>) -> Option<ReceivedAnswer> {
+    fn received_answer(&self, number: u64, data: Vec<u8>) -> Option<ReceivedAnswer> {
         let gateway_part = self.gateway_part.as_ref()?;
         let handle = gateway_part.site_router.handle_by_forward_number(number)?;
-        let forwarded = gateway_part.forwarded.get(&handle)?;
-        if value.len() <= self.context.limits.buffers.small_message {
-            let answer = Answer::Served(Rows { pieces: vec![value], reservation: None });
+        let pending = gateway_part.pending_requests.get(&handle)?;
+        if data.len() <= self.context.limits.buffers.small_message {
+            let answer = Answer::Served(Rows { pieces: vec![data], reservation: None });
             return Some(ReceivedAnswer { handle, answer });
         }
-        let priority = self.context.priority(&forwarded.request.comment.class);
-        let owner = ReservationOwner { peer: forwarded.request.peer, priority };
-        let room = self.context.flow_control.try_reserve(owner, value.len());
-        let answer = match room {
-            Some(_) => Answer::Served(Rows { pieces: vec![value], reservation: room }),
-            None => self.no_buffer_space_answer(forwarded.class),
+        let priority = self.context.priority(&pending.request.comment.class);
+        let owner = ReservationOwner { peer: pending.request.peer, priority };
+        let reserved = self.context.flow_control.try_reserve(owner, data.len());
+        let answer = match reserved {
+            Some(_) => Answer::Served(Rows { pieces: vec![data], reservation: reserved }),
+            None => self.no_buffer_space_answer(pending.class),
         };
         Some(ReceivedAnswer { handle, answer })
     }
@@ -115,52 +115,52 @@
         match response.kind() {
             ResponseKind::Served => PeerAnswer::Served,
             ResponseKind::Rejected => {
-                PeerAnswer::Rejected { retry_after: received_span(response.retry_after_us) }
+                PeerAnswer::Rejected { retry_after: capped_micros(response.retry_after_us) }
             }
-            ResponseKind::NotPrimary => PeerAnswer::NotPrimary { hint: self.site(&response.hint) },
+            ResponseKind::NotPrimary => PeerAnswer::NotPrimary { hint: self.site_id(&response.hint) },
             ResponseKind::Invalid => PeerAnswer::NeverAccepted,
             ResponseKind::Failed | ResponseKind::Unset => PeerAnswer::Failed,
         }
     }
 
     /// What became of a request that this gateway was sent. What an earlier start took is in the outcome log.
-    fn outcome_for(
+    fn look_up_outcome(
         &mut self,
         now: Micros,
         gateway: PeerGatewayId,
         query: &OutcomeQuery,
-    ) -> Outcome<KeptValue> {
+    ) -> Outcome<RetainedResponse> {
         let origin = &self.peer_gateways[gateway].origin;
-        let own = self.own.incarnation;
+        let own_incarnation = self.identity.incarnation;
         match &mut self.outcome_log {
-            Some(outcome_log) if query.receiver_incarnation != own => {
+            Some(outcome_log) if query.receiver_incarnation != own_incarnation => {
                 let outcome = outcome_log.query(now, origin, query.number, query.receiver_incarnation);
-                outcome.map(|bytes| KeptValue { bytes, _reservation: None })
+                outcome.map(|bytes| RetainedResponse { bytes, _reservation: None })
             }
-            _ => self.outcomes.query(now, origin, query.number, query.receiver_incarnation, own),
+            _ => self.outcomes.query(now, origin, query.number, query.receiver_incarnation, own_incarnation),
         }
     }
 
     /// The answer of a remote request goes over the link on which it was last asked about.
-    fn move_to_link(&mut self, gateway: PeerGatewayId, number: u64, link: LinkId) {
-        for arriving in self.arriving.values_mut() {
-            if (arriving.gateway, arriving.number) == (gateway, number) {
-                arriving.link = link;
+    fn set_response_link(&mut self, gateway: PeerGatewayId, number: u64, link: LinkId) {
+        for incoming in self.waiting_requests.values_mut() {
+            if (incoming.gateway, incoming.number) == (gateway, number) {
+                incoming.link = link;
             }
         }
         let handle = self.remote_requests.get(&(gateway, number));
-        if let Some(forwarded) = handle.and_then(|handle| self.forwarded.get_mut(handle))
-            && let Requester::Gateway(remote) = &mut forwarded.requester
+        if let Some(pending) = handle.and_then(|handle| self.pending_requests.get_mut(handle))
+            && let Requester::Gateway(remote) = &mut pending.requester
         {
             remote.link = link;
         }
     }
 }
 
-fn outcome_of(frame: &OutcomeReply) -> Outcome<()> {
+fn decode_outcome_reply(frame: &OutcomeReply) -> Outcome<()> {
     match frame.kind() {
         OutcomeReplyKind::NeverAccepted => Outcome::NeverAccepted,
-        OutcomeReplyKind::Rejected => Outcome::Rejected { retry_after: received_span(frame.retry_after_us) },
+        OutcomeReplyKind::Rejected => Outcome::Rejected { retry_after: capped_micros(frame.retry_after_us) },
         OutcomeReplyKind::Served => Outcome::Served(()),
         OutcomeReplyKind::InFlight => Outcome::InFlight,
         OutcomeReplyKind::Failed => Outcome::Failed,
@@ -169,9 +169,9 @@
 }
 
 /// An outcome as another gateway is told it, and the value that goes with it.
-fn outcome_reply(number: u64, outcome: Outcome<KeptValue>) -> (OutcomeReply, Vec<u8>) {
+fn encode_outcome_reply(number: u64, outcome: Outcome<RetainedResponse>) -> (OutcomeReply, Vec<u8>) {
     let mut frame = OutcomeReply { number, ..OutcomeReply::default() };
-    let mut value = Vec::new();
+    let mut data = Vec::new();
     let kind = match outcome {
         Outcome::NeverAccepted => OutcomeReplyKind::NeverAccepted,
         Outcome::InFlight => OutcomeReplyKind::InFlight,
@@ -179,13 +179,13 @@
             frame.retry_after_us = retry_after.max(0) as u64;
             OutcomeReplyKind::Rejected
         }
-        Outcome::Served(kept) => {
-            value = kept.bytes.to_vec();
+        Outcome::Served(response) => {
+            data = response.bytes.to_vec();
             OutcomeReplyKind::Served
         }
         Outcome::Failed => OutcomeReplyKind::Failed,
         Outcome::Unknown => OutcomeReplyKind::Unknown,
     };
     frame.kind = kind.into();
-    (frame, value)
+    (frame, data)
 }
--- a/crates/proxy/src/dispatcher/gateway/links.rs
+++ b/crates/proxy/src/dispatcher/gateway/links.rs
@@ -4,40 +4,40 @@
 use aldermill_site_routing::{LOCAL_SITE, Origin, PeerGatewayId, SiteId};
 use slog::{info, warn};
 
-use super::{GatewayPart, LinkState, PeerGateway};
+use super::{ActiveLink, GatewayPart, PeerGateway};
 use crate::dispatcher::Dispatcher;
 use crate::messages::{LinkEvent, LinkId};
 
 impl Dispatcher {
     /// What the actor of a link says.
-    pub(in crate::dispatcher) fn link_message(&mut self, link: LinkId, event: LinkEvent) {
+    pub(in crate::dispatcher) fn handle_link_event(&mut self, link: LinkId, event: LinkEvent) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
         match event {
             LinkEvent::Up { outbox, peer } => {
-                gateway_part.links.insert(link, LinkState { gateway: None, outbox, peer });
+                gateway_part.links.insert(link, ActiveLink { gateway: None, outbox, peer });
             }
             LinkEvent::Lost => self.link_lost(link),
-            LinkEvent::Received(Inbound::Greeted(identity)) => self.peer_greeted(link, identity),
+            LinkEvent::Received(Inbound::Greeted(identity)) => self.greeting_received(link, identity),
             LinkEvent::Received(event) => {
-                let Some(gateway) = gateway_part.links.get(&link).and_then(|state| state.gateway) else {
+                let Some(gateway) = gateway_part.links.get(&link).and_then(|active| active.gateway) else {
                     return;
                 };
-                self.link_event(link, gateway, event);
+                self.handle_inbound(link, gateway, event);
             }
         }
     }
 
     /// The other side of a link has said who it is. Dropping the link's state closes it.
-    fn peer_greeted(&mut self, link: LinkId, identity: Identity) {
+    fn greeting_received(&mut self, link: LinkId, identity: Identity) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let Some(site) = gateway_part.site(&identity.site).filter(|&site| site != LOCAL_SITE) else {
+        let Some(site) = gateway_part.site_id(&identity.site).filter(|&site| site != LOCAL_SITE) else {
             gateway_part.links.remove(&link);
             return;
         };
         let Identity { site: name, instance, incarnation } = identity;
         let origin = Origin { site: name, instance, incarnation };
-        let id = gateway_part.gateway_id(site, &origin);
+        let id = gateway_part.get_or_add_gateway(site, &origin);
         let current_up = !gateway_part.peer_gateways[id].links.is_empty();
         if !gateway_part.outcomes.register_incarnation(&origin, current_up) {
             warn!(self.context.log, "link of a replaced incarnation closed"; "link" => link,
@@ -60,14 +60,14 @@
     fn link_lost(&mut self, link: LinkId) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let Some(id) = gateway_part.links.remove(&link).and_then(|state| state.gateway) else { return };
+        let Some(id) = gateway_part.links.remove(&link).and_then(|active| active.gateway) else { return };
         let numbers = gateway_part.numbers_sent_over(id, link);
         let peer = &mut gateway_part.peer_gateways[id];
         peer.links.retain(|&other| other != link);
         let site = peer.site;
         let links = peer.links.len();
         if links == 0 {
-            warn!(self.context.log, "last link to peer gateway lost"; "site" => &gateway_part.names[site],
+            warn!(self.context.log, "last link to peer gateway lost"; "site" => &gateway_part.site_names[site],
                 "instance" => &peer.origin.instance, "unresolved" => numbers.len());
         }
         let after_count = gateway_part.site_router.links_changed(now, id, site, links, true);
@@ -79,7 +79,7 @@
 
 impl GatewayPart {
     /// The index of the gateway that greets so, which is new if it never greeted.
-    fn gateway_id(&mut self, site: SiteId, origin: &Origin) -> PeerGatewayId {
+    fn get_or_add_gateway(&mut self, site: SiteId, origin: &Origin) -> PeerGatewayId {
         let same =
             |peer: &PeerGateway| peer.origin.site == origin.site && peer.origin.instance == origin.instance;
         if let Some(id) = self.peer_gateways.iter().position(same) {
@@ -100,15 +100,15 @@
     /// Adds a link to a gateway, and returns how many lead there.
     fn add_link(&mut self, id: PeerGatewayId, link: LinkId) -> usize {
         self.peer_gateways[id].links.push(link);
-        if let Some(state) = self.links.get_mut(&link) {
-            state.gateway = Some(id);
+        if let Some(active) = self.links.get_mut(&link) {
+            active.gateway = Some(id);
         }
         self.peer_gateways[id].links.len()
     }
 
     /// The numbers of requests that crossed over this link, in their order.
     fn numbers_sent_over(&self, id: PeerGatewayId, link: LinkId) -> Vec<u64> {
-        let sent = self.sent.iter().filter(|(_, sent)| sent.link == link && sent.gateway == id);
+        let sent = self.sent_requests.iter().filter(|(_, sent)| sent.link == link && sent.gateway == id);
         let mut numbers: Vec<u64> = sent.map(|(&number, _)| number).collect();
         numbers.sort_unstable();
         numbers
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -1,14 +1,14 @@
 //! The dispatcher's gateway part: requests that are forwarded to other sites, and remote requests that come from them.
 //!
-//! What `crates/site-routing` returns is carried out here; no choice is made. A request's way: `forwarded_requests` hands it
-//! to the site router, `site_actions` carries out where it goes, `link_events` takes what comes back over links, `answers`
+//! What `crates/site-routing` returns is carried out here; no choice is made. A request's way: `pending_requests` hands it
+//! to the site router, `site_actions` carries out where it goes, `inbound_messages` takes what comes back over links, `answers`
 //! gives the one answer. `remote_requests` takes what other gateways send; `links` keeps account of who is linked.
 
 mod announcements;
 mod answers;
-mod forwarded_requests;
-mod link_events;
+mod inbound_messages;
 mod links;
+mod pending_requests;
 mod remote_requests;
 mod site_actions;
 mod start;
@@ -25,18 +25,18 @@
 use tokio::sync::mpsc;
 
 use super::open_request::WaitingClient;
-use super::outcome_log::{OutcomeLog, RecordTicket};
+use super::outcome_log::{OutcomeLog, RecordId};
 use crate::flow_control::BufferReservation;
 use crate::messages::{ClientId, ClientRequest, LinkId};
 
 /// How long after a request's deadline its sender may still ask about it, in microseconds.
 const QUERY_GRACE: Micros = 5_000_000;
 /// A span that another gateway sent is not taken for longer than this, in microseconds, so that sums do not overflow.
-const MAX_RECEIVED_SPAN: Micros = 1_000_000_000;
+const MAX_RECEIVED_DURATION: Micros = 1_000_000_000;
 
 /// The response to a served non-idempotent remote request, kept as long as anybody may ask.
 #[derive(Clone)]
-pub struct KeptValue {
+pub struct RetainedResponse {
     bytes: Rc<Vec<u8>>,
     /// The buffer space that the value takes, held as long as the value.
     _reservation: Option<Rc<BufferReservation>>,
@@ -58,18 +58,18 @@
 }
 
 /// A request on its way: with the router here, over a link, or waiting for either.
-struct ForwardedRequest {
+struct PendingRequest {
     request: Rc<ClientRequest>,
     class: usize,
     /// The router's handle, while the router here decides on it.
-    local: Option<RouterHandle>,
+    local_handle: Option<RouterHandle>,
     requester: Requester,
     /// The sites that it has come through.
     visited: Vec<String>,
 }
 
 /// A link that stands.
-struct LinkState {
+struct ActiveLink {
     /// The gateway on the other side, once it has greeted.
     gateway: Option<PeerGatewayId>,
     outbox: mpsc::Sender<Outbound>,
@@ -93,17 +93,17 @@
 
 /// Requests that ended with the router here since this was last asked.
 #[derive(Default)]
-struct EndedCounts {
+struct EndedRequestCounts {
     since: Micros,
-    all: u32,
+    total: u32,
     /// Those served within their latency objective.
-    in_time: u32,
+    within_objective: u32,
     /// Those that would go elsewhere with their sessions.
-    bound: u32,
+    session_reads: u32,
 }
 
 /// A non-idempotent remote request that is taken once its record is written.
-struct ArrivingRequest {
+struct IncomingRequest {
     link: LinkId,
     gateway: PeerGatewayId,
     origin: Origin,
@@ -115,49 +115,49 @@
 }
 
 /// An outcome that leaves once its record is written.
-struct DepartingOutcome {
+struct OutgoingResponse {
     gateway: PeerGatewayId,
     link: LinkId,
     frame: ResponseFrame,
-    value: Vec<u8>,
+    data: Vec<u8>,
 }
 
 /// What the dispatcher keeps as a gateway to other sites.
 pub struct GatewayPart {
-    own: Identity,
+    identity: Identity,
     /// The sites' names, the own one first.
-    names: Vec<String>,
+    site_names: Vec<String>,
     /// The names of the request classes, by their index.
-    classes: Vec<String>,
+    class_names: Vec<String>,
     /// Decides where each request is served.
     site_router: SiteRouter,
     /// What became of remote requests that this process accepted.
-    outcomes: OutcomeTable<KeptValue>,
+    outcomes: OutcomeTable<RetainedResponse>,
     /// The gateways that have greeted, by their index.
     peer_gateways: Vec<PeerGateway>,
-    links: HashMap<LinkId, LinkState>,
-    forwarded: HashMap<RequestHandle, ForwardedRequest>,
+    links: HashMap<LinkId, ActiveLink>,
+    pending_requests: HashMap<RequestHandle, PendingRequest>,
     /// Remote requests, by the gateway that sent them and its number for them.
     remote_requests: HashMap<(PeerGatewayId, u64), RequestHandle>,
     /// Requests at other gateways, by the number under which they were forwarded.
-    sent: HashMap<u64, SentRequest>,
+    sent_requests: HashMap<u64, SentRequest>,
     /// Where outcomes are kept over a restart.
     pub(super) outcome_log: Option<OutcomeLog>,
     /// Confirms each record of that log, in their order.
-    pub(super) written: Option<mpsc::Receiver<bool>>,
+    pub(super) write_confirmations: Option<mpsc::Receiver<bool>>,
     /// Remote requests whose record is being written.
-    arriving: HashMap<RecordTicket, ArrivingRequest>,
+    waiting_requests: HashMap<RecordId, IncomingRequest>,
     /// Outcomes whose record is being written.
-    departing: HashMap<RecordTicket, DepartingOutcome>,
-    next_remote_id: ClientId,
+    waiting_responses: HashMap<RecordId, OutgoingResponse>,
+    last_remote_client_id: ClientId,
     /// The comment's field that names a session.
     session_field: Option<String>,
-    ended: EndedCounts,
+    ended_counts: EndedRequestCounts,
     draining: bool,
     /// When the site router wants to be woken.
     pub(super) wake_at: Micros,
     /// When the available capacity here is next announced, though nothing may have changed.
-    announce_at: Micros,
+    next_announcement_at: Micros,
 }
 
 impl GatewayPart {
@@ -169,12 +169,12 @@
     /// Where groups have their primary, by the name of the site.
     pub(super) fn homes(&self) -> BTreeMap<u64, String> {
         let homes = self.site_router.home_sites().into_iter();
-        homes.filter_map(|view| Some((view.group, self.names[view.home?].clone()))).collect()
+        homes.filter_map(|view| Some((view.group, self.site_names[view.home?].clone()))).collect()
     }
 
     /// Requests that the gateway part decides on, whoever sent them.
     pub(super) fn open_requests(&self) -> usize {
-        self.forwarded.len()
+        self.pending_requests.len()
     }
 
     /// Whether other gateways were told that this one drains.
@@ -184,11 +184,11 @@
 
     /// Remote requests under way, those included that wait for a record.
     pub(super) fn remote_requests(&self) -> usize {
-        self.remote_requests.len() + self.arriving.len() + self.departing.len()
+        self.remote_requests.len() + self.waiting_requests.len() + self.waiting_responses.len()
     }
 
-    fn site(&self, name: &str) -> Option<SiteId> {
-        self.names.iter().position(|known| known == name)
+    fn site_id(&self, name: &str) -> Option<SiteId> {
+        self.site_names.iter().position(|known| known == name)
     }
 
     /// Sends a frame to a gateway, over the link named or any that stands. Returns the link, unless none could take it.
@@ -200,12 +200,12 @@
     }
 
     fn link_with_most_capacity(&self, links: &[LinkId]) -> Option<LinkId> {
-        let capacity = |link: &LinkId| self.links.get(link).map_or(0, |state| state.outbox.capacity());
+        let capacity = |link: &LinkId| self.links.get(link).map_or(0, |active| active.outbox.capacity());
         links.iter().copied().max_by_key(capacity)
     }
 }
 
 /// A span that another gateway sent, in microseconds.
-fn received_span(received: u64) -> Micros {
-    Micros::try_from(received).unwrap_or(MAX_RECEIVED_SPAN).min(MAX_RECEIVED_SPAN)
+fn capped_micros(received: u64) -> Micros {
+    Micros::try_from(received).unwrap_or(MAX_RECEIVED_DURATION).min(MAX_RECEIVED_DURATION)
 }
--- a/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/pending_requests.rs
@@ -8,18 +8,18 @@
 use aldermill_wire::statement;
 
 use super::site_actions::ReceivedAnswer;
-use super::{ForwardedRequest, GatewayPart, Requester};
+use super::{GatewayPart, PendingRequest, Requester};
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::open_request::{RequestLocation, WaitingClient};
 use crate::dispatcher::requests::SiteMiss;
 use crate::messages::{Answer, ClientRequest};
 
 /// A request for the site router, and who waits for it.
-pub(super) struct RequestToForward {
+pub(super) struct RequestToRoute {
     pub(super) request: ClientRequest,
     pub(super) class: usize,
     /// How long the requester still waits, in microseconds.
-    pub(super) ttl: Micros,
+    pub(super) timeout: Micros,
     pub(super) requester: Requester,
     /// The sites that it has come through.
     pub(super) visited: Vec<String>,
@@ -29,34 +29,34 @@
     /// A client's request where there is a gateway: to the router here, or to another site.
     pub(in crate::dispatcher) fn route_between_sites(&mut self, request: ClientRequest, class: usize) {
         let waited = self.context.clock.now() - request.received_at;
-        let ttl = Micros::from(request.comment.timeout_ms) * 1000 - waited;
+        let timeout = Micros::from(request.comment.timeout_ms) * 1000 - waited;
         let requester = Requester::Client(WaitingClient::of(&request));
-        self.forward(RequestToForward { request, class, ttl, requester, visited: Vec::new() });
+        self.route_request(RequestToRoute { request, class, timeout, requester, visited: Vec::new() });
     }
 
     /// Asks the site router where a request is to be served, and carries that out.
-    pub(super) fn forward(&mut self, to_forward: RequestToForward) {
+    pub(super) fn route_request(&mut self, to_route: RequestToRoute) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let routed = gateway_part.routed_request(&to_forward);
+        let routed = gateway_part.routed_request(&to_route);
         let (handle, actions) = gateway_part.site_router.accept(now, routed);
-        if let Requester::Gateway(remote) = &to_forward.requester {
+        if let Requester::Gateway(remote) = &to_route.requester {
             gateway_part.remote_requests.insert((remote.gateway, remote.number), handle);
         }
-        let RequestToForward { request, class, requester, visited, .. } = to_forward;
+        let RequestToRoute { request, class, requester, visited, .. } = to_route;
         self.locations.insert(request.client, RequestLocation::Gateway(handle));
         self.open_ids.insert(request.comment.id.clone());
         let request = Rc::new(request);
-        let forwarded = ForwardedRequest { request, class, local: None, requester, visited };
-        gateway_part.forwarded.insert(handle, forwarded);
+        let pending = PendingRequest { request, class, local_handle: None, requester, visited };
+        gateway_part.pending_requests.insert(handle, pending);
         self.carry_out_site_actions(actions, None);
     }
 
     /// Nobody waits for a request any more.
-    pub(in crate::dispatcher) fn forwarded_request_left(&mut self, handle: RequestHandle) {
+    pub(in crate::dispatcher) fn abandon_pending_request(&mut self, handle: RequestHandle) {
         let now = self.context.clock.now();
-        let Some(forwarded) = self.forget_forwarded(handle) else { return };
-        if let Some(local) = forwarded.local {
+        let Some(pending) = self.remove_pending_request(handle) else { return };
+        if let Some(local) = pending.local_handle {
             self.abandon(local);
         }
         let Some(gateway_part) = &mut self.gateway_part else { return };
@@ -65,30 +65,30 @@
     }
 
     /// The router here has answered a request for the gateway part.
-    pub(in crate::dispatcher) fn answered_here(&mut self, handle: RequestHandle, answer: Answer) {
+    pub(in crate::dispatcher) fn local_request_answered(&mut self, handle: RequestHandle, answer: Answer) {
         let now = self.context.clock.now();
-        let ended = match &answer {
+        let result = match &answer {
             Answer::Served(_) => LocalResult::Served,
             Answer::Rejected { retry_after } => LocalResult::Rejected { retry_after: *retry_after },
             Answer::Failed | Answer::InvalidStatement(_) => LocalResult::Failed,
         };
-        self.count_ended_here(handle, ended == LocalResult::Served, now);
+        self.count_local_result(handle, result == LocalResult::Served, now);
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let actions = gateway_part.site_router.local_finished(now, handle, ended);
+        let actions = gateway_part.site_router.local_finished(now, handle, result);
         self.carry_out_site_actions(actions, Some(ReceivedAnswer { handle, answer }));
     }
 
-    fn count_ended_here(&mut self, handle: RequestHandle, served: bool, now: Micros) {
+    fn count_local_result(&mut self, handle: RequestHandle, served: bool, now: Micros) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let Some(forwarded) = gateway_part.forwarded.get_mut(&handle) else { return };
-        forwarded.local = None;
-        let class = &self.decoded.router_config.classes[forwarded.class];
-        let in_time = served && now - forwarded.request.received_at <= class.objective;
+        let Some(pending) = gateway_part.pending_requests.get_mut(&handle) else { return };
+        pending.local_handle = None;
+        let class = &self.decoded.router_config.classes[pending.class];
+        let within_objective = served && now - pending.request.received_at <= class.objective;
         let reads = matches!(class.need, Need::Any | Need::Recent(_));
-        let from_client = matches!(forwarded.requester, Requester::Client(_));
-        gateway_part.ended.all += 1;
-        gateway_part.ended.in_time += u32::from(in_time);
-        gateway_part.ended.bound += u32::from(reads && from_client);
+        let from_client = matches!(pending.requester, Requester::Client(_));
+        gateway_part.ended_counts.total += 1;
+        gateway_part.ended_counts.within_objective += u32::from(within_objective);
+        gateway_part.ended_counts.session_reads += u32::from(reads && from_client);
     }
 
     /// An attempt here that lasted so long may have run.
@@ -100,7 +100,7 @@
     }
 
     /// An attempt here found its member not primary. What follows is carried out once the router has heard it, too.
-    pub(in crate::dispatcher) fn not_primary_here(&mut self, handle: RequestHandle) -> SiteMiss {
+    pub(in crate::dispatcher) fn local_not_primary(&mut self, handle: RequestHandle) -> SiteMiss {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return SiteMiss::default() };
         let actions = gateway_part.site_router.local_not_primary(now, handle);
@@ -109,7 +109,7 @@
     }
 
     /// A member here answered as the primary of this group.
-    pub(in crate::dispatcher) fn primary_here(&mut self, group: u64) {
+    pub(in crate::dispatcher) fn local_primary_found(&mut self, group: u64) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let actions = gateway_part.site_router.local_primary_found(now, group);
@@ -125,7 +125,7 @@
     }
 
     /// The site router wanted to be woken now.
-    pub(in crate::dispatcher) fn wake_sites(&mut self) {
+    pub(in crate::dispatcher) fn wake_site_router(&mut self) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         gateway_part.do_periodic_work(now);
@@ -134,15 +134,15 @@
     }
 
     /// What was decided in common of sites that drain.
-    pub fn follow_site_drains(&mut self, plans: Vec<Plan>) {
+    pub fn apply_site_drain_plans(&mut self, plans: Vec<Plan>) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let actions = gateway_part.site_router.assign_sessions(now, &gateway_part.names, plans);
+        let actions = gateway_part.site_router.assign_sessions(now, &gateway_part.site_names, plans);
         self.carry_out_site_actions(actions, None);
     }
 
     /// The process stalled until now.
-    pub(in crate::dispatcher) fn report_stall_to_sites(&mut self) {
+    pub(in crate::dispatcher) fn report_stall_to_site_router(&mut self) {
         let now = self.context.clock.now();
         if let Some(gateway_part) = &mut self.gateway_part {
             gateway_part.site_router.stall_ended(now);
@@ -150,29 +150,29 @@
     }
 
     /// Drops what is kept of a forwarded request, which is returned.
-    pub(super) fn forget_forwarded(&mut self, handle: RequestHandle) -> Option<ForwardedRequest> {
+    pub(super) fn remove_pending_request(&mut self, handle: RequestHandle) -> Option<PendingRequest> {
         let gateway_part = self.gateway_part.as_mut()?;
-        let forwarded = gateway_part.forwarded.remove(&handle)?;
-        if let Requester::Gateway(remote) = &forwarded.requester {
+        let pending = gateway_part.pending_requests.remove(&handle)?;
+        if let Requester::Gateway(remote) = &pending.requester {
             gateway_part.remote_requests.remove(&(remote.gateway, remote.number));
         }
-        self.open_ids.remove(&forwarded.request.comment.id);
-        self.locations.remove(&forwarded.request.client);
-        Some(forwarded)
+        self.open_ids.remove(&pending.request.comment.id);
+        self.locations.remove(&pending.request.client);
+        Some(pending)
     }
 }
 
 impl GatewayPart {
     /// The request as the site router sees it.
-    fn routed_request(&self, to_forward: &RequestToForward) -> Request {
-        let request = &to_forward.request;
+    fn routed_request(&self, to_route: &RequestToRoute) -> Request {
+        let request = &to_route.request;
         let field = self.session_field.as_ref();
         let named = field.and_then(|field| statement::field(&request.statement, field));
-        let visited: Vec<SiteId> = to_forward.visited.iter().filter_map(|name| self.site(name)).collect();
+        let visited: Vec<SiteId> = to_route.visited.iter().filter_map(|name| self.site_id(name)).collect();
         Request {
-            class: to_forward.class,
+            class: to_route.class,
             group: request.comment.group,
-            timeout: to_forward.ttl,
+            timeout: to_route.timeout,
             visited,
             // One that names no session has none to keep with.
             session: Some(named.unwrap_or(&request.comment.id).to_owned()),
@@ -180,7 +180,7 @@
     }
 
     /// Takes a forwarded request back from the router here: the handle to abandon there.
-    pub(super) fn withdraw(&mut self, handle: RequestHandle) -> Option<RouterHandle> {
-        self.forwarded.get_mut(&handle)?.local.take()
+    pub(super) fn take_local_handle(&mut self, handle: RequestHandle) -> Option<RouterHandle> {
+        self.pending_requests.get_mut(&handle)?.local_handle.take()
     }
 }
--- a/crates/proxy/src/dispatcher/gateway/remote_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/remote_requests.rs
@@ -7,26 +7,26 @@
 use slog::warn;
 use tokio::sync::mpsc;
 
-use super::forwarded_requests::RequestToForward;
+use super::pending_requests::RequestToRoute;
 use super::{
-    ArrivingRequest, DepartingOutcome, GatewayPart, MAX_RECEIVED_SPAN, QUERY_GRACE, RemoteRequest, Requester,
-    received_span,
+    GatewayPart, IncomingRequest, MAX_RECEIVED_DURATION, OutgoingResponse, QUERY_GRACE, RemoteRequest,
+    Requester, capped_micros,
 };
 use crate::dispatcher::Dispatcher;
-use crate::dispatcher::outcome_log::{OutcomeLog, RecordTicket, RecordedAcceptance};
+use crate::dispatcher::outcome_log::{AcceptanceDecision, OutcomeLog, RecordId};
 use crate::messages::{ClientRequest, LinkId};
 
 /// What an arriving request was found to be.
-struct Checked {
+struct ValidatedRequest {
     class: usize,
     comment: Comment,
     /// How long its sender still waits, less the way back, in microseconds.
-    ttl: Micros,
+    timeout: Micros,
 }
 
 impl Dispatcher {
     /// Another gateway sent a request: remembered, and, if non-idempotent, recorded before it goes on.
-    pub(super) fn remote_request_arrived(
+    pub(super) fn remote_request_received(
         &mut self,
         link: LinkId,
         gateway: PeerGatewayId,
@@ -36,12 +36,12 @@
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         // Meant for an earlier start of this gateway: what that one did with it is not known, so nothing is said.
-        if frame.receiver_incarnation != gateway_part.own.incarnation {
+        if frame.receiver_incarnation != gateway_part.identity.incarnation {
             return;
         }
         let origin = gateway_part.peer_gateways[gateway].origin.clone();
         let number = frame.number;
-        match gateway_part.outcomes.accept(now, &origin, number, received_span(frame.timeout_us)) {
+        match gateway_part.outcomes.accept(now, &origin, number, capped_micros(frame.timeout_us)) {
             Ok(()) => {}
             Err(NotAccepted::Full) => {
                 gateway_part.send_rejection(gateway, link, number, ResponseKind::Rejected);
@@ -50,32 +50,40 @@
             // Another copy, or one that was asked about before it came: no news to the sender.
             Err(_) => return,
         }
-        self.record(ArrivingRequest { link, gateway, origin, number, received_at: now, frame, statement });
+        self.record_acceptance(IncomingRequest {
+            link,
+            gateway,
+            origin,
+            number,
+            received_at: now,
+            frame,
+            statement,
+        });
     }
 
     /// Writes the record of a non-idempotent request, which waits for that; any other goes on.
-    fn record(&mut self, arriving: ArrivingRequest) {
-        let class = self.decoded.class_index(&arriving.frame.class).ok();
+    fn record_acceptance(&mut self, incoming: IncomingRequest) {
+        let class = self.decoded.class_index(&incoming.frame.class).ok();
         let effect = class.map(|class| self.decoded.router_config.classes[class].effect);
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let outcome_log = gateway_part.outcome_log.as_mut();
         let Some(outcome_log) = outcome_log.filter(|_| effect == Some(Effect::NonIdempotent)) else {
-            return self.take_remote_request(arriving);
+            return self.admit_remote_request(incoming);
         };
-        let now = arriving.received_at;
-        let until = now + received_span(arriving.frame.timeout_us) + QUERY_GRACE;
-        match outcome_log.record_acceptance(now, &arriving.origin, arriving.number, until) {
-            RecordedAcceptance::Waits(ticket) => drop(gateway_part.arriving.insert(ticket, arriving)),
-            RecordedAcceptance::Unrecorded => self.take_remote_request(arriving),
-            RecordedAcceptance::Rejected => self.reject_remote_request(&arriving, ResponseKind::Rejected),
+        let now = incoming.received_at;
+        let until = now + capped_micros(incoming.frame.timeout_us) + QUERY_GRACE;
+        match outcome_log.record_acceptance(now, &incoming.origin, incoming.number, until) {
+            AcceptanceDecision::AwaitRecord(id) => drop(gateway_part.waiting_requests.insert(id, incoming)),
+            AcceptanceDecision::ProceedUnrecorded => self.admit_remote_request(incoming),
+            AcceptanceDecision::Reject => self.reject_remote_request(&incoming, ResponseKind::Rejected),
         }
     }
 
     /// Settles a remote request that never began, and tells its sender.
-    fn reject_remote_request(&mut self, arriving: &ArrivingRequest, kind: ResponseKind) {
+    fn reject_remote_request(&mut self, incoming: &IncomingRequest, kind: ResponseKind) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        gateway_part.outcomes.record(&arriving.origin, arriving.number, Outcome::Rejected { retry_after: 0 });
-        gateway_part.send_rejection(arriving.gateway, arriving.link, arriving.number, kind);
+        gateway_part.outcomes.record(&incoming.origin, incoming.number, Outcome::Rejected { retry_after: 0 });
+        gateway_part.send_rejection(incoming.gateway, incoming.link, incoming.number, kind);
     }
 
     /// A record was written, or was not: what waited for it goes on.
@@ -83,7 +91,7 @@
         let now = self.context.clock.now();
         let Some(outcome_log) = self.outcome_log() else { return };
         if let Some(record) = outcome_log.write_finished(now, is_written) {
-            self.resume_after_record(record.ticket, record.is_written);
+            self.resume_after_record(record.id, record.is_written);
         }
     }
 
@@ -91,12 +99,12 @@
     pub(in crate::dispatcher) fn stop_waiting_for_records(&mut self) {
         let now = self.context.clock.now();
         let Some(outcome_log) = self.outcome_log() else { return };
-        let tickets = outcome_log.abandon_slow_writes(now);
-        if !tickets.is_empty() {
-            warn!(self.context.log, "outcome log does not wait for the disk any longer"; "records" => tickets.len());
+        let ids = outcome_log.abandon_slow_writes(now);
+        if !ids.is_empty() {
+            warn!(self.context.log, "outcome log does not wait for the disk any longer"; "records" => ids.len());
         }
-        for ticket in tickets {
-            self.resume_after_record(ticket, false);
+        for id in ids {
+            self.resume_after_record(id, false);
         }
     }
 
@@ -104,73 +112,73 @@
         self.gateway_part.as_mut()?.outcome_log.as_mut()
     }
 
-    fn resume_after_record(&mut self, ticket: RecordTicket, is_written: bool) {
+    fn resume_after_record(&mut self, id: RecordId, is_written: bool) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        if let Some(departing) = gateway_part.departing.remove(&ticket) {
-            return gateway_part.send_outcome(departing);
+        if let Some(outgoing) = gateway_part.waiting_responses.remove(&id) {
+            return gateway_part.send_outcome(outgoing);
         }
-        match gateway_part.arriving.remove(&ticket) {
-            Some(arriving) if is_written => self.take_remote_request(arriving),
+        match gateway_part.waiting_requests.remove(&id) {
+            Some(incoming) if is_written => self.admit_remote_request(incoming),
             // Nothing of it has begun: that may be said whatever the disk holds.
-            Some(arriving) => self.reject_remote_request(&arriving, ResponseKind::Rejected),
+            Some(incoming) => self.reject_remote_request(&incoming, ResponseKind::Rejected),
             None => {}
         }
     }
 
     /// A remote request whose record is written, or that needs none, goes to the site router or is rejected.
-    fn take_remote_request(&mut self, arriving: ArrivingRequest) {
-        let checked = match self.check_remote_request(&arriving) {
-            Ok(checked) => checked,
-            Err(kind) => return self.reject_remote_request(&arriving, kind),
+    fn admit_remote_request(&mut self, incoming: IncomingRequest) {
+        let validated = match self.validate_remote_request(&incoming) {
+            Ok(validated) => validated,
+            Err(kind) => return self.reject_remote_request(&incoming, kind),
         };
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let ArrivingRequest { link, gateway, origin, number, frame, statement, .. } = arriving;
-        let Some(peer) = gateway_part.links.get(&link).map(|state| state.peer) else { return };
-        gateway_part.site_router.remote_request_started(gateway, checked.class);
-        gateway_part.next_remote_id += 1;
+        let IncomingRequest { link, gateway, origin, number, frame, statement, .. } = incoming;
+        let Some(peer) = gateway_part.links.get(&link).map(|active| active.peer) else { return };
+        gateway_part.site_router.remote_request_started(gateway, validated.class);
+        gateway_part.last_remote_client_id += 1;
         // Its answer goes over the link; this mailbox is nobody's.
         let (mailbox, _) = mpsc::channel(1);
         let request = ClientRequest {
-            client: gateway_part.next_remote_id,
+            client: gateway_part.last_remote_client_id,
             peer,
             mailbox,
             received_at: self.context.clock.now(),
             statement,
-            comment: checked.comment,
-            last_write_age: (frame.written_ago_us > 0).then(|| received_span(frame.written_ago_us)),
+            comment: validated.comment,
+            last_write_age: (frame.written_ago_us > 0).then(|| capped_micros(frame.written_ago_us)),
         };
-        self.forward(RequestToForward {
+        self.route_request(RequestToRoute {
             request,
-            class: checked.class,
-            ttl: checked.ttl.min(MAX_RECEIVED_SPAN),
+            class: validated.class,
+            timeout: validated.timeout.min(MAX_RECEIVED_DURATION),
             requester: Requester::Gateway(RemoteRequest { gateway, number, link, origin }),
             visited: frame.visited,
         });
     }
 
     /// The request's class, comment and time, or the kind of rejection that its sender is told.
-    fn check_remote_request(&self, arriving: &ArrivingRequest) -> Result<Checked, ResponseKind> {
-        let frame = &arriving.frame;
+    fn validate_remote_request(&self, incoming: &IncomingRequest) -> Result<ValidatedRequest, ResponseKind> {
+        let frame = &incoming.frame;
         let gateway_part = self.gateway_part.as_ref().ok_or(ResponseKind::Rejected)?;
-        let class = gateway_part.classes.iter().position(|name| *name == frame.class);
+        let class = gateway_part.class_names.iter().position(|name| *name == frame.class);
         let class = class.ok_or(ResponseKind::Invalid)?;
-        let comment = Comment::parse(&arriving.statement).map_err(|_| ResponseKind::Invalid)?;
+        let comment = Comment::parse(&incoming.statement).map_err(|_| ResponseKind::Invalid)?;
         if comment.group != frame.group {
             return Err(ResponseKind::Invalid);
         }
-        if frame.visited.contains(&gateway_part.own.site) {
+        if frame.visited.contains(&gateway_part.identity.site) {
             return Err(ResponseKind::NotPrimary);
         }
-        let waited = self.context.clock.now() - arriving.received_at;
-        let ttl = received_span(frame.timeout_us)
+        let waited = self.context.clock.now() - incoming.received_at;
+        let timeout = capped_micros(frame.timeout_us)
             - waited
-            - gateway_part.site_router.one_way_delay(arriving.gateway);
-        let full = gateway_part.forwarded.len() >= self.context.limits.open_requests;
+            - gateway_part.site_router.one_way_delay(incoming.gateway);
+        let full = gateway_part.pending_requests.len() >= self.context.limits.open_requests;
         let under_way = self.open_ids.contains(&comment.id);
-        if gateway_part.draining || full || under_way || ttl <= 0 {
+        if gateway_part.draining || full || under_way || timeout <= 0 {
             return Err(ResponseKind::Rejected);
         }
-        Ok(Checked { class, comment, ttl })
+        Ok(ValidatedRequest { class, comment, timeout })
     }
 
     /// The gateway that sent a request no longer waits for it.
@@ -178,23 +186,23 @@
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let Some(&handle) = gateway_part.remote_requests.get(&(gateway, number)) else {
-            return gateway_part.cancel_arriving(gateway, number);
+            return gateway_part.cancel_waiting_request(gateway, number);
         };
         // What the router has begun may run yet.
         let origin = &gateway_part.peer_gateways[gateway].origin;
         gateway_part.outcomes.record(origin, number, Outcome::Failed);
-        let class = gateway_part.forwarded.get(&handle).map_or(0, |forwarded| forwarded.class);
+        let class = gateway_part.pending_requests.get(&handle).map_or(0, |pending| pending.class);
         gateway_part.site_router.remote_request_ended(now, gateway, class, false);
-        self.forwarded_request_left(handle);
+        self.abandon_pending_request(handle);
     }
 }
 
 impl GatewayPart {
     /// A request that waits for its record never begins.
-    fn cancel_arriving(&mut self, gateway: PeerGatewayId, number: u64) {
-        let before = self.arriving.len();
-        self.arriving.retain(|_, arriving| (arriving.gateway, arriving.number) != (gateway, number));
-        if self.arriving.len() < before {
+    fn cancel_waiting_request(&mut self, gateway: PeerGatewayId, number: u64) {
+        let before = self.waiting_requests.len();
+        self.waiting_requests.retain(|_, incoming| (incoming.gateway, incoming.number) != (gateway, number));
+        if self.waiting_requests.len() < before {
             let origin = &self.peer_gateways[gateway].origin;
             self.outcomes.record(origin, number, Outcome::Rejected { retry_after: 0 });
         }
@@ -206,10 +214,10 @@
     }
 
     /// Sends an outcome over its link; where that was lost, the other gateway asks about it.
-    fn send_outcome(&self, departing: DepartingOutcome) {
-        let DepartingOutcome { gateway, link, frame, value } = departing;
+    fn send_outcome(&self, outgoing: OutgoingResponse) {
+        let OutgoingResponse { gateway, link, frame, data } = outgoing;
         if self.peer_gateways[gateway].links.contains(&link) {
-            self.send(gateway, Some(link), Outbound::Response(frame, value));
+            self.send(gateway, Some(link), Outbound::Response(frame, data));
         }
     }
 }
--- a/crates/proxy/src/dispatcher/gateway/site_actions.rs
+++ b/crates/proxy/src/dispatcher/gateway/site_actions.rs
@@ -5,7 +5,7 @@
 use aldermill_site_routing::{Action, Actions, PeerAnswer, PeerGatewayId, RequestHandle};
 
 use super::answers::FinalAnswer;
-use super::{ForwardedRequest, GatewayPart, SentRequest};
+use super::{GatewayPart, PendingRequest, SentRequest};
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::requests::Handover;
 use crate::messages::Answer;
@@ -56,38 +56,40 @@
             Action::RelayResponse => {
                 let received = received.take_if(|received| received.handle == handle);
                 let answer = received.map_or(Answer::Failed, |received| received.answer);
-                self.answer_forwarded(handle, FinalAnswer::Ended(answer));
+                self.answer_pending_request(handle, FinalAnswer::Ended(answer));
             }
             Action::Reject { retry_after } => {
-                self.answer_forwarded(handle, FinalAnswer::Ended(Answer::Rejected { retry_after }))
+                self.answer_pending_request(handle, FinalAnswer::Ended(Answer::Rejected { retry_after }))
             }
-            Action::Fail => self.answer_forwarded(handle, FinalAnswer::Ended(Answer::Failed)),
+            Action::Fail => self.answer_pending_request(handle, FinalAnswer::Ended(Answer::Failed)),
             Action::ReportNotPrimary { hint } => {
-                self.answer_forwarded(handle, FinalAnswer::NotPrimary { hint })
+                self.answer_pending_request(handle, FinalAnswer::NotPrimary { hint })
             }
         }
     }
 
-    fn serve_locally(&mut self, handle: RequestHandle, ttl: Micros) {
-        let Some(forwarded) = self.forwarded_mut(handle) else { return };
-        let request = forwarded.request.clone();
-        let class = forwarded.class;
-        let deadline = self.context.clock.now() + ttl;
-        let (local, actions) = self.hand_over(Handover { request, class, deadline, via: Some(handle) });
-        if let Some(forwarded) = self.forwarded_mut(handle) {
-            forwarded.local = Some(local);
+    fn serve_locally(&mut self, handle: RequestHandle, timeout: Micros) {
+        let Some(pending) = self.pending_request_mut(handle) else { return };
+        let request = pending.request.clone();
+        let class = pending.class;
+        let deadline = self.context.clock.now() + timeout;
+        let (local_handle, actions) =
+            self.hand_over(Handover { request, class, deadline, via: Some(handle) });
+        if let Some(pending) = self.pending_request_mut(handle) {
+            pending.local_handle = Some(local_handle);
         }
         self.carry_out(actions);
     }
 
-    fn forwarded_mut(&mut self, handle: RequestHandle) -> Option<&mut ForwardedRequest> {
-        self.gateway_part.as_mut()?.forwarded.get_mut(&handle)
+    fn pending_request_mut(&mut self, handle: RequestHandle) -> Option<&mut PendingRequest> {
+        self.gateway_part.as_mut()?.pending_requests.get_mut(&handle)
     }
 
     fn withdraw_from_router(&mut self, handle: RequestHandle) {
-        let local = self.gateway_part.as_mut().and_then(|gateway_part| gateway_part.withdraw(handle));
-        if let Some(local) = local {
-            self.abandon(local);
+        let local_handle =
+            self.gateway_part.as_mut().and_then(|gateway_part| gateway_part.take_local_handle(handle));
+        if let Some(local_handle) = local_handle {
+            self.abandon(local_handle);
         }
     }
 
@@ -97,20 +99,20 @@
         handle: RequestHandle,
         gateway: PeerGatewayId,
         number: u64,
-        left: Micros,
+        timeout: Micros,
     ) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let Some(forwarded) = gateway_part.forwarded.get(&handle) else { return };
+        let Some(pending) = gateway_part.pending_requests.get(&handle) else { return };
         let Some(peer) = gateway_part.peer_gateways.get(gateway) else { return };
         let incarnation = peer.origin.incarnation;
-        let mut frame = gateway_part.request_frame(forwarded, now);
+        let mut frame = gateway_part.request_frame(pending, now);
         frame.number = number;
         frame.receiver_incarnation = incarnation;
-        frame.timeout_us = left.max(0) as u64;
-        let frame = Outbound::Request(frame, forwarded.request.statement.clone());
+        frame.timeout_us = timeout.max(0) as u64;
+        let frame = Outbound::Request(frame, pending.request.statement.clone());
         if let Some(link) = gateway_part.send(gateway, None, frame) {
-            gateway_part.sent.insert(number, SentRequest { gateway, incarnation, link });
+            gateway_part.sent_requests.insert(number, SentRequest { gateway, incarnation, link });
             return;
         }
         let actions = gateway_part.site_router.answered(now, number, PeerAnswer::NeverAccepted);
@@ -120,26 +122,26 @@
     /// Asks another gateway what became of a request that was sent there.
     fn query_outcome(&mut self, gateway: PeerGatewayId, number: u64) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let Some(sent) = gateway_part.sent.get(&number) else { return };
+        let Some(sent) = gateway_part.sent_requests.get(&number) else { return };
         let query = OutcomeQuery { number, receiver_incarnation: sent.incarnation };
         gateway_part.send(gateway, None, Outbound::OutcomeQuery(query));
     }
 
     fn cancel_at_site(&mut self, gateway: PeerGatewayId, number: u64) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let link = gateway_part.sent.remove(&number).map(|sent| sent.link);
+        let link = gateway_part.sent_requests.remove(&number).map(|sent| sent.link);
         gateway_part.send(gateway, link, Outbound::Cancel(number));
     }
 }
 
 impl GatewayPart {
     /// A request as another gateway is sent it, but for whom it is meant and how long it may take.
-    fn request_frame(&self, forwarded: &ForwardedRequest, now: Micros) -> RequestFrame {
-        let request = &forwarded.request;
+    fn request_frame(&self, pending: &PendingRequest, now: Micros) -> RequestFrame {
+        let request = &pending.request;
         // Zero on the wire says that no last write is known.
         let written_ago = request.last_write(now).map_or(0, |ago| ago.max(1));
-        let mut visited = forwarded.visited.clone();
-        visited.push(self.own.site.clone());
+        let mut visited = pending.visited.clone();
+        visited.push(self.identity.site.clone());
         RequestFrame {
             class: request.comment.class.clone(),
             group: request.comment.group,
--- a/crates/proxy/src/dispatcher/gateway/start.rs
+++ b/crates/proxy/src/dispatcher/gateway/start.rs
@@ -9,20 +9,20 @@
 use aldermill_site_routing::{Effect, Need, OutcomeTable, RequestClass, SiteRouter, SiteRouterConfig};
 use tokio::sync::mpsc;
 
-use super::{EndedCounts, GatewayPart, QUERY_GRACE};
+use super::{EndedRequestCounts, GatewayPart, QUERY_GRACE};
 use crate::dispatcher::outcome_log::OutcomeLog;
 use crate::messages::ClientId;
 use crate::persistence::DataDirectory;
 
 /// Remote requests get client ids of their own, from here on.
-const FIRST_REMOTE_ID: ClientId = 1 << 63;
+const REMOTE_CLIENT_ID_BASE: ClientId = 1 << 63;
 /// How many confirmations may wait for the dispatcher: as many as records may wait for the disk, and more.
-const MAX_CONFIRMATIONS: usize = 2048;
+const CONFIRMATION_QUEUE_CAPACITY: usize = 2048;
 
 /// What the gateway part needs to start.
 pub struct GatewaySetup {
     /// Who this gateway is.
-    pub own: Identity,
+    pub identity: Identity,
     /// The names of the other sites.
     pub peers: Vec<String>,
     /// Groups, each with the site that is assumed to have its primary.
@@ -41,66 +41,68 @@
 
 impl GatewayPart {
     /// A gateway without links. `now` is on the router's clock.
-    pub fn new(setup: GatewaySetup, decoded: &Settings, seed: u64, now: Micros) -> GatewayPart {
-        let config = site_router_config(&setup, decoded);
-        let GatewaySetup { own, peers, homes, session_field, max_outcomes_per_sender, directory, .. } = setup;
-        let (confirmations, written) = mpsc::channel(MAX_CONFIRMATIONS);
-        let outcome_log =
-            directory.map(|directory| OutcomeLog::open(directory, own.incarnation, now, confirmations));
-        let names: Vec<String> = std::iter::once(own.site.clone()).chain(peers).collect();
+    pub fn new(setup: GatewaySetup, settings: &Settings, seed: u64, now: Micros) -> GatewayPart {
+        let config = site_router_config(&setup, settings);
+        let GatewaySetup {
+            identity, peers, homes, session_field, max_outcomes_per_sender, directory, ..
+        } = setup;
+        let (confirmation_sender, write_confirmations) = mpsc::channel(CONFIRMATION_QUEUE_CAPACITY);
+        let outcome_log = directory
+            .map(|directory| OutcomeLog::open(directory, identity.incarnation, now, confirmation_sender));
+        let site_names: Vec<String> = std::iter::once(identity.site.clone()).chain(peers).collect();
         let mut site_router = SiteRouter::new(config, seed, now);
         for (group, site) in homes {
-            if let Some(site) = names.iter().position(|name| *name == site) {
+            if let Some(site) = site_names.iter().position(|name| *name == site) {
                 site_router.assume_home(group, site);
             }
         }
         GatewayPart {
-            own,
-            names,
-            classes: decoded.class_names(),
+            identity,
+            site_names,
+            class_names: settings.class_names(),
             site_router,
             outcomes: OutcomeTable::new(max_outcomes_per_sender, QUERY_GRACE),
             peer_gateways: Vec::new(),
             links: HashMap::new(),
-            forwarded: HashMap::new(),
+            pending_requests: HashMap::new(),
             remote_requests: HashMap::new(),
-            sent: HashMap::new(),
-            written: outcome_log.is_some().then_some(written),
+            sent_requests: HashMap::new(),
+            write_confirmations: outcome_log.is_some().then_some(write_confirmations),
             outcome_log,
-            arriving: HashMap::new(),
-            departing: HashMap::new(),
-            next_remote_id: FIRST_REMOTE_ID,
+            waiting_requests: HashMap::new(),
+            waiting_responses: HashMap::new(),
+            last_remote_client_id: REMOTE_CLIENT_ID_BASE,
             session_field,
-            ended: EndedCounts { since: now, ..EndedCounts::default() },
+            ended_counts: EndedRequestCounts { since: now, ..EndedRequestCounts::default() },
             draining: false,
             wake_at: now,
-            announce_at: now,
+            next_announcement_at: now,
         }
     }
 }
 
 /// The settings in the site router's form.
-fn site_router_config(setup: &GatewaySetup, decoded: &Settings) -> SiteRouterConfig {
+fn site_router_config(setup: &GatewaySetup, settings: &Settings) -> SiteRouterConfig {
     SiteRouterConfig {
-        classes: decoded.router_config.classes.iter().map(site_class).collect(),
+        classes: settings.router_config.classes.iter().map(convert_class).collect(),
         sites: 1 + setup.peers.len(),
         max_hops: setup.max_hops,
         max_credit: setup.max_credit,
-        max_retry_after: decoded.router_config.max_retry_after,
+        max_retry_after: settings.router_config.max_retry_after,
     }
 }
 
-fn site_class(class: &aldermill_routing::RequestClass) -> RequestClass {
+fn convert_class(class: &aldermill_routing::RequestClass) -> RequestClass {
     RequestClass {
-        effect: site_effect(class.effect),
-        need: site_need(class.need),
+        effect: convert_effect(class.effect),
+        need: convert_need(class.need),
         objective: class.objective,
         priority_weight: class.priority_weight,
         late_priority_weight: class.late_priority_weight,
     }
 }
 
-fn site_effect(effect: RouterEffect) -> Effect {
+fn convert_effect(effect: RouterEffect) -> Effect {
     match effect {
         RouterEffect::Idempotent => Effect::Idempotent,
         RouterEffect::Deduplicated { scope, window } => {
@@ -110,7 +112,7 @@
     }
 }
 
-fn site_need(need: RouterNeed) -> Need {
+fn convert_need(need: RouterNeed) -> Need {
     match need {
         RouterNeed::Write | RouterNeed::Latest | RouterNeed::OwnWrites => Need::Primary,
         RouterNeed::Recent(bound) => Need::Recent(bound),
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -181,7 +181,7 @@
         let record_due = gateway_part
             .as_ref()
             .and_then(|gateway_part| gateway_part.outcome_log.as_ref()?.write_deadline());
-        let written = gateway_part.and_then(|gateway_part| gateway_part.written.as_mut());
+        let written = gateway_part.and_then(|gateway_part| gateway_part.write_confirmations.as_mut());
         tokio::select! {
             biased;
             Some(list_update) = inputs.list_updates.recv() => Some(Event::ListUpdate(list_update)),
@@ -230,7 +230,7 @@
         let unreported = total - std::mem::replace(&mut self.reported_stall, total);
         if unreported > 0 {
             self.router.stall_ended(self.context.clock.now(), unreported);
-            self.report_stall_to_sites();
+            self.report_stall_to_site_router();
         }
     }
 
@@ -238,8 +238,8 @@
         match event {
             Event::ListUpdate(list_update) => self.list_update(list_update),
             Event::RouterDue => self.wake_router(),
-            Event::SitesDue => self.wake_sites(),
-            Event::Stopping => self.drain_sites(),
+            Event::SitesDue => self.wake_site_router(),
+            Event::Stopping => self.announce_draining(),
             Event::RecordWritten(well) => self.record_written(well),
             Event::RecordLate => self.stop_waiting_for_records(),
             Event::Message(message) => self.handle_message(message),
@@ -253,12 +253,12 @@
             DispatcherMessage::AttemptFinished(finished) => self.attempt_finished(finished),
             DispatcherMessage::HealthCheckFinished(finished) => self.health_check_finished(finished),
             DispatcherMessage::ShadowReplaced(shadow) => self.replace_shadow(shadow.map(|shadow| *shadow)),
-            DispatcherMessage::Link(message) => self.link_message(message.link, message.event),
+            DispatcherMessage::Link(message) => self.handle_link_event(message.link, message.event),
             DispatcherMessage::AwaitRemoteRequests(reply) => self.await_remote_requests(reply),
             DispatcherMessage::FleetSize(size) => self.fleet_size(&size),
             DispatcherMessage::TakeObservations(reply) => self.report_observations(reply),
             DispatcherMessage::ZoneDirectives(directives) => self.zone_directives(&directives),
-            DispatcherMessage::SiteDrainPlans(plans) => self.follow_site_drains(plans),
+            DispatcherMessage::SiteDrainPlans(plans) => self.apply_site_drain_plans(plans),
             DispatcherMessage::DescribeSites(reply) => {
                 let _ = reply.send(self.describe());
             }
--- a/crates/proxy/src/dispatcher/outcome_log.rs
+++ b/crates/proxy/src/dispatcher/outcome_log.rs
@@ -26,20 +26,20 @@
 use crate::persistence::{DataDirectory, StoredRecord};
 
 /// How long a remote request, and an outcome, wait for the disk before they go on without it, in microseconds.
-const MAX_WRITE_WAIT: Micros = 250_000;
+const WRITE_TIMEOUT: Micros = 250_000;
 /// How long a promise is kept after its end, in microseconds: longer than anybody asks about a request under it.
 const PROMISE_RETENTION: Micros = 3_600_000_000;
 /// How many writes may wait for the disk.
 const MAX_UNCONFIRMED_WRITES: usize = 512;
 
 /// Names a record that something waits for.
-pub type RecordTicket = u64;
+pub type RecordId = u64;
 
 /// What a write to the disk is for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WritePurpose {
     /// Something waits for this record.
-    Record(RecordTicket),
+    Record(RecordId),
     /// A promise that nothing is accepted without a record.
     Promise,
     /// Nobody waits for it any more.
@@ -47,19 +47,19 @@
 }
 
 /// How a remote request goes on after it was accepted.
-pub enum RecordedAcceptance {
+pub enum AcceptanceDecision {
     /// It waits until its record is written.
-    Waits(RecordTicket),
+    AwaitRecord(RecordId),
     /// It goes on at once, without a record; no promise holds. A later incarnation will not know of it.
-    Unrecorded,
+    ProceedUnrecorded,
     /// It is rejected: the disk takes nothing, and a promise holds that nothing goes on without a record.
-    Rejected,
+    Reject,
 }
 
 /// A record that something waited for.
-pub struct FinishedRecord {
+pub struct RecordWriteResult {
     /// Which it is.
-    pub ticket: RecordTicket,
+    pub id: RecordId,
     /// Whether it is on the disk.
     pub is_written: bool,
 }
@@ -70,15 +70,15 @@
     /// This process's own.
     incarnation: u64,
     /// Whether the disk is trusted with writes for now.
-    writing: DiskCircuitBreaker,
+    circuit_breaker: DiskCircuitBreaker,
     promise: RecordingPromise,
     /// By what a promise ends; `None` where the system has no such clock, so that a promise binds this whole incarnation.
     boot_clock: Option<BootClock>,
     /// What earlier incarnations left; `None` while the directory could not be read.
     previous: Option<PreviousIncarnations<Rc<Vec<u8>>>>,
-    next_ticket: RecordTicket,
+    next_record_id: RecordId,
     /// Writes that were handed over and not confirmed, the oldest first.
-    unconfirmed: VecDeque<WritePurpose>,
+    unconfirmed_writes: VecDeque<WritePurpose>,
     /// The directory confirms each write here, in their order.
     confirmations: mpsc::Sender<bool>,
 }
@@ -97,20 +97,20 @@
         let mut outcome_log = OutcomeLog {
             directory,
             incarnation,
-            writing: DiskCircuitBreaker::new(MAX_WRITE_WAIT, MAX_UNCONFIRMED_WRITES),
+            circuit_breaker: DiskCircuitBreaker::new(WRITE_TIMEOUT, MAX_UNCONFIRMED_WRITES),
             promise: RecordingPromise::new(scope),
             boot_clock,
             previous: None,
-            next_ticket: 0,
-            unconfirmed: VecDeque::new(),
+            next_record_id: 0,
+            unconfirmed_writes: VecDeque::new(),
             confirmations,
         };
-        outcome_log.read_if_possible(now);
+        outcome_log.load_previous_incarnations(now);
         outcome_log
     }
 
     /// Reads what earlier incarnations left, once the directory can be read.
-    fn read_if_possible(&mut self, now: Micros) {
+    fn load_previous_incarnations(&mut self, now: Micros) {
         if self.previous.is_some() {
             return;
         }
@@ -119,8 +119,8 @@
         let mut promises = StoredPromises::default();
         for StoredRecord { namespace, key, value } in records {
             match *namespace {
-                namespace::OUTCOME_LOG => read_record(&mut previous, key, value),
-                namespace::OUTCOME_LOG_PROMISES => read_promise(&mut promises, key, value),
+                namespace::OUTCOME_LOG => add_stored_record(&mut previous, key, value),
+                namespace::OUTCOME_LOG_PROMISES => add_stored_promise(&mut promises, key, value),
                 _ => {}
             }
         }
@@ -129,7 +129,7 @@
         }
         self.previous = Some(previous);
         // Writes that failed before the directory was there say nothing about it now.
-        self.writing = DiskCircuitBreaker::new(MAX_WRITE_WAIT, MAX_UNCONFIRMED_WRITES);
+        self.circuit_breaker = DiskCircuitBreaker::new(WRITE_TIMEOUT, MAX_UNCONFIRMED_WRITES);
     }
 
     /// What became of a request that was sent to an earlier incarnation. Nothing is known while the directory cannot be
@@ -141,38 +141,38 @@
         number: u64,
         incarnation: u64,
     ) -> Outcome<Rc<Vec<u8>>> {
-        self.read_if_possible(now);
+        self.load_previous_incarnations(now);
         let previous = self.previous.as_ref();
         previous.map_or(Outcome::Unknown, |previous| previous.query(origin, number, incarnation))
     }
 
     /// How much earlier incarnations left.
-    pub fn restored(&self) -> RestoredCounts {
+    pub fn restored_counts(&self) -> RestoredCounts {
         self.previous.as_ref().map_or_else(RestoredCounts::default, PreviousIncarnations::counts)
     }
 
     /// Gives another promise where the last one is about to end.
     pub fn renew_promise(&mut self, now: Micros) {
-        self.read_if_possible(now);
-        if matches!(self.writing.state(), DiskState::Unavailable { until } if now < until) {
+        self.load_previous_incarnations(now);
+        if matches!(self.circuit_breaker.state(), DiskState::Unavailable { until } if now < until) {
             return;
         }
-        let promise_now = self.promise_time(now);
+        let promise_now = self.promise_clock_now(now);
         let Some(end) = self.promise.renew(promise_now) else { return };
         let until = now + (end - promise_now);
         let batch = self.promise_batch(until, end);
-        if !self.hand_over(now, batch, WritePurpose::Promise) {
+        if !self.submit_write(now, batch, WritePurpose::Promise) {
             self.promise.resolve_pending();
         }
     }
 
     /// The time by which promises end.
-    fn promise_time(&self, now: Micros) -> Micros {
+    fn promise_clock_now(&self, now: Micros) -> Micros {
         self.boot_clock.map_or(now, |clock| clock.now().at)
     }
 
     /// Both records of a promise: until when it holds in Unix time, and its `end` by the time of
-    /// [`OutcomeLog::promise_time`].
+    /// [`OutcomeLog::promise_clock_now`].
     fn promise_batch(&self, until: Micros, end: Micros) -> Batch {
         let end =
             self.boot_clock.map_or(PromiseEnd::WithIncarnation, |clock| PromiseEnd::After(clock.at(end)));
@@ -192,15 +192,15 @@
         origin: &Origin,
         number: u64,
         until: Micros,
-    ) -> RecordedAcceptance {
-        let promise_now = self.promise_time(now);
+    ) -> AcceptanceDecision {
+        let promise_now = self.promise_clock_now(now);
         match self.record_outcome(now, origin, number, until, &Outcome::InFlight) {
-            Some(ticket) => RecordedAcceptance::Waits(ticket),
+            Some(id) => AcceptanceDecision::AwaitRecord(id),
             None if self.promise.permits_unrecorded(promise_now) => {
                 self.promise.accepted_unrecorded(promise_now + (until - now));
-                RecordedAcceptance::Unrecorded
+                AcceptanceDecision::ProceedUnrecorded
             }
-            None => RecordedAcceptance::Rejected,
+            None => AcceptanceDecision::Reject,
         }
     }
 
@@ -213,38 +213,38 @@
         number: u64,
         until: Micros,
         outcome: &Outcome<&[u8]>,
-    ) -> Option<RecordTicket> {
+    ) -> Option<RecordId> {
         let mut batch = Batch::default();
         let key = encode_key(self.incarnation, origin, number);
         batch.put(namespace::OUTCOME_LOG, &key, &encode_outcome(outcome), Some(until));
-        let ticket = self.next_ticket;
-        self.next_ticket += 1;
-        self.hand_over(now, batch, WritePurpose::Record(ticket)).then_some(ticket)
+        let id = self.next_record_id;
+        self.next_record_id += 1;
+        self.submit_write(now, batch, WritePurpose::Record(id)).then_some(id)
     }
 
     /// Hands a batch to the disk. Returns whether it was taken.
-    fn hand_over(&mut self, now: Micros, batch: Batch, purpose: WritePurpose) -> bool {
-        if !self.writing.admit_write(now, true) {
+    fn submit_write(&mut self, now: Micros, batch: Batch, purpose: WritePurpose) -> bool {
+        if !self.circuit_breaker.admit_write(now, true) {
             return false;
         }
         if !self.directory.write(batch, &self.confirmations) {
-            self.writing.write_failed(now);
+            self.circuit_breaker.write_failed(now);
             return false;
         }
-        self.unconfirmed.push_back(purpose);
+        self.unconfirmed_writes.push_back(purpose);
         true
     }
 
     /// The oldest unconfirmed write has ended. Returns the record that it was, if something waits for it.
-    pub fn write_finished(&mut self, now: Micros, is_written: bool) -> Option<FinishedRecord> {
-        let purpose = self.unconfirmed.pop_front()?;
+    pub fn write_finished(&mut self, now: Micros, is_written: bool) -> Option<RecordWriteResult> {
+        let purpose = self.unconfirmed_writes.pop_front()?;
         if is_written {
-            self.writing.write_confirmed(now);
+            self.circuit_breaker.write_confirmed(now);
         } else {
-            self.writing.write_failed(now);
+            self.circuit_breaker.write_failed(now);
         }
         match purpose {
-            WritePurpose::Record(ticket) => return Some(FinishedRecord { ticket, is_written }),
+            WritePurpose::Record(id) => return Some(RecordWriteResult { id, is_written }),
             WritePurpose::Promise => self.promise.resolve_pending(),
             WritePurpose::Abandoned => {}
         }
@@ -253,40 +253,40 @@
 
     /// Stops waiting for writes that take too long. Returns the records that something waited for: they count as not
     /// written, though they may still get to the disk.
-    pub fn abandon_slow_writes(&mut self, now: Micros) -> Vec<RecordTicket> {
-        if !self.writing.check_timeout(now) {
+    pub fn abandon_slow_writes(&mut self, now: Micros) -> Vec<RecordId> {
+        if !self.circuit_breaker.check_timeout(now) {
             return Vec::new();
         }
-        let mut tickets = Vec::new();
-        for purpose in &mut self.unconfirmed {
+        let mut ids = Vec::new();
+        for purpose in &mut self.unconfirmed_writes {
             match std::mem::replace(purpose, WritePurpose::Abandoned) {
-                WritePurpose::Record(ticket) => tickets.push(ticket),
+                WritePurpose::Record(id) => ids.push(id),
                 WritePurpose::Promise => self.promise.resolve_pending(),
                 WritePurpose::Abandoned => {}
             }
         }
-        tickets
+        ids
     }
 
     /// When to call [`OutcomeLog::abandon_slow_writes`], on the router's clock.
     pub fn write_deadline(&self) -> Option<Micros> {
-        self.writing.timeout_at()
+        self.circuit_breaker.timeout_at()
     }
 
     /// Whether the disk takes writes, as far as is known.
     pub fn is_disk_available(&self) -> bool {
-        !matches!(self.writing.state(), DiskState::Unavailable { .. })
+        !matches!(self.circuit_breaker.state(), DiskState::Unavailable { .. })
     }
 }
 
-fn read_record(previous: &mut PreviousIncarnations<Rc<Vec<u8>>>, key: &[u8], value: &[u8]) {
+fn add_stored_record(previous: &mut PreviousIncarnations<Rc<Vec<u8>>>, key: &[u8], value: &[u8]) {
     if let Some(key) = decode_key(key) {
         let outcome = decode_outcome(value).map(Rc::new);
         previous.add_record(key.incarnation, key.origin, key.number, outcome);
     }
 }
 
-fn read_promise(promises: &mut StoredPromises, key: &[u8], value: &[u8]) {
+fn add_stored_promise(promises: &mut StoredPromises, key: &[u8], value: &[u8]) {
     if let Some((incarnation, record)) = decode_promise(key, value) {
         promises.add(incarnation, record);
     }
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -157,7 +157,7 @@
             self.carry_out_site_actions(actions, None);
         }
         if via.is_some() && report.role == Some(Role::Primary) {
-            self.primary_here(group);
+            self.local_primary_found(group);
         }
     }
 
@@ -175,7 +175,7 @@
         if report.role == Some(Role::Primary)
             && let Some(group) = entry.map(|entry| entry.group)
         {
-            self.primary_here(group);
+            self.local_primary_found(group);
         }
     }
 
@@ -187,7 +187,7 @@
         elapsed: Micros,
     ) -> SiteMiss {
         match via {
-            Some(via) if verdict == Verdict::NotPrimary => return self.not_primary_here(via),
+            Some(via) if verdict == Verdict::NotPrimary => return self.local_not_primary(via),
             Some(via) if verdict != Verdict::Served && !verdict.never_ran() => {
                 self.may_have_run(via, elapsed)
             }
@@ -200,7 +200,7 @@
     pub(super) fn client_left(&mut self, client: ClientId) {
         match self.locations.remove(&client) {
             Some(RequestLocation::Router(handle)) => self.abandon(handle),
-            Some(RequestLocation::Gateway(handle)) => self.forwarded_request_left(handle),
+            Some(RequestLocation::Gateway(handle)) => self.abandon_pending_request(handle),
             None => {}
         }
     }
--- a/crates/proxy/src/lifecycle/startup/actors.rs
+++ b/crates/proxy/src/lifecycle/startup/actors.rs
@@ -223,7 +223,7 @@
         ready: channels.ready,
         list_wanted: channels.list_requests,
     });
-    dispatcher.follow_site_drains(inputs.site_drains);
+    dispatcher.apply_site_drain_plans(inputs.site_drains);
     spawn_local(dispatcher.run(channels.list_updates, channels.messages))
 }
 
--- a/crates/proxy/src/lifecycle/startup/gateway.rs
+++ b/crates/proxy/src/lifecycle/startup/gateway.rs
@@ -87,7 +87,7 @@
     persisted: &PersistedState,
 ) -> GatewaySetup {
     GatewaySetup {
-        own,
+        identity: own,
         peers: gateway.peers.iter().map(|peer| peer.site.clone()).collect(),
         homes: gateway.homes.into_iter().collect(),
         max_hops: gateway.hops.unwrap_or(DEFAULT_MAX_HOPS) as usize,
