--- a/crates/proxy/src/dispatcher/gateway/announcements.rs
+++ b/crates/proxy/src/dispatcher/gateway/announcements.rs
@@ -1,5 +1,5 @@
-//! What this gateway makes known: its available capacity to other gateways, its observations to lease holders, its state
-//! to operators.
+//! Reports of this gateway's state: available capacity for other gateways, observations for the lease holders,
+//! and status output for operators.
 
 use std::collections::HashMap;
 
@@ -12,18 +12,18 @@
 use crate::dispatcher::Dispatcher;
 use crate::messages::SiteObservations;
 
-/// How often the capacity here is announced though nothing has changed, in microseconds.
+/// Interval at which the available capacity is announced even if it has not changed, in microseconds.
 const ANNOUNCEMENT_INTERVAL: Micros = 500_000;
 
 impl GatewayPart {
-    /// Tells all gateways the available capacity here.
+    /// Announces the available capacity of this gateway to all linked gateways.
     pub(super) fn announce_capacity(&mut self) {
         for gateway in 0..self.peer_gateways.len() {
             self.announce_capacity_to(gateway);
         }
     }
 
-    /// Tells one gateway, where a link to it stands, the available capacity here.
+    /// Announces the available capacity of this gateway to another one, if a link to that one is up.
     pub(super) fn announce_capacity_to(&mut self, gateway: PeerGatewayId) {
         if self.peer_gateways.get(gateway).is_some_and(|peer| !peer.links.is_empty()) {
             let announcement = self.capacity_announcement(gateway);
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Announces what is due, and forgets what nobody asks about any more.
+    /// Drops expired outcomes. Every [`ANNOUNCEMENT_INTERVAL`] it also announces the capacity, renews the
+    /// recording promise, and drops entries of sent requests whose number is closed.
     pub(super) fn do_periodic_work(&mut self, now: Micros) {
         self.outcomes.expire(now);
         if now < self.next_announcement_at {
@@ -60,7 +61,8 @@
         self.sent_requests.retain(|&number, _| site_router.handle_by_forward_number(number).is_some());
     }
 
-    /// What this gateway saw of its site since it was last asked, and what it has of those that drain.
+    /// Returns what this gateway observed of its site since the last call, and the work that it still has in
+    /// progress at draining sites.
     pub(in crate::dispatcher) fn take_observations(&mut self, now: Micros) -> SiteObservations {
         let fresh = EndedRequestCounts { since: now, ..EndedRequestCounts::default() };
         let ended = std::mem::replace(&mut self.ended_counts, fresh);
@@ -77,7 +79,7 @@
         }
     }
 
-    /// The round trip to each gateway that a link leads to, by the name of its site.
+    /// Returns the round trip to each linked gateway, in microseconds, with the name of the gateway's site.
     fn round_trips(&self, now: Micros) -> Vec<(String, Micros)> {
         let gateways = self.peer_gateways.iter().enumerate();
         let linked = gateways.filter(|(_, peer)| !peer.links.is_empty());
@@ -88,7 +90,7 @@
             .collect()
     }
 
-    /// What is believed here, for people, as JSON.
+    /// Returns the gateway's view of gateways, groups and requests as JSON, for status output.
     fn describe(&self, now: Micros) -> String {
         let gateways = self.peer_gateways.iter().enumerate();
         let gateways: Vec<Value> = gateways.map(|(id, peer)| self.describe_gateway(now, id, peer)).collect();
@@ -132,7 +134,8 @@
 }
 
 impl Dispatcher {
-    /// The program stops: other gateways are told, once, that this one drains.
+    /// Announces to the other gateways that this one drains, because the process is stopping. Only the first
+    /// call has an effect.
     pub(in crate::dispatcher) fn announce_draining(&mut self) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let drained_before = std::mem::replace(&mut gateway_part.draining, true);
@@ -141,7 +144,7 @@
         }
     }
 
-    /// What is believed of sites and links, as JSON.
+    /// Returns the state of sites and links as JSON; an empty object if this process is not a gateway.
     pub(in crate::dispatcher) fn describe(&self) -> String {
         let now = self.context.clock.now();
         let gateway_part = self.gateway_part.as_ref();
--- a/crates/proxy/src/dispatcher/gateway/answers.rs
+++ b/crates/proxy/src/dispatcher/gateway/answers.rs
@@ -1,4 +1,5 @@
-//! The one answer of a forwarded request: to a client here, or over a link to the gateway that sent it.
+//! The one answer to each pending request: to a local client, or over a link to the gateway that sent the
+//! request.
 
 use std::rc::Rc;
 
@@ -12,17 +13,18 @@
 use crate::dispatcher::Dispatcher;
 use crate::messages::{Answer, Rows};
 
-/// How a forwarded request ends.
+/// The final answer to a pending request.
 pub(super) enum FinalAnswer {
+    /// The request ended with this answer.
     Ended(Answer),
-    /// Its group's primary is not here, and perhaps at the site named.
-    NotPrimary {
-        hint: Option<SiteId>,
-    },
+    /// The request never ran, as this site does not have the primary of its group. `hint` is the site that is
+    /// believed to have it; `None` if unknown.
+    NotPrimary { hint: Option<SiteId> },
 }
 
 impl FinalAnswer {
-    /// What a client hears.
+    /// Returns the answer for a client. A client is not told where the primary is: it gets a rejection that
+    /// names no time for the retry.
     fn for_client(self) -> Answer {
         match self {
             FinalAnswer::Ended(answer) => answer,
@@ -31,10 +33,10 @@
     }
 }
 
-/// What a remote request came to.
+/// The outcome of a remote request, with the fields of its response.
 struct RemoteOutcome {
     kind: ResponseKind,
-    /// What a later query is answered with.
+    /// Outcome that later queries are answered with.
     outcome: Outcome<RetainedResponse>,
     data: Rc<Vec<u8>>,
     retry_after: Micros,
@@ -72,7 +74,7 @@
 }
 
 impl Dispatcher {
-    /// Gives a forwarded request its one answer.
+    /// Gives a pending request its one answer, and removes it.
     pub(super) fn answer_pending_request(&mut self, handle: RequestHandle, answer: FinalAnswer) {
         let Some(pending) = self.remove_pending_request(handle) else { return };
         match &pending.requester {
@@ -81,8 +83,8 @@
         }
     }
 
-    /// Remembers what a remote request came to, and sends that over its link; a non-idempotent one's once its record
-    /// is written.
+    /// Stores the outcome of a remote request and sends the response over its link. The response to a
+    /// non-idempotent request is sent once the record of the outcome is written.
     fn answer_remote(&mut self, pending: &PendingRequest, remote: &RemoteRequest, answer: FinalAnswer) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
@@ -98,7 +100,7 @@
         };
         let timeout = Micros::from(pending.request.comment.timeout_ms) * 1000;
         let non_idempotent = matches!(effect, Effect::NonIdempotent);
-        // Nobody asks about what may simply be sent again.
+        // Nobody queries the outcome of a request that may simply be sent again, so its response is not kept.
         let outcome = if non_idempotent { outcome } else { Outcome::Failed };
         let kept_until = non_idempotent.then_some(now + timeout + QUERY_GRACE);
         gateway_part.record_and_send(now, remote, outcome, kept_until, frame, data);
@@ -110,7 +112,8 @@
 }
 
 impl GatewayPart {
-    /// `kept_until` is set where the outcome is to survive a restart.
+    /// Stores the outcome in memory and, if `kept_until` is set, also on disk, so that it can be queried up to
+    /// that time even after a restart; then sends the response.
     fn record_and_send(
         &mut self,
         now: Micros,
@@ -126,7 +129,8 @@
             record_id = outcome_log.record_outcome(now, &remote.origin, remote.number, until, &bytes);
         }
         self.outcomes.record(&remote.origin, remote.number, outcome);
-        // Over the link that it came by, or was last asked about on; where that broke, it will be asked about.
+        // The response goes over the link on which the request arrived or was last queried. If that link was
+        // lost, the other gateway will query the outcome.
         let RemoteRequest { gateway, link, .. } = *remote;
         if !self.peer_gateways[gateway].links.contains(&link) {
             return;
--- a/crates/proxy/src/dispatcher/gateway/inbound_messages.rs
+++ b/crates/proxy/src/dispatcher/gateway/inbound_messages.rs
@@ -1,4 +1,5 @@
-//! What is heard over links: outcomes, questions about earlier requests, capacity, and remote requests.
+//! Messages that arrive over links: responses, outcome queries and the replies to them, capacity announcements,
+//! and remote requests.
 
 use aldermill_flow_control::ReservationOwner;
 use aldermill_routing::Micros;
@@ -14,7 +15,7 @@
 use crate::messages::{Answer, LinkId, Rows};
 
 impl Dispatcher {
-    /// Something was heard over a link whose other side has greeted.
+    /// Handles a message that arrived over a link, or a measured round trip, after the other side has greeted.
     pub(super) fn handle_inbound(&mut self, link: LinkId, gateway: PeerGatewayId, event: Inbound) {
         match event {
             Inbound::Greeted(_) => {}
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Another gateway tells how a request ended that was sent there.
+    /// Handles another gateway's response to a request that was forwarded to it.
     fn response_received(&mut self, response: &ResponseFrame, data: Vec<u8>) {
         let now = self.context.clock.now();
         let received = self.received_answer(response.number, data);
@@ -50,7 +51,7 @@
         self.carry_out_site_actions(actions, received);
     }
 
-    /// Another gateway tells, as it was asked, what became of a request that was sent there.
+    /// Handles another gateway's reply to a query about a request that was forwarded to it.
     fn outcome_reply_received(&mut self, link: LinkId, frame: &OutcomeReply, data: Vec<u8>) {
         let now = self.context.clock.now();
         let outcome = decode_outcome_reply(frame);
@@ -59,14 +60,14 @@
         if frame.kind() == OutcomeReplyKind::InFlight
             && let Some(sent) = gateway_part.sent_requests.get_mut(&frame.number)
         {
-            // Its answer comes over the link that was asked on.
+            // The response will come over the link that the query was sent on.
             sent.link = link;
         }
         let actions = gateway_part.site_router.outcome_received(now, frame.number, &outcome);
         self.carry_out_site_actions(actions, received);
     }
 
-    /// Another gateway asks what became of a request that it sent.
+    /// Replies to another gateway's query about a request that it sent.
     fn answer_outcome_query(&mut self, link: LinkId, gateway: PeerGatewayId, query: &OutcomeQuery) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
@@ -76,7 +77,8 @@
         gateway_part.send(gateway, Some(link), Outbound::OutcomeReply(frame, data));
     }
 
-    /// Another gateway tells what it takes, and where groups are.
+    /// Handles another gateway's announcement of its capacity and of the groups at its site. A request class that
+    /// the announcement leaves out has no credit.
     fn capacity_received(&mut self, gateway: PeerGatewayId, announcement: &CapacityAnnouncement) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
@@ -90,7 +92,9 @@
         self.carry_out_site_actions(actions, None);
     }
 
-    /// What another gateway sent for a request, with buffer space for it where it is large.
+    /// Returns the data that another gateway sent for a request, as an answer. Data larger than
+    /// `limits.buffers.small_message` needs reserved buffer space; if none is free, the answer is a rejection or
+    /// a failure instead. Returns `None` if the request is not pending any more.
     fn received_answer(&self, number: u64, data: Vec<u8>) -> Option<ReceivedAnswer> {
         let gateway_part = self.gateway_part.as_ref()?;
         let handle = gateway_part.site_router.handle_by_forward_number(number)?;
@@ -111,6 +115,7 @@
 }
 
 impl GatewayPart {
+    /// Converts another gateway's response to the form that the site router takes.
     fn peer_answer(&self, response: &ResponseFrame) -> PeerAnswer {
         match response.kind() {
             ResponseKind::Served => PeerAnswer::Served,
@@ -123,7 +128,8 @@
         }
     }
 
-    /// What became of a request that this gateway was sent. What an earlier start took is in the outcome log.
+    /// Returns the outcome of a request that was sent to this gateway. Requests that were sent to an earlier
+    /// incarnation are looked up in the outcome log.
     fn look_up_outcome(
         &mut self,
         now: Micros,
@@ -141,7 +147,7 @@
         }
     }
 
-    /// The answer of a remote request goes over the link on which it was last asked about.
+    /// Sets the link for the response to a remote request: the one on which the request was last queried.
     fn set_response_link(&mut self, gateway: PeerGatewayId, number: u64, link: LinkId) {
         for incoming in self.waiting_requests.values_mut() {
             if (incoming.gateway, incoming.number) == (gateway, number) {
@@ -157,6 +163,7 @@
     }
 }
 
+/// Returns the outcome that a reply states, without the data of a served request.
 fn decode_outcome_reply(frame: &OutcomeReply) -> Outcome<()> {
     match frame.kind() {
         OutcomeReplyKind::NeverAccepted => Outcome::NeverAccepted,
@@ -168,7 +175,7 @@
     }
 }
 
-/// An outcome as another gateway is told it, and the value that goes with it.
+/// Returns the reply that states an outcome, and the data of a served request, which is sent with the reply.
 fn encode_outcome_reply(number: u64, outcome: Outcome<RetainedResponse>) -> (OutcomeReply, Vec<u8>) {
     let mut frame = OutcomeReply { number, ..OutcomeReply::default() };
     let mut data = Vec::new();
--- a/crates/proxy/src/dispatcher/gateway/links.rs
+++ b/crates/proxy/src/dispatcher/gateway/links.rs
@@ -1,4 +1,4 @@
-//! Links to other gateways that come up and are lost.
+//! Links to other gateways: how they come up, are identified by a greeting, and are lost.
 
 use aldermill_site_link::{Identity, Inbound};
 use aldermill_site_routing::{LOCAL_SITE, Origin, PeerGatewayId, SiteId};
@@ -9,7 +9,8 @@
 use crate::messages::{LinkEvent, LinkId};
 
 impl Dispatcher {
-    /// What the actor of a link says.
+    /// Handles an event that the actor of a link reports. Messages that arrive before the other side has
+    /// greeted, or after the link was closed, are ignored.
     pub(in crate::dispatcher) fn handle_link_event(&mut self, link: LinkId, event: LinkEvent) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
         match event {
@@ -27,7 +28,8 @@
         }
     }
 
-    /// The other side of a link has said who it is. Dropping the link's state closes it.
+    /// Handles the greeting of the gateway at the other end of a link. The link is closed, by dropping its state,
+    /// if the greeting names the local site, an unknown site or an incarnation that another has replaced.
     fn greeting_received(&mut self, link: LinkId, identity: Identity) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
@@ -78,7 +80,8 @@
 }
 
 impl GatewayPart {
-    /// The index of the gateway that greets so, which is new if it never greeted.
+    /// Returns the index of the gateway with the site and instance of `origin`, after adding it if it has never
+    /// greeted.
     fn get_or_add_gateway(&mut self, site: SiteId, origin: &Origin) -> PeerGatewayId {
         let same =
             |peer: &PeerGateway| peer.origin.site == origin.site && peer.origin.instance == origin.instance;
@@ -89,7 +92,7 @@
         self.peer_gateways.len() - 1
     }
 
-    /// A gateway restarted: links of the incarnation before lead nowhere.
+    /// Replaces the incarnation of a restarted gateway, and closes the links to the previous incarnation.
     fn replace_incarnation(&mut self, id: PeerGatewayId, origin: Origin) {
         for old in std::mem::take(&mut self.peer_gateways[id].links) {
             self.links.remove(&old);
@@ -97,7 +100,7 @@
         self.peer_gateways[id].origin = origin;
     }
 
-    /// Adds a link to a gateway, and returns how many lead there.
+    /// Adds a link to a gateway. Returns how many links to it are up.
     fn add_link(&mut self, id: PeerGatewayId, link: LinkId) -> usize {
         self.peer_gateways[id].links.push(link);
         if let Some(active) = self.links.get_mut(&link) {
@@ -106,7 +109,8 @@
         self.peer_gateways[id].links.len()
     }
 
-    /// The numbers of requests that crossed over this link, in their order.
+    /// Returns the numbers of the requests at a gateway whose response is expected over this link, in ascending
+    /// order.
     fn numbers_sent_over(&self, id: PeerGatewayId, link: LinkId) -> Vec<u64> {
         let sent = self.sent_requests.iter().filter(|(_, sent)| sent.link == link && sent.gateway == id);
         let mut numbers: Vec<u64> = sent.map(|(&number, _)| number).collect();
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -1,8 +1,11 @@
-//! The dispatcher's gateway part: requests that are forwarded to other sites, and remote requests that come from them.
+//! The dispatcher's gateway part: forwards requests to other sites, and serves the remote requests that their
+//! gateways send.
 //!
-//! What `crates/site-routing` returns is carried out here; no choice is made. A request's way: `pending_requests` hands it
-//! to the site router, `site_actions` carries out where it goes, `inbound_messages` takes what comes back over links, `answers`
-//! gives the one answer. `remote_requests` takes what other gateways send; `links` keeps account of who is linked.
+//! The gateway part carries out what the site router of `crates/site-routing` decides, and makes no routing
+//! decisions itself. A request passes through four modules: `pending_requests` hands it to the site router,
+//! `site_actions` carries out the site router's actions, `inbound_messages` handles what arrives over links, and
+//! `answers` gives the request its one answer. `remote_requests` admits requests from other gateways, `links`
+//! tracks which gateways are linked, `announcements` reports the gateway's state, and `start` constructs it.
 
 mod announcements;
 mod answers;
@@ -29,92 +32,97 @@
 use crate::flow_control::BufferReservation;
 use crate::messages::{ClientId, ClientRequest, LinkId};
 
-/// How long after a request's deadline its sender may still ask about it, in microseconds.
+/// Time after a request's deadline during which its sender may still query its outcome, in microseconds.
 const QUERY_GRACE: Micros = 5_000_000;
-/// A span that another gateway sent is not taken for longer than this, in microseconds, so that sums do not overflow.
+/// Upper limit for durations received from other gateways, in microseconds, so that sums of durations do not
+/// overflow.
 const MAX_RECEIVED_DURATION: Micros = 1_000_000_000;
 
-/// The response to a served non-idempotent remote request, kept as long as anybody may ask.
+/// Response to a served non-idempotent remote request, kept as long as its sender may query the outcome.
 #[derive(Clone)]
 pub struct RetainedResponse {
     bytes: Rc<Vec<u8>>,
-    /// The buffer space that the value takes, held as long as the value.
+    /// Buffer space reserved for the response, released when the response is dropped; `None` for a small one.
     _reservation: Option<Rc<BufferReservation>>,
 }
 
-/// A request of another gateway, and over which link its answer goes.
+/// A request that another gateway sent, and the link for its response.
 struct RemoteRequest {
     gateway: PeerGatewayId,
-    /// The other gateway's number for it.
+    /// Number under which the other gateway sent the request.
     number: u64,
     link: LinkId,
     origin: Origin,
 }
 
-/// Who waits for a forwarded request.
+/// Who waits for the answer to a pending request.
 enum Requester {
     Client(WaitingClient),
     Gateway(RemoteRequest),
 }
 
-/// A request on its way: with the router here, over a link, or waiting for either.
+/// A request that the site router decides on: it is at the local router, at another gateway, or queued.
 struct PendingRequest {
     request: Rc<ClientRequest>,
     class: usize,
-    /// The router's handle, while the router here decides on it.
+    /// Handle at the local router; `None` while the local router does not have the request.
     local_handle: Option<RouterHandle>,
     requester: Requester,
-    /// The sites that it has come through.
+    /// Names of the sites that the request has passed through, its origin first; empty for a request of a
+    /// local client.
     visited: Vec<String>,
 }
 
-/// A link that stands.
+/// A link that is up.
 struct ActiveLink {
-    /// The gateway on the other side, once it has greeted.
+    /// Gateway at the other end; `None` until its greeting arrives.
     gateway: Option<PeerGatewayId>,
     outbox: mpsc::Sender<Outbound>,
-    /// For whom buffer space for its values is asked.
+    /// The link's connection, on whose behalf buffer space is reserved for the answers to requests that arrive
+    /// over it.
     peer: PeerId,
 }
 
-/// Another gateway's process, as it greeted last.
+/// A gateway at another site, as of its latest greeting.
 struct PeerGateway {
     site: SiteId,
     origin: Origin,
     links: Vec<LinkId>,
 }
 
-/// A request that was forwarded: to which incarnation of which gateway, and over which link.
+/// Where a request was forwarded to: the gateway, the incarnation of its process, and the link.
 struct SentRequest {
     gateway: PeerGatewayId,
     incarnation: u64,
     link: LinkId,
 }
 
-/// Requests that ended with the router here since this was last asked.
+/// Counts of requests that ended at the local router since the observations were last taken.
 #[derive(Default)]
 struct EndedRequestCounts {
+    /// Start of the counted period, in microseconds on the router's clock.
     since: Micros,
     total: u32,
-    /// Those served within their latency objective.
+    /// Requests that were served within the latency objective of their class.
     within_objective: u32,
-    /// Those that would go elsewhere with their sessions.
+    /// Reads of local clients, which would move to another site together with their sessions.
     session_reads: u32,
 }
 
-/// A non-idempotent remote request that is taken once its record is written.
+/// A remote request that was received and is not admitted yet. A non-idempotent one waits until its record is
+/// written.
 struct IncomingRequest {
     link: LinkId,
     gateway: PeerGatewayId,
     origin: Origin,
     number: u64,
-    /// On the router's clock.
+    /// Time of arrival, in microseconds on the router's clock.
     received_at: Micros,
     frame: RequestFrame,
     statement: Vec<u8>,
 }
 
-/// An outcome that leaves once its record is written.
+/// A response that is sent once the record of its outcome is written.
 struct OutgoingResponse {
     gateway: PeerGatewayId,
     link: LinkId,
@@ -122,67 +130,71 @@
     data: Vec<u8>,
 }
 
-/// What the dispatcher keeps as a gateway to other sites.
+/// The dispatcher's state as a gateway to other sites.
 pub struct GatewayPart {
+    /// Site, instance and incarnation of this gateway.
     identity: Identity,
-    /// The sites' names, the own one first.
+    /// Names of all sites, by site index: the local site is the first.
     site_names: Vec<String>,
-    /// The names of the request classes, by their index.
+    /// Names of the request classes, by class index.
     class_names: Vec<String>,
-    /// Decides where each request is served.
+    /// Decides at which site each request is served.
     site_router: SiteRouter,
-    /// What became of remote requests that this process accepted.
+    /// Outcomes of the remote requests that this process accepted.
     outcomes: OutcomeTable<RetainedResponse>,
-    /// The gateways that have greeted, by their index.
+    /// Gateways that have greeted, by gateway index.
     peer_gateways: Vec<PeerGateway>,
     links: HashMap<LinkId, ActiveLink>,
     pending_requests: HashMap<RequestHandle, PendingRequest>,
-    /// Remote requests, by the gateway that sent them and its number for them.
+    /// Pending remote requests, by the gateway that sent them and the number under which it did.
     remote_requests: HashMap<(PeerGatewayId, u64), RequestHandle>,
-    /// Requests at other gateways, by the number under which they were forwarded.
+    /// Requests at other gateways, by the number under which they were forwarded there.
     sent_requests: HashMap<u64, SentRequest>,
-    /// Where outcomes are kept over a restart.
+    /// Outcomes on disk, which survive a restart; `None` without a data directory.
     pub(super) outcome_log: Option<OutcomeLog>,
-    /// Confirms each record of that log, in their order.
+    /// Receives, for each write to the outcome log in order, whether it succeeded; `None` without such a log.
     pub(super) write_confirmations: Option<mpsc::Receiver<bool>>,
-    /// Remote requests whose record is being written.
+    /// Remote requests that wait for the record of their acceptance.
     waiting_requests: HashMap<RecordId, IncomingRequest>,
-    /// Outcomes whose record is being written.
+    /// Responses that wait for the record of their outcome.
     waiting_responses: HashMap<RecordId, OutgoingResponse>,
+    /// Client ID that the latest remote request was given.
     last_remote_client_id: ClientId,
-    /// The comment's field that names a session.
+    /// Field of a statement's comment that names the session; `None` if sessions are not named.
     session_field: Option<String>,
     ended_counts: EndedRequestCounts,
+    /// Whether this gateway has announced that it drains, because the process is stopping.
     draining: bool,
-    /// When the site router wants to be woken.
+    /// When the site router is to be woken, in microseconds on the router's clock.
     pub(super) wake_at: Micros,
-    /// When the available capacity here is next announced, though nothing may have changed.
+    /// When the available capacity is announced next, even if it has not changed.
     next_announcement_at: Micros,
 }
 
 impl GatewayPart {
-    /// Whether any site is known to have this group.
+    /// Returns whether any site is known to have the group.
     pub(super) fn knows_group(&self, group: u64) -> bool {
         self.site_router.knows_group(group)
     }
 
-    /// Where groups have their primary, by the name of the site.
+    /// Returns the groups whose home is known, each with the name of the site believed to have its primary.
     pub(super) fn homes(&self) -> BTreeMap<u64, String> {
         let homes = self.site_router.home_sites().into_iter();
         homes.filter_map(|view| Some((view.group, self.site_names[view.home?].clone()))).collect()
     }
 
-    /// Requests that the gateway part decides on, whoever sent them.
+    /// Returns the number of pending requests, from clients and from other gateways.
     pub(super) fn open_requests(&self) -> usize {
         self.pending_requests.len()
     }
 
-    /// Whether other gateways were told that this one drains.
+    /// Returns whether this gateway has announced to the others that it drains.
     pub(super) fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Remote requests under way, those included that wait for a record.
+    /// Returns the number of remote requests in progress. Those that wait for a record, for themselves or for
+    /// their response, are included.
     pub(super) fn remote_requests(&self) -> usize {
         self.remote_requests.len() + self.waiting_requests.len() + self.waiting_responses.len()
     }
@@ -191,7 +203,9 @@
         self.site_names.iter().position(|known| known == name)
     }
 
-    /// Sends a frame to a gateway, over the link named or any that stands. Returns the link, unless none could take it.
+    /// Sends a message to a gateway: over `link` if that is up, or else over the gateway's link with the most
+    /// free queue capacity. Returns the link used, or `None` if no link is up or the queue of the chosen one is
+    /// full.
     fn send(&self, gateway: PeerGatewayId, link: Option<LinkId>, frame: Outbound) -> Option<LinkId> {
         let links = &self.peer_gateways.get(gateway)?.links;
         let named = link.filter(|link| links.contains(link));
@@ -205,7 +219,8 @@
     }
 }
 
-/// A span that another gateway sent, in microseconds.
+/// Converts a duration received from another gateway, in microseconds, and limits it to
+/// [`MAX_RECEIVED_DURATION`].
 fn capped_micros(received: u64) -> Micros {
     Micros::try_from(received).unwrap_or(MAX_RECEIVED_DURATION).min(MAX_RECEIVED_DURATION)
 }
--- a/crates/proxy/src/dispatcher/gateway/pending_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/pending_requests.rs
@@ -1,4 +1,5 @@
-//! Requests on their way: with the router here, over a link, or waiting for either.
+//! Pending requests: they are handed to the site router, and are at the local router, at another gateway or
+//! queued until they are answered or abandoned.
 
 use std::rc::Rc;
 
@@ -14,19 +15,20 @@
 use crate::dispatcher::requests::SiteMiss;
 use crate::messages::{Answer, ClientRequest};
 
-/// A request for the site router, and who waits for it.
+/// A request that is to be handed to the site router, and its requester.
 pub(super) struct RequestToRoute {
     pub(super) request: ClientRequest,
     pub(super) class: usize,
-    /// How long the requester still waits, in microseconds.
+    /// How much longer the requester waits, in microseconds.
     pub(super) timeout: Micros,
     pub(super) requester: Requester,
-    /// The sites that it has come through.
+    /// Names of the sites that the request has passed through, its origin first; empty for a request of a
+    /// local client.
     pub(super) visited: Vec<String>,
 }
 
 impl Dispatcher {
-    /// A client's request where there is a gateway: to the router here, or to another site.
+    /// Hands a client's request to the site router, which chooses between the local router and another site.
     pub(in crate::dispatcher) fn route_between_sites(&mut self, request: ClientRequest, class: usize) {
         let waited = self.context.clock.now() - request.received_at;
         let timeout = Micros::from(request.comment.timeout_ms) * 1000 - waited;
@@ -34,7 +36,7 @@
         self.route_request(RequestToRoute { request, class, timeout, requester, visited: Vec::new() });
     }
 
-    /// Asks the site router where a request is to be served, and carries that out.
+    /// Hands a request to the site router, which decides where it is served, and carries out the decision.
     pub(super) fn route_request(&mut self, to_route: RequestToRoute) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
@@ -52,7 +54,8 @@
         self.carry_out_site_actions(actions, None);
     }
 
-    /// Nobody waits for a request any more.
+    /// Drops a pending request that its requester no longer waits for. The local router abandons it, and
+    /// another gateway that has it is told to cancel it.
     pub(in crate::dispatcher) fn abandon_pending_request(&mut self, handle: RequestHandle) {
         let now = self.context.clock.now();
         let Some(pending) = self.remove_pending_request(handle) else { return };
@@ -64,7 +67,7 @@
         self.carry_out_site_actions(actions, None);
     }
 
-    /// The router here has answered a request for the gateway part.
+    /// Handles the local router's answer to a request that the gateway part handed to it.
     pub(in crate::dispatcher) fn local_request_answered(&mut self, handle: RequestHandle, answer: Answer) {
         let now = self.context.clock.now();
         let result = match &answer {
@@ -91,7 +94,8 @@
         gateway_part.ended_counts.session_reads += u32::from(reads && from_client);
     }
 
-    /// An attempt here that lasted so long may have run.
+    /// Tells the site router that an attempt at the local site, which lasted `elapsed` microseconds, may have
+    /// run.
     pub(in crate::dispatcher) fn may_have_run(&mut self, handle: RequestHandle, elapsed: Micros) {
         let began = self.context.clock.now() - elapsed;
         if let Some(gateway_part) = &mut self.gateway_part {
@@ -99,7 +103,8 @@
         }
     }
 
-    /// An attempt here found its member not primary. What follows is carried out once the router has heard it, too.
+    /// Handles an attempt at the local site whose member was not the primary. The caller carries out the
+    /// returned actions after the local router has been told of the attempt's end as well.
     pub(in crate::dispatcher) fn local_not_primary(&mut self, handle: RequestHandle) -> SiteMiss {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return SiteMiss::default() };
@@ -108,7 +113,7 @@
         SiteMiss { actions: Some(actions), taken_back }
     }
 
-    /// A member here answered as the primary of this group.
+    /// Handles an answer in which a member of the local site acted as the primary of its group.
     pub(in crate::dispatcher) fn local_primary_found(&mut self, group: u64) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
@@ -116,7 +121,7 @@
         self.carry_out_site_actions(actions, None);
     }
 
-    /// The endpoint list has changed: each group with its number of ready members.
+    /// Handles a changed endpoint list. `groups` holds each group with its number of ready members.
     pub(in crate::dispatcher) fn groups_listed(&mut self, groups: &[(u64, usize)]) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
@@ -124,7 +129,7 @@
         self.carry_out_site_actions(actions, None);
     }
 
-    /// The site router wanted to be woken now.
+    /// Does the periodic work of the gateway part and of the site router.
     pub(in crate::dispatcher) fn wake_site_router(&mut self) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
@@ -133,7 +138,7 @@
         self.carry_out_site_actions(actions, None);
     }
 
-    /// What was decided in common of sites that drain.
+    /// Applies the fleet's current plans for draining sites, which replace the earlier ones.
     pub fn apply_site_drain_plans(&mut self, plans: Vec<Plan>) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
@@ -141,7 +146,7 @@
         self.carry_out_site_actions(actions, None);
     }
 
-    /// The process stalled until now.
+    /// Tells the site router that a stall of this process has just ended.
     pub(in crate::dispatcher) fn report_stall_to_site_router(&mut self) {
         let now = self.context.clock.now();
         if let Some(gateway_part) = &mut self.gateway_part {
@@ -149,7 +154,8 @@
         }
     }
 
-    /// Drops what is kept of a forwarded request, which is returned.
+    /// Removes a pending request with all entries that refer to it. Returns the request, or `None` if it is not
+    /// pending.
     pub(super) fn remove_pending_request(&mut self, handle: RequestHandle) -> Option<PendingRequest> {
         let gateway_part = self.gateway_part.as_mut()?;
         let pending = gateway_part.pending_requests.remove(&handle)?;
@@ -163,7 +169,7 @@
 }
 
 impl GatewayPart {
-    /// The request as the site router sees it.
+    /// Returns a request in the form that the site router takes.
     fn routed_request(&self, to_route: &RequestToRoute) -> Request {
         let request = &to_route.request;
         let field = self.session_field.as_ref();
@@ -174,12 +180,13 @@
             group: request.comment.group,
             timeout: to_route.timeout,
             visited,
-            // One that names no session has none to keep with.
+            // A request that names no session is a session of its own, under its ID.
             session: Some(named.unwrap_or(&request.comment.id).to_owned()),
         }
     }
 
-    /// Takes a forwarded request back from the router here: the handle to abandon there.
+    /// Takes the local router's handle of a request, which the caller then abandons there. Returns `None` if the
+    /// local router does not have the request.
     pub(super) fn take_local_handle(&mut self, handle: RequestHandle) -> Option<RouterHandle> {
         self.pending_requests.get_mut(&handle)?.local_handle.take()
     }
--- a/crates/proxy/src/dispatcher/gateway/remote_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/remote_requests.rs
@@ -1,4 +1,4 @@
-//! Remote requests: what other gateways sent here, from their arrival until the site router has them.
+//! Remote requests, from their arrival until they are handed to the site router.
 
 use aldermill_routing::{Effect, Micros};
 use aldermill_site_link::{Outbound, Request as RequestFrame, Response as ResponseFrame, ResponseKind};
@@ -16,16 +16,17 @@
 use crate::dispatcher::outcome_log::{AcceptanceDecision, OutcomeLog, RecordId};
 use crate::messages::{ClientRequest, LinkId};
 
-/// What an arriving request was found to be.
+/// What validation determines about a remote request.
 struct ValidatedRequest {
     class: usize,
     comment: Comment,
-    /// How long its sender still waits, less the way back, in microseconds.
+    /// How much longer the sender waits, less the delay of the response on its way back, in microseconds.
     timeout: Micros,
 }
 
 impl Dispatcher {
-    /// Another gateway sent a request: remembered, and, if non-idempotent, recorded before it goes on.
+    /// Handles a request from another gateway. It is accepted in the outcome table and, if it is non-idempotent,
+    /// recorded on disk before it is admitted.
     pub(super) fn remote_request_received(
         &mut self,
         link: LinkId,
@@ -35,7 +36,8 @@
     ) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        // Meant for an earlier start of this gateway: what that one did with it is not known, so nothing is said.
+        // The request was sent to an earlier incarnation of this gateway. What that incarnation did with it is not
+        // known, so there is no response.
         if frame.receiver_incarnation != gateway_part.identity.incarnation {
             return;
         }
@@ -47,7 +49,8 @@
                 gateway_part.send_rejection(gateway, link, number, ResponseKind::Rejected);
                 return;
             }
-            // Another copy, or one that was asked about before it came: no news to the sender.
+            // Another copy, or a request that was queried before it arrived. The sender must not be told that it
+            // was rejected, as an earlier copy may have run.
             Err(_) => return,
         }
         self.record_acceptance(IncomingRequest {
@@ -61,7 +64,8 @@
         });
     }
 
-    /// Writes the record of a non-idempotent request, which waits for that; any other goes on.
+    /// Records the acceptance of a non-idempotent request, which waits until the record is written. Any other
+    /// request is admitted at once.
     fn record_acceptance(&mut self, incoming: IncomingRequest) {
         let class = self.decoded.class_index(&incoming.frame.class).ok();
         let effect = class.map(|class| self.decoded.router_config.classes[class].effect);
@@ -79,14 +83,14 @@
         }
     }
 
-    /// Settles a remote request that never began, and tells its sender.
+    /// Rejects a remote request that has not run: stores that outcome, and tells the sender.
     fn reject_remote_request(&mut self, incoming: &IncomingRequest, kind: ResponseKind) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
         gateway_part.outcomes.record(&incoming.origin, incoming.number, Outcome::Rejected { retry_after: 0 });
         gateway_part.send_rejection(incoming.gateway, incoming.link, incoming.number, kind);
     }
 
-    /// A record was written, or was not: what waited for it goes on.
+    /// Handles the end of the outcome log's oldest write, and resumes what waited for its record.
     pub(in crate::dispatcher) fn record_written(&mut self, is_written: bool) {
         let now = self.context.clock.now();
         let Some(outcome_log) = self.outcome_log() else { return };
@@ -95,7 +99,8 @@
         }
     }
 
-    /// The disk is too slow: what waits for it goes on without.
+    /// Stops waiting for the disk if it is too slow: requests that wait for their record are rejected, and
+    /// responses are sent without theirs.
     pub(in crate::dispatcher) fn stop_waiting_for_records(&mut self) {
         let now = self.context.clock.now();
         let Some(outcome_log) = self.outcome_log() else { return };
@@ -112,6 +117,8 @@
         self.gateway_part.as_mut()?.outcome_log.as_mut()
     }
 
+    /// Resumes what waited for a record: a response is sent in any case, and a request is admitted if the record
+    /// was written, and else rejected.
     fn resume_after_record(&mut self, id: RecordId, is_written: bool) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
         if let Some(outgoing) = gateway_part.waiting_responses.remove(&id) {
@@ -119,13 +126,14 @@
         }
         match gateway_part.waiting_requests.remove(&id) {
             Some(incoming) if is_written => self.admit_remote_request(incoming),
-            // Nothing of it has begun: that may be said whatever the disk holds.
+            // The request has not run, so it may be rejected whether or not the record reaches the disk.
             Some(incoming) => self.reject_remote_request(&incoming, ResponseKind::Rejected),
             None => {}
         }
     }
 
-    /// A remote request whose record is written, or that needs none, goes to the site router or is rejected.
+    /// Hands a remote request to the site router, or rejects it if validation fails. This is called once the
+    /// request's record is written, or at once if the request needs none.
     fn admit_remote_request(&mut self, incoming: IncomingRequest) {
         let validated = match self.validate_remote_request(&incoming) {
             Ok(validated) => validated,
@@ -136,7 +144,7 @@
         let Some(peer) = gateway_part.links.get(&link).map(|active| active.peer) else { return };
         gateway_part.site_router.remote_request_started(gateway, validated.class);
         gateway_part.last_remote_client_id += 1;
-        // Its answer goes over the link; this mailbox is nobody's.
+        // The answer goes over the link, so this mailbox has no receiver.
         let (mailbox, _) = mpsc::channel(1);
         let request = ClientRequest {
             client: gateway_part.last_remote_client_id,
@@ -156,7 +164,7 @@
         });
     }
 
-    /// The request's class, comment and time, or the kind of rejection that its sender is told.
+    /// Returns the class, comment and timeout of a remote request, or the kind of response that rejects it.
     fn validate_remote_request(&self, incoming: &IncomingRequest) -> Result<ValidatedRequest, ResponseKind> {
         let frame = &incoming.frame;
         let gateway_part = self.gateway_part.as_ref().ok_or(ResponseKind::Rejected)?;
@@ -181,14 +189,14 @@
         Ok(ValidatedRequest { class, comment, timeout })
     }
 
-    /// The gateway that sent a request no longer waits for it.
+    /// Handles the cancellation of a request by the gateway that sent it.
     pub(super) fn remote_request_cancelled(&mut self, gateway: PeerGatewayId, number: u64) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let Some(&handle) = gateway_part.remote_requests.get(&(gateway, number)) else {
             return gateway_part.cancel_waiting_request(gateway, number);
         };
-        // What the router has begun may run yet.
+        // An attempt that the router has already started may still run, so the request counts as failed.
         let origin = &gateway_part.peer_gateways[gateway].origin;
         gateway_part.outcomes.record(origin, number, Outcome::Failed);
         let class = gateway_part.pending_requests.get(&handle).map_or(0, |pending| pending.class);
@@ -198,7 +206,7 @@
 }
 
 impl GatewayPart {
-    /// A request that waits for its record never begins.
+    /// Cancels a remote request that still waits for its record. It never runs, and counts as rejected.
     fn cancel_waiting_request(&mut self, gateway: PeerGatewayId, number: u64) {
         let before = self.waiting_requests.len();
         self.waiting_requests.retain(|_, incoming| (incoming.gateway, incoming.number) != (gateway, number));
@@ -213,7 +221,7 @@
         self.send(gateway, Some(link), Outbound::Response(frame, Vec::new()));
     }
 
-    /// Sends an outcome over its link; where that was lost, the other gateway asks about it.
+    /// Sends a response over its link. If that link was lost, the other gateway will query the outcome.
     fn send_outcome(&self, outgoing: OutgoingResponse) {
         let OutgoingResponse { gateway, link, frame, data } = outgoing;
         if self.peer_gateways[gateway].links.contains(&link) {
--- a/crates/proxy/src/dispatcher/gateway/site_actions.rs
+++ b/crates/proxy/src/dispatcher/gateway/site_actions.rs
@@ -1,4 +1,5 @@
-//! Carries out what the site router decided: hand a request to the router here, send it to a site, answer it.
+//! Carries out the site router's actions: hands requests to the local router, forwards them to other gateways, and
+//! answers them.
 
 use aldermill_routing::Micros;
 use aldermill_site_link::{Confirm, Outbound, OutcomeQuery, Request as RequestFrame};
@@ -10,15 +11,15 @@
 use crate::dispatcher::requests::Handover;
 use crate::messages::Answer;
 
-/// What a request has just been answered with, here or at another site.
+/// An answer that has just been received for a request, from the local router or another gateway.
 pub(in crate::dispatcher) struct ReceivedAnswer {
     pub(super) handle: RequestHandle,
     pub(super) answer: Answer,
 }
 
 impl Dispatcher {
-    /// Carries out the site router's actions, in their order. `received` is passed on where a request is served
-    /// with it.
+    /// Carries out the site router's actions, in order. `received` is the answer that
+    /// [`Action::RelayResponse`] passes on to the requester; `None` if none was received.
     pub(in crate::dispatcher) fn carry_out_site_actions(
         &mut self,
         actions: Actions,
@@ -93,7 +94,9 @@
         }
     }
 
-    /// Sends a request to another site's gateway. Where no link takes it, it never left this process.
+    /// Sends a request to another site's gateway. `timeout` is the time until the request's deadline when it
+    /// arrives there, in microseconds. If no link takes the request, it never left this process, and counts as
+    /// never accepted.
     fn forward_to_gateway(
         &mut self,
         handle: RequestHandle,
@@ -119,7 +122,7 @@
         self.carry_out_site_actions(actions, None);
     }
 
-    /// Asks another gateway what became of a request that was sent there.
+    /// Queries the outcome of a request that was forwarded to another gateway.
     fn query_outcome(&mut self, gateway: PeerGatewayId, number: u64) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let Some(sent) = gateway_part.sent_requests.get(&number) else { return };
@@ -127,6 +130,7 @@
         gateway_part.send(gateway, None, Outbound::OutcomeQuery(query));
     }
 
+    /// Tells another gateway that the answer to a request that was forwarded to it is no longer needed.
     fn cancel_at_site(&mut self, gateway: PeerGatewayId, number: u64) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let link = gateway_part.sent_requests.remove(&number).map(|sent| sent.link);
@@ -135,10 +139,11 @@
 }
 
 impl GatewayPart {
-    /// A request as another gateway is sent it, but for whom it is meant and how long it may take.
+    /// Returns the frame that forwards a request. The caller sets its number, the incarnation of the receiver and
+    /// the timeout.
     fn request_frame(&self, pending: &PendingRequest, now: Micros) -> RequestFrame {
         let request = &pending.request;
-        // Zero on the wire says that no last write is known.
+        // Zero on the wire means that no last write is known, so a known age is sent as at least 1.
         let written_ago = request.last_write(now).map_or(0, |ago| ago.max(1));
         let mut visited = pending.visited.clone();
         visited.push(self.identity.site.clone());
--- a/crates/proxy/src/dispatcher/gateway/start.rs
+++ b/crates/proxy/src/dispatcher/gateway/start.rs
@@ -1,4 +1,4 @@
-//! How the gateway part begins: from the settings and the operator's file.
+//! Construction of the gateway part from the settings and the operator's configuration file.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -14,33 +14,35 @@
 use crate::messages::ClientId;
 use crate::persistence::DataDirectory;
 
-/// Remote requests get client ids of their own, from here on.
+/// Client IDs of remote requests are greater than this number, which keeps them apart from those of clients.
 const REMOTE_CLIENT_ID_BASE: ClientId = 1 << 63;
-/// How many confirmations may wait for the dispatcher: as many as records may wait for the disk, and more.
+/// Maximum number of write confirmations that wait for the dispatcher. It is greater than the number of writes
+/// that may wait for the disk, as a confirmation that does not fit is lost.
 const CONFIRMATION_QUEUE_CAPACITY: usize = 2048;
 
-/// What the gateway part needs to start.
+/// Parameters of a new gateway part.
 pub struct GatewaySetup {
-    /// Who this gateway is.
+    /// Site, instance and incarnation of this gateway.
     pub identity: Identity,
-    /// The names of the other sites.
+    /// Names of the other sites.
     pub peers: Vec<String>,
-    /// Groups, each with the site that is assumed to have its primary.
+    /// Groups, each with the name of the site that is assumed to have its primary.
     pub homes: Vec<(u64, String)>,
-    /// How many links a request may be forwarded over.
+    /// Maximum number of links that a request is forwarded over, from its origin to the site that serves it.
     pub max_hops: usize,
-    /// How many requests of one class another gateway may have in flight here, at most.
+    /// Maximum number of requests of one class that another gateway may have in flight at this one.
     pub max_credit: u32,
-    /// The comment's field that names a session.
+    /// Field of a statement's comment that names the session; `None` if sessions are not named.
     pub session_field: Option<String>,
-    /// How many outcomes are kept for one sender.
+    /// Maximum number of outcomes that are kept in memory for one sender.
     pub max_outcomes_per_sender: usize,
-    /// Where outcomes are kept over a restart, if anywhere.
+    /// Data directory for outcomes that survive a restart; `None` if outcomes are kept in memory only.
     pub directory: Option<Rc<DataDirectory>>,
 }
 
 impl GatewayPart {
-    /// A gateway without links. `now` is on the router's clock.
+    /// Creates a gateway part without links. `seed` determines the site router's random choices, and `now` is in
+    /// microseconds on the router's clock.
     pub fn new(setup: GatewaySetup, settings: &Settings, seed: u64, now: Micros) -> GatewayPart {
         let config = site_router_config(&setup, settings);
         let GatewaySetup {
@@ -81,7 +83,7 @@
     }
 }
 
-/// The settings in the site router's form.
+/// Converts the settings to the configuration of the site router.
 fn site_router_config(setup: &GatewaySetup, settings: &Settings) -> SiteRouterConfig {
     SiteRouterConfig {
         classes: settings.router_config.classes.iter().map(convert_class).collect(),
--- a/crates/proxy/src/dispatcher/outcome_log.rs
+++ b/crates/proxy/src/dispatcher/outcome_log.rs
@@ -1,11 +1,11 @@
-//! The gateway's outcome log on disk: what became of non-idempotent remote requests, for a later incarnation to tell.
+//! The gateway's outcome log on disk: outcomes of non-idempotent remote requests, kept for later incarnations.
 //!
-//! Two logs hold outcomes, and each has one owner. This one, [`OutcomeLog`], owns the records on disk: it writes one when a
-//! non-idempotent remote request is accepted and another when the request has ended, decides whether the request may go on
-//! before its record is confirmed, and reads what earlier incarnations left, to answer queries that name one of them. It
-//! never answers for the running process. That is for `OutcomeTable` of `crates/site-routing`, which the gateway part owns:
-//! it holds, in memory alone, all remote requests that this incarnation accepted, whatever their effect, and decides whether
-//! another copy is accepted.
+//! Outcomes are kept in two places, each with one owner. [`OutcomeLog`] owns the records on disk: it writes one
+//! when a non-idempotent remote request is accepted and another when the request has ended, decides whether the
+//! request may proceed before its record is confirmed, and reads the records of earlier incarnations, to answer
+//! queries that name one of them. It never answers queries about the running process. Those are answered by
+//! `OutcomeTable` of `crates/site-routing`, which the gateway part owns: the table holds, in memory only, all remote
+//! requests that this incarnation accepted, whatever their effect, and decides whether another copy is accepted.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -25,67 +25,72 @@
 use crate::lifecycle::boot_clock::BootClock;
 use crate::persistence::{DataDirectory, StoredRecord};
 
-/// How long a remote request, and an outcome, wait for the disk before they go on without it, in microseconds.
+/// How long a remote request or a response waits for its record to be written, in microseconds. After that the
+/// request is rejected, and the response is sent without the record.
 const WRITE_TIMEOUT: Micros = 250_000;
-/// How long a promise is kept after its end, in microseconds: longer than anybody asks about a request under it.
+/// How long a promise is kept on disk after its end, in microseconds: longer than anybody may query a request that
+/// was accepted under it.
 const PROMISE_RETENTION: Micros = 3_600_000_000;
-/// How many writes may wait for the disk.
+/// Maximum number of writes that wait for the disk.
 const MAX_UNCONFIRMED_WRITES: usize = 512;
 
-/// Names a record that something waits for.
+/// Identifies a record that a remote request or a response waits for.
 pub type RecordId = u64;
 
-/// What a write to the disk is for.
+/// Purpose of a write to the disk.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WritePurpose {
-    /// Something waits for this record.
+    /// The write stores this record, which a request or a response waits for.
     Record(RecordId),
-    /// A promise that nothing is accepted without a record.
+    /// The write stores a promise that no request is accepted without a record.
     Promise,
-    /// Nobody waits for it any more.
+    /// Nothing waits for the write any more.
     Abandoned,
 }
 
-/// How a remote request goes on after it was accepted.
+/// How a remote request proceeds, depending on whether its acceptance can be recorded.
 pub enum AcceptanceDecision {
-    /// It waits until its record is written.
+    /// The request waits until this record is written.
     AwaitRecord(RecordId),
-    /// It goes on at once, without a record; no promise holds. A later incarnation will not know of it.
+    /// The request proceeds at once without a record, as no promise is in force. Later incarnations will not know
+    /// of the request.
     ProceedUnrecorded,
-    /// It is rejected: the disk takes nothing, and a promise holds that nothing goes on without a record.
+    /// The request is rejected: the disk accepts no writes, and a promise is in force that no request is accepted
+    /// without a record.
     Reject,
 }
 
-/// A record that something waited for.
+/// Result of writing a record that a request or a response waited for.
 pub struct RecordWriteResult {
-    /// Which it is.
+    /// ID of the record.
     pub id: RecordId,
-    /// Whether it is on the disk.
+    /// Whether the record is on disk.
     pub is_written: bool,
 }
 
-/// Records of remote requests on disk, and the promise that none is accepted without one.
+/// Log of remote requests on disk, with the promise that none is accepted without a record.
 pub struct OutcomeLog {
     directory: Rc<DataDirectory>,
-    /// This process's own.
+    /// Incarnation of this process.
     incarnation: u64,
-    /// Whether the disk is trusted with writes for now.
+    /// Decides whether the disk is given more writes.
     circuit_breaker: DiskCircuitBreaker,
     promise: RecordingPromise,
-    /// By what a promise ends; `None` where the system has no such clock, so that a promise binds this whole incarnation.
+    /// Clock by which a promise ends; `None` if the system has no boot clock, so that a promise binds this
+    /// incarnation for as long as it runs.
     boot_clock: Option<BootClock>,
-    /// What earlier incarnations left; `None` while the directory could not be read.
+    /// Records and promises of earlier incarnations; `None` until the directory has been read.
     previous: Option<PreviousIncarnations<Rc<Vec<u8>>>>,
     next_record_id: RecordId,
-    /// Writes that were handed over and not confirmed, the oldest first.
+    /// Writes that were handed to the directory and are not confirmed yet, oldest first.
     unconfirmed_writes: VecDeque<WritePurpose>,
-    /// The directory confirms each write here, in their order.
+    /// Takes the directory's confirmations: for each write in order, whether it succeeded.
     confirmations: mpsc::Sender<bool>,
 }
 
 impl OutcomeLog {
-    /// Opens the log of `incarnation`, and reads what earlier ones left, if the directory can be read yet. `confirmations` is
-    /// sent, for each write in their order, whether it succeeded.
+    /// Opens the log of `incarnation`, and loads the records of earlier incarnations if the directory has already
+    /// been read. `confirmations` is sent, for each write in order, whether it succeeded.
     pub fn open(
         directory: Rc<DataDirectory>,
         incarnation: u64,
@@ -109,7 +114,7 @@
         outcome_log
     }
 
-    /// Reads what earlier incarnations left, once the directory can be read.
+    /// Loads the records and promises of earlier incarnations, once the directory has been read.
     fn load_previous_incarnations(&mut self, now: Micros) {
         if self.previous.is_some() {
             return;
@@ -128,12 +133,12 @@
             previous.add_promise(now, incarnation, until);
         }
         self.previous = Some(previous);
-        // Writes that failed before the directory was there say nothing about it now.
+        // Writes that failed before the directory was available say nothing about its present state.
         self.circuit_breaker = DiskCircuitBreaker::new(WRITE_TIMEOUT, MAX_UNCONFIRMED_WRITES);
     }
 
-    /// What became of a request that was sent to an earlier incarnation. Nothing is known while the directory cannot be
-    /// read.
+    /// Returns the outcome of a request that was sent to an earlier incarnation; [`Outcome::Unknown`] until the
+    /// directory has been read.
     pub fn query(
         &mut self,
         now: Micros,
@@ -146,12 +151,13 @@
         previous.map_or(Outcome::Unknown, |previous| previous.query(origin, number, incarnation))
     }
 
-    /// How much earlier incarnations left.
+    /// Returns the counts of what was loaded of earlier incarnations; zeros until the directory has been read.
     pub fn restored_counts(&self) -> RestoredCounts {
         self.previous.as_ref().map_or_else(RestoredCounts::default, PreviousIncarnations::counts)
     }
 
-    /// Gives another promise where the last one is about to end.
+    /// Makes the next promise and writes it to disk, if the last one is about to end. Does nothing while writes
+    /// are suspended after a failure.
     pub fn renew_promise(&mut self, now: Micros) {
         self.load_previous_incarnations(now);
         if matches!(self.circuit_breaker.state(), DiskState::Unavailable { until } if now < until) {
@@ -166,13 +172,14 @@
         }
     }
 
-    /// The time by which promises end.
+    /// Returns the current time in microseconds on the clock by which promises end: the boot clock, or `now` if
+    /// the system has none.
     fn promise_clock_now(&self, now: Micros) -> Micros {
         self.boot_clock.map_or(now, |clock| clock.now().at)
     }
 
-    /// Both records of a promise: until when it holds in Unix time, and its `end` by the time of
-    /// [`OutcomeLog::promise_clock_now`].
+    /// Returns both records of a promise. `until` is its end in microseconds of Unix time, and `end` is its end on
+    /// the clock of [`OutcomeLog::promise_clock_now`].
     fn promise_batch(&self, until: Micros, end: Micros) -> Batch {
         let end =
             self.boot_clock.map_or(PromiseEnd::WithIncarnation, |clock| PromiseEnd::After(clock.at(end)));
@@ -185,7 +192,8 @@
         batch
     }
 
-    /// Records that a remote request was accepted. After `until` nobody asks about it any more.
+    /// Records that a remote request was accepted, and returns how the request proceeds. After `until` nobody
+    /// queries the request any more.
     pub fn record_acceptance(
         &mut self,
         now: Micros,
@@ -204,8 +212,9 @@
         }
     }
 
-    /// Records an outcome, which is sent once the record is written. Returns the record's ticket; `None` if the disk takes
-    /// nothing, so that the outcome is sent at once.
+    /// Records the outcome of a remote request, whose response is sent once the record is written. After `until`
+    /// nobody queries the request any more. Returns the ID of the record, or `None` if the disk accepts no writes, so
+    /// that the response is sent at once.
     pub fn record_outcome(
         &mut self,
         now: Micros,
@@ -222,7 +231,7 @@
         self.submit_write(now, batch, WritePurpose::Record(id)).then_some(id)
     }
 
-    /// Hands a batch to the disk. Returns whether it was taken.
+    /// Hands a batch to the disk. Returns whether the disk accepts it.
     fn submit_write(&mut self, now: Micros, batch: Batch, purpose: WritePurpose) -> bool {
         if !self.circuit_breaker.admit_write(now, true) {
             return false;
@@ -235,7 +244,8 @@
         true
     }
 
-    /// The oldest unconfirmed write has ended. Returns the record that it was, if something waits for it.
+    /// Handles the end of the oldest unconfirmed write. Returns its record if a request or a response waits for
+    /// it.
     pub fn write_finished(&mut self, now: Micros, is_written: bool) -> Option<RecordWriteResult> {
         let purpose = self.unconfirmed_writes.pop_front()?;
         if is_written {
@@ -251,8 +261,8 @@
         None
     }
 
-    /// Stops waiting for writes that take too long. Returns the records that something waited for: they count as not
-    /// written, though they may still get to the disk.
+    /// Stops waiting for all unconfirmed writes if the oldest of them has just timed out. Returns the records that
+    /// requests or responses waited for. They count as not written, but may still reach the disk.
     pub fn abandon_slow_writes(&mut self, now: Micros) -> Vec<RecordId> {
         if !self.circuit_breaker.check_timeout(now) {
             return Vec::new();
@@ -268,12 +278,13 @@
         ids
     }
 
-    /// When to call [`OutcomeLog::abandon_slow_writes`], on the router's clock.
+    /// Returns when [`OutcomeLog::abandon_slow_writes`] is to be called, in microseconds on the router's clock;
+    /// `None` while no write is waited for.
     pub fn write_deadline(&self) -> Option<Micros> {
         self.circuit_breaker.timeout_at()
     }
 
-    /// Whether the disk takes writes, as far as is known.
+    /// Returns whether the disk accepts writes, as far as is known.
     pub fn is_disk_available(&self) -> bool {
         !matches!(self.circuit_breaker.state(), DiskState::Unavailable { .. })
     }
