--- a/crates/routing/tests/router/main.rs
+++ b/crates/routing/tests/router/main.rs
@@ -1,12 +1,12 @@
 //! Tests of the router's decisions through its public interface.
 
-mod among_many;
 mod basic_routing;
+mod deadlines_and_stalls;
 mod fixtures;
 mod freshness;
-mod in_time;
-mod local;
+mod large_fleet;
+mod local_failures;
+mod primary_search;
 mod random_runs;
+mod replica_subset;
 mod simulation;
-mod wide_fleets;
-mod wide_groups;
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -8,14 +8,14 @@
 use rand_pcg::Pcg64Mcg;
 
 const MS: Micros = 1_000;
-const STEP: Micros = 5 * MS;
-const WORK: Micros = 50 * MS;
+const TIME_STEP: Micros = 5 * MS;
+const ATTEMPT_DURATION: Micros = 50 * MS;
 const MEMBERS: usize = 4;
 /// Attempts that a warm member bears in one window.
-const CAPACITY: f64 = 80.0;
-const COLD: MemberId = 0;
+const WARM_CAPACITY: f64 = 80.0;
+const RESTARTED_MEMBER: MemberId = 0;
 
-fn terms(processes: usize) -> RouterConfig {
+fn router_config(processes: usize) -> RouterConfig {
     let class = RequestClass {
         effect: Effect::Idempotent,
         need: Need::Any,
@@ -47,14 +47,14 @@
     }
 }
 
-fn line(member: MemberId, since: Option<Micros>) -> ListedMember {
+fn list_entry(member: MemberId, start_time: Option<Micros>) -> ListedMember {
     ListedMember {
         member,
         name: format!("m{member}"),
         group: 0,
         zone: 0,
         status: MemberStatus::Ready,
-        started_at: since,
+        started_at: start_time,
         size: 1.0,
         is_primary: false,
     }
@@ -63,134 +63,150 @@
 /// One process: its router, its part of the traffic, and its attempts that are out with when they end.
 struct Process {
     router: Router,
-    part: f64,
-    out: VecDeque<(Micros, RequestHandle)>,
+    traffic_share: f64,
+    in_flight: VecDeque<(Micros, RequestHandle)>,
     /// When it hears of the start.
-    told_at: Micros,
+    list_update_at: Micros,
     wake_at: Micros,
 }
 
 struct Fleet {
     now: Micros,
-    terms: RouterConfig,
+    config: RouterConfig,
     processes: Vec<Process>,
     rng: Pcg64Mcg,
     /// When the cold member was sent something, health checks included, over one window.
-    sent: VecDeque<Micros>,
-    started: Option<Micros>,
+    sent_times: VecDeque<Micros>,
+    restarted_at: Option<Micros>,
 }
 
 impl Fleet {
     fn new(processes: usize, seed: u64) -> Fleet {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let (now, terms) = (1_000_000 * MS, terms(processes));
+        let (now, config) = (1_000_000 * MS, router_config(processes));
         // Some get several times the mean.
-        let parts: Vec<f64> = (0..processes).map(|_| rng.random_range(0.3..1.0f64).powi(3)).collect();
-        let all: f64 = parts.iter().sum();
-        let start = |(number, part): (usize, &f64)| {
-            let mut router = Router::start(terms.clone(), seed * 1_000 + number as u64, now);
-            let _ = router.update_endpoint_list(now, true, (0..MEMBERS).map(|id| line(id, None)).collect());
-            Process { router, part: part / all, out: VecDeque::new(), told_at: Micros::MAX, wake_at: now }
+        let shares: Vec<f64> = (0..processes).map(|_| rng.random_range(0.3..1.0f64).powi(3)).collect();
+        let total: f64 = shares.iter().sum();
+        let start_process = |(index, share): (usize, &f64)| {
+            let mut router = Router::start(config.clone(), seed * 1_000 + index as u64, now);
+            let _ =
+                router.update_endpoint_list(now, true, (0..MEMBERS).map(|id| list_entry(id, None)).collect());
+            Process {
+                router,
+                traffic_share: share / total,
+                in_flight: VecDeque::new(),
+                list_update_at: Micros::MAX,
+                wake_at: now,
+            }
         };
-        let processes = parts.iter().enumerate().map(start).collect();
-        Fleet { now, terms, processes, rng, sent: VecDeque::new(), started: None }
+        let processes = shares.iter().enumerate().map(start_process).collect();
+        Fleet { now, config, processes, rng, sent_times: VecDeque::new(), restarted_at: None }
     }
 
     /// So long at so much of what the members bear together.
-    fn run(&mut self, long: Micros, load: f64) {
-        let until = self.now + long;
-        let each_step = load * CAPACITY * MEMBERS as f64 * STEP as f64 / self.terms.overload_window as f64;
+    fn run(&mut self, duration: Micros, load: f64) {
+        let until = self.now + duration;
+        let requests_per_step =
+            load * WARM_CAPACITY * MEMBERS as f64 * TIME_STEP as f64 / self.config.overload_window as f64;
         while self.now < until {
-            self.now += STEP;
-            for number in 0..self.processes.len() {
-                self.turn(number, each_step);
+            self.now += TIME_STEP;
+            for index in 0..self.processes.len() {
+                self.step_process(index, requests_per_step);
             }
-            self.check();
+            self.check_load();
         }
     }
 
-    fn turn(&mut self, number: usize, each_step: f64) {
+    fn step_process(&mut self, index: usize, requests_per_step: f64) {
         let now = self.now;
-        let process = &mut self.processes[number];
-        if now >= process.told_at {
-            process.told_at = Micros::MAX;
-            let actions = process.router.update_endpoint_list(now, false, vec![line(COLD, self.started)]);
-            self.carry_out(number, actions);
+        let process = &mut self.processes[index];
+        if now >= process.list_update_at {
+            process.list_update_at = Micros::MAX;
+            let actions = process.router.update_endpoint_list(
+                now,
+                false,
+                vec![list_entry(RESTARTED_MEMBER, self.restarted_at)],
+            );
+            self.carry_out(index, actions);
         }
-        while let Some(&(at, handle)) = self.processes[number].out.front().filter(|&&(at, _)| at <= now) {
-            self.processes[number].out.pop_front();
+        while let Some(&(ends_at, handle)) =
+            self.processes[index].in_flight.front().filter(|&&(ends_at, _)| ends_at <= now)
+        {
+            self.processes[index].in_flight.pop_front();
             let outcome = Outcome {
                 verdict: Verdict::Served,
-                duration: WORK + now - at,
+                duration: ATTEMPT_DURATION + now - ends_at,
                 report: MemberReport::default(),
                 request_closed: true,
             };
-            let actions = handle.attempt_ended(&mut self.processes[number].router, now, outcome);
-            self.carry_out(number, actions);
+            let actions = handle.attempt_ended(&mut self.processes[index].router, now, outcome);
+            self.carry_out(index, actions);
         }
-        let due = each_step * self.processes[number].part;
-        let count = due.floor() as usize + usize::from(self.rng.random::<f64>() < due.fract());
-        for _ in 0..count {
+        let expected_requests = requests_per_step * self.processes[index].traffic_share;
+        let request_count = expected_requests.floor() as usize
+            + usize::from(self.rng.random::<f64>() < expected_requests.fract());
+        for _ in 0..request_count {
             let request = Request { ttl: 1_000 * MS, ..Request::default() };
-            let (_, actions) = self.processes[number].router.accept_request(now, request);
-            self.carry_out(number, actions);
+            let (_, actions) = self.processes[index].router.accept_request(now, request);
+            self.carry_out(index, actions);
         }
-        if now >= self.processes[number].wake_at {
-            let actions = self.processes[number].router.wake(now);
-            self.carry_out(number, actions);
+        if now >= self.processes[index].wake_at {
+            let actions = self.processes[index].router.wake(now);
+            self.carry_out(index, actions);
         }
     }
 
-    fn carry_out(&mut self, number: usize, actions: Actions) {
-        let process = &mut self.processes[number];
+    fn carry_out(&mut self, index: usize, actions: Actions) {
+        let process = &mut self.processes[index];
         process.wake_at = actions.wake_at.unwrap_or(process.wake_at);
-        for (handle, step) in actions.requests {
-            if let Action::Attempt { member, .. } = step {
-                process.out.push_back((self.now + WORK, handle));
-                self.sent.extend((member == COLD).then_some(self.now));
+        for (handle, action) in actions.requests {
+            if let Action::Attempt { member, .. } = action {
+                process.in_flight.push_back((self.now + ATTEMPT_DURATION, handle));
+                self.sent_times.extend((member == RESTARTED_MEMBER).then_some(self.now));
             }
         }
         for member in actions.health_checks {
-            self.sent.extend((member == COLD).then_some(self.now));
-            let router = &mut self.processes[number].router;
+            self.sent_times.extend((member == RESTARTED_MEMBER).then_some(self.now));
+            let router = &mut self.processes[index].router;
             let actions =
                 router.health_checked(self.now, member, Verdict::Served, MS, MemberReport::default());
-            self.carry_out(number, actions);
+            self.carry_out(index, actions);
         }
     }
 
     /// It starts again now, and each process is told within a second.
     fn restart(&mut self) {
-        self.started = Some(self.now);
-        self.sent.clear();
+        self.restarted_at = Some(self.now);
+        self.sent_times.clear();
         for process in &mut self.processes {
-            process.told_at = self.now + self.rng.random_range(0..1_000 * MS);
+            process.list_update_at = self.now + self.rng.random_range(0..1_000 * MS);
         }
     }
 
     /// Only what came from processes that had been told is theirs to answer for.
-    fn check(&self) {
-        let Some(started) = self.started else { return };
-        let window = self.terms.overload_window;
-        let age = (self.now - started) as f64 / self.terms.slow_start_duration as f64;
-        if age >= 1.0 || self.processes.iter().any(|process| process.told_at != Micros::MAX) {
+    fn check_load(&self) {
+        let Some(restarted_at) = self.restarted_at else { return };
+        let window = self.config.overload_window;
+        let age = (self.now - restarted_at) as f64 / self.config.slow_start_duration as f64;
+        if age >= 1.0 || self.processes.iter().any(|process| process.list_update_at != Micros::MAX) {
             return;
         }
-        let part = self.terms.slow_start_capacity + (1.0 - self.terms.slow_start_capacity) * age;
-        let allowed = self.terms.overload_factor * part * CAPACITY;
-        let slack = if allowed < 30.0 { 3.0 * allowed.sqrt() + 3.0 } else { 2.0 * allowed.sqrt() + 2.0 };
-        let sent = self.sent.iter().filter(|&&at| at > self.now - window).count() as f64;
-        let count = self.processes.len();
+        let capacity = self.config.slow_start_capacity + (1.0 - self.config.slow_start_capacity) * age;
+        let allowance = self.config.overload_factor * capacity * WARM_CAPACITY;
+        let slack =
+            if allowance < 30.0 { 3.0 * allowance.sqrt() + 3.0 } else { 2.0 * allowance.sqrt() + 2.0 };
+        let sent = self.sent_times.iter().filter(|&&at| at > self.now - window).count() as f64;
+        let process_count = self.processes.len();
         assert!(
-            sent <= allowed + slack,
-            "{count} processes, {} ms after the start: {sent} in a window, {allowed:.0} allowed",
-            (self.now - started) / MS
+            sent <= allowance + slack,
+            "{process_count} processes, {} ms after the start: {sent} in a window, {allowance:.0} allowed",
+            (self.now - restarted_at) / MS
         );
     }
 }
 
 #[test]
-fn all_processes_together_keep_to_what_a_cold_member_bears() {
+fn all_processes_together_stay_within_the_slow_start_allowance() {
     for processes in [3, 8, 20, 30, 300] {
         for seed in 0..4 {
             let mut fleet = Fleet::new(processes, seed);
