--- a/crates/routing/tests/router/deadlines_and_stalls.rs
+++ b/crates/routing/tests/router/deadlines_and_stalls.rs
@@ -1,4 +1,4 @@
-//! What is late, may have run, or fell into a standstill.
+//! Requests that are late or may have run, reports that are handled late, and stalls of the process.
 
 use crate::simulation::{
     ANY_AGE_READ, DEDUPLICATED_WRITE, MS, RECENT_READ, STALENESS_BOUND, Simulation, WRITE,
@@ -14,7 +14,11 @@
     assert_eq!((simulation.attempted.len(), &simulation.failed[..]), (1, &[write][..]));
     let deduplicated_write = simulation.submit(DEDUPLICATED_WRITE, 60_000 * MS);
     simulation.end_attempt(deduplicated_write, Verdict::Error);
-    assert_eq!(target(&simulation, deduplicated_write), Some(0), "its receipt drops repeats");
+    assert_eq!(
+        target(&simulation, deduplicated_write),
+        Some(0),
+        "members drop a repeat within the deduplication window"
+    );
     simulation.advance(2_100 * MS);
     simulation.end_attempt(deduplicated_write, Verdict::Reset);
     assert_eq!(simulation.failed, [write, deduplicated_write]);
@@ -61,13 +65,13 @@
 #[test]
 fn a_router_in_a_large_fleet_rejects_late_requests_with_a_small_late_priority_weight() {
     let mut simulation = checked_simulation(large_fleet_config());
-    // Of two seconds in all 0.6 s have gone by: the quoted half a second as well.
+    // Of the timeout of 2 s, 0.6 s have passed, and with them the latency objective of 0.5 s.
     let (read, write) = (
         simulation.submit_marked(ANY_AGE_READ, 1_400 * MS, true),
         simulation.submit_marked(WRITE, 1_400 * MS, true),
     );
     assert_eq!(simulation.rejected, [read]);
-    assert_eq!(target(&simulation, write), Some(0), "half of its priority weight is left");
+    assert_eq!(target(&simulation, write), Some(0), "a late answer still earns half of the priority weight");
 }
 
 #[test]
@@ -80,19 +84,31 @@
     simulation.advance(20 * MS);
     simulation.health_checks.clear();
     simulation.stall(2_500 * MS);
-    assert_eq!((simulation.failed.len(), simulation.rejected.len()), (4, 0), "they may have run");
+    assert_eq!(
+        (simulation.failed.len(), simulation.rejected.len()),
+        (4, 0),
+        "writes that may have run are failed, not rejected"
+    );
     simulation.advance(20 * MS);
-    assert!(simulation.health_checks.is_empty(), "nobody is asked for having been silent then");
+    assert!(
+        simulation.health_checks.is_empty(),
+        "no member is checked because it was silent during the stall"
+    );
     (0..5).for_each(|_| simulation.end_health_check_with_verdict(0, Verdict::Unobserved));
     let write = simulation.submit(WRITE, 1_000 * MS);
-    assert_eq!(target(&simulation, write), Some(0), "neither mute, lost nor blacklisted");
+    assert_eq!(
+        target(&simulation, write),
+        Some(0),
+        "the primary is not unresponsive, unreachable or blacklisted"
+    );
 }
 
 #[test]
 fn a_report_handled_late_does_not_override_a_newer_one() {
     let mut simulation = checked_simulation(router_config());
     let promoted_at = simulation.now;
-    // Member 2 says that it is primary, and after that member 0 is read, which said so before.
+    // Member 2 reports that it is the primary. The report of member 0, which says the same of itself and is
+    // 100 ms older, is handled after it.
     let (role, position) = (Some(Role::Primary), None);
     simulation.move_primary(2);
     simulation.end_health_check(2, true);
@@ -136,11 +152,11 @@
     let attempt_counts: Vec<usize> = (0..10).map(|_| run_five_ticks(&mut simulation, 1)).collect();
     assert!(
         attempt_counts.iter().all(|&count| count <= 2 * usual_attempts),
-        "{attempt_counts:?}, usual {usual_attempts}"
+        "{attempt_counts:?} attempts in five ticks each, {usual_attempts} usual"
     );
     assert!(
         attempt_counts[..4].iter().sum::<usize>() > 6 * usual_attempts,
-        "and what can be served is: {attempt_counts:?}"
+        "the requests that waited are served too slowly: {attempt_counts:?}"
     );
 }
 
@@ -152,5 +168,5 @@
     for _ in 0..12 {
         simulation.submit(ANY_AGE_READ, 1_500 * MS);
     }
-    assert!(simulation.attempted.len() >= 8, "{} attempted", simulation.attempted.len());
+    assert!(simulation.attempted.len() >= 8, "{} of 12 reads attempted", simulation.attempted.len());
 }
--- a/crates/routing/tests/router/large_fleet.rs
+++ b/crates/routing/tests/router/large_fleet.rs
@@ -1,4 +1,4 @@
-//! A driver among many, which meets each member seldom.
+//! Decisions of a router in a large fleet, which sends each member only few attempts.
 
 use crate::simulation::{
     ANY_AGE_READ, MS, RECENT_READ, Simulation, WRITE, checked_simulation, large_fleet_config, list_entry,
@@ -20,7 +20,7 @@
     }
     assert!(
         (1..=5).contains(&simulation.health_checks.len()),
-        "{} probes for one task",
+        "{} health checks for one request",
         simulation.health_checks.len()
     );
 }
@@ -60,7 +60,7 @@
     }
     assert!(
         simulation.attempted.len() <= 4,
-        "{} attempts in three windows at four",
+        "{} attempts at four members in three windows",
         simulation.attempted.len()
     );
 }
@@ -77,7 +77,11 @@
         }
     }
     let at_primary = simulation.attempted.iter().filter(|&&(_, id)| id == 0).count();
-    assert!((5..=25).contains(&at_primary), "{at_primary} of {}", simulation.attempted.len());
+    assert!(
+        (5..=25).contains(&at_primary),
+        "{at_primary} of {} attempts at the primary",
+        simulation.attempted.len()
+    );
 }
 
 #[test]
@@ -86,7 +90,7 @@
     for _ in 0..8 {
         let write = simulation.submit(WRITE, 2_000 * MS);
         simulation.advance(500 * MS);
-        assert!(target(&simulation, write).is_some(), "held for half a second");
+        assert!(target(&simulation, write).is_some(), "a write was held for half a second");
         simulation.end_attempt(write, Verdict::Served);
     }
 }
@@ -120,11 +124,11 @@
         far_reads.count()
     };
     assert!(count_far_reads(&mut simulation) > 5);
-    // One member does not answer; its neighbour is not asked.
+    // Member 4 does not answer health checks. Member 5, in the same zone, is not checked.
     (0..8).for_each(|_| simulation.end_health_check_with_verdict(4, Verdict::TimedOut));
     assert_eq!(count_far_reads(&mut simulation), 0);
     simulation.advance(5_000 * MS);
-    assert!(count_far_reads(&mut simulation) > 5, "tried again after a while");
+    assert!(count_far_reads(&mut simulation) > 5, "the zone is tried again after a while");
 }
 
 #[test]
@@ -136,15 +140,15 @@
     assert_eq!((&simulation.health_checks[..], simulation.idle_closed.len()), (&[0][..], 4));
     simulation.end_health_check(0, true);
     simulation.advance(300 * MS);
-    assert_eq!(target(&simulation, write), Some(0), "what answers is not dead");
+    assert_eq!(target(&simulation, write), Some(0), "a member that answers a health check is not dead");
     simulation.end_attempt(write, Verdict::Served);
-    assert_eq!(simulation.idle_closed[4..], [0], "closed after use while connections are short");
+    assert_eq!(simulation.idle_closed[4..], [0], "connections are closed after use while they are scarce");
 }
 
 #[test]
 fn capacity_of_dead_routers_is_taken_over_and_given_back_except_in_slow_start() {
     let mut simulation = checked_simulation(large_fleet_config());
-    // How many attempts are out at once of what many requests want, with so many drivers alive.
+    // Returns how many of 60 requests have an attempt in flight at once while `live_routers` are alive.
     let mut attempts_at_once = |live_routers: usize| {
         simulation.router.set_fleet_size(live_routers, 150);
         simulation.advance(1_500 * MS);
@@ -162,8 +166,12 @@
     };
     let with_all = attempts_at_once(150);
     let with_three = attempts_at_once(3);
-    assert!(with_three >= 4 * with_all.max(1), "{with_three} with three alive, {with_all} with all");
-    assert!(attempts_at_once(150) <= with_all + 1, "given back at once");
+    assert!(
+        with_three >= 4 * with_all.max(1),
+        "{with_three} attempts with three routers alive, {with_all} with all"
+    );
+    assert!(attempts_at_once(150) <= with_all + 1, "the capacity is given back at once");
+    // Returns how many attempts a member in slow start gets within a second.
     let attempts_in_slow_start = |live_routers: usize| {
         let mut simulation = checked_simulation(large_fleet_config());
         simulation.router.set_fleet_size(live_routers, 150);
@@ -179,7 +187,7 @@
     };
     assert!(
         attempts_in_slow_start(3) <= attempts_in_slow_start(150).max(1),
-        "{} and {}",
+        "{} attempts with three routers alive, {} with all",
         attempts_in_slow_start(3),
         attempts_in_slow_start(150)
     );
@@ -197,7 +205,7 @@
             tried.push(id);
             simulation.end_attempt(read, if is_failing { Verdict::Error } else { Verdict::Served });
         }
-        // Two members' word is enough: it is failed, and nobody is passed over for it.
+        // Errors of two members are enough: the read is failed, and no member is avoided because of it.
         assert_eq!(
             (tried.len(), simulation.failed.contains(&read)),
             if is_failing { (2, true) } else { (1, false) }
@@ -215,7 +223,7 @@
     }
     assert!(
         attempts_at_faulty <= 4,
-        "others honoured what it failed: it is blacklisted, {attempts_at_faulty}"
+        "{attempts_at_faulty} attempts at a member that fails what others serve"
     );
     assert!(simulation.failed.is_empty());
 }
@@ -224,7 +232,8 @@
 fn connections_dropped_while_idle_are_replaced_by_new_ones() {
     let mut simulation = Simulation::new(large_fleet_config(), 1);
     simulation.answer_all_health_checks();
-    // Whatever rested for over a second is dropped unseen; an attempt just behind an answer is served.
+    // Connections that were idle for over a second have been dropped silently. An attempt soon after an
+    // answer is served.
     let mut unanswered_rounds = Vec::new();
     for round in 0..30 {
         for idle_ms in [1_500, 100] {
@@ -242,8 +251,8 @@
             }
         }
     }
-    assert!(!unanswered_rounds.is_empty(), "nothing is known at first");
-    assert!(unanswered_rounds.len() < 12, "and then it is: {unanswered_rounds:?}");
+    assert!(!unanswered_rounds.is_empty(), "the drops are not known at first");
+    assert!(unanswered_rounds.len() < 12, "attempts still use dropped connections: {unanswered_rounds:?}");
 }
 
 #[test]
@@ -256,14 +265,17 @@
     check_slow_start_load(6);
 }
 
-/// So many in ten requests end with a quick error wherever they go.
+/// Checks what 30 routers together send to a member in slow start. Of ten requests, `failing_in_ten` end
+/// with a quick error at every member.
 fn check_slow_start_load(failing_in_ten: usize) {
     let config =
         aldermill_routing::RouterConfig { routers: 30, routers_sharing_warm_up: 30, ..router_config() };
     let mut simulations: Vec<Simulation> =
         (0..30).map(|seed| Simulation::with_seed(config.clone(), 4, seed)).collect();
     simulations.iter_mut().for_each(Simulation::answer_all_health_checks);
+    // Times of the attempts at member 3, in milliseconds since its start.
     let mut sent_times: Vec<i64> = Vec::new();
+    // Attempts that member 2 serves in the two seconds before that start.
     let mut served_at_warm_member = 0;
     let began_at = simulations[0].now;
     for step in 0..1_300 {
@@ -271,7 +283,7 @@
             if step == 500 {
                 simulation.update_list_entry(3, MemberStatus::Ready, Some(simulation.now));
             }
-            // Ten requests a second at each driver, each at its own moments.
+            // Each router gets ten requests a second, at times that differ between routers.
             if (step + index) % 10 == 0 {
                 let read = simulation.submit(ANY_AGE_READ, 1_000 * MS);
                 let is_failing = (step / 10 + index) % 10 < failing_in_ten;
@@ -292,10 +304,13 @@
         let allowance = 2.5 * capacity * warm_load;
         assert!(
             sent <= allowance + 3.0 * allowance.sqrt() + 3.0,
-            "{sent} in the second from {start} ms, {allowance} borne"
+            "{sent} attempts in the second from {start} ms, {allowance} allowed"
         );
     }
-    assert!(sent_times.iter().filter(|&&at| at < 3_000).count() > 20, "and it is used: {sent_times:?}");
+    assert!(
+        sent_times.iter().filter(|&&at| at < 3_000).count() > 20,
+        "the allowance is hardly used: {sent_times:?}"
+    );
 }
 
 #[test]
@@ -312,7 +327,7 @@
         reads_at_member.count()
     };
     assert!(count_reads_at_member(&mut simulation) > 3);
-    // Its neighbours in the zone answer as ever.
+    // Member 3 takes 300 ms to answer a health check. The others in its zone answer in 1 ms, as before.
     (0..6).for_each(|_| simulation.answer_health_check_after(3, 300 * MS));
     (0..3).for_each(|id| (0..6).for_each(|_| simulation.end_health_check(id, true)));
     assert_eq!(count_reads_at_member(&mut simulation), 0);
--- a/crates/routing/tests/router/local_failures.rs
+++ b/crates/routing/tests/router/local_failures.rs
@@ -1,9 +1,9 @@
-//! Attempts that this machine could not send.
+//! Attempts that could not be sent from this machine.
 
 use crate::simulation::{ANY_AGE_READ, MS, Simulation, WRITE, checked_simulation, router_config, target};
 use aldermill_routing::{RouterConfig, Verdict};
 
-/// Every attempt out ends as one that could not leave.
+/// Ends each attempt that is in flight with a local failure. Attempts that this triggers stay in flight.
 fn fail_all_locally(simulation: &mut Simulation) {
     simulation
         .in_flight()
@@ -20,10 +20,10 @@
         simulation.advance(10 * MS);
     }
     let attempts = simulation.attempted.len();
-    assert!((10..60).contains(&attempts), "{attempts} tries in a second");
+    assert!((10..60).contains(&attempts), "{attempts} attempts in a second");
     assert!(simulation.rejected.is_empty() && simulation.failed.is_empty());
     simulation.advance(100 * MS);
-    assert_eq!(target(&simulation, write), Some(0), "the primary is as believed as before");
+    assert_eq!(target(&simulation, write), Some(0), "the primary is still believed to be one");
     simulation.end_attempt(write, Verdict::Served);
     assert!(simulation.rejected.is_empty() && simulation.failed.is_empty());
 }
@@ -31,7 +31,8 @@
 #[test]
 fn local_failures_do_not_count_against_members() {
     let mut simulation = checked_simulation(router_config());
-    // More in a row than failures that blacklist a member; what still waits is given up by its own deadline.
+    // These are more failures in a row than blacklist a member. Reads that still wait are given up by
+    // their own deadlines.
     for round in 0..60 {
         if round < 40 {
             simulation.submit(ANY_AGE_READ, 200 * MS);
@@ -45,7 +46,7 @@
     for id in 1..4 {
         assert!(
             reads.iter().any(|&read| target(&simulation, read) == Some(id)),
-            "{id}: {:?}",
+            "no read at member {id}: {:?}",
             simulation.in_flight()
         );
     }
@@ -57,27 +58,33 @@
     let reads: Vec<_> = (0..6).map(|_| simulation.submit(ANY_AGE_READ, 1_500 * MS)).collect();
     assert_eq!(simulation.in_flight().len(), 6);
     let request_at = |simulation: &Simulation, id| {
-        simulation.in_flight().into_iter().find(|&(_, at)| at == id).expect("out there").0
+        simulation
+            .in_flight()
+            .into_iter()
+            .find(|&(_, at)| at == id)
+            .expect("an attempt is in flight at the member")
+            .0
     };
-    // All find no connection, but for one at member 1, which was answered.
+    // None of the attempts gets a connection, except for one at member 1, which is served.
     let served_read = request_at(&simulation, 1);
     fail_all_locally_except(&mut simulation, served_read);
     let attempts_before = simulation.attempted.len();
     simulation.end_attempt(served_read, Verdict::Served);
-    assert_eq!(simulation.attempted.len(), attempts_before + 1, "one waits no longer");
-    assert_eq!(simulation.attempted[attempts_before].1, 1, "where a connection is idle");
-    // Connections can be opened again: those that wait come a few at a time.
+    assert_eq!(simulation.attempted.len(), attempts_before + 1, "one queued read is attempted");
+    assert_eq!(simulation.attempted[attempts_before].1, 1, "it goes to the member with an idle connection");
+    // Connections can be opened again. The queued reads are attempted a few at a time.
     let queued = reads.len() - 2;
     simulation.advance(20 * MS);
     assert!(
         simulation.attempted.len() - attempts_before - 1 < queued,
-        "{:?}",
+        "too many attempts within 20 ms: {:?}",
         &simulation.attempted[attempts_before..]
     );
     simulation.advance(300 * MS);
-    assert_eq!(simulation.in_flight().len(), queued + 1, "all are out by now");
+    assert_eq!(simulation.in_flight().len(), queued + 1, "all queued reads are in flight");
 }
 
+/// Ends attempts with a local failure until none is in flight except that of the request `kept`.
 fn fail_all_locally_except(simulation: &mut Simulation, kept: aldermill_routing::RequestHandle) {
     loop {
         let failing = simulation.in_flight().into_iter().find(|&(handle, _)| handle != kept);
@@ -93,7 +100,11 @@
             checked_simulation(RouterConfig { overload_window: 500 * MS, ..router_config() });
         let first_write = simulation.submit(WRITE, 4_000 * MS);
         simulation.end_attempt(first_write, verdict);
-        assert_eq!(target(&simulation, first_write), None, "{verdict:?}: not at once again");
+        assert_eq!(
+            target(&simulation, first_write),
+            None,
+            "{verdict:?}: the primary is not tried again at once"
+        );
         simulation.submit(WRITE, 4_000 * MS);
         simulation.advance(1_100 * MS);
         while let Some(&(tried, _)) = simulation.in_flight().first() {
@@ -101,6 +112,10 @@
         }
         simulation.advance(990 * MS);
         simulation.end_health_check(0, true);
-        assert_eq!(simulation.in_flight().len(), if starts_slowly { 1 } else { 2 }, "{verdict:?}");
+        assert_eq!(
+            simulation.in_flight().len(),
+            if starts_slowly { 1 } else { 2 },
+            "{verdict:?}: attempts once it answers"
+        );
     }
 }
--- a/crates/routing/tests/router/primary_search.rs
+++ b/crates/routing/tests/router/primary_search.rs
@@ -1,4 +1,5 @@
-//! Groups of so many members that a walk by misses does not reach the primary in the time of a write.
+//! The search for the primary of large groups, in which a write that tries one member after another does
+//! not reach the primary before its deadline.
 
 use aldermill_routing::{
     ListedMember, MemberId, MemberStatus, Request, RequestHandle, RouterConfig, Verdict,
@@ -8,8 +9,9 @@
     ANY_AGE_READ, MS, Simulation, WRITE, large_fleet_config, list_entry, router_config, target,
 };
 
-/// Passes time in which members answer health checks within a few milliseconds and attempts at once, until the
-/// write is served. Returns how long that took, and the health checks it cost.
+/// Advances the time until the write is served, for at most two seconds. Members answer health checks
+/// within 5 ms, and attempts at once. Returns the time that it took in microseconds, and the members that
+/// health checks were sent to; `None` if the write was not served.
 fn run_until_served(simulation: &mut Simulation, write: RequestHandle) -> Option<(i64, Vec<MemberId>)> {
     let (began_at, mut checked_members) = (simulation.now, Vec::new());
     while simulation.now - began_at < 2_000 * MS {
@@ -27,6 +29,8 @@
     None
 }
 
+/// Returns a simulation of a router in a fleet of `router_count`, and of one group of `members`. The
+/// primary is the member two thirds of the way through the group.
 fn large_group_simulation(router_count: usize, members: usize, seed: u64) -> Simulation {
     let config = RouterConfig { list_requires_subscription: false, max_attempts: 8, ..router_config() };
     let mut simulation = Simulation::with_seed(
@@ -45,8 +49,8 @@
             let mut simulation = large_group_simulation(30, members, seed);
             let write = simulation.submit(WRITE, 2_400 * MS);
             let (duration, checked_members) =
-                run_until_served(&mut simulation, write).expect("served in its time");
-            assert!(duration <= 1_000 * MS, "{duration} us among {members}, seed {seed}");
+                run_until_served(&mut simulation, write).expect("the write is served within two seconds");
+            assert!(duration <= 1_000 * MS, "{duration} us among {members} members, seed {seed}");
             assert!(
                 checked_members.len() <= members,
                 "{} health checks of {members} members",
@@ -61,13 +65,14 @@
     for seed in 0..30 {
         let mut simulation = large_group_simulation(30, 80, seed);
         let write = simulation.submit(WRITE, 2_400 * MS);
-        run_until_served(&mut simulation, write).expect("served in its time");
+        run_until_served(&mut simulation, write).expect("the write is served within two seconds");
         simulation.advance(10_000 * MS);
         let former_primary = simulation.primary;
         simulation.move_primary((former_primary + 17) % 80);
         simulation.update_list_entry(former_primary, MemberStatus::Unlisted, None);
         let write = simulation.submit(WRITE, 2_400 * MS);
-        let (duration, _) = run_until_served(&mut simulation, write).expect("served in its time");
+        let (duration, _) =
+            run_until_served(&mut simulation, write).expect("the write is served within two seconds");
         assert!(duration <= 1_000 * MS, "{duration} us, seed {seed}");
     }
 }
@@ -84,7 +89,7 @@
         simulation.attempted.iter().for_each(|&(_, id)| contacts_by_member[id] += 1);
         simulation.health_checks.iter().for_each(|&id| contacts_by_member[id] += 1);
     }
-    let max_contacts = contacts_by_member.iter().max().expect("members");
+    let max_contacts = contacts_by_member.iter().max().expect("there are members");
     assert!(*max_contacts <= 15, "{max_contacts} of 30 routers asked the same member first");
 }
 
@@ -103,11 +108,12 @@
     let checks_per_second = 900.0 * simulation.health_checks.len() as f64 / 800.0 / 2.0;
     assert!(
         (20.0..=70.0).contains(&checks_per_second),
-        "{checks_per_second} health checks a second and member"
+        "{checks_per_second} health checks per second and member"
     );
 }
 
-/// A router that looks for the primaries of 24 groups of eighty at once.
+/// Returns a simulation of a router that searches for the primaries of 24 groups of eighty members at
+/// once. None of the groups has a primary.
 fn simulation_searching_all_groups() -> Simulation {
     let mut simulation = large_group_simulation(30, 80, 1);
     simulation.grow_to(1_920);
@@ -136,12 +142,12 @@
     let mut simulation = simulation_searching_all_groups();
     simulation.advance(190 * MS);
     let unanswered = simulation.health_checks.len();
-    assert!((16..=32).contains(&unanswered), "{unanswered} health checks with none answered");
+    assert!((16..=32).contains(&unanswered), "{unanswered} health checks while none is answered");
     simulation.advance(1_000 * MS);
     let total_unanswered = simulation.health_checks.len();
     assert!(
         (24..=64).contains(&total_unanswered),
-        "{total_unanswered} health checks of members that are silent"
+        "{total_unanswered} health checks of members that do not answer"
     );
 }
 
@@ -157,7 +163,7 @@
     }
     assert!(
         checked_members.len() >= 1_800,
-        "{} of 1,920 members asked in two seconds",
+        "{} of 1,920 members health checked in two seconds",
         checked_members.len()
     );
 }
@@ -170,7 +176,7 @@
     while has_answered.iter().filter(|&&has_answered| has_answered).count() < 10 {
         simulation.advance(10 * MS);
         let read = simulation.submit(ANY_AGE_READ, 1_000 * MS);
-        let id = target(&simulation, read).expect("a replica has room");
+        let id = target(&simulation, read).expect("a member has capacity");
         let verdict = if id == simulation.primary { Verdict::Overloaded } else { Verdict::Served };
         has_answered[id] = id != simulation.primary;
         if id == simulation.primary {
@@ -187,7 +193,7 @@
         simulation.end_attempt(write, Verdict::NotPrimary);
         not_primary_answers += 1;
     }
-    assert!(not_primary_answers <= 1, "{not_primary_answers} misses with two members left");
+    assert!(not_primary_answers <= 1, "{not_primary_answers} attempts at replicas with two candidates left");
     assert_eq!(target(&simulation, write), Some(simulation.primary));
 }
 
@@ -197,7 +203,7 @@
     simulation.primary = 100;
     simulation.positions.resize(101, 0);
     let write = simulation.submit(WRITE, 20_000 * MS);
-    assert!(run_until_served(&mut simulation, write).is_none(), "no member is primary");
+    assert!(run_until_served(&mut simulation, write).is_none(), "no member is the primary");
     simulation.primary = 3;
     let write = simulation.submit(WRITE, 4_000 * MS);
     assert!(run_until_served(&mut simulation, write).is_some());
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! What many processes together send to a member in slow start: the sum of all, within what the settings allow it in
-//! one window of the rule, and the slack that chance is granted.
+//! Slow start across processes: what the processes of a fleet together send to a member in slow start stays
+//! within the allowance of the settings in every overload window, with some slack for random variation.
 
 use std::collections::VecDeque;
 
@@ -7,14 +7,20 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+/// One millisecond, in microseconds.
 const MS: Micros = 1_000;
+/// Time between two steps of the simulation, in microseconds.
 const TIME_STEP: Micros = 5 * MS;
+/// Time that a member takes to serve an attempt, in microseconds.
 const ATTEMPT_DURATION: Micros = 50 * MS;
+/// Number of members, all in one group.
 const MEMBERS: usize = 4;
-/// Attempts that a warm member bears in one window.
+/// Number of attempts that a warm member can carry in one overload window.
 const WARM_CAPACITY: f64 = 80.0;
+/// Member that is restarted during a run.
 const RESTARTED_MEMBER: MemberId = 0;
 
+/// Returns the configuration of the routers of a fleet of `processes`.
 fn router_config(processes: usize) -> RouterConfig {
     let class = RequestClass {
         effect: Effect::Idempotent,
@@ -47,6 +53,7 @@
     }
 }
 
+/// Returns an endpoint list entry of a ready member. `start_time` is `None` if the member started long ago.
 fn list_entry(member: MemberId, start_time: Option<Micros>) -> ListedMember {
     ListedMember {
         member,
@@ -60,31 +67,39 @@
     }
 }
 
-/// One process: its router, its part of the traffic, and its attempts that are out with when they end.
+/// A process of the fleet, with its router and its attempts in flight.
 struct Process {
     router: Router,
+    /// Share of the fleet's traffic that the process gets, from 0 to 1.
     traffic_share: f64,
+    /// Attempts in flight, oldest first, each with the time at which it ends.
     in_flight: VecDeque<(Micros, RequestHandle)>,
-    /// When it hears of the start.
+    /// Time at which the process receives the list update about the restart; `Micros::MAX` if none is
+    /// pending.
     list_update_at: Micros,
+    /// Time at which the router asked to be woken next.
     wake_at: Micros,
 }
 
+/// A fleet of processes that share the members, in virtual time.
 struct Fleet {
+    /// Present time, in microseconds.
     now: Micros,
     config: RouterConfig,
     processes: Vec<Process>,
     rng: Pcg64Mcg,
-    /// When the cold member was sent something, health checks included, over one window.
+    /// Times at which [`RESTARTED_MEMBER`] was sent an attempt or a health check. Its restart clears them.
     sent_times: VecDeque<Micros>,
+    /// Time of the restart; `None` before it.
     restarted_at: Option<Micros>,
 }
 
 impl Fleet {
+    /// Creates a fleet of `processes` routers that have received the endpoint list.
     fn new(processes: usize, seed: u64) -> Fleet {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (now, config) = (1_000_000 * MS, router_config(processes));
-        // Some get several times the mean.
+        // Some processes get several times the mean traffic.
         let shares: Vec<f64> = (0..processes).map(|_| rng.random_range(0.3..1.0f64).powi(3)).collect();
         let total: f64 = shares.iter().sum();
         let start_process = |(index, share): (usize, &f64)| {
@@ -103,7 +118,8 @@
         Fleet { now, config, processes, rng, sent_times: VecDeque::new(), restarted_at: None }
     }
 
-    /// So long at so much of what the members bear together.
+    /// Runs the fleet for `duration` microseconds. `load` is the traffic as a fraction of the capacity
+    /// that all members have together when they are warm.
     fn run(&mut self, duration: Micros, load: f64) {
         let until = self.now + duration;
         let requests_per_step =
@@ -117,6 +133,9 @@
         }
     }
 
+    /// Advances one process to the present time: delivers a list update that is due, ends attempts,
+    /// submits new requests, and wakes the router. `requests_per_step` is the mean number of requests that
+    /// the whole fleet gets in a step.
     fn step_process(&mut self, index: usize, requests_per_step: f64) {
         let now = self.now;
         let process = &mut self.processes[index];
@@ -156,6 +175,7 @@
         }
     }
 
+    /// Carries out the router's actions. Health checks are answered at once.
     fn carry_out(&mut self, index: usize, actions: Actions) {
         let process = &mut self.processes[index];
         process.wake_at = actions.wake_at.unwrap_or(process.wake_at);
@@ -174,7 +194,7 @@
         }
     }
 
-    /// It starts again now, and each process is told within a second.
+    /// Restarts the member now. Each process receives the list update within a second.
     fn restart(&mut self) {
         self.restarted_at = Some(self.now);
         self.sent_times.clear();
@@ -183,7 +203,9 @@
         }
     }
 
-    /// Only what came from processes that had been told is theirs to answer for.
+    /// Checks that the restarted member was sent no more in the last overload window than its allowance
+    /// and the slack. Nothing is checked once slow start is over, nor before all processes know of the
+    /// restart, as those that do not are not responsible for what they send.
     fn check_load(&self) {
         let Some(restarted_at) = self.restarted_at else { return };
         let window = self.config.overload_window;
@@ -199,7 +221,7 @@
         let process_count = self.processes.len();
         assert!(
             sent <= allowance + slack,
-            "{process_count} processes, {} ms after the start: {sent} in a window, {allowance:.0} allowed",
+            "{process_count} processes, {} ms after the restart: {sent} sent in a window, {allowance:.0} allowed",
             (self.now - restarted_at) / MS
         );
     }
@@ -212,7 +234,7 @@
             let mut fleet = Fleet::new(processes, seed);
             fleet.run(6_000 * MS, 0.7);
             fleet.restart();
-            // A burst just then, beyond what all members bear.
+            // The restart is followed by a burst that exceeds the capacity of all members.
             fleet.run(4_000 * MS, 1.1);
             fleet.run(6_500 * MS, 0.7);
         }
