--- a/crates/proxy/src/client/close.rs
+++ b/crates/proxy/src/client/close.rs
@@ -12,7 +12,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::connection::ClientConnection;
-use super::events::has_unread;
+use super::events::has_unread_bytes;
 use super::response::EncodedResponse;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{ClientLeft, DispatcherMessage};
@@ -56,7 +56,7 @@
     /// Tells the dispatcher that nobody waits for the requests that have no response yet.
     pub(super) async fn abandon_pending_requests(&mut self) {
         while let Some(abandoned) = self.pending_responses.abandon_next() {
-            let left = ClientLeft { client: abandoned.request };
+            let left = ClientLeft { client: abandoned.request_id };
             let _ = self.context.dispatcher.send(DispatcherMessage::ClientLeft(left)).await;
         }
     }
@@ -72,7 +72,7 @@
         }
         if matches!(reason, CloseReason::Shutdown) {
             let _ = self.stream.shutdown().await;
-            if !has_unread(&self.stream) {
+            if !has_unread_bytes(&self.stream) {
                 return;
             }
         }
@@ -89,13 +89,13 @@
     /// Whether the system may keep what the client has not read. It does so for a bounded time after the close, and
     /// the bytes count against the buffer budget until then.
     fn may_leave_unread(&mut self) -> bool {
-        let unread = self.unread.bytes_in_system(self.context.limits.buffers.client_socket);
+        let unread = self.unread_responses.bytes_in_kernel(self.context.limits.buffers.client_socket);
         if unread < self.context.limits.buffers.ignorable_unread {
             return true;
         }
         let _ =
             SockRef::from(&self.stream).set_tcp_user_timeout(Some(self.connection_guard.linger_timeout()));
-        match self.unread.take_reservation() {
+        match self.unread_responses.take_reservation() {
             Some(reservation) => reservation.linger(),
             None => return self.connection_guard.may_leave_unread(unread),
         }
@@ -111,7 +111,7 @@
 /// Closes this side, and waits up to `linger` for the other's end, so that what was written last arrives: a connection
 /// that is closed with bytes unread is reset. At most `discard_limit` bytes are read of a client that goes on sending.
 pub(super) async fn close_gracefully(mut stream: TcpStream, linger: Duration, mut discard_limit: usize) {
-    let until_end = async {
+    let read_until_end = async {
         stream.shutdown().await?;
         let mut discarded = Vec::with_capacity(DISCARD_READ_SIZE);
         while discard_limit > 0 {
@@ -124,7 +124,7 @@
         sleep(linger).await;
         std::io::Result::Ok(())
     };
-    let _ = timeout(linger, until_end).await;
+    let _ = timeout(linger, read_until_end).await;
 }
 
 /// Tells a client that there is no room for its connection, and closes it.
--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -8,18 +8,18 @@
 use tokio::time::Instant;
 
 use super::close::CloseReason;
-use super::events::{ClientEvent, has_unread};
-use super::intake::{Intake, NextMessage, ReceivedMessage};
+use super::events::{ClientEvent, has_unread_bytes};
+use super::message_handling::{NextMessage, ReceiveState, ReceivedMessage};
 use super::pending_responses::PendingResponses;
-use super::receipt::Receipt;
+use super::receipt_times::ReceiptTimes;
 use super::response::UnreadResponses;
-use super::state::ConnectionState;
+use super::shared_state::SharedState;
 use crate::flow_control::ConnectionGuard;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{Answer, ClientId, ClientMessage};
 
 /// A connection's mailbox has room for an answer to each pipelined statement, and for this many requests to close.
-const EVICTION_PLACES: usize = 4;
+const EVICTION_MESSAGE_CAPACITY: usize = 4;
 
 /// The actor of one client connection.
 pub(super) struct ClientConnection {
@@ -32,23 +32,23 @@
     /// Its registration with flow control, removed when dropped.
     pub(super) connection_guard: ConnectionGuard,
     /// What the registry sees of it.
-    pub(super) state: Rc<ConnectionState>,
+    pub(super) shared_state: Rc<SharedState>,
     /// Where the dispatcher's answers and the registry's messages arrive.
     pub(super) mailbox: mpsc::Receiver<ClientMessage>,
     /// The other end of the mailbox, which goes to the dispatcher with each request.
-    pub(super) address: mpsc::Sender<ClientMessage>,
+    pub(super) mailbox_sender: mpsc::Sender<ClientMessage>,
     /// When the connection was accepted.
     pub(super) connected_at: Instant,
     /// Bytes that were read and are not yet taken as messages.
     pub(super) buffer: Buffer,
     /// When the bytes in the buffer arrived.
-    pub(super) receipt: Receipt,
+    pub(super) receipt_times: ReceiptTimes,
     /// How far the client's next message has come.
-    pub(super) intake: Intake,
+    pub(super) receive_state: ReceiveState,
     /// Responses that are owed to the client.
     pub(super) pending_responses: PendingResponses,
     /// Responses that the client may not have read.
-    pub(super) unread: UnreadResponses,
+    pub(super) unread_responses: UnreadResponses,
     /// Requests handed to the dispatcher so far.
     pub(super) requests_sent: u64,
     /// Whether the last request arrived so long after the request to stop that it was owed no answer.
@@ -85,22 +85,22 @@
         stream: TcpStream,
         connection_guard: ConnectionGuard,
     ) -> ClientConnection {
-        let places = context.limits.client.pipelined_statements + EVICTION_PLACES;
-        let (address, mailbox) = mpsc::channel(places);
+        let mailbox_capacity = context.limits.client.pipelined_statements + EVICTION_MESSAGE_CAPACITY;
+        let (mailbox_sender, mailbox) = mpsc::channel(mailbox_capacity);
         ClientConnection {
             context,
             id,
             stream,
             connection_guard,
-            state: Rc::default(),
+            shared_state: Rc::default(),
             mailbox,
-            address,
+            mailbox_sender,
             connected_at: Instant::now(),
             buffer: Buffer::default(),
-            receipt: Receipt::default(),
-            intake: Intake::default(),
+            receipt_times: ReceiptTimes::default(),
+            receive_state: ReceiveState::default(),
             pending_responses: PendingResponses::default(),
-            unread: UnreadResponses::default(),
+            unread_responses: UnreadResponses::default(),
             requests_sent: 0,
             is_past_arrival_window: false,
             phase: Phase::Accepting,
@@ -109,12 +109,12 @@
 
     /// Serves the client until its connection is closed.
     pub(super) async fn run(mut self) {
-        self.state.idle_since.set(Some(self.connected_at));
-        let reason = match self.startup().await {
+        self.shared_state.idle_since.set(Some(self.connected_at));
+        let reason = match self.handle_startup().await {
             Ok(()) => self.serve().await,
             Err(reason) => reason,
         };
-        self.intake.release_reservation();
+        self.receive_state.release_reservation();
         self.abandon_pending_requests().await;
         self.close(reason).await;
     }
@@ -169,12 +169,12 @@
     ///
     /// A client that asks again as soon as it has its answer would otherwise be served until no time is left, and then
     /// rejected, wherever the machine runs it before this process has looked for its next request and closed the connection.
-    pub(super) fn closes_after_response(&self) -> bool {
+    pub(super) fn should_close_after_response(&self) -> bool {
         self.is_past_arrival_window
             && matches!(self.phase, Phase::Accepting)
             && self.pending_responses.is_empty()
             && self.buffer.is_empty()
-            && !has_unread(&self.stream)
+            && !has_unread_bytes(&self.stream)
     }
 
     /// Whether another statement may be accepted beside those under way.
@@ -191,8 +191,8 @@
     /// Deals with what came while requests are under way.
     fn handle_event(&mut self, event: ClientEvent) -> Result<(), CloseReason> {
         match event {
-            ClientEvent::Response(request, answer) => self.complete(request, answer),
-            ClientEvent::BytesRead => self.stamp_receipt(),
+            ClientEvent::Answer(request_id, answer) => self.handle_answer(request_id, answer),
+            ClientEvent::BytesRead => self.record_read(),
             // It is not idle: a request is under way.
             ClientEvent::CloseIfIdle => {}
             ClientEvent::Closed => return Err(CloseReason::Normal),
@@ -201,8 +201,8 @@
     }
 
     /// The dispatcher has answered a request.
-    fn complete(&mut self, request: ClientId, answer: Answer) {
-        self.state.served.set(true);
-        self.pending_responses.complete(request, answer);
+    fn handle_answer(&mut self, request_id: ClientId, answer: Answer) {
+        self.shared_state.was_served.set(true);
+        self.pending_responses.complete(request_id, answer);
     }
 }
--- a/crates/proxy/src/client/listener.rs
+++ b/crates/proxy/src/client/listener.rs
@@ -14,17 +14,17 @@
 
 /// Accepts clients and serves them. Returns once the process was asked to stop and the last client has its answer.
 pub async fn run(context: Rc<ProcessContext>, listener: TcpListener) {
-    warn_of_few_descriptors(&context);
+    warn_if_descriptors_limited(&context);
     let mut acceptor = Acceptor::new(listener, context.log.clone());
     let mut registry = ConnectionRegistry::new(context.clone());
     accept_until_stopped(&context, &mut acceptor, &mut registry).await;
     accept_backlog(&mut acceptor, &mut registry).await;
     drop(acceptor);
-    registry.drain().await;
+    registry.join_all().await;
 }
 
 /// Warns where the configuration promises more descriptors than the system allows.
-fn warn_of_few_descriptors(context: &ProcessContext) {
+fn warn_if_descriptors_limited(context: &ProcessContext) {
     let Descriptors { configured, allowed } = context.limits.descriptors;
     if allowed < configured {
         warn!(context.log, "the system allows fewer descriptors than limits.sockets, those are shared out; raise ulimit -n";
@@ -49,8 +49,8 @@
                 info!(context.log, "stopping"; "clients" => registry.len());
             }
             () = sleep_until(accepts_until.unwrap_or_else(Instant::now)), if accepts_until.is_some() => return,
-            (stream, from) = acceptor.next() => {
-                registry.receive(stream, from.ip());
+            (stream, address) = acceptor.next() => {
+                registry.admit_or_reject(stream, address.ip());
                 // However many connect at once, those already here are served in between.
                 task::yield_now().await;
             }
@@ -61,8 +61,8 @@
 /// Accepts the clients that the system had accepted before the end; it is asked once more who they are.
 async fn accept_backlog(acceptor: &mut Acceptor<TcpListener>, registry: &mut ConnectionRegistry) {
     task::yield_now().await;
-    while let Some((stream, from)) = acceptor.next_waiting().await {
+    while let Some((stream, address)) = acceptor.next_waiting().await {
         registry.reap_ended();
-        registry.receive(stream, from.ip());
+        registry.admit_or_reject(stream, address.ip());
     }
 }
--- a/crates/proxy/src/client/intake.rs
+++ b/crates/proxy/src/client/message_handling.rs
@@ -16,16 +16,16 @@
 
 /// How far the client's next message has come.
 #[derive(Default)]
-pub(super) struct Intake {
+pub(super) struct ReceiveState {
     /// After a message of the extended protocol, everything up to the next Sync is skipped.
-    skips_until_sync: bool,
+    skipping_until_sync: bool,
     /// Since when a message is waited for that is not whole; its sender is metered meanwhile.
-    pub(super) message_begun_at: Option<Instant>,
+    pub(super) message_started_at: Option<Instant>,
     /// Buffer space of a large message.
     pub(super) reservation: Option<BufferReservation>,
 }
 
-impl Intake {
+impl ReceiveState {
     /// Returns the buffer space of a message that is not dealt with any more.
     pub(super) fn release_reservation(&mut self) {
         self.reservation = None;
@@ -69,7 +69,7 @@
 
 impl MessageKind {
     /// The kind that this type byte stands for.
-    fn of(type_byte: u8) -> MessageKind {
+    fn from_type_byte(type_byte: u8) -> MessageKind {
         match type_byte {
             b'Q' => MessageKind::Query,
             b'S' => MessageKind::Sync,
@@ -89,8 +89,8 @@
         if message.tag == TERMINATE {
             return Ok(NextMessage::Terminate);
         }
-        let kind = MessageKind::of(message.tag);
-        if kind == MessageKind::Query && self.conflicts_with_pending(pg::parse_query(message.body)?) {
+        let kind = MessageKind::from_type_byte(message.tag);
+        if kind == MessageKind::Query && self.conflicts_with_pending_write(pg::parse_query(message.body)?) {
             return Ok(NextMessage::NoneYet);
         }
         Ok(NextMessage::Accept(ReceivedMessage { kind, length: message.length }))
@@ -100,18 +100,18 @@
     pub(super) async fn accept(&mut self, message: ReceivedMessage) -> Result<(), CloseReason> {
         let statement = self.take_statement(&message);
         if self.pending_responses.is_empty() {
-            self.unread.clear();
+            self.unread_responses.clear();
         }
-        if self.intake.message_begun_at.take().is_some() {
+        if self.receive_state.message_started_at.take().is_some() {
             self.connection_guard.stop_metering();
         }
-        self.state.idle_since.set(None);
+        self.shared_state.idle_since.set(None);
         match message.kind {
             MessageKind::Query => self.accept_statement(statement).await?,
-            MessageKind::Sync => self.end_extended_messages(),
-            MessageKind::Extended => self.refuse_extended_message(),
-            MessageKind::FunctionCall => self.refuse_function_call(),
-            MessageKind::CopyData => self.intake.release_reservation(),
+            MessageKind::Sync => self.handle_sync(),
+            MessageKind::Extended => self.reject_extended_message(),
+            MessageKind::FunctionCall => self.reject_function_call(),
+            MessageKind::CopyData => self.receive_state.release_reservation(),
             MessageKind::Unknown => self.drain(Malformed::UnknownMessageType.into()),
         }
         Ok(())
@@ -137,40 +137,42 @@
     }
 
     /// A Sync ends a series of extended messages.
-    fn end_extended_messages(&mut self) {
-        self.intake.skips_until_sync = false;
+    fn handle_sync(&mut self) {
+        self.receive_state.skipping_until_sync = false;
         let mut response = Vec::new();
         pg::write_ready_for_query(&mut response);
-        self.respond_at_once(response);
+        self.respond_immediately(response);
     }
 
     /// The first message of a series is refused, the others are skipped.
-    fn refuse_extended_message(&mut self) {
-        if std::mem::replace(&mut self.intake.skips_until_sync, true) {
-            self.intake.release_reservation();
+    fn reject_extended_message(&mut self) {
+        if std::mem::replace(&mut self.receive_state.skipping_until_sync, true) {
+            self.receive_state.release_reservation();
         } else {
-            self.respond_at_once(not_served());
+            self.respond_immediately(not_supported_error());
         }
     }
 
     /// Function calls are refused one by one.
-    fn refuse_function_call(&mut self) {
-        let mut response = not_served();
+    fn reject_function_call(&mut self) {
+        let mut response = not_supported_error();
         pg::write_ready_for_query(&mut response);
-        self.respond_at_once(response);
+        self.respond_immediately(response);
     }
 
     /// A response that needs no request; the message that it answers is dealt with.
-    pub(super) fn respond_at_once(&mut self, response: Vec<u8>) {
-        self.intake.release_reservation();
-        self.pending_responses.push_ready(EncodedResponse::small(response));
+    pub(super) fn respond_immediately(&mut self, response: Vec<u8>) {
+        self.receive_state.release_reservation();
+        self.pending_responses.push_ready(EncodedResponse::unreserved(response));
     }
 
     /// Reserves buffer space for the message at the front of the buffer, once, where it is a large one.
     pub(super) async fn reserve_for_large_message(&mut self) -> Result<(), CloseReason> {
-        let claimed = pg::announced_length(self.buffer.held());
-        if claimed > self.context.limits.buffers.small_message && self.intake.reservation.is_none() {
-            self.intake.reservation = Some(self.reserve(claimed).await?);
+        let announced_length = pg::announced_length(self.buffer.held());
+        if announced_length > self.context.limits.buffers.small_message
+            && self.receive_state.reservation.is_none()
+        {
+            self.receive_state.reservation = Some(self.reserve(announced_length).await?);
         }
         Ok(())
     }
@@ -179,8 +181,8 @@
     /// too slow can give it up.
     async fn reserve(&mut self, size: usize) -> Result<BufferReservation, CloseReason> {
         let priority = self.next_message_priority();
-        let until = Instant::now() + self.context.limits.client.reservation_wait;
-        if let Some(reservation) = self.connection_guard.reserve(size, priority, until).await {
+        let deadline = Instant::now() + self.context.limits.client.reservation_wait;
+        if let Some(reservation) = self.connection_guard.reserve(size, priority, deadline).await {
             self.buffer.expect(size + 1);
             return Ok(reservation);
         }
@@ -204,7 +206,7 @@
 }
 
 /// The error for what is no simple query.
-fn not_served() -> Vec<u8> {
+fn not_supported_error() -> Vec<u8> {
     let mut error = Vec::new();
     pg::write_error_response(
         &mut error,
--- a/crates/proxy/src/client/mod.rs
+++ b/crates/proxy/src/client/mod.rs
@@ -3,12 +3,12 @@
 mod close;
 mod connection;
 mod events;
-mod intake;
 pub mod listener;
+mod message_handling;
 mod pending_responses;
-mod receipt;
+mod receipt_times;
 mod registry;
 mod response;
+mod shared_state;
 mod startup;
-mod state;
 mod statement;
--- a/crates/proxy/src/client/pending_responses.rs
+++ b/crates/proxy/src/client/pending_responses.rs
@@ -9,7 +9,7 @@
 /// A request that was handed to the dispatcher.
 pub(super) struct PendingRequest {
     /// Its name in messages to and from the dispatcher.
-    pub(super) request: ClientId,
+    pub(super) request_id: ClientId,
     /// The key of a statement that may write: what follows on the same key waits for it.
     pub(super) write_key: Option<String>,
     /// Buffer space of a large statement.
@@ -29,7 +29,7 @@
     /// The dispatcher has the request.
     Awaited {
         /// The request's name.
-        request: ClientId,
+        request_id: ClientId,
         /// The key that it may write.
         write_key: Option<String>,
     },
@@ -45,7 +45,7 @@
 
     /// Whether the dispatcher has this request.
     fn awaits(&self, answered: ClientId) -> bool {
-        matches!(self.state, ResponseState::Awaited { request, .. } if request == answered)
+        matches!(self.state, ResponseState::Awaited { request_id, .. } if request_id == answered)
     }
 
     /// The key that its request may write, while the request is under way.
@@ -77,8 +77,8 @@
 
     /// A request whose answer the dispatcher will send.
     pub(super) fn push_request(&mut self, pending: PendingRequest) {
-        let PendingRequest { request, write_key, statement_reservation } = pending;
-        let state = ResponseState::Awaited { request, write_key };
+        let PendingRequest { request_id, write_key, statement_reservation } = pending;
+        let state = ResponseState::Awaited { request_id, write_key };
         self.queue.push_back(PendingResponse { state, statement_reservation });
     }
 
@@ -89,9 +89,9 @@
     }
 
     /// The dispatcher's answer to a request; nothing where the request is not awaited.
-    pub(super) fn complete(&mut self, request: ClientId, answer: Answer) {
-        if let Some(pending) = self.queue.iter_mut().find(|pending| pending.awaits(request)) {
-            pending.state = ResponseState::Ready(EncodedResponse::of(answer));
+    pub(super) fn complete(&mut self, request_id: ClientId, answer: Answer) {
+        if let Some(pending) = self.queue.iter_mut().find(|pending| pending.awaits(request_id)) {
+            pending.state = ResponseState::Ready(EncodedResponse::from_answer(answer));
         }
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Whether a request under way may write this key.
-    pub(super) fn writes(&self, key: &str) -> bool {
+    pub(super) fn has_write_to(&self, key: &str) -> bool {
         self.queue.iter().any(|pending| pending.write_key() == Some(key))
     }
 
@@ -117,8 +117,8 @@
     pub(super) fn abandon_next(&mut self) -> Option<PendingRequest> {
         loop {
             let PendingResponse { state, statement_reservation } = self.queue.pop_front()?;
-            if let ResponseState::Awaited { request, write_key } = state {
-                return Some(PendingRequest { request, write_key, statement_reservation });
+            if let ResponseState::Awaited { request_id, write_key } = state {
+                return Some(PendingRequest { request_id, write_key, statement_reservation });
             }
         }
     }
--- a/crates/proxy/src/client/receipt.rs
+++ b/crates/proxy/src/client/receipt_times.rs
@@ -7,21 +7,21 @@
 
 /// Times of receipt of one connection's read buffer.
 #[derive(Default)]
-pub(super) struct Receipt {
+pub(super) struct ReceiptTimes {
     /// When the connection was last read; `None` before the first read.
     last_read_at: Option<Instant>,
     /// `None` where the process was not stalled: the bytes were read as they arrived.
     receipt_bounds: Option<ReceiptBounds>,
 }
 
-impl Receipt {
+impl ReceiptTimes {
     /// To be called after each read: notes when the bytes may have arrived, where they waited for this process.
-    pub(super) fn stamp_receipt(&mut self, clock: &UnstalledClock, stream: &TcpStream) {
-        let arrived = clock.receipt_bounds(stream, self.last_read_at.replace(Instant::now()));
-        let before = self.receipt_bounds.map(|bounds| bounds.earliest);
-        self.receipt_bounds = arrived.map(|ReceiptBounds { earliest, latest }| ReceiptBounds {
+    pub(super) fn record_read(&mut self, clock: &UnstalledClock, stream: &TcpStream) {
+        let new_bounds = clock.receipt_bounds(stream, self.last_read_at.replace(Instant::now()));
+        let previous_earliest = self.receipt_bounds.map(|bounds| bounds.earliest);
+        self.receipt_bounds = new_bounds.map(|ReceiptBounds { earliest, latest }| ReceiptBounds {
             // What is left in the buffer of an earlier read is as old as that read.
-            earliest: before.map_or(earliest, |before| before.min(earliest)),
+            earliest: previous_earliest.map_or(earliest, |previous_earliest| previous_earliest.min(earliest)),
             latest,
         });
     }
--- a/crates/proxy/src/client/registry.rs
+++ b/crates/proxy/src/client/registry.rs
@@ -14,38 +14,38 @@
 
 use super::close::reject_connection;
 use super::connection::ClientConnection;
-use super::state::ConnectionState;
+use super::shared_state::SharedState;
 use crate::flow_control::ConnectionGuard;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{ClientId, ClientMessage};
 
 /// Keepalive probes follow each other at this part (one in three) of the silence before the first.
-const KEEPALIVE_INTERVAL_PARTS: u32 = 3;
+const KEEPALIVE_INTERVAL_DIVISOR: u32 = 3;
 
 /// What is kept of an open connection.
 struct RegisteredConnection {
     /// What its actor says of itself.
-    state: Rc<ConnectionState>,
+    shared_state: Rc<SharedState>,
     /// Where it is asked to close.
-    address: mpsc::Sender<ClientMessage>,
+    mailbox_sender: mpsc::Sender<ClientMessage>,
 }
 
 impl RegisteredConnection {
     /// Whether a request of it was ever answered.
-    fn is_served(&self) -> bool {
-        self.state.served.get()
+    fn was_served(&self) -> bool {
+        self.shared_state.was_served.get()
     }
 
     /// Whether it counts as an active client. Slow readers do not: flow control disconnects them in time.
     fn is_active(&self) -> bool {
-        self.is_served() && !self.state.slow_reader.get()
+        self.was_served() && !self.shared_state.slow_reader.get()
     }
 
     /// Whether it may be closed for a new one: it has no request under way, and either never had one, or had the last
     /// one long enough ago.
-    fn is_evictable(&self, recently_active: Duration) -> bool {
-        let idle_since = self.state.idle_since.get();
-        idle_since.is_some_and(|since| !self.is_served() || since.elapsed() >= recently_active)
+    fn is_evictable(&self, min_idle_time: Duration) -> bool {
+        let idle_since = self.shared_state.idle_since.get();
+        idle_since.is_some_and(|since| !self.was_served() || since.elapsed() >= min_idle_time)
     }
 }
 
@@ -56,13 +56,13 @@
     /// The open connections, by the task of their actor.
     connections: HashMap<task::Id, RegisteredConnection>,
     /// The actors of the open connections.
-    clients: JoinSet<()>,
+    client_tasks: JoinSet<()>,
     /// Connections that are being rejected.
-    rejections: JoinSet<()>,
+    rejection_tasks: JoinSet<()>,
     /// The number of the next connection.
     next_id: ClientId,
     /// Whether the clients' share was used up, and it was logged, since less than half of it was in use.
-    share_used_up: bool,
+    share_exhausted: bool,
     /// Set on each connection.
     keepalive: TcpKeepalive,
 }
@@ -70,17 +70,17 @@
 impl ConnectionRegistry {
     /// A registry without connections.
     pub(super) fn new(context: Rc<ProcessContext>) -> ConnectionRegistry {
-        let silence = context.limits.connections.keepalive;
+        let keepalive_time = context.limits.connections.keepalive;
         ConnectionRegistry {
             context,
             connections: HashMap::new(),
-            clients: JoinSet::new(),
-            rejections: JoinSet::new(),
+            client_tasks: JoinSet::new(),
+            rejection_tasks: JoinSet::new(),
             next_id: 0,
-            share_used_up: false,
+            share_exhausted: false,
             keepalive: TcpKeepalive::new()
-                .with_time(silence)
-                .with_interval(silence / KEEPALIVE_INTERVAL_PARTS),
+                .with_time(keepalive_time)
+                .with_interval(keepalive_time / KEEPALIVE_INTERVAL_DIVISOR),
         }
     }
 
@@ -90,12 +90,12 @@
     }
 
     /// Admits a connection that was accepted, or rejects it.
-    pub(super) fn receive(&mut self, stream: TcpStream, from: IpAddr) {
-        self.set_options(&stream);
-        self.evict_surplus_active_client();
+    pub(super) fn admit_or_reject(&mut self, stream: TcpStream, address: IpAddr) {
+        self.set_socket_options(&stream);
+        self.evict_excess_active_client();
         let limits = &self.context.limits.connections;
-        let has_place = self.connections.len() < limits.clients || self.free_descriptor();
-        let registered = has_place.then(|| self.context.flow_control.register(from).ok()).flatten();
+        let has_slot = self.connections.len() < limits.clients || self.free_descriptor();
+        let registered = has_slot.then(|| self.context.flow_control.register(address).ok()).flatten();
         match registered {
             Some(connection_guard) => self.admit(stream, connection_guard),
             None => self.reject(stream),
@@ -103,24 +103,24 @@
     }
 
     /// Sends small responses at once, and finds clients that vanished.
-    fn set_options(&self, stream: &TcpStream) {
+    fn set_socket_options(&self, stream: &TcpStream) {
         let _ = stream.set_nodelay(true);
         // Ends connections whose client vanished without closing them.
         let _ = SockRef::from(stream).set_tcp_keepalive(&self.keepalive);
     }
 
     /// Closes an idle connection for the new one where as many clients are active as may be.
-    fn evict_surplus_active_client(&self) {
+    fn evict_excess_active_client(&self) {
         let active = self.connections.values().filter(|connection| connection.is_active()).count();
         if active >= self.context.limits.connections.active_clients {
-            self.evict(Duration::ZERO, RegisteredConnection::is_served);
+            self.evict(Duration::ZERO, RegisteredConnection::was_served);
         }
     }
 
     /// With the clients' share used up, a connection that is too slow is closed for a new one, else an idle one.
     /// Returns whether one was found.
     fn free_descriptor(&mut self) -> bool {
-        if !std::mem::replace(&mut self.share_used_up, true) {
+        if !std::mem::replace(&mut self.share_exhausted, true) {
             warn!(self.context.log,
                 "client share of descriptors used up, idle connections are closed for new ones, else new ones rejected";
                 "clients" => self.connections.len());
@@ -137,32 +137,34 @@
     ///
     /// Without `recently_active` a flood of new connections would close those of clients that are between two requests.
     /// The cost: where all clients are between two requests, a new one is rejected.
-    fn evict(&self, recently_active: Duration, of: impl Fn(&RegisteredConnection) -> bool) -> bool {
+    fn evict(&self, min_idle_time: Duration, filter: impl Fn(&RegisteredConnection) -> bool) -> bool {
         let evictable = self
             .connections
             .values()
-            .filter(|connection| of(connection) && connection.is_evictable(recently_active));
-        let first =
-            evictable.min_by_key(|connection| (connection.is_served(), connection.state.idle_since.get()));
-        let Some(connection) = first else { return false };
-        connection.state.idle_since.set(None);
-        connection.address.try_send(ClientMessage::CloseIfIdle).is_ok()
+            .filter(|connection| filter(connection) && connection.is_evictable(min_idle_time));
+        let selected = evictable
+            .min_by_key(|connection| (connection.was_served(), connection.shared_state.idle_since.get()));
+        let Some(connection) = selected else { return false };
+        connection.shared_state.idle_since.set(None);
+        connection.mailbox_sender.try_send(ClientMessage::CloseIfIdle).is_ok()
     }
 
     /// Starts the actor of a connection.
     fn admit(&mut self, stream: TcpStream, connection_guard: ConnectionGuard) {
         let client = ClientConnection::new(self.context.clone(), self.next_id, stream, connection_guard);
-        let registered =
-            RegisteredConnection { state: client.state.clone(), address: client.address.clone() };
+        let registered = RegisteredConnection {
+            shared_state: client.shared_state.clone(),
+            mailbox_sender: client.mailbox_sender.clone(),
+        };
         self.next_id += 1;
-        let task = self.clients.spawn_local(client.run());
+        let task = self.client_tasks.spawn_local(client.run());
         self.connections.insert(task.id(), registered);
     }
 
     /// Where enough clients are being told so already, a further one is dropped without a word.
     fn reject(&mut self, stream: TcpStream) {
-        if self.rejections.len() < self.context.limits.connections.rejecting {
-            self.rejections.spawn_local(reject_connection(self.context.clone(), stream));
+        if self.rejection_tasks.len() < self.context.limits.connections.rejecting {
+            self.rejection_tasks.spawn_local(reject_connection(self.context.clone(), stream));
         }
     }
 
@@ -171,31 +173,31 @@
     pub(super) async fn reap(&mut self) {
         tokio::select! {
             biased;
-            Some(end) = self.clients.join_next_with_id() => self.forget(end),
-            Some(_) = self.rejections.join_next() => {}
+            Some(result) = self.client_tasks.join_next_with_id() => self.remove_ended(result),
+            Some(_) = self.rejection_tasks.join_next() => {}
             else => std::future::pending().await,
         }
     }
 
     /// Forgets the clients' connections that have ended by now.
     pub(super) fn reap_ended(&mut self) {
-        while let Some(end) = self.clients.try_join_next_with_id() {
-            self.forget(end);
+        while let Some(result) = self.client_tasks.try_join_next_with_id() {
+            self.remove_ended(result);
         }
     }
 
     /// Waits until all connections have ended, rejected ones too: a process that ends resets what is left, and the
     /// clients would not read why they were rejected.
-    pub(super) async fn drain(&mut self) {
-        while let Some(end) = self.clients.join_next_with_id().await {
-            self.forget(end);
+    pub(super) async fn join_all(&mut self) {
+        while let Some(result) = self.client_tasks.join_next_with_id().await {
+            self.remove_ended(result);
         }
-        while self.rejections.join_next().await.is_some() {}
+        while self.rejection_tasks.join_next().await.is_some() {}
     }
 
     /// Forgets a connection whose actor has ended.
-    fn forget(&mut self, end: Result<(task::Id, ()), JoinError>) {
-        let id = match end {
+    fn remove_ended(&mut self, result: Result<(task::Id, ()), JoinError>) {
+        let id = match result {
             Ok((id, ())) => id,
             Err(error) => {
                 error!(self.context.log, "client connection task failed"; "error" => %error);
@@ -204,7 +206,7 @@
         };
         self.connections.remove(&id);
         let limit = self.context.limits.connections.clients;
-        if self.connections.len() < limit / 2 && std::mem::take(&mut self.share_used_up) {
+        if self.connections.len() < limit / 2 && std::mem::take(&mut self.share_exhausted) {
             info!(self.context.log, "less than half of the client share of descriptors in use again";
                 "clients" => self.connections.len());
         }
--- a/crates/proxy/src/client/response.rs
+++ b/crates/proxy/src/client/response.rs
@@ -22,7 +22,7 @@
 
 impl EncodedResponse {
     /// Bytes that need no buffer space.
-    pub(super) fn small(bytes: Vec<u8>) -> EncodedResponse {
+    pub(super) fn unreserved(bytes: Vec<u8>) -> EncodedResponse {
         EncodedResponse { pieces: vec![bytes], reservation: None }
     }
 
@@ -30,12 +30,12 @@
     pub(super) fn fatal_error(code: &str, message: &str) -> EncodedResponse {
         let mut bytes = Vec::new();
         pg::write_error_response(&mut bytes, true, code, message, None);
-        EncodedResponse::small(bytes)
+        EncodedResponse::unreserved(bytes)
     }
 
     /// The response to a request, with the ReadyForQuery that ends it.
-    pub(super) fn of(answer: Answer) -> EncodedResponse {
-        let mut response = EncodedResponse::without_end(answer);
+    pub(super) fn from_answer(answer: Answer) -> EncodedResponse {
+        let mut response = EncodedResponse::without_ready_for_query(answer);
         match response.pieces.last_mut() {
             Some(last) => pg::write_ready_for_query(last),
             None => response.pieces.push(Vec::new()),
@@ -44,15 +44,15 @@
     }
 
     /// The response to a request but for its ReadyForQuery.
-    fn without_end(answer: Answer) -> EncodedResponse {
+    fn without_ready_for_query(answer: Answer) -> EncodedResponse {
         let mut bytes = Vec::new();
         match answer {
             Answer::Served(Rows { pieces, reservation }) => {
                 return EncodedResponse { pieces, reservation };
             }
             Answer::Rejected { retry_after } => {
-                let millis = (retry_after + 999) / 1000;
-                let detail = (millis > 0).then(|| millis.to_string());
+                let retry_after_ms = (retry_after + 999) / 1000;
+                let detail = (retry_after_ms > 0).then(|| retry_after_ms.to_string());
                 let text = "denied, trying again is harmless";
                 pg::write_error_response(
                     &mut bytes,
@@ -72,11 +72,11 @@
                     None,
                 );
             }
-            Answer::InvalidStatement(why) => {
-                pg::write_error_response(&mut bytes, false, sql_state::PROTOCOL_VIOLATION, why, None)
+            Answer::InvalidStatement(reason) => {
+                pg::write_error_response(&mut bytes, false, sql_state::PROTOCOL_VIOLATION, reason, None)
             }
         }
-        EncodedResponse::small(bytes)
+        EncodedResponse::unreserved(bytes)
     }
 }
 
@@ -91,7 +91,7 @@
 
 impl UnreadResponses {
     /// How many unread bytes the system holds at most, with a send buffer of this size.
-    pub(super) fn bytes_in_system(&self, socket_buffer: usize) -> usize {
+    pub(super) fn bytes_in_kernel(&self, socket_buffer: usize) -> usize {
         self.bytes.min(2 * socket_buffer)
     }
 
@@ -107,13 +107,13 @@
     }
 
     /// Counts bytes that the kernel has accepted.
-    fn written(&mut self, count: usize) {
+    fn record_written(&mut self, count: usize) {
         self.bytes = self.bytes.saturating_add(count);
     }
 
     /// A large response was written whole: only what the system may still hold of it counts from now on.
-    fn retain(&mut self, reservation: BufferReservation, socket_buffer: usize) {
-        reservation.shrink(self.bytes_in_system(socket_buffer));
+    fn retain_reservation(&mut self, reservation: BufferReservation, socket_buffer: usize) {
+        reservation.shrink(self.bytes_in_kernel(socket_buffer));
         self.unread_reservation = Some(reservation);
     }
 }
@@ -122,7 +122,7 @@
     /// Writes the responses that are there, up to the first that is still awaited.
     pub(super) async fn write_ready_responses(&mut self) -> Result<(), CloseReason> {
         while let Some(response) = self.pending_responses.pop_ready() {
-            if self.closes_after_response() {
+            if self.should_close_after_response() {
                 // The end of the response leaves with the end of the stream.
                 let _ = SockRef::from(&self.stream).set_tcp_cork(true);
                 self.drain(CloseReason::Shutdown);
@@ -137,11 +137,11 @@
         for piece in &response.pieces {
             self.write_piece(piece).await?;
         }
-        if self.state.slow_reader.replace(false) {
+        if self.shared_state.slow_reader.replace(false) {
             self.connection_guard.stop_metering();
         }
         if let Some(reservation) = response.reservation {
-            self.unread.retain(reservation, self.context.limits.buffers.client_socket);
+            self.unread_responses.retain_reservation(reservation, self.context.limits.buffers.client_socket);
         }
         Ok(())
     }
@@ -153,8 +153,8 @@
             match system::try_write(Party::Client, &self.stream, rest) {
                 Ok(count) if count > 0 => {
                     rest = &rest[count..];
-                    self.unread.written(count);
-                    if self.state.slow_reader.get() {
+                    self.unread_responses.record_written(count);
+                    if self.shared_state.slow_reader.get() {
                         // The kernel accepted more bytes, so the client has read as many.
                         self.connection_guard.record_progress(count);
                     }
@@ -168,7 +168,7 @@
 
     /// The system's buffer is full: from now on it is measured how fast the client reads.
     async fn wait_until_writable(&mut self) -> Result<(), CloseReason> {
-        if !self.state.slow_reader.replace(true) {
+        if !self.shared_state.slow_reader.replace(true) {
             self.connection_guard.start_metering(Transfer::ToPeer);
         }
         tokio::select! {
--- a/crates/proxy/src/client/state.rs
+++ b/crates/proxy/src/client/shared_state.rs
@@ -6,11 +6,11 @@
 
 /// The part of a connection's state that its actor shares with the registry.
 #[derive(Default)]
-pub(super) struct ConnectionState {
+pub(super) struct SharedState {
     /// Since when the connection has no request under way; `None` while it has one, or is already to be closed.
     pub(super) idle_since: Cell<Option<Instant>>,
     /// Whether a request of this connection was ever answered.
-    pub(super) served: Cell<bool>,
+    pub(super) was_served: Cell<bool>,
     /// The client does not read its response as fast as it is written. Flow control disconnects it in time, so that it
     /// does not count as an active client.
     pub(super) slow_reader: Cell<bool>,
--- a/crates/proxy/src/client/startup.rs
+++ b/crates/proxy/src/client/startup.rs
@@ -9,36 +9,36 @@
 use crate::system::{self, Party};
 
 /// Answers a request for encryption: the client goes on without, or closes the connection.
-const ENCRYPTION_REFUSED: &[u8] = b"N";
+const ENCRYPTION_REJECTED: &[u8] = b"N";
 
 impl ClientConnection {
     /// Reads the client's startup message and answers it; requests for encryption before it are refused.
-    pub(super) async fn startup(&mut self) -> Result<(), CloseReason> {
+    pub(super) async fn handle_startup(&mut self) -> Result<(), CloseReason> {
         let deadline = self.connected_at + self.context.limits.client.startup_timeout;
         loop {
             let Some(message) = pg::initial_message(self.buffer.held())? else {
-                self.read_startup(deadline).await?;
+                self.read_startup_message(deadline).await?;
                 continue;
             };
             match message.kind {
                 InitialMessageKind::CancelRequest => return Err(CloseReason::Normal),
                 InitialMessageKind::EncryptionRequest => {
                     self.buffer.consume(message.length);
-                    let refusal = EncodedResponse::small(ENCRYPTION_REFUSED.to_vec());
-                    self.write_response(refusal).await?;
+                    let rejection = EncodedResponse::unreserved(ENCRYPTION_REJECTED.to_vec());
+                    self.write_response(rejection).await?;
                 }
                 InitialMessageKind::StartupMessage => {
                     self.buffer.consume(message.length);
-                    let mut welcome = Vec::new();
-                    pg::write_startup_response(&mut welcome, self.id as u32);
-                    return self.write_response(EncodedResponse::small(welcome)).await;
+                    let mut response = Vec::new();
+                    pg::write_startup_response(&mut response, self.id as u32);
+                    return self.write_response(EncodedResponse::unreserved(response)).await;
                 }
             }
         }
     }
 
     /// Reads more of a startup message. After the deadline nothing is read, as it would have no answer.
-    async fn read_startup(&mut self, deadline: Instant) -> Result<(), CloseReason> {
+    async fn read_startup_message(&mut self, deadline: Instant) -> Result<(), CloseReason> {
         let bytes = system::read(Party::Client, &mut self.stream, self.buffer.tail());
         let read = tokio::select! {
             biased;
@@ -50,7 +50,7 @@
         if count == 0 {
             return Err(CloseReason::Normal);
         }
-        self.stamp_receipt();
+        self.record_read();
         Ok(())
     }
 }
--- a/crates/proxy/src/client/statement.rs
+++ b/crates/proxy/src/client/statement.rs
@@ -15,20 +15,20 @@
 
 impl ClientConnection {
     /// Whether a statement is on the key of a write under way: their order must not change.
-    pub(super) fn conflicts_with_pending(&self, statement: &[u8]) -> bool {
+    pub(super) fn conflicts_with_pending_write(&self, statement: &[u8]) -> bool {
         if !self.pending_responses.has_write() {
             return false;
         }
         let Ok(comment) = Comment::parse(statement) else { return false };
         let key = first_quoted_text(&statement[comment.end..]);
-        key.is_some_and(|key| self.pending_responses.writes(&key))
+        key.is_some_and(|key| self.pending_responses.has_write_to(&key))
     }
 
     /// A simple query: a request for the dispatcher, unless it is empty or names no request.
     pub(super) async fn accept_statement(&mut self, statement: Vec<u8>) -> Result<(), CloseReason> {
         let mut response = Vec::new();
         if is_empty(&statement) {
-            self.wait_for_first_list().await?;
+            self.wait_for_first_endpoint_list().await?;
             pg::write_empty_query_response(&mut response);
         } else {
             match Comment::parse(&statement) {
@@ -46,12 +46,12 @@
             }
         }
         pg::write_ready_for_query(&mut response);
-        self.respond_at_once(response);
+        self.respond_immediately(response);
         Ok(())
     }
 
     /// An empty query is answered once there is an endpoint list to decide on.
-    async fn wait_for_first_list(&self) -> Result<(), CloseReason> {
+    async fn wait_for_first_endpoint_list(&self) -> Result<(), CloseReason> {
         let mut ready = self.context.ready.clone();
         ready.wait_for(|&ready| ready).await.map_err(|_| CloseReason::Normal)?;
         Ok(())
@@ -59,22 +59,22 @@
 
     /// Hands a request to the dispatcher.
     async fn send_request(&mut self, statement: Vec<u8>, mut comment: Comment) -> Result<(), CloseReason> {
-        if let Some(left) = self.context.time_left_at_shutdown() {
+        if let Some(time_left) = self.context.time_left_at_shutdown() {
             // Answered in time before the process may be killed.
-            comment.timeout_ms = comment.timeout_ms.min(left.as_millis() as u32);
+            comment.timeout_ms = comment.timeout_ms.min(time_left.as_millis() as u32);
         }
-        let client = self.next_request_id();
+        let request_id = self.next_request_id();
         self.pending_responses.push_request(PendingRequest {
-            request: client,
+            request_id,
             write_key: write_key(&statement[comment.end..]),
-            statement_reservation: self.intake.reservation.take(),
+            statement_reservation: self.receive_state.reservation.take(),
         });
-        let received_at = self.receipt.received_at(self.buffer.is_empty());
+        let received_at = self.receipt_times.received_at(self.buffer.is_empty());
         self.is_past_arrival_window = self.context.is_past_arrival_window(received_at);
         let request = ClientRequest {
-            client,
+            client: request_id,
             peer: self.connection_guard.peer,
-            mailbox: self.address.clone(),
+            mailbox: self.mailbox_sender.clone(),
             received_at: self.context.clock.at(received_at),
             statement,
             comment,
@@ -93,7 +93,7 @@
 
 /// The key that a statement may write. Only a SELECT writes nothing.
 fn write_key(text: &[u8]) -> Option<String> {
-    let verb = text.trim_ascii_start().get(..6);
-    let reads = verb.is_some_and(|verb| verb.eq_ignore_ascii_case(b"SELECT"));
-    if reads { None } else { first_quoted_text(text) }
+    let keyword = text.trim_ascii_start().get(..6);
+    let is_select = keyword.is_some_and(|keyword| keyword.eq_ignore_ascii_case(b"SELECT"));
+    if is_select { None } else { first_quoted_text(text) }
 }
--- a/crates/proxy/src/shadow/difference.rs
+++ b/crates/proxy/src/shadow/difference.rs
@@ -19,7 +19,7 @@
 }
 
 impl Disposition {
-    fn of(action: Option<Action>) -> Disposition {
+    fn from_action(action: Option<Action>) -> Disposition {
         match action {
             None => Disposition::Queued,
             Some(Action::Attempt { .. }) => Disposition::Attempted,
@@ -135,8 +135,8 @@
             (retry_after != shadow_retry_after).then_some(Difference::RetryAfter)
         }
         (made, shadow) => {
-            let made = Disposition::of(made);
-            let shadow = Disposition::of(shadow);
+            let made = Disposition::from_action(made);
+            let shadow = Disposition::from_action(shadow);
             (made != shadow).then_some(Difference::Disposition { made, shadow })
         }
     }
--- a/crates/proxy/src/shadow/error.rs
+++ b/crates/proxy/src/shadow/error.rs
@@ -28,7 +28,7 @@
     #[error(
         "{path}: {field}: other names than those in force; only settings of the same deployment can be evaluated"
     )]
-    OtherDeployment {
+    DeploymentMismatch {
         /// The file that the operator's file names.
         path: String,
         /// The field of the settings that differs.
--- a/crates/proxy/src/shadow/mod.rs
+++ b/crates/proxy/src/shadow/mod.rs
@@ -25,7 +25,7 @@
 /// Compares the router's decisions with those under other settings.
 pub struct ShadowRouter {
     /// The other settings.
-    settings: RouterConfig,
+    shadow_config: RouterConfig,
     /// One decision in this many is compared.
     sample_interval: u32,
     log_interval: Duration,
@@ -49,17 +49,18 @@
         let path = || config.settings.clone();
         let text = std::fs::read_to_string(&config.settings)
             .map_err(|error| ShadowError::File { path: path(), error })?;
-        let other = Settings::parse(&text).map_err(|error| ShadowError::Settings { path: path(), error })?;
-        if other.class_names() != in_force.class_names() {
-            return Err(ShadowError::OtherDeployment { path: path(), field: "categories" });
+        let shadow_settings =
+            Settings::parse(&text).map_err(|error| ShadowError::Settings { path: path(), error })?;
+        if shadow_settings.class_names() != in_force.class_names() {
+            return Err(ShadowError::DeploymentMismatch { path: path(), field: "categories" });
         }
-        if other.zones() != in_force.zones() {
-            return Err(ShadowError::OtherDeployment { path: path(), field: "azs" });
+        if shadow_settings.zones() != in_force.zones() {
+            return Err(ShadowError::DeploymentMismatch { path: path(), field: "azs" });
         }
         let sample_interval = config.one_in.unwrap_or(DEFAULT_SAMPLE_INTERVAL).max(1);
         let log_interval_s = config.every_s.unwrap_or(DEFAULT_LOG_INTERVAL_S).max(1);
         Ok(ShadowRouter {
-            settings: other.router_config,
+            shadow_config: shadow_settings.router_config,
             sample_interval,
             log_interval: Duration::from_secs(log_interval_s.into()),
             until_next_sample: sample_interval,
@@ -77,13 +78,13 @@
         decision: impl Fn(&mut Router) -> (T, Actions),
     ) -> (T, Actions) {
         // Copied first: the copy is to decide from the same state.
-        let copy = self.is_sampled().then(|| router.with_config(&self.settings));
-        let (made, actions) = decision(router);
+        let copy = self.is_sampled().then(|| router.with_config(&self.shadow_config));
+        let (result, actions) = decision(router);
         if let Some(mut copy) = copy {
             let (_, shadow_actions) = decision(&mut copy);
             self.compare(&actions, &shadow_actions);
         }
-        (made, actions)
+        (result, actions)
     }
 
     /// Whether the next decision is in the sample.
