--- a/crates/proxy/src/client/close.rs
+++ b/crates/proxy/src/client/close.rs
@@ -1,4 +1,5 @@
-//! How connections end: the reasons, the graceful close, and the rejection of a client for which there is no room.
+//! Closing of client connections: the reasons, the graceful close, and the rejection of clients for which
+//! there is no capacity.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,24 +19,25 @@
 use crate::messages::{ClientLeft, DispatcherMessage};
 use crate::system::{self, Party};
 
-/// Bytes that are read at once of what a closing client still sends.
+/// Capacity of the buffer for input that is discarded while a connection is closed, in bytes.
 const DISCARD_READ_SIZE: usize = 16 * 1024;
 
-/// Why a client connection ends.
+/// Reason why a client connection is closed.
 #[derive(Clone, Copy)]
 pub(super) enum CloseReason {
-    /// The client closed its side or terminated the session, or the process ends.
+    /// The client closed its side or ended the session, the connection failed, or the process is ending.
     Normal,
-    /// Its descriptor is needed, or it was idle for too long. It is closed at once: a request that crosses the close
-    /// stays unread, so that the client sees a reset and knows that it may send the request again elsewhere.
+    /// The connection's descriptor is needed, or the client was idle for too long. The connection is closed
+    /// at once: a request that arrives during the close stays unread, so the client sees a reset and knows
+    /// that it may send the request again elsewhere.
     Evicted,
-    /// The process shuts down. The end of the stream leaves together with the end of the last response, so that a client
-    /// that has read its answer knows that no other request is taken here.
+    /// The process is shutting down. The end of the stream is sent together with the end of the last
+    /// response, so a client that has read its answer knows that no further request is accepted here.
     Shutdown,
-    /// It was too slow while others wanted what it held, or for too long. It is reset, so that the system drops at
-    /// once what it still holds for the client.
+    /// The client was too slow while others needed the resources that it held, or was slow for too long. The
+    /// connection is reset, so that the kernel discards at once what it still buffers for the client.
     TooSlow,
-    /// It sent what the protocol does not allow, and is told so.
+    /// The client violated the protocol. It is sent an error before the connection is closed.
     ProtocolError(Malformed),
 }
 
@@ -46,14 +48,14 @@
 }
 
 impl From<std::io::Error> for CloseReason {
-    /// A connection that broke ends as one that the client has closed.
+    /// Treats a connection that failed like one that the client closed.
     fn from(_: std::io::Error) -> CloseReason {
         CloseReason::Normal
     }
 }
 
 impl ClientConnection {
-    /// Tells the dispatcher that nobody waits for the requests that have no response yet.
+    /// Tells the dispatcher that the client no longer waits for the requests that have no response yet.
     pub(super) async fn abandon_pending_requests(&mut self) {
         while let Some(abandoned) = self.pending_responses.abandon_next() {
             let left = ClientLeft { client: abandoned.request_id };
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Ends the connection as its reason demands.
+    /// Closes the connection in the way that the reason requires.
     pub(super) async fn close(mut self, reason: CloseReason) {
         if matches!(reason, CloseReason::TooSlow) || !self.may_leave_unread() {
             reset_on_close(&self.stream);
@@ -86,8 +88,9 @@
         close_gracefully(self.stream, limits.connections.linger, limits.client.discard_limit).await;
     }
 
-    /// Whether the system may keep what the client has not read. It does so for a bounded time after the close, and
-    /// the bytes count against the buffer budget until then.
+    /// Returns whether the kernel may keep the responses that the client has not read. If so, it keeps them
+    /// for a limited time after the close. From `limits.buffers.ignorable_unread` bytes on, they count
+    /// against the buffer budget for that time.
     fn may_leave_unread(&mut self) -> bool {
         let unread = self.unread_responses.bytes_in_kernel(self.context.limits.buffers.client_socket);
         if unread < self.context.limits.buffers.ignorable_unread {
@@ -103,13 +106,15 @@
     }
 }
 
-/// With a linger time of zero the system forgets the connection at once, and what it holds for it.
+/// Makes the close reset the connection: with a linger time of zero, the kernel discards the connection and
+/// its buffers at once.
 fn reset_on_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Closes this side, and waits up to `linger` for the other's end, so that what was written last arrives: a connection
-/// that is closed with bytes unread is reset. At most `discard_limit` bytes are read of a client that goes on sending.
+/// Closes the proxy's side of a connection and waits up to `linger` for the client to close the other side,
+/// so that the bytes written last are delivered: the kernel resets a connection that is closed with unread
+/// input. Input is discarded; once the client has sent `discard_limit` bytes, nothing more is read.
 pub(super) async fn close_gracefully(mut stream: TcpStream, linger: Duration, mut discard_limit: usize) {
     let read_until_end = async {
         stream.shutdown().await?;
@@ -127,7 +132,7 @@
     let _ = timeout(linger, read_until_end).await;
 }
 
-/// Tells a client that there is no room for its connection, and closes it.
+/// Sends a client the error that there are too many connections, and closes its connection.
 pub(super) async fn reject_connection(context: Rc<ProcessContext>, mut stream: TcpStream) {
     let mut error = Vec::new();
     pg::write_error_response(&mut error, true, sql_state::TOO_MANY_CONNECTIONS, "too many connections", None);
--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! The actor of one client connection: reads statements as they come, and answers them in their order.
+//! The actor of one client connection, which reads statements as they arrive and answers them in order.
 
 use std::rc::Rc;
 
@@ -18,67 +18,69 @@
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{Answer, ClientId, ClientMessage};
 
-/// A connection's mailbox has room for an answer to each pipelined statement, and for this many requests to close.
+/// Mailbox capacity for requests to close the connection, in messages. It is added to the capacity for one
+/// answer per pipelined statement.
 const EVICTION_MESSAGE_CAPACITY: usize = 4;
 
-/// The actor of one client connection.
+/// Actor of one client connection.
 pub(super) struct ClientConnection {
-    /// What all actors share.
+    /// State shared by all actors.
     pub(super) context: Rc<ProcessContext>,
-    /// Names the connection, new for each.
+    /// Number of the connection, unique within the process.
     pub(super) id: ClientId,
-    /// The client's socket.
+    /// Socket of the client.
     pub(super) stream: TcpStream,
-    /// Its registration with flow control, removed when dropped.
+    /// Registration with flow control, removed when dropped.
     pub(super) connection_guard: ConnectionGuard,
-    /// What the registry sees of it.
+    /// State shared with the registry.
     pub(super) shared_state: Rc<SharedState>,
-    /// Where the dispatcher's answers and the registry's messages arrive.
+    /// Receiver of the dispatcher's answers and the registry's requests to close.
     pub(super) mailbox: mpsc::Receiver<ClientMessage>,
-    /// The other end of the mailbox, which goes to the dispatcher with each request.
+    /// Sender for the mailbox. The dispatcher gets a clone with each request, and the registry holds one.
     pub(super) mailbox_sender: mpsc::Sender<ClientMessage>,
-    /// When the connection was accepted.
+    /// Time at which the connection was accepted.
     pub(super) connected_at: Instant,
-    /// Bytes that were read and are not yet taken as messages.
+    /// Bytes that were read but are not yet taken as messages.
     pub(super) buffer: Buffer,
-    /// When the bytes in the buffer arrived.
+    /// Receipt times of the bytes in the buffer.
     pub(super) receipt_times: ReceiptTimes,
-    /// How far the client's next message has come.
+    /// Progress of receiving the client's next message.
     pub(super) receive_state: ReceiveState,
     /// Responses that are owed to the client.
     pub(super) pending_responses: PendingResponses,
     /// Responses that the client may not have read.
     pub(super) unread_responses: UnreadResponses,
-    /// Requests handed to the dispatcher so far.
+    /// Number of requests sent to the dispatcher so far.
     pub(super) requests_sent: u64,
-    /// Whether the last request arrived so long after the request to stop that it was owed no answer.
+    /// True if the last request arrived so long after the request to stop that it was not owed an answer.
     pub(super) is_past_arrival_window: bool,
-    /// Whether statements are still accepted.
+    /// Phase of the connection: accepting or draining.
     phase: Phase,
 }
 
-/// Whether statements are still accepted.
+/// Phase of a connection.
 enum Phase {
     /// Statements are accepted.
     Accepting,
-    /// No more are accepted; the connection closes for this reason once the responses that are owed are written.
+    /// No more statements are accepted. The connection is closed for this reason once the responses that are
+    /// owed are written.
     Draining(CloseReason),
 }
 
-/// What a connection does once all responses that are there are written.
+/// Next step of a connection that has written all responses that are ready.
 enum NextStep {
-    /// A whole message is in the read buffer.
+    /// Accept this message, which is complete in the read buffer.
     Accept(ReceivedMessage),
-    /// Requests are under way, and nothing can be accepted before something happens.
+    /// Wait for an event. Requests are pending, and nothing can be accepted before an event occurs.
     WaitForEvent,
-    /// No request is under way: the client's next message is waited for.
+    /// Read more of the client's next message. No request is pending.
     ReadMore,
-    /// Nothing is owed any more.
+    /// Close the connection for this reason. No response is owed any more.
     Close(CloseReason),
 }
 
 impl ClientConnection {
-    /// The actor of a connection that has just been accepted.
+    /// Creates the actor of a connection that was just accepted.
     pub(super) fn new(
         context: Rc<ProcessContext>,
         id: ClientId,
@@ -119,7 +121,7 @@
         self.close(reason).await;
     }
 
-    /// Reads statements as they come, and answers them in their order.
+    /// Reads statements as they arrive and answers them in order. Returns the reason to close the connection.
     async fn serve(&mut self) -> CloseReason {
         loop {
             if let Err(reason) = self.step().await {
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Does one thing: writes what can be written, then what [`NextStep`] says.
+    /// Writes the responses that are ready, then takes the step that [`NextStep`] names.
     async fn step(&mut self) -> Result<(), CloseReason> {
         self.write_ready_responses().await?;
         match self.next_step() {
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Decides what follows from the read buffer and the responses that are owed.
+    /// Determines the next step from the read buffer and the responses that are owed.
     fn next_step(&mut self) -> NextStep {
         if self.may_accept() {
             match self.next_message() {
@@ -164,11 +166,13 @@
         }
     }
 
-    /// Whether the connection closes with the response that is about to be written: the process shuts down, the client's last
-    /// request came when none was owed an answer any more, and it has sent nothing else.
+    /// Returns whether the connection closes with the response that is about to be written: the process is
+    /// shutting down, the client's last request arrived when no answer was owed any more, and the client has
+    /// sent nothing since.
     ///
-    /// A client that asks again as soon as it has its answer would otherwise be served until no time is left, and then
-    /// rejected, wherever the machine runs it before this process has looked for its next request and closed the connection.
+    /// Without this rule, a client that sends its next request as soon as it has an answer would be served
+    /// until no time is left, and then rejected, whenever the machine schedules the client before this
+    /// process has checked for the next request and closed the connection.
     pub(super) fn should_close_after_response(&self) -> bool {
         self.is_past_arrival_window
             && matches!(self.phase, Phase::Accepting)
@@ -177,30 +181,30 @@
             && !has_unread_bytes(&self.stream)
     }
 
-    /// Whether another statement may be accepted beside those under way.
+    /// Returns whether another statement may be accepted in addition to the pending ones.
     fn may_accept(&self) -> bool {
         let pipelined = self.context.limits.client.pipelined_statements;
         matches!(self.phase, Phase::Accepting) && self.pending_responses.len() < pipelined
     }
 
-    /// Accepts no more statements, and closes the connection once the responses that are owed are written.
+    /// Stops accepting statements, and closes the connection once the responses that are owed are written.
     pub(super) fn drain(&mut self, reason: CloseReason) {
         self.phase = Phase::Draining(reason);
     }
 
-    /// Deals with what came while requests are under way.
+    /// Handles an event that occurred while requests were pending.
     fn handle_event(&mut self, event: ClientEvent) -> Result<(), CloseReason> {
         match event {
             ClientEvent::Answer(request_id, answer) => self.handle_answer(request_id, answer),
             ClientEvent::BytesRead => self.record_read(),
-            // It is not idle: a request is under way.
+            // The connection is not idle: a request is pending.
             ClientEvent::CloseIfIdle => {}
             ClientEvent::Closed => return Err(CloseReason::Normal),
         }
         Ok(())
     }
 
-    /// The dispatcher has answered a request.
+    /// Marks the connection as served, and stores the dispatcher's answer to a request.
     fn handle_answer(&mut self, request_id: ClientId, answer: Answer) {
         self.shared_state.was_served.set(true);
         self.pending_responses.complete(request_id, answer);
--- a/crates/proxy/src/client/events.rs
+++ b/crates/proxy/src/client/events.rs
@@ -1,4 +1,5 @@
-//! What a connection waits for: answers from the dispatcher, bytes from the client, or an end.
+//! Events that a connection waits for: answers from the dispatcher, bytes from the client, or the end of the
+//! wait.
 
 use std::io;
 use std::time::Duration;
@@ -14,41 +15,44 @@
 use crate::messages::{Answer, ClientId, ClientMessage};
 use crate::system::{self, Party, Peeked};
 
-/// What a connection with requests under way may hear.
+/// Event on a connection with pending requests.
 pub(super) enum ClientEvent {
-    /// The dispatcher answers this request.
+    /// The dispatcher answered this request.
     Answer(ClientId, Answer),
-    /// The client sent bytes, which are in the read buffer.
+    /// The client sent bytes, which are now in the read buffer.
     BytesRead,
-    /// The connection is to be closed unless a request is under way.
+    /// The connection is to be closed unless a request is pending.
     CloseIfIdle,
-    /// The client has closed its side, or nobody holds the connection's mailbox any more.
+    /// The client closed its side, reading failed, or the mailbox has no sender any more.
     Closed,
 }
 
-/// What a connection without a request under way may hear.
+/// Event on a connection without a pending request.
 enum IdleEvent {
-    /// A read ended: with the number of bytes, 0 where the client has closed its side.
+    /// A read ended, with the number of bytes or an error. 0 bytes mean that the client closed its side.
     Read(io::Result<usize>),
-    /// The client is waited for no longer: its time is over, its descriptor is needed, or the process shuts down.
+    /// The wait for the client ended: the deadline passed, the descriptor is needed, or the process is
+    /// shutting down.
     WaitEnded,
-    /// Flow control disconnects the client, which is too slow to send its message.
+    /// Flow control disconnects the client, because it sends its message too slowly.
     Disconnected,
 }
 
-/// How long a client without a request under way is waited for.
+/// Limits on the wait for a client without a pending request.
 struct IdleWait {
-    /// A message has begun and is not whole.
+    /// True if part of a message has arrived.
     mid_message: bool,
-    /// When the client's time is over.
+    /// Time at which the wait ends.
     deadline: Instant,
-    /// Whether a shutdown ends the wait at once. A connection that was never served, or is amid a message, stays open
-    /// for as long as new connections are accepted: its first request, or the rest of the message, may be on its way.
+    /// True if a shutdown ends the wait at once. A connection that was never served, or that is in the middle
+    /// of a message, stays open for as long as new connections are accepted, because its first request or the
+    /// rest of the message may be on the way.
     ends_at_shutdown: bool,
 }
 
 impl ClientConnection {
-    /// Waits while requests are under way.
+    /// Waits for an event while requests are pending. Once `limits.client.read_ahead` bytes are buffered,
+    /// nothing more is read, and the connection is only polled for a close by the client.
     pub(super) async fn wait_for_event(&mut self) -> ClientEvent {
         let may_read = self.buffer.held().len() < self.context.limits.client.read_ahead;
         let poll_interval = self.context.limits.client.disconnect_poll_interval;
@@ -74,14 +78,14 @@
         }
     }
 
-    /// Waits for more bytes while no request is under way. The connection may be closed here, also amid a message:
-    /// clients that begin one and never end it must not keep others out.
+    /// Waits for more bytes while no request is pending. The connection may be closed here even in the middle
+    /// of a message, so that clients that start a message and never complete it do not keep others out.
     pub(super) async fn read_more(&mut self) -> Result<(), CloseReason> {
         let wait = self.start_idle_wait();
         let read = match self.next_idle_event(&wait).await {
             IdleEvent::Read(read) => read,
             IdleEvent::Disconnected => return Err(CloseReason::TooSlow),
-            // A request that has arrived by now is read, and answered, before the connection is closed.
+            // A request that has arrived by now is read and answered before the connection is closed.
             IdleEvent::WaitEnded if has_unread_bytes(&self.stream) => {
                 system::read(Party::Client, &mut self.stream, self.buffer.tail()).await
             }
@@ -95,7 +99,7 @@
         if count > 0 { Ok(()) } else { Err(CloseReason::Normal) }
     }
 
-    /// Notes since when the connection is idle, and meters a client that is amid a message.
+    /// Records since when the connection is idle, and meters a client that is in the middle of a message.
     fn start_idle_wait(&mut self) -> IdleWait {
         let now = Instant::now();
         let served = self.shared_state.was_served.get();
@@ -113,20 +117,23 @@
         }
     }
 
-    /// When a client's time for its next statement, or for the rest of one that began at `started_at`, is over.
+    /// Returns the deadline for the client's next statement, or for the rest of a message that started at
+    /// `started_at`.
     fn idle_wait_deadline(&self, now: Instant, started_at: Option<Instant>) -> Instant {
         let limits = &self.context.limits.client;
         let first_request =
             (!self.shared_state.was_served.get()).then(|| self.connected_at + limits.first_request_timeout);
         let message = started_at.map(|started_at| {
-            // A client that has stopped is not waited for, however long the statement before was under way.
+            // Counted from the last read, however long the previous statement was pending: a client that
+            // stopped sending is not waited for.
             let stalled = self.receipt_times.last_read_at().unwrap_or(now) + limits.stall_timeout;
             stalled.min(started_at + limits.message_timeout)
         });
         first_request.into_iter().chain(message).min().unwrap_or(now + limits.idle_timeout)
     }
 
-    /// Waits for bytes, or for what ends the wait. Bytes come first: what has arrived is served whatever else happens.
+    /// Waits for bytes or for the end of the wait. Bytes take precedence, so that what has arrived is served
+    /// whatever else happens.
     async fn next_idle_event(&mut self, wait: &IdleWait) -> IdleEvent {
         let shutdown = wait_for_shutdown(self.context.stopping.clone(), wait.ends_at_shutdown);
         tokio::pin!(shutdown);
@@ -149,13 +156,14 @@
         }
     }
 
-    /// Notes when the bytes that were just read arrived.
+    /// Records when the bytes that were just read arrived.
     pub(super) fn record_read(&mut self) {
         self.receipt_times.record_read(&self.context.unstalled_clock, &self.stream);
     }
 }
 
-/// Returns once the process shuts down, and unless `at_once` only when it accepts no more connections.
+/// Returns once the process is shutting down if `at_once` is true, otherwise only once it accepts no more
+/// connections.
 async fn wait_for_shutdown(mut stopping: watch::Receiver<Option<Instant>>, at_once: bool) {
     let accepts_until = stopping.wait_for(Option::is_some).await.map_or(None, |until| *until);
     if let Some(accepts_until) = accepts_until.filter(|_| !at_once) {
@@ -163,11 +171,11 @@
     }
 }
 
-/// Returns once the client has closed its side, though what it sent before that is left unread.
+/// Returns once the client has closed its side, even if bytes that it sent before that are still unread.
 async fn wait_for_client_close(stream: &TcpStream, poll_interval: Duration) {
     loop {
         sleep(poll_interval).await;
-        // Does not wait, as there is something to read.
+        // Does not wait, because there are bytes to read.
         match stream.ready(Interest::READABLE).await {
             Ok(ready) if !ready.is_read_closed() => {}
             _ => return,
@@ -175,7 +183,7 @@
     }
 }
 
-/// Whether bytes have arrived that nobody has read.
+/// Returns whether bytes have arrived that were not read yet.
 pub(super) fn has_unread_bytes(stream: &TcpStream) -> bool {
     matches!(system::peek(stream), Peeked::Unread)
 }
--- a/crates/proxy/src/client/listener.rs
+++ b/crates/proxy/src/client/listener.rs
@@ -1,4 +1,4 @@
-//! The actor that accepts clients, until the process is to stop and the last client has its answer.
+//! The actor that accepts clients until the process is stopping and the last client has its answer.
 
 use std::rc::Rc;
 
@@ -12,7 +12,8 @@
 use crate::lifecycle::process_context::ProcessContext;
 use crate::system::Acceptor;
 
-/// Accepts clients and serves them. Returns once the process was asked to stop and the last client has its answer.
+/// Accepts clients and serves them. Returns once the process was asked to stop and the last client has its
+/// answer.
 pub async fn run(context: Rc<ProcessContext>, listener: TcpListener) {
     warn_if_descriptors_limited(&context);
     let mut acceptor = Acceptor::new(listener, context.log.clone());
@@ -23,7 +24,7 @@
     registry.join_all().await;
 }
 
-/// Warns where the configuration promises more descriptors than the system allows.
+/// Logs a warning if the configuration promises more descriptors than the system allows.
 fn warn_if_descriptors_limited(context: &ProcessContext) {
     let Descriptors { configured, allowed } = context.limits.descriptors;
     if allowed < configured {
@@ -32,7 +33,8 @@
     }
 }
 
-/// Accepts clients until some time after the process was asked to stop, as those on their way do not know of that.
+/// Accepts clients for some time after the process was asked to stop, because clients whose connections are
+/// on the way do not know of the stop.
 async fn accept_until_stopped(
     context: &ProcessContext,
     acceptor: &mut Acceptor<TcpListener>,
@@ -51,14 +53,15 @@
             () = sleep_until(accepts_until.unwrap_or_else(Instant::now)), if accepts_until.is_some() => return,
             (stream, address) = acceptor.next() => {
                 registry.admit_or_reject(stream, address.ip());
-                // However many connect at once, those already here are served in between.
+                // Lets open connections be served in between, however many clients connect at once.
                 task::yield_now().await;
             }
         }
     }
 }
 
-/// Accepts the clients that the system had accepted before the end; it is asked once more who they are.
+/// Accepts the connections that the kernel had accepted before the end. The kernel is asked for them once
+/// more.
 async fn accept_backlog(acceptor: &mut Acceptor<TcpListener>, registry: &mut ConnectionRegistry) {
     task::yield_now().await;
     while let Some((stream, address)) = acceptor.next_waiting().await {
--- a/crates/proxy/src/client/message_handling.rs
+++ b/crates/proxy/src/client/message_handling.rs
@@ -1,4 +1,5 @@
-//! Message intake: what the client's next message is, the buffer space for it, and what follows from it.
+//! Handling of the messages that a client sends: finding the next message, reserving buffer space for it, and
+//! acting on it.
 
 use aldermill_flow_control::Priority;
 use aldermill_wire::pg::sql_state;
@@ -11,64 +12,67 @@
 use super::response::EncodedResponse;
 use crate::flow_control::BufferReservation;
 
-/// The type byte of the message that ends a session.
+/// Type byte of the message that ends a session.
 const TERMINATE: u8 = b'X';
 
-/// How far the client's next message has come.
+/// Progress of receiving the client's next message.
 #[derive(Default)]
 pub(super) struct ReceiveState {
-    /// After a message of the extended protocol, everything up to the next Sync is skipped.
+    /// True after the first message of a series of extended messages was rejected. The others are skipped up
+    /// to the next Sync.
     skipping_until_sync: bool,
-    /// Since when a message is waited for that is not whole; its sender is metered meanwhile.
+    /// Time at which the wait for the rest of a message began; `None` if no message is incomplete. The client
+    /// is metered during the wait.
     pub(super) message_started_at: Option<Instant>,
-    /// Buffer space of a large message.
+    /// Buffer space reserved for a large message.
     pub(super) reservation: Option<BufferReservation>,
 }
 
 impl ReceiveState {
-    /// Returns the buffer space of a message that is not dealt with any more.
+    /// Releases the buffer space of a message that needs no further handling.
     pub(super) fn release_reservation(&mut self) {
         self.reservation = None;
     }
 }
 
-/// What stands at the front of the read buffer.
+/// Message at the front of the read buffer.
 pub(super) enum NextMessage {
-    /// No whole message, or one that waits for a write on the same key.
+    /// No message can be accepted: the next one is incomplete, or it waits for a pending write to the same
+    /// key.
     NoneYet,
-    /// A message that can be accepted.
+    /// The message can be accepted.
     Accept(ReceivedMessage),
     /// The client ends the session.
     Terminate,
 }
 
-/// A whole message at the front of the read buffer.
+/// Complete message at the front of the read buffer.
 pub(super) struct ReceivedMessage {
-    /// What it is.
+    /// Kind of the message.
     kind: MessageKind,
-    /// Its length in bytes, with its type and its length word.
+    /// Length in bytes, including the type byte and the length word.
     length: usize,
 }
 
-/// What a client may send within a session, by the message's type byte.
+/// Kind of message that a client may send within a session, determined by its type byte.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum MessageKind {
     /// A simple query.
     Query,
     /// The end of a series of extended messages.
     Sync,
-    /// A message of the extended protocol, which is not served.
+    /// A message of the extended query protocol, which is not supported.
     Extended,
-    /// A function call, which is not served.
+    /// A function call, which is not supported.
     FunctionCall,
-    /// What is left over from a copy that failed.
+    /// A message left over from a COPY that failed.
     CopyData,
-    /// None of the protocol's messages.
+    /// A type that the protocol does not define.
     Unknown,
 }
 
 impl MessageKind {
-    /// The kind that this type byte stands for.
+    /// Returns the kind of message that this type byte stands for.
     fn from_type_byte(type_byte: u8) -> MessageKind {
         match type_byte {
             b'Q' => MessageKind::Query,
@@ -82,7 +86,8 @@
 }
 
 impl ClientConnection {
-    /// What stands at the front of the read buffer; an error where that is no message.
+    /// Returns the message at the front of the read buffer, or an error if the bytes there are not a valid
+    /// message.
     pub(super) fn next_message(&self) -> Result<NextMessage, Malformed> {
         let max = self.context.limits.buffers.statement;
         let Some(message) = pg::message(self.buffer.held(), max)? else { return Ok(NextMessage::NoneYet) };
@@ -96,7 +101,7 @@
         Ok(NextMessage::Accept(ReceivedMessage { kind, length: message.length }))
     }
 
-    /// Takes a whole message from the buffer and deals with it.
+    /// Takes a complete message from the buffer and acts on it.
     pub(super) async fn accept(&mut self, message: ReceivedMessage) -> Result<(), CloseReason> {
         let statement = self.take_statement(&message);
         if self.pending_responses.is_empty() {
@@ -117,7 +122,7 @@
         Ok(())
     }
 
-    /// Takes a message from the buffer. Returns the text of a query, and nothing of others.
+    /// Takes a message from the buffer. Returns the text of a query, and an empty vector for other messages.
     fn take_statement(&mut self, message: &ReceivedMessage) -> Vec<u8> {
         let length = message.length;
         if message.kind != MessageKind::Query {
@@ -125,7 +130,8 @@
             return Vec::new();
         }
         if length > self.context.limits.buffers.small_message {
-            // The buffer itself becomes the statement, so that a large one is held once.
+            // The buffer's allocation becomes the statement, so that a large statement is held in memory only
+            // once.
             let mut statement = self.buffer.take(length);
             statement.pop();
             statement.drain(..pg::MESSAGE_HEADER_LENGTH);
@@ -136,7 +142,7 @@
         statement
     }
 
-    /// A Sync ends a series of extended messages.
+    /// Ends a series of extended messages and responds to its Sync.
     fn handle_sync(&mut self) {
         self.receive_state.skipping_until_sync = false;
         let mut response = Vec::new();
@@ -144,7 +150,7 @@
         self.respond_immediately(response);
     }
 
-    /// The first message of a series is refused, the others are skipped.
+    /// Rejects the first message of a series of extended messages, and skips the others.
     fn reject_extended_message(&mut self) {
         if std::mem::replace(&mut self.receive_state.skipping_until_sync, true) {
             self.receive_state.release_reservation();
@@ -153,20 +159,21 @@
         }
     }
 
-    /// Function calls are refused one by one.
+    /// Rejects a function call. Each call gets its own error.
     fn reject_function_call(&mut self) {
         let mut response = not_supported_error();
         pg::write_ready_for_query(&mut response);
         self.respond_immediately(response);
     }
 
-    /// A response that needs no request; the message that it answers is dealt with.
+    /// Queues a response that needs no request, and releases the buffer space of the message that it answers.
     pub(super) fn respond_immediately(&mut self, response: Vec<u8>) {
         self.receive_state.release_reservation();
         self.pending_responses.push_ready(EncodedResponse::unreserved(response));
     }
 
-    /// Reserves buffer space for the message at the front of the buffer, once, where it is a large one.
+    /// Reserves buffer space for the message at the front of the buffer if it is large and has no reservation
+    /// yet.
     pub(super) async fn reserve_for_large_message(&mut self) -> Result<(), CloseReason> {
         let announced_length = pg::announced_length(self.buffer.held());
         if announced_length > self.context.limits.buffers.small_message
@@ -177,8 +184,9 @@
         Ok(())
     }
 
-    /// Buffer space for a message of this size. The client is refused where others have taken all, and nobody who is
-    /// too slow can give it up.
+    /// Reserves buffer space for a message of `size` bytes. Sends the client an error and closes the
+    /// connection if others hold all of the space and no slow peer frees any within
+    /// `limits.client.reservation_wait`.
     async fn reserve(&mut self, size: usize) -> Result<BufferReservation, CloseReason> {
         let priority = self.next_message_priority();
         let deadline = Instant::now() + self.context.limits.client.reservation_wait;
@@ -197,7 +205,8 @@
         Err(CloseReason::Normal)
     }
 
-    /// The priority of the message at the front of the buffer, as far as its comment is there to tell.
+    /// Returns the priority of the message at the front of the buffer: normal if its comment is not complete
+    /// yet or not valid.
     fn next_message_priority(&self) -> Priority {
         let text = self.buffer.held().get(pg::MESSAGE_HEADER_LENGTH..);
         let comment = text.and_then(|text| Comment::parse(text).ok());
@@ -205,7 +214,7 @@
     }
 }
 
-/// The error for what is no simple query.
+/// Encodes the error for messages other than simple queries.
 fn not_supported_error() -> Vec<u8> {
     let mut error = Vec::new();
     pg::write_error_response(
--- a/crates/proxy/src/client/mod.rs
+++ b/crates/proxy/src/client/mod.rs
@@ -1,4 +1,5 @@
-//! Client connections: accepted by the listener, kept by the registry, served by one actor each.
+//! Client connections. The listener accepts them, the registry keeps track of them, and an actor per
+//! connection serves it.
 
 mod close;
 mod connection;
--- a/crates/proxy/src/client/pending_responses.rs
+++ b/crates/proxy/src/client/pending_responses.rs
@@ -1,4 +1,4 @@
-//! The responses that a connection owes to its client, in the order of the client's statements.
+//! Responses that a connection owes to its client, in the order of the client's statements.
 
 use std::collections::VecDeque;
 
@@ -6,49 +6,50 @@
 use crate::flow_control::BufferReservation;
 use crate::messages::{Answer, ClientId};
 
-/// A request that was handed to the dispatcher.
+/// Request that was sent to the dispatcher.
 pub(super) struct PendingRequest {
-    /// Its name in messages to and from the dispatcher.
+    /// Id of the request in messages to and from the dispatcher.
     pub(super) request_id: ClientId,
-    /// The key of a statement that may write: what follows on the same key waits for it.
+    /// Key of a statement that may write; later statements on the same key wait for this one. `None` if the
+    /// statement only reads or contains no key.
     pub(super) write_key: Option<String>,
     /// Buffer space of a large statement.
     pub(super) statement_reservation: Option<BufferReservation>,
 }
 
-/// The response to one statement.
+/// Response to one statement.
 struct PendingResponse {
-    /// Whether it can be written.
+    /// State of the response.
     state: ResponseState,
-    /// Buffer space of a large statement, held until its response is the next to be written.
+    /// Buffer space of a large statement, held until the response is the next to be written.
     statement_reservation: Option<BufferReservation>,
 }
 
-/// Whether a response can be written.
+/// State of a response.
 enum ResponseState {
-    /// The dispatcher has the request.
+    /// The dispatcher has not answered the request yet.
     Awaited {
-        /// The request's name.
+        /// Id of the request.
         request_id: ClientId,
-        /// The key that it may write.
+        /// Key that the request may write.
         write_key: Option<String>,
     },
-    /// It is written once all responses before it are.
+    /// The response is written once all responses before it are.
     Ready(EncodedResponse),
 }
 
 impl PendingResponse {
-    /// Whether it is written once all responses before it are.
+    /// Returns whether the response can be written once all responses before it are.
     fn is_ready(&self) -> bool {
         matches!(self.state, ResponseState::Ready(_))
     }
 
-    /// Whether the dispatcher has this request.
+    /// Returns whether the dispatcher has not answered this request yet.
     fn awaits(&self, answered: ClientId) -> bool {
         matches!(self.state, ResponseState::Awaited { request_id, .. } if request_id == answered)
     }
 
-    /// The key that its request may write, while the request is under way.
+    /// Returns the key that the request may write, or `None` if the request is answered or has no such key.
     fn write_key(&self) -> Option<&str> {
         match &self.state {
             ResponseState::Awaited { write_key, .. } => write_key.as_deref(),
@@ -57,45 +58,45 @@
     }
 }
 
-/// The responses that are owed, in order.
+/// Responses that are owed, in order.
 #[derive(Default)]
 pub(super) struct PendingResponses {
-    /// One for each statement, the oldest first.
+    /// Responses, one per statement, the oldest first.
     queue: VecDeque<PendingResponse>,
 }
 
 impl PendingResponses {
-    /// How many responses are owed.
+    /// Returns the number of responses that are owed.
     pub(super) fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether nothing is owed.
+    /// Returns whether no response is owed.
     pub(super) fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// A request whose answer the dispatcher will send.
+    /// Adds the response to a request that the dispatcher will answer.
     pub(super) fn push_request(&mut self, pending: PendingRequest) {
         let PendingRequest { request_id, write_key, statement_reservation } = pending;
         let state = ResponseState::Awaited { request_id, write_key };
         self.queue.push_back(PendingResponse { state, statement_reservation });
     }
 
-    /// A response that needs no answer from the dispatcher.
+    /// Adds a response that needs no answer from the dispatcher.
     pub(super) fn push_ready(&mut self, response: EncodedResponse) {
         let state = ResponseState::Ready(response);
         self.queue.push_back(PendingResponse { state, statement_reservation: None });
     }
 
-    /// The dispatcher's answer to a request; nothing where the request is not awaited.
+    /// Stores the dispatcher's answer to a request. Has no effect if the request is not awaited.
     pub(super) fn complete(&mut self, request_id: ClientId, answer: Answer) {
         if let Some(pending) = self.queue.iter_mut().find(|pending| pending.awaits(request_id)) {
             pending.state = ResponseState::Ready(EncodedResponse::from_answer(answer));
         }
     }
 
-    /// Takes the next response if it can be written, and frees the buffer space of its statement.
+    /// Removes the next response if it can be written, and frees the buffer space of its statement.
     pub(super) fn pop_ready(&mut self) -> Option<EncodedResponse> {
         match self.queue.pop_front_if(|pending| pending.is_ready())?.state {
             ResponseState::Ready(response) => Some(response),
@@ -103,17 +104,18 @@
         }
     }
 
-    /// Whether any request under way may write.
+    /// Returns whether any pending request may write a key.
     pub(super) fn has_write(&self) -> bool {
         self.queue.iter().any(|pending| pending.write_key().is_some())
     }
 
-    /// Whether a request under way may write this key.
+    /// Returns whether a pending request may write this key.
     pub(super) fn has_write_to(&self, key: &str) -> bool {
         self.queue.iter().any(|pending| pending.write_key() == Some(key))
     }
 
-    /// Drops responses up to the next whose request the dispatcher still has, and returns that request.
+    /// Drops responses up to the next one whose request the dispatcher still has, and returns that request.
+    /// Returns `None` if there is no such request.
     pub(super) fn abandon_next(&mut self) -> Option<PendingRequest> {
         loop {
             let PendingResponse { state, statement_reservation } = self.queue.pop_front()?;
--- a/crates/proxy/src/client/registry.rs
+++ b/crates/proxy/src/client/registry.rs
@@ -1,5 +1,6 @@
-//! The connections that are open: new ones are admitted within the clients' share of descriptors, for which idle and
-//! slow ones are closed, or rejected.
+//! Registry of the open connections. New connections are admitted within the clients' share of descriptors.
+//! Once it is exhausted, idle and slow connections are closed for new ones, or else the new ones are
+//! rejected.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -19,56 +20,58 @@
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{ClientId, ClientMessage};
 
-/// Keepalive probes follow each other at this part (one in three) of the silence before the first.
+/// Divisor of the silence before the first keepalive probe that gives the interval between further probes.
 const KEEPALIVE_INTERVAL_DIVISOR: u32 = 3;
 
-/// What is kept of an open connection.
+/// Registry entry of an open connection.
 struct RegisteredConnection {
-    /// What its actor says of itself.
+    /// State shared with the connection's actor.
     shared_state: Rc<SharedState>,
-    /// Where it is asked to close.
+    /// Sender for requests to close the connection.
     mailbox_sender: mpsc::Sender<ClientMessage>,
 }
 
 impl RegisteredConnection {
-    /// Whether a request of it was ever answered.
+    /// Returns whether a request of the connection was ever answered.
     fn was_served(&self) -> bool {
         self.shared_state.was_served.get()
     }
 
-    /// Whether it counts as an active client. Slow readers do not: flow control disconnects them in time.
+    /// Returns whether the connection counts as an active client. Slow readers do not count, because flow
+    /// control disconnects them eventually.
     fn is_active(&self) -> bool {
         self.was_served() && !self.shared_state.slow_reader.get()
     }
 
-    /// Whether it may be closed for a new one: it has no request under way, and either never had one, or had the last
-    /// one long enough ago.
+    /// Returns whether the connection may be closed for a new one: it has no pending request, and either was
+    /// never served or has been idle for at least `min_idle_time`.
     fn is_evictable(&self, min_idle_time: Duration) -> bool {
         let idle_since = self.shared_state.idle_since.get();
         idle_since.is_some_and(|since| !self.was_served() || since.elapsed() >= min_idle_time)
     }
 }
 
-/// The connections that are open, and the tasks that serve or reject them.
+/// Open connections, and the tasks that serve or reject connections.
 pub(super) struct ConnectionRegistry {
-    /// What all actors share.
+    /// State shared by all actors.
     context: Rc<ProcessContext>,
-    /// The open connections, by the task of their actor.
+    /// Open connections by the task id of their actor.
     connections: HashMap<task::Id, RegisteredConnection>,
-    /// The actors of the open connections.
+    /// Tasks of the open connections' actors.
     client_tasks: JoinSet<()>,
-    /// Connections that are being rejected.
+    /// Tasks that reject connections.
     rejection_tasks: JoinSet<()>,
-    /// The number of the next connection.
+    /// Number of the next connection.
     next_id: ClientId,
-    /// Whether the clients' share was used up, and it was logged, since less than half of it was in use.
+    /// True from the time at which the clients' share of descriptors is exhausted, which is logged, until
+    /// less than half of it is in use.
     share_exhausted: bool,
-    /// Set on each connection.
+    /// Keepalive settings of each connection.
     keepalive: TcpKeepalive,
 }
 
 impl ConnectionRegistry {
-    /// A registry without connections.
+    /// Creates a registry without connections.
     pub(super) fn new(context: Rc<ProcessContext>) -> ConnectionRegistry {
         let keepalive_time = context.limits.connections.keepalive;
         ConnectionRegistry {
@@ -84,12 +87,12 @@
         }
     }
 
-    /// How many connections are open.
+    /// Returns the number of open connections.
     pub(super) fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Admits a connection that was accepted, or rejects it.
+    /// Admits an accepted connection, or rejects it.
     pub(super) fn admit_or_reject(&mut self, stream: TcpStream, address: IpAddr) {
         self.set_socket_options(&stream);
         self.evict_excess_active_client();
@@ -102,14 +105,14 @@
         }
     }
 
-    /// Sends small responses at once, and finds clients that vanished.
+    /// Sets the socket options that send small responses without delay and detect clients that vanished.
     fn set_socket_options(&self, stream: &TcpStream) {
         let _ = stream.set_nodelay(true);
         // Ends connections whose client vanished without closing them.
         let _ = SockRef::from(stream).set_tcp_keepalive(&self.keepalive);
     }
 
-    /// Closes an idle connection for the new one where as many clients are active as may be.
+    /// Closes an idle connection for the new one if the limit on active clients is reached.
     fn evict_excess_active_client(&self) {
         let active = self.connections.values().filter(|connection| connection.is_active()).count();
         if active >= self.context.limits.connections.active_clients {
@@ -117,8 +120,9 @@
         }
     }
 
-    /// With the clients' share used up, a connection that is too slow is closed for a new one, else an idle one.
-    /// Returns whether one was found.
+    /// Closes a connection for a new one because the clients' share is exhausted: one that is too slow, or
+    /// else an idle one. Returns whether one was found; false if `limits.connections.evicting` connections
+    /// are already open beyond the share.
     fn free_descriptor(&mut self) -> bool {
         if !std::mem::replace(&mut self.share_exhausted, true) {
             warn!(self.context.log,
@@ -132,11 +136,11 @@
         self.context.flow_control.shed_one_connection() || self.evict(limits.recently_active, |_| true)
     }
 
-    /// Asks one of these connections to close, if any is idle: one that never had a request, else the one that is idle
-    /// longest. Returns whether one was asked.
+    /// Asks an idle connection that matches the filter to close: one that was never served, or else the one
+    /// that has been idle longest. Returns whether one was asked.
     ///
-    /// Without `recently_active` a flood of new connections would close those of clients that are between two requests.
-    /// The cost: where all clients are between two requests, a new one is rejected.
+    /// Without `min_idle_time`, a flood of new connections would close those of clients that are between two
+    /// requests. The cost is that a new connection is rejected if all clients are between two requests.
     fn evict(&self, min_idle_time: Duration, filter: impl Fn(&RegisteredConnection) -> bool) -> bool {
         let evictable = self
             .connections
@@ -161,15 +165,16 @@
         self.connections.insert(task.id(), registered);
     }
 
-    /// Where enough clients are being told so already, a further one is dropped without a word.
+    /// Rejects a connection with an error, or closes it without one if enough clients are already being
+    /// rejected.
     fn reject(&mut self, stream: TcpStream) {
         if self.rejection_tasks.len() < self.context.limits.connections.rejecting {
             self.rejection_tasks.spawn_local(reject_connection(self.context.clone(), stream));
         }
     }
 
-    /// Waits until a client's connection or a rejection has ended, and forgets it. For ever while there is none; may be
-    /// dropped while it waits.
+    /// Waits until an actor or a rejection has ended, and removes it. Never returns while there is none.
+    /// Cancel safe.
     pub(super) async fn reap(&mut self) {
         tokio::select! {
             biased;
@@ -179,15 +184,15 @@
         }
     }
 
-    /// Forgets the clients' connections that have ended by now.
+    /// Removes the connections whose actors have ended by now.
     pub(super) fn reap_ended(&mut self) {
         while let Some(result) = self.client_tasks.try_join_next_with_id() {
             self.remove_ended(result);
         }
     }
 
-    /// Waits until all connections have ended, rejected ones too: a process that ends resets what is left, and the
-    /// clients would not read why they were rejected.
+    /// Waits until all connections have ended, including rejected ones. A process that ends resets the
+    /// connections that are left, and their clients would not read why they were rejected.
     pub(super) async fn join_all(&mut self) {
         while let Some(result) = self.client_tasks.join_next_with_id().await {
             self.remove_ended(result);
@@ -195,7 +200,7 @@
         while self.rejection_tasks.join_next().await.is_some() {}
     }
 
-    /// Forgets a connection whose actor has ended.
+    /// Removes a connection whose actor has ended.
     fn remove_ended(&mut self, result: Result<(task::Id, ()), JoinError>) {
         let id = match result {
             Ok((id, ())) => id,
--- a/crates/proxy/src/client/response.rs
+++ b/crates/proxy/src/client/response.rs
@@ -1,4 +1,4 @@
-//! Responses: their bytes, and how they are written to a client that may be slow to read them.
+//! Responses to clients: their encoding, and the writing to clients that may be slow to read.
 
 use std::io::ErrorKind;
 
@@ -12,28 +12,28 @@
 use crate::messages::{Answer, Rows};
 use crate::system::{self, Party};
 
-/// A response as it goes to the client.
+/// Response as it is sent to the client.
 pub(super) struct EncodedResponse {
-    /// Its bytes, in order.
+    /// Encoded bytes, in the order in which they are sent.
     pub(super) pieces: Vec<Vec<u8>>,
     /// Buffer space of a large response.
     pub(super) reservation: Option<BufferReservation>,
 }
 
 impl EncodedResponse {
-    /// Bytes that need no buffer space.
+    /// Creates a response whose bytes need no reserved buffer space.
     pub(super) fn unreserved(bytes: Vec<u8>) -> EncodedResponse {
         EncodedResponse { pieces: vec![bytes], reservation: None }
     }
 
-    /// An error that ends the connection.
+    /// Encodes an error that ends the connection.
     pub(super) fn fatal_error(code: &str, message: &str) -> EncodedResponse {
         let mut bytes = Vec::new();
         pg::write_error_response(&mut bytes, true, code, message, None);
         EncodedResponse::unreserved(bytes)
     }
 
-    /// The response to a request, with the ReadyForQuery that ends it.
+    /// Encodes the response to a request, with the ReadyForQuery that ends it.
     pub(super) fn from_answer(answer: Answer) -> EncodedResponse {
         let mut response = EncodedResponse::without_ready_for_query(answer);
         match response.pieces.last_mut() {
@@ -43,7 +43,7 @@
         response
     }
 
-    /// The response to a request but for its ReadyForQuery.
+    /// Encodes the response to a request, without its ReadyForQuery.
     fn without_ready_for_query(answer: Answer) -> EncodedResponse {
         let mut bytes = Vec::new();
         match answer {
@@ -51,6 +51,7 @@
                 return EncodedResponse { pieces, reservation };
             }
             Answer::Rejected { retry_after } => {
+                // Rounded up to whole milliseconds; zero is left out.
                 let retry_after_ms = (retry_after + 999) / 1000;
                 let detail = (retry_after_ms > 0).then(|| retry_after_ms.to_string());
                 let text = "denied, trying again is harmless";
@@ -80,38 +81,42 @@
     }
 }
 
-/// Bytes of responses that the client may not have read: the system holds them, at most two socket buffers full.
+/// Bytes of responses that the client may not have read. The kernel holds them, at most two socket buffers
+/// full.
 #[derive(Default)]
 pub(super) struct UnreadResponses {
-    /// Bytes written since the client last sent a statement with no response pending.
+    /// Bytes written since the client last sent a statement while no response was owed.
     bytes: usize,
-    /// Buffer space of the last large response, as far as the system may still hold it.
+    /// Buffer space of the last large response, for the part that the kernel may still hold.
     unread_reservation: Option<BufferReservation>,
 }
 
 impl UnreadResponses {
-    /// How many unread bytes the system holds at most, with a send buffer of this size.
+    /// Returns the maximum number of unread bytes that the kernel holds, for a send buffer of `socket_buffer`
+    /// bytes.
     pub(super) fn bytes_in_kernel(&self, socket_buffer: usize) -> usize {
         self.bytes.min(2 * socket_buffer)
     }
 
-    /// A client that sends its next statement has read the responses to all before.
+    /// Resets the count and the reservation: a client that sends its next statement has read the responses to
+    /// all earlier ones.
     pub(super) fn clear(&mut self) {
         self.bytes = 0;
         self.unread_reservation = None;
     }
 
-    /// The buffer space that is still held, which the caller now answers for.
+    /// Returns the buffer space that is still held. The caller is responsible for it from then on.
     pub(super) fn take_reservation(&mut self) -> Option<BufferReservation> {
         self.unread_reservation.take()
     }
 
-    /// Counts bytes that the kernel has accepted.
+    /// Adds bytes that the kernel has accepted.
     fn record_written(&mut self, count: usize) {
         self.bytes = self.bytes.saturating_add(count);
     }
 
-    /// A large response was written whole: only what the system may still hold of it counts from now on.
+    /// Keeps the reservation of a large response that was written completely, reduced to the bytes that the
+    /// kernel may still hold.
     fn retain_reservation(&mut self, reservation: BufferReservation, socket_buffer: usize) {
         reservation.shrink(self.bytes_in_kernel(socket_buffer));
         self.unread_reservation = Some(reservation);
@@ -119,11 +124,12 @@
 }
 
 impl ClientConnection {
-    /// Writes the responses that are there, up to the first that is still awaited.
+    /// Writes the responses that are ready, up to the first one that is still awaited.
     pub(super) async fn write_ready_responses(&mut self) -> Result<(), CloseReason> {
         while let Some(response) = self.pending_responses.pop_ready() {
             if self.should_close_after_response() {
-                // The end of the response leaves with the end of the stream.
+                // Corks the socket, so that the end of the response is sent together with the end of the
+                // stream.
                 let _ = SockRef::from(&self.stream).set_tcp_cork(true);
                 self.drain(CloseReason::Shutdown);
             }
@@ -132,7 +138,8 @@
         Ok(())
     }
 
-    /// Writes a whole response, however slowly the client reads it, unless flow control disconnects the client.
+    /// Writes a complete response, however slowly the client reads it, unless flow control disconnects the
+    /// client.
     pub(super) async fn write_response(&mut self, response: EncodedResponse) -> Result<(), CloseReason> {
         for piece in &response.pieces {
             self.write_piece(piece).await?;
@@ -146,7 +153,8 @@
         Ok(())
     }
 
-    /// Writes a piece of a response. Once the client was slow, what the kernel accepts is recorded as its progress.
+    /// Writes a piece of a response. Once the kernel's buffer has been full, the bytes that the kernel
+    /// accepts are recorded as the client's progress.
     async fn write_piece(&mut self, piece: &[u8]) -> Result<(), CloseReason> {
         let mut rest = piece;
         while !rest.is_empty() {
@@ -166,7 +174,8 @@
         Ok(())
     }
 
-    /// The system's buffer is full: from now on it is measured how fast the client reads.
+    /// Waits until the kernel's buffer, which is full, accepts bytes again. The client's reading rate is
+    /// metered from the first such wait on.
     async fn wait_until_writable(&mut self) -> Result<(), CloseReason> {
         if !self.shared_state.slow_reader.replace(true) {
             self.connection_guard.start_metering(Transfer::ToPeer);
--- a/crates/proxy/src/client/shared_state.rs
+++ b/crates/proxy/src/client/shared_state.rs
@@ -1,17 +1,18 @@
-//! What the registry sees of a connection, to choose the one that is closed for a new client.
+//! State of a connection by which the registry selects the one to close for a new client.
 
 use std::cell::Cell;
 
 use tokio::time::Instant;
 
-/// The part of a connection's state that its actor shares with the registry.
+/// Part of a connection's state that its actor shares with the registry.
 #[derive(Default)]
 pub(super) struct SharedState {
-    /// Since when the connection has no request under way; `None` while it has one, or is already to be closed.
+    /// Time since which the connection has no pending request. `None` while it has one, or if it was already
+    /// asked to close.
     pub(super) idle_since: Cell<Option<Instant>>,
-    /// Whether a request of this connection was ever answered.
+    /// True if a request of this connection was ever answered.
     pub(super) was_served: Cell<bool>,
-    /// The client does not read its response as fast as it is written. Flow control disconnects it in time, so that it
-    /// does not count as an active client.
+    /// True while the client does not read its response as fast as it is written. Such a client does not
+    /// count as active, because flow control disconnects it eventually.
     pub(super) slow_reader: Cell<bool>,
 }
--- a/crates/proxy/src/client/startup.rs
+++ b/crates/proxy/src/client/startup.rs
@@ -1,4 +1,4 @@
-//! The startup handshake, and requests for encryption before it.
+//! Startup handshake, and the encryption requests that may precede it.
 
 use aldermill_wire::pg::{self, InitialMessageKind};
 use tokio::time::{Instant, timeout_at};
@@ -8,11 +8,11 @@
 use super::response::EncodedResponse;
 use crate::system::{self, Party};
 
-/// Answers a request for encryption: the client goes on without, or closes the connection.
+/// Answer to an encryption request: the client continues without encryption, or closes the connection.
 const ENCRYPTION_REJECTED: &[u8] = b"N";
 
 impl ClientConnection {
-    /// Reads the client's startup message and answers it; requests for encryption before it are refused.
+    /// Reads the client's startup message and answers it. Encryption requests that precede it are rejected.
     pub(super) async fn handle_startup(&mut self) -> Result<(), CloseReason> {
         let deadline = self.connected_at + self.context.limits.client.startup_timeout;
         loop {
@@ -37,13 +37,14 @@
         }
     }
 
-    /// Reads more of a startup message. After the deadline nothing is read, as it would have no answer.
+    /// Reads more of the startup message. Nothing is read after the deadline, because the message would get
+    /// no answer.
     async fn read_startup_message(&mut self, deadline: Instant) -> Result<(), CloseReason> {
         let bytes = system::read(Party::Client, &mut self.stream, self.buffer.tail());
         let read = tokio::select! {
             biased;
             read = timeout_at(deadline, bytes) => read,
-            // Whatever the message is: the connection is to be closed for a new client.
+            // Every message, whatever its kind, means that the connection is to be closed for a new client.
             _ = self.mailbox.recv() => return Err(CloseReason::Evicted),
         };
         let count = read.map_err(|_| CloseReason::Evicted)??;
--- a/crates/proxy/src/client/statement.rs
+++ b/crates/proxy/src/client/statement.rs
@@ -1,4 +1,4 @@
-//! From a statement to a request for the dispatcher.
+//! Conversion of statements to requests for the dispatcher.
 
 use aldermill_wire::pg::{self, sql_state};
 use aldermill_wire::statement::{Comment, first_quoted_text, is_empty};
@@ -8,13 +8,14 @@
 use super::pending_responses::PendingRequest;
 use crate::messages::{ClientId, ClientRequest, DispatcherMessage};
 
-/// A request's name: the number of its connection, and in this many low bits its number within the connection.
+/// Number of low bits of a request id that hold the request's number within its connection. The bits above
+/// hold the number of the connection.
 const REQUEST_NUMBER_BITS: u32 = 24;
-/// The bits of a request's name that hold its number within the connection.
+/// Mask of the bits of a request id that hold the request's number within its connection.
 const REQUEST_NUMBER_MASK: u64 = (1 << REQUEST_NUMBER_BITS) - 1;
 
 impl ClientConnection {
-    /// Whether a statement is on the key of a write under way: their order must not change.
+    /// Returns whether a statement uses the key of a pending write. The order of the two must not change.
     pub(super) fn conflicts_with_pending_write(&self, statement: &[u8]) -> bool {
         if !self.pending_responses.has_write() {
             return false;
@@ -24,7 +25,8 @@
         key.is_some_and(|key| self.pending_responses.has_write_to(&key))
     }
 
-    /// A simple query: a request for the dispatcher, unless it is empty or names no request.
+    /// Handles a simple query: sends a request to the dispatcher, unless the query is empty or has no valid
+    /// comment.
     pub(super) async fn accept_statement(&mut self, statement: Vec<u8>) -> Result<(), CloseReason> {
         let mut response = Vec::new();
         if is_empty(&statement) {
@@ -50,17 +52,17 @@
         Ok(())
     }
 
-    /// An empty query is answered once there is an endpoint list to decide on.
+    /// Waits until there is an endpoint list to base decisions on. Empty queries are not answered before.
     async fn wait_for_first_endpoint_list(&self) -> Result<(), CloseReason> {
         let mut ready = self.context.ready.clone();
         ready.wait_for(|&ready| ready).await.map_err(|_| CloseReason::Normal)?;
         Ok(())
     }
 
-    /// Hands a request to the dispatcher.
+    /// Sends a request to the dispatcher.
     async fn send_request(&mut self, statement: Vec<u8>, mut comment: Comment) -> Result<(), CloseReason> {
         if let Some(time_left) = self.context.time_left_at_shutdown() {
-            // Answered in time before the process may be killed.
+            // The request must be answered before the process may be killed.
             comment.timeout_ms = comment.timeout_ms.min(time_left.as_millis() as u32);
         }
         let request_id = self.next_request_id();
@@ -84,14 +86,14 @@
         self.context.dispatcher.send(request).await.map_err(|_| CloseReason::Normal)
     }
 
-    /// A name for the connection's next request.
+    /// Returns a new id for the connection's next request.
     fn next_request_id(&mut self) -> ClientId {
         self.requests_sent += 1;
         (self.id << REQUEST_NUMBER_BITS) + (self.requests_sent & REQUEST_NUMBER_MASK)
     }
 }
 
-/// The key that a statement may write. Only a SELECT writes nothing.
+/// Returns the key that a statement may write, or `None` if it contains no key. Only a SELECT writes nothing.
 fn write_key(text: &[u8]) -> Option<String> {
     let keyword = text.trim_ascii_start().get(..6);
     let is_select = keyword.is_some_and(|keyword| keyword.eq_ignore_ascii_case(b"SELECT"));
