--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! aldermill: a proxy before groups of databases, each a primary and its replicas.
+//! aldermill: a proxy in front of groups of databases. Each group consists of a primary and its replicas.
 
 mod cli;
 mod client;
--- a/crates/proxy/src/shadow/difference.rs
+++ b/crates/proxy/src/shadow/difference.rs
@@ -1,24 +1,25 @@
-//! In what two sets of actions differ.
+//! Differences between two sets of actions.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use aldermill_routing::{Action, Actions, MemberId, RequestHandle};
 
-/// What one decision does with a request.
+/// Result of a decision for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Disposition {
-    /// It stays in the queue, or its attempt goes on.
+    /// The request stays in the queue, or its attempt continues.
     Queued,
-    /// It is sent to a member.
+    /// The request is sent to a member.
     Attempted,
-    /// It is rejected, with a retry-after.
+    /// The request is rejected, with a retry-after.
     Rejected,
-    /// It is failed.
+    /// The request fails, and may have taken effect.
     Failed,
 }
 
 impl Disposition {
+    /// Returns the disposition of a request; `None` means that the decision had no action for it.
     fn from_action(action: Option<Action>) -> Disposition {
         match action {
             None => Disposition::Queued,
@@ -40,14 +41,14 @@
     }
 }
 
-/// In what a decision under the other settings differs from the one made.
+/// Difference between a decision under the shadow settings and the decision that was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Difference {
-    /// Something else is done with a request.
+    /// The dispositions of a request differ.
     Disposition {
-        /// What was done.
+        /// Disposition that was carried out.
         made: Disposition,
-        /// What the other settings would have done.
+        /// Disposition under the shadow settings.
         shadow: Disposition,
     },
     /// An attempt goes to another member.
@@ -62,7 +63,7 @@
     NotHealthChecked,
     /// Idle connections of other members are closed.
     ConnectionsClosed,
-    /// The endpoint list is subscribed to where it was not, or the other way about.
+    /// The endpoint list is subscribed to although it was not, or the other way round.
     Subscription,
 }
 
@@ -81,7 +82,7 @@
     }
 }
 
-/// All differences between the actions that were carried out and those under the other settings.
+/// Returns all differences between the actions that were carried out and those under the shadow settings.
 pub(super) fn differences(made: &Actions, shadow: &Actions) -> Vec<Difference> {
     let mut found = request_differences(made, shadow);
     for _ in missing_from(&made.health_checks, &shadow.health_checks) {
@@ -99,11 +100,12 @@
     found
 }
 
-/// The members of `members` that are not in `known`.
+/// Returns the elements of `members` that are not in `known`.
 fn missing_from<'a>(known: &'a [MemberId], members: &'a [MemberId]) -> impl Iterator<Item = &'a MemberId> {
     members.iter().filter(|member| !known.contains(member))
 }
 
+/// Returns the differences in the actions for requests, at most one per request.
 fn request_differences(made: &Actions, shadow: &Actions) -> Vec<Difference> {
     let made = last_actions(made);
     let shadow = last_actions(shadow);
@@ -114,11 +116,12 @@
         .collect()
 }
 
-/// The last action for each request.
+/// Returns the last action for each request.
 fn last_actions(actions: &Actions) -> BTreeMap<RequestHandle, Action> {
     actions.requests.iter().copied().collect()
 }
 
+/// Returns the difference between the two actions for a request; `None` if there is none.
 fn request_difference(made: Option<Action>, shadow: Option<Action>) -> Option<Difference> {
     match (made, shadow) {
         (
--- a/crates/proxy/src/shadow/error.rs
+++ b/crates/proxy/src/shadow/error.rs
@@ -1,37 +1,38 @@
-//! Why other settings cannot be evaluated.
+//! Reasons why shadow settings cannot be evaluated.
 
 use std::io;
 
 use aldermill_settings::SettingsError;
 use thiserror::Error;
 
-/// Why the settings of a shadow evaluation are not used.
+/// Reason why the settings for a shadow evaluation cannot be used.
 #[derive(Debug, Error)]
 pub enum ShadowError {
     /// The file cannot be read.
-    #[error("{path}: {error}; see that the file is there and may be read")]
+    #[error("{path}: {error}; check that the file exists and is readable")]
     File {
-        /// The file that the operator's file names.
+        /// Path of the file, from the operator's file.
         path: String,
-        /// What the system says.
+        /// Error that the system reported.
         error: io::Error,
     },
-    /// The file's text is not in the form of the configuration's `settings`.
+    /// The text of the file is not valid as the configuration's `settings`.
     #[error("{path}: settings: {error}")]
     Settings {
-        /// The file that the operator's file names.
+        /// Path of the file, from the operator's file.
         path: String,
-        /// Which field is wrong, and why.
+        /// Field that is invalid, and the reason.
         error: SettingsError,
     },
-    /// Decisions under these settings cannot be compared with those made: they know other request classes or zones.
+    /// The settings have other request classes or zones than those in force, so decisions under them cannot
+    /// be compared with those that were made.
     #[error(
-        "{path}: {field}: other names than those in force; only settings of the same deployment can be evaluated"
+        "{path}: {field}: names differ from those in force; only settings of the same deployment can be evaluated"
     )]
     DeploymentMismatch {
-        /// The file that the operator's file names.
+        /// Path of the file, from the operator's file.
         path: String,
-        /// The field of the settings that differs.
+        /// Field of the settings that differs.
         field: &'static str,
     },
 }
--- a/crates/proxy/src/shadow/mod.rs
+++ b/crates/proxy/src/shadow/mod.rs
@@ -1,6 +1,7 @@
-//! Shadow evaluation of other settings: a sample of the decisions is made a second time, from the same state, by a copy
-//! of the router under those settings. The copy is then dropped; only the differences between the two are counted, and
-//! logged now and then. `docs/migration.md` says what an operator does with the counts.
+//! Shadow evaluation of settings that are not in force. For a sample of the decisions, a copy of the router
+//! decides a second time, from the same state, under these shadow settings. The copy is then dropped. Only
+//! the differences between the two decisions are counted, and logged periodically. `docs/migration.md`
+//! describes what an operator does with the counts.
 
 pub mod difference;
 mod error;
@@ -17,34 +18,36 @@
 use difference::Difference;
 pub use error::ShadowError;
 
-/// One decision in this many is compared, where the operator names no figure.
+/// Default of the sample interval: one decision in this many is compared.
 const DEFAULT_SAMPLE_INTERVAL: u32 = 10;
-/// How often the counts are logged, in seconds, where the operator names no figure.
+/// Default interval between two log lines with the counts, in seconds.
 const DEFAULT_LOG_INTERVAL_S: u32 = 60;
 
-/// Compares the router's decisions with those under other settings.
+/// Compares the router's decisions with those under the shadow settings.
 pub struct ShadowRouter {
-    /// The other settings.
+    /// Router configuration of the shadow settings.
     shadow_config: RouterConfig,
-    /// One decision in this many is compared.
+    /// Sample interval: one decision in this many is compared.
     sample_interval: u32,
+    /// Interval between two log lines with the counts.
     log_interval: Duration,
-    /// Decisions until the next one that is compared, that one included.
+    /// Number of decisions up to and including the next one that is compared.
     until_next_sample: u32,
-    /// Decisions that were compared so far.
+    /// Number of decisions that were compared so far.
     pub compared: u64,
-    /// How often each difference was found so far.
+    /// Number of times that each difference was found so far.
     pub differences: BTreeMap<Difference, u64>,
+    /// Time at which the counts were last logged, or the settings loaded.
     logged_at: Instant,
 }
 
 impl ShadowRouter {
-    /// Reads the other settings.
+    /// Reads the shadow settings.
     ///
     /// # Errors
     ///
-    /// The file cannot be read or is not in the form of settings, or its request classes or zones are not those of the
-    /// settings in force.
+    /// Fails if the file cannot be read or is not valid as settings, or if its request classes or zones are
+    /// not those of the settings in force.
     pub fn load(config: &ShadowConfig, in_force: &Settings) -> Result<ShadowRouter, ShadowError> {
         let path = || config.settings.clone();
         let text = std::fs::read_to_string(&config.settings)
@@ -70,14 +73,14 @@
         })
     }
 
-    /// Lets the router decide, and for the sample a copy of it under the other settings, whose actions are only
-    /// compared.
+    /// Lets the router decide. For decisions in the sample, a copy of the router decides as well, under the
+    /// shadow settings; its actions are only compared.
     pub fn decide<T>(
         &mut self,
         router: &mut Router,
         decision: impl Fn(&mut Router) -> (T, Actions),
     ) -> (T, Actions) {
-        // Copied first: the copy is to decide from the same state.
+        // The copy is made before the decision, so that it decides from the same state.
         let copy = self.is_sampled().then(|| router.with_config(&self.shadow_config));
         let (result, actions) = decision(router);
         if let Some(mut copy) = copy {
@@ -87,7 +90,7 @@
         (result, actions)
     }
 
-    /// Whether the next decision is in the sample.
+    /// Counts a decision, and returns whether it is in the sample.
     fn is_sampled(&mut self) -> bool {
         self.until_next_sample -= 1;
         let is_sampled = self.until_next_sample == 0;
@@ -97,6 +100,7 @@
         is_sampled
     }
 
+    /// Counts the differences between the actions that were carried out and those under the shadow settings.
     fn compare(&mut self, made: &Actions, shadow: &Actions) {
         self.compared += 1;
         for difference in difference::differences(made, shadow) {
@@ -104,7 +108,7 @@
         }
     }
 
-    /// Logs the counts if that is due.
+    /// Logs the counts if the log interval has passed.
     pub fn log_if_due(&mut self, log: &Logger) {
         if self.logged_at.elapsed() >= self.log_interval {
             self.log_counts(log);
