--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -52,7 +52,7 @@
     }
 
     /// Whether it may be sent requests, in the router's terms: ready, draining or gone.
-    pub fn standing(&self) -> MemberStatus {
+    pub fn status(&self) -> MemberStatus {
         match self.phase {
             Phase::InService => MemberStatus::Ready,
             Phase::Terminating => MemberStatus::Draining,
--- a/crates/proxy/src/discovery/error.rs
+++ b/crates/proxy/src/discovery/error.rs
@@ -13,7 +13,7 @@
 pub(super) enum WatchError {
     /// Discovery responded, and nothing more came.
     #[error("discovery sent nothing for {0:?}; look at its agent and at the network in between")]
-    Silence(Duration),
+    SilenceTimeout(Duration),
     /// Not a byte came since the connection was opened.
     #[error("no connection, or no response on it, within {0:?}; look at discovery's agent and its load")]
     NoResponse(Duration),
@@ -52,13 +52,13 @@
 
 impl WatchError {
     /// Whether this machine could open no connection, so that nothing is known of discovery.
-    pub(super) fn is_local(&self) -> bool {
+    pub(super) fn is_local_failure(&self) -> bool {
         matches!(self, WatchError::Connection(error) if SocketErrorKind::of(error) == SocketErrorKind::Local)
     }
 
     /// Whether discovery was silent. It has been waited for then, so that the next watch starts at once.
-    pub(super) fn is_silence(&self) -> bool {
-        matches!(self, WatchError::Silence(_) | WatchError::NoResponse(_))
+    pub(super) fn is_timeout(&self) -> bool {
+        matches!(self, WatchError::SilenceTimeout(_) | WatchError::NoResponse(_))
     }
 
     /// Whether it is unknown what the list at discovery holds beyond the one held here, so that the whole list has to be
--- a/crates/proxy/src/discovery/stream.rs
+++ b/crates/proxy/src/discovery/stream.rs
@@ -14,7 +14,7 @@
 
 /// This many bytes within the silence timeout are no silence, though no line has come to its end: a long list on a slow
 /// line. Fewer are, as bytes that trickle in tell nothing.
-const PROGRESS_BYTES: usize = 8 * 1024;
+const MIN_PROGRESS_BYTES: usize = 8 * 1024;
 
 /// The HTTP status of a response that carries the endpoint list.
 const STATUS_OK: u16 = 200;
@@ -27,14 +27,14 @@
     /// The response's body; `None` until its head is there.
     body: Option<http::BodyLines>,
     /// The list whose lines are being gathered: it may come indented, on many lines.
-    list: json::ValueAssembler,
+    list_assembler: json::ValueAssembler,
     /// What the first bytes were given, the time to connect included.
     first_byte_timeout: Duration,
     has_received: bool,
-    /// By when a line has to be whole, or [`PROGRESS_BYTES`] have to be there.
-    due: Instant,
-    /// Bytes since `due` was set.
-    bytes_since: usize,
+    /// By when a line has to be whole, or [`MIN_PROGRESS_BYTES`] have to be there.
+    read_deadline: Instant,
+    /// Bytes since `read_deadline` was set.
+    bytes_since_reset: usize,
 }
 
 impl ListStream {
@@ -45,8 +45,8 @@
         first_byte_timeout: Duration,
         limits: &DiscoveryLimits,
     ) -> Result<ListStream, WatchError> {
-        let due = Instant::now() + first_byte_timeout;
-        let connected = timeout_at(due, system::connect(address, None)).await;
+        let read_deadline = Instant::now() + first_byte_timeout;
+        let connected = timeout_at(read_deadline, system::connect(address, None)).await;
         let mut stream = connected.map_err(|_| WatchError::NoResponse(first_byte_timeout))??;
         let index = revision.map_or(String::new(), |revision| format!("&index={revision}"));
         let mut request = Vec::new();
@@ -61,29 +61,29 @@
             buffer: Buffer::default(),
             limits: limits.clone(),
             body: None,
-            list: json::ValueAssembler::default(),
+            list_assembler: json::ValueAssembler::default(),
             first_byte_timeout,
             has_received: false,
-            due,
-            bytes_since: 0,
+            read_deadline,
+            bytes_since_reset: 0,
         })
     }
 
     /// Waits for more bytes. [`ListStream::next_line`] is to be called afterwards until it has no more lines.
     pub(super) async fn read(&mut self) -> Result<(), WatchError> {
         let read = system::read(Party::Discovery, &mut self.stream, self.buffer.tail());
-        match timeout_at(self.due, read).await {
+        match timeout_at(self.read_deadline, read).await {
             Err(_) if !self.has_received => return Err(WatchError::NoResponse(self.first_byte_timeout)),
-            Err(_) if self.bytes_since >= PROGRESS_BYTES => self.restart_silence_timeout(),
-            Err(_) => return Err(WatchError::Silence(self.limits.silence_timeout)),
+            Err(_) if self.bytes_since_reset >= MIN_PROGRESS_BYTES => self.restart_silence_timeout(),
+            Err(_) => return Err(WatchError::SilenceTimeout(self.limits.silence_timeout)),
             Ok(read) => match read? {
                 0 => return Err(WatchError::Closed),
-                count => self.bytes_since += count,
+                count => self.bytes_since_reset += count,
             },
         }
         if !self.has_received {
             self.has_received = true;
-            self.due = Instant::now() + self.limits.silence_timeout;
+            self.read_deadline = Instant::now() + self.limits.silence_timeout;
         }
         self.parse_head()
     }
@@ -122,13 +122,13 @@
     /// cuts in two has lost its end.
     pub(super) fn add_line(&mut self, line: &[u8]) -> Result<Option<Vec<u8>>, WatchError> {
         if !line.trim_ascii().is_empty() {
-            return self.list.add_line(line, self.limits.list_line).map_err(WatchError::Malformed);
+            return self.list_assembler.add_line(line, self.limits.list_line).map_err(WatchError::Malformed);
         }
-        if self.list.is_open() { Err(WatchError::Truncated) } else { Ok(None) }
+        if self.list_assembler.is_open() { Err(WatchError::Truncated) } else { Ok(None) }
     }
 
     fn restart_silence_timeout(&mut self) {
-        self.due = Instant::now() + self.limits.silence_timeout;
-        self.bytes_since = 0;
+        self.read_deadline = Instant::now() + self.limits.silence_timeout;
+        self.bytes_since_reset = 0;
     }
 }
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -20,10 +20,10 @@
 use crate::messages::ListUpdate;
 
 /// The dispatcher is gone, and nobody wants the endpoint list any more.
-struct DispatcherGone;
+struct DispatcherStopped;
 
 /// What the actor does next.
-enum State {
+enum WatcherState {
     /// Waits until the dispatcher wants the list; that is always where discovery streams it.
     Idle,
     /// Watches at the address that is configured now.
@@ -37,9 +37,9 @@
 }
 
 /// How the endpoint list is watched.
-pub struct WatchConfig {
+pub struct WatcherConfig {
     /// The dispatcher's requests, where the list is fetched only on request; `None` where discovery streams it.
-    pub requests: Option<mpsc::Receiver<()>>,
+    pub list_requests: Option<mpsc::Receiver<()>>,
     /// The revision of the list that a former start saved, if there is one.
     pub revision: Option<u64>,
     /// The wait before the first watch, so that processes that start together do not ask together.
@@ -49,11 +49,11 @@
 }
 
 /// Watches the endpoint list at discovery. Whatever goes wrong, the last list stays in force.
-pub struct Watch {
+pub struct Watcher {
     context: Rc<ProcessContext>,
     dispatcher: mpsc::Sender<ListUpdate>,
-    /// As in [`WatchConfig::requests`].
-    requests: Option<mpsc::Receiver<()>>,
+    /// As in [`WatcherConfig::list_requests`].
+    list_requests: Option<mpsc::Receiver<()>>,
     /// The revision of the list that the dispatcher has; `None` where the whole list has to be fetched.
     revision: Option<u64>,
     start_delay: Duration,
@@ -65,103 +65,106 @@
     /// Whether a line was received on the current watch.
     has_received_line: bool,
     /// A watch failed since the last line, and that was logged.
-    is_lost: bool,
+    loss_logged: bool,
 }
 
-impl Watch {
+impl Watcher {
     /// A watch that sends its updates to `dispatcher`.
     pub fn new(
         context: Rc<ProcessContext>,
         dispatcher: mpsc::Sender<ListUpdate>,
-        config: WatchConfig,
-    ) -> Watch {
+        config: WatcherConfig,
+    ) -> Watcher {
         let limits = &context.limits.discovery;
-        Watch {
+        Watcher {
             backoff: limits.retry.initial,
             first_byte_timeout: limits.first_byte_timeout,
             context,
             dispatcher,
-            requests: config.requests,
+            list_requests: config.list_requests,
             revision: config.revision,
             start_delay: config.start_delay,
             rng: config.rng,
             has_received_line: false,
-            is_lost: false,
+            loss_logged: false,
         }
     }
 
     /// Watches until the dispatcher is gone.
     pub async fn run(mut self) {
-        let Err(DispatcherGone) = self.run_states().await;
+        let Err(DispatcherStopped) = self.run_states().await;
     }
 
-    async fn run_states(&mut self) -> Result<Infallible, DispatcherGone> {
+    async fn run_states(&mut self) -> Result<Infallible, DispatcherStopped> {
         let mut address = self.context.discovery.clone();
-        if self.requests.is_none() {
+        if self.list_requests.is_none() {
             sleep(self.start_delay).await;
         }
-        let mut state = State::Idle;
+        let mut state = WatcherState::Idle;
         loop {
             state = match state {
-                State::Idle => {
-                    self.wait_until_wanted().await?;
-                    State::Watching
+                WatcherState::Idle => {
+                    self.wait_for_request().await?;
+                    WatcherState::Watching
                 }
-                State::Watching => self.watch(&mut address).await?,
-                State::Failed { peer, error } => {
-                    self.recover(peer, &error, &mut address).await?;
-                    State::Idle
+                WatcherState::Watching => self.watch(&mut address).await?,
+                WatcherState::Failed { peer, error } => {
+                    self.handle_failure(peer, &error, &mut address).await?;
+                    WatcherState::Idle
                 }
             };
         }
     }
 
-    async fn wait_until_wanted(&mut self) -> Result<(), DispatcherGone> {
-        match &mut self.requests {
-            Some(requests) => requests.recv().await.ok_or(DispatcherGone),
+    async fn wait_for_request(&mut self) -> Result<(), DispatcherStopped> {
+        match &mut self.list_requests {
+            Some(list_requests) => list_requests.recv().await.ok_or(DispatcherStopped),
             None => Ok(()),
         }
     }
 
     /// One watch, until it fails or discovery gets another address.
-    async fn watch(&mut self, address: &mut watch::Receiver<SocketAddr>) -> Result<State, DispatcherGone> {
+    async fn watch(
+        &mut self,
+        address: &mut watch::Receiver<SocketAddr>,
+    ) -> Result<WatcherState, DispatcherStopped> {
         let peer = *address.borrow_and_update();
         self.has_received_line = false;
-        let followed = tokio::select! {
-            followed = self.follow(peer) => followed,
+        let result = tokio::select! {
+            result = self.forward_updates(peer) => result,
             Ok(()) = address.changed() => {
                 info!(self.context.log, "discovery address changed, watching the new one";
                     "from" => %peer, "revision" => self.revision);
                 self.backoff = self.limits().retry.initial;
-                return Ok(State::Watching);
+                return Ok(WatcherState::Watching);
             }
         };
-        match followed {
-            Ok(gone) => Err(gone),
-            Err(error) => Ok(State::Failed { peer, error }),
+        match result {
+            Ok(stopped) => Err(stopped),
+            Err(error) => Ok(WatcherState::Failed { peer, error }),
         }
     }
 
     /// Passes on what discovery sends, until that ends.
-    async fn follow(&mut self, peer: SocketAddr) -> Result<DispatcherGone, WatchError> {
+    async fn forward_updates(&mut self, peer: SocketAddr) -> Result<DispatcherStopped, WatchError> {
         let limits = &self.context.limits.discovery;
         let mut stream = ListStream::open(peer, self.revision, self.first_byte_timeout, limits).await?;
         loop {
             stream.read().await?;
             while let Some(line) = stream.next_line()? {
-                self.line_received(peer);
+                self.record_line(peer);
                 let Some(text) = stream.add_line(&line)? else { continue };
                 let update = self.parse(&text)?;
-                if let Err(gone) = self.pass_on(update).await {
-                    return Ok(gone);
+                if let Err(stopped) = self.send_update(update).await {
+                    return Ok(stopped);
                 }
             }
         }
     }
 
-    fn line_received(&mut self, peer: SocketAddr) {
+    fn record_line(&mut self, peer: SocketAddr) {
         self.has_received_line = true;
-        if std::mem::take(&mut self.is_lost) {
+        if std::mem::take(&mut self.loss_logged) {
             info!(self.context.log, "discovery watch restored"; "peer" => %peer);
         }
     }
@@ -176,21 +179,21 @@
         Ok(update)
     }
 
-    async fn pass_on(&mut self, update: EndpointList) -> Result<(), DispatcherGone> {
+    async fn send_update(&mut self, update: EndpointList) -> Result<(), DispatcherStopped> {
         let revision = update.revision;
         let sent = self.dispatcher.send(ListUpdate::Received(update)).await;
         // Only now: a change of the address may cancel the watch while it waits for the dispatcher.
         self.revision = Some(revision);
-        sent.map_err(|_| DispatcherGone)
+        sent.map_err(|_| DispatcherStopped)
     }
 
     /// Reports a loss, and waits until the next watch is due.
-    async fn recover(
+    async fn handle_failure(
         &mut self,
         peer: SocketAddr,
         error: &WatchError,
         address: &mut watch::Receiver<SocketAddr>,
-    ) -> Result<(), DispatcherGone> {
+    ) -> Result<(), DispatcherStopped> {
         if error.invalidates_revision() {
             self.revision = None;
         }
@@ -199,8 +202,8 @@
         }
         self.adapt_first_byte_timeout(error);
         self.log_loss(peer, error);
-        if self.requests.is_some() {
-            return self.dispatcher.send(ListUpdate::Unavailable).await.map_err(|_| DispatcherGone);
+        if self.list_requests.is_some() {
+            return self.dispatcher.send(ListUpdate::Unavailable).await.map_err(|_| DispatcherStopped);
         }
         self.wait_for_next_watch(error, address).await;
         Ok(())
@@ -216,7 +219,7 @@
     }
 
     fn log_loss(&mut self, peer: SocketAddr, error: &WatchError) {
-        if !std::mem::replace(&mut self.is_lost, true) {
+        if !std::mem::replace(&mut self.loss_logged, true) {
             warn!(self.context.log, "discovery watch lost, last endpoint list stays in force";
                 "peer" => %peer, "why" => %error, "revision" => self.revision);
         }
@@ -224,16 +227,16 @@
 
     async fn wait_for_next_watch(&mut self, error: &WatchError, address: &mut watch::Receiver<SocketAddr>) {
         let retry = self.limits().retry;
-        if error.is_silence() {
+        if error.is_timeout() {
             // Discovery was waited for already: what it sends when it responds again is received at once.
             self.backoff = retry.initial;
-        } else if error.is_local() {
+        } else if error.is_local_failure() {
             // Discovery may be well, and was not burdened by this attempt.
             sleep(retry.initial).await;
         } else {
             let wait = start_jitter::retry_delay(self.backoff.as_micros() as i64, &mut self.rng);
-            let has_moved = timeout(duration(wait), address.changed()).await.is_ok();
-            self.backoff = if has_moved { retry.initial } else { (self.backoff * 2).min(retry.max) };
+            let address_changed = timeout(duration(wait), address.changed()).await.is_ok();
+            self.backoff = if address_changed { retry.initial } else { (self.backoff * 2).min(retry.max) };
         }
     }
 
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -14,7 +14,7 @@
 use super::Dispatcher;
 use crate::discovery::endpoint_list::{Endpoint, EndpointList};
 use crate::lifecycle::clock::Clock;
-use crate::member::{LastHeard, Member, MemberLinks};
+use crate::member::{LastHeard, MemberActor, MemberSharedState};
 use crate::messages::{ListUpdate, MemberCommand, ReplicaReports};
 
 /// A member's actor, as the dispatcher sees it.
@@ -61,7 +61,8 @@
     /// be sent requests until now.
     fn record_restart(&mut self, up_since_ms: f64, was_accepting: bool, clock: Clock, offset: Micros) {
         self.up_since_ms = up_since_ms;
-        let former = self.last_heard.former_incarnation(was_accepting).map(|heard| clock.at(heard));
+        let former =
+            self.last_heard.previous_incarnation_last_heard(was_accepting).map(|heard| clock.at(heard));
         let former_last_heard = former.unwrap_or(Micros::MIN);
         self.started_within = StartBounds { former_last_heard, first_listed: clock.now() };
         self.started_at = self.started(offset);
@@ -164,7 +165,7 @@
                 "member" => &endpoint.id, "host_port" => &endpoint.host_port);
             return None;
         };
-        let standing = endpoint.standing();
+        let standing = endpoint.status();
         let member = match self.member_ids.get(&endpoint.id) {
             Some(&member) => member,
             None if standing == MemberStatus::Unlisted => return None,
@@ -189,7 +190,7 @@
     fn update_member(&mut self, member: MemberId, endpoint: &Endpoint, address: SocketAddr) {
         let clock = self.context.clock;
         let offset = self.reported_offset;
-        let standing = endpoint.standing();
+        let standing = endpoint.status();
         let accepts_requests = self.accepts_requests(standing);
         let Some(known) = &mut self.members[member] else { return };
         let was_accepting = known.accepts_requests.send_replace(accepts_requests);
@@ -216,15 +217,15 @@
     fn start_member(&mut self, endpoint: &Endpoint, address: SocketAddr) -> MemberId {
         let id = self.members.iter().position(Option::is_none).unwrap_or(self.members.len());
         let (commands, mailbox) = mpsc::channel(self.context.limits.queues.member);
-        let (accepts_requests, accepting) = watch::channel(self.accepts_requests(endpoint.standing()));
+        let (accepts_requests, accepting) = watch::channel(self.accepts_requests(endpoint.status()));
         let oldest_idle_since = Rc::new(Cell::new(None));
         let last_heard = LastHeard::default();
-        let links = MemberLinks {
+        let links = MemberSharedState {
             accepts_requests: accepting,
             oldest_idle_since: oldest_idle_since.clone(),
             last_heard: last_heard.clone(),
         };
-        let member = Member::new(self.context.clone(), id, endpoint.id.clone(), address, links);
+        let member = MemberActor::new(self.context.clone(), id, endpoint.id.clone(), address, links);
         spawn_local(member.run(mailbox));
         let first_listed = self.context.clock.now();
         let mut known = MemberEntry {
--- a/crates/proxy/src/dispatcher/warm_state.rs
+++ b/crates/proxy/src/dispatcher/warm_state.rs
@@ -37,7 +37,7 @@
         }
         for endpoint in &list.endpoints {
             match serde_json::to_string(endpoint) {
-                Ok(text) if endpoint.standing() != MemberStatus::Unlisted => {
+                Ok(text) if endpoint.status() != MemberStatus::Unlisted => {
                     self.endpoints.insert(endpoint.id.clone(), text);
                 }
                 _ => {
--- a/crates/proxy/src/lifecycle/startup/actors.rs
+++ b/crates/proxy/src/lifecycle/startup/actors.rs
@@ -18,7 +18,7 @@
 use super::resources::{DiscoveryChannels, DispatcherChannels, ReloadChannels, Startup};
 use crate::client;
 use crate::discovery::endpoint_list::EndpointList;
-use crate::discovery::watch::{Watch, WatchConfig};
+use crate::discovery::watch::{Watcher, WatcherConfig};
 use crate::dispatcher::{Dispatcher, DispatcherParts, GatewayPart, Observations, WarmState};
 use crate::lifecycle::clock::duration;
 use crate::lifecycle::configuration::{Configuration, ConfigurationFiles};
@@ -233,14 +233,14 @@
     configuration: &Configuration,
     channels: DiscoveryChannels,
     revision: Option<u64>,
-) -> Watch {
+) -> Watcher {
     let fleet_size = configuration.settings.router_config.routers;
     let drain_grace = configuration.settings.drain_grace;
     let mut rng = Pcg64Mcg::seed_from_u64(configuration.seed.rotate_left(DISCOVERY_SEED_ROTATION));
     let delay = start_jitter::start_delay(&configuration.name, fleet_size, drain_grace, &mut rng);
     let config =
-        WatchConfig { requests: channels.list_requests, revision, start_delay: duration(delay), rng };
-    Watch::new(context.clone(), channels.list_updates, config)
+        WatcherConfig { list_requests: channels.list_requests, revision, start_delay: duration(delay), rng };
+    Watcher::new(context.clone(), channels.list_updates, config)
 }
 
 /// Accepts clients.
--- a/crates/proxy/src/member/actor.rs
+++ b/crates/proxy/src/member/actor.rs
@@ -13,7 +13,7 @@
 use super::last_heard::LastHeard;
 use super::outcome::{QueryKind, Symptom, symptom, verdict};
 use super::pool::ConnectionPool;
-use super::query::{QueryEnd, QueryTask, SendConditions};
+use super::query::{QueryOutcome, QueryTask, SendConditions};
 use super::report::{is_replica_report, member_report};
 use super::response::Response;
 use super::symptom_log::SymptomLog;
@@ -24,7 +24,7 @@
 };
 
 /// The dispatcher is gone, and with it whoever the member's actor works for.
-struct DispatcherGone;
+struct DispatcherStopped;
 
 /// What a query that is running is for.
 enum QueryPurpose {
@@ -42,7 +42,7 @@
 }
 
 /// What a member's actor shares with the dispatcher.
-pub struct MemberLinks {
+pub struct MemberSharedState {
     /// Whether the endpoint list lets the member receive anything new.
     pub accepts_requests: watch::Receiver<bool>,
     /// Since when its oldest idle connection has been idle.
@@ -52,7 +52,7 @@
 }
 
 /// The actor of one member.
-pub struct Member {
+pub struct MemberActor {
     context: Rc<ProcessContext>,
     id: MemberId,
     /// The address that the endpoint list has for it now.
@@ -60,38 +60,38 @@
     accepts_requests: watch::Receiver<bool>,
     pool: ConnectionPool,
     /// The queries that are running, and what each is for.
-    queries: JoinSet<QueryEnd>,
+    queries: JoinSet<QueryOutcome>,
     purposes: HashMap<task::Id, QueryPurpose>,
     /// When it last responded; when its actor was started, where it never did.
-    last_response: Instant,
+    last_response_at: Instant,
     last_heard: LastHeard,
     /// How many of its responses have said that it is a replica.
-    replica_reports: Rc<Cell<u64>>,
+    replica_report_count: Rc<Cell<u64>>,
     symptom_log: SymptomLog,
 }
 
-impl Member {
+impl MemberActor {
     /// The actor of the member that is listed under this name and at this address.
     pub fn new(
         context: Rc<ProcessContext>,
         id: MemberId,
         name: String,
         address: SocketAddr,
-        links: MemberLinks,
-    ) -> Member {
+        shared: MemberSharedState,
+    ) -> MemberActor {
         let symptom_log =
             SymptomLog::new(context.log.clone(), name, context.limits.member.malformed_log_threshold);
-        Member {
+        MemberActor {
             context,
             id,
             address: Rc::new(Cell::new(address)),
-            accepts_requests: links.accepts_requests,
-            pool: ConnectionPool::new(links.oldest_idle_since),
+            accepts_requests: shared.accepts_requests,
+            pool: ConnectionPool::new(shared.oldest_idle_since),
             queries: JoinSet::new(),
             purposes: HashMap::new(),
-            last_response: Instant::now(),
-            last_heard: links.last_heard,
-            replica_reports: Rc::default(),
+            last_response_at: Instant::now(),
+            last_heard: shared.last_heard,
+            replica_report_count: Rc::default(),
             symptom_log,
         }
     }
@@ -101,16 +101,16 @@
         let mut sweep = interval(self.context.limits.member.sweep_interval);
         sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            self.pool.publish_oldest();
+            self.pool.publish_oldest_idle_since();
             tokio::select! {
                 biased;
                 Some(joined) = self.queries.join_next_with_id() => {
-                    if self.query_joined(joined).await.is_err() {
+                    if self.handle_joined_query(joined).await.is_err() {
                         return;
                     }
                 }
                 command = commands.recv() => match command {
-                    Some(command) => self.execute(command),
+                    Some(command) => self.handle_command(command),
                     None => return,
                 },
                 _ = sweep.tick(), if !self.pool.is_empty() => self.sweep(),
@@ -118,7 +118,7 @@
         }
     }
 
-    fn execute(&mut self, command: MemberCommand) {
+    fn handle_command(&mut self, command: MemberCommand) {
         match command {
             MemberCommand::Send(attempt) => {
                 if attempt.pool_use == PoolUse::ConnectAnew {
@@ -132,7 +132,7 @@
             }
             MemberCommand::Reconnect(address) => {
                 self.address.set(address);
-                self.pool.renew();
+                self.pool.invalidate();
             }
             MemberCommand::CloseOldestIdle => self.pool.close_oldest(),
             MemberCommand::CloseIdle => self.pool.close_all(),
@@ -158,84 +158,93 @@
             conditions: SendConditions {
                 accepts_requests: self.accepts_requests.clone(),
                 listed_address: self.address.clone(),
-                replica_reports: self.replica_reports.clone(),
+                replica_report_count: self.replica_report_count.clone(),
             },
             pool_generation: self.pool.generation(),
         };
-        let began = Instant::now();
+        let started_at = Instant::now();
         let pooled = self.pool.take(&self.context.limits);
-        let task = self.queries.spawn_local(query.run(pooled, began));
+        let task = self.queries.spawn_local(query.run(pooled, started_at));
         self.purposes.insert(task.id(), purpose);
     }
 
-    async fn query_joined(
+    async fn handle_joined_query(
         &mut self,
-        joined: Result<(task::Id, QueryEnd), JoinError>,
-    ) -> Result<(), DispatcherGone> {
-        let (id, end) = match joined {
+        joined: Result<(task::Id, QueryOutcome), JoinError>,
+    ) -> Result<(), DispatcherStopped> {
+        let (id, outcome) = match joined {
             Ok(joined) => joined,
             Err(error) => {
-                self.symptom_log.task_failed(&error);
-                (error.id(), QueryEnd::unknown(self.pool.generation()))
+                self.symptom_log.log_task_failure(&error);
+                (error.id(), QueryOutcome::unknown(self.pool.generation()))
             }
         };
         match self.purposes.remove(&id) {
-            Some(purpose) => self.finish(purpose, end).await,
+            Some(purpose) => self.finish_query(purpose, outcome).await,
             None => Ok(()),
         }
     }
 
     /// Draws the conclusions from a query's end, and reports it to the dispatcher.
-    async fn finish(&mut self, purpose: QueryPurpose, mut end: QueryEnd) -> Result<(), DispatcherGone> {
-        let verdict = verdict(&end.evidence(purpose.kind()), || self.pool.all_reset());
-        self.note_response(&end, verdict);
-        self.note_symptom(&end, verdict);
-        self.put_back_connection(&mut end);
-        if is_replica_report(&end.response.exchange) {
-            self.replica_reports.set(self.replica_reports.get() + 1);
+    async fn finish_query(
+        &mut self,
+        purpose: QueryPurpose,
+        mut outcome: QueryOutcome,
+    ) -> Result<(), DispatcherStopped> {
+        let verdict = verdict(&outcome.observations(purpose.kind()), || self.pool.all_reset());
+        self.record_response_time(&outcome, verdict);
+        self.record_symptom(&outcome, verdict);
+        self.return_connection(&mut outcome);
+        if is_replica_report(&outcome.response.exchange) {
+            self.replica_report_count.set(self.replica_report_count.get() + 1);
         }
-        let message = self.finished_message(purpose, verdict, end);
-        self.context.dispatcher.send(message).await.map_err(|_| DispatcherGone)
+        let message = self.finished_message(purpose, verdict, outcome);
+        self.context.dispatcher.send(message).await.map_err(|_| DispatcherStopped)
     }
 
     /// Notes when the member was heard. Where it has not responded to anything since a query began that met silence,
     /// connections from before may lead nowhere, and stay silent for ever if a machine vanished or a link was cut: they
     /// are closed, as new ones show at once what is true.
-    fn note_response(&mut self, end: &QueryEnd, verdict: Verdict) {
-        if end.response.exchange.is_over() || end.response.out_of_buffer_space {
-            self.last_response = Instant::now();
+    fn record_response_time(&mut self, outcome: &QueryOutcome, verdict: Verdict) {
+        if outcome.response.exchange.is_over() || outcome.response.out_of_buffer_space {
+            self.last_response_at = Instant::now();
             self.last_heard.record_response();
-        } else if symptom(verdict) == Symptom::Silent && self.last_response < end.began {
-            self.pool.close_idle_before(end.began);
+        } else if symptom(verdict) == Symptom::Silent && self.last_response_at < outcome.started_at {
+            self.pool.close_idle_before(outcome.started_at);
         }
     }
 
-    fn note_symptom(&mut self, end: &QueryEnd, verdict: Verdict) {
+    fn record_symptom(&mut self, outcome: &QueryOutcome, verdict: Verdict) {
         let symptom = symptom(verdict);
         if matches!(symptom, Symptom::Unreachable | Symptom::ProcessGone) {
             self.last_heard.record_loss();
         }
         // The other connections most likely lead to the process that is gone, too.
-        if symptom == Symptom::ProcessGone && end.pool_generation == self.pool.generation() {
-            self.pool.renew();
+        if symptom == Symptom::ProcessGone && outcome.pool_generation == self.pool.generation() {
+            self.pool.invalidate();
         }
-        let is_ready = end.response.exchange.is_ready();
-        self.symptom_log.record(self.address.get(), verdict, is_ready, end.error.as_ref());
+        let is_ready = outcome.response.exchange.is_ready();
+        self.symptom_log.record(self.address.get(), verdict, is_ready, outcome.error.as_ref());
     }
 
     /// Keeps the query's connection, unless others wait for a descriptor: there was no idle connection to close for them,
     /// so this one makes room.
-    fn put_back_connection(&mut self, end: &mut QueryEnd) {
-        if let Some(connection) = end.connection.take()
+    fn return_connection(&mut self, outcome: &mut QueryOutcome) {
+        if let Some(connection) = outcome.connection.take()
             && self.context.waiting_for_permit.get() == 0
         {
-            self.pool.put(connection, end.pool_generation);
+            self.pool.put(connection, outcome.pool_generation);
         }
     }
 
-    fn finished_message(&self, purpose: QueryPurpose, verdict: Verdict, end: QueryEnd) -> DispatcherMessage {
-        let replica_reports = ReplicaReports { member: self.id, count: self.replica_reports.get() };
-        let report = report_of(purpose.kind(), &end);
+    fn finished_message(
+        &self,
+        purpose: QueryPurpose,
+        verdict: Verdict,
+        outcome: QueryOutcome,
+    ) -> DispatcherMessage {
+        let replica_reports = ReplicaReports { member: self.id, count: self.replica_report_count.get() };
+        let report = extract_report(purpose.kind(), &outcome);
         match purpose {
             QueryPurpose::Attempt { handle, decided_at } => {
                 DispatcherMessage::AttemptFinished(AttemptFinished {
@@ -244,7 +253,7 @@
                     decided_at,
                     elapsed: self.context.unstalled_clock.unstalled_since(decided_at),
                     report,
-                    response: attempt_response(verdict, end.response),
+                    response: attempt_response(verdict, outcome.response),
                     replica_reports: Some(replica_reports),
                 })
             }
@@ -262,13 +271,13 @@
 
 /// What the response says of the member. Its load report comes beside the value of an attempt, and is the value of a
 /// health check.
-fn report_of(kind: QueryKind, end: &QueryEnd) -> MemberReport {
-    let exchange = &end.response.exchange;
+fn extract_report(kind: QueryKind, outcome: &QueryOutcome) -> MemberReport {
+    let exchange = &outcome.response.exchange;
     let usage = match kind {
         QueryKind::Attempt => exchange.usage.as_deref(),
         QueryKind::HealthCheck => std::str::from_utf8(exchange.value()).ok(),
     };
-    member_report(exchange, usage, end.response_age)
+    member_report(exchange, usage, outcome.response_age)
 }
 
 /// What is passed on to the client.
--- a/crates/proxy/src/member/connection.rs
+++ b/crates/proxy/src/member/connection.rs
@@ -41,22 +41,22 @@
     }
 
     /// Whether it still stands, and nothing has come on it that was not asked for.
-    pub(super) fn is_quiet(&self) -> bool {
+    pub(super) fn is_usable(&self) -> bool {
         self.buffer.is_empty() && matches!(system::peek(&self.stream), Peeked::NoData)
     }
 }
 
 /// Counts one more connection that waits for a descriptor, for as long as this value lives.
-struct DescriptorWait<'a>(&'a Cell<usize>);
+struct DescriptorWaitGuard<'a>(&'a Cell<usize>);
 
-impl DescriptorWait<'_> {
-    fn start(waiting: &Cell<usize>) -> DescriptorWait<'_> {
+impl DescriptorWaitGuard<'_> {
+    fn start(waiting: &Cell<usize>) -> DescriptorWaitGuard<'_> {
         waiting.set(waiting.get() + 1);
-        DescriptorWait(waiting)
+        DescriptorWaitGuard(waiting)
     }
 }
 
-impl Drop for DescriptorWait<'_> {
+impl Drop for DescriptorWaitGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -66,7 +66,7 @@
 ///
 /// Bytes behind an answer must never be read as the next answer. A connection that has rested for `limits.member.settle_time` had time
 /// for them to come and be seen. On any other one an empty query is sent, whose response must be the very next that comes.
-pub(super) async fn resynchronized(
+pub(super) async fn resynchronize(
     pooled: Option<Connection>,
     deadline: Instant,
     limits: &Limits,
@@ -119,14 +119,14 @@
     deadline: Instant,
 ) -> Result<Connection, QueryError> {
     let deadline = deadline.min(Instant::now() + context.limits.member.connect_timeout);
-    let permit = descriptor_permit(context, id, deadline).await?;
+    let permit = acquire_descriptor_permit(context, id, deadline).await?;
     let opened = timeout_at(deadline, open(&context.limits, address)).await;
-    let (stream, buffer) = opened.map_err(|_| QueryError::DeadlinePassed)??;
+    let (stream, buffer) = opened.map_err(|_| QueryError::DeadlineExceeded)??;
     Ok(Connection { stream, buffer, idle_since: Instant::now(), _permit: permit })
 }
 
 /// A descriptor of the members' part. Where none is free the dispatcher is told, which has idle connections closed.
-async fn descriptor_permit(
+async fn acquire_descriptor_permit(
     context: &ProcessContext,
     id: MemberId,
     deadline: Instant,
@@ -135,7 +135,7 @@
         return Ok(permit);
     }
     let _ = context.dispatcher.send(DispatcherMessage::DescriptorsExhausted(id)).await;
-    let _waiting = DescriptorWait::start(&context.waiting_for_permit);
+    let _waiting = DescriptorWaitGuard::start(&context.waiting_for_permit);
     let permit = timeout_at(deadline, context.member_connection_permits.clone().acquire_owned()).await;
     permit.ok().and_then(Result::ok).ok_or(QueryError::NoDescriptor)
 }
@@ -168,7 +168,7 @@
                 buffer.consume(length);
                 return Ok((stream, buffer));
             }
-            b'E' => return Err(connection_refused(message.body)),
+            b'E' => return Err(startup_error(message.body)),
             b'R' if message.body != AUTHENTICATION_OK => return Err(QueryError::ConnectionRejected),
             _ => buffer.consume(length),
         }
@@ -176,8 +176,8 @@
 }
 
 /// What an error in place of a welcome means.
-fn connection_refused(body: &[u8]) -> QueryError {
-    let is_full =
-        pg::ErrorResponse::parse(body).is_ok_and(|refusal| refusal.code == sql_state::TOO_MANY_CONNECTIONS);
-    if is_full { QueryError::TooManyConnections } else { QueryError::ConnectionRejected }
+fn startup_error(body: &[u8]) -> QueryError {
+    let is_at_capacity =
+        pg::ErrorResponse::parse(body).is_ok_and(|response| response.code == sql_state::TOO_MANY_CONNECTIONS);
+    if is_at_capacity { QueryError::TooManyConnections } else { QueryError::ConnectionRejected }
 }
--- a/crates/proxy/src/member/mod.rs
+++ b/crates/proxy/src/member/mod.rs
@@ -10,5 +10,5 @@
 mod response;
 mod symptom_log;
 
-pub use actor::{Member, MemberLinks};
+pub use actor::{MemberActor, MemberSharedState};
 pub use last_heard::LastHeard;
--- a/crates/proxy/src/member/outcome.rs
+++ b/crates/proxy/src/member/outcome.rs
@@ -33,7 +33,7 @@
 
 /// What a member answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer<'a> {
+pub enum ResponseKind<'a> {
     /// A value, whole and confirmed.
     Value,
     /// The beginning of a value that no buffer space was to be had for. The member did its part.
@@ -47,7 +47,7 @@
 pub enum QueryError {
     /// The conditions of sending it no longer held once the connection was there.
     #[error("may no longer be sent: cancelled, out of time, or the member drains, moved or was demoted")]
-    Withheld,
+    NoLongerValid,
     /// The proxy has used up its descriptors for members.
     #[error("no descriptor to spare in time; raise limits.sockets and the limit on open files (ulimit -n)")]
     NoDescriptor,
@@ -76,7 +76,7 @@
     TooSlow,
     /// The query's deadline passed, or the time to connect.
     #[error("not done in time; look at the member's load and the network")]
-    DeadlinePassed,
+    DeadlineExceeded,
 }
 
 impl From<io::Error> for QueryError {
@@ -87,13 +87,13 @@
 
 /// What was observed of a query up to its end.
 #[derive(Clone, Copy, Debug)]
-pub struct Evidence<'a> {
+pub struct QueryObservations<'a> {
     /// What the query is for.
     pub kind: QueryKind,
     /// How much of it was written.
     pub sent: Sent,
     /// What came of it.
-    pub result: Result<Answer<'a>, &'a QueryError>,
+    pub result: Result<ResponseKind<'a>, &'a QueryError>,
     /// The process stalled since the query began: an answer may have come in time, and nobody was there to see it.
     pub stalled: bool,
     /// A connection was given at least `limits.member.connect_evidence` to come up.
@@ -109,33 +109,33 @@
     clippy::wildcard_imports,
     reason = "a table of verdicts, which reads by the names of the variants alone"
 )]
-pub fn verdict(evidence: &Evidence<'_>, process_gone: impl FnOnce() -> bool) -> Verdict {
+pub fn verdict(observed: &QueryObservations<'_>, process_gone: impl FnOnce() -> bool) -> Verdict {
     use QueryError::*;
     use Sent::{Nothing, Partly, Whole};
     use sql_state::*;
-    let is_health_check = evidence.kind == QueryKind::HealthCheck;
-    let proves_unreachable = evidence.had_time_to_connect && !evidence.stalled;
-    match (evidence.sent, evidence.result) {
+    let is_health_check = observed.kind == QueryKind::HealthCheck;
+    let proves_unreachable = observed.had_time_to_connect && !observed.stalled;
+    match (observed.sent, observed.result) {
         // The member answered: that counts, whatever happened to the connection afterwards.
-        (_, Ok(Answer::Value | Answer::TooLarge)) => Verdict::Served,
-        (_, Ok(Answer::Error(READ_ONLY_SQL_TRANSACTION | SNAPSHOT_TOO_OLD))) => Verdict::NotPrimary,
-        (_, Ok(Answer::Error(TOO_MANY_CONNECTIONS))) => Verdict::Overloaded,
-        (_, Ok(Answer::Error(CANNOT_CONNECT_NOW))) if is_health_check => Verdict::Overloaded,
-        (_, Ok(Answer::Error(_))) => Verdict::Error,
+        (_, Ok(ResponseKind::Value | ResponseKind::TooLarge)) => Verdict::Served,
+        (_, Ok(ResponseKind::Error(READ_ONLY_SQL_TRANSACTION | SNAPSHOT_TOO_OLD))) => Verdict::NotPrimary,
+        (_, Ok(ResponseKind::Error(TOO_MANY_CONNECTIONS))) => Verdict::Overloaded,
+        (_, Ok(ResponseKind::Error(CANNOT_CONNECT_NOW))) if is_health_check => Verdict::Overloaded,
+        (_, Ok(ResponseKind::Error(_))) => Verdict::Error,
 
         // The query had not come to being sent.
-        (_, Err(Withheld)) => Verdict::NotSent,
+        (_, Err(NoLongerValid)) => Verdict::NotSent,
         (_, Err(NoDescriptor)) => Verdict::LocalFailure,
         (_, Err(TooManyConnections)) => Verdict::Overloaded,
         (_, Err(ConnectionRejected)) => Verdict::ConnectionLost,
 
         // No connection came up in time. An attempt that had too little time for one proves nothing.
-        (Nothing, Err(DeadlinePassed)) if is_health_check => timed_out(evidence),
-        (Nothing, Err(DeadlinePassed)) if proves_unreachable => Verdict::Unconnected,
-        (Nothing, Err(DeadlinePassed)) => Verdict::NotSent,
+        (Nothing, Err(DeadlineExceeded)) if is_health_check => timed_out(observed),
+        (Nothing, Err(DeadlineExceeded)) if proves_unreachable => Verdict::Unconnected,
+        (Nothing, Err(DeadlineExceeded)) => Verdict::NotSent,
 
         // The member does not have the whole query: it never ran.
-        (Partly, Err(DeadlinePassed)) => Verdict::Unconnected,
+        (Partly, Err(DeadlineExceeded)) => Verdict::Unconnected,
         (Nothing | Partly, Err(Socket { kind: SocketErrorKind::Local, .. })) => Verdict::LocalFailure,
         (Nothing | Partly, Err(Socket { kind: SocketErrorKind::Refused, .. })) => Verdict::Unconnected,
         (Nothing | Partly, Err(Socket { kind: SocketErrorKind::Unreachable, .. })) => Verdict::Unreachable,
@@ -144,8 +144,8 @@
         (Nothing | Partly, Err(Closed | Malformed | TooSlow)) => Verdict::ConnectionLost,
 
         // The member has the whole query: it may have run.
-        (Whole, Err(DeadlinePassed)) => timed_out(evidence),
-        (Whole, Err(Socket { kind: SocketErrorKind::Unreachable, .. })) => timed_out(evidence),
+        (Whole, Err(DeadlineExceeded)) => timed_out(observed),
+        (Whole, Err(Socket { kind: SocketErrorKind::Unreachable, .. })) => timed_out(observed),
         (Whole, Err(Socket { kind: SocketErrorKind::Local, .. })) => Verdict::Unobserved,
         (Whole, Err(Malformed | TooSlow)) => Verdict::Malformed,
         // Where only this connection broke, the member stands. If its process did die, the next connection is refused.
@@ -160,8 +160,8 @@
 }
 
 /// Silence up to the deadline; it proves nothing where the deadline passed during a stall of this process.
-fn timed_out(evidence: &Evidence<'_>) -> Verdict {
-    if evidence.stalled { Verdict::Unobserved } else { Verdict::TimedOut }
+fn timed_out(observed: &QueryObservations<'_>) -> Verdict {
+    if observed.stalled { Verdict::Unobserved } else { Verdict::TimedOut }
 }
 
 /// What a verdict shows of the member.
--- a/crates/proxy/src/member/pool.rs
+++ b/crates/proxy/src/member/pool.rs
@@ -21,13 +21,13 @@
 }
 
 impl ConnectionPool {
-    /// An empty pool. [`ConnectionPool::publish_oldest`] writes to `oldest_idle_since`.
+    /// An empty pool. [`ConnectionPool::publish_oldest_idle_since`] writes to `oldest_idle_since`.
     pub(super) fn new(oldest_idle_since: Rc<Cell<Option<Instant>>>) -> ConnectionPool {
         ConnectionPool { idle: Vec::new(), generation: PoolGeneration::default(), oldest_idle_since }
     }
 
     /// Tells the dispatcher since when the oldest connection has been idle.
-    pub(super) fn publish_oldest(&self) {
+    pub(super) fn publish_oldest_idle_since(&self) {
         self.oldest_idle_since.set(self.idle.first().map(|connection| connection.idle_since));
     }
 
@@ -45,12 +45,12 @@
     /// that has been idle longest.
     pub(super) fn take(&mut self, limits: &Limits) -> Option<Connection> {
         while !self.idle.is_empty() {
-            let rested = self
+            let settled = self
                 .idle
                 .iter()
                 .rposition(|connection| connection.idle_since.elapsed() >= limits.member.settle_time);
-            let connection = self.idle.remove(rested.unwrap_or(0));
-            if connection.idle_since.elapsed() < limits.member.idle_timeout && connection.is_quiet() {
+            let connection = self.idle.remove(settled.unwrap_or(0));
+            if connection.idle_since.elapsed() < limits.member.idle_timeout && connection.is_usable() {
                 return Some(connection);
             }
         }
@@ -66,7 +66,7 @@
     }
 
     /// Closes all idle connections, and those in use once their queries end: what they lead to is gone.
-    pub(super) fn renew(&mut self) {
+    pub(super) fn invalidate(&mut self) {
         self.generation = PoolGeneration(self.generation.0 + 1);
         self.close_all();
     }
@@ -92,7 +92,7 @@
     pub(super) fn sweep(&mut self, limits: &Limits) {
         let now = Instant::now();
         self.idle.retain(|connection| {
-            now - connection.idle_since < limits.member.idle_timeout && connection.is_quiet()
+            now - connection.idle_since < limits.member.idle_timeout && connection.is_usable()
         });
     }
 
--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -11,8 +11,8 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
-use super::connection::{Connection, connect, resynchronized};
-use super::outcome::{Answer, Evidence, QueryError, QueryKind, Sent};
+use super::connection::{Connection, connect, resynchronize};
+use super::outcome::{QueryError, QueryKind, QueryObservations, ResponseKind, Sent};
 use super::pool::PoolGeneration;
 use super::response::{Response, ResponseReader};
 use crate::lifecycle::process_context::ProcessContext;
@@ -20,7 +20,7 @@
 use crate::system::{self, Party, SocketErrorKind};
 
 /// The statement of a health check; members answer it with their load report.
-const HEALTH_CHECK: &[u8] = b"SHOW usage";
+const HEALTH_CHECK_STATEMENT: &[u8] = b"SHOW usage";
 
 /// A member is told this much less time than the client has left. It may be told up to 0.15 s too much, which is as long
 /// as this process may be held up before the statement is written; the margin covers what comes on top of that, such as
@@ -36,7 +36,7 @@
     /// The address that the endpoint list has for the member now.
     pub(super) listed_address: Rc<Cell<SocketAddr>>,
     /// How many of the member's responses have said that it is a replica.
-    pub(super) replica_reports: Rc<Cell<u64>>,
+    pub(super) replica_report_count: Rc<Cell<u64>>,
 }
 
 /// One query of a member, from its connection to the end of its response.
@@ -55,9 +55,9 @@
 }
 
 /// How a query ended.
-pub(super) struct QueryEnd {
+pub(super) struct QueryOutcome {
     /// When it began.
-    pub(super) began: Instant,
+    pub(super) started_at: Instant,
     /// How much of it was written.
     pub(super) sent: Sent,
     /// What the member sent in response.
@@ -76,19 +76,19 @@
     pub(super) had_time_to_connect: bool,
 }
 
-impl QueryEnd {
+impl QueryOutcome {
     /// A query of which nothing is known any more; it may have run.
-    pub(super) fn unknown(pool_generation: PoolGeneration) -> QueryEnd {
-        QueryEnd {
+    pub(super) fn unknown(pool_generation: PoolGeneration) -> QueryOutcome {
+        QueryOutcome {
             sent: Sent::Whole,
             error: Some(QueryError::Closed),
-            ..QueryEnd::begin(Instant::now(), pool_generation)
+            ..QueryOutcome::new(Instant::now(), pool_generation)
         }
     }
 
-    fn begin(began: Instant, pool_generation: PoolGeneration) -> QueryEnd {
-        QueryEnd {
-            began,
+    fn new(started_at: Instant, pool_generation: PoolGeneration) -> QueryOutcome {
+        QueryOutcome {
+            started_at,
             sent: Sent::Nothing,
             response: Response::default(),
             error: None,
@@ -101,8 +101,8 @@
     }
 
     /// What was observed of the query, to be judged.
-    pub(super) fn evidence(&self, kind: QueryKind) -> Evidence<'_> {
-        Evidence {
+    pub(super) fn observations(&self, kind: QueryKind) -> QueryObservations<'_> {
+        QueryObservations {
             kind,
             sent: self.sent,
             result: self.result(),
@@ -111,65 +111,72 @@
         }
     }
 
-    fn result(&self) -> Result<Answer<'_>, &QueryError> {
+    fn result(&self) -> Result<ResponseKind<'_>, &QueryError> {
         let exchange = &self.response.exchange;
         match &exchange.error {
-            _ if exchange.is_served() => Ok(Answer::Value),
-            Some(code) => Ok(Answer::Error(code)),
-            None if self.response.out_of_buffer_space => Ok(Answer::TooLarge),
+            _ if exchange.is_served() => Ok(ResponseKind::Value),
+            Some(code) => Ok(ResponseKind::Error(code)),
+            None if self.response.out_of_buffer_space => Ok(ResponseKind::TooLarge),
             None => Err(self.error.as_ref().unwrap_or(&QueryError::Closed)),
         }
     }
 }
 
 impl QueryTask {
-    /// Runs the query on this connection, or else on a new one, to its end or its deadline. `began` is when the
+    /// Runs the query on this connection, or else on a new one, to its end or its deadline. `started_at` is when the
     /// connection was taken from the pool.
-    pub(super) async fn run(self, pooled: Option<Connection>, began: Instant) -> QueryEnd {
-        let mut end = QueryEnd::begin(began, self.pool_generation);
-        match self.connection(pooled).await {
-            Ok(connection) => self.run_on(connection, &mut end).await,
-            Err(error) => end.error = Some(error),
+    pub(super) async fn run(self, pooled: Option<Connection>, started_at: Instant) -> QueryOutcome {
+        let mut outcome = QueryOutcome::new(started_at, self.pool_generation);
+        match self.obtain_connection(pooled).await {
+            Ok(connection) => self.run_on(connection, &mut outcome).await,
+            Err(error) => outcome.error = Some(error),
         }
         if matches!(
-            end.error,
-            Some(QueryError::DeadlinePassed | QueryError::Socket { kind: SocketErrorKind::Unreachable, .. })
+            outcome.error,
+            Some(
+                QueryError::DeadlineExceeded | QueryError::Socket { kind: SocketErrorKind::Unreachable, .. }
+            )
         ) {
-            end.stalled = self.context.unstalled_clock.stalled_since(began);
-            end.had_time_to_connect = began.elapsed() >= self.context.limits.member.connect_evidence;
+            outcome.stalled = self.context.unstalled_clock.stalled_since(started_at);
+            outcome.had_time_to_connect = started_at.elapsed() >= self.context.limits.member.connect_evidence;
         }
-        end
+        outcome
     }
 
-    async fn connection(&self, pooled: Option<Connection>) -> Result<Connection, QueryError> {
-        match resynchronized(pooled, self.deadline, &self.context.limits).await {
+    async fn obtain_connection(&self, pooled: Option<Connection>) -> Result<Connection, QueryError> {
+        match resynchronize(pooled, self.deadline, &self.context.limits).await {
             Some(connection) => Ok(connection),
             None => connect(&self.context, self.member, self.address, self.deadline).await,
         }
     }
 
-    async fn run_on(&self, mut connection: Connection, end: &mut QueryEnd) {
+    async fn run_on(&self, mut connection: Connection, outcome: &mut QueryOutcome) {
         if !self.may_send() {
-            end.error = Some(QueryError::Withheld);
-            end.connection = Some(connection);
+            outcome.error = Some(QueryError::NoLongerValid);
+            outcome.connection = Some(connection);
             return;
         }
-        end.error = self.exchange(&mut connection, end).await.err();
-        let received = self.context.unstalled_clock.receipt_bounds(&connection.stream, Some(end.began));
-        end.response_age = received.map_or(0, |received| received.latest.elapsed().as_micros() as Micros);
-        if end.response.exchange.is_ready() {
-            end.connection = Some(connection);
+        outcome.error = self.exchange(&mut connection, outcome).await.err();
+        let received =
+            self.context.unstalled_clock.receipt_bounds(&connection.stream, Some(outcome.started_at));
+        outcome.response_age = received.map_or(0, |received| received.latest.elapsed().as_micros() as Micros);
+        if outcome.response.exchange.is_ready() {
+            outcome.connection = Some(connection);
         }
     }
 
     /// Writes the query and reads its response.
-    async fn exchange(&self, connection: &mut Connection, end: &mut QueryEnd) -> Result<(), QueryError> {
+    async fn exchange(
+        &self,
+        connection: &mut Connection,
+        outcome: &mut QueryOutcome,
+    ) -> Result<(), QueryError> {
         let query = self.encode();
-        end.sent = Sent::Partly;
+        outcome.sent = Sent::Partly;
         self.write(connection, &query).await?;
-        end.sent = Sent::Whole;
+        outcome.sent = Sent::Whole;
         let owner = self.attempt.as_ref().map(|attempt| attempt.reservation_owner);
-        let mut reader = ResponseReader::new(&self.context, owner, self.deadline, &mut end.response);
+        let mut reader = ResponseReader::new(&self.context, owner, self.deadline, &mut outcome.response);
         reader.read(connection).await
     }
 
@@ -186,7 +193,7 @@
 
     fn is_valid(&self, attempt: &Attempt) -> bool {
         let Validity { expires_at, requires_primary } = attempt.validity;
-        let is_still_primary = self.conditions.replica_reports.get() == attempt.replica_reports;
+        let is_still_primary = self.conditions.replica_report_count.get() == attempt.replica_reports;
         !attempt.cancellation.is_cancelled()
             && self.context.clock.now() < expires_at
             && (is_still_primary || !requires_primary)
@@ -197,12 +204,12 @@
     fn encode(&self) -> Query {
         let Some(attempt) = &self.attempt else {
             let mut health_check = Vec::new();
-            pg::write_query(&mut health_check, &[HEALTH_CHECK]);
+            pg::write_query(&mut health_check, &[HEALTH_CHECK_STATEMENT]);
             return Query::Whole(health_check);
         };
-        let left = self.deadline.saturating_duration_since(Instant::now());
-        let margin = (left / MARGIN_DIVISOR).min(TIMEOUT_MARGIN);
-        let timeout = left.saturating_sub(margin).as_millis().max(1);
+        let time_left = self.deadline.saturating_duration_since(Instant::now());
+        let margin = (time_left / MARGIN_DIVISOR).min(TIMEOUT_MARGIN);
+        let timeout = time_left.saturating_sub(margin).as_millis().max(1);
         Query::of(&attempt.request, &timeout.to_string())
     }
 
@@ -230,10 +237,11 @@
         let meter = meter
             .get_or_insert_with(|| ProgressMeter::new(now, self.context.flow_control.limits().to_member));
         meter.start(now);
-        let wait_until = meter.deadline().map_or(self.deadline, |due| clock.instant(due).min(self.deadline));
-        let written = timeout_at(wait_until, system::write(Party::Member, &mut connection.stream, piece));
+        let write_deadline =
+            meter.deadline().map_or(self.deadline, |slow_at| clock.instant(slow_at).min(self.deadline));
+        let written = timeout_at(write_deadline, system::write(Party::Member, &mut connection.stream, piece));
         match written.await {
-            Err(_) if wait_until >= self.deadline => Err(QueryError::DeadlinePassed),
+            Err(_) if write_deadline >= self.deadline => Err(QueryError::DeadlineExceeded),
             Err(_) => Err(QueryError::TooSlow),
             Ok(Err(error)) => Err(error.into()),
             Ok(Ok(0)) => Err(QueryError::Closed),
--- a/crates/proxy/src/member/report.rs
+++ b/crates/proxy/src/member/report.rs
@@ -30,12 +30,12 @@
     let fields = fields.filter_map(|field| field.trim().split_once('='));
     let mut report = parse_load_report(fields, 0).unwrap_or_default();
     report.age = age;
-    report.role = stated_role(exchange).or(report.role);
-    report.position = report.position.max(stated_position(exchange));
+    report.role = reported_role(exchange).or(report.role);
+    report.position = report.position.max(reported_position(exchange));
     report
 }
 
-fn stated_role(exchange: &Exchange) -> Option<Role> {
+fn reported_role(exchange: &Exchange) -> Option<Role> {
     match exchange.role.as_deref() {
         Some(PRIMARY_ROLE) => Some(Role::Primary),
         Some(REPLICA_ROLE) => Some(Role::Replica),
@@ -44,7 +44,7 @@
 }
 
 /// The position beside the value, in microseconds.
-fn stated_position(exchange: &Exchange) -> Option<Micros> {
+fn reported_position(exchange: &Exchange) -> Option<Micros> {
     let millis: Micros = exchange.position.as_ref()?.parse().ok()?;
     Some(millis.saturating_mul(MICROS_PER_MILLI))
 }
--- a/crates/proxy/src/member/response.rs
+++ b/crates/proxy/src/member/response.rs
@@ -26,7 +26,7 @@
 pub(super) struct ResponseReader<'a> {
     context: &'a ProcessContext,
     /// For whom buffer space for a large response is reserved; `None` for a health check, which gets none.
-    owner: Option<ReservationOwner>,
+    reservation_owner: Option<ReservationOwner>,
     deadline: Instant,
     /// Measures the member's rate from the first bytes of the response on.
     meter: Option<ProgressMeter>,
@@ -36,11 +36,11 @@
 impl<'a> ResponseReader<'a> {
     pub(super) fn new(
         context: &'a ProcessContext,
-        owner: Option<ReservationOwner>,
+        reservation_owner: Option<ReservationOwner>,
         deadline: Instant,
         response: &'a mut Response,
     ) -> ResponseReader<'a> {
-        ResponseReader { context, owner, deadline, meter: None, response }
+        ResponseReader { context, reservation_owner, deadline, meter: None, response }
     }
 
     /// Reads until the response is over, or there is no buffer space for it.
@@ -69,12 +69,12 @@
         if announced <= self.context.limits.buffers.small_message || self.response.reservation.is_some() {
             return Ok(());
         }
-        let Some(owner) = self.owner else { return Err(QueryError::Malformed) };
+        let Some(reservation_owner) = self.reservation_owner else { return Err(QueryError::Malformed) };
         if let Some(meter) = &mut self.meter {
             meter.stop(self.context.unstalled_clock.now());
         }
         let flow_control = &self.context.flow_control;
-        self.response.reservation = flow_control.reserve(owner, announced, self.deadline).await;
+        self.response.reservation = flow_control.reserve(reservation_owner, announced, self.deadline).await;
         if self.response.reservation.is_some() {
             buffer.expect(announced + 1);
         } else {
@@ -90,14 +90,14 @@
         if let Some(meter) = &mut self.meter {
             meter.start(now);
         }
-        let wait_until = self.wait_until(&connection.buffer);
-        match self.read_by(connection, wait_until).await {
-            Err(_) if wait_until < self.deadline => Err(QueryError::TooSlow),
-            Err(_) => Err(QueryError::DeadlinePassed),
+        let read_deadline = self.read_deadline(&connection.buffer);
+        match self.read_until(connection, read_deadline).await {
+            Err(_) if read_deadline < self.deadline => Err(QueryError::TooSlow),
+            Err(_) => Err(QueryError::DeadlineExceeded),
             Ok(Err(error)) => Err(error.into()),
             Ok(Ok(0)) => Err(QueryError::Closed),
             Ok(Ok(count)) => {
-                self.count_bytes(count);
+                self.record_bytes(count);
                 if self.response.reservation.is_some() {
                     // A large response must not keep the other tasks of this thread waiting.
                     task::yield_now().await;
@@ -109,27 +109,27 @@
 
     /// By when more has to come: by the deadline, by the least rate, and soon where only the end of the response is
     /// missing, or its last bytes are those of a whole one.
-    fn wait_until(&self, buffer: &Buffer) -> Instant {
-        let due = self.meter.as_ref().and_then(ProgressMeter::deadline);
-        let due =
-            due.map_or(self.deadline, |due| self.context.unstalled_clock.instant(due).min(self.deadline));
-        let lacks_only_its_end =
+    fn read_deadline(&self, buffer: &Buffer) -> Instant {
+        let slow_at = self.meter.as_ref().and_then(ProgressMeter::deadline);
+        let read_deadline =
+            slow_at.map_or(self.deadline, |at| self.context.unstalled_clock.instant(at).min(self.deadline));
+        let lacks_only_end =
             self.response.exchange.is_served() || pg::ends_with_ready_for_query(buffer.held());
-        if lacks_only_its_end {
-            due.min(Instant::now() + self.context.limits.member.completion_timeout)
+        if lacks_only_end {
+            read_deadline.min(Instant::now() + self.context.limits.member.completion_timeout)
         } else {
-            due
+            read_deadline
         }
     }
 
     /// One read. A signal or a stall may wake the timer before the bytes, which came in time: they are read all the same.
-    async fn read_by(
+    async fn read_until(
         &self,
         connection: &mut Connection,
-        wait_until: Instant,
+        read_deadline: Instant,
     ) -> Result<std::io::Result<usize>, Elapsed> {
         let Connection { stream, buffer, .. } = connection;
-        let read = timeout_at(wait_until, system::read(Party::Member, stream, buffer.tail())).await;
+        let read = timeout_at(read_deadline, system::read(Party::Member, stream, buffer.tail())).await;
         if read.is_err() && matches!(system::peek(stream), Peeked::Unread | Peeked::EndOfStream) {
             let limit = self.context.limits.member.completion_timeout;
             return timeout(limit, system::read(Party::Member, stream, buffer.tail())).await;
@@ -137,7 +137,7 @@
         read
     }
 
-    fn count_bytes(&mut self, count: usize) {
+    fn record_bytes(&mut self, count: usize) {
         let now = self.context.unstalled_clock.now();
         let flow_control = &self.context.flow_control;
         let meter =
--- a/crates/proxy/src/member/symptom_log.rs
+++ b/crates/proxy/src/member/symptom_log.rs
@@ -18,30 +18,30 @@
     log: Logger,
     member: String,
     /// This many unusable responses in a row are logged once.
-    unusable_logged_at_count: usize,
+    unusable_log_threshold: usize,
     /// Unusable responses in a row.
-    unusable_responses: usize,
+    consecutive_unusable_responses: usize,
     /// The member is lost, and that was logged.
-    is_lost: bool,
+    loss_logged: bool,
     local_failure_logged_at: Option<Instant>,
 }
 
 impl SymptomLog {
-    /// `unusable_logged_at_count` unusable responses in a row are worth a line.
-    pub(super) fn new(log: Logger, member: String, unusable_logged_at_count: usize) -> SymptomLog {
+    /// `unusable_log_threshold` unusable responses in a row are worth a line.
+    pub(super) fn new(log: Logger, member: String, unusable_log_threshold: usize) -> SymptomLog {
         SymptomLog {
             log,
             member,
-            unusable_logged_at_count,
-            unusable_responses: 0,
-            is_lost: false,
+            unusable_log_threshold,
+            consecutive_unusable_responses: 0,
+            loss_logged: false,
             local_failure_logged_at: None,
         }
     }
 
     /// A query task panicked, which is a fault of the program.
-    pub(super) fn task_failed(&self, failure: &JoinError) {
-        error!(self.log, "query task failed"; "member" => &self.member, "why" => %failure);
+    pub(super) fn log_task_failure(&self, error: &JoinError) {
+        error!(self.log, "query task failed"; "member" => &self.member, "why" => %error);
     }
 
     /// A query ended with this verdict. `is_ready` says that its response was whole, and `error` what ended it otherwise.
@@ -53,37 +53,37 @@
         error: Option<&QueryError>,
     ) {
         match symptom(verdict) {
-            Symptom::UnusableResponse => self.unusable_response(address),
-            Symptom::Unreachable | Symptom::ProcessGone => self.lost(address, verdict),
-            Symptom::LocalFailure => self.local_failure(error),
-            Symptom::None if is_ready => self.whole_response(address),
+            Symptom::UnusableResponse => self.record_unusable_response(address),
+            Symptom::Unreachable | Symptom::ProcessGone => self.record_loss(address, verdict),
+            Symptom::LocalFailure => self.record_local_failure(error),
+            Symptom::None if is_ready => self.record_complete_response(address),
             Symptom::None | Symptom::Silent => {}
         }
     }
 
-    fn whole_response(&mut self, address: SocketAddr) {
-        self.unusable_responses = 0;
-        if std::mem::take(&mut self.is_lost) {
+    fn record_complete_response(&mut self, address: SocketAddr) {
+        self.consecutive_unusable_responses = 0;
+        if std::mem::take(&mut self.loss_logged) {
             info!(self.log, "member recovered"; "member" => &self.member, "peer" => %address);
         }
     }
 
-    fn unusable_response(&mut self, address: SocketAddr) {
-        self.unusable_responses += 1;
-        if self.unusable_responses == self.unusable_logged_at_count {
+    fn record_unusable_response(&mut self, address: SocketAddr) {
+        self.consecutive_unusable_responses += 1;
+        if self.consecutive_unusable_responses == self.unusable_log_threshold {
             warn!(self.log, "member's responses are unusable"; "member" => &self.member,
-                "peer" => %address, "attempts" => self.unusable_responses);
+                "peer" => %address, "attempts" => self.consecutive_unusable_responses);
         }
     }
 
-    fn lost(&mut self, address: SocketAddr, verdict: Verdict) {
-        if !std::mem::replace(&mut self.is_lost, true) {
+    fn record_loss(&mut self, address: SocketAddr, verdict: Verdict) {
+        if !std::mem::replace(&mut self.loss_logged, true) {
             warn!(self.log, "member lost"; "member" => &self.member, "peer" => %address,
                 "symptom" => ?verdict);
         }
     }
 
-    fn local_failure(&mut self, error: Option<&QueryError>) {
+    fn record_local_failure(&mut self, error: Option<&QueryError>) {
         let now = Instant::now();
         if self.local_failure_logged_at.is_some_and(|at| now - at < LOCAL_FAILURE_LOG_INTERVAL) {
             return;
--- a/crates/proxy/tests/query_outcomes.rs
+++ b/crates/proxy/tests/query_outcomes.rs
@@ -12,7 +12,7 @@
 use std::io;
 
 use aldermill_routing::Verdict;
-use outcome::{Answer, Evidence, QueryError, QueryKind, Sent, Symptom, symptom, verdict};
+use outcome::{QueryError, QueryKind, QueryObservations, ResponseKind, Sent, Symptom, symptom, verdict};
 use system::SocketErrorKind;
 use uapi::c;
 
@@ -30,24 +30,24 @@
 }
 
 /// An end without answer, outside of a stall, after time enough to connect.
-fn ended(kind: QueryKind, sent: Sent, error: &QueryError) -> Evidence<'_> {
-    Evidence { kind, sent, result: Err(error), stalled: false, had_time_to_connect: true }
+fn ended(kind: QueryKind, sent: Sent, error: &QueryError) -> QueryObservations<'_> {
+    QueryObservations { kind, sent, result: Err(error), stalled: false, had_time_to_connect: true }
 }
 
 /// The verdict where the member's process is known to be alive.
-fn judged(evidence: Evidence<'_>) -> Verdict {
+fn judged(evidence: QueryObservations<'_>) -> Verdict {
     verdict(&evidence, || false)
 }
 
 #[test]
 fn each_error_has_its_verdict_by_how_much_was_sent() {
     use QueryError::{
-        Closed, ConnectionRejected, DeadlinePassed, Malformed, NoDescriptor, TooManyConnections, TooSlow,
-        Withheld,
+        Closed, ConnectionRejected, DeadlineExceeded, Malformed, NoDescriptor, NoLongerValid,
+        TooManyConnections, TooSlow,
     };
     use Verdict as V;
     let table = [
-        (Withheld, V::NotSent, V::NotSent, None),
+        (NoLongerValid, V::NotSent, V::NotSent, None),
         (NoDescriptor, V::LocalFailure, V::LocalFailure, None),
         (TooManyConnections, V::Overloaded, V::Overloaded, None),
         (ConnectionRejected, V::ConnectionLost, V::ConnectionLost, None),
@@ -58,7 +58,7 @@
         (Closed, V::ConnectionLost, V::ConnectionLost, Some(V::Malformed)),
         (Malformed, V::ConnectionLost, V::ConnectionLost, Some(V::Malformed)),
         (TooSlow, V::ConnectionLost, V::ConnectionLost, Some(V::Malformed)),
-        (DeadlinePassed, V::Unconnected, V::Unconnected, Some(V::TimedOut)),
+        (DeadlineExceeded, V::Unconnected, V::Unconnected, Some(V::TimedOut)),
     ];
     for (error, nothing, partly, whole) in &table {
         let attempt = |sent| judged(ended(QueryKind::Attempt, sent, error));
@@ -71,7 +71,7 @@
         assert_eq!(health_check(Sent::Partly), *partly, "{error:?}");
         assert_eq!(health_check(Sent::Whole), *whole, "{error:?}");
     }
-    let health_check = ended(QueryKind::HealthCheck, Sent::Nothing, &DeadlinePassed);
+    let health_check = ended(QueryKind::HealthCheck, Sent::Nothing, &DeadlineExceeded);
     assert_eq!(judged(health_check), Verdict::TimedOut);
 }
 
@@ -85,14 +85,14 @@
         QueryError::Closed,
         QueryError::Malformed,
         QueryError::TooSlow,
-        QueryError::DeadlinePassed,
+        QueryError::DeadlineExceeded,
     ];
     for error in &errors {
         for stalled in [false, true] {
             for had_time_to_connect in [false, true] {
                 for process_gone in [false, true] {
                     for sent in [Sent::Nothing, Sent::Partly, Sent::Whole] {
-                        let evidence = Evidence {
+                        let evidence = QueryObservations {
                             stalled,
                             had_time_to_connect,
                             ..ended(QueryKind::Attempt, sent, error)
@@ -108,10 +108,13 @@
 
 #[test]
 fn a_connection_without_enough_time_to_come_up_proves_nothing_of_its_member() {
-    let error = QueryError::DeadlinePassed;
+    let error = QueryError::DeadlineExceeded;
     for (stalled, had_time_to_connect) in [(false, false), (true, false), (true, true)] {
-        let evidence =
-            Evidence { stalled, had_time_to_connect, ..ended(QueryKind::Attempt, Sent::Nothing, &error) };
+        let evidence = QueryObservations {
+            stalled,
+            had_time_to_connect,
+            ..ended(QueryKind::Attempt, Sent::Nothing, &error)
+        };
         assert_eq!(judged(evidence), Verdict::NotSent, "{evidence:?}");
         assert_eq!(symptom(judged(evidence)), Symptom::None);
     }
@@ -119,14 +122,15 @@
 
 #[test]
 fn silence_during_a_stall_of_the_process_is_unobserved() {
-    for error in [QueryError::DeadlinePassed, socket(SocketErrorKind::Unreachable)] {
+    for error in [QueryError::DeadlineExceeded, socket(SocketErrorKind::Unreachable)] {
         for kind in KINDS {
-            let evidence = Evidence { stalled: true, ..ended(kind, Sent::Whole, &error) };
+            let evidence = QueryObservations { stalled: true, ..ended(kind, Sent::Whole, &error) };
             assert_eq!(judged(evidence), Verdict::Unobserved, "{evidence:?}");
         }
     }
-    let error = QueryError::DeadlinePassed;
-    let evidence = Evidence { stalled: true, ..ended(QueryKind::HealthCheck, Sent::Nothing, &error) };
+    let error = QueryError::DeadlineExceeded;
+    let evidence =
+        QueryObservations { stalled: true, ..ended(QueryKind::HealthCheck, Sent::Nothing, &error) };
     assert_eq!(judged(evidence), Verdict::Unobserved);
 }
 
@@ -143,7 +147,8 @@
 
 #[test]
 fn other_connections_are_looked_at_only_where_one_broke_under_a_whole_query() {
-    let errors = [QueryError::Malformed, QueryError::TooSlow, QueryError::DeadlinePassed, QueryError::Closed];
+    let errors =
+        [QueryError::Malformed, QueryError::TooSlow, QueryError::DeadlineExceeded, QueryError::Closed];
     for error in &errors {
         let asked = || -> bool { panic!("looked at other connections after {error:?}") };
         verdict(&ended(QueryKind::Attempt, Sent::Partly, error), asked);
@@ -156,17 +161,17 @@
 #[test]
 fn an_answer_has_its_verdict_by_its_code() {
     let table = [
-        (Answer::Value, Verdict::Served, Verdict::Served),
-        (Answer::TooLarge, Verdict::Served, Verdict::Served),
-        (Answer::Error("25006"), Verdict::NotPrimary, Verdict::NotPrimary),
-        (Answer::Error("72000"), Verdict::NotPrimary, Verdict::NotPrimary),
-        (Answer::Error("53300"), Verdict::Overloaded, Verdict::Overloaded),
-        (Answer::Error("57P03"), Verdict::Error, Verdict::Overloaded),
-        (Answer::Error("XX000"), Verdict::Error, Verdict::Error),
+        (ResponseKind::Value, Verdict::Served, Verdict::Served),
+        (ResponseKind::TooLarge, Verdict::Served, Verdict::Served),
+        (ResponseKind::Error("25006"), Verdict::NotPrimary, Verdict::NotPrimary),
+        (ResponseKind::Error("72000"), Verdict::NotPrimary, Verdict::NotPrimary),
+        (ResponseKind::Error("53300"), Verdict::Overloaded, Verdict::Overloaded),
+        (ResponseKind::Error("57P03"), Verdict::Error, Verdict::Overloaded),
+        (ResponseKind::Error("XX000"), Verdict::Error, Verdict::Error),
     ];
     for (answer, attempt, health_check) in table {
         for (kind, expected) in [(QueryKind::Attempt, attempt), (QueryKind::HealthCheck, health_check)] {
-            let evidence = Evidence {
+            let evidence = QueryObservations {
                 kind,
                 sent: Sent::Whole,
                 result: Ok(answer),
