--- a/crates/proxy/src/member/actor.rs
+++ b/crates/proxy/src/member/actor.rs
@@ -1,4 +1,5 @@
-//! The actor of one member: it starts attempts and health checks on the member's connections, and reports their ends.
+//! Actor of one member: starts attempts and health checks on the member's connections, and reports how they
+//! ended.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -23,10 +24,10 @@
     PoolUse, ReplicaReports, Rows,
 };
 
-/// The dispatcher is gone, and with it whoever the member's actor works for.
+/// The dispatcher has stopped, so there is nobody left to report to.
 struct DispatcherStopped;
 
-/// What a query that is running is for.
+/// What a running query is for.
 enum QueryPurpose {
     Attempt { handle: RequestHandle, decided_at: Instant },
     HealthCheck { decided_at: Instant },
@@ -41,37 +42,37 @@
     }
 }
 
-/// What a member's actor shares with the dispatcher.
+/// State that a member's actor shares with the dispatcher.
 pub struct MemberSharedState {
-    /// Whether the endpoint list lets the member receive anything new.
+    /// Whether the endpoint list allows anything new to be sent to the member.
     pub accepts_requests: watch::Receiver<bool>,
-    /// Since when its oldest idle connection has been idle.
+    /// Since when the oldest idle connection has been idle; `None` if no connection is idle.
     pub oldest_idle_since: Rc<Cell<Option<Instant>>>,
-    /// When the member was last heard.
+    /// When the member last responded.
     pub last_heard: LastHeard,
 }
 
-/// The actor of one member.
+/// Actor of one member.
 pub struct MemberActor {
     context: Rc<ProcessContext>,
     id: MemberId,
-    /// The address that the endpoint list has for it now.
+    /// Current address of the member in the endpoint list.
     address: Rc<Cell<SocketAddr>>,
     accepts_requests: watch::Receiver<bool>,
     pool: ConnectionPool,
-    /// The queries that are running, and what each is for.
+    /// Running queries; `purposes` says what each is for.
     queries: JoinSet<QueryOutcome>,
     purposes: HashMap<task::Id, QueryPurpose>,
-    /// When it last responded; when its actor was started, where it never did.
+    /// When the member last responded, or when its actor was started if it never did.
     last_response_at: Instant,
     last_heard: LastHeard,
-    /// How many of its responses have said that it is a replica.
+    /// Number of responses in which the member reported that it is a replica.
     replica_report_count: Rc<Cell<u64>>,
     symptom_log: SymptomLog,
 }
 
 impl MemberActor {
-    /// The actor of the member that is listed under this name and at this address.
+    /// Creates the actor of the member with this name and address in the endpoint list.
     pub fn new(
         context: Rc<ProcessContext>,
         id: MemberId,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Executes commands and reports ends of queries, until the dispatcher is gone.
+    /// Executes commands and reports how queries ended, until the dispatcher has stopped.
     pub async fn run(mut self, mut commands: mpsc::Receiver<MemberCommand>) {
         let mut sweep = interval(self.context.limits.member.sweep_interval);
         sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Draws the conclusions from a query's end, and reports it to the dispatcher.
+    /// Evaluates the outcome of a query, and reports it to the dispatcher.
     async fn finish_query(
         &mut self,
         purpose: QueryPurpose,
@@ -202,9 +203,10 @@
         self.context.dispatcher.send(message).await.map_err(|_| DispatcherStopped)
     }
 
-    /// Notes when the member was heard. Where it has not responded to anything since a query began that met silence,
-    /// connections from before may lead nowhere, and stay silent for ever if a machine vanished or a link was cut: they
-    /// are closed, as new ones show at once what is true.
+    /// Records when the member last responded. If a query met silence and the member has responded to nothing
+    /// since that query started, older connections may be dead, and would stay silent forever if a machine
+    /// vanished or a link was cut. They are closed, because new connections show the member's true state at
+    /// once.
     fn record_response_time(&mut self, outcome: &QueryOutcome, verdict: Verdict) {
         if outcome.response.exchange.is_over() || outcome.response.out_of_buffer_space {
             self.last_response_at = Instant::now();
@@ -219,7 +221,7 @@
         if matches!(symptom, Symptom::Unreachable | Symptom::ProcessGone) {
             self.last_heard.record_loss();
         }
-        // The other connections most likely lead to the process that is gone, too.
+        // The other connections most likely lead to the same dead process.
         if symptom == Symptom::ProcessGone && outcome.pool_generation == self.pool.generation() {
             self.pool.invalidate();
         }
@@ -227,8 +229,8 @@
         self.symptom_log.record(self.address.get(), verdict, is_ready, outcome.error.as_ref());
     }
 
-    /// Keeps the query's connection, unless others wait for a descriptor: there was no idle connection to close for them,
-    /// so this one makes room.
+    /// Returns the query's connection to the pool, unless other connections wait for a descriptor. Those
+    /// found no idle connection to close, so this one is closed to make room.
     fn return_connection(&mut self, outcome: &mut QueryOutcome) {
         if let Some(connection) = outcome.connection.take()
             && self.context.waiting_for_permit.get() == 0
@@ -269,8 +271,8 @@
     }
 }
 
-/// What the response says of the member. Its load report comes beside the value of an attempt, and is the value of a
-/// health check.
+/// Returns what the response reports about the member. The load report accompanies the value of an attempt,
+/// and is the value of a health check.
 fn extract_report(kind: QueryKind, outcome: &QueryOutcome) -> MemberReport {
     let exchange = &outcome.response.exchange;
     let usage = match kind {
@@ -280,7 +282,7 @@
     member_report(exchange, usage, outcome.response_age)
 }
 
-/// What is passed on to the client.
+/// Returns what is passed on to the client.
 fn attempt_response(verdict: Verdict, response: Response) -> AttemptResponse {
     match verdict {
         Verdict::Served if response.out_of_buffer_space => AttemptResponse::TooLarge,
--- a/crates/proxy/src/member/connection.rs
+++ b/crates/proxy/src/member/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a member: opened, checked before its reuse, and looked at without waiting.
+//! Connections to a member: opening them, checking them before reuse, and inspecting them without blocking.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -16,37 +16,38 @@
 use crate::messages::DispatcherMessage;
 use crate::system::{self, BufferSizes, Party, Peeked, SocketErrorKind};
 
-/// The user that the proxy connects as; members ask for no password.
+/// User name for connections to members, which require no password.
 const USER: &str = "client";
-/// The database that the proxy connects to.
+/// Database name for connections to members.
 const DATABASE: &str = "core";
-/// The body of an authentication message that asks for nothing.
+/// Body of an authentication message that requests no credentials.
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
 
 /// A connection that is ready for a query.
 pub(super) struct Connection {
+    /// TCP connection to the member.
     pub(super) stream: TcpStream,
-    /// What was read and not used yet.
+    /// Bytes that were received and not consumed yet.
     pub(super) buffer: Buffer,
-    /// When it was opened, or last put back into the pool.
+    /// When the connection was opened, or last returned to the pool.
     pub(super) idle_since: Instant,
-    /// The connection's part of the members' descriptors.
+    /// Permit for one of the descriptors allotted to connections to members.
     pub(super) _permit: OwnedSemaphorePermit,
 }
 
 impl Connection {
-    /// Whether the other side has reset it, where no read has seen that yet.
+    /// Returns whether the member has reset the connection and no read has reported that yet.
     pub(super) fn is_reset(&self) -> bool {
         matches!(system::peek(&self.stream), Peeked::Failed(SocketErrorKind::Reset))
     }
 
-    /// Whether it still stands, and nothing has come on it that was not asked for.
+    /// Returns whether the connection is open and nothing unsolicited has arrived on it.
     pub(super) fn is_usable(&self) -> bool {
         self.buffer.is_empty() && matches!(system::peek(&self.stream), Peeked::NoData)
     }
 }
 
-/// Counts one more connection that waits for a descriptor, for as long as this value lives.
+/// Counts one more connection that waits for a descriptor, until this guard is dropped.
 struct DescriptorWaitGuard<'a>(&'a Cell<usize>);
 
 impl DescriptorWaitGuard<'_> {
@@ -62,10 +63,12 @@
     }
 }
 
-/// The pooled connection, once nothing more can come of its last answer; `None` where that cannot be shown.
+/// Returns the pooled connection once nothing more of its previous response can arrive, or `None` if there is
+/// no pooled connection or that cannot be established.
 ///
-/// Bytes behind an answer must never be read as the next answer. A connection that has rested for `limits.member.settle_time` had time
-/// for them to come and be seen. On any other one an empty query is sent, whose response must be the very next that comes.
+/// Late bytes of one response must never be read as the next response. On a connection that has been idle for
+/// `limits.member.settle_time`, they have had time to arrive and be noticed. On any other connection an empty
+/// query is sent, and its response must be the very next thing to arrive.
 pub(super) async fn resynchronize(
     pooled: Option<Connection>,
     deadline: Instant,
@@ -80,7 +83,8 @@
     Some(connection)
 }
 
-/// Sends an empty query and reads its response; `None` where anything else comes, or the connection breaks.
+/// Sends an empty query and reads its response. Returns `None` if anything else arrives, or the connection
+/// breaks.
 async fn exchange_empty_query(connection: &mut Connection, limits: &Limits) -> Option<()> {
     let Connection { stream, buffer, .. } = connection;
     let mut query = Vec::new();
@@ -109,9 +113,11 @@
     }
 }
 
-/// A new connection that is ready for a query, by `deadline` and within `limits.member.connect_timeout`.
+/// Opens a connection that is ready for a query, by `deadline` and within `limits.member.connect_timeout`.
 ///
-/// Errors: as [`QueryError`] says of a query that was not sent.
+/// # Errors
+///
+/// Returns why the connection could not be opened, as a [`QueryError`] for a query that was not sent.
 pub(super) async fn connect(
     context: &ProcessContext,
     id: MemberId,
@@ -125,7 +131,8 @@
     Ok(Connection { stream, buffer, idle_since: Instant::now(), _permit: permit })
 }
 
-/// A descriptor of the members' part. Where none is free the dispatcher is told, which has idle connections closed.
+/// Acquires one of the descriptors allotted to connections to members. If none is free, tells the dispatcher,
+/// which has idle connections closed, and waits until `deadline`.
 async fn acquire_descriptor_permit(
     context: &ProcessContext,
     id: MemberId,
@@ -140,9 +147,10 @@
     permit.ok().and_then(Result::ok).ok_or(QueryError::NoDescriptor)
 }
 
-/// Connects and sends the startup message, until the member is ready for a query.
+/// Connects, sends the startup message, and waits until the member is ready for a query.
 async fn open(limits: &Limits, address: SocketAddr) -> Result<(TcpStream, Buffer), QueryError> {
-    // The send buffer is smaller than a statement of full size, so that it is seen how quickly the member reads it.
+    // The send buffer is smaller than a full-size statement, so that the progress of the write shows how fast
+    // the member reads.
     let sizes = BufferSizes {
         send: limits.buffers.client_socket as u32,
         receive: limits.buffers.member_socket as u32,
@@ -175,7 +183,7 @@
     }
 }
 
-/// What an error in place of a welcome means.
+/// Returns the error for an ErrorResponse that the member sent during startup.
 fn startup_error(body: &[u8]) -> QueryError {
     let is_at_capacity =
         pg::ErrorResponse::parse(body).is_ok_and(|response| response.code == sql_state::TOO_MANY_CONNECTIONS);
--- a/crates/proxy/src/member/mod.rs
+++ b/crates/proxy/src/member/mod.rs
@@ -1,4 +1,4 @@
-//! The members' side: one actor a member, its pool of connections and the queries on them.
+//! Members: one actor per member, which owns the connections to it and runs queries on them.
 
 mod actor;
 mod connection;
--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -1,4 +1,5 @@
-//! One query: a connection for it, the conditions under which it may still be sent, its bytes, and its end.
+//! Runs one query on a member: obtains a connection, checks that the query may still be sent, and exchanges
+//! its bytes.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -19,65 +20,70 @@
 use crate::messages::{Attempt, Query};
 use crate::system::{self, Party, SocketErrorKind};
 
-/// The statement of a health check; members answer it with their load report.
+/// Statement of a health check. Members respond to it with their load report.
 const HEALTH_CHECK_STATEMENT: &[u8] = b"SHOW usage";
 
-/// A member is told this much less time than the client has left. It may be told up to 0.15 s too much, which is as long
-/// as this process may be held up before the statement is written; the margin covers what comes on top of that, such as
-/// the way from the client.
+/// Time by which the timeout stated to a member is shorter than what the client has left. The stated timeout
+/// may be up to 0.15 s too long, which is how long this process may be held up before it writes the
+/// statement; the margin covers what comes on top of that, such as the network path from the client.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(10);
-/// Of little time, the margin takes no more than this part.
+/// Limits the margin when little time is left: it is at most the time left divided by this.
 const MARGIN_DIVISOR: u32 = 8;
 
-/// Under which conditions a query may be sent. They are checked once its connection is there, however long that took.
+/// Conditions for sending a query. They are checked once its connection is available, however long that took.
 pub(super) struct SendConditions {
-    /// Whether the endpoint list lets the member receive anything new.
+    /// Whether the endpoint list allows anything new to be sent to the member.
     pub(super) accepts_requests: watch::Receiver<bool>,
-    /// The address that the endpoint list has for the member now.
+    /// Current address of the member in the endpoint list.
     pub(super) listed_address: Rc<Cell<SocketAddr>>,
-    /// How many of the member's responses have said that it is a replica.
+    /// Number of responses in which the member reported that it is a replica.
     pub(super) replica_report_count: Rc<Cell<u64>>,
 }
 
-/// One query of a member, from its connection to the end of its response.
+/// One query on a member, from obtaining its connection to the end of its response.
 pub(super) struct QueryTask {
+    /// State that all actors share.
     pub(super) context: Rc<ProcessContext>,
+    /// Member that the query is sent to.
     pub(super) member: MemberId,
-    /// Where its connection leads.
+    /// Address to connect to.
     pub(super) address: SocketAddr,
-    /// `None` for a health check.
+    /// Attempt to send; `None` for a health check.
     pub(super) attempt: Option<Attempt>,
-    /// When it times out.
+    /// When the query times out.
     pub(super) deadline: Instant,
+    /// Conditions that must hold when the query is sent.
     pub(super) conditions: SendConditions,
-    /// The generation of the pool that its connection is put back into.
+    /// Generation of the pool when the query started.
     pub(super) pool_generation: PoolGeneration,
 }
 
 /// How a query ended.
 pub(super) struct QueryOutcome {
-    /// When it began.
+    /// When the query started.
     pub(super) started_at: Instant,
-    /// How much of it was written.
+    /// How much of the query was written.
     pub(super) sent: Sent,
     /// What the member sent in response.
     pub(super) response: Response,
-    /// What ended the query before its response was whole.
+    /// What ended the query before its response was complete; `None` if nothing did.
     pub(super) error: Option<QueryError>,
-    /// How long ago the response came, in microseconds; above zero only after a stall of this process.
+    /// Time since the response arrived, in microseconds; above zero only after a stall of this process.
     pub(super) response_age: Micros,
-    /// Present where it may carry another query.
+    /// The query's connection; `None` if it cannot carry another query.
     pub(super) connection: Option<Connection>,
-    /// The generation of the pool when the query began.
+    /// Generation of the pool when the query started.
     pub(super) pool_generation: PoolGeneration,
-    /// Whether the process stalled since the query began; only determined where silence ended it.
+    /// Whether the process stalled after the query started; determined only if the query ended in silence,
+    /// otherwise `false`.
     pub(super) stalled: bool,
-    /// Whether a connection was given at least `limits.member.connect_evidence` to come up.
+    /// Whether a connection was given at least `limits.member.connect_evidence` to be established; determined
+    /// only if the query ended in silence, otherwise `false`.
     pub(super) had_time_to_connect: bool,
 }
 
 impl QueryOutcome {
-    /// A query of which nothing is known any more; it may have run.
+    /// Creates the outcome of a query about whose end nothing is known. The query may have run.
     pub(super) fn unknown(pool_generation: PoolGeneration) -> QueryOutcome {
         QueryOutcome {
             sent: Sent::Whole,
@@ -100,7 +106,7 @@
         }
     }
 
-    /// What was observed of the query, to be judged.
+    /// Returns what was observed of the query, from which its verdict follows.
     pub(super) fn observations(&self, kind: QueryKind) -> QueryObservations<'_> {
         QueryObservations {
             kind,
@@ -123,8 +129,8 @@
 }
 
 impl QueryTask {
-    /// Runs the query on this connection, or else on a new one, to its end or its deadline. `started_at` is when the
-    /// connection was taken from the pool.
+    /// Runs the query until it ends or its deadline passes, on the pooled connection if that can be used,
+    /// otherwise on a new one. `started_at` is when the connection was taken from the pool.
     pub(super) async fn run(self, pooled: Option<Connection>, started_at: Instant) -> QueryOutcome {
         let mut outcome = QueryOutcome::new(started_at, self.pool_generation);
         match self.obtain_connection(pooled).await {
@@ -180,9 +186,9 @@
         reader.read(connection).await
     }
 
-    /// Whether the query may still be sent. A drain or a move of the member that was listed since the decision forbids it,
-    /// and so does the deadline, which a stall may have passed; an attempt also the cancellation of its request, and the
-    /// end of its validity.
+    /// Returns whether the query may still be sent. It may not after a drain or a move of the member that was
+    /// listed since the decision, or after its deadline, which may have passed during a stall. Nor may an
+    /// attempt once its request is cancelled or its validity has ended.
     fn may_send(&self) -> bool {
         let in_time = Instant::now() < self.deadline;
         let conditions = &self.conditions;
@@ -199,8 +205,8 @@
             && (is_still_primary || !requires_primary)
     }
 
-    /// The query's bytes. An attempt tells the member how much time the client has left now, less the margin, in whole
-    /// milliseconds.
+    /// Returns the query's bytes. An attempt states the time that the client has left now, less the margin,
+    /// in whole milliseconds and at least one.
     fn encode(&self) -> Query {
         let Some(attempt) = &self.attempt else {
             let mut health_check = Vec::new();
@@ -213,7 +219,7 @@
         Query::of(&attempt.request, &timeout.to_string())
     }
 
-    /// Writes the query, at the least rate or faster.
+    /// Writes the query, and fails if the member takes its bytes below the minimum rate.
     async fn write(&self, connection: &mut Connection, query: &Query) -> Result<(), QueryError> {
         let mut meter: Option<ProgressMeter> = None;
         for mut piece in query.pieces() {
@@ -225,7 +231,7 @@
         Ok(())
     }
 
-    /// Writes the beginning of `piece`; returns how many bytes the system accepted, which is above zero.
+    /// Writes the start of `piece`, and returns how many bytes the system accepted, which is above zero.
     async fn write_some(
         &self,
         connection: &mut Connection,
--- a/crates/proxy/src/member/report.rs
+++ b/crates/proxy/src/member/report.rs
@@ -1,26 +1,26 @@
-//! What a response says of its member: role, position, age.
+//! What a response reports about its member: role, position and age.
 
 use aldermill_routing::{MemberReport, Micros, Role};
 use aldermill_settings::parse_load_report;
 use aldermill_wire::Exchange;
 
-/// The role that the primary reports.
+/// Role that the primary reports.
 const PRIMARY_ROLE: &str = "writer";
-/// The role that a replica reports.
+/// Role that a replica reports.
 const REPLICA_ROLE: &str = "reader";
-/// Members report positions in milliseconds.
+/// Microseconds in a millisecond, the unit of the position that accompanies a value.
 const MICROS_PER_MILLI: Micros = 1000;
 
-/// Whether a response says that its member is a replica.
+/// Returns whether the member reported in this response that it is a replica.
 pub(super) fn is_replica_report(exchange: &Exchange) -> bool {
     exchange.role.as_deref() == Some(REPLICA_ROLE)
 }
 
-/// What a response says of its member; what cannot be parsed says nothing. `usage` is its load report, and `age` how long
-/// ago it came, in microseconds.
+/// Returns what a response reports about its member, ignoring what cannot be parsed. `usage` is the load
+/// report in the response, and `age` the time since the response arrived, in microseconds.
 ///
-/// Of a response that was cut short only the role of a replica is believed. If that is wrong it costs one answer; if it
-/// is missed, reads may be stale.
+/// Of an incomplete response, only the role of a replica is used. If that role is wrong, it costs one
+/// response; if it were ignored although right, reads might be stale.
 pub(super) fn member_report(exchange: &Exchange, usage: Option<&str>, age: Micros) -> MemberReport {
     if !exchange.is_over() {
         let role = is_replica_report(exchange).then_some(Role::Replica);
@@ -43,7 +43,7 @@
     }
 }
 
-/// The position beside the value, in microseconds.
+/// Returns the position that accompanies the value, in microseconds.
 fn reported_position(exchange: &Exchange) -> Option<Micros> {
     let millis: Micros = exchange.position.as_ref()?.parse().ok()?;
     Some(millis.saturating_mul(MICROS_PER_MILLI))
--- a/crates/proxy/src/member/response.rs
+++ b/crates/proxy/src/member/response.rs
@@ -1,4 +1,4 @@
-//! Reads the response to a query, as far as it comes in time.
+//! Reads the response to a query, as far as it arrives in time.
 
 use aldermill_flow_control::{ProgressMeter, ReservationOwner};
 use aldermill_wire::{Buffer, Exchange, pg};
@@ -15,25 +15,28 @@
 /// What a member sent in response to a query.
 #[derive(Default)]
 pub(super) struct Response {
+    /// Messages of the response that have been parsed.
     pub(super) exchange: Exchange,
-    /// The buffer space that a large response holds.
+    /// Buffer space reserved for a large response; `None` if the response is small or no space was available.
     pub(super) reservation: Option<BufferReservation>,
-    /// A large response began, and no buffer space was to be had for it: the rest of it is not read.
+    /// Whether a large response began for which no buffer space was available. The rest of it is not read.
     pub(super) out_of_buffer_space: bool,
 }
 
 /// Reads one response.
 pub(super) struct ResponseReader<'a> {
     context: &'a ProcessContext,
-    /// For whom buffer space for a large response is reserved; `None` for a health check, which gets none.
+    /// Owner of the buffer space that is reserved for a large response; `None` for a health check, which gets
+    /// none.
     reservation_owner: Option<ReservationOwner>,
     deadline: Instant,
-    /// Measures the member's rate from the first bytes of the response on.
+    /// Measures the member's transfer rate from the first bytes of the response on.
     meter: Option<ProgressMeter>,
     response: &'a mut Response,
 }
 
 impl<'a> ResponseReader<'a> {
+    /// Creates a reader that stores what it reads in `response`.
     pub(super) fn new(
         context: &'a ProcessContext,
         reservation_owner: Option<ReservationOwner>,
@@ -43,9 +46,11 @@
         ResponseReader { context, reservation_owner, deadline, meter: None, response }
     }
 
-    /// Reads until the response is over, or there is no buffer space for it.
+    /// Reads until the response is complete, or no buffer space is available for it.
     ///
-    /// Errors: as [`QueryError`] says of a query that was sent.
+    /// # Errors
+    ///
+    /// Returns why no complete response was read, as a [`QueryError`] for a query that was sent.
     pub(super) async fn read(&mut self, connection: &mut Connection) -> Result<(), QueryError> {
         loop {
             let absorbed =
@@ -62,8 +67,8 @@
         }
     }
 
-    /// Reserves buffer space where the response turns out to be large. Until it is granted nothing is read: what the
-    /// member sends stays with it, and occupies its capacity.
+    /// Reserves buffer space if the response turns out to be large. Nothing is read until the space is
+    /// granted: the rest of the response stays with the member and occupies its capacity.
     async fn reserve_buffer_space(&mut self, buffer: &mut Buffer) -> Result<(), QueryError> {
         let announced = pg::announced_length(buffer.held());
         if announced <= self.context.limits.buffers.small_message || self.response.reservation.is_some() {
@@ -83,8 +88,8 @@
         Ok(())
     }
 
-    /// Reads what comes next. A response comes in one piece, or nearly: one that has begun and goes on below the least rate
-    /// is of no use.
+    /// Reads the next bytes. A response arrives in one piece or nearly so; one that has begun and continues
+    /// below the minimum rate is of no use.
     async fn read_more(&mut self, connection: &mut Connection) -> Result<(), QueryError> {
         let now = self.context.unstalled_clock.now();
         if let Some(meter) = &mut self.meter {
@@ -99,7 +104,7 @@
             Ok(Ok(count)) => {
                 self.record_bytes(count);
                 if self.response.reservation.is_some() {
-                    // A large response must not keep the other tasks of this thread waiting.
+                    // A large response must not keep other tasks on this thread from running.
                     task::yield_now().await;
                 }
                 Ok(())
@@ -107,8 +112,9 @@
         }
     }
 
-    /// By when more has to come: by the deadline, by the least rate, and soon where only the end of the response is
-    /// missing, or its last bytes are those of a whole one.
+    /// Returns by when more bytes must arrive: by the deadline, and as early as the minimum rate requires. If
+    /// only the end of the response is missing, or the bytes held end like a complete response, more bytes
+    /// must arrive within `limits.member.completion_timeout`.
     fn read_deadline(&self, buffer: &Buffer) -> Instant {
         let slow_at = self.meter.as_ref().and_then(ProgressMeter::deadline);
         let read_deadline =
@@ -122,7 +128,8 @@
         }
     }
 
-    /// One read. A signal or a stall may wake the timer before the bytes, which came in time: they are read all the same.
+    /// Reads once. A signal or a stall may let the timer expire first although the bytes arrived in time, so
+    /// bytes that are waiting by then are read all the same.
     async fn read_until(
         &self,
         connection: &mut Connection,
--- a/crates/proxy/src/member/symptom_log.rs
+++ b/crates/proxy/src/member/symptom_log.rs
@@ -1,4 +1,4 @@
-//! What the log says of one member's symptoms: each once, or once in a while.
+//! Logs the symptoms of one member, each once or at a limited rate.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,24 +10,25 @@
 
 use super::outcome::{QueryError, Symptom, symptom};
 
-/// The least time between two log lines on connections to one member that cannot be opened on this machine.
+/// Minimum time between two log lines about connections to one member that cannot be opened on this machine.
 const LOCAL_FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The symptoms of one member that are logged already.
+/// Logs the symptoms of one member, and remembers which it has logged.
 pub(super) struct SymptomLog {
     log: Logger,
     member: String,
-    /// This many unusable responses in a row are logged once.
+    /// Number of consecutive unusable responses that is logged, once.
     unusable_log_threshold: usize,
-    /// Unusable responses in a row.
+    /// Unusable responses since the last complete one.
     consecutive_unusable_responses: usize,
-    /// The member is lost, and that was logged.
+    /// Whether the member is lost and the loss has been logged.
     loss_logged: bool,
     local_failure_logged_at: Option<Instant>,
 }
 
 impl SymptomLog {
-    /// `unusable_log_threshold` unusable responses in a row are worth a line.
+    /// Creates a log for the member of this name. `unusable_log_threshold` is the number of consecutive
+    /// unusable responses that is logged.
     pub(super) fn new(log: Logger, member: String, unusable_log_threshold: usize) -> SymptomLog {
         SymptomLog {
             log,
@@ -39,12 +40,13 @@
         }
     }
 
-    /// A query task panicked, which is a fault of the program.
+    /// Logs that a query task panicked, which is a bug in the proxy.
     pub(super) fn log_task_failure(&self, error: &JoinError) {
         error!(self.log, "query task failed"; "member" => &self.member, "why" => %error);
     }
 
-    /// A query ended with this verdict. `is_ready` says that its response was whole, and `error` what ended it otherwise.
+    /// Records that a query ended with this verdict. `is_ready` says whether its response was complete, and
+    /// `error` is what ended the query otherwise.
     pub(super) fn record(
         &mut self,
         address: SocketAddr,
