--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -1,57 +1,57 @@
-//! The endpoint list in discovery's form, which is also the form in which it is saved over a restart.
+//! Endpoint list in the JSON format of the discovery service, in which it is also saved across restarts.
 
 use aldermill_routing::MemberStatus;
 use aldermill_warm_start::StateSnapshot;
 use serde::{Deserialize, Serialize};
 
-/// The access of a member that takes writes, where the list tells.
+/// Value of `access` for a member that takes writes.
 const WRITER_ACCESS: &str = "writer";
 
-/// One member, as the endpoint list has it.
+/// Entry of one member in the endpoint list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Endpoint {
-    /// The member's name, which stays the same over its restarts and moves.
+    /// Name of the member, unchanged across its restarts and moves.
     pub id: String,
-    /// Its address and port as text; names are not resolved.
+    /// IP address and port of the member; host names are not resolved.
     pub host_port: String,
-    /// The name of its zone.
+    /// Name of the member's zone.
     #[serde(rename = "locality")]
     pub zone: String,
-    /// The group of members that hold the same data.
+    /// Number of the member's group, whose members hold the same data.
     #[serde(rename = "cell")]
     pub group: u64,
     phase: Phase,
-    /// Its size relative to others; zero where the list does not tell.
+    /// Size relative to other members; zero if the list does not state it.
     #[serde(default)]
     pub size: f64,
-    /// When it was started, as Unix time in milliseconds; zero means long ago.
+    /// When the member was started, in Unix milliseconds; zero means long ago.
     #[serde(default)]
     pub up_since_ms: f64,
-    /// Its role, where the list tells.
+    /// Role of the member; `None` if the list does not state it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     access: Option<String>,
 }
 
-/// Where a member is in its life.
+/// Phase in the life of a member.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 enum Phase {
-    /// It serves.
+    /// The member takes requests.
     InService,
-    /// It drains: nothing new is to be sent to it.
+    /// The member is draining: nothing new may be sent to it.
     Terminating,
-    /// It has ended.
+    /// The member has ended.
     Terminated,
 }
 
 impl Endpoint {
-    /// Whether the list says that it is the primary. Where the list does not tell roles no member is, and the primary is
-    /// found by asking.
+    /// Returns whether the list names this member as the primary. If the list does not state roles, it names
+    /// no member, and the primary is found by querying the members.
     pub fn is_primary(&self) -> bool {
         self.access.as_deref() == Some(WRITER_ACCESS)
     }
 
-    /// Whether it may be sent requests, in the router's terms: ready, draining or gone.
+    /// Returns the member's status for the router: ready, draining or unlisted.
     pub fn status(&self) -> MemberStatus {
         match self.phase {
             Phase::InService => MemberStatus::Ready,
@@ -61,20 +61,21 @@
     }
 }
 
-/// One update of the endpoint list: the whole of it, or what has changed in it.
+/// Update of the endpoint list: either the complete list or only its changes.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointList {
-    /// The list's revision after this update; a later one is higher.
+    /// Revision of the list after this update; later revisions are higher.
     pub revision: u64,
-    /// Whether this is the whole list: a member that it does not name is gone.
+    /// Whether this is the complete list, so that members it does not name are gone.
     pub complete: bool,
-    /// The members that are listed, or those that have changed.
+    /// All listed members, or only those that have changed.
     #[serde(rename = "members")]
     pub endpoints: Vec<Endpoint>,
 }
 
 impl EndpointList {
-    /// The endpoint list that a former start saved, as far as it can be read; `None` where it saved none.
+    /// Returns the endpoint list that an earlier start saved, without entries that cannot be parsed, or
+    /// `None` if none was saved.
     pub fn from_snapshot(snapshot: &StateSnapshot) -> Option<EndpointList> {
         let endpoints = snapshot.members.values().filter_map(|entry| serde_json::from_str(entry).ok());
         let revision = snapshot.revision?;
--- a/crates/proxy/src/discovery/error.rs
+++ b/crates/proxy/src/discovery/error.rs
@@ -1,4 +1,4 @@
-//! Why a watch on discovery ended.
+//! Reasons why a watch on discovery ends.
 
 use std::io;
 use std::time::Duration;
@@ -8,61 +8,61 @@
 
 use crate::system::SocketErrorKind;
 
-/// Why a watch on discovery ended. Whatever it was, the last endpoint list stays in force and the proxy watches again.
+/// Why a watch on discovery ended. In every case the last endpoint list stays in force, and the proxy watches
+/// again.
 #[derive(Debug, Error)]
 pub(super) enum WatchError {
-    /// Discovery responded, and nothing more came.
-    #[error("discovery sent nothing for {0:?}; look at its agent and at the network in between")]
+    /// Discovery responded, and then made no progress for this long.
+    #[error("discovery sent nothing for {0:?}; check its agent and the network path to it")]
     SilenceTimeout(Duration),
-    /// Not a byte came since the connection was opened.
-    #[error("no connection, or no response on it, within {0:?}; look at discovery's agent and its load")]
+    /// No byte arrived within this time, which includes the time to connect.
+    #[error("no connection or no response within {0:?}; check discovery's agent and its load")]
     NoResponse(Duration),
     /// A system call on the connection failed.
-    #[error("the connection failed: {0}; see that discovery's agent runs and that its address is right")]
+    #[error("connection failed: {0}; check that discovery's agent is running and its address is correct")]
     Connection(#[from] io::Error),
     /// Discovery closed the connection.
-    #[error("discovery closed the connection; its log may say why")]
+    #[error("discovery closed the connection; check its log for the reason")]
     Closed,
-    /// Discovery ended its response, which is to go on for as long as the connection stands.
-    #[error("discovery ended its response; it has to support watches (stream=1)")]
+    /// Discovery ended its response, which must continue for as long as the connection is open.
+    #[error("discovery ended its response; it must support watches (stream=1)")]
     ResponseEnded,
-    /// Discovery answered with another HTTP status than 200.
-    #[error("HTTP status {0}; discovery does not serve the endpoint list, see its log")]
+    /// Discovery responded with an HTTP status other than 200.
+    #[error("HTTP status {0}: discovery does not serve the endpoint list; check its log")]
     Status(u16),
-    /// The response is not what HTTP allows, or exceeds a limit on its size.
-    #[error("the response cannot be parsed: {0}; see what listens at discovery's address")]
+    /// The response is not valid HTTP, or exceeds a size limit.
+    #[error("invalid response: {0}; check which service listens at discovery's address")]
     Malformed(Malformed),
-    /// An update ended in the middle.
-    #[error("an endpoint list was cut off in the middle; the whole list is fetched again")]
+    /// An update ended before it was complete.
+    #[error("endpoint list truncated; the complete list is fetched next")]
     Truncated,
-    /// An update is not of the form of an endpoint list.
-    #[error(
-        "an endpoint list is not in its form: {0}; the whole list is fetched again, see discovery's version"
-    )]
+    /// An update is not a valid endpoint list.
+    #[error("invalid endpoint list: {0}; the complete list is fetched next, check discovery's version")]
     InvalidList(serde_json::Error),
-    /// Changes came that do not follow on the list that is held.
+    /// Changes arrived that do not apply to the list held here.
     #[error(
-        "changes up to revision {received} do not follow on the list held; the whole list is fetched again"
+        "changes up to revision {received} do not apply to the list held; the complete list is fetched next"
     )]
     RevisionGap {
-        /// The revision that the changes lead to.
+        /// Revision that the changes lead to.
         received: u64,
     },
 }
 
 impl WatchError {
-    /// Whether this machine could open no connection, so that nothing is known of discovery.
+    /// Returns whether this machine could not open a connection, so that nothing is known about discovery.
     pub(super) fn is_local_failure(&self) -> bool {
         matches!(self, WatchError::Connection(error) if SocketErrorKind::of(error) == SocketErrorKind::Local)
     }
 
-    /// Whether discovery was silent. It has been waited for then, so that the next watch starts at once.
+    /// Returns whether discovery was silent until a timeout. The timeout itself was a wait, so that the next
+    /// watch starts at once.
     pub(super) fn is_timeout(&self) -> bool {
         matches!(self, WatchError::SilenceTimeout(_) | WatchError::NoResponse(_))
     }
 
-    /// Whether it is unknown what the list at discovery holds beyond the one held here, so that the whole list has to be
-    /// fetched.
+    /// Returns whether it is unknown how discovery's list differs from the one held here, so that the
+    /// complete list must be fetched.
     pub(super) fn invalidates_revision(&self) -> bool {
         matches!(self, WatchError::Truncated | WatchError::InvalidList(_) | WatchError::RevisionGap { .. })
     }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,8 +1,6 @@
-//! The endpoint list: how it is watched at discovery, and its form.
+//! Endpoint list: its format, and the actor that watches it at the discovery service.
 
-/// The form of the endpoint list.
 pub mod endpoint_list;
 mod error;
 mod stream;
-/// The actor that watches it.
 pub mod watch;
--- a/crates/proxy/src/discovery/stream.rs
+++ b/crates/proxy/src/discovery/stream.rs
@@ -1,4 +1,4 @@
-//! One watch on discovery: an HTTP response that goes on, and the endpoint lists in it.
+//! One watch on discovery: a streamed HTTP response, and the endpoint lists in it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,33 +12,34 @@
 use crate::lifecycle::limits::DiscoveryLimits;
 use crate::system::{self, Party};
 
-/// This many bytes within the silence timeout are no silence, though no line has come to its end: a long list on a slow
-/// line. Fewer are, as bytes that trickle in tell nothing.
+/// Number of bytes that count as progress if they arrive within the silence timeout although no line was
+/// completed, as with a long list on a slow network. Fewer bytes do not count: a trickle of bytes shows
+/// nothing.
 const MIN_PROGRESS_BYTES: usize = 8 * 1024;
 
-/// The HTTP status of a response that carries the endpoint list.
+/// HTTP status of a response that carries the endpoint list.
 const STATUS_OK: u16 = 200;
 
-/// A watch that discovery was asked for.
+/// A watch that was requested from discovery.
 pub(super) struct ListStream {
     stream: TcpStream,
     buffer: Buffer,
     limits: DiscoveryLimits,
-    /// The response's body; `None` until its head is there.
+    /// Body of the response; `None` until its head has arrived.
     body: Option<http::BodyLines>,
-    /// The list whose lines are being gathered: it may come indented, on many lines.
+    /// Assembles a list from its lines: an indented list spans many of them.
     list_assembler: json::ValueAssembler,
-    /// What the first bytes were given, the time to connect included.
+    /// Time limit for the first bytes, including the time to connect.
     first_byte_timeout: Duration,
     has_received: bool,
-    /// By when a line has to be whole, or [`MIN_PROGRESS_BYTES`] have to be there.
+    /// Deadline for the first bytes, and later for a complete line or [`MIN_PROGRESS_BYTES`].
     read_deadline: Instant,
-    /// Bytes since `read_deadline` was set.
+    /// Bytes received since the silence timeout was last restarted.
     bytes_since_reset: usize,
 }
 
 impl ListStream {
-    /// Connects and asks for the endpoint list, or for what has changed since `revision`.
+    /// Connects, and requests the endpoint list or only its changes since `revision`.
     pub(super) async fn open(
         address: SocketAddr,
         revision: Option<u64>,
@@ -69,7 +70,8 @@
         })
     }
 
-    /// Waits for more bytes. [`ListStream::next_line`] is to be called afterwards until it has no more lines.
+    /// Waits for more bytes. The caller must then call [`ListStream::next_line`] until that returns no more
+    /// lines.
     pub(super) async fn read(&mut self) -> Result<(), WatchError> {
         let read = system::read(Party::Discovery, &mut self.stream, self.buffer.tail());
         match timeout_at(self.read_deadline, read).await {
@@ -88,7 +90,7 @@
         self.parse_head()
     }
 
-    /// Parses the response's head once it is whole.
+    /// Parses the response's head once it is complete.
     fn parse_head(&mut self) -> Result<(), WatchError> {
         if self.body.is_some() {
             return Ok(());
@@ -103,8 +105,9 @@
         Ok(())
     }
 
-    /// The next line that was read, to be passed to [`ListStream::add_line`]; `None` where more has to be read first.
-    /// Each line ends the silence, also an empty one, which discovery sends while nothing changes.
+    /// Returns the next received line, which is to be passed to [`ListStream::add_line`], or `None` if more
+    /// bytes must be read first. Each line restarts the silence timeout, even an empty one, which discovery
+    /// sends while nothing changes.
     pub(super) fn next_line(&mut self) -> Result<Option<Vec<u8>>, WatchError> {
         let Some(body) = &mut self.body else { return Ok(None) };
         let LineRead { consumed, line } =
@@ -118,8 +121,8 @@
         Ok(line)
     }
 
-    /// The text of the endpoint list that this line completes, if it does. An empty line stands between lists: one that it
-    /// cuts in two has lost its end.
+    /// Returns the text of the endpoint list that this line completes, if any. Empty lines separate lists, so
+    /// a list that an empty line interrupts has lost its end.
     pub(super) fn add_line(&mut self, line: &[u8]) -> Result<Option<Vec<u8>>, WatchError> {
         if !line.trim_ascii().is_empty() {
             return self.list_assembler.add_line(line, self.limits.list_line).map_err(WatchError::Malformed);
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The actor that watches the endpoint list at discovery.
+//! Actor that watches the endpoint list at discovery.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -19,57 +19,59 @@
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::ListUpdate;
 
-/// The dispatcher is gone, and nobody wants the endpoint list any more.
+/// The dispatcher has stopped, so the endpoint list is no longer needed.
 struct DispatcherStopped;
 
-/// What the actor does next.
+/// What the watcher does next.
 enum WatcherState {
-    /// Waits until the dispatcher wants the list; that is always where discovery streams it.
+    /// Waits until the dispatcher requests the list; does not wait if discovery streams it.
     Idle,
-    /// Watches at the address that is configured now.
+    /// Watches at the currently configured address.
     Watching,
-    /// A watch failed: the loss is reported, and there is a wait before the next one.
+    /// A watch failed: the loss is reported, and the next watch follows after a wait.
     Failed {
-        /// Where discovery was asked.
+        /// Address at which discovery was watched.
         peer: SocketAddr,
+        /// Why the watch failed.
         error: WatchError,
     },
 }
 
-/// How the endpoint list is watched.
+/// Configuration of a [`Watcher`].
 pub struct WatcherConfig {
-    /// The dispatcher's requests, where the list is fetched only on request; `None` where discovery streams it.
+    /// Requests of the dispatcher if the list is fetched only on request; `None` if discovery streams it.
     pub list_requests: Option<mpsc::Receiver<()>>,
-    /// The revision of the list that a former start saved, if there is one.
+    /// Revision of the configured or saved list that the dispatcher starts with; `None` if there is none.
     pub revision: Option<u64>,
-    /// The wait before the first watch, so that processes that start together do not ask together.
+    /// Wait before the first watch, so that processes that start together do not send their requests
+    /// together. Has no effect if the list is fetched only on request.
     pub start_delay: Duration,
-    /// Draws the random part of the waits between watches.
+    /// Source of the random part of the waits between watches.
     pub rng: Pcg64Mcg,
 }
 
-/// Watches the endpoint list at discovery. Whatever goes wrong, the last list stays in force.
+/// Watches the endpoint list at discovery. Whatever fails, the last list stays in force.
 pub struct Watcher {
     context: Rc<ProcessContext>,
     dispatcher: mpsc::Sender<ListUpdate>,
-    /// As in [`WatcherConfig::list_requests`].
+    /// See [`WatcherConfig::list_requests`].
     list_requests: Option<mpsc::Receiver<()>>,
-    /// The revision of the list that the dispatcher has; `None` where the whole list has to be fetched.
+    /// Revision of the list that the dispatcher has; `None` if the complete list must be fetched.
     revision: Option<u64>,
     start_delay: Duration,
     rng: Pcg64Mcg,
-    /// The wait after the next failure.
+    /// Longest wait after the next failure; up to half of it is left out at random.
     backoff: Duration,
-    /// How long the next watch waits for the first bytes, the time to connect included.
+    /// How long the next watch waits for the first bytes, including the time to connect.
     first_byte_timeout: Duration,
-    /// Whether a line was received on the current watch.
+    /// Whether the current watch has received a line.
     has_received_line: bool,
-    /// A watch failed since the last line, and that was logged.
+    /// Whether a watch has failed since the last line and the loss has been logged.
     loss_logged: bool,
 }
 
 impl Watcher {
-    /// A watch that sends its updates to `dispatcher`.
+    /// Creates a watcher that sends updates to `dispatcher`.
     pub fn new(
         context: Rc<ProcessContext>,
         dispatcher: mpsc::Sender<ListUpdate>,
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Watches until the dispatcher is gone.
+    /// Watches until the dispatcher has stopped.
     pub async fn run(mut self) {
         let Err(DispatcherStopped) = self.run_states().await;
     }
@@ -123,7 +125,7 @@
         }
     }
 
-    /// One watch, until it fails or discovery gets another address.
+    /// Runs one watch until it fails or the address of discovery changes.
     async fn watch(
         &mut self,
         address: &mut watch::Receiver<SocketAddr>,
@@ -145,7 +147,8 @@
         }
     }
 
-    /// Passes on what discovery sends, until that ends.
+    /// Forwards updates from discovery to the dispatcher, until the watch fails or the dispatcher has
+    /// stopped.
     async fn forward_updates(&mut self, peer: SocketAddr) -> Result<DispatcherStopped, WatchError> {
         let limits = &self.context.limits.discovery;
         let mut stream = ListStream::open(peer, self.revision, self.first_byte_timeout, limits).await?;
@@ -169,7 +172,7 @@
         }
     }
 
-    /// The update in this text. Changes have to follow on the list that the dispatcher has.
+    /// Parses an update. Changes must apply to the list that the dispatcher has.
     fn parse(&self, text: &[u8]) -> Result<EndpointList, WatchError> {
         let update: EndpointList = serde_json::from_slice(text).map_err(WatchError::InvalidList)?;
         let received = update.revision;
@@ -182,12 +185,13 @@
     async fn send_update(&mut self, update: EndpointList) -> Result<(), DispatcherStopped> {
         let revision = update.revision;
         let sent = self.dispatcher.send(ListUpdate::Received(update)).await;
-        // Only now: a change of the address may cancel the watch while it waits for the dispatcher.
+        // Updated only after the send, because a change of the address may cancel the watch while it waits
+        // for the dispatcher.
         self.revision = Some(revision);
         sent.map_err(|_| DispatcherStopped)
     }
 
-    /// Reports a loss, and waits until the next watch is due.
+    /// Reports a failed watch, and waits until the next one is due.
     async fn handle_failure(
         &mut self,
         peer: SocketAddr,
@@ -209,7 +213,7 @@
         Ok(())
     }
 
-    /// Discovery that is slow to respond is given longer, up to what is silence in any case.
+    /// Gives a discovery service that is slow to respond more time, up to the silence timeout.
     fn adapt_first_byte_timeout(&mut self, error: &WatchError) {
         let limits = self.limits();
         self.first_byte_timeout = match error {
@@ -228,10 +232,11 @@
     async fn wait_for_next_watch(&mut self, error: &WatchError, address: &mut watch::Receiver<SocketAddr>) {
         let retry = self.limits().retry;
         if error.is_timeout() {
-            // Discovery was waited for already: what it sends when it responds again is received at once.
+            // Discovery was already waited for. A new watch at once receives what discovery sends when it
+            // responds again.
             self.backoff = retry.initial;
         } else if error.is_local_failure() {
-            // Discovery may be well, and was not burdened by this attempt.
+            // Discovery may be healthy, and this attempt put no load on it.
             sleep(retry.initial).await;
         } else {
             let wait = start_jitter::retry_delay(self.backoff.as_micros() as i64, &mut self.rng);
