--- a/crates/proxy/src/dispatcher/gateway/site_actions.rs
+++ b/crates/proxy/src/dispatcher/gateway/site_actions.rs
@@ -1,24 +1,25 @@
-//! Carries out what the site router decided: hand a request to the router here, send it to a site, answer it.
+//! Carries out the site router's actions: hands requests to the local router, forwards them to other gateways, and
+//! answers them.
 
 use aldermill_routing::Micros;
 use aldermill_site_link::{Confirm, Outbound, OutcomeQuery, Request as RequestFrame};
 use aldermill_site_routing::{Action, Actions, PeerAnswer, PeerGatewayId, RequestHandle};
 
 use super::answers::FinalAnswer;
-use super::{ForwardedRequest, GatewayPart, SentRequest};
+use super::{GatewayPart, PendingRequest, SentRequest};
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::requests::Handover;
 use crate::messages::Answer;
 
-/// What a request has just been answered with, here or at another site.
+/// An answer that has just been received for a request, from the local router or another gateway.
 pub(in crate::dispatcher) struct ReceivedAnswer {
     pub(super) handle: RequestHandle,
     pub(super) answer: Answer,
 }
 
 impl Dispatcher {
-    /// Carries out the site router's actions, in their order. `received` is passed on where a request is served
-    /// with it.
+    /// Carries out the site router's actions, in order. `received` is the answer that
+    /// [`Action::RelayResponse`] passes on to the requester; `None` if none was received.
     pub(in crate::dispatcher) fn carry_out_site_actions(
         &mut self,
         actions: Actions,
@@ -56,90 +57,96 @@
             Action::RelayResponse => {
                 let received = received.take_if(|received| received.handle == handle);
                 let answer = received.map_or(Answer::Failed, |received| received.answer);
-                self.answer_forwarded(handle, FinalAnswer::Ended(answer));
+                self.answer_pending_request(handle, FinalAnswer::Ended(answer));
             }
             Action::Reject { retry_after } => {
-                self.answer_forwarded(handle, FinalAnswer::Ended(Answer::Rejected { retry_after }))
+                self.answer_pending_request(handle, FinalAnswer::Ended(Answer::Rejected { retry_after }))
             }
-            Action::Fail => self.answer_forwarded(handle, FinalAnswer::Ended(Answer::Failed)),
+            Action::Fail => self.answer_pending_request(handle, FinalAnswer::Ended(Answer::Failed)),
             Action::ReportNotPrimary { hint } => {
-                self.answer_forwarded(handle, FinalAnswer::NotPrimary { hint })
+                self.answer_pending_request(handle, FinalAnswer::NotPrimary { hint })
             }
         }
     }
 
-    fn serve_locally(&mut self, handle: RequestHandle, ttl: Micros) {
-        let Some(forwarded) = self.forwarded_mut(handle) else { return };
-        let request = forwarded.request.clone();
-        let class = forwarded.class;
-        let deadline = self.context.clock.now() + ttl;
-        let (local, actions) = self.hand_over(Handover { request, class, deadline, via: Some(handle) });
-        if let Some(forwarded) = self.forwarded_mut(handle) {
-            forwarded.local = Some(local);
+    fn serve_locally(&mut self, handle: RequestHandle, timeout: Micros) {
+        let Some(pending) = self.pending_request_mut(handle) else { return };
+        let request = pending.request.clone();
+        let class = pending.class;
+        let deadline = self.context.clock.now() + timeout;
+        let (local_handle, actions) =
+            self.hand_over(Handover { request, class, deadline, via: Some(handle) });
+        if let Some(pending) = self.pending_request_mut(handle) {
+            pending.local_handle = Some(local_handle);
         }
         self.carry_out(actions);
     }
 
-    fn forwarded_mut(&mut self, handle: RequestHandle) -> Option<&mut ForwardedRequest> {
-        self.gateway_part.as_mut()?.forwarded.get_mut(&handle)
+    fn pending_request_mut(&mut self, handle: RequestHandle) -> Option<&mut PendingRequest> {
+        self.gateway_part.as_mut()?.pending_requests.get_mut(&handle)
     }
 
     fn withdraw_from_router(&mut self, handle: RequestHandle) {
-        let local = self.gateway_part.as_mut().and_then(|gateway_part| gateway_part.withdraw(handle));
-        if let Some(local) = local {
-            self.abandon(local);
+        let local_handle =
+            self.gateway_part.as_mut().and_then(|gateway_part| gateway_part.take_local_handle(handle));
+        if let Some(local_handle) = local_handle {
+            self.abandon(local_handle);
         }
     }
 
-    /// Sends a request to another site's gateway. Where no link takes it, it never left this process.
+    /// Sends a request to another site's gateway. `timeout` is the time until the request's deadline when it
+    /// arrives there, in microseconds. If no link takes the request, it never left this process, and counts as
+    /// never accepted.
     fn forward_to_gateway(
         &mut self,
         handle: RequestHandle,
         gateway: PeerGatewayId,
         number: u64,
-        left: Micros,
+        timeout: Micros,
     ) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let Some(forwarded) = gateway_part.forwarded.get(&handle) else { return };
+        let Some(pending) = gateway_part.pending_requests.get(&handle) else { return };
         let Some(peer) = gateway_part.peer_gateways.get(gateway) else { return };
         let incarnation = peer.origin.incarnation;
-        let mut frame = gateway_part.request_frame(forwarded, now);
+        let mut frame = gateway_part.request_frame(pending, now);
         frame.number = number;
         frame.receiver_incarnation = incarnation;
-        frame.timeout_us = left.max(0) as u64;
-        let frame = Outbound::Request(frame, forwarded.request.statement.clone());
+        frame.timeout_us = timeout.max(0) as u64;
+        let frame = Outbound::Request(frame, pending.request.statement.clone());
         if let Some(link) = gateway_part.send(gateway, None, frame) {
-            gateway_part.sent.insert(number, SentRequest { gateway, incarnation, link });
+            gateway_part.sent_requests.insert(number, SentRequest { gateway, incarnation, link });
             return;
         }
         let actions = gateway_part.site_router.answered(now, number, PeerAnswer::NeverAccepted);
         self.carry_out_site_actions(actions, None);
     }
 
-    /// Asks another gateway what became of a request that was sent there.
+    /// Queries the outcome of a request that was forwarded to another gateway.
     fn query_outcome(&mut self, gateway: PeerGatewayId, number: u64) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let Some(sent) = gateway_part.sent.get(&number) else { return };
+        let Some(sent) = gateway_part.sent_requests.get(&number) else { return };
         let query = OutcomeQuery { number, receiver_incarnation: sent.incarnation };
         gateway_part.send(gateway, None, Outbound::OutcomeQuery(query));
     }
 
+    /// Tells another gateway that the answer to a request that was forwarded to it is no longer needed.
     fn cancel_at_site(&mut self, gateway: PeerGatewayId, number: u64) {
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let link = gateway_part.sent.remove(&number).map(|sent| sent.link);
+        let link = gateway_part.sent_requests.remove(&number).map(|sent| sent.link);
         gateway_part.send(gateway, link, Outbound::Cancel(number));
     }
 }
 
 impl GatewayPart {
-    /// A request as another gateway is sent it, but for whom it is meant and how long it may take.
-    fn request_frame(&self, forwarded: &ForwardedRequest, now: Micros) -> RequestFrame {
-        let request = &forwarded.request;
-        // Zero on the wire says that no last write is known.
+    /// Returns the frame that forwards a request. The caller sets its number, the incarnation of the receiver and
+    /// the timeout.
+    fn request_frame(&self, pending: &PendingRequest, now: Micros) -> RequestFrame {
+        let request = &pending.request;
+        // Zero on the wire means that no last write is known, so a known age is sent as at least 1.
         let written_ago = request.last_write(now).map_or(0, |ago| ago.max(1));
-        let mut visited = forwarded.visited.clone();
-        visited.push(self.own.site.clone());
+        let mut visited = pending.visited.clone();
+        visited.push(self.identity.site.clone());
         RequestFrame {
             class: request.comment.class.clone(),
             group: request.comment.group,
