--- a/crates/proxy/src/cli/peers.rs
+++ b/crates/proxy/src/cli/peers.rs
@@ -11,19 +11,19 @@
 ///
 /// No proxy listens at that socket, or its answer is not in the expected form.
 pub fn run(socket: &str, as_json: bool) -> Result<(), ProgramError> {
-    let text = status::ask(socket)?;
+    let text = status::query(socket)?;
     if as_json {
         print!("{text}");
         return Ok(());
     }
     let status: Value = serde_json::from_str(&text)
         .map_err(|source| ProgramError::StatusFormat { path: socket.to_owned(), source })?;
-    print!("{}{}", summary(&status), peer_table(&status));
+    print!("{}{}", summary_line(&status), peer_table(&status));
     Ok(())
 }
 
 /// One line on the proxy's own view of the fleet.
-fn summary(status: &Value) -> String {
+fn summary_line(status: &Value) -> String {
     let view = &status["view"];
     format!(
         "{} knows of {} drivers, itself among them; {} at most{}{}\n",
@@ -42,8 +42,8 @@
 }
 
 fn peer_line(peer: &Value) -> String {
-    let text = |field: &str| peer[field].as_str().unwrap_or_default();
-    let name = text("name");
-    let address = text("address");
+    let string_field = |field: &str| peer[field].as_str().unwrap_or_default();
+    let name = string_field("name");
+    let address = string_field("address");
     format!("{name:<24} {address:<24} started {} turn {}\n", peer["start"], peer["turn"])
 }
--- a/crates/proxy/src/cli/sites.rs
+++ b/crates/proxy/src/cli/sites.rs
@@ -9,6 +9,6 @@
 ///
 /// No gateway listens at that socket.
 pub fn run(socket: &str) -> Result<(), ProgramError> {
-    print!("{}", status::ask(socket)?);
+    print!("{}", status::query(socket)?);
     Ok(())
 }
--- a/crates/proxy/src/cli/status.rs
+++ b/crates/proxy/src/cli/status.rs
@@ -10,7 +10,7 @@
 /// # Errors
 ///
 /// No proxy listens there, or the connection broke.
-pub fn ask(path: &str) -> Result<String, ProgramError> {
+pub fn query(path: &str) -> Result<String, ProgramError> {
     let failed = |source| ProgramError::StatusSocket { path: path.to_owned(), source };
     let mut stream = UnixStream::connect(path).map_err(failed)?;
     let mut text = String::new();
--- a/crates/proxy/src/coordination/decision.rs
+++ b/crates/proxy/src/coordination/decision.rs
@@ -3,7 +3,7 @@
 use aldermill_directives::{DirectiveStore, Reports, Topic};
 use aldermill_leases::Term;
 
-use super::call::CallTime;
+use super::interface::CallTime;
 
 /// What is decided on one subject under a lease.
 pub(super) struct Decision {
@@ -21,7 +21,7 @@
     pub(super) reports: &'a Reports,
     pub(super) directives: &'a DirectiveStore,
     /// The names of all live proxies, this one among them.
-    pub(super) living: &'a [&'a str],
+    pub(super) live_proxies: &'a [&'a str],
 }
 
 /// All that is decided under one lease at a time.
@@ -42,23 +42,23 @@
 }
 
 /// What a lease holder keeps while it holds a lease under one term.
-pub(super) struct WhileHeld<T>(Option<HeldState<T>>);
+pub(super) struct TermState<T>(Option<HeldState<T>>);
 
 struct HeldState<T> {
     term: Term,
     state: T,
 }
 
-impl<T> WhileHeld<T> {
+impl<T> TermState<T> {
     /// The state of a lease that is not held.
-    pub(super) fn none() -> WhileHeld<T> {
-        WhileHeld(None)
+    pub(super) fn not_held() -> TermState<T> {
+        TermState(None)
     }
 
     /// The state under this term, begun anew with each; nothing without a term.
-    pub(super) fn under(&mut self, term: Option<Term>, begin: impl FnOnce() -> T) -> Option<&mut T> {
+    pub(super) fn for_term(&mut self, term: Option<Term>, init: impl FnOnce() -> T) -> Option<&mut T> {
         if self.0.as_ref().map(|held| held.term) != term {
-            self.0 = term.map(|term| HeldState { term, state: begin() });
+            self.0 = term.map(|term| HeldState { term, state: init() });
         }
         self.get_mut()
     }
--- a/crates/proxy/src/coordination/durability.rs
+++ b/crates/proxy/src/coordination/durability.rs
@@ -10,7 +10,7 @@
 use slog::warn;
 
 use super::Coordination;
-use super::call::CallTime;
+use super::interface::CallTime;
 use super::records::Record;
 
 impl Coordination {
@@ -18,12 +18,12 @@
     pub(super) fn withhold_votes_until_read(&mut self, now: Micros) {
         if self.records.is_some() {
             self.participant.withhold_votes();
-            self.read_records(now);
+            self.load_stored_state(now);
         }
     }
 
     /// Takes in what an earlier start stored, once the data directory can be read.
-    pub(super) fn read_records(&mut self, now: Micros) {
+    pub(super) fn load_stored_state(&mut self, now: Micros) {
         let Some(records) = &mut self.records else { return };
         let Some(stored) = records.take_stored() else { return };
         self.participant.restore(stored.granted_terms);
@@ -35,7 +35,7 @@
         let lowest =
             |(lease, term): (&String, &Term)| (Topic::new(lease, ""), Version { term: *term, number: 0 });
         self.directives.restore(accepted.iter().map(lowest));
-        if let Some(site_drain) = &mut self.work.site_drain {
+        if let Some(site_drain) = &mut self.controllers.site_drain {
             site_drain.restore(now, stored.drain_plans);
         }
     }
@@ -53,7 +53,7 @@
     }
 
     /// Hands over again what the data directory did not take.
-    pub(super) fn persist_again(&mut self) {
+    pub(super) fn persist_unconfirmed_terms(&mut self) {
         let Some(records) = &mut self.records else { return };
         for (lease, term) in records.unconfirmed_terms.clone() {
             let record = Record::Accepted { lease, term };
@@ -64,8 +64,8 @@
     }
 
     /// The oldest write in flight is on the disk, or failed.
-    pub fn write_confirmed(&mut self, at: CallTime, succeeded: bool, others: &[Rc<str>]) {
-        self.read_records(at.now);
+    pub fn write_finished(&mut self, at: CallTime, succeeded: bool, live_peers: &[Rc<str>]) {
+        self.load_stored_state(at.now);
         let Some(records) = &mut self.records else { return };
         let Some(record) = records.in_flight.pop_front() else { return };
         if !succeeded {
@@ -73,14 +73,14 @@
         }
         match record {
             Record::Granted { lease, term } => {
-                let actions = self.participant.persisted(at.now, at.wall, &lease, term);
-                self.carry_out(at, actions, others);
+                let actions = self.participant.persisted(at.now, at.wall_clock_ms, &lease, term);
+                self.apply_actions(at, actions, live_peers);
             }
             Record::Accepted { lease, term } => {
                 records.unconfirmed_terms.retain(|of, highest| *of != lease || *highest > term);
             }
             Record::Drain(plan) => {
-                if let Some(site_drain) = &mut self.work.site_drain {
+                if let Some(site_drain) = &mut self.controllers.site_drain {
                     site_drain.persisted(&plan);
                 }
             }
@@ -96,7 +96,7 @@
             // Handed over again with the next decisions.
             Record::Accepted { .. } => {}
             Record::Drain(plan) => {
-                if let Some(site_drain) = &mut self.work.site_drain {
+                if let Some(site_drain) = &mut self.controllers.site_drain {
                     site_drain.not_persisted(&plan);
                 }
             }
--- a/crates/proxy/src/coordination/call.rs
+++ b/crates/proxy/src/coordination/interface.rs
@@ -11,7 +11,7 @@
     /// By the clock that counts stalls, in microseconds.
     pub now: Micros,
     /// The Unix time in milliseconds, by the wall clock of the start and the monotonic clock since.
-    pub wall: u64,
+    pub wall_clock_ms: u64,
 }
 
 /// A message for another proxy.
--- a/crates/proxy/src/coordination/issuing.rs
+++ b/crates/proxy/src/coordination/issuing.rs
@@ -9,32 +9,39 @@
 use slog::warn;
 
 use super::Coordination;
-use super::call::CallTime;
 use super::decision::{Decision, DecisionInputs, LeaseDecisions, LeaseReport};
+use super::interface::CallTime;
 use super::records::Record;
 use crate::messages::ObservationSummary;
 
 impl Coordination {
     /// Tells all others which leases this proxy holds; whether it does is asked before each.
-    pub(super) fn announce_held_leases(&mut self, now: Micros, others: &[Rc<str>]) {
+    pub(super) fn announce_held_leases(&mut self, now: Micros, live_peers: &[Rc<str>]) {
         let mut issued = Vec::new();
         for lease in &self.leases {
             let Some(term) = self.participant.may_act(now, lease) else { continue };
             let topic = Topic::new(lease, "");
-            match self.directives.issue(now, topic, term, &self.own.name, DIRECTIVE_LIFETIME, Vec::new()) {
+            match self.directives.issue(
+                now,
+                topic,
+                term,
+                &self.incarnation.name,
+                DIRECTIVE_LIFETIME,
+                Vec::new(),
+            ) {
                 Some(directive) => issued.push(directive),
                 None => {
                     warn!(self.log, "lease superseded by a higher term"; "lease" => lease, "term" => term);
                 }
             }
         }
-        self.forward(&issued, 0, others);
+        self.forward(&issued, 0, live_peers);
     }
 
     /// Decides what there is to decide under the leases that this proxy holds, and issues it.
-    pub(super) fn decide(&mut self, at: CallTime, others: &[Rc<str>]) {
+    pub(super) fn decide(&mut self, at: CallTime, live_peers: &[Rc<str>]) {
         let mut issued = Vec::new();
-        for LeaseDecisions { lease, term, decisions } in self.decisions(at, others) {
+        for LeaseDecisions { lease, term, decisions } in self.collect_decisions(at, live_peers) {
             for Decision { subject, body } in decisions {
                 // The lease is looked at before each act.
                 let Some(term) = term.filter(|_| self.participant.may_act(at.now, lease) == term) else {
@@ -45,51 +52,52 @@
                     at.now,
                     topic,
                     term,
-                    &self.own.name,
+                    &self.incarnation.name,
                     DIRECTIVE_LIFETIME,
                     body,
                 ));
             }
         }
-        self.forward(&issued, 0, others);
+        self.forward(&issued, 0, live_peers);
     }
 
-    fn decisions(&mut self, at: CallTime, others: &[Rc<str>]) -> Vec<LeaseDecisions> {
-        let Coordination { participant, directives, reports, own, work, .. } = self;
-        let living: Vec<&str> = others.iter().map(|name| &**name).chain([&*own.name]).collect();
-        work.decide(|lease| DecisionInputs {
+    fn collect_decisions(&mut self, at: CallTime, live_peers: &[Rc<str>]) -> Vec<LeaseDecisions> {
+        let Coordination { participant, directives, reports, incarnation, controllers, .. } = self;
+        let live_proxies: Vec<&str> =
+            live_peers.iter().map(|name| &**name).chain([&*incarnation.name]).collect();
+        controllers.decide(|lease| DecisionInputs {
             at,
             term: participant.may_act(at.now, lease),
             reports,
             directives,
-            living: &living,
+            live_proxies: &live_proxies,
         })
     }
 
     /// What this proxy's dispatcher observed, to be reported.
-    pub fn observed(&mut self, observed: ObservationSummary) {
-        for LeaseReport { topic, body } in self.work.reports(observed) {
+    pub fn report_observations(&mut self, observations: ObservationSummary) {
+        for LeaseReport { topic, body } in self.controllers.build_reports(observations) {
             self.reporter.put(topic, body);
         }
     }
 
     /// The directives that shift reads of this proxy's own zone, if they have changed.
-    pub fn zone_directives(&mut self, now: Micros) -> Option<Vec<ZoneDirective>> {
-        self.work.zone_directives(now, &self.directives)
+    pub fn take_changed_zone_directives(&mut self, now: Micros) -> Option<Vec<ZoneDirective>> {
+        self.controllers.take_changed_zone_directives(now, &self.directives)
     }
 
     /// The plans of the sites that drain, as this proxy is to act by them, if that has changed.
-    pub fn drain_plans(&mut self, now: Micros) -> Option<Vec<Plan>> {
-        let work = self.work.site_drain.as_mut()?;
-        let obeyed = work.obey(now, &self.directives);
-        for plan in obeyed.to_persist {
+    pub fn take_changed_drain_plans(&mut self, now: Micros) -> Option<Vec<Plan>> {
+        let controller = self.controllers.site_drain.as_mut()?;
+        let changes = controller.follow(now, &self.directives);
+        for plan in changes.to_persist {
             self.persist(Record::Drain(plan));
         }
-        obeyed.acting
+        changes.effective
     }
 
     /// The operator's file was read again.
     pub fn reconfigure(&mut self, now: Micros, config: &CoordinationConfig) {
-        self.work.reconfigure(now, config);
+        self.controllers.reconfigure(now, config);
     }
 }
--- a/crates/proxy/src/coordination/mod.rs
+++ b/crates/proxy/src/coordination/mod.rs
@@ -8,16 +8,16 @@
 //! - Output: datagrams, records for the disk, and for the dispatcher the directives on zones and draining sites.
 //! - Caller: the membership actor, which carries the datagrams.
 
-mod call;
 mod decision;
-mod describe;
 mod durability;
+mod interface;
 mod issuing;
-mod lease_work;
+mod lease_controllers;
 mod receiving;
 mod records;
 mod site_drain;
 mod split_points;
+mod status;
 mod superseded;
 mod zone_failover;
 
@@ -35,11 +35,11 @@
 use slog::{Logger, info};
 use tokio::sync::mpsc;
 
-pub use call::{CallTime, DECISION_INTERVAL, Datagram};
+pub use interface::{CallTime, DECISION_INTERVAL, Datagram};
 
 use crate::persistence::DataDirectory;
-use lease_work::{LeaseWork, LeaseWorkStart};
-use records::{MOST_IN_FLIGHT, Record, Records};
+use lease_controllers::{LeaseControllerSetup, LeaseControllers};
+use records::{MAX_IN_FLIGHT, Record, Records};
 
 /// The first byte of a datagram: what follows is a message of the lease protocol, or one about directives.
 const LEASE_MESSAGE: u8 = 1;
@@ -50,7 +50,7 @@
     /// The operator's section `coordination`.
     pub config: CoordinationConfig,
     /// This start of this proxy.
-    pub own: Incarnation,
+    pub incarnation: Incarnation,
     /// Where terms and drain plans are stored, if anything is.
     pub directory: Option<Rc<DataDirectory>>,
     /// This proxy's zone.
@@ -62,7 +62,7 @@
 /// This proxy's part in what the fleet decides in common.
 pub struct Coordination {
     /// This start of this proxy.
-    own: Incarnation,
+    incarnation: Incarnation,
     /// The names of all leases.
     leases: Vec<String>,
     /// This proxy's vote, and the leases that it holds or wants.
@@ -76,7 +76,7 @@
     records: Option<Records>,
     rng: Pcg64Mcg,
     log: Logger,
-    work: LeaseWork,
+    controllers: LeaseControllers,
     /// When directives under held leases are next renewed.
     renew_at: Micros,
     /// When decisions are next made.
@@ -91,7 +91,7 @@
 
 impl Coordination {
     /// Starts this proxy's part. The receiver gets the outcome of each write to the data directory, in their order, for
-    /// [`Coordination::write_confirmed`].
+    /// [`Coordination::write_finished`].
     ///
     /// # Errors
     ///
@@ -102,7 +102,7 @@
         seed: u64,
         log: Logger,
     ) -> Result<(Coordination, mpsc::Receiver<bool>), ConfigError> {
-        let CoordinationParts { config, own, directory, zone, longest_timeout } = parts;
+        let CoordinationParts { config, incarnation, directory, zone, longest_timeout } = parts;
         let now = at.now;
         let leases: Vec<String> = config.leases.iter().map(|kind| kind.name().to_owned()).collect();
         let lease_config = LeaseConfig {
@@ -111,12 +111,12 @@
             duration: Micros::from(config.lease_ms) * 1000,
             least_term: config.least_term,
         };
-        let participant = Participant::start(now, own.clone(), &lease_config, None, seed)?;
-        let (confirmations, confirmed) = mpsc::channel(MOST_IN_FLIGHT);
-        let records = directory.map(|directory| Records::start(directory, confirmations));
+        let participant = Participant::start(now, incarnation.clone(), &lease_config, None, seed)?;
+        let (write_outcomes, write_outcomes_receiver) = mpsc::channel(MAX_IN_FLIGHT);
+        let records = directory.map(|directory| Records::start(directory, write_outcomes));
         info!(log, "coordination started"; "votes" => participant.is_voter(), "leases" => leases.join(" "),
             "durable" => records.is_some());
-        let work = LeaseWork::start(&LeaseWorkStart {
+        let controllers = LeaseControllers::start(&LeaseControllerSetup {
             now,
             config: &config,
             zone,
@@ -126,7 +126,7 @@
         });
         let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(7));
         let mut coordination = Coordination {
-            own,
+            incarnation,
             leases,
             participant,
             directives: DirectiveStore::default(),
@@ -134,7 +134,7 @@
             reporter: Reporter::default(),
             records,
             log,
-            work,
+            controllers,
             renew_at: now,
             decide_at: now,
             digest_at: now + rng.random_range(0..DIGEST_INTERVAL),
@@ -143,7 +143,7 @@
             rng,
         };
         coordination.withhold_votes_until_read(now);
-        Ok((coordination, confirmed))
+        Ok((coordination, write_outcomes_receiver))
     }
 
     /// When [`Coordination::wake`] is to be called.
@@ -159,47 +159,47 @@
     }
 
     /// Forwards new directives to a few others; `age` is how long they waited here unread.
-    fn forward(&mut self, new: &[Directive], age: Micros, others: &[Rc<str>]) {
+    fn forward(&mut self, new: &[Directive], age: Micros, live_peers: &[Rc<str>]) {
         if new.is_empty() {
             return;
         }
         let aged =
             |directive: &Directive| Directive { remaining: directive.remaining - age, ..directive.clone() };
         let aged: Vec<Directive> = new.iter().map(aged).collect();
-        let to: Vec<Rc<str>> = others.iter().cloned().choose_multiple(&mut self.rng, FORWARD_FANOUT);
+        let to: Vec<Rc<str>> = live_peers.iter().cloned().choose_multiple(&mut self.rng, FORWARD_FANOUT);
         for message in frame::encode_directives(&aged) {
             to.iter().for_each(|to| self.send(to, DIRECTIVE_MESSAGE, &message));
         }
     }
 
     /// To be called at [`Coordination::wake_at`]; `others` are the proxies known to live.
-    pub fn wake(&mut self, at: CallTime, others: &[Rc<str>]) {
+    pub fn wake(&mut self, at: CallTime, live_peers: &[Rc<str>]) {
         let now = at.now;
-        self.read_records(now);
+        self.load_stored_state(now);
         if self.participant_wake_at.is_some_and(|due| due <= now) {
-            let actions = self.participant.wake(now, at.wall);
-            self.carry_out(at, actions, others);
+            let actions = self.participant.wake(now, at.wall_clock_ms);
+            self.apply_actions(at, actions, live_peers);
         }
         if now >= self.renew_at {
             self.renew_at = now + RENEWAL_INTERVAL;
             self.directives.expire(now);
-            self.announce_held_leases(now, others);
+            self.announce_held_leases(now, live_peers);
         }
         if now >= self.decide_at {
             self.decide_at = now + DECISION_INTERVAL;
-            self.persist_again();
-            self.decide(at, others);
+            self.persist_unconfirmed_terms();
+            self.decide(at, live_peers);
         }
         if now >= self.digest_at {
             self.digest_at = now + DIGEST_INTERVAL;
-            self.send_digest(now, others);
+            self.send_digest(now, live_peers);
         }
         self.send_report(now);
     }
 
     /// Sends a digest of the directives to another proxy, picked at random.
-    fn send_digest(&mut self, now: Micros, others: &[Rc<str>]) {
-        if let Some(to) = others.iter().cloned().choose(&mut self.rng) {
+    fn send_digest(&mut self, now: Micros, live_peers: &[Rc<str>]) {
+        if let Some(to) = live_peers.iter().cloned().choose(&mut self.rng) {
             let digest = frame::encode_digest(&self.directives.digest(now), false);
             self.send_directive_messages(&to, digest);
         }
@@ -209,8 +209,8 @@
     fn send_report(&mut self, now: Micros) {
         let Some(report) = self.reporter.next(now) else { return };
         let Some(holder) = self.directives.holder(now, &report.topic.lease) else { return };
-        if holder.name == self.own.name {
-            self.reports.receive(now, 0, &self.own.name, self.own.start, report);
+        if holder.name == self.incarnation.name {
+            self.reports.receive(now, 0, &self.incarnation.name, self.incarnation.start, report);
         } else {
             let holder = holder.name.to_owned();
             self.send(&holder, DIRECTIVE_MESSAGE, &frame::encode_report(&report));
@@ -218,7 +218,7 @@
     }
 
     /// Does what the lease protocol wants done.
-    fn carry_out(&mut self, at: CallTime, actions: Actions, others: &[Rc<str>]) {
+    fn apply_actions(&mut self, at: CallTime, actions: Actions, live_peers: &[Rc<str>]) {
         self.participant_wake_at = actions.wake_at;
         for Outgoing { to, message } in actions.send {
             self.send(&to, LEASE_MESSAGE, &aldermill_leases::frame::encode(&message));
@@ -241,27 +241,27 @@
         }
         if has_acquired {
             // Others are to know at once whom to report to.
-            self.announce_held_leases(at.now, others);
+            self.announce_held_leases(at.now, live_peers);
         }
     }
 
     /// Another proxy is gone, or has started again.
-    pub fn peer_gone(&mut self, now: Micros, name: &str) {
+    pub fn peer_lost(&mut self, now: Micros, name: &str) {
         self.reports.remove_reporter(name);
-        self.work.peer_gone(now, name);
+        self.controllers.peer_lost(now, name);
     }
 
     /// The others know this proxy by another start from now on, and take its messages under no other.
-    pub fn renumber(&mut self, at: CallTime, start: u64, others: &[Rc<str>]) {
-        self.own.start = start;
+    pub fn renumber(&mut self, at: CallTime, start: u64, live_peers: &[Rc<str>]) {
+        self.incarnation.start = start;
         let actions = self.participant.renumber(at.now, start);
-        self.carry_out(at, actions, others);
+        self.apply_actions(at, actions, live_peers);
     }
 
     /// This proxy shuts down: it releases the leases that it holds.
     pub fn release_leases(&mut self, at: CallTime) {
         let actions = self.participant.release_all(at.now);
-        self.carry_out(at, actions, &[]);
+        self.apply_actions(at, actions, &[]);
     }
 
     fn send(&mut self, to: &str, kind: u8, message: &[u8]) {
--- a/crates/proxy/src/coordination/receiving.rs
+++ b/crates/proxy/src/coordination/receiving.rs
@@ -8,24 +8,31 @@
 use aldermill_membership::Peer;
 use slog::info;
 
-use super::call::CallTime;
+use super::interface::CallTime;
 use super::records::Record;
 use super::{Coordination, DIRECTIVE_MESSAGE, LEASE_MESSAGE};
 
 impl Coordination {
     /// Takes another proxy's datagram; `age` is how long it may have waited here unread. One that cannot be decoded is
     /// ignored.
-    pub fn receive(&mut self, at: CallTime, age: Micros, from: &Peer, payload: &[u8], others: &[Rc<str>]) {
+    pub fn receive(
+        &mut self,
+        at: CallTime,
+        age: Micros,
+        from: &Peer,
+        payload: &[u8],
+        live_peers: &[Rc<str>],
+    ) {
         let Some((&kind, bytes)) = payload.split_first() else { return };
-        self.read_records(at.now);
+        self.load_stored_state(at.now);
         match kind {
-            LEASE_MESSAGE => self.receive_lease_message(at, from, bytes, others),
+            LEASE_MESSAGE => self.receive_lease_message(at, from, bytes, live_peers),
             DIRECTIVE_MESSAGE => match frame::decode(bytes) {
                 Ok(Message::Directives(directives)) => {
-                    self.receive_directives(at.now, age, directives, others);
+                    self.receive_directives(at.now, age, directives, live_peers);
                 }
                 Ok(Message::Digest { entries, is_answer }) => {
-                    self.receive_digest(at, from, &entries, is_answer, others);
+                    self.receive_digest(at, from, &entries, is_answer, live_peers);
                 }
                 Ok(Message::Report(report)) => self.receive_report(at.now, age, from, report),
                 Err(_) => {}
@@ -35,11 +42,11 @@
     }
 
     /// Its age does not matter: a message of before a stall says nothing of leases now, and is repeated by its sender.
-    fn receive_lease_message(&mut self, at: CallTime, from: &Peer, bytes: &[u8], others: &[Rc<str>]) {
+    fn receive_lease_message(&mut self, at: CallTime, from: &Peer, bytes: &[u8], live_peers: &[Rc<str>]) {
         let Ok(message) = aldermill_leases::frame::decode(bytes) else { return };
         let from = Incarnation { name: from.name.to_string(), start: from.start };
-        let actions = self.participant.receive(at.now, at.wall, &from, &message);
-        self.carry_out(at, actions, others);
+        let actions = self.participant.receive(at.now, at.wall_clock_ms, &from, &message);
+        self.apply_actions(at, actions, live_peers);
     }
 
     fn receive_directives(
@@ -47,12 +54,12 @@
         now: Micros,
         age: Micros,
         directives: Vec<Directive>,
-        others: &[Rc<str>],
+        live_peers: &[Rc<str>],
     ) {
-        self.tell_superseded(&directives);
+        self.notify_superseded_issuers(&directives);
         let mut new = directives;
         new.retain(|directive| self.accept(now, age, directive));
-        self.forward(&new, age, others);
+        self.forward(&new, age, live_peers);
     }
 
     fn receive_digest(
@@ -61,9 +68,9 @@
         from: &Peer,
         entries: &[DigestEntry],
         is_answer: bool,
-        others: &[Rc<str>],
+        live_peers: &[Rc<str>],
     ) {
-        self.learn_terms(at, entries, others);
+        self.observe_terms(at, entries, live_peers);
         let missing = self.directives.missing_from(at.now, entries);
         if !missing.is_empty() {
             self.send_directive_messages(&from.name, frame::encode_directives(&missing));
--- a/crates/proxy/src/coordination/records.rs
+++ b/crates/proxy/src/coordination/records.rs
@@ -13,7 +13,7 @@
 use crate::persistence::DataDirectory;
 
 /// Writes that may wait for the disk at once: the confirmations that the channel holds.
-pub(super) const MOST_IN_FLIGHT: usize = 256;
+pub(super) const MAX_IN_FLIGHT: usize = 256;
 
 /// Something that is to be on the disk.
 #[derive(Clone, PartialEq)]
@@ -29,7 +29,7 @@
 /// The records, and which of them the disk has.
 pub(super) struct Records {
     directory: Rc<DataDirectory>,
-    confirmations: mpsc::Sender<bool>,
+    write_outcomes: mpsc::Sender<bool>,
     /// What was handed to the disk, the oldest first: that is the order of the confirmations.
     pub(super) in_flight: VecDeque<Record>,
     /// The highest accepted terms, by lease, that are not known to be on the disk.
@@ -50,10 +50,10 @@
 
 impl Records {
     /// Records in this data directory; the outcome of each write goes to the channel.
-    pub(super) fn start(directory: Rc<DataDirectory>, confirmations: mpsc::Sender<bool>) -> Records {
+    pub(super) fn start(directory: Rc<DataDirectory>, write_outcomes: mpsc::Sender<bool>) -> Records {
         Records {
             directory,
-            confirmations,
+            write_outcomes,
             in_flight: VecDeque::new(),
             unconfirmed_terms: BTreeMap::new(),
             is_unread: true,
@@ -75,12 +75,12 @@
             }
         }
         // One more could not be confirmed, and each confirmation counts for the oldest.
-        let is_confirmable = self.in_flight.len() < MOST_IN_FLIGHT;
-        let taken = is_confirmable && self.directory.write(batch, &self.confirmations);
-        if taken {
+        let has_capacity = self.in_flight.len() < MAX_IN_FLIGHT;
+        let is_accepted = has_capacity && self.directory.write(batch, &self.write_outcomes);
+        if is_accepted {
             self.in_flight.push_back(record.clone());
         }
-        taken
+        is_accepted
     }
 
     /// What an earlier start stored: once, as soon as the directory can be read, and nothing before.
@@ -92,17 +92,17 @@
         Some(StoredState {
             granted_terms: self.terms(namespace::GRANTED_TERMS),
             accepted_terms: self.terms(namespace::ACCEPTED_TERMS).into_iter().collect(),
-            drain_plans: self.plans(),
+            drain_plans: self.drain_plans(),
         })
     }
 
-    fn terms(&self, wanted: u32) -> Vec<(String, Term)> {
+    fn terms(&self, wanted_namespace: u32) -> Vec<(String, Term)> {
         let records = self.directory.records().into_iter().flatten();
-        let wanted = records.filter(|record| record.namespace == wanted);
-        wanted.filter_map(|record| decode_term(&record.key, &record.value)).collect()
+        let matching = records.filter(|record| record.namespace == wanted_namespace);
+        matching.filter_map(|record| decode_term(&record.key, &record.value)).collect()
     }
 
-    fn plans(&self) -> Vec<Plan> {
+    fn drain_plans(&self) -> Vec<Plan> {
         let records = self.directory.records().into_iter().flatten();
         let plans = records.filter(|record| record.namespace == namespace::SITE_DRAINS);
         plans.filter_map(|record| Plan::decode(&record.value).ok()).collect()
--- a/crates/proxy/src/coordination/split_points.rs
+++ b/crates/proxy/src/coordination/split_points.rs
@@ -11,39 +11,39 @@
 use serde_json::{Value, json};
 use slog::{Logger, info};
 
-use super::decision::{Decision, DecisionInputs, LeaseReport, WhileHeld};
+use super::decision::{Decision, DecisionInputs, LeaseReport, TermState};
 use crate::messages::ObservationSummary;
 
 /// The lease's name.
 pub const LEASE: &str = "splits";
 /// For how long a report counts, in microseconds: a proxy reports one group after the other, up to 64 of them.
-const REPORTS_COUNT_FOR: Micros = 60_000_000;
+const MAX_REPORT_AGE: Micros = 60_000_000;
 
 /// What was last logged of a range.
 #[derive(PartialEq)]
-struct Logged {
+struct LoggedRecommendation {
     state: RecommendationState,
     /// Where to split it, or why not.
     split_or_reason: String,
 }
 
 /// This proxy's part in split recommendations.
-pub struct SplitPointWork {
+pub struct SplitPointController {
     /// Where the operators have split each group.
     splits: BTreeMap<Group, Vec<String>>,
-    ranges: WhileHeld<BTreeMap<Group, RangeSet>>,
+    ranges: TermState<BTreeMap<Group, RangeSet>>,
     /// By the subject of the range.
-    logged: BTreeMap<String, Logged>,
+    logged: BTreeMap<String, LoggedRecommendation>,
     /// Proxies whose figures were left out of the last decision.
-    excluded: Vec<String>,
+    excluded_reporters: Vec<String>,
     log: Logger,
 }
 
-fn splits_of(splits: &BTreeMap<Group, Vec<String>>, group: Group) -> Vec<Vec<u8>> {
+fn split_keys(splits: &BTreeMap<Group, Vec<String>>, group: Group) -> Vec<Vec<u8>> {
     splits.get(&group).into_iter().flatten().map(|split| split.clone().into_bytes()).collect()
 }
 
-fn hex(key: &[u8]) -> String {
+fn to_hex(key: &[u8]) -> String {
     key.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
@@ -64,28 +64,28 @@
 
 /// A range as a directive's subject: the group, and the range's first key where it is not the group's first.
 fn subject(group: Group, from: &[u8]) -> String {
-    if from.is_empty() { group.to_string() } else { format!("{group}+{}", hex(from)) }
+    if from.is_empty() { group.to_string() } else { format!("{group}+{}", to_hex(from)) }
 }
 
 /// What is recommended for a range, as it stands in the directive and on the status socket. Keys are in hexadecimal, and
 /// as text. Users' programs read it: keys and texts keep their form.
-fn body(range: &RangeRecommendation, only_range: bool) -> Value {
+fn recommendation_json(range: &RangeRecommendation, is_only_range: bool) -> Value {
     let split = &range.split;
     let mut body = json!({
-        "state": state_word(split.state),
+        "state": state_name(split.state),
         "drivers": split.reporters,
         "cost_ms": split.cost.round(),
     });
     let details = if range.merge_with_previous {
         json!({"why": "it and the range before it are cold, give both to one"})
     } else {
-        describe_assessment(&split.assessment)
+        assessment_json(&split.assessment)
     };
     if let (Value::Object(body), Value::Object(details)) = (&mut body, details) {
         body.extend(details);
     }
-    if !only_range {
-        body["from"] = json!(hex(&range.from));
+    if !is_only_range {
+        body["from"] = json!(to_hex(&range.from));
         body["from_text"] = json!(key_text(&range.from));
         body["share"] = json!(rounded(range.share));
         body["share_within"] = json!(rounded(range.margin));
@@ -93,7 +93,7 @@
     body
 }
 
-fn state_word(state: RecommendationState) -> &'static str {
+fn state_name(state: RecommendationState) -> &'static str {
     match state {
         RecommendationState::Observing => "seen",
         RecommendationState::Proposed => "proposed",
@@ -101,7 +101,7 @@
     }
 }
 
-fn describe_assessment(assessment: &SplitAssessment) -> Value {
+fn assessment_json(assessment: &SplitAssessment) -> Value {
     match assessment {
         SplitAssessment::Balanced => json!({"why": "none too large among its group's ranges"}),
         SplitAssessment::Unknown => json!({"why": "too little was seen"}),
@@ -121,13 +121,13 @@
             "from": key_text(from),
         }),
         SplitAssessment::Pending => json!({"why": "it has not held for long enough"}),
-        SplitAssessment::Split(split) => describe_split(split),
+        SplitAssessment::Split(split) => split_json(split),
     }
 }
 
-fn describe_split(split: &SplitPoint) -> Value {
+fn split_json(split: &SplitPoint) -> Value {
     json!({
-        "at": hex(&split.key),
+        "at": to_hex(&split.key),
         "at_text": key_text(&split.key),
         "left": rounded(split.left_share),
         "within": rounded(split.margin),
@@ -145,7 +145,7 @@
 /// The newest summaries of all proxies, combined by group; those that can't be read are left out.
 fn recent_distributions(now: Micros, reports: &Reports) -> BTreeMap<Group, KeyDistribution> {
     let mut summaries: BTreeMap<Group, BTreeMap<String, KeySummary>> = BTreeMap::new();
-    for report in reports.recent(now, REPORTS_COUNT_FOR, LEASE) {
+    for report in reports.recent(now, MAX_REPORT_AGE, LEASE) {
         if let Ok(group) = report.subject.parse()
             && let Ok(summary) = KeySummary::decode(report.body)
         {
@@ -155,14 +155,14 @@
     summaries.into_iter().map(|(group, of_group)| (group, KeyDistribution::combine(&of_group))).collect()
 }
 
-impl SplitPointWork {
+impl SplitPointController {
     /// The part of a proxy, with the splits that the operators have made.
-    pub fn start(splits: BTreeMap<Group, Vec<String>>, log: Logger) -> SplitPointWork {
-        SplitPointWork {
+    pub fn start(splits: BTreeMap<Group, Vec<String>>, log: Logger) -> SplitPointController {
+        SplitPointController {
             splits,
-            ranges: WhileHeld::none(),
+            ranges: TermState::not_held(),
             logged: BTreeMap::new(),
-            excluded: Vec::new(),
+            excluded_reporters: Vec::new(),
             log,
         }
     }
@@ -171,41 +171,41 @@
     pub fn reconfigure(&mut self, now: Micros, splits: &BTreeMap<Group, Vec<String>>) {
         self.splits.clone_from(splits);
         for (group, ranges) in self.ranges.get_mut().into_iter().flatten() {
-            ranges.set_splits(now, &splits_of(splits, *group), |_| None);
+            ranges.set_splits(now, &split_keys(splits, *group), |_| None);
         }
     }
 
     /// What is to be reported of what was observed, by group.
-    pub(super) fn report(&self, observed: &ObservationSummary) -> Vec<LeaseReport> {
+    pub(super) fn build_report(&self, observations: &ObservationSummary) -> Vec<LeaseReport> {
         let report = |(group, summary): &(u64, Vec<u8>)| LeaseReport {
             topic: Topic::new(LEASE, &group.to_string()),
             body: summary.clone(),
         };
-        observed.keys.iter().map(report).collect()
+        observations.keys.iter().map(report).collect()
     }
 
     /// Once a second: what is recommended, while this proxy holds the lease.
     pub(super) fn decide(&mut self, inputs: &DecisionInputs<'_>) -> Vec<Decision> {
         let now = inputs.at.now;
-        let Some(groups) = self.ranges.under(inputs.term, BTreeMap::new) else { return Vec::new() };
+        let Some(groups) = self.ranges.for_term(inputs.term, BTreeMap::new) else { return Vec::new() };
         let distributions = recent_distributions(now, inputs.reports);
         for group in distributions.keys() {
             groups.entry(*group).or_insert_with(|| {
                 let proposed = |from: &[u8]| proposed_split(inputs.directives, now, &subject(*group, from));
-                RangeSet::new(now, &splits_of(&self.splits, *group), proposed)
+                RangeSet::new(now, &split_keys(&self.splits, *group), proposed)
             });
         }
         let average_cost = average_range_cost(groups, &distributions);
         let mut decisions = Vec::new();
-        self.excluded.clear();
+        self.excluded_reporters.clear();
         for (group, distribution) in distributions {
             let Some(ranges) = groups.get_mut(&group) else { continue };
-            self.excluded.extend(distribution.excluded.iter().cloned());
-            let recommendations = ranges.advise(now, &distribution, inputs.living.len(), average_cost);
+            self.excluded_reporters.extend(distribution.excluded.iter().cloned());
+            let recommendations = ranges.advise(now, &distribution, inputs.live_proxies.len(), average_cost);
             for range in &recommendations {
                 let subject = subject(group, &range.from);
-                let body = body(range, recommendations.len() == 1);
-                log_changed(&mut self.logged, &self.log, &subject, range.split.state, &body);
+                let body = recommendation_json(range, recommendations.len() == 1);
+                log_if_changed(&mut self.logged, &self.log, &subject, range.split.state, &body);
                 decisions.push(Decision { subject, body: body.to_string().into_bytes() });
             }
         }
@@ -213,8 +213,8 @@
     }
 
     /// Proxies whose figures were left out of the last decision.
-    pub fn set_aside(&self) -> &[String] {
-        &self.excluded
+    pub fn excluded_reporters(&self) -> &[String] {
+        &self.excluded_reporters
     }
 }
 
@@ -228,15 +228,15 @@
 }
 
 /// Logs a recommendation that is not what was last logged of its range.
-fn log_changed(
-    logged: &mut BTreeMap<String, Logged>,
+fn log_if_changed(
+    logged: &mut BTreeMap<String, LoggedRecommendation>,
     log: &Logger,
     subject: &str,
     state: RecommendationState,
     body: &Value,
 ) {
     let split_or_reason = body["at_text"].as_str().or(body["why"].as_str()).unwrap_or_default().to_owned();
-    let latest = Logged { state, split_or_reason };
+    let latest = LoggedRecommendation { state, split_or_reason };
     if logged.get(subject) != Some(&latest) {
         info!(log, "split recommendation"; "says" => body.to_string(), "range" => subject);
         logged.insert(subject.to_owned(), latest);
--- a/crates/proxy/src/coordination/describe.rs
+++ b/crates/proxy/src/coordination/status.rs
@@ -9,17 +9,17 @@
 
 impl Coordination {
     /// What is known here, for the status socket.
-    pub fn describe(&self, now: Micros) -> Value {
-        let leases = self.leases.iter().map(|lease| self.describe_lease(now, lease));
+    pub fn status_json(&self, now: Micros) -> Value {
+        let leases = self.leases.iter().map(|lease| self.lease_json(now, lease));
         json!({"votes": self.participant.is_voter(),
-            "zones": self.work.describe_zone_failover(),
-            "retire": self.work.describe_site_drain(),
-            "aside": self.work.set_aside(),
+            "zones": self.controllers.zone_failover_json(),
+            "retire": self.controllers.site_drain_json(),
+            "aside": self.controllers.excluded_reporters(),
             "duties": leases.collect::<Vec<_>>(),
-            "decrees": self.directives.all_in_force(now).map(describe_directive).collect::<Vec<_>>()})
+            "decrees": self.directives.all_in_force(now).map(directive_json).collect::<Vec<_>>()})
     }
 
-    fn describe_lease(&self, now: Micros, lease: &str) -> Value {
+    fn lease_json(&self, now: Micros, lease: &str) -> Value {
         let holder = self.directives.holder(now, lease);
         let reports = self.reports.recent(now, DIRECTIVE_LIFETIME, lease);
         let reporting: BTreeSet<&str> = reports.map(|report| report.reporter).collect();
@@ -29,7 +29,7 @@
     }
 }
 
-fn describe_directive(directive: Directive) -> Value {
+fn directive_json(directive: Directive) -> Value {
     json!({"duty": directive.topic.lease, "subject": directive.topic.subject,
         "term": directive.version.term, "number": directive.version.number, "by": directive.issuer,
         "left_ms": directive.remaining / 1000, "says": String::from_utf8_lossy(&directive.body)})
--- a/crates/proxy/src/coordination/superseded.rs
+++ b/crates/proxy/src/coordination/superseded.rs
@@ -10,38 +10,40 @@
 use aldermill_directives::{DigestEntry, Directive, Topic, Version};
 
 use super::Coordination;
-use super::call::CallTime;
+use super::interface::CallTime;
 
 /// The digest that a superseded lease holder is sent.
-struct Notice {
+struct TermNotice {
     to: String,
     entry: DigestEntry,
 }
 
 impl Coordination {
     /// Tells the issuers of refused directives the highest term of their lease, each lease once.
-    pub(super) fn tell_superseded(&mut self, directives: &[Directive]) {
-        let mut notices: Vec<Notice> = Vec::new();
-        for directive in directives.iter().filter(|directive| directive.issuer != self.own.name) {
+    pub(super) fn notify_superseded_issuers(&mut self, directives: &[Directive]) {
+        let mut notices: Vec<TermNotice> = Vec::new();
+        for directive in directives.iter().filter(|directive| directive.issuer != self.incarnation.name) {
             let topic = Topic::new(&directive.topic.lease, "");
             let highest = self.directives.highest_term(&topic.lease);
-            let is_same = |notice: &Notice| notice.to == directive.issuer && notice.entry.topic == topic;
+            let is_same = |notice: &TermNotice| notice.to == directive.issuer && notice.entry.topic == topic;
             if directive.version.term < highest && !notices.iter().any(is_same) {
                 let version = Version { term: highest, number: 0 };
-                notices.push(Notice { to: directive.issuer.clone(), entry: DigestEntry { topic, version } });
+                notices
+                    .push(TermNotice { to: directive.issuer.clone(), entry: DigestEntry { topic, version } });
             }
         }
-        for Notice { to, entry } in notices {
+        for TermNotice { to, entry } in notices {
             self.send_directive_messages(&to, frame::encode_digest(&[entry], true));
         }
     }
 
     /// Takes the terms that another proxy's digest shows.
-    pub(super) fn learn_terms(&mut self, at: CallTime, entries: &[DigestEntry], others: &[Rc<str>]) {
+    pub(super) fn observe_terms(&mut self, at: CallTime, entries: &[DigestEntry], live_peers: &[Rc<str>]) {
         for DigestEntry { topic, version } in entries {
             if self.leases.contains(&topic.lease) {
-                let actions = self.participant.observe_term(at.now, at.wall, &topic.lease, version.term);
-                self.carry_out(at, actions, others);
+                let actions =
+                    self.participant.observe_term(at.now, at.wall_clock_ms, &topic.lease, version.term);
+                self.apply_actions(at, actions, live_peers);
             }
         }
     }
--- a/crates/proxy/src/coordination/zone_failover.rs
+++ b/crates/proxy/src/coordination/zone_failover.rs
@@ -13,14 +13,14 @@
 use serde_json::{Value, json};
 use slog::{Logger, info};
 
-use super::decision::{Decision, DecisionInputs, LeaseReport, WhileHeld};
+use super::decision::{Decision, DecisionInputs, LeaseReport, TermState};
 use crate::messages::ObservationSummary;
 
 /// The lease's name.
 pub const LEASE: &str = "zones";
 /// For how long a report counts, in microseconds: a proxy reports every second, in up to three parts, and two reports may
 /// be lost on their way.
-const REPORTS_COUNT_FOR: Micros = 4_000_000;
+const MAX_REPORT_AGE: Micros = 4_000_000;
 
 /// A directive's subject: `GROUP.ZONE`, each in decimal.
 fn subject(group: Group, zone: Zone) -> String {
@@ -28,63 +28,68 @@
 }
 
 /// `None` for a subject or body that this version can't read.
-fn read_directive(subject: &str, body: &[u8]) -> Option<ZoneDirective> {
+fn decode_directive(subject: &str, body: &[u8]) -> Option<ZoneDirective> {
     let (group, zone) = subject.split_once('.')?;
     let shift = TrafficShift::decode(body).ok()?;
     Some(ZoneDirective { group: group.parse().ok()?, zone: zone.parse().ok()?, shift })
 }
 
 /// All directives in force under the lease that can be read.
-fn in_force(directives: &DirectiveStore, now: Micros) -> impl Iterator<Item = ZoneDirective> {
-    directives.in_force_under(now, LEASE).filter_map(|(subject, body)| read_directive(subject, body))
+fn directives_in_force(directives: &DirectiveStore, now: Micros) -> impl Iterator<Item = ZoneDirective> {
+    directives.in_force_under(now, LEASE).filter_map(|(subject, body)| decode_directive(subject, body))
 }
 
 /// What the lease holder keeps for as long as it holds the lease.
-struct Holder {
+struct HolderState {
     evidence: Evidence,
     planner: FailoverPlanner,
 }
 
-impl Holder {
+impl HolderState {
     /// Continues what an earlier lease holder directed.
-    fn start(now: Micros, directives: &DirectiveStore) -> Holder {
+    fn start(now: Micros, directives: &DirectiveStore) -> HolderState {
         let mut planner = FailoverPlanner::default();
-        for directive in in_force(directives, now) {
+        for directive in directives_in_force(directives, now) {
             planner.resume(now, &directive);
         }
-        Holder { evidence: Evidence::default(), planner }
+        HolderState { evidence: Evidence::default(), planner }
     }
 }
 
 /// This proxy's part in failover between zones.
-pub struct ZoneFailoverWork {
+pub struct ZoneFailoverController {
     own_zone: Zone,
-    holder: WhileHeld<Holder>,
+    holder: TermState<HolderState>,
     /// The directives that the dispatcher was last given.
-    obeyed: Vec<ZoneDirective>,
+    applied_directives: Vec<ZoneDirective>,
     log: Logger,
 }
 
-impl ZoneFailoverWork {
+impl ZoneFailoverController {
     /// The part of a proxy in this zone.
-    pub fn start(own_zone: Zone, log: Logger) -> ZoneFailoverWork {
-        ZoneFailoverWork { own_zone, holder: WhileHeld::none(), obeyed: Vec::new(), log }
+    pub fn start(own_zone: Zone, log: Logger) -> ZoneFailoverController {
+        ZoneFailoverController {
+            own_zone,
+            holder: TermState::not_held(),
+            applied_directives: Vec::new(),
+            log,
+        }
     }
 
     /// What is to be reported of what was observed, in parts that fit into a datagram each.
-    pub(super) fn report(&self, observed: ObservationSummary) -> Vec<LeaseReport> {
+    pub(super) fn build_report(&self, observations: ObservationSummary) -> Vec<LeaseReport> {
         let part = |(index, rows): (usize, &[_])| {
-            let report = ZoneReport { zone: self.own_zone, span: observed.span, rows: rows.to_vec() };
+            let report = ZoneReport { zone: self.own_zone, span: observations.span, rows: rows.to_vec() };
             LeaseReport { topic: Topic::new(LEASE, &index.to_string()), body: report.encode() }
         };
-        observed.rows.chunks(MAX_ROWS).enumerate().map(part).collect()
+        observations.rows.chunks(MAX_ROWS).enumerate().map(part).collect()
     }
 
     /// Once a second: what is decided, while this proxy holds the lease.
     pub(super) fn decide(&mut self, inputs: &DecisionInputs<'_>) -> Vec<Decision> {
         let now = inputs.at.now;
-        let begin = || Holder::start(now, inputs.directives);
-        let Some(Holder { evidence, planner }) = self.holder.under(inputs.term, begin) else {
+        let init = || HolderState::start(now, inputs.directives);
+        let Some(HolderState { evidence, planner }) = self.holder.for_term(inputs.term, init) else {
             return Vec::new();
         };
         evidence.evaluate(&recent_reports(now, inputs.reports));
@@ -100,19 +105,23 @@
     }
 
     /// The directives for this proxy's own zone that shift reads, if they have changed since this was last asked.
-    pub fn obey(&mut self, now: Micros, directives: &DirectiveStore) -> Option<Vec<ZoneDirective>> {
-        let shifts_own =
+    pub fn take_changed_directives(
+        &mut self,
+        now: Micros,
+        directives: &DirectiveStore,
+    ) -> Option<Vec<ZoneDirective>> {
+        let shifts_own_reads =
             |directive: &ZoneDirective| directive.zone == self.own_zone && directive.shift.shifted_share > 0;
-        let own: Vec<ZoneDirective> = in_force(directives, now).filter(shifts_own).collect();
-        if own == self.obeyed {
+        let own: Vec<ZoneDirective> = directives_in_force(directives, now).filter(shifts_own_reads).collect();
+        if own == self.applied_directives {
             return None;
         }
-        self.log_own_zone(&own);
-        self.obeyed = own;
-        Some(self.obeyed.clone())
+        self.log_own_directives(&own);
+        self.applied_directives = own;
+        Some(self.applied_directives.clone())
     }
 
-    fn log_own_zone(&self, own: &[ZoneDirective]) {
+    fn log_own_directives(&self, own: &[ZoneDirective]) {
         for ZoneDirective { group, shift, .. } in own {
             info!(self.log, "zone failover: own zone";
                 "away" => shift.shifted_share, "level" => ?shift.level, "group" => group);
@@ -123,16 +132,16 @@
     }
 
     /// What the lease holder concludes from all reports, for the status socket.
-    pub fn describe(&self) -> Value {
-        let Some(Holder { evidence, planner }) = self.holder.get() else { return Value::Null };
+    pub fn status_json(&self) -> Value {
+        let Some(HolderState { evidence, planner }) = self.holder.get() else { return Value::Null };
         let views = evidence.views().iter();
-        let views = views.map(|(&key, view)| describe_view(key, view, planner.level(key)));
+        let views = views.map(|(&key, view)| view_json(key, view, planner.level(key)));
         json!({"views": views.collect::<Vec<_>>(), "ill": evidence.unhealthy_reporters()})
     }
 }
 
 /// Keys and words are read by users' programs; they keep their form whatever the fields are called here.
-fn describe_view(key: GroupZone, view: &ZoneView, level: Option<FailoverLevel>) -> Value {
+fn view_json(key: GroupZone, view: &ZoneView, level: Option<FailoverLevel>) -> Value {
     json!({
         "group": key.group,
         "zone": key.zone,
@@ -149,7 +158,7 @@
 /// By the reporter's name; reports that can't be read are left out.
 fn recent_reports(now: Micros, reports: &Reports) -> BTreeMap<String, Vec<ZoneReport>> {
     let mut by_reporter: BTreeMap<String, Vec<ZoneReport>> = BTreeMap::new();
-    for report in reports.recent(now, REPORTS_COUNT_FOR, LEASE) {
+    for report in reports.recent(now, MAX_REPORT_AGE, LEASE) {
         if let Ok(part) = ZoneReport::decode(report.body) {
             by_reporter.entry(report.reporter.to_owned()).or_default().push(part);
         }
--- a/crates/proxy/src/membership/actor.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -95,7 +95,7 @@
     pub fn restored_drain_plans(&mut self) -> Vec<Plan> {
         let now = self.context.clock.now();
         let link = self.coordination.as_mut();
-        link.and_then(|link| link.coordination.drain_plans(now)).unwrap_or_default()
+        link.and_then(|link| link.coordination.take_changed_drain_plans(now)).unwrap_or_default()
     }
 
     /// Runs until the program shuts down; then releases the leases and tells the others that this proxy leaves.
@@ -140,7 +140,7 @@
             }
             CoordinationEvent::WriteFinished { succeeded } => {
                 self.coordinate(|coordination, at, others| {
-                    coordination.write_confirmed(at, succeeded, others);
+                    coordination.write_finished(at, succeeded, others);
                 });
             }
             CoordinationEvent::Due => {
@@ -205,8 +205,8 @@
         if !link.take_exchange_due(now) {
             return;
         }
-        let zone_directives = link.coordination.zone_directives(now);
-        let drain_plans = link.coordination.drain_plans(now);
+        let zone_directives = link.coordination.take_changed_zone_directives(now);
+        let drain_plans = link.coordination.take_changed_drain_plans(now);
         let (reply, observations) = oneshot::channel();
         // A dispatcher that is gone ends the program by itself.
         let dispatcher = &self.context.dispatcher;
@@ -218,7 +218,7 @@
             let _ = dispatcher.send(DispatcherMessage::SiteDrainPlans(plans)).await;
         }
         if let Ok(observations) = observations.await {
-            link.coordination.observed(observations);
+            link.coordination.report_observations(observations);
         }
     }
 
@@ -245,7 +245,7 @@
             if let (Change::Down(gone) | Change::Restarted(gone), Some(link)) =
                 (&change, &mut self.coordination)
             {
-                link.coordination.peer_gone(self.context.clock.now(), &gone.name);
+                link.coordination.peer_lost(self.context.clock.now(), &gone.name);
             }
             if let Change::Renumbered(local) = &change {
                 let start = local.start;
@@ -297,7 +297,7 @@
             local: self.membership.local(),
             snapshot: self.membership.snapshot(self.context.unstalled_clock.now()),
             quota_divisor: self.announced_sizes.quota_divisor,
-            coordination: link.map(|link| link.coordination.describe(self.context.clock.now())),
+            coordination: link.map(|link| link.coordination.status_json(self.context.clock.now())),
             at_ms: self.context.clock.wall() / 1000,
             dropped: self.membership.dropped(),
             sent: self.sent,
--- a/crates/proxy/src/membership/coordination_link.rs
+++ b/crates/proxy/src/membership/coordination_link.rs
@@ -86,5 +86,5 @@
 /// it and never steps.
 pub(super) fn call_time(context: &ProcessContext) -> CallTime {
     let now = context.clock.now();
-    CallTime { now, wall: (now / 1000).max(1) as u64 }
+    CallTime { now, wall_clock_ms: (now / 1000).max(1) as u64 }
 }
--- a/crates/proxy/src/membership/start.rs
+++ b/crates/proxy/src/membership/start.rs
@@ -117,7 +117,7 @@
 ) -> Result<CoordinationLink, ProgramError> {
     let parts = CoordinationParts {
         config: start.config,
-        own: Incarnation { name: local.name.clone(), start: local.start },
+        incarnation: Incarnation { name: local.name.clone(), start: local.start },
         directory: start.directory,
         zone: start.zone,
         longest_timeout: start.longest_timeout,
