--- a/crates/proxy/src/cli/check.rs
+++ b/crates/proxy/src/cli/check.rs
@@ -1,15 +1,15 @@
-//! `aldermill check`: reads the configuration as `serve` would, and prints a summary.
+//! `aldermill check`: reads the configuration as `serve` does, and prints a summary.
 
 use crate::lifecycle::configuration::{self, Configuration, ConfigurationFiles};
 use crate::lifecycle::errors::ProgramError;
 
 const BYTES_PER_KIB: u64 = 1024;
 
-/// Prints what the configuration amounts to.
+/// Reads the configuration and prints a summary of it.
 ///
 /// # Errors
 ///
-/// A file cannot be read, or its content cannot be used.
+/// Returns an error if a file cannot be read, or if its content cannot be used.
 pub fn run(files: &ConfigurationFiles) -> Result<(), ProgramError> {
     print_summary(&Configuration::read(files, configuration::environment)?);
     Ok(())
--- a/crates/proxy/src/cli/mod.rs
+++ b/crates/proxy/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: its types, and one file for each subcommand.
+//! Command line arguments, and one module for each subcommand.
 
 mod check;
 mod peers;
@@ -99,11 +99,11 @@
 }
 
 impl Command {
-    /// Runs the subcommand to its end.
+    /// Runs the subcommand until it ends.
     ///
     /// # Errors
     ///
-    /// What went wrong; the program prints it and exits with code 1.
+    /// Returns the reason why the subcommand failed. The caller prints it and exits with code 1.
     pub fn execute(self) -> Result<(), ProgramError> {
         match self {
             Command::Serve { files } => serve::run(files.into()),
--- a/crates/proxy/src/cli/peers.rs
+++ b/crates/proxy/src/cli/peers.rs
@@ -1,15 +1,15 @@
-//! `aldermill peers`: the peers that a running proxy knows, as a table or as JSON.
+//! `aldermill peers`: prints the peers that a running proxy knows, as a table or as JSON.
 
 use serde_json::Value;
 
 use crate::cli::status;
 use crate::lifecycle::errors::ProgramError;
 
-/// Prints what the proxy behind the status socket knows of its peers.
+/// Prints the peers that the proxy at the status socket knows.
 ///
 /// # Errors
 ///
-/// No proxy listens at that socket, or its answer is not in the expected form.
+/// Returns an error if no proxy listens at the socket, or if its answer is not valid JSON.
 pub fn run(socket: &str, as_json: bool) -> Result<(), ProgramError> {
     let text = status::query(socket)?;
     if as_json {
@@ -22,7 +22,7 @@
     Ok(())
 }
 
-/// One line on the proxy's own view of the fleet.
+/// Returns one line on the proxy's own view of the fleet.
 fn summary_line(status: &Value) -> String {
     let view = &status["view"];
     format!(
@@ -35,7 +35,7 @@
     )
 }
 
-/// One line for each peer.
+/// Returns one line for each peer.
 fn peer_table(status: &Value) -> String {
     let peers = status["fellows"].as_array().into_iter().flatten();
     peers.map(peer_line).collect()
--- a/crates/proxy/src/cli/schema.rs
+++ b/crates/proxy/src/cli/schema.rs
@@ -1,4 +1,4 @@
-//! `aldermill schema`.
+//! `aldermill schema`: prints the JSON schema of the operator's file.
 
 use aldermill_operator_config::Operator;
 
--- a/crates/proxy/src/cli/serve.rs
+++ b/crates/proxy/src/cli/serve.rs
@@ -1,4 +1,4 @@
-//! `aldermill serve`: the proxy itself, on one thread.
+//! `aldermill serve`: runs the proxy on a single-threaded runtime.
 
 use tokio::runtime;
 use tokio::task::LocalSet;
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 ///
-/// The proxy could not start, or one of its actors ended unexpectedly.
+/// Returns an error if the proxy cannot start, or if one of its actors ends unexpectedly.
 pub fn run(files: ConfigurationFiles) -> Result<(), ProgramError> {
     let runtime =
         runtime::Builder::new_current_thread().enable_all().build().map_err(ProgramError::Runtime)?;
@@ -20,7 +20,7 @@
 }
 
 async fn serve(files: ConfigurationFiles) -> Result<(), ProgramError> {
-    // Before anything else: a signal that comes during the start takes effect after it.
+    // Installed before anything else, so that a signal that arrives during the start takes effect after it.
     let signals = Signals::install()?;
     let configuration = Configuration::read(&files, configuration::environment)?;
     let startup = Startup::open(configuration)?;
--- a/crates/proxy/src/cli/status.rs
+++ b/crates/proxy/src/cli/status.rs
@@ -1,15 +1,15 @@
-//! The client side of the status sockets: asks a running proxy for its state.
+//! Client of the status sockets, which queries a running proxy for its state.
 
 use std::io::Read;
 use std::os::unix::net::UnixStream;
 
 use crate::lifecycle::errors::ProgramError;
 
-/// Reads the JSON object that the proxy behind the status socket at `path` gives.
+/// Reads the JSON object from the status socket at `path`.
 ///
 /// # Errors
 ///
-/// No proxy listens there, or the connection broke.
+/// Returns an error if no proxy listens at the socket, or if the connection fails.
 pub fn query(path: &str) -> Result<String, ProgramError> {
     let failed = |source| ProgramError::StatusSocket { path: path.to_owned(), source };
     let mut stream = UnixStream::connect(path).map_err(failed)?;
--- a/crates/proxy/src/cli/store.rs
+++ b/crates/proxy/src/cli/store.rs
@@ -8,7 +8,7 @@
 ///
 /// # Errors
 ///
-/// The directory cannot be read, or `check` found damaged records.
+/// Returns an error if the directory cannot be read or written, or if `check` finds damaged records.
 pub fn run(command: &StoreCommand) -> Result<(), ProgramError> {
     match command {
         StoreCommand::Check { folder } => check(folder),
