--- a/crates/proxy/src/coordination/durability.rs
+++ b/crates/proxy/src/coordination/durability.rs
@@ -1,7 +1,8 @@
-//! How coordination stores what a restart must not forget.
+//! Persistence of the state of coordination that must survive a restart.
 //!
-//! Nothing that a restart could forget is sent before it is on the disk. What the data directory did not take is handed over
-//! again as long as it is needed; before the directory could be read, no vote is cast.
+//! Votes and reports on followed plans are sent only once the state that they depend on is on disk. Accepted terms
+//! and drain plans that the data directory did not take are written again for as long as they are needed. No vote is
+//! cast before the directory has been read.
 
 use std::rc::Rc;
 
@@ -14,7 +15,7 @@
 use super::records::Record;
 
 impl Coordination {
-    /// No vote is cast before the data directory is read, which may be at once.
+    /// Withholds votes until the data directory has been read, which may already be the case.
     pub(super) fn withhold_votes_until_read(&mut self, now: Micros) {
         if self.records.is_some() {
             self.participant.withhold_votes();
@@ -22,13 +23,14 @@
         }
     }
 
-    /// Takes in what an earlier start stored, once the data directory can be read.
+    /// Restores the state that an earlier run stored, once the data directory can be read. Does nothing before that,
+    /// or if the state has been restored.
     pub(super) fn load_stored_state(&mut self, now: Micros) {
         let Some(records) = &mut self.records else { return };
         let Some(stored) = records.take_stored() else { return };
         self.participant.restore(stored.granted_terms);
         let accepted = stored.accepted_terms;
-        // What was accepted meanwhile must not replace a higher term.
+        // A term that was accepted in the meantime must not replace a higher stored one.
         let is_higher =
             |lease: &String, term: &mut Term| accepted.get(lease).is_none_or(|stored| stored < term);
         records.unconfirmed_terms.retain(is_higher);
@@ -40,7 +42,7 @@
         }
     }
 
-    /// Hands a record to the disk, where there is a data directory.
+    /// Writes a record to the data directory, if there is one.
     pub(super) fn persist(&mut self, record: Record) {
         let Some(records) = &mut self.records else { return };
         if let Record::Accepted { lease, term } = &record {
@@ -52,7 +54,7 @@
         }
     }
 
-    /// Hands over again what the data directory did not take.
+    /// Writes again the accepted terms that are neither confirmed nor in flight.
     pub(super) fn persist_unconfirmed_terms(&mut self) {
         let Some(records) = &mut self.records else { return };
         for (lease, term) in records.unconfirmed_terms.clone() {
@@ -63,7 +65,7 @@
         }
     }
 
-    /// The oldest write in flight is on the disk, or failed.
+    /// Handles the outcome of the oldest write in flight: `succeeded` is whether it is on disk.
     pub fn write_finished(&mut self, at: CallTime, succeeded: bool, live_peers: &[Rc<str>]) {
         self.load_stored_state(at.now);
         let Some(records) = &mut self.records else { return };
@@ -87,13 +89,14 @@
         }
     }
 
+    /// Handles a record that the data directory did not take or that could not be written.
     fn not_persisted(&mut self, record: Record) {
         match record {
             Record::Granted { lease, term } => {
                 warn!(self.log, "lease term not persisted, vote withheld"; "lease" => lease, "term" => term);
                 self.participant.not_persisted();
             }
-            // Handed over again with the next decisions.
+            // Written again by `persist_unconfirmed_terms` once per decision interval.
             Record::Accepted { .. } => {}
             Record::Drain(plan) => {
                 if let Some(site_drain) = &mut self.controllers.site_drain {
--- a/crates/proxy/src/coordination/interface.rs
+++ b/crates/proxy/src/coordination/interface.rs
@@ -1,23 +1,24 @@
-//! What a call to coordination brings, and what it leaves to be sent.
+//! Types and constants shared with the callers of coordination: the time of a call, datagrams, and the decision
+//! interval.
 
 use aldermill_directives::Micros;
 
-/// How often a lease holder decides, and each proxy looks at the directives in force.
+/// Interval at which lease holders make decisions and each proxy applies the directives in force, in microseconds.
 pub const DECISION_INTERVAL: Micros = 1_000_000;
 
-/// When a call is made.
+/// Time of a call to coordination, by two clocks.
 #[derive(Clone, Copy)]
 pub struct CallTime {
-    /// By the clock that counts stalls, in microseconds.
+    /// Time in microseconds, by the clock that also advances while the process is stalled.
     pub now: Micros,
-    /// The Unix time in milliseconds, by the wall clock of the start and the monotonic clock since.
+    /// Unix time in milliseconds, read from the wall clock at the start and advanced by the monotonic clock since.
     pub wall_clock_ms: u64,
 }
 
-/// A message for another proxy.
+/// A message to send to another proxy.
 pub struct Datagram {
-    /// The other proxy's name.
+    /// Name of the receiving proxy.
     pub to: String,
-    /// What its [`super::Coordination::receive`] takes.
+    /// Encoded message, which the receiver passes to [`super::Coordination::receive`].
     pub payload: Vec<u8>,
 }
--- a/crates/proxy/src/coordination/issuing.rs
+++ b/crates/proxy/src/coordination/issuing.rs
@@ -1,4 +1,5 @@
-//! Directives that this proxy issues under the leases that it holds, and what it hands to its own dispatcher.
+//! Directives that this proxy issues as a lease holder, and the directives and observations that it exchanges with
+//! its own dispatcher.
 
 use std::rc::Rc;
 
@@ -15,7 +16,8 @@
 use crate::messages::ObservationSummary;
 
 impl Coordination {
-    /// Tells all others which leases this proxy holds; whether it does is asked before each.
+    /// Announces each lease that this proxy holds by a directive with an empty subject. The lease is checked
+    /// immediately before each directive.
     pub(super) fn announce_held_leases(&mut self, now: Micros, live_peers: &[Rc<str>]) {
         let mut issued = Vec::new();
         for lease in &self.leases {
@@ -38,12 +40,12 @@
         self.forward(&issued, 0, live_peers);
     }
 
-    /// Decides what there is to decide under the leases that this proxy holds, and issues it.
+    /// Makes the decisions under the leases that this proxy holds, and issues them as directives.
     pub(super) fn decide(&mut self, at: CallTime, live_peers: &[Rc<str>]) {
         let mut issued = Vec::new();
         for LeaseDecisions { lease, term, decisions } in self.collect_decisions(at, live_peers) {
             for Decision { subject, body } in decisions {
-                // The lease is looked at before each act.
+                // The lease is checked immediately before each directive, as it may have ended meanwhile.
                 let Some(term) = term.filter(|_| self.participant.may_act(at.now, lease) == term) else {
                     continue;
                 };
@@ -74,19 +76,21 @@
         })
     }
 
-    /// What this proxy's dispatcher observed, to be reported.
+    /// Queues reports on what this proxy's dispatcher observed.
     pub fn report_observations(&mut self, observations: ObservationSummary) {
         for LeaseReport { topic, body } in self.controllers.build_reports(observations) {
             self.reporter.put(topic, body);
         }
     }
 
-    /// The directives that shift reads of this proxy's own zone, if they have changed.
+    /// Returns the directives that shift reads away from this proxy's own zone, or `None` if they have not changed
+    /// since the last call.
     pub fn take_changed_zone_directives(&mut self, now: Micros) -> Option<Vec<ZoneDirective>> {
         self.controllers.take_changed_zone_directives(now, &self.directives)
     }
 
-    /// The plans of the sites that drain, as this proxy is to act by them, if that has changed.
+    /// Returns the plans of draining sites that this proxy has to act by, or `None` if they have not changed since
+    /// the last call or the lease `retire` is not configured. Also writes new plans to the data directory.
     pub fn take_changed_drain_plans(&mut self, now: Micros) -> Option<Vec<Plan>> {
         let controller = self.controllers.site_drain.as_mut()?;
         let changes = controller.follow(now, &self.directives);
@@ -96,7 +100,7 @@
         changes.effective
     }
 
-    /// The operator's file was read again.
+    /// Applies the section `coordination` after the operator's file was read again.
     pub fn reconfigure(&mut self, now: Micros, config: &CoordinationConfig) {
         self.controllers.reconfigure(now, config);
     }
--- a/crates/proxy/src/coordination/lease_controllers.rs
+++ b/crates/proxy/src/coordination/lease_controllers.rs
@@ -1,5 +1,5 @@
-//! What this proxy does under each lease of the fleet: what it reports, what it decides while it holds the lease, and what
-//! it obeys.
+//! The controllers of all leases: each builds this proxy's reports, makes decisions while this proxy holds the lease,
+//! and follows the directives in force.
 
 use aldermill_directives::{DirectiveStore, Micros};
 use aldermill_operator_config::CoordinationConfig;
@@ -13,29 +13,32 @@
 use super::zone_failover::{self, ZoneFailoverController};
 use crate::messages::ObservationSummary;
 
-/// What the work under leases starts with.
+/// Parameters that the controllers start with.
 pub(super) struct LeaseControllerSetup<'a> {
+    /// Time of the start, in microseconds.
     pub(super) now: Micros,
-    /// The operator's section `coordination`.
+    /// The section `coordination` of the operator's file.
     pub(super) config: &'a CoordinationConfig,
-    /// This proxy's zone.
+    /// Zone of this proxy, as an index into the list of zones in the settings.
     pub(super) zone: usize,
-    /// The longest timeout of all request classes, in microseconds.
+    /// Longest timeout of all request classes, in microseconds.
     pub(super) longest_timeout: Micros,
     /// Whether there is a data directory.
     pub(super) is_durable: bool,
+    /// Logger that each controller clones.
     pub(super) log: &'a Logger,
 }
 
-/// What this proxy does under each lease. `None` where the operator's file does not name the lease.
+/// The controller of each lease; `None` if the operator's file does not name the lease.
 pub(super) struct LeaseControllers {
     zone_failover: Option<ZoneFailoverController>,
     split_points: Option<SplitPointController>,
+    /// Controller of the lease `retire`.
     pub(super) site_drain: Option<SiteDrainController>,
 }
 
 impl LeaseControllers {
-    /// The work under the leases that the operator's file names.
+    /// Starts the controllers of the leases that the operator's file names.
     pub(super) fn start(start: &LeaseControllerSetup<'_>) -> LeaseControllers {
         let LeaseControllerSetup { now, config, zone, longest_timeout, is_durable, log } = *start;
         let is_configured = |lease: &str| config.leases.iter().any(|kind| kind.name() == lease);
@@ -50,7 +53,7 @@
         }
     }
 
-    /// Decides what there is to decide under each lease; `inputs` gives those of a lease by its name.
+    /// Makes the decisions under each lease. `inputs` returns the inputs for the lease of the given name.
     pub(super) fn decide<'a>(
         &mut self,
         inputs: impl Fn(&'static str) -> DecisionInputs<'a>,
@@ -68,7 +71,7 @@
         all
     }
 
-    /// What is to be reported of what was observed.
+    /// Builds the reports on what was observed, for all leases.
     pub(super) fn build_reports(&mut self, observations: ObservationSummary) -> Vec<LeaseReport> {
         let mut reports = Vec::new();
         reports.extend(self.site_drain.as_mut().map(|controller| controller.build_report(&observations)));
@@ -89,7 +92,8 @@
         reports
     }
 
-    /// The directives that shift reads of this proxy's own zone, if they have changed.
+    /// Returns the directives that shift reads away from this proxy's own zone, or `None` if they have not changed
+    /// since the last call.
     pub(super) fn take_changed_zone_directives(
         &mut self,
         now: Micros,
@@ -98,7 +102,7 @@
         self.zone_failover.as_mut()?.take_changed_directives(now, directives)
     }
 
-    /// The operator's file was read again.
+    /// Applies the section `coordination` after the operator's file was read again.
     pub(super) fn reconfigure(&mut self, now: Micros, config: &CoordinationConfig) {
         if let Some(controller) = &mut self.site_drain {
             controller.reconfigure(&config.site_drain);
@@ -108,29 +112,31 @@
         }
     }
 
-    /// Another proxy is gone, or has started again.
+    /// Records that a peer is gone or has restarted.
     pub(super) fn peer_lost(&mut self, now: Micros, name: &str) {
         if let Some(controller) = &mut self.site_drain {
             controller.peer_lost(now, name);
         }
     }
 
-    /// What is known under the lease of zone failover, for the status socket.
+    /// Returns the state of zone failover for the status socket, or `None` if its lease is not configured.
     pub(super) fn zone_failover_json(&self) -> Option<Value> {
         self.zone_failover.as_ref().map(ZoneFailoverController::status_json)
     }
 
-    /// What is known under the lease of site drains, for the status socket.
+    /// Returns the state of site drains for the status socket, or `None` if their lease is not configured.
     pub(super) fn site_drain_json(&self) -> Option<Value> {
         self.site_drain.as_ref().map(SiteDrainController::status_json)
     }
 
-    /// Proxies whose key summaries were set aside, for the status socket.
+    /// Returns the names of the proxies whose key summaries were excluded from the last decision, or `None` if the
+    /// lease of split recommendations is not configured.
     pub(super) fn excluded_reporters(&self) -> Option<&[String]> {
         self.split_points.as_ref().map(SplitPointController::excluded_reporters)
     }
 }
 
+/// Makes the decisions under one lease.
 fn decide_under<'a>(
     lease: &'static str,
     inputs: impl Fn(&'static str) -> DecisionInputs<'a>,
--- a/crates/proxy/src/coordination/mod.rs
+++ b/crates/proxy/src/coordination/mod.rs
@@ -1,12 +1,12 @@
-//! This proxy's part in what the fleet decides in common: its vote, the leases that it holds, directives and reports.
+//! Coordination of the proxies of a fleet: votes, leases, directives and reports.
 //!
-//! The protocols are those of `crates/leases` and `crates/directives`; here they are put into datagrams, on the disk and
-//! in the log.
+//! `crates/leases` and `crates/directives` implement the protocols. This module exchanges their messages in datagrams,
+//! persists their state and logs their events.
 //!
-//! - Input: datagrams of other proxies, the time, outcomes of writes, what the dispatcher observed, and reloads of the
-//!   operator's section.
-//! - Output: datagrams, records for the disk, and for the dispatcher the directives on zones and draining sites.
-//! - Caller: the membership actor, which carries the datagrams.
+//! - Input: datagrams of other proxies, the time, outcomes of writes, observations of the dispatcher, and reloads of
+//!   the section `coordination` in the operator's file.
+//! - Output: datagrams, records for the data directory, and directives for the dispatcher on zones and draining sites.
+//! - Caller: the membership actor, which sends and receives the datagrams.
 
 mod decision;
 mod durability;
@@ -41,61 +41,62 @@
 use lease_controllers::{LeaseControllerSetup, LeaseControllers};
 use records::{MAX_IN_FLIGHT, Record, Records};
 
-/// The first byte of a datagram: what follows is a message of the lease protocol, or one about directives.
+/// First byte of a payload that contains a message of the lease protocol.
 const LEASE_MESSAGE: u8 = 1;
+/// First byte of a payload that contains directives, a digest of directives, or a report.
 const DIRECTIVE_MESSAGE: u8 = 2;
 
-/// What [`Coordination::open`] needs.
+/// Configuration and identity that [`Coordination::open`] starts with.
 pub struct CoordinationParts {
-    /// The operator's section `coordination`.
+    /// The section `coordination` of the operator's file.
     pub config: CoordinationConfig,
-    /// This start of this proxy.
+    /// Name and start number of this proxy.
     pub incarnation: Incarnation,
-    /// Where terms and drain plans are stored, if anything is.
+    /// Data directory for terms and drain plans; `None` if nothing is persisted.
     pub directory: Option<Rc<DataDirectory>>,
-    /// This proxy's zone.
+    /// Zone of this proxy, as an index into the list of zones in the settings.
     pub zone: usize,
-    /// The longest timeout of all request classes, in microseconds.
+    /// Longest timeout of all request classes, in microseconds.
     pub longest_timeout: Micros,
 }
 
-/// This proxy's part in what the fleet decides in common.
+/// Takes part in the coordination of the fleet on behalf of this proxy.
 pub struct Coordination {
-    /// This start of this proxy.
+    /// Name and start number of this proxy.
     incarnation: Incarnation,
-    /// The names of all leases.
+    /// Names of all configured leases.
     leases: Vec<String>,
-    /// This proxy's vote, and the leases that it holds or wants.
+    /// Voter and candidates of this proxy.
     participant: Participant,
     directives: DirectiveStore,
-    /// Reports of all proxies under the leases that this one holds.
+    /// Reports that this proxy received for the leases that it holds.
     reports: Reports,
-    /// What this proxy has to report to lease holders.
+    /// Queue of the reports that this proxy sends to lease holders.
     reporter: Reporter,
-    /// `None` without a data directory.
+    /// Records in the data directory; `None` without one.
     records: Option<Records>,
     rng: Pcg64Mcg,
     log: Logger,
     controllers: LeaseControllers,
-    /// When directives under held leases are next renewed.
+    /// When the directives that announce held leases are next renewed.
     renew_at: Micros,
     /// When decisions are next made.
     decide_at: Micros,
-    /// When a digest of the directives is next sent to another proxy, for both to find out what they miss.
+    /// When a digest of the directives is next sent to another proxy, so that each can fetch what it lacks.
     digest_at: Micros,
-    /// When the lease protocol next wants to be called.
+    /// When the lease protocol is next to be called; `None` if it has no timer.
     participant_wake_at: Option<Micros>,
-    /// What is to be sent once the running call returns.
+    /// Datagrams queued for sending, which the caller takes with [`Coordination::take_outgoing`].
     outgoing: Vec<Datagram>,
 }
 
 impl Coordination {
-    /// Starts this proxy's part. The receiver gets the outcome of each write to the data directory, in their order, for
-    /// [`Coordination::write_finished`].
+    /// Starts coordination. The returned receiver yields whether each write to the data directory succeeded, in the
+    /// order of the writes; the caller passes each outcome to [`Coordination::write_finished`].
     ///
     /// # Errors
     ///
-    /// The operator's configuration of leases cannot work.
+    /// Returns a [`ConfigError`] if the leases cannot work as the operator configured them.
     pub fn open(
         parts: CoordinationParts,
         at: CallTime,
@@ -146,19 +147,20 @@
         Ok((coordination, write_outcomes_receiver))
     }
 
-    /// When [`Coordination::wake`] is to be called.
+    /// Returns when [`Coordination::wake`] is to be called next.
     pub fn wake_at(&self) -> Micros {
         let report_at = self.reporter.due_at().unwrap_or(Micros::MAX);
         let participant_wake_at = self.participant_wake_at.unwrap_or(Micros::MAX);
         self.digest_at.min(self.renew_at).min(self.decide_at).min(participant_wake_at).min(report_at)
     }
 
-    /// What is to be sent now.
+    /// Takes the datagrams that are queued for sending.
     pub fn take_outgoing(&mut self) -> Vec<Datagram> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Forwards new directives to a few others; `age` is how long they waited here unread.
+    /// Forwards new directives to a few live peers chosen at random. `age` is how long the directives may have waited
+    /// here unread, in microseconds; their remaining lifetimes are reduced by it.
     fn forward(&mut self, new: &[Directive], age: Micros, live_peers: &[Rc<str>]) {
         if new.is_empty() {
             return;
@@ -172,7 +174,8 @@
         }
     }
 
-    /// To be called at [`Coordination::wake_at`]; `others` are the proxies known to live.
+    /// Does everything that is due. To be called at [`Coordination::wake_at`]. `live_peers` are the names of the
+    /// other proxies that are known to be alive.
     pub fn wake(&mut self, at: CallTime, live_peers: &[Rc<str>]) {
         let now = at.now;
         self.load_stored_state(now);
@@ -197,7 +200,7 @@
         self.send_report(now);
     }
 
-    /// Sends a digest of the directives to another proxy, picked at random.
+    /// Sends a digest of the directives to one live peer, chosen at random.
     fn send_digest(&mut self, now: Micros, live_peers: &[Rc<str>]) {
         if let Some(to) = live_peers.iter().cloned().choose(&mut self.rng) {
             let digest = frame::encode_digest(&self.directives.digest(now), false);
@@ -205,7 +208,7 @@
         }
     }
 
-    /// Sends the next report to the lease's holder, which may be this proxy.
+    /// Sends the next report, if one is due, to the holder of its lease, which may be this proxy.
     fn send_report(&mut self, now: Micros) {
         let Some(report) = self.reporter.next(now) else { return };
         let Some(holder) = self.directives.holder(now, &report.topic.lease) else { return };
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Does what the lease protocol wants done.
+    /// Carries out the actions that the lease protocol returned.
     fn apply_actions(&mut self, at: CallTime, actions: Actions, live_peers: &[Rc<str>]) {
         self.participant_wake_at = actions.wake_at;
         for Outgoing { to, message } in actions.send {
@@ -240,30 +243,33 @@
             }
         }
         if has_acquired {
-            // Others are to know at once whom to report to.
+            // Other proxies have to know at once to whom they report.
             self.announce_held_leases(at.now, live_peers);
         }
     }
 
-    /// Another proxy is gone, or has started again.
+    /// Discards the reports of a peer that is gone or has restarted, and records the loss of the peer for site
+    /// drains.
     pub fn peer_lost(&mut self, now: Micros, name: &str) {
         self.reports.remove_reporter(name);
         self.controllers.peer_lost(now, name);
     }
 
-    /// The others know this proxy by another start from now on, and take its messages under no other.
+    /// Changes the start number of this proxy to the one by which peers know it now; they accept its messages under
+    /// no other.
     pub fn renumber(&mut self, at: CallTime, start: u64, live_peers: &[Rc<str>]) {
         self.incarnation.start = start;
         let actions = self.participant.renumber(at.now, start);
         self.apply_actions(at, actions, live_peers);
     }
 
-    /// This proxy shuts down: it releases the leases that it holds.
+    /// Releases all leases that this proxy holds. To be called when it shuts down.
     pub fn release_leases(&mut self, at: CallTime) {
         let actions = self.participant.release_all(at.now);
         self.apply_actions(at, actions, &[]);
     }
 
+    /// Queues a datagram with a message of this kind.
     fn send(&mut self, to: &str, kind: u8, message: &[u8]) {
         self.outgoing.push(Datagram { to: to.to_owned(), payload: [&[kind], message].concat() });
     }
--- a/crates/proxy/src/coordination/receiving.rs
+++ b/crates/proxy/src/coordination/receiving.rs
@@ -1,4 +1,4 @@
-//! What coordination does with another proxy's datagram.
+//! Handling of the datagrams that other proxies send to coordination.
 
 use std::rc::Rc;
 
@@ -13,8 +13,8 @@
 use super::{Coordination, DIRECTIVE_MESSAGE, LEASE_MESSAGE};
 
 impl Coordination {
-    /// Takes another proxy's datagram; `age` is how long it may have waited here unread. One that cannot be decoded is
-    /// ignored.
+    /// Handles a datagram of another proxy. `age` is how long it may have waited here unread, in microseconds. A
+    /// datagram that cannot be decoded is ignored.
     pub fn receive(
         &mut self,
         at: CallTime,
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Its age does not matter: a message of before a stall says nothing of leases now, and is repeated by its sender.
+    /// Handles a message of the lease protocol. Its age does not matter: a message from before a stall says nothing
+    /// about the current state of the leases, and its sender repeats it.
     fn receive_lease_message(&mut self, at: CallTime, from: &Peer, bytes: &[u8], live_peers: &[Rc<str>]) {
         let Ok(message) = aldermill_leases::frame::decode(bytes) else { return };
         let from = Incarnation { name: from.name.to_string(), start: from.start };
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Takes a directive; whether it is new.
+    /// Stores a directive and returns whether it is new. If it names a new term, the term is logged and persisted.
     fn accept(&mut self, now: Micros, age: Micros, directive: &Directive) -> bool {
         let lease = &directive.topic.lease;
         let term = directive.version.term;
--- a/crates/proxy/src/coordination/records.rs
+++ b/crates/proxy/src/coordination/records.rs
@@ -1,5 +1,5 @@
-//! The records that coordination keeps over a restart, and which of them the disk has: terms that were granted and accepted,
-//! and the plans of draining sites.
+//! Records in the data directory that coordination needs after a restart: granted and accepted terms, and the plans
+//! of draining sites. Tracks which of them are on disk.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -12,44 +12,44 @@
 
 use crate::persistence::DataDirectory;
 
-/// Writes that may wait for the disk at once: the confirmations that the channel holds.
+/// Maximum number of writes in flight, which is also the capacity of the channel for their outcomes.
 pub(super) const MAX_IN_FLIGHT: usize = 256;
 
-/// Something that is to be on the disk.
+/// A record to write to the data directory.
 #[derive(Clone, PartialEq)]
 pub(super) enum Record {
-    /// This voter granted a lease under this term; the vote is sent once the record is on the disk.
+    /// This voter granted the lease under this term. The vote is sent once the record is on disk.
     Granted { lease: String, term: Term },
-    /// A directive under this term was accepted, or the lease was acquired under it.
+    /// This proxy accepted a directive under this term, or acquired the lease under it.
     Accepted { lease: String, term: Term },
-    /// The plan of a site that drains; this proxy reports that it obeys it once the record is on the disk.
+    /// The plan of a draining site. This proxy reports that it follows the plan once the record is on disk.
     Drain(Plan),
 }
 
-/// The records, and which of them the disk has.
+/// Writes records and tracks which of them are on disk.
 pub(super) struct Records {
     directory: Rc<DataDirectory>,
     write_outcomes: mpsc::Sender<bool>,
-    /// What was handed to the disk, the oldest first: that is the order of the confirmations.
+    /// Records whose writes have no outcome yet, the oldest first. The outcomes arrive in the same order.
     pub(super) in_flight: VecDeque<Record>,
-    /// The highest accepted terms, by lease, that are not known to be on the disk.
+    /// Highest accepted term of each lease, unless it is known to be on disk.
     pub(super) unconfirmed_terms: BTreeMap<String, Term>,
-    /// What an earlier start stored is not known yet.
+    /// Whether the state that an earlier run stored has not been taken yet.
     is_unread: bool,
 }
 
-/// What an earlier start stored.
+/// The state that an earlier run stored.
 pub(super) struct StoredState {
-    /// The highest granted term, by lease.
+    /// Highest granted term of each lease.
     pub(super) granted_terms: Vec<(String, Term)>,
-    /// The highest accepted term, by lease.
+    /// Highest accepted term of each lease.
     pub(super) accepted_terms: BTreeMap<String, Term>,
-    /// The plans of draining sites.
+    /// Plans of draining sites.
     pub(super) drain_plans: Vec<Plan>,
 }
 
 impl Records {
-    /// Records in this data directory; the outcome of each write goes to the channel.
+    /// Creates the records of a data directory. Whether each write succeeded is sent to `write_outcomes`.
     pub(super) fn start(directory: Rc<DataDirectory>, write_outcomes: mpsc::Sender<bool>) -> Records {
         Records {
             directory,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Hands a record to the disk; says whether it was taken.
+    /// Starts writing a record. Returns whether the data directory took the record.
     pub(super) fn write(&mut self, record: &Record) -> bool {
         let mut batch = Batch::default();
         match record {
@@ -74,7 +74,8 @@
                 batch.put(namespace::SITE_DRAINS, plan.command.site.as_bytes(), &plan.encode(), None);
             }
         }
-        // One more could not be confirmed, and each confirmation counts for the oldest.
+        // The outcome of a further write would not fit into the channel and be lost. As each outcome applies to the
+        // oldest record in flight, all later ones would then apply to the wrong records.
         let has_capacity = self.in_flight.len() < MAX_IN_FLIGHT;
         let is_accepted = has_capacity && self.directory.write(batch, &self.write_outcomes);
         if is_accepted {
@@ -83,7 +84,8 @@
         is_accepted
     }
 
-    /// What an earlier start stored: once, as soon as the directory can be read, and nothing before.
+    /// Takes the state that an earlier run stored. Returns `None` until the data directory can be read, and after the
+    /// state has been taken.
     pub(super) fn take_stored(&mut self) -> Option<StoredState> {
         if !self.is_unread || self.directory.records().is_none() {
             return None;
--- a/crates/proxy/src/coordination/site_drain.rs
+++ b/crates/proxy/src/coordination/site_drain.rs
@@ -1,5 +1,5 @@
-//! The work of the lease `retire`: what this proxy reports of its site, what it decides on sites that drain while it holds
-//! the lease, and what it follows.
+//! Controller of the lease `retire`, which covers the drains of sites: reports on this proxy's site, decisions while
+//! this proxy holds the lease, and the plans that it follows.
 
 use std::collections::BTreeMap;
 
@@ -18,56 +18,58 @@
 use super::decision::{Decision, DecisionInputs, LeaseReport};
 use crate::messages::ObservationSummary;
 
-/// The lease's name.
+/// Name of the lease.
 pub const LEASE: &str = "retire";
-/// How long a report counts, in microseconds: a proxy reports under other leases in between.
+/// Maximum age of a report that decisions are based on, in microseconds. It allows for the reports that a proxy sends
+/// under other leases in between.
 const MAX_REPORT_AGE: Micros = 6_000_000;
-/// The longest span that a report states, in milliseconds.
+/// Longest interval and round trip time that a report states, in milliseconds.
 const MAX_REPORTED_MS: i64 = 60_000;
-/// How long after a request's deadline its outcome may still be written, in microseconds.
+/// How long after the deadline of a request its outcome may still be written, in microseconds.
 const OUTCOME_WRITE_GRACE: Micros = 5_000_000;
 
-/// A plan that was handed to the disk.
+/// A plan that was handed to the data directory, and whether it is on disk.
 struct PlanRecord {
     plan: Plan,
     is_persisted: bool,
 }
 
-/// What a proxy is to do about the plans in force.
+/// Changes that result from the plans in force.
 pub struct PlanChanges {
-    /// What to act by from now on, if that has changed.
+    /// All plans to act by from now on; `None` if they have not changed.
     pub effective: Option<Vec<Plan>>,
-    /// What to hand to the disk.
+    /// Plans to write to the data directory.
     pub to_persist: Vec<Plan>,
 }
 
-/// A plan in force, and the version of its directive.
+/// A plan in force and the version of its directive.
 struct PlanInForce {
     plan: Plan,
     version: DirectiveVersion,
 }
 
-/// This proxy's part in the drains of sites.
+/// Controls the drains of sites at this proxy.
 pub struct SiteDrainController {
-    /// What operators commanded in this proxy's configuration.
+    /// Commands of operators in the section `coordination` of this proxy's operator file.
     commands: Vec<OperatorCommand>,
-    /// The newest plan of each site that was in force here.
+    /// Newest plan that this proxy received for each site.
     followed_plans: FollowedPlans,
-    /// Which plans the disk has, by site; `None` without a data directory.
+    /// Plans handed to the data directory, by the name of the site; `None` without a data directory.
     plan_records: Option<BTreeMap<String, PlanRecord>>,
-    /// What the dispatcher acts by.
+    /// Plans that the dispatcher acts by.
     effective_plans: Vec<Plan>,
-    /// What this proxy knows and decides while it holds the lease.
+    /// Makes the decisions while this proxy holds the lease.
     coordinator: DrainCoordinator,
-    /// The term under which it last decided.
+    /// Term at the last decision; `None` if this proxy did not hold the lease then.
     last_term: Option<Term>,
-    /// What the next step of each site waits for, as it was last logged.
+    /// What the next step of each site waits for, as last logged, by the name of the site. `None` stands for no text.
     logged_waits: BTreeMap<String, Option<String>>,
-    /// The name of this proxy's site; empty until the dispatcher has told it.
+    /// Name of this proxy's site; empty until the dispatcher has reported it.
     own_site: String,
     log: Logger,
 }
 
+/// Converts the configured drains to commands.
 fn operator_commands(configured: &[SiteDrainConfig]) -> Vec<OperatorCommand> {
     let order = |order| match order {
         DrainOrder::Run => Order::Run,
@@ -84,6 +86,7 @@
     configured.iter().map(command).collect()
 }
 
+/// Returns the plans of the directives in force, without those that cannot be decoded.
 fn plans_in_force(directives: &DirectiveStore, now: Micros) -> Vec<PlanInForce> {
     let read = |(site, body): (&str, &[u8])| {
         let version = directives.highest_version(&Topic::new(LEASE, site))?;
@@ -94,8 +97,8 @@
 }
 
 impl SiteDrainController {
-    /// The part of a proxy that starts now. `longest_timeout` is the longest timeout of a request; `is_durable` says that
-    /// there is a data directory.
+    /// Starts the controller at `now`. `longest_timeout` is the longest timeout of a request, in microseconds;
+    /// `is_durable` is whether there is a data directory.
     pub fn start(
         now: Micros,
         configured: &[SiteDrainConfig],
@@ -118,7 +121,7 @@
         }
     }
 
-    /// The plans that an earlier start stored.
+    /// Restores the plans that an earlier run stored.
     pub fn restore(&mut self, now: Micros, stored: Vec<Plan>) {
         if let Some(records) = &mut self.plan_records {
             let record = |plan: &Plan| PlanRecord { plan: plan.clone(), is_persisted: true };
@@ -127,7 +130,7 @@
         self.followed_plans.restore(now, stored);
     }
 
-    /// This plan is on the disk.
+    /// Records that a plan is on disk.
     pub fn persisted(&mut self, plan: &Plan) {
         let record = self.plan_records.as_mut().and_then(|records| records.get_mut(&plan.command.site));
         if let Some(record) = record.filter(|record| record.plan == *plan) {
@@ -135,20 +138,22 @@
         }
     }
 
-    /// The disk did not take this plan: it is handed over again.
+    /// Records that a plan could not be written, so that it is handed to the data directory again.
     pub fn not_persisted(&mut self, plan: &Plan) {
         if let Some(records) = &mut self.plan_records {
             records.retain(|_, record| record.plan != *plan);
         }
     }
 
-    /// Whether a restart would know of the plan, as far as that is provided for.
+    /// Returns whether the plan is on disk. Always `true` without a data directory, as plans are not meant to survive a
+    /// restart then.
     fn survives_restart(&self, plan: &Plan) -> bool {
         let Some(records) = &self.plan_records else { return true };
         records.get(&plan.command.site).is_some_and(|record| record.is_persisted && record.plan == *plan)
     }
 
-    /// What is to be handed to the disk now.
+    /// Returns the followed plans that have not been handed to the data directory, and records that they are handed
+    /// over now.
     fn take_unpersisted_plans(&mut self) -> Vec<Plan> {
         let Some(records) = &mut self.plan_records else { return Vec::new() };
         let is_known =
@@ -159,17 +164,17 @@
         new
     }
 
-    /// The operator's file was read again.
+    /// Replaces the commands after the operator's file was read again.
     pub fn reconfigure(&mut self, configured: &[SiteDrainConfig]) {
         self.commands = operator_commands(configured);
     }
 
-    /// Another proxy is gone, or has started again.
+    /// Records that a peer is gone or has restarted.
     pub fn peer_lost(&mut self, now: Micros, name: &str) {
         self.coordinator.proxy_lost(now, name);
     }
 
-    /// What is to be reported of what was observed.
+    /// Builds the report on what was observed.
     pub(super) fn build_report(&mut self, observations: &ObservationSummary) -> LeaseReport {
         let mut report = DrainReport { commands: self.commands.clone(), ..DrainReport::default() };
         report.statuses = self.drain_statuses(observations);
@@ -189,8 +194,8 @@
         LeaseReport { topic: Topic::new(LEASE, ""), body: report.encode() }
     }
 
-    /// The plans that this proxy follows, by site. What the dispatcher does not act by yet is left out, and what a restart
-    /// could forget.
+    /// Returns the status of each followed plan by the name of the site. Plans that the dispatcher does not act by
+    /// yet, or that a restart could lose, are left out.
     fn drain_statuses(&self, observations: &ObservationSummary) -> BTreeMap<String, DrainStatus> {
         let mut statuses = BTreeMap::new();
         let open = observations.site.as_ref().map(|site| &site.open);
@@ -211,7 +216,7 @@
         statuses
     }
 
-    /// Once a second: what is decided, by site, while this proxy holds the lease.
+    /// Makes the decision for each draining site if this proxy holds the lease, otherwise none. Called once a second.
     pub(super) fn decide(&mut self, inputs: &DecisionInputs<'_>) -> Vec<Decision> {
         let DecisionInputs { at, term, reports, directives, live_proxies } = *inputs;
         if self.last_term != term {
@@ -235,7 +240,8 @@
         plans.into_iter().map(decision).collect()
     }
 
-    /// The plans in force, and those that only this proxy still follows: a lease holder that was alone knows them by that.
+    /// Returns the plans in force and, with [`DirectiveVersion::NONE`], the other plans that this proxy follows.
+    /// Those are all that a lease holder that was isolated knows of drains whose directives are not in force.
     fn known_plans(&self, now: Micros, directives: &DirectiveStore) -> Vec<(Plan, DirectiveVersion)> {
         let plans_in_force = plans_in_force(directives, now).into_iter();
         let mut known: Vec<(Plan, DirectiveVersion)> =
@@ -248,7 +254,7 @@
         known
     }
 
-    /// Takes the plans in force.
+    /// Applies the plans in force, and logs each one that has changed or whose next step waits for something else.
     pub fn follow(&mut self, now: Micros, directives: &DirectiveStore) -> PlanChanges {
         for PlanInForce { plan, version } in plans_in_force(directives, now) {
             let site = plan.command.site.clone();
@@ -267,7 +273,7 @@
         PlanChanges { effective: has_changed.then_some(effective), to_persist: self.take_unpersisted_plans() }
     }
 
-    /// What this proxy follows, and what its operator ordered, for the status socket.
+    /// Returns the plans that this proxy acts by and the commands of its operator, for the status socket.
     pub fn status_json(&self) -> Value {
         json!({"acts_by": self.effective_plans, "words": self.commands})
     }
--- a/crates/proxy/src/coordination/split_points.rs
+++ b/crates/proxy/src/coordination/split_points.rs
@@ -1,5 +1,5 @@
-//! The work of the lease `splits`: summaries of keys are reported, and the lease holder recommends where to split a
-//! group's range.
+//! Controller of the lease `splits`: proxies report summaries of accessed keys, and the lease holder recommends where
+//! to split the key ranges of a group.
 
 use std::collections::BTreeMap;
 
@@ -14,61 +14,68 @@
 use super::decision::{Decision, DecisionInputs, LeaseReport, TermState};
 use crate::messages::ObservationSummary;
 
-/// The lease's name.
+/// Name of the lease.
 pub const LEASE: &str = "splits";
-/// For how long a report counts, in microseconds: a proxy reports one group after the other, up to 64 of them.
+/// Maximum age of a report that decisions are based on, in microseconds. It is long because a proxy reports one group
+/// after the other, up to 64 of them.
 const MAX_REPORT_AGE: Micros = 60_000_000;
 
-/// What was last logged of a range.
+/// The recommendation that was last logged for a range.
 #[derive(PartialEq)]
 struct LoggedRecommendation {
     state: RecommendationState,
-    /// Where to split it, or why not.
+    /// Key at which to split the range, or the reason why not to.
     split_or_reason: String,
 }
 
-/// This proxy's part in split recommendations.
+/// Controls split recommendations at this proxy.
 pub struct SplitPointController {
-    /// Where the operators have split each group.
+    /// First key of each range but the first, by group, as the operators have split it.
     splits: BTreeMap<Group, Vec<String>>,
+    /// Ranges of each group, kept while this proxy holds the lease.
     ranges: TermState<BTreeMap<Group, RangeSet>>,
-    /// By the subject of the range.
+    /// Recommendations last logged, by the subject of the range.
     logged: BTreeMap<String, LoggedRecommendation>,
-    /// Proxies whose figures were left out of the last decision.
+    /// Names of the proxies whose summaries were excluded from the last decision.
     excluded_reporters: Vec<String>,
     log: Logger,
 }
 
+/// Returns the keys at which the operators have split a group; empty if it is not split.
 fn split_keys(splits: &BTreeMap<Group, Vec<String>>, group: Group) -> Vec<Vec<u8>> {
     splits.get(&group).into_iter().flatten().map(|split| split.clone().into_bytes()).collect()
 }
 
+/// Formats a key in lower-case hexadecimal.
 fn to_hex(key: &[u8]) -> String {
     key.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
+/// Parses a key from hexadecimal. Returns `None` if the text is malformed.
 fn from_hex(text: &str) -> Option<Vec<u8>> {
     let pairs = text.as_bytes().chunks(2);
     pairs.map(|pair| u8::from_str_radix(std::str::from_utf8(pair).ok()?, 16).ok()).collect()
 }
 
-/// A key as operators read it; bytes that are not UTF-8 are replaced.
+/// Returns a key as text for operators; bytes that are not UTF-8 are replaced.
 fn key_text(key: &[u8]) -> String {
     String::from_utf8_lossy(key).into_owned()
 }
 
-/// To thousandths, as operators need no more.
+/// Rounds to thousandths, as operators need no more precision.
 fn rounded(share: f64) -> f64 {
     (share * 1000.0).round() / 1000.0
 }
 
-/// A range as a directive's subject: the group, and the range's first key where it is not the group's first.
+/// Returns the subject of a range's directive: `GROUP` for the group's first range, otherwise `GROUP+FROM` with the
+/// range's first key in hexadecimal.
 fn subject(group: Group, from: &[u8]) -> String {
     if from.is_empty() { group.to_string() } else { format!("{group}+{}", to_hex(from)) }
 }
 
-/// What is recommended for a range, as it stands in the directive and on the status socket. Keys are in hexadecimal, and
-/// as text. Users' programs read it: keys and texts keep their form.
+/// Returns the recommendation for a range as JSON, for the directive and the status socket. Range keys are given in
+/// hexadecimal and as text. The first key and the share are left out if the range is the only one of its group.
+/// Users' programs read the JSON, so its keys and texts never change.
 fn recommendation_json(range: &RangeRecommendation, is_only_range: bool) -> Value {
     let split = &range.split;
     let mut body = json!({
@@ -135,14 +142,15 @@
     })
 }
 
-/// Where an earlier lease holder proposed to split a range.
+/// Returns the key at which an earlier lease holder proposed to split a range, or `None` if no such directive is in
+/// force.
 fn proposed_split(directives: &DirectiveStore, now: Micros, subject: &str) -> Option<Vec<u8>> {
     let body: Value = serde_json::from_slice(directives.in_force(now, &Topic::new(LEASE, subject))?).ok()?;
     let proposed = body["state"] == "proposed";
     from_hex(body["at"].as_str().filter(|_| proposed)?)
 }
 
-/// The newest summaries of all proxies, combined by group; those that can't be read are left out.
+/// Combines the recent summaries of all proxies by group. Summaries that cannot be decoded are left out.
 fn recent_distributions(now: Micros, reports: &Reports) -> BTreeMap<Group, KeyDistribution> {
     let mut summaries: BTreeMap<Group, BTreeMap<String, KeySummary>> = BTreeMap::new();
     for report in reports.recent(now, MAX_REPORT_AGE, LEASE) {
@@ -156,7 +164,8 @@
 }
 
 impl SplitPointController {
-    /// The part of a proxy, with the splits that the operators have made.
+    /// Starts the controller. `splits` is the first key of each range but the first, by group, as the operators have
+    /// split it.
     pub fn start(splits: BTreeMap<Group, Vec<String>>, log: Logger) -> SplitPointController {
         SplitPointController {
             splits,
@@ -167,7 +176,8 @@
         }
     }
 
-    /// The operators have split elsewhere: ranges that are as they were keep what is known of them.
+    /// Replaces the splits of the operators. Ranges whose bounds have not changed keep the state of their
+    /// recommendations.
     pub fn reconfigure(&mut self, now: Micros, splits: &BTreeMap<Group, Vec<String>>) {
         self.splits.clone_from(splits);
         for (group, ranges) in self.ranges.get_mut().into_iter().flatten() {
@@ -175,7 +185,7 @@
         }
     }
 
-    /// What is to be reported of what was observed, by group.
+    /// Builds one report for each group on what was observed.
     pub(super) fn build_report(&self, observations: &ObservationSummary) -> Vec<LeaseReport> {
         let report = |(group, summary): &(u64, Vec<u8>)| LeaseReport {
             topic: Topic::new(LEASE, &group.to_string()),
@@ -184,7 +194,7 @@
         observations.keys.iter().map(report).collect()
     }
 
-    /// Once a second: what is recommended, while this proxy holds the lease.
+    /// Makes the recommendations if this proxy holds the lease, otherwise none. Called once a second.
     pub(super) fn decide(&mut self, inputs: &DecisionInputs<'_>) -> Vec<Decision> {
         let now = inputs.at.now;
         let Some(groups) = self.ranges.for_term(inputs.term, BTreeMap::new) else { return Vec::new() };
@@ -212,13 +222,13 @@
         decisions
     }
 
-    /// Proxies whose figures were left out of the last decision.
+    /// Returns the names of the proxies whose summaries were excluded from the last decision.
     pub fn excluded_reporters(&self) -> &[String] {
         &self.excluded_reporters
     }
 }
 
-/// What a range costs on average over all groups, in milliseconds of recent member time.
+/// Returns the average cost of a range over all groups, in milliseconds of recent member time.
 fn average_range_cost(
     groups: &BTreeMap<Group, RangeSet>,
     distributions: &BTreeMap<Group, KeyDistribution>,
@@ -227,7 +237,7 @@
     distributions.values().map(KeyDistribution::cost).sum::<f64>() / ranges.max(1) as f64
 }
 
-/// Logs a recommendation that is not what was last logged of its range.
+/// Logs a recommendation if its state, split key or reason differs from the one that was last logged for the range.
 fn log_if_changed(
     logged: &mut BTreeMap<String, LoggedRecommendation>,
     log: &Logger,
--- a/crates/proxy/src/coordination/status.rs
+++ b/crates/proxy/src/coordination/status.rs
@@ -1,4 +1,4 @@
-//! What coordination shows at the status socket. The keys are read by operators' programs and stay as they are.
+//! The state of coordination as JSON for the status socket. Operators' programs read the keys, so they never change.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 use super::Coordination;
 
 impl Coordination {
-    /// What is known here, for the status socket.
+    /// Returns the state of coordination at this proxy for the status socket.
     pub fn status_json(&self, now: Micros) -> Value {
         let leases = self.leases.iter().map(|lease| self.lease_json(now, lease));
         json!({"votes": self.participant.is_voter(),
--- a/crates/proxy/src/coordination/superseded.rs
+++ b/crates/proxy/src/coordination/superseded.rs
@@ -1,8 +1,9 @@
-//! Terms under which others accepted directives: a lease holder under a lower term is told of them, and this proxy learns them
-//! from others.
+//! Exchange of the highest accepted terms: lease holders under a lower term are notified, and this proxy takes over
+//! higher terms from other proxies.
 //!
-//! Voters that all forgot what they granted, under clocks behind those by which earlier terms were made, grant terms whose
-//! directives no proxy accepts. The proxy that refuses says so, in a digest that names the highest term.
+//! If all voters lose their state while their clocks are behind those that earlier terms were based on, they grant
+//! terms that are too low, and no proxy accepts directives under them. A proxy that rejects such a directive sends
+//! its issuer a digest that contains the highest term of the lease.
 
 use std::rc::Rc;
 
@@ -12,14 +13,14 @@
 use super::Coordination;
 use super::interface::CallTime;
 
-/// The digest that a superseded lease holder is sent.
+/// A digest with one entry, which notifies a superseded lease holder of a higher term.
 struct TermNotice {
     to: String,
     entry: DigestEntry,
 }
 
 impl Coordination {
-    /// Tells the issuers of refused directives the highest term of their lease, each lease once.
+    /// Notifies the issuers of directives under superseded terms of the highest term, once for each issuer and lease.
     pub(super) fn notify_superseded_issuers(&mut self, directives: &[Directive]) {
         let mut notices: Vec<TermNotice> = Vec::new();
         for directive in directives.iter().filter(|directive| directive.issuer != self.incarnation.name) {
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Takes the terms that another proxy's digest shows.
+    /// Passes the terms in a digest of another proxy to the lease protocol.
     pub(super) fn observe_terms(&mut self, at: CallTime, entries: &[DigestEntry], live_peers: &[Rc<str>]) {
         for DigestEntry { topic, version } in entries {
             if self.leases.contains(&topic.lease) {
--- a/crates/proxy/src/coordination/zone_failover.rs
+++ b/crates/proxy/src/coordination/zone_failover.rs
@@ -1,7 +1,7 @@
-//! The work of the lease `zones`: what this proxy reports, what it decides while it holds the lease, and what it obeys.
+//! Controller of the lease `zones`, which covers failover between zones.
 //!
-//! The decisions are those of `aldermill-zone-failover`; here they meet the reports and directives of the fleet, the log
-//! and the status socket.
+//! The crate `aldermill-zone-failover` makes the decisions. This module connects it to the reports and directives of
+//! the fleet, the log and the status socket.
 
 use std::collections::BTreeMap;
 
@@ -16,37 +16,37 @@
 use super::decision::{Decision, DecisionInputs, LeaseReport, TermState};
 use crate::messages::ObservationSummary;
 
-/// The lease's name.
+/// Name of the lease.
 pub const LEASE: &str = "zones";
-/// For how long a report counts, in microseconds: a proxy reports every second, in up to three parts, and two reports may
-/// be lost on their way.
+/// Maximum age of a report that decisions are based on, in microseconds. A proxy reports every second, in up to three
+/// parts; this allows for the loss of two reports in transit.
 const MAX_REPORT_AGE: Micros = 4_000_000;
 
-/// A directive's subject: `GROUP.ZONE`, each in decimal.
+/// Returns the subject of a directive: `GROUP.ZONE`, each in decimal.
 fn subject(group: Group, zone: Zone) -> String {
     format!("{group}.{zone}")
 }
 
-/// `None` for a subject or body that this version can't read.
+/// Decodes a directive. Returns `None` if this version cannot decode its subject or body.
 fn decode_directive(subject: &str, body: &[u8]) -> Option<ZoneDirective> {
     let (group, zone) = subject.split_once('.')?;
     let shift = TrafficShift::decode(body).ok()?;
     Some(ZoneDirective { group: group.parse().ok()?, zone: zone.parse().ok()?, shift })
 }
 
-/// All directives in force under the lease that can be read.
+/// Returns the directives in force under the lease, without those that cannot be decoded.
 fn directives_in_force(directives: &DirectiveStore, now: Micros) -> impl Iterator<Item = ZoneDirective> {
     directives.in_force_under(now, LEASE).filter_map(|(subject, body)| decode_directive(subject, body))
 }
 
-/// What the lease holder keeps for as long as it holds the lease.
+/// State that the lease holder keeps for as long as it holds the lease.
 struct HolderState {
     evidence: Evidence,
     planner: FailoverPlanner,
 }
 
 impl HolderState {
-    /// Continues what an earlier lease holder directed.
+    /// Resumes from the directives of an earlier lease holder that are in force.
     fn start(now: Micros, directives: &DirectiveStore) -> HolderState {
         let mut planner = FailoverPlanner::default();
         for directive in directives_in_force(directives, now) {
@@ -56,17 +56,17 @@
     }
 }
 
-/// This proxy's part in failover between zones.
+/// Controls failover between zones at this proxy.
 pub struct ZoneFailoverController {
     own_zone: Zone,
     holder: TermState<HolderState>,
-    /// The directives that the dispatcher was last given.
+    /// Directives that the dispatcher was last given.
     applied_directives: Vec<ZoneDirective>,
     log: Logger,
 }
 
 impl ZoneFailoverController {
-    /// The part of a proxy in this zone.
+    /// Starts the controller of a proxy in `own_zone`.
     pub fn start(own_zone: Zone, log: Logger) -> ZoneFailoverController {
         ZoneFailoverController {
             own_zone,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// What is to be reported of what was observed, in parts that fit into a datagram each.
+    /// Builds the report on what was observed, in parts that each fit into a datagram.
     pub(super) fn build_report(&self, observations: ObservationSummary) -> Vec<LeaseReport> {
         let part = |(index, rows): (usize, &[_])| {
             let report = ZoneReport { zone: self.own_zone, span: observations.span, rows: rows.to_vec() };
@@ -85,7 +85,7 @@
         observations.rows.chunks(MAX_ROWS).enumerate().map(part).collect()
     }
 
-    /// Once a second: what is decided, while this proxy holds the lease.
+    /// Makes the decisions if this proxy holds the lease, otherwise none. Called once a second.
     pub(super) fn decide(&mut self, inputs: &DecisionInputs<'_>) -> Vec<Decision> {
         let now = inputs.at.now;
         let init = || HolderState::start(now, inputs.directives);
@@ -104,7 +104,8 @@
         decisions
     }
 
-    /// The directives for this proxy's own zone that shift reads, if they have changed since this was last asked.
+    /// Returns the directives that shift reads away from this proxy's own zone, or `None` if they have not changed
+    /// since the last call.
     pub fn take_changed_directives(
         &mut self,
         now: Micros,
@@ -131,7 +132,8 @@
         }
     }
 
-    /// What the lease holder concludes from all reports, for the status socket.
+    /// Returns what the lease holder concludes from all reports, for the status socket; `null` if this proxy does not
+    /// hold the lease.
     pub fn status_json(&self) -> Value {
         let Some(HolderState { evidence, planner }) = self.holder.get() else { return Value::Null };
         let views = evidence.views().iter();
@@ -140,7 +142,8 @@
     }
 }
 
-/// Keys and words are read by users' programs; they keep their form whatever the fields are called here.
+/// Returns the view of one group in one zone as JSON. Users' programs read the keys and values, so they never change,
+/// even if the fields are renamed.
 fn view_json(key: GroupZone, view: &ZoneView, level: Option<FailoverLevel>) -> Value {
     json!({
         "group": key.group,
@@ -155,7 +158,7 @@
     })
 }
 
-/// By the reporter's name; reports that can't be read are left out.
+/// Returns the recent reports by the reporter's name, without those that cannot be decoded.
 fn recent_reports(now: Micros, reports: &Reports) -> BTreeMap<String, Vec<ZoneReport>> {
     let mut by_reporter: BTreeMap<String, Vec<ZoneReport>> = BTreeMap::new();
     for report in reports.recent(now, MAX_REPORT_AGE, LEASE) {
