--- a/crates/proxy/src/client/close.rs
+++ b/crates/proxy/src/client/close.rs
@@ -56,7 +56,7 @@
     /// Tells the dispatcher that nobody waits for the requests that have no response yet.
     pub(super) async fn abandon_pending_requests(&mut self) {
         while let Some(abandoned) = self.pending_responses.abandon_next() {
-            let left = ClientLeft { client: abandoned.request };
+            let left = ClientLeft { request_id: abandoned.request };
             let _ = self.context.dispatcher.send(DispatcherMessage::ClientLeft(left)).await;
         }
     }
--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -16,7 +16,7 @@
 use super::state::ConnectionState;
 use crate::flow_control::ConnectionGuard;
 use crate::lifecycle::process_context::ProcessContext;
-use crate::messages::{Answer, ClientId, ClientMessage};
+use crate::messages::{Answer, ClientMessage, ClientRequestId};
 
 /// A connection's mailbox has room for an answer to each pipelined statement, and for this many requests to close.
 const EVICTION_PLACES: usize = 4;
@@ -26,7 +26,7 @@
     /// What all actors share.
     pub(super) context: Rc<ProcessContext>,
     /// Names the connection, new for each.
-    pub(super) id: ClientId,
+    pub(super) id: ClientRequestId,
     /// The client's socket.
     pub(super) stream: TcpStream,
     /// Its registration with flow control, removed when dropped.
@@ -81,7 +81,7 @@
     /// The actor of a connection that has just been accepted.
     pub(super) fn new(
         context: Rc<ProcessContext>,
-        id: ClientId,
+        id: ClientRequestId,
         stream: TcpStream,
         connection_guard: ConnectionGuard,
     ) -> ClientConnection {
@@ -201,7 +201,7 @@
     }
 
     /// The dispatcher has answered a request.
-    fn complete(&mut self, request: ClientId, answer: Answer) {
+    fn complete(&mut self, request: ClientRequestId, answer: Answer) {
         self.state.served.set(true);
         self.pending_responses.complete(request, answer);
     }
--- a/crates/proxy/src/client/events.rs
+++ b/crates/proxy/src/client/events.rs
@@ -11,13 +11,13 @@
 
 use super::close::CloseReason;
 use super::connection::ClientConnection;
-use crate::messages::{Answer, ClientId, ClientMessage};
+use crate::messages::{Answer, ClientMessage, ClientRequestId};
 use crate::system::{self, Party, Peeked};
 
 /// What a connection with requests under way may hear.
 pub(super) enum ClientEvent {
     /// The dispatcher answers this request.
-    Response(ClientId, Answer),
+    Response(ClientRequestId, Answer),
     /// The client sent bytes, which are in the read buffer.
     BytesRead,
     /// The connection is to be closed unless a request is under way.
--- a/crates/proxy/src/client/pending_responses.rs
+++ b/crates/proxy/src/client/pending_responses.rs
@@ -4,12 +4,12 @@
 
 use super::response::EncodedResponse;
 use crate::flow_control::BufferReservation;
-use crate::messages::{Answer, ClientId};
+use crate::messages::{Answer, ClientRequestId};
 
 /// A request that was handed to the dispatcher.
 pub(super) struct PendingRequest {
     /// Its name in messages to and from the dispatcher.
-    pub(super) request: ClientId,
+    pub(super) request: ClientRequestId,
     /// The key of a statement that may write: what follows on the same key waits for it.
     pub(super) write_key: Option<String>,
     /// Buffer space of a large statement.
@@ -29,7 +29,7 @@
     /// The dispatcher has the request.
     Awaited {
         /// The request's name.
-        request: ClientId,
+        request: ClientRequestId,
         /// The key that it may write.
         write_key: Option<String>,
     },
@@ -44,7 +44,7 @@
     }
 
     /// Whether the dispatcher has this request.
-    fn awaits(&self, answered: ClientId) -> bool {
+    fn awaits(&self, answered: ClientRequestId) -> bool {
         matches!(self.state, ResponseState::Awaited { request, .. } if request == answered)
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// The dispatcher's answer to a request; nothing where the request is not awaited.
-    pub(super) fn complete(&mut self, request: ClientId, answer: Answer) {
+    pub(super) fn complete(&mut self, request: ClientRequestId, answer: Answer) {
         if let Some(pending) = self.queue.iter_mut().find(|pending| pending.awaits(request)) {
             pending.state = ResponseState::Ready(EncodedResponse::of(answer));
         }
--- a/crates/proxy/src/client/registry.rs
+++ b/crates/proxy/src/client/registry.rs
@@ -17,7 +17,7 @@
 use super::state::ConnectionState;
 use crate::flow_control::ConnectionGuard;
 use crate::lifecycle::process_context::ProcessContext;
-use crate::messages::{ClientId, ClientMessage};
+use crate::messages::{ClientMessage, ClientRequestId};
 
 /// Keepalive probes follow each other at this part (one in three) of the silence before the first.
 const KEEPALIVE_INTERVAL_PARTS: u32 = 3;
@@ -60,7 +60,7 @@
     /// Connections that are being rejected.
     rejections: JoinSet<()>,
     /// The number of the next connection.
-    next_id: ClientId,
+    next_id: ClientRequestId,
     /// Whether the clients' share was used up, and it was logged, since less than half of it was in use.
     share_used_up: bool,
     /// Set on each connection.
--- a/crates/proxy/src/client/statement.rs
+++ b/crates/proxy/src/client/statement.rs
@@ -6,7 +6,7 @@
 use super::close::CloseReason;
 use super::connection::ClientConnection;
 use super::pending_responses::PendingRequest;
-use crate::messages::{ClientId, ClientRequest, DispatcherMessage};
+use crate::messages::{ClientRequest, ClientRequestId, DispatcherMessage};
 
 /// A request's name: the number of its connection, and in this many low bits its number within the connection.
 const REQUEST_NUMBER_BITS: u32 = 24;
@@ -72,7 +72,7 @@
         let received_at = self.receipt.received_at(self.buffer.is_empty());
         self.is_past_arrival_window = self.context.is_past_arrival_window(received_at);
         let request = ClientRequest {
-            client,
+            request_id: client,
             peer: self.connection_guard.peer,
             mailbox: self.address.clone(),
             received_at: self.context.clock.at(received_at),
@@ -85,7 +85,7 @@
     }
 
     /// A name for the connection's next request.
-    fn next_request_id(&mut self) -> ClientId {
+    fn next_request_id(&mut self) -> ClientRequestId {
         self.requests_sent += 1;
         (self.id << REQUEST_NUMBER_BITS) + (self.requests_sent & REQUEST_NUMBER_MASK)
     }
--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -17,7 +17,7 @@
 };
 
 /// Idle connections that are closed where one descriptor is wanted.
-const CLOSED_PER_DESCRIPTOR: usize = 3;
+const CONNECTIONS_CLOSED_PER_DESCRIPTOR: usize = 3;
 
 /// An attempt as the router decided it.
 struct DecidedAttempt {
@@ -26,7 +26,7 @@
     /// How long it may take, in microseconds.
     timeout: Micros,
     /// Whether it must use a new connection.
-    afresh: bool,
+    on_new_connection: bool,
     /// What must still hold when it is sent.
     validity: Validity,
 }
@@ -36,7 +36,7 @@
     pub(super) fn carry_out(&mut self, actions: Actions) {
         for (handle, action) in actions.requests {
             self.carry_out_for_request(handle, action);
-            self.release(handle);
+            self.release_if_finished(handle);
         }
         for member in actions.health_checks {
             self.send_health_check(member);
@@ -45,7 +45,7 @@
             self.close_idle_connections(member);
         }
         if actions.subscribe {
-            self.ask_for_list();
+            self.request_endpoint_list();
         }
         if let Some(at) = actions.wake_at {
             self.wake_at = at;
@@ -55,13 +55,7 @@
     fn carry_out_for_request(&mut self, handle: RequestHandle, action: Action) {
         match action {
             Action::Attempt { member, timeout, on_new_connection, validity } => {
-                self.send_attempt(DecidedAttempt {
-                    handle,
-                    member,
-                    timeout,
-                    afresh: on_new_connection,
-                    validity,
-                })
+                self.send_attempt(DecidedAttempt { handle, member, timeout, on_new_connection, validity })
             }
             Action::Reject { retry_after } => self.answer(handle, Answer::Rejected { retry_after }),
             Action::Fail => self.answer(handle, Answer::Failed),
@@ -72,17 +66,17 @@
     pub(super) fn answer(&mut self, handle: RequestHandle, answer: Answer) {
         let Some(open) = self.open_requests.get_mut(&handle) else { return };
         let Some(client) = open.client.take() else { return };
-        if let Some(via) = open.via {
-            return self.answered_here(via, answer);
+        if let Some(site_handle) = open.site_handle {
+            return self.answered_here(site_handle, answer);
         }
-        self.locations.remove(&client.id);
+        self.request_owners.remove(&client.request_id);
         client.answer(answer);
     }
 
     /// Answers a request whose member responded while there was no buffer space for the response.
     pub(super) fn answer_without_buffer_space(&mut self, handle: RequestHandle) {
         let Some(open) = self.open_requests.get(&handle) else { return };
-        let Ok(class) = self.decoded.class_index(&open.request.comment.class) else { return };
+        let Ok(class) = self.settings.class_index(&open.request.comment.class) else { return };
         let answer = self.no_buffer_space_answer(class);
         self.answer(handle, answer);
     }
@@ -90,10 +84,10 @@
     /// The answer where there is no buffer space for a response: an idempotent request is rejected, as it may be repeated;
     /// any other has run, and has failed for its client.
     pub(super) fn no_buffer_space_answer(&self, class: usize) -> Answer {
-        let terms = &self.decoded.router_config;
-        match terms.classes[class].effect {
+        let config = &self.settings.router_config;
+        match config.classes[class].effect {
             Effect::Idempotent => Answer::Rejected {
-                retry_after: self.context.flow_control.retry_after().min(terms.max_retry_after),
+                retry_after: self.context.flow_control.retry_after().min(config.max_retry_after),
             },
             _ => Answer::Failed,
         }
@@ -105,9 +99,9 @@
         let member = decided.member;
         let entry = self.members[member].as_ref();
         if let Some(observations) = &mut self.observations {
-            observations.record_attempt(handle, entry, &self.decoded, &open.request);
+            observations.record_attempt(handle, entry, &self.settings, &open.request);
         }
-        let attempt = self.attempt(decided, open, entry);
+        let attempt = self.build_attempt(decided, open, entry);
         let decided_at = attempt.decided_at;
         if entry.is_none_or(|entry| entry.commands.try_send(MemberCommand::Send(attempt)).is_err()) {
             warn!(self.context.log, "member's mailbox full, attempt not sent"; "member" => member);
@@ -116,7 +110,12 @@
     }
 
     /// The attempt as its member's actor takes it. Its deadline is never later than the request's.
-    fn attempt(&self, decided: DecidedAttempt, open: &OpenRequest, entry: Option<&MemberEntry>) -> Attempt {
+    fn build_attempt(
+        &self,
+        decided: DecidedAttempt,
+        open: &OpenRequest,
+        entry: Option<&MemberEntry>,
+    ) -> Attempt {
         let decided_at = Instant::now();
         let deadline = self.context.clock.instant(open.deadline);
         Attempt {
@@ -126,7 +125,7 @@
             reservation_owner: ReservationOwner { peer: open.request.peer, priority: open.priority },
             decided_at,
             deadline: (decided_at + duration(decided.timeout)).min(deadline),
-            pool_use: if decided.afresh { PoolUse::ConnectAnew } else { PoolUse::Reuse },
+            pool_use: if decided.on_new_connection { PoolUse::NewConnection } else { PoolUse::Reuse },
             validity: decided.validity,
             replica_reports: entry.map_or(0, |entry| entry.replica_reports),
         }
@@ -156,9 +155,9 @@
     }
 
     /// Asks for the endpoint list, when the first request is there.
-    fn ask_for_list(&self) {
-        if let Some(list_wanted) = &self.list_wanted {
-            let _ = list_wanted.try_send(());
+    fn request_endpoint_list(&self) {
+        if let Some(list_requests) = &self.list_requests {
+            let _ = list_requests.try_send(());
         }
     }
 
@@ -166,7 +165,7 @@
     /// longest are closed, as they are the least likely to be used again. Several are, because one may be taken into use
     /// before its member closes it.
     pub(super) fn free_descriptors(&mut self, member: MemberId) {
-        for id in self.members_by_idle_time(member).into_iter().take(CLOSED_PER_DESCRIPTOR) {
+        for id in self.members_by_idle_time(member).into_iter().take(CONNECTIONS_CLOSED_PER_DESCRIPTOR) {
             let Some(entry) = &self.members[id] else { continue };
             entry.oldest_idle_since.set(None);
             if entry.commands.try_send(MemberCommand::CloseOldestIdle).is_err() {
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -34,7 +34,7 @@
     up_since_ms: f64,
     /// When it was last started, on the router's clock, within the bounds; `None` for long ago.
     pub(super) started_at: Option<Micros>,
-    started_within: StartBounds,
+    start_bounds: StartBounds,
     /// How many of its responses have told the router that it is a replica.
     pub(super) replica_reports: u64,
 }
@@ -42,29 +42,29 @@
 /// Bounds on when a member was last started, in microseconds on the router's clock.
 struct StartBounds {
     /// When its former incarnation was last heard; `Micros::MIN` where that is not known.
-    former_last_heard: Micros,
+    previous_last_heard: Micros,
     /// When the endpoint list first named this start.
-    first_listed: Micros,
+    first_listed_at: Micros,
 }
 
 impl MemberEntry {
     /// When it was last started, on the router's clock; `None` for long ago. The endpoint list's time counts only within
     /// the bounds, as the wall clock may have been wrong when this process started. `offset` is how far the members' clock
     /// is ahead of the router's, in microseconds.
-    pub(super) fn started(&self, offset: Micros) -> Option<Micros> {
+    pub(super) fn start_time(&self, offset: Micros) -> Option<Micros> {
         let listed = (self.up_since_ms > 0.0).then_some((self.up_since_ms * 1000.0) as Micros)?;
-        let StartBounds { former_last_heard, first_listed } = self.started_within;
-        Some(listed.saturating_sub(offset).max(former_last_heard).min(first_listed))
+        let StartBounds { previous_last_heard, first_listed_at } = self.start_bounds;
+        Some(listed.saturating_sub(offset).max(previous_last_heard).min(first_listed_at))
     }
 
     /// The endpoint list names another start, that is a new incarnation. `was_accepting` says whether the former one could
     /// be sent requests until now.
     fn record_restart(&mut self, up_since_ms: f64, was_accepting: bool, clock: Clock, offset: Micros) {
         self.up_since_ms = up_since_ms;
-        let former = self.last_heard.former_incarnation(was_accepting).map(|heard| clock.at(heard));
-        let former_last_heard = former.unwrap_or(Micros::MIN);
-        self.started_within = StartBounds { former_last_heard, first_listed: clock.now() };
-        self.started_at = self.started(offset);
+        let previous = self.last_heard.former_incarnation(was_accepting).map(|heard| clock.at(heard));
+        let previous_last_heard = previous.unwrap_or(Micros::MIN);
+        self.start_bounds = StartBounds { previous_last_heard, first_listed_at: clock.now() };
+        self.started_at = self.start_time(offset);
     }
 
     /// Has the member's actor connect anew. Where its mailbox is full the former address is kept, so that a later list tries
@@ -78,14 +78,14 @@
 
 impl Dispatcher {
     /// Takes in the whole endpoint list, changes to it, or that it is unavailable, and carries out what follows.
-    pub(super) fn list_update(&mut self, list_update: ListUpdate) {
+    pub(super) fn apply_list_update(&mut self, list_update: ListUpdate) {
         let now = self.context.clock.now();
         let actions = match list_update {
             ListUpdate::Unavailable => self.decide(|router| ((), router.list_unavailable(now))).1,
-            ListUpdate::Received(list) => self.list_received(now, &list),
+            ListUpdate::Received(list) => self.apply_endpoint_list(now, &list),
         };
         self.carry_out(actions);
-        self.forget_gone_members(now);
+        self.forget_unlisted_members(now);
         self.report_groups_to_sites();
         if !self.members.is_empty() {
             self.ready.send_if_modified(|ready| !std::mem::replace(ready, true));
@@ -93,10 +93,10 @@
     }
 
     /// Starts and updates members' actors, and has the router decide with the list.
-    fn list_received(&mut self, now: Micros, list: &EndpointList) -> Actions {
+    fn apply_endpoint_list(&mut self, now: Micros, list: &EndpointList) -> Actions {
         info!(self.context.log, "endpoint list received"; "revision" => list.revision,
             "complete" => list.complete, "endpoints" => list.endpoints.len());
-        let listed = self.listed_members(list);
+        let listed = self.register_endpoints(list);
         let ((), actions) =
             self.decide(|router| ((), router.update_endpoint_list(now, list.complete, listed.clone())));
         self.use_restored_state(list);
@@ -116,7 +116,7 @@
     }
 
     /// Drops the actor, the connections and the index of members that are gone and of which no more reports can come.
-    fn forget_gone_members(&mut self, now: Micros) {
+    fn forget_unlisted_members(&mut self, now: Micros) {
         let Dispatcher { router, members, member_ids, clock_offset, .. } = self;
         member_ids.retain(|_, &mut id| {
             let is_forgotten = router.forget_member(now, id);
@@ -129,58 +129,58 @@
     }
 
     /// The endpoints in the router's form. Their actors act by the list from here on.
-    fn listed_members(&mut self, list: &EndpointList) -> Vec<ListedMember> {
+    fn register_endpoints(&mut self, list: &EndpointList) -> Vec<ListedMember> {
         if list.complete {
-            self.stop_using_unlisted(list);
+            self.mark_unlisted_members(list);
         }
-        list.endpoints.iter().filter_map(|endpoint| self.listed_member(endpoint)).collect()
+        list.endpoints.iter().filter_map(|endpoint| self.register_endpoint(endpoint)).collect()
     }
 
     /// Members that a complete list does not name are gone.
-    fn stop_using_unlisted(&mut self, list: &EndpointList) {
+    fn mark_unlisted_members(&mut self, list: &EndpointList) {
         let listed: HashSet<&str> = list.endpoints.iter().map(|endpoint| endpoint.id.as_str()).collect();
         let accepts_requests = self.accepts_requests(MemberStatus::Unlisted);
         for (_, &id) in self.member_ids.iter().filter(|(name, _)| !listed.contains(name.as_str())) {
-            if let Some(known) = &mut self.members[id] {
-                known.accepts_requests.send_replace(accepts_requests);
-                known.ready = false;
+            if let Some(entry) = &mut self.members[id] {
+                entry.accepts_requests.send_replace(accepts_requests);
+                entry.ready = false;
             }
         }
     }
 
     /// Whether a member may be sent anything new. One that is gone may, where the settings bind only draining members.
-    fn accepts_requests(&self, standing: MemberStatus) -> bool {
-        match standing {
+    fn accepts_requests(&self, status: MemberStatus) -> bool {
+        match status {
             MemberStatus::Ready => true,
             MemberStatus::Draining => false,
-            MemberStatus::Unlisted => self.decoded.router_config.unlisted_members_usable,
+            MemberStatus::Unlisted => self.settings.router_config.unlisted_members_usable,
         }
     }
 
     /// One endpoint in the router's form; `None` where it has no usable address, or is gone and was never known.
-    fn listed_member(&mut self, endpoint: &Endpoint) -> Option<ListedMember> {
+    fn register_endpoint(&mut self, endpoint: &Endpoint) -> Option<ListedMember> {
         let Ok(address) = endpoint.host_port.parse::<SocketAddr>() else {
             warn!(self.context.log, "list endpoint without a usable address, left out";
                 "member" => &endpoint.id, "host_port" => &endpoint.host_port);
             return None;
         };
-        let standing = endpoint.standing();
+        let status = endpoint.standing();
         let member = match self.member_ids.get(&endpoint.id) {
             Some(&member) => member,
-            None if standing == MemberStatus::Unlisted => return None,
+            None if status == MemberStatus::Unlisted => return None,
             None => self.start_member(endpoint, address),
         };
         self.update_member(member, endpoint, address);
-        let since = self.members[member].as_ref()?.started_at;
+        let started_at = self.members[member].as_ref()?.started_at;
         self.groups.insert(endpoint.group);
         Some(ListedMember {
             member,
             name: endpoint.id.clone(),
             group: endpoint.group,
-            zone: self.decoded.zone_index(&endpoint.zone),
-            status: standing,
-            started_at: since,
-            size: self.decoded.member_size(endpoint.size),
+            zone: self.settings.zone_index(&endpoint.zone),
+            status,
+            started_at,
+            size: self.settings.member_size(endpoint.size),
             is_primary: endpoint.is_primary(),
         })
     }
@@ -189,26 +189,26 @@
     fn update_member(&mut self, member: MemberId, endpoint: &Endpoint, address: SocketAddr) {
         let clock = self.context.clock;
         let offset = self.reported_offset;
-        let standing = endpoint.standing();
-        let accepts_requests = self.accepts_requests(standing);
-        let Some(known) = &mut self.members[member] else { return };
-        let was_accepting = known.accepts_requests.send_replace(accepts_requests);
-        known.group = endpoint.group;
-        known.zone = self.decoded.zone_index(&endpoint.zone);
-        known.ready = standing == MemberStatus::Ready;
-        let restarted = known.ready && known.up_since_ms != endpoint.up_since_ms;
+        let status = endpoint.standing();
+        let accepts_requests = self.accepts_requests(status);
+        let Some(entry) = &mut self.members[member] else { return };
+        let was_accepting = entry.accepts_requests.send_replace(accepts_requests);
+        entry.group = endpoint.group;
+        entry.zone = self.settings.zone_index(&endpoint.zone);
+        entry.ready = status == MemberStatus::Ready;
+        let restarted = entry.ready && entry.up_since_ms != endpoint.up_since_ms;
         if restarted {
-            known.record_restart(endpoint.up_since_ms, was_accepting, clock, offset);
+            entry.record_restart(endpoint.up_since_ms, was_accepting, clock, offset);
         }
-        if restarted || known.address != address {
-            known.reconnect(address);
+        if restarted || entry.address != address {
+            entry.reconnect(address);
         }
     }
 
     /// The router is about to receive these reports, and decides with them from now on.
-    pub(super) fn note_replica_reports(&mut self, reports: ReplicaReports) {
-        if let Some(known) = self.members.get_mut(reports.member).and_then(Option::as_mut) {
-            known.replica_reports = known.replica_reports.max(reports.count);
+    pub(super) fn record_replica_reports(&mut self, reports: ReplicaReports) {
+        if let Some(entry) = self.members.get_mut(reports.member).and_then(Option::as_mut) {
+            entry.replica_reports = entry.replica_reports.max(reports.count);
         }
     }
 
@@ -226,10 +226,10 @@
         };
         let member = Member::new(self.context.clone(), id, endpoint.id.clone(), address, links);
         spawn_local(member.run(mailbox));
-        let first_listed = self.context.clock.now();
-        let mut known = MemberEntry {
+        let first_listed_at = self.context.clock.now();
+        let mut entry = MemberEntry {
             group: endpoint.group,
-            zone: self.decoded.zone_index(&endpoint.zone),
+            zone: self.settings.zone_index(&endpoint.zone),
             ready: false,
             commands,
             oldest_idle_since,
@@ -238,14 +238,14 @@
             address,
             up_since_ms: endpoint.up_since_ms,
             started_at: None,
-            started_within: StartBounds { former_last_heard: Micros::MIN, first_listed },
+            start_bounds: StartBounds { previous_last_heard: Micros::MIN, first_listed_at },
             replica_reports: 0,
         };
-        known.started_at = known.started(self.reported_offset);
+        entry.started_at = entry.start_time(self.reported_offset);
         if id == self.members.len() {
             self.members.push(None);
         }
-        self.members[id] = Some(known);
+        self.members[id] = Some(entry);
         self.member_ids.insert(endpoint.id.clone(), id);
         id
     }
--- a/crates/proxy/src/dispatcher/gateway/answers.rs
+++ b/crates/proxy/src/dispatcher/gateway/answers.rs
@@ -86,7 +86,7 @@
     fn answer_remote(&mut self, forwarded: &ForwardedRequest, remote: &RemoteRequest, answer: FinalAnswer) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let effect = self.decoded.router_config.classes[forwarded.class].effect;
+        let effect = self.settings.router_config.classes[forwarded.class].effect;
         let RemoteOutcome { kind, outcome, value, retry_after, hint } = RemoteOutcome::new(answer);
         let frame = ResponseFrame {
             number: remote.number,
--- a/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/forwarded_requests.rs
@@ -10,8 +10,8 @@
 use super::site_actions::ReceivedAnswer;
 use super::{ForwardedRequest, GatewayPart, Requester};
 use crate::dispatcher::Dispatcher;
-use crate::dispatcher::open_request::{RequestLocation, WaitingClient};
-use crate::dispatcher::requests::SiteMiss;
+use crate::dispatcher::open_request::{RequestOwner, WaitingClient};
+use crate::dispatcher::requests::NotPrimaryFollowUp;
 use crate::messages::{Answer, ClientRequest};
 
 /// A request for the site router, and who waits for it.
@@ -30,7 +30,7 @@
     pub(in crate::dispatcher) fn route_between_sites(&mut self, request: ClientRequest, class: usize) {
         let waited = self.context.clock.now() - request.received_at;
         let ttl = Micros::from(request.comment.timeout_ms) * 1000 - waited;
-        let requester = Requester::Client(WaitingClient::of(&request));
+        let requester = Requester::Client(WaitingClient::from_request(&request));
         self.forward(RequestToForward { request, class, ttl, requester, visited: Vec::new() });
     }
 
@@ -44,8 +44,8 @@
             gateway_part.remote_requests.insert((remote.gateway, remote.number), handle);
         }
         let RequestToForward { request, class, requester, visited, .. } = to_forward;
-        self.locations.insert(request.client, RequestLocation::Gateway(handle));
-        self.open_ids.insert(request.comment.id.clone());
+        self.request_owners.insert(request.request_id, RequestOwner::Gateway(handle));
+        self.open_comment_ids.insert(request.comment.id.clone());
         let request = Rc::new(request);
         let forwarded = ForwardedRequest { request, class, local: None, requester, visited };
         gateway_part.forwarded.insert(handle, forwarded);
@@ -82,7 +82,7 @@
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let Some(forwarded) = gateway_part.forwarded.get_mut(&handle) else { return };
         forwarded.local = None;
-        let class = &self.decoded.router_config.classes[forwarded.class];
+        let class = &self.settings.router_config.classes[forwarded.class];
         let in_time = served && now - forwarded.request.received_at <= class.objective;
         let reads = matches!(class.need, Need::Any | Need::Recent(_));
         let from_client = matches!(forwarded.requester, Requester::Client(_));
@@ -100,12 +100,12 @@
     }
 
     /// An attempt here found its member not primary. What follows is carried out once the router has heard it, too.
-    pub(in crate::dispatcher) fn not_primary_here(&mut self, handle: RequestHandle) -> SiteMiss {
+    pub(in crate::dispatcher) fn not_primary_here(&mut self, handle: RequestHandle) -> NotPrimaryFollowUp {
         let now = self.context.clock.now();
-        let Some(gateway_part) = &mut self.gateway_part else { return SiteMiss::default() };
+        let Some(gateway_part) = &mut self.gateway_part else { return NotPrimaryFollowUp::default() };
         let actions = gateway_part.site_router.local_not_primary(now, handle);
-        let taken_back = actions.requests.contains(&(handle, Action::Withdraw));
-        SiteMiss { actions: Some(actions), taken_back }
+        let withdrawn = actions.requests.contains(&(handle, Action::Withdraw));
+        NotPrimaryFollowUp { actions: Some(actions), withdrawn }
     }
 
     /// A member here answered as the primary of this group.
@@ -156,8 +156,8 @@
         if let Requester::Gateway(remote) = &forwarded.requester {
             gateway_part.remote_requests.remove(&(remote.gateway, remote.number));
         }
-        self.open_ids.remove(&forwarded.request.comment.id);
-        self.locations.remove(&forwarded.request.client);
+        self.open_comment_ids.remove(&forwarded.request.comment.id);
+        self.request_owners.remove(&forwarded.request.request_id);
         Some(forwarded)
     }
 }
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -27,7 +27,7 @@
 use super::open_request::WaitingClient;
 use super::outcome_log::{OutcomeLog, RecordTicket};
 use crate::flow_control::BufferReservation;
-use crate::messages::{ClientId, ClientRequest, LinkId};
+use crate::messages::{ClientRequest, ClientRequestId, LinkId};
 
 /// How long after a request's deadline its sender may still ask about it, in microseconds.
 const QUERY_GRACE: Micros = 5_000_000;
@@ -149,7 +149,7 @@
     arriving: HashMap<RecordTicket, ArrivingRequest>,
     /// Outcomes whose record is being written.
     departing: HashMap<RecordTicket, DepartingOutcome>,
-    next_remote_id: ClientId,
+    next_remote_id: ClientRequestId,
     /// The comment's field that names a session.
     session_field: Option<String>,
     ended: EndedCounts,
--- a/crates/proxy/src/dispatcher/gateway/remote_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/remote_requests.rs
@@ -55,8 +55,8 @@
 
     /// Writes the record of a non-idempotent request, which waits for that; any other goes on.
     fn record(&mut self, arriving: ArrivingRequest) {
-        let class = self.decoded.class_index(&arriving.frame.class).ok();
-        let effect = class.map(|class| self.decoded.router_config.classes[class].effect);
+        let class = self.settings.class_index(&arriving.frame.class).ok();
+        let effect = class.map(|class| self.settings.router_config.classes[class].effect);
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let outcome_log = gateway_part.outcome_log.as_mut();
         let Some(outcome_log) = outcome_log.filter(|_| effect == Some(Effect::NonIdempotent)) else {
@@ -131,7 +131,7 @@
         // Its answer goes over the link; this mailbox is nobody's.
         let (mailbox, _) = mpsc::channel(1);
         let request = ClientRequest {
-            client: gateway_part.next_remote_id,
+            request_id: gateway_part.next_remote_id,
             peer,
             mailbox,
             received_at: self.context.clock.now(),
@@ -166,7 +166,7 @@
             - waited
             - gateway_part.site_router.one_way_delay(arriving.gateway);
         let full = gateway_part.forwarded.len() >= self.context.limits.open_requests;
-        let under_way = self.open_ids.contains(&comment.id);
+        let under_way = self.open_comment_ids.contains(&comment.id);
         if gateway_part.draining || full || under_way || ttl <= 0 {
             return Err(ResponseKind::Rejected);
         }
--- a/crates/proxy/src/dispatcher/gateway/site_actions.rs
+++ b/crates/proxy/src/dispatcher/gateway/site_actions.rs
@@ -7,7 +7,7 @@
 use super::answers::FinalAnswer;
 use super::{ForwardedRequest, GatewayPart, SentRequest};
 use crate::dispatcher::Dispatcher;
-use crate::dispatcher::requests::Handover;
+use crate::dispatcher::requests::RouterSubmission;
 use crate::messages::Answer;
 
 /// What a request has just been answered with, here or at another site.
@@ -73,7 +73,8 @@
         let request = forwarded.request.clone();
         let class = forwarded.class;
         let deadline = self.context.clock.now() + ttl;
-        let (local, actions) = self.hand_over(Handover { request, class, deadline, via: Some(handle) });
+        let (local, actions) =
+            self.submit_to_router(RouterSubmission { request, class, deadline, site_handle: Some(handle) });
         if let Some(forwarded) = self.forwarded_mut(handle) {
             forwarded.local = Some(local);
         }
@@ -137,7 +138,7 @@
     fn request_frame(&self, forwarded: &ForwardedRequest, now: Micros) -> RequestFrame {
         let request = &forwarded.request;
         // Zero on the wire says that no last write is known.
-        let written_ago = request.last_write(now).map_or(0, |ago| ago.max(1));
+        let written_ago = request.last_write_age_at(now).map_or(0, |ago| ago.max(1));
         let mut visited = forwarded.visited.clone();
         visited.push(self.own.site.clone());
         RequestFrame {
--- a/crates/proxy/src/dispatcher/gateway/start.rs
+++ b/crates/proxy/src/dispatcher/gateway/start.rs
@@ -11,11 +11,11 @@
 
 use super::{EndedCounts, GatewayPart, QUERY_GRACE};
 use crate::dispatcher::outcome_log::OutcomeLog;
-use crate::messages::ClientId;
+use crate::messages::ClientRequestId;
 use crate::persistence::DataDirectory;
 
 /// Remote requests get client ids of their own, from here on.
-const FIRST_REMOTE_ID: ClientId = 1 << 63;
+const FIRST_REMOTE_ID: ClientRequestId = 1 << 63;
 /// How many confirmations may wait for the dispatcher: as many as records may wait for the disk, and more.
 const MAX_CONFIRMATIONS: usize = 2048;
 
--- a/crates/proxy/src/dispatcher/members_clock.rs
+++ b/crates/proxy/src/dispatcher/members_clock.rs
@@ -13,8 +13,8 @@
     /// Whether the request is a non-idempotent write, whose commit is never one from before it was sent.
     pub(super) fn is_non_idempotent_write(&self, handle: RequestHandle) -> bool {
         let comment = self.open_requests.get(&handle).map(|open| &open.request.comment);
-        let class = comment.and_then(|comment| self.decoded.class_index(&comment.class).ok());
-        let class = class.map(|class| &self.decoded.router_config.classes[class]);
+        let class = comment.and_then(|comment| self.settings.class_index(&comment.class).ok());
+        let class = class.map(|class| &self.settings.router_config.classes[class]);
         class.is_some_and(|class| class.effect == Effect::NonIdempotent && class.need == Need::Write)
     }
 
@@ -38,19 +38,19 @@
         if (offset - self.reported_offset).abs() > MIN_OFFSET_CHANGE {
             warn!(self.context.log, "wall clock at start differs from the members' clock";
                 "offset_ms" => offset / 1000);
-            self.report_offset(offset);
+            self.set_clock_offset(offset);
         }
-        let latest_believable = now + self.reported_offset + self.context.limits.member.max_clock_lead;
-        report.position = Some(position).filter(|&position| position <= latest_believable);
+        let latest_plausible = now + self.reported_offset + self.context.limits.member.max_clock_lead;
+        report.position = Some(position).filter(|&position| position <= latest_plausible);
     }
 
     /// Passes the offset on to the router, in microseconds, and the members' starts as they follow from it.
-    fn report_offset(&mut self, offset: Micros) {
+    fn set_clock_offset(&mut self, offset: Micros) {
         self.reported_offset = offset;
         let mut starts = Vec::new();
         for (id, entry) in self.members.iter_mut().enumerate() {
             if let Some(entry) = entry {
-                entry.started_at = entry.started(offset);
+                entry.started_at = entry.start_time(offset);
                 starts.push((id, entry.started_at));
             }
         }
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -29,15 +29,15 @@
 use tokio::time::sleep_until;
 
 use crate::dispatcher::endpoints::MemberEntry;
-use crate::dispatcher::open_request::{OpenRequest, RequestLocation};
+use crate::dispatcher::open_request::{OpenRequest, RequestOwner};
 use crate::dispatcher::warm_state::LastEndpointList;
 use crate::lifecycle::process_context::ProcessContext;
-use crate::messages::{ClientId, DispatcherMessage, FleetSize, ListUpdate};
+use crate::messages::{ClientRequestId, DispatcherMessage, FleetSize, ListUpdate};
 use crate::shadow::ShadowRouter;
 
 /// How often all other actors run after a stall before the dispatcher goes on: once to be woken by what arrived, once to
 /// read it, once to pass it on.
-const TURNS_AFTER_STALL: usize = 3;
+const YIELDS_AFTER_STALL: usize = 3;
 
 /// What makes the dispatcher act.
 enum Event {
@@ -50,15 +50,15 @@
     /// The process is to stop.
     Stopping,
     /// A record of the outcome log was written (`true`), or could not be.
-    RecordWritten(bool),
+    RecordWriteFinished(bool),
     /// A record of the outcome log has waited too long.
-    RecordLate,
+    RecordWriteTimedOut,
     /// Another actor sent a message.
     Message(DispatcherMessage),
 }
 
 /// Where the dispatcher's events come from, except for its timers.
-struct Inputs {
+struct EventSources {
     list_updates: mpsc::Receiver<ListUpdate>,
     messages: mpsc::Receiver<DispatcherMessage>,
     stopping: watch::Receiver<Option<tokio::time::Instant>>,
@@ -69,7 +69,7 @@
     /// What all actors share.
     pub context: Rc<ProcessContext>,
     /// The settings in force.
-    pub decoded: Settings,
+    pub settings: Settings,
     /// Seed of the router's random choices.
     pub seed: u64,
     /// `None` if this process is no gateway to other sites.
@@ -83,13 +83,13 @@
     /// Set once there is an endpoint list to decide on.
     pub ready: watch::Sender<bool>,
     /// Where the first request asks for the endpoint list; `None` if the discovery watch asks by itself.
-    pub list_wanted: Option<mpsc::Sender<()>>,
+    pub list_requests: Option<mpsc::Sender<()>>,
 }
 
 /// The actor that owns the router and the open requests.
 pub struct Dispatcher {
     context: Rc<ProcessContext>,
-    decoded: Settings,
+    settings: Settings,
     router: Router,
     shadow: Option<ShadowRouter>,
     gateway_part: Option<GatewayPart>,
@@ -104,8 +104,8 @@
     groups: HashSet<u64>,
     open_requests: HashMap<RequestHandle, OpenRequest>,
     /// The ids that clients gave their open requests.
-    open_ids: HashSet<String>,
-    locations: HashMap<ClientId, RequestLocation>,
+    open_comment_ids: HashSet<String>,
+    request_owners: HashMap<ClientRequestId, RequestOwner>,
     /// Ends of attempts and health checks that came up while a decision was carried out: handled after it.
     deferred: VecDeque<DispatcherMessage>,
     warm_state: WarmState,
@@ -116,7 +116,7 @@
     /// The stalled time that both routers were told of, in microseconds.
     reported_stall: Micros,
     ready: watch::Sender<bool>,
-    list_wanted: Option<mpsc::Sender<()>>,
+    list_requests: Option<mpsc::Sender<()>>,
     /// Notified once no remote request is open.
     remote_requests_waiters: Vec<oneshot::Sender<()>>,
 }
@@ -126,8 +126,8 @@
     pub fn new(parts: DispatcherParts) -> Dispatcher {
         let now = parts.context.clock.now();
         Dispatcher {
-            router: Router::start(parts.decoded.router_config.clone(), parts.seed, now),
-            decoded: parts.decoded,
+            router: Router::start(parts.settings.router_config.clone(), parts.seed, now),
+            settings: parts.settings,
             shadow: parts.shadow,
             gateway_part: parts.gateway_part,
             members: Vec::new(),
@@ -136,8 +136,8 @@
             reported_offset: 0,
             groups: HashSet::new(),
             open_requests: HashMap::new(),
-            open_ids: HashSet::new(),
-            locations: HashMap::new(),
+            open_comment_ids: HashSet::new(),
+            request_owners: HashMap::new(),
             deferred: VecDeque::new(),
             warm_state: parts.warm_state,
             last_endpoint_list: LastEndpointList::default(),
@@ -145,7 +145,7 @@
             wake_at: now,
             reported_stall: 0,
             ready: parts.ready,
-            list_wanted: parts.list_wanted,
+            list_requests: parts.list_requests,
             remote_requests_waiters: Vec::new(),
             context: parts.context,
         }
@@ -159,9 +159,9 @@
         messages: mpsc::Receiver<DispatcherMessage>,
     ) {
         let stopping = self.context.stopping.clone();
-        let mut inputs = Inputs { list_updates, messages, stopping };
-        while let Some(event) = self.next_event(&mut inputs).await {
-            if let Some(event) = self.catch_up_after_stall(event, &mut inputs.list_updates).await {
+        let mut sources = EventSources { list_updates, messages, stopping };
+        while let Some(event) = self.next_event(&mut sources).await {
+            if let Some(event) = self.catch_up_after_stall(event, &mut sources.list_updates).await {
                 self.handle_event(event);
             }
             while let Some(message) = self.deferred.pop_front() {
@@ -173,24 +173,24 @@
 
     /// The next event; `None` once every other actor is gone. The endpoint list comes first, because the time that a drain
     /// allows counts from when the list was written.
-    async fn next_event(&mut self, inputs: &mut Inputs) -> Option<Event> {
+    async fn next_event(&mut self, sources: &mut EventSources) -> Option<Event> {
         let clock = self.context.clock;
         let gateway_part = self.gateway_part.as_mut();
         let sites_due = gateway_part.as_ref().map(|gateway_part| gateway_part.wake_at);
         let draining = gateway_part.as_ref().is_none_or(|gateway_part| gateway_part.is_draining());
-        let record_due = gateway_part
+        let write_due = gateway_part
             .as_ref()
             .and_then(|gateway_part| gateway_part.outcome_log.as_ref()?.write_deadline());
         let written = gateway_part.and_then(|gateway_part| gateway_part.written.as_mut());
         tokio::select! {
             biased;
-            Some(list_update) = inputs.list_updates.recv() => Some(Event::ListUpdate(list_update)),
+            Some(list_update) = sources.list_updates.recv() => Some(Event::ListUpdate(list_update)),
             () = sleep_until(clock.instant(self.wake_at)) => Some(Event::RouterDue),
             () = sleep_until(clock.instant(sites_due.unwrap_or(0))), if sites_due.is_some() => Some(Event::SitesDue),
-            Ok(_) = inputs.stopping.wait_for(Option::is_some), if !draining => Some(Event::Stopping),
-            Some(well) = next_written(written) => Some(Event::RecordWritten(well)),
-            () = sleep_until(clock.instant(record_due.unwrap_or(0))), if record_due.is_some() => Some(Event::RecordLate),
-            message = inputs.messages.recv() => message.map(Event::Message),
+            Ok(_) = sources.stopping.wait_for(Option::is_some), if !draining => Some(Event::Stopping),
+            Some(is_written) = next_write_result(written) => Some(Event::RecordWriteFinished(is_written)),
+            () = sleep_until(clock.instant(write_due.unwrap_or(0))), if write_due.is_some() => Some(Event::RecordWriteTimedOut),
+            message = sources.messages.recv() => message.map(Event::Message),
         }
     }
 
@@ -210,16 +210,16 @@
         self.report_stall();
         let remaining = match event {
             Event::ListUpdate(list_update) => {
-                self.list_update(list_update);
+                self.apply_list_update(list_update);
                 None
             }
             event => Some(event),
         };
-        for _ in 0..TURNS_AFTER_STALL {
+        for _ in 0..YIELDS_AFTER_STALL {
             yield_now().await;
         }
         while let Ok(list_update) = list_updates.try_recv() {
-            self.list_update(list_update);
+            self.apply_list_update(list_update);
         }
         remaining
     }
@@ -236,28 +236,28 @@
 
     fn handle_event(&mut self, event: Event) {
         match event {
-            Event::ListUpdate(list_update) => self.list_update(list_update),
+            Event::ListUpdate(list_update) => self.apply_list_update(list_update),
             Event::RouterDue => self.wake_router(),
             Event::SitesDue => self.wake_sites(),
             Event::Stopping => self.drain_sites(),
-            Event::RecordWritten(well) => self.record_written(well),
-            Event::RecordLate => self.stop_waiting_for_records(),
+            Event::RecordWriteFinished(is_written) => self.record_written(is_written),
+            Event::RecordWriteTimedOut => self.stop_waiting_for_records(),
             Event::Message(message) => self.handle_message(message),
         }
     }
 
     fn handle_message(&mut self, message: DispatcherMessage) {
         match message {
-            DispatcherMessage::ClientRequest(request) => self.client_request(request),
-            DispatcherMessage::ClientLeft(left) => self.client_left(left.client),
-            DispatcherMessage::AttemptFinished(finished) => self.attempt_finished(finished),
-            DispatcherMessage::HealthCheckFinished(finished) => self.health_check_finished(finished),
+            DispatcherMessage::ClientRequest(request) => self.handle_client_request(request),
+            DispatcherMessage::ClientLeft(left) => self.handle_client_left(left.request_id),
+            DispatcherMessage::AttemptFinished(finished) => self.handle_attempt_finished(finished),
+            DispatcherMessage::HealthCheckFinished(finished) => self.handle_health_check_finished(finished),
             DispatcherMessage::ShadowReplaced(shadow) => self.replace_shadow(shadow.map(|shadow| *shadow)),
             DispatcherMessage::Link(message) => self.link_message(message.link, message.event),
             DispatcherMessage::AwaitRemoteRequests(reply) => self.await_remote_requests(reply),
-            DispatcherMessage::FleetSize(size) => self.fleet_size(&size),
+            DispatcherMessage::FleetSize(size) => self.set_fleet_size(&size),
             DispatcherMessage::TakeObservations(reply) => self.report_observations(reply),
-            DispatcherMessage::ZoneDirectives(directives) => self.zone_directives(&directives),
+            DispatcherMessage::ZoneDirectives(directives) => self.apply_zone_directives(&directives),
             DispatcherMessage::SiteDrainPlans(plans) => self.follow_site_drains(plans),
             DispatcherMessage::DescribeSites(reply) => {
                 let _ = reply.send(self.describe());
@@ -282,7 +282,7 @@
         self.publish_snapshot();
     }
 
-    fn fleet_size(&mut self, size: &FleetSize) {
+    fn set_fleet_size(&mut self, size: &FleetSize) {
         let ((), actions) = self.decide(|router| {
             (router.set_fleet_size(size.sharing_warm, size.sharing_warming_up), Actions::default())
         });
@@ -317,7 +317,7 @@
 }
 
 /// Whether the next record of the outcome log was written; `None` without such a log, or once its writer is gone.
-async fn next_written(written: Option<&mut mpsc::Receiver<bool>>) -> Option<bool> {
+async fn next_write_result(written: Option<&mut mpsc::Receiver<bool>>) -> Option<bool> {
     match written {
         Some(written) => written.recv().await,
         None => None,
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -24,7 +24,7 @@
     zone: usize,
     /// Its request class's latency objective, in microseconds.
     objective: Micros,
-    write: bool,
+    is_write: bool,
     /// The key that the statement names; empty where no keys are observed.
     key: Vec<u8>,
 }
@@ -34,16 +34,16 @@
     zone_history: ZoneHistory,
     in_flight: HashMap<RequestHandle, AttemptInFlight>,
     /// By group; `None` where no split points are decided.
-    keys: Option<BTreeMap<u64, KeySketch>>,
+    key_sketches: Option<BTreeMap<u64, KeySketch>>,
     seed: u64,
 }
 
 impl Observations {
     /// Observes from `now` on. `seed` seeds the key summaries; `splits` says whether split points are decided, which needs
     /// them.
-    pub fn start(now: Micros, seed: u64, splits: bool) -> Observations {
-        let keys = splits.then(BTreeMap::new);
-        Observations { zone_history: ZoneHistory::start(now), in_flight: HashMap::new(), keys, seed }
+    pub fn start(now: Micros, seed: u64, split_points_enabled: bool) -> Observations {
+        let key_sketches = split_points_enabled.then(BTreeMap::new);
+        Observations { zone_history: ZoneHistory::start(now), in_flight: HashMap::new(), key_sketches, seed }
     }
 
     /// An attempt is about to be sent to this member.
@@ -51,36 +51,36 @@
         &mut self,
         handle: RequestHandle,
         member: Option<&MemberEntry>,
-        decoded: &Settings,
+        settings: &Settings,
         request: &ClientRequest,
     ) {
-        let Ok(class) = decoded.class_index(&request.comment.class) else { return };
-        let class = &decoded.router_config.classes[class];
+        let Ok(class) = settings.class_index(&request.comment.class) else { return };
+        let class = &settings.router_config.classes[class];
         let Some(member) = member else { return };
         let attempt = AttemptInFlight {
             group: member.group,
             zone: member.zone,
             objective: class.objective,
-            write: class.need == Need::Write,
-            key: self.key(request),
+            is_write: class.need == Need::Write,
+            key: self.observed_key(request),
         };
         self.in_flight.insert(handle, attempt);
     }
 
-    fn key(&self, request: &ClientRequest) -> Vec<u8> {
-        if self.keys.is_none() {
+    fn observed_key(&self, request: &ClientRequest) -> Vec<u8> {
+        if self.key_sketches.is_none() {
             return Vec::new();
         }
         first_quoted_text(&request.statement[request.comment.end..]).unwrap_or_default().into_bytes()
     }
 
-    fn record_end(&mut self, now: Micros, handle: RequestHandle, verdict: Verdict, elapsed: Micros) {
+    fn record_attempt_end(&mut self, now: Micros, handle: RequestHandle, verdict: Verdict, elapsed: Micros) {
         let Some(attempt) = self.in_flight.remove(&handle) else { return };
         if verdict == Verdict::Served {
             self.count_key(now, &attempt, elapsed);
         }
         // Writes go wherever the primary is, and say nothing of zones.
-        if attempt.write {
+        if attempt.is_write {
             return;
         }
         if let Some(outcome) = read_outcome(verdict, elapsed, attempt.objective) {
@@ -90,22 +90,22 @@
 
     /// Counts a served access to a key; its cost is the time that the member took.
     fn count_key(&mut self, now: Micros, attempt: &AttemptInFlight, elapsed: Micros) {
-        let Some(keys) = &mut self.keys else { return };
+        let Some(key_sketches) = &mut self.key_sketches else { return };
         let group = attempt.group;
-        let has_room = keys.len() < MAX_GROUPS || keys.contains_key(&group);
+        let has_room = key_sketches.len() < MAX_GROUPS || key_sketches.contains_key(&group);
         if attempt.key.is_empty() || !has_room {
             return;
         }
         let seed = self.seed ^ group;
-        let sketch = keys.entry(group).or_insert_with(|| KeySketch::start(now, seed));
+        let sketch = key_sketches.entry(group).or_insert_with(|| KeySketch::start(now, seed));
         let cost_ms = elapsed as f64 / 1000.0;
-        sketch.record(now, &attempt.key, attempt.write, cost_ms);
+        sketch.record(now, &attempt.key, attempt.is_write, cost_ms);
     }
 
     fn summary(&mut self, now: Micros, site: Option<SiteObservations>) -> ObservationSummary {
         let RecentReads { span, rows } = self.zone_history.end_interval(now);
         let encoded = |(&group, sketch): (&u64, &mut KeySketch)| (group, sketch.encode_summary(now));
-        let keys = self.keys.iter_mut().flatten().map(encoded).collect();
+        let keys = self.key_sketches.iter_mut().flatten().map(encoded).collect();
         ObservationSummary { span, rows, keys, site }
     }
 }
@@ -131,9 +131,9 @@
 
 impl Dispatcher {
     /// An attempt ended, for the observations if there are any.
-    pub(super) fn observe_end(&mut self, handle: RequestHandle, verdict: Verdict, elapsed: Micros) {
+    pub(super) fn observe_attempt_end(&mut self, handle: RequestHandle, verdict: Verdict, elapsed: Micros) {
         if let Some(observations) = &mut self.observations {
-            observations.record_end(self.context.clock.now(), handle, verdict, elapsed);
+            observations.record_attempt_end(self.context.clock.now(), handle, verdict, elapsed);
         }
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Applies the directives for this process's zone, by group; a group that is not named has none.
-    pub(super) fn zone_directives(&mut self, directives: &[ZoneDirective]) {
+    pub(super) fn apply_zone_directives(&mut self, directives: &[ZoneDirective]) {
         let by_group = |directive: &ZoneDirective| (directive.group, read_shift(&directive.shift));
         let shifts = directives.iter().map(by_group).collect();
         self.router.set_read_shifts(&shifts);
--- a/crates/proxy/src/dispatcher/open_request.rs
+++ b/crates/proxy/src/dispatcher/open_request.rs
@@ -7,11 +7,11 @@
 use aldermill_site_routing::RequestHandle as SiteRequestHandle;
 use tokio::sync::mpsc;
 
-use crate::messages::{Answer, Cancellation, ClientId, ClientMessage, ClientRequest};
+use crate::messages::{Answer, Cancellation, ClientMessage, ClientRequest, ClientRequestId};
 
 /// Who decides on a client's request.
 #[derive(Clone, Copy)]
-pub(super) enum RequestLocation {
+pub(super) enum RequestOwner {
     /// The router alone.
     Router(RequestHandle),
     /// The gateway part, which may have handed it to the router.
@@ -21,28 +21,28 @@
 /// The client that waits for a request.
 pub(super) struct WaitingClient {
     /// The client's name of its request.
-    pub(super) id: ClientId,
+    pub(super) request_id: ClientRequestId,
     /// Where the answer goes.
     pub(super) mailbox: mpsc::Sender<ClientMessage>,
 }
 
 impl WaitingClient {
     /// Whoever sent this request.
-    pub(super) fn of(request: &ClientRequest) -> WaitingClient {
-        WaitingClient { id: request.client, mailbox: request.mailbox.clone() }
+    pub(super) fn from_request(request: &ClientRequest) -> WaitingClient {
+        WaitingClient { request_id: request.request_id, mailbox: request.mailbox.clone() }
     }
 
     /// Gives the client its one answer.
     pub(super) fn answer(&self, answer: Answer) {
         // Its mailbox always has room for the answers it waits for; it may be gone.
-        let _ = self.mailbox.try_send(ClientMessage::Answer(self.id, answer));
+        let _ = self.mailbox.try_send(ClientMessage::Answer(self.request_id, answer));
     }
 }
 
 /// A request that the router decides on, and the client that waits for it.
 pub(super) struct OpenRequest {
     /// Present where it came through the gateway part, which is told what the router says and answers the client.
-    pub(super) via: Option<SiteRequestHandle>,
+    pub(super) site_handle: Option<SiteRequestHandle>,
     /// Whether its class is the best paid.
     pub(super) priority: Priority,
     /// When the client's time is over, on the router's clock. No attempt may last longer.
@@ -57,7 +57,7 @@
 
 impl OpenRequest {
     /// Nobody waits for it here any more.
-    pub(super) fn withdraw(&mut self) {
+    pub(super) fn cancel(&mut self) {
         self.client = None;
         self.cancellation.cancel();
     }
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -8,13 +8,14 @@
 
 use super::Dispatcher;
 use super::gateway::GatewayPart;
-use super::open_request::{OpenRequest, RequestLocation, WaitingClient};
+use super::open_request::{OpenRequest, RequestOwner, WaitingClient};
 use crate::messages::{
-    Answer, AttemptFinished, AttemptResponse, Cancellation, ClientId, ClientRequest, HealthCheckFinished,
+    Answer, AttemptFinished, AttemptResponse, Cancellation, ClientRequest, ClientRequestId,
+    HealthCheckFinished,
 };
 
 /// A request for the router, and until when it must be answered.
-pub(super) struct Handover {
+pub(super) struct RouterSubmission {
     /// The client's request.
     pub(super) request: Rc<ClientRequest>,
     /// Its request class, by its place in the settings.
@@ -22,42 +23,42 @@
     /// On the router's clock: an instant, which a process that is held up on the way does not put off.
     pub(super) deadline: Micros,
     /// Present where the gateway part hands it over.
-    pub(super) via: Option<SiteRequestHandle>,
+    pub(super) site_handle: Option<SiteRequestHandle>,
 }
 
 /// What the gateway part makes of an answer that its member is not primary.
 #[derive(Default)]
-pub(super) struct SiteMiss {
+pub(super) struct NotPrimaryFollowUp {
     /// To be carried out once the router has heard the answer, too.
     pub(super) actions: Option<SiteActions>,
     /// Whether the gateway part takes the request back from the router.
-    pub(super) taken_back: bool,
+    pub(super) withdrawn: bool,
 }
 
 impl Dispatcher {
     /// A client's request: rejected at once, or on its way.
-    pub(super) fn client_request(&mut self, request: ClientRequest) {
-        match self.check(&request) {
-            Err(answer) => WaitingClient::of(&request).answer(answer),
+    pub(super) fn handle_client_request(&mut self, request: ClientRequest) {
+        match self.validate(&request) {
+            Err(answer) => WaitingClient::from_request(&request).answer(answer),
             Ok(class) if self.gateway_part.is_some() => self.route_between_sites(request, class),
             Ok(class) => self.admit(request, class),
         }
     }
 
     /// The request's class, or why it is not taken.
-    fn check(&self, request: &ClientRequest) -> Result<usize, Answer> {
+    fn validate(&self, request: &ClientRequest) -> Result<usize, Answer> {
         let comment = &request.comment;
-        let Ok(class) = self.decoded.class_index(&comment.class) else {
+        let Ok(class) = self.settings.class_index(&comment.class) else {
             return Err(Answer::InvalidStatement("unknown offering"));
         };
         // The list may be older than its group: the request was not sent on, and may be sent again.
         if !self.knows_group(comment.group) {
             return Err(Answer::Rejected { retry_after: 0 });
         }
-        if self.open_ids.contains(&comment.id) {
+        if self.open_comment_ids.contains(&comment.id) {
             return Err(Answer::InvalidStatement("a task with this id is under way"));
         }
-        if self.is_full() {
+        if self.has_max_open_requests() {
             return Err(Answer::Rejected { retry_after: 0 });
         }
         Ok(class)
@@ -70,34 +71,37 @@
     }
 
     /// Whether as many requests are under way as the operator allows.
-    fn is_full(&self) -> bool {
-        let crossing = self.gateway_part.as_ref().map_or(0, GatewayPart::open_requests);
-        self.open_requests.len().max(crossing) >= self.context.limits.open_requests
+    fn has_max_open_requests(&self) -> bool {
+        let forwarded = self.gateway_part.as_ref().map_or(0, GatewayPart::open_requests);
+        self.open_requests.len().max(forwarded) >= self.context.limits.open_requests
     }
 
     /// Hands a checked request to the router and carries out its first decision.
     fn admit(&mut self, request: ClientRequest, class: usize) {
         // The timeout has run since the statement arrived.
         let deadline = request.received_at + Micros::from(request.comment.timeout_ms) * 1000;
-        let (client, id) = (request.client, request.comment.id.clone());
-        let handover = Handover { request: Rc::new(request), class, deadline, via: None };
-        let (handle, actions) = self.hand_over(handover);
-        self.locations.insert(client, RequestLocation::Router(handle));
-        self.open_ids.insert(id);
+        let (request_id, comment_id) = (request.request_id, request.comment.id.clone());
+        let submission = RouterSubmission { request: Rc::new(request), class, deadline, site_handle: None };
+        let (handle, actions) = self.submit_to_router(submission);
+        self.request_owners.insert(request_id, RequestOwner::Router(handle));
+        self.open_comment_ids.insert(comment_id);
         self.carry_out(actions);
     }
 
     /// Hands a request to the router. What the router returns is not carried out yet.
-    pub(super) fn hand_over(&mut self, handover: Handover) -> (RequestHandle, aldermill_routing::Actions) {
-        let Handover { request, class, deadline, via } = handover;
+    pub(super) fn submit_to_router(
+        &mut self,
+        submission: RouterSubmission,
+    ) -> (RequestHandle, aldermill_routing::Actions) {
+        let RouterSubmission { request, class, deadline, site_handle } = submission;
         let now = self.context.clock.now();
         let routed = self.routed_request(&request, class, deadline, now);
         let (handle, actions) = self.decide(|router| router.accept_request(now, routed.clone()));
         let open = OpenRequest {
-            via,
+            site_handle,
             priority: self.context.priority(&request.comment.class),
             deadline,
-            client: Some(WaitingClient::of(&request)),
+            client: Some(WaitingClient::from_request(&request)),
             cancellation: Cancellation::default(),
             request,
         };
@@ -114,59 +118,61 @@
         now: Micros,
     ) -> Request {
         let comment = &request.comment;
-        let keyed = matches!(self.decoded.router_config.classes[class].need, Need::Write | Need::OwnWrites);
-        let session = if keyed { first_quoted_text(&request.statement[comment.end..]) } else { None };
+        let uses_session =
+            matches!(self.settings.router_config.classes[class].need, Need::Write | Need::OwnWrites);
+        let session = if uses_session { first_quoted_text(&request.statement[comment.end..]) } else { None };
         Request {
             class,
             group: comment.group,
             ttl: deadline - now,
             waited: now - request.received_at,
             session,
-            last_write_age: request.last_write(now),
+            last_write_age: request.last_write_age_at(now),
             marked_retry: comment.client_retry,
         }
     }
 
     /// An attempt ended: observed, answered where there is an answer, and the router decides what follows.
-    pub(super) fn attempt_finished(&mut self, finished: AttemptFinished) {
+    pub(super) fn handle_attempt_finished(&mut self, finished: AttemptFinished) {
         let AttemptFinished { request: handle, verdict, elapsed, mut report, .. } = finished;
         if let Some(replica_reports) = finished.replica_reports {
             let written = self.is_non_idempotent_write(handle) && verdict == Verdict::Served;
             let written_at = written.then_some(finished.decided_at);
             self.observe_clock(replica_reports.member, &mut report, written_at);
-            self.note_replica_reports(replica_reports);
+            self.record_replica_reports(replica_reports);
         }
-        self.observe_end(handle, verdict, elapsed);
+        self.observe_attempt_end(handle, verdict, elapsed);
         match finished.response {
             AttemptResponse::Rows(rows) => self.answer(handle, Answer::Served(rows)),
-            AttemptResponse::TooLarge => self.answer_without_buffer_space(handle),
+            AttemptResponse::NoBufferSpace => self.answer_without_buffer_space(handle),
             AttemptResponse::None => {}
         }
         let open = self.open_requests.get(&handle);
-        let (via, group) = open.map_or((None, 0), |open| (open.via, open.request.comment.group));
+        let (site_handle, group) =
+            open.map_or((None, 0), |open| (open.site_handle, open.request.comment.group));
         // The gateway part hears of a miss first: it may take the request back before the router tries again.
-        let miss = self.gateway_part_hears(via, verdict, elapsed);
+        let follow_up = self.notify_gateway_part(site_handle, verdict, elapsed);
         let no_longer_awaited = self.open_requests.get(&handle).is_none_or(|open| open.client.is_none());
-        let closed = miss.taken_back || no_longer_awaited;
+        let closed = follow_up.withdrawn || no_longer_awaited;
         let outcome = Outcome { verdict, duration: elapsed, report, request_closed: closed };
         let now = self.context.clock.now();
         let ((), actions) = self.decide(|router| ((), handle.attempt_ended(router, now, outcome)));
         self.carry_out(actions);
-        self.release(handle);
-        if let Some(actions) = miss.actions {
+        self.release_if_finished(handle);
+        if let Some(actions) = follow_up.actions {
             self.carry_out_site_actions(actions, None);
         }
-        if via.is_some() && report.role == Some(Role::Primary) {
+        if site_handle.is_some() && report.role == Some(Role::Primary) {
             self.primary_here(group);
         }
     }
 
     /// A health check ended: observed, and the router decides what follows.
-    pub(super) fn health_check_finished(&mut self, finished: HealthCheckFinished) {
+    pub(super) fn handle_health_check_finished(&mut self, finished: HealthCheckFinished) {
         let HealthCheckFinished { verdict, elapsed, mut report, replica_reports } = finished;
         let member = replica_reports.member;
         self.observe_clock(member, &mut report, None);
-        self.note_replica_reports(replica_reports);
+        self.record_replica_reports(replica_reports);
         let now = self.context.clock.now();
         let ((), actions) =
             self.decide(|router| ((), router.health_checked(now, member, verdict, elapsed, report)));
@@ -180,27 +186,27 @@
     }
 
     /// Tells the gateway part, where the request came through it, that an attempt missed or may have run.
-    fn gateway_part_hears(
+    fn notify_gateway_part(
         &mut self,
-        via: Option<SiteRequestHandle>,
+        site_handle: Option<SiteRequestHandle>,
         verdict: Verdict,
         elapsed: Micros,
-    ) -> SiteMiss {
-        match via {
-            Some(via) if verdict == Verdict::NotPrimary => return self.not_primary_here(via),
-            Some(via) if verdict != Verdict::Served && !verdict.never_ran() => {
-                self.may_have_run(via, elapsed)
+    ) -> NotPrimaryFollowUp {
+        match site_handle {
+            Some(site_handle) if verdict == Verdict::NotPrimary => return self.not_primary_here(site_handle),
+            Some(site_handle) if verdict != Verdict::Served && !verdict.never_ran() => {
+                self.may_have_run(site_handle, elapsed)
             }
             _ => {}
         }
-        SiteMiss::default()
+        NotPrimaryFollowUp::default()
     }
 
     /// A client no longer waits for its request, whoever decides on it.
-    pub(super) fn client_left(&mut self, client: ClientId) {
-        match self.locations.remove(&client) {
-            Some(RequestLocation::Router(handle)) => self.abandon(handle),
-            Some(RequestLocation::Gateway(handle)) => self.forwarded_request_left(handle),
+    pub(super) fn handle_client_left(&mut self, request_id: ClientRequestId) {
+        match self.request_owners.remove(&request_id) {
+            Some(RequestOwner::Router(handle)) => self.abandon(handle),
+            Some(RequestOwner::Gateway(handle)) => self.forwarded_request_left(handle),
             None => {}
         }
     }
@@ -208,25 +214,25 @@
     /// The router forgets a request that nobody waits for here any more; attempts that were sent go on.
     pub(super) fn abandon(&mut self, handle: RequestHandle) {
         if let Some(open) = self.open_requests.get_mut(&handle) {
-            open.withdraw();
+            open.cancel();
         }
         let now = self.context.clock.now();
         let ((), actions) = self.decide(|router| ((), handle.client_left(router, now)));
         self.carry_out(actions);
-        self.release(handle);
+        self.release_if_finished(handle);
     }
 
     /// Drops what is kept for a request that the router has finished with.
-    pub(super) fn release(&mut self, handle: RequestHandle) {
+    pub(super) fn release_if_finished(&mut self, handle: RequestHandle) {
         if self.router.is_pending(handle) {
             return;
         }
         let Some(open) = self.open_requests.remove(&handle) else { return };
         // The gateway part keeps these of its own requests.
-        if open.via.is_none() {
-            self.open_ids.remove(&open.request.comment.id);
+        if open.site_handle.is_none() {
+            self.open_comment_ids.remove(&open.request.comment.id);
             if let Some(client) = open.client {
-                self.locations.remove(&client.id);
+                self.request_owners.remove(&client.request_id);
             }
         }
     }
--- a/crates/proxy/src/dispatcher/warm_state.rs
+++ b/crates/proxy/src/dispatcher/warm_state.rs
@@ -27,7 +27,7 @@
     /// Each endpoint as JSON, by the member's name.
     endpoints: BTreeMap<String, String>,
     /// When the next snapshot is due, on the router's clock.
-    snapshot_at: Micros,
+    next_snapshot_at: Micros,
 }
 
 impl LastEndpointList {
@@ -57,13 +57,13 @@
         }
         let restored = std::mem::take(&mut self.warm_state.restored);
         if restored != StateSnapshot::default() {
-            let learnt = self.learnt_by_former_start(&restored);
-            self.router.restore_learned_state(&learnt);
+            let learned = self.map_restored_state(&restored);
+            self.router.restore_learned_state(&learned);
         }
     }
 
     /// What a former start learned of the members that are listed now.
-    fn learnt_by_former_start(&self, restored: &StateSnapshot) -> LearnedState {
+    fn map_restored_state(&self, restored: &StateSnapshot) -> LearnedState {
         let id = |name: &String| self.member_ids.get(name).copied();
         let primary = |primary: &KnownPrimary| Some((id(&primary.member)?, primary.confirmed_at));
         let service_time =
@@ -71,9 +71,9 @@
         let concurrency_limits = restored.concurrency_limits.iter();
         LearnedState {
             primaries: restored.primaries.values().filter_map(primary).collect(),
-            durations: self.decoded.class_names().iter().map(service_time).collect(),
+            durations: self.settings.class_names().iter().map(service_time).collect(),
             concurrency_limits: concurrency_limits
-                .filter_map(|(name, &power)| Some((id(name)?, power)))
+                .filter_map(|(name, &exponent)| Some((id(name)?, exponent)))
                 .collect(),
         }
     }
@@ -82,36 +82,40 @@
     pub(super) fn publish_snapshot(&mut self) {
         let now = self.context.clock.now();
         let Some(snapshots) = &self.warm_state.snapshots else { return };
-        if now < self.last_endpoint_list.snapshot_at {
+        if now < self.last_endpoint_list.next_snapshot_at {
             return;
         }
-        self.last_endpoint_list.snapshot_at = now + SNAPSHOT_INTERVAL;
+        self.last_endpoint_list.next_snapshot_at = now + SNAPSHOT_INTERVAL;
         snapshots.send_replace(Some(self.snapshot()));
     }
 
     fn snapshot(&self) -> StateSnapshot {
-        let learnt = self.router.learned_state();
+        let learned = self.router.learned_state();
         let names: BTreeMap<usize, &String> = self.member_ids.iter().map(|(name, &id)| (id, name)).collect();
         let name = |id: usize| names.get(&id).map(|&name| name.clone());
         let group = |id: usize| self.members.get(id).and_then(Option::as_ref).map(|entry| entry.group);
         let primary = |&(id, confirmed_at): &(usize, Micros)| {
             Some((group(id)?, KnownPrimary { member: name(id)?, confirmed_at }))
         };
-        let service_times =
-            self.decoded.class_names().into_iter().zip(&learnt.durations).filter(|(_, took)| took.0 > 0);
+        let service_times = self
+            .settings
+            .class_names()
+            .into_iter()
+            .zip(&learned.durations)
+            .filter(|(_, durations)| durations.0 > 0);
         let home_sites = self.gateway_part.as_ref().map(GatewayPart::homes);
         StateSnapshot {
             revision: self.last_endpoint_list.revision,
             members: self.last_endpoint_list.endpoints.clone(),
-            primaries: learnt.primaries.iter().filter_map(primary).collect(),
+            primaries: learned.primaries.iter().filter_map(primary).collect(),
             home_sites: home_sites.unwrap_or_default(),
             service_times: service_times
                 .map(|(name, &(median, p90))| (name, ServiceTime { median, p90 }))
                 .collect(),
-            concurrency_limits: learnt
+            concurrency_limits: learned
                 .concurrency_limits
                 .iter()
-                .filter_map(|&(id, power)| Some((name(id)?, power)))
+                .filter_map(|&(id, exponent)| Some((name(id)?, exponent)))
                 .collect(),
         }
     }
--- a/crates/proxy/src/lifecycle/startup/actors.rs
+++ b/crates/proxy/src/lifecycle/startup/actors.rs
@@ -214,14 +214,14 @@
 ) -> JoinHandle<()> {
     let mut dispatcher = Dispatcher::new(DispatcherParts {
         context: context.clone(),
-        decoded: configuration.settings,
+        settings: configuration.settings,
         seed: configuration.seed,
         gateway_part: inputs.gateway_part,
         shadow: configuration.shadow,
         warm_state: inputs.warm_state,
         observations: inputs.observations,
         ready: channels.ready,
-        list_wanted: channels.list_requests,
+        list_requests: channels.list_requests,
     });
     dispatcher.follow_site_drains(inputs.site_drains);
     spawn_local(dispatcher.run(channels.list_updates, channels.messages))
--- a/crates/proxy/src/member/actor.rs
+++ b/crates/proxy/src/member/actor.rs
@@ -121,7 +121,7 @@
     fn execute(&mut self, command: MemberCommand) {
         match command {
             MemberCommand::Send(attempt) => {
-                if attempt.pool_use == PoolUse::ConnectAnew {
+                if attempt.pool_use == PoolUse::NewConnection {
                     self.pool.close_all();
                 }
                 let Attempt { handle, decided_at, deadline, .. } = attempt;
@@ -274,7 +274,7 @@
 /// What is passed on to the client.
 fn attempt_response(verdict: Verdict, response: Response) -> AttemptResponse {
     match verdict {
-        Verdict::Served if response.out_of_buffer_space => AttemptResponse::TooLarge,
+        Verdict::Served if response.out_of_buffer_space => AttemptResponse::NoBufferSpace,
         Verdict::Served => {
             AttemptResponse::Rows(Rows { pieces: response.exchange.rows, reservation: response.reservation })
         }
--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -203,7 +203,7 @@
         let left = self.deadline.saturating_duration_since(Instant::now());
         let margin = (left / MARGIN_DIVISOR).min(TIMEOUT_MARGIN);
         let timeout = left.saturating_sub(margin).as_millis().max(1);
-        Query::of(&attempt.request, &timeout.to_string())
+        Query::with_timeout(&attempt.request, &timeout.to_string())
     }
 
     /// Writes the query, at the least rate or faster.
--- a/crates/proxy/src/messages/client.rs
+++ b/crates/proxy/src/messages/client.rs
@@ -5,12 +5,12 @@
 use crate::flow_control::BufferReservation;
 
 /// Identifies one statement of a client for as long as this process runs; never reused.
-pub type ClientId = u64;
+pub type ClientRequestId = u64;
 
 /// What the dispatcher and the listener send to a client's actor.
 pub enum ClientMessage {
     /// The answer to the statement of this id.
-    Answer(ClientId, Answer),
+    Answer(ClientRequestId, Answer),
     /// A new connection needs the descriptor: close this one if no request is in flight on it.
     CloseIfIdle,
 }
--- a/crates/proxy/src/messages/dispatcher.rs
+++ b/crates/proxy/src/messages/dispatcher.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use super::{ClientId, ClientMessage, ObservationSummary, Rows};
+use super::{ClientMessage, ClientRequestId, ObservationSummary, Rows};
 use crate::discovery::endpoint_list::EndpointList;
 use crate::shadow::ShadowRouter;
 
@@ -49,7 +49,7 @@
 /// A client no longer waits for its request.
 pub struct ClientLeft {
     /// The statement that it no longer waits for.
-    pub client: ClientId,
+    pub request_id: ClientRequestId,
 }
 
 /// By how many processes the available capacity of members is shared.
@@ -86,7 +86,7 @@
 /// A client's statement with its comment, received whole.
 pub struct ClientRequest {
     /// Names it to the client's actor.
-    pub client: ClientId,
+    pub request_id: ClientRequestId,
     /// The client's connection, for which buffer space for the answer is reserved.
     pub peer: PeerId,
     /// Where its answer goes.
@@ -105,14 +105,14 @@
     /// How long before `now` the session's last write was committed, in microseconds; below zero where this process's
     /// clock is behind. What the client states comes first: it is a time on the members' clock, as their positions are, so
     /// that both compare as they were stated.
-    pub fn last_write(&self, now: Micros) -> Option<Micros> {
-        let stated = self.comment.min_position_ms.map(|after| now.saturating_sub(millis(after)));
+    pub fn last_write_age_at(&self, now: Micros) -> Option<Micros> {
+        let stated = self.comment.min_position_ms.map(|after| now.saturating_sub(millis_to_micros(after)));
         stated.or(self.last_write_age)
     }
 }
 
 /// Milliseconds as microseconds, capped at `Micros::MAX`.
-fn millis(millis: u64) -> Micros {
+fn millis_to_micros(millis: u64) -> Micros {
     Micros::try_from(millis).map_or(Micros::MAX, |millis| millis.saturating_mul(1000))
 }
 
@@ -164,7 +164,7 @@
     /// The messages that carry the value.
     Rows(Rows),
     /// The response began, and no buffer space was to be had for it on behalf of the client. The member is not to blame.
-    TooLarge,
+    NoBufferSpace,
 }
 
 /// What the discovery watch sends to the dispatcher.
--- a/crates/proxy/src/messages/member.rs
+++ b/crates/proxy/src/messages/member.rs
@@ -36,7 +36,7 @@
     /// An idle connection is reused where there is one.
     Reuse,
     /// All idle connections are closed first, so that a new one is opened.
-    ConnectAnew,
+    NewConnection,
 }
 
 /// An attempt for a member's actor to send.
@@ -79,9 +79,9 @@
 }
 
 /// Statements of at most this size, in bytes, are copied into one piece.
-const SINGLE_PIECE_MAX: usize = 8 * 1024;
+const MAX_COPIED_STATEMENT_BYTES: usize = 8 * 1024;
 /// Spare room for the query's header, its closing zero and a longer timeout, in bytes.
-const QUERY_OVERHEAD: usize = 16;
+const QUERY_OVERHEAD_BYTES: usize = 16;
 
 /// A statement as it is written to a member.
 pub enum Query {
@@ -90,7 +90,7 @@
     /// A large statement, which is not copied: its bytes stay with its request.
     Split {
         /// The message up to where the request's own bytes go on.
-        front: Vec<u8>,
+        prefix: Vec<u8>,
         /// Holds the rest of the statement.
         request: Rc<ClientRequest>,
     },
@@ -98,26 +98,26 @@
 
 impl Query {
     /// The client's statement with its timeout replaced by `timeout`, a decimal number of milliseconds.
-    pub fn of(request: &Rc<ClientRequest>, timeout: &str) -> Query {
+    pub fn with_timeout(request: &Rc<ClientRequest>, timeout: &str) -> Query {
         let ClientRequest { statement, comment, .. } = &**request;
         let before = &statement[..comment.timeout_range.start];
         let after = &statement[comment.timeout_range.end..];
-        if statement.len() <= SINGLE_PIECE_MAX {
-            let mut query = Vec::with_capacity(statement.len() + QUERY_OVERHEAD);
+        if statement.len() <= MAX_COPIED_STATEMENT_BYTES {
+            let mut query = Vec::with_capacity(statement.len() + QUERY_OVERHEAD_BYTES);
             pg::write_query(&mut query, &[before, timeout.as_bytes(), after]);
             return Query::Whole(query);
         }
-        let mut front = Vec::with_capacity(before.len() + QUERY_OVERHEAD);
-        pg::write_query_start(&mut front, &[before, timeout.as_bytes()].concat(), after.len() + 1);
-        Query::Split { front, request: request.clone() }
+        let mut prefix = Vec::with_capacity(before.len() + QUERY_OVERHEAD_BYTES);
+        pg::write_query_start(&mut prefix, &[before, timeout.as_bytes()].concat(), after.len() + 1);
+        Query::Split { prefix, request: request.clone() }
     }
 
     /// Its bytes, in their order; the closing zero of a large one is a piece of its own.
     pub fn pieces(&self) -> [&[u8]; 3] {
         match self {
             Query::Whole(query) => [query, &[], &[]],
-            Query::Split { front, request } => {
-                [front, &request.statement[request.comment.timeout_range.end..], &[0]]
+            Query::Split { prefix, request } => {
+                [prefix, &request.statement[request.comment.timeout_range.end..], &[0]]
             }
         }
     }
--- a/crates/proxy/src/messages/mod.rs
+++ b/crates/proxy/src/messages/mod.rs
@@ -5,7 +5,7 @@
 mod member;
 mod observations;
 
-pub use client::{Answer, ClientId, ClientMessage, Rows};
+pub use client::{Answer, ClientMessage, ClientRequestId, Rows};
 pub use dispatcher::{
     AttemptFinished, AttemptResponse, ClientLeft, ClientRequest, DispatcherMessage, FleetSize,
     HealthCheckFinished, LinkEvent, LinkId, LinkMessage, ListUpdate, ReplicaReports,
