--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the router decided: answers, attempts, health checks, connections to close.
+//! Execution of the router's decisions: answers, attempts, health checks and connections to close.
 
 use aldermill_flow_control::ReservationOwner;
 use aldermill_routing::{
@@ -16,23 +16,24 @@
     PoolUse, ReplicaReports,
 };
 
-/// Idle connections that are closed where one descriptor is wanted.
+/// Number of idle connections that are closed when one file descriptor is needed. More than one is closed
+/// because a connection may be taken into use before its member's actor closes it.
 const CONNECTIONS_CLOSED_PER_DESCRIPTOR: usize = 3;
 
-/// An attempt as the router decided it.
+/// An attempt that the router has decided on.
 struct DecidedAttempt {
     handle: RequestHandle,
     member: MemberId,
-    /// How long it may take, in microseconds.
+    /// The time that the attempt may take, in microseconds.
     timeout: Micros,
-    /// Whether it must use a new connection.
+    /// Whether the attempt must use a new connection.
     on_new_connection: bool,
-    /// What must still hold when it is sent.
+    /// The conditions that must still hold when the attempt is sent.
     validity: Validity,
 }
 
 impl Dispatcher {
-    /// Carries out the router's actions, in their order.
+    /// Carries out the router's actions in order.
     pub(super) fn carry_out(&mut self, actions: Actions) {
         for (handle, action) in actions.requests {
             self.carry_out_for_request(handle, action);
@@ -62,7 +63,8 @@
         }
     }
 
-    /// Gives a request its one answer.
+    /// Gives a request its only answer. A request that came through the gateway part is answered there. Does
+    /// nothing if the request was answered before or nobody waits for it.
     pub(super) fn answer(&mut self, handle: RequestHandle, answer: Answer) {
         let Some(open) = self.open_requests.get_mut(&handle) else { return };
         let Some(client) = open.client.take() else { return };
@@ -73,7 +75,7 @@
         client.answer(answer);
     }
 
-    /// Answers a request whose member responded while there was no buffer space for the response.
+    /// Answers a request whose member responded when no buffer space was available for the response.
     pub(super) fn answer_without_buffer_space(&mut self, handle: RequestHandle) {
         let Some(open) = self.open_requests.get(&handle) else { return };
         let Ok(class) = self.settings.class_index(&open.request.comment.class) else { return };
@@ -81,8 +83,9 @@
         self.answer(handle, answer);
     }
 
-    /// The answer where there is no buffer space for a response: an idempotent request is rejected, as it may be repeated;
-    /// any other has run, and has failed for its client.
+    /// Returns the answer for a response that no buffer space was available for. An idempotent request is
+    /// rejected, since the client may repeat it; any other request has run and counts as failed for its
+    /// client.
     pub(super) fn no_buffer_space_answer(&self, class: usize) -> Answer {
         let config = &self.settings.router_config;
         match config.classes[class].effect {
@@ -109,7 +112,7 @@
         }
     }
 
-    /// The attempt as its member's actor takes it. Its deadline is never later than the request's.
+    /// Builds the attempt for the member's actor. Its deadline is never later than that of the request.
     fn build_attempt(
         &self,
         decided: DecidedAttempt,
@@ -154,16 +157,16 @@
         }
     }
 
-    /// Asks for the endpoint list, when the first request is there.
+    /// Asks the discovery watch for the endpoint list, if the watch fetches it only on request.
     fn request_endpoint_list(&self) {
         if let Some(list_requests) = &self.list_requests {
             let _ = list_requests.try_send(());
         }
     }
 
-    /// A member needs a descriptor for a connection and none is free: connections of other members that have been idle
-    /// longest are closed, as they are the least likely to be used again. Several are, because one may be taken into use
-    /// before its member closes it.
+    /// Frees file descriptors for a member that needs one for a connection when none is free. Closes the
+    /// connections of other members that have been idle longest, since they are the least likely to be used
+    /// again.
     pub(super) fn free_descriptors(&mut self, member: MemberId) {
         for id in self.members_by_idle_time(member).into_iter().take(CONNECTIONS_CLOSED_PER_DESCRIPTOR) {
             let Some(entry) = &self.members[id] else { continue };
@@ -175,7 +178,8 @@
         }
     }
 
-    /// Members with idle connections except `excluded`, the longest idle first.
+    /// Returns the members with idle connections except `excluded`, the one with the longest idle connection
+    /// first.
     fn members_by_idle_time(&self, excluded: MemberId) -> Vec<MemberId> {
         let mut idle: Vec<(Instant, MemberId)> = Vec::new();
         for (id, entry) in self.members.iter().enumerate().filter(|(id, _)| *id != excluded) {
@@ -188,7 +192,7 @@
     }
 }
 
-/// The end of an attempt that was never sent.
+/// Builds the report of the end of an attempt that was never sent.
 fn attempt_not_sent(handle: RequestHandle, decided_at: Instant) -> AttemptFinished {
     AttemptFinished {
         request: handle,
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -1,4 +1,5 @@
-//! The dispatcher's part in the endpoint list: members that appear, move, drain and go, and an actor for each.
+//! The dispatcher's handling of the endpoint list: members that appear, move, drain and leave, and an actor
+//! for each.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, HashSet};
@@ -17,48 +18,52 @@
 use crate::member::{LastHeard, Member, MemberLinks};
 use crate::messages::{ListUpdate, MemberCommand, ReplicaReports};
 
-/// A member's actor, as the dispatcher sees it.
+/// The dispatcher's record of a member and the channels to its actor.
 pub(super) struct MemberEntry {
     pub(super) group: u64,
     pub(super) zone: usize,
-    /// Whether the endpoint list has it in service.
+    /// Whether the endpoint list says that the member is in service.
     ready: bool,
     pub(super) commands: mpsc::Sender<MemberCommand>,
-    /// Since when its oldest idle connection has been idle.
+    /// The time since which the member's oldest idle connection has been idle; `None` if there is no such
+    /// connection, or the actor was just told to close it.
     pub(super) oldest_idle_since: Rc<Cell<Option<Instant>>>,
-    /// Whether the endpoint list lets it receive anything new; its actor watches this.
+    /// Whether the member may be sent anything new, according to the endpoint list. The member's actor
+    /// watches this.
     accepts_requests: watch::Sender<bool>,
     last_heard: LastHeard,
     address: SocketAddr,
-    /// When it was last started, as the endpoint list says: Unix time in milliseconds, zero for long ago.
+    /// The time of the member's last start according to the endpoint list, as Unix time in milliseconds; zero
+    /// if it was long ago.
     up_since_ms: f64,
-    /// When it was last started, on the router's clock, within the bounds; `None` for long ago.
+    /// The time of the member's last start on the router's clock, clamped to `start_bounds`; `None` if it was
+    /// long ago.
     pub(super) started_at: Option<Micros>,
     start_bounds: StartBounds,
-    /// How many of its responses have told the router that it is a replica.
+    /// The number of the member's responses known to the router that said that the member is a replica.
     pub(super) replica_reports: u64,
 }
 
-/// Bounds on when a member was last started, in microseconds on the router's clock.
+/// Bounds on the time of a member's last start, in microseconds on the router's clock.
 struct StartBounds {
-    /// When its former incarnation was last heard; `Micros::MIN` where that is not known.
+    /// The time at which the member's previous incarnation was last heard; `Micros::MIN` if unknown.
     previous_last_heard: Micros,
-    /// When the endpoint list first named this start.
+    /// The time at which the endpoint list first named this start.
     first_listed_at: Micros,
 }
 
 impl MemberEntry {
-    /// When it was last started, on the router's clock; `None` for long ago. The endpoint list's time counts only within
-    /// the bounds, as the wall clock may have been wrong when this process started. `offset` is how far the members' clock
-    /// is ahead of the router's, in microseconds.
+    /// Returns the time of the member's last start on the router's clock; `None` if it was long ago. The time
+    /// in the endpoint list is clamped to the bounds, because the wall clock may have been wrong when this
+    /// process started. `offset` is how far the members' clock is ahead of the router's, in microseconds.
     pub(super) fn start_time(&self, offset: Micros) -> Option<Micros> {
         let listed = (self.up_since_ms > 0.0).then_some((self.up_since_ms * 1000.0) as Micros)?;
         let StartBounds { previous_last_heard, first_listed_at } = self.start_bounds;
         Some(listed.saturating_sub(offset).max(previous_last_heard).min(first_listed_at))
     }
 
-    /// The endpoint list names another start, that is a new incarnation. `was_accepting` says whether the former one could
-    /// be sent requests until now.
+    /// Records that the endpoint list names another start of the member, which is a new incarnation.
+    /// `was_accepting` says whether the previous one could be sent requests until now.
     fn record_restart(&mut self, up_since_ms: f64, was_accepting: bool, clock: Clock, offset: Micros) {
         self.up_since_ms = up_since_ms;
         let previous = self.last_heard.former_incarnation(was_accepting).map(|heard| clock.at(heard));
@@ -67,8 +72,8 @@
         self.started_at = self.start_time(offset);
     }
 
-    /// Has the member's actor connect anew. Where its mailbox is full the former address is kept, so that a later list tries
-    /// again.
+    /// Tells the member's actor to open new connections to this address. If the actor's mailbox is full, the
+    /// old address is kept, so that a later list update tries again.
     fn reconnect(&mut self, address: SocketAddr) {
         if self.commands.try_send(MemberCommand::Reconnect(address)).is_ok() {
             self.address = address;
@@ -77,7 +82,8 @@
 }
 
 impl Dispatcher {
-    /// Takes in the whole endpoint list, changes to it, or that it is unavailable, and carries out what follows.
+    /// Applies a full endpoint list, a change to it, or the report that discovery is unreachable, and carries
+    /// out the router's actions.
     pub(super) fn apply_list_update(&mut self, list_update: ListUpdate) {
         let now = self.context.clock.now();
         let actions = match list_update {
@@ -92,7 +98,7 @@
         }
     }
 
-    /// Starts and updates members' actors, and has the router decide with the list.
+    /// Starts and updates the members' actors, and lets the router decide with the new list.
     fn apply_endpoint_list(&mut self, now: Micros, list: &EndpointList) -> Actions {
         info!(self.context.log, "endpoint list received"; "revision" => list.revision,
             "complete" => list.complete, "endpoints" => list.endpoints.len());
@@ -103,7 +109,7 @@
         actions
     }
 
-    /// Reports to the gateway part how many ready members each group has at this site.
+    /// Reports the number of ready members of each group at this site to the gateway part.
     fn report_groups_to_sites(&mut self) {
         if self.gateway_part.is_none() {
             return;
@@ -115,7 +121,8 @@
         self.groups_listed(&ready_members.into_iter().collect::<Vec<_>>());
     }
 
-    /// Drops the actor, the connections and the index of members that are gone and of which no more reports can come.
+    /// Drops the actors, connections and indices of members that the router forgets: they have left the list,
+    /// and no more reports of them can arrive.
     fn forget_unlisted_members(&mut self, now: Micros) {
         let Dispatcher { router, members, member_ids, clock_offset, .. } = self;
         member_ids.retain(|_, &mut id| {
@@ -128,7 +135,7 @@
         });
     }
 
-    /// The endpoints in the router's form. Their actors act by the list from here on.
+    /// Applies the list to the members' actors, and returns the endpoints in the router's form.
     fn register_endpoints(&mut self, list: &EndpointList) -> Vec<ListedMember> {
         if list.complete {
             self.mark_unlisted_members(list);
@@ -136,7 +143,7 @@
         list.endpoints.iter().filter_map(|endpoint| self.register_endpoint(endpoint)).collect()
     }
 
-    /// Members that a complete list does not name are gone.
+    /// Marks the members that a complete list does not name as unlisted.
     fn mark_unlisted_members(&mut self, list: &EndpointList) {
         let listed: HashSet<&str> = list.endpoints.iter().map(|endpoint| endpoint.id.as_str()).collect();
         let accepts_requests = self.accepts_requests(MemberStatus::Unlisted);
@@ -148,7 +155,8 @@
         }
     }
 
-    /// Whether a member may be sent anything new. One that is gone may, where the settings bind only draining members.
+    /// Returns whether a member with this status may be sent anything new. An unlisted member may, if the
+    /// settings forbid it only for draining members.
     fn accepts_requests(&self, status: MemberStatus) -> bool {
         match status {
             MemberStatus::Ready => true,
@@ -157,7 +165,9 @@
         }
     }
 
-    /// One endpoint in the router's form; `None` where it has no usable address, or is gone and was never known.
+    /// Applies one endpoint to its member's actor, which is started if the member is new, and returns the
+    /// endpoint in the router's form. Returns `None` if the endpoint has no usable address, or if it has
+    /// terminated and its member is unknown.
     fn register_endpoint(&mut self, endpoint: &Endpoint) -> Option<ListedMember> {
         let Ok(address) = endpoint.host_port.parse::<SocketAddr>() else {
             warn!(self.context.log, "list endpoint without a usable address, left out";
@@ -185,7 +195,7 @@
         })
     }
 
-    /// Applies what the endpoint list says to a known member.
+    /// Applies an endpoint to a known member.
     fn update_member(&mut self, member: MemberId, endpoint: &Endpoint, address: SocketAddr) {
         let clock = self.context.clock;
         let offset = self.reported_offset;
@@ -205,14 +215,14 @@
         }
     }
 
-    /// The router is about to receive these reports, and decides with them from now on.
+    /// Records the number of replica reports that the router's decisions are based on from now on.
     pub(super) fn record_replica_reports(&mut self, reports: ReplicaReports) {
         if let Some(entry) = self.members.get_mut(reports.member).and_then(Option::as_mut) {
             entry.replica_reports = entry.replica_reports.max(reports.count);
         }
     }
 
-    /// Starts the actor of a member that was never listed before.
+    /// Starts the actor of a new member and returns the member's index.
     fn start_member(&mut self, endpoint: &Endpoint, address: SocketAddr) -> MemberId {
         let id = self.members.iter().position(Option::is_none).unwrap_or(self.members.len());
         let (commands, mailbox) = mpsc::channel(self.context.limits.queues.member);
--- a/crates/proxy/src/dispatcher/members_clock.rs
+++ b/crates/proxy/src/dispatcher/members_clock.rs
@@ -1,4 +1,5 @@
-//! How far the members' clock is ahead of the router's: this process may have been started under a wrong wall clock.
+//! Estimation of how far the members' clock is ahead of the router's. The two may differ because the wall
+//! clock of this machine may have been wrong when the process started.
 
 use aldermill_routing::{Effect, MemberId, MemberReport, Micros, Need, RequestHandle};
 use slog::warn;
@@ -6,11 +7,12 @@
 
 use super::Dispatcher;
 
-/// A smaller change of the offset is not passed on to the router, in microseconds.
+/// Changes of the clock offset of up to this many microseconds are not reported to the router.
 const MIN_OFFSET_CHANGE: Micros = 20_000;
 
 impl Dispatcher {
-    /// Whether the request is a non-idempotent write, whose commit is never one from before it was sent.
+    /// Returns whether the request is a non-idempotent write. The commit of such a write cannot predate its
+    /// sending.
     pub(super) fn is_non_idempotent_write(&self, handle: RequestHandle) -> bool {
         let comment = self.open_requests.get(&handle).map(|open| &open.request.comment);
         let class = comment.and_then(|comment| self.settings.class_index(&comment.class).ok());
@@ -18,9 +20,10 @@
         class.is_some_and(|class| class.effect == Effect::NonIdempotent && class.need == Need::Write)
     }
 
-    /// Uses the position in a response as a reading of the members' clock; where the response is to a write that was sent
-    /// at `write_sent_at`, it is that write's commit. A position that is still ahead of that clock is removed from the
-    /// report: nothing is applied before it was committed, so that it proves nothing.
+    /// Uses the position in a response as a sample of the members' clock. If `write_sent_at` is set, the
+    /// response is to a write that was sent no earlier than that, and the position is the commit time of that
+    /// write. A position more than `max_clock_lead` ahead of the members' clock is removed from the report:
+    /// nothing is applied before it is committed, so such a position proves nothing.
     pub(super) fn observe_clock(
         &mut self,
         member: MemberId,
@@ -44,7 +47,8 @@
         report.position = Some(position).filter(|&position| position <= latest_plausible);
     }
 
-    /// Passes the offset on to the router, in microseconds, and the members' starts as they follow from it.
+    /// Gives the router a new clock offset, in microseconds, and the members' start times that result from
+    /// it.
     fn set_clock_offset(&mut self, offset: Micros) {
         self.reported_offset = offset;
         let mut starts = Vec::new();
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -1,7 +1,8 @@
-//! The actor that owns the router: every decision is asked for here, and carried out at once.
+//! The actor that owns the router: it requests every routing decision and carries it out immediately.
 //!
-//! This file holds the actor's loop. The files beside it hold what the loop calls: requests, the router's actions, the
-//! endpoint list, the members' clock, observations, the warm state, and the gateway part.
+//! This file holds the actor's event loop. The submodules hold the handlers that the loop calls: requests,
+//! the router's actions, the endpoint list, the members' clock, observations, the warm state and the gateway
+//! part.
 
 mod actions;
 mod endpoints;
@@ -35,54 +36,59 @@
 use crate::messages::{ClientRequestId, DispatcherMessage, FleetSize, ListUpdate};
 use crate::shadow::ShadowRouter;
 
-/// How often all other actors run after a stall before the dispatcher goes on: once to be woken by what arrived, once to
-/// read it, once to pass it on.
+/// Number of times that the dispatcher yields to all other actors after a stall before it continues: once for
+/// them to be woken by what arrived, once to read it, and once to forward it.
 const YIELDS_AFTER_STALL: usize = 3;
 
-/// What makes the dispatcher act.
+/// An event that the dispatcher handles.
 enum Event {
-    /// The discovery watch has a new endpoint list, a change to it, or no connection.
+    /// The discovery watch sent an endpoint list, a change to it, or the report that discovery is
+    /// unreachable.
     ListUpdate(ListUpdate),
-    /// The router wants to be woken now.
+    /// The wake-up time of the router has come.
     RouterDue,
-    /// The site router wants to be woken now.
+    /// The wake-up time of the site router has come.
     SitesDue,
-    /// The process is to stop.
+    /// The process is shutting down.
     Stopping,
-    /// A record of the outcome log was written (`true`), or could not be.
+    /// A write to the outcome log ended: `true` if it succeeded, `false` if it failed.
     RecordWriteFinished(bool),
-    /// A record of the outcome log has waited too long.
+    /// A write to the outcome log has not been confirmed in time.
     RecordWriteTimedOut,
     /// Another actor sent a message.
     Message(DispatcherMessage),
 }
 
-/// Where the dispatcher's events come from, except for its timers.
+/// The channels from which the dispatcher receives events. Its timers and the confirmations of the outcome
+/// log are not among them.
 struct EventSources {
     list_updates: mpsc::Receiver<ListUpdate>,
     messages: mpsc::Receiver<DispatcherMessage>,
     stopping: watch::Receiver<Option<tokio::time::Instant>>,
 }
 
-/// What a dispatcher starts with.
+/// The parts from which a dispatcher is built.
 pub struct DispatcherParts {
-    /// What all actors share.
+    /// The context that all actors of the process share.
     pub context: Rc<ProcessContext>,
     /// The settings in force.
     pub settings: Settings,
-    /// Seed of the router's random choices.
+    /// The seed of the router's random choices.
     pub seed: u64,
-    /// `None` if this process is no gateway to other sites.
+    /// The gateway part; `None` if this process is not a gateway to other sites.
     pub gateway_part: Option<GatewayPart>,
-    /// Other settings, whose decisions are only compared.
+    /// The router under other settings, whose decisions are only compared; `None` without a shadow
+    /// evaluation.
     pub shadow: Option<ShadowRouter>,
-    /// What a former start saved, and where snapshots for the next one are published.
+    /// The state that an earlier start saved, and the channel on which snapshots for the next start are
+    /// published.
     pub warm_state: WarmState,
-    /// `None` if the fleet takes no decisions in common.
+    /// The observations for the lease holders; `None` if the proxies do not coordinate their decisions.
     pub observations: Option<Observations>,
-    /// Set once there is an endpoint list to decide on.
+    /// Set to `true` once the endpoint list has named its first member, so that requests can be routed.
     pub ready: watch::Sender<bool>,
-    /// Where the first request asks for the endpoint list; `None` if the discovery watch asks by itself.
+    /// The channel on which the router's subscription to the endpoint list is sent to the discovery watch;
+    /// `None` if the watch fetches the list on its own.
     pub list_requests: Option<mpsc::Sender<()>>,
 }
 
@@ -93,36 +99,38 @@
     router: Router,
     shadow: Option<ShadowRouter>,
     gateway_part: Option<GatewayPart>,
-    /// By the router's index: `None` where the member was removed and the index is not in use again yet.
+    /// Members by the router's index; `None` where the member was removed and the index has not been reused
+    /// yet.
     members: Vec<Option<MemberEntry>>,
     member_ids: HashMap<String, MemberId>,
-    /// By how much the members' clock is ahead of the router's.
+    /// Estimate of how far the members' clock is ahead of the router's.
     clock_offset: ClockOffset,
-    /// What the router was last told of the clock offset, in microseconds.
+    /// The clock offset that the router was last given, in microseconds.
     reported_offset: Micros,
-    /// All groups that have been in the endpoint list since the start.
+    /// All groups that the endpoint list has named since the start of the process.
     groups: HashSet<u64>,
     open_requests: HashMap<RequestHandle, OpenRequest>,
-    /// The ids that clients gave their open requests.
+    /// The ids in the comments of open requests, as the clients chose them.
     open_comment_ids: HashSet<String>,
     request_owners: HashMap<ClientRequestId, RequestOwner>,
-    /// Ends of attempts and health checks that came up while a decision was carried out: handled after it.
+    /// Ends of attempts and health checks that arose while a decision was carried out; they are handled after
+    /// it.
     deferred: VecDeque<DispatcherMessage>,
     warm_state: WarmState,
     last_endpoint_list: LastEndpointList,
     observations: Option<Observations>,
-    /// When the router wants to be woken, on its clock, in microseconds.
+    /// The router's next wake-up time, on its clock, in microseconds.
     wake_at: Micros,
-    /// The stalled time that both routers were told of, in microseconds.
+    /// The total stall time that was reported to the router and the site router, in microseconds.
     reported_stall: Micros,
     ready: watch::Sender<bool>,
     list_requests: Option<mpsc::Sender<()>>,
-    /// Notified once no remote request is open.
+    /// Channels to notify once no remote request is open.
     remote_requests_waiters: Vec<oneshot::Sender<()>>,
 }
 
 impl Dispatcher {
-    /// A dispatcher without members: the endpoint list brings them.
+    /// Creates a dispatcher without members; the endpoint list adds them.
     pub fn new(parts: DispatcherParts) -> Dispatcher {
         let now = parts.context.clock.now();
         Dispatcher {
@@ -151,8 +159,8 @@
         }
     }
 
-    /// Serves until every other actor is gone. It never waits for another actor; only after a stall it lets all others run
-    /// a few times.
+    /// Handles events until every other actor has ended. The dispatcher never waits for another actor, except
+    /// that it yields to all others a few times after a stall.
     pub async fn run(
         mut self,
         list_updates: mpsc::Receiver<ListUpdate>,
@@ -171,8 +179,8 @@
         }
     }
 
-    /// The next event; `None` once every other actor is gone. The endpoint list comes first, because the time that a drain
-    /// allows counts from when the list was written.
+    /// Waits for the next event; returns `None` once every other actor has ended. Endpoint list updates take
+    /// precedence, because the grace period of a drain counts from when the list was written.
     async fn next_event(&mut self, sources: &mut EventSources) -> Option<Event> {
         let clock = self.context.clock;
         let gateway_part = self.gateway_part.as_mut();
@@ -194,9 +202,10 @@
         }
     }
 
-    /// After a stall, applies what discovery sent meanwhile before anything else is decided: a member may drain by now. The
-    /// discovery watch has to run first, to read it. Returns the event that is still to be handled: a list update that was
-    /// taken from the mailbox before is older than those that are there now, and is applied before them.
+    /// After a stall, applies the list updates that discovery sent during it before anything else is decided,
+    /// because a member may be draining by now. The discovery watch must run first to read them. Returns the
+    /// event that still has to be handled, if any: if `event` is a list update, it is older than those in the
+    /// channel and is applied before them.
     async fn catch_up_after_stall(
         &mut self,
         event: Event,
@@ -224,7 +233,7 @@
         remaining
     }
 
-    /// Tells both routers of a stall, before anything that arrived during it.
+    /// Reports a stall to the router and the site router, before they handle anything that arrived during it.
     fn report_stall(&mut self) {
         let total = self.context.unstalled_clock.stalled_for();
         let unreported = total - std::mem::replace(&mut self.reported_stall, total);
@@ -266,7 +275,8 @@
         }
     }
 
-    /// Has the router decide. For a sample of decisions, a copy under other settings decides as well, and is only compared.
+    /// Lets the router make a decision. For a sample of the decisions, a copy of the router under other
+    /// settings decides as well, and its decision is only compared.
     fn decide<T>(&mut self, decision: impl Fn(&mut Router) -> (T, Actions)) -> (T, Actions) {
         self.report_stall();
         let Some(shadow) = &mut self.shadow else { return decision(&mut self.router) };
@@ -296,8 +306,8 @@
         self.shadow = shadow;
     }
 
-    /// The process is about to end: logs the last counts of a shadow evaluation, and sends `reply` once no remote request is
-    /// open.
+    /// Prepares for the end of the process: logs the last counts of a shadow evaluation, and sends `reply`
+    /// once no remote request is open.
     fn await_remote_requests(&mut self, reply: oneshot::Sender<()>) {
         if let Some(shadow) = &mut self.shadow {
             shadow.log_counts(&self.context.log);
@@ -305,7 +315,7 @@
         self.remote_requests_waiters.push(reply);
     }
 
-    /// Answers those who wait until no remote request is open.
+    /// Notifies those that wait until no remote request is open, if none is.
     fn notify_remote_requests_waiters(&mut self) {
         if self.gateway_part.as_ref().is_some_and(|gateway_part| gateway_part.remote_requests() > 0) {
             return;
@@ -316,7 +326,8 @@
     }
 }
 
-/// Whether the next record of the outcome log was written; `None` without such a log, or once its writer is gone.
+/// Waits for the next result of a write to the outcome log: `true` if it succeeded. Returns `None` if there
+/// is no such log, or once its writer has ended.
 async fn next_write_result(written: Option<&mut mpsc::Receiver<bool>>) -> Option<bool> {
     match written {
         Some(written) => written.recv().await,
--- a/crates/proxy/src/dispatcher/observations.rs
+++ b/crates/proxy/src/dispatcher/observations.rs
@@ -1,6 +1,7 @@
-//! What this process observes for the lease holders, which decide for the whole fleet, and their directives on zones.
+//! Observations of this process for the lease holders, which decide for the whole fleet, and the zone
+//! failover directives that they issue.
 //!
-//! Without coordination there is no `Observations`, and nothing is counted.
+//! Without coordination there are no [`Observations`], and nothing is counted.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,38 +16,38 @@
 use super::endpoints::MemberEntry;
 use crate::messages::{ClientRequest, ObservationSummary, SiteObservations};
 
-/// The most groups of whose keys a summary is kept.
+/// Maximum number of groups for which a key sketch is kept.
 const MAX_GROUPS: usize = 64;
 
-/// An attempt in flight.
+/// An attempt in flight, as it is observed.
 struct AttemptInFlight {
     group: u64,
     zone: usize,
-    /// Its request class's latency objective, in microseconds.
+    /// The latency objective of the attempt's request class, in microseconds.
     objective: Micros,
     is_write: bool,
-    /// The key that the statement names; empty where no keys are observed.
+    /// The key that the statement names; empty if it names none or keys are not observed.
     key: Vec<u8>,
 }
 
-/// Ends of attempts by group and zone, and which keys cost what.
+/// Outcomes of reads by group and zone, and the cost of accesses by key.
 pub struct Observations {
     zone_history: ZoneHistory,
     in_flight: HashMap<RequestHandle, AttemptInFlight>,
-    /// By group; `None` where no split points are decided.
+    /// Key sketches by group; `None` if split points are not recommended.
     key_sketches: Option<BTreeMap<u64, KeySketch>>,
     seed: u64,
 }
 
 impl Observations {
-    /// Observes from `now` on. `seed` seeds the key summaries; `splits` says whether split points are decided, which needs
-    /// them.
+    /// Starts to observe at `now`. `seed` seeds the key sketches, which are kept only if
+    /// `split_points_enabled` is set, as split points are recommended from them.
     pub fn start(now: Micros, seed: u64, split_points_enabled: bool) -> Observations {
         let key_sketches = split_points_enabled.then(BTreeMap::new);
         Observations { zone_history: ZoneHistory::start(now), in_flight: HashMap::new(), key_sketches, seed }
     }
 
-    /// An attempt is about to be sent to this member.
+    /// Records that an attempt is about to be sent to this member.
     pub(super) fn record_attempt(
         &mut self,
         handle: RequestHandle,
@@ -79,7 +80,7 @@
         if verdict == Verdict::Served {
             self.count_key(now, &attempt, elapsed);
         }
-        // Writes go wherever the primary is, and say nothing of zones.
+        // Writes go to whichever zone has the primary, so they say nothing about the health of zones.
         if attempt.is_write {
             return;
         }
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Counts a served access to a key; its cost is the time that the member took.
+    /// Counts a served access to a key. Its cost is the duration of the attempt, in milliseconds.
     fn count_key(&mut self, now: Micros, attempt: &AttemptInFlight, elapsed: Micros) {
         let Some(key_sketches) = &mut self.key_sketches else { return };
         let group = attempt.group;
@@ -110,7 +111,8 @@
     }
 }
 
-/// What the end of a read says of its zone; `None` where nothing was seen of the member.
+/// Returns what the end of a read says about its zone; `None` if the verdict says nothing about the member's
+/// health.
 fn read_outcome(verdict: Verdict, elapsed: Micros, objective: Micros) -> Option<ReadOutcome> {
     match verdict {
         Verdict::Served => Some(ReadOutcome::Served { in_time: elapsed <= objective }),
@@ -130,14 +132,15 @@
 }
 
 impl Dispatcher {
-    /// An attempt ended, for the observations if there are any.
+    /// Records the end of an attempt in the observations, if there are any.
     pub(super) fn observe_attempt_end(&mut self, handle: RequestHandle, verdict: Verdict, elapsed: Micros) {
         if let Some(observations) = &mut self.observations {
             observations.record_attempt_end(self.context.clock.now(), handle, verdict, elapsed);
         }
     }
 
-    /// Answers with what was observed since this was last asked. Without observations, `reply` is dropped.
+    /// Sends a summary of the recent observations and starts a new reporting interval. Without observations,
+    /// `reply` is dropped.
     pub(super) fn report_observations(&mut self, reply: oneshot::Sender<ObservationSummary>) {
         let now = self.context.clock.now();
         let Some(observations) = &mut self.observations else { return };
@@ -146,7 +149,8 @@
         let _ = reply.send(observations.summary(now, site));
     }
 
-    /// Applies the directives for this process's zone, by group; a group that is not named has none.
+    /// Applies the zone failover directives for this process's zone, which replace those applied before.
+    /// Groups that no directive names are routed without a shift.
     pub(super) fn apply_zone_directives(&mut self, directives: &[ZoneDirective]) {
         let by_group = |directive: &ZoneDirective| (directive.group, read_shift(&directive.shift));
         let shifts = directives.iter().map(by_group).collect();
--- a/crates/proxy/src/dispatcher/open_request.rs
+++ b/crates/proxy/src/dispatcher/open_request.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher keeps of a request under way.
+//! The dispatcher's records of open requests.
 
 use std::rc::Rc;
 
@@ -9,54 +9,57 @@
 
 use crate::messages::{Answer, Cancellation, ClientMessage, ClientRequest, ClientRequestId};
 
-/// Who decides on a client's request.
+/// The part of the dispatcher that decides on a client's request.
 #[derive(Clone, Copy)]
 pub(super) enum RequestOwner {
     /// The router alone.
     Router(RequestHandle),
-    /// The gateway part, which may have handed it to the router.
+    /// The gateway part, which may have submitted the request to the router.
     Gateway(SiteRequestHandle),
 }
 
-/// The client that waits for a request.
+/// A client that waits for the answer to a request.
 pub(super) struct WaitingClient {
-    /// The client's name of its request.
+    /// The request's id, unique in this process.
     pub(super) request_id: ClientRequestId,
-    /// Where the answer goes.
+    /// The mailbox of the client's actor, which receives the answer.
     pub(super) mailbox: mpsc::Sender<ClientMessage>,
 }
 
 impl WaitingClient {
-    /// Whoever sent this request.
+    /// Returns the client that sent this request.
     pub(super) fn from_request(request: &ClientRequest) -> WaitingClient {
         WaitingClient { request_id: request.request_id, mailbox: request.mailbox.clone() }
     }
 
-    /// Gives the client its one answer.
+    /// Sends the client the only answer to its request.
     pub(super) fn answer(&self, answer: Answer) {
-        // Its mailbox always has room for the answers it waits for; it may be gone.
+        // The mailbox always has room for the answers that the client waits for; sending fails only if the
+        // client is gone.
         let _ = self.mailbox.try_send(ClientMessage::Answer(self.request_id, answer));
     }
 }
 
-/// A request that the router decides on, and the client that waits for it.
+/// A request that the router decides on, and the client that waits for its answer.
 pub(super) struct OpenRequest {
-    /// Present where it came through the gateway part, which is told what the router says and answers the client.
+    /// The site router's handle if the request came through the gateway part, which is told the router's
+    /// answer and answers the client; `None` otherwise.
     pub(super) site_handle: Option<SiteRequestHandle>,
-    /// Whether its class is the best paid.
+    /// Whether the request's class has the highest priority when buffer space is reserved.
     pub(super) priority: Priority,
-    /// When the client's time is over, on the router's clock. No attempt may last longer.
+    /// The request's deadline on the router's clock, in microseconds. No attempt may last longer.
     pub(super) deadline: Micros,
-    /// `None` once it was answered, or nobody waits for it.
+    /// The client that waits for the answer; `None` once the request was answered or nobody waits for it any
+    /// more.
     pub(super) client: Option<WaitingClient>,
-    /// Set when the client left, or the gateway part took the request back.
+    /// Set when the client has left, or the gateway part has withdrawn the request from the router.
     pub(super) cancellation: Cancellation,
-    /// The statement and its comment.
+    /// The client's request: the statement and its comment.
     pub(super) request: Rc<ClientRequest>,
 }
 
 impl OpenRequest {
-    /// Nobody waits for it here any more.
+    /// Cancels the request because nobody waits for its answer any more.
     pub(super) fn cancel(&mut self) {
         self.client = None;
         self.cancellation.cancel();
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -1,4 +1,4 @@
-//! A request from its arrival to its end: admitted, handed to the router, finished or abandoned.
+//! Requests from their arrival to their end: admission, submission to the router, completion and abandonment.
 
 use std::rc::Rc;
 
@@ -14,29 +14,31 @@
     HealthCheckFinished,
 };
 
-/// A request for the router, and until when it must be answered.
+/// A request to submit to the router, and its deadline.
 pub(super) struct RouterSubmission {
     /// The client's request.
     pub(super) request: Rc<ClientRequest>,
-    /// Its request class, by its place in the settings.
+    /// The index of the request class in the settings.
     pub(super) class: usize,
-    /// On the router's clock: an instant, which a process that is held up on the way does not put off.
+    /// The request's deadline on the router's clock, in microseconds. It is a point in time rather than a
+    /// duration, so that a delay in this process does not extend it.
     pub(super) deadline: Micros,
-    /// Present where the gateway part hands it over.
+    /// The site router's handle if the gateway part submits the request; `None` otherwise.
     pub(super) site_handle: Option<SiteRequestHandle>,
 }
 
-/// What the gateway part makes of an answer that its member is not primary.
+/// The gateway part's reaction to a member's answer that it is not the primary.
 #[derive(Default)]
 pub(super) struct NotPrimaryFollowUp {
-    /// To be carried out once the router has heard the answer, too.
+    /// The site router's actions, to be carried out once the router has handled the answer as well.
     pub(super) actions: Option<SiteActions>,
-    /// Whether the gateway part takes the request back from the router.
+    /// Whether the gateway part withdraws the request from the router.
     pub(super) withdrawn: bool,
 }
 
 impl Dispatcher {
-    /// A client's request: rejected at once, or on its way.
+    /// Handles a client's request: answers it immediately if it is invalid or rejected, and otherwise routes
+    /// it.
     pub(super) fn handle_client_request(&mut self, request: ClientRequest) {
         match self.validate(&request) {
             Err(answer) => WaitingClient::from_request(&request).answer(answer),
@@ -45,13 +47,14 @@
         }
     }
 
-    /// The request's class, or why it is not taken.
+    /// Returns the index of the request's class, or the answer with which the request is turned down.
     fn validate(&self, request: &ClientRequest) -> Result<usize, Answer> {
         let comment = &request.comment;
         let Ok(class) = self.settings.class_index(&comment.class) else {
             return Err(Answer::InvalidStatement("unknown offering"));
         };
-        // The list may be older than its group: the request was not sent on, and may be sent again.
+        // The group may be newer than the endpoint list. The request was not sent to any member, so a retry
+        // is safe.
         if !self.knows_group(comment.group) {
             return Err(Answer::Rejected { retry_after: 0 });
         }
@@ -64,21 +67,21 @@
         Ok(class)
     }
 
-    /// Whether the group was ever listed, here or at another site.
+    /// Returns whether the group was ever listed, here or at another site.
     fn knows_group(&self, group: u64) -> bool {
         let elsewhere = |gateway_part: &GatewayPart| gateway_part.knows_group(group);
         self.groups.contains(&group) || self.gateway_part.as_ref().is_some_and(elsewhere)
     }
 
-    /// Whether as many requests are under way as the operator allows.
+    /// Returns whether the operator's limit on open requests has been reached.
     fn has_max_open_requests(&self) -> bool {
         let forwarded = self.gateway_part.as_ref().map_or(0, GatewayPart::open_requests);
         self.open_requests.len().max(forwarded) >= self.context.limits.open_requests
     }
 
-    /// Hands a checked request to the router and carries out its first decision.
+    /// Submits a validated request to the router and carries out the router's first decision.
     fn admit(&mut self, request: ClientRequest, class: usize) {
-        // The timeout has run since the statement arrived.
+        // The timeout counts from the arrival of the statement.
         let deadline = request.received_at + Micros::from(request.comment.timeout_ms) * 1000;
         let (request_id, comment_id) = (request.request_id, request.comment.id.clone());
         let submission = RouterSubmission { request: Rc::new(request), class, deadline, site_handle: None };
@@ -88,7 +91,7 @@
         self.carry_out(actions);
     }
 
-    /// Hands a request to the router. What the router returns is not carried out yet.
+    /// Submits a request to the router. The caller must carry out the returned actions.
     pub(super) fn submit_to_router(
         &mut self,
         submission: RouterSubmission,
@@ -109,7 +112,7 @@
         (handle, actions)
     }
 
-    /// The request as the router sees it.
+    /// Converts the request to the router's form.
     fn routed_request(
         &self,
         request: &ClientRequest,
@@ -132,7 +135,8 @@
         }
     }
 
-    /// An attempt ended: observed, answered where there is an answer, and the router decides what follows.
+    /// Handles the end of an attempt: records it in the observations, answers the request if there is a
+    /// response, and lets the router decide what follows.
     pub(super) fn handle_attempt_finished(&mut self, finished: AttemptFinished) {
         let AttemptFinished { request: handle, verdict, elapsed, mut report, .. } = finished;
         if let Some(replica_reports) = finished.replica_reports {
@@ -150,7 +154,8 @@
         let open = self.open_requests.get(&handle);
         let (site_handle, group) =
             open.map_or((None, 0), |open| (open.site_handle, open.request.comment.group));
-        // The gateway part hears of a miss first: it may take the request back before the router tries again.
+        // The gateway part is told first if the member is not the primary, since it may withdraw the request
+        // before the router retries it.
         let follow_up = self.notify_gateway_part(site_handle, verdict, elapsed);
         let no_longer_awaited = self.open_requests.get(&handle).is_none_or(|open| open.client.is_none());
         let closed = follow_up.withdrawn || no_longer_awaited;
@@ -167,7 +172,7 @@
         }
     }
 
-    /// A health check ended: observed, and the router decides what follows.
+    /// Handles the end of a health check: uses its report and lets the router decide what follows.
     pub(super) fn handle_health_check_finished(&mut self, finished: HealthCheckFinished) {
         let HealthCheckFinished { verdict, elapsed, mut report, replica_reports } = finished;
         let member = replica_reports.member;
@@ -185,7 +190,8 @@
         }
     }
 
-    /// Tells the gateway part, where the request came through it, that an attempt missed or may have run.
+    /// Tells the gateway part, if the request came through it, that an attempt reached a member that is not
+    /// the primary, or that it was not served and may have run.
     fn notify_gateway_part(
         &mut self,
         site_handle: Option<SiteRequestHandle>,
@@ -202,7 +208,8 @@
         NotPrimaryFollowUp::default()
     }
 
-    /// A client no longer waits for its request, whoever decides on it.
+    /// Handles a client that no longer waits for its request, whether the router alone or the gateway part
+    /// decides on it.
     pub(super) fn handle_client_left(&mut self, request_id: ClientRequestId) {
         match self.request_owners.remove(&request_id) {
             Some(RequestOwner::Router(handle)) => self.abandon(handle),
@@ -211,7 +218,8 @@
         }
     }
 
-    /// The router forgets a request that nobody waits for here any more; attempts that were sent go on.
+    /// Abandons a request at the router because nobody waits for its answer here any more. Attempts that were
+    /// already sent continue.
     pub(super) fn abandon(&mut self, handle: RequestHandle) {
         if let Some(open) = self.open_requests.get_mut(&handle) {
             open.cancel();
@@ -222,13 +230,13 @@
         self.release_if_finished(handle);
     }
 
-    /// Drops what is kept for a request that the router has finished with.
+    /// Drops the record of a request if the router has finished with it.
     pub(super) fn release_if_finished(&mut self, handle: RequestHandle) {
         if self.router.is_pending(handle) {
             return;
         }
         let Some(open) = self.open_requests.remove(&handle) else { return };
-        // The gateway part keeps these of its own requests.
+        // For requests that came through it, the gateway part removes these entries itself.
         if open.site_handle.is_none() {
             self.open_comment_ids.remove(&open.request.comment.id);
             if let Some(client) = open.client {
--- a/crates/proxy/src/dispatcher/warm_state.rs
+++ b/crates/proxy/src/dispatcher/warm_state.rs
@@ -1,4 +1,5 @@
-//! The dispatcher's part in a warm start: it publishes snapshots to be saved, and uses what a former start saved.
+//! The dispatcher's part in a warm start: it publishes snapshots to be saved, and uses the state that an
+//! earlier start saved.
 
 use std::collections::BTreeMap;
 
@@ -9,24 +10,25 @@
 use super::{Dispatcher, GatewayPart};
 use crate::discovery::endpoint_list::EndpointList;
 
-/// How often a snapshot is published, in microseconds.
+/// Interval at which snapshots are published, in microseconds.
 const SNAPSHOT_INTERVAL: Micros = 1_000_000;
 
-/// What the dispatcher has of a warm start.
+/// The dispatcher's data for a warm start.
 pub struct WarmState {
-    /// What a former start saved; used, and then empty, once the first endpoint list maps its names to members.
+    /// The state that an earlier start saved. It is used, and replaced by an empty one, when the first
+    /// endpoint list maps its names to members.
     pub restored: StateSnapshot,
-    /// Where snapshots are published; `None` without a data directory.
+    /// The channel on which snapshots are published; `None` without a data directory.
     pub snapshots: Option<watch::Sender<Option<StateSnapshot>>>,
 }
 
-/// The endpoint list as discovery sent it last, for snapshots.
+/// The newest endpoint list from discovery, kept for snapshots.
 #[derive(Default)]
 pub(super) struct LastEndpointList {
     revision: Option<u64>,
-    /// Each endpoint as JSON, by the member's name.
+    /// The endpoints as JSON, by the member's name.
     endpoints: BTreeMap<String, String>,
-    /// When the next snapshot is due, on the router's clock.
+    /// The time at which the next snapshot is due, in microseconds on the router's clock.
     next_snapshot_at: Micros,
 }
 
@@ -50,7 +52,8 @@
 }
 
 impl Dispatcher {
-    /// Uses restored state with the first endpoint list, which says which members it is about.
+    /// Gives the router the restored state together with the first endpoint list, which maps the saved names
+    /// to members. Later lists are only kept for snapshots.
     pub(super) fn use_restored_state(&mut self, list: &EndpointList) {
         if self.warm_state.snapshots.is_some() {
             self.last_endpoint_list.update(list);
@@ -62,7 +65,7 @@
         }
     }
 
-    /// What a former start learned of the members that are listed now.
+    /// Converts the restored state to the router's form; members that are not listed now are left out.
     fn map_restored_state(&self, restored: &StateSnapshot) -> LearnedState {
         let id = |name: &String| self.member_ids.get(name).copied();
         let primary = |primary: &KnownPrimary| Some((id(&primary.member)?, primary.confirmed_at));
@@ -78,7 +81,8 @@
         }
     }
 
-    /// Publishes a snapshot, once a second.
+    /// Publishes a snapshot if the last one is at least [`SNAPSHOT_INTERVAL`] old and there is a data
+    /// directory.
     pub(super) fn publish_snapshot(&mut self) {
         let now = self.context.clock.now();
         let Some(snapshots) = &self.warm_state.snapshots else { return };
--- a/crates/proxy/src/messages/client.rs
+++ b/crates/proxy/src/messages/client.rs
@@ -1,40 +1,44 @@
-//! What a client connection's actor receives.
+//! Messages to the actor of a client connection.
 
 use aldermill_routing::Micros;
 
 use crate::flow_control::BufferReservation;
 
-/// Identifies one statement of a client for as long as this process runs; never reused.
+/// Identifies a client's request for as long as this process runs; never reused. The number of a client
+/// connection has the same type, as it forms the upper bits of the ids of that connection's requests.
 pub type ClientRequestId = u64;
 
-/// What the dispatcher and the listener send to a client's actor.
+/// A message from the dispatcher or the listener to the actor of a client connection.
 pub enum ClientMessage {
-    /// The answer to the statement of this id.
+    /// The answer to the request with this id.
     Answer(ClientRequestId, Answer),
-    /// A new connection needs the descriptor: close this one if no request is in flight on it.
+    /// A request to close the connection if no request is in flight on it, because a new connection needs its
+    /// descriptor.
     CloseIfIdle,
 }
 
-/// The one answer of a request.
+/// The answer to a request; each request gets exactly one.
 pub enum Answer {
-    /// The member's response, passed on as it came.
+    /// The member's response, forwarded unchanged.
     Served(Rows),
-    /// The request never ran: the client may send it again.
+    /// The request is rejected. It had no effect or is idempotent, so the client may safely retry it.
     Rejected {
-        /// How long the client is asked to wait before it does, in microseconds; zero names no time.
+        /// The time that the client is asked to wait before the retry, in microseconds; zero asks for no
+        /// particular wait.
         retry_after: Micros,
     },
-    /// It is not known whether the request ran.
+    /// The request failed, and it is not known whether it took effect.
     Failed,
-    /// The statement names something that does not exist; the text says what.
+    /// The statement is invalid; the text says why.
     InvalidStatement(&'static str),
 }
 
-/// A response that carries a value: row description, row and completion as the member sent them.
+/// A response that carries a value: the row description, row and completion messages as the member sent them.
 #[derive(Default)]
 pub struct Rows {
-    /// The messages in their order; a large row stands in a piece of its own.
+    /// The bytes of the messages in order; a large row is a piece of its own.
     pub pieces: Vec<Vec<u8>>,
-    /// The buffer space reserved for them, where they are larger than `limits.buffers.small_message`.
+    /// The buffer space reserved for the messages; `None` unless they are larger than
+    /// `limits.buffers.small_message`.
     pub reservation: Option<BufferReservation>,
 }
--- a/crates/proxy/src/messages/dispatcher.rs
+++ b/crates/proxy/src/messages/dispatcher.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher receives from all other actors.
+//! Messages to the dispatcher from all other actors.
 
 use aldermill_flow_control::PeerId;
 use aldermill_routing::{MemberId, MemberReport, Micros, RequestHandle, Verdict};
@@ -13,164 +13,173 @@
 use crate::discovery::endpoint_list::EndpointList;
 use crate::shadow::ShadowRouter;
 
-/// Identifies one connection to another gateway for as long as this process runs.
+/// Identifies a link, which is a connection to another gateway, for as long as this process runs.
 pub type LinkId = u64;
 
-/// What other actors send to the dispatcher.
+/// A message from another actor to the dispatcher.
 pub enum DispatcherMessage {
     /// A client sent a statement.
     ClientRequest(ClientRequest),
-    /// A client left before its answer.
+    /// A client left before its request was answered.
     ClientLeft(ClientLeft),
     /// An attempt ended.
     AttemptFinished(AttemptFinished),
     /// A health check ended.
     HealthCheckFinished(HealthCheckFinished),
-    /// The settings that are evaluated in shadow from now on, if any.
+    /// The shadow evaluation was replaced by this one, or ended if `None`.
     ShadowReplaced(Option<Box<ShadowRouter>>),
-    /// A link came up, carried something or was lost.
+    /// A link came up, received a message or was lost.
     Link(LinkMessage),
-    /// To be answered once no remote request is in flight.
+    /// Asks for a reply once no remote request is open.
     AwaitRemoteRequests(oneshot::Sender<()>),
-    /// To be answered with the state of sites and links, as JSON.
+    /// Asks for the state of sites and links, as JSON.
     DescribeSites(oneshot::Sender<String>),
     /// The number of proxies that share the members has changed.
     FleetSize(FleetSize),
-    /// To be answered with what was observed since this was last asked.
+    /// Asks for a summary of the recent observations, which ends a reporting interval. The reply channel is
+    /// dropped if this process keeps no observations.
     TakeObservations(oneshot::Sender<ObservationSummary>),
-    /// The zone failover directives in force that shift reads of this process's zone.
+    /// The zone failover directives in force that shift reads away from this process's zone.
     ZoneDirectives(Vec<ZoneDirective>),
     /// The site drain directives in force.
     SiteDrainPlans(Vec<Plan>),
-    /// This member's actor found no descriptor free for a new connection.
+    /// The actor of this member found no free descriptor for a new connection.
     DescriptorsExhausted(MemberId),
 }
 
-/// A client no longer waits for its request.
+/// Notice that a client no longer waits for a request.
 pub struct ClientLeft {
-    /// The statement that it no longer waits for.
+    /// The id of the abandoned request.
     pub request_id: ClientRequestId,
 }
 
-/// By how many processes the available capacity of members is shared.
+/// The number of proxies that share the available capacity of members.
 pub struct FleetSize {
-    /// Processes that share members which are warm.
+    /// The number of proxies that share members that are warm.
     pub sharing_warm: usize,
-    /// Processes that share members which are warming up.
+    /// The number of proxies that share members that are warming up.
     pub sharing_warming_up: usize,
 }
 
-/// What the actor of a link sends to the dispatcher.
+/// A message from the actor of a link to the dispatcher.
 pub struct LinkMessage {
-    /// The link that it is about.
+    /// The link that the event concerns.
     pub link: LinkId,
-    /// What happened to it.
+    /// What happened to the link.
     pub event: LinkEvent,
 }
 
-/// What happened to a link.
+/// An event of a link.
 pub enum LinkEvent {
-    /// It is up: the other side sent a handshake that is allowed here.
+    /// The link is up: the other side sent a handshake that was accepted.
     Up {
-        /// What is sent here goes over the link.
+        /// The channel for messages to be sent over the link.
         outbox: mpsc::Sender<Outbound>,
-        /// The link's connection, for which buffer space for its values is reserved.
+        /// The flow-control id of the link's connection, for which buffer space for received values is
+        /// reserved.
         peer: PeerId,
     },
-    /// The other side sent something.
+    /// The other side sent a message.
     Received(Inbound),
-    /// It is down.
+    /// The link is down.
     Lost,
 }
 
-/// A client's statement with its comment, received whole.
+/// A client's request: a statement with its comment, received in full.
 pub struct ClientRequest {
-    /// Names it to the client's actor.
+    /// Identifies the request to the client's actor.
     pub request_id: ClientRequestId,
-    /// The client's connection, for which buffer space for the answer is reserved.
+    /// The flow-control id of the client's connection, for which buffer space for the answer is reserved.
     pub peer: PeerId,
-    /// Where its answer goes.
+    /// The mailbox of the client's actor, which receives the answer.
     pub mailbox: mpsc::Sender<ClientMessage>,
-    /// When it was received, on the router's clock.
+    /// The time at which the statement was received, in microseconds on the router's clock.
     pub received_at: Micros,
-    /// Its text, in bytes as the client sent them.
+    /// The text of the statement, with the comment, in the bytes that the client sent.
     pub statement: Vec<u8>,
-    /// The comment that the statement begins with.
+    /// The parsed comment at the start of the statement.
     pub comment: Comment,
-    /// How long ago the session's last write was committed, in microseconds, where another gateway says so.
+    /// The time since the session's last write was committed, in microseconds, as another gateway stated it;
+    /// `None` if it stated none or the request came from a client.
     pub last_write_age: Option<Micros>,
 }
 
 impl ClientRequest {
-    /// How long before `now` the session's last write was committed, in microseconds; below zero where this process's
-    /// clock is behind. What the client states comes first: it is a time on the members' clock, as their positions are, so
-    /// that both compare as they were stated.
+    /// Returns the time from the commit of the session's last write to `now`, in microseconds; negative if
+    /// this process's clock is behind. `None` if neither the client nor another gateway states it. The
+    /// client's statement takes precedence: it is a time on the members' clock, like the members' positions,
+    /// so the two can be compared as stated.
     pub fn last_write_age_at(&self, now: Micros) -> Option<Micros> {
         let stated = self.comment.min_position_ms.map(|after| now.saturating_sub(millis_to_micros(after)));
         stated.or(self.last_write_age)
     }
 }
 
-/// Milliseconds as microseconds, capped at `Micros::MAX`.
+/// Converts milliseconds to microseconds, capped at `Micros::MAX`.
 fn millis_to_micros(millis: u64) -> Micros {
     Micros::try_from(millis).map_or(Micros::MAX, |millis| millis.saturating_mul(1000))
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 pub struct AttemptFinished {
-    /// The attempt, by the router's name for it.
+    /// The router's handle of the request that the attempt was for.
     pub request: RequestHandle,
-    /// What its end means for the request.
+    /// The result of the attempt.
     pub verdict: Verdict,
-    /// When the attempt was decided.
+    /// The time at which the attempt was decided on.
     pub decided_at: Instant,
-    /// Unstalled time since then, in microseconds.
+    /// The time from the decision to the end of the attempt without stalls of this process, in microseconds.
     pub elapsed: Micros,
     /// What the response says of its member.
     pub report: MemberReport,
-    /// What is passed on to the client.
+    /// The response for the client.
     pub response: AttemptResponse,
-    /// `None` where the attempt never reached its member's actor.
+    /// The member's replica reports, counted when the attempt ended; `None` if the attempt never reached the
+    /// member's actor.
     pub replica_reports: Option<ReplicaReports>,
 }
 
-/// How a health check ended.
+/// The end of a health check.
 pub struct HealthCheckFinished {
-    /// What its end means.
+    /// The result of the health check.
     pub verdict: Verdict,
-    /// Unstalled time since it was decided, in microseconds.
+    /// The time from the decision to the end of the health check without stalls of this process, in
+    /// microseconds.
     pub elapsed: Micros,
     /// What the response says of its member.
     pub report: MemberReport,
-    /// As counted when it ended.
+    /// The member's replica reports, counted when the health check ended.
     pub replica_reports: ReplicaReports,
 }
 
-/// How many responses of a member have said that it is a replica, the one at hand included.
+/// The number of a member's responses that said that the member is a replica, including the response being
+/// reported.
 ///
-/// A write is sent only while this count is what it was at the decision: a change shows that the member was demoted.
+/// A write is sent only if this count has not changed since the decision, since a change shows that the
+/// member has been demoted.
 #[derive(Clone, Copy)]
 pub struct ReplicaReports {
-    /// The member that they came from.
+    /// The member that sent the responses.
     pub member: MemberId,
-    /// Their number since the member's actor was started.
+    /// The number of such responses since the member's actor was started.
     pub count: u64,
 }
 
-/// What an attempt brought for the client.
+/// The response of an attempt, for the client.
 pub enum AttemptResponse {
-    /// Nothing to pass on.
+    /// There is nothing to forward.
     None,
     /// The messages that carry the value.
     Rows(Rows),
-    /// The response began, and no buffer space was to be had for it on behalf of the client. The member is not to blame.
+    /// A response arrived, but no buffer space could be reserved for it on behalf of the client. This is not
+    /// the member's fault.
     NoBufferSpace,
 }
 
-/// What the discovery watch sends to the dispatcher.
+/// A message from the discovery watch to the dispatcher.
 pub enum ListUpdate {
-    /// The whole endpoint list, or what has changed in it.
+    /// The full endpoint list, or the changes to it.
     Received(EndpointList),
-    /// Discovery cannot be reached, where the list is fetched only on request.
+    /// Discovery cannot be reached. Sent only if the list is fetched on request.
     Unavailable,
 }
--- a/crates/proxy/src/messages/member.rs
+++ b/crates/proxy/src/messages/member.rs
@@ -1,4 +1,4 @@
-//! What a member's actor receives, and the query that it writes.
+//! Messages to the actor of a member, and the query that the actor writes to the member.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -11,93 +11,97 @@
 
 use super::ClientRequest;
 
-/// What the dispatcher asks of a member's actor.
+/// A command from the dispatcher to the actor of a member.
 pub enum MemberCommand {
-    /// Send this attempt; an `AttemptFinished` reports its end.
+    /// Send this attempt; its end is reported by an [`AttemptFinished`](super::AttemptFinished) message.
     Send(Attempt),
-    /// Send a health check; a `HealthCheckFinished` reports its end.
+    /// Send a health check; its end is reported by a [`HealthCheckFinished`](super::HealthCheckFinished)
+    /// message.
     HealthCheck {
-        /// When it was decided.
+        /// The time at which the health check was decided on.
         decided_at: Instant,
-        /// When it times out.
+        /// The time at which the health check times out.
         deadline: Instant,
     },
-    /// The member's process is a new one, or has this new address: connections from before are of no use.
+    /// Use this address, and no connections from before: the member was restarted or its address has changed.
     Reconnect(SocketAddr),
-    /// Other members need a descriptor: close the connection that has been idle longest.
+    /// Close the connection that has been idle longest, because another member needs a descriptor.
     CloseOldestIdle,
-    /// The member has few connections to spare: close all idle ones.
+    /// Close all idle connections, because the member has few connections to spare.
     CloseIdle,
 }
 
-/// Whether an attempt may go over a connection from the pool.
+/// Whether an attempt may use a connection from the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolUse {
-    /// An idle connection is reused where there is one.
+    /// Reuse an idle connection if there is one.
     Reuse,
-    /// All idle connections are closed first, so that a new one is opened.
+    /// Close all idle connections first, so that a new connection is opened.
     NewConnection,
 }
 
 /// An attempt for a member's actor to send.
 pub struct Attempt {
-    /// Names the attempt to the router.
+    /// The router's handle of the request that the attempt is for.
     pub handle: RequestHandle,
-    /// Its statement is encoded when it is sent, as it tells the member how much time the client has left then.
+    /// The client's request. Its statement is encoded only when the attempt is sent, because the encoded
+    /// statement states how much time the client has left at that moment.
     pub request: Rc<ClientRequest>,
-    /// Shared by all attempts of the request.
+    /// The cancellation flag, shared by all attempts of the request.
     pub cancellation: Cancellation,
-    /// For whom buffer space for the answer is reserved.
+    /// The owner for which buffer space for the response is reserved.
     pub reservation_owner: ReservationOwner,
-    /// When it was decided.
+    /// The time at which the attempt was decided on.
     pub decided_at: Instant,
-    /// When it times out; never later than the request's own deadline.
+    /// The time at which the attempt times out, never later than the request's own deadline.
     pub deadline: Instant,
-    /// Whether it may go over a pooled connection.
+    /// Whether the attempt may use a pooled connection.
     pub pool_use: PoolUse,
-    /// What must still hold when it is sent.
+    /// The conditions that must still hold when the attempt is sent.
     pub validity: Validity,
-    /// How many replica reports of the member the router had received when it decided (see
-    /// [`ReplicaReports`](super::ReplicaReports)).
+    /// The number of the member's [`ReplicaReports`](super::ReplicaReports) that the router had received when
+    /// it decided on the attempt.
     pub replica_reports: u64,
 }
 
-/// Cancels a request: an attempt of it that was not sent by then must not be sent any more, whatever it waits for.
+/// A shared flag that marks a request as cancelled. An attempt of a cancelled request that has not been sent
+/// yet must not be sent, whatever it is waiting for.
 #[derive(Clone, Default)]
 pub struct Cancellation(Rc<Cell<bool>>);
 
 impl Cancellation {
-    /// Nobody waits for the request any more. There is no way back.
+    /// Cancels the request because nobody waits for its answer any more. This cannot be undone.
     pub fn cancel(&self) {
         self.0.set(true);
     }
 
-    /// Whether the request was cancelled.
+    /// Returns whether the request was cancelled.
     pub fn is_cancelled(&self) -> bool {
         self.0.get()
     }
 }
 
-/// Statements of at most this size, in bytes, are copied into one piece.
+/// Maximum size of a statement that is copied into a single buffer, in bytes.
 const MAX_COPIED_STATEMENT_BYTES: usize = 8 * 1024;
-/// Spare room for the query's header, its closing zero and a longer timeout, in bytes.
+/// Extra capacity for the query's header, its terminating zero byte and a longer timeout, in bytes.
 const QUERY_OVERHEAD_BYTES: usize = 16;
 
-/// A statement as it is written to a member.
+/// A Query message as it is written to a member.
 pub enum Query {
-    /// The whole message.
+    /// The entire message in one buffer.
     Whole(Vec<u8>),
-    /// A large statement, which is not copied: its bytes stay with its request.
+    /// A message with a large statement that is not copied: the bytes after the timeout stay in the request.
     Split {
-        /// The message up to where the request's own bytes go on.
+        /// The message up to and including the timeout.
         prefix: Vec<u8>,
-        /// Holds the rest of the statement.
+        /// The request that holds the rest of the statement.
         request: Rc<ClientRequest>,
     },
 }
 
 impl Query {
-    /// The client's statement with its timeout replaced by `timeout`, a decimal number of milliseconds.
+    /// Encodes the client's statement with its timeout replaced by `timeout`, a decimal number of
+    /// milliseconds.
     pub fn with_timeout(request: &Rc<ClientRequest>, timeout: &str) -> Query {
         let ClientRequest { statement, comment, .. } = &**request;
         let before = &statement[..comment.timeout_range.start];
@@ -112,7 +116,8 @@
         Query::Split { prefix, request: request.clone() }
     }
 
-    /// Its bytes, in their order; the closing zero of a large one is a piece of its own.
+    /// Returns the bytes of the message in order. Pieces may be empty. The terminating zero byte of a large
+    /// statement is a piece of its own.
     pub fn pieces(&self) -> [&[u8]; 3] {
         match self {
             Query::Whole(query) => [query, &[], &[]],
--- a/crates/proxy/src/messages/mod.rs
+++ b/crates/proxy/src/messages/mod.rs
@@ -1,4 +1,5 @@
-//! The messages between actors, one type each, in one file by receiver. Imports no actor.
+//! The messages between actors: one type for each receiving actor, in a file of its own, and the types that
+//! they carry. Nothing here imports an actor.
 
 mod client;
 mod dispatcher;
--- a/crates/proxy/src/messages/observations.rs
+++ b/crates/proxy/src/messages/observations.rs
@@ -1,37 +1,39 @@
-//! What a process observed, for the lease holders that decide for the whole fleet.
+//! Observations of a process, for the lease holders that decide for the whole fleet.
 
 use aldermill_routing::Micros;
 use aldermill_site_routing::OpenWorkBySite;
 use aldermill_zone_failover::ZoneRow;
 
-/// What a process observed since it was last asked.
+/// A summary of the recent observations of a process. Each request for it ends a reporting interval.
 #[derive(Default)]
 pub struct ObservationSummary {
-    /// The span that `rows` were observed over, in microseconds.
+    /// The length of the time over which `rows` were observed, in microseconds.
     pub span: Micros,
-    /// Ends of attempts, by group and zone.
+    /// Outcomes of the reads of the last two reporting intervals, by group and zone.
     pub rows: Vec<ZoneRow>,
-    /// By group, an encoded summary of which keys cost what.
+    /// Groups, each with the encoded summary of its key sketch.
     pub keys: Vec<(u64, Vec<u8>)>,
-    /// Present where the process is a gateway.
+    /// The observations of this site; `None` unless the process is a gateway.
     pub site: Option<SiteObservations>,
 }
 
-/// What a gateway observed of its own site, the round trips to others, and what it still holds of draining sites.
+/// A gateway's observations in one reporting interval: requests at its own site, round trips to other sites,
+/// and work still open for draining sites.
 #[derive(Default)]
 pub struct SiteObservations {
-    /// The own site's name.
+    /// The name of the gateway's own site.
     pub site: String,
-    /// The span that this was observed over, in microseconds.
+    /// The length of the time over which the requests were counted, in microseconds.
     pub span: Micros,
-    /// Requests that ended at the router of this process.
+    /// The number of requests that ended at the router of this process.
     pub ended: u32,
-    /// Those of them that were served within their latency objective.
+    /// The number of ended requests that were served within their latency objective.
     pub within_objective: u32,
-    /// Those of them that read for a client of this site: they would move elsewhere with their sessions.
+    /// The number of ended requests that were reads for a client of this site. They would move to another
+    /// site together with their sessions.
     pub session_reads: u32,
-    /// Round trips by the other site's name, in microseconds.
+    /// Round-trip times to other gateways, each with the name of the gateway's site, in microseconds.
     pub round_trips: Vec<(String, Micros)>,
-    /// What is still open of sites that drain.
+    /// The work still open for draining sites, by the site's name.
     pub open: OpenWorkBySite,
 }
