--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -69,7 +69,7 @@
         let Some(open) = self.open_requests.get_mut(&handle) else { return };
         let Some(client) = open.client.take() else { return };
         if let Some(site_handle) = open.site_handle {
-            return self.answered_here(site_handle, answer);
+            return self.local_request_answered(site_handle, answer);
         }
         self.request_owners.remove(&client.request_id);
         client.answer(answer);
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -168,7 +168,7 @@
             self.carry_out_site_actions(actions, None);
         }
         if site_handle.is_some() && report.role == Some(Role::Primary) {
-            self.primary_here(group);
+            self.local_primary_found(group);
         }
     }
 
@@ -186,7 +186,7 @@
         if report.role == Some(Role::Primary)
             && let Some(group) = entry.map(|entry| entry.group)
         {
-            self.primary_here(group);
+            self.local_primary_found(group);
         }
     }
 
@@ -199,7 +199,9 @@
         elapsed: Micros,
     ) -> NotPrimaryFollowUp {
         match site_handle {
-            Some(site_handle) if verdict == Verdict::NotPrimary => return self.not_primary_here(site_handle),
+            Some(site_handle) if verdict == Verdict::NotPrimary => {
+                return self.local_not_primary(site_handle);
+            }
             Some(site_handle) if verdict != Verdict::Served && !verdict.never_ran() => {
                 self.may_have_run(site_handle, elapsed)
             }
@@ -213,7 +215,7 @@
     pub(super) fn handle_client_left(&mut self, request_id: ClientRequestId) {
         match self.request_owners.remove(&request_id) {
             Some(RequestOwner::Router(handle)) => self.abandon(handle),
-            Some(RequestOwner::Gateway(handle)) => self.forwarded_request_left(handle),
+            Some(RequestOwner::Gateway(handle)) => self.abandon_pending_request(handle),
             None => {}
         }
     }
