--- a/crates/proxy/src/client/startup.rs
+++ b/crates/proxy/src/client/startup.rs
@@ -1,4 +1,4 @@
-//! The startup handshake, and requests for encryption before it.
+//! Startup handshake, and the encryption requests that may precede it.
 
 use aldermill_wire::pg::{self, InitialMessageKind};
 use tokio::time::{Instant, timeout_at};
@@ -8,49 +8,50 @@
 use super::response::EncodedResponse;
 use crate::system::{self, Party};
 
-/// Answers a request for encryption: the client goes on without, or closes the connection.
-const ENCRYPTION_REFUSED: &[u8] = b"N";
+/// Answer to an encryption request: the client continues without encryption, or closes the connection.
+const ENCRYPTION_REJECTED: &[u8] = b"N";
 
 impl ClientConnection {
-    /// Reads the client's startup message and answers it; requests for encryption before it are refused.
-    pub(super) async fn startup(&mut self) -> Result<(), CloseReason> {
+    /// Reads the client's startup message and answers it. Encryption requests that precede it are rejected.
+    pub(super) async fn handle_startup(&mut self) -> Result<(), CloseReason> {
         let deadline = self.connected_at + self.context.limits.client.startup_timeout;
         loop {
             let Some(message) = pg::initial_message(self.buffer.held())? else {
-                self.read_startup(deadline).await?;
+                self.read_startup_message(deadline).await?;
                 continue;
             };
             match message.kind {
                 InitialMessageKind::CancelRequest => return Err(CloseReason::Normal),
                 InitialMessageKind::EncryptionRequest => {
                     self.buffer.consume(message.length);
-                    let refusal = EncodedResponse::small(ENCRYPTION_REFUSED.to_vec());
-                    self.write_response(refusal).await?;
+                    let rejection = EncodedResponse::unreserved(ENCRYPTION_REJECTED.to_vec());
+                    self.write_response(rejection).await?;
                 }
                 InitialMessageKind::StartupMessage => {
                     self.buffer.consume(message.length);
-                    let mut welcome = Vec::new();
-                    pg::write_startup_response(&mut welcome, self.id as u32);
-                    return self.write_response(EncodedResponse::small(welcome)).await;
+                    let mut response = Vec::new();
+                    pg::write_startup_response(&mut response, self.id as u32);
+                    return self.write_response(EncodedResponse::unreserved(response)).await;
                 }
             }
         }
     }
 
-    /// Reads more of a startup message. After the deadline nothing is read, as it would have no answer.
-    async fn read_startup(&mut self, deadline: Instant) -> Result<(), CloseReason> {
+    /// Reads more of the startup message. Nothing is read after the deadline, because the message would get
+    /// no answer.
+    async fn read_startup_message(&mut self, deadline: Instant) -> Result<(), CloseReason> {
         let bytes = system::read(Party::Client, &mut self.stream, self.buffer.tail());
         let read = tokio::select! {
             biased;
             read = timeout_at(deadline, bytes) => read,
-            // Whatever the message is: the connection is to be closed for a new client.
+            // Every message, whatever its kind, means that the connection is to be closed for a new client.
             _ = self.mailbox.recv() => return Err(CloseReason::Evicted),
         };
         let count = read.map_err(|_| CloseReason::Evicted)??;
         if count == 0 {
             return Err(CloseReason::Normal);
         }
-        self.stamp_receipt();
+        self.record_read();
         Ok(())
     }
 }
