--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -15,7 +15,7 @@
 use super::Dispatcher;
 use crate::discovery::endpoint_list::{Endpoint, EndpointList};
 use crate::lifecycle::clock::Clock;
-use crate::member::{LastHeard, Member, MemberLinks};
+use crate::member::{LastHeard, MemberActor, MemberSharedState};
 use crate::messages::{ListUpdate, MemberCommand, ReplicaReports};
 
 /// The dispatcher's record of a member and the channels to its actor.
@@ -66,7 +66,8 @@
     /// `was_accepting` says whether the previous one could be sent requests until now.
     fn record_restart(&mut self, up_since_ms: f64, was_accepting: bool, clock: Clock, offset: Micros) {
         self.up_since_ms = up_since_ms;
-        let previous = self.last_heard.former_incarnation(was_accepting).map(|heard| clock.at(heard));
+        let previous =
+            self.last_heard.previous_incarnation_last_heard(was_accepting).map(|heard| clock.at(heard));
         let previous_last_heard = previous.unwrap_or(Micros::MIN);
         self.start_bounds = StartBounds { previous_last_heard, first_listed_at: clock.now() };
         self.started_at = self.start_time(offset);
@@ -174,7 +175,7 @@
                 "member" => &endpoint.id, "host_port" => &endpoint.host_port);
             return None;
         };
-        let status = endpoint.standing();
+        let status = endpoint.status();
         let member = match self.member_ids.get(&endpoint.id) {
             Some(&member) => member,
             None if status == MemberStatus::Unlisted => return None,
@@ -199,7 +200,7 @@
     fn update_member(&mut self, member: MemberId, endpoint: &Endpoint, address: SocketAddr) {
         let clock = self.context.clock;
         let offset = self.reported_offset;
-        let status = endpoint.standing();
+        let status = endpoint.status();
         let accepts_requests = self.accepts_requests(status);
         let Some(entry) = &mut self.members[member] else { return };
         let was_accepting = entry.accepts_requests.send_replace(accepts_requests);
@@ -226,15 +227,15 @@
     fn start_member(&mut self, endpoint: &Endpoint, address: SocketAddr) -> MemberId {
         let id = self.members.iter().position(Option::is_none).unwrap_or(self.members.len());
         let (commands, mailbox) = mpsc::channel(self.context.limits.queues.member);
-        let (accepts_requests, accepting) = watch::channel(self.accepts_requests(endpoint.standing()));
+        let (accepts_requests, accepting) = watch::channel(self.accepts_requests(endpoint.status()));
         let oldest_idle_since = Rc::new(Cell::new(None));
         let last_heard = LastHeard::default();
-        let links = MemberLinks {
+        let links = MemberSharedState {
             accepts_requests: accepting,
             oldest_idle_since: oldest_idle_since.clone(),
             last_heard: last_heard.clone(),
         };
-        let member = Member::new(self.context.clone(), id, endpoint.id.clone(), address, links);
+        let member = MemberActor::new(self.context.clone(), id, endpoint.id.clone(), address, links);
         spawn_local(member.run(mailbox));
         let first_listed_at = self.context.clock.now();
         let mut entry = MemberEntry {
