--- a/crates/proxy/src/client/close.rs
+++ b/crates/proxy/src/client/close.rs
@@ -58,7 +58,7 @@
     /// Tells the dispatcher that the client no longer waits for the requests that have no response yet.
     pub(super) async fn abandon_pending_requests(&mut self) {
         while let Some(abandoned) = self.pending_responses.abandon_next() {
-            let left = ClientLeft { client: abandoned.request_id };
+            let left = ClientLeft { request_id: abandoned.request_id };
             let _ = self.context.dispatcher.send(DispatcherMessage::ClientLeft(left)).await;
         }
     }
--- a/crates/proxy/src/dispatcher/gateway/start.rs
+++ b/crates/proxy/src/dispatcher/gateway/start.rs
@@ -11,11 +11,11 @@
 
 use super::{EndedRequestCounts, GatewayPart, QUERY_GRACE};
 use crate::dispatcher::outcome_log::OutcomeLog;
-use crate::messages::ClientId;
+use crate::messages::ClientRequestId;
 use crate::persistence::DataDirectory;
 
 /// Client IDs of remote requests are greater than this number, which keeps them apart from those of clients.
-const REMOTE_CLIENT_ID_BASE: ClientId = 1 << 63;
+const REMOTE_CLIENT_ID_BASE: ClientRequestId = 1 << 63;
 /// Maximum number of write confirmations that wait for the dispatcher. It is greater than the number of writes
 /// that may wait for the disk, as a confirmation that does not fit is lost.
 const CONFIRMATION_QUEUE_CAPACITY: usize = 2048;
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -1,4 +1,4 @@
-//! A request from its arrival to its end: admitted, handed to the router, finished or abandoned.
+//! Requests from their arrival to their end: admission, submission to the router, completion and abandonment.
 
 use std::rc::Rc;
 
@@ -8,96 +8,103 @@
 
 use super::Dispatcher;
 use super::gateway::GatewayPart;
-use super::open_request::{OpenRequest, RequestLocation, WaitingClient};
+use super::open_request::{OpenRequest, RequestOwner, WaitingClient};
 use crate::messages::{
-    Answer, AttemptFinished, AttemptResponse, Cancellation, ClientId, ClientRequest, HealthCheckFinished,
+    Answer, AttemptFinished, AttemptResponse, Cancellation, ClientRequest, ClientRequestId,
+    HealthCheckFinished,
 };
 
-/// A request for the router, and until when it must be answered.
-pub(super) struct Handover {
+/// A request to submit to the router, and its deadline.
+pub(super) struct RouterSubmission {
     /// The client's request.
     pub(super) request: Rc<ClientRequest>,
-    /// Its request class, by its place in the settings.
+    /// The index of the request class in the settings.
     pub(super) class: usize,
-    /// On the router's clock: an instant, which a process that is held up on the way does not put off.
+    /// The request's deadline on the router's clock, in microseconds. It is a point in time rather than a
+    /// duration, so that a delay in this process does not extend it.
     pub(super) deadline: Micros,
-    /// Present where the gateway part hands it over.
-    pub(super) via: Option<SiteRequestHandle>,
+    /// The site router's handle if the gateway part submits the request; `None` otherwise.
+    pub(super) site_handle: Option<SiteRequestHandle>,
 }
 
-/// What the gateway part makes of an answer that its member is not primary.
+/// The gateway part's reaction to a member's answer that it is not the primary.
 #[derive(Default)]
-pub(super) struct SiteMiss {
-    /// To be carried out once the router has heard the answer, too.
+pub(super) struct NotPrimaryFollowUp {
+    /// The site router's actions, to be carried out once the router has handled the answer as well.
     pub(super) actions: Option<SiteActions>,
-    /// Whether the gateway part takes the request back from the router.
-    pub(super) taken_back: bool,
+    /// Whether the gateway part withdraws the request from the router.
+    pub(super) withdrawn: bool,
 }
 
 impl Dispatcher {
-    /// A client's request: rejected at once, or on its way.
-    pub(super) fn client_request(&mut self, request: ClientRequest) {
-        match self.check(&request) {
-            Err(answer) => WaitingClient::of(&request).answer(answer),
+    /// Handles a client's request: answers it immediately if it is invalid or rejected, and otherwise routes
+    /// it.
+    pub(super) fn handle_client_request(&mut self, request: ClientRequest) {
+        match self.validate(&request) {
+            Err(answer) => WaitingClient::from_request(&request).answer(answer),
             Ok(class) if self.gateway_part.is_some() => self.route_between_sites(request, class),
             Ok(class) => self.admit(request, class),
         }
     }
 
-    /// The request's class, or why it is not taken.
-    fn check(&self, request: &ClientRequest) -> Result<usize, Answer> {
+    /// Returns the index of the request's class, or the answer with which the request is turned down.
+    fn validate(&self, request: &ClientRequest) -> Result<usize, Answer> {
         let comment = &request.comment;
-        let Ok(class) = self.decoded.class_index(&comment.class) else {
+        let Ok(class) = self.settings.class_index(&comment.class) else {
             return Err(Answer::InvalidStatement("unknown offering"));
         };
-        // The list may be older than its group: the request was not sent on, and may be sent again.
+        // The group may be newer than the endpoint list. The request was not sent to any member, so a retry
+        // is safe.
         if !self.knows_group(comment.group) {
             return Err(Answer::Rejected { retry_after: 0 });
         }
-        if self.open_ids.contains(&comment.id) {
+        if self.open_comment_ids.contains(&comment.id) {
             return Err(Answer::InvalidStatement("a task with this id is under way"));
         }
-        if self.is_full() {
+        if self.has_max_open_requests() {
             return Err(Answer::Rejected { retry_after: 0 });
         }
         Ok(class)
     }
 
-    /// Whether the group was ever listed, here or at another site.
+    /// Returns whether the group was ever listed, here or at another site.
     fn knows_group(&self, group: u64) -> bool {
         let elsewhere = |gateway_part: &GatewayPart| gateway_part.knows_group(group);
         self.groups.contains(&group) || self.gateway_part.as_ref().is_some_and(elsewhere)
     }
 
-    /// Whether as many requests are under way as the operator allows.
-    fn is_full(&self) -> bool {
-        let crossing = self.gateway_part.as_ref().map_or(0, GatewayPart::open_requests);
-        self.open_requests.len().max(crossing) >= self.context.limits.open_requests
+    /// Returns whether the operator's limit on open requests has been reached.
+    fn has_max_open_requests(&self) -> bool {
+        let forwarded = self.gateway_part.as_ref().map_or(0, GatewayPart::open_requests);
+        self.open_requests.len().max(forwarded) >= self.context.limits.open_requests
     }
 
-    /// Hands a checked request to the router and carries out its first decision.
+    /// Submits a validated request to the router and carries out the router's first decision.
     fn admit(&mut self, request: ClientRequest, class: usize) {
-        // The timeout has run since the statement arrived.
+        // The timeout counts from the arrival of the statement.
         let deadline = request.received_at + Micros::from(request.comment.timeout_ms) * 1000;
-        let (client, id) = (request.client, request.comment.id.clone());
-        let handover = Handover { request: Rc::new(request), class, deadline, via: None };
-        let (handle, actions) = self.hand_over(handover);
-        self.locations.insert(client, RequestLocation::Router(handle));
-        self.open_ids.insert(id);
+        let (request_id, comment_id) = (request.request_id, request.comment.id.clone());
+        let submission = RouterSubmission { request: Rc::new(request), class, deadline, site_handle: None };
+        let (handle, actions) = self.submit_to_router(submission);
+        self.request_owners.insert(request_id, RequestOwner::Router(handle));
+        self.open_comment_ids.insert(comment_id);
         self.carry_out(actions);
     }
 
-    /// Hands a request to the router. What the router returns is not carried out yet.
-    pub(super) fn hand_over(&mut self, handover: Handover) -> (RequestHandle, aldermill_routing::Actions) {
-        let Handover { request, class, deadline, via } = handover;
+    /// Submits a request to the router. The caller must carry out the returned actions.
+    pub(super) fn submit_to_router(
+        &mut self,
+        submission: RouterSubmission,
+    ) -> (RequestHandle, aldermill_routing::Actions) {
+        let RouterSubmission { request, class, deadline, site_handle } = submission;
         let now = self.context.clock.now();
         let routed = self.routed_request(&request, class, deadline, now);
         let (handle, actions) = self.decide(|router| router.accept_request(now, routed.clone()));
         let open = OpenRequest {
-            via,
+            site_handle,
             priority: self.context.priority(&request.comment.class),
             deadline,
-            client: Some(WaitingClient::of(&request)),
+            client: Some(WaitingClient::from_request(&request)),
             cancellation: Cancellation::default(),
             request,
         };
@@ -105,7 +112,7 @@
         (handle, actions)
     }
 
-    /// The request as the router sees it.
+    /// Converts the request to the router's form.
     fn routed_request(
         &self,
         request: &ClientRequest,
@@ -114,59 +121,63 @@
         now: Micros,
     ) -> Request {
         let comment = &request.comment;
-        let keyed = matches!(self.decoded.router_config.classes[class].need, Need::Write | Need::OwnWrites);
-        let session = if keyed { first_quoted_text(&request.statement[comment.end..]) } else { None };
+        let uses_session =
+            matches!(self.settings.router_config.classes[class].need, Need::Write | Need::OwnWrites);
+        let session = if uses_session { first_quoted_text(&request.statement[comment.end..]) } else { None };
         Request {
             class,
             group: comment.group,
             ttl: deadline - now,
             waited: now - request.received_at,
             session,
-            last_write_age: request.last_write(now),
+            last_write_age: request.last_write_age_at(now),
             marked_retry: comment.client_retry,
         }
     }
 
-    /// An attempt ended: observed, answered where there is an answer, and the router decides what follows.
-    pub(super) fn attempt_finished(&mut self, finished: AttemptFinished) {
+    /// Handles the end of an attempt: records it in the observations, answers the request if there is a
+    /// response, and lets the router decide what follows.
+    pub(super) fn handle_attempt_finished(&mut self, finished: AttemptFinished) {
         let AttemptFinished { request: handle, verdict, elapsed, mut report, .. } = finished;
         if let Some(replica_reports) = finished.replica_reports {
             let written = self.is_non_idempotent_write(handle) && verdict == Verdict::Served;
             let written_at = written.then_some(finished.decided_at);
             self.observe_clock(replica_reports.member, &mut report, written_at);
-            self.note_replica_reports(replica_reports);
+            self.record_replica_reports(replica_reports);
         }
-        self.observe_end(handle, verdict, elapsed);
+        self.observe_attempt_end(handle, verdict, elapsed);
         match finished.response {
             AttemptResponse::Rows(rows) => self.answer(handle, Answer::Served(rows)),
-            AttemptResponse::TooLarge => self.answer_without_buffer_space(handle),
+            AttemptResponse::NoBufferSpace => self.answer_without_buffer_space(handle),
             AttemptResponse::None => {}
         }
         let open = self.open_requests.get(&handle);
-        let (via, group) = open.map_or((None, 0), |open| (open.via, open.request.comment.group));
-        // The gateway part hears of a miss first: it may take the request back before the router tries again.
-        let miss = self.gateway_part_hears(via, verdict, elapsed);
+        let (site_handle, group) =
+            open.map_or((None, 0), |open| (open.site_handle, open.request.comment.group));
+        // The gateway part is told first if the member is not the primary, since it may withdraw the request
+        // before the router retries it.
+        let follow_up = self.notify_gateway_part(site_handle, verdict, elapsed);
         let no_longer_awaited = self.open_requests.get(&handle).is_none_or(|open| open.client.is_none());
-        let closed = miss.taken_back || no_longer_awaited;
+        let closed = follow_up.withdrawn || no_longer_awaited;
         let outcome = Outcome { verdict, duration: elapsed, report, request_closed: closed };
         let now = self.context.clock.now();
         let ((), actions) = self.decide(|router| ((), handle.attempt_ended(router, now, outcome)));
         self.carry_out(actions);
-        self.release(handle);
-        if let Some(actions) = miss.actions {
+        self.release_if_finished(handle);
+        if let Some(actions) = follow_up.actions {
             self.carry_out_site_actions(actions, None);
         }
-        if via.is_some() && report.role == Some(Role::Primary) {
+        if site_handle.is_some() && report.role == Some(Role::Primary) {
             self.local_primary_found(group);
         }
     }
 
-    /// A health check ended: observed, and the router decides what follows.
-    pub(super) fn health_check_finished(&mut self, finished: HealthCheckFinished) {
+    /// Handles the end of a health check: uses its report and lets the router decide what follows.
+    pub(super) fn handle_health_check_finished(&mut self, finished: HealthCheckFinished) {
         let HealthCheckFinished { verdict, elapsed, mut report, replica_reports } = finished;
         let member = replica_reports.member;
         self.observe_clock(member, &mut report, None);
-        self.note_replica_reports(replica_reports);
+        self.record_replica_reports(replica_reports);
         let now = self.context.clock.now();
         let ((), actions) =
             self.decide(|router| ((), router.health_checked(now, member, verdict, elapsed, report)));
@@ -179,54 +190,59 @@
         }
     }
 
-    /// Tells the gateway part, where the request came through it, that an attempt missed or may have run.
-    fn gateway_part_hears(
+    /// Tells the gateway part, if the request came through it, that an attempt reached a member that is not
+    /// the primary, or that it was not served and may have run.
+    fn notify_gateway_part(
         &mut self,
-        via: Option<SiteRequestHandle>,
+        site_handle: Option<SiteRequestHandle>,
         verdict: Verdict,
         elapsed: Micros,
-    ) -> SiteMiss {
-        match via {
-            Some(via) if verdict == Verdict::NotPrimary => return self.local_not_primary(via),
-            Some(via) if verdict != Verdict::Served && !verdict.never_ran() => {
-                self.may_have_run(via, elapsed)
+    ) -> NotPrimaryFollowUp {
+        match site_handle {
+            Some(site_handle) if verdict == Verdict::NotPrimary => {
+                return self.local_not_primary(site_handle);
+            }
+            Some(site_handle) if verdict != Verdict::Served && !verdict.never_ran() => {
+                self.may_have_run(site_handle, elapsed)
             }
             _ => {}
         }
-        SiteMiss::default()
+        NotPrimaryFollowUp::default()
     }
 
-    /// A client no longer waits for its request, whoever decides on it.
-    pub(super) fn client_left(&mut self, client: ClientId) {
-        match self.locations.remove(&client) {
-            Some(RequestLocation::Router(handle)) => self.abandon(handle),
-            Some(RequestLocation::Gateway(handle)) => self.abandon_pending_request(handle),
+    /// Handles a client that no longer waits for its request, whether the router alone or the gateway part
+    /// decides on it.
+    pub(super) fn handle_client_left(&mut self, request_id: ClientRequestId) {
+        match self.request_owners.remove(&request_id) {
+            Some(RequestOwner::Router(handle)) => self.abandon(handle),
+            Some(RequestOwner::Gateway(handle)) => self.abandon_pending_request(handle),
             None => {}
         }
     }
 
-    /// The router forgets a request that nobody waits for here any more; attempts that were sent go on.
+    /// Abandons a request at the router because nobody waits for its answer here any more. Attempts that were
+    /// already sent continue.
     pub(super) fn abandon(&mut self, handle: RequestHandle) {
         if let Some(open) = self.open_requests.get_mut(&handle) {
-            open.withdraw();
+            open.cancel();
         }
         let now = self.context.clock.now();
         let ((), actions) = self.decide(|router| ((), handle.client_left(router, now)));
         self.carry_out(actions);
-        self.release(handle);
+        self.release_if_finished(handle);
     }
 
-    /// Drops what is kept for a request that the router has finished with.
-    pub(super) fn release(&mut self, handle: RequestHandle) {
+    /// Drops the record of a request if the router has finished with it.
+    pub(super) fn release_if_finished(&mut self, handle: RequestHandle) {
         if self.router.is_pending(handle) {
             return;
         }
         let Some(open) = self.open_requests.remove(&handle) else { return };
-        // The gateway part keeps these of its own requests.
-        if open.via.is_none() {
-            self.open_ids.remove(&open.request.comment.id);
+        // For requests that came through it, the gateway part removes these entries itself.
+        if open.site_handle.is_none() {
+            self.open_comment_ids.remove(&open.request.comment.id);
             if let Some(client) = open.client {
-                self.locations.remove(&client.id);
+                self.request_owners.remove(&client.request_id);
             }
         }
     }
--- a/crates/proxy/src/member/actor.rs
+++ b/crates/proxy/src/member/actor.rs
@@ -122,7 +122,7 @@
     fn handle_command(&mut self, command: MemberCommand) {
         match command {
             MemberCommand::Send(attempt) => {
-                if attempt.pool_use == PoolUse::ConnectAnew {
+                if attempt.pool_use == PoolUse::NewConnection {
                     self.pool.close_all();
                 }
                 let Attempt { handle, decided_at, deadline, .. } = attempt;
@@ -285,7 +285,7 @@
 /// Returns what is passed on to the client.
 fn attempt_response(verdict: Verdict, response: Response) -> AttemptResponse {
     match verdict {
-        Verdict::Served if response.out_of_buffer_space => AttemptResponse::TooLarge,
+        Verdict::Served if response.out_of_buffer_space => AttemptResponse::NoBufferSpace,
         Verdict::Served => {
             AttemptResponse::Rows(Rows { pieces: response.exchange.rows, reservation: response.reservation })
         }
