--- a/crates/proxy/src/client/close.rs
+++ b/crates/proxy/src/client/close.rs
@@ -97,7 +97,7 @@
             SockRef::from(&self.stream).set_tcp_user_timeout(Some(self.connection_guard.linger_timeout()));
         match self.unread.take_reservation() {
             Some(reservation) => reservation.linger(),
-            None => return self.connection_guard.may_leave_unread(unread),
+            None => return self.connection_guard.try_reserve_lingering(unread),
         }
         true
     }
--- a/crates/proxy/src/flow_control/buffer_reservation.rs
+++ b/crates/proxy/src/flow_control/buffer_reservation.rs
@@ -22,14 +22,14 @@
     pub fn shrink(&self, bytes: usize) {
         if let Some(reservation) = self.reservation {
             self.flow_control
-                .update(|controller, now| ((), controller.shrink(now, reservation, bytes as u64)));
+                .with_controller(|controller, now| ((), controller.shrink(now, reservation, bytes as u64)));
         }
     }
 
     /// Its connection is being closed, and the system may keep that much unread: it stays in use until the system's time-out.
     pub fn linger(mut self) {
         if let Some(reservation) = self.reservation.take() {
-            self.flow_control.update(|controller, now| ((), controller.linger(now, reservation)));
+            self.flow_control.with_controller(|controller, now| ((), controller.linger(now, reservation)));
         }
     }
 }
@@ -37,8 +37,8 @@
 impl Drop for BufferReservation {
     fn drop(&mut self) {
         if let Some(reservation) = self.reservation.take() {
-            self.flow_control.state.borrow_mut().waiting.remove(&reservation);
-            self.flow_control.update(|controller, now| ((), controller.release(now, reservation)));
+            self.flow_control.state.borrow_mut().waiters.remove(&reservation);
+            self.flow_control.with_controller(|controller, now| ((), controller.release(now, reservation)));
         }
     }
 }
--- a/crates/proxy/src/flow_control/connection_guard.rs
+++ b/crates/proxy/src/flow_control/connection_guard.rs
@@ -46,7 +46,8 @@
 
     /// The peer is waited for from now on, and must keep up with the minimum rate of this transfer.
     pub fn start_metering(&self, transfer: Transfer) {
-        self.flow_control.update(|controller, now| ((), controller.start_metering(now, self.peer, transfer)));
+        self.flow_control
+            .with_controller(|controller, now| ((), controller.start_metering(now, self.peer, transfer)));
     }
 
     /// The peer read or sent this many bytes.
@@ -86,8 +87,8 @@
 
     /// Whether this many unread bytes may be left with the system when the connection is closed. If so they stay in use for
     /// [`ConnectionGuard::linger_timeout`]; if not the connection is to be reset, so that the system keeps nothing.
-    pub fn may_leave_unread(&self, bytes: usize) -> bool {
-        self.flow_control.update(|controller, now| {
+    pub fn try_reserve_lingering(&self, bytes: usize) -> bool {
+        self.flow_control.with_controller(|controller, now| {
             let owner = ReservationOwner { peer: self.peer, priority: Priority::Normal };
             let request = ReservationRequest { owner, bytes: bytes as u64, deadline: now };
             let (reservation, actions) = controller.reserve(now, request);
@@ -109,6 +110,6 @@
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.flow_control.state.borrow_mut().connections.remove(&self.peer);
-        self.flow_control.update(|controller, now| ((), controller.unregister(now, self.peer)));
+        self.flow_control.with_controller(|controller, now| ((), controller.unregister(now, self.peer)));
     }
 }
--- a/crates/proxy/src/flow_control/disconnect_log.rs
+++ b/crates/proxy/src/flow_control/disconnect_log.rs
@@ -18,7 +18,7 @@
     counts: BTreeMap<DisconnectReason, usize>,
     /// Of the client that was disconnected last, ever.
     last_address: Option<IpAddr>,
-    written_at: Option<Instant>,
+    last_written_at: Option<Instant>,
 }
 
 impl DisconnectLog {
@@ -32,19 +32,19 @@
     }
 
     /// Whether there is anything to write.
-    pub(super) fn is_pending(&self) -> bool {
+    pub(super) fn has_unwritten(&self) -> bool {
         !self.counts.is_empty()
     }
 
     /// When the next line is due; the first one at once. `None` where there is nothing to write.
-    pub(super) fn due(&self) -> Option<Instant> {
-        let due = self.written_at.map_or_else(Instant::now, |at| at + DISCONNECT_LOG_INTERVAL);
-        self.is_pending().then_some(due)
+    pub(super) fn due_at(&self) -> Option<Instant> {
+        let due_at = self.last_written_at.map_or_else(Instant::now, |at| at + DISCONNECT_LOG_INTERVAL);
+        self.has_unwritten().then_some(due_at)
     }
 
     /// Writes the line and starts the next one.
     pub(super) fn write(&mut self, now: Instant, log: &Logger) {
-        self.written_at = Some(now);
+        self.last_written_at = Some(now);
         let counts = std::mem::take(&mut self.counts);
         let count = |reason| counts.get(&reason).copied().unwrap_or(0);
         let last_address = self.last_address.map(|address| address.to_string());
--- a/crates/proxy/src/flow_control/mod.rs
+++ b/crates/proxy/src/flow_control/mod.rs
@@ -43,21 +43,21 @@
 struct State {
     controller: FlowController,
     /// Reservations that wait. Granted ones are sent a message; dropping the sender rejects one.
-    waiting: HashMap<ReservationId, oneshot::Sender<()>>,
-    connections: HashMap<PeerId, Connection>,
+    waiters: HashMap<ReservationId, oneshot::Sender<()>>,
+    connections: HashMap<PeerId, ConnectionEntry>,
     /// When the controller is to be woken.
     wake_at: Option<Instant>,
     disconnect_log: DisconnectLog,
 }
 
 /// A registered connection.
-struct Connection {
+struct ConnectionEntry {
     signal: Rc<DisconnectSignal>,
     address: IpAddr,
 }
 
 /// What became of a reservation at once.
-enum Outcome {
+enum ReservationOutcome {
     Granted,
     Rejected,
     Waiting,
@@ -68,7 +68,7 @@
     pub fn new(unstalled_clock: UnstalledClock, log: Logger, limits: FlowLimits) -> Rc<FlowControl> {
         let state = State {
             controller: FlowController::new(limits),
-            waiting: HashMap::new(),
+            waiters: HashMap::new(),
             connections: HashMap::new(),
             wake_at: None,
             disconnect_log: DisconnectLog::default(),
@@ -85,14 +85,14 @@
     pub async fn run(self: Rc<FlowControl>) {
         loop {
             let wake_at = self.state.borrow().wake_at;
-            let log_at = self.state.borrow().disconnect_log.due();
+            let log_at = self.state.borrow().disconnect_log.due_at();
             let next = wake_at.into_iter().chain(log_at).min();
             tokio::select! {
                 () = self.schedule_changed.notified() => {}
                 () = sleep_until(next.unwrap_or_else(Instant::now)), if next.is_some() => {
                     let now = Instant::now();
                     if wake_at.is_some_and(|at| now >= at) {
-                        self.update(|controller, now| ((), controller.wake(now)));
+                        self.with_controller(|controller, now| ((), controller.wake(now)));
                     }
                     if log_at.is_some_and(|at| now >= at) {
                         self.state.borrow_mut().disconnect_log.write(now, &self.log);
@@ -114,17 +114,17 @@
 
     /// Puts other limits in force. What was granted beyond them stays until it is released.
     pub fn update_limits(&self, limits: FlowLimits) {
-        self.update(|controller, now| ((), controller.update_limits(now, limits)));
+        self.with_controller(|controller, now| ((), controller.update_limits(now, limits)));
     }
 
     /// The proxy shuts down: slow peers are disconnected now, the others once the grace of the limits is over.
-    pub fn stop(&self) {
-        self.update(|controller, now| ((), controller.shut_down(now)));
+    pub fn shut_down(&self) {
+        self.with_controller(|controller, now| ((), controller.shut_down(now)));
     }
 
     /// A new client found no connection slot: disconnects one slow peer. Returns whether there was one.
     pub fn shed_one_connection(&self) -> bool {
-        self.update(|controller, now| {
+        self.with_controller(|controller, now| {
             let actions = controller.shed_one_connection(now);
             let is_shed = |disconnect: &Disconnect| disconnect.reason == DisconnectReason::ConnectionSlot;
             (actions.disconnect.iter().any(is_shed), actions)
@@ -140,7 +140,7 @@
         let mut state = self.state.borrow_mut();
         let peer = state.controller.register(now, address)?;
         let signal = Rc::<DisconnectSignal>::default();
-        state.connections.insert(peer, Connection { signal: signal.clone(), address });
+        state.connections.insert(peer, ConnectionEntry { signal: signal.clone(), address });
         Ok(ConnectionGuard::new(self.clone(), peer, signal))
     }
 
@@ -153,14 +153,15 @@
     ) -> Option<BufferReservation> {
         let deadline = self.unstalled_clock.at(until);
         let request = ReservationRequest { owner, bytes: bytes as u64, deadline };
-        let (id, outcome) = self.update(|controller, now| request_space(controller, now, request));
+        let (id, outcome) =
+            self.with_controller(|controller, now| request_reservation(controller, now, request));
         let reservation = BufferReservation::new(self.clone(), id);
         match outcome {
-            Outcome::Granted => Some(reservation),
-            Outcome::Rejected => None,
-            Outcome::Waiting => {
+            ReservationOutcome::Granted => Some(reservation),
+            ReservationOutcome::Rejected => None,
+            ReservationOutcome::Waiting => {
                 let (sender, answer) = oneshot::channel();
-                self.state.borrow_mut().waiting.insert(id, sender);
+                self.state.borrow_mut().waiters.insert(id, sender);
                 answer.await.is_ok().then_some(reservation)
             }
         }
@@ -172,15 +173,15 @@
         owner: ReservationOwner,
         bytes: usize,
     ) -> Option<BufferReservation> {
-        let (id, outcome) = self.update(|controller, now| {
+        let (id, outcome) = self.with_controller(|controller, now| {
             let request = ReservationRequest { owner, bytes: bytes as u64, deadline: now };
-            request_space(controller, now, request)
+            request_reservation(controller, now, request)
         });
-        matches!(outcome, Outcome::Granted).then(|| BufferReservation::new(self.clone(), id))
+        matches!(outcome, ReservationOutcome::Granted).then(|| BufferReservation::new(self.clone(), id))
     }
 
     /// Calls the controller and carries out what it decides.
-    fn update<T>(&self, call: impl FnOnce(&mut FlowController, Micros) -> (T, Actions)) -> T {
+    fn with_controller<T>(&self, call: impl FnOnce(&mut FlowController, Micros) -> (T, Actions)) -> T {
         let mut state = self.state.borrow_mut();
         let (result, actions) = call(&mut state.controller, self.unstalled_clock.now());
         state.answer_reservations(&actions.granted, &actions.rejected);
@@ -193,7 +194,7 @@
         let wake_at = actions.wake_at.map(|at| self.unstalled_clock.instant(at));
         let is_rescheduled = wake_at != state.wake_at;
         state.wake_at = wake_at;
-        if is_rescheduled || state.disconnect_log.is_pending() {
+        if is_rescheduled || state.disconnect_log.has_unwritten() {
             self.schedule_changed.notify_one();
         }
         result
@@ -213,13 +214,13 @@
 impl State {
     fn answer_reservations(&mut self, granted: &[ReservationId], rejected: &[ReservationId]) {
         for id in granted {
-            if let Some(waiter) = self.waiting.remove(id) {
+            if let Some(waiter) = self.waiters.remove(id) {
                 // One that gave up meanwhile has released the reservation, or is about to.
                 let _ = waiter.send(());
             }
         }
         for id in rejected {
-            self.waiting.remove(id);
+            self.waiters.remove(id);
         }
     }
 
@@ -233,18 +234,18 @@
 }
 
 /// Asks for buffer space, and says what became of that at once.
-fn request_space(
+fn request_reservation(
     controller: &mut FlowController,
     now: Micros,
     request: ReservationRequest,
-) -> ((ReservationId, Outcome), Actions) {
+) -> ((ReservationId, ReservationOutcome), Actions) {
     let (id, actions) = controller.reserve(now, request);
     let outcome = if actions.granted.contains(&id) {
-        Outcome::Granted
+        ReservationOutcome::Granted
     } else if actions.rejected.contains(&id) {
-        Outcome::Rejected
+        ReservationOutcome::Rejected
     } else {
-        Outcome::Waiting
+        ReservationOutcome::Waiting
     };
     ((id, outcome), actions)
 }
--- a/crates/proxy/src/gateway/errors.rs
+++ b/crates/proxy/src/gateway/errors.rs
@@ -25,7 +25,7 @@
     UnknownSite(String),
     /// A configured address leads to another site than the configuration says.
     #[error("site {actual:?} where site {expected:?} was expected, see the addresses in `gateway.peers`")]
-    OtherSite {
+    SiteMismatch {
         /// What the gateway at that address says.
         actual: String,
         /// What the configuration says.
@@ -33,7 +33,7 @@
     },
     /// It comes from a network where the gateways of its site are not.
     #[error("{from} is in none of the networks of site {site:?}, see `gateway.peers`")]
-    OtherNetwork {
+    NetworkMismatch {
         /// Where it comes from.
         from: IpAddr,
         /// What site it claims to be of.
@@ -54,16 +54,16 @@
 
 /// Why a link ended. Logged; an operator acts where many links end, as `docs/gateway.md` says.
 #[derive(Debug, Error)]
-pub(super) enum LinkEnd {
+pub(super) enum LinkCloseReason {
     /// The other side closed the connection.
     #[error("closed")]
-    Closed,
+    ClosedByPeer,
     /// The dispatcher dropped the link, which is of an earlier incarnation of that gateway.
     #[error("not wanted")]
-    Unwanted,
+    Dropped,
     /// The dispatcher is gone: this process ends.
     #[error("stopped")]
-    Stopped,
+    ShuttingDown,
     /// The other side read too slowly while buffer space was needed.
     #[error("too slow")]
     TooSlow,
@@ -78,8 +78,8 @@
     Rejected(#[from] PeerRejection),
 }
 
-impl From<LinkError> for LinkEnd {
-    fn from(error: LinkError) -> LinkEnd {
-        LinkEnd::Protocol(error)
+impl From<LinkError> for LinkCloseReason {
+    fn from(error: LinkError) -> LinkCloseReason {
+        LinkCloseReason::Protocol(error)
     }
 }
--- a/crates/proxy/src/gateway/inbound.rs
+++ b/crates/proxy/src/gateway/inbound.rs
@@ -40,7 +40,7 @@
     open_links: usize,
     from: SocketAddr,
 ) -> Result<(), ConnectionRejection> {
-    if !registry.is_peer_network(from.ip()) {
+    if !registry.is_peer_address(from.ip()) {
         return Err(ConnectionRejection::UnknownNetwork);
     }
     if open_links >= context.limits.links.inbound {
--- a/crates/proxy/src/gateway/link.rs
+++ b/crates/proxy/src/gateway/link.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep_until, timeout};
 
 use super::LinkRegistry;
-use super::errors::LinkEnd;
+use super::errors::LinkCloseReason;
 use crate::flow_control::ConnectionGuard;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{DispatcherMessage, LinkEvent, LinkId, LinkMessage};
@@ -24,7 +24,7 @@
 const CHUNK_BYTES: usize = 32 * 1024;
 
 /// What the other side is told when its link is dropped.
-const UNWANTED: &str = "not wanted";
+const DROPPED_REASON: &str = "not wanted";
 
 /// A connection that is to become a link.
 pub(super) struct LinkConnection {
@@ -34,7 +34,7 @@
     /// The other end of the connection.
     address: SocketAddr,
     /// The site that is expected there; `None` where the other side opened the connection.
-    dialed_site: Option<String>,
+    expected_site: Option<String>,
     guard: ConnectionGuard,
 }
 
@@ -45,7 +45,7 @@
         registry: &Rc<LinkRegistry>,
         stream: TcpStream,
         address: SocketAddr,
-        dialed_site: Option<String>,
+        expected_site: Option<String>,
     ) -> Option<LinkConnection> {
         let _ = stream.set_nodelay(true);
         let guard = context.flow_control.register(address.ip()).ok()?;
@@ -54,7 +54,7 @@
             registry: registry.clone(),
             stream,
             address,
-            dialed_site,
+            expected_site,
             guard,
         })
     }
@@ -114,7 +114,7 @@
     id: LinkId,
     connection: LinkConnection,
     /// The protocol's state.
-    link: Link,
+    protocol: Link,
     state: LinkState,
     /// What the dispatcher sends over the link.
     outbound: mpsc::Receiver<Outbound>,
@@ -131,8 +131,8 @@
         let LinkConnection { context, registry, .. } = &connection;
         let (outbox, outbound) = mpsc::channel(context.limits.queues.dispatcher);
         LinkActor {
-            id: registry.next_id(),
-            link: Link::new(registry.config, &registry.own, context.unstalled_clock.now()),
+            id: registry.allocate_link_id(),
+            protocol: Link::new(registry.config, &registry.local_identity, context.unstalled_clock.now()),
             state: LinkState::Handshaking { outbox },
             outbound,
             pending: PendingBytes::default(),
@@ -148,26 +148,26 @@
     }
 
     /// Moves frames in both directions until the link ends.
-    async fn exchange_frames(&mut self) -> Result<Infallible, LinkEnd> {
+    async fn exchange_frames(&mut self) -> Result<Infallible, LinkCloseReason> {
         let clock = self.connection.context.unstalled_clock.clone();
         loop {
             self.write_pending()?;
             let LinkConnection { stream, guard, .. } = &self.connection;
             tokio::select! {
                 biased;
-                () = guard.disconnected() => return Err(LinkEnd::TooSlow),
-                ready = stream.readable(), if self.link.accepts_input() => {
+                () = guard.disconnected() => return Err(LinkCloseReason::TooSlow),
+                ready = stream.readable(), if self.protocol.accepts_input() => {
                     ready?;
                     self.read().await?;
                 }
                 message = self.outbound.recv() => match message {
-                    Some(message) => self.link.send(message),
+                    Some(message) => self.protocol.send(message),
                     // Another link of this gateway is from a newer incarnation of it.
-                    None => return Err(self.close_unwanted().await),
+                    None => return Err(self.close_dropped().await),
                 },
                 ready = stream.writable(), if !self.pending.is_empty() => ready?,
-                () = sleep_until(clock.instant(self.link.wake_at())) => {
-                    if let Err(error) = self.link.wake(clock.now()) {
+                () = sleep_until(clock.instant(self.protocol.wake_at())) => {
+                    if let Err(error) = self.protocol.wake(clock.now()) {
                         return Err(self.close(error));
                     }
                 }
@@ -176,10 +176,10 @@
     }
 
     /// Writes as much as the system takes at once. What it does not take, the other side has not read.
-    fn write_pending(&mut self) -> Result<(), LinkEnd> {
+    fn write_pending(&mut self) -> Result<(), LinkCloseReason> {
         loop {
             if self.pending.is_empty() {
-                let bytes = self.link.next_bytes(CHUNK_BYTES).unwrap_or_default();
+                let bytes = self.protocol.next_bytes(CHUNK_BYTES).unwrap_or_default();
                 self.pending = PendingBytes { bytes, written: 0 };
             }
             if self.pending.is_empty() {
@@ -216,9 +216,9 @@
     }
 
     /// Reads once, and passes on what came whole.
-    async fn read(&mut self) -> Result<(), LinkEnd> {
+    async fn read(&mut self) -> Result<(), LinkCloseReason> {
         match self.connection.stream.try_read_buf(&mut self.input) {
-            Ok(0) => return Err(LinkEnd::Closed),
+            Ok(0) => return Err(LinkCloseReason::ClosedByPeer),
             Ok(_) => {}
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
                 return Ok(());
@@ -226,7 +226,7 @@
             Err(error) => return Err(error.into()),
         }
         let now = self.connection.context.unstalled_clock.now();
-        let received = self.link.receive(now, &self.input);
+        let received = self.protocol.receive(now, &self.input);
         self.input.clear();
         for message in received.map_err(|error| self.close(error))? {
             if let Inbound::Greeted(identity) = &message {
@@ -238,10 +238,10 @@
     }
 
     /// The other side has introduced itself: where it is allowed here, the link is up.
-    async fn complete_handshake(&mut self, identity: &Identity) -> Result<(), LinkEnd> {
-        let LinkConnection { context, registry, address, dialed_site, guard, .. } = &self.connection;
+    async fn complete_handshake(&mut self, identity: &Identity) -> Result<(), LinkCloseReason> {
+        let LinkConnection { context, registry, address, expected_site, guard, .. } = &self.connection;
         registry
-            .check_peer(identity, address.ip(), dialed_site.as_deref())
+            .check_peer(identity, address.ip(), expected_site.as_deref())
             .map_err(|rejection| self.close(rejection))?;
         info!(context.log, "link up"; "link" => self.id, "site" => &identity.site,
             "instance" => &identity.instance, "peer" => %address);
@@ -254,29 +254,29 @@
     }
 
     /// Tells the other side why the link ends, as far as the system takes that at once.
-    fn close<E: Display + Into<LinkEnd>>(&self, reason: E) -> LinkEnd {
+    fn close<E: Display + Into<LinkCloseReason>>(&self, reason: E) -> LinkCloseReason {
         let _ = self.connection.stream.try_write(&Link::close(&reason.to_string()));
         reason.into()
     }
 
     /// Sends what is left to send, and that the link is dropped; gives up after the time for closing a connection.
-    async fn close_unwanted(&mut self) -> LinkEnd {
+    async fn close_dropped(&mut self) -> LinkCloseReason {
         let mut bytes = self.pending.unwritten().to_vec();
-        while let Some(more) = self.link.next_bytes(CHUNK_BYTES) {
+        while let Some(more) = self.protocol.next_bytes(CHUNK_BYTES) {
             bytes.extend_from_slice(&more);
         }
-        bytes.extend_from_slice(&Link::close(UNWANTED));
+        bytes.extend_from_slice(&Link::close(DROPPED_REASON));
         let linger = self.connection.context.limits.connections.linger;
         let _ = timeout(linger, self.connection.stream.write_all(&bytes)).await;
-        LinkEnd::Unwanted
+        LinkCloseReason::Dropped
     }
 
-    async fn notify(&self, event: LinkEvent) -> Result<(), LinkEnd> {
+    async fn notify(&self, event: LinkEvent) -> Result<(), LinkCloseReason> {
         notify(&self.connection.context, self.id, event).await
     }
 }
 
-async fn notify(context: &ProcessContext, link: LinkId, event: LinkEvent) -> Result<(), LinkEnd> {
+async fn notify(context: &ProcessContext, link: LinkId, event: LinkEvent) -> Result<(), LinkCloseReason> {
     let message = DispatcherMessage::Link(LinkMessage { link, event });
-    context.dispatcher.send(message).await.map_err(|_| LinkEnd::Stopped)
+    context.dispatcher.send(message).await.map_err(|_| LinkCloseReason::ShuttingDown)
 }
--- a/crates/proxy/src/gateway/outbound.rs
+++ b/crates/proxy/src/gateway/outbound.rs
@@ -23,7 +23,7 @@
 const DEFAULT_LINKS_PER_ADDRESS: u32 = 2;
 /// A link that was up this long after the attempt to open it began shows that its address can be reached: on a line that
 /// breaks often the next attempt is as good as the last.
-const STABLE_AFTER: Duration = Duration::from_millis(100);
+const MIN_STABLE_DURATION: Duration = Duration::from_millis(100);
 
 /// Starts to maintain links to the addresses of all peers, each with a seed of its own for its waits.
 pub fn maintain_links(
@@ -32,16 +32,16 @@
     peers: &[PeerSite],
     seed: u64,
 ) {
-    let mut number = 0;
+    let mut link_index = 0;
     for peer in peers {
         let links = peer.links.unwrap_or(DEFAULT_LINKS_PER_ADDRESS);
         for &address in &peer.addresses {
             for _ in 0..links {
-                let seed = seed.wrapping_add(number);
+                let seed = seed.wrapping_add(link_index);
                 let link =
                     OutboundLink::new(context.clone(), registry.clone(), peer.site.clone(), address, seed);
                 spawn_local(link.maintain());
-                number += 1;
+                link_index += 1;
             }
         }
     }
@@ -56,7 +56,7 @@
     address: SocketAddr,
     rng: Pcg64Mcg,
     /// The longest wait before the next attempt.
-    retry_wait: Duration,
+    backoff: Duration,
     /// Whether it is logged that nobody can be reached there.
     is_unreachable: bool,
 }
@@ -69,9 +69,9 @@
         address: SocketAddr,
         seed: u64,
     ) -> OutboundLink {
-        let retry_wait = context.limits.links.retry.initial;
+        let backoff = context.limits.links.retry.initial;
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        OutboundLink { context, registry, site, address, rng, retry_wait, is_unreachable: false }
+        OutboundLink { context, registry, site, address, rng, backoff, is_unreachable: false }
     }
 
     /// Opens the link again whenever it has ended, until this process shuts down. The wait before that is random, so that
@@ -79,28 +79,28 @@
     async fn maintain(mut self) {
         let RetryInterval { initial, max } = self.context.limits.links.retry;
         loop {
-            let may_retry_soon = self.open_and_run().await;
-            if may_retry_soon {
-                self.retry_wait = initial;
+            let reset_backoff = self.open_and_run().await;
+            if reset_backoff {
+                self.backoff = initial;
             }
             if self.context.stopping.borrow().is_some() {
                 return;
             }
-            let max_wait_ms = self.retry_wait.as_millis() as u64;
-            let wait_ms = self.rng.random_range(max_wait_ms / 2..=max_wait_ms);
+            let backoff_ms = self.backoff.as_millis() as u64;
+            let wait_ms = self.rng.random_range(backoff_ms / 2..=backoff_ms);
             sleep(Duration::from_millis(wait_ms)).await;
-            self.retry_wait = (self.retry_wait * 2).min(max);
+            self.backoff = (self.backoff * 2).min(max);
         }
     }
 
     /// One link from its opening to its end; whether nothing speaks against another attempt soon.
     async fn open_and_run(&mut self) -> bool {
-        let since = Instant::now();
+        let started_at = Instant::now();
         match self.connect().await {
             Ok(stream) => {
                 self.log_reachable();
                 let was_up = self.run_link(stream).await;
-                was_up && since.elapsed().as_millis() >= STABLE_AFTER.as_millis()
+                was_up && started_at.elapsed().as_millis() >= MIN_STABLE_DURATION.as_millis()
             }
             Err(error) => {
                 self.log_unreachable(&error);
--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -65,7 +65,7 @@
 
     async fn shut_down(self) -> Result<(), ProgramError> {
         self.stop.send_replace(Some(Instant::now() + self.context.limits.shutdown.accept_window));
-        self.context.flow_control.stop();
+        self.context.flow_control.shut_down();
         self.listener.await.map_err(|source| ProgramError::ActorFailed { actor: Actor::Listener, source })?;
         wait_for_remote_requests(&self.context).await;
         if let Some(membership) = self.membership {
--- a/crates/proxy/src/lifecycle/startup/actors.rs
+++ b/crates/proxy/src/lifecycle/startup/actors.rs
@@ -27,7 +27,7 @@
 use crate::lifecycle::process_context::ProcessContext;
 use crate::lifecycle::reload::Reload;
 use crate::lifecycle::shutdown::RunningProxy;
-use crate::membership::{CoordinationStart, MembershipActor, MembershipStart};
+use crate::membership::{CoordinationSetup, MembershipActor, MembershipSetup};
 use crate::messages::ListUpdate;
 use crate::persistence::{self, DataDirectory, Persistence};
 
@@ -168,14 +168,14 @@
     let Some(config) = configuration.operator.membership.take() else {
         return Ok(StartedMembership::default());
     };
-    let coordination = configuration.operator.coordination.take().map(|config| CoordinationStart {
+    let coordination = configuration.operator.coordination.take().map(|config| CoordinationSetup {
         config,
         directory,
         zone: configuration.settings.router_config.zone,
         longest_timeout: longest_timeout(&configuration.settings),
         reloads,
     });
-    let start = MembershipStart {
+    let start = MembershipSetup {
         config,
         name: configuration.name.clone(),
         configured_fleet_size: configuration.settings.router_config.routers,
--- a/crates/proxy/src/membership/actor.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -14,8 +14,8 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep_until};
 
-use super::announced_sizes::AnnouncedSizes;
-use super::coordination_link::{self, CoordinationEvent, CoordinationLink, call_time};
+use super::coordination_runner::{self, CoordinationEvent, CoordinationRunner, call_time};
+use super::quota_divisors::QuotaDivisors;
 use super::status::StatusReport;
 use super::status_socket::{self, StatusSocket};
 use crate::coordination::{CallTime, Coordination, Datagram};
@@ -40,7 +40,7 @@
     /// The fleet may be that of several sites, so that its size says nothing of this one.
     pub(super) spans_sites: bool,
     /// `None` where the operator's file has no such section.
-    pub(super) coordination: Option<CoordinationLink>,
+    pub(super) coordination: Option<CoordinationRunner>,
 }
 
 /// What was sent since the start.
@@ -61,22 +61,22 @@
     configured_fleet_size: usize,
     spans_sites: bool,
     /// What the dispatcher was last told.
-    announced_sizes: AnnouncedSizes,
-    coordination: Option<CoordinationLink>,
+    announced_divisors: QuotaDivisors,
+    coordination: Option<CoordinationRunner>,
     /// When the membership wants to be woken, on the clock of unstalled time.
     wake_at: Option<Micros>,
     /// All stalls that the membership was told of, in microseconds.
-    known_stalls: Micros,
+    reported_stall_time: Micros,
     /// How long a datagram that is read now may have waited unread, in microseconds.
-    unread_for: Micros,
+    max_unread_age: Micros,
     sent: SendCounters,
 }
 
 impl MembershipActor {
     pub(super) fn new(parts: ActorParts) -> MembershipActor {
         MembershipActor {
-            known_stalls: parts.context.unstalled_clock.stalled_for(),
-            announced_sizes: AnnouncedSizes::configured(parts.configured_fleet_size),
+            reported_stall_time: parts.context.unstalled_clock.stalled_for(),
+            announced_divisors: QuotaDivisors::configured(parts.configured_fleet_size),
             context: parts.context,
             socket: parts.socket,
             status_socket: parts.status_socket,
@@ -85,7 +85,7 @@
             spans_sites: parts.spans_sites,
             coordination: parts.coordination,
             wake_at: None,
-            unread_for: 0,
+            max_unread_age: 0,
             sent: SendCounters::default(),
         }
     }
@@ -94,8 +94,8 @@
     /// request.
     pub fn restored_drain_plans(&mut self) -> Vec<Plan> {
         let now = self.context.clock.now();
-        let link = self.coordination.as_mut();
-        link.and_then(|link| link.coordination.drain_plans(now)).unwrap_or_default()
+        let runner = self.coordination.as_mut();
+        runner.and_then(|runner| runner.coordination.drain_plans(now)).unwrap_or_default()
     }
 
     /// Runs until the program shuts down; then releases the leases and tells the others that this proxy leaves.
@@ -110,23 +110,23 @@
                 // What happens rarely comes before what may never pause.
                 _ = stopping.wait_for(Option::is_some) => break,
                 stream = status_socket::next_request(&mut self.status_socket) => self.answer_status(stream),
-                event = coordination_link::next_event(&mut self.coordination, &context.clock) => {
+                event = coordination_runner::next_event(&mut self.coordination, &context.clock) => {
                     self.handle_coordination_event(event, &mut buffer).await;
                 }
                 () = self.socket.readable() => self.handle_readable(&mut buffer).await,
                 () = sleep_until(wake_at), if self.wake_at.is_some() => {
-                    self.note_stall();
+                    self.handle_stall();
                     self.wake().await;
                 }
             }
         }
-        self.coordinate(|coordination, at, _| coordination.release_leases(at));
+        self.call_coordination(|coordination, at, _| coordination.release_leases(at));
         let actions = self.membership.leave();
         self.carry_out(actions).await;
     }
 
     async fn handle_readable(&mut self, buffer: &mut [u8]) {
-        self.note_stall();
+        self.handle_stall();
         self.read_datagrams(buffer).await;
         if self.wake_at.is_some_and(|at| at <= self.context.unstalled_clock.now()) {
             self.wake().await;
@@ -136,29 +136,29 @@
     async fn handle_coordination_event(&mut self, event: CoordinationEvent, buffer: &mut [u8]) {
         match event {
             CoordinationEvent::Reconfigured(config) => {
-                self.coordinate(|coordination, at, _| coordination.reconfigure(at.now, &config));
+                self.call_coordination(|coordination, at, _| coordination.reconfigure(at.now, &config));
             }
             CoordinationEvent::WriteFinished { succeeded } => {
-                self.coordinate(|coordination, at, others| {
+                self.call_coordination(|coordination, at, others| {
                     coordination.write_confirmed(at, succeeded, others);
                 });
             }
-            CoordinationEvent::Due => {
-                self.note_stall();
+            CoordinationEvent::TimerDue => {
+                self.handle_stall();
                 // What arrived before is taken in before decisions are made.
                 self.read_datagrams(buffer).await;
-                self.coordinate(|coordination, at, others| coordination.wake(at, others));
+                self.call_coordination(|coordination, at, others| coordination.wake(at, others));
                 self.exchange_with_dispatcher().await;
             }
         }
     }
 
     /// Tells the membership of a stall, if there was one. To be called before anything that follows a wait.
-    fn note_stall(&mut self) {
+    fn handle_stall(&mut self) {
         let stalls = self.context.unstalled_clock.stalled_for();
-        let stalled_for = stalls - std::mem::replace(&mut self.known_stalls, stalls);
+        let stalled_for = stalls - std::mem::replace(&mut self.reported_stall_time, stalls);
         if stalled_for > 0 {
-            self.unread_for += stalled_for;
+            self.max_unread_age += stalled_for;
             self.membership.resume_after_stall(self.context.unstalled_clock.now());
         }
     }
@@ -169,7 +169,7 @@
             let (length, from) = match self.socket.receive(buffer) {
                 Received::Datagram { length, from } => (length, from),
                 Received::Nothing => {
-                    self.unread_for = 0;
+                    self.max_unread_age = 0;
                     return;
                 }
                 Received::Failed => return,
@@ -187,11 +187,11 @@
 
     /// Calls coordination, if this proxy takes part in it, and sends what it wants sent. The call gets the names of the
     /// other live proxies.
-    fn coordinate(&mut self, call: impl FnOnce(&mut Coordination, CallTime, &[Rc<str>])) {
-        let Some(link) = &mut self.coordination else { return };
+    fn call_coordination(&mut self, call: impl FnOnce(&mut Coordination, CallTime, &[Rc<str>])) {
+        let Some(runner) = &mut self.coordination else { return };
         let others: Vec<Rc<str>> = self.membership.alive().map(|peer| peer.name.clone()).collect();
-        call(&mut link.coordination, call_time(&self.context), &others);
-        for Datagram { to, payload } in link.coordination.take_outgoing() {
+        call(&mut runner.coordination, call_time(&self.context), &others);
+        for Datagram { to, payload } in runner.coordination.take_outgoing() {
             if let Some(datagram) = self.membership.encode_payload(&to, &payload) {
                 self.send(datagram.to, &datagram.bytes);
             }
@@ -201,12 +201,12 @@
     /// Once each decision interval: passes the directives in force to the dispatcher, and its observations to coordination.
     async fn exchange_with_dispatcher(&mut self) {
         let now = self.context.clock.now();
-        let Some(link) = &mut self.coordination else { return };
-        if !link.take_exchange_due(now) {
+        let Some(runner) = &mut self.coordination else { return };
+        if !runner.start_exchange_if_due(now) {
             return;
         }
-        let zone_directives = link.coordination.zone_directives(now);
-        let drain_plans = link.coordination.drain_plans(now);
+        let zone_directives = runner.coordination.zone_directives(now);
+        let drain_plans = runner.coordination.drain_plans(now);
         let (reply, observations) = oneshot::channel();
         // A dispatcher that is gone ends the program by itself.
         let dispatcher = &self.context.dispatcher;
@@ -218,7 +218,7 @@
             let _ = dispatcher.send(DispatcherMessage::SiteDrainPlans(plans)).await;
         }
         if let Ok(observations) = observations.await {
-            link.coordination.observed(observations);
+            runner.coordination.observed(observations);
         }
     }
 
@@ -235,26 +235,26 @@
 
     pub(super) async fn carry_out(&mut self, actions: Actions) {
         actions.send.into_iter().for_each(|datagram| self.send(datagram.to, &datagram.bytes));
-        let age = self.unread_for;
+        let age = self.max_unread_age;
         for ReceivedPayload { sender, payload } in actions.payloads {
-            self.coordinate(|coordination, at, others| {
+            self.call_coordination(|coordination, at, others| {
                 coordination.receive(at, age, &sender, &payload, others);
             });
         }
         for change in actions.changes {
-            if let (Change::Down(gone) | Change::Restarted(gone), Some(link)) =
+            if let (Change::Down(gone) | Change::Restarted(gone), Some(runner)) =
                 (&change, &mut self.coordination)
             {
-                link.coordination.peer_gone(self.context.clock.now(), &gone.name);
+                runner.coordination.peer_gone(self.context.clock.now(), &gone.name);
             }
             if let Change::Renumbered(local) = &change {
                 let start = local.start;
-                self.coordinate(|coordination, at, others| coordination.renumber(at, start, others));
+                self.call_coordination(|coordination, at, others| coordination.renumber(at, start, others));
             }
             self.log_change(&change);
         }
         self.wake_at = actions.wake_at;
-        self.announce_sizes().await;
+        self.announce_quota_divisors().await;
     }
 
     fn log_change(&self, change: &Change) {
@@ -281,23 +281,23 @@
     }
 
     /// Tells the dispatcher by how many proxies capacity is divided, if that has changed.
-    async fn announce_sizes(&mut self) {
+    async fn announce_quota_divisors(&mut self) {
         let snapshot = self.membership.snapshot(self.context.unstalled_clock.now());
-        let sizes = AnnouncedSizes::of(&snapshot, self.configured_fleet_size);
-        if sizes != self.announced_sizes && !self.spans_sites {
-            self.announced_sizes = sizes;
+        let divisors = QuotaDivisors::from_snapshot(&snapshot, self.configured_fleet_size);
+        if divisors != self.announced_divisors && !self.spans_sites {
+            self.announced_divisors = divisors;
             // A dispatcher that is gone ends the program by itself.
-            let _ = self.context.dispatcher.send(DispatcherMessage::FleetSize(sizes.message())).await;
+            let _ = self.context.dispatcher.send(DispatcherMessage::FleetSize(divisors.message())).await;
         }
     }
 
     fn answer_status(&self, stream: UnixStream) {
-        let link = self.coordination.as_ref();
+        let runner = self.coordination.as_ref();
         let report = StatusReport {
             local: self.membership.local(),
             snapshot: self.membership.snapshot(self.context.unstalled_clock.now()),
-            quota_divisor: self.announced_sizes.quota_divisor,
-            coordination: link.map(|link| link.coordination.describe(self.context.clock.now())),
+            quota_divisor: self.announced_divisors.quota_divisor,
+            coordination: runner.map(|runner| runner.coordination.describe(self.context.clock.now())),
             at_ms: self.context.clock.wall() / 1000,
             dropped: self.membership.dropped(),
             sent: self.sent,
--- a/crates/proxy/src/membership/coordination_link.rs
+++ b/crates/proxy/src/membership/coordination_runner.rs
@@ -10,14 +10,14 @@
 use crate::lifecycle::process_context::ProcessContext;
 
 /// This proxy's part in coordination, and what it waits for.
-pub(super) struct CoordinationLink {
+pub(super) struct CoordinationRunner {
     pub(super) coordination: Coordination,
     /// Whether each write to the data directory succeeded, in the order of the writes.
     write_outcomes: mpsc::Receiver<bool>,
     /// The operator's section, each time that it is read again.
     reloads: watch::Receiver<Option<CoordinationConfig>>,
     /// When observations and directives are next exchanged with the dispatcher.
-    exchange_at: Micros,
+    next_exchange_at: Micros,
 }
 
 /// Something that coordination waited for.
@@ -30,25 +30,25 @@
         succeeded: bool,
     },
     /// Its timer is due.
-    Due,
+    TimerDue,
 }
 
-impl CoordinationLink {
+impl CoordinationRunner {
     pub(super) fn new(
         coordination: Coordination,
         write_outcomes: mpsc::Receiver<bool>,
         reloads: watch::Receiver<Option<CoordinationConfig>>,
         now: Micros,
-    ) -> CoordinationLink {
-        CoordinationLink { coordination, write_outcomes, reloads, exchange_at: now }
+    ) -> CoordinationRunner {
+        CoordinationRunner { coordination, write_outcomes, reloads, next_exchange_at: now }
     }
 
     /// Whether observations and directives are to be exchanged with the dispatcher now; the next time is then set.
-    pub(super) fn take_exchange_due(&mut self, now: Micros) -> bool {
-        if now < self.exchange_at {
+    pub(super) fn start_exchange_if_due(&mut self, now: Micros) -> bool {
+        if now < self.next_exchange_at {
             return false;
         }
-        self.exchange_at = now + DECISION_INTERVAL;
+        self.next_exchange_at = now + DECISION_INTERVAL;
         true
     }
 
@@ -58,15 +58,15 @@
             biased;
             Some(config) = next_reload(&mut self.reloads) => CoordinationEvent::Reconfigured(config),
             Some(succeeded) = self.write_outcomes.recv() => CoordinationEvent::WriteFinished { succeeded },
-            () = sleep_until(wake_at) => CoordinationEvent::Due,
+            () = sleep_until(wake_at) => CoordinationEvent::TimerDue,
         }
     }
 }
 
 /// The next event of coordination; never, where there is none.
-pub(super) async fn next_event(link: &mut Option<CoordinationLink>, clock: &Clock) -> CoordinationEvent {
-    match link {
-        Some(link) => link.next_event(clock).await,
+pub(super) async fn next_event(runner: &mut Option<CoordinationRunner>, clock: &Clock) -> CoordinationEvent {
+    match runner {
+        Some(runner) => runner.next_event(clock).await,
         None => std::future::pending().await,
     }
 }
--- a/crates/proxy/src/membership/mod.rs
+++ b/crates/proxy/src/membership/mod.rs
@@ -2,11 +2,11 @@
 //! the way from coordination to the dispatcher.
 
 mod actor;
-mod announced_sizes;
-mod coordination_link;
+mod coordination_runner;
+mod quota_divisors;
 mod start;
 mod status;
 mod status_socket;
 
 pub use actor::MembershipActor;
-pub use start::{CoordinationStart, MembershipStart};
+pub use start::{CoordinationSetup, MembershipSetup};
--- a/crates/proxy/src/membership/announced_sizes.rs
+++ b/crates/proxy/src/membership/quota_divisors.rs
@@ -6,22 +6,22 @@
 
 /// By how many proxies the dispatcher divides the capacity of members.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) struct AnnouncedSizes {
+pub(super) struct QuotaDivisors {
     /// At members in normal operation. The status socket shows it.
     pub(super) quota_divisor: usize,
     /// At members that warm up.
     pub(super) warm_up_quota_divisor: usize,
 }
 
-impl AnnouncedSizes {
+impl QuotaDivisors {
     /// The size in the settings, by which the dispatcher starts.
-    pub(super) fn configured(fleet_size: usize) -> AnnouncedSizes {
-        AnnouncedSizes { quota_divisor: fleet_size, warm_up_quota_divisor: fleet_size }
+    pub(super) fn configured(fleet_size: usize) -> QuotaDivisors {
+        QuotaDivisors { quota_divisor: fleet_size, warm_up_quota_divisor: fleet_size }
     }
 
     /// What the membership shows; `configured` is the size in the settings.
-    pub(super) fn of(snapshot: &Snapshot, configured: usize) -> AnnouncedSizes {
-        AnnouncedSizes {
+    pub(super) fn from_snapshot(snapshot: &Snapshot, configured: usize) -> QuotaDivisors {
+        QuotaDivisors {
             quota_divisor: snapshot.quota_divisor(configured),
             warm_up_quota_divisor: snapshot.warm_up_quota_divisor(configured),
         }
--- a/crates/proxy/src/membership/start.rs
+++ b/crates/proxy/src/membership/start.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 
 use super::actor::{ActorParts, MembershipActor};
-use super::coordination_link::{CoordinationLink, call_time};
+use super::coordination_runner::{CoordinationRunner, call_time};
 use super::status_socket::StatusSocket;
 use crate::coordination::{Coordination, CoordinationParts};
 use crate::lifecycle::errors::ProgramError;
@@ -18,7 +18,7 @@
 use crate::system::{self, DatagramSocket};
 
 /// What the membership actor starts with.
-pub struct MembershipStart {
+pub struct MembershipSetup {
     /// The operator's section `membership`.
     pub config: MembershipConfig,
     /// This proxy's name, unique in the fleet.
@@ -29,13 +29,13 @@
     /// configured size.
     pub spans_sites: bool,
     /// What coordination starts with, if the operator's file has that section.
-    pub coordination: Option<CoordinationStart>,
+    pub coordination: Option<CoordinationSetup>,
     /// Seed of the random numbers.
     pub seed: u64,
 }
 
 /// What coordination starts with.
-pub struct CoordinationStart {
+pub struct CoordinationSetup {
     /// The operator's section `coordination`.
     pub config: CoordinationConfig,
     /// Where terms and drain plans are stored, if anything is.
@@ -56,9 +56,9 @@
     /// The address can't be listened at, or the leases' configuration can't work.
     pub async fn open(
         context: Rc<ProcessContext>,
-        start: MembershipStart,
+        setup: MembershipSetup,
     ) -> Result<MembershipActor, ProgramError> {
-        let MembershipStart { config, name, configured_fleet_size, spans_sites, coordination, seed } = start;
+        let MembershipSetup { config, name, configured_fleet_size, spans_sites, coordination, seed } = setup;
         let socket = open_socket(&context, &config).await?;
         let local = LocalPeer {
             fleet: config.fleet,
@@ -71,7 +71,7 @@
         let status_socket = config.status.and_then(|path| StatusSocket::open(&path, &context.log));
         let now = context.unstalled_clock.now();
         let coordination =
-            coordination.map(|start| open_coordination(&context, start, &local, seed)).transpose()?;
+            coordination.map(|setup| open_coordination(&context, setup, &local, seed)).transpose()?;
         let seeds = config.peers.into_iter();
         let membership_config = Config {
             local,
@@ -111,19 +111,19 @@
 
 fn open_coordination(
     context: &ProcessContext,
-    start: CoordinationStart,
+    setup: CoordinationSetup,
     local: &LocalPeer,
     seed: u64,
-) -> Result<CoordinationLink, ProgramError> {
+) -> Result<CoordinationRunner, ProgramError> {
     let parts = CoordinationParts {
-        config: start.config,
+        config: setup.config,
         own: Incarnation { name: local.name.clone(), start: local.start },
-        directory: start.directory,
-        zone: start.zone,
-        longest_timeout: start.longest_timeout,
+        directory: setup.directory,
+        zone: setup.zone,
+        longest_timeout: setup.longest_timeout,
     };
     let at = call_time(context);
     let (coordination, write_outcomes) =
         Coordination::open(parts, at, seed.rotate_left(3), context.log.clone())?;
-    Ok(CoordinationLink::new(coordination, write_outcomes, start.reloads, context.unstalled_clock.now()))
+    Ok(CoordinationRunner::new(coordination, write_outcomes, setup.reloads, context.unstalled_clock.now()))
 }
