--- a/crates/proxy/src/gateway/errors.rs
+++ b/crates/proxy/src/gateway/errors.rs
@@ -1,4 +1,4 @@
-//! Why a link is rejected, cannot be opened, or ends.
+//! Reasons for which links are rejected, cannot be opened, or end.
 
 use std::io;
 use std::net::IpAddr;
@@ -6,74 +6,77 @@
 use aldermill_site_link::LinkError;
 use thiserror::Error;
 
-/// Why a connection is closed before anything is read from it.
+/// Reason for closing an accepted connection before anything is read from it.
 #[derive(Debug, Error)]
 pub(super) enum ConnectionRejection {
-    /// It does not come from a network where any peer's gateways are.
-    #[error("in none of the peers' networks, see `gateway.peers`")]
+    /// The remote address is in none of the networks that are configured for the peers.
+    #[error("the address is in none of the peers' networks, see `gateway.peers`")]
     UnknownNetwork,
-    /// As many links as this are open already.
-    #[error("too many links, {0} are open; the most are a share of `limits.sockets`")]
+    /// The number of open inbound links, given here, has reached its limit.
+    #[error("too many links: {0} are open; the maximum is a share of `limits.sockets`")]
     TooManyLinks(usize),
 }
 
-/// Why the gateway on the other side of a link is not allowed there. Sent to it when the link is closed.
+/// Reason for rejecting a peer gateway after its greeting. The text is sent to the peer gateway when the link
+/// is closed.
 #[derive(Debug, Error)]
 pub(super) enum PeerRejection {
-    /// It is of a site, called so, that is not configured here.
+    /// The peer gateway belongs to a site of this name, which is not configured as a peer.
     #[error("site {0:?} is none of this gateway's peers, name it in `gateway.peers`")]
     UnknownSite(String),
-    /// A configured address leads to another site than the configuration says.
+    /// A configured address leads to a gateway of another site than the configuration names.
     #[error("site {actual:?} where site {expected:?} was expected, see the addresses in `gateway.peers`")]
     SiteMismatch {
-        /// What the gateway at that address says.
+        /// The site that the gateway at that address names in its greeting.
         actual: String,
-        /// What the configuration says.
+        /// The site that the configuration names for the address.
         expected: String,
     },
-    /// It comes from a network where the gateways of its site are not.
+    /// The peer gateway connects from an address outside the networks that are configured for its site.
     #[error("{from} is in none of the networks of site {site:?}, see `gateway.peers`")]
     NetworkMismatch {
-        /// Where it comes from.
+        /// The remote address of the connection.
         from: IpAddr,
-        /// What site it claims to be of.
+        /// The site that the peer gateway names in its greeting.
         site: String,
     },
 }
 
-/// Why no connection could be opened to a peer's address.
+/// Error when opening a connection to a peer's address.
 #[derive(Debug, Error)]
 pub(super) enum ConnectError {
-    /// Neither a connection nor an error within `limits.member.connect_timeout`.
-    #[error("no connection in time")]
+    /// The attempt neither succeeded nor failed within `limits.member.connect_timeout`.
+    #[error("connection attempt timed out")]
     TimedOut,
-    /// The system reports an error.
+    /// The system reported an error.
     #[error("{0}")]
     Io(#[from] io::Error),
 }
 
-/// Why a link ended. Logged; an operator acts where many links end, as `docs/gateway.md` says.
+/// Reason for the end of a link. The reason is logged; `docs/gateway.md` says what an operator does if many
+/// links end.
 #[derive(Debug, Error)]
 pub(super) enum LinkCloseReason {
-    /// The other side closed the connection.
+    /// The peer gateway closed the connection without giving a reason.
     #[error("closed")]
     ClosedByPeer,
-    /// The dispatcher dropped the link, which is of an earlier incarnation of that gateway.
+    /// The dispatcher dropped the link, because it belongs to an earlier incarnation of the peer gateway.
     #[error("not wanted")]
     Dropped,
-    /// The dispatcher is gone: this process ends.
+    /// The dispatcher has ended, because the process is shutting down.
     #[error("stopped")]
     ShuttingDown,
-    /// The other side read too slowly while buffer space was needed.
+    /// Flow control disconnected the peer gateway, e.g. because it read too slowly while buffer space was
+    /// needed.
     #[error("too slow")]
     TooSlow,
-    /// The connection broke.
+    /// The connection failed.
     #[error("{0}")]
     Connection(#[from] io::Error),
-    /// The other side was silent, or sent what the protocol does not allow, or closed the link with a reason.
+    /// The peer gateway was silent for too long, violated the protocol, or closed the link with a reason.
     #[error("{0}")]
     Protocol(LinkError),
-    /// The other side is not allowed here.
+    /// The peer gateway was rejected after its greeting.
     #[error("{0}")]
     Rejected(#[from] PeerRejection),
 }
--- a/crates/proxy/src/gateway/inbound.rs
+++ b/crates/proxy/src/gateway/inbound.rs
@@ -1,4 +1,4 @@
-//! Links that other gateways open.
+//! Inbound links, i.e. links that peer gateways open.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 use crate::lifecycle::process_context::ProcessContext;
 use crate::system::Acceptor;
 
-/// Accepts links from the networks of the peers, for as long as the process runs.
+/// Accepts links from the networks of the peers. Never returns.
 pub async fn accept_links(context: Rc<ProcessContext>, registry: Rc<LinkRegistry>, listener: TcpListener) {
     let mut acceptor = Acceptor::new(listener, context.log.clone());
     let mut links = JoinSet::new();
@@ -33,7 +33,8 @@
     }
 }
 
-/// Whether a connection from there may become a link beside the `open_links`.
+/// Checks whether a connection from the address `from` may become a link while `open_links` inbound links are
+/// open.
 fn check_admission(
     context: &ProcessContext,
     registry: &LinkRegistry,
--- a/crates/proxy/src/gateway/link.rs
+++ b/crates/proxy/src/gateway/link.rs
@@ -1,4 +1,4 @@
-//! The actor of one link: it moves frames between the socket, the protocol's state and the dispatcher.
+//! The actor of one link: transfers frames between the socket, the protocol state machine and the dispatcher.
 
 use std::convert::Infallible;
 use std::fmt::Display;
@@ -20,26 +20,28 @@
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{DispatcherMessage, LinkEvent, LinkId, LinkMessage};
 
-/// The most bytes that are read or written at once, a frame that is longer aside.
+/// Size of the read buffer, and of the batches of frames that are written, in bytes. The last frame of a
+/// batch may exceed it.
 const CHUNK_BYTES: usize = 32 * 1024;
 
-/// What the other side is told when its link is dropped.
+/// Reason that is sent to the peer gateway when the dispatcher has dropped its link.
 const DROPPED_REASON: &str = "not wanted";
 
-/// A connection that is to become a link.
+/// A connection to or from a peer gateway that becomes a link once the handshake is complete.
 pub(super) struct LinkConnection {
     context: Rc<ProcessContext>,
     registry: Rc<LinkRegistry>,
     stream: TcpStream,
-    /// The other end of the connection.
+    /// Address of the peer gateway.
     address: SocketAddr,
-    /// The site that is expected there; `None` where the other side opened the connection.
+    /// Site that the configuration names for the address; `None` if the peer gateway opened the connection.
     expected_site: Option<String>,
     guard: ConnectionGuard,
 }
 
 impl LinkConnection {
-    /// Enters the connection in flow control; `None` if there is no place for it.
+    /// Registers the connection with flow control. Returns `None` if a connection limit of flow control
+    /// rejects it.
     pub fn register(
         context: &Rc<ProcessContext>,
         registry: &Rc<LinkRegistry>,
@@ -59,15 +61,16 @@
         })
     }
 
-    /// Runs the link until it ends; whether it was ever up.
+    /// Runs the link until it ends. Returns whether it was ever up.
     pub async fn run(self) -> bool {
         let context = self.context.clone();
         let address = self.address;
         let mut actor = LinkActor::new(self);
         let id = actor.id;
         let Err(end) = actor.exchange_frames().await;
-        // Closes the connection and the dispatcher's outbox before the message below, which may wait for the
-        // dispatcher: nothing more may be handed to this link, or be held for it, meanwhile.
+        // This closes the connection and the dispatcher's outbox before the notification below, which may
+        // wait for the dispatcher. In the meantime the dispatcher must not send anything over this link, or
+        // hold anything for it.
         match actor.into_state() {
             LinkState::Up { site } => {
                 let _ = notify(&context, id, LinkEvent::Lost).await;
@@ -82,18 +85,18 @@
     }
 }
 
-/// How far a link has come.
+/// State of a link.
 enum LinkState {
-    /// The other side has not introduced itself yet. The sender is the dispatcher's once it has.
+    /// The peer gateway's greeting has not arrived yet. The dispatcher gets the outbox when it arrives.
     Handshaking { outbox: mpsc::Sender<Outbound> },
-    /// The dispatcher uses it.
+    /// The handshake is complete, and the dispatcher uses the link.
     Up {
-        /// The other side's.
+        /// Site of the peer gateway.
         site: String,
     },
 }
 
-/// Bytes of which the system has taken a part.
+/// Bytes to write to the socket, of which the kernel has accepted the first `written`.
 #[derive(Default)]
 struct PendingBytes {
     bytes: Vec<u8>,
@@ -113,16 +116,16 @@
 struct LinkActor {
     id: LinkId,
     connection: LinkConnection,
-    /// The protocol's state.
+    /// State machine of the link protocol.
     protocol: Link,
     state: LinkState,
-    /// What the dispatcher sends over the link.
+    /// Messages that the dispatcher sends over the link.
     outbound: mpsc::Receiver<Outbound>,
-    /// Taken from the protocol's state, and not yet from here by the system.
+    /// Bytes that were taken from the protocol state machine and that the kernel has not accepted completely.
     pending: PendingBytes,
-    /// Whether flow control measures how fast the other side reads.
+    /// Whether flow control is measuring how fast the peer gateway reads.
     is_metered: bool,
-    /// What was read and not yet passed to the protocol's state; empty between two reads.
+    /// Bytes that were read and not yet passed to the protocol state machine; empty between two reads.
     input: Vec<u8>,
 }
 
@@ -142,12 +145,12 @@
         }
     }
 
-    /// How far the link came; drops all the rest.
+    /// Returns the state of the link. Dropping the rest closes the connection.
     fn into_state(self) -> LinkState {
         self.state
     }
 
-    /// Moves frames in both directions until the link ends.
+    /// Transfers frames in both directions until the link ends. Returns the reason for its end.
     async fn exchange_frames(&mut self) -> Result<Infallible, LinkCloseReason> {
         let clock = self.connection.context.unstalled_clock.clone();
         loop {
@@ -162,7 +165,7 @@
                 }
                 message = self.outbound.recv() => match message {
                     Some(message) => self.protocol.send(message),
-                    // Another link of this gateway is from a newer incarnation of it.
+                    // The dispatcher dropped the link: the peer gateway has a link of a newer incarnation.
                     None => return Err(self.close_dropped().await),
                 },
                 ready = stream.writable(), if !self.pending.is_empty() => ready?,
@@ -175,7 +178,8 @@
         }
     }
 
-    /// Writes as much as the system takes at once. What it does not take, the other side has not read.
+    /// Writes as many bytes as the kernel accepts without blocking. While the kernel accepts no more, the
+    /// peer gateway has unread bytes and flow control measures how fast it reads.
     fn write_pending(&mut self) -> Result<(), LinkCloseReason> {
         loop {
             if self.pending.is_empty() {
@@ -215,7 +219,7 @@
         }
     }
 
-    /// Reads once, and passes on what came whole.
+    /// Reads once, and forwards the messages that are now complete to the dispatcher.
     async fn read(&mut self) -> Result<(), LinkCloseReason> {
         match self.connection.stream.try_read_buf(&mut self.input) {
             Ok(0) => return Err(LinkCloseReason::ClosedByPeer),
@@ -237,7 +241,7 @@
         Ok(())
     }
 
-    /// The other side has introduced itself: where it is allowed here, the link is up.
+    /// Handles the peer gateway's greeting. The link is up if the peer gateway is allowed.
     async fn complete_handshake(&mut self, identity: &Identity) -> Result<(), LinkCloseReason> {
         let LinkConnection { context, registry, address, expected_site, guard, .. } = &self.connection;
         registry
@@ -253,13 +257,13 @@
         Ok(())
     }
 
-    /// Tells the other side why the link ends, as far as the system takes that at once.
+    /// Sends the peer gateway the reason why the link ends, as far as the kernel accepts it without blocking.
     fn close<E: Display + Into<LinkCloseReason>>(&self, reason: E) -> LinkCloseReason {
         let _ = self.connection.stream.try_write(&Link::close(&reason.to_string()));
         reason.into()
     }
 
-    /// Sends what is left to send, and that the link is dropped; gives up after the time for closing a connection.
+    /// Sends the remaining frames and [`DROPPED_REASON`], for at most `limits.connections.linger`.
     async fn close_dropped(&mut self) -> LinkCloseReason {
         let mut bytes = self.pending.unwritten().to_vec();
         while let Some(more) = self.protocol.next_bytes(CHUNK_BYTES) {
--- a/crates/proxy/src/gateway/link_registry.rs
+++ b/crates/proxy/src/gateway/link_registry.rs
@@ -1,4 +1,4 @@
-//! Which gateways may open links, and the names of the links that are open.
+//! Rules for which peer gateways may be linked, and the allocation of link IDs.
 
 use std::cell::Cell;
 use std::net::IpAddr;
@@ -10,17 +10,17 @@
 use super::errors::PeerRejection;
 use crate::messages::LinkId;
 
-/// What the actors of all links share.
+/// Configuration that the actors of all links share, and the source of link IDs.
 pub struct LinkRegistry {
-    /// How this gateway introduces itself.
+    /// Identity that this gateway sends in its greeting.
     pub(super) local_identity: Identity,
     peers: Vec<AllowedPeer>,
-    /// The limits and intervals of each link.
+    /// Limits and intervals of each link.
     pub(super) config: LinkConfig,
     next_link_id: Cell<LinkId>,
 }
 
-/// Another site, and the networks that its gateways may come from.
+/// A peer site, and the networks from which its gateways may connect.
 struct AllowedPeer {
     site: String,
     networks: Vec<IpNet>,
@@ -33,7 +33,8 @@
 }
 
 impl LinkRegistry {
-    /// For this gateway, called `local_identity`, and the peers that its configuration names.
+    /// Creates a registry for the gateway with the identity `local_identity` and for the peers in its
+    /// configuration.
     pub fn new(local_identity: Identity, gateway: &GatewayConfig, config: LinkConfig) -> Rc<LinkRegistry> {
         let peers = gateway
             .peers
@@ -42,18 +43,19 @@
         Rc::new(LinkRegistry { local_identity, peers: peers.collect(), config, next_link_id: Cell::new(0) })
     }
 
-    /// A name for a new link.
+    /// Returns the ID for a new link. IDs start at 0 and are not reused.
     pub(super) fn allocate_link_id(&self) -> LinkId {
         self.next_link_id.replace(self.next_link_id.get() + 1)
     }
 
-    /// Whether a gateway of any peer may come from that address.
+    /// Returns whether the address `from` is in a network of any peer.
     pub(super) fn is_peer_address(&self, from: IpAddr) -> bool {
         self.peers.iter().any(|peer| peer.is_in_networks(from))
     }
 
-    /// Whether a gateway that introduces itself as `identity` is allowed: as the one of `expected_site` where this side
-    /// opened the link, and else by the address that it comes from.
+    /// Checks whether a gateway that greets as `identity` is allowed. On an outbound link it must belong to
+    /// `expected_site`. On an inbound link, where `expected_site` is `None`, the address `from` must be in a
+    /// network of its site.
     pub(super) fn check_peer(
         &self,
         identity: &Identity,
--- a/crates/proxy/src/gateway/mod.rs
+++ b/crates/proxy/src/gateway/mod.rs
@@ -1,7 +1,8 @@
-//! Links to the gateways of other sites: accepted and opened here, each with an actor of its own.
+//! Links to the gateways of other sites. Each link that is accepted or opened runs in its own actor.
 //!
-//! The protocol of a link is `site-link`'s; what is sent over links is decided by the dispatcher's gateway part. Here are
-//! the sockets, who may open a link, and when one is opened again.
+//! This module owns the sockets, decides which gateways may open a link, and reopens links that have ended.
+//! The link protocol is implemented by the `site-link` crate, and the dispatcher's gateway part decides what
+//! is sent over links.
 
 mod errors;
 mod inbound;
--- a/crates/proxy/src/gateway/outbound.rs
+++ b/crates/proxy/src/gateway/outbound.rs
@@ -1,4 +1,4 @@
-//! Links that this gateway opens, and opens again after they ended.
+//! Outbound links, i.e. links that this gateway opens, and reopens after they have ended.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,13 +19,15 @@
 use crate::lifecycle::process_context::ProcessContext;
 use crate::system::{self, SocketErrorKind};
 
-/// Links to each address of a peer, where the operator names no figure.
+/// Number of links to each address of a peer, unless the operator configures one.
 const DEFAULT_LINKS_PER_ADDRESS: u32 = 2;
-/// A link that was up this long after the attempt to open it began shows that its address can be reached: on a line that
-/// breaks often the next attempt is as good as the last.
+/// Minimum time from the start of an attempt to the end of its link for which the backoff is reset. A link
+/// that was still up after this time shows that the address is reachable: over a network path that breaks
+/// often, the next attempt is as likely to succeed as the last.
 const MIN_STABLE_DURATION: Duration = Duration::from_millis(100);
 
-/// Starts to maintain links to the addresses of all peers, each with a seed of its own for its waits.
+/// Starts a task for each link to each address of all peers. Each link gets its own seed for its random
+/// waits, derived from `seed`.
 pub fn maintain_links(
     context: &Rc<ProcessContext>,
     registry: &Rc<LinkRegistry>,
@@ -47,17 +49,17 @@
     }
 }
 
-/// One link to an address.
+/// One link to a configured address.
 struct OutboundLink {
     context: Rc<ProcessContext>,
     registry: Rc<LinkRegistry>,
-    /// The site that the configuration names for the address.
+    /// Site that the configuration names for the address.
     site: String,
     address: SocketAddr,
     rng: Pcg64Mcg,
-    /// The longest wait before the next attempt.
+    /// Maximum wait before the next attempt.
     backoff: Duration,
-    /// Whether it is logged that nobody can be reached there.
+    /// Whether it has been logged that the address is unreachable.
     is_unreachable: bool,
 }
 
@@ -74,8 +76,10 @@
         OutboundLink { context, registry, site, address, rng, backoff, is_unreachable: false }
     }
 
-    /// Opens the link again whenever it has ended, until this process shuts down. The wait before that is random, so that
-    /// many gateways do not come back at once, and longer after each attempt that failed.
+    /// Opens the link, and reopens it whenever it has ended, until the process shuts down. The wait between
+    /// two attempts is random, from half of the backoff to all of it, so that many gateways do not reconnect
+    /// at once. The backoff doubles with each attempt, up to the configured maximum, unless the attempt
+    /// resets it.
     async fn maintain(mut self) {
         let RetryInterval { initial, max } = self.context.limits.links.retry;
         loop {
@@ -93,7 +97,8 @@
         }
     }
 
-    /// One link from its opening to its end; whether nothing speaks against another attempt soon.
+    /// Opens the link and runs it until it ends. Returns whether the backoff is to be reset: after a link
+    /// that shows that the address is reachable, and after an error on this machine.
     async fn open_and_run(&mut self) -> bool {
         let started_at = Instant::now();
         match self.connect().await {
@@ -104,7 +109,7 @@
             }
             Err(error) => {
                 self.log_unreachable(&error);
-                // Nothing left this machine, so nothing is known of the other side.
+                // After a local error no packet was sent, so it says nothing about the peer gateway.
                 matches!(&error, ConnectError::Io(error) if SocketErrorKind::of(error) == SocketErrorKind::Local)
             }
         }
@@ -116,7 +121,7 @@
         Ok(connected.map_err(|_| ConnectError::TimedOut)??)
     }
 
-    /// Runs the link until it ends; whether it was ever up.
+    /// Runs the link until it ends. Returns whether it was ever up.
     async fn run_link(&self, stream: TcpStream) -> bool {
         let connection = LinkConnection::register(
             &self.context,
--- a/crates/proxy/src/gateway/status.rs
+++ b/crates/proxy/src/gateway/status.rs
@@ -1,4 +1,4 @@
-//! The gateway's status socket.
+//! Status socket of the gateway.
 
 use std::rc::Rc;
 
@@ -11,7 +11,8 @@
 use crate::messages::DispatcherMessage;
 use crate::system::Acceptor;
 
-/// Writes the state of sites and links, as JSON, to everybody who connects to the socket at that path.
+/// Listens on a Unix socket at `path`, and writes the state of sites and links as JSON to every connection.
+/// Returns if the socket cannot be opened, or once the dispatcher has ended.
 pub async fn serve_status(context: Rc<ProcessContext>, path: String) {
     let Some(listener) = status_socket::listen(&path, &context.log) else { return };
     let mut acceptor = Acceptor::new(listener, context.log.clone());
@@ -22,7 +23,7 @@
             return;
         }
         let Ok(description) = description.await else { continue };
-        // A task of its own: one that connects and does not read delays nobody else.
+        // Each reply is written in its own task, so that a client that does not read delays no other.
         spawn_local(async move {
             let _ = stream.write_all(description.as_bytes()).await;
         });
