--- a/crates/proxy/src/membership/actor.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -1,8 +1,8 @@
-//! The actor that carries datagrams between this proxy and the others of its fleet.
+//! The membership actor: exchanges datagrams between this proxy and the others of its fleet.
 //!
-//! The package `membership` decides what is sent and who is alive; this actor owns the socket and the clock, tells the
-//! dispatcher by how many proxies the capacity of members is divided, and carries coordination's messages in the same
-//! datagrams.
+//! The `membership` crate decides what is sent and which proxies are alive. This actor owns the socket and
+//! the clock, and tells the dispatcher by how many proxies the capacity of members is divided. Messages of
+//! coordination are sent as payloads in datagrams of the same protocol.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,36 +23,38 @@
 use crate::messages::DispatcherMessage;
 use crate::system::{DatagramSocket, Received};
 
-/// Datagrams read before timers are looked at again, so that a flood of them delays nothing for long.
+/// Maximum number of datagrams read before timers are checked again, so that a flood of datagrams does not
+/// delay timers for long.
 const READ_BATCH: usize = 64;
-/// Longer than any datagram of the protocol.
+/// Size of the read buffer in bytes, greater than that of any datagram of the protocol.
 const READ_BUFFER_BYTES: usize = 2048;
 
-/// What the actor is made of.
+/// Parts from which a membership actor is constructed.
 pub(super) struct ActorParts {
     pub(super) context: Rc<ProcessContext>,
     pub(super) socket: DatagramSocket,
-    /// `None` without a path in the operator's file, or where the socket could not be opened.
+    /// Status socket; `None` if the operator's file has no path for it, or if the socket could not be opened.
     pub(super) status_socket: Option<StatusSocket>,
     pub(super) membership: Membership,
-    /// How many proxies the settings say that there are.
+    /// Fleet size in the settings.
     pub(super) configured_fleet_size: usize,
-    /// The fleet may be that of several sites, so that its size says nothing of this one.
+    /// Whether the fleet may span several sites. Its size then says nothing about the number of proxies at
+    /// this site.
     pub(super) spans_sites: bool,
-    /// `None` where the operator's file has no such section.
+    /// This proxy's part in coordination; `None` if the operator's file has no section `coordination`.
     pub(super) coordination: Option<CoordinationRunner>,
 }
 
-/// What was sent since the start.
+/// Counts of what was sent since the start.
 #[derive(Clone, Copy, Default)]
 pub(super) struct SendCounters {
     pub(super) datagrams: u64,
     pub(super) bytes: u64,
-    /// Datagrams that the system did not take.
+    /// Datagrams that the kernel did not accept.
     pub(super) failed: u64,
 }
 
-/// Carries datagrams between this proxy and the others of its fleet.
+/// Exchanges datagrams between this proxy and the others of its fleet.
 pub struct MembershipActor {
     context: Rc<ProcessContext>,
     socket: DatagramSocket,
@@ -60,14 +62,14 @@
     membership: Membership,
     configured_fleet_size: usize,
     spans_sites: bool,
-    /// What the dispatcher was last told.
+    /// Quota divisors that the dispatcher was last told.
     announced_divisors: QuotaDivisors,
     coordination: Option<CoordinationRunner>,
-    /// When the membership wants to be woken, on the clock of unstalled time.
+    /// Time to wake the membership, on the clock of unstalled time; `None` if nothing is scheduled.
     wake_at: Option<Micros>,
-    /// All stalls that the membership was told of, in microseconds.
+    /// Total time of the stalls that the membership was told of, in microseconds.
     reported_stall_time: Micros,
-    /// How long a datagram that is read now may have waited unread, in microseconds.
+    /// Maximum time that a datagram that is read now may have waited unread, in microseconds.
     max_unread_age: Micros,
     sent: SendCounters,
 }
@@ -90,15 +92,16 @@
         }
     }
 
-    /// The plans of draining sites that an earlier start of this proxy stored, for the dispatcher to know before its first
-    /// request.
+    /// Returns the site drain plans that an earlier start of this proxy stored. The dispatcher needs them
+    /// before its first request.
     pub fn restored_drain_plans(&mut self) -> Vec<Plan> {
         let now = self.context.clock.now();
         let runner = self.coordination.as_mut();
         runner.and_then(|runner| runner.coordination.drain_plans(now)).unwrap_or_default()
     }
 
-    /// Runs until the program shuts down; then releases the leases and tells the others that this proxy leaves.
+    /// Runs until the process shuts down. Then releases the leases and tells the other proxies that this one
+    /// leaves.
     pub async fn run(mut self) {
         let mut stopping = self.context.stopping.clone();
         let context = self.context.clone();
@@ -107,7 +110,7 @@
             let wake_at = self.wake_at.map_or_else(Instant::now, |at| context.unstalled_clock.instant(at));
             tokio::select! {
                 biased;
-                // What happens rarely comes before what may never pause.
+                // Rare events are polled first, as the socket may always be readable.
                 _ = stopping.wait_for(Option::is_some) => break,
                 stream = status_socket::next_request(&mut self.status_socket) => self.answer_status(stream),
                 event = coordination_runner::next_event(&mut self.coordination, &context.clock) => {
@@ -145,7 +148,7 @@
             }
             CoordinationEvent::TimerDue => {
                 self.handle_stall();
-                // What arrived before is taken in before decisions are made.
+                // Datagrams that have already arrived are handled before decisions are made.
                 self.read_datagrams(buffer).await;
                 self.call_coordination(|coordination, at, others| coordination.wake(at, others));
                 self.exchange_with_dispatcher().await;
@@ -153,7 +156,8 @@
         }
     }
 
-    /// Tells the membership of a stall, if there was one. To be called before anything that follows a wait.
+    /// Tells the membership of a stall if there was one. Must be called after a wait, before anything else is
+    /// done.
     fn handle_stall(&mut self) {
         let stalls = self.context.unstalled_clock.stalled_for();
         let stalled_for = stalls - std::mem::replace(&mut self.reported_stall_time, stalls);
@@ -163,7 +167,7 @@
         }
     }
 
-    /// Reads what has arrived, up to a batch.
+    /// Reads and handles the datagrams that have arrived, at most [`READ_BATCH`] of them.
     async fn read_datagrams(&mut self, buffer: &mut [u8]) {
         for _ in 0..READ_BATCH {
             let (length, from) = match self.socket.receive(buffer) {
@@ -185,8 +189,8 @@
         self.carry_out(actions).await;
     }
 
-    /// Calls coordination, if this proxy takes part in it, and sends what it wants sent. The call gets the names of the
-    /// other live proxies.
+    /// Calls coordination if this proxy takes part in it, and sends the messages that result. The call gets
+    /// the names of the other live proxies.
     fn call_coordination(&mut self, call: impl FnOnce(&mut Coordination, CallTime, &[Rc<str>])) {
         let Some(runner) = &mut self.coordination else { return };
         let others: Vec<Rc<str>> = self.membership.alive().map(|peer| peer.name.clone()).collect();
@@ -198,7 +202,8 @@
         }
     }
 
-    /// Once each decision interval: passes the directives in force to the dispatcher, and its observations to coordination.
+    /// Passes the directives in force to the dispatcher, and the dispatcher's observations to coordination,
+    /// if a decision interval has passed since the last exchange.
     async fn exchange_with_dispatcher(&mut self) {
         let now = self.context.clock.now();
         let Some(runner) = &mut self.coordination else { return };
@@ -208,7 +213,7 @@
         let zone_directives = runner.coordination.zone_directives(now);
         let drain_plans = runner.coordination.drain_plans(now);
         let (reply, observations) = oneshot::channel();
-        // A dispatcher that is gone ends the program by itself.
+        // Send errors are ignored: if the dispatcher has ended, the process ends anyway.
         let dispatcher = &self.context.dispatcher;
         let _ = dispatcher.send(DispatcherMessage::TakeObservations(reply)).await;
         if let Some(directives) = zone_directives {
@@ -223,7 +228,7 @@
     }
 
     fn send(&mut self, to: SocketAddr, datagram: &[u8]) {
-        // What can't be sent now is lost, as any datagram may be.
+        // A datagram that cannot be sent now is lost, as any datagram may be.
         match self.socket.send(datagram, to) {
             Ok(bytes) => {
                 self.sent.datagrams += 1;
@@ -233,6 +238,7 @@
         }
     }
 
+    /// Carries out the actions that a call of the membership returned.
     pub(super) async fn carry_out(&mut self, actions: Actions) {
         actions.send.into_iter().for_each(|datagram| self.send(datagram.to, &datagram.bytes));
         let age = self.max_unread_age;
@@ -280,13 +286,13 @@
         }
     }
 
-    /// Tells the dispatcher by how many proxies capacity is divided, if that has changed.
+    /// Tells the dispatcher the quota divisors if they have changed, unless the fleet may span several sites.
     async fn announce_quota_divisors(&mut self) {
         let snapshot = self.membership.snapshot(self.context.unstalled_clock.now());
         let divisors = QuotaDivisors::from_snapshot(&snapshot, self.configured_fleet_size);
         if divisors != self.announced_divisors && !self.spans_sites {
             self.announced_divisors = divisors;
-            // A dispatcher that is gone ends the program by itself.
+            // A send error is ignored: if the dispatcher has ended, the process ends anyway.
             let _ = self.context.dispatcher.send(DispatcherMessage::FleetSize(divisors.message())).await;
         }
     }
--- a/crates/proxy/src/membership/coordination_runner.rs
+++ b/crates/proxy/src/membership/coordination_runner.rs
@@ -1,4 +1,5 @@
-//! What drives this proxy's part in coordination: its timer, the outcomes of its writes, and reloads of its section.
+//! Event sources of this proxy's part in coordination: its timer, the outcomes of its writes, and reloads of
+//! the operator's section `coordination`.
 
 use aldermill_directives::Micros;
 use aldermill_operator_config::CoordinationConfig;
@@ -9,27 +10,27 @@
 use crate::lifecycle::clock::Clock;
 use crate::lifecycle::process_context::ProcessContext;
 
-/// This proxy's part in coordination, and what it waits for.
+/// This proxy's part in coordination, with the event sources that it waits for.
 pub(super) struct CoordinationRunner {
     pub(super) coordination: Coordination,
     /// Whether each write to the data directory succeeded, in the order of the writes.
     write_outcomes: mpsc::Receiver<bool>,
-    /// The operator's section, each time that it is read again.
+    /// The operator's section `coordination`, updated when it is reloaded.
     reloads: watch::Receiver<Option<CoordinationConfig>>,
-    /// When observations and directives are next exchanged with the dispatcher.
+    /// Time of the next exchange of observations and directives with the dispatcher, in microseconds.
     next_exchange_at: Micros,
 }
 
-/// Something that coordination waited for.
+/// An event that coordination handles.
 pub(super) enum CoordinationEvent {
-    /// The operator's section was read again.
+    /// The operator's section `coordination` was reloaded.
     Reconfigured(CoordinationConfig),
-    /// The oldest write in flight is on the disk, or failed.
+    /// The oldest pending write to the data directory is on disk, or has failed.
     WriteFinished {
-        /// Whether it is on the disk.
+        /// Whether the write is on disk.
         succeeded: bool,
     },
-    /// Its timer is due.
+    /// The time at which coordination is to be woken has come.
     TimerDue,
 }
 
@@ -43,7 +44,8 @@
         CoordinationRunner { coordination, write_outcomes, reloads, next_exchange_at: now }
     }
 
-    /// Whether observations and directives are to be exchanged with the dispatcher now; the next time is then set.
+    /// Returns whether observations and directives are to be exchanged with the dispatcher now. If so, the
+    /// next exchange is scheduled one decision interval later.
     pub(super) fn start_exchange_if_due(&mut self, now: Micros) -> bool {
         if now < self.next_exchange_at {
             return false;
@@ -63,7 +65,7 @@
     }
 }
 
-/// The next event of coordination; never, where there is none.
+/// Waits for the next event of coordination, forever if this proxy does not take part in it.
 pub(super) async fn next_event(runner: &mut Option<CoordinationRunner>, clock: &Clock) -> CoordinationEvent {
     match runner {
         Some(runner) => runner.next_event(clock).await,
@@ -71,19 +73,20 @@
     }
 }
 
-/// The section when it is read again; `None` if it is no longer in the file, which changes nothing here.
+/// Waits until the operator's file is reloaded, and returns its section `coordination`. Returns `None` if the
+/// section was removed, which has no effect here.
 async fn next_reload(
     reloads: &mut watch::Receiver<Option<CoordinationConfig>>,
 ) -> Option<CoordinationConfig> {
     if reloads.changed().await.is_err() {
-        // Nobody reads the file any more.
+        // The sender is gone, so that the file is not reloaded any more.
         return std::future::pending().await;
     }
     reloads.borrow_and_update().clone()
 }
 
-/// The time of a call to coordination. The router's clock stands for the wall clock, which may be stepped: it began with
-/// it and never steps.
+/// Returns the time of a call to coordination. Its wall time is taken from the router's clock, which starts
+/// at the Unix time and never steps, because the system's wall clock may step.
 pub(super) fn call_time(context: &ProcessContext) -> CallTime {
     let now = context.clock.now();
     CallTime { now, wall: (now / 1000).max(1) as u64 }
--- a/crates/proxy/src/membership/mod.rs
+++ b/crates/proxy/src/membership/mod.rs
@@ -1,5 +1,5 @@
-//! The actor side of the package `membership`: the datagram socket between the proxies of a fleet, the status socket, and
-//! the way from coordination to the dispatcher.
+//! Actor for the `membership` crate. It owns the datagram socket between the proxies of a fleet and the
+//! status socket, and connects coordination with the other proxies and with the dispatcher.
 
 mod actor;
 mod coordination_runner;
--- a/crates/proxy/src/membership/start.rs
+++ b/crates/proxy/src/membership/start.rs
@@ -1,4 +1,4 @@
-//! What the membership actor starts with, and how it opens its sockets.
+//! Parameters of the membership actor, and the opening of its sockets.
 
 use std::rc::Rc;
 
@@ -17,34 +17,34 @@
 use crate::persistence::DataDirectory;
 use crate::system::{self, DatagramSocket};
 
-/// What the membership actor starts with.
+/// Parameters of the membership actor.
 pub struct MembershipSetup {
     /// The operator's section `membership`.
     pub config: MembershipConfig,
     /// This proxy's name, unique in the fleet.
     pub name: String,
-    /// How many proxies the settings say that there are.
+    /// Fleet size in the settings.
     pub configured_fleet_size: usize,
-    /// The fleet may be that of several sites: how many of it are at this one is not known, so capacity is divided by the
-    /// configured size.
+    /// Whether the fleet may span several sites. The number of proxies at this site is then unknown, so that
+    /// capacity is divided by the configured fleet size.
     pub spans_sites: bool,
-    /// What coordination starts with, if the operator's file has that section.
+    /// Parameters of coordination; `None` if the operator's file has no section `coordination`.
     pub coordination: Option<CoordinationSetup>,
-    /// Seed of the random numbers.
+    /// Seed of the random numbers of membership and coordination.
     pub seed: u64,
 }
 
-/// What coordination starts with.
+/// Parameters of coordination.
 pub struct CoordinationSetup {
     /// The operator's section `coordination`.
     pub config: CoordinationConfig,
-    /// Where terms and drain plans are stored, if anything is.
+    /// Data directory for terms and drain plans; `None` if they are not stored.
     pub directory: Option<Rc<DataDirectory>>,
     /// This proxy's zone.
     pub zone: usize,
-    /// The longest timeout of all request classes, in microseconds.
+    /// Longest timeout of all request classes, in microseconds.
     pub longest_timeout: Micros,
-    /// The section as it is read again on SIGHUP.
+    /// The operator's section `coordination`, updated when it is reloaded on SIGHUP.
     pub reloads: watch::Receiver<Option<CoordinationConfig>>,
 }
 
@@ -53,7 +53,8 @@
     ///
     /// # Errors
     ///
-    /// The address can't be listened at, or the leases' configuration can't work.
+    /// Fails if the socket cannot be bound to the configured address, or if the configuration of the leases
+    /// is invalid.
     pub async fn open(
         context: Rc<ProcessContext>,
         setup: MembershipSetup,
--- a/crates/proxy/src/membership/status.rs
+++ b/crates/proxy/src/membership/status.rs
@@ -1,25 +1,25 @@
-//! What a proxy knows of its fleet, as its status socket gives it. The keys are read by operators' programs and stay as they
-//! are.
+//! The report of the membership status socket: what a proxy knows about its fleet, as JSON. The keys must not
+//! change, as operators' programs read them.
 
 use aldermill_membership::{DroppedDatagrams, Peer, Snapshot};
 use serde_json::{Value, json};
 
 use super::actor::SendCounters;
 
-/// What the status socket shows.
+/// Contents of one report.
 pub(super) struct StatusReport<'a> {
-    /// This proxy.
+    /// Identity of this proxy.
     pub(super) local: &'a Peer,
     pub(super) snapshot: Snapshot,
-    /// By how many proxies the dispatcher divides the capacity of members.
+    /// Number of proxies by which the dispatcher divides the capacity of members in normal operation.
     pub(super) quota_divisor: usize,
-    /// What coordination shows, if this proxy takes part in it.
+    /// Description of coordination; `None` if this proxy does not take part in it.
     pub(super) coordination: Option<Value>,
-    /// The time of the report, in Unix milliseconds.
+    /// Time of the report by the wall clock, in milliseconds since the Unix epoch.
     pub(super) at_ms: i64,
     pub(super) dropped: DroppedDatagrams,
     pub(super) sent: SendCounters,
-    /// The other proxies that are known to be alive.
+    /// Other proxies that are known to be alive.
     pub(super) alive: Vec<&'a Peer>,
 }
 
