--- a/crates/proxy/src/flow_control/buffer_reservation.rs
+++ b/crates/proxy/src/flow_control/buffer_reservation.rs
@@ -1,4 +1,4 @@
-//! Buffer space that an actor holds.
+//! Buffer space that is reserved for an actor.
 
 use std::rc::Rc;
 
@@ -6,10 +6,11 @@
 
 use super::FlowControl;
 
-/// Reserved buffer space; released when dropped, also while it still waits to be granted.
+/// A reservation of buffer space. Dropping it releases the space, or withdraws a reservation that still waits
+/// to be granted.
 pub struct BufferReservation {
     flow_control: Rc<FlowControl>,
-    /// `None` once it lingers.
+    /// ID of the reservation; `None` once it lingers, as the controller then releases it.
     reservation: Option<ReservationId>,
 }
 
@@ -18,7 +19,7 @@
         BufferReservation { flow_control, reservation: Some(reservation) }
     }
 
-    /// No more than this many bytes of it are needed from now on.
+    /// Reduces the reservation to at most `bytes`.
     pub fn shrink(&self, bytes: usize) {
         if let Some(reservation) = self.reservation {
             self.flow_control
@@ -26,7 +27,9 @@
         }
     }
 
-    /// Its connection is being closed, and the system may keep that much unread: it stays in use until the system's time-out.
+    /// Keeps the space in use for
+    /// [`FlowLimits::linger_timeout`](aldermill_flow_control::FlowLimits::linger_timeout), because the
+    /// connection is being closed and the kernel may keep as many unread bytes until then.
     pub fn linger(mut self) {
         if let Some(reservation) = self.reservation.take() {
             self.flow_control.with_controller(|controller, now| ((), controller.linger(now, reservation)));
--- a/crates/proxy/src/flow_control/connection_guard.rs
+++ b/crates/proxy/src/flow_control/connection_guard.rs
@@ -1,4 +1,5 @@
-//! A client connection as flow control knows it: measured while it is waited for, and told when it is disconnected.
+//! Registration of a connection with flow control, which measures the peer while the proxy waits for it and
+//! signals when to disconnect it.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,7 +14,7 @@
 use super::{BufferReservation, FlowControl};
 use crate::lifecycle::clock::duration;
 
-/// Tells the actor of one connection to close it without another byte.
+/// Signals the actor of one connection to close it without sending another byte.
 #[derive(Default)]
 pub(super) struct DisconnectSignal {
     reason: Cell<Option<DisconnectReason>>,
@@ -27,10 +28,10 @@
     }
 }
 
-/// A registered connection; unregistered when dropped.
+/// A connection that is registered with flow control. Dropping the guard unregisters it.
 pub struct ConnectionGuard {
     flow_control: Rc<FlowControl>,
-    /// Names the connection in reservations that others make for it.
+    /// ID of the connection, for reservations that other actors make on its behalf.
     pub peer: PeerId,
     signal: Rc<DisconnectSignal>,
 }
@@ -44,37 +45,39 @@
         ConnectionGuard { flow_control, peer, signal }
     }
 
-    /// The peer is waited for from now on, and must keep up with the minimum rate of this transfer.
+    /// Starts to measure the peer against the minimum rate of this transfer, because the proxy is waiting for
+    /// it.
     pub fn start_metering(&self, transfer: Transfer) {
         self.flow_control
             .with_controller(|controller, now| ((), controller.start_metering(now, self.peer, transfer)));
     }
 
-    /// The peer read or sent this many bytes.
+    /// Records that the peer read or sent this many bytes.
     pub fn record_progress(&self, bytes: usize) {
         let now = self.flow_control.unstalled_clock.now();
         self.flow_control.state.borrow_mut().controller.record_progress(now, self.peer, bytes as u64);
     }
 
-    /// The peer is waited for no longer.
+    /// Stops measuring the peer, because the proxy is no longer waiting for it.
     pub fn stop_metering(&self) {
         let now = self.flow_control.unstalled_clock.now();
         self.flow_control.state.borrow_mut().controller.stop_metering(now, self.peer);
     }
 
-    /// Resolves once the peer is to be disconnected. Cancel safe.
+    /// Waits until the peer is to be disconnected. Cancel safe.
     pub async fn disconnected(&self) {
         while !self.is_disconnected() {
             self.signal.changed.notified().await;
         }
     }
 
-    /// Whether the peer is to be disconnected.
+    /// Returns whether the peer is to be disconnected.
     pub fn is_disconnected(&self) -> bool {
         self.signal.reason.get().is_some()
     }
 
-    /// Buffer space for this peer, once it is granted; `None` where it is rejected, at `until` at the latest.
+    /// Waits until buffer space is reserved for this peer. Returns `None` if the reservation is rejected,
+    /// which happens at `until` at the latest.
     pub async fn reserve(
         &self,
         bytes: usize,
@@ -85,8 +88,10 @@
         self.flow_control.reserve(owner, bytes, until).await
     }
 
-    /// Whether this many unread bytes may be left with the system when the connection is closed. If so they stay in use for
-    /// [`ConnectionGuard::linger_timeout`]; if not the connection is to be reset, so that the system keeps nothing.
+    /// Reserves buffer space for unread bytes that the kernel keeps after the connection is closed, and
+    /// returns whether the space was granted. If it was, the space stays in use for
+    /// [`ConnectionGuard::linger_timeout`]. If not, the caller must reset the connection, so that the kernel
+    /// keeps nothing.
     pub fn try_reserve_lingering(&self, bytes: usize) -> bool {
         self.flow_control.with_controller(|controller, now| {
             let owner = ReservationOwner { peer: self.peer, priority: Priority::Normal };
@@ -94,14 +99,14 @@
             let (reservation, actions) = controller.reserve(now, request);
             let granted = actions.granted.contains(&reservation);
             if granted {
-                // Its actions are not carried out, only those of the reservation above.
+                // Only the actions of the reservation above are carried out, not those of this call.
                 let _ = controller.linger(now, reservation);
             }
             (granted, actions)
         })
     }
 
-    /// How long the system may keep what a closed connection left unread.
+    /// Returns the maximum time that the kernel may keep the unread bytes of a closed connection.
     pub fn linger_timeout(&self) -> Duration {
         duration(self.flow_control.limits().linger_timeout)
     }
--- a/crates/proxy/src/flow_control/disconnect_log.rs
+++ b/crates/proxy/src/flow_control/disconnect_log.rs
@@ -1,4 +1,5 @@
-//! Disconnects of slow clients in the log: one line for all of an interval, so that a flood does not fill the disk.
+//! Log of disconnected slow clients. All disconnects of an interval share one line, so that a flood of them
+//! does not fill the disk.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -8,41 +9,44 @@
 use slog::{Logger, warn};
 use tokio::time::Instant;
 
-/// Disconnects within this time share a line.
+/// Minimum time between two lines. Disconnects within this time share a line.
 const DISCONNECT_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the next line will say.
+/// Contents of the next log line.
 #[derive(Default)]
 pub(super) struct DisconnectLog {
-    /// Disconnects since the last line.
+    /// Disconnects since the last line, by reason.
     counts: BTreeMap<DisconnectReason, usize>,
-    /// Of the client that was disconnected last, ever.
+    /// Address of the client that was disconnected last, also before the last line; `None` if there was none.
     last_address: Option<IpAddr>,
+    /// Time of the last line; `None` until the first line is written.
     last_written_at: Option<Instant>,
 }
 
 impl DisconnectLog {
+    /// Counts a disconnect.
     pub(super) fn record(&mut self, reason: DisconnectReason) {
         *self.counts.entry(reason).or_default() += 1;
     }
 
-    /// The address of the client that was recorded last.
+    /// Sets the address of the client that was disconnected last.
     pub(super) fn record_address(&mut self, address: IpAddr) {
         self.last_address = Some(address);
     }
 
-    /// Whether there is anything to write.
+    /// Returns whether a disconnect was recorded since the last line.
     pub(super) fn has_unwritten(&self) -> bool {
         !self.counts.is_empty()
     }
 
-    /// When the next line is due; the first one at once. `None` where there is nothing to write.
+    /// Returns the time to write the next line, or `None` if there is nothing to write. The first line is due
+    /// at once.
     pub(super) fn due_at(&self) -> Option<Instant> {
         let due_at = self.last_written_at.map_or_else(Instant::now, |at| at + DISCONNECT_LOG_INTERVAL);
         self.has_unwritten().then_some(due_at)
     }
 
-    /// Writes the line and starts the next one.
+    /// Writes the line, and clears the counts for the next one.
     pub(super) fn write(&mut self, now: Instant, log: &Logger) {
         self.last_written_at = Some(now);
         let counts = std::mem::take(&mut self.counts);
--- a/crates/proxy/src/flow_control/mod.rs
+++ b/crates/proxy/src/flow_control/mod.rs
@@ -1,8 +1,9 @@
-//! Flow control: one [`FlowController`] for all actors, which carry out at once what it decides.
+//! Flow control: one [`FlowController`] that all actors share, and whose decisions are carried out at once.
 //!
-//! The decisions are in `aldermill_flow_control`, which has no clock and does no I/O. Here its clock is unstalled time, a
-//! reservation is a value that is released when dropped ([`BufferReservation`]), and a disconnect reaches the actor of the
-//! connection through its [`ConnectionGuard`]. [`FlowControl::run`] wakes the controller when that is due.
+//! The decisions are made in the `aldermill_flow_control` crate, which has no clock and does no I/O. This
+//! module passes it unstalled time, represents a reservation as a value that is released when dropped
+//! ([`BufferReservation`]), and signals a disconnect to the actor of the connection through its
+//! [`ConnectionGuard`]. [`FlowControl::run`] wakes the controller at the scheduled times.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -30,22 +31,22 @@
 use connection_guard::DisconnectSignal;
 use disconnect_log::DisconnectLog;
 
-/// Flow control as the actors share it.
+/// Flow controller that all actors share, with the waiting reservations and the registered connections.
 pub struct FlowControl {
     unstalled_clock: UnstalledClock,
     log: Logger,
-    /// Never borrowed over an await.
+    /// Never borrowed across an await point.
     state: RefCell<State>,
-    /// Tells [`FlowControl::run`] that it may have to wake earlier.
+    /// Notifies [`FlowControl::run`] that the next scheduled time may have changed.
     schedule_changed: Notify,
 }
 
 struct State {
     controller: FlowController,
-    /// Reservations that wait. Granted ones are sent a message; dropping the sender rejects one.
+    /// Waiting reservations. Sending on the channel grants a reservation, and dropping the sender rejects it.
     waiters: HashMap<ReservationId, oneshot::Sender<()>>,
     connections: HashMap<PeerId, ConnectionEntry>,
-    /// When the controller is to be woken.
+    /// Time to wake the controller; `None` if nothing is scheduled.
     wake_at: Option<Instant>,
     disconnect_log: DisconnectLog,
 }
@@ -56,7 +57,7 @@
     address: IpAddr,
 }
 
-/// What became of a reservation at once.
+/// Result of a request for buffer space at the time of the request.
 enum ReservationOutcome {
     Granted,
     Rejected,
@@ -64,7 +65,7 @@
 }
 
 impl FlowControl {
-    /// Flow control without connections; [`FlowControl::run`] must be started as well.
+    /// Creates flow control without connections. The caller must also start [`FlowControl::run`].
     pub fn new(unstalled_clock: UnstalledClock, log: Logger, limits: FlowLimits) -> Rc<FlowControl> {
         let state = State {
             controller: FlowController::new(limits),
@@ -81,7 +82,7 @@
         })
     }
 
-    /// Wakes the controller when that is due, and logs disconnects. Never returns.
+    /// Wakes the controller at the scheduled times, and logs disconnects. Never returns.
     pub async fn run(self: Rc<FlowControl>) {
         loop {
             let wake_at = self.state.borrow().wake_at;
@@ -102,27 +103,30 @@
         }
     }
 
-    /// The limits in force.
+    /// Returns the limits in force.
     pub fn limits(&self) -> FlowLimits {
         *self.state.borrow().controller.limits()
     }
 
-    /// How long a client is to wait before it retries what was rejected for lack of buffer space.
+    /// Returns the time that a client should wait before it retries a request that was rejected for lack of
+    /// buffer space, in microseconds.
     pub fn retry_after(&self) -> Micros {
         self.state.borrow().controller.retry_after()
     }
 
-    /// Puts other limits in force. What was granted beyond them stays until it is released.
+    /// Replaces the limits. Reservations that exceed the new limits stay granted until they are released.
     pub fn update_limits(&self, limits: FlowLimits) {
         self.with_controller(|controller, now| ((), controller.update_limits(now, limits)));
     }
 
-    /// The proxy shuts down: slow peers are disconnected now, the others once the grace of the limits is over.
+    /// Starts the shutdown. Slow peers are disconnected at once, and after [`FlowLimits::shutdown_grace`]
+    /// every peer that is being measured.
     pub fn shut_down(&self) {
         self.with_controller(|controller, now| ((), controller.shut_down(now)));
     }
 
-    /// A new client found no connection slot: disconnects one slow peer. Returns whether there was one.
+    /// Disconnects one slow peer, because a new client found no connection slot. Returns whether any peer was
+    /// slow.
     pub fn shed_one_connection(&self) -> bool {
         self.with_controller(|controller, now| {
             let actions = controller.shed_one_connection(now);
@@ -131,7 +135,12 @@
         })
     }
 
-    /// Accepts a connection from this address.
+    /// Registers a connection from this address.
+    ///
+    /// # Errors
+    ///
+    /// Fails if limits per address are configured, and the address has reached its connection limit, or one
+    /// of its clients was disconnected recently while buffer space is short.
     pub fn register(
         self: &Rc<FlowControl>,
         address: IpAddr,
@@ -144,7 +153,8 @@
         Ok(ConnectionGuard::new(self.clone(), peer, signal))
     }
 
-    /// Buffer space for a peer, once it is granted; `None` where it is rejected, at `until` at the latest.
+    /// Waits until buffer space is reserved for a peer. Returns `None` if the reservation is rejected, which
+    /// happens at `until` at the latest.
     pub async fn reserve(
         self: &Rc<FlowControl>,
         owner: ReservationOwner,
@@ -167,7 +177,8 @@
         }
     }
 
-    /// Buffer space for a peer, if it can be granted at once.
+    /// Reserves buffer space for a peer without waiting. Returns `None` if the space cannot be granted at
+    /// once.
     pub fn try_reserve(
         self: &Rc<FlowControl>,
         owner: ReservationOwner,
@@ -180,7 +191,7 @@
         matches!(outcome, ReservationOutcome::Granted).then(|| BufferReservation::new(self.clone(), id))
     }
 
-    /// Calls the controller and carries out what it decides.
+    /// Calls the controller, and carries out the actions that it returns.
     fn with_controller<T>(&self, call: impl FnOnce(&mut FlowController, Micros) -> (T, Actions)) -> T {
         let mut state = self.state.borrow_mut();
         let (result, actions) = call(&mut state.controller, self.unstalled_clock.now());
@@ -215,7 +226,7 @@
     fn answer_reservations(&mut self, granted: &[ReservationId], rejected: &[ReservationId]) {
         for id in granted {
             if let Some(waiter) = self.waiters.remove(id) {
-                // One that gave up meanwhile has released the reservation, or is about to.
+                // Fails if the receiver has been dropped. The reservation is then released by its own drop.
                 let _ = waiter.send(());
             }
         }
@@ -233,7 +244,8 @@
     }
 }
 
-/// Asks for buffer space, and says what became of that at once.
+/// Requests buffer space. Returns the ID of the reservation, whether it was granted or rejected at once, and
+/// the actions to carry out.
 fn request_reservation(
     controller: &mut FlowController,
     now: Micros,
