--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The actor that watches the endpoint list at discovery.
+//! Actor that watches the endpoint list at discovery.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -19,154 +19,160 @@
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::ListUpdate;
 
-/// The dispatcher is gone, and nobody wants the endpoint list any more.
-struct DispatcherGone;
+/// The dispatcher has stopped, so the endpoint list is no longer needed.
+struct DispatcherStopped;
 
-/// What the actor does next.
-enum State {
-    /// Waits until the dispatcher wants the list; that is always where discovery streams it.
+/// What the watcher does next.
+enum WatcherState {
+    /// Waits until the dispatcher requests the list; does not wait if discovery streams it.
     Idle,
-    /// Watches at the address that is configured now.
+    /// Watches at the currently configured address.
     Watching,
-    /// A watch failed: the loss is reported, and there is a wait before the next one.
+    /// A watch failed: the loss is reported, and the next watch follows after a wait.
     Failed {
-        /// Where discovery was asked.
+        /// Address at which discovery was watched.
         peer: SocketAddr,
+        /// Why the watch failed.
         error: WatchError,
     },
 }
 
-/// How the endpoint list is watched.
-pub struct WatchConfig {
-    /// The dispatcher's requests, where the list is fetched only on request; `None` where discovery streams it.
-    pub requests: Option<mpsc::Receiver<()>>,
-    /// The revision of the list that a former start saved, if there is one.
+/// Configuration of a [`Watcher`].
+pub struct WatcherConfig {
+    /// Requests of the dispatcher if the list is fetched only on request; `None` if discovery streams it.
+    pub list_requests: Option<mpsc::Receiver<()>>,
+    /// Revision of the configured or saved list that the dispatcher starts with; `None` if there is none.
     pub revision: Option<u64>,
-    /// The wait before the first watch, so that processes that start together do not ask together.
+    /// Wait before the first watch, so that processes that start together do not send their requests
+    /// together. Has no effect if the list is fetched only on request.
     pub start_delay: Duration,
-    /// Draws the random part of the waits between watches.
+    /// Source of the random part of the waits between watches.
     pub rng: Pcg64Mcg,
 }
 
-/// Watches the endpoint list at discovery. Whatever goes wrong, the last list stays in force.
-pub struct Watch {
+/// Watches the endpoint list at discovery. Whatever fails, the last list stays in force.
+pub struct Watcher {
     context: Rc<ProcessContext>,
     dispatcher: mpsc::Sender<ListUpdate>,
-    /// As in [`WatchConfig::requests`].
-    requests: Option<mpsc::Receiver<()>>,
-    /// The revision of the list that the dispatcher has; `None` where the whole list has to be fetched.
+    /// See [`WatcherConfig::list_requests`].
+    list_requests: Option<mpsc::Receiver<()>>,
+    /// Revision of the list that the dispatcher has; `None` if the complete list must be fetched.
     revision: Option<u64>,
     start_delay: Duration,
     rng: Pcg64Mcg,
-    /// The wait after the next failure.
+    /// Longest wait after the next failure; up to half of it is left out at random.
     backoff: Duration,
-    /// How long the next watch waits for the first bytes, the time to connect included.
+    /// How long the next watch waits for the first bytes, including the time to connect.
     first_byte_timeout: Duration,
-    /// Whether a line was received on the current watch.
+    /// Whether the current watch has received a line.
     has_received_line: bool,
-    /// A watch failed since the last line, and that was logged.
-    is_lost: bool,
+    /// Whether a watch has failed since the last line and the loss has been logged.
+    loss_logged: bool,
 }
 
-impl Watch {
-    /// A watch that sends its updates to `dispatcher`.
+impl Watcher {
+    /// Creates a watcher that sends updates to `dispatcher`.
     pub fn new(
         context: Rc<ProcessContext>,
         dispatcher: mpsc::Sender<ListUpdate>,
-        config: WatchConfig,
-    ) -> Watch {
+        config: WatcherConfig,
+    ) -> Watcher {
         let limits = &context.limits.discovery;
-        Watch {
+        Watcher {
             backoff: limits.retry.initial,
             first_byte_timeout: limits.first_byte_timeout,
             context,
             dispatcher,
-            requests: config.requests,
+            list_requests: config.list_requests,
             revision: config.revision,
             start_delay: config.start_delay,
             rng: config.rng,
             has_received_line: false,
-            is_lost: false,
+            loss_logged: false,
         }
     }
 
-    /// Watches until the dispatcher is gone.
+    /// Watches until the dispatcher has stopped.
     pub async fn run(mut self) {
-        let Err(DispatcherGone) = self.run_states().await;
+        let Err(DispatcherStopped) = self.run_states().await;
     }
 
-    async fn run_states(&mut self) -> Result<Infallible, DispatcherGone> {
+    async fn run_states(&mut self) -> Result<Infallible, DispatcherStopped> {
         let mut address = self.context.discovery.clone();
-        if self.requests.is_none() {
+        if self.list_requests.is_none() {
             sleep(self.start_delay).await;
         }
-        let mut state = State::Idle;
+        let mut state = WatcherState::Idle;
         loop {
             state = match state {
-                State::Idle => {
-                    self.wait_until_wanted().await?;
-                    State::Watching
+                WatcherState::Idle => {
+                    self.wait_for_request().await?;
+                    WatcherState::Watching
                 }
-                State::Watching => self.watch(&mut address).await?,
-                State::Failed { peer, error } => {
-                    self.recover(peer, &error, &mut address).await?;
-                    State::Idle
+                WatcherState::Watching => self.watch(&mut address).await?,
+                WatcherState::Failed { peer, error } => {
+                    self.handle_failure(peer, &error, &mut address).await?;
+                    WatcherState::Idle
                 }
             };
         }
     }
 
-    async fn wait_until_wanted(&mut self) -> Result<(), DispatcherGone> {
-        match &mut self.requests {
-            Some(requests) => requests.recv().await.ok_or(DispatcherGone),
+    async fn wait_for_request(&mut self) -> Result<(), DispatcherStopped> {
+        match &mut self.list_requests {
+            Some(list_requests) => list_requests.recv().await.ok_or(DispatcherStopped),
             None => Ok(()),
         }
     }
 
-    /// One watch, until it fails or discovery gets another address.
-    async fn watch(&mut self, address: &mut watch::Receiver<SocketAddr>) -> Result<State, DispatcherGone> {
+    /// Runs one watch until it fails or the address of discovery changes.
+    async fn watch(
+        &mut self,
+        address: &mut watch::Receiver<SocketAddr>,
+    ) -> Result<WatcherState, DispatcherStopped> {
         let peer = *address.borrow_and_update();
         self.has_received_line = false;
-        let followed = tokio::select! {
-            followed = self.follow(peer) => followed,
+        let result = tokio::select! {
+            result = self.forward_updates(peer) => result,
             Ok(()) = address.changed() => {
                 info!(self.context.log, "discovery address changed, watching the new one";
                     "from" => %peer, "revision" => self.revision);
                 self.backoff = self.limits().retry.initial;
-                return Ok(State::Watching);
+                return Ok(WatcherState::Watching);
             }
         };
-        match followed {
-            Ok(gone) => Err(gone),
-            Err(error) => Ok(State::Failed { peer, error }),
+        match result {
+            Ok(stopped) => Err(stopped),
+            Err(error) => Ok(WatcherState::Failed { peer, error }),
         }
     }
 
-    /// Passes on what discovery sends, until that ends.
-    async fn follow(&mut self, peer: SocketAddr) -> Result<DispatcherGone, WatchError> {
+    /// Forwards updates from discovery to the dispatcher, until the watch fails or the dispatcher has
+    /// stopped.
+    async fn forward_updates(&mut self, peer: SocketAddr) -> Result<DispatcherStopped, WatchError> {
         let limits = &self.context.limits.discovery;
         let mut stream = ListStream::open(peer, self.revision, self.first_byte_timeout, limits).await?;
         loop {
             stream.read().await?;
             while let Some(line) = stream.next_line()? {
-                self.line_received(peer);
+                self.record_line(peer);
                 let Some(text) = stream.add_line(&line)? else { continue };
                 let update = self.parse(&text)?;
-                if let Err(gone) = self.pass_on(update).await {
-                    return Ok(gone);
+                if let Err(stopped) = self.send_update(update).await {
+                    return Ok(stopped);
                 }
             }
         }
     }
 
-    fn line_received(&mut self, peer: SocketAddr) {
+    fn record_line(&mut self, peer: SocketAddr) {
         self.has_received_line = true;
-        if std::mem::take(&mut self.is_lost) {
+        if std::mem::take(&mut self.loss_logged) {
             info!(self.context.log, "discovery watch restored"; "peer" => %peer);
         }
     }
 
-    /// The update in this text. Changes have to follow on the list that the dispatcher has.
+    /// Parses an update. Changes must apply to the list that the dispatcher has.
     fn parse(&self, text: &[u8]) -> Result<EndpointList, WatchError> {
         let update: EndpointList = serde_json::from_slice(text).map_err(WatchError::InvalidList)?;
         let received = update.revision;
@@ -176,21 +182,22 @@
         Ok(update)
     }
 
-    async fn pass_on(&mut self, update: EndpointList) -> Result<(), DispatcherGone> {
+    async fn send_update(&mut self, update: EndpointList) -> Result<(), DispatcherStopped> {
         let revision = update.revision;
         let sent = self.dispatcher.send(ListUpdate::Received(update)).await;
-        // Only now: a change of the address may cancel the watch while it waits for the dispatcher.
+        // Updated only after the send, because a change of the address may cancel the watch while it waits
+        // for the dispatcher.
         self.revision = Some(revision);
-        sent.map_err(|_| DispatcherGone)
+        sent.map_err(|_| DispatcherStopped)
     }
 
-    /// Reports a loss, and waits until the next watch is due.
-    async fn recover(
+    /// Reports a failed watch, and waits until the next one is due.
+    async fn handle_failure(
         &mut self,
         peer: SocketAddr,
         error: &WatchError,
         address: &mut watch::Receiver<SocketAddr>,
-    ) -> Result<(), DispatcherGone> {
+    ) -> Result<(), DispatcherStopped> {
         if error.invalidates_revision() {
             self.revision = None;
         }
@@ -199,14 +206,14 @@
         }
         self.adapt_first_byte_timeout(error);
         self.log_loss(peer, error);
-        if self.requests.is_some() {
-            return self.dispatcher.send(ListUpdate::Unavailable).await.map_err(|_| DispatcherGone);
+        if self.list_requests.is_some() {
+            return self.dispatcher.send(ListUpdate::Unavailable).await.map_err(|_| DispatcherStopped);
         }
         self.wait_for_next_watch(error, address).await;
         Ok(())
     }
 
-    /// Discovery that is slow to respond is given longer, up to what is silence in any case.
+    /// Gives a discovery service that is slow to respond more time, up to the silence timeout.
     fn adapt_first_byte_timeout(&mut self, error: &WatchError) {
         let limits = self.limits();
         self.first_byte_timeout = match error {
@@ -216,7 +223,7 @@
     }
 
     fn log_loss(&mut self, peer: SocketAddr, error: &WatchError) {
-        if !std::mem::replace(&mut self.is_lost, true) {
+        if !std::mem::replace(&mut self.loss_logged, true) {
             warn!(self.context.log, "discovery watch lost, last endpoint list stays in force";
                 "peer" => %peer, "why" => %error, "revision" => self.revision);
         }
@@ -224,16 +231,17 @@
 
     async fn wait_for_next_watch(&mut self, error: &WatchError, address: &mut watch::Receiver<SocketAddr>) {
         let retry = self.limits().retry;
-        if error.is_silence() {
-            // Discovery was waited for already: what it sends when it responds again is received at once.
+        if error.is_timeout() {
+            // Discovery was already waited for. A new watch at once receives what discovery sends when it
+            // responds again.
             self.backoff = retry.initial;
-        } else if error.is_local() {
-            // Discovery may be well, and was not burdened by this attempt.
+        } else if error.is_local_failure() {
+            // Discovery may be healthy, and this attempt put no load on it.
             sleep(retry.initial).await;
         } else {
             let wait = start_jitter::retry_delay(self.backoff.as_micros() as i64, &mut self.rng);
-            let has_moved = timeout(duration(wait), address.changed()).await.is_ok();
-            self.backoff = if has_moved { retry.initial } else { (self.backoff * 2).min(retry.max) };
+            let address_changed = timeout(duration(wait), address.changed()).await.is_ok();
+            self.backoff = if address_changed { retry.initial } else { (self.backoff * 2).min(retry.max) };
         }
     }
 
--- a/crates/proxy/src/membership/actor.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -97,7 +97,7 @@
     pub fn restored_drain_plans(&mut self) -> Vec<Plan> {
         let now = self.context.clock.now();
         let runner = self.coordination.as_mut();
-        runner.and_then(|runner| runner.coordination.drain_plans(now)).unwrap_or_default()
+        runner.and_then(|runner| runner.coordination.take_changed_drain_plans(now)).unwrap_or_default()
     }
 
     /// Runs until the process shuts down. Then releases the leases and tells the other proxies that this one
@@ -143,7 +143,7 @@
             }
             CoordinationEvent::WriteFinished { succeeded } => {
                 self.call_coordination(|coordination, at, others| {
-                    coordination.write_confirmed(at, succeeded, others);
+                    coordination.write_finished(at, succeeded, others);
                 });
             }
             CoordinationEvent::TimerDue => {
@@ -210,8 +210,8 @@
         if !runner.start_exchange_if_due(now) {
             return;
         }
-        let zone_directives = runner.coordination.zone_directives(now);
-        let drain_plans = runner.coordination.drain_plans(now);
+        let zone_directives = runner.coordination.take_changed_zone_directives(now);
+        let drain_plans = runner.coordination.take_changed_drain_plans(now);
         let (reply, observations) = oneshot::channel();
         // Send errors are ignored: if the dispatcher has ended, the process ends anyway.
         let dispatcher = &self.context.dispatcher;
@@ -223,7 +223,7 @@
             let _ = dispatcher.send(DispatcherMessage::SiteDrainPlans(plans)).await;
         }
         if let Ok(observations) = observations.await {
-            runner.coordination.observed(observations);
+            runner.coordination.report_observations(observations);
         }
     }
 
@@ -251,7 +251,7 @@
             if let (Change::Down(gone) | Change::Restarted(gone), Some(runner)) =
                 (&change, &mut self.coordination)
             {
-                runner.coordination.peer_gone(self.context.clock.now(), &gone.name);
+                runner.coordination.peer_lost(self.context.clock.now(), &gone.name);
             }
             if let Change::Renumbered(local) = &change {
                 let start = local.start;
@@ -303,7 +303,7 @@
             local: self.membership.local(),
             snapshot: self.membership.snapshot(self.context.unstalled_clock.now()),
             quota_divisor: self.announced_divisors.quota_divisor,
-            coordination: runner.map(|runner| runner.coordination.describe(self.context.clock.now())),
+            coordination: runner.map(|runner| runner.coordination.status_json(self.context.clock.now())),
             at_ms: self.context.clock.wall() / 1000,
             dropped: self.membership.dropped(),
             sent: self.sent,
--- a/crates/proxy/src/membership/coordination_runner.rs
+++ b/crates/proxy/src/membership/coordination_runner.rs
@@ -89,5 +89,5 @@
 /// at the Unix time and never steps, because the system's wall clock may step.
 pub(super) fn call_time(context: &ProcessContext) -> CallTime {
     let now = context.clock.now();
-    CallTime { now, wall: (now / 1000).max(1) as u64 }
+    CallTime { now, wall_clock_ms: (now / 1000).max(1) as u64 }
 }
--- a/crates/proxy/src/membership/start.rs
+++ b/crates/proxy/src/membership/start.rs
@@ -118,7 +118,7 @@
 ) -> Result<CoordinationRunner, ProgramError> {
     let parts = CoordinationParts {
         config: setup.config,
-        own: Incarnation { name: local.name.clone(), start: local.start },
+        incarnation: Incarnation { name: local.name.clone(), start: local.start },
         directory: setup.directory,
         zone: setup.zone,
         longest_timeout: setup.longest_timeout,
