--- a/crates/proxy/src/membership/start.rs
+++ b/crates/proxy/src/membership/start.rs
@@ -1,4 +1,4 @@
-//! What the membership actor starts with, and how it opens its sockets.
+//! Parameters of the membership actor, and the opening of its sockets.
 
 use std::rc::Rc;
 
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 
 use super::actor::{ActorParts, MembershipActor};
-use super::coordination_link::{CoordinationLink, call_time};
+use super::coordination_runner::{CoordinationRunner, call_time};
 use super::status_socket::StatusSocket;
 use crate::coordination::{Coordination, CoordinationParts};
 use crate::lifecycle::errors::ProgramError;
@@ -17,34 +17,34 @@
 use crate::persistence::DataDirectory;
 use crate::system::{self, DatagramSocket};
 
-/// What the membership actor starts with.
-pub struct MembershipStart {
+/// Parameters of the membership actor.
+pub struct MembershipSetup {
     /// The operator's section `membership`.
     pub config: MembershipConfig,
     /// This proxy's name, unique in the fleet.
     pub name: String,
-    /// How many proxies the settings say that there are.
+    /// Fleet size in the settings.
     pub configured_fleet_size: usize,
-    /// The fleet may be that of several sites: how many of it are at this one is not known, so capacity is divided by the
-    /// configured size.
+    /// Whether the fleet may span several sites. The number of proxies at this site is then unknown, so that
+    /// capacity is divided by the configured fleet size.
     pub spans_sites: bool,
-    /// What coordination starts with, if the operator's file has that section.
-    pub coordination: Option<CoordinationStart>,
-    /// Seed of the random numbers.
+    /// Parameters of coordination; `None` if the operator's file has no section `coordination`.
+    pub coordination: Option<CoordinationSetup>,
+    /// Seed of the random numbers of membership and coordination.
     pub seed: u64,
 }
 
-/// What coordination starts with.
-pub struct CoordinationStart {
+/// Parameters of coordination.
+pub struct CoordinationSetup {
     /// The operator's section `coordination`.
     pub config: CoordinationConfig,
-    /// Where terms and drain plans are stored, if anything is.
+    /// Data directory for terms and drain plans; `None` if they are not stored.
     pub directory: Option<Rc<DataDirectory>>,
     /// This proxy's zone.
     pub zone: usize,
-    /// The longest timeout of all request classes, in microseconds.
+    /// Longest timeout of all request classes, in microseconds.
     pub longest_timeout: Micros,
-    /// The section as it is read again on SIGHUP.
+    /// The operator's section `coordination`, updated when it is reloaded on SIGHUP.
     pub reloads: watch::Receiver<Option<CoordinationConfig>>,
 }
 
@@ -53,12 +53,13 @@
     ///
     /// # Errors
     ///
-    /// The address can't be listened at, or the leases' configuration can't work.
+    /// Fails if the socket cannot be bound to the configured address, or if the configuration of the leases
+    /// is invalid.
     pub async fn open(
         context: Rc<ProcessContext>,
-        start: MembershipStart,
+        setup: MembershipSetup,
     ) -> Result<MembershipActor, ProgramError> {
-        let MembershipStart { config, name, configured_fleet_size, spans_sites, coordination, seed } = start;
+        let MembershipSetup { config, name, configured_fleet_size, spans_sites, coordination, seed } = setup;
         let socket = open_socket(&context, &config).await?;
         let local = LocalPeer {
             fleet: config.fleet,
@@ -71,7 +72,7 @@
         let status_socket = config.status.and_then(|path| StatusSocket::open(&path, &context.log));
         let now = context.unstalled_clock.now();
         let coordination =
-            coordination.map(|start| open_coordination(&context, start, &local, seed)).transpose()?;
+            coordination.map(|setup| open_coordination(&context, setup, &local, seed)).transpose()?;
         let seeds = config.peers.into_iter();
         let membership_config = Config {
             local,
@@ -111,19 +112,19 @@
 
 fn open_coordination(
     context: &ProcessContext,
-    start: CoordinationStart,
+    setup: CoordinationSetup,
     local: &LocalPeer,
     seed: u64,
-) -> Result<CoordinationLink, ProgramError> {
+) -> Result<CoordinationRunner, ProgramError> {
     let parts = CoordinationParts {
-        config: start.config,
+        config: setup.config,
         incarnation: Incarnation { name: local.name.clone(), start: local.start },
-        directory: start.directory,
-        zone: start.zone,
-        longest_timeout: start.longest_timeout,
+        directory: setup.directory,
+        zone: setup.zone,
+        longest_timeout: setup.longest_timeout,
     };
     let at = call_time(context);
     let (coordination, write_outcomes) =
         Coordination::open(parts, at, seed.rotate_left(3), context.log.clone())?;
-    Ok(CoordinationLink::new(coordination, write_outcomes, start.reloads, context.unstalled_clock.now()))
+    Ok(CoordinationRunner::new(coordination, write_outcomes, setup.reloads, context.unstalled_clock.now()))
 }
