--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/request_handling.rs
@@ -17,29 +17,29 @@
 #[test]
 fn reads_and_writes_reach_members_unchanged_but_for_the_timeout() {
     let (primary, replica) = (sound("writer"), sound("reader"));
-    let driver = Driver::before(&[("a", &replica), ("b", &primary)]);
-    let mut client = Client::connect(driver.address);
+    let proxy = Driver::before(&[("a", &replica), ("b", &primary)]);
+    let mut client = Client::connect(proxy.address);
     assert!(client.ask("").empty);
-    let asked: Vec<String> = (0..20).flat_map(|_| [look(15000), order(15000)]).collect();
-    assert!(asked.iter().all(|text| served(&client.ask(text))));
+    let statements: Vec<String> = (0..20).flat_map(|_| [look(15000), order(15000)]).collect();
+    assert!(statements.iter().all(|text| served(&client.ask(text))));
     // The replica answered at most one write, as not primary, before the primary was known.
     let forwarded = [primary.requests(), replica.requests()].concat();
     assert!(forwarded.len() <= 41, "{}", forwarded.len());
-    let masked = |text: &str| {
+    let with_original_timeout = |text: &str| {
         let (before, rest) = text.split_once(",d=").unwrap();
-        let (wait, after) = rest.split_once(',').unwrap();
-        assert!((1..=15000).contains(&wait.parse::<u32>().unwrap()), "{text}");
+        let (timeout, after) = rest.split_once(',').unwrap();
+        assert!((1..=15000).contains(&timeout.parse::<u32>().unwrap()), "{text}");
         format!("{before},d=15000,{after}")
     };
-    assert!(forwarded.iter().all(|text| asked.contains(&masked(text))));
+    assert!(forwarded.iter().all(|text| statements.contains(&with_original_timeout(text))));
     // One request at a time needs one connection a member, and one more for a health check on the way.
     assert!(primary.connections.load(Ordering::SeqCst) <= 3);
 }
 
 #[test]
 fn startup_and_queries_in_one_segment_or_byte_by_byte_are_answered_in_order() {
-    let member = sound("writer");
-    let driver = Driver::before(&[("a", &member)]);
+    let primary = sound("writer");
+    let proxy = Driver::before(&[("a", &primary)]);
     let mut bytes = Vec::new();
     pg::write_startup_message(&mut bytes, "client", "core");
     pg::write_query(&mut bytes, &[look(15000).as_bytes()]);
@@ -47,14 +47,14 @@
     pg::write_query(&mut bytes, &[b"SELECT 1"]);
     pg::write_query(&mut bytes, &[look(15000).as_bytes()]);
     for size in [bytes.len(), 1] {
-        let mut client = Client::bare(driver.address);
+        let mut client = Client::bare(proxy.address);
         client.stream.set_nodelay(true).unwrap();
         // A request for encryption is refused first.
         client.raw(&[0, 0, 0, 8, 4, 210, 22, 47]);
-        let mut refused = [0];
-        client.stream.read_exact(&mut refused).unwrap();
-        assert_eq!(refused, *b"N");
-        bytes.chunks(size).for_each(|piece| client.raw(piece));
+        let mut encryption_response = [0];
+        client.stream.read_exact(&mut encryption_response).unwrap();
+        assert_eq!(encryption_response, *b"N");
+        bytes.chunks(size).for_each(|chunk| client.raw(chunk));
         assert_eq!(client.answer(), Some(Said::default()));
         assert!(served(&client.answer().unwrap()));
         assert!(client.answer().unwrap().empty);
@@ -65,24 +65,24 @@
 
 #[test]
 fn pipelined_statements_run_together_and_are_answered_in_order() {
-    let busy = AtomicUsize::new(0);
-    let most_busy = Arc::<AtomicUsize>::default();
-    let seen = most_busy.clone();
+    let concurrency = AtomicUsize::new(0);
+    let peak_concurrency = Arc::<AtomicUsize>::default();
+    let member_peak = peak_concurrency.clone();
     let member = Member::start(move |text, stream| {
         let mut out = Vec::new();
-        seen.fetch_max(busy.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
+        member_peak.fetch_max(concurrency.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
         let key = text.split('\'').nth(1).unwrap_or_default();
         if key.starts_with("slow") {
             thread::sleep(Duration::from_millis(300));
         }
-        busy.fetch_sub(1, Ordering::SeqCst);
+        concurrency.fetch_sub(1, Ordering::SeqCst);
         pg::write_single_row(&mut out, "val", key.as_bytes(), "SELECT 1");
         pg::write_parameter_status(&mut out, "server_role", "writer");
         pg::write_ready_for_query(&mut out);
         let _ = stream.write_all(&out);
     });
-    let driver = Driver::before(&[("a", &member)]);
-    let mut client = Client::connect(driver.address);
+    let proxy = Driver::before(&[("a", &member)]);
+    let mut client = Client::connect(proxy.address);
     let keys = ["slow1", "slow2", "slow3", "quick", "slow4"];
     for key in keys {
         client.send(&look(15000).replace("'k'", &format!("'{key}'")));
@@ -92,21 +92,21 @@
         assert_eq!(client.answer().unwrap().value.unwrap(), key.as_bytes());
     }
     assert_eq!(client.answer().unwrap().code, "08P01");
-    assert!(most_busy.load(Ordering::SeqCst) >= 3, "one after another");
+    assert!(peak_concurrency.load(Ordering::SeqCst) >= 3, "one after another");
 }
 
 #[test]
 fn malformed_input_is_answered_with_an_error_and_reaches_no_member() {
     let member = sound("writer");
-    let driver = Driver::before(&[("a", &member)]);
-    let mut client = Client::connect(driver.address);
-    let unknown = look(15000).replace("c=look", "c=other");
-    let elsewhere = look(15000).replace("cluster=2", "cluster=77");
-    let absurd = look(15000).replace("cluster=2", &format!("cluster=2,after={}", u64::MAX));
-    assert!(served(&client.ask(&absurd)));
-    assert_eq!(client.ask(&elsewhere).code, "53300", "its list may be old, and nothing was sent on");
-    for text in ["SELECT 1", &unknown, &look(0), "/* id=1", "SET x TO 1"] {
-        assert_eq!(client.ask(text).code, "08P01", "{text}");
+    let proxy = Driver::before(&[("a", &member)]);
+    let mut client = Client::connect(proxy.address);
+    let unknown_class = look(15000).replace("c=look", "c=other");
+    let unknown_group = look(15000).replace("cluster=2", "cluster=77");
+    let max_after = look(15000).replace("cluster=2", &format!("cluster=2,after={}", u64::MAX));
+    assert!(served(&client.ask(&max_after)));
+    assert_eq!(client.ask(&unknown_group).code, "53300", "its list may be old, and nothing was sent on");
+    for statement in ["SELECT 1", &unknown_class, &look(0), "/* id=1", "SET x TO 1"] {
+        assert_eq!(client.ask(statement).code, "08P01", "{statement}");
     }
     // Messages of the extended protocol are skipped up to the next Sync.
     client.raw(b"P\0\0\0\x08\0\0\0\0B\0\0\0\x04S\0\0\0\x04");
@@ -116,14 +116,14 @@
     for garbage in
         [&b"Q\0\0\0\x01\0\0"[..], b"Q\x7f\xff\xff\xff", b"\x01\x02\x03\x04\x05\x06", b"y\0\0\0\x04"]
     {
-        let mut client = Client::connect(driver.address);
+        let mut client = Client::connect(proxy.address);
         client.raw(garbage);
         assert_eq!(client.answer().unwrap().code, "08P01");
         assert!(client.ended());
     }
-    let mut cancel = Client::bare(driver.address);
-    cancel.raw(&[0, 0, 0, 16, 4, 210, 22, 46, 0, 0, 0, 1, 0, 0, 0, 2]);
-    assert!(cancel.ended());
+    let mut cancel_client = Client::bare(proxy.address);
+    cancel_client.raw(&[0, 0, 0, 16, 4, 210, 22, 46, 0, 0, 0, 1, 0, 0, 0, 2]);
+    assert!(cancel_client.ended());
     assert!(served(&client.ask(&look(15000))));
     assert_eq!(member.requests().len(), 3);
 }
@@ -131,8 +131,8 @@
 #[test]
 fn a_write_is_retried_past_replicas_until_it_finds_the_primary() {
     let (first, second, primary) = (sound("reader"), sound("reader"), sound("writer"));
-    let driver = Driver::before(&[("a", &first), ("b", &second), ("c", &primary)]);
-    let mut client = Client::connect(driver.address);
+    let proxy = Driver::before(&[("a", &first), ("b", &second), ("c", &primary)]);
+    let mut client = Client::connect(proxy.address);
     assert!(served(&client.ask(&order(15000))));
     assert_eq!(primary.requests().len(), 1);
 }
@@ -140,17 +140,18 @@
 #[test]
 fn a_write_goes_first_to_the_primary_that_the_endpoint_list_names() {
     let (replica, primary) = (sound("reader"), sound("writer"));
-    let known = list(1, true, &[("a", &replica, "in_service"), ("b", &primary, "in_service")]);
-    let known = known.replacen("\"cell\"", "\"access\":\"reader\",\"cell\"", 1);
-    let last = known.rfind("\"cell\"").unwrap();
-    let known = format!("{}\"access\":\"writer\",{}", &known[..last], &known[last..]);
-    let config = config(Discovery::default().start(), 256, &known);
-    let driver = Driver::of(
+    let endpoint_list = list(1, true, &[("a", &replica, "in_service"), ("b", &primary, "in_service")]);
+    let endpoint_list = endpoint_list.replacen("\"cell\"", "\"access\":\"reader\",\"cell\"", 1);
+    let last_entry = endpoint_list.rfind("\"cell\"").unwrap();
+    let endpoint_list =
+        format!("{}\"access\":\"writer\",{}", &endpoint_list[..last_entry], &endpoint_list[last_entry..]);
+    let config = config(Discovery::default().start(), 256, &endpoint_list);
+    let proxy = Driver::of(
         &config
             .replace("\"probes\":true", "\"probes\":false")
             .replace("\"roleListed\":\"off\"", "\"roleListed\":\"delayed\""),
     );
-    let mut client = Client::connect(driver.address);
+    let mut client = Client::connect(proxy.address);
     assert!(served(&client.ask(&order(15000))));
     assert_eq!((replica.requests().len(), primary.requests().len()), (0, 1));
 }
@@ -161,19 +162,19 @@
         "SHOW usage" => serve(text, "writer", stream),
         _ => refuse("53300", "writer", stream),
     });
-    let driver = Driver::before(&[("a", &member)]);
-    let mut client = Client::connect(driver.address);
+    let proxy = Driver::before(&[("a", &member)]);
+    let mut client = Client::connect(proxy.address);
     for statement in [look(2000), order(2000)] {
-        let said = client.ask(&statement);
-        assert_eq!((&said.code[..], said.value), ("53300", None));
-        assert!((1..=500).contains(&said.detail.parse::<u32>().unwrap()), "{}", said.detail);
+        let response = client.ask(&statement);
+        assert_eq!((&response.code[..], response.value), ("53300", None));
+        assert!((1..=500).contains(&response.detail.parse::<u32>().unwrap()), "{}", response.detail);
     }
 }
 
 #[test]
 fn a_non_idempotent_request_of_unknown_outcome_fails_and_is_not_repeated() {
     // Silence after the whole statement, a reset, an error, nonsense, and half a value.
-    let ways: [(&str, Box<Act>); 5] = [
+    let failures: [(&str, Box<Act>); 5] = [
         ("silent", Box::new(|_, _| {})),
         ("cut", Box::new(|_, stream| stream.shutdown(std::net::Shutdown::Both).unwrap())),
         ("error", Box::new(|_, stream| refuse("XX000", "writer", stream))),
@@ -188,17 +189,17 @@
             }),
         ),
     ];
-    for (way, act) in ways {
+    for (failure, act) in failures {
         let member = Member::start(move |text, stream| match text {
             "SHOW usage" => serve(text, "writer", stream),
             _ => act(text, stream),
         });
-        let driver = Driver::before(&[("a", &member)]);
-        let mut client = Client::connect(driver.address);
-        let said = client.ask(&order(3000));
-        assert_eq!((&said.code[..], said.value), ("40003", None), "{way}");
-        assert_eq!(member.requests().len(), 1, "{way}");
-        if way != "silent" {
+        let proxy = Driver::before(&[("a", &member)]);
+        let mut client = Client::connect(proxy.address);
+        let response = client.ask(&order(3000));
+        assert_eq!((&response.code[..], response.value), ("40003", None), "{failure}");
+        assert_eq!(member.requests().len(), 1, "{failure}");
+        if failure != "silent" {
             assert!(member.connections.load(Ordering::SeqCst) >= 1);
         }
     }
@@ -212,42 +213,44 @@
     socket.set_tcp_mss(536).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     socket.listen(64).unwrap();
-    let cuts = Arc::new(AtomicUsize::new(0));
-    let counted = cuts.clone();
+    let closed_connections = Arc::new(AtomicUsize::new(0));
+    let member_closed_connections = closed_connections.clone();
     // The first two times that a request's beginning comes, the connection is cut.
-    let bears = move |bytes: &[u8], welcomed: bool| {
-        !welcomed || !bytes[5..].starts_with(b"/*") || counted.fetch_add(1, Ordering::SeqCst) >= 2
+    let keeps_open = move |bytes: &[u8], startup_complete: bool| {
+        !startup_complete
+            || !bytes[5..].starts_with(b"/*")
+            || member_closed_connections.fetch_add(1, Ordering::SeqCst) >= 2
     };
-    let member = Member::at(socket.into(), bears, |text, stream| serve(text, "writer", stream));
-    let driver = Driver::before(&[("a", &member)]);
-    let mut client = Client::connect(driver.address);
+    let member = Member::at(socket.into(), keeps_open, |text, stream| serve(text, "writer", stream));
+    let proxy = Driver::before(&[("a", &member)]);
+    let mut client = Client::connect(proxy.address);
     let large = order(15000).replace("9f", &"9f".repeat(60_000));
     assert!(served(&client.ask(&large)));
-    assert!(cuts.load(Ordering::SeqCst) > 2);
+    assert!(closed_connections.load(Ordering::SeqCst) > 2);
     assert_eq!(member.requests().len(), 1);
 }
 
 #[test]
 fn a_drain_announced_while_a_connection_opens_withdraws_the_attempt() {
-    let (asked, hold) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(true)));
-    let (seen_asked, seen_hold) = (asked.clone(), hold.clone());
+    let (connecting, startup_blocked) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(true)));
+    let (member_connecting, member_startup_blocked) = (connecting.clone(), startup_blocked.clone());
     // The first member accepts no startup until the endpoint list has announced its drain.
-    let bears = move |_: &[u8], welcomed: bool| {
-        seen_asked.store(true, Ordering::SeqCst);
-        until("the drain", || welcomed || !seen_hold.load(Ordering::SeqCst));
+    let keeps_open = move |_: &[u8], startup_complete: bool| {
+        member_connecting.store(true, Ordering::SeqCst);
+        until("the drain", || startup_complete || !member_startup_blocked.load(Ordering::SeqCst));
         true
     };
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let drained = Member::at(listener, bears, |text, stream| serve(text, "writer", stream));
+    let drained = Member::at(listener, keeps_open, |text, stream| serve(text, "writer", stream));
     let primary = sound("writer");
     let discovery = Discovery::default();
-    let driver = Driver::start(&discovery, 256, &list(1, true, &[("a", &drained, "in_service")]));
-    let mut client = Client::connect(driver.address);
+    let proxy = Driver::start(&discovery, 256, &list(1, true, &[("a", &drained, "in_service")]));
+    let mut client = Client::connect(proxy.address);
     client.send(&look(15000));
-    until("a connection", || asked.load(Ordering::SeqCst));
+    until("a connection", || connecting.load(Ordering::SeqCst));
     discovery.say(list(2, false, &[("a", &drained, "terminating"), ("b", &primary, "in_service")]));
-    until("the list", || driver.logged("revision: 2"));
-    hold.store(false, Ordering::SeqCst);
+    until("the list", || proxy.logged("revision: 2"));
+    startup_blocked.store(false, Ordering::SeqCst);
     assert!(served(&client.answer().unwrap()));
     assert_eq!((drained.requests().len(), primary.requests().len()), (0, 1));
 }
@@ -267,21 +270,21 @@
         let _ = stream.write_all(&out);
     });
     let discovery = Discovery::default();
-    let driver = Driver::start(&discovery, 256, &list(1, true, &[("a", &member, "in_service")]));
-    let large = || order(15000).replace("9f", &"9f".repeat(65_536));
-    let mut clients: Vec<Client> = (0..100).map(|_| Client::connect(driver.address)).collect();
+    let proxy = Driver::start(&discovery, 256, &list(1, true, &[("a", &member, "in_service")]));
+    let large_statement = || order(15000).replace("9f", &"9f".repeat(65_536));
+    let mut clients: Vec<Client> = (0..100).map(|_| Client::connect(proxy.address)).collect();
     for _ in 0..3 {
-        clients.iter_mut().for_each(|client| client.send(&large()));
+        clients.iter_mut().for_each(|client| client.send(&large_statement()));
         for client in &mut clients {
-            let said = client.answer().unwrap();
-            assert!(said.value.is_some_and(|value| value.len() == 65_536) || said.code == "53300");
+            let response = client.answer().unwrap();
+            assert!(response.value.is_some_and(|value| value.len() == 65_536) || response.code == "53300");
         }
     }
-    let status = std::fs::read_to_string(format!("/proc/{}/status", driver.child.id())).unwrap();
-    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
-    let kilobytes: u64 = peak.trim().trim_end_matches(" kB").parse().unwrap();
-    println!("at its highest {kilobytes} kB");
-    assert!(kilobytes < 64 * 1024, "{kilobytes}");
+    let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).unwrap();
+    let peak_line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
+    let peak_kib: u64 = peak_line.trim().trim_end_matches(" kB").parse().unwrap();
+    println!("at its highest {peak_kib} kB");
+    assert!(peak_kib < 64 * 1024, "{peak_kib}");
 }
 
 #[test]
@@ -298,11 +301,11 @@
         pg::write_ready_for_query(&mut out);
         let _ = stream.write_all(&out);
     });
-    let driver = Driver::before(&[("a", &member)]);
-    let mut clients: Vec<Client> = (0..60).map(|_| Client::connect(driver.address)).collect();
+    let proxy = Driver::before(&[("a", &member)]);
+    let mut clients: Vec<Client> = (0..60).map(|_| Client::connect(proxy.address)).collect();
     clients.iter_mut().for_each(|client| client.send(&look(15000)));
-    let whole =
+    let answered_in_full =
         |client: &mut Client| client.answer().unwrap().value.is_some_and(|value| value.len() == 900_000);
-    assert!(clients.iter_mut().all(whole));
-    assert!(!driver.logged("nothing that can be used"));
+    assert!(clients.iter_mut().all(answered_in_full));
+    assert!(!proxy.logged("nothing that can be used"));
 }
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -163,7 +163,7 @@
 
 /// A client that asked again as soon as it had its answer was served on its old connection for as long as the shutdown had
 /// time, and then refused with 53300: on a crowded machine its next request was always there before the proxy looked whether
-/// the connection could be closed. Of 140 runs of `staying::a_planned_restart_under_traffic_loses_no_request`, 70 at a time on
+/// the connection could be closed. Of 140 runs of `process_lifecycle::a_planned_restart_under_traffic_loses_no_request`, 70 at a time on
 /// one core, 53 were refused; their shutdowns took 4.0 to 6.8 s, where 0.7 s is usual.
 #[test]
 fn the_answer_to_a_late_request_comes_with_the_end_of_its_connection() {
--- a/crates/proxy/tests/stalled_clients.rs
+++ b/crates/proxy/tests/stalled_clients.rs
@@ -9,102 +9,103 @@
 /// The longest time a stalled client's connection may stay open, with a busy machine's delays.
 const LONGEST_STALL: Duration = Duration::from_millis(3300);
 
-fn startup() -> Vec<u8> {
+fn startup_message() -> Vec<u8> {
     let mut bytes = Vec::new();
     pg::write_startup_message(&mut bytes, "client", "core");
     bytes
 }
 
-fn message(statement: &str) -> Vec<u8> {
+fn query_message(statement: &str) -> Vec<u8> {
     let mut bytes = Vec::new();
     pg::write_query(&mut bytes, &[statement.as_bytes()]);
     bytes
 }
 
-fn large_message() -> Vec<u8> {
-    message(&look(15000).replace("'k'", &format!("'{}'", "9f".repeat(50_000))))
+fn large_query_message() -> Vec<u8> {
+    query_message(&look(15000).replace("'k'", &format!("'{}'", "9f".repeat(50_000))))
 }
 
 /// Asserts that the connection ends, by an error or a bare close, within [`LONGEST_STALL`] of `stopped`.
-fn assert_disconnected(client: &mut Client, stopped: Instant, state: &str) {
-    let said = client.answer();
-    assert!(said.as_ref().is_none_or(|said| !said.code.is_empty()), "{state}: {said:?}");
-    assert!(stopped.elapsed() < LONGEST_STALL, "{state}: open for {:?}", stopped.elapsed());
+fn assert_disconnected(client: &mut Client, last_sent_at: Instant, state: &str) {
+    let response = client.answer();
+    assert!(response.as_ref().is_none_or(|response| !response.code.is_empty()), "{state}: {response:?}");
+    assert!(last_sent_at.elapsed() < LONGEST_STALL, "{state}: open for {:?}", last_sent_at.elapsed());
 }
 
 #[test]
 fn a_new_client_that_stalls_in_its_startup_or_first_statement_is_disconnected() {
     let member = sound("writer");
-    let driver = Driver::before(&[("a", &member)]);
-    let whole = startup();
-    let mut first = whole.clone();
-    first.extend_from_slice(&message(&look(15000))[..40]);
+    let proxy = Driver::before(&[("a", &member)]);
+    let startup = startup_message();
+    let mut with_partial_statement = startup.clone();
+    with_partial_statement.extend_from_slice(&query_message(&look(15000))[..40]);
     // Amid the length, the version, the parameters, behind them, and amid a statement that came along.
-    let stopped = [&whole[..2], &whole[..6], &whole[..12], &whole[..], &first[..]];
-    let mut clients: Vec<Client> = stopped.iter().map(|_| Client::bare(driver.address)).collect();
-    let start = Instant::now();
-    clients.iter_mut().zip(stopped).for_each(|(client, bytes)| client.raw(bytes));
-    for (number, client) in clients.iter_mut().enumerate() {
-        let welcomed = number >= 3;
-        assert!(!welcomed || client.answer().is_some(), "the welcome");
-        assert_disconnected(client, start, &format!("stopped at {number}"));
+    let partial_inputs =
+        [&startup[..2], &startup[..6], &startup[..12], &startup[..], &with_partial_statement[..]];
+    let mut clients: Vec<Client> = partial_inputs.iter().map(|_| Client::bare(proxy.address)).collect();
+    let last_sent_at = Instant::now();
+    clients.iter_mut().zip(partial_inputs).for_each(|(client, bytes)| client.raw(bytes));
+    for (index, client) in clients.iter_mut().enumerate() {
+        let startup_complete = index >= 3;
+        assert!(!startup_complete || client.answer().is_some(), "the welcome");
+        assert_disconnected(client, last_sent_at, &format!("stopped at {index}"));
     }
 }
 
 #[test]
 fn a_served_client_that_stalls_in_a_message_is_disconnected() {
     let member = sound("writer");
-    let driver = Driver::before(&[("a", &member)]);
-    let (small, large) = (message(&look(15000)), large_message());
+    let proxy = Driver::before(&[("a", &member)]);
+    let (small, large) = (query_message(&look(15000)), large_query_message());
     // Amid the type, the length, the comment, and statements for which buffer space is reserved.
-    let stopped =
+    let partial_inputs =
         [&small[..1], &small[..3], &small[..30], &large[..20], &large[..60_000], &large[..large.len() - 1]];
-    let mut clients: Vec<Client> = stopped.iter().map(|_| Client::connect(driver.address)).collect();
+    let mut clients: Vec<Client> = partial_inputs.iter().map(|_| Client::connect(proxy.address)).collect();
     for client in &mut clients {
         assert!(served(&client.ask(&look(15000))));
     }
-    let start = Instant::now();
-    clients.iter_mut().zip(stopped).for_each(|(client, bytes)| client.raw(bytes));
-    for (number, client) in clients.iter_mut().enumerate() {
-        assert_disconnected(client, start, &format!("stopped at {number}"));
+    let last_sent_at = Instant::now();
+    clients.iter_mut().zip(partial_inputs).for_each(|(client, bytes)| client.raw(bytes));
+    for (index, client) in clients.iter_mut().enumerate() {
+        assert_disconnected(client, last_sent_at, &format!("stopped at {index}"));
     }
-    assert!(served(&Client::connect(driver.address).ask(&look(15000))));
+    assert!(served(&Client::connect(proxy.address).ask(&look(15000))));
 }
 
 #[test]
-fn a_client_that_stalls_behind_a_request_is_answered_and_then_disconnected() {
+fn a_client_that_stalls_after_a_complete_request_is_answered_and_then_disconnected() {
     let hold = Hold::default();
-    let seen = hold.clone();
+    let member_hold = hold.clone();
     let member = Member::start(move |text, stream| {
         if text.contains("id=held") {
-            seen.pass();
+            member_hold.pass();
         }
         serve(text, "writer", stream);
     });
-    let driver = Driver::before(&[("a", &member)]);
-    let mut client = Client::connect(driver.address);
+    let proxy = Driver::before(&[("a", &member)]);
+    let mut client = Client::connect(proxy.address);
     hold.close();
     client.send(&named(&look(15000), "held"));
     hold.reached();
-    client.raw(&message(&look(15000))[..30]);
+    client.raw(&query_message(&look(15000))[..30]);
     delivered(&client.stream);
     hold.open();
-    let start = Instant::now();
+    let released_at = Instant::now();
     assert!(served(&client.answer().expect("the answer to what came whole")));
-    assert_disconnected(&mut client, start, "behind a request");
+    assert_disconnected(&mut client, released_at, "behind a request");
 }
 
 #[test]
 fn a_client_that_writes_slowly_but_steadily_is_served() {
     let member = sound("writer");
-    let driver = Driver::before(&[("a", &member)]);
-    let mut client = Client::connect(driver.address);
+    let proxy = Driver::before(&[("a", &member)]);
+    let mut client = Client::connect(proxy.address);
     assert!(served(&client.ask(&look(15000))));
-    let statement = message(&look(15000));
+    let query = query_message(&look(15000));
     // Pauses shorter than the stall timeout, together longer than it.
-    for piece in statement.chunks(statement.len().div_ceil(4)) {
+    for chunk in query.chunks(query.len().div_ceil(4)) {
         std::thread::sleep(Duration::from_millis(900));
-        client.raw(piece);
+        client.raw(chunk);
     }
     assert!(served(&client.answer().expect("an answer")));
 }
--- a/crates/proxy/tests/status_json.rs
+++ b/crates/proxy/tests/status_json.rs
@@ -39,54 +39,55 @@
     paths
 }
 
-fn literal(paths: &str) -> BTreeSet<String> {
+fn key_set(paths: &str) -> BTreeSet<String> {
     paths.split_whitespace().map(str::to_owned).collect()
 }
 
-fn asked(arguments: &[&str], socket: &Path) -> Value {
+fn query_status(arguments: &[&str], socket: &Path) -> Value {
     let output = Command::new(program()).args(arguments).arg(socket).output().unwrap();
     serde_json::from_slice(&output.stdout).unwrap_or(Value::Null)
 }
 
 /// A folder of this test's own, removed when dropped.
-struct Folder(PathBuf);
+struct TempDir(PathBuf);
 
-impl Folder {
-    fn empty(name: &str) -> Folder {
+impl TempDir {
+    fn create(name: &str) -> TempDir {
         let path = std::env::temp_dir().join(format!("aldermill-status-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
         std::fs::create_dir(&path).unwrap();
-        Folder(path)
+        TempDir(path)
     }
 
-    fn socket(&self, kind: &str, name: &str) -> PathBuf {
+    fn path(&self, kind: &str, name: &str) -> PathBuf {
         self.0.join(format!("{kind}-{name}"))
     }
 
     /// The operator's `fellows` of a driver, whose status socket is in this folder.
-    fn fellows(&self, name: &str, listen: SocketAddr, peers: &[SocketAddr]) -> String {
+    fn membership_section(&self, name: &str, listen: SocketAddr, peers: &[SocketAddr]) -> String {
         let peers: Vec<String> = peers.iter().map(|peer| format!(r#"{{"address":"{peer}"}}"#)).collect();
-        let (peers, status) = (peers.join(","), self.socket("fellows", name));
+        let (peers, status_socket) = (peers.join(","), self.path("fellows", name));
         format!(
-            r#""fellows":{{"fleet":"shop","listen":"{listen}","networks":["127.0.0.0/8"],"peers":[{peers}],"status":{status:?}}}"#
+            r#""fellows":{{"fleet":"shop","listen":"{listen}","networks":["127.0.0.0/8"],"peers":[{peers}],"status":{status_socket:?}}}"#
         )
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
 /// A driver that knows this one member by a list newer than the stored one.
-fn start(name: &str, member: &Member, operator: &str) -> Driver {
-    let known = list(8, true, &[("s-a", member, "in_service")]);
-    let config = config(Discovery::default().start(), 256, &known).replace("\"n0\"", &format!("\"{name}\""));
+fn start_proxy(name: &str, member: &Member, operator: &str) -> Driver {
+    let endpoint_list = list(8, true, &[("s-a", member, "in_service")]);
+    let config =
+        config(Discovery::default().start(), 256, &endpoint_list).replace("\"n0\"", &format!("\"{name}\""));
     Driver::with("127.0.0.1:0".parse().unwrap(), &config, Some(operator))
 }
 
-const FELLOWS_KEYS: &str = "
+const PEERS_KEYS: &str = "
 at_ms council dropped dropped.fleet dropped.not_ours dropped.stranger dropped.unusable dropped.version
 fellows fellows[].address fellows[].name fellows[].start fellows[].turn not_sent room_shared_by
 self self.address self.name self.start self.turn sent sent.bytes sent.datagrams
@@ -94,7 +95,7 @@
 ";
 
 /// What stands under `council` at the drivers of a fleet, taken together.
-const COUNCIL_KEYS: &str = "
+const COORDINATION_KEYS: &str = "
 council.aside
 council.decrees council.decrees[].by council.decrees[].duty council.decrees[].left_ms council.decrees[].number
 council.decrees[].says council.decrees[].subject council.decrees[].term
@@ -120,105 +121,131 @@
 ";
 
 #[test]
-fn fellows_json_without_a_council_has_exactly_these_keys_and_values() {
-    let folder = Folder::empty("plain");
+fn peers_json_without_coordination_has_exactly_these_keys_and_values() {
+    let directory = TempDir::create("plain");
     let member = sound("writer");
-    let at = [free_port(), free_port()];
-    let operator = |own: usize| format!("{{{}}}", folder.fellows(["n0", "n1"][own], at[own], &at));
-    let _drivers = [0, 1].map(|own| start(["n0", "n1"][own], &member, &operator(own)));
-    let said = || asked(&["fellows", "--json"], &folder.socket("fellows", "n0"));
-    until("it sees the other", || said()["view"]["alive"] == 2);
-    let said = said();
-    assert_eq!(key_paths(&said), literal(FELLOWS_KEYS));
-    assert_eq!(said["council"], Value::Null);
-    assert_eq!(said["view"]["most_seen"], 2);
-    assert_eq!(said["view"]["may_be_smaller"], false);
+    let addresses = [free_port(), free_port()];
+    let operator = |index: usize| {
+        format!("{{{}}}", directory.membership_section(["n0", "n1"][index], addresses[index], &addresses))
+    };
+    let _proxies = [0, 1].map(|index| start_proxy(["n0", "n1"][index], &member, &operator(index)));
+    let report = || query_status(&["fellows", "--json"], &directory.path("fellows", "n0"));
+    until("it sees the other", || report()["view"]["alive"] == 2);
+    let report = report();
+    assert_eq!(key_paths(&report), key_set(PEERS_KEYS));
+    assert_eq!(report["council"], Value::Null);
+    assert_eq!(report["view"]["most_seen"], 2);
+    assert_eq!(report["view"]["may_be_smaller"], false);
+    assert!(
+        report["view"]["sure"].is_boolean()
+            && report["room_shared_by"].is_u64()
+            && report["not_sent"].is_u64()
+    );
     assert!(
-        said["view"]["sure"].is_boolean() && said["room_shared_by"].is_u64() && said["not_sent"].is_u64()
+        report["at_ms"].as_u64() > Some(1_000_000_000_000) && report["sent"]["datagrams"].as_u64() > Some(0)
     );
-    assert!(said["at_ms"].as_u64() > Some(1_000_000_000_000) && said["sent"]["datagrams"].as_u64() > Some(0));
-    for (entry, name, address) in [(&said["self"], "n0", at[0]), (&said["fellows"][0], "n1", at[1])] {
+    for (entry, name, address) in
+        [(&report["self"], "n0", addresses[0]), (&report["fellows"][0], "n1", addresses[1])]
+    {
         assert_eq!((&entry["name"], &entry["address"]), (&json!(name), &json!(address.to_string())));
         assert_eq!(entry["turn"], 0);
         assert!(entry["start"].as_u64() > Some(1_000_000_000_000_000), "microseconds: {entry}");
     }
-    let none = json!({"fleet": 0, "not_ours": 0, "stranger": 0, "unusable": 0, "version": 0});
-    assert_eq!(said["dropped"], none);
+    let no_drops = json!({"fleet": 0, "not_ours": 0, "stranger": 0, "unusable": 0, "version": 0});
+    assert_eq!(report["dropped"], no_drops);
 }
 
 /// The operator's file of a driver of a council of three, for all duties, with a data directory.
-fn council_operator(folder: &Folder, name: &str, listen: SocketAddr, peers: &[SocketAddr]) -> String {
-    let (fellows, warm) = (folder.fellows(name, listen, peers), folder.socket("warm", name));
-    let status = folder.socket("sites", name);
+fn operator_configuration(
+    directory: &TempDir,
+    name: &str,
+    listen: SocketAddr,
+    peers: &[SocketAddr],
+) -> String {
+    let (membership, data_directory) =
+        (directory.membership_section(name, listen, peers), directory.path("warm", name));
+    let status_socket = directory.path("sites", name);
     format!(
-        r#"{{{fellows},"warm":{{"folder":{warm:?}}},"gateway":{{"site":"site0",
-        "peers":[{{"site":"site1","networks":["127.0.0.0/8"]}}],"status":{status:?}}},
+        r#"{{{membership},"warm":{{"folder":{data_directory:?}}},"gateway":{{"site":"site0",
+        "peers":[{{"site":"site1","networks":["127.0.0.0/8"]}}],"status":{status_socket:?}}},
         "council":{{"voters":["n0","n1","n2"],"duties":["zones","splits","retire"],
         "retire":[{{"site":"site1","number":3,"order":"held","by":4000000000}}]}}}}"#
     )
 }
 
 /// The data directory of `fixtures/stored_data` for n0.
-fn store_fixture(folder: &Folder) {
-    let stored = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/stored_data");
-    let warm = folder.socket("warm", "n0");
-    std::fs::create_dir(&warm).unwrap();
+fn copy_stored_data(directory: &TempDir) {
+    let fixture = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/stored_data");
+    let data_directory = directory.path("warm", "n0");
+    std::fs::create_dir(&data_directory).unwrap();
     for segment in ["0000000002.log", "0000000003.log", "0000000004.log"] {
-        std::fs::copy(stored.join(segment), warm.join(segment)).unwrap();
+        std::fs::copy(fixture.join(segment), data_directory.join(segment)).unwrap();
     }
 }
 
 /// Drivers n0, n1 and n2 of one council.
-fn council(folder: &Folder, member: &Member) -> Vec<Driver> {
-    let at: Vec<SocketAddr> = NAMES.iter().map(|_| free_port()).collect();
-    let drivers = NAMES.iter().zip(&at);
-    drivers.map(|(name, &own)| start(name, member, &council_operator(folder, name, own, &at))).collect()
+fn start_coordinating_proxies(directory: &TempDir, member: &Member) -> Vec<Driver> {
+    let addresses: Vec<SocketAddr> = PROXY_NAMES.iter().map(|_| free_port()).collect();
+    let proxies = PROXY_NAMES.iter().zip(&addresses);
+    proxies
+        .map(|(name, &listen)| {
+            start_proxy(name, member, &operator_configuration(directory, name, listen, &addresses))
+        })
+        .collect()
 }
 
-const NAMES: [&str; 3] = ["n0", "n1", "n2"];
+const PROXY_NAMES: [&str; 3] = ["n0", "n1", "n2"];
 
-fn fellows_of(folder: &Folder) -> Vec<Value> {
-    NAMES.iter().map(|name| asked(&["fellows", "--json"], &folder.socket("fellows", name))).collect()
+fn query_peers_reports(directory: &TempDir) -> Vec<Value> {
+    PROXY_NAMES
+        .iter()
+        .map(|name| query_status(&["fellows", "--json"], &directory.path("fellows", name)))
+        .collect()
 }
 
 #[test]
-fn fellows_json_of_a_council_has_exactly_these_keys() {
-    let folder = Folder::empty("council");
+fn peers_json_with_coordination_has_exactly_these_keys() {
+    let directory = TempDir::create("council");
     let member = sound("writer");
-    store_fixture(&folder);
-    let drivers = council(&folder, &member);
-    let expected = literal(&[FELLOWS_KEYS, COUNCIL_KEYS].concat());
-    let mut said = Vec::new();
+    copy_stored_data(&directory);
+    let proxies = start_coordinating_proxies(&directory, &member);
+    let expected = key_set(&[PEERS_KEYS, COORDINATION_KEYS].concat());
+    let mut reports = Vec::new();
     // Taken together over time: n0 may come to hold the lease on draining sites, and then plans anew.
-    let mut seen = BTreeSet::new();
+    let mut seen_keys = BTreeSet::new();
     until("every key is there", || {
         // The zones have something to show once drivers have sent requests there.
-        drivers[1..].iter().for_each(|driver| drop(Client::connect(driver.address).ask(&look(1000))));
-        said = fellows_of(&folder);
-        seen.extend(said.iter().flat_map(key_paths));
-        let split_seen = said[0]["council"]["decrees"].as_array().is_some_and(|all| all.iter().any(is_split));
-        expected.is_subset(&seen) && split_seen && said.iter().any(|said| zone_view(said).is_object())
+        proxies[1..].iter().for_each(|proxy| drop(Client::connect(proxy.address).ask(&look(1000))));
+        reports = query_peers_reports(&directory);
+        seen_keys.extend(reports.iter().flat_map(key_paths));
+        let split_seen =
+            reports[0]["council"]["decrees"].as_array().is_some_and(|all| all.iter().any(is_split));
+        expected.is_subset(&seen_keys)
+            && split_seen
+            && reports.iter().any(|report| zone_view(report).is_object())
     });
-    assert_eq!(seen, expected);
-    let council = &said[0]["council"];
-    let names: Vec<&Value> = council["duties"].as_array().unwrap().iter().map(|duty| &duty["name"]).collect();
-    assert_eq!(names, ["zones", "splits", "retire"]);
-    assert_eq!(council["votes"], true);
-    let words = json!([{"site": "site1", "number": 3, "order": "held", "by_ms": 4_000_000_000_000_u64}]);
-    assert_eq!(council["retire"]["words"], words);
-    let zone = said.iter().map(zone_view).find(|view| view.is_object()).unwrap();
-    assert_eq!((&zone["group"], &zone["zone"]), (&json!(2), &json!(0)));
+    assert_eq!(seen_keys, expected);
+    let coordination = &reports[0]["council"];
+    let lease_names: Vec<&Value> =
+        coordination["duties"].as_array().unwrap().iter().map(|lease| &lease["name"]).collect();
+    assert_eq!(lease_names, ["zones", "splits", "retire"]);
+    assert_eq!(coordination["votes"], true);
+    let commands = json!([{"site": "site1", "number": 3, "order": "held", "by_ms": 4_000_000_000_000_u64}]);
+    assert_eq!(coordination["retire"]["words"], commands);
+    let view = reports.iter().map(zone_view).find(|view| view.is_object()).unwrap();
+    assert_eq!((&view["group"], &view["zone"]), (&json!(2), &json!(0)));
     // Too few requests at first, then enough of them.
-    let finding = zone["finding"].as_str().unwrap();
-    assert!(["Unknown", "Well"].contains(&finding) && zone["level"] == "Near", "{zone}");
-    let split = council["decrees"].as_array().unwrap().iter().find(|decree| is_split(decree)).unwrap();
+    let finding = view["finding"].as_str().unwrap();
+    assert!(["Unknown", "Well"].contains(&finding) && view["level"] == "Near", "{view}");
+    let split =
+        coordination["decrees"].as_array().unwrap().iter().find(|directive| is_split(directive)).unwrap();
     let body: Value = serde_json::from_str(split["says"].as_str().unwrap()).unwrap();
-    assert!(literal("cost_ms drivers state").is_subset(&key_paths(&body)), "{body}");
+    assert!(key_set("cost_ms drivers state").is_subset(&key_paths(&body)), "{body}");
 }
 
 /// What the holder of the lease on zones knows of the first one.
-fn zone_view(said: &Value) -> &Value {
-    &said["council"]["zones"]["views"][0]
+fn zone_view(report: &Value) -> &Value {
+    &report["council"]["zones"]["views"][0]
 }
 
 /// Whether a directive says where group 2 is to be split.
@@ -227,11 +254,11 @@
 }
 
 #[test]
-fn a_program_on_the_stored_data_shows_its_plans_and_outcomes() {
-    let folder = Folder::empty("restored");
+fn a_proxy_started_on_the_stored_data_reports_its_plans_and_outcomes() {
+    let directory = TempDir::create("restored");
     let member = sound("writer");
-    store_fixture(&folder);
-    let drivers = council(&folder, &member);
+    copy_stored_data(&directory);
+    let proxies = start_coordinating_proxies(&directory, &member);
     let plan = |site: &str, order: &str, stage: &str| {
         json!({"site": site, "number": 3, "order": order, "by_ms": 1_700_000_600_000_u64, "stage": stage,
             "weight": 250, "shares": {"site1": 400, "site2": 600}})
@@ -239,11 +266,13 @@
     let mut moving = plan("site3", "goes", "moving");
     moving["waits"] = json!("room at site1");
     let expected = json!([moving, plan("site4", "held", "emptied"), plan("site5", "hurried", "retired")]);
-    until("the plans are obeyed", || fellows_of(&folder)[0]["council"]["retire"]["acts_by"] == expected);
-    let sites = asked(&["sites"], &folder.socket("sites", "n0"));
+    until("the plans are obeyed", || {
+        query_peers_reports(&directory)[0]["council"]["retire"]["acts_by"] == expected
+    });
+    let sites = query_status(&["sites"], &directory.path("sites", "n0"));
     assert_eq!(sites["book"], json!({"disk": true, "earlier_records": 5, "earlier_starts": 1}));
     // The primary and the paces are too old by now; the list is read.
-    assert!(drivers[0].logged("unusable_records: 2") && drivers[0].logged("revision: 7"));
+    assert!(proxies[0].logged("unusable_records: 2") && proxies[0].logged("revision: 7"));
 }
 
 #[test]
@@ -256,9 +285,9 @@
         max_live_bytes: 1 << 24,
         max_log_ratio: 4,
     };
-    let folder = Folder::empty("terms");
-    for name in NAMES {
-        let disk = Disk::open(&folder.socket("warm", name)).unwrap();
+    let directory = TempDir::create("terms");
+    for name in PROXY_NAMES {
+        let disk = Disk::open(&directory.path("warm", name)).unwrap();
         let (mut store, _) = Store::open(disk, limits, 1).unwrap();
         let mut batch = Batch::default();
         batch.put(1, b"", format!(r#"{{"name":"{name}","format":1}}"#).as_bytes(), None);
@@ -266,46 +295,46 @@
         store.commit(1, vec![batch]).unwrap();
     }
     let member = sound("writer");
-    let _drivers = council(&folder, &member);
-    let mut duties = Value::Null;
+    let _proxies = start_coordinating_proxies(&directory, &member);
+    let mut leases = Value::Null;
     until("all leases are held", || {
-        duties = fellows_of(&folder)[0]["council"]["duties"].clone();
-        duties.as_array().is_some_and(|all| all.iter().all(|duty| duty["term"].is_u64()))
+        leases = query_peers_reports(&directory)[0]["council"]["duties"].clone();
+        leases.as_array().is_some_and(|all| all.iter().all(|lease| lease["term"].is_u64()))
     });
-    let terms: Vec<bool> =
-        duties.as_array().unwrap().iter().map(|duty| duty["term"].as_u64() > Some(TERM)).collect();
-    assert_eq!(terms, [true, false, false], "zones alone: {duties}");
+    let above_stored_term: Vec<bool> =
+        leases.as_array().unwrap().iter().map(|lease| lease["term"].as_u64() > Some(TERM)).collect();
+    assert_eq!(above_stored_term, [true, false, false], "zones alone: {leases}");
 }
 
 #[test]
 fn sites_json_has_exactly_these_keys_and_values() {
     let ledger = Ledger::default();
     ledger.home.store(1, Ordering::SeqCst);
-    let mut near = Site::new(0, 1, &ledger, |terms| terms);
-    let mut far = Site::new(1, 2, &ledger, |terms| terms);
-    far.start(&[(0, None)]);
-    near.start(&[(1, Some(far.links))]);
-    let ask = || asked(&["sites"], &near.status());
-    until("both links", || ask()["gateways"][0]["links"] == 2);
-    let mut client = near.client();
+    let mut local_site = Site::new(0, 1, &ledger, |terms| terms);
+    let mut remote_site = Site::new(1, 2, &ledger, |terms| terms);
+    remote_site.start(&[(0, None)]);
+    local_site.start(&[(1, Some(remote_site.links))]);
+    let query = || query_status(&["sites"], &local_site.status());
+    until("both links", || query()["gateways"][0]["links"] == 2);
+    let mut client = local_site.client();
     until("a write crosses", || served(&client.ask(&order(3000))));
-    until("nothing is under way", || ask()["tasks"] == 0);
-    let said = ask();
-    assert_eq!(key_paths(&said), literal(SITES_KEYS));
-    assert_eq!((&said["site"], &said["instance"]), (&json!("site0"), &json!("n0")));
-    assert_eq!((&said["draining"], &said["book"]), (&json!(false), &Value::Null));
-    assert_eq!(said["groups"], json!([{"group": 2, "home": "site1", "members_here": 1}]));
-    let gateway = &said["gateways"][0];
+    until("nothing is under way", || query()["tasks"] == 0);
+    let report = query();
+    assert_eq!(key_paths(&report), key_set(SITES_KEYS));
+    assert_eq!((&report["site"], &report["instance"]), (&json!("site0"), &json!("n0")));
+    assert_eq!((&report["draining"], &report["book"]), (&json!(false), &Value::Null));
+    assert_eq!(report["groups"], json!([{"group": 2, "home": "site1", "members_here": 1}]));
+    let gateway = &report["gateways"][0];
     assert_eq!((&gateway["site"], &gateway["instance"]), (&json!("site1"), &json!("n1")));
     assert_eq!((&gateway["draining"], &gateway["barred"]), (&json!(false), &json!(false)));
-    assert_eq!(said["guests"], 0);
-    assert!(said["fates_kept"].is_u64() && gateway["under_way"].is_number());
-    assert!(gateway["round_trip_us"].is_number() && said["start"].as_u64() > Some(1_000_000_000_000_000));
+    assert_eq!(report["guests"], 0);
+    assert!(report["fates_kept"].is_u64() && gateway["under_way"].is_number());
+    assert!(gateway["round_trip_us"].is_number() && report["start"].as_u64() > Some(1_000_000_000_000_000));
 }
 
 #[test]
-fn renamed_verdicts_and_levels_keep_their_words_in_the_status() {
-    let verdicts = [
+fn zone_health_and_failover_levels_have_these_status_values() {
+    let zone_health = [
         ZoneHealth::Unknown,
         ZoneHealth::Healthy,
         ZoneHealth::Marginal,
@@ -314,8 +343,8 @@
         ZoneHealth::Overloaded,
         ZoneHealth::PartlyServed,
     ];
-    let shown = verdicts.map(ZoneHealth::status_value);
-    assert_eq!(shown, ["Unknown", "Well", "Between", "Lost", "CutOff", "Crowded", "Some"]);
+    let status_values = zone_health.map(ZoneHealth::status_value);
+    assert_eq!(status_values, ["Unknown", "Well", "Between", "Lost", "CutOff", "Crowded", "Some"]);
     let levels = [
         FailoverLevel::Local,
         FailoverLevel::Spillover,
