--- a/crates/proxy/tests/process_lifecycle.rs
+++ b/crates/proxy/tests/process_lifecycle.rs
@@ -1,4 +1,5 @@
-//! Connections that come, stay and go, and the program that is told to stop, restarted or started wrongly, over loopback.
+//! End-to-end tests over loopback of how connections are opened, kept and closed, and of how the proxy starts, reloads
+//! its configuration, stops and restarts.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -24,7 +25,7 @@
     assert!(served(&served_client.ask(&look(15000))));
     let opened_at = Instant::now();
     let silent_clients: Vec<Client> = (0..150).map(|_| Client::bare(proxy.address)).collect();
-    // Some begin a statement and never end it.
+    // Some clients begin a statement and never finish it.
     let connect_with_partial_statement = || {
         let mut client = Client::connect(proxy.address);
         client.raw(b"Q\0\0\0");
@@ -32,9 +33,9 @@
     };
     let partial_statement_clients: Vec<Client> = (0..50).map(|_| connect_with_partial_statement()).collect();
     for _ in 0..5 {
-        assert!(served(&Client::connect(proxy.address).ask(&look(15000))), "there is room at once");
+        assert!(served(&Client::connect(proxy.address).ask(&look(15000))), "a new client is served at once");
     }
-    assert!(served(&served_client.ask(&look(15000))), "who was served before is not the first to go");
+    assert!(served(&served_client.ask(&look(15000))), "a client with earlier requests is not evicted first");
     assert!(silent_clients.into_iter().chain(partial_statement_clients).all(|mut client| client.ended()));
     assert!(opened_at.elapsed() < Duration::from_secs(15), "{:?}", opened_at.elapsed());
 }
@@ -50,7 +51,7 @@
         assert!(served(&client.ask(&look(15000))), "{index}");
         idle_clients.push(client);
         if index == 70 {
-            // Long before it would be closed for having stood idle.
+            // The oldest connection is closed well before the idle timeout.
             idle_clients[0].stream.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
             assert!(matches!(idle_clients[0].stream.read(&mut [0]), Ok(0)));
             assert!(served(&idle_clients[69].ask(&look(15000))));
@@ -70,7 +71,7 @@
         (0..900).take_while(|_| writer.write_all(&chunk).is_ok()).count()
     });
     assert_eq!(client.answer().unwrap().code, "08P01");
-    assert!(sender.join().unwrap() < 900, "most of it was never taken in");
+    assert!(sender.join().unwrap() < 900, "most of the message was never read");
     assert!(served(&Client::connect(proxy.address).ask(&look(15000))));
 }
 
@@ -84,24 +85,27 @@
     let mut client = Client::connect(proxy.address);
     assert!(served(&client.ask(&look(15000))));
     let configuration = config(new_discovery.start(), 256, &endpoint_list);
-    // A file that is half written, or gone, changes nothing.
+    // A truncated or missing file leaves the configuration unchanged.
     std::fs::write(&proxy.config, &configuration[..configuration.len() / 2]).unwrap();
     proxy.signal("-HUP");
-    until("the line on the half file", || proxy.logged("configuration not reloaded"));
+    until("the log line about the truncated file", || proxy.logged("configuration not reloaded"));
     std::fs::write(&proxy.config, configuration.replace("\"n0\"", "\"n1\"")).unwrap();
     new_discovery.say(list(2, false, &[("a", &old_member, "terminating"), ("b", &new_member, "in_service")]));
     proxy.signal("-HUP");
     proxy.signal("-HUP");
     let mut client = Client::connect(proxy.address);
-    until("a task at the member that only the new address names", || {
+    until("a request at the member that only the new discovery address lists", || {
         assert!(served(&client.ask(&look(15000))));
         !new_member.requests().is_empty()
     });
-    assert!(new_discovery.requests.lock().unwrap()[0].contains("index=1"), "the last list stays in force");
+    assert!(
+        new_discovery.requests.lock().unwrap()[0].contains("index=1"),
+        "the last endpoint list stays in force"
+    );
     assert!(proxy.logged("cannot change while running, field: name"));
     proxy.signal("-TERM");
     proxy.signal("-HUP");
-    until("the end", || proxy.child.try_wait().unwrap().is_some());
+    until("the exit of the proxy", || proxy.child.try_wait().unwrap().is_some());
     assert!(proxy.child.wait().unwrap().success());
 }
 
@@ -117,7 +121,7 @@
             member_old_connections.lock().unwrap().push(peer);
             thread::sleep(Duration::from_millis(100));
         }
-        // Connections from before it vanished stay open and silent; new ones are answered.
+        // From then on, connections opened before stay open without an answer; new ones are answered.
         if !member_old_connections_silent.load(Ordering::SeqCst)
             || !member_old_connections.lock().unwrap().contains(&peer)
         {
@@ -190,14 +194,14 @@
                     continue;
                 }
                 let response = client.answer().and_then(|_| client.answer());
-                // What comes late in the stop may find the door closed.
+                // A connection opened late in the shutdown may be closed without an answer.
                 let late_in_shutdown = terminated_at
                     .lock()
                     .unwrap()
                     .is_some_and(|terminated_at| terminated_at.elapsed() > Duration::from_millis(400));
                 assert!(response.as_ref().is_some_and(served) || late_in_shutdown, "{response:?}");
-                // On a connection in use an end between requests is allowed, half an answer or an error is
-                // not.
+                // The proxy may close a connection in use between requests, but must send neither a partial
+                // response nor an error.
                 while response.is_some() && !finished.load(Ordering::SeqCst) {
                     let mut query = Vec::new();
                     pg::write_query(&mut query, &[statement.as_bytes()]);
@@ -213,13 +217,13 @@
         })
     };
     let clients: Vec<_> = (0..8).map(traffic).collect();
-    until("traffic", || member.requests().len() > 50);
+    until("traffic before the restart", || member.requests().len() > 50);
     *terminated_at.lock().unwrap() = Some(Instant::now());
     proxy.signal("-TERM");
     assert!(proxy.child.wait().unwrap().success());
     let requests_before = member.requests().len();
     let restarted_proxy = Driver::at(address, &config);
-    until("traffic again", || member.requests().len() > requests_before + 50);
+    until("traffic after the restart", || member.requests().len() > requests_before + 50);
     finished.store(true, Ordering::SeqCst);
     for client in clients {
         assert!(client.join().unwrap() > 0);
@@ -261,9 +265,9 @@
     });
     let mut open_clients: Vec<&mut Client> = open_clients.collect();
     assert!((8..64).contains(&open_clients.len()), "{}", open_clients.len());
-    // With a request under way on each, the next is told that there is no room.
+    // With a request in flight on every connection, the next client is rejected.
     for (index, client) in open_clients.iter_mut().enumerate() {
-        // An empty query in the same piece: its answer shows that the request behind it was read, too.
+        // An empty query sent in the same write: its response shows that the request after it was read, too.
         let mut queries = Vec::new();
         pg::write_query(&mut queries, &[]);
         pg::write_query(&mut queries, &[named(&look(15000), &format!("5{index}")).as_bytes()]);
@@ -304,7 +308,7 @@
         clients.iter_mut().for_each(|client| client.send(&look(15000).replace("cluster=2", group)));
         assert!(clients.iter_mut().all(|client| served(&client.answer().unwrap())), "{group}");
     }
-    // Ten at once do not fit into the members' share beside the first member's ten idle ones.
+    // The members' share of descriptors has no room for ten connections beside the first member's ten idle ones.
     assert!(second.connections.load(Ordering::SeqCst) >= 8);
 }
 
@@ -369,21 +373,23 @@
     let mut client = Client::connect(proxy.address);
     let all_served = |client: &mut Client| (0..20).all(|_| served(&client.ask(&look(15000))));
     assert!(all_served(&mut client));
-    until("counts", || proxy.logged("shadow evaluation") && proxy.logged("not_health_checked="));
+    until("the counts of the shadow evaluation", || {
+        proxy.logged("shadow evaluation") && proxy.logged("not_health_checked=")
+    });
     let operator = proxy.operator.clone().unwrap();
-    // Settings that cannot be read: the counts go on, and so does service.
+    // With settings that cannot be parsed, the shadow evaluation and service continue.
     std::fs::write(&operator, shadow_configuration("{")).unwrap();
     proxy.signal("-HUP");
-    until("the line on the bad file", || proxy.logged("configuration not reloaded"));
+    until("the log line about the invalid settings", || proxy.logged("configuration not reloaded"));
     assert!(proxy.logged("shadow.settings: "));
     assert!(all_served(&mut client));
     std::fs::write(&operator, "{}").unwrap();
     proxy.signal("-HUP");
-    until("the line on the good file", || proxy.logged("configuration reloaded"));
+    until("the log line about the reload", || proxy.logged("configuration reloaded"));
     assert!(all_served(&mut client));
     proxy.signal("-TERM");
-    until("the end", || proxy.child.try_wait().unwrap().is_some());
-    // At the start such a file is refused in one line.
+    until("the exit of the proxy", || proxy.child.try_wait().unwrap().is_some());
+    // At startup such settings are rejected with a one-line message.
     let (mut command, _) = aldermill(&["check"], &config);
     let invalid_configuration =
         file("operator", &shadow_configuration(&TERMS.replace("\"look\"", "\"see\"")));
--- a/crates/proxy/tests/request_handling.rs
+++ b/crates/proxy/tests/request_handling.rs
@@ -1,5 +1,5 @@
-//! Requests through the whole program over loopback, with stand-ins for members and discovery: what is served, retried,
-//! rejected and failed.
+//! End-to-end tests of request handling over loopback, with scripted members and discovery: which requests are served,
+//! retried, rejected or failed.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -22,7 +22,7 @@
     assert!(client.ask("").empty);
     let statements: Vec<String> = (0..20).flat_map(|_| [look(15000), order(15000)]).collect();
     assert!(statements.iter().all(|text| served(&client.ask(text))));
-    // The replica answered at most one write, as not primary, before the primary was known.
+    // Until the primary is known, at most one write goes to the replica, which rejects it as not being primary.
     let forwarded = [primary.requests(), replica.requests()].concat();
     assert!(forwarded.len() <= 41, "{}", forwarded.len());
     let with_original_timeout = |text: &str| {
@@ -32,7 +32,7 @@
         format!("{before},d=15000,{after}")
     };
     assert!(forwarded.iter().all(|text| statements.contains(&with_original_timeout(text))));
-    // One request at a time needs one connection a member, and one more for a health check on the way.
+    // One request at a time needs one connection per member, and a concurrent health check needs one more.
     assert!(primary.connections.load(Ordering::SeqCst) <= 3);
 }
 
@@ -49,7 +49,7 @@
     for size in [bytes.len(), 1] {
         let mut client = Client::bare(proxy.address);
         client.stream.set_nodelay(true).unwrap();
-        // A request for encryption is refused first.
+        // The client first requests encryption, which the proxy declines.
         client.raw(&[0, 0, 0, 8, 4, 210, 22, 47]);
         let mut encryption_response = [0];
         client.stream.read_exact(&mut encryption_response).unwrap();
@@ -92,7 +92,7 @@
         assert_eq!(client.answer().unwrap().value.unwrap(), key.as_bytes());
     }
     assert_eq!(client.answer().unwrap().code, "08P01");
-    assert!(peak_concurrency.load(Ordering::SeqCst) >= 3, "one after another");
+    assert!(peak_concurrency.load(Ordering::SeqCst) >= 3, "requests ran one after another");
 }
 
 #[test]
@@ -104,15 +104,19 @@
     let unknown_group = look(15000).replace("cluster=2", "cluster=77");
     let max_after = look(15000).replace("cluster=2", &format!("cluster=2,after={}", u64::MAX));
     assert!(served(&client.ask(&max_after)));
-    assert_eq!(client.ask(&unknown_group).code, "53300", "its list may be old, and nothing was sent on");
+    assert_eq!(
+        client.ask(&unknown_group).code,
+        "53300",
+        "the endpoint list may be outdated, and nothing was forwarded"
+    );
     for statement in ["SELECT 1", &unknown_class, &look(0), "/* id=1", "SET x TO 1"] {
         assert_eq!(client.ask(statement).code, "08P01", "{statement}");
     }
-    // Messages of the extended protocol are skipped up to the next Sync.
+    // Extended-protocol messages are skipped up to the next Sync.
     client.raw(b"P\0\0\0\x08\0\0\0\0B\0\0\0\x04S\0\0\0\x04");
     assert_eq!(client.answer().unwrap().code, "0A000");
     assert!(served(&client.ask(&look(15000))));
-    // Where the framing is lost, the connection ends; the process lives.
+    // Invalid framing closes the connection, but the process keeps running.
     for garbage in
         [&b"Q\0\0\0\x01\0\0"[..], b"Q\x7f\xff\xff\xff", b"\x01\x02\x03\x04\x05\x06", b"y\0\0\0\x04"]
     {
@@ -173,14 +177,15 @@
 
 #[test]
 fn a_non_idempotent_request_of_unknown_outcome_fails_and_is_not_repeated() {
-    // Silence after the whole statement, a reset, an error, nonsense, and half a value.
+    // After the whole statement the member stays silent, closes the connection, or sends an error, a malformed response
+    // or a truncated one.
     let failures: [(&str, Box<Act>); 5] = [
         ("silent", Box::new(|_, _| {})),
-        ("cut", Box::new(|_, stream| stream.shutdown(std::net::Shutdown::Both).unwrap())),
+        ("closed", Box::new(|_, stream| stream.shutdown(std::net::Shutdown::Both).unwrap())),
         ("error", Box::new(|_, stream| refuse("XX000", "writer", stream))),
-        ("nonsense", Box::new(|_, stream| stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n").unwrap())),
+        ("malformed", Box::new(|_, stream| stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n").unwrap())),
         (
-            "half",
+            "truncated",
             Box::new(|_, stream| {
                 let mut out = Vec::new();
                 pg::write_single_row(&mut out, "val", b"the value", "INSERT 0 1");
@@ -207,7 +212,8 @@
 
 #[test]
 fn an_attempt_cut_before_its_last_byte_never_ran_and_is_retried() {
-    // With a small receive buffer and small segments the proxy's kernel cannot accept the whole statement at once.
+    // With a small receive buffer and small segments at the member, the kernel on the proxy's side cannot accept the
+    // whole statement at once.
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
     socket.set_tcp_mss(536).unwrap();
@@ -215,7 +221,7 @@
     socket.listen(64).unwrap();
     let closed_connections = Arc::new(AtomicUsize::new(0));
     let member_closed_connections = closed_connections.clone();
-    // The first two times that a request's beginning comes, the connection is cut.
+    // Closes the connection the first two times that the start of a request arrives.
     let keeps_open = move |bytes: &[u8], startup_complete: bool| {
         !startup_complete
             || !bytes[5..].starts_with(b"/*")
@@ -234,10 +240,12 @@
 fn a_drain_announced_while_a_connection_opens_withdraws_the_attempt() {
     let (connecting, startup_blocked) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(true)));
     let (member_connecting, member_startup_blocked) = (connecting.clone(), startup_blocked.clone());
-    // The first member accepts no startup until the endpoint list has announced its drain.
+    // The first member answers no startup message until the endpoint list has announced its drain.
     let keeps_open = move |_: &[u8], startup_complete: bool| {
         member_connecting.store(true, Ordering::SeqCst);
-        until("the drain", || startup_complete || !member_startup_blocked.load(Ordering::SeqCst));
+        until("the drain announcement", || {
+            startup_complete || !member_startup_blocked.load(Ordering::SeqCst)
+        });
         true
     };
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -247,9 +255,9 @@
     let proxy = Driver::start(&discovery, 256, &list(1, true, &[("a", &drained, "in_service")]));
     let mut client = Client::connect(proxy.address);
     client.send(&look(15000));
-    until("a connection", || connecting.load(Ordering::SeqCst));
+    until("a connection to the first member", || connecting.load(Ordering::SeqCst));
     discovery.say(list(2, false, &[("a", &drained, "terminating"), ("b", &primary, "in_service")]));
-    until("the list", || proxy.logged("revision: 2"));
+    until("the log line of the second endpoint list", || proxy.logged("revision: 2"));
     startup_blocked.store(false, Ordering::SeqCst);
     assert!(served(&client.answer().unwrap()));
     assert_eq!((drained.requests().len(), primary.requests().len()), (0, 1));
@@ -283,7 +291,7 @@
     let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).unwrap();
     let peak_line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
     let peak_kib: u64 = peak_line.trim().trim_end_matches(" kB").parse().unwrap();
-    println!("at its highest {peak_kib} kB");
+    println!("peak resident memory: {peak_kib} KiB");
     assert!(peak_kib < 64 * 1024, "{peak_kib}");
 }
 
--- a/crates/proxy/tests/stalled_clients.rs
+++ b/crates/proxy/tests/stalled_clients.rs
@@ -1,31 +1,36 @@
-//! Clients that stall in the middle of a message, over loopback: each connection ends within three seconds, whatever
-//! state it is in.
+//! End-to-end tests over loopback of clients that stall in the middle of a message: the proxy closes each connection
+//! within three seconds, whatever its state.
 
 use std::time::{Duration, Instant};
 
 use aldermill_test_support::{Client, Driver, Hold, Member, delivered, look, named, serve, served, sound};
 use aldermill_wire::pg;
 
-/// The longest time a stalled client's connection may stay open, with a busy machine's delays.
+/// Upper bound on how long a stalled client's connection may stay open: three seconds, and 300 ms for delays of a busy
+/// machine.
 const LONGEST_STALL: Duration = Duration::from_millis(3300);
 
+/// Returns the bytes of a startup message.
 fn startup_message() -> Vec<u8> {
     let mut bytes = Vec::new();
     pg::write_startup_message(&mut bytes, "client", "core");
     bytes
 }
 
+/// Returns the bytes of a query message with this statement.
 fn query_message(statement: &str) -> Vec<u8> {
     let mut bytes = Vec::new();
     pg::write_query(&mut bytes, &[statement.as_bytes()]);
     bytes
 }
 
+/// Returns a query message large enough that the proxy reserves buffer space for it.
 fn large_query_message() -> Vec<u8> {
     query_message(&look(15000).replace("'k'", &format!("'{}'", "9f".repeat(50_000))))
 }
 
-/// Asserts that the connection ends, by an error or a bare close, within [`LONGEST_STALL`] of `stopped`.
+/// Asserts that the connection is closed, with or without an error response, within [`LONGEST_STALL`] of
+/// `last_sent_at`.
 fn assert_disconnected(client: &mut Client, last_sent_at: Instant, state: &str) {
     let response = client.answer();
     assert!(response.as_ref().is_none_or(|response| !response.code.is_empty()), "{state}: {response:?}");
@@ -39,7 +44,8 @@
     let startup = startup_message();
     let mut with_partial_statement = startup.clone();
     with_partial_statement.extend_from_slice(&query_message(&look(15000))[..40]);
-    // Amid the length, the version, the parameters, behind them, and amid a statement that came along.
+    // The input ends within the length, the version or the parameters, after the startup message, and within a
+    // statement sent together with it.
     let partial_inputs =
         [&startup[..2], &startup[..6], &startup[..12], &startup[..], &with_partial_statement[..]];
     let mut clients: Vec<Client> = partial_inputs.iter().map(|_| Client::bare(proxy.address)).collect();
@@ -47,8 +53,8 @@
     clients.iter_mut().zip(partial_inputs).for_each(|(client, bytes)| client.raw(bytes));
     for (index, client) in clients.iter_mut().enumerate() {
         let startup_complete = index >= 3;
-        assert!(!startup_complete || client.answer().is_some(), "the welcome");
-        assert_disconnected(client, last_sent_at, &format!("stopped at {index}"));
+        assert!(!startup_complete || client.answer().is_some(), "no response to the startup message");
+        assert_disconnected(client, last_sent_at, &format!("partial input {index}"));
     }
 }
 
@@ -57,7 +63,8 @@
     let member = sound("writer");
     let proxy = Driver::before(&[("a", &member)]);
     let (small, large) = (query_message(&look(15000)), large_query_message());
-    // Amid the type, the length, the comment, and statements for which buffer space is reserved.
+    // The input ends after the message type, within the length, within the comment, and within statements for which
+    // buffer space is reserved.
     let partial_inputs =
         [&small[..1], &small[..3], &small[..30], &large[..20], &large[..60_000], &large[..large.len() - 1]];
     let mut clients: Vec<Client> = partial_inputs.iter().map(|_| Client::connect(proxy.address)).collect();
@@ -67,7 +74,7 @@
     let last_sent_at = Instant::now();
     clients.iter_mut().zip(partial_inputs).for_each(|(client, bytes)| client.raw(bytes));
     for (index, client) in clients.iter_mut().enumerate() {
-        assert_disconnected(client, last_sent_at, &format!("stopped at {index}"));
+        assert_disconnected(client, last_sent_at, &format!("partial input {index}"));
     }
     assert!(served(&Client::connect(proxy.address).ask(&look(15000))));
 }
@@ -91,8 +98,8 @@
     delivered(&client.stream);
     hold.open();
     let released_at = Instant::now();
-    assert!(served(&client.answer().expect("the answer to what came whole")));
-    assert_disconnected(&mut client, released_at, "behind a request");
+    assert!(served(&client.answer().expect("no response to the complete request")));
+    assert_disconnected(&mut client, released_at, "after a complete request");
 }
 
 #[test]
@@ -102,10 +109,10 @@
     let mut client = Client::connect(proxy.address);
     assert!(served(&client.ask(&look(15000))));
     let query = query_message(&look(15000));
-    // Pauses shorter than the stall timeout, together longer than it.
+    // Each pause is shorter than the stall timeout; together they are longer.
     for chunk in query.chunks(query.len().div_ceil(4)) {
         std::thread::sleep(Duration::from_millis(900));
         client.raw(chunk);
     }
-    assert!(served(&client.answer().expect("an answer")));
+    assert!(served(&client.answer().expect("no response")));
 }
--- a/crates/proxy/tests/status_json.rs
+++ b/crates/proxy/tests/status_json.rs
@@ -1,4 +1,4 @@
-//! The status sockets' JSON: operators' programs read it, so no key may change.
+//! Tests of the JSON from the status sockets. Operators' programs read it, so no key may change.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,8 +11,8 @@
 use aldermill_zone_failover::{FailoverLevel, ZoneHealth};
 use serde_json::{Value, json};
 
-/// Adds the paths of all keys under `value`, which stands at `path`; `[]` stands for each item of an array,
-/// `{}` for a site's name among shares.
+/// Adds the paths of all keys in `value`, whose own path is `path`. `[]` stands for every item of an array, `{}` for a
+/// site name used as a key of `shares`.
 fn collect_key_paths(value: &Value, path: &str, paths: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
@@ -33,22 +33,26 @@
     }
 }
 
+/// Returns the paths of all keys in `value`, as [`collect_key_paths`] writes them.
 fn key_paths(value: &Value) -> BTreeSet<String> {
     let mut paths = BTreeSet::new();
     collect_key_paths(value, "", &mut paths);
     paths
 }
 
+/// Splits a list of key paths at white space.
 fn key_set(paths: &str) -> BTreeSet<String> {
     paths.split_whitespace().map(str::to_owned).collect()
 }
 
+/// Runs the program with these arguments on a status socket. Returns the JSON that it prints, or null if it prints
+/// none.
 fn query_status(arguments: &[&str], socket: &Path) -> Value {
     let output = Command::new(program()).args(arguments).arg(socket).output().unwrap();
     serde_json::from_slice(&output.stdout).unwrap_or(Value::Null)
 }
 
-/// A folder of this test's own, removed when dropped.
+/// A temporary directory of one test, removed on drop.
 struct TempDir(PathBuf);
 
 impl TempDir {
@@ -59,14 +63,15 @@
         TempDir(path)
     }
 
+    /// Returns the path of a file or directory of this kind for the proxy with this name.
     fn path(&self, kind: &str, name: &str) -> PathBuf {
         self.0.join(format!("{kind}-{name}"))
     }
 
-    /// The operator's `fellows` of a driver, whose status socket is in this folder.
+    /// Returns the `fellows` section of a proxy's operator configuration, with the status socket in this directory.
     fn membership_section(&self, name: &str, listen: SocketAddr, peers: &[SocketAddr]) -> String {
         let peers: Vec<String> = peers.iter().map(|peer| format!(r#"{{"address":"{peer}"}}"#)).collect();
-        let (peers, status_socket) = (peers.join(","), self.path("fellows", name));
+        let (peers, status_socket) = (peers.join(","), self.path("peers", name));
         format!(
             r#""fellows":{{"fleet":"shop","listen":"{listen}","networks":["127.0.0.0/8"],"peers":[{peers}],"status":{status_socket:?}}}"#
         )
@@ -79,7 +84,7 @@
     }
 }
 
-/// A driver that knows this one member by a list newer than the stored one.
+/// Starts a proxy that knows only this member, from an endpoint list newer than the stored one.
 fn start_proxy(name: &str, member: &Member, operator: &str) -> Driver {
     let endpoint_list = list(8, true, &[("s-a", member, "in_service")]);
     let config =
@@ -87,6 +92,7 @@
     Driver::with("127.0.0.1:0".parse().unwrap(), &config, Some(operator))
 }
 
+/// Key paths in the report of `aldermill fellows --json` without coordination.
 const PEERS_KEYS: &str = "
 at_ms council dropped dropped.fleet dropped.not_ours dropped.stranger dropped.unusable dropped.version
 fellows fellows[].address fellows[].name fellows[].start fellows[].turn not_sent room_shared_by
@@ -94,7 +100,7 @@
 view view.alive view.may_be_smaller view.most_seen view.sure
 ";
 
-/// What stands under `council` at the drivers of a fleet, taken together.
+/// Key paths under `council` in the reports of all coordinating proxies of a fleet together.
 const COORDINATION_KEYS: &str = "
 council.aside
 council.decrees council.decrees[].by council.decrees[].duty council.decrees[].left_ms council.decrees[].number
@@ -113,6 +119,7 @@
 council.zones.views[].level council.zones.views[].sent council.zones.views[].served council.zones.views[].zone
 ";
 
+/// Key paths in the report of `aldermill sites`.
 const SITES_KEYS: &str = "
 book draining fates_kept gateways gateways[].barred gateways[].credits gateways[].credits.look
 gateways[].credits.order gateways[].draining gateways[].instance gateways[].links gateways[].round_trip_us
@@ -129,8 +136,8 @@
         format!("{{{}}}", directory.membership_section(["n0", "n1"][index], addresses[index], &addresses))
     };
     let _proxies = [0, 1].map(|index| start_proxy(["n0", "n1"][index], &member, &operator(index)));
-    let report = || query_status(&["fellows", "--json"], &directory.path("fellows", "n0"));
-    until("it sees the other", || report()["view"]["alive"] == 2);
+    let report = || query_status(&["fellows", "--json"], &directory.path("peers", "n0"));
+    until("the other proxy in the view", || report()["view"]["alive"] == 2);
     let report = report();
     assert_eq!(key_paths(&report), key_set(PEERS_KEYS));
     assert_eq!(report["council"], Value::Null);
@@ -155,7 +162,7 @@
     assert_eq!(report["dropped"], no_drops);
 }
 
-/// The operator's file of a driver of a council of three, for all duties, with a data directory.
+/// Returns the operator configuration of one of three coordinating proxies, with all leases and a data directory.
 fn operator_configuration(
     directory: &TempDir,
     name: &str,
@@ -163,7 +170,7 @@
     peers: &[SocketAddr],
 ) -> String {
     let (membership, data_directory) =
-        (directory.membership_section(name, listen, peers), directory.path("warm", name));
+        (directory.membership_section(name, listen, peers), directory.path("data", name));
     let status_socket = directory.path("sites", name);
     format!(
         r#"{{{membership},"warm":{{"folder":{data_directory:?}}},"gateway":{{"site":"site0",
@@ -173,17 +180,17 @@
     )
 }
 
-/// The data directory of `fixtures/stored_data` for n0.
+/// Copies `fixtures/stored_data` into the data directory of n0.
 fn copy_stored_data(directory: &TempDir) {
     let fixture = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/stored_data");
-    let data_directory = directory.path("warm", "n0");
+    let data_directory = directory.path("data", "n0");
     std::fs::create_dir(&data_directory).unwrap();
     for segment in ["0000000002.log", "0000000003.log", "0000000004.log"] {
         std::fs::copy(fixture.join(segment), data_directory.join(segment)).unwrap();
     }
 }
 
-/// Drivers n0, n1 and n2 of one council.
+/// Starts n0, n1 and n2 as the voters of one fleet.
 fn start_coordinating_proxies(directory: &TempDir, member: &Member) -> Vec<Driver> {
     let addresses: Vec<SocketAddr> = PROXY_NAMES.iter().map(|_| free_port()).collect();
     let proxies = PROXY_NAMES.iter().zip(&addresses);
@@ -194,12 +201,14 @@
         .collect()
 }
 
+/// Names of the coordinating proxies.
 const PROXY_NAMES: [&str; 3] = ["n0", "n1", "n2"];
 
+/// Returns the report of `aldermill fellows --json` for each coordinating proxy.
 fn query_peers_reports(directory: &TempDir) -> Vec<Value> {
     PROXY_NAMES
         .iter()
-        .map(|name| query_status(&["fellows", "--json"], &directory.path("fellows", name)))
+        .map(|name| query_status(&["fellows", "--json"], &directory.path("peers", name)))
         .collect()
 }
 
@@ -211,10 +220,10 @@
     let proxies = start_coordinating_proxies(&directory, &member);
     let expected = key_set(&[PEERS_KEYS, COORDINATION_KEYS].concat());
     let mut reports = Vec::new();
-    // Taken together over time: n0 may come to hold the lease on draining sites, and then plans anew.
+    // Collected over time, because n0 may acquire the lease on site drains and then makes new plans.
     let mut seen_keys = BTreeSet::new();
-    until("every key is there", || {
-        // The zones have something to show once drivers have sent requests there.
+    until("every key", || {
+        // A zone is reported only after proxies have sent requests there.
         proxies[1..].iter().for_each(|proxy| drop(Client::connect(proxy.address).ask(&look(1000))));
         reports = query_peers_reports(&directory);
         seen_keys.extend(reports.iter().flat_map(key_paths));
@@ -234,7 +243,7 @@
     assert_eq!(coordination["retire"]["words"], commands);
     let view = reports.iter().map(zone_view).find(|view| view.is_object()).unwrap();
     assert_eq!((&view["group"], &view["zone"]), (&json!(2), &json!(0)));
-    // Too few requests at first, then enough of them.
+    // `Unknown` with too few requests, `Well` once there are enough.
     let finding = view["finding"].as_str().unwrap();
     assert!(["Unknown", "Well"].contains(&finding) && view["level"] == "Near", "{view}");
     let split =
@@ -243,12 +252,12 @@
     assert!(key_set("cost_ms drivers state").is_subset(&key_paths(&body)), "{body}");
 }
 
-/// What the holder of the lease on zones knows of the first one.
+/// Returns the view of the first zone, which only the holder of the `zones` lease reports; null elsewhere.
 fn zone_view(report: &Value) -> &Value {
     &report["council"]["zones"]["views"][0]
 }
 
-/// Whether a directive says where group 2 is to be split.
+/// Tells whether a directive contains the split recommendation for group 2.
 fn is_split(directive: &Value) -> bool {
     directive["duty"] == "splits" && directive["subject"] == "2"
 }
@@ -266,18 +275,18 @@
     let mut moving = plan("site3", "goes", "moving");
     moving["waits"] = json!("room at site1");
     let expected = json!([moving, plan("site4", "held", "emptied"), plan("site5", "hurried", "retired")]);
-    until("the plans are obeyed", || {
+    until("the stored plans in the report", || {
         query_peers_reports(&directory)[0]["council"]["retire"]["acts_by"] == expected
     });
     let sites = query_status(&["sites"], &directory.path("sites", "n0"));
     assert_eq!(sites["book"], json!({"disk": true, "earlier_records": 5, "earlier_starts": 1}));
-    // The primary and the paces are too old by now; the list is read.
+    // The stored primary and service times are too old by now and count as unusable; the endpoint list is restored.
     assert!(proxies[0].logged("unusable_records: 2") && proxies[0].logged("revision: 7"));
 }
 
 #[test]
 fn a_lease_is_granted_above_the_stored_granted_term() {
-    // In 2096, while terms are taken from the clock.
+    // A term of the year 2096: terms are taken from the clock, in milliseconds since the Unix epoch.
     const TERM: u64 = 4_000_000_000_000;
     let limits = Limits {
         max_segment_bytes: 4 << 20,
@@ -287,7 +296,7 @@
     };
     let directory = TempDir::create("terms");
     for name in PROXY_NAMES {
-        let disk = Disk::open(&directory.path("warm", name)).unwrap();
+        let disk = Disk::open(&directory.path("data", name)).unwrap();
         let (mut store, _) = Store::open(disk, limits, 1).unwrap();
         let mut batch = Batch::default();
         batch.put(1, b"", format!(r#"{{"name":"{name}","format":1}}"#).as_bytes(), None);
@@ -297,13 +306,13 @@
     let member = sound("writer");
     let _proxies = start_coordinating_proxies(&directory, &member);
     let mut leases = Value::Null;
-    until("all leases are held", || {
+    until("a holder of every lease", || {
         leases = query_peers_reports(&directory)[0]["council"]["duties"].clone();
         leases.as_array().is_some_and(|all| all.iter().all(|lease| lease["term"].is_u64()))
     });
     let above_stored_term: Vec<bool> =
         leases.as_array().unwrap().iter().map(|lease| lease["term"].as_u64() > Some(TERM)).collect();
-    assert_eq!(above_stored_term, [true, false, false], "zones alone: {leases}");
+    assert_eq!(above_stored_term, [true, false, false], "only the `zones` lease has a stored term: {leases}");
 }
 
 #[test]
@@ -315,10 +324,10 @@
     remote_site.start(&[(0, None)]);
     local_site.start(&[(1, Some(remote_site.links))]);
     let query = || query_status(&["sites"], &local_site.status());
-    until("both links", || query()["gateways"][0]["links"] == 2);
+    until("both links between the sites", || query()["gateways"][0]["links"] == 2);
     let mut client = local_site.client();
-    until("a write crosses", || served(&client.ask(&order(3000))));
-    until("nothing is under way", || query()["tasks"] == 0);
+    until("a write forwarded to the other site", || served(&client.ask(&order(3000))));
+    until("the end of all tasks", || query()["tasks"] == 0);
     let report = query();
     assert_eq!(key_paths(&report), key_set(SITES_KEYS));
     assert_eq!((&report["site"], &report["instance"]), (&json!("site0"), &json!("n0")));
--- a/crates/proxy/tests/stored_data.rs
+++ b/crates/proxy/tests/stored_data.rs
@@ -1,7 +1,8 @@
-//! The data directory's format: what an earlier version wrote is read whole, and the same bytes are written today.
+//! Tests of the data directory's format: data written by an earlier version is read completely, and the same bytes are
+//! still written.
 //!
-//! `fixtures/stored_data` holds every kind of record: a compacted segment, one that is still empty, and a log behind them.
-//! `the_store_writes_the_same_segments_byte_for_byte` says how it was made.
+//! `fixtures/stored_data` contains every kind of record in three segments: a compacted one, an empty one, and a log
+//! after them. The test `the_store_writes_the_same_segments_byte_for_byte` shows how they were made.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -17,10 +18,11 @@
     Change, KnownPrimary, RestoredState, SavedState, ServiceTime, StateSnapshot, namespace, restore,
 };
 
-/// When the fixture was written, in Unix microseconds.
+/// Time at which the fixture was written, in microseconds since the Unix epoch.
 const WRITTEN_AT: i64 = 1_700_000_000_000_000;
-/// When its outcomes and its promise expire: in 2096.
+/// Expiry time of the fixture's outcomes and promise, in microseconds since the Unix epoch: in the year 2096.
 const EXPIRES_AT: i64 = 4_000_000_000_000_000;
+/// One second in microseconds.
 const SECOND: i64 = 1_000_000;
 const LIMITS: Limits = Limits {
     max_segment_bytes: 4 << 20,
@@ -36,14 +38,16 @@
 const HOME_SITE: &str = r#""site1""#;
 const SERVICE_TIMES: &str =
     r#"{"at":1700000000000000,"paces":{"read":{"usual":1500,"slow":9000}},"windows":{"s-a":3,"s-b":-1}}"#;
-/// Earlier start 0x0102030405060708, request 9, sender's start 10, site and instance.
+/// Key of an outcome: the incarnation 0x0102030405060708 that accepted the request (an earlier start), request 9, the
+/// sender's incarnation 10, site and instance.
 const OUTCOME_KEY: &[u8] = b"\x01\x02\x03\x04\x05\x06\x07\x08\0\0\0\0\0\0\0\x09\0\0\0\0\0\0\0\x0asite1\0n5";
 
+/// Returns the path of the fixture.
 fn fixture_path() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/stored_data")
 }
 
-/// A folder of this test's own, removed when dropped.
+/// A temporary directory of one test, removed on drop.
 struct TempDir(PathBuf);
 
 impl TempDir {
@@ -69,7 +73,7 @@
     }
 }
 
-/// The segments of a data directory, by file name.
+/// Returns the segments of a data directory by file name.
 fn segments(directory: &Path) -> BTreeMap<String, Vec<u8>> {
     let entries = std::fs::read_dir(directory).unwrap().map(|entry| entry.unwrap());
     let named = entries.map(|entry| (entry.file_name().into_string().unwrap(), entry.path()));
@@ -77,20 +81,23 @@
     logs.map(|(name, path)| (name, std::fs::read(path).unwrap())).collect()
 }
 
-/// A child process holds the descriptors of this one until it executes its program, the lock on a data directory included.
-/// So no case starts a program while another one closes a directory and opens it again.
+/// Held while a test starts a program, and while a test closes a data directory and opens it again. Between fork and
+/// exec a child process has its parent's descriptors, including the lock on a data directory, so that opening would
+/// fail.
 static PROCESS_SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
+/// Runs `aldermill store` with this command on a data directory. Returns whether it succeeded, and its output with its
+/// error output.
 fn run_store_command(command: &str, directory: &Path) -> (bool, String) {
     let _guard = PROCESS_SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let output = Command::new(program()).args(["store", command]).arg(directory).output().unwrap();
     (output.status.success(), String::from_utf8([output.stdout, output.stderr].concat()).unwrap())
 }
 
-/// The last byte of a request's number, its outcome and the stored form of that.
+/// Last byte of a request's number, the request's outcome, and the encoded outcome.
 type StoredOutcome = (u8, Outcome<Vec<u8>>, &'static [u8]);
 
-/// The outcomes that the fixture holds.
+/// Returns the outcomes in the fixture.
 fn outcomes() -> [StoredOutcome; 5] {
     [
         (9, Outcome::Served(b"DDDD\0\x01".to_vec()), b"HDDDD\0\x01"),
@@ -101,12 +108,14 @@
     ]
 }
 
+/// Returns [`OUTCOME_KEY`] with `number` as the last byte of the request number.
 fn outcome_key(number: u8) -> Vec<u8> {
     let mut key = OUTCOME_KEY.to_vec();
     key[15] = number;
     key
 }
 
+/// Returns a site drain plan in which only these parts vary.
 fn plan(site: &str, order: Order, stage: Stage, wait_text: Option<&str>) -> Plan {
     let operator_command =
         OperatorCommand { site: site.to_owned(), number: 3, order, deadline_unix_ms: 1_700_000_600_000 };
@@ -114,7 +123,7 @@
     Plan { command: operator_command, stage, weight: 250, shares, wait_text: wait_text.map(str::to_owned) }
 }
 
-/// The plans of sites that drain, with their stored form.
+/// Returns the site drain plans in the fixture with their encoded form.
 fn plans() -> [(Plan, &'static str); 4] {
     [
         (
@@ -136,7 +145,7 @@
     ]
 }
 
-/// The records of the first segment, all as literals.
+/// Returns the records of the first segment, with every value as a literal.
 fn first_batch() -> Batch {
     let mut batch = Batch::default();
     let mut put = |namespace, key: &[u8], value: &[u8]| batch.put(namespace, key, value, None);
@@ -163,7 +172,7 @@
     batch
 }
 
-/// The last segment raises a term and removes a member.
+/// Returns the records of the last segment, which raise a term and remove a member.
 fn second_batch() -> Batch {
     let mut batch = Batch::default();
     batch.put(8, b"zones", b"\0\0\0\0\0\0\x01\x05", None);
@@ -171,6 +180,7 @@
     batch
 }
 
+/// Reads a copy of the fixture as of two seconds after it was written, and asserts that it is undamaged.
 fn open_fixture(name: &str) -> (Snapshot, TempDir) {
     let directory = TempDir::copy_of_fixture(name);
     let (snapshot, report) =
@@ -179,6 +189,7 @@
     (snapshot, directory)
 }
 
+/// Returns the warm-start state that the fixture contains.
 fn warm_start_snapshot() -> StateSnapshot {
     let entries = [("s-a".to_owned(), MEMBER_A.to_owned()), ("s-b".to_owned(), MEMBER_B.to_owned())];
     StateSnapshot {
@@ -251,7 +262,7 @@
 
 #[test]
 fn the_stored_warm_start_records_are_restored_as_these_values() {
-    let (snapshot, _directory) = open_fixture("recall");
+    let (snapshot, _directory) = open_fixture("restore");
     let restored = restore("n0", WRITTEN_AT + 2 * SECOND, snapshot.entries()).unwrap();
     assert_eq!(
         restored,
@@ -304,7 +315,7 @@
         };
         assert_eq!(encode_outcome(&borrowed), encoded);
     }
-    assert_eq!(snapshot.namespace_entries(6).count(), 5, "the expired one is gone");
+    assert_eq!(snapshot.namespace_entries(6).count(), 5, "the expired outcome is left out");
 }
 
 #[test]
