--- a/crates/proxy/src/client/close.rs
+++ b/crates/proxy/src/client/close.rs
@@ -89,7 +89,7 @@
     /// Whether the system may keep what the client has not read. It does so for a bounded time after the close, and
     /// the bytes count against the buffer budget until then.
     fn may_leave_unread(&mut self) -> bool {
-        let unread = self.unread.bytes_in_system(self.context.limits.buffers.client_socket);
+        let unread = self.unread.bytes_in_system(self.context.limits.buffers.client_socket_buffer);
         if unread < self.context.limits.buffers.ignorable_unread {
             return true;
         }
--- a/crates/proxy/src/client/intake.rs
+++ b/crates/proxy/src/client/intake.rs
@@ -84,7 +84,7 @@
 impl ClientConnection {
     /// What stands at the front of the read buffer; an error where that is no message.
     pub(super) fn next_message(&self) -> Result<NextMessage, Malformed> {
-        let max = self.context.limits.buffers.statement;
+        let max = self.context.limits.buffers.max_statement;
         let Some(message) = pg::message(self.buffer.held(), max)? else { return Ok(NextMessage::NoneYet) };
         if message.tag == TERMINATE {
             return Ok(NextMessage::Terminate);
--- a/crates/proxy/src/client/listener.rs
+++ b/crates/proxy/src/client/listener.rs
@@ -8,7 +8,7 @@
 use tokio::time::{Instant, sleep_until};
 
 use super::registry::ConnectionRegistry;
-use crate::lifecycle::limits::Descriptors;
+use crate::lifecycle::limits::DescriptorLimits;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::system::Acceptor;
 
@@ -25,7 +25,7 @@
 
 /// Warns where the configuration promises more descriptors than the system allows.
 fn warn_of_few_descriptors(context: &ProcessContext) {
-    let Descriptors { configured, allowed } = context.limits.descriptors;
+    let DescriptorLimits { configured, allowed } = context.limits.descriptors;
     if allowed < configured {
         warn!(context.log, "the system allows fewer descriptors than limits.sockets, those are shared out; raise ulimit -n";
             "allowed" => allowed, "configured" => configured);
--- a/crates/proxy/src/client/response.rs
+++ b/crates/proxy/src/client/response.rs
@@ -141,7 +141,7 @@
             self.connection_guard.stop_metering();
         }
         if let Some(reservation) = response.reservation {
-            self.unread.retain(reservation, self.context.limits.buffers.client_socket);
+            self.unread.retain(reservation, self.context.limits.buffers.client_socket_buffer);
         }
         Ok(())
     }
--- a/crates/proxy/src/discovery/stream.rs
+++ b/crates/proxy/src/discovery/stream.rs
@@ -93,13 +93,13 @@
         if self.body.is_some() {
             return Ok(());
         }
-        let head = http::parse_response_head(self.buffer.held(), self.limits.response_head);
+        let head = http::parse_response_head(self.buffer.held(), self.limits.max_response_head);
         let Some(head) = head.map_err(WatchError::Malformed)? else { return Ok(()) };
         if head.status != STATUS_OK {
             return Err(WatchError::Status(head.status));
         }
         self.buffer.consume(head.length);
-        self.body = Some(http::BodyLines::new(head.body, self.limits.list_line));
+        self.body = Some(http::BodyLines::new(head.body, self.limits.max_list_line));
         Ok(())
     }
 
@@ -122,7 +122,7 @@
     /// cuts in two has lost its end.
     pub(super) fn add_line(&mut self, line: &[u8]) -> Result<Option<Vec<u8>>, WatchError> {
         if !line.trim_ascii().is_empty() {
-            return self.list.add_line(line, self.limits.list_line).map_err(WatchError::Malformed);
+            return self.list.add_line(line, self.limits.max_list_line).map_err(WatchError::Malformed);
         }
         if self.list.is_open() { Err(WatchError::Truncated) } else { Ok(None) }
     }
--- a/crates/proxy/src/gateway/outbound.rs
+++ b/crates/proxy/src/gateway/outbound.rs
@@ -15,7 +15,7 @@
 use super::LinkRegistry;
 use super::errors::ConnectError;
 use super::link::LinkConnection;
-use crate::lifecycle::limits::RetryInterval;
+use crate::lifecycle::limits::RetryBackoff;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::system::{self, SocketErrorKind};
 
@@ -77,7 +77,7 @@
     /// Opens the link again whenever it has ended, until this process shuts down. The wait before that is random, so that
     /// many gateways do not come back at once, and longer after each attempt that failed.
     async fn maintain(mut self) {
-        let RetryInterval { initial, max } = self.context.limits.links.retry;
+        let RetryBackoff { initial, max } = self.context.limits.links.retry;
         loop {
             let may_retry_soon = self.open_and_run().await;
             if may_retry_soon {
--- a/crates/proxy/src/lifecycle/boot_clock.rs
+++ b/crates/proxy/src/lifecycle/boot_clock.rs
@@ -20,8 +20,8 @@
     /// `None` where the system does not name its boot, so that two processes can't know that they read the same clock.
     pub fn open() -> Option<BootClock> {
         let text = fs::read_to_string(BOOT_ID_FILE).ok()?;
-        let number = u128::from_str_radix(&text.trim().replace('-', ""), 16).ok()?;
-        (number != 0).then_some(BootClock { boot: BootId(number.to_be_bytes()) })
+        let id = u128::from_str_radix(&text.trim().replace('-', ""), 16).ok()?;
+        (id != 0).then_some(BootClock { boot: BootId(id.to_be_bytes()) })
     }
 
     /// The time now.
--- a/crates/proxy/src/lifecycle/clock.rs
+++ b/crates/proxy/src/lifecycle/clock.rs
@@ -57,7 +57,7 @@
     }
 
     /// How long the machine was suspended since the start, as far as that counts.
-    fn suspended(&self) -> Micros {
+    fn suspended_since_start(&self) -> Micros {
         let Some(SuspensionCounter { clock, at_start }) = self.suspension else { return 0 };
         (clock() - at_start).max(0)
     }
@@ -70,12 +70,12 @@
     /// This clock's time at an instant of tokio's.
     pub fn at(&self, instant: Instant) -> Micros {
         let elapsed = instant.saturating_duration_since(self.start).as_micros() as Micros;
-        self.unix_start + elapsed + self.suspended()
+        self.unix_start + elapsed + self.suspended_since_start()
     }
 
     /// The instant of tokio's clock at which this one shows `at`, unless the machine is suspended before.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.start + duration(at - self.unix_start - self.suspended())
+        self.start + duration(at - self.unix_start - self.suspended_since_start())
     }
 }
 
@@ -111,7 +111,7 @@
 
 /// How long the machine has been suspended since it was started: the difference of the system's two steady clocks, of which
 /// one counts suspension.
-pub fn suspended() -> Micros {
+pub fn suspended_time() -> Micros {
     // Read in this order, a pause in between makes a suspension shorter, and never shows one where there was none.
     let with_suspension = read_system_clock(uapi::c::CLOCK_BOOTTIME);
     with_suspension - read_system_clock(uapi::c::CLOCK_MONOTONIC)
--- a/crates/proxy/src/lifecycle/configuration.rs
+++ b/crates/proxy/src/lifecycle/configuration.rs
@@ -13,7 +13,7 @@
 use crate::lifecycle::errors::{ConfigurationError, ProgramError};
 use crate::lifecycle::flow_limits;
 use crate::lifecycle::immutable_fields::{ImmutableField, ImmutableFields};
-use crate::lifecycle::limits::{Descriptors, Limits};
+use crate::lifecycle::limits::{DescriptorLimits, Limits};
 use crate::shadow::ShadowRouter;
 
 /// The least of `limits.sockets`.
@@ -39,7 +39,7 @@
 
 /// The configuration as the file holds it.
 #[derive(Deserialize)]
-struct ConfigurationForm {
+struct ConfigurationDocument {
     name: String,
     /// An address with a port.
     listen: String,
@@ -55,14 +55,14 @@
     settings: Box<RawValue>,
 }
 
-impl ConfigurationForm {
+impl ConfigurationDocument {
     /// The fields that cannot change while the process runs.
     fn immutable_fields(&self) -> Vec<ImmutableField> {
         vec![
             ImmutableField::new("name", &self.name),
             ImmutableField::new("listen", &self.listen),
-            ImmutableField::new("limits", &json(&self.limits)),
-            ImmutableField::new("settings", &json(&self.settings)),
+            ImmutableField::new("limits", &parse_json(&self.limits)),
+            ImmutableField::new("settings", &parse_json(&self.settings)),
         ]
     }
 }
@@ -78,16 +78,19 @@
 
 impl PlatformLimits {
     /// Reads the limits, and checks them and the system's limit on open files.
-    fn parse(text: &RawValue) -> Result<(PlatformLimits, Descriptors), ConfigurationError> {
+    fn parse(text: &RawValue) -> Result<(PlatformLimits, DescriptorLimits), ConfigurationError> {
         let limits: PlatformLimits =
-            serde_json::from_str(text.get()).map_err(ConfigurationError::LimitsForm)?;
-        at_least("sockets", limits.sockets, MIN_SOCKETS)?;
-        let descriptors = Descriptors::of_this_process(limits.sockets);
-        if descriptors.allowed < Descriptors::LEAST {
+            serde_json::from_str(text.get()).map_err(ConfigurationError::LimitsFormat)?;
+        check_minimum("sockets", limits.sockets, MIN_SOCKETS)?;
+        let descriptors = DescriptorLimits::for_current_process(limits.sockets);
+        if descriptors.allowed < DescriptorLimits::MINIMUM {
             let allowed = descriptors.allowed;
-            return Err(ConfigurationError::TooFewDescriptors { allowed, minimum: Descriptors::LEAST });
+            return Err(ConfigurationError::TooFewDescriptors {
+                allowed,
+                minimum: DescriptorLimits::MINIMUM,
+            });
         }
-        at_least("memory_mb", limits.memory_mb, MIN_MEMORY_MB)?;
+        check_minimum("memory_mb", limits.memory_mb, MIN_MEMORY_MB)?;
         Ok((limits, descriptors))
     }
 }
@@ -146,21 +149,23 @@
         environment: impl Fn(&str) -> Option<String>,
         operator: Operator,
     ) -> Result<Configuration, ConfigurationError> {
-        let form: ConfigurationForm = serde_json::from_str(text).map_err(ConfigurationError::Form)?;
-        let (platform, descriptors) = PlatformLimits::parse(&form.limits)?;
-        let settings = Settings::parse(form.settings.get()).map_err(ConfigurationError::Settings)?;
-        let immutable = ImmutableFields::new(form.immutable_fields(), &operator);
+        let document: ConfigurationDocument =
+            serde_json::from_str(text).map_err(ConfigurationError::Format)?;
+        let (platform, descriptors) = PlatformLimits::parse(&document.limits)?;
+        let settings = Settings::parse(document.settings.get()).map_err(ConfigurationError::Settings)?;
+        let immutable = ImmutableFields::new(document.immutable_fields(), &operator);
         let memory = platform.memory_mb as u64 * BYTES_PER_MB;
         let buffer_kib = operator.slow_peers.buffer_kib;
         Ok(Configuration {
-            name: environment("GW_NAME").unwrap_or(form.name),
-            listen: address("listen", environment("GW_LISTEN").unwrap_or(form.listen))?,
-            discovery: address("discovery", environment("GW_DISCOVERY").unwrap_or(form.discovery))?,
-            seed: u64::from_str_radix(&form.seed, 16).map_err(|_| ConfigurationError::Seed(form.seed))?,
+            name: environment("GW_NAME").unwrap_or(document.name),
+            listen: parse_address("listen", environment("GW_LISTEN").unwrap_or(document.listen))?,
+            discovery: parse_address("discovery", environment("GW_DISCOVERY").unwrap_or(document.discovery))?,
+            seed: u64::from_str_radix(&document.seed, 16)
+                .map_err(|_| ConfigurationError::Seed(document.seed))?,
             memory,
             limits: Limits::new(descriptors, platform.memory_mb, &settings, buffer_kib),
             flow_limits: FlowLimits::for_memory(memory),
-            endpoint_list: form.known,
+            endpoint_list: document.known,
             settings,
             shadow: None,
             operator,
@@ -169,8 +174,8 @@
     }
 
     fn read_shadow_settings(&mut self, files: &ConfigurationFiles) -> Result<(), ProgramError> {
-        let Some(wanted) = &self.operator.shadow else { return Ok(()) };
-        let shadow = ShadowRouter::load(wanted, &self.settings)
+        let Some(config) = &self.operator.shadow else { return Ok(()) };
+        let shadow = ShadowRouter::load(config, &self.settings)
             .map_err(|source| ProgramError::ShadowSettings { path: files.operator_or_config(), source })?;
         self.shadow = Some(shadow);
         Ok(())
@@ -180,9 +185,9 @@
     fn apply_slow_peers(&mut self, files: &ConfigurationFiles) -> Result<(), ProgramError> {
         self.flow_limits = flow_limits::apply(self.flow_limits, &self.operator.slow_peers);
         let buffers = &self.limits.buffers;
-        flow_limits::check(&self.flow_limits, buffers.statement, buffers.response).map_err(|low| {
+        flow_limits::check(&self.flow_limits, buffers.max_statement, buffers.max_response).map_err(|error| {
             let path = files.operator_or_config();
-            ProgramError::FlowLimitTooLow { path, field: low.field, minimum: low.minimum }
+            ProgramError::FlowLimitTooLow { path, field: error.field, minimum: error.minimum }
         })
     }
 }
@@ -203,17 +208,17 @@
         .map_err(|source| ProgramError::OperatorFile { path: path.to_owned(), source })
 }
 
-fn address(field: &'static str, text: String) -> Result<SocketAddr, ConfigurationError> {
+fn parse_address(field: &'static str, text: String) -> Result<SocketAddr, ConfigurationError> {
     text.parse().map_err(|_| ConfigurationError::Address { field, text })
 }
 
-fn at_least(field: &'static str, value: usize, minimum: usize) -> Result<(), ConfigurationError> {
+fn check_minimum(field: &'static str, value: usize, minimum: usize) -> Result<(), ConfigurationError> {
     if value < minimum {
         return Err(ConfigurationError::LimitTooLow { field, value, minimum });
     }
     Ok(())
 }
 
-fn json(text: &RawValue) -> Value {
+fn parse_json(text: &RawValue) -> Value {
     serde_json::from_str(text.get()).unwrap_or_default()
 }
--- a/crates/proxy/src/lifecycle/errors.rs
+++ b/crates/proxy/src/lifecycle/errors.rs
@@ -148,7 +148,7 @@
 pub enum ConfigurationError {
     /// It is no JSON, or a field is missing or of another type.
     #[error("{0}; the file is not in the form that the README shows")]
-    Form(serde_json::Error),
+    Format(serde_json::Error),
     /// A field is not an address with a port.
     #[error("{field}: {text:?} is no address with a port; write it as 127.0.0.1:5432 or [::1]:5432")]
     Address {
@@ -162,7 +162,7 @@
     Seed(String),
     /// `limits` lacks a field, or one is of another type.
     #[error("limits: {0}; `memory_mb` and `sockets` are needed, as whole numbers")]
-    LimitsForm(serde_json::Error),
+    LimitsFormat(serde_json::Error),
     /// The process cannot work with so little.
     #[error("limits.{field}: {value} is too little, {minimum} are needed")]
     LimitTooLow {
--- a/crates/proxy/src/lifecycle/flow_limits.rs
+++ b/crates/proxy/src/lifecycle/flow_limits.rs
@@ -3,7 +3,7 @@
 use aldermill_flow_control::{
     AddressLimits, FlowLimits, FlowLimitsError, Micros, MinimumRate, PressureThresholds,
 };
-use aldermill_operator_config::{MinimumRate as WantedRate, SlowPeersConfig};
+use aldermill_operator_config::{MinimumRate as MinimumRateConfig, SlowPeersConfig};
 
 const KIB: u64 = 1024;
 
@@ -17,36 +17,36 @@
 }
 
 /// The usual limits, but for what the operator's file says otherwise.
-pub fn apply(usual: FlowLimits, wanted: &SlowPeersConfig) -> FlowLimits {
-    let budget = wanted.room_kib.map_or(usual.budget, |kib| kib.saturating_mul(KIB));
+pub fn apply(defaults: FlowLimits, config: &SlowPeersConfig) -> FlowLimits {
+    let budget = config.room_kib.map_or(defaults.budget, |kib| kib.saturating_mul(KIB));
     // Parts that the file does not name keep their proportion.
-    let scaled = |part: u64| (part as f64 / usual.budget as f64 * budget as f64) as u64;
-    let share = |share: f64| (share.clamp(0.0, 1.0) * budget as f64) as u64;
+    let scaled = |part: u64| (part as f64 / defaults.budget as f64 * budget as f64) as u64;
+    let share = |fraction: f64| (fraction.clamp(0.0, 1.0) * budget as f64) as u64;
     FlowLimits {
         budget,
-        per_connection: wanted
+        per_connection: config
             .connection_kib
-            .map_or(scaled(usual.per_connection), |kib| kib.saturating_mul(KIB)),
-        per_address: wanted.per_address.map(|most| AddressLimits {
-            connections: most.connections as usize,
-            budget: most.room_kib.saturating_mul(KIB),
+            .map_or(scaled(defaults.per_connection), |kib| kib.saturating_mul(KIB)),
+        per_address: config.per_address.map(|limits| AddressLimits {
+            connections: limits.connections as usize,
+            budget: limits.room_kib.saturating_mul(KIB),
         }),
-        priority_reserve: wanted.best_paid_share.map_or(scaled(usual.priority_reserve), share),
-        pressure: match wanted.short {
-            Some(short) => PressureThresholds { enter: share(short.enter), leave: share(short.leave) },
+        priority_reserve: config.best_paid_share.map_or(scaled(defaults.priority_reserve), share),
+        pressure: match config.short {
+            Some(levels) => PressureThresholds { enter: share(levels.enter), leave: share(levels.leave) },
             None => PressureThresholds {
-                enter: scaled(usual.pressure.enter),
-                leave: scaled(usual.pressure.leave),
+                enter: scaled(defaults.pressure.enter),
+                leave: scaled(defaults.pressure.leave),
             },
         },
-        to_client: minimum_rate(usual.to_client, wanted.reading),
-        from_client: minimum_rate(usual.from_client, wanted.sending),
-        from_member: minimum_rate(usual.from_member, wanted.answering),
-        to_member: minimum_rate(usual.to_member, wanted.taking),
-        reservation_timeout: wanted.patience_ms.map_or(usual.reservation_timeout, micros),
-        max_slow_time: wanted.overdue_ms.map_or(usual.max_slow_time, micros),
-        linger_timeout: wanted.lingering_ms.map_or(usual.linger_timeout, micros),
-        shutdown_grace: wanted.stopping_ms.map_or(usual.shutdown_grace, micros),
+        to_client: minimum_rate(defaults.to_client, config.reading),
+        from_client: minimum_rate(defaults.from_client, config.sending),
+        from_member: minimum_rate(defaults.from_member, config.answering),
+        to_member: minimum_rate(defaults.to_member, config.taking),
+        reservation_timeout: config.patience_ms.map_or(defaults.reservation_timeout, micros),
+        max_slow_time: config.overdue_ms.map_or(defaults.max_slow_time, micros),
+        linger_timeout: config.lingering_ms.map_or(defaults.linger_timeout, micros),
+        shutdown_grace: config.stopping_ms.map_or(defaults.shutdown_grace, micros),
     }
 }
 
@@ -56,21 +56,21 @@
         FlowLimitsError::ConnectionsPerAddress { minimum } => {
             LimitTooLow { field: "per_address.connections", minimum }
         }
-        FlowLimitsError::PerAddress { minimum } => in_kib("per_address.room_kib", minimum),
-        FlowLimitsError::PerConnection { minimum } => in_kib("connection_kib", minimum),
-        FlowLimitsError::Budget { minimum } => in_kib("room_kib", minimum),
+        FlowLimitsError::PerAddress { minimum } => too_low_in_kib("per_address.room_kib", minimum),
+        FlowLimitsError::PerConnection { minimum } => too_low_in_kib("connection_kib", minimum),
+        FlowLimitsError::Budget { minimum } => too_low_in_kib("room_kib", minimum),
     })
 }
 
-fn in_kib(field: &'static str, minimum: u64) -> LimitTooLow {
+fn too_low_in_kib(field: &'static str, minimum: u64) -> LimitTooLow {
     LimitTooLow { field, minimum: minimum.div_ceil(KIB) }
 }
 
-fn minimum_rate(usual: MinimumRate, wanted: WantedRate) -> MinimumRate {
+fn minimum_rate(defaults: MinimumRate, config: MinimumRateConfig) -> MinimumRate {
     MinimumRate {
-        bytes_per_second: wanted.bytes_a_second.map_or(usual.bytes_per_second, |rate| rate.max(1)),
-        start_allowance: wanted.start_ms.map_or(usual.start_allowance, micros),
-        pause_allowance: wanted.window_ms.map_or(usual.pause_allowance, micros),
+        bytes_per_second: config.bytes_a_second.map_or(defaults.bytes_per_second, |rate| rate.max(1)),
+        start_allowance: config.start_ms.map_or(defaults.start_allowance, micros),
+        pause_allowance: config.window_ms.map_or(defaults.pause_allowance, micros),
     }
 }
 
--- a/crates/proxy/src/lifecycle/limits/connections.rs
+++ b/crates/proxy/src/lifecycle/limits/connections.rs
@@ -6,23 +6,23 @@
 use super::descriptors::DescriptorReserve;
 
 /// Descriptors that clients and members have at the least, however many the program needs for itself.
-const LEAST_SHARED: usize = 4;
+const MIN_SHARED: usize = 4;
 /// The least number of connections of clients, and of members: one in use while another is being closed.
-const LEAST_CONNECTIONS: usize = 2;
+const MIN_CONNECTIONS: usize = 2;
 /// The clients' share of the descriptors, as a fraction; members have the rest.
-const CLIENT_SHARE: Fraction = Fraction { of: 3, parts: 5 };
+const CLIENT_SHARE: Fraction = Fraction { numerator: 3, denominator: 5 };
 /// The part of the memory that small messages of all client connections together may take. Large messages reserve what
 /// they need in half of the memory, however many connections there are.
-const CLIENT_MEMORY: Fraction = Fraction { of: 2, parts: 10 };
+const CLIENT_MEMORY_SHARE: Fraction = Fraction { numerator: 2, denominator: 10 };
 /// Small messages that one client connection may hold at once.
 const MESSAGES_PER_CLIENT: usize = 4;
 /// The part of the memory that small messages of all connections to members together may take.
-const MEMBER_MEMORY: Fraction = Fraction { of: 1, parts: 10 };
+const MEMBER_MEMORY_SHARE: Fraction = Fraction { numerator: 1, denominator: 10 };
 /// Small messages that one connection to a member may hold at once.
 const MESSAGES_PER_MEMBER: usize = 2;
 /// Active clients hold at most this part of all descriptors (one in four): clients have a limit on descriptors, too,
 /// and some open a connection for each request and never use it twice.
-const ACTIVE_CLIENT_PARTS: usize = 4;
+const ACTIVE_CLIENT_DIVISOR: usize = 4;
 /// Whoever had a response so short a time ago is about to send the next request.
 const RECENTLY_ACTIVE: Duration = Duration::from_millis(250);
 /// Bounds the descriptors held by peers that never end their side; an error on its way arrives in less.
@@ -30,18 +30,18 @@
 /// Finds client machines that vanished without closing; further probes follow at a third of it.
 const KEEPALIVE: Duration = Duration::from_secs(30);
 
-/// `of` parts out of `parts`, in whole numbers.
+/// `numerator` parts out of `denominator`, in whole numbers.
 struct Fraction {
     /// How many of the parts.
-    of: usize,
+    numerator: usize,
     /// Into how many equal parts the whole is divided.
-    parts: usize,
+    denominator: usize,
 }
 
 impl Fraction {
     /// This part of a whole, rounded down.
     fn times(&self, whole: usize) -> usize {
-        whole * self.of / self.parts
+        whole * self.numerator / self.denominator
     }
 }
 
@@ -72,16 +72,16 @@
 }
 
 impl ConnectionLimits {
-    /// Divides `sockets` descriptors; fewer connections where their small messages would not fit into `memory` bytes.
-    pub(super) fn new(sockets: usize, reserve: &DescriptorReserve, memory: usize) -> ConnectionLimits {
-        let shared = sockets.saturating_sub(reserve.sum()).max(LEAST_SHARED);
-        let clients_in_memory = CLIENT_MEMORY.times(memory) / (MESSAGES_PER_CLIENT * SMALL_MESSAGE);
-        let clients = CLIENT_SHARE.times(shared).min(clients_in_memory).max(LEAST_CONNECTIONS);
-        let members_in_memory = MEMBER_MEMORY.times(memory) / (MESSAGES_PER_MEMBER * SMALL_MESSAGE);
-        let members = (shared - clients).min(members_in_memory).max(LEAST_CONNECTIONS);
+    /// Divides `descriptors`; fewer connections where their small messages would not fit into `memory` bytes.
+    pub(super) fn new(descriptors: usize, reserve: &DescriptorReserve, memory: usize) -> ConnectionLimits {
+        let shared = descriptors.saturating_sub(reserve.total()).max(MIN_SHARED);
+        let clients_in_memory = CLIENT_MEMORY_SHARE.times(memory) / (MESSAGES_PER_CLIENT * SMALL_MESSAGE);
+        let clients = CLIENT_SHARE.times(shared).min(clients_in_memory).max(MIN_CONNECTIONS);
+        let members_in_memory = MEMBER_MEMORY_SHARE.times(memory) / (MESSAGES_PER_MEMBER * SMALL_MESSAGE);
+        let members = (shared - clients).min(members_in_memory).max(MIN_CONNECTIONS);
         ConnectionLimits {
             clients,
-            active_clients: (sockets / ACTIVE_CLIENT_PARTS).min(clients),
+            active_clients: (descriptors / ACTIVE_CLIENT_DIVISOR).min(clients),
             recently_active: RECENTLY_ACTIVE,
             evicting: reserve.evicting,
             rejecting: reserve.rejecting,
--- a/crates/proxy/src/lifecycle/limits/member.rs
+++ b/crates/proxy/src/lifecycle/limits/member.rs
@@ -8,7 +8,7 @@
 use crate::lifecycle::clock::duration;
 
 /// Longer than a handshake with a sound member takes. A shorter wait proves nothing of the member.
-const CONNECT_EVIDENCE: Duration = Duration::from_millis(100);
+const MIN_CONNECT_TIME: Duration = Duration::from_millis(100);
 /// One malformed response may be a fault on the way; this many in a row are the member's own.
 const MALFORMED_LOG_THRESHOLD: usize = 3;
 /// Members send the end of a response right behind its value, so that more than this is a fault.
@@ -28,7 +28,7 @@
     pub connect_timeout: Duration,
     /// A handshake that was given less time than this proves nothing about the member, so that it is not counted as a
     /// failure. A constant, at most `connect_timeout`.
-    pub connect_evidence: Duration,
+    pub min_connect_time: Duration,
     /// From the decision on a health check to its end. Set by the settings' `limits.connectTimeoutMs`.
     pub health_check_timeout: Duration,
     /// This many malformed responses in a row are logged once. A constant.
@@ -50,17 +50,17 @@
 
 impl MemberLimits {
     /// The limits under these settings.
-    pub(super) fn new(decoded: &Settings) -> MemberLimits {
-        let connect_timeout = duration(decoded.connect_timeout);
+    pub(super) fn new(settings: &Settings) -> MemberLimits {
+        let connect_timeout = duration(settings.connect_timeout);
         MemberLimits {
             connect_timeout,
-            connect_evidence: connect_timeout.min(CONNECT_EVIDENCE),
+            min_connect_time: connect_timeout.min(MIN_CONNECT_TIME),
             health_check_timeout: connect_timeout,
             malformed_log_threshold: MALFORMED_LOG_THRESHOLD,
             completion_timeout: COMPLETION_TIMEOUT,
             settle_time: SETTLE_TIME,
             max_clock_lead: MAX_CLOCK_LEAD,
-            idle_timeout: duration(decoded.member_idle_timeout * 4 / 5),
+            idle_timeout: duration(settings.member_idle_timeout * 4 / 5),
             sweep_interval: SWEEP_INTERVAL,
         }
     }
--- a/crates/proxy/src/lifecycle/limits/mod.rs
+++ b/crates/proxy/src/lifecycle/limits/mod.rs
@@ -20,7 +20,7 @@
 pub use buffers::BufferLimits;
 pub use client::ClientLimits;
 pub use connections::ConnectionLimits;
-pub use descriptors::Descriptors;
+pub use descriptors::DescriptorLimits;
 pub use discovery::DiscoveryLimits;
 pub use links::LinkLimits;
 pub use member::MemberLimits;
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// File descriptors of the process.
-    pub descriptors: Descriptors,
+    pub descriptors: DescriptorLimits,
     /// How many connections are open at once, and which of them are closed for new ones.
     pub connections: ConnectionLimits,
     /// Sizes of messages and of socket buffers.
@@ -59,7 +59,7 @@
 
 /// The waits between attempts to reach a peer: they double from the first to the longest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RetryInterval {
+pub struct RetryBackoff {
     /// The wait after the first failure.
     pub initial: Duration,
     /// The longest wait.
@@ -70,26 +70,26 @@
     /// Divides descriptors and memory (in MiB) between what needs them. `socket_buffer_kib` is the operator's
     /// `slow_peers.buffer_kib`.
     pub fn new(
-        descriptors: Descriptors,
+        descriptors: DescriptorLimits,
         memory_mb: usize,
-        decoded: &Settings,
+        settings: &Settings,
         socket_buffer_kib: Option<u32>,
     ) -> Limits {
         let memory = memory_mb * MIB;
-        let sockets = descriptors.usable();
-        let reserve = DescriptorReserve::of(sockets);
-        let connections = ConnectionLimits::new(sockets, &reserve, memory);
+        let usable_descriptors = descriptors.usable();
+        let reserve = DescriptorReserve::new(usable_descriptors);
+        let connections = ConnectionLimits::new(usable_descriptors, &reserve, memory);
         Limits {
             descriptors,
             buffers: BufferLimits::new(memory, socket_buffer_kib),
             queues: QueueLimits::new(&connections),
             connections,
-            open_requests: decoded.max_open_requests.max(1),
+            open_requests: settings.max_open_requests.max(1),
             client: ClientLimits::new(),
-            member: MemberLimits::new(decoded),
-            discovery: DiscoveryLimits::new(decoded),
-            links: LinkLimits::new(sockets, memory),
-            shutdown: ShutdownLimits::new(decoded),
+            member: MemberLimits::new(settings),
+            discovery: DiscoveryLimits::new(settings),
+            links: LinkLimits::new(usable_descriptors, memory),
+            shutdown: ShutdownLimits::new(settings),
         }
     }
 }
--- a/crates/proxy/src/lifecycle/limits/queues.rs
+++ b/crates/proxy/src/lifecycle/limits/queues.rs
@@ -29,10 +29,10 @@
 impl QueueLimits {
     /// The limits beside these on connections.
     pub(super) fn new(connections: &ConnectionLimits) -> QueueLimits {
-        let all = connections.clients + connections.members;
+        let total = connections.clients + connections.members;
         QueueLimits {
-            dispatcher: MESSAGES_PER_CONNECTION * all,
-            member: all,
+            dispatcher: MESSAGES_PER_CONNECTION * total,
+            member: total,
             list_updates: LIST_UPDATES,
             log_lines: LOG_LINES,
             listen_backlog: LISTEN_BACKLOG,
--- a/crates/proxy/src/lifecycle/limits/shutdown.rs
+++ b/crates/proxy/src/lifecycle/limits/shutdown.rs
@@ -9,7 +9,7 @@
 /// The process may be killed this long after the longest timeout of a request class has passed.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 /// Of the longest timeout no more than this counts towards that.
-const LONGEST_COUNTED_TIMEOUT: Duration = Duration::from_secs(3);
+const MAX_COUNTED_TIMEOUT: Duration = Duration::from_secs(3);
 /// The process may be held up for this long between reading its clock and writing a response.
 const SCHEDULING_DELAY: Duration = Duration::from_millis(150);
 /// Requests that were on their way when the stop was asked for arrive by then.
@@ -37,13 +37,14 @@
 
 impl ShutdownLimits {
     /// The limits under these settings.
-    pub(super) fn new(decoded: &Settings) -> ShutdownLimits {
-        let longest = decoded.router_config.classes.iter().map(|class| duration(class.timeout)).max();
-        let counted = longest.unwrap_or_default().min(LONGEST_COUNTED_TIMEOUT);
+    pub(super) fn new(settings: &Settings) -> ShutdownLimits {
+        let longest_timeout =
+            settings.router_config.classes.iter().map(|class| duration(class.timeout)).max();
+        let counted_timeout = longest_timeout.unwrap_or_default().min(MAX_COUNTED_TIMEOUT);
         ShutdownLimits {
             accept_window: ACCEPT_WINDOW,
             arrival_window: ARRIVAL_WINDOW,
-            deadline: counted + KILL_MARGIN - SCHEDULING_DELAY,
+            deadline: counted_timeout + KILL_MARGIN - SCHEDULING_DELAY,
             remote_request_wait: REMOTE_REQUEST_WAIT,
         }
     }
--- a/crates/proxy/src/lifecycle/startup/gateway.rs
+++ b/crates/proxy/src/lifecycle/startup/gateway.rs
@@ -59,7 +59,7 @@
     let buffers = &context.limits.buffers;
     LinkConfig {
         max_queued: (budget / LINK_SHARE_OF_BUDGET).max(MIN_LINK_BACKLOG),
-        ..LinkConfig::standard(buffers.statement, buffers.response)
+        ..LinkConfig::standard(buffers.max_statement, buffers.max_response)
     }
 }
 
@@ -71,7 +71,7 @@
 ) -> Result<(), ProgramError> {
     let Some(address) = config.listen else { return Ok(()) };
     let limits = &context.limits;
-    let listener = system::listen(address, limits.queues.listen_backlog, limits.buffers.member_socket)
+    let listener = system::listen(address, limits.queues.listen_backlog, limits.buffers.member_socket_buffer)
         .map_err(|source| ProgramError::Listen { field: "gateway.listen", address, source })?;
     let address = listener.local_addr().unwrap_or(address);
     info!(context.log, "gateway accepts links"; "site" => &config.site, "links" => %address);
--- a/crates/proxy/src/lifecycle/startup/resources.rs
+++ b/crates/proxy/src/lifecycle/startup/resources.rs
@@ -94,7 +94,7 @@
     pub fn open(configuration: Configuration) -> Result<Startup, ProgramError> {
         let ProcessLog { logger, guard } = ProcessLog::start(&configuration.limits);
         let suspension =
-            configuration.operator.suspension.then_some(clock::suspended as clock::SuspensionClock);
+            configuration.operator.suspension.then_some(clock::suspended_time as clock::SuspensionClock);
         let clock = Clock::start(clock::unix_now, suspension);
         let unstalled_clock = UnstalledClock::start(clock);
         let flow_control =
@@ -123,7 +123,7 @@
 fn listen(configuration: &Configuration) -> Result<TcpListener, ProgramError> {
     let address = configuration.listen;
     let limits = &configuration.limits;
-    system::listen(address, limits.queues.listen_backlog, limits.buffers.client_socket)
+    system::listen(address, limits.queues.listen_backlog, limits.buffers.client_socket_buffer)
         .map_err(|source| ProgramError::Listen { field: "listen", address, source })
 }
 
--- a/crates/proxy/src/member/connection.rs
+++ b/crates/proxy/src/member/connection.rs
@@ -88,7 +88,7 @@
     system::write_all(Party::Member, stream, &query).await.ok()?;
     let mut was_acknowledged = false;
     loop {
-        let Some(message) = pg::message(buffer.held(), limits.buffers.response).ok()? else {
+        let Some(message) = pg::message(buffer.held(), limits.buffers.max_response).ok()? else {
             let count = system::read(Party::Member, stream, buffer.tail()).await.ok()?;
             if count == 0 {
                 return None;
@@ -144,8 +144,8 @@
 async fn open(limits: &Limits, address: SocketAddr) -> Result<(TcpStream, Buffer), QueryError> {
     // The send buffer is smaller than a statement of full size, so that it is seen how quickly the member reads it.
     let sizes = BufferSizes {
-        send: limits.buffers.client_socket as u32,
-        receive: limits.buffers.member_socket as u32,
+        send: limits.buffers.client_socket_buffer as u32,
+        receive: limits.buffers.member_socket_buffer as u32,
     };
     let mut stream = system::connect(address, Some(sizes)).await?;
     stream.set_nodelay(true)?;
@@ -155,7 +155,7 @@
     let mut buffer = Buffer::default();
     loop {
         let message =
-            pg::message(buffer.held(), limits.buffers.response).map_err(|_| QueryError::Malformed)?;
+            pg::message(buffer.held(), limits.buffers.max_response).map_err(|_| QueryError::Malformed)?;
         let Some(message) = message else {
             if system::read(Party::Member, &mut stream, buffer.tail()).await? == 0 {
                 return Err(QueryError::Closed);
--- a/crates/proxy/src/member/outcome.rs
+++ b/crates/proxy/src/member/outcome.rs
@@ -96,7 +96,7 @@
     pub result: Result<Answer<'a>, &'a QueryError>,
     /// The process stalled since the query began: an answer may have come in time, and nobody was there to see it.
     pub stalled: bool,
-    /// A connection was given at least `limits.member.connect_evidence` to come up.
+    /// A connection was given at least `limits.member.min_connect_time` to come up.
     pub had_time_to_connect: bool,
 }
 
--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -72,7 +72,7 @@
     pub(super) pool_generation: PoolGeneration,
     /// Whether the process stalled since the query began; only determined where silence ended it.
     pub(super) stalled: bool,
-    /// Whether a connection was given at least `limits.member.connect_evidence` to come up.
+    /// Whether a connection was given at least `limits.member.min_connect_time` to come up.
     pub(super) had_time_to_connect: bool,
 }
 
@@ -136,7 +136,7 @@
             Some(QueryError::DeadlinePassed | QueryError::Socket { kind: SocketErrorKind::Unreachable, .. })
         ) {
             end.stalled = self.context.unstalled_clock.stalled_since(began);
-            end.had_time_to_connect = began.elapsed() >= self.context.limits.member.connect_evidence;
+            end.had_time_to_connect = began.elapsed() >= self.context.limits.member.min_connect_time;
         }
         end
     }
--- a/crates/proxy/src/member/response.rs
+++ b/crates/proxy/src/member/response.rs
@@ -48,8 +48,10 @@
     /// Errors: as [`QueryError`] says of a query that was sent.
     pub(super) async fn read(&mut self, connection: &mut Connection) -> Result<(), QueryError> {
         loop {
-            let absorbed =
-                self.response.exchange.absorb(&mut connection.buffer, self.context.limits.buffers.response);
+            let absorbed = self
+                .response
+                .exchange
+                .absorb(&mut connection.buffer, self.context.limits.buffers.max_response);
             absorbed.map_err(|_| QueryError::Malformed)?;
             if self.response.exchange.is_over() {
                 return Ok(());
--- a/crates/proxy/tests/clock.rs
+++ b/crates/proxy/tests/clock.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code, reason = "the program uses the rest")]
 mod clock;
 
-use clock::{Clock, UnstalledClock, duration, suspended, unix_now};
+use clock::{Clock, UnstalledClock, duration, suspended_time, unix_now};
 
 use std::sync::atomic::{AtomicI64, Ordering};
 
@@ -31,8 +31,8 @@
 /// A suspension that shrinks would set the clock back.
 #[test]
 fn the_suspended_time_reported_by_the_system_never_decreases() {
-    let first = suspended();
-    assert!(first > -1_000 && suspended() >= first - 1_000);
+    let first = suspended_time();
+    assert!(first > -1_000 && suspended_time() >= first - 1_000);
 }
 
 static STEP: AtomicI64 = AtomicI64::new(0);
