--- a/crates/proxy/src/lifecycle/limits/buffers.rs
+++ b/crates/proxy/src/lifecycle/limits/buffers.rs
@@ -1,44 +1,48 @@
-//! Sizes of messages and of socket buffers, in bytes.
+//! Sizes of messages and socket buffers, in bytes.
 
-/// Bytes of a KiB.
+/// Bytes in one KiB.
 const KIB: usize = 1024;
 
-/// A message up to this size is buffered without a reservation: the connections' limits leave memory for them.
+/// Largest message that is buffered without a reservation. The connection limits leave memory for such messages.
 pub(super) const SMALL_MESSAGE: usize = 8 * KIB;
-/// The size that values are said to have at most; larger ones come all the same.
+/// Nominal maximum size of a value. Larger values do occur.
 const MAX_NOMINAL_VALUE: usize = 64 * KIB;
-/// A statement with a value of the usual full size in hexadecimal, and the text around it: the least limit on messages.
+/// A statement with a value of the nominal maximum size in hexadecimal and the text around it. The limits on
+/// messages are never below this.
 const FULL_SIZE_STATEMENT: usize = 2 * MAX_NOMINAL_VALUE + 4 * KIB;
-/// A statement may take this part of the memory (one in 128).
+/// A statement may take 1/128 of the memory.
 const STATEMENT_MEMORY_DIVISOR: usize = 128;
-/// A response may take this part of the memory (one in 32).
+/// A response may take 1/32 of the memory.
 const RESPONSE_MEMORY_DIVISOR: usize = 32;
-/// Small, so that what the system holds of a slow client is little, and is known to within a buffer.
+/// Small, so that the kernel holds little data for a slow client and the amount is known to within one buffer.
 const DEFAULT_CLIENT_SOCKET_BUFFER: usize = 16 * KIB;
-/// A response of less than this costs the system no more than the connection itself.
+/// An unread response smaller than this costs the kernel no more than the connection itself.
 const IGNORABLE_UNREAD: usize = KIB;
 
-/// Sizes of messages and of socket buffers, in bytes.
+/// Sizes of messages and socket buffers, in bytes.
 #[derive(Clone, Debug)]
 pub struct BufferLimits {
-    /// One message of a client: a statement with a whole value in hexadecimal. Set by the memory.
+    /// Maximum size of a message from a client: a statement with a complete value in hexadecimal. Set by the
+    /// memory.
     pub max_statement: usize,
-    /// One message of a member: a whole value. Set by the memory.
+    /// Maximum size of a message from a member: a complete value. Set by the memory.
     pub max_response: usize,
-    /// Messages beyond this size need a reservation in the buffer budget. A constant.
+    /// Messages larger than this need a reservation in the buffer budget. Constant.
     pub small_message: usize,
-    /// The system's send and receive buffer of a client connection; it may hold twice that in each direction. Set by
-    /// the operator's `slow_peers.buffer_kib`.
+    /// Size of the kernel's send and receive buffers of a client connection. The kernel may hold twice this in each
+    /// direction. Set by `slow_peers.buffer_kib` of the operator's file.
     pub client_socket_buffer: usize,
-    /// The system's receive buffer of a member's connection: a value of the usual full size. A constant.
+    /// Size of the kernel's receive buffer of a connection to a member: a value of the nominal maximum size.
+    /// Constant.
     pub member_socket_buffer: usize,
-    /// From this many unread bytes on, a response counts against the buffer budget after its connection is closed. A
-    /// constant.
+    /// Unread bytes from which on a response counts against the buffer budget after its connection has been closed.
+    /// Constant.
     pub ignorable_unread: usize,
 }
 
 impl BufferLimits {
-    /// Takes the memory in bytes, and the operator's size of a client's socket buffers.
+    /// Computes the limits. `memory` is in bytes; `socket_buffer_kib` is the `slow_peers.buffer_kib` of the
+    /// operator's file, in KiB, or `None` for the default.
     pub(super) fn new(memory: usize, socket_buffer_kib: Option<u32>) -> BufferLimits {
         BufferLimits {
             max_statement: FULL_SIZE_STATEMENT.max(memory / STATEMENT_MEMORY_DIVISOR),
--- a/crates/proxy/src/lifecycle/limits/client.rs
+++ b/crates/proxy/src/lifecycle/limits/client.rs
@@ -1,66 +1,70 @@
-//! Timeouts and sizes of one client connection.
+//! Timeouts and sizes for each client connection.
 
 use std::time::Duration;
 
-/// Bounds the requests that one connection can have under way, and so its part in the dispatcher's tables.
+/// Bounds the requests that one connection can have in progress, and so the entries that it takes in the
+/// dispatcher's tables.
 const PIPELINED_STATEMENTS: usize = 64;
-/// One small message: the rest stays in the system's buffers, where it holds the client back.
+/// One small message. Further bytes stay in the kernel's socket buffers, which applies backpressure to the client.
 const READ_AHEAD: usize = 8 * 1024;
-/// How late a closed connection may be noticed behind unread bytes. The cost of less is CPU time.
+/// Longest delay before a closed connection is noticed behind unread bytes. A shorter interval costs CPU time.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Clients send the startup message at once.
+/// Clients send the startup message as soon as they are connected.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(2);
-/// A client that stops amid a message must see its connection end within three seconds. This leaves half a second for
-/// delays of a busy machine.
+/// The connection of a client that stops sending within a message must be closed within three seconds. This leaves
+/// half a second for delays on a busy machine.
 const STALL_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Bounds how long a client that sends at the least rate can hold a connection with one message.
+/// Bounds how long a client that sends at the minimum rate can occupy a connection with one message.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Clients that ask once and stay would use up the descriptors that others need.
+/// Clients that send one request and stay connected would use up the descriptors that others need.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
-/// Long enough for flow control to disconnect peers that are too slow, and short beside the timeouts of requests.
+/// Long enough for flow control to disconnect peers that are too slow, and short compared with the timeouts of
+/// requests.
 const RESERVATION_WAIT: Duration = Duration::from_millis(100);
-/// A statement of usual full size (132 KiB) and as much behind it; a client that sends for ever is cut off here.
+/// A statement of the nominal maximum size (132 KiB) and nearly as much after it. A client that never stops sending
+/// is disconnected at this point.
 const DISCARD_LIMIT: usize = 256 * 1024;
-/// An error fits into an empty socket buffer; only a client that has read nothing before it takes longer.
+/// An error fits into an empty socket buffer. Writing it takes time only if the client has not read earlier data.
 const ERROR_WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Timeouts and sizes of one client connection. All are constants.
+/// Timeouts and sizes for each client connection. All are constants.
 #[derive(Clone, Debug)]
 pub struct ClientLimits {
-    /// Statements of one connection that are under way at once.
+    /// Maximum number of statements of one connection that are in progress at once.
     pub pipelined_statements: usize,
-    /// Bytes that are read of a client while its requests are under way; more stay in the system's buffers.
+    /// Bytes that are read from a client while its requests are in progress. Further bytes stay in the kernel's
+    /// socket buffers.
     pub read_ahead: usize,
-    /// How often a connection that has read so far ahead is asked whether the client has closed it.
+    /// How often a connection that has reached `read_ahead` is checked for whether the client has closed it.
     pub disconnect_poll_interval: Duration,
-    /// From the accepted connection to the whole startup message.
+    /// Time from accepting the connection to receiving the complete startup message.
     pub startup_timeout: Duration,
-    /// From the accepted connection to the first whole statement.
+    /// Time from accepting the connection to receiving the first complete statement.
     pub first_request_timeout: Duration,
-    /// From the first byte of a message to its last, however steadily it comes.
+    /// Time from the first byte of a message to its last, however steadily the bytes arrive.
     pub message_timeout: Duration,
-    /// Silence within a message after which its connection is closed.
+    /// Time without a byte within a message after which the connection is closed.
     pub stall_timeout: Duration,
-    /// How long a connection that had a request may be open without another.
+    /// How long a connection that has had a request may stay open without another one.
     pub idle_timeout: Duration,
-    /// How long a statement waits for buffer space that slow peers are giving up.
+    /// How long a statement waits for buffer space to be freed by slow peers.
     pub reservation_wait: Duration,
-    /// Bytes still read, and thrown away, of a client whose connection is being closed: with bytes unread the system
+    /// Bytes that are read and discarded while a connection is being closed. If bytes were left unread, the kernel
     /// would reset the connection, and the error written last would be lost.
     pub discard_limit: usize,
-    /// How long a client may take to accept the error that rejects its connection.
+    /// How long writing the error to a client whose connection is rejected may take.
     pub error_write_timeout: Duration,
 }
 
 impl ClientLimits {
-    /// The limits, which nothing sets.
+    /// Creates the limits. All values are constants.
     pub(super) fn new() -> ClientLimits {
         ClientLimits {
             pipelined_statements: PIPELINED_STATEMENTS,
             read_ahead: READ_AHEAD,
             disconnect_poll_interval: DISCONNECT_POLL_INTERVAL,
             startup_timeout: STARTUP_TIMEOUT,
-            // A client that never completes a statement is one that stalls.
+            // A client that never completes its first statement is treated like one that stalls within a message.
             first_request_timeout: STALL_TIMEOUT,
             message_timeout: MESSAGE_TIMEOUT,
             stall_timeout: STALL_TIMEOUT,
--- a/crates/proxy/src/lifecycle/limits/connections.rs
+++ b/crates/proxy/src/lifecycle/limits/connections.rs
@@ -1,78 +1,81 @@
-//! How many connections are open at once, and which of them are closed for new ones.
+//! Numbers of open connections, and when idle connections are closed to admit new ones.
 
 use std::time::Duration;
 
 use super::buffers::SMALL_MESSAGE;
 use super::descriptors::DescriptorReserve;
 
-/// Descriptors that clients and members have at the least, however many the program needs for itself.
+/// Minimum number of descriptors for clients and members together, however many the process needs for itself.
 const MIN_SHARED: usize = 4;
-/// The least number of connections of clients, and of members: one in use while another is being closed.
+/// Minimum number of client connections, and of connections to members: one in use while another is being closed.
 const MIN_CONNECTIONS: usize = 2;
-/// The clients' share of the descriptors, as a fraction; members have the rest.
+/// Share of the descriptors for client connections. Connections to members have the rest.
 const CLIENT_SHARE: Fraction = Fraction { numerator: 3, denominator: 5 };
-/// The part of the memory that small messages of all client connections together may take. Large messages reserve what
-/// they need in half of the memory, however many connections there are.
+/// Share of the memory for the small messages of all client connections. Large messages need reservations in a
+/// budget of half of the memory, whatever the number of connections.
 const CLIENT_MEMORY_SHARE: Fraction = Fraction { numerator: 2, denominator: 10 };
-/// Small messages that one client connection may hold at once.
+/// Number of small messages that one client connection may hold at once.
 const MESSAGES_PER_CLIENT: usize = 4;
-/// The part of the memory that small messages of all connections to members together may take.
+/// Share of the memory for the small messages of all connections to members.
 const MEMBER_MEMORY_SHARE: Fraction = Fraction { numerator: 1, denominator: 10 };
-/// Small messages that one connection to a member may hold at once.
+/// Number of small messages that one connection to a member may hold at once.
 const MESSAGES_PER_MEMBER: usize = 2;
-/// Active clients hold at most this part of all descriptors (one in four): clients have a limit on descriptors, too,
-/// and some open a connection for each request and never use it twice.
+/// Active clients hold at most 1/4 of all descriptors. Clients have a limit on descriptors, too, and some of them
+/// open a connection for each request and never reuse it.
 const ACTIVE_CLIENT_DIVISOR: usize = 4;
-/// Whoever had a response so short a time ago is about to send the next request.
+/// A client that received a response this recently is about to send its next request.
 const RECENTLY_ACTIVE: Duration = Duration::from_millis(250);
-/// Bounds the descriptors held by peers that never end their side; an error on its way arrives in less.
+/// Bounds the descriptors held by peers that never close their side. An error in transit arrives in less time.
 const LINGER: Duration = Duration::from_millis(300);
-/// Finds client machines that vanished without closing; further probes follow at a third of it.
+/// Detects client machines that vanished without closing their connections. Further probes follow at a third of
+/// this interval.
 const KEEPALIVE: Duration = Duration::from_secs(30);
 
-/// `numerator` parts out of `denominator`, in whole numbers.
+/// A fraction for integer arithmetic.
 struct Fraction {
-    /// How many of the parts.
+    /// Number of parts taken.
     numerator: usize,
-    /// Into how many equal parts the whole is divided.
+    /// Number of equal parts that the whole is divided into.
     denominator: usize,
 }
 
 impl Fraction {
-    /// This part of a whole, rounded down.
+    /// Returns this fraction of `whole`, rounded down.
     fn times(&self, whole: usize) -> usize {
         whole * self.numerator / self.denominator
     }
 }
 
-/// How many connections are open at once, and which of them are closed for new ones.
+/// Numbers of open connections, and when idle connections are closed to admit new ones.
 #[derive(Clone, Debug)]
 pub struct ConnectionLimits {
-    /// Client connections served at once. Set by descriptors and memory.
+    /// Maximum number of client connections that are served at once. Set by descriptors and memory.
     pub clients: usize,
-    /// Client connections that had a request. Beyond this number the one that was idle longest is closed for each new
-    /// connection. Set by descriptors.
+    /// Number of client connections that have had a request from which on the one that has been idle longest is
+    /// closed for each new connection. Set by descriptors.
     pub active_clients: usize,
-    /// A client whose last response is younger than this is between two requests: its connection is not closed for a
-    /// new one. A constant.
+    /// A client whose last response is more recent than this counts as being between two requests. Its connection
+    /// is not closed for a new one. Constant.
     pub recently_active: Duration,
-    /// Connections beyond `clients` that are accepted while idle ones are being closed for them. Set by descriptors.
+    /// Maximum number of connections beyond `clients` that are admitted while idle ones are being closed for them.
+    /// Set by descriptors.
     pub evicting: usize,
-    /// Connections beyond `clients` that are being sent an error and closed; more than these are dropped without a
-    /// word. Set by descriptors.
+    /// Maximum number of connections beyond `clients` that are sent an error before they are closed. Any further
+    /// ones are closed without an error. Set by descriptors.
     pub rejecting: usize,
-    /// Connections to members, idle ones included. Set by descriptors and memory.
+    /// Maximum number of connections to members, including idle ones. Set by descriptors and memory.
     pub members: usize,
-    /// How long a connection that this side has closed waits for the other side's end, so that what was written last is
-    /// read. A constant.
+    /// How long a connection that this side has closed waits for the other side to close it, so that the data
+    /// written last is read. Constant.
     pub linger: Duration,
-    /// Silence on a client connection after which the system asks whether the client's machine is still there (TCP
-    /// keepalive). A constant.
+    /// Silence on a client connection after which the kernel probes whether the client's machine is still reachable
+    /// (TCP keepalive). Constant.
     pub keepalive: Duration,
 }
 
 impl ConnectionLimits {
-    /// Divides `descriptors`; fewer connections where their small messages would not fit into `memory` bytes.
+    /// Divides `descriptors` between client and member connections, and limits both so that their small messages
+    /// fit into their shares of `memory`, which is in bytes.
     pub(super) fn new(descriptors: usize, reserve: &DescriptorReserve, memory: usize) -> ConnectionLimits {
         let shared = descriptors.saturating_sub(reserve.total()).max(MIN_SHARED);
         let clients_in_memory = CLIENT_MEMORY_SHARE.times(memory) / (MESSAGES_PER_CLIENT * SMALL_MESSAGE);
--- a/crates/proxy/src/lifecycle/limits/descriptors.rs
+++ b/crates/proxy/src/lifecycle/limits/descriptors.rs
@@ -1,53 +1,55 @@
-//! How many file descriptors the process may have, and which are kept from clients and members.
+//! The number of file descriptors that the process may open, and the reserve that clients and members cannot use.
 
 use uapi::c;
 
-/// Below this many descriptors the number of rejected connections shrinks in proportion, without a floor.
+/// Below this many descriptors, the number of connections being rejected is proportional to them, without a minimum.
 const FEW_DESCRIPTORS: usize = 64;
 
-/// How many descriptors this process may have.
+/// The number of file descriptors that the process may open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorLimits {
-    /// As its configuration says (`limits.sockets`).
+    /// Number that the configuration allows (`limits.sockets`).
     pub configured: usize,
-    /// As the system says (RLIMIT_NOFILE); `usize::MAX` where that is not known.
+    /// Number that the operating system allows (`RLIMIT_NOFILE`); `usize::MAX` if it is not known.
     pub allowed: usize,
 }
 
 impl DescriptorLimits {
-    /// With fewer the program's own, one client and one member's connection do not fit.
+    /// Minimum number with which the proxy can serve: with fewer, there is no room for the process's own
+    /// descriptors, one client connection and one connection to a member.
     pub const MINIMUM: usize = 24;
 
-    /// Asks the system for this process's limit on open files.
+    /// Reads the limit on open files of the current process from the operating system.
     pub fn for_current_process(configured: usize) -> DescriptorLimits {
         let limit = uapi::getrlimit(c::RLIMIT_NOFILE as c::c_int);
         let allowed = limit.map_or(usize::MAX, |limit| usize::try_from(limit.rlim_cur).unwrap_or(usize::MAX));
         DescriptorLimits { configured, allowed }
     }
 
-    /// The number that is divided between clients and members. If it were more than the system allows, `accept` would
-    /// fail for clients that the configuration promised a connection. It costs nothing, as the system's limit holds
-    /// whatever is promised.
+    /// Returns the number that is divided between the reserve, clients and members. If it exceeded what the
+    /// operating system allows, `accept` would fail for clients that are within their share. The lower number costs
+    /// nothing, because the operating system enforces its limit in any case.
     pub fn usable(self) -> usize {
         self.configured.min(self.allowed)
     }
 }
 
-/// Descriptors that are not divided between clients and members. All shrink where there are few, down to what the
-/// program has open without a connection.
+/// Descriptors that are not divided between clients and members. If there are few descriptors, each part of the
+/// reserve shrinks, down to what the process has open without any connection.
 pub(super) struct DescriptorReserve {
-    /// Standard streams, signals, event queues, listener, discovery and the operator's sockets: 12 to 20.
+    /// Descriptors for standard streams, signals, event queues, the listener, discovery and the operator's sockets:
+    /// 12 to 20.
     pub(super) internal: usize,
-    /// Client connections that are being closed for new ones: 2 to 12.
+    /// Descriptors for client connections that are being closed for new ones: 2 to 12.
     pub(super) evicting: usize,
-    /// Client connections that are being told that there is no room for them: 64 at most.
+    /// Descriptors for client connections that are being sent an error because the limit is reached: at most 64.
     pub(super) rejecting: usize,
 }
 
 impl DescriptorReserve {
-    /// Five sixteenths of few descriptors are the program's own, and three sixteenths are for connections that are
-    /// being closed; with more descriptors both stay at what they need at the most. Rejections have one in 32, and
-    /// with few descriptors one in 16.
+    /// Computes the reserve for a process with this many descriptors. The process itself has 5/16 of them and
+    /// connections that are being closed 3/16, each up to the most that they need. Rejected connections have 1/32,
+    /// or 1/16 below [`FEW_DESCRIPTORS`].
     pub(super) fn new(descriptors: usize) -> DescriptorReserve {
         let rejecting = match descriptors {
             count if count < FEW_DESCRIPTORS => count / 16,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// All of the reserve.
+    /// Returns the number of descriptors in the whole reserve.
     pub(super) fn total(&self) -> usize {
         self.internal + self.evicting + self.rejecting
     }
--- a/crates/proxy/src/lifecycle/limits/discovery.rs
+++ b/crates/proxy/src/lifecycle/limits/discovery.rs
@@ -1,4 +1,4 @@
-//! Timeouts and sizes of the watch on discovery.
+//! Timeouts and sizes for the discovery watch.
 
 use std::time::Duration;
 
@@ -7,39 +7,41 @@
 use super::RetryBackoff;
 use crate::lifecycle::clock::duration;
 
-/// Far more than discovery sends: it bounds the memory that a head without an end takes.
+/// Far more than discovery sends. Bounds the memory used for a response head that never ends.
 const MAX_RESPONSE_HEAD: usize = 16 * 1024;
-/// Far more than discovery sends: it bounds the memory that a line without an end takes.
+/// Far more than discovery sends. Bounds the memory used for a line that never ends.
 const MAX_LIST_LINE: usize = 4 * 1024 * 1024;
-/// More than two of the gaps that discovery usually leaves between two lines.
+/// More than twice the usual interval between two lines from discovery.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(4600);
-/// Together with [`SILENCE_TIMEOUT`] less than the six seconds after which what discovery has counts as told.
+/// The sum of this and [`SILENCE_TIMEOUT`] is less than six seconds, after which the proxy is taken to have been
+/// told what discovery knows.
 const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// A drain that is announced while discovery is away for a moment is still learnt of in time.
+/// Short enough for the proxy to learn in time of a drain that is announced during a brief outage of discovery.
 const RETRY_INITIAL: Duration = Duration::from_millis(100);
-/// However long the grace after drains is, an outage's end is noticed within this time.
+/// The end of an outage is noticed within this time, however long the drain grace is.
 const RETRY_MAX: Duration = Duration::from_secs(2);
 
-/// Timeouts and sizes of the watch on discovery.
+/// Timeouts and sizes for the discovery watch.
 #[derive(Clone, Debug)]
 pub struct DiscoveryLimits {
-    /// The head of discovery's response, in bytes. A constant.
+    /// Maximum size of the head of discovery's response, in bytes. Constant.
     pub max_response_head: usize,
-    /// One line of the endpoint list, in bytes. A constant.
+    /// Maximum size of one line of the endpoint list, in bytes. Constant.
     pub max_list_line: usize,
-    /// Silence of discovery that is taken for a lost connection. A constant.
+    /// Silence from discovery after which the connection counts as lost. Constant.
     pub silence_timeout: Duration,
-    /// From the attempt to connect to discovery to the first bytes from there. A constant.
+    /// Time from the start of connecting to discovery to the first bytes of its response. Constant.
     pub first_byte_timeout: Duration,
     /// Waits between attempts to reach discovery. The longest is set by the settings' `rules.drainGraceMs`.
     pub retry: RetryBackoff,
 }
 
 impl DiscoveryLimits {
-    /// The limits under these settings.
+    /// Computes the limits from the settings.
     pub(super) fn new(settings: &Settings) -> DiscoveryLimits {
-        // What discovery has counts as told as soon as it can be reached, and the grace after a drain runs from then:
-        // half of it is left to learn of the drain.
+        // The proxy is taken to have been told what discovery knows as soon as discovery is reachable, and the
+        // grace of a drain starts then. A wait of at most half the grace leaves the other half to learn of the
+        // drain.
         let max = (duration(settings.drain_grace) / 2).clamp(RETRY_INITIAL, RETRY_MAX);
         DiscoveryLimits {
             max_response_head: MAX_RESPONSE_HEAD,
--- a/crates/proxy/src/lifecycle/limits/member.rs
+++ b/crates/proxy/src/lifecycle/limits/member.rs
@@ -1,4 +1,4 @@
-//! Timeouts of connections to members.
+//! Timeouts for connections to members.
 
 use std::time::Duration;
 
@@ -7,49 +7,52 @@
 
 use crate::lifecycle::clock::duration;
 
-/// Longer than a handshake with a sound member takes. A shorter wait proves nothing of the member.
+/// Longer than a handshake with a healthy member takes. A handshake that is abandoned earlier does not show that the
+/// member has failed.
 const MIN_CONNECT_TIME: Duration = Duration::from_millis(100);
-/// One malformed response may be a fault on the way; this many in a row are the member's own.
+/// One malformed response may be due to a network fault. This many in a row are the member's fault.
 const MALFORMED_LOG_THRESHOLD: usize = 3;
-/// Members send the end of a response right behind its value, so that more than this is a fault.
+/// Members send the end of a response immediately after its value, so a longer delay is a fault.
 const COMPLETION_TIMEOUT: Duration = Duration::from_millis(5);
-/// Duplicated and late bytes of a response come within this time.
+/// Duplicate and late bytes of a response arrive within this time.
 const SETTLE_TIME: Duration = Duration::from_millis(100);
-/// Machines are said to have the same time; what is further ahead is a fault of the report.
+/// One second. The clocks of all machines are assumed to agree; a position that is further ahead is an error in the
+/// report.
 const MAX_CLOCK_LEAD: Micros = 1_000_000;
-/// How often the pool looks for connections to close.
+/// Interval at which the pool looks for connections to close.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Timeouts of connections to members.
+/// Timeouts for connections to members.
 #[derive(Clone, Debug)]
 pub struct MemberLimits {
-    /// From the attempt to connect until the member is ready for a statement. Set by the settings'
+    /// Time from the start of connecting until the member is ready for a statement. Set by the settings'
     /// `limits.connectTimeoutMs`.
     pub connect_timeout: Duration,
-    /// A handshake that was given less time than this proves nothing about the member, so that it is not counted as a
-    /// failure. A constant, at most `connect_timeout`.
+    /// A handshake that fails after less time than this does not show that the member has failed, and is not counted
+    /// against it. Constant, but at most `connect_timeout`.
     pub min_connect_time: Duration,
-    /// From the decision on a health check to its end. Set by the settings' `limits.connectTimeoutMs`.
+    /// Time from the decision to check a member's health to the end of the check. Set by the settings'
+    /// `limits.connectTimeoutMs`.
     pub health_check_timeout: Duration,
-    /// This many malformed responses in a row are logged once. A constant.
+    /// Number of consecutive malformed responses after which one message is logged. Constant.
     pub malformed_log_threshold: usize,
-    /// From the last byte of a value to the end of its response. A constant.
+    /// Time from the last byte of a value to the end of its response. Constant.
     pub completion_timeout: Duration,
-    /// A connection that was idle this long after a response has nothing more to come of that response; one that was
-    /// used later is asked an empty query first. A constant.
+    /// Idle time after which no more bytes of the previous response can arrive on a connection. A connection that is
+    /// reused sooner is first checked with an empty query. Constant.
     pub settle_time: Duration,
-    /// How far a member's position may be ahead of this machine's clock, in microseconds; a position further ahead is
-    /// not believed. A constant.
+    /// How far a member's position may be ahead of the clock of this machine, in microseconds. A position further
+    /// ahead is ignored. Constant.
     pub max_clock_lead: Micros,
-    /// How long a connection stays in the pool unused. Set by the settings' `limits.connIdleMs`, of which a fifth is
-    /// left so that the proxy closes it before the member does.
+    /// How long an unused connection stays in the pool. Set to 4/5 of the settings' `limits.connIdleMs`, so that the
+    /// proxy closes the connection before the member does.
     pub idle_timeout: Duration,
-    /// How often the pool looks for connections to close. A constant.
+    /// Interval at which the pool looks for connections to close. Constant.
     pub sweep_interval: Duration,
 }
 
 impl MemberLimits {
-    /// The limits under these settings.
+    /// Computes the limits from the settings.
     pub(super) fn new(settings: &Settings) -> MemberLimits {
         let connect_timeout = duration(settings.connect_timeout);
         MemberLimits {
--- a/crates/proxy/src/lifecycle/limits/mod.rs
+++ b/crates/proxy/src/lifecycle/limits/mod.rs
@@ -1,7 +1,8 @@
-//! Every size, count and time that bounds the proxy, in one place, grouped by what it bounds.
+//! All sizes, counts and durations that bound the proxy, grouped by what they bound.
 //!
-//! A limit is set by one of: the configuration's `limits.sockets` and `limits.memory_mb`, the settings, the operator's
-//! file, or a constant beside it that gives the reason for its figure. All are computed once, at start.
+//! A limit is derived from the configuration's `limits.sockets` and `limits.memory_mb`, from the settings, from the
+//! operator's file, or from a constant whose comment gives the reason for its value. All limits are computed once,
+//! at startup.
 
 mod buffers;
 mod client;
@@ -29,46 +30,46 @@
 
 use descriptors::DescriptorReserve;
 
-/// Bytes of a MiB.
+/// Bytes in one MiB.
 const MIB: usize = 1024 * 1024;
 
 /// All limits of the process.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// File descriptors of the process.
+    /// File descriptors that the process may open.
     pub descriptors: DescriptorLimits,
-    /// How many connections are open at once, and which of them are closed for new ones.
+    /// Numbers of open connections, and when idle connections are closed to admit new ones.
     pub connections: ConnectionLimits,
-    /// Sizes of messages and of socket buffers.
+    /// Sizes of messages and socket buffers.
     pub buffers: BufferLimits,
-    /// Lengths of the queues between actors.
+    /// Capacities of the queues between actors.
     pub queues: QueueLimits,
-    /// Requests under way at once, as the settings' `limits.maxOpen` says, at least one.
+    /// Maximum number of requests in progress at once, at least 1. Set by the settings' `limits.maxOpen`.
     pub open_requests: usize,
-    /// Timeouts and sizes of one client connection.
+    /// Timeouts and sizes for each client connection.
     pub client: ClientLimits,
-    /// Timeouts of connections to members.
+    /// Timeouts for connections to members.
     pub member: MemberLimits,
-    /// Timeouts and sizes of the watch on discovery.
+    /// Timeouts and sizes for the discovery watch.
     pub discovery: DiscoveryLimits,
-    /// Links to and from peer gateways.
+    /// Limits on links to and from peer gateways.
     pub links: LinkLimits,
-    /// How long each step of a shutdown may take.
+    /// Durations of the steps of a shutdown.
     pub shutdown: ShutdownLimits,
 }
 
-/// The waits between attempts to reach a peer: they double from the first to the longest.
+/// Waits between attempts to reach a peer, which double from `initial` up to `max`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryBackoff {
-    /// The wait after the first failure.
+    /// Wait after the first failure.
     pub initial: Duration,
-    /// The longest wait.
+    /// Longest wait.
     pub max: Duration,
 }
 
 impl Limits {
-    /// Divides descriptors and memory (in MiB) between what needs them. `socket_buffer_kib` is the operator's
-    /// `slow_peers.buffer_kib`.
+    /// Computes the limits. `memory_mb` is in MiB; `socket_buffer_kib` is the `slow_peers.buffer_kib` of the
+    /// operator's file, in KiB, or `None` for the default.
     pub fn new(
         descriptors: DescriptorLimits,
         memory_mb: usize,
--- a/crates/proxy/src/lifecycle/limits/queues.rs
+++ b/crates/proxy/src/lifecycle/limits/queues.rs
@@ -1,33 +1,34 @@
-//! Lengths of the queues between actors, in messages. A sender waits, or drops what it has, where its queue is full.
+//! Capacities of the queues between actors, in messages. If a queue is full, the sender waits or drops its message.
 
 use super::ConnectionLimits;
 
-/// Each connection may have a message of its own and the end of an earlier one waiting.
+/// Each connection may have one message of its own and the end of a previous connection waiting.
 const MESSAGES_PER_CONNECTION: usize = 2;
-/// The dispatcher takes lists faster than discovery sends them; where it does not, the watch waits.
+/// The dispatcher normally takes endpoint lists faster than discovery sends them. If it does not, the discovery watch
+/// waits.
 const LIST_UPDATES: usize = 16;
-/// A burst of lines from every connection; a reader of standard error that stands still costs lines, never time.
+/// Holds a burst of lines from all connections. If standard error is not read, lines are lost, but no sender waits.
 const LOG_LINES: usize = 1024;
-/// A burst of new clients; the system caps it at its own `somaxconn`.
+/// Holds a burst of new clients. The kernel caps the backlog at its `somaxconn`.
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// Lengths of the queues between actors, in messages.
+/// Capacities of the queues between actors, in messages.
 #[derive(Clone, Debug)]
 pub struct QueueLimits {
-    /// Messages that wait for the dispatcher. Set by the limits on connections.
+    /// Messages to the dispatcher. Set by the connection limits.
     pub dispatcher: usize,
-    /// Commands that wait at one member's actor. Set by the limits on connections.
+    /// Commands to the actor of one member. Set by the connection limits.
     pub member: usize,
-    /// Endpoint lists that wait for the dispatcher. A constant.
+    /// Endpoint lists to the dispatcher. Constant.
     pub list_updates: usize,
-    /// Log lines that wait for standard error; more are dropped and counted. A constant.
+    /// Log lines to be written to standard error. Lines that do not fit are dropped and counted. Constant.
     pub log_lines: usize,
-    /// Connections that wait to be accepted, as given to `listen`. A constant.
+    /// Connections waiting to be accepted: the backlog passed to `listen`. Constant.
     pub listen_backlog: i32,
 }
 
 impl QueueLimits {
-    /// The limits beside these on connections.
+    /// Computes the limits from the connection limits.
     pub(super) fn new(connections: &ConnectionLimits) -> QueueLimits {
         let total = connections.clients + connections.members;
         QueueLimits {
--- a/crates/proxy/src/lifecycle/limits/shutdown.rs
+++ b/crates/proxy/src/lifecycle/limits/shutdown.rs
@@ -1,4 +1,4 @@
-//! How long each step of a shutdown may take, counted from the request to stop.
+//! Durations of the steps of a shutdown.
 
 use std::time::Duration;
 
@@ -6,37 +6,38 @@
 
 use crate::lifecycle::clock::duration;
 
-/// The process may be killed this long after the longest timeout of a request class has passed.
+/// The process may be killed this long after the longest timeout of a request class, counted from the request to
+/// stop, has passed.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// Of the longest timeout no more than this counts towards that.
+/// Upper bound on the longest timeout in the calculation of when the process may be killed.
 const MAX_COUNTED_TIMEOUT: Duration = Duration::from_secs(3);
-/// The process may be held up for this long between reading its clock and writing a response.
+/// The process may be delayed by this much between reading its clock and writing a response.
 const SCHEDULING_DELAY: Duration = Duration::from_millis(150);
-/// Requests that were on their way when the stop was asked for arrive by then.
+/// Requests that were in transit when the stop was requested arrive within this time.
 const ACCEPT_WINDOW: Duration = Duration::from_millis(600);
-/// Requests that arrive within this time after the request to stop are owed an answer.
+/// Requests that arrive within this time after the request to stop must be answered.
 const ARRIVAL_WINDOW: Duration = Duration::from_millis(700);
-/// Requests of peer gateways that take longer are given up, so that the process ends.
+/// Requests from peer gateways that take longer are abandoned so that the process exits.
 const REMOTE_REQUEST_WAIT: Duration = Duration::from_secs(30);
 
-/// How long each step of a shutdown may take, counted from the request to stop.
+/// Durations of the steps of a shutdown, counted from the request to stop unless stated otherwise.
 #[derive(Clone, Debug)]
 pub struct ShutdownLimits {
-    /// How long new connections are still accepted, and the rest of a message is waited for. A constant.
+    /// How long new connections are still accepted and the proxy waits for the rest of incomplete messages. Constant.
     pub accept_window: Duration,
-    /// Until when requests that arrive on open connections are owed an answer. Later ones are answered as well, but the last
-    /// of them ends its connection. A constant.
+    /// How long requests that arrive on open connections must still be answered. Later requests are answered as well,
+    /// but the connection is closed after the last of them. Constant.
     pub arrival_window: Duration,
-    /// By when every response must be written: soon after, the process may be killed. A response that were due later
-    /// might never be written. The cost: requests that come during a shutdown have less time than they ask for. Set by
-    /// the longest timeout in the settings.
+    /// Time by which every response must be written, because the process may be killed soon afterwards and a later
+    /// response might never be written. The trade-off is that requests that arrive during a shutdown have less time
+    /// than their timeout allows. Set by the longest timeout in the settings.
     pub deadline: Duration,
-    /// How long after the last client the requests of peer gateways are waited for. A constant.
+    /// How long the proxy waits for requests from peer gateways after the last client connection has ended. Constant.
     pub remote_request_wait: Duration,
 }
 
 impl ShutdownLimits {
-    /// The limits under these settings.
+    /// Computes the limits from the settings.
     pub(super) fn new(settings: &Settings) -> ShutdownLimits {
         let longest_timeout =
             settings.router_config.classes.iter().map(|class| duration(class.timeout)).max();
