--- a/crates/proxy/src/lifecycle/clock.rs
+++ b/crates/proxy/src/lifecycle/clock.rs
@@ -1,9 +1,12 @@
 //! The proxy's clocks.
 //!
-//! - [`Clock`]: Unix time at the start of the process, and steady from then on. What the router decides is dated by it.
-//! - [`UnstalledClock`]: the same, less the time in which the process was stalled. Spans in which others are measured are
-//!   taken from it, so that nobody is blamed for a pause of this process.
-//! - [`unix_now`]: the system's wall clock, which may step at any moment. Read for what other processes read, never for spans.
+//! - [`Clock`] starts at the Unix time at which the process starts, and is steady from then on. The router's decisions
+//!   are timed by it.
+//! - [`UnstalledClock`] is the same clock without the time during which the process was stalled. Durations by which
+//!   clients, members and peers are judged are measured with it, so that none of them is blamed for a pause of this
+//!   process.
+//! - [`unix_now`] reads the system's wall clock, which may step at any time. It is used for timestamps that other
+//!   processes read, never to measure durations.
 
 use std::cell::RefCell;
 use std::os::fd::AsRawFd;
@@ -15,86 +18,92 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Returns how long the machine has been suspended since some fixed instant.
+/// A function that returns how long the machine has been suspended since some fixed instant, in microseconds.
 pub type SuspensionClock = fn() -> Micros;
 
-/// Returns the Unix time by the system's clock, which may step at any moment.
+/// A function that returns the Unix time of a wall clock, which may step at any time, in microseconds.
 pub type WallClock = fn() -> Micros;
 
-/// The router's clock: it starts at the Unix time of the start and never steps.
+/// The router's clock, which starts at the Unix time at which it is created and never steps. Times are in
+/// microseconds.
 ///
-/// Unix times that others report (positions, starts of members, a session's last write) are compared on it as they were
-/// reported, so that a step of this machine's wall clock changes nothing between two of them.
+/// Unix times that others report (positions, start times of members, the last write of a session) are compared on this
+/// clock as reported, so that a step of this machine's wall clock does not change how two of them compare.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
-    /// The wall clock at `start`.
+    /// Reading of the wall clock at `start`.
     unix_start: Micros,
     wall: WallClock,
     suspension: Option<SuspensionCounter>,
 }
 
-/// Suspensions of the machine since the start, which tokio's clock does not count.
+/// Measures the time for which the machine was suspended since the clock started, which tokio's clock does not count.
 #[derive(Clone, Copy)]
 struct SuspensionCounter {
     clock: SuspensionClock,
-    /// What the clock showed at the start.
+    /// Reading of `clock` at the start.
     at_start: Micros,
 }
 
 impl Clock {
-    /// Starts the clock. The wall clock is read once here, and later only by [`Clock::wall`]. With `suspension`, time in which
-    /// the machine was suspended counts as passed; an instant from before a suspension then lies as long before now as the
-    /// machine has run since.
+    /// Starts the clock. The wall clock is read once here, and later only by [`Clock::wall`]. With `suspension`, time
+    /// during which the machine was suspended counts as passed. A tokio instant from before a suspension is then
+    /// converted to a time as long before now as the machine has run since that instant.
     pub fn start(wall: WallClock, suspension: Option<SuspensionClock>) -> Clock {
         let suspension = suspension.map(|clock| SuspensionCounter { clock, at_start: clock() });
         Clock { start: Instant::now(), unix_start: wall(), wall, suspension }
     }
 
-    /// The wall clock as it is now, after any steps: for what other processes read, never for spans.
+    /// Returns the current Unix time of the wall clock, including any steps. It is meant for timestamps that other
+    /// processes read, never for measuring durations.
     pub fn wall(&self) -> Micros {
         (self.wall)()
     }
 
-    /// How long the machine was suspended since the start, as far as that counts.
+    /// Returns how long the machine was suspended since the start, or zero if suspensions are not counted.
     fn suspended_since_start(&self) -> Micros {
         let Some(SuspensionCounter { clock, at_start }) = self.suspension else { return 0 };
         (clock() - at_start).max(0)
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Micros {
         self.at(Instant::now())
     }
 
-    /// This clock's time at an instant of tokio's.
+    /// Returns the time of this clock at an instant of tokio's clock.
     pub fn at(&self, instant: Instant) -> Micros {
         let elapsed = instant.saturating_duration_since(self.start).as_micros() as Micros;
         self.unix_start + elapsed + self.suspended_since_start()
     }
 
-    /// The instant of tokio's clock at which this one shows `at`, unless the machine is suspended before.
+    /// Returns the instant of tokio's clock at which this clock reads `at`, unless the machine is suspended before
+    /// then.
     pub fn instant(&self, at: Micros) -> Instant {
         self.start + duration(at - self.unix_start - self.suspended_since_start())
     }
 }
 
-/// A span in microseconds as a duration; one below zero is zero.
+/// Converts microseconds to a duration. Negative values become zero.
 pub fn duration(micros: Micros) -> Duration {
     Duration::from_micros(micros.max(0) as u64)
 }
 
-/// The system's wall clock, which may step: Unix time, zero if it is set to before 1970.
+/// Returns the Unix time of the system's wall clock, which may step, in microseconds. The time is zero if the clock is
+/// set to a date before 1970.
 pub fn unix_now() -> Micros {
     let system = SystemTime::now().duration_since(UNIX_EPOCH);
     system.map_or(0, |since| since.as_micros() as Micros) + fault::wall_clock_step()
 }
 
-/// Faults for tests: only builds with debug assertions have them, release builds never read the variable.
+/// Fault injection for tests. Only builds with debug assertions contain it; release builds never read the environment
+/// variable.
 mod fault {
     use super::Micros;
 
-    /// By how much the wall clock is off, in microseconds: the text of the file that the variable names.
+    /// Returns the offset to add to the wall clock, in microseconds, from the file that the environment variable
+    /// names. The offset is zero if there is no such number.
     #[cfg(debug_assertions)]
     pub fn wall_clock_step() -> Micros {
         let file = std::env::var_os("ALDERMILL_TEST_WALL_CLOCK_STEP");
@@ -102,22 +111,23 @@
         text.and_then(|text| text.trim().parse().ok()).unwrap_or(0)
     }
 
-    /// Nothing, in a release build.
+    /// Returns zero, as release builds inject no faults.
     #[cfg(not(debug_assertions))]
     pub fn wall_clock_step() -> Micros {
         0
     }
 }
 
-/// How long the machine has been suspended since it was started: the difference of the system's two steady clocks, of which
-/// one counts suspension.
+/// Returns how long the machine has been suspended since it booted, in microseconds. This is the difference between
+/// the system's two steady clocks, of which only one counts suspensions.
 pub fn suspended_time() -> Micros {
-    // Read in this order, a pause in between makes a suspension shorter, and never shows one where there was none.
+    // In this order of reading, a pause between the two makes the result too small, and never shows a suspension that
+    // did not take place.
     let with_suspension = read_system_clock(uapi::c::CLOCK_BOOTTIME);
     with_suspension - read_system_clock(uapi::c::CLOCK_MONOTONIC)
 }
 
-/// A clock of the system, in microseconds; zero where it has no such clock.
+/// Reads a clock of the system, in microseconds. Returns zero if the system has no such clock.
 pub(super) fn read_system_clock(clock: uapi::c::clockid_t) -> Micros {
     let mut time = uapi::c::timespec { tv_sec: 0, tv_nsec: 0 };
     match uapi::clock_gettime(clock, &mut time) {
@@ -126,16 +136,16 @@
     }
 }
 
-/// When bytes were received that were read only after a stall.
+/// Bounds on when bytes were received that were read only after a stall.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceiptBounds {
-    /// None of them was received before this instant.
+    /// No byte was received before this instant.
     pub earliest: Instant,
-    /// The last of them was received at this instant, as far as is known.
+    /// The last byte was received at this instant, as far as is known.
     pub latest: Instant,
 }
 
-/// [`Clock`], less the time in which the process was stalled. Clones share what is known of stalls.
+/// A [`Clock`] without the time during which the process was stalled. Clones share the stalls that were detected.
 #[derive(Clone)]
 pub struct UnstalledClock {
     clock: Clock,
@@ -143,54 +153,55 @@
 }
 
 impl UnstalledClock {
-    /// Starts with no stall.
+    /// Starts the clock with no stalls recorded.
     pub fn start(clock: Clock) -> UnstalledClock {
         let detector = Rc::new(RefCell::new(StallDetector::new(clock.now())));
         UnstalledClock { clock, detector }
     }
 
-    /// Notices a stall that ended just now. Every method does so first: whichever part of the program runs first after a stall,
-    /// it does not measure others in it.
+    /// Records a stall that has just ended. Every method calls this first, so that whichever part of the program runs
+    /// first after a stall does not count it against others.
     fn observe(&self) {
         self.detector.borrow_mut().observe(self.clock.now());
     }
 
-    /// All time stalled until now, in microseconds.
+    /// Returns the total stalled time so far, in microseconds.
     pub fn stalled_for(&self) -> Micros {
         self.observe();
         self.detector.borrow().total_stalled_time()
     }
 
-    /// The time now, less all time stalled.
+    /// Returns the current time, less the total stalled time.
     pub fn now(&self) -> Micros {
         let stalled = self.stalled_for();
         self.clock.now() - stalled
     }
 
-    /// This clock's time at an instant to come, if the process does not stall before.
+    /// Returns the time of this clock at a future instant, if the process does not stall before then.
     pub fn at(&self, instant: Instant) -> Micros {
         self.clock.at(instant) - self.stalled_for()
     }
 
-    /// The instant at which this clock shows `at`, if the process does not stall before.
+    /// Returns the instant at which this clock reads `at`, if the process does not stall before then.
     pub fn instant(&self, at: Micros) -> Instant {
         self.clock.instant(at + self.stalled_for())
     }
 
-    /// How much of the time since then the process was not stalled, in microseconds.
+    /// Returns how much of the time since `then` the process was not stalled, in microseconds.
     pub fn unstalled_since(&self, then: Instant) -> Micros {
         self.observe();
         self.detector.borrow().unstalled_time(self.clock.at(then), self.clock.now())
     }
 
-    /// Whether a stall ended after that instant.
+    /// Returns whether any stall ended after `then`.
     pub fn stalled_since(&self, then: Instant) -> bool {
         self.observe();
         self.detector.borrow().stalled_since(self.clock.at(then))
     }
 
-    /// When the bytes were received that were just read from this connection; `None` means just now, as far as anybody can
-    /// tell. The connection was read before at `last_read`, `None` if never. The system is asked only after a stall.
+    /// Returns bounds on when the bytes were received that were just read from a connection, or `None` if, as far as
+    /// can be known, they were received just now. `last_read` is when the connection was read before, or `None` if it
+    /// never was. The kernel is queried only after a stall.
     pub fn receipt_bounds(&self, stream: &TcpStream, last_read: Option<Instant>) -> Option<ReceiptBounds> {
         self.observe();
         let last_read = self.clock.at(last_read.unwrap_or(self.clock.start));
@@ -206,11 +217,12 @@
     }
 }
 
-/// How long ago the system received the last byte of a connection, in microseconds; `None` where it does not say.
+/// Returns how long ago the kernel received the last byte of a connection, in microseconds, or `None` if the kernel
+/// does not report it.
 fn age_of_last_byte(stream: &TcpStream) -> Option<Micros> {
-    /// The index of `tcpi_last_data_recv`, in milliseconds, in Linux's `struct tcp_info` read as words of four bytes.
+    /// Index of `tcpi_last_data_recv`, in milliseconds, in Linux's `struct tcp_info` as an array of 32-bit words.
     const LAST_DATA_RECEIVED: usize = 13;
-    /// The system counts in ticks of up to 4 ms, so the byte may be older by one.
+    /// The kernel counts in ticks of up to 4 ms, so the byte may be older by one tick.
     const TICK: Micros = 4_000;
     let mut info = [0u32; LAST_DATA_RECEIVED + 1];
     let socket = stream.as_raw_fd();
--- a/crates/proxy/src/lifecycle/configuration.rs
+++ b/crates/proxy/src/lifecycle/configuration.rs
@@ -1,4 +1,5 @@
-//! What the process is started with: the configuration, the operator's file, and what the environment says instead.
+//! Reads and checks the configuration, the operator's file and the environment variables that override the
+//! configuration.
 
 use std::net::SocketAddr;
 
@@ -16,47 +17,49 @@
 use crate::lifecycle::limits::{DescriptorLimits, Limits};
 use crate::shadow::ShadowRouter;
 
-/// The least of `limits.sockets`.
+/// Minimum value of `limits.sockets`.
 const MIN_SOCKETS: usize = 64;
-/// The least of `limits.memory_mb`.
+/// Minimum value of `limits.memory_mb`.
 const MIN_MEMORY_MB: usize = 16;
+/// Bytes in the unit of `limits.memory_mb`.
 const BYTES_PER_MB: u64 = 1024 * 1024;
 
-/// Where the configuration is, and the operator's file if there is one.
+/// Paths of the configuration and of the operator's file.
 pub struct ConfigurationFiles {
     /// Path of the configuration.
     pub config: String,
-    /// Path of the operator's file.
+    /// Path of the operator's file; `None` if there is none.
     pub operator: Option<String>,
 }
 
 impl ConfigurationFiles {
-    /// The file that an error in what the operator wants is reported for.
+    /// Returns the path to report for an error in the operator's options: the operator's file, or the configuration
+    /// if there is none.
     fn operator_or_config(&self) -> String {
         self.operator.as_ref().unwrap_or(&self.config).clone()
     }
 }
 
-/// The configuration as the file holds it.
+/// The content of the configuration file.
 #[derive(Deserialize)]
 struct ConfigurationDocument {
     name: String,
-    /// An address with a port.
+    /// Address with a port.
     listen: String,
-    /// An address with a port.
+    /// Address with a port.
     discovery: String,
     /// Up to 16 hexadecimal digits.
     seed: String,
     /// See [`PlatformLimits`].
     limits: Box<RawValue>,
-    /// The endpoint list as of the file's writing.
+    /// Endpoint list at the time when the file was written.
     known: Option<EndpointList>,
-    /// Read by the package `settings`.
+    /// Parsed by [`Settings::parse`].
     settings: Box<RawValue>,
 }
 
 impl ConfigurationDocument {
-    /// The fields that cannot change while the process runs.
+    /// Returns the fields that cannot change while the process runs.
     fn immutable_fields(&self) -> Vec<ImmutableField> {
         vec![
             ImmutableField::new("name", &self.name),
@@ -67,17 +70,17 @@
     }
 }
 
-/// What the platform allows the process, as `limits` in the configuration says.
+/// The resources that the platform gives the process: `limits` in the configuration.
 #[derive(Deserialize)]
 struct PlatformLimits {
     /// Memory, in units of 1024 * 1024 bytes.
     memory_mb: usize,
-    /// Open files.
+    /// Maximum number of open files.
     sockets: usize,
 }
 
 impl PlatformLimits {
-    /// Reads the limits, and checks them and the system's limit on open files.
+    /// Parses the limits, and checks them and the operating system's limit on open files.
     fn parse(text: &RawValue) -> Result<(PlatformLimits, DescriptorLimits), ConfigurationError> {
         let limits: PlatformLimits =
             serde_json::from_str(text.get()).map_err(ConfigurationError::LimitsFormat)?;
@@ -95,41 +98,42 @@
     }
 }
 
-/// What the process is started with, checked.
+/// The checked configuration of the process.
 pub struct Configuration {
-    /// The name of this process, its own in the fleet.
+    /// Name of this process, which is unique in the fleet.
     pub name: String,
-    /// Where clients are accepted.
+    /// Address at which clients are accepted.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
     /// Seed of all random choices.
     pub seed: u64,
     /// Memory that the process may use, in bytes.
     pub memory: u64,
-    /// Sizes, counts and times that bound the process.
+    /// Sizes, counts and durations that bound the process.
     pub limits: Limits,
-    /// Limits on what may wait for slow peers.
+    /// Limits on slow peers and on the data buffered for them.
     pub flow_limits: FlowLimits,
-    /// The endpoint list that the file holds, for the time until discovery answers.
+    /// Endpoint list in the configuration file, for use until discovery responds; `None` if the file has none.
     pub endpoint_list: Option<EndpointList>,
-    /// The settings of the deployment.
+    /// Settings of the deployment.
     pub settings: Settings,
-    /// Other settings, whose decisions are only counted.
+    /// Router for shadow evaluation of other settings, whose decisions are only compared and counted; `None` if the
+    /// operator's file does not ask for it.
     pub shadow: Option<ShadowRouter>,
-    /// The operator's file; its defaults where there is none.
+    /// Content of the operator's file, or the defaults if there is none.
     pub operator: Operator,
-    /// What a reload must find unchanged.
+    /// Fields that cannot change on a reload.
     pub immutable: ImmutableFields,
 }
 
 impl Configuration {
-    /// Reads both files. `environment` looks up a variable: GW_NAME, GW_LISTEN and GW_DISCOVERY come before what the
-    /// configuration says.
+    /// Reads both files. `environment` looks up an environment variable; `GW_NAME`, `GW_LISTEN` and `GW_DISCOVERY`
+    /// take precedence over the configuration.
     ///
     /// # Errors
     ///
-    /// A file cannot be read, or its content cannot be used.
+    /// Fails if a file cannot be read or its content is invalid.
     pub fn read(
         files: &ConfigurationFiles,
         environment: impl Fn(&str) -> Option<String>,
@@ -143,7 +147,8 @@
         Ok(configuration)
     }
 
-    /// All that the text itself says; the shadow settings, and the operator's limits on slow peers, are still to come.
+    /// Parses the text of the configuration file. The result lacks the shadow settings and the operator's limits on
+    /// slow peers.
     fn parse(
         text: &str,
         environment: impl Fn(&str) -> Option<String>,
@@ -173,6 +178,7 @@
         })
     }
 
+    /// Loads the settings for shadow evaluation if the operator's file names any.
     fn read_shadow_settings(&mut self, files: &ConfigurationFiles) -> Result<(), ProgramError> {
         let Some(config) = &self.operator.shadow else { return Ok(()) };
         let shadow = ShadowRouter::load(config, &self.settings)
@@ -181,7 +187,8 @@
         Ok(())
     }
 
-    /// The operator's limits must leave space for one statement and one answer of full size.
+    /// Applies the operator's limits on slow peers, which must leave room for one full-size statement and one
+    /// full-size response.
     fn apply_slow_peers(&mut self, files: &ConfigurationFiles) -> Result<(), ProgramError> {
         self.flow_limits = flow_limits::apply(self.flow_limits, &self.operator.slow_peers);
         let buffers = &self.limits.buffers;
@@ -192,7 +199,7 @@
     }
 }
 
-/// A variable of the process's environment; an empty one counts as not set.
+/// Returns the value of an environment variable, or `None` if it is not set or empty.
 pub fn environment(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
--- a/crates/proxy/src/lifecycle/errors.rs
+++ b/crates/proxy/src/lifecycle/errors.rs
@@ -1,4 +1,5 @@
-//! Why the program does not start, or ends: each message says what is wrong and what an operator can do.
+//! Errors that prevent the program from starting or make it exit. Each message says what is wrong and what an operator
+//! can do about it.
 
 use std::fmt;
 use std::io;
@@ -11,126 +12,126 @@
 
 use crate::shadow::ShadowError;
 
-/// Why a subcommand failed. The program prints it as one line and exits with code 1.
+/// The reason why a subcommand failed. The program prints it on one line and exits with code 1.
 #[derive(Debug, Error)]
 pub enum ProgramError {
     /// The configuration or the operator's file cannot be read.
-    #[error("{path}: {source}; see that the file is there and may be read")]
+    #[error("{path}: {source}; check that the file exists and is readable")]
     UnreadableFile {
-        /// The file, as it was named on the command line.
+        /// Path of the file, as given when the program was started.
         path: String,
-        /// What the system says.
+        /// Error from the operating system.
         source: io::Error,
     },
-    /// The operator's file cannot be used.
+    /// The operator's file is invalid.
     #[error("{path}: {source}")]
     OperatorFile {
-        /// The operator's file.
+        /// Path of the operator's file.
         path: String,
-        /// Which field is wrong, and why.
+        /// The invalid field and the reason.
         source: OperatorError,
     },
-    /// The configuration cannot be used.
+    /// The configuration is invalid.
     #[error("{path}: {source}")]
     Configuration {
-        /// The configuration's file.
+        /// Path of the configuration.
         path: String,
-        /// Which field is wrong, and why.
+        /// The invalid field and the reason.
         source: ConfigurationError,
     },
-    /// The settings for shadow evaluation cannot be used.
+    /// The settings for shadow evaluation are invalid.
     #[error("{path}: shadow.settings: {source}")]
     ShadowSettings {
-        /// The file that names the settings.
+        /// Path of the file that names the settings.
         path: String,
-        /// What is wrong with them.
+        /// The reason why the settings are invalid.
         source: ShadowError,
     },
-    /// A limit on slow peers does not leave space for one statement and one answer of full size.
-    #[error("{path}: slow_peers.{field}: too little, {minimum} are needed; raise it or leave it out")]
+    /// A limit on slow peers is too low for one full-size statement and one full-size response.
+    #[error("{path}: slow_peers.{field}: too little, the minimum is {minimum}; raise it or leave it out")]
     FlowLimitTooLow {
-        /// The operator's file.
+        /// Path of the operator's file.
         path: String,
-        /// The field below `slow_peers`.
+        /// Name of the field, relative to `slow_peers`.
         field: &'static str,
-        /// The least value, in the field's own unit.
+        /// Minimum value, in the unit of the field.
         minimum: u64,
     },
-    /// A socket cannot be opened at its address.
-    #[error("{field}: {address}: {source}; another process may have it, or it is no address of this machine")]
+    /// A socket cannot be opened at its configured address.
+    #[error("{field}: {address}: {source}; check that the address belongs to this machine and is not in use")]
     Listen {
-        /// The field that names the address.
+        /// Name of the field that gives the address.
         field: &'static str,
-        /// The address.
+        /// Configured address.
         address: SocketAddr,
-        /// What the system says.
+        /// Error from the operating system.
         source: io::Error,
     },
-    /// The lease protocol cannot work with what the operator's file says.
+    /// The lease protocol cannot work with the operator's configuration of coordination.
     #[error("coordination.{0}")]
     Coordination(#[from] aldermill_leases::ConfigError),
     /// The async runtime cannot be created.
-    #[error("runtime: {0}; the system refuses threads or descriptors, raise its limits for this process")]
+    #[error("runtime: {0}; the system refuses threads or descriptors, raise the limits for this process")]
     Runtime(io::Error),
-    /// The handlers of SIGTERM, SIGINT and SIGHUP cannot be installed.
+    /// The handlers for SIGTERM, SIGINT and SIGHUP cannot be installed.
     #[error(
-        "signals: {0}; the system refuses descriptors or signal handlers, raise its limits for this process"
+        "signals: {0}; the system refuses descriptors or signal handlers, raise the limits for this process"
     )]
     SignalHandlers(io::Error),
-    /// An actor that runs for as long as the process returned.
-    #[error("the {actor} stopped by itself; this is a fault in the program: restart it, and keep the log")]
+    /// An actor that must run as long as the process has returned.
+    #[error("the {actor} stopped unexpectedly; this is a bug: restart the process and keep the log")]
     ActorStopped {
-        /// Which actor.
+        /// Actor that stopped.
         actor: Actor,
     },
     /// An actor panicked.
-    #[error("the {actor} failed ({source}); this is a fault in the program: restart it, and keep the log")]
+    #[error("the {actor} failed ({source}); this is a bug: restart the process and keep the log")]
     ActorFailed {
-        /// Which actor.
+        /// Actor that failed.
         actor: Actor,
-        /// How its task ended.
+        /// Error with which the actor's task ended.
         source: JoinError,
     },
-    /// No proxy answers at a status socket.
+    /// No proxy replies at a status socket.
     #[error(
-        "{path}: {source}; a running proxy makes this socket where its operator's file names it as `status`"
+        "{path}: {source}; a running proxy creates this socket if its operator's file names the path as `status`"
     )]
     StatusSocket {
-        /// The socket's path.
+        /// Path of the socket.
         path: String,
-        /// What the system says.
+        /// Error from the operating system.
         source: io::Error,
     },
-    /// What a proxy said at its status socket is not in the expected form.
-    #[error("{path}: {source}; this program and the running proxy are of different versions")]
+    /// A proxy's reply at its status socket is not in the expected format.
+    #[error("{path}: {source}; this program and the running proxy are different versions")]
     StatusFormat {
-        /// The socket's path.
+        /// Path of the socket.
         path: String,
-        /// Where the form differs.
+        /// The point at which the reply differs from the format.
         source: serde_json::Error,
     },
     /// A data directory cannot be read or written.
     #[error("{folder}: {source}")]
     DataDirectory {
-        /// The directory.
+        /// Path of the data directory.
         folder: String,
-        /// What went wrong, and what to do.
+        /// The reason, and what to do about it.
         source: aldermill_store::StoreError,
     },
-    /// There is no such data directory.
-    #[error("{0}: no such folder; name the one that the operator's file has as `warm_start.folder`")]
+    /// The data directory at this path does not exist.
+    #[error("{0}: no such directory; give the path that the operator's file has as `warm_start.folder`")]
     NoDataDirectory(String),
-    /// Some records of a data directory cannot be read.
-    #[error("{0}: damaged, what is left is read; `aldermill store compact` drops the rest")]
+    /// Some records in the data directory at this path cannot be read.
+    #[error("{0}: damaged, only the intact records are read; `aldermill store compact` removes the others")]
     DamagedDataDirectory(String),
 }
 
-/// The actors without which the process ends.
+/// An actor without which the process cannot continue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Actor {
-    /// It owns the router and decides on every request.
+    /// The actor that owns the router and decides on every request.
     Dispatcher,
-    /// It accepts clients.
+    /// The actor that accepts client connections.
     Listener,
 }
 
@@ -143,47 +144,47 @@
     }
 }
 
-/// What is wrong with a configuration.
+/// The reason why a configuration is invalid.
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
-    /// It is no JSON, or a field is missing or of another type.
-    #[error("{0}; the file is not in the form that the README shows")]
+    /// The file is not JSON, or a field is missing or of the wrong type.
+    #[error("{0}; the README describes the format of this file")]
     Format(serde_json::Error),
     /// A field is not an address with a port.
-    #[error("{field}: {text:?} is no address with a port; write it as 127.0.0.1:5432 or [::1]:5432")]
+    #[error("{field}: {text:?} is not an address with a port; write it as 127.0.0.1:5432 or [::1]:5432")]
     Address {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What it says.
+        /// Text in the field, or in the environment variable that overrides it.
         text: String,
     },
-    /// The seed cannot be read.
-    #[error("seed: {0:?} is no hexadecimal number; write up to 16 hexadecimal digits")]
+    /// The seed is not a hexadecimal number of at most 64 bits.
+    #[error("seed: {0:?} is not a valid hexadecimal number; write up to 16 hexadecimal digits")]
     Seed(String),
-    /// `limits` lacks a field, or one is of another type.
-    #[error("limits: {0}; `memory_mb` and `sockets` are needed, as whole numbers")]
+    /// A field of `limits` is missing or of the wrong type.
+    #[error("limits: {0}; `memory_mb` and `sockets` are required, as whole numbers")]
     LimitsFormat(serde_json::Error),
-    /// The process cannot work with so little.
-    #[error("limits.{field}: {value} is too little, {minimum} are needed")]
+    /// A field of `limits` is below the minimum with which the process can work.
+    #[error("limits.{field}: {value} is too low, the minimum is {minimum}")]
     LimitTooLow {
-        /// The field below `limits`.
+        /// Name of the field, relative to `limits`.
         field: &'static str,
-        /// What it says.
+        /// Configured value.
         value: usize,
-        /// The least value, in the field's own unit.
+        /// Minimum value, in the unit of the field.
         minimum: usize,
     },
-    /// The system allows this process too few open files.
+    /// The operating system allows this process too few open files.
     #[error(
         "limits.sockets: the system allows this process {allowed} open files, {minimum} are needed; raise the limit (ulimit -n)"
     )]
     TooFewDescriptors {
-        /// The system's limit on open files.
+        /// The operating system's limit on open files.
         allowed: usize,
-        /// With fewer the proxy cannot serve.
+        /// Minimum number of open files with which the proxy can serve.
         minimum: usize,
     },
-    /// The settings cannot be used.
+    /// The settings are invalid.
     #[error("settings: {0}")]
     Settings(SettingsError),
 }
--- a/crates/proxy/src/lifecycle/flow_limits.rs
+++ b/crates/proxy/src/lifecycle/flow_limits.rs
@@ -1,25 +1,26 @@
-//! The limits on slow peers: the usual ones, changed by `slow_peers` of the operator's file.
+//! Limits on slow peers: the defaults, overridden by `slow_peers` in the operator's file.
 
 use aldermill_flow_control::{
     AddressLimits, FlowLimits, FlowLimitsError, Micros, MinimumRate, PressureThresholds,
 };
 use aldermill_operator_config::{MinimumRate as MinimumRateConfig, SlowPeersConfig};
 
+/// Bytes in one KiB.
 const KIB: u64 = 1024;
 
-/// A limit of the operator's file that is too low to serve with.
+/// A limit in the operator's file that is too low for the proxy to serve requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitTooLow {
-    /// The field below `slow_peers`.
+    /// Name of the field, relative to `slow_peers`.
     pub field: &'static str,
-    /// The least value, in the field's own unit.
+    /// Minimum value, in the unit of the field.
     pub minimum: u64,
 }
 
-/// The usual limits, but for what the operator's file says otherwise.
+/// Returns the limits of the operator's file, completed by the defaults.
 pub fn apply(defaults: FlowLimits, config: &SlowPeersConfig) -> FlowLimits {
     let budget = config.room_kib.map_or(defaults.budget, |kib| kib.saturating_mul(KIB));
-    // Parts that the file does not name keep their proportion.
+    // Limits that the file does not set keep their proportion to the budget.
     let scaled = |part: u64| (part as f64 / defaults.budget as f64 * budget as f64) as u64;
     let share = |fraction: f64| (fraction.clamp(0.0, 1.0) * budget as f64) as u64;
     FlowLimits {
@@ -50,7 +51,7 @@
     }
 }
 
-/// Checks that one statement and one answer of full size, both in bytes, fit into the limits.
+/// Checks that a statement and a response of these sizes, both in bytes, fit into the limits together.
 pub fn check(limits: &FlowLimits, statement: usize, response: usize) -> Result<(), LimitTooLow> {
     limits.validate(statement as u64, response as u64).map_err(|error| match error {
         FlowLimitsError::ConnectionsPerAddress { minimum } => {
@@ -62,6 +63,7 @@
     })
 }
 
+/// Creates the error for a field in KiB from a minimum in bytes.
 fn too_low_in_kib(field: &'static str, minimum: u64) -> LimitTooLow {
     LimitTooLow { field, minimum: minimum.div_ceil(KIB) }
 }
--- a/crates/proxy/src/lifecycle/immutable_fields.rs
+++ b/crates/proxy/src/lifecycle/immutable_fields.rs
@@ -1,24 +1,25 @@
-//! The fields that cannot change while the process runs: a reload compares them and only warns.
+//! Configuration fields that cannot change while the process runs. A reload compares them and only logs a warning for
+//! each that differs.
 
 use aldermill_operator_config::{CoordinationConfig, Operator};
 use serde::Serialize;
 use serde_json::Value;
 
-/// A field that is read at the start only.
+/// A field that is read only at startup.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ImmutableField {
-    /// Its key in the configuration or the operator's file.
+    /// Key of the field in the configuration or the operator's file.
     pub name: &'static str,
-    /// What the file says.
+    /// Value of the field in the file; null for an optional field that is absent.
     pub value: Value,
 }
 
-/// All such fields of one reading, in a fixed order.
+/// All immutable fields as read at one time, in a fixed order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ImmutableFields(Vec<ImmutableField>);
 
 impl ImmutableFields {
-    /// These fields of the configuration, followed by those of the operator's file.
+    /// Combines these fields of the configuration with the immutable fields of the operator's file.
     pub fn new(configuration: Vec<ImmutableField>, operator: &Operator) -> ImmutableFields {
         let coordination = operator.coordination.as_ref().map(immutable_coordination);
         let mut fields = configuration;
@@ -33,7 +34,7 @@
         ImmutableFields(fields)
     }
 
-    /// The names of the fields that differ from those of an earlier reading.
+    /// Returns the names of the fields whose values differ from those of an earlier reading.
     pub fn changed_since<'a>(
         &'a self,
         earlier: &'a ImmutableFields,
@@ -44,13 +45,14 @@
 }
 
 impl ImmutableField {
-    /// The field with its value as JSON.
+    /// Creates a field with its value converted to JSON.
     pub fn new(name: &'static str, value: &impl Serialize) -> ImmutableField {
         ImmutableField { name, value: serde_json::to_value(value).unwrap_or_default() }
     }
 }
 
-/// The coordination's part that cannot change: a reload takes in cuts and sites that drain.
+/// Returns the part of the coordination section that cannot change. A reload applies changes to `cuts` and
+/// `site_drain`, which are left out.
 fn immutable_coordination(coordination: &CoordinationConfig) -> CoordinationConfig {
     CoordinationConfig { cuts: Default::default(), site_drain: Vec::new(), ..coordination.clone() }
 }
