--- a/crates/proxy/src/client/mod.rs
+++ b/crates/proxy/src/client/mod.rs
@@ -1,14 +1,15 @@
-//! Client connections: accepted by the listener, kept by the registry, served by one actor each.
+//! Client connections. The listener accepts them, the registry keeps track of them, and an actor per
+//! connection serves it.
 
 mod close;
 mod connection;
 mod events;
-mod intake;
 pub mod listener;
+mod message_handling;
 mod pending_responses;
-mod receipt;
+mod receipt_times;
 mod registry;
 mod response;
+mod shared_state;
 mod startup;
-mod state;
 mod statement;
--- a/crates/proxy/src/member/response.rs
+++ b/crates/proxy/src/member/response.rs
@@ -1,4 +1,4 @@
-//! Reads the response to a query, as far as it comes in time.
+//! Reads the response to a query, as far as it arrives in time.
 
 use aldermill_flow_control::{ProgressMeter, ReservationOwner};
 use aldermill_wire::{Buffer, Exchange, pg};
@@ -15,37 +15,42 @@
 /// What a member sent in response to a query.
 #[derive(Default)]
 pub(super) struct Response {
+    /// Messages of the response that have been parsed.
     pub(super) exchange: Exchange,
-    /// The buffer space that a large response holds.
+    /// Buffer space reserved for a large response; `None` if the response is small or no space was available.
     pub(super) reservation: Option<BufferReservation>,
-    /// A large response began, and no buffer space was to be had for it: the rest of it is not read.
+    /// Whether a large response began for which no buffer space was available. The rest of it is not read.
     pub(super) out_of_buffer_space: bool,
 }
 
 /// Reads one response.
 pub(super) struct ResponseReader<'a> {
     context: &'a ProcessContext,
-    /// For whom buffer space for a large response is reserved; `None` for a health check, which gets none.
-    owner: Option<ReservationOwner>,
+    /// Owner of the buffer space that is reserved for a large response; `None` for a health check, which gets
+    /// none.
+    reservation_owner: Option<ReservationOwner>,
     deadline: Instant,
-    /// Measures the member's rate from the first bytes of the response on.
+    /// Measures the member's transfer rate from the first bytes of the response on.
     meter: Option<ProgressMeter>,
     response: &'a mut Response,
 }
 
 impl<'a> ResponseReader<'a> {
+    /// Creates a reader that stores what it reads in `response`.
     pub(super) fn new(
         context: &'a ProcessContext,
-        owner: Option<ReservationOwner>,
+        reservation_owner: Option<ReservationOwner>,
         deadline: Instant,
         response: &'a mut Response,
     ) -> ResponseReader<'a> {
-        ResponseReader { context, owner, deadline, meter: None, response }
+        ResponseReader { context, reservation_owner, deadline, meter: None, response }
     }
 
-    /// Reads until the response is over, or there is no buffer space for it.
+    /// Reads until the response is complete, or no buffer space is available for it.
     ///
-    /// Errors: as [`QueryError`] says of a query that was sent.
+    /// # Errors
+    ///
+    /// Returns why no complete response was read, as a [`QueryError`] for a query that was sent.
     pub(super) async fn read(&mut self, connection: &mut Connection) -> Result<(), QueryError> {
         loop {
             let absorbed = self
@@ -64,19 +69,19 @@
         }
     }
 
-    /// Reserves buffer space where the response turns out to be large. Until it is granted nothing is read: what the
-    /// member sends stays with it, and occupies its capacity.
+    /// Reserves buffer space if the response turns out to be large. Nothing is read until the space is
+    /// granted: the rest of the response stays with the member and occupies its capacity.
     async fn reserve_buffer_space(&mut self, buffer: &mut Buffer) -> Result<(), QueryError> {
         let announced = pg::announced_length(buffer.held());
         if announced <= self.context.limits.buffers.small_message || self.response.reservation.is_some() {
             return Ok(());
         }
-        let Some(owner) = self.owner else { return Err(QueryError::Malformed) };
+        let Some(reservation_owner) = self.reservation_owner else { return Err(QueryError::Malformed) };
         if let Some(meter) = &mut self.meter {
             meter.stop(self.context.unstalled_clock.now());
         }
         let flow_control = &self.context.flow_control;
-        self.response.reservation = flow_control.reserve(owner, announced, self.deadline).await;
+        self.response.reservation = flow_control.reserve(reservation_owner, announced, self.deadline).await;
         if self.response.reservation.is_some() {
             buffer.expect(announced + 1);
         } else {
@@ -85,23 +90,23 @@
         Ok(())
     }
 
-    /// Reads what comes next. A response comes in one piece, or nearly: one that has begun and goes on below the least rate
-    /// is of no use.
+    /// Reads the next bytes. A response arrives in one piece or nearly so; one that has begun and continues
+    /// below the minimum rate is of no use.
     async fn read_more(&mut self, connection: &mut Connection) -> Result<(), QueryError> {
         let now = self.context.unstalled_clock.now();
         if let Some(meter) = &mut self.meter {
             meter.start(now);
         }
-        let wait_until = self.wait_until(&connection.buffer);
-        match self.read_by(connection, wait_until).await {
-            Err(_) if wait_until < self.deadline => Err(QueryError::TooSlow),
-            Err(_) => Err(QueryError::DeadlinePassed),
+        let read_deadline = self.read_deadline(&connection.buffer);
+        match self.read_until(connection, read_deadline).await {
+            Err(_) if read_deadline < self.deadline => Err(QueryError::TooSlow),
+            Err(_) => Err(QueryError::DeadlineExceeded),
             Ok(Err(error)) => Err(error.into()),
             Ok(Ok(0)) => Err(QueryError::Closed),
             Ok(Ok(count)) => {
-                self.count_bytes(count);
+                self.record_bytes(count);
                 if self.response.reservation.is_some() {
-                    // A large response must not keep the other tasks of this thread waiting.
+                    // A large response must not keep other tasks on this thread from running.
                     task::yield_now().await;
                 }
                 Ok(())
@@ -109,29 +114,31 @@
         }
     }
 
-    /// By when more has to come: by the deadline, by the least rate, and soon where only the end of the response is
-    /// missing, or its last bytes are those of a whole one.
-    fn wait_until(&self, buffer: &Buffer) -> Instant {
-        let due = self.meter.as_ref().and_then(ProgressMeter::deadline);
-        let due =
-            due.map_or(self.deadline, |due| self.context.unstalled_clock.instant(due).min(self.deadline));
-        let lacks_only_its_end =
+    /// Returns by when more bytes must arrive: by the deadline, and as early as the minimum rate requires. If
+    /// only the end of the response is missing, or the bytes held end like a complete response, more bytes
+    /// must arrive within `limits.member.completion_timeout`.
+    fn read_deadline(&self, buffer: &Buffer) -> Instant {
+        let slow_at = self.meter.as_ref().and_then(ProgressMeter::deadline);
+        let read_deadline =
+            slow_at.map_or(self.deadline, |at| self.context.unstalled_clock.instant(at).min(self.deadline));
+        let lacks_only_end =
             self.response.exchange.is_served() || pg::ends_with_ready_for_query(buffer.held());
-        if lacks_only_its_end {
-            due.min(Instant::now() + self.context.limits.member.completion_timeout)
+        if lacks_only_end {
+            read_deadline.min(Instant::now() + self.context.limits.member.completion_timeout)
         } else {
-            due
+            read_deadline
         }
     }
 
-    /// One read. A signal or a stall may wake the timer before the bytes, which came in time: they are read all the same.
-    async fn read_by(
+    /// Reads once. A signal or a stall may let the timer expire first although the bytes arrived in time, so
+    /// bytes that are waiting by then are read all the same.
+    async fn read_until(
         &self,
         connection: &mut Connection,
-        wait_until: Instant,
+        read_deadline: Instant,
     ) -> Result<std::io::Result<usize>, Elapsed> {
         let Connection { stream, buffer, .. } = connection;
-        let read = timeout_at(wait_until, system::read(Party::Member, stream, buffer.tail())).await;
+        let read = timeout_at(read_deadline, system::read(Party::Member, stream, buffer.tail())).await;
         if read.is_err() && matches!(system::peek(stream), Peeked::Unread | Peeked::EndOfStream) {
             let limit = self.context.limits.member.completion_timeout;
             return timeout(limit, system::read(Party::Member, stream, buffer.tail())).await;
@@ -139,7 +146,7 @@
         read
     }
 
-    fn count_bytes(&mut self, count: usize) {
+    fn record_bytes(&mut self, count: usize) {
         let now = self.context.unstalled_clock.now();
         let flow_control = &self.context.flow_control;
         let meter =
