--- a/crates/proxy/src/client/close.rs
+++ b/crates/proxy/src/client/close.rs
@@ -92,7 +92,7 @@
     /// for a limited time after the close. From `limits.buffers.ignorable_unread` bytes on, they count
     /// against the buffer budget for that time.
     fn may_leave_unread(&mut self) -> bool {
-        let unread = self.unread_responses.bytes_in_kernel(self.context.limits.buffers.client_socket);
+        let unread = self.unread_responses.bytes_in_kernel(self.context.limits.buffers.client_socket_buffer);
         if unread < self.context.limits.buffers.ignorable_unread {
             return true;
         }
--- a/crates/proxy/src/gateway/outbound.rs
+++ b/crates/proxy/src/gateway/outbound.rs
@@ -15,7 +15,7 @@
 use super::LinkRegistry;
 use super::errors::ConnectError;
 use super::link::LinkConnection;
-use crate::lifecycle::limits::RetryInterval;
+use crate::lifecycle::limits::RetryBackoff;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::system::{self, SocketErrorKind};
 
@@ -81,7 +81,7 @@
     /// at once. The backoff doubles with each attempt, up to the configured maximum, unless the attempt
     /// resets it.
     async fn maintain(mut self) {
-        let RetryInterval { initial, max } = self.context.limits.links.retry;
+        let RetryBackoff { initial, max } = self.context.limits.links.retry;
         loop {
             let reset_backoff = self.open_and_run().await;
             if reset_backoff {
--- a/crates/proxy/src/member/connection.rs
+++ b/crates/proxy/src/member/connection.rs
@@ -92,7 +92,7 @@
     system::write_all(Party::Member, stream, &query).await.ok()?;
     let mut was_acknowledged = false;
     loop {
-        let Some(message) = pg::message(buffer.held(), limits.buffers.response).ok()? else {
+        let Some(message) = pg::message(buffer.held(), limits.buffers.max_response).ok()? else {
             let count = system::read(Party::Member, stream, buffer.tail()).await.ok()?;
             if count == 0 {
                 return None;
@@ -152,8 +152,8 @@
     // The send buffer is smaller than a full-size statement, so that the progress of the write shows how fast
     // the member reads.
     let sizes = BufferSizes {
-        send: limits.buffers.client_socket as u32,
-        receive: limits.buffers.member_socket as u32,
+        send: limits.buffers.client_socket_buffer as u32,
+        receive: limits.buffers.member_socket_buffer as u32,
     };
     let mut stream = system::connect(address, Some(sizes)).await?;
     stream.set_nodelay(true)?;
@@ -163,7 +163,7 @@
     let mut buffer = Buffer::default();
     loop {
         let message =
-            pg::message(buffer.held(), limits.buffers.response).map_err(|_| QueryError::Malformed)?;
+            pg::message(buffer.held(), limits.buffers.max_response).map_err(|_| QueryError::Malformed)?;
         let Some(message) = message else {
             if system::read(Party::Member, &mut stream, buffer.tail()).await? == 0 {
                 return Err(QueryError::Closed);
