--- a/crates/proxy/tests/clock.rs
+++ b/crates/proxy/tests/clock.rs
@@ -15,13 +15,16 @@
 fn a_suspension_advances_the_routers_clock_and_counts_as_a_stall() {
     let clock = Clock::start(unix_now, Some(|| SUSPENDED.load(Ordering::SeqCst)));
     let unstalled = UnstalledClock::start(clock);
-    let (before, began) = (clock.now(), unstalled.now());
-    let due = clock.instant(before + 60_000_000);
+    let (router_before, unstalled_before) = (clock.now(), unstalled.now());
+    let deadline = clock.instant(router_before + 60_000_000);
     SUSPENDED.fetch_add(40_000_000, Ordering::SeqCst);
-    assert!((40_000_000..50_000_000).contains(&(clock.now() - before)));
-    assert!(due.saturating_duration_since(clock.instant(before + 60_000_000)) >= duration(39_000_000));
+    assert!((40_000_000..50_000_000).contains(&(clock.now() - router_before)));
     assert!(
-        (40_000_000..50_000_000).contains(&unstalled.stalled_for()) && unstalled.now() - began < 10_000_000
+        deadline.saturating_duration_since(clock.instant(router_before + 60_000_000)) >= duration(39_000_000)
+    );
+    assert!(
+        (40_000_000..50_000_000).contains(&unstalled.stalled_for())
+            && unstalled.now() - unstalled_before < 10_000_000
     );
     // The two conversions are inverse.
     let at = clock.now() + 5_000_000;
@@ -44,10 +47,10 @@
     let clock = Clock::start(|| unix_now() + STEP.load(Ordering::SeqCst), None);
     let unstalled = UnstalledClock::start(clock);
     for step in [-HOUR, 2_000_000, HOUR, -2_000_000] {
-        let (router, wall, before) = (clock.now(), clock.wall(), unstalled.now());
+        let (router_before, wall_before, unstalled_before) = (clock.now(), clock.wall(), unstalled.now());
         STEP.fetch_add(step, Ordering::SeqCst);
-        assert!((0..1_000_000).contains(&(clock.now() - router)));
-        assert!((0..1_000_000).contains(&(unstalled.now() - before)));
-        assert!((0..1_000_000).contains(&(clock.wall() - wall - step)));
+        assert!((0..1_000_000).contains(&(clock.now() - router_before)));
+        assert!((0..1_000_000).contains(&(unstalled.now() - unstalled_before)));
+        assert!((0..1_000_000).contains(&(clock.wall() - wall_before - step)));
     }
 }
--- a/crates/proxy/tests/fresh.rs
+++ b/crates/proxy/tests/freshness.rs
@@ -12,13 +12,13 @@
 use aldermill_wire::pg;
 
 /// Reads of data 300 ms old at most.
-fn bounded(discovery: &Discovery, known: &str) -> String {
-    let config = config(discovery.start(), 256, known);
+fn config_with_staleness_bound(discovery: &Discovery, initial_list: &str) -> String {
+    let config = config(discovery.start(), 256, initial_list);
     config.replace(r#""maxAgeMs":[0,0]"#, r#""maxAgeMs":[300,0]"#).replace(r#"["loose","#, r#"["recent","#)
 }
 
 /// A whole answer from a replica that stands where it stood at that time.
-fn lagging(text: &str, position: u128) -> Vec<u8> {
+fn replica_response(text: &str, position: u128) -> Vec<u8> {
     let mut out = Vec::new();
     let value = if text == "SHOW usage" {
         format!("x0={}.0,x1=0,inflight=0", position / 1000)
@@ -33,66 +33,70 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_late_carries_no_read_whose_proof_has_run_out() {
+fn a_read_is_not_sent_on_a_connection_that_opens_after_its_freshness_proof_expires() {
     // The replica catches up every 0.4 s only, and from then on admits new connections 250 ms late.
-    let (slow, stale, reads) =
+    let (delay_handshakes, stale_reads, reads) =
         (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
-    let (seen_slow, seen_stale, seen_reads) = (slow.clone(), stale.clone(), reads.clone());
+    let (delay_handshakes_flag, stale_read_counter, read_counter) =
+        (delay_handshakes.clone(), stale_reads.clone(), reads.clone());
     let position = |now: u128| now - now % 400;
-    let bears = move |_: &[u8], welcomed: bool| {
-        if !welcomed && slow.load(Ordering::SeqCst) {
+    let keep_connection = move |_: &[u8], startup_done: bool| {
+        if !startup_done && delay_handshakes.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(250));
         }
         true
     };
-    let act = move |text: &str, stream: &mut std::net::TcpStream| {
+    let respond = move |text: &str, stream: &mut std::net::TcpStream| {
         use std::io::Write;
         let now = unix_millis();
         if text.starts_with("/*") {
-            seen_reads.fetch_add(1, Ordering::SeqCst);
+            read_counter.fetch_add(1, Ordering::SeqCst);
             if now - position(now) > 320 {
-                seen_stale.fetch_add(1, Ordering::SeqCst);
+                stale_read_counter.fetch_add(1, Ordering::SeqCst);
             }
             // Each request takes its connection along, so that the next one has to open one.
-            let _ = stream.write_all(&lagging(text, position(now)));
+            let _ = stream.write_all(&replica_response(text, position(now)));
             let _ = stream.shutdown(std::net::Shutdown::Both);
             return;
         }
-        let _ = stream.write_all(&lagging(text, position(now)));
+        let _ = stream.write_all(&replica_response(text, position(now)));
     };
-    let replica = Member::at(TcpListener::bind("127.0.0.1:0").unwrap(), bears, act);
+    let replica = Member::at(TcpListener::bind("127.0.0.1:0").unwrap(), keep_connection, respond);
     let primary = Member::start(|text, stream| serve(text, "writer", stream));
     let discovery = Discovery::default();
-    let known = list(1, true, &[("a", &replica, "in_service"), ("b", &primary, "in_service")]);
-    let driver = Driver::of(&bounded(&discovery, &known));
-    let mut client = Client::connect(driver.address);
+    let initial_list = list(1, true, &[("a", &replica, "in_service"), ("b", &primary, "in_service")]);
+    let proxy = Driver::of(&config_with_staleness_bound(&discovery, &initial_list));
+    let mut client = Client::connect(proxy.address);
     assert!(served(&client.ask(&look(15000))));
-    seen_slow.store(true, Ordering::SeqCst);
+    delay_handshakes_flag.store(true, Ordering::SeqCst);
     for _ in 0..40 {
         assert!(served(&client.ask(&look(15000))));
         thread::sleep(Duration::from_millis(23));
     }
     assert!(reads.load(Ordering::SeqCst) > 0, "the replica is read at all");
-    assert_eq!(stale.load(Ordering::SeqCst), 0, "of {}", reads.load(Ordering::SeqCst));
+    assert_eq!(stale_reads.load(Ordering::SeqCst), 0, "of {}", reads.load(Ordering::SeqCst));
 }
 
 #[test]
-fn an_answer_cut_short_still_tells_that_its_member_is_no_primary() {
+fn a_truncated_response_still_reports_that_its_member_is_not_the_primary() {
     // Primary for the write; after that it says otherwise, and the end of its answers does not come.
     let member = Member::start(|text, stream| {
         use std::io::Write;
         if text.contains("c=order") {
             return serve(text, "writer", stream);
         }
-        let whole = lagging(text, unix_millis() - 5000);
-        let mut ready = Vec::new();
-        pg::write_ready_for_query(&mut ready);
-        let _ = stream.write_all(&whole[..whole.len() - ready.len()]);
+        let complete_response = replica_response(text, unix_millis() - 5000);
+        let mut ready_for_query = Vec::new();
+        pg::write_ready_for_query(&mut ready_for_query);
+        let _ = stream.write_all(&complete_response[..complete_response.len() - ready_for_query.len()]);
     });
     let discovery = Discovery::default();
-    let known = list(1, true, &[("a", &member, "in_service")]);
-    let driver = Driver::of(&bounded(&discovery, &known).replace(r#""probes":true"#, r#""probes":false"#));
-    let mut client = Client::connect(driver.address);
+    let initial_list = list(1, true, &[("a", &member, "in_service")]);
+    let proxy = Driver::of(
+        &config_with_staleness_bound(&discovery, &initial_list)
+            .replace(r#""probes":true"#, r#""probes":false"#),
+    );
+    let mut client = Client::connect(proxy.address);
     assert!(served(&client.ask(&order(15000))));
     // From here on its position proves nothing, its role alone does.
     thread::sleep(Duration::from_millis(350));
--- a/crates/proxy/tests/gateway.rs
+++ b/crates/proxy/tests/gateway.rs
@@ -13,325 +13,339 @@
     program, served, until,
 };
 
-const MS: fn(u64) -> Duration = Duration::from_millis;
+const MILLIS: fn(u64) -> Duration = Duration::from_millis;
 
 /// Sites 0 and 1; the first opens its links through a proxied connection. The primary is at site 1.
-fn pair(members: usize) -> (Site, Site, Cable, Ledger) {
+fn start_two_sites(members: usize) -> (Site, Site, Cable, Ledger) {
     let ledger = Ledger::default();
     ledger.home.store(1, Ordering::SeqCst);
-    let mut near = Site::new(0, members, &ledger, |terms| terms);
-    let mut far = Site::new(1, 2, &ledger, |terms| terms);
-    let cable = Cable::to(far.links);
-    far.start(&[(0, None)]);
-    near.start(&[(1, Some(cable.address))]);
-    until("a link", || near.driver().logged("link up"));
-    until("a write is forwarded", || served(&near.client().ask(&order(3000))));
-    (near, far, cable, ledger)
+    let mut local = Site::new(0, members, &ledger, |settings| settings);
+    let mut remote = Site::new(1, 2, &ledger, |settings| settings);
+    let relay = Cable::to(remote.links);
+    remote.start(&[(0, None)]);
+    local.start(&[(1, Some(relay.address))]);
+    until("a link", || local.driver().logged("link up"));
+    until("a write is forwarded", || served(&local.client().ask(&order(3000))));
+    (local, remote, relay, ledger)
 }
 
 /// Sends a write with an idempotency key of its own; its answer, and how often it took effect.
-fn write(client: &mut Client, ledger: &Ledger, wait: u32) -> (Option<Said>, u32) {
+fn send_write(client: &mut Client, ledger: &Ledger, timeout_ms: u32) -> (Option<Said>, u32) {
     let id = new_id();
-    let said = client.offer(&named(&order(wait), &id)).then(|| client.answer()).flatten();
-    let runs = ledger.runs(&id);
-    if let Some(said) = &said {
-        assert!(said.code != "53300" || runs == 0, "rejected, and it ran");
-        assert!(said.value.is_none() || runs == 1, "served, and ran {runs} times");
+    let response = client.offer(&named(&order(timeout_ms), &id)).then(|| client.answer()).flatten();
+    let executions = ledger.runs(&id);
+    if let Some(response) = &response {
+        assert!(response.code != "53300" || executions == 0, "rejected, and it ran");
+        assert!(response.value.is_none() || executions == 1, "served, and ran {executions} times");
     }
-    (said, runs)
+    (response, executions)
 }
 
-fn code(said: &Option<Said>) -> &str {
-    said.as_ref().map_or("none", |said| if said.value.is_some() { "served" } else { said.code.as_str() })
+fn response_code(response: &Option<Said>) -> &str {
+    response
+        .as_ref()
+        .map_or("none", |response| if response.value.is_some() { "served" } else { response.code.as_str() })
 }
 
 #[test]
 fn writes_are_forwarded_to_the_primarys_site_and_reads_stay_local() {
-    let (near, far, cable, ledger) = pair(1);
-    let mut client = near.client();
-    let before = (near.members[0].requests().len(), far.members[0].requests().len());
+    let (local, remote, relay, ledger) = start_two_sites(1);
+    let mut client = local.client();
+    let requests_before = (local.members[0].requests().len(), remote.members[0].requests().len());
     assert!((0..20).all(|_| served(&client.ask(&order(3000))) && served(&client.ask(&look(3000)))));
-    let looks = |site: &Site| {
+    let count_reads = |site: &Site| {
         site.members
             .iter()
             .flat_map(|member| member.requests())
             .filter(|text| text.contains("SELECT"))
             .count()
     };
-    assert_eq!((looks(&near), looks(&far)), (20, 0));
-    assert!(far.members[0].requests().len() >= before.1 + 20);
+    assert_eq!((count_reads(&local), count_reads(&remote)), (20, 0));
+    assert!(remote.members[0].requests().len() >= requests_before.1 + 20);
     // Once the primary's site is known, members here are no longer searched.
-    assert!(near.members[0].requests().len() <= before.0 + 20 + 4);
-    assert!(ledger.doubles().is_empty() && cable.carried()[THERE] > 0);
+    assert!(local.members[0].requests().len() <= requests_before.0 + 20 + 4);
+    assert!(ledger.doubles().is_empty() && relay.carried()[THERE] > 0);
     // Values larger than a frame arrive whole, in both directions.
     let large = order(5000).replace("9f", &"9f".repeat(50_000));
     assert!(served(&client.ask(&large)));
-    let said = Command::new(program()).arg("sites").arg(near.status()).output().unwrap();
-    let said = String::from_utf8(said.stdout).unwrap();
-    assert!(said.contains("\"home\": \"site1\"") && said.contains("\"links\": 2"), "{said}");
+    let sites_output = Command::new(program()).arg("sites").arg(local.status()).output().unwrap();
+    let sites_output = String::from_utf8(sites_output.stdout).unwrap();
+    assert!(
+        sites_output.contains("\"home\": \"site1\"") && sites_output.contains("\"links\": 2"),
+        "{sites_output}"
+    );
 }
 
 #[test]
 fn a_site_without_members_of_a_group_forwards_every_request() {
-    let (near, _far, _cable, _) = pair(0);
-    let mut client = near.client();
+    let (local, _remote, _relay, _) = start_two_sites(0);
+    let mut client = local.client();
     assert!((0..10).all(|_| served(&client.ask(&order(3000))) && served(&client.ask(&look(3000)))));
 }
 
 #[test]
 fn a_link_cut_at_any_byte_duplicates_no_effect() {
-    let (near, _far, cable, ledger) = pair(1);
-    let mut client = near.client();
-    let mut counted = std::collections::BTreeMap::<String, usize>::new();
-    for turn in 0..24 {
+    let (local, _remote, relay, ledger) = start_two_sites(1);
+    let mut client = local.client();
+    let mut responses_by_code = std::collections::BTreeMap::<String, usize>::new();
+    for round in 0..24 {
         // Frames of a request and its answer are some 250 bytes; heartbeats go in between.
-        cable.cut_after([THERE, BACK][turn % 2], 17 * (turn / 2));
-        let (said, runs) = write(&mut client, &ledger, 3000);
-        assert!(runs <= 1 && said.is_some(), "{runs}");
-        *counted.entry(code(&said).to_owned()).or_default() += 1;
+        relay.cut_after([THERE, BACK][round % 2], 17 * (round / 2));
+        let (response, executions) = send_write(&mut client, &ledger, 3000);
+        assert!(executions <= 1 && response.is_some(), "{executions}");
+        *responses_by_code.entry(response_code(&response).to_owned()).or_default() += 1;
     }
-    println!("{counted:?}");
+    println!("{responses_by_code:?}");
     assert!(ledger.doubles().is_empty(), "{:?}", ledger.doubles());
     // The outcome log answers for most of them: a cut alone fails no request.
-    assert!(counted["served"] >= 20, "{counted:?}");
-    assert!(cable.cuts() >= 16, "{}", cable.cuts());
+    assert!(responses_by_code["served"] >= 20, "{responses_by_code:?}");
+    assert!(relay.cuts() >= 16, "{}", relay.cuts());
 }
 
 #[test]
 fn moving_the_primary_between_sites_with_requests_in_flight_duplicates_no_effect() {
-    let (near, far, cable, ledger) = pair(2);
-    cable.delay(MS(10));
+    let (local, remote, relay, ledger) = start_two_sites(2);
+    relay.delay(MILLIS(10));
     ledger.work.store(5, Ordering::SeqCst);
-    let moving = {
-        let home = ledger.home.clone();
+    let mover = {
+        let primary_site = ledger.home.clone();
         thread::spawn(move || {
-            for home_at in [0, 1, 0, 1] {
-                thread::sleep(MS(700));
-                home.store(home_at, Ordering::SeqCst);
+            for site in [0, 1, 0, 1] {
+                thread::sleep(MILLIS(700));
+                primary_site.store(site, Ordering::SeqCst);
             }
         })
     };
     let clients: Vec<_> = (0..8)
         .map(|number| {
-            let (mut client, ledger) = ([&near, &far][number % 2].client(), ledger.clone());
+            let (mut client, ledger) = ([&local, &remote][number % 2].client(), ledger.clone());
             thread::spawn(move || {
                 let start = Instant::now();
-                let mut counted = (0, 0);
-                while start.elapsed() < MS(3500) {
-                    let (said, _) = write(&mut client, &ledger, 3000);
-                    counted.0 += 1;
-                    counted.1 += usize::from(code(&said) == "served");
-                    thread::sleep(MS(5));
+                let mut counts = (0, 0);
+                while start.elapsed() < MILLIS(3500) {
+                    let (response, _) = send_write(&mut client, &ledger, 3000);
+                    counts.0 += 1;
+                    counts.1 += usize::from(response_code(&response) == "served");
+                    thread::sleep(MILLIS(5));
                 }
-                counted
+                counts
             })
         })
         .collect();
-    let counted: Vec<(usize, usize)> = clients.into_iter().map(|client| client.join().unwrap()).collect();
-    moving.join().unwrap();
-    let (asked, good) = counted.iter().fold((0, 0), |sum, next| (sum.0 + next.0, sum.1 + next.1));
+    let counts: Vec<(usize, usize)> = clients.into_iter().map(|client| client.join().unwrap()).collect();
+    mover.join().unwrap();
+    let (request_count, served_count) =
+        counts.iter().fold((0, 0), |sum, next| (sum.0 + next.0, sum.1 + next.1));
     assert!(ledger.doubles().is_empty());
-    assert!(asked > 200 && good * 10 >= asked * 9, "{good} of {asked}");
+    assert!(
+        request_count > 200 && served_count * 10 >= request_count * 9,
+        "{served_count} of {request_count}"
+    );
 }
 
 #[test]
-fn a_half_dead_link_is_detected_and_late_frames_duplicate_no_effect() {
-    let (near, _far, cable, ledger) = pair(1);
-    for way in [THERE, BACK] {
-        let mut client = near.client();
-        cable.hold(way, true);
+fn a_half_open_link_is_detected_and_late_frames_duplicate_no_effect() {
+    let (local, _remote, relay, ledger) = start_two_sites(1);
+    for direction in [THERE, BACK] {
+        let mut client = local.client();
+        relay.hold(direction, true);
         let start = Instant::now();
-        let (said, _) = write(&mut client, &ledger, 2500);
-        assert!(said.is_some() && start.elapsed() < MS(2600), "{:?}", start.elapsed());
+        let (response, _) = send_write(&mut client, &ledger, 2500);
+        assert!(response.is_some() && start.elapsed() < MILLIS(2600), "{:?}", start.elapsed());
         // Then all frames at once, on links that were closed long ago.
-        cable.hold(way, false);
-        thread::sleep(MS(300));
-        until("it is served again", || code(&write(&mut client, &ledger, 2500).0) == "served");
+        relay.hold(direction, false);
+        thread::sleep(MILLIS(300));
+        until("it is served again", || response_code(&send_write(&mut client, &ledger, 2500).0) == "served");
     }
     assert!(ledger.doubles().is_empty());
-    assert!(near.driver().logged("link down"));
+    assert!(local.driver().logged("link down"));
 }
 
 #[test]
 fn a_restarted_receiver_without_saved_outcomes_fails_requests_and_duplicates_no_effect() {
-    let (near, mut far, _cable, ledger) = pair(1);
+    let (local, mut remote, _relay, ledger) = start_two_sites(1);
     ledger.work.store(400, Ordering::SeqCst);
-    let mut clients: Vec<Client> = (0..4).map(|_| near.client()).collect();
+    let mut clients: Vec<Client> = (0..4).map(|_| local.client()).collect();
     let ids: Vec<String> = (0..4).map(|_| new_id()).collect();
     clients.iter_mut().zip(&ids).for_each(|(client, id)| client.send(&named(&order(5000), id)));
     until("all run", || ids.iter().all(|id| ledger.runs(id) == 1));
-    let mut driver = far.driver.take().unwrap();
-    driver.child.kill().unwrap();
-    driver.child.wait().unwrap();
-    drop(driver);
-    far.start(&[(0, None)]);
+    let mut proxy = remote.driver.take().unwrap();
+    proxy.child.kill().unwrap();
+    proxy.child.wait().unwrap();
+    drop(proxy);
+    remote.start(&[(0, None)]);
     let start = Instant::now();
     for client in &mut clients {
         assert_eq!(client.answer().unwrap().code, "40003");
     }
     // As soon as the handshake shows a new incarnation, not at the deadline.
-    assert!(start.elapsed() < MS(4500), "{:?}", start.elapsed());
-    until("it is served again", || code(&write(&mut clients[0], &ledger, 3000).0) == "served");
+    assert!(start.elapsed() < MILLIS(4500), "{:?}", start.elapsed());
+    until("it is served again", || response_code(&send_write(&mut clients[0], &ledger, 3000).0) == "served");
     assert!(ledger.doubles().is_empty());
 }
 
 #[test]
 fn a_remote_rejection_is_passed_on_at_once_with_its_retry_after() {
-    let (near, _far, _cable, ledger) = pair(1);
+    let (local, _remote, _relay, ledger) = start_two_sites(1);
     ledger.full.store(1, Ordering::SeqCst);
-    let mut client = near.client();
+    let mut client = local.client();
     let start = Instant::now();
-    let (said, runs) = write(&mut client, &ledger, 10_000);
-    assert_eq!((code(&said), runs), ("53300", 0));
-    assert!(said.unwrap().detail.parse::<u32>().is_ok_and(|millis| millis <= 500));
-    assert!(start.elapsed() < MS(6000), "{:?}", start.elapsed());
+    let (response, executions) = send_write(&mut client, &ledger, 10_000);
+    assert_eq!((response_code(&response), executions), ("53300", 0));
+    assert!(response.unwrap().detail.parse::<u32>().is_ok_and(|millis| millis <= 500));
+    assert!(start.elapsed() < MILLIS(6000), "{:?}", start.elapsed());
     ledger.full.store(0, Ordering::SeqCst);
-    until("it is served again", || code(&write(&mut client, &ledger, 3000).0) == "served");
+    until("it is served again", || response_code(&send_write(&mut client, &ledger, 3000).0) == "served");
 }
 
 #[test]
-fn a_lost_client_costs_only_its_request_and_none_too_late_for_an_answer_is_forwarded() {
-    let (near, _far, cable, ledger) = pair(1);
+fn a_lost_client_fails_only_its_request_and_none_too_late_for_an_answer_is_forwarded() {
+    let (local, _remote, relay, ledger) = start_two_sites(1);
     ledger.work.store(200, Ordering::SeqCst);
     for _ in 0..5 {
-        let mut client = near.client();
+        let mut client = local.client();
         client.send(&order(3000));
-        thread::sleep(MS(30));
+        thread::sleep(MILLIS(30));
     }
     ledger.work.store(0, Ordering::SeqCst);
-    cable.delay(MS(150));
-    let mut client = near.client();
-    until("the round trip is known", || code(&write(&mut client, &ledger, 5000).0) == "served");
-    thread::sleep(MS(1500));
-    let (mut client, ran) = (near.client(), ledger.len());
+    relay.delay(MILLIS(150));
+    let mut client = local.client();
+    until("the round trip is known", || response_code(&send_write(&mut client, &ledger, 5000).0) == "served");
+    thread::sleep(MILLIS(1500));
+    let (mut client, executed_ids) = (local.client(), ledger.len());
     let start = Instant::now();
-    let (said, runs) = write(&mut client, &ledger, 200);
-    assert_eq!((code(&said), runs, ledger.len()), ("53300", 0, ran));
-    assert!(start.elapsed() < MS(150), "{:?}", start.elapsed());
-    assert_eq!(code(&write(&mut client, &ledger, 3000).0), "served");
+    let (response, executions) = send_write(&mut client, &ledger, 200);
+    assert_eq!((response_code(&response), executions, ledger.len()), ("53300", 0, executed_ids));
+    assert!(start.elapsed() < MILLIS(150), "{:?}", start.elapsed());
+    assert_eq!(response_code(&send_write(&mut client, &ledger, 3000).0), "served");
     assert!(ledger.doubles().is_empty());
 }
 
 #[test]
 fn a_gateway_that_shuts_down_answers_accepted_requests_and_receives_no_more() {
-    let (near, mut far, _cable, ledger) = pair(1);
+    let (local, mut remote, _relay, ledger) = start_two_sites(1);
     ledger.work.store(300, Ordering::SeqCst);
-    let mut clients: Vec<Client> = (0..6).map(|_| near.client()).collect();
+    let mut clients: Vec<Client> = (0..6).map(|_| local.client()).collect();
     let ids: Vec<String> = (0..6).map(|_| new_id()).collect();
     clients.iter_mut().zip(&ids).for_each(|(client, id)| client.send(&named(&order(4000), id)));
     until("all run", || ids.iter().all(|id| ledger.runs(id) == 1));
-    far.driver().signal("-TERM");
+    remote.driver().signal("-TERM");
     assert!(clients.iter_mut().all(|client| served(&client.answer().unwrap())));
-    let mut driver = far.driver.take().unwrap();
-    assert!(driver.child.wait().unwrap().success());
+    let mut proxy = remote.driver.take().unwrap();
+    assert!(proxy.child.wait().unwrap().success());
     // Without a gateway there, a write is rejected before its deadline and takes no effect.
-    let (said, runs) = write(&mut clients[0], &ledger, 1200);
-    assert_eq!((code(&said), runs), ("53300", 0));
+    let (response, executions) = send_write(&mut clients[0], &ledger, 1200);
+    assert_eq!((response_code(&response), executions), ("53300", 0));
 }
 
 #[test]
-fn noise_and_unknown_peers_end_only_their_own_link() {
-    let (near, far, _cable, ledger) = pair(1);
+fn malformed_bytes_and_unknown_peers_close_only_their_own_link() {
+    let (local, remote, _relay, ledger) = start_two_sites(1);
     // Bytes that are no frames, and a gateway that claims a site that is no peer.
-    for noise in [&b"\x00\x00\x00\x03abc"[..], b"\xff\xff\xff\xff", b"GET / HTTP/1.1\r\n\r\n"] {
-        let mut stream = TcpStream::connect(far.links).unwrap();
-        stream.write_all(noise).unwrap();
-        let mut rest = Vec::new();
-        let _ = std::io::Read::read_to_end(&mut stream, &mut rest);
+    for bytes in [&b"\x00\x00\x00\x03abc"[..], b"\xff\xff\xff\xff", b"GET / HTTP/1.1\r\n\r\n"] {
+        let mut stream = TcpStream::connect(remote.links).unwrap();
+        stream.write_all(bytes).unwrap();
+        let mut remaining = Vec::new();
+        let _ = std::io::Read::read_to_end(&mut stream, &mut remaining);
     }
-    until("noise is rejected", || far.driver().logged("link rejected"));
-    let liar = format!(
+    until("noise is rejected", || remote.driver().logged("link rejected"));
+    let unknown_peer_operator_config = format!(
         r#"{{"gateway":{{"site":"site9","peers":[{{"site":"site1","addresses":["{}"],"links":1}}]}}}}"#,
-        far.links
+        remote.links
     );
-    let whole = config("127.0.0.1:8500".parse().unwrap(), 256, "null");
-    let stranger = Driver::with("127.0.0.1:0".parse().unwrap(), &whole, Some(&liar));
-    until("an unknown site is rejected", || far.driver().logged("none of this gateway's peers"));
-    until("the reason is sent to it", || stranger.logged("none of this gateway's peers"));
-    assert_eq!(code(&write(&mut near.client(), &ledger, 3000).0), "served");
+    let proxy_config = config("127.0.0.1:8500".parse().unwrap(), 256, "null");
+    let unknown_peer =
+        Driver::with("127.0.0.1:0".parse().unwrap(), &proxy_config, Some(&unknown_peer_operator_config));
+    until("an unknown site is rejected", || remote.driver().logged("none of this gateway's peers"));
+    until("the reason is sent to it", || unknown_peer.logged("none of this gateway's peers"));
+    assert_eq!(response_code(&send_write(&mut local.client(), &ledger, 3000).0), "served");
     // A configuration that contradicts itself.
-    let wrong = file("operator", r#"{"gateway":{"site":"a","peers":[{"site":"a","networks":["::1/128"]}]}}"#);
-    let path = file("config", &whole);
+    let invalid_operator_config_path =
+        file("operator", r#"{"gateway":{"site":"a","peers":[{"site":"a","networks":["::1/128"]}]}}"#);
+    let proxy_config_path = file("config", &proxy_config);
     let output = Command::new(program())
         .args(["check", "--config"])
-        .arg(&path)
+        .arg(&proxy_config_path)
         .arg("--operator")
-        .arg(&wrong)
+        .arg(&invalid_operator_config_path)
         .output()
         .unwrap();
     assert!(String::from_utf8(output.stderr).unwrap().contains("gateway.peers[0].site"));
     assert!(!output.status.success());
-    std::fs::remove_file(path).unwrap();
-    std::fs::remove_file(wrong).unwrap();
+    std::fs::remove_file(proxy_config_path).unwrap();
+    std::fs::remove_file(invalid_operator_config_path).unwrap();
 }
 
 /// A gateway that has a data directory says which requests its previous incarnation never accepted, so that they are served
 /// elsewhere or by the present one; without a directory they are failed.
 #[test]
-fn a_restarted_gateway_says_what_its_previous_incarnation_never_accepted() {
-    let (near, mut far, cable, ledger) = pair(1);
-    let folder = std::env::temp_dir().join(format!("aldermill-promise-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&folder);
-    far.warm = Some(folder.clone());
-    let restart = |far: &mut Site| {
-        far.driver = None;
-        far.start(&[(0, None)]);
+fn a_restarted_gateway_reports_what_its_previous_incarnation_never_accepted() {
+    let (local, mut remote, relay, ledger) = start_two_sites(1);
+    let data_directory = std::env::temp_dir().join(format!("aldermill-promise-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&data_directory);
+    remote.warm = Some(data_directory.clone());
+    let restart = |remote: &mut Site| {
+        remote.driver = None;
+        remote.start(&[(0, None)]);
     };
-    restart(&mut far);
-    cable.cut(false);
-    until("a write is forwarded again", || served(&near.client().ask(&order(3000))));
-    let dump = || Command::new(program()).args(["store", "dump"]).arg(&folder).output().unwrap().stdout;
+    restart(&mut remote);
+    relay.cut(false);
+    until("a write is forwarded again", || served(&local.client().ask(&order(3000))));
+    let dump =
+        || Command::new(program()).args(["store", "dump"]).arg(&data_directory).output().unwrap().stdout;
     until("its promise is saved", || String::from_utf8_lossy(&dump()).contains("\"space\":7"));
-    cable.hold(THERE, true);
-    let (id, mut client) = (new_id(), near.client());
+    relay.hold(THERE, true);
+    let (id, mut client) = (new_id(), local.client());
     client.send(&named(&order(20_000), &id));
-    let sites = || Command::new(program()).arg("sites").arg(near.status()).output().unwrap().stdout;
+    let sites = || Command::new(program()).arg("sites").arg(local.status()).output().unwrap().stdout;
     until("it is forwarded", || String::from_utf8_lossy(&sites()).contains("\"tasks\": 1"));
-    restart(&mut far);
-    cable.cut(false);
-    cable.hold(THERE, false);
+    restart(&mut remote);
+    relay.cut(false);
+    relay.hold(THERE, false);
     assert!(served(&client.answer().expect("an answer")));
     assert_eq!(ledger.runs(&id), 1);
-    std::fs::remove_dir_all(folder).unwrap();
+    std::fs::remove_dir_all(data_directory).unwrap();
 }
 
 /// The answer to a write that took effect at the far site, whose outcome is held back on the link while that gateway is
 /// killed and started again; `warm` gives that gateway a data directory.
-fn outcome_over_a_restart(warm: bool) -> Said {
-    let (near, mut far, cable, ledger) = pair(1);
-    let folder = std::env::temp_dir().join(format!("aldermill-book-{}-{warm}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&folder);
-    far.warm = warm.then(|| folder.clone());
-    let restart = |far: &mut Site| {
-        far.driver = None;
-        far.start(&[(0, None)]);
+fn outcome_across_a_restart(with_data_directory: bool) -> Said {
+    let (local, mut remote, relay, ledger) = start_two_sites(1);
+    let data_directory =
+        std::env::temp_dir().join(format!("aldermill-book-{}-{with_data_directory}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&data_directory);
+    remote.warm = with_data_directory.then(|| data_directory.clone());
+    let restart = |remote: &mut Site| {
+        remote.driver = None;
+        remote.start(&[(0, None)]);
     };
-    restart(&mut far);
-    cable.cut(false);
-    until("a write is forwarded again", || served(&near.client().ask(&order(3000))));
-    cable.hold(BACK, true);
-    let (id, mut client) = (new_id(), near.client());
+    restart(&mut remote);
+    relay.cut(false);
+    until("a write is forwarded again", || served(&local.client().ask(&order(3000))));
+    relay.hold(BACK, true);
+    let (id, mut client) = (new_id(), local.client());
     client.send(&named(&order(20_000), &id));
     until("it ran", || ledger.runs(&id) == 1);
-    if warm {
-        let dump = || Command::new(program()).args(["store", "dump"]).arg(&folder).output().unwrap().stdout;
+    if with_data_directory {
+        let dump =
+            || Command::new(program()).args(["store", "dump"]).arg(&data_directory).output().unwrap().stdout;
         let served = || String::from_utf8_lossy(&dump()).matches("\"space\":6,\"value\":\"H").count();
         until("its outcome is saved", || served() >= 2);
     }
-    restart(&mut far);
-    cable.cut(false);
-    cable.hold(BACK, false);
-    let said = client.answer().expect("an answer");
+    restart(&mut remote);
+    relay.cut(false);
+    relay.hold(BACK, false);
+    let response = client.answer().expect("an answer");
     assert_eq!(ledger.runs(&id), 1);
-    let _ = std::fs::remove_dir_all(folder);
-    said
+    let _ = std::fs::remove_dir_all(data_directory);
+    response
 }
 
 #[test]
 fn a_restarted_gateway_answers_for_its_previous_incarnation_from_the_saved_outcome_log() {
-    assert!(served(&outcome_over_a_restart(true)));
+    assert!(served(&outcome_across_a_restart(true)));
     assert_eq!(
-        outcome_over_a_restart(false).code,
+        outcome_across_a_restart(false).code,
         "40003",
         "without a data directory the outcome is unknown"
     );
--- a/crates/proxy/tests/idle_clients.rs
+++ b/crates/proxy/tests/idle_client_connections.rs
@@ -18,23 +18,23 @@
 #[test]
 fn a_request_that_crosses_the_idle_timeout_of_its_connection_is_answered() {
     let member = sound("writer");
-    let driver = Driver::before(&[("a", &member)]);
-    let mut clients: Vec<Client> = (0..10).map(|_| Client::connect(driver.address)).collect();
+    let proxy = Driver::before(&[("a", &member)]);
+    let mut clients: Vec<Client> = (0..10).map(|_| Client::connect(proxy.address)).collect();
     clients.iter_mut().for_each(|client| assert!(served(&client.ask(&look(15000)))));
     let idle_since = Instant::now();
     thread::sleep(IDLE_TIMEOUT / 2);
-    driver.signal("-STOP");
-    let in_time = idle_since.elapsed() < IDLE_TIMEOUT;
+    proxy.signal("-STOP");
+    let sent_in_time = idle_since.elapsed() < IDLE_TIMEOUT;
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&named(&look(15000), &format!("idle{number}")));
         delivered(&client.stream);
     }
     // The idle timeout passes while the request waits in the socket.
     thread::sleep((IDLE_TIMEOUT + IDLE_TIMEOUT / 10).saturating_sub(idle_since.elapsed()));
-    driver.signal("-CONT");
+    proxy.signal("-CONT");
     for (number, client) in clients.iter_mut().enumerate() {
-        let answered = client.answer().is_some_and(|said| served(&said));
-        assert!(answered || !in_time, "{number}");
+        let answered = client.answer().is_some_and(|response| served(&response));
+        assert!(answered || !sent_in_time, "{number}");
         assert_eq!(
             answered,
             was_forwarded(&member, &format!("idle{number}")),
@@ -46,19 +46,19 @@
 #[test]
 fn a_request_that_crosses_the_eviction_of_its_connection_is_answered() {
     let member = sound("writer");
-    let driver = Driver::start(&Discovery::default(), 64, &list(1, true, &[("a", &member, "in_service")]));
+    let proxy = Driver::start(&Discovery::default(), 64, &list(1, true, &[("a", &member, "in_service")]));
     // A quarter of the descriptors: each new connection now closes the one that is idle longest.
-    let mut clients: Vec<Client> = (0..16).map(|_| Client::connect(driver.address)).collect();
+    let mut clients: Vec<Client> = (0..16).map(|_| Client::connect(proxy.address)).collect();
     clients.iter_mut().for_each(|client| assert!(served(&client.ask(&look(15000)))));
-    driver.signal("-STOP");
-    let new_clients: Vec<Client> = (0..8).map(|_| Client::bare(driver.address)).collect();
+    proxy.signal("-STOP");
+    let new_clients: Vec<Client> = (0..8).map(|_| Client::bare(proxy.address)).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&named(&look(15000), &format!("yields{number}")));
         delivered(&client.stream);
     }
-    driver.signal("-CONT");
+    proxy.signal("-CONT");
     for (number, client) in clients.iter_mut().enumerate() {
-        let answered = client.answer().is_some_and(|said| served(&said));
+        let answered = client.answer().is_some_and(|response| served(&response));
         assert!(answered, "{number}: it was there before its connection was closed");
         assert!(was_forwarded(&member, &format!("yields{number}")));
     }
@@ -68,21 +68,21 @@
 #[test]
 fn a_request_whose_client_closed_right_behind_it_is_not_forwarded() {
     let member = sound("writer");
-    let driver = Driver::before(&[("a", &member)]);
-    let mut other = Client::connect(driver.address);
+    let proxy = Driver::before(&[("a", &member)]);
+    let mut other_client = Client::connect(proxy.address);
     for round in 0..5 {
-        let mut clients: Vec<Client> = (0..4).map(|_| Client::connect(driver.address)).collect();
+        let mut clients: Vec<Client> = (0..4).map(|_| Client::connect(proxy.address)).collect();
         clients.iter_mut().for_each(|client| assert!(served(&client.ask(&look(15000)))));
-        driver.signal("-STOP");
+        proxy.signal("-STOP");
         for (number, mut client) in clients.into_iter().enumerate() {
             client.send(&named(&order(15000), &format!("left{round}-{number}")));
             closed(client.stream);
         }
-        driver.signal("-CONT");
-        assert!(served(&other.ask(&look(15000))));
+        proxy.signal("-CONT");
+        assert!(served(&other_client.ask(&look(15000))));
     }
-    assert!(served(&other.ask(&order(15000))));
-    let left: Vec<String> =
+    assert!(served(&other_client.ask(&order(15000))));
+    let forwarded: Vec<String> =
         member.requests().into_iter().filter(|request| request.contains("id=left")).collect();
-    assert!(left.is_empty(), "rule 2: sent for nobody: {left:?}");
+    assert!(forwarded.is_empty(), "rule 2: sent for nobody: {forwarded:?}");
 }
--- a/crates/proxy/tests/local_failures.rs
+++ b/crates/proxy/tests/local_failures.rs
@@ -14,24 +14,24 @@
 };
 
 /// A client's whole time for a request, in milliseconds.
-const LEFT: u32 = 1500;
-const RATE: u32 = 100;
+const REQUEST_DEADLINE_MS: u32 = 1500;
+const REQUESTS_PER_SECOND: u32 = 100;
 /// So many that each has its answer, or none, before its next turn: requests come as evenly after the failure as before.
 const CLIENTS: usize = 170;
 
 /// How long a member lets a connection stand.
-const STANDS: Duration = Duration::from_millis(300);
+const CONNECTION_LIFETIME: Duration = Duration::from_millis(300);
 
 /// A member that ends each connection with an answer after a while, and when each was opened.
-fn turning_over(role: &'static str, opened: &Arc<Mutex<Vec<Instant>>>) -> Member {
-    let (since, opened) = (Mutex::new(HashMap::new()), opened.clone());
-    let bears = move |_: &[u8], welcomed: bool| {
-        if !welcomed {
-            opened.lock().unwrap().push(Instant::now());
+fn member_with_connection_lifetime(role: &'static str, opened_at: &Arc<Mutex<Vec<Instant>>>) -> Member {
+    let (first_used_at, opened_at) = (Mutex::new(HashMap::new()), opened_at.clone());
+    let keep_connection = move |_: &[u8], startup_done: bool| {
+        if !startup_done {
+            opened_at.lock().unwrap().push(Instant::now());
         }
         true
     };
-    let act = move |text: &str, stream: &mut std::net::TcpStream| {
+    let respond = move |text: &str, stream: &mut std::net::TcpStream| {
         thread::sleep(Duration::from_millis(5));
         if role == "reader" && text.contains("INSERT") {
             refuse("25006", role, stream);
@@ -39,70 +39,75 @@
             serve(text, role, stream);
         }
         let peer = stream.peer_addr().ok();
-        let age = since.lock().unwrap().entry(peer).or_insert_with(Instant::now).elapsed();
-        if age > STANDS {
-            since.lock().unwrap().remove(&peer);
+        let age = first_used_at.lock().unwrap().entry(peer).or_insert_with(Instant::now).elapsed();
+        if age > CONNECTION_LIFETIME {
+            first_used_at.lock().unwrap().remove(&peer);
             let _ = stream.shutdown(Shutdown::Both);
         }
     };
-    Member::at(std::net::TcpListener::bind("127.0.0.1:0").unwrap(), bears, act)
+    Member::at(std::net::TcpListener::bind("127.0.0.1:0").unwrap(), keep_connection, respond)
 }
 
 /// One second in which calls fail by this rule, in the midst of steady load: the part of its requests that were not
 /// served, and the most connections opened in any 100 ms of the second after it.
-fn second_of(rule: &str) -> (f64, usize) {
-    let (faults, opened) = (Faults::default(), Arc::<Mutex<Vec<Instant>>>::default());
-    let members =
-        [turning_over("writer", &opened), turning_over("reader", &opened), turning_over("reader", &opened)];
-    let named = [
+fn fail_calls_for_one_second(rule: &str) -> (f64, usize) {
+    let (faults, opened_at) = (Faults::default(), Arc::<Mutex<Vec<Instant>>>::default());
+    let members = [
+        member_with_connection_lifetime("writer", &opened_at),
+        member_with_connection_lifetime("reader", &opened_at),
+        member_with_connection_lifetime("reader", &opened_at),
+    ];
+    let endpoints = [
         ("a", &members[0], "in_service"),
         ("b", &members[1], "in_service"),
         ("c", &members[2], "in_service"),
     ];
     let discovery = Discovery::default();
-    discovery.say(list(1, true, &named));
-    let driver = Driver::failing(&faults, &config(discovery.start(), 1024, &list(1, true, &named)), None);
+    discovery.say(list(1, true, &endpoints));
+    let proxy = Driver::failing(&faults, &config(discovery.start(), 1024, &list(1, true, &endpoints)), None);
     let start = Instant::now();
-    let (from, to) = (start + Duration::from_secs(4), start + Duration::from_secs(5));
-    let (asked, lost) = (AtomicUsize::new(0), AtomicUsize::new(0));
+    let (faults_start, faults_end) = (start + Duration::from_secs(4), start + Duration::from_secs(5));
+    let (requests, not_served) = (AtomicUsize::new(0), AtomicUsize::new(0));
     thread::scope(|scope| {
         scope.spawn(|| {
-            thread::sleep(from.saturating_duration_since(Instant::now()));
+            thread::sleep(faults_start.saturating_duration_since(Instant::now()));
             faults.set(rule);
-            thread::sleep(to.saturating_duration_since(Instant::now()));
+            thread::sleep(faults_end.saturating_duration_since(Instant::now()));
             faults.set("");
         });
-        let every = Duration::from_millis(1000 * CLIENTS as u64 / u64::from(RATE));
-        paced(CLIENTS, every, Duration::from_secs(8), |turn, due, client| {
-            let statement = if turn % 3 == 0 { order(LEFT) } else { look(LEFT) };
-            let mut held = client.take().unwrap_or_else(|| Client::connect(driver.address));
-            let said = held.offer(&statement).then(|| held.answer()).flatten();
-            if due >= from && due < to + Duration::from_secs(1) {
-                asked.fetch_add(1, Ordering::SeqCst);
-                let served_count = said.as_ref().is_some_and(served);
-                lost.fetch_add(usize::from(!served_count), Ordering::SeqCst);
+        let interval = Duration::from_millis(1000 * CLIENTS as u64 / u64::from(REQUESTS_PER_SECOND));
+        paced(CLIENTS, interval, Duration::from_secs(8), |round, due, client| {
+            let statement =
+                if round % 3 == 0 { order(REQUEST_DEADLINE_MS) } else { look(REQUEST_DEADLINE_MS) };
+            let mut connection = client.take().unwrap_or_else(|| Client::connect(proxy.address));
+            let response = connection.offer(&statement).then(|| connection.answer()).flatten();
+            if due >= faults_start && due < faults_end + Duration::from_secs(1) {
+                requests.fetch_add(1, Ordering::SeqCst);
+                let is_served = response.as_ref().is_some_and(served);
+                not_served.fetch_add(usize::from(!is_served), Ordering::SeqCst);
             }
-            *client = said.map(|_| held);
+            *client = response.map(|_| connection);
         });
     });
-    let opened = opened.lock().unwrap();
-    let within = |since: Instant, long: u64| {
-        opened.iter().filter(|&&at| at >= since && at < since + Duration::from_millis(long)).count()
+    let opened_at = opened_at.lock().unwrap();
+    let opened_within = |start: Instant, millis: u64| {
+        opened_at.iter().filter(|&&at| at >= start && at < start + Duration::from_millis(millis)).count()
     };
-    let before = within(from - Duration::from_secs(1), 1000).div_ceil(10);
-    let bins: Vec<usize> = (0..20).map(|bin| within(from + Duration::from_millis(100 * bin), 100)).collect();
-    eprintln!("{rule}: {lost:?} of {asked:?}, before {before}, by 100 ms {bins:?}");
-    assert!(!driver.logged("member lost") && !driver.logged("responses are unusable"));
-    let after = bins[10..].iter().copied().max().unwrap_or(0);
-    (lost.into_inner() as f64 / asked.into_inner() as f64, after)
+    let rate_before = opened_within(faults_start - Duration::from_secs(1), 1000).div_ceil(10);
+    let opened_per_bin: Vec<usize> =
+        (0..20).map(|bin| opened_within(faults_start + Duration::from_millis(100 * bin), 100)).collect();
+    eprintln!("{rule}: {not_served:?} of {requests:?}, before {rate_before}, by 100 ms {opened_per_bin:?}");
+    assert!(!proxy.logged("member lost") && !proxy.logged("responses are unusable"));
+    let max_after = opened_per_bin[10..].iter().copied().max().unwrap_or(0);
+    (not_served.into_inner() as f64 / requests.into_inner() as f64, max_after)
 }
 
 #[test]
-fn a_second_without_sockets_costs_hardly_a_request_and_ends_without_a_burst() {
+fn a_second_without_new_connections_fails_few_requests_and_ends_without_a_burst() {
     for rule in ["socket EMFILE 100 -", "connect EADDRNOTAVAIL 100 -", "connect ENETUNREACH 60 -"] {
-        let (lost, after) = second_of(rule);
-        assert!(lost < 0.01, "{rule}: {lost}");
+        let (not_served, max_after) = fail_calls_for_one_second(rule);
+        assert!(not_served < 0.01, "{rule}: {not_served}");
         // One is tried each 20 ms, and health checks have their own.
-        assert!(after <= 8, "{rule}: {after} connections in 100 ms");
+        assert!(max_after <= 8, "{rule}: {max_after} connections in 100 ms");
     }
 }
