--- a/crates/proxy/tests/attempt_validity.rs
+++ b/crates/proxy/tests/attempt_validity.rs
@@ -1,5 +1,6 @@
-//! Changes between the decision on an attempt and its last byte, over loopback: each connection to the member opens only
-//! when the test lets it.
+//! Tests of what changes between the routing decision on an attempt and its last byte: the client disconnects, the
+//! member moves, the deadline comes closer, or the deduplication window ends. Connections to the member open only when
+//! the test allows it.
 
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::thread;
@@ -10,7 +11,7 @@
     served, until,
 };
 
-/// A member whose new connections wait at `hold` before their startup handshake ends.
+/// Starts a member whose new connections wait at `gate` before their startup handshake completes.
 fn member_with_delayed_handshakes(
     gate: &Hold,
     respond: impl Fn(&str, &mut TcpStream) + Send + Sync + 'static,
@@ -25,7 +26,7 @@
     Member::at(TcpListener::bind("127.0.0.1:0").unwrap(), keep_connection, respond)
 }
 
-/// A proxy with this member alone, which sends no health checks; `settings` changes its settings.
+/// Starts a proxy with `member` as its only member and without health checks. `change_config` changes its configuration.
 fn start_proxy(member: &Member, change_config: impl Fn(String) -> String) -> Driver {
     let initial_list = list(1, true, &[("a", member, "in_service")]);
     let discovery = Discovery::default();
@@ -35,16 +36,17 @@
     Driver::of(&change_config(config))
 }
 
-/// The answer to a statement on a connection of its own.
+/// Sends a statement on a new connection and returns the response.
 ///
-/// A connection that was kept for this was closed as idle, lawfully, where the machine did not run the test for 2.1 s between
-/// two of its statements; the test then missed an answer. Of 90 runs, 30 at a time on one core, 29 failed so: each read the
-/// end of the stream within 0.1 s of its statement, and none waited for an answer that never came.
+/// A connection that is kept between statements makes the tests flaky: the proxy closes it as idle, as it should,
+/// if the machine does not run the test for 2.1 s between two statements, and the second one gets no response. Of
+/// 90 runs, 30 at a time on one core, 29 failed in this way: each read the end of the stream within 0.1 s of its
+/// statement, and none waited for a response that never came.
 fn ask_on_new_connection(proxy: &Driver, statement: &str) -> Said {
     Client::connect(proxy.address).ask(statement)
 }
 
-/// After this many round trips, the proxy has seen all that was sent before them.
+/// Waits for three round trips, after which the proxy has processed everything that was sent before them.
 fn wait_until_processed(proxy: &Driver) {
     for _ in 0..3 {
         assert!(ask_on_new_connection(proxy, "").empty);
@@ -85,19 +87,19 @@
     let proxy = start_proxy(&member, |config| config);
     gate.close();
     let mut client = Client::connect(proxy.address);
-    // More statements than are accepted at once, and behind them more bytes than are read ahead. Their deadlines are
-    // longer than this test waits for anything.
+    // More statements than the proxy accepts at once, followed by more bytes than it reads ahead. Their deadlines
+    // are longer than any wait in this test.
     for number in 0..250 {
         client.send(&named(&look(90_000), &format!("ahead{number}")));
     }
     gate.reached();
-    // The id of a request is free again once nobody waits for it.
+    // The id of a request can be used again once no client waits for the request.
     let id_in_use = |number: usize| {
         ask_on_new_connection(&proxy, &named(&look(200), &format!("ahead{number}"))).code == "08P01"
     };
-    until("the last statement is accepted", || id_in_use(63));
+    until("the acceptance of the last statement", || id_in_use(63));
     closed(client.stream);
-    until("the disconnect is noticed", || !id_in_use(63));
+    until("the detection of the disconnect", || !id_in_use(63));
     let sent_before = member.requests().len();
     gate.open();
     assert!(served(&ask_on_new_connection(&proxy, &look(15000))));
@@ -105,7 +107,7 @@
     assert_eq!(
         member.requests().len(),
         sent_before + 1,
-        "a request was attempted though its client had gone"
+        "a request was attempted after its client had disconnected"
     );
 }
 
@@ -143,9 +145,9 @@
     client.send(&order(15000));
     gate.reached();
     discovery.say(list(2, false, &[("a", &new_member, "in_service")]));
-    until("the move", || proxy.logged("revision: 2"));
+    until("the list with the new address", || proxy.logged("revision: 2"));
     gate.open();
-    assert!(served(&client.answer().unwrap()), "where its member is now");
+    assert!(served(&client.answer().unwrap()), "the request is served at the member's new address");
     assert!(old_member.requests().is_empty(), "{:?}", old_member.requests());
 }
 
@@ -154,7 +156,7 @@
     let window = Duration::from_millis(600);
     let gate = Hold::default();
     let member_gate = gate.clone();
-    // The first attempt may have run, and its connection ends with it.
+    // The first attempt may have run, and the member closes its connection after the error.
     let member = member_with_delayed_handshakes(&gate, move |_, stream| {
         member_gate.close();
         refuse("XX000", "writer", stream);
@@ -169,6 +171,6 @@
     gate.reached();
     thread::sleep(window);
     gate.open();
-    assert_eq!(client.answer().unwrap().code, "40003", "it may have run, and cannot be retried");
+    assert_eq!(client.answer().unwrap().code, "40003", "the request may have run and cannot be retried");
     assert_eq!(member.requests().len(), 1, "{:?}", member.requests());
 }
--- a/crates/proxy/tests/clock.rs
+++ b/crates/proxy/tests/clock.rs
@@ -1,16 +1,17 @@
-//! The clocks of the process, on a machine that is suspended and under a wall clock that is stepped.
+//! Tests of the proxy's clocks on a machine that is suspended and with a wall clock that is stepped.
 
 #[path = "../src/lifecycle/clock.rs"]
-#[allow(dead_code, reason = "the program uses the rest")]
+#[allow(dead_code, reason = "the proxy uses the other items")]
 mod clock;
 
 use clock::{Clock, UnstalledClock, duration, suspended, unix_now};
 
 use std::sync::atomic::{AtomicI64, Ordering};
 
+/// Time for which the simulated machine has been suspended, in microseconds.
 static SUSPENDED: AtomicI64 = AtomicI64::new(7_000_000);
 
-/// Deadlines must not outlive a suspension, and nobody is blamed for one.
+/// A suspension must not extend deadlines. It must count as a stall, so that nothing else is blamed for the pause.
 #[test]
 fn a_suspension_advances_the_routers_clock_and_counts_as_a_stall() {
     let clock = Clock::start(unix_now, Some(|| SUSPENDED.load(Ordering::SeqCst)));
@@ -26,21 +27,22 @@
         (40_000_000..50_000_000).contains(&unstalled.stalled_for())
             && unstalled.now() - unstalled_before < 10_000_000
     );
-    // The two conversions are inverse.
+    // `Clock::at` and `Clock::instant` are inverse to each other.
     let at = clock.now() + 5_000_000;
     assert!((clock.at(clock.instant(at)) - at).abs() < 10);
 }
 
-/// A suspension that shrinks would set the clock back.
+/// A decrease of the suspended time would set the proxy's clock back.
 #[test]
 fn the_suspended_time_reported_by_the_system_never_decreases() {
     let first = suspended();
     assert!(first > -1_000 && suspended() >= first - 1_000);
 }
 
+/// Offset of the simulated wall clock, in microseconds.
 static STEP: AtomicI64 = AtomicI64::new(0);
 
-/// Timeouts must neither fire early nor hang when the wall clock is set.
+/// Timeouts must neither fire early nor hang when the wall clock is stepped.
 #[test]
 fn a_stepped_wall_clock_moves_neither_the_routers_clock_nor_unstalled_time() {
     const HOUR: i64 = 3_600_000_000;
--- a/crates/proxy/tests/command_line.rs
+++ b/crates/proxy/tests/command_line.rs
@@ -1,10 +1,11 @@
-//! The command line, where names of subcommands changed: scripts of users keep the old ones.
+//! Tests of the command line. Subcommands that were renamed must keep their old names, which users' scripts
+//! contain.
 
 use std::process::{Command, Output};
 
 use aldermill_test_support::{Discovery, Driver, config, free_port, list, program, sound};
 
-/// A proxy alone in its fleet, and the path of its status socket.
+/// Starts a proxy that is the only one of its fleet, and returns it with the path of its status socket.
 fn proxy_with_status_socket() -> (Driver, String) {
     let listen = free_port();
     let status_socket =
@@ -20,10 +21,12 @@
     (proxy, status_socket)
 }
 
+/// Runs the program with these arguments until it exits.
 fn run(arguments: &[&str]) -> Output {
     Command::new(program()).args(arguments).output().unwrap()
 }
 
+/// Returns what a run wrote to standard output; panics unless it succeeded.
 fn stdout_of_success(output: Output) -> String {
     assert!(output.status.success(), "{output:?}");
     String::from_utf8(output.stdout).unwrap()
@@ -34,7 +37,7 @@
     let (_proxy, status_socket) = proxy_with_status_socket();
     let table = stdout_of_success(run(&["peers", &status_socket]));
     assert!(table.starts_with("n0 knows of 1 drivers, itself among them; 1 at most"), "{table}");
-    assert_eq!(table.lines().count(), 1, "its own process is no peer: {table}");
+    assert_eq!(table.lines().count(), 1, "the proxy lists itself as a peer: {table}");
     let json: serde_json::Value =
         serde_json::from_str(&stdout_of_success(run(&["peers", "--json", &status_socket]))).unwrap();
     assert_eq!(json["self"]["name"], "n0");
--- a/crates/proxy/tests/descriptor_limit.rs
+++ b/crates/proxy/tests/descriptor_limit.rs
@@ -1,4 +1,4 @@
-//! A process that the system allows fewer open files than its configuration says, over loopback.
+//! Tests of a proxy that the system allows fewer open files than its configuration sets.
 
 use aldermill_test_support::{Client, Discovery, Driver, config, list, look, served, sound, until};
 
@@ -9,11 +9,16 @@
         let discovery = Discovery::default();
         let initial_list = list(1, true, &[("a", &member, "in_service")]);
         let proxy = Driver::with_descriptors(descriptors, &config(discovery.start(), 1024, &initial_list));
-        until("the line on that", || proxy.logged("the system allows fewer descriptors than limits.sockets"));
+        until("the warning about the descriptor limit", || {
+            proxy.logged("the system allows fewer descriptors than limits.sockets")
+        });
         let mut clients: Vec<Client> = (0..60).map(|_| Client::connect(proxy.address)).collect();
         let newest_client = clients.last_mut().unwrap();
         assert!(served(&newest_client.ask(&look(15000))), "{descriptors}");
-        assert!(!proxy.logged("cannot accept connections"), "{descriptors}: no call met the system's limit");
+        assert!(
+            !proxy.logged("cannot accept connections"),
+            "{descriptors}: a call ran into the system's limit"
+        );
     }
 }
 
--- a/crates/proxy/tests/freshness.rs
+++ b/crates/proxy/tests/freshness.rs
@@ -1,4 +1,5 @@
-//! Reads stay as fresh as they were decided to be until their last byte has left, over loopback.
+//! Tests that a read with a staleness bound is sent only while its member is proven fresh enough, up to its last
+//! byte.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -11,13 +12,14 @@
 };
 use aldermill_wire::pg;
 
-/// Reads of data 300 ms old at most.
+/// Returns a configuration in which reads accept data that is at most 300 ms old.
 fn config_with_staleness_bound(discovery: &Discovery, initial_list: &str) -> String {
     let config = config(discovery.start(), 256, initial_list);
     config.replace(r#""maxAgeMs":[0,0]"#, r#""maxAgeMs":[300,0]"#).replace(r#"["loose","#, r#"["recent","#)
 }
 
-/// A whole answer from a replica that stands where it stood at that time.
+/// Returns a complete response of a replica that has applied all commits up to `position`, a Unix time in
+/// milliseconds.
 fn replica_response(text: &str, position: u128) -> Vec<u8> {
     let mut out = Vec::new();
     let value = if text == "SHOW usage" {
@@ -34,7 +36,8 @@
 
 #[test]
 fn a_read_is_not_sent_on_a_connection_that_opens_after_its_freshness_proof_expires() {
-    // The replica catches up every 0.4 s only, and from then on admits new connections 250 ms late.
+    // The replica catches up only every 0.4 s. Once the flag is set, it completes the handshake of new connections
+    // 250 ms late.
     let (delay_handshakes, stale_reads, reads) =
         (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
     let (delay_handshakes_flag, stale_read_counter, read_counter) =
@@ -54,7 +57,7 @@
             if now - position(now) > 320 {
                 stale_read_counter.fetch_add(1, Ordering::SeqCst);
             }
-            // Each request takes its connection along, so that the next one has to open one.
+            // The connection is closed after each request, so that the next request has to open a new one.
             let _ = stream.write_all(&replica_response(text, position(now)));
             let _ = stream.shutdown(std::net::Shutdown::Both);
             return;
@@ -73,13 +76,19 @@
         assert!(served(&client.ask(&look(15000))));
         thread::sleep(Duration::from_millis(23));
     }
-    assert!(reads.load(Ordering::SeqCst) > 0, "the replica is read at all");
-    assert_eq!(stale_reads.load(Ordering::SeqCst), 0, "of {}", reads.load(Ordering::SeqCst));
+    assert!(reads.load(Ordering::SeqCst) > 0, "no read reached the replica");
+    assert_eq!(
+        stale_reads.load(Ordering::SeqCst),
+        0,
+        "stale reads of {} reads at the replica",
+        reads.load(Ordering::SeqCst)
+    );
 }
 
 #[test]
 fn a_truncated_response_still_reports_that_its_member_is_not_the_primary() {
-    // Primary for the write; after that it says otherwise, and the end of its answers does not come.
+    // The member reports that it is the primary for the write, and a replica after that, in responses without their
+    // last message.
     let member = Member::start(|text, stream| {
         use std::io::Write;
         if text.contains("c=order") {
@@ -98,9 +107,9 @@
     );
     let mut client = Client::connect(proxy.address);
     assert!(served(&client.ask(&order(15000))));
-    // From here on its position proves nothing, its role alone does.
+    // By now the member's position no longer proves that it is fresh enough; only its role as primary does.
     thread::sleep(Duration::from_millis(350));
-    assert!(served(&client.ask(&look(15000))), "its value came whole");
+    assert!(served(&client.ask(&look(15000))), "the response contained the complete value");
     assert_eq!(client.ask(&look(2000)).code, "53300", "no member is known to be fresh enough");
     assert_eq!(member.requests().len(), 2);
 }
--- a/crates/proxy/tests/gateway.rs
+++ b/crates/proxy/tests/gateway.rs
@@ -1,5 +1,5 @@
-//! Two sites of the built program, with a link between them that a test delays, holds and cuts. Effects are counted at the
-//! members.
+//! Tests of two sites that run the built program. The connections between them pass a relay that the tests use to
+//! delay, hold back and cut them. The members count how often each write took effect.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -13,9 +13,11 @@
     program, served, until,
 };
 
+/// Shorthand for [`Duration::from_millis`].
 const MILLIS: fn(u64) -> Duration = Duration::from_millis;
 
-/// Sites 0 and 1; the first opens its links through a proxied connection. The primary is at site 1.
+/// Starts sites 0 and 1, returned as local and remote, and the relay through which the local site opens its links.
+/// The local site has `members` members, the remote site two. The primary is at the remote site.
 fn start_two_sites(members: usize) -> (Site, Site, Cable, Ledger) {
     let ledger = Ledger::default();
     ledger.home.store(1, Ordering::SeqCst);
@@ -24,23 +26,25 @@
     let relay = Cable::to(remote.links);
     remote.start(&[(0, None)]);
     local.start(&[(1, Some(relay.address))]);
-    until("a link", || local.driver().logged("link up"));
-    until("a write is forwarded", || served(&local.client().ask(&order(3000))));
+    until("a link between the sites", || local.driver().logged("link up"));
+    until("a forwarded write", || served(&local.client().ask(&order(3000))));
     (local, remote, relay, ledger)
 }
 
-/// Sends a write with an idempotency key of its own; its answer, and how often it took effect.
+/// Sends a write under a new id. Returns its response, `None` if the connection ended without one, and how often it
+/// took effect by then.
 fn send_write(client: &mut Client, ledger: &Ledger, timeout_ms: u32) -> (Option<Said>, u32) {
     let id = new_id();
     let response = client.offer(&named(&order(timeout_ms), &id)).then(|| client.answer()).flatten();
     let executions = ledger.runs(&id);
     if let Some(response) = &response {
-        assert!(response.code != "53300" || executions == 0, "rejected, and it ran");
-        assert!(response.value.is_none() || executions == 1, "served, and ran {executions} times");
+        assert!(response.code != "53300" || executions == 0, "rejected, but it ran {executions} times");
+        assert!(response.value.is_none() || executions == 1, "served, but it ran {executions} times");
     }
     (response, executions)
 }
 
+/// Returns `served` for a value, `none` for no response, and the error code otherwise.
 fn response_code(response: &Option<Said>) -> &str {
     response
         .as_ref()
@@ -62,10 +66,10 @@
     };
     assert_eq!((count_reads(&local), count_reads(&remote)), (20, 0));
     assert!(remote.members[0].requests().len() >= requests_before.1 + 20);
-    // Once the primary's site is known, members here are no longer searched.
+    // Once the primary's site is known, the local members are no longer searched for it.
     assert!(local.members[0].requests().len() <= requests_before.0 + 20 + 4);
     assert!(ledger.doubles().is_empty() && relay.carried()[THERE] > 0);
-    // Values larger than a frame arrive whole, in both directions.
+    // Values larger than a frame arrive complete in both directions.
     let large = order(5000).replace("9f", &"9f".repeat(50_000));
     assert!(served(&client.ask(&large)));
     let sites_output = Command::new(program()).arg("sites").arg(local.status()).output().unwrap();
@@ -89,7 +93,7 @@
     let mut client = local.client();
     let mut responses_by_code = std::collections::BTreeMap::<String, usize>::new();
     for round in 0..24 {
-        // Frames of a request and its answer are some 250 bytes; heartbeats go in between.
+        // The frames of a request and its response are about 250 bytes long, with heartbeats in between.
         relay.cut_after([THERE, BACK][round % 2], 17 * (round / 2));
         let (response, executions) = send_write(&mut client, &ledger, 3000);
         assert!(executions <= 1 && response.is_some(), "{executions}");
@@ -97,7 +101,7 @@
     }
     println!("{responses_by_code:?}");
     assert!(ledger.doubles().is_empty(), "{:?}", ledger.doubles());
-    // The outcome log answers for most of them: a cut alone fails no request.
+    // Most outcomes are still known from the outcome log: a cut on its own fails no request.
     assert!(responses_by_code["served"] >= 20, "{responses_by_code:?}");
     assert!(relay.cuts() >= 16, "{}", relay.cuts());
 }
@@ -152,10 +156,12 @@
         let start = Instant::now();
         let (response, _) = send_write(&mut client, &ledger, 2500);
         assert!(response.is_some() && start.elapsed() < MILLIS(2600), "{:?}", start.elapsed());
-        // Then all frames at once, on links that were closed long ago.
+        // All held frames arrive at once, on links that have been closed in the meantime.
         relay.hold(direction, false);
         thread::sleep(MILLIS(300));
-        until("it is served again", || response_code(&send_write(&mut client, &ledger, 2500).0) == "served");
+        until("a served write after the failure", || {
+            response_code(&send_write(&mut client, &ledger, 2500).0) == "served"
+        });
     }
     assert!(ledger.doubles().is_empty());
     assert!(local.driver().logged("link down"));
@@ -168,7 +174,7 @@
     let mut clients: Vec<Client> = (0..4).map(|_| local.client()).collect();
     let ids: Vec<String> = (0..4).map(|_| new_id()).collect();
     clients.iter_mut().zip(&ids).for_each(|(client, id)| client.send(&named(&order(5000), id)));
-    until("all run", || ids.iter().all(|id| ledger.runs(id) == 1));
+    until("the execution of all writes", || ids.iter().all(|id| ledger.runs(id) == 1));
     let mut proxy = remote.driver.take().unwrap();
     proxy.child.kill().unwrap();
     proxy.child.wait().unwrap();
@@ -178,9 +184,11 @@
     for client in &mut clients {
         assert_eq!(client.answer().unwrap().code, "40003");
     }
-    // As soon as the handshake shows a new incarnation, not at the deadline.
+    // The requests fail as soon as the handshake shows a new incarnation, not at their deadline.
     assert!(start.elapsed() < MILLIS(4500), "{:?}", start.elapsed());
-    until("it is served again", || response_code(&send_write(&mut clients[0], &ledger, 3000).0) == "served");
+    until("a served write after the failure", || {
+        response_code(&send_write(&mut clients[0], &ledger, 3000).0) == "served"
+    });
     assert!(ledger.doubles().is_empty());
 }
 
@@ -195,7 +203,9 @@
     assert!(response.unwrap().detail.parse::<u32>().is_ok_and(|millis| millis <= 500));
     assert!(start.elapsed() < MILLIS(6000), "{:?}", start.elapsed());
     ledger.full.store(0, Ordering::SeqCst);
-    until("it is served again", || response_code(&send_write(&mut client, &ledger, 3000).0) == "served");
+    until("a served write after the failure", || {
+        response_code(&send_write(&mut client, &ledger, 3000).0) == "served"
+    });
 }
 
 #[test]
@@ -210,7 +220,9 @@
     ledger.work.store(0, Ordering::SeqCst);
     relay.delay(MILLIS(150));
     let mut client = local.client();
-    until("the round trip is known", || response_code(&send_write(&mut client, &ledger, 5000).0) == "served");
+    until("a served write, from which the round trip is known", || {
+        response_code(&send_write(&mut client, &ledger, 5000).0) == "served"
+    });
     thread::sleep(MILLIS(1500));
     let (mut client, executed_ids) = (local.client(), ledger.len());
     let start = Instant::now();
@@ -228,12 +240,12 @@
     let mut clients: Vec<Client> = (0..6).map(|_| local.client()).collect();
     let ids: Vec<String> = (0..6).map(|_| new_id()).collect();
     clients.iter_mut().zip(&ids).for_each(|(client, id)| client.send(&named(&order(4000), id)));
-    until("all run", || ids.iter().all(|id| ledger.runs(id) == 1));
+    until("the execution of all writes", || ids.iter().all(|id| ledger.runs(id) == 1));
     remote.driver().signal("-TERM");
     assert!(clients.iter_mut().all(|client| served(&client.answer().unwrap())));
     let mut proxy = remote.driver.take().unwrap();
     assert!(proxy.child.wait().unwrap().success());
-    // Without a gateway there, a write is rejected before its deadline and takes no effect.
+    // Without a gateway at the remote site, a write is rejected before its deadline and takes no effect.
     let (response, executions) = send_write(&mut clients[0], &ledger, 1200);
     assert_eq!((response_code(&response), executions), ("53300", 0));
 }
@@ -241,14 +253,14 @@
 #[test]
 fn malformed_bytes_and_unknown_peers_close_only_their_own_link() {
     let (local, remote, _relay, ledger) = start_two_sites(1);
-    // Bytes that are no frames, and a gateway that claims a site that is no peer.
+    // Bytes that are not valid frames. Below, a gateway whose site is not among the peers.
     for bytes in [&b"\x00\x00\x00\x03abc"[..], b"\xff\xff\xff\xff", b"GET / HTTP/1.1\r\n\r\n"] {
         let mut stream = TcpStream::connect(remote.links).unwrap();
         stream.write_all(bytes).unwrap();
         let mut remaining = Vec::new();
         let _ = std::io::Read::read_to_end(&mut stream, &mut remaining);
     }
-    until("noise is rejected", || remote.driver().logged("link rejected"));
+    until("the rejection of malformed bytes", || remote.driver().logged("link rejected"));
     let unknown_peer_operator_config = format!(
         r#"{{"gateway":{{"site":"site9","peers":[{{"site":"site1","addresses":["{}"],"links":1}}]}}}}"#,
         remote.links
@@ -256,10 +268,12 @@
     let proxy_config = config("127.0.0.1:8500".parse().unwrap(), 256, "null");
     let unknown_peer =
         Driver::with("127.0.0.1:0".parse().unwrap(), &proxy_config, Some(&unknown_peer_operator_config));
-    until("an unknown site is rejected", || remote.driver().logged("none of this gateway's peers"));
-    until("the reason is sent to it", || unknown_peer.logged("none of this gateway's peers"));
+    until("the rejection of an unknown site", || remote.driver().logged("none of this gateway's peers"));
+    until("the reason of the rejection at the unknown peer", || {
+        unknown_peer.logged("none of this gateway's peers")
+    });
     assert_eq!(response_code(&send_write(&mut local.client(), &ledger, 3000).0), "served");
-    // A configuration that contradicts itself.
+    // `check` rejects an operator configuration that names the gateway's own site as a peer.
     let invalid_operator_config_path =
         file("operator", r#"{"gateway":{"site":"a","peers":[{"site":"a","networks":["::1/128"]}]}}"#);
     let proxy_config_path = file("config", &proxy_config);
@@ -276,12 +290,13 @@
     std::fs::remove_file(invalid_operator_config_path).unwrap();
 }
 
-/// A gateway that has a data directory says which requests its previous incarnation never accepted, so that they are served
-/// elsewhere or by the present one; without a directory they are failed.
+/// A gateway with a data directory reports which requests its previous incarnation never accepted, so that they are
+/// served elsewhere or by the current incarnation. Without a data directory, they fail.
 #[test]
 fn a_restarted_gateway_reports_what_its_previous_incarnation_never_accepted() {
     let (local, mut remote, relay, ledger) = start_two_sites(1);
-    let data_directory = std::env::temp_dir().join(format!("aldermill-promise-{}", std::process::id()));
+    let data_directory =
+        std::env::temp_dir().join(format!("aldermill-recording-promise-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&data_directory);
     remote.warm = Some(data_directory.clone());
     let restart = |remote: &mut Site| {
@@ -290,29 +305,31 @@
     };
     restart(&mut remote);
     relay.cut(false);
-    until("a write is forwarded again", || served(&local.client().ask(&order(3000))));
+    until("a forwarded write after the restart", || served(&local.client().ask(&order(3000))));
     let dump =
         || Command::new(program()).args(["store", "dump"]).arg(&data_directory).output().unwrap().stdout;
-    until("its promise is saved", || String::from_utf8_lossy(&dump()).contains("\"space\":7"));
+    until("the saved recording promise", || String::from_utf8_lossy(&dump()).contains("\"space\":7"));
     relay.hold(THERE, true);
     let (id, mut client) = (new_id(), local.client());
     client.send(&named(&order(20_000), &id));
     let sites = || Command::new(program()).arg("sites").arg(local.status()).output().unwrap().stdout;
-    until("it is forwarded", || String::from_utf8_lossy(&sites()).contains("\"tasks\": 1"));
+    until("the forwarded request in the status output", || {
+        String::from_utf8_lossy(&sites()).contains("\"tasks\": 1")
+    });
     restart(&mut remote);
     relay.cut(false);
     relay.hold(THERE, false);
-    assert!(served(&client.answer().expect("an answer")));
+    assert!(served(&client.answer().expect("the connection ended without a response")));
     assert_eq!(ledger.runs(&id), 1);
     std::fs::remove_dir_all(data_directory).unwrap();
 }
 
-/// The answer to a write that took effect at the far site, whose outcome is held back on the link while that gateway is
-/// killed and started again; `warm` gives that gateway a data directory.
+/// Returns the response to a write that took effect at the remote site, whose outcome is held back on the link
+/// while the remote gateway is killed and started again.
 fn outcome_across_a_restart(with_data_directory: bool) -> Said {
     let (local, mut remote, relay, ledger) = start_two_sites(1);
-    let data_directory =
-        std::env::temp_dir().join(format!("aldermill-book-{}-{with_data_directory}", std::process::id()));
+    let data_directory = std::env::temp_dir()
+        .join(format!("aldermill-outcome-log-{}-{with_data_directory}", std::process::id()));
     let _ = std::fs::remove_dir_all(&data_directory);
     remote.warm = with_data_directory.then(|| data_directory.clone());
     let restart = |remote: &mut Site| {
@@ -321,21 +338,21 @@
     };
     restart(&mut remote);
     relay.cut(false);
-    until("a write is forwarded again", || served(&local.client().ask(&order(3000))));
+    until("a forwarded write after the restart", || served(&local.client().ask(&order(3000))));
     relay.hold(BACK, true);
     let (id, mut client) = (new_id(), local.client());
     client.send(&named(&order(20_000), &id));
-    until("it ran", || ledger.runs(&id) == 1);
+    until("the execution of the write", || ledger.runs(&id) == 1);
     if with_data_directory {
         let dump =
             || Command::new(program()).args(["store", "dump"]).arg(&data_directory).output().unwrap().stdout;
         let served = || String::from_utf8_lossy(&dump()).matches("\"space\":6,\"value\":\"H").count();
-        until("its outcome is saved", || served() >= 2);
+        until("the saved outcome of the write", || served() >= 2);
     }
     restart(&mut remote);
     relay.cut(false);
     relay.hold(BACK, false);
-    let response = client.answer().expect("an answer");
+    let response = client.answer().expect("the connection ended without a response");
     assert_eq!(ledger.runs(&id), 1);
     let _ = std::fs::remove_dir_all(data_directory);
     response
--- a/crates/proxy/tests/idle_client_connections.rs
+++ b/crates/proxy/tests/idle_client_connections.rs
@@ -1,5 +1,5 @@
-//! Requests that cross the end of an idle client connection, whoever ends it, over loopback. The program is suspended
-//! (SIGSTOP) while both happen, and finds both when it continues.
+//! Tests of requests that arrive while an idle client connection is being closed by the proxy or by the client. The
+//! proxy is suspended (SIGSTOP) while both events occur, and finds both when it continues.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -8,9 +8,10 @@
     Client, Discovery, Driver, Member, closed, delivered, list, look, named, order, served, sound,
 };
 
-/// The program's idle timeout of a client connection.
+/// The proxy's idle timeout of a client connection.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
 
+/// Returns whether the member received the request with this id.
 fn was_forwarded(member: &Member, id: &str) -> bool {
     member.requests().iter().any(|request| request.contains(&format!("id={id},")))
 }
@@ -29,7 +30,7 @@
         client.send(&named(&look(15000), &format!("idle{number}")));
         delivered(&client.stream);
     }
-    // The idle timeout passes while the request waits in the socket.
+    // The idle timeout expires while the request waits in the proxy's socket buffer.
     thread::sleep((IDLE_TIMEOUT + IDLE_TIMEOUT / 10).saturating_sub(idle_since.elapsed()));
     proxy.signal("-CONT");
     for (number, client) in clients.iter_mut().enumerate() {
@@ -38,7 +39,7 @@
         assert_eq!(
             answered,
             was_forwarded(&member, &format!("idle{number}")),
-            "{number}: forwarded and not answered"
+            "{number}: forwarded, but not answered, or the reverse"
         );
     }
 }
@@ -47,7 +48,8 @@
 fn a_request_that_crosses_the_eviction_of_its_connection_is_answered() {
     let member = sound("writer");
     let proxy = Driver::start(&Discovery::default(), 64, &list(1, true, &[("a", &member, "in_service")]));
-    // A quarter of the descriptors: each new connection now closes the one that is idle longest.
+    // These use a quarter of the descriptors; from here on, each new connection evicts the one that has been idle
+    // longest.
     let mut clients: Vec<Client> = (0..16).map(|_| Client::connect(proxy.address)).collect();
     clients.iter_mut().for_each(|client| assert!(served(&client.ask(&look(15000)))));
     proxy.signal("-STOP");
@@ -59,7 +61,7 @@
     proxy.signal("-CONT");
     for (number, client) in clients.iter_mut().enumerate() {
         let answered = client.answer().is_some_and(|response| served(&response));
-        assert!(answered, "{number}: it was there before its connection was closed");
+        assert!(answered, "{number}: the request arrived before its connection was closed");
         assert!(was_forwarded(&member, &format!("yields{number}")));
     }
     drop(new_clients);
@@ -84,5 +86,5 @@
     assert!(served(&other_client.ask(&order(15000))));
     let forwarded: Vec<String> =
         member.requests().into_iter().filter(|request| request.contains("id=left")).collect();
-    assert!(forwarded.is_empty(), "rule 2: sent for nobody: {forwarded:?}");
+    assert!(forwarded.is_empty(), "rule 2: sent although no client waited: {forwarded:?}");
 }
--- a/crates/proxy/tests/idle_member_connections.rs
+++ b/crates/proxy/tests/idle_member_connections.rs
@@ -1,5 +1,5 @@
-//! Members that close, reset or forget connections that have rested, and members that fail each attempt at once, over
-//! loopback.
+//! Tests with members that close, reset or silently drop idle connections, and with members that fail each attempt
+//! immediately.
 
 use std::collections::{HashMap, HashSet};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,18 +10,20 @@
 use aldermill_test_support::{Client, Driver, Member, Said, look, order, refuse, serve, served};
 use socket2::SockRef;
 
-/// How long a connection may rest at these members.
+/// Time for which a connection may be idle before the member ends it.
 const IDLE_LIMIT: Duration = Duration::from_millis(120);
 
+/// How the member ends idle connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionEnd {
     Closed,
     Reset,
+    /// The connection stays open, but requests on it are ignored.
     SilentlyDropped,
 }
 
-/// Ends the connection unless something was asked on it meanwhile. Only this side of reading is shut, so that the last
-/// holder's close is what the other side sees.
+/// Ends the connection after [`IDLE_LIMIT`], unless it is used before then. For a reset, only the read half is shut
+/// down, so that the other side sees the close of the last handle of the socket.
 fn end_connection_unless_used(
     stream: &TcpStream,
     connection_end: ConnectionEnd,
@@ -44,7 +46,7 @@
     });
 }
 
-/// A primary whose connections end so, each after its rest.
+/// Starts a primary that ends each connection as `connection_end` says once it has been idle for [`IDLE_LIMIT`].
 fn member_with_idle_limit(connection_end: ConnectionEnd) -> Member {
     type UseCount = Arc<Mutex<u32>>;
     let connections = Mutex::new(HashMap::<SocketAddr, (UseCount, Instant)>::new());
@@ -68,7 +70,8 @@
     Member::at(TcpListener::bind("127.0.0.1:0").unwrap(), |_, _| true, respond)
 }
 
-/// Four clients that pause for a little less or more than connections may rest: their requests cross the ends.
+/// Sends requests from four clients that pause for up to 8 ms less or 7 ms more than [`IDLE_LIMIT`] between
+/// requests, so that requests are sent while connections end. Returns all responses.
 fn ask_around_idle_limit(proxy: &Driver, statement: fn(u32) -> String) -> Vec<Said> {
     let clients: Vec<_> = (0..4u64)
         .map(|number| {
@@ -88,8 +91,8 @@
     clients.into_iter().flat_map(|client| client.join().unwrap()).collect()
 }
 
-/// A read is placed again, unless all its attempts cross an end; a write may have run where its answer was cut off, and
-/// none runs twice.
+/// Checks that reads are retried and are rejected only if all their attempts meet a connection that ends, that
+/// writes fail only as possibly executed because their response was cut off, and that no write runs twice.
 fn check_requests_while_connections_end(connection_end: ConnectionEnd) {
     let member = member_with_idle_limit(connection_end);
     let proxy = Driver::before(&[("a", &member)]);
@@ -109,7 +112,7 @@
     assert_eq!(
         writes.iter().collect::<HashSet<_>>().len(),
         writes.len(),
-        "{connection_end:?}: rule 2, a write twice"
+        "{connection_end:?}: rule 2: a write ran twice"
     );
 }
 
@@ -129,11 +132,12 @@
     let proxy = Driver::before(&[("a", &member)]);
     let responses = ask_around_idle_limit(&proxy, look);
     let served_count = responses.iter().filter(|response| served(response)).count();
-    // A read that meets silence waits for it to the end of its time: connections end around the clients' pauses here.
+    // A read on a dropped connection waits for a response until its deadline, and connections are dropped after
+    // about the time for which the clients pause.
     assert!(served_count * 4 >= responses.len() * 3, "{served_count} of {}", responses.len());
     assert!(
         responses.iter().all(|response| served(response) || response.code == "53300"),
-        "each has its answer"
+        "a read was neither served nor rejected"
     );
 }
 
@@ -143,7 +147,11 @@
     let too_many_connections: Respond = |stream| refuse("53300", "writer", stream);
     let internal_error: Respond = |stream| refuse("XX000", "writer", stream);
     let close: Respond = |stream| stream.shutdown(Shutdown::Both).unwrap();
-    for (name, respond) in [("full", too_many_connections), ("fails", internal_error), ("closes", close)] {
+    for (name, respond) in [
+        ("too many connections", too_many_connections),
+        ("internal error", internal_error),
+        ("connection closed", close),
+    ] {
         let respond_to_statement = move |text: &str, stream: &mut TcpStream| {
             if text.starts_with("/*") { respond(stream) } else { serve(text, "writer", stream) }
         };
--- a/crates/proxy/tests/local_failures.rs
+++ b/crates/proxy/tests/local_failures.rs
@@ -1,5 +1,5 @@
-//! This machine opens no connections for a moment, over loopback: that costs members nothing and clients little. Only
-//! builds with debug assertions heed what tests say of system calls.
+//! Tests of a second in which this machine cannot open connections: members must not be blamed for it, and few
+//! requests may fail. Only builds with debug assertions support failing system calls.
 #![cfg(debug_assertions)]
 
 use std::collections::HashMap;
@@ -13,16 +13,19 @@
     Client, Discovery, Driver, Faults, Member, config, list, look, order, paced, refuse, serve, served,
 };
 
-/// A client's whole time for a request, in milliseconds.
+/// Deadline of each request, in milliseconds from its sending.
 const REQUEST_DEADLINE_MS: u32 = 1500;
+/// Rate of requests over all clients.
 const REQUESTS_PER_SECOND: u32 = 100;
-/// So many that each has its answer, or none, before its next turn: requests come as evenly after the failure as before.
+/// Number of clients. Each sends a request every 1.7 s, which is longer than the request deadline, so that its
+/// previous request has ended by then and the load is as even after the failure as before.
 const CLIENTS: usize = 170;
 
-/// How long a member lets a connection stand.
+/// Age, since the first response, at which a member closes a connection.
 const CONNECTION_LIFETIME: Duration = Duration::from_millis(300);
 
-/// A member that ends each connection with an answer after a while, and when each was opened.
+/// Starts a member that closes each connection after the first response past [`CONNECTION_LIFETIME`]. The time at
+/// which each connection was opened is appended to `opened_at`.
 fn member_with_connection_lifetime(role: &'static str, opened_at: &Arc<Mutex<Vec<Instant>>>) -> Member {
     let (first_used_at, opened_at) = (Mutex::new(HashMap::new()), opened_at.clone());
     let keep_connection = move |_: &[u8], startup_done: bool| {
@@ -48,8 +51,9 @@
     Member::at(std::net::TcpListener::bind("127.0.0.1:0").unwrap(), keep_connection, respond)
 }
 
-/// One second in which calls fail by this rule, in the midst of steady load: the part of its requests that were not
-/// served, and the most connections opened in any 100 ms of the second after it.
+/// Makes system calls fail by `rule` for one second under steady load. Returns the fraction of requests not served,
+/// of those due in that second and the next, and the maximum number of connections opened in any 100 ms of the
+/// second after it.
 fn fail_calls_for_one_second(rule: &str) -> (f64, usize) {
     let (faults, opened_at) = (Faults::default(), Arc::<Mutex<Vec<Instant>>>::default());
     let members = [
@@ -96,7 +100,9 @@
     let rate_before = opened_within(faults_start - Duration::from_secs(1), 1000).div_ceil(10);
     let opened_per_bin: Vec<usize> =
         (0..20).map(|bin| opened_within(faults_start + Duration::from_millis(100 * bin), 100)).collect();
-    eprintln!("{rule}: {not_served:?} of {requests:?}, before {rate_before}, by 100 ms {opened_per_bin:?}");
+    eprintln!(
+        "{rule}: {not_served:?} of {requests:?} not served, opened per 100 ms: {rate_before}, {opened_per_bin:?}"
+    );
     assert!(!proxy.logged("member lost") && !proxy.logged("responses are unusable"));
     let max_after = opened_per_bin[10..].iter().copied().max().unwrap_or(0);
     (not_served.into_inner() as f64 / requests.into_inner() as f64, max_after)
@@ -107,7 +113,7 @@
     for rule in ["socket EMFILE 100 -", "connect EADDRNOTAVAIL 100 -", "connect ENETUNREACH 60 -"] {
         let (not_served, max_after) = fail_calls_for_one_second(rule);
         assert!(not_served < 0.01, "{rule}: {not_served}");
-        // One is tried each 20 ms, and health checks have their own.
+        // While the backoff is active, one connection is tried every 20 ms; health checks open their own.
         assert!(max_after <= 8, "{rule}: {max_after} connections in 100 ms");
     }
 }
--- a/crates/proxy/tests/short_deadlines.rs
+++ b/crates/proxy/tests/short_deadlines.rs
@@ -1,27 +1,27 @@
-//! Requests with 5 to 50 ms left, over loopback: each has its one answer in time, nothing is sent for it with no time
-//! left, and a member that drops such statements without a word is not blamed for that.
+//! Tests of requests with deadlines of 1 to 50 ms: each gets exactly one response in time, no attempt is sent with
+//! no time left, and a member that silently drops such requests is not blamed for it.
 
 use std::time::{Duration, Instant};
 
 use aldermill_test_support::{Client, Driver, Member, look, order, serve, served, sound};
 
-/// What a final answer may be late by and still count, less the delays of a busy machine.
+/// Lateness up to which a final response counts, less the delays of a busy machine.
 const LATENESS_TOLERANCE: Duration = Duration::from_millis(400);
 
-/// The time that a statement tells its member, in milliseconds.
+/// Returns the deadline that a statement gives to its member, in milliseconds from its arrival.
 fn stated_deadline_ms(statement: &str) -> u32 {
-    let digits = statement.split_once(",d=").expect("a time").1.split(',').next();
-    digits.and_then(|digits| digits.parse().ok()).expect("a number")
+    let digits = statement.split_once(",d=").expect("the statement contains no deadline").1.split(',').next();
+    digits.and_then(|digits| digits.parse().ok()).expect("the deadline is not a number")
 }
 
-/// Asks for 5 to 50 ms, over and over; says how many were served.
+/// Sends reads and writes with deadlines of 1 to 50 ms, up and down again. Returns how many were served.
 fn ask_with_short_deadlines(client: &mut Client) -> usize {
     let mut served_count = 0;
     for deadline_ms in (1..=50).chain((5..=50).rev()) {
         for statement in [look(deadline_ms), order(deadline_ms)] {
             let sent_at = Instant::now();
             client.send(&statement);
-            let response = client.answer().expect("its one answer");
+            let response = client.answer().expect("the connection ended without a response");
             let limit = Duration::from_millis(deadline_ms.into()) + LATENESS_TOLERANCE;
             assert!(sent_at.elapsed() < limit, "{deadline_ms} ms: {:?}, {response:?}", sent_at.elapsed());
             assert!(
@@ -39,7 +39,7 @@
     let member = Member::start(|text, stream| serve(text, "writer", stream));
     let proxy = Driver::before(&[("a", &member)]);
     let mut client = Client::connect(proxy.address);
-    // By then it is known how quick the member is.
+    // After these requests, the proxy knows the member's response times.
     for _ in 0..60 {
         assert!(served(&client.ask(&look(5000))) && served(&client.ask(&order(5000))));
     }
@@ -50,6 +50,8 @@
     assert!(sent.iter().all(|request| (1..=50).contains(&stated_deadline_ms(request))), "{sent:?}");
 }
 
+/// The margin protects against a process that is held up before it sends, which would give the member too much
+/// time.
 #[test]
 fn the_deadline_given_to_a_member_is_shorter_than_the_time_left() {
     let member = sound("writer");
