--- a/crates/proxy/src/cli/peers.rs
+++ b/crates/proxy/src/cli/peers.rs
@@ -1,29 +1,29 @@
-//! `aldermill peers`: the peers that a running proxy knows, as a table or as JSON.
+//! `aldermill peers`: prints the peers that a running proxy knows, as a table or as JSON.
 
 use serde_json::Value;
 
 use crate::cli::status;
 use crate::lifecycle::errors::ProgramError;
 
-/// Prints what the proxy behind the status socket knows of its peers.
+/// Prints the peers that the proxy at the status socket knows.
 ///
 /// # Errors
 ///
-/// No proxy listens at that socket, or its answer is not in the expected form.
+/// Returns an error if no proxy listens at the socket, or if its answer is not valid JSON.
 pub fn run(socket: &str, as_json: bool) -> Result<(), ProgramError> {
-    let text = status::ask(socket)?;
+    let text = status::query(socket)?;
     if as_json {
         print!("{text}");
         return Ok(());
     }
     let status: Value = serde_json::from_str(&text)
         .map_err(|source| ProgramError::StatusFormat { path: socket.to_owned(), source })?;
-    print!("{}{}", summary(&status), peer_table(&status));
+    print!("{}{}", summary_line(&status), peer_table(&status));
     Ok(())
 }
 
-/// One line on the proxy's own view of the fleet.
-fn summary(status: &Value) -> String {
+/// Returns one line on the proxy's own view of the fleet.
+fn summary_line(status: &Value) -> String {
     let view = &status["view"];
     format!(
         "{} knows of {} drivers, itself among them; {} at most{}{}\n",
@@ -35,15 +35,15 @@
     )
 }
 
-/// One line for each peer.
+/// Returns one line for each peer.
 fn peer_table(status: &Value) -> String {
     let peers = status["fellows"].as_array().into_iter().flatten();
     peers.map(peer_line).collect()
 }
 
 fn peer_line(peer: &Value) -> String {
-    let text = |field: &str| peer[field].as_str().unwrap_or_default();
-    let name = text("name");
-    let address = text("address");
+    let string_field = |field: &str| peer[field].as_str().unwrap_or_default();
+    let name = string_field("name");
+    let address = string_field("address");
     format!("{name:<24} {address:<24} started {} turn {}\n", peer["start"], peer["turn"])
 }
--- a/crates/proxy/src/coordination/mod.rs
+++ b/crates/proxy/src/coordination/mod.rs
@@ -1,23 +1,23 @@
-//! This proxy's part in what the fleet decides in common: its vote, the leases that it holds, directives and reports.
+//! Coordination of the proxies of a fleet: votes, leases, directives and reports.
 //!
-//! The protocols are those of `crates/leases` and `crates/directives`; here they are put into datagrams, on the disk and
-//! in the log.
+//! `crates/leases` and `crates/directives` implement the protocols. This module exchanges their messages in datagrams,
+//! persists their state and logs their events.
 //!
-//! - Input: datagrams of other proxies, the time, outcomes of writes, what the dispatcher observed, and reloads of the
-//!   operator's section.
-//! - Output: datagrams, records for the disk, and for the dispatcher the directives on zones and draining sites.
-//! - Caller: the membership actor, which carries the datagrams.
+//! - Input: datagrams of other proxies, the time, outcomes of writes, observations of the dispatcher, and reloads of
+//!   the section `coordination` in the operator's file.
+//! - Output: datagrams, records for the data directory, and directives for the dispatcher on zones and draining sites.
+//! - Caller: the membership actor, which sends and receives the datagrams.
 
-mod call;
 mod decision;
-mod describe;
 mod durability;
+mod interface;
 mod issuing;
-mod lease_work;
+mod lease_controllers;
 mod receiving;
 mod records;
 mod site_drain;
 mod split_points;
+mod status;
 mod superseded;
 mod zone_failover;
 
@@ -35,74 +35,75 @@
 use slog::{Logger, info};
 use tokio::sync::mpsc;
 
-pub use call::{CallTime, DECISION_INTERVAL, Datagram};
+pub use interface::{CallTime, DECISION_INTERVAL, Datagram};
 
 use crate::persistence::DataDirectory;
-use lease_work::{LeaseWork, LeaseWorkStart};
-use records::{MOST_IN_FLIGHT, Record, Records};
+use lease_controllers::{LeaseControllerSetup, LeaseControllers};
+use records::{MAX_IN_FLIGHT, Record, Records};
 
-/// The first byte of a datagram: what follows is a message of the lease protocol, or one about directives.
+/// First byte of a payload that contains a message of the lease protocol.
 const LEASE_MESSAGE: u8 = 1;
+/// First byte of a payload that contains directives, a digest of directives, or a report.
 const DIRECTIVE_MESSAGE: u8 = 2;
 
-/// What [`Coordination::open`] needs.
+/// Configuration and identity that [`Coordination::open`] starts with.
 pub struct CoordinationParts {
-    /// The operator's section `coordination`.
+    /// The section `coordination` of the operator's file.
     pub config: CoordinationConfig,
-    /// This start of this proxy.
-    pub own: Incarnation,
-    /// Where terms and drain plans are stored, if anything is.
+    /// Name and start number of this proxy.
+    pub incarnation: Incarnation,
+    /// Data directory for terms and drain plans; `None` if nothing is persisted.
     pub directory: Option<Rc<DataDirectory>>,
-    /// This proxy's zone.
+    /// Zone of this proxy, as an index into the list of zones in the settings.
     pub zone: usize,
-    /// The longest timeout of all request classes, in microseconds.
+    /// Longest timeout of all request classes, in microseconds.
     pub longest_timeout: Micros,
 }
 
-/// This proxy's part in what the fleet decides in common.
+/// Takes part in the coordination of the fleet on behalf of this proxy.
 pub struct Coordination {
-    /// This start of this proxy.
-    own: Incarnation,
-    /// The names of all leases.
+    /// Name and start number of this proxy.
+    incarnation: Incarnation,
+    /// Names of all configured leases.
     leases: Vec<String>,
-    /// This proxy's vote, and the leases that it holds or wants.
+    /// Voter and candidates of this proxy.
     participant: Participant,
     directives: DirectiveStore,
-    /// Reports of all proxies under the leases that this one holds.
+    /// Reports that this proxy received for the leases that it holds.
     reports: Reports,
-    /// What this proxy has to report to lease holders.
+    /// Queue of the reports that this proxy sends to lease holders.
     reporter: Reporter,
-    /// `None` without a data directory.
+    /// Records in the data directory; `None` without one.
     records: Option<Records>,
     rng: Pcg64Mcg,
     log: Logger,
-    work: LeaseWork,
-    /// When directives under held leases are next renewed.
+    controllers: LeaseControllers,
+    /// When the directives that announce held leases are next renewed.
     renew_at: Micros,
     /// When decisions are next made.
     decide_at: Micros,
-    /// When a digest of the directives is next sent to another proxy, for both to find out what they miss.
+    /// When a digest of the directives is next sent to another proxy, so that each can fetch what it lacks.
     digest_at: Micros,
-    /// When the lease protocol next wants to be called.
+    /// When the lease protocol is next to be called; `None` if it has no timer.
     participant_wake_at: Option<Micros>,
-    /// What is to be sent once the running call returns.
+    /// Datagrams queued for sending, which the caller takes with [`Coordination::take_outgoing`].
     outgoing: Vec<Datagram>,
 }
 
 impl Coordination {
-    /// Starts this proxy's part. The receiver gets the outcome of each write to the data directory, in their order, for
-    /// [`Coordination::write_confirmed`].
+    /// Starts coordination. The returned receiver yields whether each write to the data directory succeeded, in the
+    /// order of the writes; the caller passes each outcome to [`Coordination::write_finished`].
     ///
     /// # Errors
     ///
-    /// The operator's configuration of leases cannot work.
+    /// Returns a [`ConfigError`] if the leases cannot work as the operator configured them.
     pub fn open(
         parts: CoordinationParts,
         at: CallTime,
         seed: u64,
         log: Logger,
     ) -> Result<(Coordination, mpsc::Receiver<bool>), ConfigError> {
-        let CoordinationParts { config, own, directory, zone, longest_timeout } = parts;
+        let CoordinationParts { config, incarnation, directory, zone, longest_timeout } = parts;
         let now = at.now;
         let leases: Vec<String> = config.leases.iter().map(|kind| kind.name().to_owned()).collect();
         let lease_config = LeaseConfig {
@@ -111,12 +112,12 @@
             duration: Micros::from(config.lease_ms) * 1000,
             least_term: config.least_term,
         };
-        let participant = Participant::start(now, own.clone(), &lease_config, None, seed)?;
-        let (confirmations, confirmed) = mpsc::channel(MOST_IN_FLIGHT);
-        let records = directory.map(|directory| Records::start(directory, confirmations));
+        let participant = Participant::start(now, incarnation.clone(), &lease_config, None, seed)?;
+        let (write_outcomes, write_outcomes_receiver) = mpsc::channel(MAX_IN_FLIGHT);
+        let records = directory.map(|directory| Records::start(directory, write_outcomes));
         info!(log, "coordination started"; "votes" => participant.is_voter(), "leases" => leases.join(" "),
             "durable" => records.is_some());
-        let work = LeaseWork::start(&LeaseWorkStart {
+        let controllers = LeaseControllers::start(&LeaseControllerSetup {
             now,
             config: &config,
             zone,
@@ -126,7 +127,7 @@
         });
         let mut rng = Pcg64Mcg::seed_from_u64(seed.rotate_left(7));
         let mut coordination = Coordination {
-            own,
+            incarnation,
             leases,
             participant,
             directives: DirectiveStore::default(),
@@ -134,7 +135,7 @@
             reporter: Reporter::default(),
             records,
             log,
-            work,
+            controllers,
             renew_at: now,
             decide_at: now,
             digest_at: now + rng.random_range(0..DIGEST_INTERVAL),
@@ -143,82 +144,84 @@
             rng,
         };
         coordination.withhold_votes_until_read(now);
-        Ok((coordination, confirmed))
+        Ok((coordination, write_outcomes_receiver))
     }
 
-    /// When [`Coordination::wake`] is to be called.
+    /// Returns when [`Coordination::wake`] is to be called next.
     pub fn wake_at(&self) -> Micros {
         let report_at = self.reporter.due_at().unwrap_or(Micros::MAX);
         let participant_wake_at = self.participant_wake_at.unwrap_or(Micros::MAX);
         self.digest_at.min(self.renew_at).min(self.decide_at).min(participant_wake_at).min(report_at)
     }
 
-    /// What is to be sent now.
+    /// Takes the datagrams that are queued for sending.
     pub fn take_outgoing(&mut self) -> Vec<Datagram> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Forwards new directives to a few others; `age` is how long they waited here unread.
-    fn forward(&mut self, new: &[Directive], age: Micros, others: &[Rc<str>]) {
+    /// Forwards new directives to a few live peers chosen at random. `age` is how long the directives may have waited
+    /// here unread, in microseconds; their remaining lifetimes are reduced by it.
+    fn forward(&mut self, new: &[Directive], age: Micros, live_peers: &[Rc<str>]) {
         if new.is_empty() {
             return;
         }
         let aged =
             |directive: &Directive| Directive { remaining: directive.remaining - age, ..directive.clone() };
         let aged: Vec<Directive> = new.iter().map(aged).collect();
-        let to: Vec<Rc<str>> = others.iter().cloned().choose_multiple(&mut self.rng, FORWARD_FANOUT);
+        let to: Vec<Rc<str>> = live_peers.iter().cloned().choose_multiple(&mut self.rng, FORWARD_FANOUT);
         for message in frame::encode_directives(&aged) {
             to.iter().for_each(|to| self.send(to, DIRECTIVE_MESSAGE, &message));
         }
     }
 
-    /// To be called at [`Coordination::wake_at`]; `others` are the proxies known to live.
-    pub fn wake(&mut self, at: CallTime, others: &[Rc<str>]) {
+    /// Does everything that is due. To be called at [`Coordination::wake_at`]. `live_peers` are the names of the
+    /// other proxies that are known to be alive.
+    pub fn wake(&mut self, at: CallTime, live_peers: &[Rc<str>]) {
         let now = at.now;
-        self.read_records(now);
+        self.load_stored_state(now);
         if self.participant_wake_at.is_some_and(|due| due <= now) {
-            let actions = self.participant.wake(now, at.wall);
-            self.carry_out(at, actions, others);
+            let actions = self.participant.wake(now, at.wall_clock_ms);
+            self.apply_actions(at, actions, live_peers);
         }
         if now >= self.renew_at {
             self.renew_at = now + RENEWAL_INTERVAL;
             self.directives.expire(now);
-            self.announce_held_leases(now, others);
+            self.announce_held_leases(now, live_peers);
         }
         if now >= self.decide_at {
             self.decide_at = now + DECISION_INTERVAL;
-            self.persist_again();
-            self.decide(at, others);
+            self.persist_unconfirmed_terms();
+            self.decide(at, live_peers);
         }
         if now >= self.digest_at {
             self.digest_at = now + DIGEST_INTERVAL;
-            self.send_digest(now, others);
+            self.send_digest(now, live_peers);
         }
         self.send_report(now);
     }
 
-    /// Sends a digest of the directives to another proxy, picked at random.
-    fn send_digest(&mut self, now: Micros, others: &[Rc<str>]) {
-        if let Some(to) = others.iter().cloned().choose(&mut self.rng) {
+    /// Sends a digest of the directives to one live peer, chosen at random.
+    fn send_digest(&mut self, now: Micros, live_peers: &[Rc<str>]) {
+        if let Some(to) = live_peers.iter().cloned().choose(&mut self.rng) {
             let digest = frame::encode_digest(&self.directives.digest(now), false);
             self.send_directive_messages(&to, digest);
         }
     }
 
-    /// Sends the next report to the lease's holder, which may be this proxy.
+    /// Sends the next report, if one is due, to the holder of its lease, which may be this proxy.
     fn send_report(&mut self, now: Micros) {
         let Some(report) = self.reporter.next(now) else { return };
         let Some(holder) = self.directives.holder(now, &report.topic.lease) else { return };
-        if holder.name == self.own.name {
-            self.reports.receive(now, 0, &self.own.name, self.own.start, report);
+        if holder.name == self.incarnation.name {
+            self.reports.receive(now, 0, &self.incarnation.name, self.incarnation.start, report);
         } else {
             let holder = holder.name.to_owned();
             self.send(&holder, DIRECTIVE_MESSAGE, &frame::encode_report(&report));
         }
     }
 
-    /// Does what the lease protocol wants done.
-    fn carry_out(&mut self, at: CallTime, actions: Actions, others: &[Rc<str>]) {
+    /// Carries out the actions that the lease protocol returned.
+    fn apply_actions(&mut self, at: CallTime, actions: Actions, live_peers: &[Rc<str>]) {
         self.participant_wake_at = actions.wake_at;
         for Outgoing { to, message } in actions.send {
             self.send(&to, LEASE_MESSAGE, &aldermill_leases::frame::encode(&message));
@@ -240,30 +243,33 @@
             }
         }
         if has_acquired {
-            // Others are to know at once whom to report to.
-            self.announce_held_leases(at.now, others);
+            // Other proxies have to know at once to whom they report.
+            self.announce_held_leases(at.now, live_peers);
         }
     }
 
-    /// Another proxy is gone, or has started again.
-    pub fn peer_gone(&mut self, now: Micros, name: &str) {
+    /// Discards the reports of a peer that is gone or has restarted, and records the loss of the peer for site
+    /// drains.
+    pub fn peer_lost(&mut self, now: Micros, name: &str) {
         self.reports.remove_reporter(name);
-        self.work.peer_gone(now, name);
+        self.controllers.peer_lost(now, name);
     }
 
-    /// The others know this proxy by another start from now on, and take its messages under no other.
-    pub fn renumber(&mut self, at: CallTime, start: u64, others: &[Rc<str>]) {
-        self.own.start = start;
+    /// Changes the start number of this proxy to the one by which peers know it now; they accept its messages under
+    /// no other.
+    pub fn renumber(&mut self, at: CallTime, start: u64, live_peers: &[Rc<str>]) {
+        self.incarnation.start = start;
         let actions = self.participant.renumber(at.now, start);
-        self.carry_out(at, actions, others);
+        self.apply_actions(at, actions, live_peers);
     }
 
-    /// This proxy shuts down: it releases the leases that it holds.
+    /// Releases all leases that this proxy holds. To be called when it shuts down.
     pub fn release_leases(&mut self, at: CallTime) {
         let actions = self.participant.release_all(at.now);
-        self.carry_out(at, actions, &[]);
+        self.apply_actions(at, actions, &[]);
     }
 
+    /// Queues a datagram with a message of this kind.
     fn send(&mut self, to: &str, kind: u8, message: &[u8]) {
         self.outgoing.push(Datagram { to: to.to_owned(), payload: [&[kind], message].concat() });
     }
--- a/crates/proxy/src/member/symptom_log.rs
+++ b/crates/proxy/src/member/symptom_log.rs
@@ -1,4 +1,4 @@
-//! What the log says of one member's symptoms: each once, or once in a while.
+//! Logs the symptoms of one member, each once or at a limited rate.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,41 +10,43 @@
 
 use super::outcome::{QueryError, Symptom, symptom};
 
-/// The least time between two log lines on connections to one member that cannot be opened on this machine.
+/// Minimum time between two log lines about connections to one member that cannot be opened on this machine.
 const LOCAL_FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The symptoms of one member that are logged already.
+/// Logs the symptoms of one member, and remembers which it has logged.
 pub(super) struct SymptomLog {
     log: Logger,
     member: String,
-    /// This many unusable responses in a row are logged once.
-    unusable_logged_at_count: usize,
-    /// Unusable responses in a row.
-    unusable_responses: usize,
-    /// The member is lost, and that was logged.
-    is_lost: bool,
+    /// Number of consecutive unusable responses that is logged, once.
+    unusable_log_threshold: usize,
+    /// Unusable responses since the last complete one.
+    consecutive_unusable_responses: usize,
+    /// Whether the member is lost and the loss has been logged.
+    loss_logged: bool,
     local_failure_logged_at: Option<Instant>,
 }
 
 impl SymptomLog {
-    /// `unusable_logged_at_count` unusable responses in a row are worth a line.
-    pub(super) fn new(log: Logger, member: String, unusable_logged_at_count: usize) -> SymptomLog {
+    /// Creates a log for the member of this name. `unusable_log_threshold` is the number of consecutive
+    /// unusable responses that is logged.
+    pub(super) fn new(log: Logger, member: String, unusable_log_threshold: usize) -> SymptomLog {
         SymptomLog {
             log,
             member,
-            unusable_logged_at_count,
-            unusable_responses: 0,
-            is_lost: false,
+            unusable_log_threshold,
+            consecutive_unusable_responses: 0,
+            loss_logged: false,
             local_failure_logged_at: None,
         }
     }
 
-    /// A query task panicked, which is a fault of the program.
-    pub(super) fn task_failed(&self, failure: &JoinError) {
-        error!(self.log, "query task failed"; "member" => &self.member, "why" => %failure);
+    /// Logs that a query task panicked, which is a bug in the proxy.
+    pub(super) fn log_task_failure(&self, error: &JoinError) {
+        error!(self.log, "query task failed"; "member" => &self.member, "why" => %error);
     }
 
-    /// A query ended with this verdict. `is_ready` says that its response was whole, and `error` what ended it otherwise.
+    /// Records that a query ended with this verdict. `is_ready` says whether its response was complete, and
+    /// `error` is what ended the query otherwise.
     pub(super) fn record(
         &mut self,
         address: SocketAddr,
@@ -53,37 +55,37 @@
         error: Option<&QueryError>,
     ) {
         match symptom(verdict) {
-            Symptom::UnusableResponse => self.unusable_response(address),
-            Symptom::Unreachable | Symptom::ProcessGone => self.lost(address, verdict),
-            Symptom::LocalFailure => self.local_failure(error),
-            Symptom::None if is_ready => self.whole_response(address),
+            Symptom::UnusableResponse => self.record_unusable_response(address),
+            Symptom::Unreachable | Symptom::ProcessGone => self.record_loss(address, verdict),
+            Symptom::LocalFailure => self.record_local_failure(error),
+            Symptom::None if is_ready => self.record_complete_response(address),
             Symptom::None | Symptom::Silent => {}
         }
     }
 
-    fn whole_response(&mut self, address: SocketAddr) {
-        self.unusable_responses = 0;
-        if std::mem::take(&mut self.is_lost) {
+    fn record_complete_response(&mut self, address: SocketAddr) {
+        self.consecutive_unusable_responses = 0;
+        if std::mem::take(&mut self.loss_logged) {
             info!(self.log, "member recovered"; "member" => &self.member, "peer" => %address);
         }
     }
 
-    fn unusable_response(&mut self, address: SocketAddr) {
-        self.unusable_responses += 1;
-        if self.unusable_responses == self.unusable_logged_at_count {
+    fn record_unusable_response(&mut self, address: SocketAddr) {
+        self.consecutive_unusable_responses += 1;
+        if self.consecutive_unusable_responses == self.unusable_log_threshold {
             warn!(self.log, "member's responses are unusable"; "member" => &self.member,
-                "peer" => %address, "attempts" => self.unusable_responses);
+                "peer" => %address, "attempts" => self.consecutive_unusable_responses);
         }
     }
 
-    fn lost(&mut self, address: SocketAddr, verdict: Verdict) {
-        if !std::mem::replace(&mut self.is_lost, true) {
+    fn record_loss(&mut self, address: SocketAddr, verdict: Verdict) {
+        if !std::mem::replace(&mut self.loss_logged, true) {
             warn!(self.log, "member lost"; "member" => &self.member, "peer" => %address,
                 "symptom" => ?verdict);
         }
     }
 
-    fn local_failure(&mut self, error: Option<&QueryError>) {
+    fn record_local_failure(&mut self, error: Option<&QueryError>) {
         let now = Instant::now();
         if self.local_failure_logged_at.is_some_and(|at| now - at < LOCAL_FAILURE_LOG_INTERVAL) {
             return;
