--- a/crates/proxy/src/client/close.rs
+++ b/crates/proxy/src/client/close.rs
@@ -58,7 +58,7 @@
     /// Tells the dispatcher that the client no longer waits for the requests that have no response yet.
     pub(super) async fn abandon_pending_requests(&mut self) {
         while let Some(abandoned) = self.pending_responses.abandon_next() {
-            let left = ClientLeft { client: abandoned.request_id };
+            let left = ClientLeft { request_id: abandoned.request_id };
             let _ = self.context.dispatcher.send(DispatcherMessage::ClientLeft(left)).await;
         }
     }
@@ -92,7 +92,7 @@
     /// for a limited time after the close. From `limits.buffers.ignorable_unread` bytes on, they count
     /// against the buffer budget for that time.
     fn may_leave_unread(&mut self) -> bool {
-        let unread = self.unread_responses.bytes_in_kernel(self.context.limits.buffers.client_socket);
+        let unread = self.unread_responses.bytes_in_kernel(self.context.limits.buffers.client_socket_buffer);
         if unread < self.context.limits.buffers.ignorable_unread {
             return true;
         }
@@ -100,7 +100,7 @@
             SockRef::from(&self.stream).set_tcp_user_timeout(Some(self.connection_guard.linger_timeout()));
         match self.unread_responses.take_reservation() {
             Some(reservation) => reservation.linger(),
-            None => return self.connection_guard.may_leave_unread(unread),
+            None => return self.connection_guard.try_reserve_lingering(unread),
         }
         true
     }
--- a/crates/proxy/src/client/events.rs
+++ b/crates/proxy/src/client/events.rs
@@ -12,13 +12,13 @@
 
 use super::close::CloseReason;
 use super::connection::ClientConnection;
-use crate::messages::{Answer, ClientId, ClientMessage};
+use crate::messages::{Answer, ClientMessage, ClientRequestId};
 use crate::system::{self, Party, Peeked};
 
 /// Event on a connection with pending requests.
 pub(super) enum ClientEvent {
     /// The dispatcher answered this request.
-    Answer(ClientId, Answer),
+    Answer(ClientRequestId, Answer),
     /// The client sent bytes, which are now in the read buffer.
     BytesRead,
     /// The connection is to be closed unless a request is pending.
--- a/crates/proxy/src/dispatcher/gateway/pending_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/pending_requests.rs
@@ -11,8 +11,8 @@
 use super::site_actions::ReceivedAnswer;
 use super::{GatewayPart, PendingRequest, Requester};
 use crate::dispatcher::Dispatcher;
-use crate::dispatcher::open_request::{RequestLocation, WaitingClient};
-use crate::dispatcher::requests::SiteMiss;
+use crate::dispatcher::open_request::{RequestOwner, WaitingClient};
+use crate::dispatcher::requests::NotPrimaryFollowUp;
 use crate::messages::{Answer, ClientRequest};
 
 /// A request that is to be handed to the site router, and its requester.
@@ -32,7 +32,7 @@
     pub(in crate::dispatcher) fn route_between_sites(&mut self, request: ClientRequest, class: usize) {
         let waited = self.context.clock.now() - request.received_at;
         let timeout = Micros::from(request.comment.timeout_ms) * 1000 - waited;
-        let requester = Requester::Client(WaitingClient::of(&request));
+        let requester = Requester::Client(WaitingClient::from_request(&request));
         self.route_request(RequestToRoute { request, class, timeout, requester, visited: Vec::new() });
     }
 
@@ -46,8 +46,8 @@
             gateway_part.remote_requests.insert((remote.gateway, remote.number), handle);
         }
         let RequestToRoute { request, class, requester, visited, .. } = to_route;
-        self.locations.insert(request.client, RequestLocation::Gateway(handle));
-        self.open_ids.insert(request.comment.id.clone());
+        self.request_owners.insert(request.request_id, RequestOwner::Gateway(handle));
+        self.open_comment_ids.insert(request.comment.id.clone());
         let request = Rc::new(request);
         let pending = PendingRequest { request, class, local_handle: None, requester, visited };
         gateway_part.pending_requests.insert(handle, pending);
@@ -85,7 +85,7 @@
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let Some(pending) = gateway_part.pending_requests.get_mut(&handle) else { return };
         pending.local_handle = None;
-        let class = &self.decoded.router_config.classes[pending.class];
+        let class = &self.settings.router_config.classes[pending.class];
         let within_objective = served && now - pending.request.received_at <= class.objective;
         let reads = matches!(class.need, Need::Any | Need::Recent(_));
         let from_client = matches!(pending.requester, Requester::Client(_));
@@ -105,12 +105,12 @@
 
     /// Handles an attempt at the local site whose member was not the primary. The caller carries out the
     /// returned actions after the local router has been told of the attempt's end as well.
-    pub(in crate::dispatcher) fn local_not_primary(&mut self, handle: RequestHandle) -> SiteMiss {
+    pub(in crate::dispatcher) fn local_not_primary(&mut self, handle: RequestHandle) -> NotPrimaryFollowUp {
         let now = self.context.clock.now();
-        let Some(gateway_part) = &mut self.gateway_part else { return SiteMiss::default() };
+        let Some(gateway_part) = &mut self.gateway_part else { return NotPrimaryFollowUp::default() };
         let actions = gateway_part.site_router.local_not_primary(now, handle);
-        let taken_back = actions.requests.contains(&(handle, Action::Withdraw));
-        SiteMiss { actions: Some(actions), taken_back }
+        let withdrawn = actions.requests.contains(&(handle, Action::Withdraw));
+        NotPrimaryFollowUp { actions: Some(actions), withdrawn }
     }
 
     /// Handles an answer in which a member of the local site acted as the primary of its group.
@@ -162,8 +162,8 @@
         if let Requester::Gateway(remote) = &pending.requester {
             gateway_part.remote_requests.remove(&(remote.gateway, remote.number));
         }
-        self.open_ids.remove(&pending.request.comment.id);
-        self.locations.remove(&pending.request.client);
+        self.open_comment_ids.remove(&pending.request.comment.id);
+        self.request_owners.remove(&pending.request.request_id);
         Some(pending)
     }
 }
--- a/crates/proxy/src/dispatcher/gateway/remote_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/remote_requests.rs
@@ -67,8 +67,8 @@
     /// Records the acceptance of a non-idempotent request, which waits until the record is written. Any other
     /// request is admitted at once.
     fn record_acceptance(&mut self, incoming: IncomingRequest) {
-        let class = self.decoded.class_index(&incoming.frame.class).ok();
-        let effect = class.map(|class| self.decoded.router_config.classes[class].effect);
+        let class = self.settings.class_index(&incoming.frame.class).ok();
+        let effect = class.map(|class| self.settings.router_config.classes[class].effect);
         let Some(gateway_part) = &mut self.gateway_part else { return };
         let outcome_log = gateway_part.outcome_log.as_mut();
         let Some(outcome_log) = outcome_log.filter(|_| effect == Some(Effect::NonIdempotent)) else {
@@ -147,7 +147,7 @@
         // The answer goes over the link, so this mailbox has no receiver.
         let (mailbox, _) = mpsc::channel(1);
         let request = ClientRequest {
-            client: gateway_part.last_remote_client_id,
+            request_id: gateway_part.last_remote_client_id,
             peer,
             mailbox,
             received_at: self.context.clock.now(),
@@ -182,7 +182,7 @@
             - waited
             - gateway_part.site_router.one_way_delay(incoming.gateway);
         let full = gateway_part.pending_requests.len() >= self.context.limits.open_requests;
-        let under_way = self.open_ids.contains(&comment.id);
+        let under_way = self.open_comment_ids.contains(&comment.id);
         if gateway_part.draining || full || under_way || timeout <= 0 {
             return Err(ResponseKind::Rejected);
         }
--- a/crates/proxy/src/gateway/link.rs
+++ b/crates/proxy/src/gateway/link.rs
@@ -1,4 +1,4 @@
-//! The actor of one link: it moves frames between the socket, the protocol's state and the dispatcher.
+//! The actor of one link: transfers frames between the socket, the protocol state machine and the dispatcher.
 
 use std::convert::Infallible;
 use std::fmt::Display;
@@ -15,37 +15,39 @@
 use tokio::time::{sleep_until, timeout};
 
 use super::LinkRegistry;
-use super::errors::LinkEnd;
+use super::errors::LinkCloseReason;
 use crate::flow_control::ConnectionGuard;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::messages::{DispatcherMessage, LinkEvent, LinkId, LinkMessage};
 
-/// The most bytes that are read or written at once, a frame that is longer aside.
+/// Size of the read buffer, and of the batches of frames that are written, in bytes. The last frame of a
+/// batch may exceed it.
 const CHUNK_BYTES: usize = 32 * 1024;
 
-/// What the other side is told when its link is dropped.
-const UNWANTED: &str = "not wanted";
+/// Reason that is sent to the peer gateway when the dispatcher has dropped its link.
+const DROPPED_REASON: &str = "not wanted";
 
-/// A connection that is to become a link.
+/// A connection to or from a peer gateway that becomes a link once the handshake is complete.
 pub(super) struct LinkConnection {
     context: Rc<ProcessContext>,
     registry: Rc<LinkRegistry>,
     stream: TcpStream,
-    /// The other end of the connection.
+    /// Address of the peer gateway.
     address: SocketAddr,
-    /// The site that is expected there; `None` where the other side opened the connection.
-    dialed_site: Option<String>,
+    /// Site that the configuration names for the address; `None` if the peer gateway opened the connection.
+    expected_site: Option<String>,
     guard: ConnectionGuard,
 }
 
 impl LinkConnection {
-    /// Enters the connection in flow control; `None` if there is no place for it.
+    /// Registers the connection with flow control. Returns `None` if a connection limit of flow control
+    /// rejects it.
     pub fn register(
         context: &Rc<ProcessContext>,
         registry: &Rc<LinkRegistry>,
         stream: TcpStream,
         address: SocketAddr,
-        dialed_site: Option<String>,
+        expected_site: Option<String>,
     ) -> Option<LinkConnection> {
         let _ = stream.set_nodelay(true);
         let guard = context.flow_control.register(address.ip()).ok()?;
@@ -54,20 +56,21 @@
             registry: registry.clone(),
             stream,
             address,
-            dialed_site,
+            expected_site,
             guard,
         })
     }
 
-    /// Runs the link until it ends; whether it was ever up.
+    /// Runs the link until it ends. Returns whether it was ever up.
     pub async fn run(self) -> bool {
         let context = self.context.clone();
         let address = self.address;
         let mut actor = LinkActor::new(self);
         let id = actor.id;
         let Err(end) = actor.exchange_frames().await;
-        // Closes the connection and the dispatcher's outbox before the message below, which may wait for the
-        // dispatcher: nothing more may be handed to this link, or be held for it, meanwhile.
+        // This closes the connection and the dispatcher's outbox before the notification below, which may
+        // wait for the dispatcher. In the meantime the dispatcher must not send anything over this link, or
+        // hold anything for it.
         match actor.into_state() {
             LinkState::Up { site } => {
                 let _ = notify(&context, id, LinkEvent::Lost).await;
@@ -82,18 +85,18 @@
     }
 }
 
-/// How far a link has come.
+/// State of a link.
 enum LinkState {
-    /// The other side has not introduced itself yet. The sender is the dispatcher's once it has.
+    /// The peer gateway's greeting has not arrived yet. The dispatcher gets the outbox when it arrives.
     Handshaking { outbox: mpsc::Sender<Outbound> },
-    /// The dispatcher uses it.
+    /// The handshake is complete, and the dispatcher uses the link.
     Up {
-        /// The other side's.
+        /// Site of the peer gateway.
         site: String,
     },
 }
 
-/// Bytes of which the system has taken a part.
+/// Bytes to write to the socket, of which the kernel has accepted the first `written`.
 #[derive(Default)]
 struct PendingBytes {
     bytes: Vec<u8>,
@@ -113,16 +116,16 @@
 struct LinkActor {
     id: LinkId,
     connection: LinkConnection,
-    /// The protocol's state.
-    link: Link,
+    /// State machine of the link protocol.
+    protocol: Link,
     state: LinkState,
-    /// What the dispatcher sends over the link.
+    /// Messages that the dispatcher sends over the link.
     outbound: mpsc::Receiver<Outbound>,
-    /// Taken from the protocol's state, and not yet from here by the system.
+    /// Bytes that were taken from the protocol state machine and that the kernel has not accepted completely.
     pending: PendingBytes,
-    /// Whether flow control measures how fast the other side reads.
+    /// Whether flow control is measuring how fast the peer gateway reads.
     is_metered: bool,
-    /// What was read and not yet passed to the protocol's state; empty between two reads.
+    /// Bytes that were read and not yet passed to the protocol state machine; empty between two reads.
     input: Vec<u8>,
 }
 
@@ -131,8 +134,8 @@
         let LinkConnection { context, registry, .. } = &connection;
         let (outbox, outbound) = mpsc::channel(context.limits.queues.dispatcher);
         LinkActor {
-            id: registry.next_id(),
-            link: Link::new(registry.config, &registry.own, context.unstalled_clock.now()),
+            id: registry.allocate_link_id(),
+            protocol: Link::new(registry.config, &registry.local_identity, context.unstalled_clock.now()),
             state: LinkState::Handshaking { outbox },
             outbound,
             pending: PendingBytes::default(),
@@ -142,32 +145,32 @@
         }
     }
 
-    /// How far the link came; drops all the rest.
+    /// Returns the state of the link. Dropping the rest closes the connection.
     fn into_state(self) -> LinkState {
         self.state
     }
 
-    /// Moves frames in both directions until the link ends.
-    async fn exchange_frames(&mut self) -> Result<Infallible, LinkEnd> {
+    /// Transfers frames in both directions until the link ends. Returns the reason for its end.
+    async fn exchange_frames(&mut self) -> Result<Infallible, LinkCloseReason> {
         let clock = self.connection.context.unstalled_clock.clone();
         loop {
             self.write_pending()?;
             let LinkConnection { stream, guard, .. } = &self.connection;
             tokio::select! {
                 biased;
-                () = guard.disconnected() => return Err(LinkEnd::TooSlow),
-                ready = stream.readable(), if self.link.accepts_input() => {
+                () = guard.disconnected() => return Err(LinkCloseReason::TooSlow),
+                ready = stream.readable(), if self.protocol.accepts_input() => {
                     ready?;
                     self.read().await?;
                 }
                 message = self.outbound.recv() => match message {
-                    Some(message) => self.link.send(message),
-                    // Another link of this gateway is from a newer incarnation of it.
-                    None => return Err(self.close_unwanted().await),
+                    Some(message) => self.protocol.send(message),
+                    // The dispatcher dropped the link: the peer gateway has a link of a newer incarnation.
+                    None => return Err(self.close_dropped().await),
                 },
                 ready = stream.writable(), if !self.pending.is_empty() => ready?,
-                () = sleep_until(clock.instant(self.link.wake_at())) => {
-                    if let Err(error) = self.link.wake(clock.now()) {
+                () = sleep_until(clock.instant(self.protocol.wake_at())) => {
+                    if let Err(error) = self.protocol.wake(clock.now()) {
                         return Err(self.close(error));
                     }
                 }
@@ -175,11 +178,12 @@
         }
     }
 
-    /// Writes as much as the system takes at once. What it does not take, the other side has not read.
-    fn write_pending(&mut self) -> Result<(), LinkEnd> {
+    /// Writes as many bytes as the kernel accepts without blocking. While the kernel accepts no more, the
+    /// peer gateway has unread bytes and flow control measures how fast it reads.
+    fn write_pending(&mut self) -> Result<(), LinkCloseReason> {
         loop {
             if self.pending.is_empty() {
-                let bytes = self.link.next_bytes(CHUNK_BYTES).unwrap_or_default();
+                let bytes = self.protocol.next_bytes(CHUNK_BYTES).unwrap_or_default();
                 self.pending = PendingBytes { bytes, written: 0 };
             }
             if self.pending.is_empty() {
@@ -215,10 +219,10 @@
         }
     }
 
-    /// Reads once, and passes on what came whole.
-    async fn read(&mut self) -> Result<(), LinkEnd> {
+    /// Reads once, and forwards the messages that are now complete to the dispatcher.
+    async fn read(&mut self) -> Result<(), LinkCloseReason> {
         match self.connection.stream.try_read_buf(&mut self.input) {
-            Ok(0) => return Err(LinkEnd::Closed),
+            Ok(0) => return Err(LinkCloseReason::ClosedByPeer),
             Ok(_) => {}
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
                 return Ok(());
@@ -226,7 +230,7 @@
             Err(error) => return Err(error.into()),
         }
         let now = self.connection.context.unstalled_clock.now();
-        let received = self.link.receive(now, &self.input);
+        let received = self.protocol.receive(now, &self.input);
         self.input.clear();
         for message in received.map_err(|error| self.close(error))? {
             if let Inbound::Greeted(identity) = &message {
@@ -237,11 +241,11 @@
         Ok(())
     }
 
-    /// The other side has introduced itself: where it is allowed here, the link is up.
-    async fn complete_handshake(&mut self, identity: &Identity) -> Result<(), LinkEnd> {
-        let LinkConnection { context, registry, address, dialed_site, guard, .. } = &self.connection;
+    /// Handles the peer gateway's greeting. The link is up if the peer gateway is allowed.
+    async fn complete_handshake(&mut self, identity: &Identity) -> Result<(), LinkCloseReason> {
+        let LinkConnection { context, registry, address, expected_site, guard, .. } = &self.connection;
         registry
-            .check_peer(identity, address.ip(), dialed_site.as_deref())
+            .check_peer(identity, address.ip(), expected_site.as_deref())
             .map_err(|rejection| self.close(rejection))?;
         info!(context.log, "link up"; "link" => self.id, "site" => &identity.site,
             "instance" => &identity.instance, "peer" => %address);
@@ -253,30 +257,30 @@
         Ok(())
     }
 
-    /// Tells the other side why the link ends, as far as the system takes that at once.
-    fn close<E: Display + Into<LinkEnd>>(&self, reason: E) -> LinkEnd {
+    /// Sends the peer gateway the reason why the link ends, as far as the kernel accepts it without blocking.
+    fn close<E: Display + Into<LinkCloseReason>>(&self, reason: E) -> LinkCloseReason {
         let _ = self.connection.stream.try_write(&Link::close(&reason.to_string()));
         reason.into()
     }
 
-    /// Sends what is left to send, and that the link is dropped; gives up after the time for closing a connection.
-    async fn close_unwanted(&mut self) -> LinkEnd {
+    /// Sends the remaining frames and [`DROPPED_REASON`], for at most `limits.connections.linger`.
+    async fn close_dropped(&mut self) -> LinkCloseReason {
         let mut bytes = self.pending.unwritten().to_vec();
-        while let Some(more) = self.link.next_bytes(CHUNK_BYTES) {
+        while let Some(more) = self.protocol.next_bytes(CHUNK_BYTES) {
             bytes.extend_from_slice(&more);
         }
-        bytes.extend_from_slice(&Link::close(UNWANTED));
+        bytes.extend_from_slice(&Link::close(DROPPED_REASON));
         let linger = self.connection.context.limits.connections.linger;
         let _ = timeout(linger, self.connection.stream.write_all(&bytes)).await;
-        LinkEnd::Unwanted
+        LinkCloseReason::Dropped
     }
 
-    async fn notify(&self, event: LinkEvent) -> Result<(), LinkEnd> {
+    async fn notify(&self, event: LinkEvent) -> Result<(), LinkCloseReason> {
         notify(&self.connection.context, self.id, event).await
     }
 }
 
-async fn notify(context: &ProcessContext, link: LinkId, event: LinkEvent) -> Result<(), LinkEnd> {
+async fn notify(context: &ProcessContext, link: LinkId, event: LinkEvent) -> Result<(), LinkCloseReason> {
     let message = DispatcherMessage::Link(LinkMessage { link, event });
-    context.dispatcher.send(message).await.map_err(|_| LinkEnd::Stopped)
+    context.dispatcher.send(message).await.map_err(|_| LinkCloseReason::ShuttingDown)
 }
--- a/crates/proxy/src/gateway/outbound.rs
+++ b/crates/proxy/src/gateway/outbound.rs
@@ -1,4 +1,4 @@
-//! Links that this gateway opens, and opens again after they ended.
+//! Outbound links, i.e. links that this gateway opens, and reopens after they have ended.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,49 +15,51 @@
 use super::LinkRegistry;
 use super::errors::ConnectError;
 use super::link::LinkConnection;
-use crate::lifecycle::limits::RetryInterval;
+use crate::lifecycle::limits::RetryBackoff;
 use crate::lifecycle::process_context::ProcessContext;
 use crate::system::{self, SocketErrorKind};
 
-/// Links to each address of a peer, where the operator names no figure.
+/// Number of links to each address of a peer, unless the operator configures one.
 const DEFAULT_LINKS_PER_ADDRESS: u32 = 2;
-/// A link that was up this long after the attempt to open it began shows that its address can be reached: on a line that
-/// breaks often the next attempt is as good as the last.
-const STABLE_AFTER: Duration = Duration::from_millis(100);
+/// Minimum time from the start of an attempt to the end of its link for which the backoff is reset. A link
+/// that was still up after this time shows that the address is reachable: over a network path that breaks
+/// often, the next attempt is as likely to succeed as the last.
+const MIN_STABLE_DURATION: Duration = Duration::from_millis(100);
 
-/// Starts to maintain links to the addresses of all peers, each with a seed of its own for its waits.
+/// Starts a task for each link to each address of all peers. Each link gets its own seed for its random
+/// waits, derived from `seed`.
 pub fn maintain_links(
     context: &Rc<ProcessContext>,
     registry: &Rc<LinkRegistry>,
     peers: &[PeerSite],
     seed: u64,
 ) {
-    let mut number = 0;
+    let mut link_index = 0;
     for peer in peers {
         let links = peer.links.unwrap_or(DEFAULT_LINKS_PER_ADDRESS);
         for &address in &peer.addresses {
             for _ in 0..links {
-                let seed = seed.wrapping_add(number);
+                let seed = seed.wrapping_add(link_index);
                 let link =
                     OutboundLink::new(context.clone(), registry.clone(), peer.site.clone(), address, seed);
                 spawn_local(link.maintain());
-                number += 1;
+                link_index += 1;
             }
         }
     }
 }
 
-/// One link to an address.
+/// One link to a configured address.
 struct OutboundLink {
     context: Rc<ProcessContext>,
     registry: Rc<LinkRegistry>,
-    /// The site that the configuration names for the address.
+    /// Site that the configuration names for the address.
     site: String,
     address: SocketAddr,
     rng: Pcg64Mcg,
-    /// The longest wait before the next attempt.
-    retry_wait: Duration,
-    /// Whether it is logged that nobody can be reached there.
+    /// Maximum wait before the next attempt.
+    backoff: Duration,
+    /// Whether it has been logged that the address is unreachable.
     is_unreachable: bool,
 }
 
@@ -69,42 +71,45 @@
         address: SocketAddr,
         seed: u64,
     ) -> OutboundLink {
-        let retry_wait = context.limits.links.retry.initial;
+        let backoff = context.limits.links.retry.initial;
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        OutboundLink { context, registry, site, address, rng, retry_wait, is_unreachable: false }
+        OutboundLink { context, registry, site, address, rng, backoff, is_unreachable: false }
     }
 
-    /// Opens the link again whenever it has ended, until this process shuts down. The wait before that is random, so that
-    /// many gateways do not come back at once, and longer after each attempt that failed.
+    /// Opens the link, and reopens it whenever it has ended, until the process shuts down. The wait between
+    /// two attempts is random, from half of the backoff to all of it, so that many gateways do not reconnect
+    /// at once. The backoff doubles with each attempt, up to the configured maximum, unless the attempt
+    /// resets it.
     async fn maintain(mut self) {
-        let RetryInterval { initial, max } = self.context.limits.links.retry;
+        let RetryBackoff { initial, max } = self.context.limits.links.retry;
         loop {
-            let may_retry_soon = self.open_and_run().await;
-            if may_retry_soon {
-                self.retry_wait = initial;
+            let reset_backoff = self.open_and_run().await;
+            if reset_backoff {
+                self.backoff = initial;
             }
             if self.context.stopping.borrow().is_some() {
                 return;
             }
-            let max_wait_ms = self.retry_wait.as_millis() as u64;
-            let wait_ms = self.rng.random_range(max_wait_ms / 2..=max_wait_ms);
+            let backoff_ms = self.backoff.as_millis() as u64;
+            let wait_ms = self.rng.random_range(backoff_ms / 2..=backoff_ms);
             sleep(Duration::from_millis(wait_ms)).await;
-            self.retry_wait = (self.retry_wait * 2).min(max);
+            self.backoff = (self.backoff * 2).min(max);
         }
     }
 
-    /// One link from its opening to its end; whether nothing speaks against another attempt soon.
+    /// Opens the link and runs it until it ends. Returns whether the backoff is to be reset: after a link
+    /// that shows that the address is reachable, and after an error on this machine.
     async fn open_and_run(&mut self) -> bool {
-        let since = Instant::now();
+        let started_at = Instant::now();
         match self.connect().await {
             Ok(stream) => {
                 self.log_reachable();
                 let was_up = self.run_link(stream).await;
-                was_up && since.elapsed().as_millis() >= STABLE_AFTER.as_millis()
+                was_up && started_at.elapsed().as_millis() >= MIN_STABLE_DURATION.as_millis()
             }
             Err(error) => {
                 self.log_unreachable(&error);
-                // Nothing left this machine, so nothing is known of the other side.
+                // After a local error no packet was sent, so it says nothing about the peer gateway.
                 matches!(&error, ConnectError::Io(error) if SocketErrorKind::of(error) == SocketErrorKind::Local)
             }
         }
@@ -116,7 +121,7 @@
         Ok(connected.map_err(|_| ConnectError::TimedOut)??)
     }
 
-    /// Runs the link until it ends; whether it was ever up.
+    /// Runs the link until it ends. Returns whether it was ever up.
     async fn run_link(&self, stream: TcpStream) -> bool {
         let connection = LinkConnection::register(
             &self.context,
--- a/crates/proxy/src/membership/mod.rs
+++ b/crates/proxy/src/membership/mod.rs
@@ -1,12 +1,12 @@
-//! The actor side of the package `membership`: the datagram socket between the proxies of a fleet, the status socket, and
-//! the way from coordination to the dispatcher.
+//! Actor for the `membership` crate. It owns the datagram socket between the proxies of a fleet and the
+//! status socket, and connects coordination with the other proxies and with the dispatcher.
 
 mod actor;
-mod announced_sizes;
-mod coordination_link;
+mod coordination_runner;
+mod quota_divisors;
 mod start;
 mod status;
 mod status_socket;
 
 pub use actor::MembershipActor;
-pub use start::{CoordinationStart, MembershipStart};
+pub use start::{CoordinationSetup, MembershipSetup};
