--- a/crates/proxy/tests/member_connection_limit.rs
+++ b/crates/proxy/tests/member_connection_limit.rs
@@ -6,14 +6,14 @@
 use aldermill_test_support::{Client, Discovery, Driver, Member, config, look, served, sound};
 
 /// Connections to members that the process may have with [`DESCRIPTORS`].
-const MEMBER_CONNECTIONS: usize = 12;
+const MAX_MEMBER_CONNECTIONS: usize = 12;
 /// The least `limits.sockets` that a configuration may have.
-const DESCRIPTORS: usize = 64;
+const MIN_SOCKETS: usize = 64;
 /// Idle connections that are closed at the most where one is needed.
-const CLOSED_AT_MOST: usize = 3;
+const MAX_CLOSED_CONNECTIONS: usize = 3;
 
 /// An endpoint list in which each member is a group of its own, numbered by its place.
-fn list_of_groups(members: &[Member]) -> String {
+fn list_of_single_member_groups(members: &[Member]) -> String {
     let entries: Vec<String> = (members.iter().enumerate())
         .map(|(group, member)| {
             format!(
@@ -25,37 +25,41 @@
     format!(r#"{{"revision":1,"complete":true,"members":[{}]}}"#, entries.join(","))
 }
 
-fn read(client: &mut Client, group: usize) {
+fn assert_read_served(client: &mut Client, group: usize) {
     // Less time than a wait for a connection that nobody closes would take.
     let statement = look(1500).replace("cluster=2", &format!("cluster={group}"));
-    let said = client.ask(&statement);
-    assert!(served(&said), "group {group}: {said:?}");
+    let response = client.ask(&statement);
+    assert!(served(&response), "group {group}: {response:?}");
 }
 
 #[test]
-fn a_needed_connection_is_opened_and_few_of_the_longest_idle_ones_are_closed_for_it() {
-    let members: Vec<Member> = (0..=MEMBER_CONNECTIONS).map(|_| sound("writer")).collect();
-    let connections = |group: usize| members[group].connections.load(Ordering::SeqCst);
-    let (discovery, known) = (Discovery::default(), list_of_groups(&members));
-    discovery.say(known.clone());
+fn a_needed_connection_is_opened_at_once_and_a_few_of_the_longest_idle_are_closed() {
+    let members: Vec<Member> = (0..=MAX_MEMBER_CONNECTIONS).map(|_| sound("writer")).collect();
+    let opened_connections = |group: usize| members[group].connections.load(Ordering::SeqCst);
+    let (discovery, initial_list) = (Discovery::default(), list_of_single_member_groups(&members));
+    discovery.say(initial_list.clone());
     // Connections are opened for requests alone.
-    let settings =
-        config(discovery.start(), DESCRIPTORS, &known).replace(r#""probes":true"#, r#""probes":false"#);
-    let driver = Driver::of(&settings);
-    let mut client = Client::connect(driver.address);
-    (0..MEMBER_CONNECTIONS).for_each(|group| read(&mut client, group));
+    let settings = config(discovery.start(), MIN_SOCKETS, &initial_list)
+        .replace(r#""probes":true"#, r#""probes":false"#);
+    let proxy = Driver::of(&settings);
+    let mut client = Client::connect(proxy.address);
+    (0..MAX_MEMBER_CONNECTIONS).for_each(|group| assert_read_served(&mut client, group));
     assert!(
-        (0..MEMBER_CONNECTIONS).all(|group| connections(group) == 1),
+        (0..MAX_MEMBER_CONNECTIONS).all(|group| opened_connections(group) == 1),
         "each member has an idle connection"
     );
 
-    read(&mut client, MEMBER_CONNECTIONS);
-    assert_eq!(connections(MEMBER_CONNECTIONS), 1);
+    assert_read_served(&mut client, MAX_MEMBER_CONNECTIONS);
+    assert_eq!(opened_connections(MAX_MEMBER_CONNECTIONS), 1);
     // Those that were idle for the shortest time are still open and are used again.
-    (CLOSED_AT_MOST..=MEMBER_CONNECTIONS).for_each(|group| read(&mut client, group));
-    let opened: Vec<usize> = (0..=MEMBER_CONNECTIONS).map(connections).collect();
-    assert_eq!(opened, vec![1; MEMBER_CONNECTIONS + 1], "connections by member");
+    (MAX_CLOSED_CONNECTIONS..=MAX_MEMBER_CONNECTIONS)
+        .for_each(|group| assert_read_served(&mut client, group));
+    let opened: Vec<usize> = (0..=MAX_MEMBER_CONNECTIONS).map(opened_connections).collect();
+    assert_eq!(opened, vec![1; MAX_MEMBER_CONNECTIONS + 1], "connections by member");
     // More were closed than the one connection needed, so that these open without closing others.
-    (0..CLOSED_AT_MOST - 1).for_each(|group| read(&mut client, group));
-    assert_eq!((0..=MEMBER_CONNECTIONS).map(connections).sum::<usize>(), MEMBER_CONNECTIONS + CLOSED_AT_MOST);
+    (0..MAX_CLOSED_CONNECTIONS - 1).for_each(|group| assert_read_served(&mut client, group));
+    assert_eq!(
+        (0..=MAX_MEMBER_CONNECTIONS).map(opened_connections).sum::<usize>(),
+        MAX_MEMBER_CONNECTIONS + MAX_CLOSED_CONNECTIONS
+    );
 }
--- a/crates/proxy/tests/members.rs
+++ b/crates/proxy/tests/members.rs
@@ -12,34 +12,34 @@
 
 #[test]
 fn reads_are_retried_past_a_member_that_closes_their_connections() {
-    let broken = Member::start(|_, stream| stream.shutdown(std::net::Shutdown::Both).unwrap());
+    let closing = Member::start(|_, stream| stream.shutdown(std::net::Shutdown::Both).unwrap());
     let primary = sound("writer");
-    let driver = Driver::before(&[("a", &broken), ("b", &primary)]);
-    let mut client = Client::connect(driver.address);
+    let proxy = Driver::before(&[("a", &closing), ("b", &primary)]);
+    let mut client = Client::connect(proxy.address);
     for _ in 0..10 {
         assert!(served(&client.ask(&look(15000))));
     }
-    until("the line on that member", || driver.logged("responses are unusable"));
-    let lines =
-        driver.log.lock().unwrap().iter().filter(|line| line.contains("responses are unusable")).count();
-    assert_eq!(lines, 1, "once, not once a task");
+    until("the line on that member", || proxy.logged("responses are unusable"));
+    let matching_lines =
+        proxy.log.lock().unwrap().iter().filter(|line| line.contains("responses are unusable")).count();
+    assert_eq!(matching_lines, 1, "once, not once a task");
 }
 
 #[test]
-fn a_health_check_that_cannot_connect_in_time_does_not_show_a_dead_process() {
+fn a_health_check_that_cannot_connect_in_time_does_not_mark_its_member_unconnected() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let refuses = || loop {
+    let block_forever = || loop {
         thread::sleep(LONG);
     };
-    let silent = Member::at(listener, move |_, _| refuses(), |_, _| {});
-    let driver = Driver::before(&[("a", &silent)]);
-    until("a second probe", || silent.connections.load(Ordering::SeqCst) >= 2);
+    let unresponsive = Member::at(listener, move |_, _| block_forever(), |_, _| {});
+    let proxy = Driver::before(&[("a", &unresponsive)]);
+    until("a second probe", || unresponsive.connections.load(Ordering::SeqCst) >= 2);
     thread::sleep(Duration::from_millis(200));
-    assert!(!driver.logged("symptom: Unconnected"));
+    assert!(!proxy.logged("symptom: Unconnected"));
 }
 
 #[test]
-fn a_connection_that_breaks_alone_or_an_answer_that_cannot_be_read_costs_one_attempt() {
+fn a_single_broken_connection_or_malformed_response_fails_one_attempt() {
     let member = Member::start(|text, stream| match text {
         text if text.contains("id=slow") => {
             thread::sleep(Duration::from_millis(300));
@@ -49,46 +49,47 @@
         text if text.contains("id=noise") => stream.write_all(b"?\0\0what is this").unwrap(),
         text => serve(text, "writer", stream),
     });
-    let driver = Driver::before(&[("a", &member)]);
-    let mut clients: Vec<Client> = (0..4).map(|_| Client::connect(driver.address)).collect();
+    let proxy = Driver::before(&[("a", &member)]);
+    let mut clients: Vec<Client> = (0..4).map(|_| Client::connect(proxy.address)).collect();
     // Both without another connection to that member and beside some.
     assert_eq!(clients[0].ask(&named(&order(15000), "cut")).code, "40003");
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&named(&order(15000), &format!("slow{number}")));
     }
     assert!(clients.iter_mut().all(|client| served(&client.answer().unwrap())));
-    for bad in ["cut", "noise"] {
-        assert_eq!(clients[0].ask(&named(&order(15000), bad)).code, "40003");
+    for id in ["cut", "noise"] {
+        assert_eq!(clients[0].ask(&named(&order(15000), id)).code, "40003");
         assert!(served(&clients[0].ask(&order(15000))));
     }
-    assert!(!driver.logged("member lost"), "the member stood all the while");
+    assert!(!proxy.logged("member lost"), "the member stood all the while");
 }
 
 #[test]
-fn a_new_connection_that_breaks_is_no_death_and_a_refused_one_is() {
+fn a_member_that_breaks_new_connections_is_not_considered_lost() {
     let opened = Arc::new(AtomicUsize::new(0));
-    let count = opened.clone();
+    let counter = opened.clone();
     // Two of three connections break at their opening.
-    let bears = move |_: &[u8], welcomed: bool| welcomed || count.fetch_add(1, Ordering::SeqCst) % 3 == 2;
-    let act = |text: &str, stream: &mut TcpStream| {
+    let keeps_connection =
+        move |_: &[u8], started: bool| started || counter.fetch_add(1, Ordering::SeqCst) % 3 == 2;
+    let respond = |text: &str, stream: &mut TcpStream| {
         serve(text, "writer", stream);
         stream.shutdown(std::net::Shutdown::Both).unwrap();
     };
-    let member = Member::at(TcpListener::bind("127.0.0.1:0").unwrap(), bears, act);
-    let driver = Driver::before(&[("a", &member)]);
-    let mut client = Client::connect(driver.address);
+    let member = Member::at(TcpListener::bind("127.0.0.1:0").unwrap(), keeps_connection, respond);
+    let proxy = Driver::before(&[("a", &member)]);
+    let mut client = Client::connect(proxy.address);
     for _ in 0..10 {
-        let said = client.ask(&order(15000));
-        assert!(served(&said), "{said:?}");
+        let response = client.ask(&order(15000));
+        assert!(served(&response), "{response:?}");
     }
-    assert!(opened.load(Ordering::SeqCst) >= 30 && !driver.logged("member lost"));
+    assert!(opened.load(Ordering::SeqCst) >= 30 && !proxy.logged("member lost"));
 }
 
 #[test]
 fn a_statement_that_crosses_an_idle_close_is_reset() {
     let member = sound("writer");
-    let driver = Driver::before(&[("a", &member)]);
-    let mut client = Client::connect(driver.address);
+    let proxy = Driver::before(&[("a", &member)]);
+    let mut client = Client::connect(proxy.address);
     assert!(served(&client.ask(&look(15000))));
     assert!(client.ended(), "idle for long");
     // It is gone as a whole, so that a statement written now is known not to be taken.
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn what_comes_behind_an_answer_is_never_taken_for_the_next_one() {
+fn data_after_a_response_is_never_taken_for_the_next_response() {
     let member = Member::start(move |text, stream| {
         serve(text, "writer", stream);
         if text.starts_with("/*") {
@@ -109,24 +110,24 @@
             let _ = stream.write_all(&out);
         }
     });
-    let driver = Driver::before(&[("a", &member)]);
-    let mut client = Client::connect(driver.address);
+    let proxy = Driver::before(&[("a", &member)]);
+    let mut client = Client::connect(proxy.address);
     for _ in 0..100 {
         assert!(served(&client.ask(&look(15000))));
     }
-    assert!(!driver.logged("member lost"));
+    assert!(!proxy.logged("member lost"));
 }
 
 #[test]
-fn lengths_that_claim_too_much_are_noticed_before_the_time_limit() {
-    let whole = |value: &[u8]| {
+fn wrong_length_fields_are_detected_before_the_deadline() {
+    let encoded_response = |value: &[u8]| {
         let mut out = Vec::new();
         pg::write_single_row(&mut out, "val", value, "SELECT 1");
         pg::write_ready_for_query(&mut out);
         out
     };
     let member = Member::start(move |text, stream| {
-        let mut out = whole(b"the value");
+        let mut out = encoded_response(b"the value");
         let row = out.iter().position(|&byte| byte == b'D').unwrap();
         if text.contains("id=long") {
             // Row and value both claim 200 bytes more than there are.
@@ -138,14 +139,14 @@
         }
         let _ = stream.write_all(&out);
     });
-    let driver = Driver::before(&[("a", &member)]);
-    let mut client = Client::connect(driver.address);
+    let proxy = Driver::before(&[("a", &member)]);
+    let mut client = Client::connect(proxy.address);
     assert!(served(&client.ask(&look(15000))));
-    for bad in ["long", "huge", "short"] {
+    for id in ["long", "huge", "short"] {
         let start = Instant::now();
-        let said = client.ask(&named(&look(19000), bad));
-        assert!(said.value.is_none() && start.elapsed() < Duration::from_secs(15), "{bad}: {said:?}");
-        assert!(served(&client.ask(&look(15000))), "{bad}");
+        let response = client.ask(&named(&look(19000), id));
+        assert!(response.value.is_none() && start.elapsed() < Duration::from_secs(15), "{id}: {response:?}");
+        assert!(served(&client.ask(&look(15000))), "{id}");
     }
 }
 
@@ -157,8 +158,8 @@
         }
         serve(text, "writer", stream);
     });
-    let driver = Driver::before(&[("a", &member)]);
-    let (mut first, mut second) = (Client::connect(driver.address), Client::connect(driver.address));
+    let proxy = Driver::before(&[("a", &member)]);
+    let (mut first, mut second) = (Client::connect(proxy.address), Client::connect(proxy.address));
     let statement = order(15000);
     first.send(&statement);
     until("the attempt", || member.requests().len() == 1);
--- a/crates/proxy/tests/membership.rs
+++ b/crates/proxy/tests/membership.rs
@@ -21,9 +21,9 @@
             r#"{{"membership":{{"fleet":"{fleet}","listen":"{listen}","networks":["127.0.0.0/8"],"peers":[{seeds}],"status":{status_socket:?}}}}}"#
         );
         let member = sound("writer");
-        let known = list(1, true, &[("s-a", &member, "in_service")]);
-        let config =
-            config(Discovery::default().start(), 256, &known).replace("\"n0\"", &format!("\"{name}\""));
+        let initial_list = list(1, true, &[("s-a", &member, "in_service")]);
+        let config = config(Discovery::default().start(), 256, &initial_list)
+            .replace("\"n0\"", &format!("\"{name}\""));
         let process = Driver::with("127.0.0.1:0".parse().unwrap(), &config, Some(&operator));
         Peer { process, status_socket }
     }
@@ -39,7 +39,7 @@
         String::from_utf8([output.stdout, output.stderr].concat()).unwrap()
     }
 
-    fn sees(&self, alive: usize) -> bool {
+    fn reports_alive(&self, alive: usize) -> bool {
         self.status(true).contains(&format!(r#""alive":{alive},"#))
     }
 }
@@ -55,56 +55,58 @@
 }
 
 #[test]
-fn two_fleets_with_each_others_addresses_stay_apart() {
+fn two_fleets_with_each_others_addresses_do_not_merge() {
     let addresses = free_addresses(4);
     let names = ["n0", "n1", "n2", "n3"];
     let fleet = |index: usize| if index < 2 { "shop" } else { "bank" };
     let start = |index: usize| Peer::start(names[index], fleet(index), addresses[index], &addresses);
     let peers: Vec<Peer> = (0..4).map(start).collect();
-    until("each finds its own fleet", || peers.iter().all(|peer| peer.sees(2)));
+    until("each finds its own fleet", || peers.iter().all(|peer| peer.reports_alive(2)));
     until("datagrams of the other fleet are counted", || {
         peers.iter().all(|peer| !peer.status(true).contains(r#""fleet":0"#))
     });
-    assert!(peers.iter().all(|peer| peer.sees(2)), "and no more than those");
+    assert!(peers.iter().all(|peer| peer.reports_alive(2)), "and no more than those");
     let table = peers[0].status(false);
     assert!(table.starts_with("n0 knows of 2 drivers") && table.contains("n1 "), "{table}");
 }
 
 #[test]
-fn of_two_proxies_with_one_name_the_earlier_falls_silent_and_logs_it() {
+fn the_earlier_of_two_proxies_with_one_name_stops_sending_and_logs_it() {
     let addresses = free_addresses(3);
-    let other = Peer::start("n1", "shop", addresses[0], &addresses);
+    let peer = Peer::start("n1", "shop", addresses[0], &addresses);
     let earlier = Peer::start("n0", "shop", addresses[1], &addresses);
-    until("they find each other", || other.sees(2) && earlier.sees(2));
+    until("they find each other", || peer.reports_alive(2) && earlier.reports_alive(2));
     let later = Peer::start("n0", "shop", addresses[2], &addresses);
     until("the earlier one logs it", || {
         earlier.process.logged("superseded by a later start of this name, silent from now on")
     });
     until("the later one counts", || {
-        other.sees(2) && later.sees(2) && other.status(true).contains(&addresses[2].to_string())
+        peer.reports_alive(2)
+            && later.reports_alive(2)
+            && peer.status(true).contains(&addresses[2].to_string())
     });
     // The earlier one serves its clients all the same.
     assert!(Client::connect(earlier.process.address).ask("").empty);
 }
 
 #[test]
-fn random_datagrams_do_no_harm_and_a_shutdown_is_known_at_once() {
+fn random_datagrams_are_ignored_and_a_shutdown_is_noticed() {
     let addresses = free_addresses(3);
     let peers: Vec<Peer> = ["n0", "n1", "n2"]
         .iter()
         .zip(&addresses)
         .map(|(name, &listen)| Peer::start(name, "shop", listen, &addresses))
         .collect();
-    until("they find each other", || peers.iter().all(|peer| peer.sees(3)));
-    let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
+    until("they find each other", || peers.iter().all(|peer| peer.reports_alive(3)));
+    let sender = UdpSocket::bind("127.0.0.1:0").unwrap();
     for size in 0..1500 {
         let datagram: Vec<u8> = (0..size).map(|index| (index * 31 + size) as u8).collect();
-        stranger.send_to(&datagram, addresses[0]).unwrap();
+        sender.send_to(&datagram, addresses[0]).unwrap();
     }
     until("they are counted", || !peers[0].status(true).contains(r#""not_ours":0"#));
-    assert!(peers[0].sees(3));
+    assert!(peers[0].reports_alive(3));
     peers[2].process.signal("-TERM");
-    until("the shutdown is known", || peers[0].sees(2) && peers[1].sees(2));
+    until("the shutdown is known", || peers[0].reports_alive(2) && peers[1].reports_alive(2));
     assert!(peers[0].process.logged("peer down, peer: n2"));
     assert!(Client::connect(peers[0].process.address).ask("").empty);
 }
--- a/crates/proxy/tests/on_call_page.rs
+++ b/crates/proxy/tests/on_call_page.rs
@@ -5,13 +5,13 @@
 use std::path::{Path, PathBuf};
 
 /// The macros whose lines may page somebody.
-const MACROS: [&str; 3] = ["warn!", "error!", "crit!"];
+const LOG_MACROS: [&str; 3] = ["warn!", "error!", "crit!"];
 /// What each entry says beside what the line means.
-const PARTS: [&str; 3] = ["- **The proxy:**", "- **Do:**", "- **Don't:**"];
+const REQUIRED_PARTS: [&str; 3] = ["- **The proxy:**", "- **Do:**", "- **Don't:**"];
 
 /// A warning that nobody described, or an entry for a line that is no longer logged, leaves the paged engineer alone.
 #[test]
-fn each_warning_and_error_has_an_entry_in_the_runbook_and_the_other_way_about() {
+fn every_warning_and_error_has_a_runbook_entry_and_every_entry_is_logged() {
     let logged = logged_messages(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"));
     let described: BTreeSet<String> = entries(&runbook()).into_iter().map(|entry| entry.message).collect();
     let missing: Vec<&String> = logged.difference(&described).collect();
@@ -22,12 +22,12 @@
 }
 
 #[test]
-fn each_entry_says_what_the_proxy_does_what_to_do_and_what_not_to_do() {
+fn every_runbook_entry_has_a_meaning_and_all_required_parts() {
     let entries = entries(&runbook());
     let mut seen = BTreeSet::new();
     for entry in entries {
         assert!(seen.insert(entry.message.clone()), "described twice: {}", entry.message);
-        for part in PARTS {
+        for part in REQUIRED_PARTS {
             assert!(entry.text.contains(part), "{}: no {part}", entry.message);
         }
         let meaning = entry.text.split("- **").next().unwrap_or_default();
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_invocation_on_many_lines_is_found_and_one_in_a_comment_is_not() {
+fn a_multiline_invocation_is_found_and_one_in_a_comment_is_not() {
     let source = r#"
         // warn!(log, "in a comment");
         warn!(
@@ -48,15 +48,16 @@
         my_warn!(log, "another macro");
         info!(log, "only information");
     "#;
-    let messages: Vec<String> = invocations(source).into_iter().map(|found| message(&found)).collect();
+    let messages: Vec<String> =
+        invocations(source).into_iter().map(|invocation| constant_message(&invocation)).collect();
     assert_eq!(messages, ["on many lines", "a \"quoted\" name"]);
 }
 
 #[test]
 #[should_panic(expected = "not constant")]
-fn a_message_that_is_not_constant_is_refused() {
-    for found in invocations(r#"warn!(log, "{}", what; "by" => name);"#) {
-        message(&found);
+fn a_message_that_is_not_constant_is_rejected() {
+    for invocation in invocations(r#"warn!(log, "{}", what; "by" => name);"#) {
+        constant_message(&invocation);
     }
 }
 
@@ -89,19 +90,19 @@
 /// The constant messages of all warnings and errors in the sources below a folder.
 fn logged_messages(folder: &Path) -> BTreeSet<String> {
     let mut messages = BTreeSet::new();
-    for file in sources(folder) {
+    for file in source_files(folder) {
         let source = fs::read_to_string(&file).expect("a source file");
-        messages.extend(invocations(&source).iter().map(|found| message(found)));
+        messages.extend(invocations(&source).iter().map(|invocation| constant_message(invocation)));
     }
     messages
 }
 
-fn sources(folder: &Path) -> Vec<PathBuf> {
+fn source_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for entry in fs::read_dir(folder).expect("a folder of sources") {
         let path = entry.expect("an entry of a folder").path();
         if path.is_dir() {
-            files.extend(sources(&path));
+            files.extend(source_files(&path));
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             files.push(path);
         }
@@ -120,38 +121,38 @@
         },
     );
     let mut found = Vec::new();
-    for (at, _) in source.match_indices('!') {
-        let (before, after) = (&source[..=at], source[at + 1..].trim_start());
-        let is_one = MACROS.iter().any(|name| {
+    for (index, _) in source.match_indices('!') {
+        let (before, after) = (&source[..=index], source[index + 1..].trim_start());
+        let is_log_macro = LOG_MACROS.iter().any(|name| {
             before
                 .strip_suffix(name)
                 .is_some_and(|rest| !rest.ends_with(|last: char| last.is_alphanumeric() || last == '_'))
         });
-        if is_one && let Some(arguments) = after.strip_prefix('(') {
-            found.push(arguments[..length_of_arguments(arguments)].to_owned());
+        if is_log_macro && let Some(arguments) = after.strip_prefix('(') {
+            found.push(arguments[..arguments_length(arguments)].to_owned());
         }
     }
     found
 }
 
 /// Up to the parenthesis that closes the invocation; those in strings and character literals close nothing.
-fn length_of_arguments(text: &str) -> usize {
+fn arguments_length(text: &str) -> usize {
     let mut depth = 1;
     let mut rest = text.char_indices().peekable();
-    while let Some((at, character)) = rest.next() {
+    while let Some((index, character)) = rest.next() {
         match character {
             '"' => {
-                while let Some((_, inner)) = rest.next() {
-                    match inner {
+                while let Some((_, quoted)) = rest.next() {
+                    match quoted {
                         '\\' => drop(rest.next()),
                         '"' => break,
                         _ => {}
                     }
                 }
             }
-            '\'' if text[at..].starts_with("'('") || text[at..].starts_with("')'") => drop(rest.next()),
+            '\'' if text[index..].starts_with("'('") || text[index..].starts_with("')'") => drop(rest.next()),
             '(' => depth += 1,
-            ')' if depth == 1 => return at,
+            ')' if depth == 1 => return index,
             ')' => depth -= 1,
             _ => {}
         }
@@ -160,7 +161,7 @@
 }
 
 /// The message of an invocation: its second argument, which is a literal without a place to fill in.
-fn message(arguments: &str) -> String {
+fn constant_message(arguments: &str) -> String {
     let (_, after_logger) = arguments.split_once(',').expect("a logger and a message");
     let text = after_logger.trim_start();
     let Some(literal) = text.strip_prefix('"') else { panic!("the message is not constant: {arguments}") };
--- a/crates/proxy/tests/query_outcomes.rs
+++ b/crates/proxy/tests/query_outcomes.rs
@@ -19,28 +19,28 @@
 const KINDS: [QueryKind; 2] = [QueryKind::Attempt, QueryKind::HealthCheck];
 
 /// An error of the system for each kind.
-fn socket(kind: SocketErrorKind) -> QueryError {
-    let number = match kind {
+fn socket_error(kind: SocketErrorKind) -> QueryError {
+    let errno = match kind {
         SocketErrorKind::Local => c::ENETUNREACH,
         SocketErrorKind::Refused => c::ECONNREFUSED,
         SocketErrorKind::Reset => c::ECONNRESET,
         SocketErrorKind::Unreachable => c::EHOSTUNREACH,
     };
-    QueryError::from(io::Error::from_raw_os_error(number))
+    QueryError::from(io::Error::from_raw_os_error(errno))
 }
 
 /// An end without answer, outside of a stall, after time enough to connect.
-fn ended(kind: QueryKind, sent: Sent, error: &QueryError) -> QueryObservations<'_> {
+fn failed_query(kind: QueryKind, sent: Sent, error: &QueryError) -> QueryObservations<'_> {
     QueryObservations { kind, sent, result: Err(error), stalled: false, had_time_to_connect: true }
 }
 
 /// The verdict where the member's process is known to be alive.
-fn judged(evidence: QueryObservations<'_>) -> Verdict {
-    verdict(&evidence, || false)
+fn verdict_with_live_process(observations: QueryObservations<'_>) -> Verdict {
+    verdict(&observations, || false)
 }
 
 #[test]
-fn each_error_has_its_verdict_by_how_much_was_sent() {
+fn the_verdict_of_an_error_depends_on_how_much_was_sent() {
     use QueryError::{
         Closed, ConnectionRejected, DeadlineExceeded, Malformed, NoDescriptor, NoLongerValid,
         TooManyConnections, TooSlow,
@@ -51,37 +51,38 @@
         (NoDescriptor, V::LocalFailure, V::LocalFailure, None),
         (TooManyConnections, V::Overloaded, V::Overloaded, None),
         (ConnectionRejected, V::ConnectionLost, V::ConnectionLost, None),
-        (socket(SocketErrorKind::Local), V::LocalFailure, V::LocalFailure, Some(V::Unobserved)),
-        (socket(SocketErrorKind::Refused), V::Unconnected, V::Unconnected, Some(V::Malformed)),
-        (socket(SocketErrorKind::Reset), V::ConnectionLost, V::ConnectionLost, Some(V::Malformed)),
-        (socket(SocketErrorKind::Unreachable), V::Unreachable, V::Unreachable, Some(V::TimedOut)),
+        (socket_error(SocketErrorKind::Local), V::LocalFailure, V::LocalFailure, Some(V::Unobserved)),
+        (socket_error(SocketErrorKind::Refused), V::Unconnected, V::Unconnected, Some(V::Malformed)),
+        (socket_error(SocketErrorKind::Reset), V::ConnectionLost, V::ConnectionLost, Some(V::Malformed)),
+        (socket_error(SocketErrorKind::Unreachable), V::Unreachable, V::Unreachable, Some(V::TimedOut)),
         (Closed, V::ConnectionLost, V::ConnectionLost, Some(V::Malformed)),
         (Malformed, V::ConnectionLost, V::ConnectionLost, Some(V::Malformed)),
         (TooSlow, V::ConnectionLost, V::ConnectionLost, Some(V::Malformed)),
         (DeadlineExceeded, V::Unconnected, V::Unconnected, Some(V::TimedOut)),
     ];
     for (error, nothing, partly, whole) in &table {
-        let attempt = |sent| judged(ended(QueryKind::Attempt, sent, error));
+        let attempt = |sent| verdict_with_live_process(failed_query(QueryKind::Attempt, sent, error));
         assert_eq!(attempt(Sent::Nothing), *nothing, "{error:?}");
         assert_eq!(attempt(Sent::Partly), *partly, "{error:?}");
         let Some(whole) = whole else { continue };
         assert_eq!(attempt(Sent::Whole), *whole, "{error:?}");
         // A health check differs only where no connection came up in time.
-        let health_check = |sent| judged(ended(QueryKind::HealthCheck, sent, error));
+        let health_check =
+            |sent| verdict_with_live_process(failed_query(QueryKind::HealthCheck, sent, error));
         assert_eq!(health_check(Sent::Partly), *partly, "{error:?}");
         assert_eq!(health_check(Sent::Whole), *whole, "{error:?}");
     }
-    let health_check = ended(QueryKind::HealthCheck, Sent::Nothing, &DeadlineExceeded);
-    assert_eq!(judged(health_check), Verdict::TimedOut);
+    let health_check = failed_query(QueryKind::HealthCheck, Sent::Nothing, &DeadlineExceeded);
+    assert_eq!(verdict_with_live_process(health_check), Verdict::TimedOut);
 }
 
 #[test]
-fn an_attempt_counts_as_never_run_exactly_where_it_was_not_sent_whole() {
+fn an_attempt_counts_as_never_run_exactly_if_it_was_not_sent_whole() {
     let errors = [
-        socket(SocketErrorKind::Local),
-        socket(SocketErrorKind::Refused),
-        socket(SocketErrorKind::Reset),
-        socket(SocketErrorKind::Unreachable),
+        socket_error(SocketErrorKind::Local),
+        socket_error(SocketErrorKind::Refused),
+        socket_error(SocketErrorKind::Reset),
+        socket_error(SocketErrorKind::Unreachable),
         QueryError::Closed,
         QueryError::Malformed,
         QueryError::TooSlow,
@@ -92,13 +93,13 @@
             for had_time_to_connect in [false, true] {
                 for process_gone in [false, true] {
                     for sent in [Sent::Nothing, Sent::Partly, Sent::Whole] {
-                        let evidence = QueryObservations {
+                        let observations = QueryObservations {
                             stalled,
                             had_time_to_connect,
-                            ..ended(QueryKind::Attempt, sent, error)
+                            ..failed_query(QueryKind::Attempt, sent, error)
                         };
-                        let verdict = verdict(&evidence, || process_gone);
-                        assert_eq!(verdict.never_ran(), sent != Sent::Whole, "{evidence:?}: {verdict:?}");
+                        let verdict = verdict(&observations, || process_gone);
+                        assert_eq!(verdict.never_ran(), sent != Sent::Whole, "{observations:?}: {verdict:?}");
                     }
                 }
             }
@@ -107,59 +108,61 @@
 }
 
 #[test]
-fn a_connection_without_enough_time_to_come_up_proves_nothing_of_its_member() {
+fn a_connection_without_enough_time_to_be_established_proves_nothing_about_its_member() {
     let error = QueryError::DeadlineExceeded;
     for (stalled, had_time_to_connect) in [(false, false), (true, false), (true, true)] {
-        let evidence = QueryObservations {
+        let observations = QueryObservations {
             stalled,
             had_time_to_connect,
-            ..ended(QueryKind::Attempt, Sent::Nothing, &error)
+            ..failed_query(QueryKind::Attempt, Sent::Nothing, &error)
         };
-        assert_eq!(judged(evidence), Verdict::NotSent, "{evidence:?}");
-        assert_eq!(symptom(judged(evidence)), Symptom::None);
+        assert_eq!(verdict_with_live_process(observations), Verdict::NotSent, "{observations:?}");
+        assert_eq!(symptom(verdict_with_live_process(observations)), Symptom::None);
     }
 }
 
 #[test]
 fn silence_during_a_stall_of_the_process_is_unobserved() {
-    for error in [QueryError::DeadlineExceeded, socket(SocketErrorKind::Unreachable)] {
+    for error in [QueryError::DeadlineExceeded, socket_error(SocketErrorKind::Unreachable)] {
         for kind in KINDS {
-            let evidence = QueryObservations { stalled: true, ..ended(kind, Sent::Whole, &error) };
-            assert_eq!(judged(evidence), Verdict::Unobserved, "{evidence:?}");
+            let observations = QueryObservations { stalled: true, ..failed_query(kind, Sent::Whole, &error) };
+            assert_eq!(verdict_with_live_process(observations), Verdict::Unobserved, "{observations:?}");
         }
     }
     let error = QueryError::DeadlineExceeded;
-    let evidence =
-        QueryObservations { stalled: true, ..ended(QueryKind::HealthCheck, Sent::Nothing, &error) };
-    assert_eq!(judged(evidence), Verdict::Unobserved);
+    let observations =
+        QueryObservations { stalled: true, ..failed_query(QueryKind::HealthCheck, Sent::Nothing, &error) };
+    assert_eq!(verdict_with_live_process(observations), Verdict::Unobserved);
 }
 
 #[test]
-fn a_broken_connection_shows_a_dead_process_only_where_the_others_were_reset() {
-    for error in [QueryError::Closed, socket(SocketErrorKind::Reset), socket(SocketErrorKind::Refused)] {
+fn a_broken_connection_shows_a_dead_process_only_if_the_others_were_reset() {
+    for error in
+        [QueryError::Closed, socket_error(SocketErrorKind::Reset), socket_error(SocketErrorKind::Refused)]
+    {
         for kind in KINDS {
-            let evidence = ended(kind, Sent::Whole, &error);
-            assert_eq!(verdict(&evidence, || true), Verdict::Reset, "{evidence:?}");
-            assert_eq!(verdict(&evidence, || false), Verdict::Malformed, "{evidence:?}");
+            let observations = failed_query(kind, Sent::Whole, &error);
+            assert_eq!(verdict(&observations, || true), Verdict::Reset, "{observations:?}");
+            assert_eq!(verdict(&observations, || false), Verdict::Malformed, "{observations:?}");
         }
     }
 }
 
 #[test]
-fn other_connections_are_looked_at_only_where_one_broke_under_a_whole_query() {
+fn other_connections_are_inspected_only_if_one_broke_after_a_whole_query() {
     let errors =
         [QueryError::Malformed, QueryError::TooSlow, QueryError::DeadlineExceeded, QueryError::Closed];
     for error in &errors {
-        let asked = || -> bool { panic!("looked at other connections after {error:?}") };
-        verdict(&ended(QueryKind::Attempt, Sent::Partly, error), asked);
+        let process_gone = || -> bool { panic!("looked at other connections after {error:?}") };
+        verdict(&failed_query(QueryKind::Attempt, Sent::Partly, error), process_gone);
         if !matches!(error, QueryError::Closed) {
-            verdict(&ended(QueryKind::Attempt, Sent::Whole, error), asked);
+            verdict(&failed_query(QueryKind::Attempt, Sent::Whole, error), process_gone);
         }
     }
 }
 
 #[test]
-fn an_answer_has_its_verdict_by_its_code() {
+fn the_verdict_of_a_response_depends_on_its_code() {
     let table = [
         (ResponseKind::Value, Verdict::Served, Verdict::Served),
         (ResponseKind::TooLarge, Verdict::Served, Verdict::Served),
@@ -169,23 +172,23 @@
         (ResponseKind::Error("57P03"), Verdict::Error, Verdict::Overloaded),
         (ResponseKind::Error("XX000"), Verdict::Error, Verdict::Error),
     ];
-    for (answer, attempt, health_check) in table {
+    for (response, attempt, health_check) in table {
         for (kind, expected) in [(QueryKind::Attempt, attempt), (QueryKind::HealthCheck, health_check)] {
-            let evidence = QueryObservations {
+            let observations = QueryObservations {
                 kind,
                 sent: Sent::Whole,
-                result: Ok(answer),
+                result: Ok(response),
                 stalled: true,
                 had_time_to_connect: false,
             };
-            assert_eq!(judged(evidence), expected, "{evidence:?}");
+            assert_eq!(verdict_with_live_process(observations), expected, "{observations:?}");
             assert_eq!(symptom(expected), Symptom::None, "an answer is nothing against its member");
         }
     }
 }
 
 #[test]
-fn a_verdict_shows_a_symptom_only_where_something_was_seen_of_the_member() {
+fn a_verdict_has_a_symptom_only_if_it_reveals_something_about_the_member() {
     let table = [
         (Verdict::TimedOut, Symptom::Silent),
         (Verdict::Malformed, Symptom::UnusableResponse),
--- a/crates/proxy/tests/shadow.rs
+++ b/crates/proxy/tests/shadow.rs
@@ -13,8 +13,8 @@
 use shadow::ShadowRouter;
 use shadow::difference::{Difference, Disposition};
 
-fn decoded(text: &str) -> Settings {
-    Settings::parse(text).map_err(|trouble| trouble.to_string()).unwrap()
+fn parse(text: &str) -> Settings {
+    Settings::parse(text).map_err(|error| error.to_string()).unwrap()
 }
 
 fn config(text: &str) -> ShadowConfig {
@@ -23,18 +23,18 @@
 }
 
 /// A short life of a router, each decision compared; what it did, line by line.
-fn run(mut shadow: Option<&mut ShadowRouter>) -> Vec<String> {
-    let mut router = Router::start(decoded(TERMS).router_config, 7, 0);
-    let mut done = Vec::new();
-    let mut ask = |router: &mut Router, decide: &dyn Fn(&mut Router) -> Actions| {
+fn run_router(mut shadow: Option<&mut ShadowRouter>) -> Vec<String> {
+    let mut router = Router::start(parse(TERMS).router_config, 7, 0);
+    let mut decisions = Vec::new();
+    let mut record = |router: &mut Router, decide: &dyn Fn(&mut Router) -> Actions| {
         let actions = match &mut shadow {
             Some(shadow) => shadow.decide(router, |router| ((), decide(router))).1,
             None => decide(router),
         };
-        done.push(format!("{actions:?}"));
+        decisions.push(format!("{actions:?}"));
         actions
     };
-    let line = |member: usize| ListedMember {
+    let list_entry = |member: usize| ListedMember {
         member,
         name: format!("m{member}"),
         group: 1,
@@ -44,43 +44,43 @@
         size: 1.0,
         is_primary: false,
     };
-    ask(&mut router, &|router| router.update_endpoint_list(0, true, (0..4).map(line).collect()));
-    for at in (1..400).map(|step| step * 40_000) {
-        let class = (at / 40_000 % 3 / 2) as usize;
-        let ttl = if at % 7 == 0 { 5_000 } else { 900_000 };
+    record(&mut router, &|router| router.update_endpoint_list(0, true, (0..4).map(list_entry).collect()));
+    for now in (1..400).map(|step| step * 40_000) {
+        let class = (now / 40_000 % 3 / 2) as usize;
+        let ttl = if now % 7 == 0 { 5_000 } else { 900_000 };
         let request = Request { class, group: 1, ttl, ..Request::default() };
-        let actions = ask(&mut router, &|router| router.accept_request(at, request.clone()).1);
-        for (handle, step) in actions.requests {
-            let Action::Attempt { member, .. } = step else { continue };
+        let actions = record(&mut router, &|router| router.accept_request(now, request.clone()).1);
+        for (handle, action) in actions.requests {
+            let Action::Attempt { member, .. } = action else { continue };
             let role = Some(if member == 2 { Role::Primary } else { Role::Replica });
             let verdict = if member == 2 || class == 0 { Verdict::Served } else { Verdict::NotPrimary };
-            let report = MemberReport { role, position: Some(at), age: 0 };
+            let report = MemberReport { role, position: Some(now), age: 0 };
             let closed = verdict == Verdict::Served;
             let outcome = Outcome { verdict, duration: 30_000, report, request_closed: closed };
-            ask(&mut router, &|router| handle.attempt_ended(router, at + 30_000, outcome));
+            record(&mut router, &|router| handle.attempt_ended(router, now + 30_000, outcome));
         }
-        ask(&mut router, &|router| router.wake(at + 35_000));
+        record(&mut router, &|router| router.wake(now + 35_000));
     }
-    done
+    decisions
 }
 
 #[test]
 fn equal_settings_show_no_difference_and_change_no_decision() {
-    let mut shadow = ShadowRouter::load(&config(TERMS), &decoded(TERMS)).unwrap();
-    let (with, without) = (run(Some(&mut shadow)), run(None));
-    assert_eq!(with, without);
+    let mut shadow = ShadowRouter::load(&config(TERMS), &parse(TERMS)).unwrap();
+    let (with_shadow, without_shadow) = (run_router(Some(&mut shadow)), run_router(None));
+    assert_eq!(with_shadow, without_shadow);
     assert!(shadow.compared > 800 && shadow.differences.is_empty(), "{:?}", shadow.differences);
 }
 
 #[test]
 fn a_changed_setting_is_counted_as_its_difference() {
-    let no_return = TERMS.replace(r#""retryAfter":true"#, r#""retryAfter":false"#);
-    let mut shadow = ShadowRouter::load(&config(&no_return), &decoded(TERMS)).unwrap();
-    assert_eq!(run(Some(&mut shadow)), run(None));
+    let without_retry_after = TERMS.replace(r#""retryAfter":true"#, r#""retryAfter":false"#);
+    let mut shadow = ShadowRouter::load(&config(&without_retry_after), &parse(TERMS)).unwrap();
+    assert_eq!(run_router(Some(&mut shadow)), run_router(None));
     assert_eq!(shadow.differences.keys().copied().collect::<Vec<_>>(), [Difference::RetryAfter]);
-    let many = TERMS.replace(r#""balancers":1"#, r#""balancers":400"#);
-    let mut shadow = ShadowRouter::load(&config(&many), &decoded(TERMS)).unwrap();
-    assert_eq!(run(Some(&mut shadow)), run(None));
+    let many_balancers = TERMS.replace(r#""balancers":1"#, r#""balancers":400"#);
+    let mut shadow = ShadowRouter::load(&config(&many_balancers), &parse(TERMS)).unwrap();
+    assert_eq!(run_router(Some(&mut shadow)), run_router(None));
     assert!(
         shadow.differences.contains_key(&Difference::Disposition {
             made: Disposition::Attempted,
@@ -95,15 +95,15 @@
 #[test]
 fn only_the_configured_share_of_decisions_is_compared() {
     let mut shadow =
-        ShadowRouter::load(&ShadowConfig { one_in: Some(8), ..config(TERMS) }, &decoded(TERMS)).unwrap();
-    let decisions = run(Some(&mut shadow)).len() as u64;
+        ShadowRouter::load(&ShadowConfig { one_in: Some(8), ..config(TERMS) }, &parse(TERMS)).unwrap();
+    let decisions = run_router(Some(&mut shadow)).len() as u64;
     assert_eq!(shadow.compared, decisions / 8);
 }
 
 #[test]
 fn settings_that_cannot_be_compared_are_rejected_with_the_field_name() {
     let rejection =
-        |text: &str| ShadowRouter::load(&config(text), &decoded(TERMS)).map(|_| ()).unwrap_err().to_string();
+        |text: &str| ShadowRouter::load(&config(text), &parse(TERMS)).map(|_| ()).unwrap_err().to_string();
     assert!(rejection(&TERMS.replace("\"look\"", "\"see\"")).contains("categories"));
     assert!(rejection(&TERMS.replace("\"here\"", "\"there\"")).contains("azs"));
     assert!(rejection(&TERMS.replace("\"automatic\"", "\"manual\"")).contains("registryMode"));
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -37,96 +37,96 @@
 }
 
 /// Sends SIGTERM, and waits until the process has begun to shut down.
-fn begin_shutdown(driver: &Driver) {
-    driver.signal("-TERM");
-    until("the log line on the shutdown", || driver.logged("stopping"));
+fn begin_shutdown(proxy: &Driver) {
+    proxy.signal("-TERM");
+    until("the log line on the shutdown", || proxy.logged("stopping"));
 }
 
 #[test]
 fn a_statement_half_received_at_sigterm_is_answered_once_it_is_complete() {
     let member = sound("writer");
-    let mut driver = Driver::before(&[("a", &member)]);
-    let mut client = Client::connect(driver.address);
+    let mut proxy = Driver::before(&[("a", &member)]);
+    let mut client = Client::connect(proxy.address);
     assert!(served(&client.ask(&look(15000))));
     let statement = query_message(&look(15000));
-    let (front, rest) = statement.split_at(statement.len() / 2);
-    client.raw(front);
+    let (first_half, second_half) = statement.split_at(statement.len() / 2);
+    client.raw(first_half);
     delivered(&client.stream);
-    let signalled = Instant::now();
-    begin_shutdown(&driver);
-    client.raw(rest);
-    let answered = client.answer().is_some_and(|said| served(&said));
+    let signalled_at = Instant::now();
+    begin_shutdown(&proxy);
+    client.raw(second_half);
+    let answered = client.answer().is_some_and(|response| served(&response));
     // If the machine is too slow to send it within the window, nothing is promised.
-    assert!(answered || signalled.elapsed() > ACCEPT_WINDOW / 2);
+    assert!(answered || signalled_at.elapsed() > ACCEPT_WINDOW / 2);
     assert!(client.ended());
-    assert!(driver.child.wait().unwrap().success());
+    assert!(proxy.child.wait().unwrap().success());
 }
 
 #[test]
 fn requests_in_flight_at_sigterm_and_pipelined_behind_it_are_answered_despite_more_signals() {
     let hold = Hold::default();
     let member = held_member(&hold);
-    let mut driver = Driver::before(&[("a", &member)]);
-    let mut clients: Vec<Client> = (0..3).map(|_| Client::connect(driver.address)).collect();
+    let mut proxy = Driver::before(&[("a", &member)]);
+    let mut clients: Vec<Client> = (0..3).map(|_| Client::connect(proxy.address)).collect();
     clients.iter_mut().for_each(|client| assert!(served(&client.ask(&look(15000)))));
     hold.close();
     clients.iter_mut().for_each(|client| client.send(&look(15000)));
     until("the attempts", || member.requests().len() == 6);
-    begin_shutdown(&driver);
+    begin_shutdown(&proxy);
     // Pipelined after SIGTERM, on connections that are still open. The system holds these small writes back until the
     // earlier ones are acknowledged, which happens with the first answer: they arrive as the connection is about to close.
     clients.iter_mut().for_each(|client| client.send(&look(15000)));
-    driver.signal("-HUP");
-    driver.signal("-TERM");
-    until("the log line on the reload", || driver.logged("configuration reloaded"));
+    proxy.signal("-HUP");
+    proxy.signal("-TERM");
+    until("the log line on the reload", || proxy.logged("configuration reloaded"));
     hold.open();
     for client in &mut clients {
         assert!(served(&client.answer().expect("the answer to the request in flight")));
         assert!(served(&client.answer().expect("the answer to the pipelined request")));
         assert!(client.ended());
     }
-    assert!(driver.child.wait().unwrap().success());
+    assert!(proxy.child.wait().unwrap().success());
 }
 
 #[test]
 fn a_request_crossing_the_close_of_an_idle_connection_is_answered_or_never_attempted() {
     let member = sound("writer");
-    let mut driver = Driver::before(&[("a", &member)]);
-    let mut clients: Vec<Client> = (0..20).map(|_| Client::connect(driver.address)).collect();
+    let mut proxy = Driver::before(&[("a", &member)]);
+    let mut clients: Vec<Client> = (0..20).map(|_| Client::connect(proxy.address)).collect();
     clients.iter_mut().for_each(|client| assert!(served(&client.ask(&look(15000)))));
     // Signal and statements arrive in the same instant.
-    driver.signal("-STOP");
-    driver.signal("-TERM");
+    proxy.signal("-STOP");
+    proxy.signal("-TERM");
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&named(&look(15000), &format!("crossing{number}")));
     }
-    driver.signal("-CONT");
+    proxy.signal("-CONT");
     for (number, client) in clients.iter_mut().enumerate() {
-        let answered = client.answer().is_some_and(|said| served(&said));
+        let answered = client.answer().is_some_and(|response| served(&response));
         let id = format!("id=crossing{number},");
         assert_eq!(answered, member.requests().iter().any(|request| request.contains(&id)), "{number}");
     }
-    assert!(driver.child.wait().unwrap().success());
+    assert!(proxy.child.wait().unwrap().success());
 }
 
 #[test]
 fn connections_in_the_accept_backlog_at_the_end_of_the_window_are_served() {
     let member = sound("writer");
-    let mut driver = Driver::before(&[("a", &member)]);
-    let mut busy = Client::connect(driver.address);
+    let mut proxy = Driver::before(&[("a", &member)]);
+    let mut busy = Client::connect(proxy.address);
     assert!(served(&busy.ask(&look(15000))));
-    begin_shutdown(&driver);
-    driver.signal("-STOP");
-    let mut queued: Vec<Client> = (0..5).map(|_| Client::bare(driver.address)).collect();
+    begin_shutdown(&proxy);
+    proxy.signal("-STOP");
+    let mut queued: Vec<Client> = (0..5).map(|_| Client::bare(proxy.address)).collect();
     queued.iter_mut().for_each(|client| client.raw(&startup_and_query(&look(15000))));
     // The window for new connections ends while nobody accepts.
     thread::sleep(ACCEPT_WINDOW);
-    driver.signal("-CONT");
+    proxy.signal("-CONT");
     for client in &mut queued {
         assert!(client.answer().is_some(), "the end of its startup handshake");
         assert!(served(&client.answer().expect("its one answer")));
     }
-    assert!(driver.child.wait().unwrap().success());
+    assert!(proxy.child.wait().unwrap().success());
 }
 
 #[test]
@@ -137,28 +137,29 @@
         }
         serve(text, "writer", stream);
     });
-    let mut driver = Driver::before(&[("a", &member)]);
-    let mut busy: Vec<Client> = (0..4).map(|_| Client::connect(driver.address)).collect();
-    let mut idle = Client::connect(driver.address);
+    let mut proxy = Driver::before(&[("a", &member)]);
+    let mut busy: Vec<Client> = (0..4).map(|_| Client::connect(proxy.address)).collect();
+    let mut idle = Client::connect(proxy.address);
     assert!(served(&idle.ask(&look(15000))));
-    let mut fresh = Client::connect(driver.address);
+    let mut unused = Client::connect(proxy.address);
     busy.iter_mut().for_each(|client| client.send(&look(15000)));
     until("the attempts", || member.requests().len() == 5);
-    let signalled = Instant::now();
-    driver.signal("-TERM");
+    let signalled_at = Instant::now();
+    proxy.signal("-TERM");
     assert!(idle.ended());
     // A client without an answer yet is still served for a while; if the machine is too slow for that, nothing is promised.
-    let mut out = Vec::new();
-    pg::write_query(&mut out, &[look(15000).as_bytes()]);
-    let answered = fresh.stream.write_all(&out).is_ok() && fresh.answer().is_some_and(|said| served(&said));
-    assert!(answered || signalled.elapsed() > Duration::from_millis(500));
-    assert!(fresh.ended());
+    let mut query = Vec::new();
+    pg::write_query(&mut query, &[look(15000).as_bytes()]);
+    let answered =
+        unused.stream.write_all(&query).is_ok() && unused.answer().is_some_and(|response| served(&response));
+    assert!(answered || signalled_at.elapsed() > Duration::from_millis(500));
+    assert!(unused.ended());
     for client in &mut busy {
         assert!(served(&client.answer().unwrap()));
         assert!(client.ended());
     }
-    assert!(driver.child.wait().unwrap().success());
-    assert!(driver.logged("stopped"));
+    assert!(proxy.child.wait().unwrap().success());
+    assert!(proxy.logged("stopped"));
 }
 
 /// A client that asked again as soon as it had its answer was served on its old connection for as long as the shutdown had
@@ -166,16 +167,16 @@
 /// the connection could be closed. Of 140 runs of `staying::a_planned_restart_under_traffic_loses_no_request`, 70 at a time on
 /// one core, 53 were refused; their shutdowns took 4.0 to 6.8 s, where 0.7 s is usual.
 #[test]
-fn the_answer_to_a_late_request_comes_with_the_end_of_its_connection() {
+fn the_response_to_a_late_request_comes_with_the_end_of_its_connection() {
     let hold = Hold::default();
     let member = held_member(&hold);
-    let mut driver = Driver::before(&[("a", &member)]);
-    let mut clients: Vec<Client> = (0..30).map(|_| Client::connect(driver.address)).collect();
+    let mut proxy = Driver::before(&[("a", &member)]);
+    let mut clients: Vec<Client> = (0..30).map(|_| Client::connect(proxy.address)).collect();
     clients.iter_mut().for_each(|client| assert!(served(&client.ask(&look(15000)))));
     hold.close();
     clients.iter_mut().for_each(|client| client.send(&look(15000)));
     until("the attempts", || member.requests().len() >= 31);
-    begin_shutdown(&driver);
+    begin_shutdown(&proxy);
     thread::sleep(ACCEPT_WINDOW + Duration::from_millis(50));
     // Late requests, behind those that were in flight at SIGTERM.
     clients.iter_mut().for_each(|client| client.send(&look(15000)));
@@ -188,5 +189,5 @@
         ends_with_answer += usize::from(matches!(client.stream.peek(&mut [0]), Ok(0)));
     }
     assert_eq!(ends_with_answer, clients.len(), "the client may ask again before it can know of the end");
-    assert!(driver.child.wait().unwrap().success());
+    assert!(proxy.child.wait().unwrap().success());
 }
--- a/crates/proxy/tests/shutdown_hung.rs
+++ b/crates/proxy/tests/shutdown_hung.rs
@@ -17,7 +17,7 @@
 /// How often clients send another request on a busy connection.
 const SEND_INTERVAL: Duration = Duration::from_millis(40);
 /// How long they do.
-const SENDING_TIME: Duration = Duration::from_millis(960);
+const SENDING_DURATION: Duration = Duration::from_millis(960);
 /// A request written this shortly before its connection ends may cross the close, and stay unread.
 const CLOSE_MARGIN: Duration = Duration::from_millis(60);
 
@@ -32,14 +32,14 @@
 }
 
 /// Pipelines requests for as long as the connection accepts them, and reads the answers.
-fn keep_busy(mut client: Client, signalled: Instant) -> Timeline {
+fn keep_busy(mut client: Client, signalled_at: Instant) -> Timeline {
     let mut writer = client.stream.try_clone().unwrap();
     let writing = thread::spawn(move || {
         let mut written = Vec::new();
-        while signalled.elapsed() < SENDING_TIME {
+        while signalled_at.elapsed() < SENDING_DURATION {
             let mut query = Vec::new();
             pg::write_query(&mut query, &[look(DEADLINE_MS).as_bytes()]);
-            written.push(signalled.elapsed());
+            written.push(signalled_at.elapsed());
             if writer.write_all(&query).is_err() {
                 break;
             }
@@ -49,37 +49,37 @@
     });
     let mut answered = Vec::new();
     while client.answer().is_some() {
-        answered.push(signalled.elapsed());
+        answered.push(signalled_at.elapsed());
     }
-    let ended = signalled.elapsed();
+    let ended = signalled_at.elapsed();
     Timeline { written: writing.join().unwrap(), answered, ended }
 }
 
 #[test]
 fn requests_pipelined_until_the_kill_are_answered_while_the_only_member_hangs() {
     let hold = Hold::default();
-    let seen = hold.clone();
+    let member_hold = hold.clone();
     let member = Member::start(move |text, stream| {
-        seen.pass();
+        member_hold.pass();
         serve(text, "writer", stream);
     });
-    let known = list(1, true, &[("a", &member, "in_service")]);
+    let initial_list = list(1, true, &[("a", &member, "in_service")]);
     let discovery = Discovery::default();
-    discovery.say(known.clone());
-    let short = config(discovery.start(), 256, &known)
+    discovery.say(initial_list.clone());
+    let config_with_short_deadlines = config(discovery.start(), 256, &initial_list)
         .replace(r#""targetMs":1000,"deadlineMs":20000"#, r#""targetMs":200,"deadlineMs":300"#);
-    let mut driver = Driver::of(&short);
-    let mut clients: Vec<Client> = (0..3).map(|_| Client::connect(driver.address)).collect();
+    let mut proxy = Driver::of(&config_with_short_deadlines);
+    let mut clients: Vec<Client> = (0..3).map(|_| Client::connect(proxy.address)).collect();
     clients.iter_mut().for_each(|client| assert!(served(&client.ask(&look(5000)))));
     hold.close();
     // Each connection is busy when the signal comes: later requests are pipelined behind this one.
     clients.iter_mut().for_each(|client| client.send(&look(DEADLINE_MS)));
     hold.reached();
-    driver.signal("-TERM");
-    let signalled = Instant::now();
-    let busy: Vec<_> =
-        clients.into_iter().map(|client| thread::spawn(move || keep_busy(client, signalled))).collect();
-    let timelines: Vec<Timeline> = busy.into_iter().map(|thread| thread.join().unwrap()).collect();
+    proxy.signal("-TERM");
+    let signalled_at = Instant::now();
+    let busy_threads: Vec<_> =
+        clients.into_iter().map(|client| thread::spawn(move || keep_busy(client, signalled_at))).collect();
+    let timelines: Vec<Timeline> = busy_threads.into_iter().map(|thread| thread.join().unwrap()).collect();
     for Timeline { written, answered, ended } in &timelines {
         // One was in flight before SIGTERM.
         let expected = 1 + written.iter().filter(|&&at| at + CLOSE_MARGIN < *ended).count();
@@ -90,7 +90,7 @@
         );
         assert!(answered.iter().all(|&at| at < KILLED_AFTER), "{answered:?}");
     }
-    until("the end", || driver.child.try_wait().unwrap().is_some());
-    assert!(driver.child.wait().unwrap().success());
+    until("the end", || proxy.child.try_wait().unwrap().is_some());
+    assert!(proxy.child.wait().unwrap().success());
     hold.open();
 }
--- a/crates/proxy/tests/simultaneous_events.rs
+++ b/crates/proxy/tests/simultaneous_events.rs
@@ -16,22 +16,23 @@
 
 /// A member that waits at `hold` before it responds, and reports the role that it has by then. `given` is set once the
 /// proxy's kernel has the whole response.
-fn holding(hold: &Hold, replica: &Arc<AtomicBool>, given: &Arc<AtomicBool>) -> Member {
-    let (hold, replica, given) = (hold.clone(), replica.clone(), given.clone());
+fn held_member(hold: &Hold, is_replica: &Arc<AtomicBool>, response_delivered: &Arc<AtomicBool>) -> Member {
+    let (hold, is_replica, response_delivered) =
+        (hold.clone(), is_replica.clone(), response_delivered.clone());
     Member::start(move |text, stream| {
         hold.pass();
-        serve(text, if replica.load(Ordering::SeqCst) { "reader" } else { "writer" }, stream);
+        serve(text, if is_replica.load(Ordering::SeqCst) { "reader" } else { "writer" }, stream);
         delivered(stream);
-        given.store(true, Ordering::SeqCst);
+        response_delivered.store(true, Ordering::SeqCst);
     })
 }
 
 /// A proxy before this member that learns of its role by responses alone; reads must see everything committed before.
-fn before(member: &Member) -> Driver {
-    let known = list(1, true, &[("a", member, "in_service")]);
+fn start_proxy(member: &Member) -> Driver {
+    let initial_list = list(1, true, &[("a", member, "in_service")]);
     let discovery = Discovery::default();
-    discovery.say(known.clone());
-    let config = config(discovery.start(), 256, &known)
+    discovery.say(initial_list.clone());
+    let config = config(discovery.start(), 256, &initial_list)
         .replace(r#""probes":true"#, r#""probes":false"#)
         .replace(r#"["loose","#, r#"["latest","#);
     Driver::of(&config)
@@ -39,29 +40,29 @@
 
 #[test]
 fn a_read_that_arrives_with_the_demotion_of_its_primary_is_not_sent_there() {
-    let (hold, replica, given) = (Hold::default(), Arc::default(), Arc::default());
-    let member = holding(&hold, &replica, &given);
-    let driver = before(&member);
-    let (mut first, mut second) = (Client::connect(driver.address), Client::connect(driver.address));
+    let (hold, is_replica, response_delivered) = (Hold::default(), Arc::default(), Arc::default());
+    let member = held_member(&hold, &is_replica, &response_delivered);
+    let proxy = start_proxy(&member);
+    let (mut first, mut second) = (Client::connect(proxy.address), Client::connect(proxy.address));
     for round in 0..5 {
-        replica.store(false, Ordering::SeqCst);
+        is_replica.store(false, Ordering::SeqCst);
         until("the primary's report", || served(&first.ask(&order(2000))));
         assert!(served(&first.ask(&look(2000))) && served(&second.ask(&look(2000))));
         hold.close();
         first.send(&named(&look(2000), &format!("word{round}")));
         hold.reached();
-        driver.signal("-STOP");
-        given.store(false, Ordering::SeqCst);
-        replica.store(true, Ordering::SeqCst);
+        proxy.signal("-STOP");
+        response_delivered.store(false, Ordering::SeqCst);
+        is_replica.store(true, Ordering::SeqCst);
         hold.open();
-        until("the demotion", || given.load(Ordering::SeqCst));
+        until("the demotion", || response_delivered.load(Ordering::SeqCst));
         // The router is asked about this read before it hears of the demotion, which the member's actor has by then.
         second.send(&named(&look(1000), &format!("read{round}")));
         delivered(&second.stream);
-        driver.signal("-CONT");
+        proxy.signal("-CONT");
         assert!(first.answer().is_some());
-        let said = second.answer().expect("its one answer");
-        assert_eq!(said.code, "53300", "nobody is left who may answer it: {said:?}");
+        let response = second.answer().expect("its one answer");
+        assert_eq!(response.code, "53300", "nobody is left who may answer it: {response:?}");
         let id = format!("id=read{round},");
         assert!(member.requests().iter().all(|request| !request.contains(&id)), "rule 5: asked as a replica");
     }
@@ -69,10 +70,10 @@
 
 #[test]
 fn a_response_that_arrives_at_its_deadline_counts() {
-    let (hold, replica, given) = (Hold::default(), Arc::default(), Arc::default());
-    let member = holding(&hold, &replica, &given);
-    let driver = before(&member);
-    let mut client = Client::connect(driver.address);
+    let (hold, is_replica, response_delivered) = (Hold::default(), Arc::default(), Arc::default());
+    let member = held_member(&hold, &is_replica, &response_delivered);
+    let proxy = start_proxy(&member);
+    let mut client = Client::connect(proxy.address);
     until("the primary's report", || served(&client.ask(&order(2000))));
     // After these the member is known to be fast: a request with little time left is worth an attempt.
     for _ in 0..60 {
@@ -84,16 +85,16 @@
         let sent = Instant::now();
         client.send(&statement(wait.as_millis() as u32));
         hold.reached();
-        driver.signal("-STOP");
-        let in_time = sent.elapsed() < wait / 2;
-        given.store(false, Ordering::SeqCst);
+        proxy.signal("-STOP");
+        let suspended_in_time = sent.elapsed() < wait / 2;
+        response_delivered.store(false, Ordering::SeqCst);
         hold.open();
-        until("the answer", || given.load(Ordering::SeqCst));
+        until("the answer", || response_delivered.load(Ordering::SeqCst));
         // Both are there when it continues: the response, and the deadline.
         thread::sleep((sent + wait).saturating_duration_since(Instant::now()));
-        driver.signal("-CONT");
-        let said = client.answer().expect("its one answer");
-        assert!(served(&said) || !in_time, "{said:?}");
+        proxy.signal("-CONT");
+        let response = client.answer().expect("its one answer");
+        assert!(served(&response) || !suspended_in_time, "{response:?}");
     }
 }
 
@@ -101,42 +102,46 @@
 /// at its former address again, and one that drains got new requests until the next list. The log of such a run had
 /// `revision: 1` behind `revision: 2`, both right after `process stalled`.
 #[test]
-fn lists_that_arrive_during_a_stall_are_applied_in_their_order() {
+fn lists_that_arrive_during_a_stall_are_applied_in_order() {
     const ROUNDS: u64 = 6;
-    let (drained, listed) = (sound("writer"), sound("writer"));
+    let (draining, added) = (sound("writer"), sound("writer"));
     let discovery = Discovery::default();
-    let first = list(1, true, &[("a", &drained, "in_service")]);
-    discovery.say(first.clone());
-    let driver = Driver::start(&discovery, 256, &first);
+    let first_list = list(1, true, &[("a", &draining, "in_service")]);
+    discovery.say(first_list.clone());
+    let proxy = Driver::start(&discovery, 256, &first_list);
     until("the watch", || discovery.requests.lock().unwrap().len() == 1);
     // Traffic, so that the stall mostly begins while the program runs: it then finds the lists before its timers.
-    let (address, over) = (driver.address, Arc::new(AtomicBool::new(false)));
-    let traffic = |_| {
-        let over = over.clone();
+    let (address, stop) = (proxy.address, Arc::new(AtomicBool::new(false)));
+    let send_requests = |_| {
+        let stop = stop.clone();
         thread::spawn(move || {
             let mut client = Client::connect(address);
-            while !over.load(Ordering::SeqCst) {
+            while !stop.load(Ordering::SeqCst) {
                 assert!(served(&client.ask(&look(15000))));
             }
         })
     };
-    let clients: Vec<_> = (0..4).map(traffic).collect();
+    let clients: Vec<_> = (0..4).map(send_requests).collect();
     for round in 0..ROUNDS {
-        let older = 2 + 2 * round;
-        driver.signal("-STOP");
-        discovery.say(list(older, true, &[("a", &drained, "in_service")]));
-        discovery.say(list(older + 1, true, &[("a", &drained, "terminating"), ("b", &listed, "in_service")]));
+        let older_revision = 2 + 2 * round;
+        proxy.signal("-STOP");
+        discovery.say(list(older_revision, true, &[("a", &draining, "in_service")]));
+        discovery.say(list(
+            older_revision + 1,
+            true,
+            &[("a", &draining, "terminating"), ("b", &added, "in_service")],
+        ));
         thread::sleep(STALL);
-        driver.signal("-CONT");
-        let applied = |revision: u64| driver.logged(&format!("revision: {revision}"));
-        until("both lists", || applied(older) && applied(older + 1));
+        proxy.signal("-CONT");
+        let applied = |revision: u64| proxy.logged(&format!("revision: {revision}"));
+        until("both lists", || applied(older_revision) && applied(older_revision + 1));
         // What was under way when the lists were applied has its answer, too.
-        let mut client = Client::connect(driver.address);
+        let mut client = Client::connect(proxy.address);
         assert!((0..20).all(|_| served(&client.ask(&look(15000)))));
-        let before = drained.requests().len();
+        let requests_before = draining.requests().len();
         assert!((0..20).all(|_| served(&client.ask(&look(15000)))));
-        assert_eq!(drained.requests().len(), before, "round {round}: asked though it drains");
+        assert_eq!(draining.requests().len(), requests_before, "round {round}: asked though it drains");
     }
-    over.store(true, Ordering::SeqCst);
+    stop.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|client| client.join().unwrap());
 }
