--- a/crates/proxy/tests/member_connection_limit.rs
+++ b/crates/proxy/tests/member_connection_limit.rs
@@ -1,18 +1,19 @@
-//! More members than the process may have connections to, over loopback: a connection that is needed is opened at once,
-//! and few idle ones are closed for it.
+//! Tests, over loopback, of a proxy with more members than it may have connections to: a needed connection is
+//! opened at once, and only a few idle ones are closed for it.
 
 use std::sync::atomic::Ordering;
 
 use aldermill_test_support::{Client, Discovery, Driver, Member, config, look, served, sound};
 
-/// Connections to members that the process may have with [`DESCRIPTORS`].
+/// Number of connections to members that the process may have if `limits.sockets` is [`MIN_SOCKETS`].
 const MAX_MEMBER_CONNECTIONS: usize = 12;
-/// The least `limits.sockets` that a configuration may have.
+/// Minimum of `limits.sockets` in a configuration.
 const MIN_SOCKETS: usize = 64;
-/// Idle connections that are closed at the most where one is needed.
+/// Maximum number of idle connections that are closed if one connection is needed.
 const MAX_CLOSED_CONNECTIONS: usize = 3;
 
-/// An endpoint list in which each member is a group of its own, numbered by its place.
+/// Returns an endpoint list in which each member forms a group of its own; the group's number is the member's
+/// index.
 fn list_of_single_member_groups(members: &[Member]) -> String {
     let entries: Vec<String> = (members.iter().enumerate())
         .map(|(group, member)| {
@@ -25,8 +26,9 @@
     format!(r#"{{"revision":1,"complete":true,"members":[{}]}}"#, entries.join(","))
 }
 
+/// Sends a read to the group, and asserts that it is served.
 fn assert_read_served(client: &mut Client, group: usize) {
-    // Less time than a wait for a connection that nobody closes would take.
+    // Shorter than the wait for a descriptor if no idle connection is closed.
     let statement = look(1500).replace("cluster=2", &format!("cluster={group}"));
     let response = client.ask(&statement);
     assert!(served(&response), "group {group}: {response:?}");
@@ -38,7 +40,7 @@
     let opened_connections = |group: usize| members[group].connections.load(Ordering::SeqCst);
     let (discovery, initial_list) = (Discovery::default(), list_of_single_member_groups(&members));
     discovery.say(initial_list.clone());
-    // Connections are opened for requests alone.
+    // Without health checks, connections are opened only for requests.
     let settings = config(discovery.start(), MIN_SOCKETS, &initial_list)
         .replace(r#""probes":true"#, r#""probes":false"#);
     let proxy = Driver::of(&settings);
@@ -51,12 +53,13 @@
 
     assert_read_served(&mut client, MAX_MEMBER_CONNECTIONS);
     assert_eq!(opened_connections(MAX_MEMBER_CONNECTIONS), 1);
-    // Those that were idle for the shortest time are still open and are used again.
+    // The connections that had been idle for the shortest time are still open, and are used again.
     (MAX_CLOSED_CONNECTIONS..=MAX_MEMBER_CONNECTIONS)
         .for_each(|group| assert_read_served(&mut client, group));
     let opened: Vec<usize> = (0..=MAX_MEMBER_CONNECTIONS).map(opened_connections).collect();
     assert_eq!(opened, vec![1; MAX_MEMBER_CONNECTIONS + 1], "connections by member");
-    // More were closed than the one connection needed, so that these open without closing others.
+    // More connections were closed than the one that was needed, so the next ones open without closing
+    // others.
     (0..MAX_CLOSED_CONNECTIONS - 1).for_each(|group| assert_read_served(&mut client, group));
     assert_eq!(
         (0..=MAX_MEMBER_CONNECTIONS).map(opened_connections).sum::<usize>(),
--- a/crates/proxy/tests/on_call_page.rs
+++ b/crates/proxy/tests/on_call_page.rs
@@ -1,24 +1,26 @@
-//! The runbook, docs/on-call.md, has an entry for each warning and error that the proxy logs, and none for others.
+//! Checks that the runbook, docs/on-call.md, has an entry for each warning and error that the proxy logs, and
+//! no other entries.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The macros whose lines may page somebody.
+/// Log macros whose messages may page the on-call engineer.
 const LOG_MACROS: [&str; 3] = ["warn!", "error!", "crit!"];
-/// What each entry says beside what the line means.
+/// Parts that each entry has after the explanation of its message.
 const REQUIRED_PARTS: [&str; 3] = ["- **The proxy:**", "- **Do:**", "- **Don't:**"];
 
-/// A warning that nobody described, or an entry for a line that is no longer logged, leaves the paged engineer alone.
+/// Guards against a warning that nobody described, and against an entry for a message that is no longer
+/// logged: both leave the paged engineer without help.
 #[test]
 fn every_warning_and_error_has_a_runbook_entry_and_every_entry_is_logged() {
     let logged = logged_messages(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"));
     let described: BTreeSet<String> = entries(&runbook()).into_iter().map(|entry| entry.message).collect();
     let missing: Vec<&String> = logged.difference(&described).collect();
     let stale: Vec<&String> = described.difference(&logged).collect();
-    assert!(!logged.is_empty(), "no warning was found, the sources were not read");
-    assert!(missing.is_empty(), "logged, and not in docs/on-call.md: {missing:#?}");
-    assert!(stale.is_empty(), "in docs/on-call.md, and logged nowhere: {stale:#?}");
+    assert!(!logged.is_empty(), "no warnings found in the source files");
+    assert!(missing.is_empty(), "logged, but missing from docs/on-call.md: {missing:#?}");
+    assert!(stale.is_empty(), "in docs/on-call.md, but never logged: {stale:#?}");
 }
 
 #[test]
@@ -26,12 +28,12 @@
     let entries = entries(&runbook());
     let mut seen = BTreeSet::new();
     for entry in entries {
-        assert!(seen.insert(entry.message.clone()), "described twice: {}", entry.message);
+        assert!(seen.insert(entry.message.clone()), "duplicate entry: {}", entry.message);
         for part in REQUIRED_PARTS {
-            assert!(entry.text.contains(part), "{}: no {part}", entry.message);
+            assert!(entry.text.contains(part), "entry `{}` lacks the part `{part}`", entry.message);
         }
         let meaning = entry.text.split("- **").next().unwrap_or_default();
-        assert!(!meaning.trim().is_empty(), "{}: does not say what it means", entry.message);
+        assert!(!meaning.trim().is_empty(), "entry `{}` does not explain the message", entry.message);
     }
 }
 
@@ -61,46 +63,50 @@
     }
 }
 
-/// An entry of the runbook: the message in its heading, and the text up to the next heading.
+/// An entry of the runbook.
 struct Entry {
+    /// Log message in the entry's heading.
     message: String,
+    /// Text between the entry's heading and the next one.
     text: String,
 }
 
+/// Returns the text of the runbook.
 fn runbook() -> String {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/on-call.md");
-    fs::read_to_string(page).expect("docs/on-call.md")
+    fs::read_to_string(page).expect("docs/on-call.md must be readable")
 }
 
-/// The entries below the page's section on warnings and errors.
+/// Returns the entries in the section on warnings and errors of the page.
 fn entries(page: &str) -> Vec<Entry> {
     let section = page.split("\n## ").find(|section| section.starts_with("Warnings and errors\n"));
-    let section = section.expect("the section on warnings and errors");
+    let section = section.expect("the page must have a section on warnings and errors");
     let mut entries = Vec::new();
     for part in section.split("\n#### ").skip(1) {
-        let (heading, text) = part.split_once('\n').expect("text below a heading");
+        let (heading, text) = part.split_once('\n').expect("a heading must be followed by text");
         let message = heading.strip_prefix('`').and_then(|rest| rest.strip_suffix('`'));
-        let message = message.unwrap_or_else(|| panic!("a heading that is no message: {heading}"));
+        let message = message.unwrap_or_else(|| panic!("heading is not a message in backquotes: {heading}"));
         let text = text.split("\n### ").next().unwrap_or_default();
         entries.push(Entry { message: message.to_owned(), text: text.to_owned() });
     }
     entries
 }
 
-/// The constant messages of all warnings and errors in the sources below a folder.
+/// Returns the messages of all warnings and errors in the source files below a folder.
 fn logged_messages(folder: &Path) -> BTreeSet<String> {
     let mut messages = BTreeSet::new();
     for file in source_files(folder) {
-        let source = fs::read_to_string(&file).expect("a source file");
+        let source = fs::read_to_string(&file).expect("a source file must be readable");
         messages.extend(invocations(&source).iter().map(|invocation| constant_message(invocation)));
     }
     messages
 }
 
+/// Returns all Rust source files below a folder.
 fn source_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
-    for entry in fs::read_dir(folder).expect("a folder of sources") {
-        let path = entry.expect("an entry of a folder").path();
+    for entry in fs::read_dir(folder).expect("a source folder must be readable") {
+        let path = entry.expect("a folder entry must be readable").path();
         if path.is_dir() {
             files.extend(source_files(&path));
         } else if path.extension().is_some_and(|extension| extension == "rs") {
@@ -110,7 +116,8 @@
     files
 }
 
-/// The arguments of each invocation of one of the macros, as text, in the order of the source.
+/// Returns the arguments of each invocation of a macro in [`LOG_MACROS`], as text, in source order. Lines
+/// that start with a comment are skipped.
 fn invocations(source: &str) -> Vec<String> {
     let source: String = source.lines().filter(|line| !line.trim_start().starts_with("//")).fold(
         String::new(),
@@ -135,7 +142,10 @@
     found
 }
 
-/// Up to the parenthesis that closes the invocation; those in strings and character literals close nothing.
+/// Returns the length in bytes of the arguments of an invocation, up to its closing parenthesis. Parentheses
+/// in strings and character literals are skipped.
+///
+/// `text` starts after the opening parenthesis.
 fn arguments_length(text: &str) -> usize {
     let mut depth = 1;
     let mut rest = text.char_indices().peekable();
@@ -157,12 +167,16 @@
             _ => {}
         }
     }
-    panic!("an invocation without an end: {text}");
+    panic!("unterminated macro invocation: {text}");
 }
 
-/// The message of an invocation: its second argument, which is a literal without a place to fill in.
+/// Returns the message of an invocation: its second argument, a string literal without placeholders.
+///
+/// # Panics
+///
+/// Panics if the message is not constant.
 fn constant_message(arguments: &str) -> String {
-    let (_, after_logger) = arguments.split_once(',').expect("a logger and a message");
+    let (_, after_logger) = arguments.split_once(',').expect("an invocation needs a logger and a message");
     let text = after_logger.trim_start();
     let Some(literal) = text.strip_prefix('"') else { panic!("the message is not constant: {arguments}") };
     let mut message = String::new();
--- a/crates/proxy/tests/query_outcomes.rs
+++ b/crates/proxy/tests/query_outcomes.rs
@@ -1,10 +1,11 @@
-//! What the end of a query means, by how much of it was sent and what came of it: the whole table, row by row.
+//! Tests of the classification of query outcomes, by how much of the query was sent and by its result: every
+//! row of the table of verdicts.
 
 #[path = "../src/member/outcome.rs"]
 mod outcome;
 #[path = "../src/system"]
 mod system {
-    #[allow(dead_code, reason = "the program uses the rest")]
+    #[allow(dead_code, reason = "the proxy uses the remaining items")]
     mod errors;
     pub use errors::SocketErrorKind;
 }
@@ -16,9 +17,10 @@
 use system::SocketErrorKind;
 use uapi::c;
 
+/// Both kinds of queries.
 const KINDS: [QueryKind; 2] = [QueryKind::Attempt, QueryKind::HealthCheck];
 
-/// An error of the system for each kind.
+/// Returns a socket error of this kind, made from an errno that has the kind.
 fn socket_error(kind: SocketErrorKind) -> QueryError {
     let errno = match kind {
         SocketErrorKind::Local => c::ENETUNREACH,
@@ -29,12 +31,13 @@
     QueryError::from(io::Error::from_raw_os_error(errno))
 }
 
-/// An end without answer, outside of a stall, after time enough to connect.
+/// Returns the observations of a query that ended without a response, outside of a stall, and with enough
+/// time to connect.
 fn failed_query(kind: QueryKind, sent: Sent, error: &QueryError) -> QueryObservations<'_> {
     QueryObservations { kind, sent, result: Err(error), stalled: false, had_time_to_connect: true }
 }
 
-/// The verdict where the member's process is known to be alive.
+/// Returns the verdict if the member's process is known to be alive.
 fn verdict_with_live_process(observations: QueryObservations<'_>) -> Verdict {
     verdict(&observations, || false)
 }
@@ -66,7 +69,7 @@
         assert_eq!(attempt(Sent::Partly), *partly, "{error:?}");
         let Some(whole) = whole else { continue };
         assert_eq!(attempt(Sent::Whole), *whole, "{error:?}");
-        // A health check differs only where no connection came up in time.
+        // The verdict of a health check differs only if no connection was established in time.
         let health_check =
             |sent| verdict_with_live_process(failed_query(QueryKind::HealthCheck, sent, error));
         assert_eq!(health_check(Sent::Partly), *partly, "{error:?}");
@@ -153,7 +156,7 @@
     let errors =
         [QueryError::Malformed, QueryError::TooSlow, QueryError::DeadlineExceeded, QueryError::Closed];
     for error in &errors {
-        let process_gone = || -> bool { panic!("looked at other connections after {error:?}") };
+        let process_gone = || -> bool { panic!("other connections were inspected after {error:?}") };
         verdict(&failed_query(QueryKind::Attempt, Sent::Partly, error), process_gone);
         if !matches!(error, QueryError::Closed) {
             verdict(&failed_query(QueryKind::Attempt, Sent::Whole, error), process_gone);
@@ -182,7 +185,7 @@
                 had_time_to_connect: false,
             };
             assert_eq!(verdict_with_live_process(observations), expected, "{observations:?}");
-            assert_eq!(symptom(expected), Symptom::None, "an answer is nothing against its member");
+            assert_eq!(symptom(expected), Symptom::None, "a response does not speak against its member");
         }
     }
 }
--- a/crates/proxy/tests/shadow.rs
+++ b/crates/proxy/tests/shadow.rs
@@ -1,7 +1,7 @@
-//! Shadow evaluation: other settings are evaluated beside those in force, and change nothing.
+//! Tests of shadow evaluation: other settings are evaluated beside those in force, and change no decision.
 
 #[path = "../src/shadow/mod.rs"]
-#[allow(dead_code, reason = "the program uses the rest")]
+#[allow(dead_code, reason = "the proxy uses the remaining items")]
 mod shadow;
 
 use aldermill_operator_config::ShadowConfig;
@@ -13,16 +13,21 @@
 use shadow::ShadowRouter;
 use shadow::difference::{Difference, Disposition};
 
+/// Parses settings that are known to be valid.
 fn parse(text: &str) -> Settings {
     Settings::parse(text).map_err(|error| error.to_string()).unwrap()
 }
 
+/// Writes settings to a file, and returns a configuration under which all decisions are compared with theirs.
 fn config(text: &str) -> ShadowConfig {
     let settings = file("settings", text).display().to_string();
     ShadowConfig { settings, one_in: Some(1), every_s: None }
 }
 
-/// A short life of a router, each decision compared; what it did, line by line.
+/// Runs a router for a short time, and returns the actions of each of its decisions, formatted with `Debug`.
+///
+/// If `shadow` is given, it takes part in each decision, and compares those in its sample. Times are in
+/// microseconds.
 fn run_router(mut shadow: Option<&mut ShadowRouter>) -> Vec<String> {
     let mut router = Router::start(parse(TERMS).router_config, 7, 0);
     let mut decisions = Vec::new();
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -1,5 +1,6 @@
-//! SIGTERM against requests in every state, over loopback. The test decides the order of events: members answer when it
-//! says so, and SIGSTOP holds the process where bytes and signals must arrive in the same instant.
+//! Tests, over loopback, of SIGTERM while requests are in different states. The tests control the order of
+//! events: members respond when a test lets them, and SIGSTOP suspends the process where bytes and signals
+//! must arrive at the same time.
 
 use std::io::Write;
 use std::thread;
@@ -10,10 +11,10 @@
 };
 use aldermill_wire::pg;
 
-/// Longer than new connections are accepted after SIGTERM.
+/// Longer than the time for which new connections are accepted after SIGTERM.
 const ACCEPT_WINDOW: Duration = Duration::from_millis(700);
 
-/// A member that answers once `hold` is open.
+/// Starts a member that responds once `hold` is open.
 fn held_member(hold: &Hold) -> Member {
     let hold = hold.clone();
     Member::start(move |text, stream| {
@@ -22,13 +23,15 @@
     })
 }
 
+/// Returns the encoded query message of a statement.
 fn query_message(statement: &str) -> Vec<u8> {
     let mut bytes = Vec::new();
     pg::write_query(&mut bytes, &[statement.as_bytes()]);
     bytes
 }
 
-/// What a new client sends that does not wait for the end of its startup handshake.
+/// Returns what a new client sends if it does not wait for the end of the startup handshake before its first
+/// statement.
 fn startup_and_query(statement: &str) -> Vec<u8> {
     let mut bytes = Vec::new();
     pg::write_startup_message(&mut bytes, "client", "core");
@@ -36,10 +39,10 @@
     bytes
 }
 
-/// Sends SIGTERM, and waits until the process has begun to shut down.
+/// Sends SIGTERM, and waits until the proxy has logged that it shuts down.
 fn begin_shutdown(proxy: &Driver) {
     proxy.signal("-TERM");
-    until("the log line on the shutdown", || proxy.logged("stopping"));
+    until("the log line about the shutdown", || proxy.logged("stopping"));
 }
 
 #[test]
@@ -56,7 +59,7 @@
     begin_shutdown(&proxy);
     client.raw(second_half);
     let answered = client.answer().is_some_and(|response| served(&response));
-    // If the machine is too slow to send it within the window, nothing is promised.
+    // A response is guaranteed only if the machine was fast enough to send the second half within the window.
     assert!(answered || signalled_at.elapsed() > ACCEPT_WINDOW / 2);
     assert!(client.ended());
     assert!(proxy.child.wait().unwrap().success());
@@ -71,18 +74,19 @@
     clients.iter_mut().for_each(|client| assert!(served(&client.ask(&look(15000)))));
     hold.close();
     clients.iter_mut().for_each(|client| client.send(&look(15000)));
-    until("the attempts", || member.requests().len() == 6);
+    until("the attempts at the member", || member.requests().len() == 6);
     begin_shutdown(&proxy);
-    // Pipelined after SIGTERM, on connections that are still open. The system holds these small writes back until the
-    // earlier ones are acknowledged, which happens with the first answer: they arrive as the connection is about to close.
+    // These requests are pipelined after SIGTERM, on connections that are still open. The kernel delays such
+    // small writes until the earlier ones are acknowledged, which happens with the first response: the
+    // requests arrive when the connection is about to close.
     clients.iter_mut().for_each(|client| client.send(&look(15000)));
     proxy.signal("-HUP");
     proxy.signal("-TERM");
-    until("the log line on the reload", || proxy.logged("configuration reloaded"));
+    until("the log line about the reload", || proxy.logged("configuration reloaded"));
     hold.open();
     for client in &mut clients {
-        assert!(served(&client.answer().expect("the answer to the request in flight")));
-        assert!(served(&client.answer().expect("the answer to the pipelined request")));
+        assert!(served(&client.answer().expect("the response to the request in flight")));
+        assert!(served(&client.answer().expect("the response to the pipelined request")));
         assert!(client.ended());
     }
     assert!(proxy.child.wait().unwrap().success());
@@ -94,7 +98,7 @@
     let mut proxy = Driver::before(&[("a", &member)]);
     let mut clients: Vec<Client> = (0..20).map(|_| Client::connect(proxy.address)).collect();
     clients.iter_mut().for_each(|client| assert!(served(&client.ask(&look(15000)))));
-    // Signal and statements arrive in the same instant.
+    // The signal and the statements arrive while the process is suspended, so it finds them at the same time.
     proxy.signal("-STOP");
     proxy.signal("-TERM");
     for (number, client) in clients.iter_mut().enumerate() {
@@ -119,12 +123,12 @@
     proxy.signal("-STOP");
     let mut queued: Vec<Client> = (0..5).map(|_| Client::bare(proxy.address)).collect();
     queued.iter_mut().for_each(|client| client.raw(&startup_and_query(&look(15000))));
-    // The window for new connections ends while nobody accepts.
+    // The window for new connections ends while the process is suspended and accepts none.
     thread::sleep(ACCEPT_WINDOW);
     proxy.signal("-CONT");
     for client in &mut queued {
-        assert!(client.answer().is_some(), "the end of its startup handshake");
-        assert!(served(&client.answer().expect("its one answer")));
+        assert!(client.answer().is_some(), "the end of the startup handshake");
+        assert!(served(&client.answer().expect("a response")));
     }
     assert!(proxy.child.wait().unwrap().success());
 }
@@ -143,11 +147,12 @@
     assert!(served(&idle.ask(&look(15000))));
     let mut unused = Client::connect(proxy.address);
     busy.iter_mut().for_each(|client| client.send(&look(15000)));
-    until("the attempts", || member.requests().len() == 5);
+    until("the attempts at the member", || member.requests().len() == 5);
     let signalled_at = Instant::now();
     proxy.signal("-TERM");
     assert!(idle.ended());
-    // A client without an answer yet is still served for a while; if the machine is too slow for that, nothing is promised.
+    // A client that has had no response yet is still served for a while; a response is guaranteed only if the
+    // machine is fast enough.
     let mut query = Vec::new();
     pg::write_query(&mut query, &[look(15000).as_bytes()]);
     let answered =
@@ -162,10 +167,11 @@
     assert!(proxy.logged("stopped"));
 }
 
-/// A client that asked again as soon as it had its answer was served on its old connection for as long as the shutdown had
-/// time, and then refused with 53300: on a crowded machine its next request was always there before the proxy looked whether
-/// the connection could be closed. Of 140 runs of `staying::a_planned_restart_under_traffic_loses_no_request`, 70 at a time on
-/// one core, 53 were refused; their shutdowns took 4.0 to 6.8 s, where 0.7 s is usual.
+/// Guards against a connection that stays open because its client sends the next request as soon as it has a
+/// response. On a busy machine the request always arrived before the proxy checked whether the connection
+/// could be closed. The client was served until the time for the shutdown was over, and then rejected with
+/// 53300. In 140 runs of `staying::a_planned_restart_under_traffic_loses_no_request`, 70 at a time on one
+/// core, 53 had a request rejected; their shutdowns took 4.0 to 6.8 s instead of the usual 0.7 s.
 #[test]
 fn the_response_to_a_late_request_comes_with_the_end_of_its_connection() {
     let hold = Hold::default();
@@ -175,19 +181,23 @@
     clients.iter_mut().for_each(|client| assert!(served(&client.ask(&look(15000)))));
     hold.close();
     clients.iter_mut().for_each(|client| client.send(&look(15000)));
-    until("the attempts", || member.requests().len() >= 31);
+    until("the attempts at the member", || member.requests().len() >= 31);
     begin_shutdown(&proxy);
     thread::sleep(ACCEPT_WINDOW + Duration::from_millis(50));
-    // Late requests, behind those that were in flight at SIGTERM.
+    // Late requests, pipelined behind those that were in flight at SIGTERM.
     clients.iter_mut().for_each(|client| client.send(&look(15000)));
     hold.open();
     let mut ends_with_answer = 0;
     for client in &mut clients {
-        assert!(served(&client.answer().expect("the answer to the request in flight")));
-        assert!(served(&client.answer().expect("the answer to the late request")));
+        assert!(served(&client.answer().expect("the response to the request in flight")));
+        assert!(served(&client.answer().expect("the response to the late request")));
         client.stream.set_nonblocking(true).unwrap();
         ends_with_answer += usize::from(matches!(client.stream.peek(&mut [0]), Ok(0)));
     }
-    assert_eq!(ends_with_answer, clients.len(), "the client may ask again before it can know of the end");
+    assert_eq!(
+        ends_with_answer,
+        clients.len(),
+        "a client may send another request before it learns of the close"
+    );
     assert!(proxy.child.wait().unwrap().success());
 }
--- a/crates/proxy/tests/shutdown_hung.rs
+++ b/crates/proxy/tests/shutdown_hung.rs
@@ -1,5 +1,5 @@
-//! SIGTERM while the only member hangs, over loopback: every request that was read is answered before the process may be
-//! killed.
+//! Test, over loopback, of SIGTERM while the only member hangs: the proxy answers every request that it has
+//! read before the process may be killed.
 
 use std::io::Write;
 use std::thread;
@@ -12,26 +12,27 @@
 
 /// The deadline of each request, in milliseconds.
 const DEADLINE_MS: u32 = 300;
-/// With such deadlines the process may be killed this long after SIGTERM.
+/// Time after SIGTERM at which the process may be killed if requests have these deadlines.
 const KILLED_AFTER: Duration = Duration::from_millis(1000);
-/// How often clients send another request on a busy connection.
+/// Interval between two requests of a client on a busy connection.
 const SEND_INTERVAL: Duration = Duration::from_millis(40);
-/// How long they do.
+/// Time after SIGTERM until which clients send requests.
 const SENDING_DURATION: Duration = Duration::from_millis(960);
-/// A request written this shortly before its connection ends may cross the close, and stay unread.
+/// A request written less than this before its connection ends may cross the close and remain unread.
 const CLOSE_MARGIN: Duration = Duration::from_millis(60);
 
-/// What happened on one connection, in time since SIGTERM.
+/// Events on one connection, as times since SIGTERM.
 struct Timeline {
-    /// When each request was written.
+    /// Time at which the write of each request began.
     written: Vec<Duration>,
-    /// When each answer came.
+    /// Time at which each response arrived.
     answered: Vec<Duration>,
-    /// When the connection ended.
+    /// Time at which the connection ended.
     ended: Duration,
 }
 
-/// Pipelines requests for as long as the connection accepts them, and reads the answers.
+/// Pipelines requests until [`SENDING_DURATION`] has passed or a write fails, and reads responses until the
+/// connection ends.
 fn keep_busy(mut client: Client, signalled_at: Instant) -> Timeline {
     let mut writer = client.stream.try_clone().unwrap();
     let writing = thread::spawn(move || {
@@ -72,7 +73,7 @@
     let mut clients: Vec<Client> = (0..3).map(|_| Client::connect(proxy.address)).collect();
     clients.iter_mut().for_each(|client| assert!(served(&client.ask(&look(5000)))));
     hold.close();
-    // Each connection is busy when the signal comes: later requests are pipelined behind this one.
+    // Each connection is busy when the signal arrives: later requests are pipelined behind this one.
     clients.iter_mut().for_each(|client| client.send(&look(DEADLINE_MS)));
     hold.reached();
     proxy.signal("-TERM");
@@ -81,16 +82,16 @@
         clients.into_iter().map(|client| thread::spawn(move || keep_busy(client, signalled_at))).collect();
     let timelines: Vec<Timeline> = busy_threads.into_iter().map(|thread| thread.join().unwrap()).collect();
     for Timeline { written, answered, ended } in &timelines {
-        // One was in flight before SIGTERM.
+        // One more request was in flight before SIGTERM.
         let expected = 1 + written.iter().filter(|&&at| at + CLOSE_MARGIN < *ended).count();
         assert!(
             answered.len() >= expected,
-            "{} of {expected} answered, the end after {ended:?}",
+            "{} of {expected} requests answered, connection ended after {ended:?}",
             answered.len()
         );
         assert!(answered.iter().all(|&at| at < KILLED_AFTER), "{answered:?}");
     }
-    until("the end", || proxy.child.try_wait().unwrap().is_some());
+    until("the exit of the process", || proxy.child.try_wait().unwrap().is_some());
     assert!(proxy.child.wait().unwrap().success());
     hold.open();
 }
--- a/crates/proxy/tests/slow_peers.rs
+++ b/crates/proxy/tests/slow_peers.rs
@@ -1,5 +1,5 @@
-//! Slow clients and members beside fast ones, over loopback: the slow ones are disconnected in time, the others notice
-//! nothing.
+//! Tests, over loopback, of slow clients and members beside fast ones: the slow ones are disconnected in
+//! time, and the others are not affected.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,11 +13,14 @@
 };
 use aldermill_wire::pg;
 
+/// Converts milliseconds to a duration.
 const MILLIS: fn(u64) -> Duration = Duration::from_millis;
-/// Limits under which slow peers are noticed within a test's time.
+/// Operator configuration with limits so short that slow peers are detected within the time of a test.
 const SHORT_LIMITS: &str = r#"{"slow_peers":{"reading":{"bytes_a_second":100000,"start_ms":500,"window_ms":1500},
  "sending":{"bytes_a_second":1000,"start_ms":500,"window_ms":500},"overdue_ms":500,"lingering_ms":500,"stopping_ms":1000}}"#;
 
+/// Starts a proxy for members in service, and returns it with its configuration, as JSON. `memory_mb` and
+/// `sockets` are limits of that configuration, and `operator` is the operator configuration.
 fn start_proxy(
     members: &[(&str, &Member)],
     memory_mb: usize,
@@ -32,8 +35,8 @@
     (Driver::with("127.0.0.1:0".parse().unwrap(), &config_text, Some(operator)), config_text)
 }
 
-/// A primary whose values are as long as the request's key says: `k` for a short one, `v1000` for a thousand
-/// bytes.
+/// Starts a primary that serves values of the length given by the request's key: `v1000` requests 1000 bytes,
+/// and `k` a short value.
 fn primary_with_sized_values() -> Member {
     Member::start(|text, stream| {
         let length = text.split_once("'v").and_then(|(_, rest)| rest.split('\'').next()?.parse().ok());
@@ -44,19 +47,25 @@
     })
 }
 
+/// Returns a read of a value of this many bytes.
 fn read_value(length: usize) -> String {
     look(15000).replace("'k'", &format!("'v{length}'"))
 }
 
-/// Fast clients that send one request after another, each connecting again where its connection was closed between two.
+/// Fast clients that send one request after another. A client that gets no response, because its connection
+/// was closed between two requests, connects again.
 struct FastClients {
+    /// Set to make the clients stop.
     stop: Arc<AtomicBool>,
+    /// Number of requests, including those that could not be sent.
     sent: Arc<AtomicUsize>,
+    /// Number of requests that were served.
     succeeded: Arc<AtomicUsize>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl FastClients {
+    /// Starts this many clients, and waits until they have sent more than three requests each on average.
     fn start(address: SocketAddr, clients: usize) -> FastClients {
         let (stop, sent, succeeded) = (Arc::default(), Arc::default(), Arc::default());
         let mut fast = FastClients { stop, sent, succeeded, threads: Vec::new() };
@@ -78,10 +87,11 @@
                 }
             }));
         }
-        until("the fast clients' load", || fast.sent.load(Ordering::SeqCst) > 3 * clients);
+        until("the load of the fast clients", || fast.sent.load(Ordering::SeqCst) > 3 * clients);
         fast
     }
 
+    /// Stops the clients, and returns how many requests they sent and how many of those were served.
     fn finish(self) -> (usize, usize) {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().for_each(|thread| thread.join().unwrap());
@@ -89,7 +99,8 @@
     }
 }
 
-/// Slow readers must take neither buffer space nor connection slots from others, however often they reconnect.
+/// Slow readers must not take buffer space or connection slots from other clients, however often they
+/// reconnect.
 #[test]
 fn hundreds_of_slow_readers_do_not_affect_other_clients() {
     let member = primary_with_sized_values();
@@ -100,7 +111,7 @@
         .map(|number| {
             let (address, stop) = (proxy.address, stop.clone());
             thread::spawn(move || {
-                // They connect again as soon as they are disconnected.
+                // Slow readers reconnect as soon as they are disconnected.
                 while !stop.load(Ordering::SeqCst) {
                     if let Some(mut client) = Client::narrow(address) {
                         client.send(&read_value([20, 60_000, 1_000_000][number % 3]));
@@ -122,7 +133,8 @@
     readers.into_iter().for_each(|reader| reader.join().unwrap());
 }
 
-/// A sound client must not be disconnected for a pause, or for a poor line that keeps up with the minimum rate.
+/// A healthy client must not be disconnected because of a pause, or because of a slow network that keeps up
+/// with the minimum rate.
 #[test]
 fn a_fast_reader_may_pause_and_a_reader_above_the_minimum_rate_is_kept() {
     let member = primary_with_sized_values();
@@ -138,7 +150,7 @@
         assert!(count > 0 && !ended, "{received} and {received_later}");
         received_later += count;
     }
-    // About twice the least rate, for far longer than a client below it would be kept.
+    // About twice the minimum rate, for far longer than a client below the minimum rate would stay connected.
     let mut client = Client::narrow(proxy.address).unwrap();
     client.send(&read_value(400_000));
     let mut received = 0;
@@ -150,27 +162,27 @@
     assert!(!proxy.logged("slow clients disconnected"));
 }
 
-/// A client that stops reading must not hold buffer space for ever, and all that it held must be released.
+/// A client that stops reading must not hold buffer space forever, and all that it held must be released.
 #[test]
 fn a_client_that_never_reads_its_response_is_disconnected_and_its_buffer_space_freed() {
     let member = primary_with_sized_values();
     let (proxy, _) = start_proxy(&[("a", &member)], 48, 128, SHORT_LIMITS);
     let mut slow_clients: Vec<Client> = (0..20).map(|_| Client::narrow(proxy.address).unwrap()).collect();
     for client in &mut slow_clients {
-        // A non-idempotent request: it is served once, whether or not its response is read.
+        // The request is not idempotent, so it is executed at most once, whether or not its response is read.
         client.send(&order(15000).replace("'k'", "'v900000'"));
     }
-    until("each is cut", || proxy.logged("too_slow: ") || proxy.logged("buffer_space: "));
+    until("a disconnection", || proxy.logged("too_slow: ") || proxy.logged("buffer_space: "));
     slow_clients.iter_mut().for_each(|client| while !client.sip(4096, MILLIS(0), MILLIS(50)).1 {});
     let requests = member.requests();
     assert!(requests.len() <= 20, "{}", requests.len());
-    // The buffer space that they held is free again: as many fast clients as ever fit.
+    // The buffer space that they held is free again, and suffices for as many fast clients.
     let mut fast_clients: Vec<Client> = (0..20).map(|_| Client::connect(proxy.address)).collect();
     fast_clients.iter_mut().for_each(|client| client.send(&read_value(900_000)));
     assert!(fast_clients.iter_mut().all(|client| client.answer().unwrap().value.is_some()));
 }
 
-/// A member that sends single bytes must not hold a request up to its deadline.
+/// A member that sends single bytes must not hold up a request until its deadline.
 #[test]
 fn a_trickling_member_delays_reads_little_and_its_writes_are_not_repeated() {
     for (piece, pause) in [(1, 1000), (1, 250), (20, 250)] {
@@ -182,9 +194,10 @@
         let mut client = Client::connect(proxy.address);
         let start = Instant::now();
         assert!((0..8).all(|_| served(&client.ask(&look(15000)))));
-        assert!(start.elapsed() < MILLIS(8000), "{:?} for {piece} bytes a time", start.elapsed());
+        assert!(start.elapsed() < MILLIS(8000), "{:?} with {piece} bytes per write", start.elapsed());
     }
-    // A non-idempotent request fails as one that may have run, long before its deadline, and is sent once.
+    // A non-idempotent request fails long before its deadline, as one that may have run, and is sent only
+    // once.
     let trickling = Member::start(|text, stream| {
         let out = whole(b"x", text, "writer");
         if text.starts_with("/*") {
@@ -200,7 +213,7 @@
     assert_eq!(trickling.requests().len(), 1);
 }
 
-/// A slow but sound member must not be taken for one that trickles.
+/// A slow but healthy member must not be taken for one that sends below the minimum rate.
 #[test]
 fn a_member_that_sends_at_twice_the_minimum_rate_is_not_disconnected() {
     let steady = Member::start(|text, stream| {
@@ -210,7 +223,7 @@
     let (proxy, _) = start_proxy(&[("a", &steady)], 48, 128, "{}");
     let mut client = Client::connect(proxy.address);
     assert!((0..4).all(|_| client.ask(&look(15000)).value.is_some_and(|value| value.len() == 60_000)));
-    assert!(!proxy.logged("nothing that can be used"));
+    assert!(!proxy.logged("responses are unusable"));
     assert_eq!(steady.requests().len(), 4);
 }
 
@@ -232,16 +245,17 @@
         }
         true
     };
-    // One primary in the group: with two, each said to be it, routing would depend on whose report came last.
+    // The group has only one primary: with two members that report to be it, routing would depend on whose
+    // report came last.
     let primary = Member::at(listener, keeps_connection, |text, stream| serve(text, "writer", stream));
     let replica = sound("reader");
     let (proxy, _) = start_proxy(&[("a", &primary), ("b", &replica)], 192, 128, "{}");
     let mut client = Client::connect(proxy.address);
     let start = Instant::now();
-    // A rejected request never ran: it was attempted at the primary as often as the limits on retries allow.
+    // A rejected request never ran: it was attempted at the primary as often as the retry limits allow.
     let response = client.ask(&order(15000).replace("9f", &"9f".repeat(60_000)));
     assert_eq!(response.code, "53300", "{response:?}, after {:?}", start.elapsed());
-    // Reads, which the replica may serve, are served there.
+    // Reads may be served by the replica, and are.
     for _ in 0..4 {
         let response = client.ask(&look(15000).replace("'k'", &format!("'{}'", "k".repeat(120_000))));
         assert!(served(&response), "{response:?}, after {:?}", start.elapsed());
@@ -249,13 +263,14 @@
     assert!(start.elapsed() < MILLIS(15_000), "{:?}", start.elapsed());
     assert_eq!((primary.requests().len(), replica.requests().len()), (0, 4));
     is_slow.store(false, Ordering::SeqCst);
-    until("the primary is asked again", || {
+    until("the retry of the primary", || {
         served(&client.ask(&order(15000).replace("9f", &"9f".repeat(60_000))))
     });
     assert_eq!(primary.requests().len(), 1);
 }
 
-/// Members that were slow together must serve again once they are sound, not stay ejected.
+/// Members that were all slow at the same time must serve requests again once they are healthy, and not stay
+/// excluded.
 #[test]
 fn a_group_whose_members_all_trickled_serves_again_once_they_recover() {
     let is_slow = Arc::new(AtomicBool::new(true));
@@ -273,12 +288,12 @@
     clients.iter_mut().for_each(|client| client.send(&look(1500)));
     clients.iter_mut().for_each(|client| drop(client.answer().unwrap()));
     is_slow.store(false, Ordering::SeqCst);
-    until("a task is honoured again", || served(&clients[0].ask(&look(3000))));
+    until("a served request", || served(&clients[0].ask(&look(3000))));
     let succeeded = (0..50).filter(|_| served(&clients[1].ask(&look(3000)))).count();
     assert!(succeeded >= 45, "{succeeded}");
 }
 
-/// Clients that never finish a statement must not take the connection slots of others.
+/// Clients that never complete a statement must not take connection slots from other clients.
 #[test]
 fn partial_statements_sent_slowly_do_not_affect_other_clients() {
     let member = sound("writer");
@@ -293,7 +308,7 @@
         .map(|number| {
             let (address, statement) = (proxy.address, statement.clone());
             thread::spawn(move || {
-                // Half of them had a response before.
+                // Half of the clients have had a response before.
                 let Some(mut client) = Client::narrow(address) else { return };
                 if number % 2 == 0 && client.offer(&look(5000)) {
                     client.answer();
@@ -312,21 +327,21 @@
     senders.into_iter().for_each(|sender| sender.join().unwrap());
 }
 
-/// A slow reader must not hold up a shutdown.
+/// A slow reader must not delay a shutdown.
 #[test]
 fn shutdown_does_not_wait_for_slow_readers() {
     let member = primary_with_sized_values();
     let (mut proxy, _) = start_proxy(&[("a", &member)], 48, 128, SHORT_LIMITS);
     let mut slow_clients: Vec<Client> = (0..10).map(|_| Client::narrow(proxy.address).unwrap()).collect();
     slow_clients.iter_mut().for_each(|client| client.send(&read_value(900_000)));
-    until("all have been asked", || member.requests().len() == 10);
+    until("the attempts of all requests", || member.requests().len() == 10);
     let start = Instant::now();
     proxy.signal("-TERM");
     assert!(proxy.child.wait().unwrap().success());
     assert!(start.elapsed() < MILLIS(10_000), "{:?}", start.elapsed());
 }
 
-/// An operator in trouble lowers limits while the proxy runs, and may mistype.
+/// In an incident, operators lower limits while the proxy is running, and may make a typing error.
 #[test]
 fn a_reload_applies_lowered_limits_and_a_wrong_file_changes_nothing() {
     let member = primary_with_sized_values();
@@ -334,24 +349,24 @@
     let (proxy, _) = start_proxy(&[("a", &member)], 48, 128, &long_overdue_limit);
     let mut slow_clients: Vec<Client> = (0..6).map(|_| Client::narrow(proxy.address).unwrap()).collect();
     slow_clients.iter_mut().for_each(|client| client.send(&read_value(900_000)));
-    until("all have been asked", || member.requests().len() == 6);
+    until("the attempts of all requests", || member.requests().len() == 6);
     thread::sleep(MILLIS(800));
     assert!(!proxy.logged("slow clients disconnected"));
     let operator = proxy.operator.clone().unwrap();
     std::fs::write(&operator, long_overdue_limit.replace("{\"reading", "{\"room_kib\":100,\"reading"))
         .unwrap();
     proxy.signal("-HUP");
-    until("the file is refused", || proxy.logged("slow_peers.room_kib: too little"));
+    until("the rejection of the file", || proxy.logged("slow_peers.room_kib: too little"));
     assert!(!proxy.logged("slow clients disconnected"));
     let lowered_limits =
         long_overdue_limit.replace("{\"reading", "{\"room_kib\":3000,\"connection_kib\":2600,\"reading");
     std::fs::write(&operator, lowered_limits).unwrap();
     proxy.signal("-HUP");
-    until("those who are behind give way", || proxy.logged("buffer_space: "));
+    until("the disconnection of clients that are behind", || proxy.logged("buffer_space: "));
     assert!(Client::connect(proxy.address).ask(&read_value(900_000)).value.is_some());
 }
 
-/// One address must not take all connection slots where the operator forbids it.
+/// Clients of one address must not take all connection slots if the operator configuration limits them.
 #[test]
 fn connections_per_address_are_limited_if_the_operator_says_so() {
     let member = sound("writer");
@@ -365,10 +380,10 @@
     assert!(fourth.answer().is_none_or(|response| response.code == "53300"));
     assert!(clients.iter_mut().all(|client| served(&client.ask(&look(5000)))));
     drop(clients.pop());
-    until("its place is free", || Client::narrow(proxy.address).is_some());
+    until("the release of its connection slot", || Client::narrow(proxy.address).is_some());
 }
 
-/// An operator must find a mistake in the file from the message alone.
+/// The error message alone must be enough to find a mistake in the operator configuration.
 #[test]
 fn an_error_in_the_operators_file_names_its_field() {
     let valid_config = config("127.0.0.1:8500".parse().unwrap(), 256, "null");
