--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -187,15 +187,15 @@
     // Late requests, pipelined behind those that were in flight at SIGTERM.
     clients.iter_mut().for_each(|client| client.send(&look(15000)));
     hold.open();
-    let mut ends_with_answer = 0;
+    let mut closed_with_response = 0;
     for client in &mut clients {
         assert!(served(&client.answer().expect("the response to the request in flight")));
         assert!(served(&client.answer().expect("the response to the late request")));
         client.stream.set_nonblocking(true).unwrap();
-        ends_with_answer += usize::from(matches!(client.stream.peek(&mut [0]), Ok(0)));
+        closed_with_response += usize::from(matches!(client.stream.peek(&mut [0]), Ok(0)));
     }
     assert_eq!(
-        ends_with_answer,
+        closed_with_response,
         clients.len(),
         "a client may send another request before it learns of the close"
     );
--- a/crates/proxy/tests/shutdown_hung.rs
+++ b/crates/proxy/tests/shutdown_hung.rs
@@ -35,7 +35,7 @@
 /// connection ends.
 fn keep_busy(mut client: Client, signalled_at: Instant) -> Timeline {
     let mut writer = client.stream.try_clone().unwrap();
-    let writing = thread::spawn(move || {
+    let writer_thread = thread::spawn(move || {
         let mut written = Vec::new();
         while signalled_at.elapsed() < SENDING_DURATION {
             let mut query = Vec::new();
@@ -53,7 +53,7 @@
         answered.push(signalled_at.elapsed());
     }
     let ended = signalled_at.elapsed();
-    Timeline { written: writing.join().unwrap(), answered, ended }
+    Timeline { written: writer_thread.join().unwrap(), answered, ended }
 }
 
 #[test]
