--- a/crates/proxy/src/client/close.rs
+++ b/crates/proxy/src/client/close.rs
@@ -58,7 +58,7 @@
     /// Tells the dispatcher that the client no longer waits for the requests that have no response yet.
     pub(super) async fn abandon_pending_requests(&mut self) {
         while let Some(abandoned) = self.pending_responses.abandon_next() {
-            let left = ClientLeft { client: abandoned.request_id };
+            let left = ClientLeft { request_id: abandoned.request_id };
             let _ = self.context.dispatcher.send(DispatcherMessage::ClientLeft(left)).await;
         }
     }
@@ -100,7 +100,7 @@
             SockRef::from(&self.stream).set_tcp_user_timeout(Some(self.connection_guard.linger_timeout()));
         match self.unread_responses.take_reservation() {
             Some(reservation) => reservation.linger(),
-            None => return self.connection_guard.may_leave_unread(unread),
+            None => return self.connection_guard.try_reserve_lingering(unread),
         }
         true
     }
--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -16,7 +16,7 @@
 use super::shared_state::SharedState;
 use crate::flow_control::ConnectionGuard;
 use crate::lifecycle::process_context::ProcessContext;
-use crate::messages::{Answer, ClientId, ClientMessage};
+use crate::messages::{Answer, ClientMessage, ClientRequestId};
 
 /// Mailbox capacity for requests to close the connection, in messages. It is added to the capacity for one
 /// answer per pipelined statement.
@@ -27,7 +27,7 @@
     /// State shared by all actors.
     pub(super) context: Rc<ProcessContext>,
     /// Number of the connection, unique within the process.
-    pub(super) id: ClientId,
+    pub(super) id: ClientRequestId,
     /// Socket of the client.
     pub(super) stream: TcpStream,
     /// Registration with flow control, removed when dropped.
@@ -83,7 +83,7 @@
     /// Creates the actor of a connection that was just accepted.
     pub(super) fn new(
         context: Rc<ProcessContext>,
-        id: ClientId,
+        id: ClientRequestId,
         stream: TcpStream,
         connection_guard: ConnectionGuard,
     ) -> ClientConnection {
@@ -205,7 +205,7 @@
     }
 
     /// Marks the connection as served, and stores the dispatcher's answer to a request.
-    fn handle_answer(&mut self, request_id: ClientId, answer: Answer) {
+    fn handle_answer(&mut self, request_id: ClientRequestId, answer: Answer) {
         self.shared_state.was_served.set(true);
         self.pending_responses.complete(request_id, answer);
     }
--- a/crates/proxy/src/client/pending_responses.rs
+++ b/crates/proxy/src/client/pending_responses.rs
@@ -4,12 +4,12 @@
 
 use super::response::EncodedResponse;
 use crate::flow_control::BufferReservation;
-use crate::messages::{Answer, ClientId};
+use crate::messages::{Answer, ClientRequestId};
 
 /// Request that was sent to the dispatcher.
 pub(super) struct PendingRequest {
     /// Id of the request in messages to and from the dispatcher.
-    pub(super) request_id: ClientId,
+    pub(super) request_id: ClientRequestId,
     /// Key of a statement that may write; later statements on the same key wait for this one. `None` if the
     /// statement only reads or contains no key.
     pub(super) write_key: Option<String>,
@@ -30,7 +30,7 @@
     /// The dispatcher has not answered the request yet.
     Awaited {
         /// Id of the request.
-        request_id: ClientId,
+        request_id: ClientRequestId,
         /// Key that the request may write.
         write_key: Option<String>,
     },
@@ -45,7 +45,7 @@
     }
 
     /// Returns whether the dispatcher has not answered this request yet.
-    fn awaits(&self, answered: ClientId) -> bool {
+    fn awaits(&self, answered: ClientRequestId) -> bool {
         matches!(self.state, ResponseState::Awaited { request_id, .. } if request_id == answered)
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// Stores the dispatcher's answer to a request. Has no effect if the request is not awaited.
-    pub(super) fn complete(&mut self, request_id: ClientId, answer: Answer) {
+    pub(super) fn complete(&mut self, request_id: ClientRequestId, answer: Answer) {
         if let Some(pending) = self.queue.iter_mut().find(|pending| pending.awaits(request_id)) {
             pending.state = ResponseState::Ready(EncodedResponse::from_answer(answer));
         }
--- a/crates/proxy/src/client/registry.rs
+++ b/crates/proxy/src/client/registry.rs
@@ -18,7 +18,7 @@
 use super::shared_state::SharedState;
 use crate::flow_control::ConnectionGuard;
 use crate::lifecycle::process_context::ProcessContext;
-use crate::messages::{ClientId, ClientMessage};
+use crate::messages::{ClientMessage, ClientRequestId};
 
 /// Divisor of the silence before the first keepalive probe that gives the interval between further probes.
 const KEEPALIVE_INTERVAL_DIVISOR: u32 = 3;
@@ -62,7 +62,7 @@
     /// Tasks that reject connections.
     rejection_tasks: JoinSet<()>,
     /// Number of the next connection.
-    next_id: ClientId,
+    next_id: ClientRequestId,
     /// True from the time at which the clients' share of descriptors is exhausted, which is logged, until
     /// less than half of it is in use.
     share_exhausted: bool,
--- a/crates/proxy/src/client/statement.rs
+++ b/crates/proxy/src/client/statement.rs
@@ -6,7 +6,7 @@
 use super::close::CloseReason;
 use super::connection::ClientConnection;
 use super::pending_responses::PendingRequest;
-use crate::messages::{ClientId, ClientRequest, DispatcherMessage};
+use crate::messages::{ClientRequest, ClientRequestId, DispatcherMessage};
 
 /// Number of low bits of a request id that hold the request's number within its connection. The bits above
 /// hold the number of the connection.
@@ -74,7 +74,7 @@
         let received_at = self.receipt_times.received_at(self.buffer.is_empty());
         self.is_past_arrival_window = self.context.is_past_arrival_window(received_at);
         let request = ClientRequest {
-            client: request_id,
+            request_id,
             peer: self.connection_guard.peer,
             mailbox: self.mailbox_sender.clone(),
             received_at: self.context.clock.at(received_at),
@@ -87,7 +87,7 @@
     }
 
     /// Returns a new id for the connection's next request.
-    fn next_request_id(&mut self) -> ClientId {
+    fn next_request_id(&mut self) -> ClientRequestId {
         self.requests_sent += 1;
         (self.id << REQUEST_NUMBER_BITS) + (self.requests_sent & REQUEST_NUMBER_MASK)
     }
--- a/crates/proxy/src/dispatcher/gateway/answers.rs
+++ b/crates/proxy/src/dispatcher/gateway/answers.rs
@@ -88,7 +88,7 @@
     fn answer_remote(&mut self, pending: &PendingRequest, remote: &RemoteRequest, answer: FinalAnswer) {
         let now = self.context.clock.now();
         let Some(gateway_part) = &mut self.gateway_part else { return };
-        let effect = self.decoded.router_config.classes[pending.class].effect;
+        let effect = self.settings.router_config.classes[pending.class].effect;
         let RemoteOutcome { kind, outcome, data, retry_after, hint } = RemoteOutcome::new(answer);
         let frame = ResponseFrame {
             number: remote.number,
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -30,7 +30,7 @@
 use super::open_request::WaitingClient;
 use super::outcome_log::{OutcomeLog, RecordId};
 use crate::flow_control::BufferReservation;
-use crate::messages::{ClientId, ClientRequest, LinkId};
+use crate::messages::{ClientRequest, ClientRequestId, LinkId};
 
 /// Time after a request's deadline during which its sender may still query its outcome, in microseconds.
 const QUERY_GRACE: Micros = 5_000_000;
@@ -159,7 +159,7 @@
     /// Responses that wait for the record of their outcome.
     waiting_responses: HashMap<RecordId, OutgoingResponse>,
     /// Client ID that the latest remote request was given.
-    last_remote_client_id: ClientId,
+    last_remote_client_id: ClientRequestId,
     /// Field of a statement's comment that names the session; `None` if sessions are not named.
     session_field: Option<String>,
     ended_counts: EndedRequestCounts,
--- a/crates/proxy/src/dispatcher/gateway/site_actions.rs
+++ b/crates/proxy/src/dispatcher/gateway/site_actions.rs
@@ -8,7 +8,7 @@
 use super::answers::FinalAnswer;
 use super::{GatewayPart, PendingRequest, SentRequest};
 use crate::dispatcher::Dispatcher;
-use crate::dispatcher::requests::Handover;
+use crate::dispatcher::requests::RouterSubmission;
 use crate::messages::Answer;
 
 /// An answer that has just been received for a request, from the local router or another gateway.
@@ -75,7 +75,7 @@
         let class = pending.class;
         let deadline = self.context.clock.now() + timeout;
         let (local_handle, actions) =
-            self.hand_over(Handover { request, class, deadline, via: Some(handle) });
+            self.submit_to_router(RouterSubmission { request, class, deadline, site_handle: Some(handle) });
         if let Some(pending) = self.pending_request_mut(handle) {
             pending.local_handle = Some(local_handle);
         }
@@ -144,7 +144,7 @@
     fn request_frame(&self, pending: &PendingRequest, now: Micros) -> RequestFrame {
         let request = &pending.request;
         // Zero on the wire means that no last write is known, so a known age is sent as at least 1.
-        let written_ago = request.last_write(now).map_or(0, |ago| ago.max(1));
+        let written_ago = request.last_write_age_at(now).map_or(0, |ago| ago.max(1));
         let mut visited = pending.visited.clone();
         visited.push(self.identity.site.clone());
         RequestFrame {
