--- a/crates/proxy/src/lifecycle/process_context.rs
+++ b/crates/proxy/src/lifecycle/process_context.rs
@@ -53,18 +53,18 @@
 
     /// How long a request that arrives now may take before the process may be killed; `None` unless it is to stop.
     pub fn time_left_at_shutdown(&self) -> Option<Duration> {
-        let accepted_until = (*self.stopping.borrow())?;
+        let accept_deadline = (*self.stopping.borrow())?;
         let limits = &self.limits.shutdown;
-        let answered_by = accepted_until + (limits.deadline - limits.accept_window);
-        Some(answered_by.saturating_duration_since(Instant::now()))
+        let response_deadline = accept_deadline + (limits.deadline - limits.accept_window);
+        Some(response_deadline.saturating_duration_since(Instant::now()))
     }
 
     /// Whether the process shuts down, and was asked to so long before `received_at` that a request that arrived then is owed
     /// no answer.
     pub fn is_past_arrival_window(&self, received_at: Instant) -> bool {
         let limits = &self.limits.shutdown;
-        let arrives_until =
-            (*self.stopping.borrow()).map(|until| until + (limits.arrival_window - limits.accept_window));
-        arrives_until.is_some_and(|arrives_until| received_at >= arrives_until)
+        let arrival_deadline = (*self.stopping.borrow())
+            .map(|accept_deadline| accept_deadline + (limits.arrival_window - limits.accept_window));
+        arrival_deadline.is_some_and(|arrival_deadline| received_at >= arrival_deadline)
     }
 }
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -14,7 +14,7 @@
 use crate::messages::DispatcherMessage;
 
 /// What the actor reads, and whom it tells.
-pub struct Reload {
+pub struct ReloadActor {
     /// The files that are read again.
     pub files: ConfigurationFiles,
     /// What the last reading said of the fields that cannot change.
@@ -31,7 +31,7 @@
     pub log: Logger,
 }
 
-impl Reload {
+impl ReloadActor {
     /// Reloads on every SIGHUP. Files that cannot be used change nothing.
     pub async fn run(mut self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
@@ -54,8 +54,9 @@
         // If the dispatcher is gone, the process is about to end.
         let _ = self.dispatcher.send(DispatcherMessage::ShadowReplaced(shadow)).await;
         self.coordination.send_replace(configuration.operator.coordination);
-        let moved = self.update_discovery(configuration.discovery);
-        info!(self.log, "configuration reloaded"; "discovery" => %configuration.discovery, "moved" => moved);
+        let address_changed = self.update_discovery(configuration.discovery);
+        info!(self.log, "configuration reloaded";
+            "discovery" => %configuration.discovery, "moved" => address_changed);
     }
 
     /// Tells the new address to the discovery watch; whether it differs from the old one.
--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -57,8 +57,8 @@
     /// The dispatcher ended before the signal, or the listener failed.
     pub async fn run(mut self, mut signals: StopSignals) -> Result<(), ProgramError> {
         tokio::select! {
-            () = signals.received() => {}
-            ended = &mut self.dispatcher => return Err(ended_early(Actor::Dispatcher, ended)),
+            () = signals.wait() => {}
+            result = &mut self.dispatcher => return Err(early_end_error(Actor::Dispatcher, result)),
         }
         self.shut_down().await
     }
@@ -86,8 +86,8 @@
     }
 }
 
-fn ended_early(actor: Actor, ended: Result<(), JoinError>) -> ProgramError {
-    match ended {
+fn early_end_error(actor: Actor, result: Result<(), JoinError>) -> ProgramError {
+    match result {
         Ok(()) => ProgramError::ActorStopped { actor },
         Err(source) => ProgramError::ActorFailed { actor, source },
     }
--- a/crates/proxy/src/lifecycle/signals.rs
+++ b/crates/proxy/src/lifecycle/signals.rs
@@ -25,16 +25,16 @@
     ///
     /// The system refuses one.
     pub fn install() -> Result<Signals, ProgramError> {
-        let terminate = install(SignalKind::terminate())?;
-        let interrupt = install(SignalKind::interrupt())?;
-        let hangup = install(SignalKind::hangup())?;
+        let terminate = install_handler(SignalKind::terminate())?;
+        let interrupt = install_handler(SignalKind::interrupt())?;
+        let hangup = install_handler(SignalKind::hangup())?;
         Ok(Signals { stop: StopSignals { terminate, interrupt }, hangup })
     }
 }
 
 impl StopSignals {
     /// Waits for one of them.
-    pub async fn received(&mut self) {
+    pub async fn wait(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
@@ -42,6 +42,6 @@
     }
 }
 
-fn install(kind: SignalKind) -> Result<Signal, ProgramError> {
+fn install_handler(kind: SignalKind) -> Result<Signal, ProgramError> {
     signal(kind).map_err(ProgramError::SignalHandlers)
 }
--- a/crates/proxy/src/lifecycle/startup/actors.rs
+++ b/crates/proxy/src/lifecycle/startup/actors.rs
@@ -25,7 +25,7 @@
 use crate::lifecycle::errors::ProgramError;
 use crate::lifecycle::immutable_fields::ImmutableFields;
 use crate::lifecycle::process_context::ProcessContext;
-use crate::lifecycle::reload::Reload;
+use crate::lifecycle::reload::ReloadActor;
 use crate::lifecycle::shutdown::RunningProxy;
 use crate::membership::{CoordinationStart, MembershipActor, MembershipStart};
 use crate::messages::ListUpdate;
@@ -73,12 +73,12 @@
             send_first_list(&mut configuration, &persisted.warm_state, &channels.discovery.list_updates)
                 .await;
         let gateway_part = gateway::start(&context, &mut configuration, &mut persisted)?;
-        let observations = observations(&context, &configuration);
+        let observations = start_observations(&context, &configuration);
         let reloads = channels.coordination;
         let is_gateway = gateway_part.is_some();
         let membership =
             spawn_membership(&context, &mut configuration, persisted.directory, reloads, is_gateway).await?;
-        let watch = discovery_watch(&context, &configuration, channels.discovery, revision);
+        let watch = create_discovery_watch(&context, &configuration, channels.discovery, revision);
         let inputs = DispatcherInputs {
             gateway_part,
             warm_state: persisted.warm_state,
@@ -101,7 +101,7 @@
     immutable: ImmutableFields,
     hangup: Signal,
 ) {
-    let reload = Reload {
+    let reload = ReloadActor {
         files,
         immutable,
         discovery: channels.discovery,
@@ -149,7 +149,7 @@
 }
 
 /// What is observed of this process for the fleet's decisions; `None` where nothing is decided in common.
-fn observations(context: &ProcessContext, configuration: &Configuration) -> Option<Observations> {
+fn start_observations(context: &ProcessContext, configuration: &Configuration) -> Option<Observations> {
     let coordination = configuration.operator.coordination.as_ref()?;
     let has_split_points = coordination.leases.contains(&LeaseKind::SplitPoints);
     let seed = configuration.seed.rotate_left(OBSERVATIONS_SEED_ROTATION);
@@ -228,7 +228,7 @@
 }
 
 /// The discovery watch, which waits before it first asks: processes that start together do not ask together.
-fn discovery_watch(
+fn create_discovery_watch(
     context: &Rc<ProcessContext>,
     configuration: &Configuration,
     channels: DiscoveryChannels,
--- a/crates/proxy/src/lifecycle/startup/gateway.rs
+++ b/crates/proxy/src/lifecycle/startup/gateway.rs
@@ -20,8 +20,8 @@
 /// Requests that another gateway may have under way here, where the operator's file does not say.
 const DEFAULT_CREDIT: u32 = 256;
 /// What may wait to be written to one link is this part of the buffer budget, and no less than the bytes below.
-const LINK_SHARE_OF_BUDGET: usize = 8;
-const MIN_LINK_BACKLOG: usize = 256 * 1024;
+const LINK_BUDGET_DIVISOR: usize = 8;
+const MIN_LINK_QUEUE_BYTES: usize = 256 * 1024;
 
 /// Starts the links, if the operator's file has a gateway; `None` if not. Home sites that a former start saved come before
 /// those of the file.
@@ -37,19 +37,19 @@
     let Some(mut gateway) = configuration.operator.gateway.take() else { return Ok(None) };
     gateway.homes.extend(std::mem::take(&mut persisted.warm_state.restored.home_sites));
     let now = context.clock.now();
-    let own = Identity {
+    let own_identity = Identity {
         site: gateway.site.clone(),
         instance: configuration.name.clone(),
         // New with every start: the time of it, which a restart does not share.
         incarnation: now.max(1) as u64,
     };
-    let registry = LinkRegistry::new(own.clone(), &gateway, link_config(context, configuration));
+    let registry = LinkRegistry::new(own_identity.clone(), &gateway, link_config(context, configuration));
     accept_links(context, &registry, &gateway)?;
     gateway::maintain_links(context, &registry, &gateway.peers, configuration.seed);
     if let Some(path) = &gateway.status {
         spawn_local(gateway::serve_status(context.clone(), path.clone()));
     }
-    let setup = gateway_setup(context, own, gateway, persisted);
+    let setup = gateway_setup(context, own_identity, gateway, persisted);
     Ok(Some(GatewayPart::new(setup, &configuration.settings, configuration.seed, now)))
 }
 
@@ -58,7 +58,7 @@
     let budget = configuration.flow_limits.budget as usize;
     let buffers = &context.limits.buffers;
     LinkConfig {
-        max_queued: (budget / LINK_SHARE_OF_BUDGET).max(MIN_LINK_BACKLOG),
+        max_queued: (budget / LINK_BUDGET_DIVISOR).max(MIN_LINK_QUEUE_BYTES),
         ..LinkConfig::standard(buffers.statement, buffers.response)
     }
 }
@@ -82,12 +82,12 @@
 /// What the dispatcher's part starts with.
 fn gateway_setup(
     context: &ProcessContext,
-    own: Identity,
+    own_identity: Identity,
     gateway: GatewayConfig,
     persisted: &PersistedState,
 ) -> GatewaySetup {
     GatewaySetup {
-        identity: own,
+        identity: own_identity,
         peers: gateway.peers.iter().map(|peer| peer.site.clone()).collect(),
         homes: gateway.homes.into_iter().collect(),
         max_hops: gateway.hops.unwrap_or(DEFAULT_MAX_HOPS) as usize,
--- a/crates/proxy/src/lifecycle/startup/resources.rs
+++ b/crates/proxy/src/lifecycle/startup/resources.rs
@@ -99,7 +99,7 @@
         let unstalled_clock = UnstalledClock::start(clock);
         let flow_control =
             FlowControl::new(unstalled_clock.clone(), logger.clone(), configuration.flow_limits);
-        let listener = listen(&configuration)?;
+        let listener = listen_for_clients(&configuration)?;
         let (channels, shared) = open_channels(&configuration);
         let context = Rc::new(ProcessContext {
             clock,
@@ -120,7 +120,7 @@
     }
 }
 
-fn listen(configuration: &Configuration) -> Result<TcpListener, ProgramError> {
+fn listen_for_clients(configuration: &Configuration) -> Result<TcpListener, ProgramError> {
     let address = configuration.listen;
     let limits = &configuration.limits;
     system::listen(address, limits.queues.listen_backlog, limits.buffers.client_socket)
@@ -129,25 +129,25 @@
 
 fn open_channels(configuration: &Configuration) -> (Channels, SharedChannels) {
     let queues = &configuration.limits.queues;
-    let (discovery_changes, discovery) = watch::channel(configuration.discovery);
-    let (coordination_changes, coordination) = watch::channel(None);
+    let (discovery_sender, discovery) = watch::channel(configuration.discovery);
+    let (coordination_sender, coordination) = watch::channel(None);
     let (dispatcher, messages) = mpsc::channel(queues.dispatcher);
     let (list_updates, received_list_updates) = mpsc::channel(queues.list_updates);
-    let (has_list, ready) = watch::channel(false);
+    let (ready_sender, ready) = watch::channel(false);
     let (stop, stopping) = watch::channel(None);
-    let on_request = configuration.settings.router_config.list_requires_subscription;
+    let list_on_request = configuration.settings.router_config.list_requires_subscription;
     let (list_requests, received_list_requests) = mpsc::channel(1);
     let channels = Channels {
-        reload: ReloadChannels { discovery: discovery_changes, coordination: coordination_changes },
+        reload: ReloadChannels { discovery: discovery_sender, coordination: coordination_sender },
         dispatcher: DispatcherChannels {
             messages,
             list_updates: received_list_updates,
-            ready: has_list,
-            list_requests: on_request.then_some(list_requests),
+            ready: ready_sender,
+            list_requests: list_on_request.then_some(list_requests),
         },
         discovery: DiscoveryChannels {
             list_updates,
-            list_requests: on_request.then_some(received_list_requests),
+            list_requests: list_on_request.then_some(received_list_requests),
         },
         coordination,
         stop,
--- a/crates/proxy/src/persistence/data_directory.rs
+++ b/crates/proxy/src/persistence/data_directory.rs
@@ -40,8 +40,8 @@
 
     /// Opens it for writing. Only the first call counts.
     pub(super) fn set_committer(&self, committer: Committer) {
-        if let Err(second) = self.committer.set(committer) {
-            second.detach();
+        if let Err(duplicate) = self.committer.set(committer) {
+            duplicate.detach();
         }
     }
 
@@ -51,11 +51,11 @@
     pub fn write(&self, batch: Batch, confirmations: &mpsc::Sender<bool>) -> bool {
         let Some(committer) = self.committer.get() else { return false };
         let confirmations = confirmations.clone();
-        let done = move |is_written| {
+        let on_complete = move |is_written| {
             // A receiver that is gone needs no confirmation.
             let _ = confirmations.try_send(is_written);
         };
-        committer.write(batch, Box::new(done)).is_ok()
+        committer.write(batch, Box::new(on_complete)).is_ok()
     }
 }
 
--- a/crates/proxy/src/persistence/errors.rs
+++ b/crates/proxy/src/persistence/errors.rs
@@ -33,7 +33,7 @@
     SpawnThread(io::Error),
     /// The thread of an attempt panicked.
     #[error("the thread that opens it ended; see the lines before this one")]
-    ThreadEnded,
+    ThreadPanicked,
 }
 
 impl From<StoreError> for OpenError {
--- a/crates/proxy/src/persistence/maintenance.rs
+++ b/crates/proxy/src/persistence/maintenance.rs
@@ -8,7 +8,7 @@
 use crate::lifecycle::errors::ProgramError;
 
 /// Reads whatever a proxy may have written, however much memory that proxy had. Sizes are in bytes.
-const UNLIMITED: Limits = Limits {
+const MAINTENANCE_LIMITS: Limits = Limits {
     max_segment_bytes: 4 << 20,
     max_batch_bytes: 1 << 30,
     max_live_bytes: 1 << 40,
@@ -17,20 +17,20 @@
 
 /// Prints what a recovery would find; whether nothing is damaged.
 pub fn check(folder: &str) -> Result<bool, ProgramError> {
-    let (_, recovered) = read(folder)?;
+    let (_, recovery_report) = read_store(folder)?;
     println!(
         "{} segments, {} records, {} bytes of a torn end",
-        recovered.segments, recovered.records, recovered.torn_bytes
+        recovery_report.segments, recovery_report.records, recovery_report.torn_bytes
     );
-    for damage in &recovered.damage {
+    for damage in &recovery_report.damage {
         println!("damaged: segment {} from byte {} to {}", damage.segment, damage.from, damage.to);
     }
-    Ok(recovered.damage.is_empty())
+    Ok(recovery_report.damage.is_empty())
 }
 
 /// Prints every record as a line of JSON. A value that is not JSON is printed as a string.
 pub fn dump(folder: &str) -> Result<(), ProgramError> {
-    let (snapshot, _) = read(folder)?;
+    let (snapshot, _) = read_store(folder)?;
     for (namespace, key, value) in snapshot.entries() {
         let value = serde_json::from_slice(value)
             .unwrap_or_else(|_| serde_json::Value::String(String::from_utf8_lossy(value).into_owned()));
@@ -43,21 +43,22 @@
 /// Writes the live records to one segment. Fails while a proxy has the directory open.
 pub fn compact(folder: &str) -> Result<(), ProgramError> {
     // Nothing is opened for writing that could not be read.
-    read(folder)?;
-    let failed = |error: StoreError| ProgramError::DataDirectory { folder: folder.to_owned(), source: error };
-    let disk = Disk::open(Path::new(folder)).map_err(|error| failed(error.into()))?;
-    let (mut store, _) = Store::open(disk, UNLIMITED, unix_now()).map_err(failed)?;
+    read_store(folder)?;
+    let data_directory_error =
+        |error: StoreError| ProgramError::DataDirectory { folder: folder.to_owned(), source: error };
+    let disk = Disk::open(Path::new(folder)).map_err(|error| data_directory_error(error.into()))?;
+    let (mut store, _) = Store::open(disk, MAINTENANCE_LIMITS, unix_now()).map_err(data_directory_error)?;
     let bytes_before = store.log_bytes();
-    store.compact().map_err(failed)?;
+    store.compact().map_err(data_directory_error)?;
     let bytes_now = store.log_bytes();
     println!("{bytes_before} bytes before, {bytes_now} now");
     Ok(())
 }
 
-fn read(folder: &str) -> Result<(Snapshot, RecoveryReport), ProgramError> {
+fn read_store(folder: &str) -> Result<(Snapshot, RecoveryReport), ProgramError> {
     if !Path::new(folder).is_dir() {
         return Err(ProgramError::NoDataDirectory(folder.to_owned()));
     }
-    Store::read(Disk::open_read_only(Path::new(folder)), UNLIMITED, unix_now())
+    Store::read(Disk::open_read_only(Path::new(folder)), MAINTENANCE_LIMITS, unix_now())
         .map_err(|error| ProgramError::DataDirectory { folder: folder.to_owned(), source: error })
 }
--- a/crates/proxy/src/persistence/mod.rs
+++ b/crates/proxy/src/persistence/mod.rs
@@ -41,26 +41,26 @@
     pub snapshots: watch::Sender<Option<StateSnapshot>>,
 }
 
-/// Opens the data directory of the proxy called `name`, and starts the actor that saves snapshots; `memory` is what the
+/// Opens the data directory of the proxy called `name`, and starts the actor that saves snapshots; `memory_bytes` is what the
 /// process may use, in bytes. A failure is logged and never ends the process: opening is tried again for as long as it
 /// lives, and the directory's users hold back what they could only claim by what it holds.
 pub async fn start(
-    warm: &WarmStartConfig,
+    config: &WarmStartConfig,
     name: &str,
-    memory: u64,
+    memory_bytes: u64,
     clock: Clock,
     log: &Logger,
 ) -> Persistence {
-    let (snapshots, published) = watch::channel(None);
-    let opener = Opener::new(Path::new(&warm.folder), name, memory, clock, log, published);
+    let (snapshots, published_snapshots) = watch::channel(None);
+    let opener = Opener::new(Path::new(&config.folder), name, memory_bytes, clock, log, published_snapshots);
     let directory = opener.directory.clone();
-    let (first_restored, restored) = oneshot::channel();
-    spawn_local(opener.run(first_restored));
-    let restored = match timeout(OPEN_TIMEOUT, restored).await {
+    let (restored_sender, restored_receiver) = oneshot::channel();
+    spawn_local(opener.run(restored_sender));
+    let restored = match timeout(OPEN_TIMEOUT, restored_receiver).await {
         Ok(restored) => restored.unwrap_or_default(),
         Err(_) => {
             warn!(log, "data directory unavailable, state is neither restored nor saved";
-                "folder" => &warm.folder, "error" => %OpenError::TimedOut(OPEN_TIMEOUT));
+                "folder" => &config.folder, "error" => %OpenError::TimedOut(OPEN_TIMEOUT));
             RestoredState::default()
         }
     };
--- a/crates/proxy/src/persistence/open_attempt.rs
+++ b/crates/proxy/src/persistence/open_attempt.rs
@@ -44,11 +44,11 @@
     /// Makes the attempt; `lock` is that of an earlier one that could read the directory.
     pub async fn run_on_thread(self, lock: Option<Disk>) -> Result<OpenedDirectory, OpenError> {
         let (sender, outcome) = oneshot::channel();
-        let work = move || {
+        let thread_body = move || {
             let _ = sender.send(self.run(lock));
         };
-        std::thread::Builder::new().spawn(work).map_err(OpenError::SpawnThread)?;
-        outcome.await.map_err(|_| OpenError::ThreadEnded)?
+        std::thread::Builder::new().spawn(thread_body).map_err(OpenError::SpawnThread)?;
+        outcome.await.map_err(|_| OpenError::ThreadPanicked)?
     }
 
     /// A directory that is refused is left as it is.
@@ -56,12 +56,12 @@
         let now = self.clock.now();
         let lock = match lock {
             Some(lock) => lock,
-            None => self.lock(now)?,
+            None => self.lock_directory(now)?,
         };
         // Read under the lock, and so after the last write of the process that had it before.
         match Store::open(lock.share_lock(), self.limits, now) {
-            Ok((store, recovered)) => {
-                let contents = self.check(now, store.snapshot(), recovered)?;
+            Ok((store, recovery_report)) => {
+                let contents = self.validate(now, store.snapshot(), recovery_report)?;
                 // Of this process's clock, which no step of the wall clock moves.
                 let clock = self.clock;
                 let committer = Committer::start(store, MAX_QUEUED_BATCHES, move || clock.now());
@@ -69,8 +69,8 @@
             }
             // The disk may be full, or fail otherwise when written to, and still be readable.
             Err(error) => {
-                let (snapshot, recovered) = Store::read(lock.share_lock(), self.limits, now)?;
-                let contents = self.check(now, snapshot, recovered)?;
+                let (snapshot, recovery_report) = Store::read(lock.share_lock(), self.limits, now)?;
+                let contents = self.validate(now, snapshot, recovery_report)?;
                 Ok(OpenedDirectory { lock, contents, committer: Err(error) })
             }
         }
@@ -78,24 +78,25 @@
 
     /// Locks the directory, and makes it where there is none. It is read first, so that one that belongs to another
     /// proxy is not even touched.
-    fn lock(&self, now: i64) -> Result<Disk, OpenError> {
+    fn lock_directory(&self, now: i64) -> Result<Disk, OpenError> {
         if self.path.exists() {
-            let (snapshot, recovered) = Store::read(Disk::open_read_only(&self.path), self.limits, now)?;
-            self.check(now, snapshot, recovered)?;
+            let (snapshot, recovery_report) =
+                Store::read(Disk::open_read_only(&self.path), self.limits, now)?;
+            self.validate(now, snapshot, recovery_report)?;
         }
         Disk::open(&self.path).map_err(OpenError::Lock)
     }
 
     /// What the store holds, if that is this proxy's and undamaged.
-    fn check(
+    fn validate(
         &self,
         now: i64,
         snapshot: Snapshot,
-        recovered: RecoveryReport,
+        recovery_report: RecoveryReport,
     ) -> Result<DirectoryContents, OpenError> {
         let restored = restore(&self.name, now, snapshot.entries())?;
-        if !recovered.damage.is_empty() {
-            return Err(OpenError::Damaged(recovered.damage.len()));
+        if !recovery_report.damage.is_empty() {
+            return Err(OpenError::Damaged(recovery_report.damage.len()));
         }
         let records = snapshot
             .entries()
--- a/crates/proxy/src/persistence/opening.rs
+++ b/crates/proxy/src/persistence/opening.rs
@@ -17,9 +17,9 @@
 use crate::lifecycle::clock::Clock;
 
 /// The wait after the first attempt that failed; doubled after each that follows.
-const MIN_RETRY_WAIT: Duration = Duration::from_millis(250);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// The longest wait, and so the longest time in which a directory that can be opened again is not noticed.
-const MAX_RETRY_WAIT: Duration = Duration::from_secs(10);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 
 /// Opens the data directory, then saves snapshots in it.
 pub(super) struct Opener {
@@ -33,11 +33,11 @@
 }
 
 impl Opener {
-    /// For the directory at `path` of the proxy called `name`; `memory` is what the process may use, in bytes.
+    /// For the directory at `path` of the proxy called `name`; `memory_bytes` is what the process may use, in bytes.
     pub fn new(
         path: &Path,
         name: &str,
-        memory: u64,
+        memory_bytes: u64,
         clock: Clock,
         log: &Logger,
         snapshots: watch::Receiver<Option<StateSnapshot>>,
@@ -45,31 +45,32 @@
         let attempt = OpenAttempt {
             path: path.to_owned(),
             name: name.to_owned(),
-            limits: Limits::for_memory(memory),
+            limits: Limits::for_memory(memory_bytes),
             clock,
         };
         Opener { directory: Rc::default(), attempt, snapshots, log: log.clone(), logged_failure: None }
     }
 
-    /// Runs until nobody publishes snapshots any more. `first_restored` is sent what was restored if the first attempt
+    /// Runs until nobody publishes snapshots any more. `restored_sender` is sent what was restored if the first attempt
     /// could read the directory, and dropped if not.
-    pub async fn run(mut self, first_restored: oneshot::Sender<RestoredState>) {
-        self.open(first_restored).await;
+    pub async fn run(mut self, restored_sender: oneshot::Sender<RestoredState>) {
+        self.open(restored_sender).await;
         if self.logged_failure.is_some() {
-            info!(self.log, "data directory available, state is saved from now on"; "folder" => self.shown_path());
+            info!(self.log, "data directory available, state is saved from now on";
+                "folder" => self.display_path());
         }
-        self.into_writer().run().await;
+        self.into_snapshot_writer().run().await;
     }
 
     /// Makes attempts until the directory is open for writing.
-    async fn open(&mut self, first_restored: oneshot::Sender<RestoredState>) {
-        let mut first_restored = Some(first_restored);
+    async fn open(&mut self, restored_sender: oneshot::Sender<RestoredState>) {
+        let mut restored_sender = Some(restored_sender);
         let mut lock: Option<Disk> = None;
-        let mut wait = MIN_RETRY_WAIT;
+        let mut delay = MIN_RETRY_DELAY;
         loop {
             match self.attempt.clone().run_on_thread(lock.take()).await {
                 Ok(opened) => {
-                    self.publish(opened.contents, first_restored.take());
+                    self.publish_contents(opened.contents, restored_sender.take());
                     match opened.committer {
                         Ok(committer) => return self.directory.set_committer(committer),
                         Err(error) => self.log_failure(&OpenFailure::NotWritable(error.into())),
@@ -79,14 +80,18 @@
                 Err(error) => self.log_failure(&OpenFailure::Unavailable(error)),
             }
             // The start goes on without restored state, which is of no use later: this process then knows better.
-            first_restored = None;
-            sleep(wait).await;
-            wait = (wait * 2).min(MAX_RETRY_WAIT);
+            restored_sender = None;
+            sleep(delay).await;
+            delay = (delay * 2).min(MAX_RETRY_DELAY);
         }
     }
 
     /// Makes what the directory held known, the first time that it is read.
-    fn publish(&self, contents: DirectoryContents, first_restored: Option<oneshot::Sender<RestoredState>>) {
+    fn publish_contents(
+        &self,
+        contents: DirectoryContents,
+        restored_sender: Option<oneshot::Sender<RestoredState>>,
+    ) {
         if self.directory.records().is_some() {
             return;
         }
@@ -95,8 +100,8 @@
             "primaries" => restored.snapshot.primaries.len(), "unusable_records" => restored.unusable_records,
             "newest_confirmation_age_ms" => restored.newest_confirmation_age.map(|age| age / 1000));
         self.directory.set_records(records);
-        if let Some(first_restored) = first_restored {
-            let _ = first_restored.send(restored);
+        if let Some(restored_sender) = restored_sender {
+            let _ = restored_sender.send(restored);
         }
     }
 
@@ -109,20 +114,20 @@
         match failure {
             OpenFailure::Unavailable(error) => {
                 warn!(self.log, "data directory unavailable, state is neither restored nor saved";
-                    "folder" => self.shown_path(), "error" => %error);
+                    "folder" => self.display_path(), "error" => %error);
             }
             OpenFailure::NotWritable(error) => {
                 warn!(self.log, "data directory not writable, state is restored but not saved";
-                    "folder" => self.shown_path(), "error" => %error);
+                    "folder" => self.display_path(), "error" => %error);
             }
         }
     }
 
-    fn shown_path(&self) -> String {
+    fn display_path(&self) -> String {
         self.attempt.path.display().to_string()
     }
 
-    fn into_writer(self) -> SnapshotWriter {
+    fn into_snapshot_writer(self) -> SnapshotWriter {
         let records = self.directory.records().into_iter().flatten();
         let stored = records.map(|record| (record.namespace, record.key.clone()));
         let saved = SavedState::new(&self.attempt.name, stored);
--- a/crates/proxy/src/persistence/writer.rs
+++ b/crates/proxy/src/persistence/writer.rs
@@ -16,7 +16,7 @@
 /// A write that is not confirmed within this time counts as failed.
 const CONFIRMATION_TIMEOUT: Micros = 2_000_000;
 /// Writes that may wait for their confirmation.
-const MAX_IN_FLIGHT: usize = 8;
+const MAX_UNCONFIRMED_WRITES: usize = 8;
 
 /// Saves snapshots in a directory that is open for writing.
 pub(super) struct SnapshotWriter {
@@ -26,9 +26,9 @@
     /// What is to be saved; the newest counts.
     snapshots: watch::Receiver<Option<StateSnapshot>>,
     /// Whether the disk keeps up, and so what it may be handed.
-    disk: DiskCircuitBreaker,
+    circuit_breaker: DiskCircuitBreaker,
     /// The state of the disk that was logged last.
-    logged_state: DiskState,
+    logged_disk_state: DiskState,
     clock: Clock,
     log: Logger,
 }
@@ -42,16 +42,24 @@
         clock: Clock,
         log: Logger,
     ) -> SnapshotWriter {
-        let disk = DiskCircuitBreaker::new(CONFIRMATION_TIMEOUT, MAX_IN_FLIGHT);
-        SnapshotWriter { directory, saved, snapshots, disk, logged_state: DiskState::Healthy, clock, log }
+        let circuit_breaker = DiskCircuitBreaker::new(CONFIRMATION_TIMEOUT, MAX_UNCONFIRMED_WRITES);
+        SnapshotWriter {
+            directory,
+            saved,
+            snapshots,
+            circuit_breaker,
+            logged_disk_state: DiskState::Healthy,
+            clock,
+            log,
+        }
     }
 
     /// Runs until nobody publishes snapshots any more.
     pub async fn run(mut self) {
         // Those of writes that timed out may still come.
-        let (confirmations, mut confirmed) = mpsc::channel(MAX_IN_FLIGHT * 2);
+        let (confirmations, mut confirmation_receiver) = mpsc::channel(MAX_UNCONFIRMED_WRITES * 2);
         loop {
-            let timeout_at = self.disk.timeout_at().map(|at| self.clock.instant(at));
+            let timeout_at = self.circuit_breaker.timeout_at().map(|at| self.clock.instant(at));
             tokio::select! {
                 changed = self.snapshots.changed() => {
                     if changed.is_err() {
@@ -59,9 +67,9 @@
                     }
                     self.save_newest(&confirmations);
                 }
-                Some(is_written) = confirmed.recv() => self.write_finished(is_written),
+                Some(is_written) = confirmation_receiver.recv() => self.record_write_result(is_written),
                 () = sleep_until(timeout_at.unwrap_or_else(Instant::now)), if timeout_at.is_some() => {
-                    if self.disk.check_timeout(self.clock.now()) {
+                    if self.circuit_breaker.check_timeout(self.clock.now()) {
                         self.saved.write_failed();
                     }
                 }
@@ -74,36 +82,37 @@
     fn save_newest(&mut self, confirmations: &mpsc::Sender<bool>) {
         let Some(snapshot) = self.snapshots.borrow_and_update().clone() else { return };
         let now = self.clock.now();
-        let is_lagging = !matches!(self.disk.state(), DiskState::Healthy) && self.disk.timeout_at().is_some();
-        if is_lagging || !self.disk.admit_write(now, true) {
+        let is_lagging = !matches!(self.circuit_breaker.state(), DiskState::Healthy)
+            && self.circuit_breaker.timeout_at().is_some();
+        if is_lagging || !self.circuit_breaker.admit_write(now, true) {
             return;
         }
-        let batch = batch(self.saved.changes(now, snapshot));
+        let batch = build_batch(self.saved.changes(now, snapshot));
         if batch.is_empty() {
-            self.disk.write_confirmed(now);
+            self.circuit_breaker.write_confirmed(now);
         } else if !self.directory.write(batch, confirmations) {
-            self.write_failed();
+            self.record_write_failure();
         }
     }
 
-    fn write_finished(&mut self, is_written: bool) {
+    fn record_write_result(&mut self, is_written: bool) {
         if !is_written {
-            return self.write_failed();
+            return self.record_write_failure();
         }
-        self.disk.write_confirmed(self.clock.now());
-        if self.disk.timeout_at().is_none() {
+        self.circuit_breaker.write_confirmed(self.clock.now());
+        if self.circuit_breaker.timeout_at().is_none() {
             self.saved.writes_confirmed();
         }
     }
 
-    fn write_failed(&mut self) {
-        self.disk.write_failed(self.clock.now());
+    fn record_write_failure(&mut self) {
+        self.circuit_breaker.write_failed(self.clock.now());
         self.saved.write_failed();
     }
 
     fn log_state_change(&mut self) {
-        let state = self.disk.state();
-        if discriminant(&state) == discriminant(&self.logged_state) {
+        let state = self.circuit_breaker.state();
+        if discriminant(&state) == discriminant(&self.logged_disk_state) {
             return;
         }
         match state {
@@ -113,11 +122,11 @@
                 warn!(self.log, "state is not saved, disk writes fail or time out")
             }
         }
-        self.logged_state = state;
+        self.logged_disk_state = state;
     }
 }
 
-fn batch(changes: Vec<Change>) -> Batch {
+fn build_batch(changes: Vec<Change>) -> Batch {
     let mut batch = Batch::default();
     for Change { namespace, key, value } in changes {
         match value {
