--- a/crates/proxy/src/lifecycle/mod.rs
+++ b/crates/proxy/src/lifecycle/mod.rs
@@ -1,5 +1,5 @@
-//! From the configuration to the end of the process: what it is started with, start, reload and shutdown, its clocks and
-//! limits, and its errors.
+//! The life of the process: configuration, startup, reload and shutdown, together with clocks, limits,
+//! logging, signals and errors.
 
 pub mod boot_clock;
 pub mod clock;
--- a/crates/proxy/src/lifecycle/process_context.rs
+++ b/crates/proxy/src/lifecycle/process_context.rs
@@ -1,4 +1,4 @@
-//! What all actors of the process share.
+//! The context that all actors of the process share: clocks, limits, log, channels and flow control.
 
 use std::cell::Cell;
 use std::collections::HashSet;
@@ -17,41 +17,47 @@
 use crate::lifecycle::limits::Limits;
 use crate::messages::DispatcherMessage;
 
-/// What all actors share. Every actor has a reference to it; it is never changed as a whole, and lives as long as the process.
+/// The context that all actors share. Every actor holds a reference to it. The context is never replaced and
+/// lives as long as the process.
 pub struct ProcessContext {
-    /// The router's clock, which never steps.
+    /// The router's clock, which starts at Unix time and never steps.
     pub clock: Clock,
-    /// The clock that leaves out the time in which the process was stalled.
+    /// The clock that excludes the time during which the process was stalled.
     pub unstalled_clock: UnstalledClock,
-    /// Sizes, counts and times that bound the process.
+    /// Limits of the process: buffer sizes, connection counts, queue lengths and timeouts.
     pub limits: Limits,
-    /// Where actors log.
+    /// The logger of all actors.
     pub log: Logger,
-    /// Where discovery is, as the configuration last said.
+    /// The address of discovery, from the configuration that was last loaded.
     pub discovery: watch::Receiver<SocketAddr>,
-    /// The dispatcher's mailbox.
+    /// The sending end of the dispatcher's mailbox.
     pub dispatcher: mpsc::Sender<DispatcherMessage>,
-    /// Whether there is an endpoint list to decide on: requests wait for it.
+    /// Whether an endpoint list is available. Requests wait until it is.
     pub ready: watch::Receiver<bool>,
-    /// `None` until the process is to stop; then until when new connections are accepted.
+    /// The state of shutdown: `None` until it begins, then the instant until which new connections are
+    /// accepted.
     pub stopping: watch::Receiver<Option<Instant>>,
-    /// The buffer budget, and who is too slow.
+    /// The buffer budget and the detection of slow peers.
     pub flow_control: Rc<FlowControl>,
-    /// The names of the request classes that may use the buffer space reserved for the best paid.
+    /// The names of the request classes that may use the buffer space reserved for [`Priority::Highest`].
     pub highest_priority_classes: HashSet<String>,
-    /// One permit for each connection to a member: `limits.connections.members` at once, idle ones included.
+    /// One permit for each connection to a member, including idle connections. There are
+    /// `limits.connections.members` permits.
     pub member_connection_permits: Arc<Semaphore>,
-    /// How many new connections wait for such a permit: while any does, no connection to a member is kept idle.
+    /// Number of new connections that wait for a permit of `member_connection_permits`. While it is above
+    /// zero, no connection to a member is kept idle.
     pub waiting_for_permit: Cell<usize>,
 }
 
 impl ProcessContext {
-    /// Whether requests of this class may use the buffer space that is reserved for the best paid.
+    /// Returns the priority of the request class `class`. [`Priority::Highest`] means that its requests may
+    /// use the reserved buffer space.
     pub fn priority(&self, class: &str) -> Priority {
         if self.highest_priority_classes.contains(class) { Priority::Highest } else { Priority::Normal }
     }
 
-    /// How long a request that arrives now may take before the process may be killed; `None` unless it is to stop.
+    /// Returns how long a request that arrives now may take before the process may be killed, zero if that
+    /// time has passed; `None` before shutdown begins.
     pub fn time_left_at_shutdown(&self) -> Option<Duration> {
         let accept_deadline = (*self.stopping.borrow())?;
         let limits = &self.limits.shutdown;
@@ -59,8 +65,8 @@
         Some(response_deadline.saturating_duration_since(Instant::now()))
     }
 
-    /// Whether the process shuts down, and was asked to so long before `received_at` that a request that arrived then is owed
-    /// no answer.
+    /// Returns whether shutdown began so long before `received_at` that a request received at this instant
+    /// need not be answered. Returns `false` before shutdown begins.
     pub fn is_past_arrival_window(&self, received_at: Instant) -> bool {
         let limits = &self.limits.shutdown;
         let arrival_deadline = (*self.stopping.borrow())
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! The actor that reads the configuration again on SIGHUP, and hands what may change to the other actors.
+//! The actor that reloads the configuration on SIGHUP and passes the fields that may change to other actors.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,26 +13,28 @@
 use crate::lifecycle::immutable_fields::ImmutableFields;
 use crate::messages::DispatcherMessage;
 
-/// What the actor reads, and whom it tells.
+/// The reload actor: the files that it reads and the recipients of changed fields.
 pub struct ReloadActor {
-    /// The files that are read again.
+    /// The files that every reload reads.
     pub files: ConfigurationFiles,
-    /// What the last reading said of the fields that cannot change.
+    /// Values that the last valid configuration gave to the fields that cannot change while running.
     pub immutable: ImmutableFields,
-    /// Tells the discovery watch where discovery is.
+    /// Sends the address of discovery to the discovery watch.
     pub discovery: watch::Sender<SocketAddr>,
-    /// Takes in new limits on slow peers.
+    /// Receives new limits on slow peers.
     pub flow_control: Rc<FlowControl>,
-    /// Takes in other settings for shadow evaluation.
+    /// Receives new settings for shadow evaluation.
     pub dispatcher: mpsc::Sender<DispatcherMessage>,
-    /// Tells the membership actor what the operator's file says of coordination.
+    /// Sends the `coordination` section of the operator's file to the membership actor; `None` if there is
+    /// none.
     pub coordination: watch::Sender<Option<CoordinationConfig>>,
-    /// Where reloads are logged.
+    /// The logger for reloads.
     pub log: Logger,
 }
 
 impl ReloadActor {
-    /// Reloads on every SIGHUP. Files that cannot be used change nothing.
+    /// Reloads the configuration on every SIGHUP. If the files cannot be read or are invalid, the current
+    /// configuration stays in force.
     pub async fn run(mut self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             match Configuration::read(&self.files, environment_at_reload) {
@@ -51,7 +53,7 @@
         self.immutable = configuration.immutable;
         self.flow_control.update_limits(configuration.flow_limits);
         let shadow = configuration.shadow.map(Box::new);
-        // If the dispatcher is gone, the process is about to end.
+        // Sending fails only if the dispatcher has ended, and then the process is about to end.
         let _ = self.dispatcher.send(DispatcherMessage::ShadowReplaced(shadow)).await;
         self.coordination.send_replace(configuration.operator.coordination);
         let address_changed = self.update_discovery(configuration.discovery);
@@ -59,13 +61,14 @@
             "discovery" => %configuration.discovery, "moved" => address_changed);
     }
 
-    /// Tells the new address to the discovery watch; whether it differs from the old one.
+    /// Sends the address to the discovery watch if it has changed, and returns whether it has.
     fn update_discovery(&self, discovery: SocketAddr) -> bool {
         self.discovery.send_if_modified(|address| std::mem::replace(address, discovery) != discovery)
     }
 }
 
-/// From the first SIGHUP on the file says where discovery is: GW_DISCOVERY holds for the start alone.
+/// Reads an environment variable for a reload. Ignores `GW_DISCOVERY`, which applies only at startup: from
+/// the first SIGHUP on, the address of discovery comes from the configuration file.
 fn environment_at_reload(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|_| name != "GW_DISCOVERY")
 }
--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -1,20 +1,24 @@
-//! Shutdown: from SIGTERM or SIGINT to the end of the process.
+//! Graceful shutdown, from SIGTERM or SIGINT to the end of the process.
 //!
-//! The order, and why:
+//! Shutdown takes these steps in order:
 //!
-//! 1. All actors are notified until when new connections are accepted. Idle client connections are closed, the others
-//!    once their requests are answered; the membership actor releases the leases that it holds and tells its peers that
-//!    it leaves; the dispatcher announces to other sites that this one drains.
-//! 2. Flow control limits how long answers may still be read, so that a client that does not read cannot hold up the end.
-//! 3. The listener is joined. It ends when the window for new connections is over and the last client has its answer.
-//!    The dispatcher, the members and the links must outlive it: they bring these answers.
-//! 4. Requests of other sites are waited for, no longer than `limits.shutdown.remote_request_wait`: when the links are cut,
-//!    what is still open on them counts as unknown at the other site.
-//! 5. The membership actor is joined, no longer than [`MEMBERSHIP_LEAVE_TIMEOUT`]; it ended by itself soon after step 1.
+//! 1. Notify all actors, and tell them until when new connections are accepted. Idle client connections are
+//!    closed at once and the others after their requests are answered. The membership actor releases its
+//!    leases and tells its peers that it leaves. The dispatcher announces to the gateways of other sites
+//!    that this gateway drains.
+//! 2. Limit how long clients may take to read responses, so that a client that does not read cannot delay the
+//!    end of the process.
+//! 3. Wait for the listener. It ends when the window for new connections is over and the last client has its
+//!    response. The dispatcher, the members and the links must outlive the listener, because they deliver
+//!    these responses.
+//! 4. Wait for requests of other sites, for at most `limits.shutdown.remote_request_wait`. When the links are
+//!    closed, the other site treats the outcome of any request still open on them as unknown.
+//! 5. Wait for the membership actor, for at most [`MEMBERSHIP_LEAVE_TIMEOUT`]. It normally ends soon after
+//!    step 1.
 //!
-//! All other tasks (flow control, reload, data directory, links, status sockets, dispatcher, discovery watch) have no end
-//! of their own and nothing left to finish: no answer leaves before its record is confirmed. They are cancelled together
-//! when the caller drops its `LocalSet`, after the last log line.
+//! The other tasks (flow control, reload, data directory, links, status sockets, dispatcher, discovery watch)
+//! never return and have no work left to finish, because no response is sent before its record is confirmed.
+//! They are cancelled together when the caller drops its `LocalSet`, after the last log line.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -30,31 +34,35 @@
 use crate::lifecycle::signals::StopSignals;
 use crate::messages::DispatcherMessage;
 
-/// How long the membership actor is waited for. It needs to send one round of datagrams, and may not hold up the end.
+/// Maximum time that shutdown waits for the membership actor. The actor only has to send one round of
+/// datagrams, and must not delay the end of the process.
 const MEMBERSHIP_LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A proxy that serves: what is needed to stop it.
+/// A running proxy, with the handles that are needed to stop it.
 pub struct RunningProxy {
-    /// What its actors share.
+    /// The context that all actors share.
     pub context: Rc<ProcessContext>,
-    /// Notifies all actors that the process stops, and until when new connections are accepted.
+    /// Notifies all actors that shutdown has begun and until when new connections are accepted.
     pub stop: watch::Sender<Option<Instant>>,
-    /// Ends after `stop`, once the last client has its answer.
+    /// The task of the listener. It ends after the notification through `stop`, once the last client has its
+    /// response.
     pub listener: JoinHandle<()>,
-    /// Ends when every other actor is gone: never before the process does.
+    /// The task of the dispatcher. It ends only when every other actor has ended, which does not happen while
+    /// the process runs.
     pub dispatcher: JoinHandle<()>,
-    /// Ends soon after `stop`; `None` where the operator's file has no membership.
+    /// The task of the membership actor, which ends soon after the notification through `stop`; `None` if the
+    /// operator's file has no `membership` section.
     pub membership: Option<JoinHandle<()>>,
-    /// Writes the last log lines when it is dropped.
+    /// Flushes the remaining log lines when dropped.
     pub log_guard: AsyncGuard,
 }
 
 impl RunningProxy {
-    /// Serves until a signal comes, then shuts down in the order that this module describes.
+    /// Serves until a stop signal arrives, then shuts down in the steps that the module documentation lists.
     ///
     /// # Errors
     ///
-    /// The dispatcher ended before the signal, or the listener failed.
+    /// Returns an error if the dispatcher ends before a stop signal arrives, or if the listener panics.
     pub async fn run(mut self, mut signals: StopSignals) -> Result<(), ProgramError> {
         tokio::select! {
             () = signals.wait() => {}
@@ -69,7 +77,7 @@
         self.listener.await.map_err(|source| ProgramError::ActorFailed { actor: Actor::Listener, source })?;
         wait_for_remote_requests(&self.context).await;
         if let Some(membership) = self.membership {
-            // Its failure leaves nothing to do: peers notice by themselves when this process ends.
+            // A failure needs no handling: peers detect the end of this process anyway.
             let _ = timeout(MEMBERSHIP_LEAVE_TIMEOUT, membership).await;
         }
         info!(self.context.log, "stopped");
@@ -78,7 +86,7 @@
     }
 }
 
-/// Waits until requests of other sites have their answers, up to a limit.
+/// Waits until all requests of other sites are answered, for at most `limits.shutdown.remote_request_wait`.
 async fn wait_for_remote_requests(context: &ProcessContext) {
     let (reply, all_answered) = oneshot::channel();
     if context.dispatcher.send(DispatcherMessage::AwaitRemoteRequests(reply)).await.is_ok() {
--- a/crates/proxy/src/lifecycle/signals.rs
+++ b/crates/proxy/src/lifecycle/signals.rs
@@ -1,29 +1,30 @@
-//! The signals that the process handles.
+//! Handlers for the signals SIGTERM, SIGINT and SIGHUP.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 use crate::lifecycle::errors::ProgramError;
 
-/// The handlers of all signals. Once they are installed, none of these signals ends the process by itself.
+/// The handlers of all signals. Once they are installed, these signals no longer terminate the process on
+/// their own.
 pub struct Signals {
-    /// SIGTERM and SIGINT: shut down.
+    /// SIGTERM and SIGINT, which start a shutdown.
     pub stop: StopSignals,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP, which reloads the configuration.
     pub hangup: Signal,
 }
 
-/// The signals that ask for a shutdown.
+/// The handlers of SIGTERM and SIGINT, which request a shutdown.
 pub struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl Signals {
-    /// Installs the handlers.
+    /// Installs the handlers of all signals.
     ///
     /// # Errors
     ///
-    /// The system refuses one.
+    /// Returns [`ProgramError::SignalHandlers`] if the system refuses a handler.
     pub fn install() -> Result<Signals, ProgramError> {
         let terminate = install_handler(SignalKind::terminate())?;
         let interrupt = install_handler(SignalKind::interrupt())?;
@@ -33,7 +34,7 @@
 }
 
 impl StopSignals {
-    /// Waits for one of them.
+    /// Waits until SIGTERM or SIGINT arrives.
     pub async fn wait(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
--- a/crates/proxy/src/lifecycle/startup/actors.rs
+++ b/crates/proxy/src/lifecycle/startup/actors.rs
@@ -1,4 +1,4 @@
-//! Starts the actors, one a function.
+//! Starts the actors, each in its own function.
 
 use std::rc::Rc;
 
@@ -31,34 +31,39 @@
 use crate::messages::ListUpdate;
 use crate::persistence::{self, DataDirectory, Persistence};
 
-/// Each user of random numbers has its own seed: the configured one, rotated left by this number of bits.
+/// Number of bits by which the configured seed is rotated left to obtain the seed of the membership actor.
+/// Every user of random numbers has its own rotation, and so its own seed.
 const MEMBERSHIP_SEED_ROTATION: u32 = 16;
+/// Number of bits by which the configured seed is rotated left to obtain the seed of the observations.
 const OBSERVATIONS_SEED_ROTATION: u32 = 24;
+/// Number of bits by which the configured seed is rotated left to obtain the seed of the discovery watch.
 const DISCOVERY_SEED_ROTATION: u32 = 32;
 
-/// The data directory, and what a former start saved in it.
+/// The data directory and the state that an earlier start saved in it.
 pub(super) struct PersistedState {
-    /// `None` if the operator's file names none.
+    /// The data directory; `None` if the operator's file has no `warm_start` section.
     pub(super) directory: Option<Rc<DataDirectory>>,
-    /// What is handed to the dispatcher of it; empty without a data directory.
+    /// The part of the saved state that is passed to the dispatcher; empty without a data directory.
     pub(super) warm_state: WarmState,
 }
 
-/// The membership actor's task, and what the dispatcher has to know of it before its first request.
+/// The task of the membership actor, and the information that the dispatcher needs from it before the first
+/// request.
 #[derive(Default)]
 struct StartedMembership {
-    /// `None` where the operator's file has no membership.
+    /// The task of the membership actor; `None` if the operator's file has no `membership` section.
     task: Option<JoinHandle<()>>,
-    /// Site drains that a former start saved.
+    /// Site drain plans that an earlier start saved.
     site_drains: Vec<Plan>,
 }
 
 impl Startup {
-    /// Starts all actors, in the order that the module above describes.
+    /// Starts all actors, in the order that the documentation of the `startup` module lists.
     ///
     /// # Errors
     ///
-    /// Nobody can listen at a configured address, or the lease protocol cannot work with what is configured.
+    /// Returns an error if the proxy cannot listen at a configured address, or if the lease protocol cannot
+    /// work with the configuration.
     pub async fn spawn_actors(
         self,
         files: ConfigurationFiles,
@@ -93,7 +98,7 @@
     }
 }
 
-/// Reads the files again on SIGHUP.
+/// Starts the reload actor, which reloads the configuration files on SIGHUP.
 fn spawn_reload(
     context: &ProcessContext,
     channels: ReloadChannels,
@@ -113,7 +118,7 @@
     spawn_local(reload.run(hangup));
 }
 
-/// Opens the data directory, where there is one, and reads what a former start saved.
+/// Opens the data directory, if one is configured, and reads the state that an earlier start saved.
 async fn open_data_directory(context: &ProcessContext, configuration: &Configuration) -> PersistedState {
     let Some(warm_start) = &configuration.operator.warm_start else {
         return PersistedState {
@@ -133,7 +138,8 @@
     PersistedState { directory: Some(directory), warm_state }
 }
 
-/// Hands the dispatcher the newer of the configured and the saved endpoint list, and returns its revision.
+/// Sends the newer of the configured and the saved endpoint list to the dispatcher and returns its revision;
+/// `None` if there is neither.
 async fn send_first_list(
     configuration: &mut Configuration,
     warm_state: &WarmState,
@@ -148,7 +154,8 @@
     Some(revision)
 }
 
-/// What is observed of this process for the fleet's decisions; `None` where nothing is decided in common.
+/// Starts the observations of this process on which decisions of the fleet are based; returns `None` if the
+/// operator's file has no `coordination` section.
 fn start_observations(context: &ProcessContext, configuration: &Configuration) -> Option<Observations> {
     let coordination = configuration.operator.coordination.as_ref()?;
     let has_split_points = coordination.leases.contains(&LeaseKind::SplitPoints);
@@ -156,8 +163,9 @@
     Some(Observations::start(context.clock.now(), seed, has_split_points))
 }
 
-/// Joins the fleet and takes part in coordination, as far as the operator's file says so. `is_gateway` says that the fleet
-/// may span several sites.
+/// Starts the membership actor, which joins the fleet and takes part in coordination, if the operator's file
+/// has the sections `membership` and `coordination`. `is_gateway` means that the fleet may span several
+/// sites.
 async fn spawn_membership(
     context: &Rc<ProcessContext>,
     configuration: &mut Configuration,
@@ -188,24 +196,25 @@
     Ok(StartedMembership { task: Some(spawn_local(actor.run())), site_drains })
 }
 
-/// The longest that a request may take, in microseconds.
+/// Returns the longest timeout of any request class, in microseconds; 0 if there is no class.
 fn longest_timeout(settings: &Settings) -> Micros {
     settings.router_config.classes.iter().map(|class| class.timeout).max().unwrap_or(0)
 }
 
-/// What other parts of the start made for the dispatcher.
+/// Values that the earlier steps of startup produce for the dispatcher.
 struct DispatcherInputs {
-    /// `None` if this process is no gateway.
+    /// The gateway part; `None` if this process is not a gateway.
     gateway_part: Option<GatewayPart>,
-    /// What a former start saved.
+    /// The state that an earlier start saved.
     warm_state: WarmState,
-    /// `None` if nothing is decided in common.
+    /// The observations for the fleet's decisions; `None` without coordination.
     observations: Option<Observations>,
-    /// Site drains that a former start saved.
+    /// Site drain plans that an earlier start saved.
     site_drains: Vec<Plan>,
 }
 
-/// Owns the router. It takes the remaining configuration, and the site drains that were in force before its first request.
+/// Starts the dispatcher, which owns the router. Consumes the rest of the configuration. The saved site drain
+/// plans are applied before the dispatcher handles its first request.
 fn spawn_dispatcher(
     context: &Rc<ProcessContext>,
     configuration: Configuration,
@@ -227,7 +236,8 @@
     spawn_local(dispatcher.run(channels.list_updates, channels.messages))
 }
 
-/// The discovery watch, which waits before it first asks: processes that start together do not ask together.
+/// Creates the discovery watch. It delays its first request, so that processes that start together do not all
+/// query discovery at once. `revision` is that of the endpoint list already sent, `None` if there is none.
 fn create_discovery_watch(
     context: &Rc<ProcessContext>,
     configuration: &Configuration,
@@ -243,7 +253,7 @@
     Watcher::new(context.clone(), channels.list_updates, config)
 }
 
-/// Accepts clients.
+/// Starts the listener, which accepts clients.
 fn spawn_listener(context: &Rc<ProcessContext>, listener: TcpListener) -> JoinHandle<()> {
     spawn_local(client::listener::run(context.clone(), listener))
 }
--- a/crates/proxy/src/lifecycle/startup/gateway.rs
+++ b/crates/proxy/src/lifecycle/startup/gateway.rs
@@ -1,4 +1,4 @@
-//! Starts the links to other sites, and the dispatcher's part in them.
+//! Starts the links to other sites and creates the dispatcher's gateway part.
 
 use std::rc::Rc;
 
@@ -15,20 +15,23 @@
 use crate::lifecycle::process_context::ProcessContext;
 use crate::system;
 
-/// Sites that a request may come through, where the operator's file does not say.
+/// Default for `gateway.hops`: maximum number of links that a request may be forwarded over.
 const DEFAULT_MAX_HOPS: u32 = 1;
-/// Requests that another gateway may have under way here, where the operator's file does not say.
+/// Default for `gateway.credit`: maximum number of requests of one class that another gateway may have in
+/// flight here.
 const DEFAULT_CREDIT: u32 = 256;
-/// What may wait to be written to one link is this part of the buffer budget, and no less than the bytes below.
+/// The data that waits to be written to one link may take up the buffer budget divided by this number, but at
+/// least [`MIN_LINK_QUEUE_BYTES`].
 const LINK_BUDGET_DIVISOR: usize = 8;
+/// Lower bound of the limit on the data that waits to be written to one link, in bytes.
 const MIN_LINK_QUEUE_BYTES: usize = 256 * 1024;
 
-/// Starts the links, if the operator's file has a gateway; `None` if not. Home sites that a former start saved come before
-/// those of the file.
+/// Starts the links to other sites and creates the gateway part; returns `None` if the operator's file has no
+/// `gateway` section. Home sites that an earlier start saved take precedence over those of the file.
 ///
 /// # Errors
 ///
-/// Nobody can listen for links at the configured address.
+/// Returns [`ProgramError::Listen`] if the proxy cannot listen for links at the configured address.
 pub(super) fn start(
     context: &Rc<ProcessContext>,
     configuration: &mut Configuration,
@@ -40,7 +43,7 @@
     let own_identity = Identity {
         site: gateway.site.clone(),
         instance: configuration.name.clone(),
-        // New with every start: the time of it, which a restart does not share.
+        // The time of the start, which differs after every restart.
         incarnation: now.max(1) as u64,
     };
     let registry = LinkRegistry::new(own_identity.clone(), &gateway, link_config(context, configuration));
@@ -53,7 +56,7 @@
     Ok(Some(GatewayPart::new(setup, &configuration.settings, configuration.seed, now)))
 }
 
-/// Limits of each link.
+/// Returns the limits of each link.
 fn link_config(context: &ProcessContext, configuration: &Configuration) -> LinkConfig {
     let budget = configuration.flow_limits.budget as usize;
     let buffers = &context.limits.buffers;
@@ -63,7 +66,7 @@
     }
 }
 
-/// Accepts links of other sites, where the operator's file says at which address.
+/// Accepts links of other sites, if the operator's file has `gateway.listen`.
 fn accept_links(
     context: &Rc<ProcessContext>,
     registry: &Rc<LinkRegistry>,
@@ -79,7 +82,7 @@
     Ok(())
 }
 
-/// What the dispatcher's part starts with.
+/// Returns the initial values of the dispatcher's gateway part.
 fn gateway_setup(
     context: &ProcessContext,
     own_identity: Identity,
--- a/crates/proxy/src/lifecycle/startup/resources.rs
+++ b/crates/proxy/src/lifecycle/startup/resources.rs
@@ -1,4 +1,4 @@
-//! What is opened before the first actor starts.
+//! Opens the resources that must exist before the first actor starts.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -21,63 +21,66 @@
 use crate::messages::{DispatcherMessage, ListUpdate};
 use crate::system;
 
-/// A proxy that is being started: its resources are open, and none of its actors runs.
+/// A proxy that is being started: its resources are open, but none of its actors runs yet.
 pub struct Startup {
-    /// What was read from the files; each actor takes its part.
+    /// The configuration as read from the files. Each actor takes the part that it needs.
     pub(super) configuration: Configuration,
-    /// What all actors share.
+    /// The context that all actors share.
     pub(super) context: Rc<ProcessContext>,
-    /// Where clients are accepted.
+    /// The listening socket for clients.
     pub(super) listener: TcpListener,
-    /// What one actor each receives.
+    /// The channel ends that each belong to a single actor.
     pub(super) channels: Channels,
-    /// Writes the last log lines when it is dropped.
+    /// Flushes the remaining log lines when dropped.
     pub(super) log_guard: AsyncGuard,
 }
 
-/// The channel ends that belong to one actor each.
+/// The channel ends that each belong to a single actor or, in the case of `stop`, to the running proxy.
 pub(super) struct Channels {
-    /// For the reload actor.
+    /// Channel ends of the reload actor.
     pub(super) reload: ReloadChannels,
-    /// For the dispatcher.
+    /// Channel ends of the dispatcher.
     pub(super) dispatcher: DispatcherChannels,
-    /// For the discovery watch.
+    /// Channel ends of the discovery watch.
     pub(super) discovery: DiscoveryChannels,
-    /// What a reload says of coordination, for the membership actor.
+    /// Receives the reloaded `coordination` section, for the membership actor; the value is `None` until the
+    /// first reload, and if the operator's file has no such section.
     pub(super) coordination: watch::Receiver<Option<CoordinationConfig>>,
-    /// Tells all actors until when new connections are accepted, once the process is to stop.
+    /// Notifies all actors of a shutdown: `None` until it begins, then the instant until which new
+    /// connections are accepted.
     pub(super) stop: watch::Sender<Option<Instant>>,
 }
 
-/// Where the reload actor sends what has changed.
+/// The channels on which the reload actor publishes changes.
 pub(super) struct ReloadChannels {
-    /// The address of discovery, for the discovery watch.
+    /// Sends the address of discovery to the discovery watch.
     pub(super) discovery: watch::Sender<SocketAddr>,
-    /// The section on coordination, for the membership actor.
+    /// Sends the `coordination` section to the membership actor.
     pub(super) coordination: watch::Sender<Option<CoordinationConfig>>,
 }
 
-/// What the dispatcher receives, and whom it notifies.
+/// The channel ends of the dispatcher.
 pub(super) struct DispatcherChannels {
-    /// Its mailbox.
+    /// The receiving end of the dispatcher's mailbox.
     pub(super) messages: mpsc::Receiver<DispatcherMessage>,
-    /// Endpoint lists, and changes to them.
+    /// Receives endpoint lists and changes to them.
     pub(super) list_updates: mpsc::Receiver<ListUpdate>,
-    /// Set once there is an endpoint list.
+    /// Set to `true` once an endpoint list is available.
     pub(super) ready: watch::Sender<bool>,
-    /// Asks for the endpoint list; `None` where the watch asks by itself.
+    /// Sends requests for the endpoint list; `None` if the discovery watch requests the list on its own.
     pub(super) list_requests: Option<mpsc::Sender<()>>,
 }
 
-/// What the discovery watch sends and receives.
+/// The channel ends of the discovery watch.
 pub(super) struct DiscoveryChannels {
-    /// Endpoint lists, and changes to them, for the dispatcher.
+    /// Sends endpoint lists and changes to them to the dispatcher.
     pub(super) list_updates: mpsc::Sender<ListUpdate>,
-    /// The dispatcher's requests for the endpoint list; `None` where the watch asks by itself.
+    /// Receives the dispatcher's requests for the endpoint list; `None` if the watch requests the list on its
+    /// own.
     pub(super) list_requests: Option<mpsc::Receiver<()>>,
 }
 
-/// The channel ends that all actors share.
+/// The channel ends that all actors share through [`ProcessContext`].
 struct SharedChannels {
     discovery: watch::Receiver<SocketAddr>,
     dispatcher: mpsc::Sender<DispatcherMessage>,
@@ -86,11 +89,12 @@
 }
 
 impl Startup {
-    /// Opens the resources. The log says `serving` once the clients' socket is open: from then on the system accepts them.
+    /// Opens the resources. Logs `serving` once the listening socket for clients is open, because from then
+    /// on the operating system accepts their connections.
     ///
     /// # Errors
     ///
-    /// Nobody can listen at the configured address.
+    /// Returns [`ProgramError::Listen`] if the proxy cannot listen at the configured address.
     pub fn open(configuration: Configuration) -> Result<Startup, ProgramError> {
         let ProcessLog { logger, guard } = ProcessLog::start(&configuration.limits);
         let suspension =
@@ -156,7 +160,7 @@
 }
 
 fn log_serving(log: &Logger, configuration: &Configuration, listener: &TcpListener) {
-    // Port 0 is configured where the system is to choose.
+    // With a configured port of 0 the system chooses the port, so the actual address is logged.
     let address = listener.local_addr().unwrap_or(configuration.listen);
     info!(log, "serving"; "name" => &configuration.name, "listen" => %address,
         "version" => env!("CARGO_PKG_VERSION"));
--- a/crates/proxy/src/lifecycle/status_socket.rs
+++ b/crates/proxy/src/lifecycle/status_socket.rs
@@ -1,13 +1,13 @@
-//! The listening side of the status sockets, at which a running proxy gives its state as one JSON object to everybody
-//! who connects.
+//! Opens status sockets. A running proxy sends its state as one JSON object to every process that connects to
+//! such a socket.
 
 use slog::{Logger, warn};
 use tokio::net::UnixListener;
 
 use crate::system;
 
-/// Listens on the Unix socket at `path`, and replaces a file that an earlier run left there. A proxy serves without a
-/// status socket as well, so a failure is only logged and `None` returned.
+/// Listens on the Unix socket at `path`, after removing any file at this path, such as the socket of an
+/// earlier run. Logs a failure and returns `None`, because a proxy can serve without a status socket.
 pub fn listen(path: &str, log: &Logger) -> Option<UnixListener> {
     let _ = std::fs::remove_file(path);
     match system::listen_local(path) {
--- a/crates/proxy/src/persistence/maintenance.rs
+++ b/crates/proxy/src/persistence/maintenance.rs
@@ -1,4 +1,5 @@
-//! `aldermill store`: what can be done about a data directory while no proxy runs on it, or beside one.
+//! The subcommands of `aldermill store`, which inspect and compact a data directory. Inspecting is possible
+//! while a proxy uses the directory, compacting is not.
 
 use std::path::Path;
 
@@ -7,7 +8,8 @@
 use crate::lifecycle::clock::unix_now;
 use crate::lifecycle::errors::ProgramError;
 
-/// Reads whatever a proxy may have written, however much memory that proxy had. Sizes are in bytes.
+/// Limits high enough to read any data directory that a proxy may have written, however much memory that
+/// proxy had. Sizes are in bytes.
 const MAINTENANCE_LIMITS: Limits = Limits {
     max_segment_bytes: 4 << 20,
     max_batch_bytes: 1 << 30,
@@ -15,7 +17,7 @@
     max_log_ratio: 4,
 };
 
-/// Prints what a recovery would find; whether nothing is damaged.
+/// Prints what a recovery of the directory would find. Returns `true` if nothing is damaged.
 pub fn check(folder: &str) -> Result<bool, ProgramError> {
     let (_, recovery_report) = read_store(folder)?;
     println!(
@@ -28,7 +30,7 @@
     Ok(recovery_report.damage.is_empty())
 }
 
-/// Prints every record as a line of JSON. A value that is not JSON is printed as a string.
+/// Prints every record as one line of JSON. A value that is not valid JSON is printed as a string.
 pub fn dump(folder: &str) -> Result<(), ProgramError> {
     let (snapshot, _) = read_store(folder)?;
     for (namespace, key, value) in snapshot.entries() {
@@ -40,9 +42,10 @@
     Ok(())
 }
 
-/// Writes the live records to one segment. Fails while a proxy has the directory open.
+/// Compacts the directory: writes the live records to one segment. Fails while a proxy has the directory
+/// open.
 pub fn compact(folder: &str) -> Result<(), ProgramError> {
-    // Nothing is opened for writing that could not be read.
+    // Ensures that a directory that cannot be read is never opened for writing.
     read_store(folder)?;
     let data_directory_error =
         |error: StoreError| ProgramError::DataDirectory { folder: folder.to_owned(), source: error };
--- a/crates/proxy/src/persistence/mod.rs
+++ b/crates/proxy/src/persistence/mod.rs
@@ -1,8 +1,8 @@
-//! What survives a restart: the data directory and its opening, and the actor that saves snapshots of what the proxy
-//! knows. `docs/restart.md` says what an operator sees of it.
+//! State that survives a restart: opens the data directory, and runs the actor that saves snapshots of the
+//! proxy's state in it. `docs/restart.md` describes the behaviour that an operator sees.
 //!
-//! Nobody waits for a disk: file calls are made on threads of their own, and a start that finds the directory slow goes
-//! on without what it holds.
+//! No actor blocks on a disk: file calls are made on separate threads, and if the directory is slow, startup
+//! continues without the saved state.
 
 mod data_directory;
 mod errors;
@@ -28,22 +28,23 @@
 
 use crate::lifecycle::clock::Clock;
 
-/// How long the start waits for the directory to be read.
+/// Maximum time that startup waits for the data directory to be read.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the start gets of the data directory.
+/// The data directory, the state restored from it, and the channel on which new state is published.
 pub struct Persistence {
-    /// Open for writing, or opened later.
+    /// The data directory, which may not be open yet: it is opened in the background.
     pub directory: Rc<DataDirectory>,
-    /// What a former start saved; empty where that could not be read in time.
+    /// The state that an earlier start saved; empty if it could not be read in time.
     pub restored: RestoredState,
-    /// Where what is to be saved is published; the newest counts.
+    /// Publishes the snapshots that are to be saved. Only the newest is kept; `None` before the first.
     pub snapshots: watch::Sender<Option<StateSnapshot>>,
 }
 
-/// Opens the data directory of the proxy called `name`, and starts the actor that saves snapshots; `memory_bytes` is what the
-/// process may use, in bytes. A failure is logged and never ends the process: opening is tried again for as long as it
-/// lives, and the directory's users hold back what they could only claim by what it holds.
+/// Opens the data directory of the proxy called `name` and starts the actor that saves snapshots.
+/// `memory_bytes` is the amount of memory that the process may use. A failure is logged and never ends the
+/// process: opening is retried for as long as the process runs. Until it succeeds, the users of the directory
+/// make no statement that depends on its contents.
 pub async fn start(
     config: &WarmStartConfig,
     name: &str,
--- a/crates/proxy/src/persistence/open_attempt.rs
+++ b/crates/proxy/src/persistence/open_attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt to open the data directory, on a thread of its own: file calls block, for as long as the disk likes.
+//! A single attempt to open the data directory. It runs on a separate thread, because file calls can block
+//! for an unlimited time.
 
 use std::path::PathBuf;
 
@@ -10,38 +11,44 @@
 use super::errors::OpenError;
 use crate::lifecycle::clock::Clock;
 
-/// Batches of all writers that may wait for the store's thread.
+/// Maximum number of batches, of all writers together, that wait for the store's thread.
 const MAX_QUEUED_BATCHES: usize = 1024;
 
-/// What an attempt needs to know.
+/// The parameters of an attempt.
 #[derive(Clone)]
 pub(super) struct OpenAttempt {
+    /// The path of the data directory.
     pub path: PathBuf,
-    /// The name of this proxy, which the records must bear.
+    /// The name of this proxy. Records that name another proxy as their owner are rejected.
     pub name: String,
+    /// The limits of the store.
     pub limits: Limits,
+    /// The clock that dates the store's operations.
     pub clock: Clock,
 }
 
-/// A directory that this process has to itself, and has read.
+/// A data directory that this process has locked and read.
 pub(super) struct OpenedDirectory {
-    /// Keeps other processes out until the directory is open for writing, which locks it, too.
+    /// The lock that keeps other processes out until the directory is open for writing. The committer shares
+    /// the lock.
     pub lock: Disk,
+    /// The contents of the directory.
     pub contents: DirectoryContents,
-    /// The store's thread, or why the directory cannot be written to.
+    /// The committer, which runs the store's thread, or the reason why the directory cannot be written.
     pub committer: Result<Committer, StoreError>,
 }
 
-/// What the directory held.
+/// The contents of a data directory when it was opened.
 pub(super) struct DirectoryContents {
-    /// All records, those of other modules included.
+    /// All records, including those that a warm start does not use.
     pub records: Vec<StoredRecord>,
-    /// What of them a warm start uses.
+    /// The state that a warm start restores from the records.
     pub restored: RestoredState,
 }
 
 impl OpenAttempt {
-    /// Makes the attempt; `lock` is that of an earlier one that could read the directory.
+    /// Makes the attempt on a new thread. `lock` is the lock from an earlier attempt that could read the
+    /// directory; `None` if there was no such attempt.
     pub async fn run_on_thread(self, lock: Option<Disk>) -> Result<OpenedDirectory, OpenError> {
         let (sender, outcome) = oneshot::channel();
         let thread_body = move || {
@@ -51,23 +58,24 @@
         outcome.await.map_err(|_| OpenError::ThreadPanicked)?
     }
 
-    /// A directory that is refused is left as it is.
+    /// Locks, reads and opens the directory on the current thread. A directory that is rejected is left
+    /// unchanged.
     fn run(&self, lock: Option<Disk>) -> Result<OpenedDirectory, OpenError> {
         let now = self.clock.now();
         let lock = match lock {
             Some(lock) => lock,
             None => self.lock_directory(now)?,
         };
-        // Read under the lock, and so after the last write of the process that had it before.
+        // Reading under the lock ensures that the last write of the previous owner is seen.
         match Store::open(lock.share_lock(), self.limits, now) {
             Ok((store, recovery_report)) => {
                 let contents = self.validate(now, store.snapshot(), recovery_report)?;
-                // Of this process's clock, which no step of the wall clock moves.
+                // The store uses this process's clock, which is unaffected by steps of the wall clock.
                 let clock = self.clock;
                 let committer = Committer::start(store, MAX_QUEUED_BATCHES, move || clock.now());
                 Ok(OpenedDirectory { lock, contents, committer: Ok(committer) })
             }
-            // The disk may be full, or fail otherwise when written to, and still be readable.
+            // A disk that is full, or that rejects writes for another reason, may still be readable.
             Err(error) => {
                 let (snapshot, recovery_report) = Store::read(lock.share_lock(), self.limits, now)?;
                 let contents = self.validate(now, snapshot, recovery_report)?;
@@ -76,8 +84,8 @@
         }
     }
 
-    /// Locks the directory, and makes it where there is none. It is read first, so that one that belongs to another
-    /// proxy is not even touched.
+    /// Locks the directory, and creates it if it does not exist. An existing directory is first read without
+    /// a lock, so that the directory of another proxy is not modified.
     fn lock_directory(&self, now: i64) -> Result<Disk, OpenError> {
         if self.path.exists() {
             let (snapshot, recovery_report) =
@@ -87,7 +95,7 @@
         Disk::open(&self.path).map_err(OpenError::Lock)
     }
 
-    /// What the store holds, if that is this proxy's and undamaged.
+    /// Returns the contents of the store, if they belong to this proxy and are undamaged.
     fn validate(
         &self,
         now: i64,
--- a/crates/proxy/src/persistence/opening.rs
+++ b/crates/proxy/src/persistence/opening.rs
@@ -1,4 +1,4 @@
-//! Opening the data directory, again and again while that fails.
+//! Opens the data directory in the background, and retries until it is open for writing.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -16,24 +16,29 @@
 use super::writer::SnapshotWriter;
 use crate::lifecycle::clock::Clock;
 
-/// The wait after the first attempt that failed; doubled after each that follows.
+/// Delay after the first failed attempt. It doubles after every further failure.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// The longest wait, and so the longest time in which a directory that can be opened again is not noticed.
+/// Maximum delay between attempts, and so the longest time until the proxy notices that the directory can be
+/// opened again.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 
-/// Opens the data directory, then saves snapshots in it.
+/// The actor that opens the data directory and then saves snapshots in it.
 pub(super) struct Opener {
+    /// The data directory that is being opened.
     pub directory: Rc<DataDirectory>,
     attempt: OpenAttempt,
-    /// What is to be saved; the newest counts.
+    /// Receives the snapshots that are to be saved, of which only the newest is kept; `None` before the
+    /// first.
     snapshots: watch::Receiver<Option<StateSnapshot>>,
     log: Logger,
-    /// The failure that was logged last, which is not logged again while it goes on.
+    /// The failure that was logged last. It is not logged again while it persists; `None` if no attempt has
+    /// failed.
     logged_failure: Option<String>,
 }
 
 impl Opener {
-    /// For the directory at `path` of the proxy called `name`; `memory_bytes` is what the process may use, in bytes.
+    /// Creates an opener for the directory at `path` of the proxy called `name`. `memory_bytes` is the amount
+    /// of memory that the process may use.
     pub fn new(
         path: &Path,
         name: &str,
@@ -51,8 +56,9 @@
         Opener { directory: Rc::default(), attempt, snapshots, log: log.clone(), logged_failure: None }
     }
 
-    /// Runs until nobody publishes snapshots any more. `restored_sender` is sent what was restored if the first attempt
-    /// could read the directory, and dropped if not.
+    /// Opens the directory, then saves snapshots until the sender of snapshots is dropped. The restored state
+    /// is sent to `restored_sender` if the first attempt can read the directory; if not, `restored_sender` is
+    /// dropped.
     pub async fn run(mut self, restored_sender: oneshot::Sender<RestoredState>) {
         self.open(restored_sender).await;
         if self.logged_failure.is_some() {
@@ -62,7 +68,7 @@
         self.into_snapshot_writer().run().await;
     }
 
-    /// Makes attempts until the directory is open for writing.
+    /// Repeats attempts until the directory is open for writing.
     async fn open(&mut self, restored_sender: oneshot::Sender<RestoredState>) {
         let mut restored_sender = Some(restored_sender);
         let mut lock: Option<Disk> = None;
@@ -79,14 +85,16 @@
                 }
                 Err(error) => self.log_failure(&OpenFailure::Unavailable(error)),
             }
-            // The start goes on without restored state, which is of no use later: this process then knows better.
+            // If the first attempt cannot read the directory, startup continues without restored state. Later
+            // attempts do not deliver it, because this process then has newer information.
             restored_sender = None;
             sleep(delay).await;
             delay = (delay * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    /// Makes what the directory held known, the first time that it is read.
+    /// Publishes the contents of the directory when it is read for the first time; later calls have no
+    /// effect.
     fn publish_contents(
         &self,
         contents: DirectoryContents,
--- a/crates/proxy/src/persistence/writer.rs
+++ b/crates/proxy/src/persistence/writer.rs
@@ -1,4 +1,4 @@
-//! The actor that saves snapshots: it hands what has changed to the store's thread, as long as the disk keeps up.
+//! The actor that saves snapshots: passes changes to the store's thread as long as the disk keeps up.
 
 use std::mem::discriminant;
 use std::rc::Rc;
@@ -13,28 +13,30 @@
 use super::DataDirectory;
 use crate::lifecycle::clock::Clock;
 
-/// A write that is not confirmed within this time counts as failed.
+/// Maximum time until a write is confirmed, in microseconds (2 s). A write that takes longer counts as
+/// failed.
 const CONFIRMATION_TIMEOUT: Micros = 2_000_000;
-/// Writes that may wait for their confirmation.
+/// Maximum number of writes that wait for their confirmation.
 const MAX_UNCONFIRMED_WRITES: usize = 8;
 
-/// Saves snapshots in a directory that is open for writing.
+/// The actor that saves snapshots in a data directory that is open for writing.
 pub(super) struct SnapshotWriter {
     directory: Rc<DataDirectory>,
-    /// What the directory holds, as far as that is known.
+    /// The state that the directory holds, as far as is known.
     saved: SavedState,
-    /// What is to be saved; the newest counts.
+    /// Receives the snapshots that are to be saved, of which only the newest is kept; `None` before the
+    /// first.
     snapshots: watch::Receiver<Option<StateSnapshot>>,
-    /// Whether the disk keeps up, and so what it may be handed.
+    /// Decides, by how well the disk keeps up, whether a write is started.
     circuit_breaker: DiskCircuitBreaker,
-    /// The state of the disk that was logged last.
+    /// The disk state that was logged last.
     logged_disk_state: DiskState,
     clock: Clock,
     log: Logger,
 }
 
 impl SnapshotWriter {
-    /// For a directory that holds what `saved` says.
+    /// Creates a writer for a directory that holds the state `saved`.
     pub fn new(
         directory: Rc<DataDirectory>,
         saved: SavedState,
@@ -54,9 +56,9 @@
         }
     }
 
-    /// Runs until nobody publishes snapshots any more.
+    /// Saves snapshots until their sender is dropped.
     pub async fn run(mut self) {
-        // Those of writes that timed out may still come.
+        // Twice the limit, because confirmations of writes that timed out may still arrive.
         let (confirmations, mut confirmation_receiver) = mpsc::channel(MAX_UNCONFIRMED_WRITES * 2);
         loop {
             let timeout_at = self.circuit_breaker.timeout_at().map(|at| self.clock.instant(at));
@@ -78,7 +80,8 @@
         }
     }
 
-    /// Hands the newest snapshot to the disk. A disk that lags is not given this one; the next one holds it, too.
+    /// Writes the changes of the newest snapshot. If the disk lags, this snapshot is skipped: the next one
+    /// contains its changes as well.
     fn save_newest(&mut self, confirmations: &mpsc::Sender<bool>) {
         let Some(snapshot) = self.snapshots.borrow_and_update().clone() else { return };
         let now = self.clock.now();
