--- a/crates/proxy/src/client/message_handling.rs
+++ b/crates/proxy/src/client/message_handling.rs
@@ -89,7 +89,7 @@
     /// Returns the message at the front of the read buffer, or an error if the bytes there are not a valid
     /// message.
     pub(super) fn next_message(&self) -> Result<NextMessage, Malformed> {
-        let max = self.context.limits.buffers.statement;
+        let max = self.context.limits.buffers.max_statement;
         let Some(message) = pg::message(self.buffer.held(), max)? else { return Ok(NextMessage::NoneYet) };
         if message.tag == TERMINATE {
             return Ok(NextMessage::Terminate);
--- a/crates/proxy/src/client/response.rs
+++ b/crates/proxy/src/client/response.rs
@@ -148,7 +148,8 @@
             self.connection_guard.stop_metering();
         }
         if let Some(reservation) = response.reservation {
-            self.unread_responses.retain_reservation(reservation, self.context.limits.buffers.client_socket);
+            self.unread_responses
+                .retain_reservation(reservation, self.context.limits.buffers.client_socket_buffer);
         }
         Ok(())
     }
--- a/crates/proxy/src/lifecycle/startup/actors.rs
+++ b/crates/proxy/src/lifecycle/startup/actors.rs
@@ -27,7 +27,7 @@
 use crate::lifecycle::process_context::ProcessContext;
 use crate::lifecycle::reload::ReloadActor;
 use crate::lifecycle::shutdown::RunningProxy;
-use crate::membership::{CoordinationStart, MembershipActor, MembershipStart};
+use crate::membership::{CoordinationSetup, MembershipActor, MembershipSetup};
 use crate::messages::ListUpdate;
 use crate::persistence::{self, DataDirectory, Persistence};
 
@@ -176,14 +176,14 @@
     let Some(config) = configuration.operator.membership.take() else {
         return Ok(StartedMembership::default());
     };
-    let coordination = configuration.operator.coordination.take().map(|config| CoordinationStart {
+    let coordination = configuration.operator.coordination.take().map(|config| CoordinationSetup {
         config,
         directory,
         zone: configuration.settings.router_config.zone,
         longest_timeout: longest_timeout(&configuration.settings),
         reloads,
     });
-    let start = MembershipStart {
+    let start = MembershipSetup {
         config,
         name: configuration.name.clone(),
         configured_fleet_size: configuration.settings.router_config.routers,
@@ -223,14 +223,14 @@
 ) -> JoinHandle<()> {
     let mut dispatcher = Dispatcher::new(DispatcherParts {
         context: context.clone(),
-        decoded: configuration.settings,
+        settings: configuration.settings,
         seed: configuration.seed,
         gateway_part: inputs.gateway_part,
         shadow: configuration.shadow,
         warm_state: inputs.warm_state,
         observations: inputs.observations,
         ready: channels.ready,
-        list_wanted: channels.list_requests,
+        list_requests: channels.list_requests,
     });
     dispatcher.apply_site_drain_plans(inputs.site_drains);
     spawn_local(dispatcher.run(channels.list_updates, channels.messages))
