--- a/crates/proxy/src/lifecycle/startup/gateway.rs
+++ b/crates/proxy/src/lifecycle/startup/gateway.rs
@@ -1,4 +1,4 @@
-//! Starts the links to other sites, and the dispatcher's part in them.
+//! Starts the links to other sites and creates the dispatcher's gateway part.
 
 use std::rc::Rc;
 
@@ -15,20 +15,23 @@
 use crate::lifecycle::process_context::ProcessContext;
 use crate::system;
 
-/// Sites that a request may come through, where the operator's file does not say.
+/// Default for `gateway.hops`: maximum number of links that a request may be forwarded over.
 const DEFAULT_MAX_HOPS: u32 = 1;
-/// Requests that another gateway may have under way here, where the operator's file does not say.
+/// Default for `gateway.credit`: maximum number of requests of one class that another gateway may have in
+/// flight here.
 const DEFAULT_CREDIT: u32 = 256;
-/// What may wait to be written to one link is this part of the buffer budget, and no less than the bytes below.
-const LINK_SHARE_OF_BUDGET: usize = 8;
-const MIN_LINK_BACKLOG: usize = 256 * 1024;
+/// The data that waits to be written to one link may take up the buffer budget divided by this number, but at
+/// least [`MIN_LINK_QUEUE_BYTES`].
+const LINK_BUDGET_DIVISOR: usize = 8;
+/// Lower bound of the limit on the data that waits to be written to one link, in bytes.
+const MIN_LINK_QUEUE_BYTES: usize = 256 * 1024;
 
-/// Starts the links, if the operator's file has a gateway; `None` if not. Home sites that a former start saved come before
-/// those of the file.
+/// Starts the links to other sites and creates the gateway part; returns `None` if the operator's file has no
+/// `gateway` section. Home sites that an earlier start saved take precedence over those of the file.
 ///
 /// # Errors
 ///
-/// Nobody can listen for links at the configured address.
+/// Returns [`ProgramError::Listen`] if the proxy cannot listen for links at the configured address.
 pub(super) fn start(
     context: &Rc<ProcessContext>,
     configuration: &mut Configuration,
@@ -37,33 +40,33 @@
     let Some(mut gateway) = configuration.operator.gateway.take() else { return Ok(None) };
     gateway.homes.extend(std::mem::take(&mut persisted.warm_state.restored.home_sites));
     let now = context.clock.now();
-    let own = Identity {
+    let own_identity = Identity {
         site: gateway.site.clone(),
         instance: configuration.name.clone(),
-        // New with every start: the time of it, which a restart does not share.
+        // The time of the start, which differs after every restart.
         incarnation: now.max(1) as u64,
     };
-    let registry = LinkRegistry::new(own.clone(), &gateway, link_config(context, configuration));
+    let registry = LinkRegistry::new(own_identity.clone(), &gateway, link_config(context, configuration));
     accept_links(context, &registry, &gateway)?;
     gateway::maintain_links(context, &registry, &gateway.peers, configuration.seed);
     if let Some(path) = &gateway.status {
         spawn_local(gateway::serve_status(context.clone(), path.clone()));
     }
-    let setup = gateway_setup(context, own, gateway, persisted);
+    let setup = gateway_setup(context, own_identity, gateway, persisted);
     Ok(Some(GatewayPart::new(setup, &configuration.settings, configuration.seed, now)))
 }
 
-/// Limits of each link.
+/// Returns the limits of each link.
 fn link_config(context: &ProcessContext, configuration: &Configuration) -> LinkConfig {
     let budget = configuration.flow_limits.budget as usize;
     let buffers = &context.limits.buffers;
     LinkConfig {
-        max_queued: (budget / LINK_SHARE_OF_BUDGET).max(MIN_LINK_BACKLOG),
+        max_queued: (budget / LINK_BUDGET_DIVISOR).max(MIN_LINK_QUEUE_BYTES),
         ..LinkConfig::standard(buffers.max_statement, buffers.max_response)
     }
 }
 
-/// Accepts links of other sites, where the operator's file says at which address.
+/// Accepts links of other sites, if the operator's file has `gateway.listen`.
 fn accept_links(
     context: &Rc<ProcessContext>,
     registry: &Rc<LinkRegistry>,
@@ -79,15 +82,15 @@
     Ok(())
 }
 
-/// What the dispatcher's part starts with.
+/// Returns the initial values of the dispatcher's gateway part.
 fn gateway_setup(
     context: &ProcessContext,
-    own: Identity,
+    own_identity: Identity,
     gateway: GatewayConfig,
     persisted: &PersistedState,
 ) -> GatewaySetup {
     GatewaySetup {
-        identity: own,
+        identity: own_identity,
         peers: gateway.peers.iter().map(|peer| peer.site.clone()).collect(),
         homes: gateway.homes.into_iter().collect(),
         max_hops: gateway.hops.unwrap_or(DEFAULT_MAX_HOPS) as usize,
