--- a/crates/proxy/src/client/listener.rs
+++ b/crates/proxy/src/client/listener.rs
@@ -64,7 +64,7 @@
 /// more.
 async fn accept_backlog(acceptor: &mut Acceptor<TcpListener>, registry: &mut ConnectionRegistry) {
     task::yield_now().await;
-    while let Some((stream, address)) = acceptor.next_waiting().await {
+    while let Some((stream, address)) = acceptor.next_from_backlog().await {
         registry.reap_ended();
         registry.admit_or_reject(stream, address.ip());
     }
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -159,7 +159,7 @@
     /// Responses that wait for the record of their outcome.
     waiting_responses: HashMap<RecordId, OutgoingResponse>,
     /// Client ID that the latest remote request was given.
-    last_remote_client_id: ClientRequestId,
+    last_remote_request_id: ClientRequestId,
     /// Field of a statement's comment that names the session; `None` if sessions are not named.
     session_field: Option<String>,
     ended_counts: EndedRequestCounts,
--- a/crates/proxy/src/dispatcher/gateway/remote_requests.rs
+++ b/crates/proxy/src/dispatcher/gateway/remote_requests.rs
@@ -143,11 +143,11 @@
         let IncomingRequest { link, gateway, origin, number, frame, statement, .. } = incoming;
         let Some(peer) = gateway_part.links.get(&link).map(|active| active.peer) else { return };
         gateway_part.site_router.remote_request_started(gateway, validated.class);
-        gateway_part.last_remote_client_id += 1;
+        gateway_part.last_remote_request_id += 1;
         // The answer goes over the link, so this mailbox has no receiver.
         let (mailbox, _) = mpsc::channel(1);
         let request = ClientRequest {
-            request_id: gateway_part.last_remote_client_id,
+            request_id: gateway_part.last_remote_request_id,
             peer,
             mailbox,
             received_at: self.context.clock.now(),
--- a/crates/proxy/src/dispatcher/gateway/start.rs
+++ b/crates/proxy/src/dispatcher/gateway/start.rs
@@ -15,7 +15,7 @@
 use crate::persistence::DataDirectory;
 
 /// Client IDs of remote requests are greater than this number, which keeps them apart from those of clients.
-const REMOTE_CLIENT_ID_BASE: ClientRequestId = 1 << 63;
+const REMOTE_REQUEST_ID_BASE: ClientRequestId = 1 << 63;
 /// Maximum number of write confirmations that wait for the dispatcher. It is greater than the number of writes
 /// that may wait for the disk, as a confirmation that does not fit is lost.
 const CONFIRMATION_QUEUE_CAPACITY: usize = 2048;
@@ -73,7 +73,7 @@
             outcome_log,
             waiting_requests: HashMap::new(),
             waiting_responses: HashMap::new(),
-            last_remote_client_id: REMOTE_CLIENT_ID_BASE,
+            last_remote_request_id: REMOTE_REQUEST_ID_BASE,
             session_field,
             ended_counts: EndedRequestCounts { since: now, ..EndedRequestCounts::default() },
             draining: false,
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -38,7 +38,7 @@
 
 /// Number of times that the dispatcher yields to all other actors after a stall before it continues: once for
 /// them to be woken by what arrived, once to read it, and once to forward it.
-const YIELDS_AFTER_STALL: usize = 3;
+const SCHEDULING_ROUNDS_AFTER_STALL: usize = 3;
 
 /// An event that the dispatcher handles.
 enum Event {
@@ -224,7 +224,7 @@
             }
             event => Some(event),
         };
-        for _ in 0..YIELDS_AFTER_STALL {
+        for _ in 0..SCHEDULING_ROUNDS_AFTER_STALL {
             yield_now().await;
         }
         while let Ok(list_update) = list_updates.try_recv() {
--- a/crates/proxy/src/membership/actor.rs
+++ b/crates/proxy/src/membership/actor.rs
@@ -172,7 +172,7 @@
         for _ in 0..READ_BATCH {
             let (length, from) = match self.socket.receive(buffer) {
                 Received::Datagram { length, from } => (length, from),
-                Received::Nothing => {
+                Received::NoDatagram => {
                     self.max_unread_age = 0;
                     return;
                 }
--- a/crates/proxy/src/system/acceptor.rs
+++ b/crates/proxy/src/system/acceptor.rs
@@ -11,7 +11,7 @@
 use uapi::c;
 
 use super::AcceptError;
-use super::injection::{SystemCall, injected};
+use super::injection::{SystemCall, inject_fault};
 
 /// The wait after the first error that the next call would only meet again; doubled after each that follows.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(2);
@@ -19,7 +19,7 @@
 const MAX_BACKOFF: Duration = Duration::from_millis(100);
 /// How long a connection in the backlog is waited for until the backlog is looked at again: the runtime may not yet have
 /// noticed it.
-const READINESS_WAIT: Duration = Duration::from_millis(2);
+const BACKLOG_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// A socket that connections are accepted from.
 pub trait Listener: AsRawFd {
@@ -34,7 +34,7 @@
     type Accepted = (TcpStream, SocketAddr);
 
     async fn accept_next(&self) -> Result<Self::Accepted, AcceptError> {
-        let Err(fault) = injected(SystemCall::Accept) else { return Ok(self.accept().await?) };
+        let Err(fault) = inject_fault(SystemCall::Accept) else { return Ok(self.accept().await?) };
         if fault.kind() == io::ErrorKind::ConnectionAborted {
             // The connection that is gone was one of the backlog.
             self.accept().await?;
@@ -47,7 +47,7 @@
     type Accepted = UnixStream;
 
     async fn accept_next(&self) -> Result<Self::Accepted, AcceptError> {
-        injected(SystemCall::AcceptLocal)?;
+        inject_fault(SystemCall::AcceptLocal)?;
         Ok(self.accept().await?.0)
     }
 }
@@ -77,7 +77,7 @@
         loop {
             self.wait_for_retry().await;
             let accepted = self.listener.accept_next().await;
-            if let Some(connection) = self.handle(accepted) {
+            if let Some(connection) = self.handle_accept_result(accepted) {
                 return connection;
             }
         }
@@ -85,19 +85,19 @@
 
     /// The next connection of the backlog; `None` once that is empty, or the socket is of no use. After any other error
     /// it is tried again.
-    pub async fn next_waiting(&mut self) -> Option<L::Accepted> {
-        while self.has_waiting() {
+    pub async fn next_from_backlog(&mut self) -> Option<L::Accepted> {
+        while self.backlog_has_connection() {
             self.wait_for_retry().await;
             let accepted = tokio::select! {
                 biased;
                 accepted = self.listener.accept_next() => accepted,
-                () = sleep(READINESS_WAIT) => continue,
+                () = sleep(BACKLOG_POLL_INTERVAL) => continue,
             };
-            let has_failed = matches!(accepted, Err(AcceptError::Failed(_)));
-            if let Some(connection) = self.handle(accepted) {
+            let listener_failed = matches!(accepted, Err(AcceptError::ListenerFailed(_)));
+            if let Some(connection) = self.handle_accept_result(accepted) {
                 return Some(connection);
             }
-            if has_failed {
+            if listener_failed {
                 return None;
             }
         }
@@ -106,9 +106,10 @@
 
     /// Whether the backlog holds a connection. Accepting cannot tell: without free descriptors it also fails where there
     /// is none.
-    fn has_waiting(&self) -> bool {
-        let mut polled = [c::pollfd { fd: self.listener.as_raw_fd(), events: c::POLLIN, revents: 0 }];
-        uapi::poll(&mut polled, 0).map_or(true, |ready| ready > 0)
+    fn backlog_has_connection(&self) -> bool {
+        let mut poll_descriptors =
+            [c::pollfd { fd: self.listener.as_raw_fd(), events: c::POLLIN, revents: 0 }];
+        uapi::poll(&mut poll_descriptors, 0).map_or(true, |ready| ready > 0)
     }
 
     async fn wait_for_retry(&mut self) {
@@ -119,7 +120,7 @@
     }
 
     /// The connection, if there is one; if not, a wait is due where the next call would only fail again.
-    fn handle(&mut self, accepted: Result<L::Accepted, AcceptError>) -> Option<L::Accepted> {
+    fn handle_accept_result(&mut self, accepted: Result<L::Accepted, AcceptError>) -> Option<L::Accepted> {
         match accepted {
             Ok(connection) => {
                 self.backoff = INITIAL_BACKOFF;
@@ -128,7 +129,7 @@
                 }
                 Some(connection)
             }
-            Err(AcceptError::Gone(_)) => None,
+            Err(AcceptError::Aborted(_)) => None,
             Err(error) => {
                 self.back_off(&error);
                 None
--- a/crates/proxy/src/system/datagrams.rs
+++ b/crates/proxy/src/system/datagrams.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use uapi::c;
 
-use super::injection::{SystemCall, injected};
+use super::injection::{SystemCall, inject_fault};
 
 /// The wait after an error that the next call would only meet again.
 const BACKOFF: Duration = Duration::from_millis(10);
@@ -24,7 +24,7 @@
         from: SocketAddr,
     },
     /// Nothing more has come.
-    Nothing,
+    NoDatagram,
     /// There may be more, which cannot be read now.
     Failed,
 }
@@ -61,7 +61,7 @@
     /// Reads a datagram into `buffer`, if one has come.
     pub fn receive(&mut self, buffer: &mut [u8]) -> Received {
         loop {
-            let read = injected(SystemCall::Receive).and_then(|()| self.socket.try_recv_from(buffer));
+            let read = inject_fault(SystemCall::Receive).and_then(|()| self.socket.try_recv_from(buffer));
             match read {
                 Ok((length, from)) => {
                     if std::mem::take(&mut self.failure_logged) {
@@ -69,9 +69,9 @@
                     }
                     return Received::Datagram { length, from };
                 }
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return Received::Nothing,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return Received::NoDatagram,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) if is_about_sent_datagram(&error) => {}
+                Err(error) if concerns_sent_datagram(&error) => {}
                 Err(error) => {
                     self.back_off(&error);
                     return Received::Failed;
@@ -100,7 +100,7 @@
 
 /// Whether the error is about a datagram that was sent earlier: the system reports it once, by whichever call comes next,
 /// and it says nothing of what has come.
-fn is_about_sent_datagram(error: &io::Error) -> bool {
+fn concerns_sent_datagram(error: &io::Error) -> bool {
     let network_errors = [c::ECONNREFUSED, c::ECONNRESET, c::EHOSTUNREACH, c::ENETUNREACH, c::EHOSTDOWN];
-    error.raw_os_error().is_some_and(|number| network_errors.contains(&number))
+    error.raw_os_error().is_some_and(|error_number| network_errors.contains(&error_number))
 }
--- a/crates/proxy/src/system/errors.rs
+++ b/crates/proxy/src/system/errors.rs
@@ -42,7 +42,7 @@
 struct LocalError(io::Error);
 
 /// Marks an error as this machine's.
-pub(super) fn as_local(error: io::Error) -> io::Error {
+pub(super) fn into_local(error: io::Error) -> io::Error {
     io::Error::new(error.kind(), LocalError(error))
 }
 
@@ -52,7 +52,7 @@
     /// The connection went away before it was accepted, or a signal interrupted the call: the next one is accepted at
     /// once.
     #[error("connection gone before it was accepted: {0}")]
-    Gone(io::Error),
+    Aborted(io::Error),
     /// The process or the machine has no descriptor or memory left. The connection waits in the backlog.
     #[error(
         "no descriptor or memory free to accept a connection, tried again; raise the limit on open files: {0}"
@@ -60,16 +60,16 @@
     Exhausted(io::Error),
     /// The listening socket itself is of no use.
     #[error("the listening socket fails: {0}")]
-    Failed(io::Error),
+    ListenerFailed(io::Error),
 }
 
 impl From<io::Error> for AcceptError {
     fn from(error: io::Error) -> AcceptError {
         match error.raw_os_error() {
             Some(c::EMFILE | c::ENFILE | c::ENOBUFS | c::ENOMEM) => AcceptError::Exhausted(error),
-            Some(c::EBADF | c::EINVAL | c::ENOTSOCK | c::EFAULT) => AcceptError::Failed(error),
+            Some(c::EBADF | c::EINVAL | c::ENOTSOCK | c::EFAULT) => AcceptError::ListenerFailed(error),
             // Errors of the network that are pending on the new connection are among them: accept passes those on.
-            _ => AcceptError::Gone(error),
+            _ => AcceptError::Aborted(error),
         }
     }
 }
--- a/crates/proxy/src/system/faults.rs
+++ b/crates/proxy/src/system/faults.rs
@@ -16,13 +16,13 @@
 use super::injection::SystemCall;
 
 /// The environment variable that names the file.
-const FILE: &str = "ALDERMILL_TEST_FAULTS";
+const FILE_VARIABLE: &str = "ALDERMILL_TEST_FAULTS";
 
 /// One line of the file.
-struct Rule {
+struct FaultRule {
     call: SystemCall,
     /// The number of the error.
-    error: i32,
+    error_number: i32,
     /// The chance that a call fails.
     percent: u32,
     /// Calls that may still fail; `None` for no limit.
@@ -31,39 +31,39 @@
 
 /// The rules in force.
 #[derive(Default)]
-struct Faults {
+struct FaultRules {
     /// The file's text that they were read from.
     text: String,
-    rules: Vec<Rule>,
+    rules: Vec<FaultRule>,
     rng: Option<Pcg64Mcg>,
 }
 
 thread_local! {
     /// `None` without the environment variable.
-    static FAULTS: RefCell<Option<Faults>> =
-        RefCell::new(std::env::var_os(FILE).map(|_| Faults::default()));
+    static FAULT_RULES: RefCell<Option<FaultRules>> =
+        RefCell::new(std::env::var_os(FILE_VARIABLE).map(|_| FaultRules::default()));
 }
 
 /// The error that this call is to fail with, if any.
-pub(super) fn draw(call: SystemCall) -> Option<io::Error> {
-    FAULTS.with_borrow_mut(|faults| faults.as_mut()?.draw(call))
+pub(super) fn error_to_inject(call: SystemCall) -> Option<io::Error> {
+    FAULT_RULES.with_borrow_mut(|rules| rules.as_mut()?.error_to_inject(call))
 }
 
-impl Faults {
-    fn draw(&mut self, call: SystemCall) -> Option<io::Error> {
-        let text = std::env::var_os(FILE).and_then(|path| std::fs::read_to_string(path).ok());
-        self.update(text.unwrap_or_default());
+impl FaultRules {
+    fn error_to_inject(&mut self, call: SystemCall) -> Option<io::Error> {
+        let text = std::env::var_os(FILE_VARIABLE).and_then(|path| std::fs::read_to_string(path).ok());
+        self.reload_if_changed(text.unwrap_or_default());
         let rng = self.rng.get_or_insert_with(|| Pcg64Mcg::seed_from_u64(0));
         for rule in self.rules.iter_mut().filter(|rule| rule.call == call && rule.failures_left != Some(0)) {
             if rng.random_range(0..100) < rule.percent {
                 rule.failures_left = rule.failures_left.map(|left| left - 1);
-                return Some(io::Error::from_raw_os_error(rule.error));
+                return Some(io::Error::from_raw_os_error(rule.error_number));
             }
         }
         None
     }
 
-    fn update(&mut self, text: String) {
+    fn reload_if_changed(&mut self, text: String) {
         if text == self.text {
             return;
         }
@@ -74,14 +74,16 @@
     }
 }
 
-fn parse_rule(line: &str) -> Rule {
-    let words: Vec<&str> = line.split_whitespace().collect();
-    let &[call, error, percent, most] = words.as_slice() else { panic!("{FILE}: not a rule: {line}") };
-    Rule {
-        call: parse_call(call).unwrap_or_else(|| panic!("{FILE}: no such call: {line}")),
-        error: parse_error(error),
-        percent: percent.parse().unwrap_or_else(|_| panic!("{FILE}: no chance: {line}")),
-        failures_left: most.parse().ok(),
+fn parse_rule(line: &str) -> FaultRule {
+    let fields: Vec<&str> = line.split_whitespace().collect();
+    let &[call, error, percent, max_failures] = fields.as_slice() else {
+        panic!("{FILE_VARIABLE}: not a rule: {line}")
+    };
+    FaultRule {
+        call: parse_call(call).unwrap_or_else(|| panic!("{FILE_VARIABLE}: no such call: {line}")),
+        error_number: parse_error(error),
+        percent: percent.parse().unwrap_or_else(|_| panic!("{FILE_VARIABLE}: no chance: {line}")),
+        failures_left: max_failures.parse().ok(),
     }
 }
 
@@ -116,6 +118,6 @@
         "EPIPE" => c::EPIPE,
         "EINTR" => c::EINTR,
         "ETIMEDOUT" => c::ETIMEDOUT,
-        _ => panic!("{FILE}: no such error: {name}"),
+        _ => panic!("{FILE_VARIABLE}: no such error: {name}"),
     }
 }
--- a/crates/proxy/src/system/injection.rs
+++ b/crates/proxy/src/system/injection.rs
@@ -35,9 +35,9 @@
 }
 
 /// Fails with the error that a test wants of this call, if any; never in release builds.
-pub(super) fn injected(call: SystemCall) -> io::Result<()> {
+pub(super) fn inject_fault(call: SystemCall) -> io::Result<()> {
     #[cfg(debug_assertions)]
-    if let Some(error) = super::faults::draw(call) {
+    if let Some(error) = super::faults::error_to_inject(call) {
         return Err(error);
     }
     let _ = call;
--- a/crates/proxy/src/system/streams.rs
+++ b/crates/proxy/src/system/streams.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 
 use super::SocketErrorKind;
-use super::injection::{Party, SystemCall, injected};
+use super::injection::{Party, SystemCall, inject_fault};
 
 /// What a peek at a connection finds, without waiting and without reading anything.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
 /// Peeks at the connection. The system itself is asked, as what the runtime knows of readiness may be outdated.
 pub fn peek(stream: &TcpStream) -> Peeked {
     loop {
-        let peeked = injected(SystemCall::Peek)
+        let peeked = inject_fault(SystemCall::Peek)
             .and_then(|()| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]));
         match peeked {
             Ok(0) => return Peeked::EndOfStream,
@@ -42,7 +42,7 @@
 /// where the future is dropped.
 pub async fn read(party: Party, stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<usize> {
     loop {
-        let read = match injected(SystemCall::Read(party)) {
+        let read = match inject_fault(SystemCall::Read(party)) {
             Ok(()) => stream.read_buf(buffer).await,
             Err(error) => Err(error),
         };
@@ -57,7 +57,7 @@
 /// dropped.
 pub async fn write(party: Party, stream: &mut TcpStream, bytes: &[u8]) -> io::Result<usize> {
     loop {
-        let written = match injected(SystemCall::Write(party)) {
+        let written = match inject_fault(SystemCall::Write(party)) {
             Ok(()) => stream.write(bytes).await,
             Err(error) => Err(error),
         };
@@ -82,7 +82,7 @@
 /// Writes what the system takes at once; how many bytes.
 pub fn try_write(party: Party, stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
     loop {
-        match injected(SystemCall::Write(party)).and_then(|()| stream.try_write(bytes)) {
+        match inject_fault(SystemCall::Write(party)).and_then(|()| stream.try_write(bytes)) {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             written => return written,
         }
--- a/crates/proxy/tests/wall_clock.rs
+++ b/crates/proxy/tests/wall_clock.rs
@@ -12,7 +12,7 @@
 
 const SECOND: i64 = 1_000_000;
 const HOUR: i64 = 3_600 * SECOND;
-const STEPS: [i64; 4] = [-HOUR, -2 * SECOND, 2 * SECOND, HOUR];
+const CLOCK_STEPS: [i64; 4] = [-HOUR, -2 * SECOND, 2 * SECOND, HOUR];
 
 /// By how many microseconds the wall clock is off.
 #[derive(Clone, Copy, Debug)]
@@ -25,40 +25,40 @@
 
 /// Requests that a replica gets in slow start beside two warm ones, in each half second.
 fn requests_in_slow_start(offsets: ClockOffsets) -> Vec<usize> {
-    const HALVES: usize = 8;
+    const HALF_SECONDS: usize = 8;
     let members = [sound("reader"), sound("reader"), sound("reader")];
-    let list_line = |revision, phase, since: u128| {
+    let endpoint_list = |revision, phase, up_since_ms: u128| {
         let [a, b, c] = &members;
-        let line = list(revision, true, &[("a", a, "in_service"), ("b", b, "in_service"), ("c", c, phase)]);
-        let (others, own) = line.rsplit_once(r#""up_since_ms":0"#).unwrap();
-        format!(r#"{others}"up_since_ms":{since}{own}"#)
+        let text = list(revision, true, &[("a", a, "in_service"), ("b", b, "in_service"), ("c", c, phase)]);
+        let (before, after) = text.rsplit_once(r#""up_since_ms":0"#).unwrap();
+        format!(r#"{before}"up_since_ms":{up_since_ms}{after}"#)
     };
     let clock = SteppedClock::start(offsets.at_process_start);
     let discovery = Discovery::default();
-    let config = config(discovery.start(), 256, &list_line(1, "in_service", 0));
+    let config = config(discovery.start(), 256, &endpoint_list(1, "in_service", 0));
     let config =
         config.replace(r#""coldFrom":0.2,"warmWithinMs":1000"#, r#""coldFrom":0.1,"warmWithinMs":4000"#);
     let driver = Driver::under(&clock, &config);
     let mut client = Client::connect(driver.address);
-    let mut send_for = |span: Duration| {
+    let mut send_reads_for = |duration: Duration| {
         let start = Instant::now();
-        for at in 0..(span.as_millis() / 5) as u32 {
-            thread::sleep((Duration::from_millis(5) * at).saturating_sub(start.elapsed()));
+        for tick in 0..(duration.as_millis() / 5) as u32 {
+            thread::sleep((Duration::from_millis(5) * tick).saturating_sub(start.elapsed()));
             assert!(served(&client.ask(&look(15_000))));
         }
     };
-    send_for(Duration::from_secs(1));
+    send_reads_for(Duration::from_secs(1));
     clock.step(offsets.at_replica_start);
-    discovery.say(list_line(2, "terminating", 0));
+    discovery.say(endpoint_list(2, "terminating", 0));
     until("the drain", || driver.logged("revision: 2"));
-    discovery.say(list_line(3, "in_service", unix_millis()));
+    discovery.say(endpoint_list(3, "in_service", unix_millis()));
     until("the new start", || driver.logged("revision: 3"));
-    let before = members[2].requests().len();
-    let mut totals = vec![before];
-    for half in 0..HALVES {
-        send_for(Duration::from_millis(500));
+    let requests_before = members[2].requests().len();
+    let mut totals = vec![requests_before];
+    for half_second in 0..HALF_SECONDS {
+        send_reads_for(Duration::from_millis(500));
         totals.push(members[2].requests().len());
-        if half == 0 {
+        if half_second == 0 {
             clock.step(offsets.during_slow_start);
         }
     }
@@ -67,11 +67,11 @@
 
 /// Slow start lasts its time, no less and no more: a warm replica gets 33 requests each half second, this one few at first
 /// and most of them at last. The bounds leave space for the variation on a busy machine.
-fn assert_slow_start_as_usual(cases: Vec<ClockOffsets>) {
-    for cases in cases.chunks(4) {
+fn assert_slow_start_duration(cases: Vec<ClockOffsets>) {
+    for batch in cases.chunks(4) {
         let start =
             |&offsets: &ClockOffsets| (offsets, thread::spawn(move || requests_in_slow_start(offsets)));
-        let runs: Vec<_> = cases.iter().map(start).collect();
+        let runs: Vec<_> = batch.iter().map(start).collect();
         for (offsets, run) in runs {
             let requests = run.join().unwrap();
             let first: usize = requests[..2].iter().sum();
@@ -83,24 +83,24 @@
 }
 
 #[test]
-fn slow_start_survives_steps_of_the_wall_clock() {
+fn slow_start_is_unaffected_by_steps_of_the_wall_clock() {
     let offsets = |at_replica_start, during_slow_start| ClockOffsets {
         at_process_start: 0,
         at_replica_start,
         during_slow_start,
     };
-    let cases = STEPS.iter().flat_map(|&step| [offsets(step, step), offsets(0, step)]);
-    assert_slow_start_as_usual(cases.collect());
+    let cases = CLOCK_STEPS.iter().flat_map(|&step| [offsets(step, step), offsets(0, step)]);
+    assert_slow_start_duration(cases.collect());
 }
 
 #[test]
-fn slow_start_survives_a_process_started_under_a_wrong_wall_clock() {
+fn slow_start_is_unaffected_by_a_wrong_wall_clock_at_process_start() {
     let constant = |&offset: &i64| ClockOffsets {
         at_process_start: offset,
         at_replica_start: offset,
         during_slow_start: offset,
     };
-    assert_slow_start_as_usual([0].iter().chain(&STEPS).map(constant).collect());
+    assert_slow_start_duration([0].iter().chain(&CLOCK_STEPS).map(constant).collect());
 }
 
 /// A replica that reports this replication position, in Unix milliseconds.
@@ -137,24 +137,27 @@
 
 #[test]
 fn replica_positions_and_last_writes_compare_correctly_across_wall_clock_steps() {
-    for (at_start, step) in STEPS.into_iter().flat_map(|step| [(0, step), (step, 0)]) {
-        let clock = SteppedClock::start(at_start);
+    for (initial_offset, step) in CLOCK_STEPS.into_iter().flat_map(|step| [(0, step), (step, 0)]) {
+        let clock = SteppedClock::start(initial_offset);
         let position = (unix_millis() / 1000 - 1) * 1000;
         let (driver, replica, _primary) =
             proxy_with_replica(&clock, replica_at(move || position), "own_writes");
         let mut client = Client::connect(driver.address);
-        let mut reads = |after, times| {
-            let before = replica.requests().len();
-            (0..times).for_each(|_| assert!(served(&client.ask(&read_after_write(after)))));
-            replica.requests().len() - before
+        let mut reads = |last_write, count| {
+            let requests_before = replica.requests().len();
+            (0..count).for_each(|_| assert!(served(&client.ask(&read_after_write(last_write)))));
+            replica.requests().len() - requests_before
         };
-        if at_start >= 0 {
+        if initial_offset >= 0 {
             until("a read of the replica", || reads(position, 1) > 0);
         }
         clock.step(step);
-        assert_eq!(reads(position + 500, 20), 0, "stale reads, clock at {at_start}, then {step}");
-        if at_start >= 0 {
-            assert!(reads(position, 20) > 0, "kept from the replica needlessly, {at_start}, then {step}");
+        assert_eq!(reads(position + 500, 20), 0, "stale reads, clock at {initial_offset}, then {step}");
+        if initial_offset >= 0 {
+            assert!(
+                reads(position, 20) > 0,
+                "kept from the replica needlessly, {initial_offset}, then {step}"
+            );
         }
     }
 }
@@ -163,11 +166,11 @@
 fn bounded_staleness_reads_keep_their_bound_in_a_process_started_under_a_wrong_wall_clock() {
     // How far the replica is behind, in milliseconds, and whether it is fresh enough for reads of data 300 ms old.
     let cases = [(-3 * SECOND, 2_500, false), (-HOUR, 3_599_900, false), (-HOUR, 0, true), (HOUR, 0, true)];
-    for (at_start, behind, fresh) in
+    for (initial_offset, lag_ms, fresh) in
         cases.into_iter().chain([(2 * SECOND, 2_500, false), (2 * SECOND, 0, true)])
     {
-        let clock = SteppedClock::start(at_start);
-        let replica = replica_at(move || unix_millis() - behind);
+        let clock = SteppedClock::start(initial_offset);
+        let replica = replica_at(move || unix_millis() - lag_ms);
         let (driver, replica, _primary) = proxy_with_replica(&clock, replica, "recent");
         let mut client = Client::connect(driver.address);
         until("the members' clock", || {
@@ -175,15 +178,15 @@
             driver.logged("differs from the members'")
         });
         (0..5).for_each(|_| assert!(served(&client.ask(&order(15_000)))));
-        let before = replica.requests().len();
-        let mut reads = |times| {
-            (0..times).for_each(|_| assert!(served(&client.ask(&look(15_000)))));
-            replica.requests().len() - before
+        let requests_before = replica.requests().len();
+        let mut reads = |count| {
+            (0..count).for_each(|_| assert!(served(&client.ask(&look(15_000)))));
+            replica.requests().len() - requests_before
         };
         if fresh {
             until("a read of the replica", || reads(1) > 0);
         } else {
-            assert_eq!(reads(100), 0, "stale: clock off by {at_start}, replica behind by {behind}");
+            assert_eq!(reads(100), 0, "stale: clock off by {initial_offset}, replica behind by {lag_ms}");
         }
     }
 }
