--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Asks the discovery watch for the endpoint list, if the watch fetches it only on request.
+    /// Asks the discovery watcher for the endpoint list, if the watcher fetches it only on request.
     fn request_endpoint_list(&self) {
         if let Some(list_requests) = &self.list_requests {
             let _ = list_requests.try_send(());
--- a/crates/proxy/src/dispatcher/gateway/mod.rs
+++ b/crates/proxy/src/dispatcher/gateway/mod.rs
@@ -158,7 +158,7 @@
     waiting_requests: HashMap<RecordId, IncomingRequest>,
     /// Responses that wait for the record of their outcome.
     waiting_responses: HashMap<RecordId, OutgoingResponse>,
-    /// Client ID that the latest remote request was given.
+    /// Request ID that was assigned to the latest remote request.
     last_remote_request_id: ClientRequestId,
     /// Field of a statement's comment that names the session; `None` if sessions are not named.
     session_field: Option<String>,
--- a/crates/proxy/src/dispatcher/gateway/start.rs
+++ b/crates/proxy/src/dispatcher/gateway/start.rs
@@ -14,7 +14,8 @@
 use crate::messages::ClientRequestId;
 use crate::persistence::DataDirectory;
 
-/// Client IDs of remote requests are greater than this number, which keeps them apart from those of clients.
+/// Base of the request IDs of remote requests. They are all greater than this number, which keeps them apart
+/// from the IDs of requests that clients send directly.
 const REMOTE_REQUEST_ID_BASE: ClientRequestId = 1 << 63;
 /// Maximum number of write confirmations that wait for the dispatcher. It is greater than the number of writes
 /// that may wait for the disk, as a confirmation that does not fit is lost.
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -42,7 +42,7 @@
 
 /// An event that the dispatcher handles.
 enum Event {
-    /// The discovery watch sent an endpoint list, a change to it, or the report that discovery is
+    /// The discovery watcher sent an endpoint list, a change to it, or the report that discovery is
     /// unreachable.
     ListUpdate(ListUpdate),
     /// The wake-up time of the router has come.
@@ -87,8 +87,8 @@
     pub observations: Option<Observations>,
     /// Set to `true` once the endpoint list has named its first member, so that requests can be routed.
     pub ready: watch::Sender<bool>,
-    /// The channel on which the router's subscription to the endpoint list is sent to the discovery watch;
-    /// `None` if the watch fetches the list on its own.
+    /// The channel on which the router's subscription to the endpoint list is sent to the discovery watcher;
+    /// `None` if the watcher fetches the list on its own.
     pub list_requests: Option<mpsc::Sender<()>>,
 }
 
@@ -203,7 +203,7 @@
     }
 
     /// After a stall, applies the list updates that discovery sent during it before anything else is decided,
-    /// because a member may be draining by now. The discovery watch must run first to read them. Returns the
+    /// because a member may be draining by now. The discovery watcher must run first to read them. Returns the
     /// event that still has to be handled, if any: if `event` is a list update, it is older than those in the
     /// channel and is applied before them.
     async fn catch_up_after_stall(
--- a/crates/proxy/src/messages/dispatcher.rs
+++ b/crates/proxy/src/messages/dispatcher.rs
@@ -176,7 +176,7 @@
     NoBufferSpace,
 }
 
-/// A message from the discovery watch to the dispatcher.
+/// A message from the discovery watcher to the dispatcher.
 pub enum ListUpdate {
     /// The full endpoint list, or the changes to it.
     Received(EndpointList),
--- a/crates/proxy/src/system/acceptor.rs
+++ b/crates/proxy/src/system/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepting connections whatever errors the system reports meanwhile.
+//! Accepts connections, and continues to do so after errors of `accept`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,20 +13,22 @@
 use super::AcceptError;
 use super::injection::{SystemCall, inject_fault};
 
-/// The wait after the first error that the next call would only meet again; doubled after each that follows.
+/// Wait after the first error that is expected to recur at once. Doubled after each further one, up to
+/// [`MAX_BACKOFF`].
 const INITIAL_BACKOFF: Duration = Duration::from_millis(2);
-/// The longest of these waits, and so what accepting is late by once the system has descriptors again.
+/// Maximum wait after an error, and thus the maximum delay until connections are accepted again once the
+/// system has free descriptors.
 const MAX_BACKOFF: Duration = Duration::from_millis(100);
-/// How long a connection in the backlog is waited for until the backlog is looked at again: the runtime may not yet have
-/// noticed it.
+/// How long to wait for the runtime to report a connection that is in the backlog before the backlog is
+/// polled again. The runtime may not have noticed the connection yet.
 const BACKLOG_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A socket that connections are accepted from.
+/// A listening socket from which connections are accepted.
 pub trait Listener: AsRawFd {
-    /// What an accepted connection is.
+    /// Type of an accepted connection, with the address of the remote end where it has one.
     type Accepted;
 
-    /// The next connection. Cancel safe.
+    /// Waits for the next connection and accepts it. Cancel safe.
     fn accept_next(&self) -> impl Future<Output = Result<Self::Accepted, AcceptError>>;
 }
 
@@ -36,7 +38,7 @@
     async fn accept_next(&self) -> Result<Self::Accepted, AcceptError> {
         let Err(fault) = inject_fault(SystemCall::Accept) else { return Ok(self.accept().await?) };
         if fault.kind() == io::ErrorKind::ConnectionAborted {
-            // The connection that is gone was one of the backlog.
+            // An aborted connection is removed from the backlog, so one is removed here as well.
             self.accept().await?;
         }
         Err(fault.into())
@@ -52,27 +54,29 @@
     }
 }
 
-/// A listening socket, and what is remembered of its errors.
+/// A listening socket that backs off after errors of `accept`.
 ///
-/// A connection that is gone is passed over at once. After any other error accepting backs off, longer each time: without
-/// that the process would spin over a call that fails at once, and serve nobody else. The cost: new connections wait that
-/// much longer in the backlog.
+/// After a connection that was aborted, the next one is accepted at once. After any other error the acceptor
+/// waits, longer each time, because otherwise the process would be busy with a call that fails immediately
+/// and would serve nobody. The cost is that new connections stay in the backlog for the duration of the wait.
 pub struct Acceptor<L> {
     listener: L,
     log: Logger,
+    /// The wait after the next error.
     backoff: Duration,
+    /// End of the current wait; `None` if `accept` may be called at once.
     retry_at: Option<Instant>,
-    /// Whether the errors since the last accepted connection are logged.
+    /// Whether an error has been logged since the last accepted connection.
     failure_logged: bool,
 }
 
 impl<L: Listener> Acceptor<L> {
-    /// For a socket that listens.
+    /// Creates an acceptor for a socket that is already listening.
     pub fn new(listener: L, log: Logger) -> Acceptor<L> {
         Acceptor { listener, log, backoff: INITIAL_BACKOFF, retry_at: None, failure_logged: false }
     }
 
-    /// The next connection, however long that takes. Cancel safe.
+    /// Waits for the next connection and returns it; errors are retried without a limit. Cancel safe.
     pub async fn next(&mut self) -> L::Accepted {
         loop {
             self.wait_for_retry().await;
@@ -83,8 +87,8 @@
         }
     }
 
-    /// The next connection of the backlog; `None` once that is empty, or the socket is of no use. After any other error
-    /// it is tried again.
+    /// Returns the next connection of the backlog, or `None` once the backlog is empty or the listening
+    /// socket is unusable. Other errors are retried.
     pub async fn next_from_backlog(&mut self) -> Option<L::Accepted> {
         while self.backlog_has_connection() {
             self.wait_for_retry().await;
@@ -104,14 +108,15 @@
         None
     }
 
-    /// Whether the backlog holds a connection. Accepting cannot tell: without free descriptors it also fails where there
-    /// is none.
+    /// Returns whether the backlog contains a connection. `accept` cannot be used to find out, because
+    /// without free descriptors it fails on an empty backlog too.
     fn backlog_has_connection(&self) -> bool {
         let mut poll_descriptors =
             [c::pollfd { fd: self.listener.as_raw_fd(), events: c::POLLIN, revents: 0 }];
         uapi::poll(&mut poll_descriptors, 0).map_or(true, |ready| ready > 0)
     }
 
+    /// Waits until `accept` may be called again. Cancel safe.
     async fn wait_for_retry(&mut self) {
         if let Some(retry_at) = self.retry_at {
             sleep_until(retry_at).await;
@@ -119,7 +124,8 @@
         }
     }
 
-    /// The connection, if there is one; if not, a wait is due where the next call would only fail again.
+    /// Returns the connection if one was accepted. Schedules a wait after an error that is expected to recur
+    /// at once.
     fn handle_accept_result(&mut self, accepted: Result<L::Accepted, AcceptError>) -> Option<L::Accepted> {
         match accepted {
             Ok(connection) => {
@@ -137,6 +143,7 @@
         }
     }
 
+    /// Schedules a wait, doubles the next one, and logs the first error since the last accepted connection.
     fn back_off(&mut self, error: &AcceptError) {
         self.retry_at = Some(Instant::now() + self.backoff);
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
--- a/crates/proxy/src/system/datagrams.rs
+++ b/crates/proxy/src/system/datagrams.rs
@@ -1,4 +1,4 @@
-//! A socket for datagrams, read and written without waiting, whatever errors the system reports meanwhile.
+//! A non-blocking datagram socket that stays in use after errors.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -11,43 +11,45 @@
 
 use super::injection::{SystemCall, inject_fault};
 
-/// The wait after an error that the next call would only meet again.
+/// Wait after an error that is expected to recur at once.
 const BACKOFF: Duration = Duration::from_millis(10);
 
-/// What one read brought.
+/// Result of one read from a datagram socket.
 pub enum Received {
-    /// A datagram, now in the caller's buffer.
+    /// A datagram was read into the caller's buffer.
     Datagram {
-        /// Its bytes there.
+        /// Length of the datagram in the buffer, in bytes.
         length: usize,
-        /// Its sender.
+        /// Address of the sender.
         from: SocketAddr,
     },
-    /// Nothing more has come.
+    /// No datagram is waiting to be read.
     NoDatagram,
-    /// There may be more, which cannot be read now.
+    /// The read failed. Datagrams may be waiting, but cannot be read now.
     Failed,
 }
 
-/// A socket for datagrams, and what is remembered of its errors.
+/// A datagram socket that backs off after errors of reads.
 ///
-/// An error about an earlier datagram is passed over at once; after any other one reading backs off. Without that the process
-/// would spin over a call that fails at once, and serve nobody else. The cost: datagrams wait that much longer.
+/// After an error that concerns a datagram sent earlier, the next read follows at once. After any other error
+/// the socket waits, because otherwise the process would be busy with a call that fails immediately and would
+/// serve nobody. The cost is that datagrams are read later by the duration of the wait.
 pub struct DatagramSocket {
     socket: UdpSocket,
     log: Logger,
+    /// End of the current wait; `None` if the socket may be read at once.
     retry_at: Option<Instant>,
-    /// Whether the errors since the last datagram that was read are logged.
+    /// Whether an error has been logged since the last datagram was read.
     failure_logged: bool,
 }
 
 impl DatagramSocket {
-    /// For a socket that is bound.
+    /// Wraps a socket that is already bound.
     pub fn new(socket: UdpSocket, log: Logger) -> DatagramSocket {
         DatagramSocket { socket, log, retry_at: None, failure_logged: false }
     }
 
-    /// Waits until there is something to read. Cancel safe.
+    /// Waits until a datagram can be read, and until the wait after an error has ended. Cancel safe.
     pub async fn readable(&mut self) {
         if let Some(retry_at) = self.retry_at {
             sleep_until(retry_at).await;
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Reads a datagram into `buffer`, if one has come.
+    /// Reads a datagram into `buffer` if one is waiting, without blocking.
     pub fn receive(&mut self, buffer: &mut [u8]) -> Received {
         loop {
             let read = inject_fault(SystemCall::Receive).and_then(|()| self.socket.try_recv_from(buffer));
@@ -80,6 +82,7 @@
         }
     }
 
+    /// Schedules a wait, and logs the first error since the last datagram that was read.
     fn back_off(&mut self, error: &io::Error) {
         self.retry_at = Some(Instant::now() + BACKOFF);
         if !std::mem::replace(&mut self.failure_logged, true) {
@@ -87,7 +90,11 @@
         }
     }
 
-    /// Sends a datagram at once, or not at all; how many bytes.
+    /// Sends a datagram without blocking and returns the number of bytes sent.
+    ///
+    /// # Errors
+    ///
+    /// [`ErrorKind::WouldBlock`] if the datagram cannot be sent at once. It is not queued.
     pub fn send(&self, datagram: &[u8], to: SocketAddr) -> io::Result<usize> {
         loop {
             match self.socket.try_send_to(datagram, to) {
@@ -98,8 +105,8 @@
     }
 }
 
-/// Whether the error is about a datagram that was sent earlier: the system reports it once, by whichever call comes next,
-/// and it says nothing of what has come.
+/// Returns whether the error concerns a datagram that was sent earlier. The system reports such an error
+/// once, on whichever call comes next, and it says nothing about received datagrams.
 fn concerns_sent_datagram(error: &io::Error) -> bool {
     let network_errors = [c::ECONNREFUSED, c::ECONNRESET, c::EHOSTUNREACH, c::ENETUNREACH, c::EHOSTDOWN];
     error.raw_os_error().is_some_and(|error_number| network_errors.contains(&error_number))
--- a/crates/proxy/src/system/errors.rs
+++ b/crates/proxy/src/system/errors.rs
@@ -1,26 +1,28 @@
-//! What errors of system calls on sockets say, as Linux documents them.
+//! Classification of errors of system calls on sockets, according to the Linux documentation.
 
 use std::io;
 
 use thiserror::Error;
 use uapi::c;
 
-/// What an error of connecting, reading or writing says of the two ends and the path between them.
+/// Cause of an error of connecting, reading or writing: this machine, the remote end or the path between
+/// them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketErrorKind {
-    /// This machine has no descriptor, port, memory or route, or a rule of its own forbids the call. Nothing is known of
-    /// the other side.
+    /// This machine has no free descriptor, port or memory, has no route, or forbids the call by a local
+    /// rule. Nothing is known about the remote end.
     Local,
-    /// Nobody listens at that address (ECONNREFUSED).
+    /// No process listens at the remote address (ECONNREFUSED).
     Refused,
-    /// The other side, or a machine on its behalf, ended the connection (ECONNRESET, EPIPE).
+    /// The remote end, or a machine on its behalf, ended the connection (ECONNRESET, EPIPE, ECONNABORTED).
     Reset,
-    /// Nothing comes through to the other side (ETIMEDOUT, EHOSTUNREACH); its process may well live.
+    /// The remote end cannot be reached (ETIMEDOUT, EHOSTUNREACH, EHOSTDOWN, ENETRESET). Its process may be
+    /// running.
     Unreachable,
 }
 
 impl SocketErrorKind {
-    /// The kind of an error of a call on a connection, by its number.
+    /// Classifies an error of a call on a connection by its error number.
     pub fn of(error: &io::Error) -> SocketErrorKind {
         match error.raw_os_error() {
             Some(c::ECONNREFUSED) => SocketErrorKind::Refused,
@@ -29,37 +31,38 @@
                 SocketErrorKind::Unreachable
             }
             Some(_) => SocketErrorKind::Local,
-            // Not the system's: the end of the stream within a message, or one that `as_local` marked.
+            // Without an error number, the error was marked by `into_local`, or it is the end of the stream
+            // within a message.
             None if error.get_ref().is_some_and(|inner| inner.is::<LocalError>()) => SocketErrorKind::Local,
             None => SocketErrorKind::Reset,
         }
     }
 }
 
-/// An error that is this machine's whatever its number says.
+/// An error that was caused by this machine, whatever its error number.
 #[derive(Debug, Error)]
-#[error("no socket: {0}")]
+#[error("cannot open a socket: {0}")]
 struct LocalError(io::Error);
 
-/// Marks an error as this machine's.
+/// Marks an error as caused by this machine, so that it is classified as [`SocketErrorKind::Local`].
 pub(super) fn into_local(error: io::Error) -> io::Error {
     io::Error::new(error.kind(), LocalError(error))
 }
 
-/// Why a connection was not accepted.
+/// Reason why no connection was accepted.
 #[derive(Debug, Error)]
 pub enum AcceptError {
-    /// The connection went away before it was accepted, or a signal interrupted the call: the next one is accepted at
-    /// once.
-    #[error("connection gone before it was accepted: {0}")]
+    /// The connection ended before it was accepted, or a signal interrupted the call. The next connection can
+    /// be accepted at once.
+    #[error("connection aborted before it was accepted: {0}")]
     Aborted(io::Error),
-    /// The process or the machine has no descriptor or memory left. The connection waits in the backlog.
+    /// The process or the machine has no free descriptor or memory. The connection stays in the backlog.
     #[error(
-        "no descriptor or memory free to accept a connection, tried again; raise the limit on open files: {0}"
+        "no free descriptor or memory to accept a connection, retrying; raise the limit on open files: {0}"
     )]
     Exhausted(io::Error),
-    /// The listening socket itself is of no use.
-    #[error("the listening socket fails: {0}")]
+    /// The listening socket itself is unusable.
+    #[error("listening socket unusable: {0}")]
     ListenerFailed(io::Error),
 }
 
@@ -68,7 +71,7 @@
         match error.raw_os_error() {
             Some(c::EMFILE | c::ENFILE | c::ENOBUFS | c::ENOMEM) => AcceptError::Exhausted(error),
             Some(c::EBADF | c::EINVAL | c::ENOTSOCK | c::EFAULT) => AcceptError::ListenerFailed(error),
-            // Errors of the network that are pending on the new connection are among them: accept passes those on.
+            // Includes network errors that are pending on the new connection, which `accept` returns.
             _ => AcceptError::Aborted(error),
         }
     }
--- a/crates/proxy/src/system/faults.rs
+++ b/crates/proxy/src/system/faults.rs
@@ -1,9 +1,12 @@
-//! Failing system calls for tests; only in builds with debug assertions, never in released ones.
+//! Fault injection for system calls. Compiled only into builds with debug assertions, never into release
+//! builds.
 //!
-//! `ALDERMILL_TEST_FAULTS` names a file that is read before each call. Each of its lines is a rule of four words: the call,
-//! the error, the chance in percent and the most failures, as in `socket EMFILE 100 7`; the last may be `-` for no limit.
-//! A line `seed 3` fixes the chance. While there is no such file, nothing fails. A test replaces the file by renaming
-//! another; the rules start afresh when its text changes.
+//! The environment variable `ALDERMILL_TEST_FAULTS` names a file that is read before each call. Each line of
+//! the file is a rule of four fields: the call, the error, the probability of a failure in percent, and the
+//! maximum number of failures, as in `socket EMFILE 100 7`. The last field is `-` if there is no maximum. A
+//! line `seed 3` sets the seed of the random number generator, which is 0 without such a line. While the file
+//! does not exist, no call fails. A test replaces the file atomically by a rename. Whenever the text of the
+//! file has changed, the counts of failures and the random number generator start anew.
 
 use std::cell::RefCell;
 use std::io;
@@ -15,41 +18,44 @@
 use super::Party;
 use super::injection::SystemCall;
 
-/// The environment variable that names the file.
+/// Environment variable that contains the path of the file with the rules.
 const FILE_VARIABLE: &str = "ALDERMILL_TEST_FAULTS";
 
-/// One line of the file.
+/// A rule from one line of the file.
 struct FaultRule {
+    /// The system call that fails.
     call: SystemCall,
-    /// The number of the error.
+    /// The `errno` of the failure.
     error_number: i32,
-    /// The chance that a call fails.
+    /// Probability that a call fails, in percent.
     percent: u32,
-    /// Calls that may still fail; `None` for no limit.
+    /// Number of calls that may still fail; `None` if there is no maximum.
     failures_left: Option<u32>,
 }
 
-/// The rules in force.
+/// The rules in force, with the state of the random number generator.
 #[derive(Default)]
 struct FaultRules {
-    /// The file's text that they were read from.
+    /// Text of the file from which the rules were read.
     text: String,
     rules: Vec<FaultRule>,
     rng: Option<Pcg64Mcg>,
 }
 
 thread_local! {
-    /// `None` without the environment variable.
+    /// The rules of this thread; `None` if the environment variable is not set.
     static FAULT_RULES: RefCell<Option<FaultRules>> =
         RefCell::new(std::env::var_os(FILE_VARIABLE).map(|_| FaultRules::default()));
 }
 
-/// The error that this call is to fail with, if any.
+/// Returns the error with which this call must fail, or `None` if it must not fail.
 pub(super) fn error_to_inject(call: SystemCall) -> Option<io::Error> {
     FAULT_RULES.with_borrow_mut(|rules| rules.as_mut()?.error_to_inject(call))
 }
 
 impl FaultRules {
+    /// Rereads the file and returns the error with which this call must fail, if any. The first matching rule
+    /// that draws a failure applies.
     fn error_to_inject(&mut self, call: SystemCall) -> Option<io::Error> {
         let text = std::env::var_os(FILE_VARIABLE).and_then(|path| std::fs::read_to_string(path).ok());
         self.reload_if_changed(text.unwrap_or_default());
@@ -63,6 +69,7 @@
         None
     }
 
+    /// Parses the rules and restarts the random number generator if the text of the file has changed.
     fn reload_if_changed(&mut self, text: String) {
         if text == self.text {
             return;
@@ -74,19 +81,21 @@
     }
 }
 
+/// Parses a line of the file. Panics if it is not a valid rule.
 fn parse_rule(line: &str) -> FaultRule {
     let fields: Vec<&str> = line.split_whitespace().collect();
     let &[call, error, percent, max_failures] = fields.as_slice() else {
-        panic!("{FILE_VARIABLE}: not a rule: {line}")
+        panic!("{FILE_VARIABLE}: rule without exactly four fields: {line}")
     };
     FaultRule {
-        call: parse_call(call).unwrap_or_else(|| panic!("{FILE_VARIABLE}: no such call: {line}")),
+        call: parse_call(call).unwrap_or_else(|| panic!("{FILE_VARIABLE}: unknown system call: {line}")),
         error_number: parse_error(error),
-        percent: percent.parse().unwrap_or_else(|_| panic!("{FILE_VARIABLE}: no chance: {line}")),
+        percent: percent.parse().unwrap_or_else(|_| panic!("{FILE_VARIABLE}: invalid percentage: {line}")),
         failures_left: max_failures.parse().ok(),
     }
 }
 
+/// Returns the system call with this name in the file, or `None` if there is none.
 fn parse_call(name: &str) -> Option<SystemCall> {
     Some(match name {
         "socket" => SystemCall::Socket,
@@ -105,6 +114,7 @@
     })
 }
 
+/// Returns the `errno` with this name. Panics if tests cannot inject it.
 fn parse_error(name: &str) -> i32 {
     match name {
         "ECONNABORTED" => c::ECONNABORTED,
@@ -118,6 +128,6 @@
         "EPIPE" => c::EPIPE,
         "EINTR" => c::EINTR,
         "ETIMEDOUT" => c::ETIMEDOUT,
-        _ => panic!("{FILE_VARIABLE}: no such error: {name}"),
+        _ => panic!("{FILE_VARIABLE}: unknown error: {name}"),
     }
 }
--- a/crates/proxy/src/system/mod.rs
+++ b/crates/proxy/src/system/mod.rs
@@ -1,8 +1,8 @@
-//! The edge to the system: the proxy's sockets are opened, connected, accepted and peeked at here, and what an error of
-//! such a call says is decided here alone ([`SocketErrorKind`], [`AcceptError`]).
+//! Wrappers around the system calls on the proxy's sockets: opening, connecting, accepting, reading, writing
+//! and peeking. The errors of these calls are classified only here ([`SocketErrorKind`], [`AcceptError`]).
 //!
-//! In builds with debug assertions a test may make these calls fail, see `system/faults.rs`; release builds do not contain
-//! that code.
+//! In builds with debug assertions, tests can make these calls fail, see `system/faults.rs`. Release builds
+//! do not contain that code.
 
 mod acceptor;
 mod datagrams;
--- a/crates/proxy/src/system/sockets.rs
+++ b/crates/proxy/src/system/sockets.rs
@@ -1,4 +1,4 @@
-//! Opening sockets.
+//! Opens sockets that listen, connect or receive datagrams.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,8 +9,9 @@
 use super::errors;
 use super::injection::{SystemCall, inject_fault};
 
-/// A listening socket at that address; a port that an earlier run left in TIME_WAIT is no obstacle. Its connections have
-/// send and receive buffers of `buffer` bytes each, so that what was written and not read is known to within a buffer.
+/// Opens a TCP socket that listens at `address`, even if connections of an earlier process on that port are
+/// still in TIME_WAIT. Accepted connections have send and receive buffers of `buffer_size` bytes each, so
+/// that the amount of data that was written and not yet read is known to within one buffer.
 pub fn listen(address: SocketAddr, backlog: i32, buffer_size: usize) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -22,37 +23,38 @@
     TcpListener::from_std(socket.into())
 }
 
-/// A socket for datagrams at that address.
+/// Opens a UDP socket that is bound to `address`.
 pub async fn bind_datagrams(address: SocketAddr) -> io::Result<UdpSocket> {
     UdpSocket::bind(address).await
 }
 
-/// A local listening socket at that path.
+/// Opens a Unix domain socket that listens at `path`.
 pub fn listen_local(path: &str) -> io::Result<UnixListener> {
     UnixListener::bind(path)
 }
 
-/// Sizes of the system's buffers of a connection, in bytes.
+/// Sizes of the kernel's buffers of a connection, in bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct BufferSizes {
-    /// Of what was written and not sent or acknowledged.
+    /// Size of the buffer for data that was written and is not yet sent or acknowledged.
     pub send: u32,
-    /// Of what was received and not read.
+    /// Size of the buffer for data that was received and not yet read.
     pub receive: u32,
 }
 
-/// A new connection to that address, with the system's default buffers where no sizes are given.
+/// Opens a TCP connection to `address`. The buffers have the system's default sizes if `sizes` is `None`.
 ///
 /// # Errors
 ///
-/// One of `socket()` or of setting an option is always this machine's; of one of `connect()`,
-/// [`SocketErrorKind::of`](super::SocketErrorKind::of) says whose it is.
+/// An error of `socket()` or of setting an option is always marked as caused by this machine. An error of
+/// `connect()` is returned unchanged. [`SocketErrorKind::of`](super::SocketErrorKind::of) classifies both.
 pub async fn connect(address: SocketAddr, sizes: Option<BufferSizes>) -> io::Result<TcpStream> {
     let socket = open_socket(address, sizes).map_err(errors::into_local)?;
     inject_fault(SystemCall::Connect)?;
     socket.connect(address).await
 }
 
+/// Opens a TCP socket that is not connected, and sets the sizes of its buffers if any are given.
 fn open_socket(address: SocketAddr, sizes: Option<BufferSizes>) -> io::Result<TcpSocket> {
     inject_fault(SystemCall::Socket)?;
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
--- a/crates/proxy/src/system/streams.rs
+++ b/crates/proxy/src/system/streams.rs
@@ -1,4 +1,4 @@
-//! Reading, writing and peeking at connections. A call that a signal interrupts is made again.
+//! Reads from, writes to and peeks at TCP connections. A call that a signal interrupts is repeated.
 
 use std::io::{self, ErrorKind};
 use std::mem::MaybeUninit;
@@ -10,20 +10,21 @@
 use super::SocketErrorKind;
 use super::injection::{Party, SystemCall, inject_fault};
 
-/// What a peek at a connection finds, without waiting and without reading anything.
+/// Result of a peek at a connection, which neither waits nor consumes data.
 #[derive(Debug)]
 pub enum Peeked {
-    /// Nothing to read.
+    /// The connection is open and has no data to read.
     NoData,
-    /// Bytes that nobody has read.
+    /// Data is waiting to be read.
     Unread,
-    /// The other side sends nothing more.
+    /// The remote end has closed its side of the connection, and all of its data has been read.
     EndOfStream,
-    /// The connection is broken.
+    /// The call failed with an error of this kind.
     Failed(SocketErrorKind),
 }
 
-/// Peeks at the connection. The system itself is asked, as what the runtime knows of readiness may be outdated.
+/// Peeks at the connection. This calls the system, because the readiness that the runtime has recorded may be
+/// outdated.
 pub fn peek(stream: &TcpStream) -> Peeked {
     loop {
         let peeked = inject_fault(SystemCall::Peek)
@@ -38,8 +39,8 @@
     }
 }
 
-/// Appends what comes next to `buffer`; how many bytes that are, 0 at the end of the stream. Cancel safe: nothing is lost
-/// where the future is dropped.
+/// Waits for data, appends it to `buffer` and returns the number of bytes, which is 0 at the end of the
+/// stream. Cancel safe: no data is lost if the future is dropped.
 pub async fn read(party: Party, stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<usize> {
     loop {
         let read = match inject_fault(SystemCall::Read(party)) {
@@ -53,8 +54,8 @@
     }
 }
 
-/// Writes as much as the system takes, once it takes any; how many bytes. Cancel safe: nothing is lost where the future is
-/// dropped.
+/// Waits until the system accepts data, writes as much of `bytes` as it accepts, and returns the number of
+/// bytes written. Cancel safe: if the future is dropped before it completes, nothing has been written.
 pub async fn write(party: Party, stream: &mut TcpStream, bytes: &[u8]) -> io::Result<usize> {
     loop {
         let written = match inject_fault(SystemCall::Write(party)) {
@@ -68,7 +69,11 @@
     }
 }
 
-/// Writes all of it. Not cancel safe: how much was written is not known where the future is dropped.
+/// Writes all of `bytes`. Not cancel safe: if the future is dropped, it is not known how much was written.
+///
+/// # Errors
+///
+/// [`ErrorKind::WriteZero`] if the system accepts no more data.
 pub async fn write_all(party: Party, stream: &mut TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match write(party, stream, bytes).await? {
@@ -79,7 +84,11 @@
     Ok(())
 }
 
-/// Writes what the system takes at once; how many bytes.
+/// Writes as much of `bytes` as the system accepts without blocking, and returns the number of bytes written.
+///
+/// # Errors
+///
+/// [`ErrorKind::WouldBlock`] if the system accepts none at once.
 pub fn try_write(party: Party, stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
     loop {
         match inject_fault(SystemCall::Write(party)).and_then(|()| stream.try_write(bytes)) {
