--- a/crates/proxy/tests/system_calls.rs
+++ b/crates/proxy/tests/system_calls.rs
@@ -1,4 +1,5 @@
-//! The built program while its system calls fail, by rules in a file that only builds with debug assertions read.
+//! The proxy as a child process whose system calls fail by the rules of a file, see `src/system/faults.rs`.
+//! Only builds with debug assertions read such a file.
 #![cfg(debug_assertions)]
 
 use std::io::{Read, Write};
@@ -14,9 +15,12 @@
 };
 use aldermill_wire::pg;
 
-/// Longer than new connections are accepted after SIGTERM.
+/// Longer than the time for which the proxy accepts new connections after SIGTERM.
 const BEYOND_ACCEPT_WINDOW: Duration = Duration::from_millis(700);
 
+/// Starts a proxy with this name in front of these members, all of them in service. Its system calls fail by
+/// the rules in `faults`. `operator` is the text of the operator's configuration file; `None` for no such
+/// file.
 fn start_driver(name: &str, members: &[(&str, &Member)], faults: &Faults, operator: Option<&str>) -> Driver {
     let members: Vec<_> = members.iter().map(|&(id, member)| (id, member, "in_service")).collect();
     let discovery = Discovery::default();
@@ -25,7 +29,8 @@
     Driver::failing(faults, &config.replace("\"n0\"", &format!("\"{name}\"")), operator)
 }
 
-/// A client that has connected and sent a request, and has read neither the greeting nor the answer.
+/// Connects a client that sends the startup message and a request without reading the greeting or the
+/// response.
 fn connect_and_send_request(driver: &Driver) -> Client {
     let mut client = Client::bare(driver.address);
     let mut bytes = Vec::new();
@@ -35,11 +40,12 @@
     client
 }
 
+/// Returns whether the client receives the greeting, and then a response that serves its request.
 fn is_greeted_and_served(client: &mut Client) -> bool {
     client.answer().is_some() && client.answer().is_some_and(|response| served(&response))
 }
 
-/// What the status socket at that path answers.
+/// Reads the text that the status socket at `path` sends.
 fn read_status(path: &str) -> String {
     let mut text = String::new();
     let mut stream = UnixStream::connect(path).unwrap();
@@ -48,6 +54,7 @@
     text
 }
 
+/// Returns a path for a status socket that no other test process uses.
 fn status_path(kind: &str) -> String {
     let name = format!("aldermill-{kind}-{}", std::process::id());
     std::env::temp_dir().join(name).to_str().unwrap().to_owned()
@@ -61,16 +68,16 @@
         let mut connected_client = Client::connect(driver.address);
         assert!(served(&connected_client.ask(&look(15000))));
         driver.signal("-TERM");
-        until("shutdown is logged", || driver.logged("stopping"));
+        until("the log line about the shutdown", || driver.logged("stopping"));
         driver.signal("-STOP");
         let mut clients: Vec<Client> = (0..5).map(|_| connect_and_send_request(&driver)).collect();
         faults.set(&format!("accept {error} 100 2"));
-        // The time for new connections ends while nobody accepts.
+        // The time for new connections ends while the proxy is suspended and accepts none.
         thread::sleep(BEYOND_ACCEPT_WINDOW);
         driver.signal("-CONT");
         let lost =
             clients.iter_mut().filter_map(|client| (!is_greeted_and_served(client)).then_some(())).count();
-        // A connection that accept reports as aborted was one of the backlog.
+        // Each connection that `accept` reports as aborted is one of the backlog.
         let aborted = if error == "ECONNABORTED" { 2 } else { 0 };
         assert_eq!(lost, aborted, "{error}");
         assert!(driver.child.wait().unwrap().success());
@@ -83,14 +90,14 @@
     let mut driver = start_driver("n0", &[("a", &member)], &faults, None);
     let mut connected_client = Client::connect(driver.address);
     faults.set("accept EMFILE 100 -");
-    // Accepted by the call that was already waiting.
+    // Accepted by the call that was already waiting when the rule was set.
     let _accepted = connect_and_send_request(&driver);
-    until("the failure is logged", || driver.logged("cannot accept connections"));
+    until("the log line about the failure", || driver.logged("cannot accept connections"));
     let mut waiting = connect_and_send_request(&driver);
     assert!(served(&connected_client.ask(&look(15000))));
     faults.set("");
-    assert!(is_greeted_and_served(&mut waiting), "accepted from the backlog");
-    until("the recovery is logged", || driver.logged("accepting connections again"));
+    assert!(is_greeted_and_served(&mut waiting), "the waiting connection was not accepted from the backlog");
+    until("the log line about the recovery", || driver.logged("accepting connections again"));
     faults.set("accept EMFILE 100 -");
     drop((connected_client, waiting));
     driver.signal("-TERM");
@@ -102,7 +109,7 @@
     let (member, faults, path) = (sound("writer"), Faults::default(), status_path("gateway"));
     let operator = format!(r#"{{"gateway":{{"site":"west","status":"{path}","peers":[]}}}}"#);
     let _driver = start_driver("n0", &[("a", &member)], &faults, Some(&operator));
-    until("the socket", || std::path::Path::new(&path).exists());
+    until("the status socket", || std::path::Path::new(&path).exists());
     for error in ["ECONNABORTED", "EMFILE"] {
         faults.set(&format!("accept_local {error} 100 2"));
         assert!(read_status(&path).contains("west"), "{error}");
@@ -125,17 +132,17 @@
     let (no_faults, other_path) = (Faults::default(), status_path("other"));
     let _other_driver =
         start_driver("n2", &[("a", &member)], &no_faults, Some(&membership(second, first, &other_path)));
-    until("the failure is logged", || faulty_driver.logged("cannot receive datagrams"));
+    until("the log line about the failure", || faulty_driver.logged("cannot receive datagrams"));
     let cpu_before = faulty_driver.cpu();
     thread::sleep(Duration::from_millis(500));
     assert!(
         faulty_driver.cpu() - cpu_before < 0.25,
-        "it spins: {} s in 0.5 s",
+        "busy loop: {} s of CPU time in 0.5 s",
         faulty_driver.cpu() - cpu_before
     );
     assert!(read_status(&path).contains("n1"));
     faults.set("");
-    until("gossip of the other", || read_status(&path).contains("n2"));
+    until("gossip from the other proxy", || read_status(&path).contains("n2"));
 }
 
 #[test]
@@ -147,7 +154,11 @@
     faults.set("seed 3\npeek EINTR 60 -");
     let opened = member.connections.load(Ordering::SeqCst);
     (0..20).for_each(|_| assert!(served(&client.ask(&look(15000)))));
-    assert_eq!(member.connections.load(Ordering::SeqCst), opened, "idle connections are good as before");
+    assert_eq!(
+        member.connections.load(Ordering::SeqCst),
+        opened,
+        "an interrupted peek closed an idle connection"
+    );
 }
 
 #[test]
@@ -162,14 +173,15 @@
 
 #[test]
 fn a_network_failure_is_not_reported_as_a_lost_member() {
-    // All idle connections are reset meanwhile, as by a member's death; the error of the connection in use decides.
+    // Every peek at an idle connection reports a reset, as after the end of the member's process. Whether the
+    // member is lost is decided by the error of the connection in use.
     for (error, lost) in [("ETIMEDOUT", false), ("EHOSTUNREACH", false), ("ECONNRESET", true)] {
         let (hold, faults) = (Hold::default(), Faults::default());
         let member_hold = hold.clone();
         let member = Member::start(move |text, stream| {
             let answer = whole(b"the value", text, "writer");
             member_hold.pass();
-            // The rest after the first bytes is read by another call.
+            // Only the first five bytes are sent, so that the proxy must read the rest by another call.
             let length = if text.contains("id=broken") { 5 } else { answer.len() };
             let _ = stream.write_all(&answer[..length]);
         });
@@ -177,19 +189,19 @@
         let mut clients: Vec<Client> = (0..2).map(|_| Client::connect(driver.address)).collect();
         hold.close();
         clients.iter_mut().for_each(|client| client.send(&order(15000)));
-        until("both attempts", || member.requests().len() == 2);
+        until("both attempts at the member", || member.requests().len() == 2);
         hold.open();
         clients.iter_mut().for_each(|client| assert!(served(&client.answer().unwrap())));
         hold.close();
         clients[0].send(&named(&order(15000), "broken"));
-        until("the attempt", || member.requests().len() == 3);
+        until("the third attempt at the member", || member.requests().len() == 3);
         faults.set(&format!("read:member {error} 100 -\npeek ECONNRESET 100 -"));
         hold.open();
         let response = clients[0].answer().unwrap();
         assert_eq!(response.code, "40003", "{error}");
-        // Log lines are in order, so nothing is missing before this one.
+        // Log lines are in order: once this one is there, all earlier ones are.
         driver.signal("-HUP");
-        until("the reload is logged", || driver.logged("configuration reloaded"));
+        until("the log line about the reload", || driver.logged("configuration reloaded"));
         assert_eq!(driver.logged("member lost"), lost, "{error}");
     }
 }
@@ -201,16 +213,16 @@
     discovery.say(members(1));
     let _driver = Driver::failing(&faults, &config(discovery.start(), 256, &members(1)), None);
     let list_requests = || discovery.requests.lock().unwrap().clone();
-    until("the first call", || list_requests().len() == 1);
+    until("the first request to discovery", || list_requests().len() == 1);
     for (retries, error) in ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET", "EPIPE", "ENOBUFS"].iter().enumerate()
     {
         faults.set(&format!("read:discovery {error} 100 1"));
-        until("the next call", || list_requests().len() == retries + 2);
+        until("the next request to discovery", || list_requests().len() == retries + 2);
         assert!(list_requests()[retries + 1].contains("index=1"), "{error}: {:?}", list_requests().last());
     }
     faults.set("read:discovery EINTR 50 -");
     thread::sleep(Duration::from_millis(300));
-    assert_eq!(list_requests().len(), 6, "a call that a signal interrupts is made again");
+    assert_eq!(list_requests().len(), 6, "an interrupted read ended the watch");
 }
 
 #[test]
@@ -220,10 +232,10 @@
     faults.set("connect ENETUNREACH 100 40");
     let start = Instant::now();
     let known = list(1, true, &[("a", &member, "in_service")]);
-    // Backoff would grow up to half of the drain grace.
+    // A backoff would grow up to half of the drain grace, which is 4 s here.
     let config =
         config(discovery.start(), 256, &known).replace("\"fallMs\"", "\"drainGraceMs\":4000,\"fallMs\"");
     let _driver = Driver::failing(&faults, &config, None);
-    until("the first call", || !discovery.requests.lock().unwrap().is_empty());
+    until("the first request to discovery", || !discovery.requests.lock().unwrap().is_empty());
     assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
 }
--- a/crates/proxy/tests/truncated_responses.rs
+++ b/crates/proxy/tests/truncated_responses.rs
@@ -1,5 +1,5 @@
-//! Responses whose end never comes, over loopback. Each message states its length, so that a response is complete
-//! with its CommandComplete, whatever is missing behind that.
+//! Responses of a member that are truncated, over loopback. Each message states its length, so a response is
+//! complete with its CommandComplete message, whatever is missing after that.
 
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
@@ -8,15 +8,19 @@
 use aldermill_test_support::{Client, Driver, Member, look, order, serve, served, whole};
 use socket2::SockRef;
 
-/// How the connection of a truncated response ends.
+/// What happens to the connection after a truncated response.
 #[derive(Clone, Copy, Debug)]
 enum ConnectionEnd {
+    /// The member closes the connection in both directions.
     Closed,
+    /// The member resets the connection.
     Reset,
+    /// The connection stays open and nothing more is sent.
     Silent,
 }
 
-/// A primary whose responses to requests lack `missing` bytes at the end, and whose connections then end in this way.
+/// Starts a primary that omits the last `missing_bytes` bytes of its responses to requests, and then treats the
+/// connection as `connection_end` says.
 fn truncating_primary(missing_bytes: usize, connection_end: ConnectionEnd) -> Member {
     Member::start(move |text: &str, stream: &mut TcpStream| {
         if !text.starts_with("/*") {
@@ -27,7 +31,8 @@
         match connection_end {
             ConnectionEnd::Closed => drop(stream.shutdown(Shutdown::Both)),
             ConnectionEnd::Reset => {
-                // Sent as a reset once the socket's last owner drops it, which is when nothing more can be read.
+                // With a linger time of zero the kernel sends a reset once the last owner of the socket drops
+                // it, which happens when nothing more can be read.
                 let _ = SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
                 let _ = stream.shutdown(Shutdown::Read);
             }
@@ -36,12 +41,15 @@
     })
 }
 
-/// The bytes behind CommandComplete in such a response: two ParameterStatus messages and ReadyForQuery.
+/// Returns the number of bytes after CommandComplete in such a response: two ParameterStatus messages and
+/// ReadyForQuery.
 fn bytes_after_completion() -> usize {
     let bytes = whole(b"the value", "/* */", "writer");
     let completion = b"SELECT 1\0";
-    let position =
-        bytes.windows(completion.len()).position(|window| window == completion).expect("a completion");
+    let position = bytes
+        .windows(completion.len())
+        .position(|window| window == completion)
+        .expect("CommandComplete in the response");
     bytes.len() - position - completion.len()
 }
 
@@ -65,7 +73,7 @@
                 served_writes * 2 >= 20,
                 "{connection_end:?}, {missing_bytes} bytes missing: {served_writes} of 20 writes"
             );
-            assert!(member.requests().len() <= requests_before + 20, "rule 2: a write twice");
+            assert!(member.requests().len() <= requests_before + 20, "a write was sent twice");
         }
     }
 }
--- a/crates/proxy/tests/wall_clock.rs
+++ b/crates/proxy/tests/wall_clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock of the process is stepped, before it starts and while it serves, over loopback.
+//! The proxy under a wall clock that is wrong at the start or is stepped while it serves, over loopback.
 
 use std::io::Write;
 use std::thread;
@@ -10,20 +10,26 @@
 };
 use aldermill_wire::pg;
 
+/// A second in microseconds.
 const SECOND: i64 = 1_000_000;
+/// An hour in microseconds.
 const HOUR: i64 = 3_600 * SECOND;
+/// Steps of the wall clock in microseconds.
 const CLOCK_STEPS: [i64; 4] = [-HOUR, -2 * SECOND, 2 * SECOND, HOUR];
 
-/// By how many microseconds the wall clock is off.
+/// Offset of the proxy's wall clock in microseconds, at different times of a test.
 #[derive(Clone, Copy, Debug)]
 struct ClockOffsets {
+    /// When the proxy starts.
     at_process_start: i64,
+    /// When the replica starts again.
     at_replica_start: i64,
-    /// Half a second into the replica's slow start.
+    /// From half a second after the replica's start, while it is in slow start.
     during_slow_start: i64,
 }
 
-/// Requests that a replica gets in slow start beside two warm ones, in each half second.
+/// Returns the number of requests in each half second that a replica in slow start receives beside two warm
+/// ones.
 fn requests_in_slow_start(offsets: ClockOffsets) -> Vec<usize> {
     const HALF_SECONDS: usize = 8;
     let members = [sound("reader"), sound("reader"), sound("reader")];
@@ -50,9 +56,9 @@
     send_reads_for(Duration::from_secs(1));
     clock.step(offsets.at_replica_start);
     discovery.say(endpoint_list(2, "terminating", 0));
-    until("the drain", || driver.logged("revision: 2"));
+    until("the endpoint list in which the replica drains", || driver.logged("revision: 2"));
     discovery.say(endpoint_list(3, "in_service", unix_millis()));
-    until("the new start", || driver.logged("revision: 3"));
+    until("the endpoint list in which the replica has started again", || driver.logged("revision: 3"));
     let requests_before = members[2].requests().len();
     let mut totals = vec![requests_before];
     for half_second in 0..HALF_SECONDS {
@@ -65,8 +71,9 @@
     totals.windows(2).map(|pair| pair[1] - pair[0]).collect()
 }
 
-/// Slow start lasts its time, no less and no more: a warm replica gets 33 requests each half second, this one few at first
-/// and most of them at last. The bounds leave space for the variation on a busy machine.
+/// Asserts that slow start lasts as long as configured: a warm replica receives 33 requests in each half
+/// second, this one few at first and most of that number at the end. The bounds allow for variation on a busy
+/// machine.
 fn assert_slow_start_duration(cases: Vec<ClockOffsets>) {
     for batch in cases.chunks(4) {
         let start =
@@ -76,8 +83,8 @@
             let requests = run.join().unwrap();
             let first: usize = requests[..2].iter().sum();
             let last: usize = requests[6..].iter().sum();
-            assert!(first <= 36, "warm too early, {offsets:?}: {requests:?}");
-            assert!(last >= 32, "cold for too long, {offsets:?}: {requests:?}");
+            assert!(first <= 36, "slow start too short, {offsets:?}: {requests:?}");
+            assert!(last >= 32, "slow start too long, {offsets:?}: {requests:?}");
         }
     }
 }
@@ -103,7 +110,7 @@
     assert_slow_start_duration([0].iter().chain(&CLOCK_STEPS).map(constant).collect());
 }
 
-/// A replica that reports this replication position, in Unix milliseconds.
+/// Starts a replica that reports the replication position that `position` returns, in Unix milliseconds.
 fn replica_at(position: impl Fn() -> u128 + Send + Sync + 'static) -> Member {
     Member::start(move |text, stream| {
         let (mut out, position) = (Vec::new(), position());
@@ -117,7 +124,8 @@
     })
 }
 
-/// A proxy with a replica and a primary; `need` is the settings' word for what reads may see.
+/// Starts a proxy with this replica and a primary. `need` is the value in the settings for how fresh the data
+/// of reads must be, and the maximum age of that data is set to 300 ms.
 fn proxy_with_replica(clock: &SteppedClock, replica: Member, need: &str) -> (Driver, Member, Member) {
     let members = (replica, sound("writer"));
     let known = list(1, true, &[("a", &members.0, "in_service"), ("b", &members.1, "in_service")]);
@@ -130,7 +138,7 @@
     )
 }
 
-/// A read of a session whose last write was committed at this position, in Unix milliseconds.
+/// Returns a read of a session whose last write was committed at `position`, in Unix milliseconds.
 fn read_after_write(position: u128) -> String {
     look(15_000).replace(",cluster=2", &format!(",cluster=2,after={position}"))
 }
@@ -149,14 +157,18 @@
             replica.requests().len() - requests_before
         };
         if initial_offset >= 0 {
-            until("a read of the replica", || reads(position, 1) > 0);
+            until("a read at the replica", || reads(position, 1) > 0);
         }
         clock.step(step);
-        assert_eq!(reads(position + 500, 20), 0, "stale reads, clock at {initial_offset}, then {step}");
+        assert_eq!(
+            reads(position + 500, 20),
+            0,
+            "stale reads at the replica, clock off by {initial_offset} us, then by {step} us"
+        );
         if initial_offset >= 0 {
             assert!(
                 reads(position, 20) > 0,
-                "kept from the replica needlessly, {initial_offset}, then {step}"
+                "no reads at an up-to-date replica, clock off by {initial_offset} us, then by {step} us"
             );
         }
     }
@@ -164,7 +176,8 @@
 
 #[test]
 fn bounded_staleness_reads_keep_their_bound_in_a_process_started_under_a_wrong_wall_clock() {
-    // How far the replica is behind, in milliseconds, and whether it is fresh enough for reads of data 300 ms old.
+    // Initial offset of the clock in microseconds, lag of the replica in milliseconds, and whether the
+    // replica is fresh enough for reads that accept data up to 300 ms old.
     let cases = [(-3 * SECOND, 2_500, false), (-HOUR, 3_599_900, false), (-HOUR, 0, true), (HOUR, 0, true)];
     for (initial_offset, lag_ms, fresh) in
         cases.into_iter().chain([(2 * SECOND, 2_500, false), (2 * SECOND, 0, true)])
@@ -173,7 +186,7 @@
         let replica = replica_at(move || unix_millis() - lag_ms);
         let (driver, replica, _primary) = proxy_with_replica(&clock, replica, "recent");
         let mut client = Client::connect(driver.address);
-        until("the members' clock", || {
+        until("the log line about the members' clock", || {
             assert!(served(&client.ask(&order(15_000))) && served(&client.ask(&look(15_000))));
             driver.logged("differs from the members'")
         });
@@ -184,9 +197,13 @@
             replica.requests().len() - requests_before
         };
         if fresh {
-            until("a read of the replica", || reads(1) > 0);
+            until("a read at the replica", || reads(1) > 0);
         } else {
-            assert_eq!(reads(100), 0, "stale: clock off by {initial_offset}, replica behind by {lag_ms}");
+            assert_eq!(
+                reads(100),
+                0,
+                "stale reads: clock off by {initial_offset} us, replica lag {lag_ms} ms"
+            );
         }
     }
 }
