--- a/crates/proxy/src/member/outcome.rs
+++ b/crates/proxy/src/member/outcome.rs
@@ -97,7 +97,7 @@
     /// Whether the process stalled after the query started. A response may then have arrived in time without
     /// being read.
     pub stalled: bool,
-    /// Whether a connection was given at least `limits.member.connect_evidence` to be established.
+    /// Whether a connection was given at least `limits.member.min_connect_time` to be established.
     pub had_time_to_connect: bool,
 }
 
--- a/crates/proxy/src/member/query.rs
+++ b/crates/proxy/src/member/query.rs
@@ -77,7 +77,7 @@
     /// Whether the process stalled after the query started; determined only if the query ended in silence,
     /// otherwise `false`.
     pub(super) stalled: bool,
-    /// Whether a connection was given at least `limits.member.connect_evidence` to be established; determined
+    /// Whether a connection was given at least `limits.member.min_connect_time` to be established; determined
     /// only if the query ended in silence, otherwise `false`.
     pub(super) had_time_to_connect: bool,
 }
@@ -144,7 +144,7 @@
             )
         ) {
             outcome.stalled = self.context.unstalled_clock.stalled_since(started_at);
-            outcome.had_time_to_connect = started_at.elapsed() >= self.context.limits.member.connect_evidence;
+            outcome.had_time_to_connect = started_at.elapsed() >= self.context.limits.member.min_connect_time;
         }
         outcome
     }
