--- a/crates/proxy/tests/warm_start.rs
+++ b/crates/proxy/tests/warm_start.rs
@@ -43,18 +43,14 @@
     let mut client = Client::connect(driver.address);
     assert!(client.ask("").empty);
     assert!(served(&client.ask(&order(5000))));
-    until("the primary in the data directory", || {
-        store_command("dump", &directory).1.contains(r#""member":"s-b""#)
-    });
+    until("the saved primary", || store_command("dump", &directory).1.contains(r#""member":"s-b""#));
     drop(driver);
 
     // From now on discovery does not answer, and the configuration contains no endpoint list.
     discovery.mute.store(true, Ordering::SeqCst);
     let requests_before = a.requests().len();
     let driver = start_driver(&discovery, "null", &directory);
-    until("the log line about the data directory", || {
-        driver.logged("state restored from data directory, newest_confirmation_age_ms")
-    });
+    until("the log line", || driver.logged("state restored from data directory, newest_confirmation_age_ms"));
     let mut client = Client::connect(driver.address);
     assert!(client.ask("").empty && served(&client.ask(&order(5000))));
     assert_eq!(a.requests().len(), requests_before, "a primary search after the restart");
@@ -77,7 +73,7 @@
     let discovery = Discovery::default();
     discovery.say(list(7, true, &[("s-a", &a, "in_service")]));
     let driver = start_driver(&discovery, "null", &directory);
-    until("the endpoint list in the data directory", || store_command("dump", &directory).1.contains("s-a"));
+    until("the saved list", || store_command("dump", &directory).1.contains("s-a"));
     drop(driver);
     discovery.mute.store(true, Ordering::SeqCst);
     let configured_list = list(8, true, &[("s-a", &a, "terminating"), ("s-b", &b, "in_service")]);
@@ -99,11 +95,11 @@
     let discovery = Discovery::default();
     let configured_list = list(1, true, &[("s-a", &member, "in_service")]);
     let driver = start_driver(&discovery, &configured_list, &directory);
-    until("the identity in the data directory", || store_command("dump", &directory).1.contains("n0"));
+    until("the saved identity", || store_command("dump", &directory).1.contains("n0"));
     drop(driver);
     let other = config(discovery.start(), 256, &configured_list).replace("\"n0\"", "\"n1\"");
     let driver = Driver::with("127.0.0.1:0".parse().unwrap(), &other, Some(&operator_config(&directory)));
-    until("the log line about the data directory", || {
+    until("the log line", || {
         driver.logged(
             "data directory unavailable, state is neither restored nor saved, error: \
             the data directory belongs to proxy n0",
@@ -114,7 +110,7 @@
     std::fs::remove_dir_all(&directory).unwrap();
     std::fs::write(&directory, "a file").unwrap();
     let driver = start_driver(&discovery, &configured_list, &directory);
-    until("the log line about the data directory", || {
+    until("the log line", || {
         driver.logged("data directory unavailable, state is neither restored nor saved")
     });
     assert!(served(&Client::connect(driver.address).ask(&order(5000))));
@@ -134,7 +130,7 @@
     let driver = Driver::on_full_disk(0, &config, &operator_config(&full));
     let mut client = Client::connect(driver.address);
     assert!(client.ask("").empty && served(&client.ask(&order(5000))));
-    until("the log line about the data directory", || {
+    until("the log line", || {
         driver.logged("data directory unavailable, state is neither restored nor saved")
             || driver.logged("data directory not writable, state is restored but not saved")
             || driver.logged("state is not saved")
@@ -147,11 +143,11 @@
     let driver = Driver::on_full_disk(8, &config, &operator_config(&filling));
     let mut client = Client::connect(driver.address);
     assert!(client.ask("").empty);
-    until("the endpoint list in the data directory", || store_command("dump", &filling).1.contains("s-a"));
+    until("the saved list", || store_command("dump", &filling).1.contains("s-a"));
     let names: Vec<String> = (0..80).map(|number| format!("s-{number:02}")).collect();
     let members: Vec<_> = names.iter().map(|name| (name.as_str(), &member, "in_service")).collect();
     discovery.say(list(2, true, &members));
-    until("the log line about the data directory", || driver.logged("state is not saved"));
+    until("the log line", || driver.logged("state is not saved"));
     assert!(served(&client.ask(&order(5000))) && !driver.logged("panic"));
     drop(driver);
     let (_, text) = store_command("check", &filling);
@@ -167,19 +163,15 @@
     let discovery = Discovery::default();
     discovery.say(list(1, true, &[("s-a", &member, "in_service")]));
     let driver = start_driver(&discovery, "null", &directory);
-    until("the log line about the data directory", || {
+    until("the log line", || {
         driver.logged("data directory unavailable, state is neither restored nor saved")
     });
     assert!(!driver.logged("data directory available, state is saved from now on"));
     std::fs::remove_file(&directory).unwrap();
-    until("the log line that state is saved", || {
-        driver.logged("data directory available, state is saved from now on")
-    });
+    until("the open directory", || driver.logged("data directory available, state is saved from now on"));
     let mut client = Client::connect(driver.address);
     assert!(client.ask("").empty && served(&client.ask(&order(5000))));
-    until("the primary in the data directory", || {
-        store_command("dump", &directory).1.contains(r#""member":"s-a""#)
-    });
+    until("the saved primary", || store_command("dump", &directory).1.contains(r#""member":"s-a""#));
     drop(driver);
     std::fs::remove_dir_all(directory).unwrap();
 }
@@ -193,21 +185,17 @@
     let driver = start_driver(&discovery, "null", &directory);
     let mut client = Client::connect(driver.address);
     assert!(client.ask("").empty && served(&client.ask(&order(5000))));
-    until("the primary in the data directory", || {
-        store_command("dump", &directory).1.contains(r#""member":"s-b""#)
-    });
+    until("the saved primary", || store_command("dump", &directory).1.contains(r#""member":"s-b""#));
     drop(driver);
 
     discovery.mute.store(true, Ordering::SeqCst);
     let requests_before = a.requests().len();
     let config_without_list = config(discovery.start(), 256, "null");
     let driver = Driver::on_full_disk(0, &config_without_list, &operator_config(&directory));
-    until("the log line about the restored state", || {
+    until("the restored state", || {
         driver.logged("state restored from data directory, newest_confirmation_age_ms")
     });
-    until("the log line about the data directory", || {
-        driver.logged("data directory not writable, state is restored but not saved")
-    });
+    until("the log line", || driver.logged("data directory not writable, state is restored but not saved"));
     let mut client = Client::connect(driver.address);
     assert!(client.ask("").empty && served(&client.ask(&order(5000))));
     assert_eq!(a.requests().len(), requests_before, "a primary search after the restart");
