--- a/crates/proxy/tests/simultaneous_events.rs
+++ b/crates/proxy/tests/simultaneous_events.rs
@@ -1,5 +1,5 @@
-//! Two events in one turn of the event loop, over loopback: the program is suspended (SIGSTOP) while both happen, and
-//! finds both when it continues, in the order in which they came.
+//! Tests, over loopback, of two events in one iteration of the event loop: the proxy is suspended (SIGSTOP)
+//! while both occur, and finds both when it continues, in the order in which they arrived.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,27 +11,29 @@
     sound, until,
 };
 
-/// Long enough for the program to notice the stall, and for discovery to send what it has.
+/// Long enough for the proxy to notice the stall, and for discovery to send the lists that it has.
 const STALL: Duration = Duration::from_millis(200);
 
-/// A member that waits at `hold` before it responds, and reports the role that it has by then. `given` is set once the
-/// proxy's kernel has the whole response.
-fn holding(hold: &Hold, replica: &Arc<AtomicBool>, given: &Arc<AtomicBool>) -> Member {
-    let (hold, replica, given) = (hold.clone(), replica.clone(), given.clone());
+/// Starts a member that waits at `hold` before it responds, and reports the role that it has after the wait.
+/// `response_delivered` is set once the proxy's kernel has the whole response.
+fn held_member(hold: &Hold, is_replica: &Arc<AtomicBool>, response_delivered: &Arc<AtomicBool>) -> Member {
+    let (hold, is_replica, response_delivered) =
+        (hold.clone(), is_replica.clone(), response_delivered.clone());
     Member::start(move |text, stream| {
         hold.pass();
-        serve(text, if replica.load(Ordering::SeqCst) { "reader" } else { "writer" }, stream);
+        serve(text, if is_replica.load(Ordering::SeqCst) { "reader" } else { "writer" }, stream);
         delivered(stream);
-        given.store(true, Ordering::SeqCst);
+        response_delivered.store(true, Ordering::SeqCst);
     })
 }
 
-/// A proxy before this member that learns of its role by responses alone; reads must see everything committed before.
-fn before(member: &Member) -> Driver {
-    let known = list(1, true, &[("a", member, "in_service")]);
+/// Starts a proxy for this member that learns the member's role only from responses, because it sends no
+/// health checks. Reads must see everything that was committed before them.
+fn start_proxy(member: &Member) -> Driver {
+    let initial_list = list(1, true, &[("a", member, "in_service")]);
     let discovery = Discovery::default();
-    discovery.say(known.clone());
-    let config = config(discovery.start(), 256, &known)
+    discovery.say(initial_list.clone());
+    let config = config(discovery.start(), 256, &initial_list)
         .replace(r#""probes":true"#, r#""probes":false"#)
         .replace(r#"["loose","#, r#"["latest","#);
     Driver::of(&config)
@@ -39,42 +41,46 @@
 
 #[test]
 fn a_read_that_arrives_with_the_demotion_of_its_primary_is_not_sent_there() {
-    let (hold, replica, given) = (Hold::default(), Arc::default(), Arc::default());
-    let member = holding(&hold, &replica, &given);
-    let driver = before(&member);
-    let (mut first, mut second) = (Client::connect(driver.address), Client::connect(driver.address));
+    let (hold, is_replica, response_delivered) = (Hold::default(), Arc::default(), Arc::default());
+    let member = held_member(&hold, &is_replica, &response_delivered);
+    let proxy = start_proxy(&member);
+    let (mut first, mut second) = (Client::connect(proxy.address), Client::connect(proxy.address));
     for round in 0..5 {
-        replica.store(false, Ordering::SeqCst);
-        until("the primary's report", || served(&first.ask(&order(2000))));
+        is_replica.store(false, Ordering::SeqCst);
+        until("the primary's first response", || served(&first.ask(&order(2000))));
         assert!(served(&first.ask(&look(2000))) && served(&second.ask(&look(2000))));
         hold.close();
-        first.send(&named(&look(2000), &format!("word{round}")));
+        first.send(&named(&look(2000), &format!("demotion{round}")));
         hold.reached();
-        driver.signal("-STOP");
-        given.store(false, Ordering::SeqCst);
-        replica.store(true, Ordering::SeqCst);
+        proxy.signal("-STOP");
+        response_delivered.store(false, Ordering::SeqCst);
+        is_replica.store(true, Ordering::SeqCst);
         hold.open();
-        until("the demotion", || given.load(Ordering::SeqCst));
-        // The router is asked about this read before it hears of the demotion, which the member's actor has by then.
+        until("the demotion", || response_delivered.load(Ordering::SeqCst));
+        // The router decides on this read before it learns of the demotion, which the member's actor knows by
+        // then.
         second.send(&named(&look(1000), &format!("read{round}")));
         delivered(&second.stream);
-        driver.signal("-CONT");
+        proxy.signal("-CONT");
         assert!(first.answer().is_some());
-        let said = second.answer().expect("its one answer");
-        assert_eq!(said.code, "53300", "nobody is left who may answer it: {said:?}");
+        let response = second.answer().expect("a response");
+        assert_eq!(response.code, "53300", "no member may serve the read: {response:?}");
         let id = format!("id=read{round},");
-        assert!(member.requests().iter().all(|request| !request.contains(&id)), "rule 5: asked as a replica");
+        assert!(
+            member.requests().iter().all(|request| !request.contains(&id)),
+            "rule 5: a read was sent to a replica"
+        );
     }
 }
 
 #[test]
 fn a_response_that_arrives_at_its_deadline_counts() {
-    let (hold, replica, given) = (Hold::default(), Arc::default(), Arc::default());
-    let member = holding(&hold, &replica, &given);
-    let driver = before(&member);
-    let mut client = Client::connect(driver.address);
-    until("the primary's report", || served(&client.ask(&order(2000))));
-    // After these the member is known to be fast: a request with little time left is worth an attempt.
+    let (hold, is_replica, response_delivered) = (Hold::default(), Arc::default(), Arc::default());
+    let member = held_member(&hold, &is_replica, &response_delivered);
+    let proxy = start_proxy(&member);
+    let mut client = Client::connect(proxy.address);
+    until("the primary's first response", || served(&client.ask(&order(2000))));
+    // These requests show that the member is fast, so that a request with little time left is attempted.
     for _ in 0..60 {
         assert!(served(&client.ask(&look(2000))) && served(&client.ask(&order(2000))));
     }
@@ -84,59 +90,69 @@
         let sent = Instant::now();
         client.send(&statement(wait.as_millis() as u32));
         hold.reached();
-        driver.signal("-STOP");
-        let in_time = sent.elapsed() < wait / 2;
-        given.store(false, Ordering::SeqCst);
+        proxy.signal("-STOP");
+        let suspended_in_time = sent.elapsed() < wait / 2;
+        response_delivered.store(false, Ordering::SeqCst);
         hold.open();
-        until("the answer", || given.load(Ordering::SeqCst));
-        // Both are there when it continues: the response, and the deadline.
+        until("the response", || response_delivered.load(Ordering::SeqCst));
+        // When the proxy continues, the response has arrived and the deadline has passed.
         thread::sleep((sent + wait).saturating_duration_since(Instant::now()));
-        driver.signal("-CONT");
-        let said = client.answer().expect("its one answer");
-        assert!(served(&said) || !in_time, "{said:?}");
+        proxy.signal("-CONT");
+        let response = client.answer().expect("a response");
+        assert!(served(&response) || !suspended_in_time, "{response:?}");
     }
 }
 
-/// Of two endpoint lists that arrived during a stall the older one was applied last, so that a member that had moved was asked
-/// at its former address again, and one that drains got new requests until the next list. The log of such a run had
-/// `revision: 1` behind `revision: 2`, both right after `process stalled`.
+/// Guards against applying the older of two endpoint lists last if both arrived during a stall. A member that
+/// had moved was then sent requests at its former address again, and a draining member got new requests until
+/// the next list. The log of such a run had `revision: 1` after `revision: 2`, both right after
+/// `process stalled`.
 #[test]
-fn lists_that_arrive_during_a_stall_are_applied_in_their_order() {
+fn lists_that_arrive_during_a_stall_are_applied_in_order() {
     const ROUNDS: u64 = 6;
-    let (drained, listed) = (sound("writer"), sound("writer"));
+    let (draining, added) = (sound("writer"), sound("writer"));
     let discovery = Discovery::default();
-    let first = list(1, true, &[("a", &drained, "in_service")]);
-    discovery.say(first.clone());
-    let driver = Driver::start(&discovery, 256, &first);
-    until("the watch", || discovery.requests.lock().unwrap().len() == 1);
-    // Traffic, so that the stall mostly begins while the program runs: it then finds the lists before its timers.
-    let (address, over) = (driver.address, Arc::new(AtomicBool::new(false)));
-    let traffic = |_| {
-        let over = over.clone();
+    let first_list = list(1, true, &[("a", &draining, "in_service")]);
+    discovery.say(first_list.clone());
+    let proxy = Driver::start(&discovery, 256, &first_list);
+    until("the discovery watch", || discovery.requests.lock().unwrap().len() == 1);
+    // With this traffic, the stall mostly begins while the proxy is running: it then finds the lists before
+    // its timers.
+    let (address, stop) = (proxy.address, Arc::new(AtomicBool::new(false)));
+    let send_requests = |_| {
+        let stop = stop.clone();
         thread::spawn(move || {
             let mut client = Client::connect(address);
-            while !over.load(Ordering::SeqCst) {
+            while !stop.load(Ordering::SeqCst) {
                 assert!(served(&client.ask(&look(15000))));
             }
         })
     };
-    let clients: Vec<_> = (0..4).map(traffic).collect();
+    let clients: Vec<_> = (0..4).map(send_requests).collect();
     for round in 0..ROUNDS {
-        let older = 2 + 2 * round;
-        driver.signal("-STOP");
-        discovery.say(list(older, true, &[("a", &drained, "in_service")]));
-        discovery.say(list(older + 1, true, &[("a", &drained, "terminating"), ("b", &listed, "in_service")]));
+        let older_revision = 2 + 2 * round;
+        proxy.signal("-STOP");
+        discovery.say(list(older_revision, true, &[("a", &draining, "in_service")]));
+        discovery.say(list(
+            older_revision + 1,
+            true,
+            &[("a", &draining, "terminating"), ("b", &added, "in_service")],
+        ));
         thread::sleep(STALL);
-        driver.signal("-CONT");
-        let applied = |revision: u64| driver.logged(&format!("revision: {revision}"));
-        until("both lists", || applied(older) && applied(older + 1));
-        // What was under way when the lists were applied has its answer, too.
-        let mut client = Client::connect(driver.address);
+        proxy.signal("-CONT");
+        let applied = |revision: u64| proxy.logged(&format!("revision: {revision}"));
+        until("both lists", || applied(older_revision) && applied(older_revision + 1));
+        // Once these are answered, so are the requests that were in flight when the lists were applied.
+        let mut client = Client::connect(proxy.address);
         assert!((0..20).all(|_| served(&client.ask(&look(15000)))));
-        let before = drained.requests().len();
+        let requests_before = draining.requests().len();
         assert!((0..20).all(|_| served(&client.ask(&look(15000)))));
-        assert_eq!(drained.requests().len(), before, "round {round}: asked though it drains");
+        assert_eq!(
+            draining.requests().len(),
+            requests_before,
+            "round {round}: a draining member was sent a request"
+        );
     }
-    over.store(true, Ordering::SeqCst);
+    stop.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|client| client.join().unwrap());
 }
