--- a/crates/proxy/src/lifecycle/signals.rs
+++ b/crates/proxy/src/lifecycle/signals.rs
@@ -1,40 +1,41 @@
-//! The signals that the process handles.
+//! Handlers for the signals SIGTERM, SIGINT and SIGHUP.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 use crate::lifecycle::errors::ProgramError;
 
-/// The handlers of all signals. Once they are installed, none of these signals ends the process by itself.
+/// The handlers of all signals. Once they are installed, these signals no longer terminate the process on
+/// their own.
 pub struct Signals {
-    /// SIGTERM and SIGINT: shut down.
+    /// SIGTERM and SIGINT, which start a shutdown.
     pub stop: StopSignals,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP, which reloads the configuration.
     pub hangup: Signal,
 }
 
-/// The signals that ask for a shutdown.
+/// The handlers of SIGTERM and SIGINT, which request a shutdown.
 pub struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl Signals {
-    /// Installs the handlers.
+    /// Installs the handlers of all signals.
     ///
     /// # Errors
     ///
-    /// The system refuses one.
+    /// Returns [`ProgramError::SignalHandlers`] if the system refuses a handler.
     pub fn install() -> Result<Signals, ProgramError> {
-        let terminate = install(SignalKind::terminate())?;
-        let interrupt = install(SignalKind::interrupt())?;
-        let hangup = install(SignalKind::hangup())?;
+        let terminate = install_handler(SignalKind::terminate())?;
+        let interrupt = install_handler(SignalKind::interrupt())?;
+        let hangup = install_handler(SignalKind::hangup())?;
         Ok(Signals { stop: StopSignals { terminate, interrupt }, hangup })
     }
 }
 
 impl StopSignals {
-    /// Waits for one of them.
-    pub async fn received(&mut self) {
+    /// Waits until SIGTERM or SIGINT arrives.
+    pub async fn wait(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
@@ -42,6 +43,6 @@
     }
 }
 
-fn install(kind: SignalKind) -> Result<Signal, ProgramError> {
+fn install_handler(kind: SignalKind) -> Result<Signal, ProgramError> {
     signal(kind).map_err(ProgramError::SignalHandlers)
 }
