--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -170,7 +170,7 @@
 /// Guards against a connection that stays open because its client sends the next request as soon as it has a
 /// response. On a busy machine the request always arrived before the proxy checked whether the connection
 /// could be closed. The client was served until the time for the shutdown was over, and then rejected with
-/// 53300. In 140 runs of `staying::a_planned_restart_under_traffic_loses_no_request`, 70 at a time on one
+/// 53300. In 140 runs of `process_lifecycle::a_planned_restart_under_traffic_loses_no_request`, 70 at a time on one
 /// core, 53 had a request rejected; their shutdowns took 4.0 to 6.8 s instead of the usual 0.7 s.
 #[test]
 fn the_response_to_a_late_request_comes_with_the_end_of_its_connection() {
